--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -10,7 +10,7 @@
 	"io"
 	"os"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 	"pumiceline/wire"
 )
 
@@ -28,10 +28,10 @@
 		head      [wire.BatchHeader]byte
 		body      []byte
 		reply     []byte
-		actions   []decide.Action
+		actions   []policy.Action
 		dec       wire.Decoder
 		rec       wire.Record
-		instances = map[uint16]*decide.Balancer{}
+		instances = map[uint16]*policy.Balancer{}
 	)
 	for batch := 0; ; batch++ {
 		if _, err := io.ReadFull(r, head[:]); err == io.EOF {
@@ -55,7 +55,7 @@
 			}
 			switch rec.Kind {
 			case wire.Spawn:
-				b, err := decide.New(rec.Settings, rec.Seed)
+				b, err := policy.New(rec.Settings, rec.Seed)
 				if err != nil {
 					return fmt.Errorf("batch %d: record %d: instance %d: %w", batch, i, rec.Instance, err)
 				}
--- a/cmd/pumiceline/change.go
+++ b/cmd/pumiceline/change.go
@@ -5,16 +5,16 @@
 	"log/slog"
 	"sync"
 
-	"pumiceline/decide"
-	"pumiceline/internal/config"
-	"pumiceline/internal/destination"
-	"pumiceline/internal/front"
-	"pumiceline/internal/metrics"
-	"pumiceline/internal/operator"
-	"pumiceline/internal/planner"
-	"pumiceline/internal/pool"
-	"pumiceline/internal/route"
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/config"
+	"pumiceline/internal/standalone/deployfile"
+	"pumiceline/internal/standalone/discovery"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/forwarder"
+	"pumiceline/internal/standalone/listener"
+	"pumiceline/internal/standalone/metrics"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/settings"
 )
 
 // reload reads the configuration again, beside the one that is in use.
@@ -26,12 +26,12 @@
 	processes int            // of this proxy, that share its budgets
 	cfg       *config.Config // in use
 	door      string         // the door's file
-	gate      *front.Gate    // nil without one
-	plan      *planner.Planner
-	fleet     *destination.Fleet
-	transport *route.Transport
-	clients   *front.Front
-	watcher   *pool.Watcher
+	gate      *listener.Gate // nil without one
+	plan      *engine.Planner
+	fleet     *backend.Fleet
+	transport *forwarder.Transport
+	clients   *listener.Front
+	watcher   *discovery.Watcher
 	figures   *metrics.Metrics
 	log       *slog.Logger
 }
@@ -67,7 +67,7 @@
 			return err
 		}
 		// Whatever can be wrong is found before anything is changed.
-		if _, err := decide.New(module, 0); err != nil {
+		if _, err := policy.New(module, 0); err != nil {
 			return fmt.Errorf("config: settings: %w", err)
 		}
 		if err := c.changeDoor(numbered); err != nil {
@@ -93,7 +93,7 @@
 
 // module is the module's form of settings. Where several processes serve, each is one of a larger group of proxies to its module:
 // together they send cold servers and take of tenants' shares what one would.
-func (c *changer) module(s *settings.Settings) (decide.Settings, error) {
+func (c *changer) module(s *settings.Settings) (policy.Settings, error) {
 	m, err := config.Module(s)
 	m.GroupSize = max(1, m.GroupSize) * max(1, c.processes)
 	return m, err
@@ -122,7 +122,7 @@
 	if c.gate == nil {
 		return nil
 	}
-	set, err := operator.Door(c.door, s, c.cfg.Seed)
+	set, err := deployfile.Door(c.door, s, c.cfg.Seed)
 	if err != nil {
 		return err
 	}
--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -21,18 +21,18 @@
 
 	"github.com/alecthomas/kong"
 
-	"pumiceline/decide"
-	"pumiceline/internal/admin"
-	"pumiceline/internal/config"
-	"pumiceline/internal/destination"
-	"pumiceline/internal/front"
-	"pumiceline/internal/handover"
-	"pumiceline/internal/metrics"
-	"pumiceline/internal/operator"
-	"pumiceline/internal/planner"
-	"pumiceline/internal/pool"
-	"pumiceline/internal/route"
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/admin"
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/config"
+	"pumiceline/internal/standalone/deployfile"
+	"pumiceline/internal/standalone/discovery"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/forwarder"
+	"pumiceline/internal/standalone/hotrestart"
+	"pumiceline/internal/standalone/listener"
+	"pumiceline/internal/standalone/metrics"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/settings"
 )
 
 type cli struct {
@@ -75,7 +75,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := decide.New(cfg.Module, cfg.Seed); err != nil {
+	if _, err := policy.New(cfg.Module, cfg.Seed); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
 	_, err = fmt.Fprintf(out, "%s listens on %s and asks %s; %d classes, %d tenants, %d zones\n", cfg.Name, cfg.Listen,
@@ -148,23 +148,23 @@
 
 func (tcp) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 func (tcp) Dial(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
-	return destination.OverTCP(ctx, addr, by)
+	return backend.OverTCP(ctx, addr, by)
 }
 
 // serve puts the parts together and runs them until stop ends and all that was taken is answered. At each hangup it
 // takes over what reload brings and what the operators' files say then.
 func serve(stop context.Context, cfg *config.Config, with parts, log *slog.Logger) error {
-	module, err := decide.New(cfg.Module, cfg.Seed)
+	module, err := policy.New(cfg.Module, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
-	var gate *front.Gate
+	var gate *listener.Gate
 	if with.door != "" {
-		set, err := operator.Door(with.door, &cfg.Settings, cfg.Seed)
+		set, err := deployfile.Door(with.door, &cfg.Settings, cfg.Seed)
 		if err != nil {
 			return err
 		}
-		if gate, err = front.NewGate(set, log); err != nil {
+		if gate, err = listener.NewGate(set, log); err != nil {
 			return err
 		}
 	}
@@ -175,16 +175,16 @@
 	figures.Classes(classNames(&cfg.Settings))
 	limits := &cfg.Settings.Limits
 	allSockets := float64(cfg.Limits.Sockets)
-	fleetOptions := destination.Options{DialWithin: micros(limits.DialTimeout), IdleClose: micros(limits.IdleClose),
+	fleetOptions := backend.Options{DialWithin: micros(limits.DialTimeout), IdleClose: micros(limits.IdleClose),
 		MostSockets: int(allSockets * destinationPart), Sent: figures.Sent, Dial: with.network.Dial}
 	fleetOptions.Columns = config.Columns(&cfg.Settings, &cfg.Module)
-	fleet := destination.NewFleet(fleetOptions, log)
-	watcher := pool.NewWatcher(cfg.Discovery, pool.NewTable(cfg.Settings.Zones, cfg.Settings.Flavors), fleet, log)
+	fleet := backend.NewFleet(fleetOptions, log)
+	watcher := discovery.NewWatcher(cfg.Discovery, discovery.NewTable(cfg.Settings.Zones, cfg.Settings.Flavors), fleet, log)
 	watcher.Over(with.network.Dial)
 	share := &sharing{memoryMB: cfg.Limits.MemoryMB}
-	share.at.Store(int32(handover.Starting))
+	share.at.Store(int32(hotrestart.Starting))
 	if cfg.Shared != "" {
-		folder := handover.NewFolder(cfg.Shared, cfg.Name+" "+cfg.Listen)
+		folder := hotrestart.NewFolder(cfg.Shared, cfg.Name+" "+cfg.Listen)
 		watcher.Keep(folder)
 		share.folder = folder
 		if share.presence, err = folder.Join(); err != nil { // alone, then: a folder that is of no use must not stop a proxy
@@ -193,14 +193,14 @@
 			defer share.presence.Leave()
 		}
 	}
-	probes := route.NewProbes(fleet, log)
+	probes := forwarder.NewProbes(fleet, log)
 	defer probes.Close()
-	plan := planner.New(module, planner.Hooks{Subscribe: watcher.Ask, CloseUnused: fleet.CloseUnused, Probe: probes.Ask}, log)
+	plan := engine.New(module, engine.Hooks{Subscribe: watcher.Ask, CloseUnused: fleet.CloseUnused, Probe: probes.Ask}, log)
 	probes.Tell(plan)
 	share.plan, share.log = plan, log
-	transport := &route.Transport{Planner: plan, Fleet: fleet, Log: log}
+	transport := &forwarder.Transport{Planner: plan, Fleet: fleet, Log: log}
 	transport.MaxRetryAfter.Store(settings.Micros(limits.MaxRetryAfter))
-	clients := front.New(front.Options{Settings: &cfg.Settings, Ready: watcher.Held, Log: log, Gate: gate, Metrics: figures,
+	clients := listener.New(listener.Options{Settings: &cfg.Settings, Ready: watcher.Held, Log: log, Gate: gate, Metrics: figures,
 		MostSockets: int(allSockets * frontPart), Successor: share.successor,
 		Sockets: func() int { // what destinations have no use for, less some room for them to grow
 			fronts, connections := share.others()
@@ -217,7 +217,7 @@
 	if cfg.ListenFD == 0 {
 		ln, err = with.network.Listen(cfg.Listen)
 	} else {
-		ln, err = handover.Listen(cfg.ListenFD)
+		ln, err = hotrestart.Listen(cfg.ListenFD)
 	}
 	if err != nil {
 		return fmt.Errorf("config: listen: %w", err)
@@ -288,10 +288,10 @@
 	if cfg.ListenFD == 0 || awaitList(stop, watcher) {
 		log.Info("serving", "listen", cfg.Listen, "discovery", cfg.Discovery)
 		share.learn()
-		share.at.Store(int32(handover.Serving))
+		share.at.Store(int32(hotrestart.Serving))
 		look()
 		taking.Store(true)
-		context.AfterFunc(stop, func() { share.at.Store(int32(handover.Ending)) })
+		context.AfterFunc(stop, func() { share.at.Store(int32(hotrestart.Ending)) })
 		err = clients.Serve(stop, ln)
 	}
 	cancel()
@@ -302,8 +302,8 @@
 
 // kept is how much the proxy holds in memory by id, host, address or class. Each of these comes down again with its owner, or has a
 // bound of its own; docs/operations.md says which.
-func kept(plan *planner.Planner, fleet *destination.Fleet, watcher *pool.Watcher, clients *front.Front, figures *metrics.Metrics,
-	probes *route.Probes) map[string]int {
+func kept(plan *engine.Planner, fleet *backend.Fleet, watcher *discovery.Watcher, clients *listener.Front, figures *metrics.Metrics,
+	probes *forwarder.Probes) map[string]int {
 	calls, timers, module := plan.Kept()
 	destinations, idle := fleet.Known()
 	listed, names, out := watcher.Kept()
@@ -317,7 +317,7 @@
 
 // awaitList waits until discovery has told of the list, and says whether that came before stop. Beside a process that serves, one
 // with an older list would undo drains that the other knows of. Discovery may be down: then the list that there is has to do.
-func awaitList(stop context.Context, watcher *pool.Watcher) bool {
+func awaitList(stop context.Context, watcher *discovery.Watcher) bool {
 	patience, again := time.NewTimer(listWithin), time.NewTicker(10*time.Millisecond)
 	defer patience.Stop()
 	defer again.Stop()
--- a/cmd/pumiceline/main_test.go
+++ b/cmd/pumiceline/main_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"pumiceline/internal/config"
+	"pumiceline/internal/standalone/config"
 	"pumiceline/internal/standin"
 )
 
--- a/cmd/pumiceline/memory_test.go
+++ b/cmd/pumiceline/memory_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"pumiceline/internal/pool"
+	"pumiceline/internal/standalone/discovery"
 )
 
 // memory reads a figure of the kernel's about a process, in MB. A page that several processes share counts in Pss for each its part.
@@ -112,7 +112,7 @@
 			e.Health = "DELETED"
 			s.world.Roster.Put(e)
 		}
-		s.world.Roster.Put(pool.Entry{Host: "long", Dial: ln.Addr().String(), Site: "ub-east", Class: "std-8", Health: "SERVING", Share: 1})
+		s.world.Roster.Put(discovery.Entry{Host: "long", Dial: ln.Addr().String(), Site: "ub-east", Class: "std-8", Health: "SERVING", Share: 1})
 		p := s.begin(s.discovery)
 		s.ready(p)
 		time.Sleep(3 * time.Second) // its list is there
--- a/cmd/pumiceline/owner.go
+++ b/cmd/pumiceline/owner.go
@@ -20,10 +20,10 @@
 	"text/tabwriter"
 	"time"
 
-	"pumiceline/internal/mirror"
-	"pumiceline/internal/operator"
 	"pumiceline/internal/owner"
 	"pumiceline/internal/quorum"
+	"pumiceline/internal/standalone/deployfile"
+	"pumiceline/internal/standalone/discoverycache"
 	"pumiceline/internal/standin"
 )
 
@@ -43,8 +43,8 @@
 	Level slog.Level `help:"Least level of the log lines that are written." default:"INFO"`
 }
 
-func (f *fleetArgs) open(who string) (*operator.Fleet, *slog.Logger, error) {
-	fleet, err := operator.ReadFleet(f.Fleet)
+func (f *fleetArgs) open(who string) (*deployfile.Fleet, *slog.Logger, error) {
+	fleet, err := deployfile.ReadFleet(f.Fleet)
 	return fleet, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: f.Level})).With("who", who), err
 }
 
@@ -115,7 +115,7 @@
 	for work, receiver := range fleet.Receivers {
 		opts.Works[work] = owner.Sender(receiver, c.Name, told)
 	}
-	var here *mirror.Mirror // its work's step says whether discovery is heard here
+	var here *discoverycache.Mirror // its work's step says whether discovery is heard here
 	if fleet.Roster != "" && c.Mirror != "" {
 		opts.Addr = c.Mirror
 		opts.Works[fleet.Roster] = func(context.Context, owner.Act) error {
@@ -133,7 +133,7 @@
 		agent.Run(stop)
 		return nil
 	}
-	here = mirror.New(mirror.Options{Discovery: fleet.Discovery, Spread: time.Duration(fleet.Settings.Lease) * time.Microsecond, Log: log,
+	here = discoverycache.New(discoverycache.Options{Discovery: fleet.Discovery, Spread: time.Duration(fleet.Settings.Lease) * time.Microsecond, Log: log,
 		Owner: func() (string, uint64, bool) { return agent.Owner(fleet.Roster) }}, time.Now())
 	ln, err := net.Listen("tcp", c.Mirror)
 	if err != nil {
--- a/cmd/pumiceline/share.go
+++ b/cmd/pumiceline/share.go
@@ -10,8 +10,8 @@
 	"sync/atomic"
 	"time"
 
-	"pumiceline/internal/handover"
-	"pumiceline/internal/planner"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/hotrestart"
 )
 
 // shareEvery is how often a process looks whether it is alone.
@@ -20,12 +20,12 @@
 // sharing is what a process leaves to another of the same proxy while two are there. Of memory each has its part; of sockets
 // each may use what the other doesn't, since they move from one to the other as clients do.
 type sharing struct {
-	presence *handover.Presence // nil: it is alone
+	presence *hotrestart.Presence // nil: it is alone
 	memoryMB int
 	counts   func() (fronts, connections int) // that this process holds
 	budgets  func(working int) error          // told how many processes take or have requests
-	folder   *handover.Folder
-	plan     *planner.Planner
+	folder   *hotrestart.Folder
+	plan     *engine.Planner
 	log      *slog.Logger
 
 	at      atomic.Int32 // this process's handover.Stage
@@ -48,14 +48,14 @@
 	present, working, held, starting := 1, 1, uint64(0), false
 	if s.presence != nil {
 		fronts, connections := s.counts()
-		err := s.presence.Set(handover.State{Stage: handover.Stage(s.at.Load()), Fronts: uint32(fronts), Connections: uint32(connections)})
+		err := s.presence.Set(hotrestart.State{Stage: hotrestart.Stage(s.at.Load()), Fronts: uint32(fronts), Connections: uint32(connections)})
 		if err != nil {
 			return err
 		}
 		for _, o := range s.presence.Others() {
 			present++
 			held += uint64(o.Fronts)<<32 + uint64(o.Connections)
-			if o.Stage != handover.Starting {
+			if o.Stage != hotrestart.Starting {
 				working++
 			} else {
 				starting = true
@@ -63,7 +63,7 @@
 		}
 	}
 	s.held.Store(held)
-	if starting && handover.Stage(s.at.Load()) == handover.Serving {
+	if starting && hotrestart.Stage(s.at.Load()) == hotrestart.Serving {
 		if err := s.teach(); err != nil {
 			return err
 		}
@@ -122,7 +122,7 @@
 		return false
 	}
 	for _, o := range s.presence.Others() {
-		if o.Stage == handover.Serving {
+		if o.Stage == hotrestart.Serving {
 			return true
 		}
 	}
--- a/cmd/pumiceline/soak_test.go
+++ b/cmd/pumiceline/soak_test.go
@@ -18,8 +18,8 @@
 	"testing/synctest"
 	"time"
 
-	"pumiceline/internal/config"
-	"pumiceline/internal/pool"
+	"pumiceline/internal/standalone/config"
+	"pumiceline/internal/standalone/discovery"
 	"pumiceline/internal/standin"
 )
 
@@ -46,8 +46,8 @@
 		host(roster, "10.0.0.1:8500")
 		rng := rand.New(rand.NewPCG(1, 2))
 		ends := map[string]context.CancelFunc{}
-		start := func(n int) pool.Entry {
-			e := pool.Entry{Host: fmt.Sprintf("s-%d", n), Dial: fmt.Sprintf("10.1.%d.%d:7070", n/250, n%250+1), Site: "ub-east", Class: "std-8",
+		start := func(n int) discovery.Entry {
+			e := discovery.Entry{Host: fmt.Sprintf("s-%d", n), Dial: fmt.Sprintf("10.1.%d.%d:7070", n/250, n%250+1), Site: "ub-east", Class: "std-8",
 				Block: 1, Health: "SERVING", Share: 1, BornMs: float64(time.Now().UnixMilli())}
 			d := &standin.Destination{Name: e.Host, Cores: 8, Work: func() { time.Sleep(20 * time.Millisecond) }}
 			d.Fail(0.02)
@@ -55,7 +55,7 @@
 			roster.Put(e)
 			return e
 		}
-		var listed []pool.Entry
+		var listed []discovery.Entry
 		for n := range 8 {
 			listed = append(listed, start(n))
 		}
--- a/cmd/pumiceline/try.go
+++ b/cmd/pumiceline/try.go
@@ -15,7 +15,7 @@
 
 	"golang.org/x/term"
 
-	"pumiceline/internal/config"
+	"pumiceline/internal/standalone/config"
 	"pumiceline/internal/standin"
 )
 
--- a/cmd/pumiceline/upgrade_test.go
+++ b/cmd/pumiceline/upgrade_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"pumiceline/internal/config"
+	"pumiceline/internal/standalone/config"
 	"pumiceline/internal/standin"
 )
 
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -7,8 +7,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"pumiceline/decide"
 	"pumiceline/internal/lab/model"
+	"pumiceline/internal/standalone/policy"
 )
 
 // Time is in microseconds.
@@ -40,7 +40,7 @@
 	default:
 		return nil
 	}
-	return func(set decide.Settings, seed uint64, truth *model.Truth) (model.Node, error) {
+	return func(set policy.Settings, seed uint64, truth *model.Truth) (model.Node, error) {
 		n := &node{set: set, rng: rand.New(rand.NewPCG(seed, 11)), pick: pick, places: map[uint32]int32{}, open: map[uint64]*request{},
 			shares: make([]float64, len(set.Tenants))}
 		if name == Truth {
@@ -54,7 +54,7 @@
 }
 
 type server struct {
-	decide.Member
+	policy.Member
 	out    int
 	ready  int32 // place in node.ready; -1: not there
 	bucket int32 // place among those with as many out
@@ -69,7 +69,7 @@
 
 type request struct {
 	id       uint64
-	class    *decide.Class
+	class    *policy.Class
 	work     Time
 	arrived  Time
 	deadline Time
@@ -81,12 +81,12 @@
 }
 
 type node struct {
-	set     decide.Settings
+	set     policy.Settings
 	rng     *rand.Rand
 	truth   *model.Truth
 	pick    func(*node, *request) int32
 	now     Time
-	out     []decide.Action
+	out     []policy.Action
 	servers []server
 	places  map[uint32]int32
 	ready   []int32
@@ -101,7 +101,7 @@
 }
 
 // worth is what a unit of a request's work is worth: little beyond its tenant's share.
-func (n *node) worth(ev *decide.Event) float64 {
+func (n *node) worth(ev *policy.Event) float64 {
 	dt := float64(n.now-n.sharesAt) / 1e6
 	n.sharesAt = n.now
 	for i, t := range n.set.Tenants {
@@ -119,29 +119,29 @@
 }
 
 // Handle is model.Node's.
-func (n *node) Handle(now Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (n *node) Handle(now Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	n.now, n.out = now, out
 	if !n.begun {
 		n.begun = true
 		n.ask(n.set.Rules.AskWithin / 4)
 	}
 	switch ev.Kind {
-	case decide.Arrival:
+	case policy.Arrival:
 		r := &request{id: ev.ID, class: &n.set.Classes[ev.Class], work: max(1, ev.Work), arrived: now, deadline: now + ev.Patience, worth: n.worth(ev)}
 		n.open[ev.ID] = r
 		n.send(r)
-	case decide.Outcomed:
+	case policy.Outcomed:
 		n.ended(ev)
-	case decide.Departed:
+	case policy.Departed:
 		if r := n.open[ev.ID]; r != nil {
 			r.over = true
 			n.forget(r)
 		}
-	case decide.TimerFired:
-		n.out = append(n.out, decide.Action{Kind: decide.Subscribe})
-	case decide.ListFailed:
+	case policy.TimerFired:
+		n.out = append(n.out, policy.Action{Kind: policy.Subscribe})
+	case policy.ListFailed:
 		n.ask(n.set.Rules.AskWithin / 2)
-	case decide.ListFull, decide.ListCached, decide.ListDelta:
+	case policy.ListFull, policy.ListCached, policy.ListDelta:
 		n.listed(ev)
 	}
 	out, n.out = n.out, nil
@@ -150,13 +150,13 @@
 
 // ask plans a call to discovery at a random moment within the given time, so that proxies don't call together.
 func (n *node) ask(within Time) {
-	n.out = append(n.out, decide.Action{Kind: decide.SetTimer, After: 1 + Time(n.rng.Float64()*float64(within))})
+	n.out = append(n.out, policy.Action{Kind: policy.SetTimer, After: 1 + Time(n.rng.Float64()*float64(within))})
 }
 
-func (n *node) listed(ev *decide.Event) {
-	if ev.Kind != decide.ListDelta {
+func (n *node) listed(ev *policy.Event) {
+	if ev.Kind != policy.ListDelta {
 		for i := range n.servers {
-			n.servers[i].Mode = decide.ModeGone
+			n.servers[i].Mode = policy.ModeGone
 		}
 	}
 	for i := range ev.Members {
@@ -171,7 +171,7 @@
 	}
 	for i := range n.servers {
 		s := &n.servers[i]
-		if in := s.Mode == decide.ModeReady; in && s.ready < 0 {
+		if in := s.Mode == policy.ModeReady; in && s.ready < 0 {
 			s.ready = int32(len(n.ready))
 			n.ready = append(n.ready, int32(i))
 			n.enter(int32(i))
@@ -221,11 +221,11 @@
 		if a.place == at {
 			return false
 		}
-		if !a.mayRun || r.class.Semantics != decide.Keyed {
+		if !a.mayRun || r.class.Semantics != policy.Keyed {
 			continue
 		}
 		was := &n.servers[a.place]
-		if r.class.Group == decide.GroupZone && was.Zone != s.Zone || r.class.Group == decide.GroupCell && was.Cell != s.Cell {
+		if r.class.Group == policy.GroupZone && was.Zone != s.Zone || r.class.Group == policy.GroupCell && was.Cell != s.Cell {
 			return false
 		}
 	}
@@ -238,8 +238,8 @@
 		return false
 	}
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.mayRun && (r.class.Semantics == decide.Unsafe ||
-			r.class.Semantics == decide.Keyed && n.now-a.sent >= r.class.Window*7/8) {
+		if a := &r.attempts[i]; a.mayRun && (r.class.Semantics == policy.Unsafe ||
+			r.class.Semantics == policy.Keyed && n.now-a.sent >= r.class.Window*7/8) {
 			return false
 		}
 	}
@@ -263,10 +263,10 @@
 	r.attempts = append(r.attempts, attempt{place: at, sent: n.now, out: true, mayRun: true})
 	r.out++
 	n.count(at, 1)
-	n.out = append(n.out, decide.Action{Kind: decide.Send, ID: r.id, Server: n.servers[at].Server, After: r.limit})
+	n.out = append(n.out, policy.Action{Kind: policy.Send, ID: r.id, Server: n.servers[at].Server, After: r.limit})
 }
 
-func (n *node) ended(ev *decide.Event) {
+func (n *node) ended(ev *policy.Event) {
 	r := n.open[ev.ID]
 	if r == nil || int(ev.Attempt) >= len(r.attempts) || !r.attempts[ev.Attempt].out {
 		return
@@ -276,7 +276,7 @@
 	r.out--
 	n.count(a.place, -1)
 	switch ev.Outcome {
-	case decide.Full, decide.ConnectFailed, decide.NotSent:
+	case policy.Full, policy.ConnectFailed, policy.NotSent:
 		a.mayRun = false
 	}
 	if ev.Final {
@@ -292,14 +292,14 @@
 	if r.over || r.out > 0 {
 		return
 	}
-	kind := decide.Refuse
+	kind := policy.Refuse
 	for i := range r.attempts {
-		if r.attempts[i].mayRun && (r.class.Semantics == decide.Unsafe ||
-			r.class.Semantics == decide.Keyed && r.class.Group != decide.GroupAll) {
-			kind = decide.Fail
+		if r.attempts[i].mayRun && (r.class.Semantics == policy.Unsafe ||
+			r.class.Semantics == policy.Keyed && r.class.Group != policy.GroupAll) {
+			kind = policy.Fail
 		}
 	}
-	n.out = append(n.out, decide.Action{Kind: kind, ID: r.id})
+	n.out = append(n.out, policy.Action{Kind: kind, ID: r.id})
 	r.over = true
 	n.forget(r)
 }
--- a/internal/lab/doored/doored.go
+++ b/internal/lab/doored/doored.go
@@ -2,9 +2,9 @@
 package doored
 
 import (
-	"pumiceline/decide"
-	"pumiceline/internal/door"
 	"pumiceline/internal/lab/model"
+	"pumiceline/internal/standalone/admission"
+	"pumiceline/internal/standalone/policy"
 )
 
 // tickTag is the door's own timer; the module's tags are small numbers and request ids.
@@ -14,8 +14,8 @@
 
 // request is one that has come and is not over.
 type request struct {
-	ticket   door.Ticket
-	arrival  decide.Event
+	ticket   admission.Ticket
+	arrival  policy.Event
 	deadline model.Time
 	inside   bool
 }
@@ -23,27 +23,27 @@
 // node is a module behind a door.
 type node struct {
 	module  model.Node
-	door    *door.Door
+	door    *admission.Door
 	open    map[uint64]*request
-	ids     map[door.Ticket]uint64
-	said    []door.Action
-	inner   []decide.Action
+	ids     map[admission.Ticket]uint64
+	said    []admission.Action
+	inner   []policy.Action
 	ticking bool
 	comes   bool // refusals name a time to come back
 }
 
 // Settings are the door's for a deployment as a decider is told of it.
-func Settings(set decide.Settings, seed uint64) door.Settings {
-	s := door.Defaults()
+func Settings(set policy.Settings, seed uint64) admission.Settings {
+	s := admission.Defaults()
 	s.Seed, s.OverShare = seed, set.OverShareWorth
 	for _, t := range set.Tenants {
-		s.Tenants = append(s.Tenants, door.Tenant{Share: t.QuotaPerS, Rate: t.QuotaPerS / float64(max(1, set.GroupSize))})
+		s.Tenants = append(s.Tenants, admission.Tenant{Share: t.QuotaPerS, Rate: t.QuotaPerS / float64(max(1, set.GroupSize))})
 	}
 	if len(s.Tenants) == 0 {
-		s.Tenants = []door.Tenant{{Share: 1}}
+		s.Tenants = []admission.Tenant{{Share: 1}}
 	}
 	for _, c := range set.Classes {
-		s.Classes = append(s.Classes, door.Class{Worth: c.Worth, Work: 100_000, Aim: c.Aim})
+		s.Classes = append(s.Classes, admission.Class{Worth: c.Worth, Work: 100_000, Aim: c.Aim})
 	}
 	s.MaxComeBack = max(100_000, set.Limits.MaxRetryAfter)
 	return s
@@ -51,34 +51,34 @@
 
 // Maker makes nodes of make behind a door each. comeBack says whether the door's refusals name a time.
 func Maker(make model.Maker, comeBack bool) model.Maker {
-	return func(set decide.Settings, seed uint64, truth *model.Truth) (model.Node, error) {
+	return func(set policy.Settings, seed uint64, truth *model.Truth) (model.Node, error) {
 		module, err := make(set, seed, truth)
 		if err != nil {
 			return nil, err
 		}
-		d, err := door.New(Settings(set, seed))
+		d, err := admission.New(Settings(set, seed))
 		if err != nil {
 			return nil, err
 		}
-		return &node{module: module, door: d, open: map[uint64]*request{}, ids: map[door.Ticket]uint64{}, comes: comeBack}, nil
+		return &node{module: module, door: d, open: map[uint64]*request{}, ids: map[admission.Ticket]uint64{}, comes: comeBack}, nil
 	}
 }
 
 // Handle is model.Node's.
-func (n *node) Handle(now model.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (n *node) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch {
-	case ev.Kind == decide.Arrival:
+	case ev.Kind == policy.Arrival:
 		r := &request{arrival: *ev, deadline: now + ev.Patience}
 		n.open[ev.ID] = r
-		r.ticket, n.said = n.door.Arrive(now, door.Request{Tenant: int(ev.Tenant), Class: int(ev.Class), Client: ev.Key, Work: ev.Work,
+		r.ticket, n.said = n.door.Arrive(now, admission.Request{Tenant: int(ev.Tenant), Class: int(ev.Class), Client: ev.Key, Work: ev.Work,
 			Deadline: r.deadline, Repeat: ev.Repeat}, n.said[:0])
 		n.ids[r.ticket] = ev.ID
-	case ev.Kind == decide.TimerFired && ev.ID == tickTag:
+	case ev.Kind == policy.TimerFired && ev.ID == tickTag:
 		n.ticking = false
 		n.said = n.door.Tick(now, n.said[:0])
 	default:
 		n.said = n.said[:0]
-		if ev.Kind == decide.Departed {
+		if ev.Kind == policy.Departed {
 			if r := n.open[ev.ID]; r != nil && !r.inside {
 				n.said = n.door.Abandon(now, r.ticket, n.said)
 				n.forget(ev.ID, r)
@@ -86,8 +86,8 @@
 			}
 		}
 		out = n.hand(now, ev, out)
-		if ev.Kind == decide.Departed || ev.Kind == decide.Outcomed && ev.Final {
-			out = n.ended(now, ev.ID, ev.Kind == decide.Outcomed && ev.Outcome == decide.OK, out)
+		if ev.Kind == policy.Departed || ev.Kind == policy.Outcomed && ev.Final {
+			out = n.ended(now, ev.ID, ev.Kind == policy.Outcomed && ev.Outcome == policy.OK, out)
 		}
 		return out
 	}
@@ -95,12 +95,12 @@
 }
 
 // hand gives the module an event; its own final answers are ends to the door.
-func (n *node) hand(now model.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (n *node) hand(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	from := len(out)
 	out = n.module.Handle(now, ev, out)
 	to := len(out)
 	for i := from; i < to; i++ {
-		if k := out[i].Kind; k == decide.Refuse || k == decide.Fail {
+		if k := out[i].Kind; k == policy.Refuse || k == policy.Fail {
 			out = n.ended(now, out[i].ID, false, out)
 		}
 	}
@@ -108,7 +108,7 @@
 }
 
 // ended tells the door that a request has left, and carries out what follows.
-func (n *node) ended(now model.Time, id uint64, served bool, out []decide.Action) []decide.Action {
+func (n *node) ended(now model.Time, id uint64, served bool, out []policy.Action) []policy.Action {
 	r := n.open[id]
 	if r == nil || !r.inside {
 		return out
@@ -124,21 +124,21 @@
 }
 
 // follow carries out what the door said.
-func (n *node) follow(now model.Time, out []decide.Action) []decide.Action {
-	said := append([]door.Action(nil), n.said...)
+func (n *node) follow(now model.Time, out []policy.Action) []policy.Action {
+	said := append([]admission.Action(nil), n.said...)
 	for _, a := range said {
 		id := n.ids[a.Ticket]
 		r := n.open[id]
 		if r == nil {
 			continue
 		}
-		if a.Kind == door.Refuse {
+		if a.Kind == admission.Refuse {
 			n.forget(id, r)
 			after := a.After
 			if !n.comes {
 				after = 0
 			}
-			out = append(out, decide.Action{Kind: decide.Refuse, ID: id, After: after})
+			out = append(out, policy.Action{Kind: policy.Refuse, ID: id, After: after})
 			continue
 		}
 		r.inside = true
@@ -148,7 +148,7 @@
 	}
 	if _, _, waits := n.door.State(); waits > 0 && !n.ticking {
 		n.ticking = true
-		out = append(out, decide.Action{Kind: decide.SetTimer, ID: tickTag, After: tickEvery})
+		out = append(out, policy.Action{Kind: policy.SetTimer, ID: tickTag, After: tickEvery})
 	}
 	return out
 }
--- a/internal/lab/experiment/file.go
+++ b/internal/lab/experiment/file.go
@@ -13,11 +13,11 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"pumiceline/decide"
 	"pumiceline/internal/lab/baseline"
 	"pumiceline/internal/lab/doored"
 	"pumiceline/internal/lab/model"
 	"pumiceline/internal/lab/subsetted"
+	"pumiceline/internal/standalone/policy"
 	"pumiceline/internal/tomlfile"
 )
 
@@ -47,8 +47,8 @@
 }
 
 // told gives a maker's nodes other settings than the world has.
-func told(maker model.Maker, change func(*decide.Settings)) model.Maker {
-	return func(set decide.Settings, seed uint64, truth *model.Truth) (model.Node, error) {
+func told(maker model.Maker, change func(*policy.Settings)) model.Maker {
+	return func(set policy.Settings, seed uint64, truth *model.Truth) (model.Node, error) {
 		change(&set)
 		return maker(set, seed, truth)
 	}
@@ -56,11 +56,11 @@
 
 // Policies are the names that an experiment may use, with their makers. "decide" is the product's own module.
 func Policies() map[string]model.Maker {
-	makers := map[string]model.Maker{"decide": func(set decide.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
-		return decide.New(set, seed)
+	makers := map[string]model.Maker{"decide": func(set policy.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
+		return policy.New(set, seed)
 	}}
-	makers["keyless"] = told(makers["decide"], func(set *decide.Settings) { set.WarmKeys = false }) // the module, not told of keys
-	makers["unprobed"] = told(makers["decide"], func(set *decide.Settings) { set.Limits.Probe = false })
+	makers["keyless"] = told(makers["decide"], func(set *policy.Settings) { set.WarmKeys = false }) // the module, not told of keys
+	makers["unprobed"] = told(makers["decide"], func(set *policy.Settings) { set.Limits.Probe = false })
 	makers["door"] = doored.Maker(makers["decide"], true)   // the module behind the door
 	makers["half"] = subsetted.Maker(makers["decide"], 0.5) // the module with a part of the fleet
 	makers["quarter"] = subsetted.Maker(makers["decide"], 0.25)
--- a/internal/lab/model/config.go
+++ b/internal/lab/model/config.go
@@ -6,12 +6,12 @@
 	"math/rand/v2"
 	"slices"
 
-	"pumiceline/decide"
 	"pumiceline/internal/span"
+	"pumiceline/internal/standalone/policy"
 )
 
 // Time is a moment or a span in microseconds, as in package decide.
-type Time = decide.Time
+type Time = policy.Time
 
 // Span is a length of time that is written with its unit in files.
 type Span = span.Span
@@ -413,12 +413,12 @@
 	return first
 }
 
-var effects = map[string]*decide.Semantics{"safe": ref(decide.Safe), "keyed": ref(decide.Keyed), "unsafe": ref(decide.Unsafe)}
-var groups = map[string]*decide.Group{"": ref(decide.GroupAll), "all": ref(decide.GroupAll), "zone": ref(decide.GroupZone),
-	"cell": ref(decide.GroupCell)}
+var effects = map[string]*policy.Semantics{"safe": ref(policy.Safe), "keyed": ref(policy.Keyed), "unsafe": ref(policy.Unsafe)}
+var groups = map[string]*policy.Group{"": ref(policy.GroupAll), "all": ref(policy.GroupAll), "zone": ref(policy.GroupZone),
+	"cell": ref(policy.GroupCell)}
 
-var reportVias = map[string]decide.ReportVia{"": decide.ReportsInAnswers, "answers": decide.ReportsInAnswers,
-	"probe": decide.ReportsByProbe, "none": decide.ReportsNone}
+var reportVias = map[string]policy.ReportVia{"": policy.ReportsInAnswers, "answers": policy.ReportsInAnswers,
+	"probe": policy.ReportsByProbe, "none": policy.ReportsNone}
 
 func ref[T any](v T) *T { return &v }
 
@@ -454,24 +454,24 @@
 }
 
 // Settings is what the decider of one proxy is told. quota is what the fleet can do, in requests a second.
-func (w *World) settings(ordinal, zone int, quota float64) decide.Settings {
-	s := decide.Settings{Columns: []decide.Column{decide.ColUtil, decide.ColQPS, decide.ColEPS},
+func (w *World) settings(ordinal, zone int, quota float64) policy.Settings {
+	s := policy.Settings{Columns: []policy.Column{policy.ColUtil, policy.ColQPS, policy.ColEPS},
 		ReportVia: reportVias[w.Reports.Via], WarmKeys: w.Keys.Count > 0 && w.Keys.Gain > 0, AskDiscovery: true, SizesTold: true, WorthByWork: true,
 		OverShareWorth: w.Clients.OverShare, GroupSize: w.Proxies, Ordinal: ordinal, Zone: zone, Zones: w.Zones,
 		Round: Time(w.Tick),
-		Rules: decide.Rules{AnswerSlack: Time(w.Told.AnswerSlack), AskWithin: Time(w.Told.AskWithin), Cold: Time(w.Told.Cold),
+		Rules: policy.Rules{AnswerSlack: Time(w.Told.AnswerSlack), AskWithin: Time(w.Told.AskWithin), Cold: Time(w.Told.Cold),
 			ColdShare: w.Told.ColdShare, TipMultiple: w.Told.TipMultiple, TipAfter: Time(w.Tip.Over)},
-		Limits: decide.Limits{Attempts: w.Told.Attempts, MostHeld: w.Told.MostHeld, Cancel: w.Told.Cancel,
-			Probe:        reportVias[w.Reports.Via] == decide.ReportsByProbe,
+		Limits: policy.Limits{Attempts: w.Told.Attempts, MostHeld: w.Told.MostHeld, Cancel: w.Told.Cancel,
+			Probe:        reportVias[w.Reports.Via] == policy.ReportsByProbe,
 			SecondCopies: w.Told.Copies, IdleClose: Time(w.Conn.Idle), MaxRetryAfter: Time(w.Clients.MostHeeded)},
-		Prices: decide.Prices{CrossZone: w.Prices.Cross},
+		Prices: policy.Prices{CrossZone: w.Prices.Cross},
 	}
 	for _, c := range w.Classes {
-		s.Classes = append(s.Classes, decide.Class{Semantics: *effects[c.Effect], Group: *groups[c.Group], Window: Time(c.Window),
+		s.Classes = append(s.Classes, policy.Class{Semantics: *effects[c.Effect], Group: *groups[c.Group], Window: Time(c.Window),
 			Aim: Time(c.Aim), Deadline: Time(c.Deadline), Worth: c.Worth})
 	}
 	for _, t := range w.Tenants {
-		s.Tenants = append(s.Tenants, decide.Tenant{QuotaPerS: t.Share * quota * quotaOfCapacity})
+		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerS: t.Share * quota * quotaOfCapacity})
 	}
 	return s
 }
@@ -480,7 +480,7 @@
 const quotaOfCapacity = 0.8
 
 // DecideClasses are the classes as deciders are told of them.
-func (w *World) DecideClasses() []decide.Class { return w.settings(0, 0, 0).Classes }
+func (w *World) DecideClasses() []policy.Class { return w.settings(0, 0, 0).Classes }
 
 // Clone copies w with its lists, so that a change of one leaves the other.
 func (w *World) Clone() World {
--- a/internal/lab/model/fleet.go
+++ b/internal/lab/model/fleet.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 func sortFloats(x []float64) { slices.Sort(x) }
@@ -16,11 +16,11 @@
 // registry is discovery. It holds each list once: proxies are handed slices of one log of changes, so a thousand
 // of them with ten thousand servers cost no more memory than one.
 type registry struct {
-	first  []decide.Member // the whole list at the start
-	log    []decide.Member // all changes since; a version is a place in it
-	known  []decide.Member // the present state, by server
+	first  []policy.Member // the whole list at the start
+	log    []policy.Member // all changes since; a version is a place in it
+	known  []policy.Member // the present state, by server
 	epochs []int32         // of the latest process heard of
-	whole  []decide.Member // the whole list at version wholeAt
+	whole  []policy.Member // the whole list at version wholeAt
 	at     int
 	busy   Time // till when calls wait in turn
 	downs  int
@@ -28,8 +28,8 @@
 
 func (g *registry) begin(r *run) {
 	for _, s := range r.servers {
-		g.known = append(g.known, decide.Member{Server: s.id, Zone: s.zone, Cell: s.cell, Kind: uint16(s.kindNo),
-			Mode: decide.ModeReady, Size: float64(s.kind.Cores)})
+		g.known = append(g.known, policy.Member{Server: s.id, Zone: s.zone, Cell: s.cell, Kind: uint16(s.kindNo),
+			Mode: policy.ModeReady, Size: float64(s.kind.Cores)})
 		g.epochs = append(g.epochs, 0)
 	}
 	g.first = slices.Clone(g.known)
@@ -37,11 +37,11 @@
 }
 
 // list is the whole list as it is now.
-func (g *registry) list() []decide.Member {
+func (g *registry) list() []policy.Member {
 	if g.at != len(g.log) {
 		g.whole, g.at = nil, len(g.log)
 		for i := range g.known {
-			if g.known[i].Mode != decide.ModeGone {
+			if g.known[i].Mode != policy.ModeGone {
 				g.whole = append(g.whole, g.known[i])
 			}
 		}
@@ -50,7 +50,7 @@
 }
 
 // cached is the whole list as it was at a version.
-func (g *registry) cached(version int) []decide.Member {
+func (g *registry) cached(version int) []policy.Member {
 	if version == 0 {
 		return g.first
 	}
@@ -70,23 +70,23 @@
 			list = append(list, m)
 		}
 	}
-	return slices.DeleteFunc(list, func(m decide.Member) bool { return m.Mode == decide.ModeGone })
+	return slices.DeleteFunc(list, func(m policy.Member) bool { return m.Mode == policy.ModeGone })
 }
 
 // notice lets discovery learn of a server's new state after a while.
-func (r *run) notice(s *server, mode decide.Mode, lag Time) {
+func (r *run) notice(s *server, mode policy.Mode, lag Time) {
 	r.at(r.now+lag, event{kind: evListed, a: s.n, b: s.epoch, n: uint8(mode), id: uint64(s.started)})
 }
 
 func (r *run) listed(e *event) {
 	g := &r.reg
 	m := &g.known[e.a]
-	if e.b < g.epochs[e.a] || e.b == g.epochs[e.a] && m.Mode == decide.Mode(e.n) ||
-		e.b == g.epochs[e.a] && m.Mode == decide.ModeGone {
+	if e.b < g.epochs[e.a] || e.b == g.epochs[e.a] && m.Mode == policy.Mode(e.n) ||
+		e.b == g.epochs[e.a] && m.Mode == policy.ModeGone {
 		return // late news of a process that has a successor, or no news
 	}
 	g.epochs[e.a] = e.b
-	m.Mode, m.UpSince = decide.Mode(e.n), Time(e.id)
+	m.Mode, m.UpSince = policy.Mode(e.n), Time(e.id)
 	g.log = append(g.log, *m)
 	r.see(Record{Kind: Listed, Members: g.log[len(g.log)-1:], Version: len(g.log)})
 	for i := range r.proxies {
@@ -128,13 +128,13 @@
 func (r *run) tell(n int32) {
 	p, g := &r.proxies[n], &r.reg
 	members := g.log[p.version:len(g.log):len(g.log)]
-	kind := decide.ListDelta
+	kind := policy.ListDelta
 	if len(members) > len(g.known) {
-		members, kind = g.list(), decide.ListFull
+		members, kind = g.list(), policy.ListFull
 	}
 	p.version = len(g.log)
-	r.see(Record{Kind: Informed, Proxy: n, Members: members, Version: p.version, Flag: kind == decide.ListFull})
-	r.ev = decide.Event{Kind: kind, Members: members}
+	r.see(Record{Kind: Informed, Proxy: n, Members: members, Version: p.version, Flag: kind == policy.ListFull})
+	r.ev = policy.Event{Kind: kind, Members: members}
 	r.give(n)
 }
 
@@ -185,7 +185,7 @@
 	}
 	p.watching = false
 	r.see(Record{Kind: Unwatched, Proxy: n, Flag: call})
-	r.ev = decide.Event{Kind: decide.ListFailed}
+	r.ev = policy.Event{Kind: policy.ListFailed}
 	r.give(n)
 }
 
@@ -474,7 +474,7 @@
 		for i := range j.tries[:j.n] {
 			if t := &j.tries[i]; t.out && t.task >= 0 {
 				r.drop(t)
-				r.at(r.tick(r.now+1), event{kind: evFailed, a: int32(m), n: uint8(i), b: int32(decide.Reset), id: j.id})
+				r.at(r.tick(r.now+1), event{kind: evFailed, a: int32(m), n: uint8(i), b: int32(policy.Reset), id: j.id})
 			}
 		}
 	}
--- a/internal/lab/model/model_test.go
+++ b/internal/lab/model/model_test.go
@@ -9,16 +9,16 @@
 	"sync"
 	"testing"
 
-	"pumiceline/decide"
 	"pumiceline/internal/lab/baseline"
 	"pumiceline/internal/lab/model"
 	"pumiceline/internal/lab/referee"
+	"pumiceline/internal/standalone/policy"
 )
 
 const ms, sec = 1000, 1_000_000
 
-func decider(set decide.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
-	return decide.New(set, seed)
+func decider(set policy.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
+	return policy.New(set, seed)
 }
 
 // hashed is a digest of all records of a play, to the last field.
@@ -86,31 +86,31 @@
 	sent map[uint64]int
 }
 
-func (s *strict) Handle(now model.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (s *strict) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	if now < s.now {
 		s.t.Errorf("the clock went back from %d to %d", s.now, now)
 	}
 	s.now = now
 	switch ev.Kind {
-	case decide.Arrival:
+	case policy.Arrival:
 		if s.had[ev.ID] {
 			s.t.Errorf("request %d came twice", ev.ID)
 		}
 		s.had[ev.ID] = true
-	case decide.Outcomed:
+	case policy.Outcomed:
 		key := fmt.Sprint(ev.ID, ev.Attempt)
 		if !s.out[key] {
 			s.t.Errorf("at %d: an outcome of attempt %s, which is not out at this incarnation", now, key)
 		}
 		delete(s.out, key)
-	case decide.Departed:
+	case policy.Departed:
 		if !s.had[ev.ID] {
 			s.t.Errorf("request %d departed and never came", ev.ID)
 		}
 	}
 	out = s.Node.Handle(now, ev, out)
 	for _, a := range out {
-		if a.Kind == decide.Send {
+		if a.Kind == policy.Send {
 			s.out[fmt.Sprint(a.ID, s.sent[a.ID])] = true
 			s.sent[a.ID]++
 		}
@@ -124,9 +124,9 @@
 	w := rough()
 	starts := 0
 	ref := referee.New(&w)
-	_, err := model.Play(&w, 3, func(set decide.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
+	_, err := model.Play(&w, 3, func(set policy.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
 		starts++
-		b, err := decide.New(set, seed)
+		b, err := policy.New(set, seed)
 		return &strict{Node: b, t: t, had: map[uint64]bool{}, out: map[string]bool{}, sent: map[uint64]int{}}, err
 	}, ref)
 	if err != nil {
@@ -183,30 +183,30 @@
 func TestBadDecidersEndTheRun(t *testing.T) {
 	for _, c := range []struct {
 		name, want string
-		act        func(ev *decide.Event, out []decide.Action) []decide.Action
+		act        func(ev *policy.Event, out []policy.Action) []policy.Action
 	}{
-		{"timers without end", "sets timers without end", func(ev *decide.Event, out []decide.Action) []decide.Action {
-			return append(out, decide.Action{Kind: decide.SetTimer, After: 0})
+		{"timers without end", "sets timers without end", func(ev *policy.Event, out []policy.Action) []policy.Action {
+			return append(out, policy.Action{Kind: policy.SetTimer, After: 0})
 		}},
-		{"unknown request", "names request 4194305, which it was never given", func(ev *decide.Event, out []decide.Action) []decide.Action {
-			return append(out, decide.Action{Kind: decide.Refuse, ID: 1<<22 | 1})
+		{"unknown request", "names request 4194305, which it was never given", func(ev *policy.Event, out []policy.Action) []policy.Action {
+			return append(out, policy.Action{Kind: policy.Refuse, ID: 1<<22 | 1})
 		}},
-		{"unknown server", "which no list has named", func(ev *decide.Event, out []decide.Action) []decide.Action {
-			if ev.Kind != decide.Arrival {
+		{"unknown server", "which no list has named", func(ev *policy.Event, out []policy.Action) []policy.Action {
+			if ev.Kind != policy.Arrival {
 				return out
 			}
-			return append(out, decide.Action{Kind: decide.Send, ID: ev.ID, Server: 12345})
+			return append(out, policy.Action{Kind: policy.Send, ID: ev.ID, Server: 12345})
 		}},
-		{"unknown action", "does not know", func(ev *decide.Event, out []decide.Action) []decide.Action {
-			return append(out, decide.Action{Kind: 200})
+		{"unknown action", "does not know", func(ev *policy.Event, out []policy.Action) []policy.Action {
+			return append(out, policy.Action{Kind: 200})
 		}},
-		{"too many attempts", "makes attempt 4", func(ev *decide.Event, out []decide.Action) []decide.Action {
+		{"too many attempts", "makes attempt 4", func(ev *policy.Event, out []policy.Action) []policy.Action {
 			if len(ev.Members) > 0 {
 				member = ev.Members[0].Server
 			}
-			if ev.Kind == decide.Arrival {
+			if ev.Kind == policy.Arrival {
 				for range 4 {
-					out = append(out, decide.Action{Kind: decide.Send, ID: ev.ID, Server: member})
+					out = append(out, policy.Action{Kind: policy.Send, ID: ev.ID, Server: member})
 				}
 			}
 			return out
@@ -214,7 +214,7 @@
 	} {
 		w := model.Quotes()
 		w.Length, w.Tick = 5*sec, 0
-		_, err := model.Play(&w, 1, func(decide.Settings, uint64, *model.Truth) (model.Node, error) { return acting(c.act), nil }, see(func(*model.Record) {}))
+		_, err := model.Play(&w, 1, func(policy.Settings, uint64, *model.Truth) (model.Node, error) { return acting(c.act), nil }, see(func(*model.Record) {}))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "at ") {
 			t.Errorf("%s: error %v, want one with %q and its time", c.name, err, c.want)
 		}
@@ -223,9 +223,9 @@
 
 var member uint32
 
-type acting func(ev *decide.Event, out []decide.Action) []decide.Action
+type acting func(ev *policy.Event, out []policy.Action) []policy.Action
 
-func (a acting) Handle(_ model.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (a acting) Handle(_ model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	return a(ev, out)
 }
 
@@ -346,14 +346,14 @@
 	post    []model.Letter
 }
 
-func (g *gossip) Handle(now model.Time, ev *decide.Event, out []decide.Action) []decide.Action {
-	if ev.Kind == decide.Arrival {
+func (g *gossip) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
+	if ev.Kind == policy.Arrival {
 		g.post = append(g.post, model.Letter{To: -1, Text: []byte{byte(g.ordinal)}})
 	}
 	return g.Node.Handle(now, ev, out)
 }
 
-func (g *gossip) Receive(_ model.Time, from int, text []byte, out []decide.Action) []decide.Action {
+func (g *gossip) Receive(_ model.Time, from int, text []byte, out []policy.Action) []policy.Action {
 	g.got[0]++
 	if from == g.ordinal || int(text[0]) != from {
 		g.got[1]++
@@ -372,8 +372,8 @@
 	w.Length, w.Net.Loss = 5*sec, 0.25
 	var got [2]int
 	taken := 0
-	if _, err := model.Play(&w, 1, func(set decide.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
-		b, err := decide.New(set, seed)
+	if _, err := model.Play(&w, 1, func(set policy.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
+		b, err := policy.New(set, seed)
 		return &gossip{Node: b, ordinal: set.Ordinal, got: &got}, err
 	}, see(func(r *model.Record) {
 		if r.Kind == model.Taken {
--- a/internal/lab/model/probe.go
+++ b/internal/lab/model/probe.go
@@ -1,14 +1,14 @@
 package model
 
-import "pumiceline/decide"
+import "pumiceline/internal/standalone/policy"
 
 // waitCV is the coefficient of variation of what requests wait on others.
 const waitCV = 0.25
 
 // waited ends the wait on others of an attempt that its server has done its own work for.
-func (r *run) waited(t int32, out decide.Outcome) {
+func (r *run) waited(t int32, out policy.Outcome) {
 	if k := &r.tasks[t]; r.servers[k.server].epoch != k.epoch { // its process has ended meanwhile
-		r.returned(t, decide.Reset, false)
+		r.returned(t, policy.Reset, false)
 		return
 	}
 	r.reply(t, out)
@@ -41,7 +41,7 @@
 // probe has a proxy ask a server for its load. Its answer is late like every report; a server that hangs gives none.
 func (r *run) probe(n int32, id uint32) {
 	s := r.serverOf(id)
-	if reportVias[r.w.Reports.Via] != decide.ReportsByProbe || s == nil {
+	if reportVias[r.w.Reports.Via] != policy.ReportsByProbe || s == nil {
 		r.fail(n, "probes server %d, which it may not", id)
 		return
 	}
@@ -55,9 +55,9 @@
 	if p.inc != inc || !p.up {
 		return
 	}
-	r.ev = decide.Event{Kind: decide.Probed, Server: id, Outcome: decide.TimedOut}
+	r.ev = policy.Event{Kind: policy.Probed, Server: id, Outcome: policy.TimedOut}
 	if s.state != down && s.hung == 0 && s.paused == 0 && !r.parted(n, s) {
-		r.ev.Outcome = decide.OK
+		r.ev.Outcome = policy.OK
 		if report, has := r.reportOf(s); has {
 			r.report = append(r.report[:0], report[:]...)
 			r.ev.Report = r.report
--- a/internal/lab/model/record.go
+++ b/internal/lab/model/record.go
@@ -1,6 +1,6 @@
 package model
 
-import "pumiceline/decide"
+import "pumiceline/internal/standalone/policy"
 
 // RecordKind says what passed.
 type RecordKind uint8
@@ -36,7 +36,7 @@
 type Record struct {
 	At       Time
 	Kind     RecordKind
-	Outcome  decide.Outcome
+	Outcome  policy.Outcome
 	Flag     bool
 	Attempt  uint8
 	Class    uint8
@@ -52,7 +52,7 @@
 	Span     Time
 	Capacity float64 // standard cores
 	Version  int
-	Members  []decide.Member
+	Members  []policy.Member
 	Load     []float64 // use of each server that runs, 0 to 1, in rising order
 }
 
@@ -61,7 +61,7 @@
 
 // Node decides for one proxy. decide.Balancer is one. The same promises hold: no clock, no goroutine, no I/O.
 type Node interface {
-	Handle(now Time, ev *decide.Event, out []decide.Action) []decide.Action
+	Handle(now Time, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
 // Letter is a message of a node to another. To is the receiver's ordinal; -1: all others.
@@ -74,13 +74,13 @@
 // for what is to go out; messages come late, out of order, or not at all.
 type Talker interface {
 	Node
-	Receive(now Time, from int, text []byte, out []decide.Action) []decide.Action
+	Receive(now Time, from int, text []byte, out []policy.Action) []policy.Action
 	Post() []Letter
 }
 
 // Maker makes the node of one proxy. It is called anew at each start of the proxy, with another seed. truth lets a
 // node see what no real one can.
-type Maker func(set decide.Settings, seed uint64, truth *Truth) (Node, error)
+type Maker func(set policy.Settings, seed uint64, truth *Truth) (Node, error)
 
 var kindNames = [...]string{Opening: "opening", CallMade: "call", CallOver: "call over", Taken: "taken", Sent: "sent", Opened: "connection",
 	Proven: "outcome", Answered: "answered", Overdue: "overdue", Ran: "ran", Reached: "reached cold", Started: "started", Fell: "fell",
--- a/internal/lab/model/run.go
+++ b/internal/lab/model/run.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 type eventKind uint8
@@ -107,7 +107,7 @@
 	server  int32
 	epoch   int32
 	attempt uint8
-	outcome decide.Outcome
+	outcome policy.Outcome
 	stage   stage
 	fresh   bool // on a new connection
 	dropped bool // its proxy has given it up and closed the connection
@@ -193,8 +193,8 @@
 	struck   [][]int32 // by trouble
 	cuts     []cut
 	zoneOff  []int // cuts in force, by zone
-	actions  []decide.Action
-	ev       decide.Event
+	actions  []policy.Action
+	ev       policy.Event
 	report   []float32
 	load     []float64
 	truth    *Truth
@@ -389,25 +389,25 @@
 	case evLimit:
 		if j := &r.jobs[e.a]; j.id == e.id && j.tries[e.n].out {
 			r.drop(&j.tries[e.n])
-			r.proven(e.a, e.n, decide.TimedOut, r.now-j.tries[e.n].sent, nil)
+			r.proven(e.a, e.n, policy.TimedOut, r.now-j.tries[e.n].sent, nil)
 		}
 	case evFailed:
 		if j := &r.jobs[e.a]; j.id == e.id && j.tries[e.n].out {
-			r.proven(e.a, e.n, decide.Outcome(e.b), r.now-j.tries[e.n].sent, nil)
+			r.proven(e.a, e.n, policy.Outcome(e.b), r.now-j.tries[e.n].sent, nil)
 		}
 	case evOverdue:
 		r.overdue(e.a, e.id)
 	case evProbed:
 		r.probed(e.a, e.b, uint32(e.id))
 	case evWaited:
-		r.waited(e.a, decide.Outcome(e.n))
+		r.waited(e.a, policy.Outcome(e.n))
 	case evTimer:
 		if p := &r.proxies[e.a]; p.inc == e.b && p.up {
-			r.ev = decide.Event{Kind: decide.TimerFired, ID: e.id}
+			r.ev = policy.Event{Kind: policy.TimerFired, ID: e.id}
 			r.give(e.a)
 		}
 	case evBack:
-		r.back(e.a, e.id, decide.Outcome(e.n), Time(e.b))
+		r.back(e.a, e.id, policy.Outcome(e.n), Time(e.b))
 	case evLeave:
 		r.leave(e.a, e.id)
 	case evPause, evResume:
@@ -590,7 +590,7 @@
 	}
 	travel := Time(float64(r.w.Net.Client) * (1 + r.w.Net.Jitter*c.draw(uint64(c.tries)+1<<40)))
 	if chosen < 0 || !r.proxies[chosen].up || r.proxies[chosen].open >= r.w.Told.MostHeld && r.w.Told.MostHeld > 0 {
-		r.at(r.now+2*travel, event{kind: evBack, a: n, n: uint8(decide.ConnectFailed), id: 0})
+		r.at(r.now+2*travel, event{kind: evBack, a: n, n: uint8(policy.ConnectFailed), id: 0})
 		return
 	}
 	k := &r.w.Classes[c.class]
@@ -620,7 +620,7 @@
 	}
 	p, c := &r.proxies[j.proxy], &r.calls[j.call]
 	if !p.up {
-		r.at(r.now+Time(r.w.Net.Client), event{kind: evBack, a: j.call, n: uint8(decide.ConnectFailed), id: id})
+		r.at(r.now+Time(r.w.Net.Client), event{kind: evBack, a: j.call, n: uint8(policy.ConnectFailed), id: id})
 		r.freeJob(m)
 		return
 	}
@@ -628,18 +628,18 @@
 	patience := max(1, j.deadline-r.now)
 	r.see(Record{Kind: Taken, Proxy: j.proxy, ID: id, Call: c.no, Class: c.class, Span: patience})
 	r.at(j.deadline+Time(r.w.Told.AnswerSlack)+1, event{kind: evOverdue, a: m, id: id})
-	r.ev = decide.Event{Kind: decide.Arrival, ID: id, Class: c.class, Tenant: uint32(c.tenant), Key: c.key, Work: c.hint,
+	r.ev = policy.Event{Kind: policy.Arrival, ID: id, Class: c.class, Tenant: uint32(c.tenant), Key: c.key, Work: c.hint,
 		Patience: patience, Repeat: r.w.Clients.Marks && c.tries > 1}
 	r.give(j.proxy)
 }
 
 // back brings a client the end of one of its tries; id 0: it reached no proxy.
-func (r *run) back(n int32, id uint64, out decide.Outcome, after Time) {
+func (r *run) back(n int32, id uint64, out policy.Outcome, after Time) {
 	c := &r.calls[n]
 	if c.over || c.job != id {
 		return
 	}
-	if out == decide.OK {
+	if out == policy.OK {
 		r.endCall(n, true)
 		return
 	}
@@ -649,18 +649,18 @@
 // leave is a client's end of patience with a try.
 func (r *run) leave(n int32, id uint64) {
 	if c := &r.calls[n]; !c.over && c.job == id {
-		r.again(n, decide.TimedOut, 0)
+		r.again(n, policy.TimedOut, 0)
 	}
 }
 
 // again lets a client try once more, as its class allows: a safe request after any failure, a keyed one that all
 // servers know by its key likewise, others only where nothing can have run. Reckless clients do not ask.
-func (r *run) again(n int32, out decide.Outcome, after Time) {
+func (r *run) again(n int32, out policy.Outcome, after Time) {
 	c := &r.calls[n]
 	k := &r.w.Classes[c.class]
 	c.job = 1 // answers to the last try come too late from here
-	may := out == decide.Full || out == decide.ConnectFailed || *effects[k.Effect] == decide.Safe ||
-		*effects[k.Effect] == decide.Keyed && *groups[k.Group] == decide.GroupAll && r.now-c.made < Time(k.Window)
+	may := out == policy.Full || out == policy.ConnectFailed || *effects[k.Effect] == policy.Safe ||
+		*effects[k.Effect] == policy.Keyed && *groups[k.Group] == policy.GroupAll && r.now-c.made < Time(k.Window)
 	if !may && c.draw(3) < r.w.Clients.Reckless {
 		may = true
 	}
@@ -729,7 +729,7 @@
 	p.conns = map[int32]*conns{}
 	members := r.reg.cached(p.version)
 	r.see(Record{Kind: ProxyUp, Proxy: n, Members: members, Version: p.version})
-	r.ev = decide.Event{Kind: decide.ListCached, Members: members}
+	r.ev = policy.Event{Kind: policy.ListCached, Members: members}
 	r.give(n)
 	r.at(r.now+1_000_000+Time(n)*997%1_000_000, event{kind: evSweep, a: n, b: p.inc})
 }
@@ -754,7 +754,7 @@
 			}
 		}
 		if !j.over {
-			r.at(r.now+Time(r.w.Net.Client), event{kind: evBack, a: j.call, n: uint8(decide.Reset), id: j.id})
+			r.at(r.now+Time(r.w.Net.Client), event{kind: evBack, a: j.call, n: uint8(policy.Reset), id: j.id})
 		}
 		r.freeJob(int32(m))
 	}
@@ -782,11 +782,11 @@
 	for i := 0; i < len(r.actions) && r.err == nil; i++ {
 		a := &r.actions[i]
 		switch a.Kind {
-		case decide.Send:
+		case policy.Send:
 			r.send(n, a)
-		case decide.Refuse, decide.Fail:
+		case policy.Refuse, policy.Fail:
 			r.answer(n, a)
-		case decide.Cancel:
+		case policy.Cancel:
 			m := r.jobOf(n, a.ID)
 			if m < 0 {
 				continue // it ended before
@@ -796,9 +796,9 @@
 				r.fail(n, "cancels attempt %d of a request that has had %d", a.Attempt, j.n)
 			} else if t := &j.tries[a.Attempt]; t.out && r.w.Told.Cancel {
 				r.drop(t)
-				r.at(r.tick(r.now+1), event{kind: evFailed, a: m, n: a.Attempt, b: int32(decide.Cancelled), id: j.id})
+				r.at(r.tick(r.now+1), event{kind: evFailed, a: m, n: a.Attempt, b: int32(policy.Cancelled), id: j.id})
 			}
-		case decide.SetTimer:
+		case policy.SetTimer:
 			if second := r.now / 1_000_000; second != p.second {
 				p.second, p.timers = second, 0
 			}
@@ -806,17 +806,17 @@
 				r.fail(n, "sets timers without end: %d within a second", p.timers)
 			}
 			r.at(r.tick(r.now+max(1, a.After)), event{kind: evTimer, a: n, b: p.inc, id: a.ID})
-		case decide.Subscribe:
+		case policy.Subscribe:
 			r.subscribe(n)
-		case decide.CloseUnused:
+		case policy.CloseUnused:
 			if s := r.serverOf(a.Server); s != nil {
 				if k := p.conns[s.n]; k != nil && k.epoch == s.epoch {
 					s.conns -= len(k.idle)
 					k.idle = k.idle[:0]
 				}
 			}
-		case decide.LogLine:
-		case decide.Probe:
+		case policy.LogLine:
+		case policy.Probe:
 			r.probe(n, a.Server)
 		default:
 			r.fail(n, "wants action %d, which this world does not know", a.Kind)
@@ -855,7 +855,7 @@
 }
 
 // send starts an attempt.
-func (r *run) send(n int32, a *decide.Action) {
+func (r *run) send(n int32, a *policy.Action) {
 	s := r.serverOf(a.Server)
 	if s == nil {
 		r.fail(n, "sends to server %d, which no list has named", a.Server)
@@ -911,7 +911,7 @@
 	}
 	if r.parted(n, s) { // nothing passes: a connection does not come up, a request on an old one is never seen
 		if k.fresh {
-			r.failLater(k, decide.ConnectFailed, r.now+Time(r.w.Conn.DialWithin))
+			r.failLater(k, policy.ConnectFailed, r.now+Time(r.w.Conn.DialWithin))
 		} else {
 			s.conns--
 			j.tries[at].task = -1
@@ -925,7 +925,7 @@
 }
 
 // failLater plans an outcome for an attempt that no server has.
-func (r *run) failLater(k *task, out decide.Outcome, at Time) {
+func (r *run) failLater(k *task, out policy.Outcome, at Time) {
 	r.jobs[k.job].tries[k.attempt].task = -1
 	r.at(r.tick(at), event{kind: evFailed, a: k.job, n: k.attempt, b: int32(out), id: k.id})
 }
@@ -991,7 +991,7 @@
 }
 
 // proven tells a proxy how an attempt ended.
-func (r *run) proven(m int32, at uint8, out decide.Outcome, elapsed Time, report []float32) {
+func (r *run) proven(m int32, at uint8, out policy.Outcome, elapsed Time, report []float32) {
 	j := &r.jobs[m]
 	t := &j.tries[at]
 	t.out, t.task = false, -1
@@ -999,17 +999,17 @@
 	n, id := j.proxy, j.id
 	server := r.servers[t.server].id
 	r.see(Record{Kind: Proven, Proxy: n, ID: id, Attempt: at, Server: server, Outcome: out, Span: elapsed})
-	if out == decide.OK && !j.over {
-		r.finish(m, decide.OK, 0)
+	if out == policy.OK && !j.over {
+		r.finish(m, policy.OK, 0)
 	}
-	r.ev = decide.Event{Kind: decide.Outcomed, ID: id, Attempt: at, Server: server, Outcome: out, Elapsed: elapsed, Final: j.over,
+	r.ev = policy.Event{Kind: policy.Outcomed, ID: id, Attempt: at, Server: server, Outcome: out, Elapsed: elapsed, Final: j.over,
 		Report: report}
 	r.tidy(m)
 	r.give(n)
 }
 
 // finish is a try's final answer.
-func (r *run) finish(m int32, out decide.Outcome, after Time) {
+func (r *run) finish(m int32, out policy.Outcome, after Time) {
 	j := &r.jobs[m]
 	j.over = true
 	r.proxies[j.proxy].open--
@@ -1025,14 +1025,14 @@
 	}
 }
 
-func (r *run) answer(n int32, a *decide.Action) {
+func (r *run) answer(n int32, a *policy.Action) {
 	m := r.jobOf(n, a.ID)
 	if m < 0 || r.jobs[m].over {
 		return // ended already: disregarded, as the wire does
 	}
-	out := decide.Failed
-	if a.Kind == decide.Refuse {
-		out = decide.Full
+	out := policy.Failed
+	if a.Kind == policy.Refuse {
+		out = policy.Full
 	}
 	r.finish(m, out, a.After)
 	r.tidy(m)
@@ -1048,7 +1048,7 @@
 	r.proxies[n].open--
 	r.see(Record{Kind: Overdue, Proxy: n, ID: id})
 	r.tidy(m)
-	r.ev = decide.Event{Kind: decide.Departed, ID: id}
+	r.ev = policy.Event{Kind: policy.Departed, ID: id}
 	r.give(n)
 }
 
--- a/internal/lab/model/server.go
+++ b/internal/lab/model/server.go
@@ -3,7 +3,7 @@
 import (
 	"math"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 type serverState uint8
@@ -189,13 +189,13 @@
 		if s.cold {
 			s.warmWork += k.work
 		}
-		out := decide.OK
+		out := policy.OK
 		if s.kind.Errors > 0 && r.chance.Float64() < s.kind.Errors {
-			out = decide.Failed
+			out = policy.Failed
 			s.errors++
 		}
 		r.see(Record{Kind: Ran, Server: s.id, ID: k.id, Attempt: k.attempt, Call: r.calls[k.call].no, Work: Time(k.work),
-			Flag: !k.dropped && !r.calls[k.call].over && out == decide.OK})
+			Flag: !k.dropped && !r.calls[k.call].over && out == policy.OK})
 		if wait := r.w.Classes[r.calls[k.call].class].Wait; wait > 0 {
 			r.at(r.now+Time(lognormal(r.chance, float64(wait), waitCV)), event{kind: evWaited, a: t, n: uint8(out)})
 		} else {
@@ -264,7 +264,7 @@
 		// Cut off on the way, or given up while its connection was made.
 		if !k.dropped {
 			if k.fresh {
-				r.failLater(k, decide.ConnectFailed, k.sent+Time(r.w.Conn.DialWithin))
+				r.failLater(k, policy.ConnectFailed, k.sent+Time(r.w.Conn.DialWithin))
 			} else {
 				r.jobs[k.job].tries[k.attempt].task = -1
 			}
@@ -274,9 +274,9 @@
 		return
 	}
 	if s.state == down || s.epoch != k.epoch && !k.fresh {
-		out := decide.Reset // written to a connection whose other end is gone
+		out := policy.Reset // written to a connection whose other end is gone
 		if k.fresh {
-			out = decide.ConnectFailed
+			out = policy.ConnectFailed
 		}
 		r.returned(t, out, false)
 		return
@@ -292,7 +292,7 @@
 			k.epoch = s.epoch
 		}
 		if s.conns >= r.w.Conn.CapPerCore*s.kind.Cores {
-			r.returned(t, decide.ConnectFailed, false)
+			r.returned(t, policy.ConnectFailed, false)
 			return
 		}
 		s.conns++
@@ -306,24 +306,24 @@
 		if tip := &r.w.Tip; s.cold && tip.Multiple > 0 {
 			bears := tip.Multiple*able*float64(tip.Over) + tip.Slack*r.w.meanWork()
 			if s.pushed.add(r.now, Time(tip.Over), k.work) > bears {
-				r.returned(t, decide.Reset, false)
+				r.returned(t, policy.Reset, false)
 				r.fall(s)
 				return
 			}
 		}
 	}
 	if s.state == draining {
-		r.returned(t, decide.Full, true)
+		r.returned(t, policy.Full, true)
 		return
 	}
 	if s.failing > 0 && r.chance.Float64() < s.failing {
 		s.done++
 		s.errors++
-		r.returned(t, decide.Failed, true)
+		r.returned(t, policy.Failed, true)
 		return
 	}
 	if len(s.slots) >= s.kind.Slots && len(s.queue)-s.head >= s.kind.Room {
-		r.returned(t, decide.Full, true)
+		r.returned(t, policy.Full, true)
 		return
 	}
 	if r.meets(s, r.calls[k.call].key) {
@@ -346,23 +346,23 @@
 	c := &r.calls[k.call]
 	class := &r.w.Classes[c.class]
 	effect := *effects[class.Effect]
-	if effect == decide.Safe {
+	if effect == policy.Safe {
 		return
 	}
 	if c.effectAt < 0 {
 		c.effectAt, c.effect.zone, c.effect.cell = r.now, s.zone, s.cell
 		return
 	}
-	if effect == decide.Keyed && r.now-c.effectAt <= Time(class.Window) {
+	if effect == policy.Keyed && r.now-c.effectAt <= Time(class.Window) {
 		switch *groups[class.Group] {
-		case decide.GroupZone:
+		case policy.GroupZone:
 			effect = known(c.effect.zone == s.zone)
-		case decide.GroupCell:
+		case policy.GroupCell:
 			effect = known(c.effect.cell == s.cell)
 		default:
-			effect = decide.Safe
+			effect = policy.Safe
 		}
-		if effect == decide.Safe {
+		if effect == policy.Safe {
 			k.work = math.Min(k.work, 500) // looked up, not done
 			return
 		}
@@ -370,18 +370,18 @@
 	r.see(Record{Kind: Twice, Server: s.id, ID: k.id, Call: c.no, Span: r.now - c.effectAt, Class: c.class})
 }
 
-func known(same bool) decide.Semantics {
+func known(same bool) policy.Semantics {
 	if same {
-		return decide.Safe
+		return policy.Safe
 	}
-	return decide.Unsafe
+	return policy.Unsafe
 }
 
 // reply sends an attempt's end back to its proxy with the server's load report.
-func (r *run) reply(t int32, out decide.Outcome) { r.returned(t, out, true) }
+func (r *run) reply(t int32, out policy.Outcome) { r.returned(t, out, true) }
 
 // returned sends an attempt's end back. answered: the server says it itself, on a connection that stays.
-func (r *run) returned(t int32, out decide.Outcome, answered bool) {
+func (r *run) returned(t int32, out policy.Outcome, answered bool) {
 	k := &r.tasks[t]
 	s := r.servers[k.server]
 	if k.dropped {
@@ -396,7 +396,7 @@
 	}
 	k.outcome = out
 	if answered {
-		if k.report, k.reports = r.reportOf(s); reportVias[r.w.Reports.Via] != decide.ReportsInAnswers {
+		if k.report, k.reports = r.reportOf(s); reportVias[r.w.Reports.Via] != policy.ReportsInAnswers {
 			k.reports = false
 		}
 	} else {
@@ -411,7 +411,7 @@
 func (r *run) outcome(t int32) {
 	k := &r.tasks[t]
 	j := &r.jobs[k.job]
-	if k.dropped && k.outcome != decide.Reset && k.outcome != decide.ConnectFailed || j.id != k.id || !j.tries[k.attempt].out ||
+	if k.dropped && k.outcome != policy.Reset && k.outcome != policy.ConnectFailed || j.id != k.id || !j.tries[k.attempt].out ||
 		j.tries[k.attempt].task != t {
 		r.freeTask(t) // given up in the meantime
 		return
@@ -461,7 +461,7 @@
 	if known {
 		lag = r.w.Discovery.Notice / 4 // an orderly end is told of soon
 	}
-	r.notice(s, decide.ModeGone, Time(lag))
+	r.notice(s, policy.ModeGone, Time(lag))
 	broken := make([]int32, 0, len(s.slots)+len(s.queue)-s.head)
 	for _, e := range s.slots {
 		broken = append(broken, e.task)
@@ -469,7 +469,7 @@
 	broken = append(broken, s.queue[s.head:]...)
 	s.slots, s.queue, s.head, s.owed, s.nextAt = s.slots[:0], s.queue[:0], 0, 0, 0
 	for _, t := range broken {
-		r.returned(t, decide.Reset, false)
+		r.returned(t, policy.Reset, false)
 	}
 	s.conns = 0
 	s.epoch++
@@ -484,7 +484,7 @@
 	s.vAt, s.busy, s.done, s.errors, s.reported, s.reportN = r.now, 0, 0, 0, r.now, 0
 	s.paused, s.replacing, s.met = 0, false, nil
 	r.see(Record{Kind: Started, Server: s.id, Zone: s.zone})
-	r.notice(s, decide.ModeReady, Time(r.w.Discovery.Add))
+	r.notice(s, policy.ModeReady, Time(r.w.Discovery.Add))
 	r.pauseLater(s.n)
 }
 
@@ -506,7 +506,7 @@
 		return
 	}
 	s.state, s.replacing, s.fresh = draining, true, fresh
-	r.notice(s, decide.ModeDraining, Time(r.w.Discovery.Notice)/4)
+	r.notice(s, policy.ModeDraining, Time(r.w.Discovery.Notice)/4)
 	r.at(r.now+within, event{kind: evServerDown, a: s.n, b: s.epoch, n: 1})
 }
 
@@ -516,8 +516,8 @@
 	if s.fresh {
 		next := r.addServer(int32(s.zone), s.kindNo, s.kind, s.speed)
 		next.cell, next.state = s.cell, down
-		r.reg.known = append(r.reg.known, decide.Member{Server: next.id, Zone: next.zone, Cell: next.cell,
-			Kind: uint16(next.kindNo), Mode: decide.ModeGone, Size: float64(next.kind.Cores)})
+		r.reg.known = append(r.reg.known, policy.Member{Server: next.id, Zone: next.zone, Cell: next.cell,
+			Kind: uint16(next.kindNo), Mode: policy.ModeGone, Size: float64(next.kind.Cores)})
 		r.reg.epochs = append(r.reg.epochs, -1) // nothing of it is known: its first start is news
 		s = next
 	}
--- a/internal/lab/referee/referee.go
+++ b/internal/lab/referee/referee.go
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"pumiceline/decide"
 	"pumiceline/internal/lab/model"
+	"pumiceline/internal/standalone/policy"
 )
 
 // Time is in microseconds.
@@ -109,7 +109,7 @@
 // Referee watches one play. Create it with New, hand it to model.Play, then ask for its Report.
 type Referee struct {
 	w        *model.World
-	classes  []decide.Class
+	classes  []policy.Class
 	mean     float64 // work of a request, in microseconds
 	open     map[uint64]*taken
 	spare    []*taken
@@ -215,7 +215,7 @@
 	case model.Listed:
 		for i := range rec.Members {
 			m := &rec.Members[i]
-			if m.Mode == decide.ModeReady {
+			if m.Mode == policy.ModeReady {
 				delete(r.gone, m.Server)
 				r.starts[m.Server], r.heard[m.Server] = m.UpSince, rec.At
 			} else if _, known := r.gone[m.Server]; !known {
@@ -301,11 +301,11 @@
 		if a.out && !r.w.Told.Copies {
 			r.breach(rec, RuleEffect, "two attempts out at once, where copies are not allowed")
 		}
-		if !a.mayRun || c.Semantics == decide.Safe {
+		if !a.mayRun || c.Semantics == policy.Safe {
 			continue
 		}
 		switch {
-		case c.Semantics == decide.Unsafe:
+		case c.Semantics == policy.Unsafe:
 			r.breach(rec, RuleEffect, "an unsafe request sent again though attempt %d may have run", i)
 		case !same(c.Group, a, rec):
 			r.breach(rec, RuleEffect, "a keyed request sent outside the group of attempt %d, which may have run", i)
@@ -319,11 +319,11 @@
 	r.drained(rec)
 }
 
-func same(g decide.Group, a *attempt, rec *model.Record) bool {
+func same(g policy.Group, a *attempt, rec *model.Record) bool {
 	switch g {
-	case decide.GroupZone:
+	case policy.GroupZone:
 		return a.zone == rec.Zone
-	case decide.GroupCell:
+	case policy.GroupCell:
 		return a.cell == rec.Cell
 	}
 	return true
@@ -369,7 +369,7 @@
 	a.out = false
 	t.out--
 	switch rec.Outcome {
-	case decide.Full, decide.ConnectFailed, decide.NotSent:
+	case policy.Full, policy.ConnectFailed, policy.NotSent:
 		a.mayRun = false
 	}
 	r.drop(rec.ID, t)
@@ -382,13 +382,13 @@
 	}
 	t.answered = true
 	switch rec.Outcome {
-	case decide.OK:
+	case policy.OK:
 		r.rep.Answers.Served++
-	case decide.Full:
+	case policy.Full:
 		r.rep.Answers.Refused++
 		c := &r.classes[t.class]
 		for i := range t.attempts {
-			if a := &t.attempts[i]; a.mayRun && (c.Semantics == decide.Unsafe || c.Semantics == decide.Keyed && c.Group != decide.GroupAll) {
+			if a := &t.attempts[i]; a.mayRun && (c.Semantics == policy.Unsafe || c.Semantics == policy.Keyed && c.Group != policy.GroupAll) {
 				r.breach(rec, RuleEffect, "refused as harmless to repeat though attempt %d may have run", i)
 				break
 			}
@@ -412,7 +412,7 @@
 		if whole {
 			listed[m.Server] = true
 		}
-		if m.Mode == decide.ModeReady {
+		if m.Mode == policy.ModeReady {
 			delete(p.gone, m.Server)
 			if m.UpSince > 0 {
 				p.starts[m.Server] = m.UpSince
--- a/internal/lab/referee/rules_test.go
+++ b/internal/lab/referee/rules_test.go
@@ -4,24 +4,24 @@
 	"strings"
 	"testing"
 
-	"pumiceline/decide"
 	"pumiceline/internal/lab/model"
 	"pumiceline/internal/lab/referee"
+	"pumiceline/internal/standalone/policy"
 )
 
 const ms, sec = 1000, 1_000_000
 
 // scripted is a decider whose every step a test writes out. Timers set with at call back at the moment they name.
 type scripted struct {
-	on    func(s *scripted, ev *decide.Event)
+	on    func(s *scripted, ev *policy.Event)
 	now   model.Time
-	out   []decide.Action
+	out   []policy.Action
 	later []func()
 }
 
-func (s *scripted) Handle(now model.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (s *scripted) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	s.now, s.out = now, out
-	if ev.Kind == decide.TimerFired {
+	if ev.Kind == policy.TimerFired {
 		s.later[ev.ID]()
 	} else {
 		s.on(s, ev)
@@ -29,15 +29,15 @@
 	return s.out
 }
 
-func (s *scripted) do(a decide.Action) { s.out = append(s.out, a) }
+func (s *scripted) do(a policy.Action) { s.out = append(s.out, a) }
 
 func (s *scripted) at(t model.Time, f func()) {
 	s.later = append(s.later, f)
-	s.do(decide.Action{Kind: decide.SetTimer, ID: uint64(len(s.later) - 1), After: t - s.now})
+	s.do(policy.Action{Kind: policy.SetTimer, ID: uint64(len(s.later) - 1), After: t - s.now})
 }
 
 func (s *scripted) send(id uint64, server uint32) {
-	s.do(decide.Action{Kind: decide.Send, ID: id, Server: server})
+	s.do(policy.Action{Kind: policy.Send, ID: id, Server: server})
 }
 
 // world is a small and exact one: one proxy, no jitter, no noise, no ticks; four servers of one core in two zones, two
@@ -55,10 +55,10 @@
 }
 
 // play plays w with one script and returns the verdict.
-func play(t *testing.T, w model.World, on func(s *scripted, ev *decide.Event)) *referee.Report {
+func play(t *testing.T, w model.World, on func(s *scripted, ev *policy.Event)) *referee.Report {
 	t.Helper()
 	ref := referee.New(&w)
-	if _, err := model.Play(&w, 1, func(decide.Settings, uint64, *model.Truth) (model.Node, error) {
+	if _, err := model.Play(&w, 1, func(policy.Settings, uint64, *model.Truth) (model.Node, error) {
 		return &scripted{on: on}, nil
 	}, ref); err != nil {
 		t.Fatal(err)
@@ -88,18 +88,18 @@
 }
 
 // first lets a script act on its first request alone; the others are failed at once.
-func first(act func(s *scripted, ev *decide.Event)) func(s *scripted, ev *decide.Event) {
+func first(act func(s *scripted, ev *policy.Event)) func(s *scripted, ev *policy.Event) {
 	var id uint64
-	return func(s *scripted, ev *decide.Event) {
-		if ev.Kind == decide.Arrival {
+	return func(s *scripted, ev *policy.Event) {
+		if ev.Kind == policy.Arrival {
 			if id == 0 {
 				id = ev.ID
 			} else {
-				s.do(decide.Action{Kind: decide.Fail, ID: ev.ID})
+				s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
 				return
 			}
 		}
-		if ev.Kind != decide.Outcomed || ev.ID == id {
+		if ev.Kind != policy.Outcomed || ev.ID == id {
 			act(s, ev)
 		}
 	}
@@ -109,11 +109,11 @@
 	for _, late := range []model.Time{0, 1} {
 		w := world("safe", "all")
 		var due model.Time
-		rep := play(t, w, first(func(s *scripted, ev *decide.Event) {
-			if ev.Kind == decide.Arrival {
+		rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
+			if ev.Kind == policy.Arrival {
 				id := ev.ID
 				due = s.now + ev.Patience + model.Time(w.Told.AnswerSlack) + late
-				s.at(due, func() { s.do(decide.Action{Kind: decide.Fail, ID: id}) })
+				s.at(due, func() { s.do(policy.Action{Kind: policy.Fail, ID: id}) })
 			}
 		}))
 		if late == 0 {
@@ -127,13 +127,13 @@
 func TestSendAfterTheFinalAnswerIsCaught(t *testing.T) {
 	var server uint32
 	var when model.Time
-	rep := play(t, world("safe", "all"), first(func(s *scripted, ev *decide.Event) {
+	rep := play(t, world("safe", "all"), first(func(s *scripted, ev *policy.Event) {
 		switch ev.Kind {
-		case decide.ListCached:
+		case policy.ListCached:
 			server = ev.Members[0].Server
-		case decide.Arrival:
+		case policy.Arrival:
 			id := ev.ID
-			s.do(decide.Action{Kind: decide.Refuse, ID: id})
+			s.do(policy.Action{Kind: policy.Refuse, ID: id})
 			when = s.now + 30*ms
 			s.at(when, func() { s.send(id, server) })
 		}
@@ -165,20 +165,20 @@
 			w.Troubles = []model.Trouble{{Kind: "hang", For: 60 * sec, Part: 1}}
 			var servers []uint32
 			var when model.Time
-			rep := play(t, w, first(func(s *scripted, ev *decide.Event) {
+			rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
 				switch ev.Kind {
-				case decide.ListCached:
+				case policy.ListCached:
 					for _, m := range ev.Members {
 						servers = append(servers, m.Server)
 					}
-				case decide.Arrival:
+				case policy.Arrival:
 					id := ev.ID
-					s.do(decide.Action{Kind: decide.Send, ID: id, Server: servers[0], After: 500 * ms})
+					s.do(policy.Action{Kind: policy.Send, ID: id, Server: servers[0], After: 500 * ms})
 					when = s.now + c.after
 					s.at(when, func() { s.send(id, servers[c.second]) })
-				case decide.Outcomed:
+				case policy.Outcomed:
 					if ev.Attempt == 1 {
-						s.do(decide.Action{Kind: decide.Fail, ID: ev.ID})
+						s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
 					}
 				}
 			}))
@@ -209,15 +209,15 @@
 			}
 			var server uint32
 			var when model.Time
-			rep := play(t, w, first(func(s *scripted, ev *decide.Event) {
+			rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
 				switch ev.Kind {
-				case decide.ListCached:
+				case policy.ListCached:
 					server = ev.Members[0].Server
-				case decide.Arrival:
-					s.do(decide.Action{Kind: decide.Send, ID: ev.ID, Server: server, After: 500 * ms})
-				case decide.Outcomed:
+				case policy.Arrival:
+					s.do(policy.Action{Kind: policy.Send, ID: ev.ID, Server: server, After: 500 * ms})
+				case policy.Outcomed:
 					when = s.now
-					s.do(decide.Action{Kind: decide.Refuse, ID: ev.ID})
+					s.do(policy.Action{Kind: policy.Refuse, ID: ev.ID})
 				}
 			}))
 			judge(t, rep, c.rule, when, "may have run")
@@ -229,13 +229,13 @@
 	for _, allowed := range []bool{true, false} {
 		w := world("safe", "all")
 		w.Told.Copies = allowed
-		var servers []decide.Member
+		var servers []policy.Member
 		var when model.Time
-		rep := play(t, w, first(func(s *scripted, ev *decide.Event) {
+		rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
 			switch ev.Kind {
-			case decide.ListCached:
+			case policy.ListCached:
 				servers = ev.Members
-			case decide.Arrival:
+			case policy.Arrival:
 				id := ev.ID
 				s.send(id, servers[0].Server)
 				when = s.now + 10*ms
@@ -284,11 +284,11 @@
 				planned, due = true, moment+c.late
 				s.at(due, func() { s.send(id, server) })
 			}
-			rep := play(t, w, first(func(s *scripted, ev *decide.Event) {
+			rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
 				switch ev.Kind {
-				case decide.ListCached:
+				case policy.ListCached:
 					if c.asks > 0 {
-						s.do(decide.Action{Kind: decide.Subscribe})
+						s.do(policy.Action{Kind: policy.Subscribe})
 					}
 					if c.asks != 1 { // the server that drains shows itself by turning away; here the world's draw is known
 						span := model.Time(w.Told.AskWithin)
@@ -298,18 +298,18 @@
 						server = ev.Members[drained(t, w)].Server
 						plan(s, listed+span+model.Time(w.Told.DrainGrace))
 					}
-				case decide.ListDelta:
+				case policy.ListDelta:
 					for _, m := range ev.Members {
-						if m.Mode == decide.ModeDraining && !planned {
+						if m.Mode == policy.ModeDraining && !planned {
 							server = m.Server
 							plan(s, s.now+model.Time(w.Told.DrainGrace))
 						}
 					}
-				case decide.Arrival:
+				case policy.Arrival:
 					id = ev.ID
-				case decide.Outcomed:
-					if ev.Outcome != decide.OK {
-						s.do(decide.Action{Kind: decide.Fail, ID: ev.ID})
+				case policy.Outcomed:
+					if ev.Outcome != policy.OK {
+						s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
 					}
 				}
 			}))
@@ -324,24 +324,24 @@
 	found := -1
 	var list []uint32
 	w.Troubles = w.Troubles[:1]
-	if _, err := model.Play(&w, 1, func(decide.Settings, uint64, *model.Truth) (model.Node, error) {
-		return &scripted{on: func(s *scripted, ev *decide.Event) {
+	if _, err := model.Play(&w, 1, func(policy.Settings, uint64, *model.Truth) (model.Node, error) {
+		return &scripted{on: func(s *scripted, ev *policy.Event) {
 			switch ev.Kind {
-			case decide.ListCached:
-				s.do(decide.Action{Kind: decide.Subscribe})
+			case policy.ListCached:
+				s.do(policy.Action{Kind: policy.Subscribe})
 				for _, m := range ev.Members {
 					list = append(list, m.Server)
 				}
-			case decide.ListDelta:
+			case policy.ListDelta:
 				for _, m := range ev.Members {
 					for i := range list {
-						if list[i] == m.Server && m.Mode == decide.ModeDraining {
+						if list[i] == m.Server && m.Mode == policy.ModeDraining {
 							found = i
 						}
 					}
 				}
-			case decide.Arrival:
-				s.do(decide.Action{Kind: decide.Fail, ID: ev.ID})
+			case policy.Arrival:
+				s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
 			}
 		}}, nil
 	}, quiet{}); err != nil || found < 0 {
@@ -380,17 +380,17 @@
 			var list []uint32
 			var server uint32
 			var when model.Time
-			find := func(s *scripted, ev *decide.Event) {
+			find := func(s *scripted, ev *policy.Event) {
 				for _, m := range ev.Members {
 					if m.UpSince > 0 {
 						server = m.Server
 					}
 				}
 			}
-			rep := play(t, w, func(s *scripted, ev *decide.Event) {
+			rep := play(t, w, func(s *scripted, ev *policy.Event) {
 				switch ev.Kind {
-				case decide.ListCached:
-					s.do(decide.Action{Kind: decide.Subscribe})
+				case policy.ListCached:
+					s.do(policy.Action{Kind: policy.Subscribe})
 					for _, m := range ev.Members {
 						list = append(list, m.Server)
 					}
@@ -403,14 +403,14 @@
 							s.send(id, server)
 						}
 					})
-				case decide.ListDelta, decide.ListFull:
+				case policy.ListDelta, policy.ListFull:
 					find(s, ev)
-				case decide.Arrival:
+				case policy.Arrival:
 					if ids = append(ids, ev.ID); len(ids) > 20 {
-						s.do(decide.Action{Kind: decide.Fail, ID: ev.ID})
+						s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
 					} else {
 						id := ev.ID
-						s.at(s.now+ev.Patience, func() { s.do(decide.Action{Kind: decide.Fail, ID: id}) })
+						s.at(s.now+ev.Patience, func() { s.do(policy.Action{Kind: policy.Fail, ID: id}) })
 					}
 				}
 			})
@@ -430,13 +430,13 @@
 	t.Helper()
 	w.Discovery.Add = 1 * sec
 	found := -1
-	if _, err := model.Play(&w, 1, func(decide.Settings, uint64, *model.Truth) (model.Node, error) {
-		return &scripted{on: func(s *scripted, ev *decide.Event) {
+	if _, err := model.Play(&w, 1, func(policy.Settings, uint64, *model.Truth) (model.Node, error) {
+		return &scripted{on: func(s *scripted, ev *policy.Event) {
 			switch ev.Kind {
-			case decide.ListCached:
-				s.do(decide.Action{Kind: decide.Subscribe})
-			case decide.Arrival:
-				s.do(decide.Action{Kind: decide.Fail, ID: ev.ID})
+			case policy.ListCached:
+				s.do(policy.Action{Kind: policy.Subscribe})
+			case policy.Arrival:
+				s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
 			}
 			for _, m := range ev.Members {
 				for i := range list {
--- a/internal/lab/subsetted/subsetted.go
+++ b/internal/lab/subsetted/subsetted.go
@@ -6,9 +6,9 @@
 	"math"
 	"slices"
 
-	"pumiceline/decide"
 	"pumiceline/internal/lab/model"
-	"pumiceline/internal/subset"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/subset"
 )
 
 // node is a module that is told of a part of the list.
@@ -16,9 +16,9 @@
 	module  model.Node
 	ordinal int
 	arc     float64
-	listed  map[uint32]decide.Member
+	listed  map[uint32]policy.Member
 	told    map[uint32]bool
-	members []decide.Member
+	members []policy.Member
 }
 
 // least is how many servers of each zone a part has at least.
@@ -27,7 +27,7 @@
 // Maker makes nodes of make that keep to an arc of each zone. Cold budgets are divided among the proxies that may have a server in
 // their part, and no more.
 func Maker(make model.Maker, arc float64) model.Maker {
-	return func(set decide.Settings, seed uint64, truth *model.Truth) (model.Node, error) {
+	return func(set policy.Settings, seed uint64, truth *model.Truth) (model.Node, error) {
 		all := set.GroupSize
 		if part := int(math.Ceil(float64(all)*arc)) + 4 + int(2*math.Log10(float64(max(1, all)))); part < all {
 			set.GroupSize = part
@@ -40,21 +40,21 @@
 		if err != nil {
 			return nil, err
 		}
-		return &node{module: module, ordinal: set.Ordinal, arc: arc, listed: map[uint32]decide.Member{}, told: map[uint32]bool{}}, nil
+		return &node{module: module, ordinal: set.Ordinal, arc: arc, listed: map[uint32]policy.Member{}, told: map[uint32]bool{}}, nil
 	}
 }
 
 // Handle is model.Node's.
-func (n *node) Handle(now model.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (n *node) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
-	case decide.ListFull, decide.ListCached:
+	case policy.ListFull, policy.ListCached:
 		clear(n.listed)
-	case decide.ListDelta:
+	case policy.ListDelta:
 	default:
 		return n.module.Handle(now, ev, out)
 	}
 	for _, m := range ev.Members {
-		if m.Mode == decide.ModeGone {
+		if m.Mode == policy.ModeGone {
 			delete(n.listed, m.Server)
 		} else {
 			n.listed[m.Server] = m
@@ -62,13 +62,13 @@
 	}
 	var servers []subset.Server
 	for _, m := range n.listed {
-		if m.Mode == decide.ModeReady {
+		if m.Mode == policy.ModeReady {
 			servers = append(servers, subset.Server{ID: m.Server, Zone: m.Zone, Cell: m.Cell, Size: m.Size})
 		}
 	}
 	part := *ev
-	if part.Kind == decide.ListDelta {
-		part.Kind = decide.ListFull
+	if part.Kind == policy.ListDelta {
+		part.Kind = policy.ListFull
 	}
 	n.members = n.members[:0]
 	for _, m := range subset.Pick(servers, n.ordinal, n.arc, least) {
--- a/internal/stage/guild/roster.go
+++ b/internal/stage/guild/roster.go
@@ -19,7 +19,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"pumiceline/internal/pool"
+	"pumiceline/internal/standalone/discovery"
 	"pumiceline/internal/standin"
 )
 
@@ -79,7 +79,7 @@
 			for lines := bufio.NewScanner(resp.Body); resp.StatusCode == http.StatusOK && lines.Scan(); {
 				var u struct {
 					Seq   uint64
-					Hosts []pool.Entry
+					Hosts []discovery.Entry
 				}
 				if text := bytes.TrimSpace(lines.Bytes()); len(text) == 0 || json.Unmarshal(text, &u) != nil {
 					continue
@@ -142,8 +142,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	sites := []string{"east", "west"}
-	host := func(name string) pool.Entry { // a line to wait for: no proxy sends anything there
-		return pool.Entry{Host: name, Dial: "127.0.0.1:1", Site: sites[0], Class: "std-8", Block: 1, Health: "DRAINING", Share: 1}
+	host := func(name string) discovery.Entry { // a line to wait for: no proxy sends anything there
+		return discovery.Entry{Host: name, Dial: "127.0.0.1:1", Site: sites[0], Class: "std-8", Block: 1, Health: "DRAINING", Share: 1}
 	}
 	var listeners []net.Listener
 	for range 1 + 4 { // discovery for those who ask it themselves, and destinations
--- a/internal/admin/admin.go
+++ b/internal/standalone/admin/admin.go
@@ -15,7 +15,7 @@
 	"sync"
 	"time"
 
-	"pumiceline/internal/suspension"
+	"pumiceline/internal/standalone/maintenance"
 )
 
 const (
@@ -167,9 +167,9 @@
 		host := r.PathValue("id")
 		err := do(host)
 		switch {
-		case errors.Is(err, suspension.ErrUnknown):
+		case errors.Is(err, maintenance.ErrUnknown):
 			http.Error(w, err.Error(), http.StatusNotFound)
-		case errors.Is(err, suspension.ErrFull):
+		case errors.Is(err, maintenance.ErrFull):
 			http.Error(w, err.Error(), http.StatusConflict)
 		case err != nil: // in force, but a process that comes later would not know of it
 			d.opts.Log.Error("an operator's call could not be written down", "host", host, "error", err)
--- a/internal/admin/admin_test.go
+++ b/internal/standalone/admin/admin_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"pumiceline/internal/metrics"
-	"pumiceline/internal/suspension"
+	"pumiceline/internal/standalone/maintenance"
+	"pumiceline/internal/standalone/metrics"
 )
 
 // open starts a door on a free address.
@@ -136,7 +136,7 @@
 			case "full":
 				return errors.New("no room on the disk")
 			}
-			return suspension.ErrUnknown
+			return maintenance.ErrUnknown
 		}
 	}
 	addr := open(t, Options{Most: 4, Ready: func() error { return nil }, Suspend: say(true), Resume: say(false)})
--- a/internal/door/door.go
+++ b/internal/standalone/admission/door.go
@@ -1,4 +1,4 @@
-// Package door decides which of the requests that have come in may go on to the decision module now, which wait, and
+// Package admission decides which of the requests that have come in may go on to the decision module now, which wait, and
 // which are refused: fair queueing over tenants by their shares, within a tenant over classes by their worth, and within
 // those over clients, under a limit on what is inside at once that adapts to measured service.
 //
@@ -11,7 +11,7 @@
 // hashed queues), and what is promised to those refused is remembered in sums.
 //
 // A Door is not safe for concurrent use.
-package door
+package admission
 
 import (
 	"fmt"
--- a/internal/door/door_test.go
+++ b/internal/standalone/admission/door_test.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"fmt"
--- a/internal/destination/destination_test.go
+++ b/internal/standalone/backend/destination_test.go
@@ -1,4 +1,4 @@
-package destination
+package backend
 
 import (
 	"bufio"
@@ -16,8 +16,8 @@
 	"testing/synctest"
 	"time"
 
-	"pumiceline/decide"
 	"pumiceline/internal/socket"
+	"pumiceline/internal/standalone/policy"
 )
 
 // serve starts a destination that gives each request of a connection to answer, with the number of the request
@@ -79,41 +79,41 @@
 func TestOutcomes(t *testing.T) {
 	for name, c := range map[string]struct {
 		text string // what comes back before the connection ends
-		want decide.Outcome
+		want policy.Outcome
 	}{
-		"served":              {ok, decide.OK},
-		"chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", decide.OK},
-		"interim":             {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok, decide.OK},
-		"error":               {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", decide.Failed},
-		"busy, unseen":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", decide.Full},
-		"late, unseen":        {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", decide.Full},
-		"busy, perhaps run":   {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", decide.Failed},
-		"busy reply":          {"HTTP/1.1 429 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", decide.Failed},
-		"nothing":             {"", decide.Reset},
-		"half a head":         {"HTTP/1.1 200 OK\r\nConte", decide.Reset},
-		"half a body":         {ok[:len(ok)-1], decide.Reset},
-		"half a chunk":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n42", decide.Reset},
-		"no end told":         {"HTTP/1.1 200 OK\r\n\r\n42", decide.OK},
-		"other protocol":      {"HTTP/1.1 101 Switching Protocols\r\n\r\n", decide.Failed},
-		"garbage":             {"\x00\x01\x02 garbage\r\n\r\n", decide.Failed},
-		"too long":            {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MostLong+1) + strings.Repeat("x", MostBody), decide.Failed},
-		"long error":          {"HTTP/1.1 500 No\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("x", 400_000), decide.Failed},
-		"the longest":         {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), decide.OK},
-		"endless head":        {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10) + "\r\n\r\n", decide.Failed},
-		"endless interim":     {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), decide.Failed},
-		"two lengths":         {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n42", decide.Failed},
-		"a length twice":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n42", decide.Failed},
-		"noise behind":        {ok + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", decide.OK},
-		"length and coding":   {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", decide.Failed},
-		"3 GB to come":        {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n42", decide.Failed},
-		"report not readable": {"HTTP/1.1 200 OK\r\nX-Backend-Load: garbage=,=\r\nContent-Length: 0\r\n\r\n", decide.OK},
+		"served":              {ok, policy.OK},
+		"chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", policy.OK},
+		"interim":             {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok, policy.OK},
+		"error":               {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.Failed},
+		"busy, unseen":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Full},
+		"late, unseen":        {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Full},
+		"busy, perhaps run":   {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.Failed},
+		"busy reply":          {"HTTP/1.1 429 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Failed},
+		"nothing":             {"", policy.Reset},
+		"half a head":         {"HTTP/1.1 200 OK\r\nConte", policy.Reset},
+		"half a body":         {ok[:len(ok)-1], policy.Reset},
+		"half a chunk":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n42", policy.Reset},
+		"no end told":         {"HTTP/1.1 200 OK\r\n\r\n42", policy.OK},
+		"other protocol":      {"HTTP/1.1 101 Switching Protocols\r\n\r\n", policy.Failed},
+		"garbage":             {"\x00\x01\x02 garbage\r\n\r\n", policy.Failed},
+		"too long":            {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MostLong+1) + strings.Repeat("x", MostBody), policy.Failed},
+		"long error":          {"HTTP/1.1 500 No\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("x", 400_000), policy.Failed},
+		"the longest":         {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), policy.OK},
+		"endless head":        {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10) + "\r\n\r\n", policy.Failed},
+		"endless interim":     {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), policy.Failed},
+		"two lengths":         {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n42", policy.Failed},
+		"a length twice":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n42", policy.Failed},
+		"noise behind":        {ok + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", policy.OK},
+		"length and coding":   {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", policy.Failed},
+		"3 GB to come":        {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n42", policy.Failed},
+		"report not readable": {"HTTP/1.1 200 OK\r\nX-Backend-Load: garbage=,=\r\nContent-Length: 0\r\n\r\n", policy.OK},
 	} {
 		addr, _, requests := serve(t, func(_ int, conn net.Conn) bool {
 			io.WriteString(conn, c.text)
 			return false
 		})
 		res := exchange(t, fleet(addr, 9))
-		if res.Outcome != c.want || requests.Load() != 1 || (res.Answer != nil) != (c.want == decide.OK) {
+		if res.Outcome != c.want || requests.Load() != 1 || (res.Answer != nil) != (c.want == policy.OK) {
 			t.Errorf("%s: outcome %d (%v), want %d; %d requests", name, res.Outcome, res.Err, c.want, requests.Load())
 		}
 	}
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	ln.Close()
-	if res := exchange(t, fleet(ln.Addr().String(), 9)); res.Outcome != decide.ConnectFailed {
+	if res := exchange(t, fleet(ln.Addr().String(), 9)); res.Outcome != policy.ConnectFailed {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 }
@@ -143,7 +143,7 @@
 	first := exchange(t, f)
 	letRest(f)
 	second := exchange(t, f)
-	if first.Outcome != decide.OK || second.Outcome != decide.Reset {
+	if first.Outcome != policy.OK || second.Outcome != policy.Reset {
 		t.Errorf("outcomes %d, %d (%v)", first.Outcome, second.Outcome, second.Err)
 	}
 	if conns.Load() != 1 || requests.Load() != 2 {
@@ -161,7 +161,7 @@
 		there.Close()
 	}()
 	res, reusable := f.exchange(t.Context(), &conn{nc: here, dest: f.byID[1]}, &Attempt{Request: post(), Body: Body{Text: []byte("body")}})
-	if res.Outcome != decide.ConnectFailed || reusable {
+	if res.Outcome != policy.ConnectFailed || reusable {
 		t.Errorf("outcome %d, %v, reusable %v", res.Outcome, res.Err, reusable)
 	}
 }
@@ -193,7 +193,7 @@
 	})
 	f := fleet(addr, 9)
 	for range 2 {
-		if res := exchange(t, f); res.Outcome != decide.OK {
+		if res := exchange(t, f); res.Outcome != policy.OK {
 			t.Fatalf("outcome %d, %v", res.Outcome, res.Err)
 		}
 		<-closed
@@ -235,7 +235,7 @@
 	addr, conns, _ := serve(t, func(_ int, c net.Conn) bool { io.WriteString(c, ok); return true })
 	f := fleet(addr, 1) // the one that rests has to make way
 	for range 2 {
-		if res := exchange(t, f); res.Outcome != decide.OK {
+		if res := exchange(t, f); res.Outcome != policy.OK {
 			t.Fatalf("outcome %d, %v", res.Outcome, res.Err)
 		}
 	}
@@ -279,7 +279,7 @@
 		}
 	}
 	for i, want := range []string{"42", "own", "own"} {
-		if res := exchange(t, f); res.Outcome != decide.OK || string(res.Answer.Body) != want {
+		if res := exchange(t, f); res.Outcome != policy.OK || string(res.Answer.Body) != want {
 			t.Errorf("request %d: outcome %d, %v, %+v", i, res.Outcome, res.Err, res.Answer)
 		}
 		if i == 1 {
@@ -326,13 +326,13 @@
 		<-asked
 		cancel()
 	}()
-	if res := f.Exchange(ctx, 1, Attempt{Request: post()}); res.Outcome != decide.Cancelled {
+	if res := f.Exchange(ctx, 1, Attempt{Request: post()}); res.Outcome != policy.Cancelled {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 	<-gone
 	ctx, cancel = context.WithDeadline(t.Context(), time.Now())
 	defer cancel()
-	if res := f.Exchange(ctx, 1, Attempt{Request: post()}); res.Outcome != decide.NotSent {
+	if res := f.Exchange(ctx, 1, Attempt{Request: post()}); res.Outcome != policy.NotSent {
 		t.Errorf("out of time before anything was sent: outcome %d, %v", res.Outcome, res.Err)
 	}
 	if f.open != 0 {
@@ -346,11 +346,11 @@
 	f := fleet(addr, 9)
 	c, _, _ := f.acquire(t.Context(), 1)
 	f.Set(1, addr, false)
-	if res, _ := f.exchange(t.Context(), c, &Attempt{Request: post()}); res.Outcome != decide.NotSent {
+	if res, _ := f.exchange(t.Context(), c, &Attempt{Request: post()}); res.Outcome != policy.NotSent {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 	f.release(c, true)
-	if res := exchange(t, f); res.Outcome != decide.NotSent {
+	if res := exchange(t, f); res.Outcome != policy.NotSent {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
 	f.Set(1, "", false)
@@ -369,7 +369,7 @@
 	if err != nil || f.open != 1 {
 		t.Fatalf("no connection (%v), or %d open", err, f.open)
 	}
-	if res := exchange(t, f); res.Outcome != decide.NotSent {
+	if res := exchange(t, f); res.Outcome != policy.NotSent {
 		t.Errorf("over the budget: outcome %d", res.Outcome)
 	}
 	f.release(c, true)
@@ -507,11 +507,11 @@
 	for name, c := range map[string]struct {
 		connecting time.Duration // how long the connection takes to come up
 		reads      int           // how many bytes the destination takes
-		want       decide.Outcome
+		want       policy.Outcome
 	}{
-		"in time":                  {250 * time.Millisecond, 1 << 20, decide.OK},
-		"over with the connection": {300 * time.Millisecond, 1 << 20, decide.NotSent},
-		"over in the writing":      {0, 20, decide.NotSent},
+		"in time":                  {250 * time.Millisecond, 1 << 20, policy.OK},
+		"over with the connection": {300 * time.Millisecond, 1 << 20, policy.NotSent},
+		"over in the writing":      {0, 20, policy.NotSent},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			here, there := net.Pipe()
@@ -562,7 +562,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		res := f.Exchange(ctx, 1, Attempt{Request: post(), Body: Body{Text: []byte(strings.Repeat("x", size))}})
 		cancel()
-		if res.Outcome != decide.Full && res.Outcome != decide.ConnectFailed {
+		if res.Outcome != policy.Full && res.Outcome != policy.ConnectFailed {
 			t.Errorf("%s: outcome %d, %v", name, res.Outcome, res.Err)
 		}
 	}
--- a/internal/destination/exchange.go
+++ b/internal/standalone/backend/exchange.go
@@ -1,4 +1,4 @@
-package destination
+package backend
 
 import (
 	"bytes"
@@ -14,9 +14,9 @@
 
 	"golang.org/x/net/http/httpguts"
 
-	"pumiceline/decide"
 	"pumiceline/internal/framing"
-	"pumiceline/internal/upload"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/requestbody"
 )
 
 // MostBody is the largest body that is kept whole: of an answer, which is served only whole, and of a request, which can be sent
@@ -41,13 +41,13 @@
 // Body is a request's: what is at hand, which can be sent again, and what comes after it, which can't.
 type Body struct {
 	Text []byte
-	Rest *upload.Upload // nil: Text is all
+	Rest *requestbody.Upload // nil: Text is all
 }
 
 // Result is how one exchange ended. Answer is set if the outcome is OK.
 type Result struct {
 	Sent    time.Time // when the last byte of a body that was still coming went out; zero for others
-	Outcome decide.Outcome
+	Outcome policy.Outcome
 	Answer  *Answer
 	Report  []float32
 	Err     error // what went wrong, for the log
@@ -69,7 +69,7 @@
 // up, also where the deployment lets nothing be cancelled that a destination may have begun.
 func (f *Fleet) Exchange(ctx context.Context, id uint32, a Attempt) Result {
 	if a.Body.Rest != nil && a.Body.Rest.Spent() {
-		return Result{Outcome: decide.NotSent, Err: errSpent}
+		return Result{Outcome: policy.NotSent, Err: errSpent}
 	}
 	c, outcome, err := f.connect(ctx, id, &a)
 	if err != nil {
@@ -83,7 +83,7 @@
 		if !stop() { // given up in the same moment
 			s.abandon()
 			f.release(c, false)
-			return Result{Outcome: ended(ctx, decide.Reset), Err: errors.New("a long answer came too late")}
+			return Result{Outcome: ended(ctx, policy.Reset), Err: errors.New("a long answer came too late")}
 		}
 		s.pass() // the connection is given back at its end
 		return res
@@ -100,7 +100,7 @@
 
 // connect is acquire for as long as somebody waits for what is to be sent. That nobody does any more says nothing of the
 // destination.
-func (f *Fleet) connect(ctx context.Context, id uint32, a *Attempt) (*conn, decide.Outcome, error) {
+func (f *Fleet) connect(ctx context.Context, id uint32, a *Attempt) (*conn, policy.Outcome, error) {
 	wanted, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(a.Request.Context(), cancel)()
@@ -109,7 +109,7 @@
 	}
 	c, outcome, err := f.acquire(wanted, id)
 	if err != nil && wanted.Err() != nil && ctx.Err() == nil {
-		return nil, decide.NotSent, fmt.Errorf("no longer wanted: %w", err)
+		return nil, policy.NotSent, fmt.Errorf("no longer wanted: %w", err)
 	}
 	return c, outcome, err
 }
@@ -131,10 +131,10 @@
 	req, body := a.Request, a.Body
 	text, err := encode(ctx, req, body)
 	if err != nil {
-		return Result{Outcome: decide.NotSent, Err: err}, false
+		return Result{Outcome: policy.NotSent, Err: err}, false
 	}
 	if err := f.forbidden(ctx, c, a); err != nil {
-		return Result{Outcome: ended(ctx, decide.NotSent), Err: err}, true
+		return Result{Outcome: ended(ctx, policy.NotSent), Err: err}, true
 	}
 	if outcome, err := c.send(ctx, a, text); err != nil {
 		return Result{Outcome: outcome, Err: err}, false
@@ -154,18 +154,18 @@
 		if ctx.Err() == nil && !c.from.ended {
 			f.complain("answer not understood", c.dest, err)
 			// No break: the destination answered, so that it may have run, and the answer is of no use.
-			return Result{Outcome: decide.Failed, Err: fmt.Errorf("reading the answer: %w", err), Sent: res.Sent}, false
+			return Result{Outcome: policy.Failed, Err: fmt.Errorf("reading the answer: %w", err), Sent: res.Sent}, false
 		}
-		return Result{Outcome: ended(ctx, decide.Reset), Err: fmt.Errorf("reading the answer: %w", err), Sent: res.Sent}, false
+		return Result{Outcome: ended(ctx, policy.Reset), Err: fmt.Errorf("reading the answer: %w", err), Sent: res.Sent}, false
 	}
 	_, columns := f.told()
-	res.Outcome = decide.Failed
+	res.Outcome = policy.Failed
 	switch status {
 	case http.StatusOK:
-		res.Outcome, res.Answer = decide.OK, answer
+		res.Outcome, res.Answer = policy.OK, answer
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if answer.Header.Get(unprocessed) == "1" { // without that mark it may have run
-			res.Outcome = decide.Full
+			res.Outcome = policy.Full
 		}
 	}
 	if text := answer.Header.Get(ReportHeader); text != "" && len(columns) > 0 {
@@ -244,7 +244,7 @@
 
 // send writes text, and what of a body is still coming. It stops where it is once the client has gone, or the time to write in is
 // over. An error means that the last byte did not go out, so that the request has never run, and comes with the attempt's outcome.
-func (c *conn) send(ctx context.Context, a *Attempt, text []byte) (decide.Outcome, error) {
+func (c *conn) send(ctx context.Context, a *Attempt, text []byte) (policy.Outcome, error) {
 	client := a.Request.Context()
 	if !a.WriteBy.IsZero() {
 		if err := c.nc.SetWriteDeadline(a.WriteBy); err != nil {
@@ -265,11 +265,11 @@
 	}
 	if err == nil {
 		_ = c.nc.SetWriteDeadline(time.Time{}) // the last byte is out: reading shows it where the connection is over
-		return decide.OK, nil
+		return policy.OK, nil
 	}
 	err = fmt.Errorf("writing the request: %w", err)
 	if client.Err() != nil || !a.WriteBy.IsZero() && !time.Now().Before(a.WriteBy) || errors.Is(err, errBody) || errors.Is(err, errSpent) {
-		return ended(ctx, decide.NotSent), err // which says nothing of the destination
+		return ended(ctx, policy.NotSent), err // which says nothing of the destination
 	}
 	return neverSent(ctx), err
 }
@@ -328,26 +328,26 @@
 var writtenHere = map[string]bool{"Host": true, "User-Agent": true, timeLeftName: true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true}
 
 // ended is the outcome of an attempt that did not come to an answer: that of ctx if it is over, else otherwise.
-func ended(ctx context.Context, otherwise decide.Outcome) decide.Outcome {
+func ended(ctx context.Context, otherwise policy.Outcome) policy.Outcome {
 	switch cause := context.Cause(ctx); {
 	case cause == nil:
 		return otherwise
 	case errors.Is(cause, context.DeadlineExceeded):
-		if otherwise == decide.NotSent {
-			return decide.NotSent // its time was up before anything was sent
+		if otherwise == policy.NotSent {
+			return policy.NotSent // its time was up before anything was sent
 		}
-		return decide.TimedOut
+		return policy.TimedOut
 	default:
-		return decide.Cancelled
+		return policy.Cancelled
 	}
 }
 
 // neverSent is the outcome of an attempt whose request did not go out whole: it certainly never ran.
-func neverSent(ctx context.Context) decide.Outcome {
+func neverSent(ctx context.Context) policy.Outcome {
 	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-		return decide.Cancelled
+		return policy.Cancelled
 	}
-	return decide.ConnectFailed
+	return policy.ConnectFailed
 }
 
 // pauseFor is how long a long answer that has begun may pause before what there is of it is passed on.
--- a/internal/destination/fleet.go
+++ b/internal/standalone/backend/fleet.go
@@ -1,6 +1,6 @@
-// Package destination talks to destinations: it keeps their connections, carries out one exchange at a time on
+// Package backend talks to destinations: it keeps their connections, carries out one exchange at a time on
 // each, and tells how the exchange ended.
-package destination
+package backend
 
 import (
 	"bufio"
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"pumiceline/decide"
 	"pumiceline/internal/framing"
 	"pumiceline/internal/socket"
+	"pumiceline/internal/standalone/policy"
 )
 
 // Options are what a Fleet needs to know of the deployment.
@@ -200,10 +200,10 @@
 }
 
 // acquire returns an idle connection, or a new one. With an error comes the outcome that it means.
-func (f *Fleet) acquire(ctx context.Context, id uint32) (*conn, decide.Outcome, error) {
+func (f *Fleet) acquire(ctx context.Context, id uint32) (*conn, policy.Outcome, error) {
 	c, err := f.take(id)
 	if err != nil {
-		return nil, decide.NotSent, err
+		return nil, policy.NotSent, err
 	}
 	if c.nc != nil {
 		return c, 0, nil
@@ -213,12 +213,12 @@
 		f.mu.Lock()
 		f.open--
 		f.mu.Unlock()
-		outcome := decide.ConnectFailed
+		outcome := policy.ConnectFailed
 		if ctx.Err() != nil {
-			outcome = ended(ctx, decide.NotSent)
+			outcome = ended(ctx, policy.NotSent)
 		} else if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 			errors.Is(err, syscall.EADDRNOTAVAIL) {
-			outcome = decide.NotSent // our own shortage says nothing of the destination
+			outcome = policy.NotSent // our own shortage says nothing of the destination
 		}
 		return nil, outcome, fmt.Errorf("connecting: %w", err)
 	}
--- a/internal/destination/long_test.go
+++ b/internal/standalone/backend/long_test.go
@@ -1,4 +1,4 @@
-package destination
+package backend
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 // once serves one answer, and says when that has been written or can't be.
@@ -118,7 +118,7 @@
 		t.Run(name, func(t *testing.T) {
 			f, _ := once(t, c.answer)
 			res := ask(t, f, time.Minute)
-			if res.Outcome != decide.OK || res.Answer.Rest == nil {
+			if res.Outcome != policy.OK || res.Answer.Rest == nil {
 				t.Fatalf("outcome %d, %v", res.Outcome, res.Err)
 			}
 			n, err := io.Copy(io.Discard, res.Answer.Rest)
@@ -142,14 +142,14 @@
 		io.WriteString(c, "1\r\ny\r\n0\r\n\r\n")
 		return nil
 	})
-	if res := ask(t, f, time.Minute); res.Outcome != decide.OK || res.Answer.Rest != nil || string(res.Answer.Body) != "xy" {
+	if res := ask(t, f, time.Minute); res.Outcome != policy.OK || res.Answer.Rest != nil || string(res.Answer.Body) != "xy" {
 		t.Errorf("%+v", res)
 	}
 	f, _ = once(t, func(c net.Conn) error {
 		_, err := io.WriteString(c, coded)
 		return err
 	})
-	if res := ask(t, f, 200*time.Millisecond); res.Outcome != decide.TimedOut || f.Open() != 0 {
+	if res := ask(t, f, 200*time.Millisecond); res.Outcome != policy.TimedOut || f.Open() != 0 {
 		t.Errorf("nothing of a body came: outcome %d, %v, %d connections", res.Outcome, res.Err, f.Open())
 	}
 }
@@ -162,7 +162,7 @@
 		return err
 	})
 	res := ask(t, f, 300*time.Millisecond)
-	if res.Outcome != decide.OK || res.Answer.Rest == nil {
+	if res.Outcome != policy.OK || res.Answer.Rest == nil {
 		t.Fatalf("outcome %d, %v", res.Outcome, res.Err)
 	}
 	s := res.Answer.Rest.(*stream)
@@ -230,7 +230,7 @@
 			}
 			res := ask(t, f, 20*time.Second)
 			<-written
-			whole := res.Outcome == decide.OK
+			whole := res.Outcome == policy.OK
 			if whole && res.Answer.Rest != nil {
 				n, err := io.Copy(io.Discard, res.Answer.Rest)
 				whole = err == nil && int(n) == size
--- a/internal/destination/probe_test.go
+++ b/internal/standalone/backend/probe_test.go
@@ -1,4 +1,4 @@
-package destination
+package backend
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 // A probe tells a report or why there is none. It leaves its connection for a request, unless the answer is of a kind after which
@@ -22,17 +22,17 @@
 	report := "TEXT util=0.5, qps=12"
 	for name, c := range map[string]struct {
 		answer  string
-		outcome decide.Outcome
+		outcome policy.Outcome
 		report  []float32
 		keeps   bool
 	}{
-		"report":            {say(200, report), decide.OK, []float32{0.5, 12}, true},
-		"nothing to tell":   {say(200, "TEXT "), decide.OK, nil, true},
-		"unwell":            {say(503, report), decide.Failed, nil, true},
-		"longer than any":   {"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + strings.Repeat("x", 2*MostBody), decide.Failed, nil, false},
-		"more than belongs": {say(200, report) + "HTTP", decide.OK, []float32{0.5, 12}, false},
-		"silence":           {"", decide.TimedOut, nil, false},
-		"draining":          {"", decide.NotSent, nil, false},
+		"report":            {say(200, report), policy.OK, []float32{0.5, 12}, true},
+		"nothing to tell":   {say(200, "TEXT "), policy.OK, nil, true},
+		"unwell":            {say(503, report), policy.Failed, nil, true},
+		"longer than any":   {"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + strings.Repeat("x", 2*MostBody), policy.Failed, nil, false},
+		"more than belongs": {say(200, report) + "HTTP", policy.OK, []float32{0.5, 12}, false},
+		"silence":           {"", policy.TimedOut, nil, false},
+		"draining":          {"", policy.NotSent, nil, false},
 	} {
 		addr, conns, requests := serve(t, func(n int, conn net.Conn) bool {
 			if n > 0 {
@@ -50,12 +50,12 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		outcome, report, err := f.Probe(ctx, 1)
 		cancel()
-		if outcome != c.outcome || !slices.Equal(report, c.report) || (err == nil) != (outcome == decide.OK) || name == "draining" && requests.Load() > 0 {
+		if outcome != c.outcome || !slices.Equal(report, c.report) || (err == nil) != (outcome == policy.OK) || name == "draining" && requests.Load() > 0 {
 			t.Errorf("%s: outcome %d, %v, %v", name, outcome, report, err)
 		}
 		if c.keeps {
 			letRest(f)
-			if res := exchange(t, f); res.Outcome != decide.OK || conns.Load() != 1 {
+			if res := exchange(t, f); res.Outcome != policy.OK || conns.Load() != 1 {
 				t.Errorf("%s: then a request has outcome %d on %d connections: %v", name, res.Outcome, conns.Load(), res.Err)
 			}
 		} else if open := f.Open(); open != 0 {
--- a/internal/destination/stream.go
+++ b/internal/standalone/backend/stream.go
@@ -1,4 +1,4 @@
-package destination
+package backend
 
 import (
 	"errors"
--- a/internal/admission/admission.go
+++ b/internal/standalone/concurrency/admission.go
@@ -1,10 +1,10 @@
-// Package admission moves a window: the most attempts that one balancer has out at once, the rest waiting or being refused before
+// Package concurrency moves a window: the most attempts that one balancer has out at once, the rest waiting or being refused before
 // they cost anybody anything. All of it is pure arithmetic on the window's size.
 //
 // A window is no whole number and may be less than one. Where hundreds of balancers share servers that work on a few requests at
 // a time, one attempt of each is more than the servers bear together: in such a window attempts go one by one, with pauses in which
 // none is out, so that on the mean as many are out as its size says.
-package admission
+package concurrency
 
 // Least is the narrowest window: an attempt for a tenth of the time still finds out that the crowding is over.
 const Least = 0.1
--- a/internal/admission/admission_test.go
+++ b/internal/standalone/concurrency/admission_test.go
@@ -1,4 +1,4 @@
-package admission
+package concurrency
 
 import (
 	"math"
--- a/internal/config/config.go
+++ b/internal/standalone/config/config.go
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
-	"pumiceline/decide"
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/settings"
 )
 
 // Config is a checked configuration.
@@ -30,7 +30,7 @@
 	Limits    Limits
 	Known     json.RawMessage // in discovery's form; package pool judges it
 	Settings  settings.Settings
-	Module    decide.Settings
+	Module    policy.Settings
 
 	text any // of the file, as JSON
 }
@@ -276,7 +276,7 @@
 }
 
 // Module is the module's form of settings. Destinations are probed where it allows that, and nowhere else.
-func Module(s *settings.Settings) (decide.Settings, error) {
+func Module(s *settings.Settings) (policy.Settings, error) {
 	m, err := s.Module()
 	if err != nil {
 		return m, fmt.Errorf("config: %w", err)
@@ -285,8 +285,8 @@
 }
 
 // Columns are the names of the columns of load reports that the module of these settings makes use of.
-func Columns(s *settings.Settings, m *decide.Settings) []string {
-	if m.ReportVia == decide.ReportsNone || m.ReportVia == decide.ReportsByProbe && !m.Limits.Probe {
+func Columns(s *settings.Settings, m *policy.Settings) []string {
+	if m.ReportVia == policy.ReportsNone || m.ReportVia == policy.ReportsByProbe && !m.Limits.Probe {
 		return nil
 	}
 	return s.LoadInfo.Columns
--- a/internal/operator/door.go
+++ b/internal/standalone/deployfile/door.go
@@ -1,6 +1,6 @@
-// Package operator reads the operators' own files under deploy/: strict TOML, each fault told with file, line and key. What
+// Package deployfile reads the operators' own files under deploy/: strict TOML, each fault told with file, line and key. What
 // the platform tells a proxy is read by package config alone.
-package operator
+package deployfile
 
 import (
 	"fmt"
@@ -10,10 +10,10 @@
 	"strconv"
 	"strings"
 
-	"pumiceline/internal/door"
 	"pumiceline/internal/span"
+	"pumiceline/internal/standalone/admission"
+	"pumiceline/internal/standalone/settings"
 	"pumiceline/internal/tomlfile"
-	"pumiceline/settings"
 )
 
 // doorFile is deploy/door.toml.
@@ -38,16 +38,16 @@
 
 // Door reads the door's file for a deployment. Tenants have their quota for a share where the file names none, classes the
 // worth that the deployment's settings give them. Faults are *tomlfile.Error.
-func Door(path string, s *settings.Settings, seed uint64) (door.Settings, error) {
+func Door(path string, s *settings.Settings, seed uint64) (admission.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return door.Settings{}, fmt.Errorf("door: %w", err)
+		return admission.Settings{}, fmt.Errorf("door: %w", err)
 	}
 	return parseDoor(path, text, s, seed)
 }
 
-func parseDoor(path string, text []byte, s *settings.Settings, seed uint64) (door.Settings, error) {
-	set := door.Defaults()
+func parseDoor(path string, text []byte, s *settings.Settings, seed uint64) (admission.Settings, error) {
+	set := admission.Defaults()
 	f := doorFile{Waiting: set.Waiting, Buckets: set.Buckets, Least: set.Least, Most: set.Most, Start: set.Start, Patience: set.Patience,
 		Repeats: set.Repeats, RepeatBurst: set.RepeatBurst, MaxComeBack: span.Span(set.MaxComeBack), Rotate: span.Span(set.RotateSalt)}
 	if err := tomlfile.Decode(path, text, &f); err != nil {
@@ -63,7 +63,7 @@
 		}
 	}
 	set.Waiting, set.Buckets, set.Least, set.Most, set.Start, set.Patience = f.Waiting, f.Buckets, f.Least, f.Most, f.Start, f.Patience
-	set.Repeats, set.RepeatBurst, set.MaxComeBack, set.RotateSalt = f.Repeats, f.RepeatBurst, door.Time(f.MaxComeBack), door.Time(f.Rotate)
+	set.Repeats, set.RepeatBurst, set.MaxComeBack, set.RotateSalt = f.Repeats, f.RepeatBurst, admission.Time(f.MaxComeBack), admission.Time(f.Rotate)
 	set.Seed = seed
 	set.OverShare = s.OverShareWorth
 	tenants, classes := map[string]bool{}, map[string]bool{}
@@ -73,19 +73,19 @@
 		if !told {
 			share = p.QuotaPerS
 		}
-		set.Tenants = append(set.Tenants, door.Tenant{Name: p.Name, Share: share, Rate: p.QuotaPerS / float64(max(1, s.GroupSize))})
+		set.Tenants = append(set.Tenants, admission.Tenant{Name: p.Name, Share: share, Rate: p.QuotaPerS / float64(max(1, s.GroupSize))})
 	}
 	if len(set.Tenants) == 0 { // a deployment without tenants is one tenant to the door
-		set.Tenants = []door.Tenant{{Name: "", Share: 1}}
+		set.Tenants = []admission.Tenant{{Name: "", Share: 1}}
 	}
 	for _, c := range s.Classes {
 		classes[c.Name] = true
-		k := door.Class{Name: c.Name, Worth: c.Worth, Work: usualWork, Aim: settings.Micros(c.OnTime)}
+		k := admission.Class{Name: c.Name, Worth: c.Worth, Work: usualWork, Aim: settings.Micros(c.OnTime)}
 		if w, told := f.Worth[c.Name]; told {
 			k.Worth = w
 		}
 		if w, told := f.Work[c.Name]; told {
-			k.Work = door.Time(w)
+			k.Work = admission.Time(w)
 		}
 		set.Classes = append(set.Classes, k)
 	}
--- a/internal/operator/door_test.go
+++ b/internal/standalone/deployfile/door_test.go
@@ -1,4 +1,4 @@
-package operator
+package deployfile
 
 import (
 	"errors"
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
+	"pumiceline/internal/standalone/settings"
 	"pumiceline/internal/tomlfile"
-	"pumiceline/settings"
 )
 
 func deployment() *settings.Settings {
--- a/internal/operator/fleet_test.go
+++ b/internal/standalone/deployfile/fleet_test.go
@@ -1,4 +1,4 @@
-package operator
+package deployfile
 
 import (
 	"errors"
--- a/internal/pool/hands.go
+++ b/internal/standalone/discovery/hands.go
@@ -1,13 +1,13 @@
-package pool
+package discovery
 
 import (
 	"context"
 	"log/slog"
 	"time"
 
-	"pumiceline/decide"
-	"pumiceline/internal/handover"
-	"pumiceline/internal/suspension"
+	"pumiceline/internal/standalone/hotrestart"
+	"pumiceline/internal/standalone/maintenance"
+	"pumiceline/internal/standalone/policy"
 )
 
 // bansFile is where what operators said is kept, and lookEvery how often another process's word is looked for: well within
@@ -19,13 +19,13 @@
 
 // Suspend takes a host out. Without an error the ban is in force, and written down where there is a folder.
 func (w *Watcher) Suspend(name string) error {
-	return w.say(func(s *suspension.Set) error { return s.Suspend(name) })
+	return w.say(func(s *maintenance.Set) error { return s.Suspend(name) })
 }
 
 // Resume brings a host back, cold.
 func (w *Watcher) Resume(name string) error {
 	now := time.Now().UnixMicro()
-	return w.say(func(s *suspension.Set) error { return s.Resume(name, now) })
+	return w.say(func(s *maintenance.Set) error { return s.Resume(name, now) })
 }
 
 // TakenOut is how many listed hosts are kept from work by hand.
@@ -41,7 +41,7 @@
 }
 
 // say changes the set, here and in the folder, and tells of it.
-func (w *Watcher) say(change func(*suspension.Set) error) error {
+func (w *Watcher) say(change func(*maintenance.Set) error) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.folder == nil {
@@ -82,7 +82,7 @@
 }
 
 // Keep has the watcher keep what operators say in folder, and take up what is there. It is to be called before Start.
-func (w *Watcher) Keep(folder *handover.Folder) {
+func (w *Watcher) Keep(folder *hotrestart.Folder) {
 	w.folder = folder
 	w.look()
 }
@@ -124,7 +124,7 @@
 
 // retell tells of the listed hosts that are to be taken for something else than they were told as last. Called with the lock held.
 func (w *Watcher) retell() {
-	var changed []decide.Member
+	var changed []policy.Member
 	for id, h := range w.listed {
 		m := w.bans.Member(h.Name, h.Member)
 		if m == h.told {
@@ -133,10 +133,10 @@
 		w.log.Info("a host is taken out or brought back by hand", "host", h.Name, "out", m.Mode != h.Member.Mode, slog.Int64("up_since", m.UpSince))
 		h.told = m
 		w.listed[id] = h
-		w.fleet.Set(id, h.Dial, m.Mode == decide.ModeReady)
+		w.fleet.Set(id, h.Dial, m.Mode == policy.ModeReady)
 		changed = append(changed, m)
 	}
 	if len(changed) > 0 {
-		w.module.List(decide.ListDelta, changed)
+		w.module.List(policy.ListDelta, changed)
 	}
 }
--- a/internal/pool/hands_test.go
+++ b/internal/standalone/discovery/hands_test.go
@@ -1,4 +1,4 @@
-package pool
+package discovery
 
 import (
 	"errors"
@@ -9,20 +9,20 @@
 	"sync"
 	"testing"
 
-	"pumiceline/decide"
-	"pumiceline/internal/handover"
-	"pumiceline/internal/suspension"
+	"pumiceline/internal/standalone/hotrestart"
+	"pumiceline/internal/standalone/maintenance"
+	"pumiceline/internal/standalone/policy"
 )
 
 // last remembers what was said last of each host.
 type last struct {
 	mu      sync.Mutex
-	modes   map[uint32]decide.Member
+	modes   map[uint32]policy.Member
 	ready   map[uint32]bool
 	members int
 }
 
-func (l *last) List(kind decide.EventKind, members []decide.Member) {
+func (l *last) List(kind policy.EventKind, members []policy.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range members {
@@ -38,10 +38,10 @@
 }
 
 func hands(t *testing.T, dir string) (*Watcher, *last) {
-	l := &last{modes: map[uint32]decide.Member{}, ready: map[uint32]bool{}}
+	l := &last{modes: map[uint32]policy.Member{}, ready: map[uint32]bool{}}
 	w := NewWatcher("127.0.0.1:1", table(), l, slog.New(slog.DiscardHandler))
 	if dir != "" {
-		w.Keep(handover.NewFolder(dir, "n0"))
+		w.Keep(hotrestart.NewFolder(dir, "n0"))
 	}
 	w.Start(l, []byte(update(1, true, host("s-1", "SERVING"), host("s-2", "SERVING"))))
 	return w, l
@@ -53,7 +53,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	id := w.table.id(name)
-	out := l.modes[id].Mode == decide.ModeDraining
+	out := l.modes[id].Mode == policy.ModeDraining
 	if l.ready[id] == out {
 		t.Errorf("%s: the module is told %v, destinations that it is ready: %v", name, l.modes[id].Mode, l.ready[id])
 	}
@@ -63,7 +63,7 @@
 // A ban is in force when Suspend returns and holds whatever the list says, when the host leaves and comes back too.
 func TestBanStandsAgainstTheList(t *testing.T) {
 	w, l := hands(t, "")
-	if err := w.Suspend("nobody"); !errors.Is(err, suspension.ErrUnknown) {
+	if err := w.Suspend("nobody"); !errors.Is(err, maintenance.ErrUnknown) {
 		t.Errorf("a host that was never listed: %v", err)
 	}
 	var callers sync.WaitGroup
--- a/internal/pool/list.go
+++ b/internal/standalone/discovery/list.go
@@ -1,6 +1,6 @@
-// Package pool keeps the pool config, which is discovery's list of destinations: it reads it, watches its
+// Package discovery keeps the pool config, which is discovery's list of destinations: it reads it, watches its
 // changes, and gives each host the id under which the module knows it.
-package pool
+package discovery
 
 import (
 	"encoding/json"
@@ -11,7 +11,7 @@
 	"slices"
 	"strings"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 // Update is one message of discovery: the whole list, or what changed. Hosts are read one by one, so that a
@@ -38,7 +38,7 @@
 type Host struct {
 	Name   string
 	Dial   string // empty where the host is gone
-	Member decide.Member
+	Member policy.Member
 }
 
 // Table reads updates. It knows the names of the settings and remembers the ids given out.
@@ -104,9 +104,9 @@
 	m := &h.Member
 	switch e.Health {
 	case "SERVING":
-		m.Mode = decide.ModeReady
+		m.Mode = policy.ModeReady
 	case "DRAINING":
-		m.Mode = decide.ModeDraining
+		m.Mode = policy.ModeDraining
 	case "DELETED":
 		h.Dial = ""
 		return h, nil
@@ -132,7 +132,7 @@
 		kind = len(t.kinds)
 	}
 	m.Zone, m.Kind, m.Cell = uint8(max(0, zone)), uint16(kind), uint16(e.Block)
-	m.Size, m.UpSince = e.Share, decide.Time(e.BornMs*1000)
+	m.Size, m.UpSince = e.Share, policy.Time(e.BornMs*1000)
 	return h, nil
 }
 
--- a/internal/pool/message.go
+++ b/internal/standalone/discovery/message.go
@@ -1,4 +1,4 @@
-package pool
+package discovery
 
 import (
 	"bufio"
--- a/internal/pool/pool_test.go
+++ b/internal/standalone/discovery/pool_test.go
@@ -1,4 +1,4 @@
-package pool
+package discovery
 
 import (
 	"bufio"
@@ -17,7 +17,7 @@
 	"testing/synctest"
 	"time"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 func host(name, health string) string {
@@ -37,10 +37,10 @@
 	if err != nil || len(bad) != 0 || len(hosts) != 3 || u.Seq != 41 || !u.Whole {
 		t.Fatalf("%+v, %v, %v, %v", u, hosts, bad, err)
 	}
-	want := decide.Member{Server: hosts[0].Member.Server, Zone: 1, Cell: 3, Kind: 1, Mode: decide.ModeReady, Size: 1.5,
+	want := policy.Member{Server: hosts[0].Member.Server, Zone: 1, Cell: 3, Kind: 1, Mode: policy.ModeReady, Size: 1.5,
 		UpSince: 1700000000123000}
-	if hosts[0].Member != want || hosts[1].Member.Mode != decide.ModeDraining ||
-		hosts[2].Member.Mode != decide.ModeGone || hosts[2].Dial != "" {
+	if hosts[0].Member != want || hosts[1].Member.Mode != policy.ModeDraining ||
+		hosts[2].Member.Mode != policy.ModeGone || hosts[2].Dial != "" {
 		t.Errorf("%+v", hosts)
 	}
 }
@@ -95,9 +95,9 @@
 	lines []string
 }
 
-func (h *heard) List(kind decide.EventKind, members []decide.Member) {
-	names := map[decide.EventKind]string{decide.ListFull: "full", decide.ListCached: "cached",
-		decide.ListDelta: "delta", decide.ListFailed: "failed", decide.ListSilent: "silent"}
+func (h *heard) List(kind policy.EventKind, members []policy.Member) {
+	names := map[policy.EventKind]string{policy.ListFull: "full", policy.ListCached: "cached",
+		policy.ListDelta: "delta", policy.ListFailed: "failed", policy.ListSilent: "silent"}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lines = append(h.lines, fmt.Sprintf("%s %d", names[kind], len(members)))
@@ -361,7 +361,7 @@
 		seen := map[uint32]string{}
 		for _, h := range hosts {
 			m := h.Member
-			if err != nil || h.Name == "" || m.Zone > 1 || m.Kind > 2 || m.UpSince < 0 || m.Mode != decide.ModeGone && h.Dial == "" {
+			if err != nil || h.Name == "" || m.Zone > 1 || m.Kind > 2 || m.UpSince < 0 || m.Mode != policy.ModeGone && h.Dial == "" {
 				t.Errorf("%+v, %v", h, err)
 			}
 			if other, ok := seen[m.Server]; ok && other != h.Name {
--- a/internal/pool/silence_test.go
+++ b/internal/standalone/discovery/silence_test.go
@@ -1,4 +1,4 @@
-package pool
+package discovery
 
 import (
 	"io"
@@ -10,19 +10,19 @@
 	"testing/synctest"
 	"time"
 
-	"pumiceline/decide"
-	"pumiceline/internal/planner"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/policy"
 )
 
 // asking is a module that decides when discovery is asked, as one of a group, and that runs until the test's end.
 func asking(t *testing.T, w *Watcher, group int, seed uint64) Module {
-	set := decide.Settings{Classes: []decide.Class{{Deadline: 1e6, Aim: 1e6, Worth: 1}}, AskDiscovery: true, GroupSize: group}
+	set := policy.Settings{Classes: []policy.Class{{Deadline: 1e6, Aim: 1e6, Worth: 1}}, AskDiscovery: true, GroupSize: group}
 	set.Rules.AskWithin = 10e6
-	module, err := decide.New(set, seed)
+	module, err := policy.New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := planner.New(module, planner.Hooks{Subscribe: w.Ask, CloseUnused: func(uint32) {}}, slog.New(slog.DiscardHandler))
+	p := engine.New(module, engine.Hooks{Subscribe: w.Ask, CloseUnused: func(uint32) {}}, slog.New(slog.DiscardHandler))
 	go p.Run(t.Context())
 	return p
 }
--- a/internal/pool/watch.go
+++ b/internal/standalone/discovery/watch.go
@@ -1,4 +1,4 @@
-package pool
+package discovery
 
 import (
 	"bufio"
@@ -14,10 +14,10 @@
 	"sync/atomic"
 	"time"
 
-	"pumiceline/decide"
-	"pumiceline/internal/destination"
-	"pumiceline/internal/handover"
-	"pumiceline/internal/suspension"
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/hotrestart"
+	"pumiceline/internal/standalone/maintenance"
+	"pumiceline/internal/standalone/policy"
 )
 
 // silence is how long discovery may say nothing whole: a watch brings a message or an empty line every 2 s at least. A machine
@@ -30,7 +30,7 @@
 
 // Module is told what the list says.
 type Module interface {
-	List(kind decide.EventKind, members []decide.Member)
+	List(kind policy.EventKind, members []policy.Member)
 }
 
 // Fleet is told where destinations are and which may get work.
@@ -41,7 +41,7 @@
 // Watcher keeps the pool config and asks discovery for it when the module wants it asked.
 type Watcher struct {
 	addr   string
-	dial   destination.Dial
+	dial   backend.Dial
 	table  *Table
 	module Module
 	fleet  Fleet
@@ -50,27 +50,27 @@
 	moved  chan struct{}
 	next   atomic.Pointer[move] // what Move said last
 	held   atomic.Bool
-	heard  atomic.Bool      // from discovery, since the start
-	fresh  atomic.Bool      // discovery has moved, and no watch there has brought anything or ended by itself yet
-	size   atomic.Int64     // hosts listed
-	seq    uint64           // the version held, of the discovery at addr; 0: none of it
-	folder *handover.Folder // nil: what operators say is kept in memory alone
+	heard  atomic.Bool        // from discovery, since the start
+	fresh  atomic.Bool        // discovery has moved, and no watch there has brought anything or ended by itself yet
+	size   atomic.Int64       // hosts listed
+	seq    uint64             // the version held, of the discovery at addr; 0: none of it
+	folder *hotrestart.Folder // nil: what operators say is kept in memory alone
 
 	mu     sync.Mutex // guards the table's names and what follows
 	listed map[uint32]entry
-	bans   suspension.Set
-	stamp  handover.Stamp
+	bans   maintenance.Set
+	stamp  hotrestart.Stamp
 }
 
 // NewWatcher returns a watcher of discovery at addr, which it reaches over TCP.
 func NewWatcher(addr string, table *Table, fleet Fleet, log *slog.Logger) *Watcher {
-	dial := destination.OverTCP
+	dial := backend.OverTCP
 	return &Watcher{addr: addr, dial: dial, table: table, fleet: fleet, log: log, ask: make(chan struct{}, 1),
 		moved: make(chan struct{}, 1), listed: map[uint32]entry{}}
 }
 
 // Over has the watcher reach discovery by dial. It is to be called before Run.
-func (w *Watcher) Over(dial destination.Dial) { w.dial = dial }
+func (w *Watcher) Over(dial backend.Dial) { w.dial = dial }
 
 // Kept is how many hosts are kept: as listed, by name, and taken out by hand.
 func (w *Watcher) Kept() (listed, names, out int) {
@@ -91,7 +91,7 @@
 // entry is a listed host, and what it was last told to the module as.
 type entry struct {
 	Host
-	told decide.Member
+	told policy.Member
 }
 
 type move struct {
@@ -125,12 +125,12 @@
 func (w *Watcher) Start(module Module, known []byte) {
 	w.module = module
 	if len(known) == 0 {
-		w.module.List(decide.ListCached, nil)
+		w.module.List(policy.ListCached, nil)
 		return
 	}
 	if err := w.apply(known, true); err != nil {
 		w.log.Error("the known pool config is not usable", "error", err)
-		w.module.List(decide.ListCached, nil)
+		w.module.List(policy.ListCached, nil)
 	}
 }
 
@@ -172,9 +172,9 @@
 			w.log.Warn("the watch of the pool config ended", "error", err)
 			// Nobody knows what a watch missed that fell silent, and what a new discovery has to tell counts soon too.
 			if fresh := w.fresh.Swap(false); fresh || errors.Is(err, os.ErrDeadlineExceeded) {
-				w.module.List(decide.ListSilent, nil)
+				w.module.List(policy.ListSilent, nil)
 			} else {
-				w.module.List(decide.ListFailed, nil)
+				w.module.List(policy.ListFailed, nil)
 			}
 		}(done)
 	}
@@ -224,7 +224,7 @@
 		w.fresh.Store(false)
 		if len(text) == 0 {
 			if first { // nothing has changed: the module still waits for an answer to its call
-				w.module.List(decide.ListDelta, nil)
+				w.module.List(policy.ListDelta, nil)
 				w.heard.Store(true)
 			}
 			continue
@@ -255,28 +255,28 @@
 			continue // left out: nothing is sent there
 		}
 		// What it is told to be now can't be read. It may be told as draining, so it gets nothing new until it can.
-		was.Host.Member.Mode = decide.ModeDraining
+		was.Host.Member.Mode = policy.ModeDraining
 		hosts = append(hosts, was.Host)
 	}
-	members := make([]decide.Member, len(hosts))
+	members := make([]policy.Member, len(hosts))
 	now := make(map[uint32]bool, len(hosts))
 	for i := range hosts {
 		h := &hosts[i]
-		if h.Member.Mode != decide.ModeGone {
+		if h.Member.Mode != policy.ModeGone {
 			w.bans.Listed(h.Name, h.Member.UpSince)
 		}
 		m := w.bans.Member(h.Name, h.Member)
 		members[i] = m
-		now[m.Server] = m.Mode != decide.ModeGone
+		now[m.Server] = m.Mode != policy.ModeGone
 		w.listed[m.Server] = entry{*h, m}
-		w.fleet.Set(m.Server, hosts[i].Dial, m.Mode == decide.ModeReady)
-		if m.Mode == decide.ModeGone {
+		w.fleet.Set(m.Server, hosts[i].Dial, m.Mode == policy.ModeReady)
+		if m.Mode == policy.ModeGone {
 			w.forget(m.Server)
 		}
 	}
-	kind := decide.ListDelta
+	kind := policy.ListDelta
 	if u.Whole {
-		kind = decide.ListFull
+		kind = policy.ListFull
 		for id := range w.listed { // a whole list drops what it misses
 			if !now[id] {
 				w.fleet.Set(id, "", false)
@@ -285,7 +285,7 @@
 		}
 	}
 	if cached {
-		kind = decide.ListCached
+		kind = policy.ListCached
 	}
 	w.seq = u.Seq
 	w.size.Store(int64(len(w.listed)))
--- a/internal/mirror/copy.go
+++ b/internal/standalone/discoverycache/copy.go
@@ -1,7 +1,7 @@
-// Package mirror keeps a copy of the roster beside each instance of a fleet, so that discovery is asked by one of them for all. Proxies
+// Package discoverycache keeps a copy of the roster beside each instance of a fleet, so that discovery is asked by one of them for all. Proxies
 // ask their mirror as they would ask discovery. The owner of the work follows discovery, the others follow the owner, and whoever hears
 // nothing from an owner asks discovery itself until there is one again.
-package mirror
+package discoverycache
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"fmt"
 	"slices"
 
-	"pumiceline/internal/pool"
+	"pumiceline/internal/standalone/discovery"
 )
 
 // Copy is the roster as it was heard last, and what changed. It is pure. Versions are its own: they begin where no earlier copy can have been, so
@@ -42,7 +42,7 @@
 
 // Take takes in what a source says, and tells whether anything changed. first says that it is the first object of a watch of a source other than
 // discovery itself: that one may be behind.
-func (c *Copy) Take(u pool.Update, first bool) (changed bool, err error) {
+func (c *Copy) Take(u discovery.Update, first bool) (changed bool, err error) {
 	if first && c.held && u.Seq < c.origin {
 		return false, fmt.Errorf("mirror: version %d, where %d is known: %w", u.Seq, c.origin, ErrBehind)
 	}
@@ -117,9 +117,9 @@
 }
 
 // Since is what changed after a version, or the whole list where that version is none of which the changes are known.
-func (c *Copy) Since(version uint64) pool.Update {
+func (c *Copy) Since(version uint64) discovery.Update {
 	now := c.base + uint64(len(c.changes))
-	u := pool.Update{Seq: now, Hosts: []json.RawMessage{}}
+	u := discovery.Update{Seq: now, Hosts: []json.RawMessage{}}
 	if version < c.base || version > now || version == 0 {
 		u.Whole = true
 		for _, h := range c.hosts {
--- a/internal/mirror/mirror.go
+++ b/internal/standalone/discoverycache/mirror.go
@@ -1,4 +1,4 @@
-package mirror
+package discoverycache
 
 import (
 	"bufio"
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"pumiceline/internal/pool"
+	"pumiceline/internal/standalone/discovery"
 )
 
 // Silence is how long a source may say nothing: a watch brings a line every 2 s at least.
@@ -140,7 +140,7 @@
 
 // line is what a watch brings. Origin is a mirror's alone.
 type line struct {
-	pool.Update
+	discovery.Update
 	Origin uint64 `json:"origin,omitempty"`
 }
 
@@ -201,7 +201,7 @@
 	m.heard, m.token, m.direct = time.Now(), max(m.token, from.token), from.token == 0
 }
 
-func (m *Mirror) take(u pool.Update, from source, first bool) error {
+func (m *Mirror) take(u discovery.Update, from source, first bool) error {
 	m.mu.Lock()
 	if from.token < m.token && from.token != 0 {
 		m.mu.Unlock()
@@ -220,7 +220,7 @@
 }
 
 // since is what changed after a version, discovery's version of that, and a channel that closes at the next change.
-func (m *Mirror) since(version uint64) (u pool.Update, origin uint64, changed <-chan struct{}) {
+func (m *Mirror) since(version uint64) (u discovery.Update, origin uint64, changed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	origin, _ = m.copy.Origin()
@@ -254,7 +254,7 @@
 	}
 	query := req.URL.Query()
 	version, _ := strconv.ParseUint(query.Get("index"), 10, 64) // what is no number gets the whole list
-	write := func(u pool.Update, origin uint64) error {
+	write := func(u discovery.Update, origin uint64) error {
 		if token != 0 {
 			return json.NewEncoder(w).Encode(line{u, origin})
 		}
--- a/internal/mirror/mirror_test.go
+++ b/internal/standalone/discoverycache/mirror_test.go
@@ -1,4 +1,4 @@
-package mirror
+package discoverycache
 
 import (
 	"context"
@@ -15,12 +15,12 @@
 
 	"pgregory.net/rapid"
 
-	"pumiceline/internal/pool"
+	"pumiceline/internal/standalone/discovery"
 	"pumiceline/internal/standin"
 )
 
-func entry(n int, health string) pool.Entry {
-	return pool.Entry{Host: fmt.Sprint("s-", n), Dial: fmt.Sprintf("10.0.0.%d:1", n), Site: "a", Class: "m", Block: 1, Health: health, Share: 1}
+func entry(n int, health string) discovery.Entry {
+	return discovery.Entry{Host: fmt.Sprint("s-", n), Dial: fmt.Sprintf("10.0.0.%d:1", n), Site: "a", Class: "m", Block: 1, Health: health, Share: 1}
 }
 
 // Whatever a source says, whole or in parts, whoever follows the copy from whichever version of it holds the same list in the end.
@@ -28,12 +28,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c, truth, seq := NewCopy(100), map[string]string{}, uint64(0)
 		follower, at := map[string]string{}, uint64(0)
-		apply := func(u pool.Update, to map[string]string) {
+		apply := func(u discovery.Update, to map[string]string) {
 			if u.Whole {
 				clear(to)
 			}
 			for _, text := range u.Hosts {
-				var e pool.Entry
+				var e discovery.Entry
 				if err := json.Unmarshal(text, &e); err != nil {
 					t.Fatal(err)
 				}
@@ -44,7 +44,7 @@
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			seq++
-			u := pool.Update{Seq: seq, Whole: seq == 1 || rapid.Bool().Draw(t, "whole")}
+			u := discovery.Update{Seq: seq, Whole: seq == 1 || rapid.Bool().Draw(t, "whole")}
 			seen := map[int]bool{}
 			for range rapid.IntRange(0, 4).Draw(t, "hosts") {
 				n := rapid.IntRange(0, 5).Draw(t, "host")
@@ -78,7 +78,7 @@
 		if old := c.Since(99); !old.Whole {
 			t.Fatal("a version of an earlier life brings a part")
 		}
-		if _, err := c.Take(pool.Update{Seq: seq - 1, Whole: true}, true); !errors.Is(err, ErrBehind) {
+		if _, err := c.Take(discovery.Update{Seq: seq - 1, Whole: true}, true); !errors.Is(err, ErrBehind) {
 			t.Fatalf("an older list is taken: %v", err)
 		}
 	})
@@ -100,7 +100,7 @@
 		t.Cleanup(func() { server.Close() })
 		return ln.Addr().String()
 	}
-	discovery := serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	discoveryAddress := serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		calls = append(calls, time.Now())
 		mu.Unlock()
@@ -111,7 +111,7 @@
 	owner, token := 0, uint64(1)
 	believes := map[int]uint64{} // who takes itself for the owner, whatever is so
 	for i := range n {
-		mirrors[i] = New(Options{Discovery: discovery, Spread: spread, Log: slog.New(slog.DiscardHandler), Owner: func() (string, uint64, bool) {
+		mirrors[i] = New(Options{Discovery: discoveryAddress, Spread: spread, Log: slog.New(slog.DiscardHandler), Owner: func() (string, uint64, bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			if old := believes[i]; old > 0 {
@@ -137,7 +137,7 @@
 			}
 			defer resp.Body.Close()
 			text, _ := io.ReadAll(resp.Body)
-			var u struct{ Hosts []pool.Entry }
+			var u struct{ Hosts []discovery.Entry }
 			if resp.StatusCode != 200 || json.Unmarshal(text, &u) != nil {
 				return false
 			}
--- a/internal/planner/planner.go
+++ b/internal/standalone/engine/planner.go
@@ -1,7 +1,7 @@
-// Package planner runs the decision module for one proxy. It owns the decide.Balancer: it hands it one event
+// Package engine runs the decision module for one proxy. It owns the decide.Balancer: it hands it one event
 // at a time, keeps its clock and its timers, and passes each action on to the call it belongs to or to the
 // watcher of the pool config. It knows nothing of HTTP, so that any protocol can use it.
-package planner
+package engine
 
 import (
 	"container/heap"
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 // Hooks take the actions that belong to no call. They are called while the planner is locked: they must
@@ -27,7 +27,7 @@
 
 // Module makes the decisions: a *decide.Balancer, save in tests.
 type Module interface {
-	Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action
+	Handle(now policy.Time, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
 // Planner serialises what happens to one Balancer. Its methods may be called from any goroutine.
@@ -37,7 +37,7 @@
 
 	mu      sync.Mutex
 	module  Module
-	actions []decide.Action
+	actions []policy.Action
 	calls   map[uint64]*Call
 	nextID  uint64
 	timers  timerQueue
@@ -45,7 +45,7 @@
 	wake    chan struct{}
 
 	origin time.Time // with its monotonic reading
-	base   decide.Time
+	base   policy.Time
 }
 
 // New returns a planner for module.
@@ -57,10 +57,10 @@
 
 // now is the module's clock: Unix time read once, carried on by the monotonic clock. A step of the system's
 // clock must not let ramps and windows jump.
-func (p *Planner) now() decide.Time { return p.base + time.Since(p.origin).Microseconds() }
+func (p *Planner) now() policy.Time { return p.base + time.Since(p.origin).Microseconds() }
 
 // At is when the module's clock shows t.
-func (p *Planner) At(t decide.Time) time.Time {
+func (p *Planner) At(t policy.Time) time.Time {
 	return p.origin.Add(time.Duration(t-p.base) * time.Microsecond)
 }
 
@@ -69,7 +69,7 @@
 	Class    uint8
 	Tenant   uint32
 	Key      uint64
-	Work     decide.Time
+	Work     policy.Time
 	Deadline time.Time // when the last attempt has to have ended
 	Slow     bool      // the body is still coming; Handed tells when a destination has it
 }
@@ -81,7 +81,7 @@
 type Call struct {
 	planner  *Planner
 	id       uint64
-	actions  chan decide.Action
+	actions  chan policy.Action
 	over     bool
 	attempts []attempt
 	out      int
@@ -94,16 +94,16 @@
 }
 
 // Actions brings what the module wants done for the call: Send, Cancel, and at most one Refuse or Fail.
-func (c *Call) Actions() <-chan decide.Action { return c.actions }
+func (c *Call) Actions() <-chan policy.Action { return c.actions }
 
 // Arrive tells the module of a new request.
 func (p *Planner) Arrive(a Arrival) *Call {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nextID++
-	c := &Call{planner: p, id: p.nextID, actions: make(chan decide.Action, maxActions)}
+	c := &Call{planner: p, id: p.nextID, actions: make(chan policy.Action, maxActions)}
 	p.calls[c.id] = c
-	p.handle(&decide.Event{Kind: decide.Arrival, ID: c.id, Class: a.Class, Tenant: a.Tenant, Key: a.Key,
+	p.handle(&policy.Event{Kind: policy.Arrival, ID: c.id, Class: a.Class, Tenant: a.Tenant, Key: a.Key,
 		Work: a.Work, Patience: time.Until(a.Deadline).Microseconds(), Slow: a.Slow})
 	return c
 }
@@ -114,14 +114,14 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if int(attempt) < len(c.attempts) && c.attempts[attempt].out {
-		p.handle(&decide.Event{Kind: decide.Handed, ID: c.id, Attempt: attempt})
+		p.handle(&policy.Event{Kind: policy.Handed, ID: c.id, Attempt: attempt})
 	}
 }
 
 // Finish reports how an attempt ended. It is true if the attempt's answer is the call's final one: the outcome
 // is OK and nothing had ended the call before. What a second report of the same attempt says is ignored. sent is when the last byte
 // of a request that took its time to send went out: a slow client is no slow server. It may be zero.
-func (c *Call) Finish(attempt uint8, outcome decide.Outcome, report []float32, sent time.Time) bool {
+func (c *Call) Finish(attempt uint8, outcome policy.Outcome, report []float32, sent time.Time) bool {
 	p := c.planner
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -131,12 +131,12 @@
 	s := &c.attempts[attempt]
 	s.out = false
 	c.out--
-	answers := outcome == decide.OK && !c.over
+	answers := outcome == policy.OK && !c.over
 	c.over = c.over || answers
 	if sent.Before(s.started) {
 		sent = s.started
 	}
-	p.handle(&decide.Event{Kind: decide.Outcomed, ID: c.id, Attempt: attempt, Server: s.server,
+	p.handle(&policy.Event{Kind: policy.Outcomed, ID: c.id, Attempt: attempt, Server: s.server,
 		Outcome: outcome, Elapsed: time.Since(sent).Microseconds(), Final: c.over, Report: report})
 	c.forget()
 	return answers
@@ -151,7 +151,7 @@
 		return
 	}
 	c.over = true
-	p.handle(&decide.Event{Kind: decide.Departed, ID: c.id})
+	p.handle(&policy.Event{Kind: policy.Departed, ID: c.id})
 	c.forget()
 }
 
@@ -162,24 +162,24 @@
 }
 
 // Probed tells the module how a probe ended that Hooks.Probe was called for.
-func (p *Planner) Probed(server uint32, outcome decide.Outcome, took time.Duration, report []float32) {
+func (p *Planner) Probed(server uint32, outcome policy.Outcome, took time.Duration, report []float32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.handle(&decide.Event{Kind: decide.Probed, Server: server, Outcome: outcome, Elapsed: took.Microseconds(), Report: report})
+	p.handle(&policy.Event{Kind: policy.Probed, Server: server, Outcome: outcome, Elapsed: took.Microseconds(), Report: report})
 }
 
 // List tells the module what discovery said. kind is one of the module's list events.
-func (p *Planner) List(kind decide.EventKind, members []decide.Member) {
+func (p *Planner) List(kind policy.EventKind, members []policy.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.handle(&decide.Event{Kind: kind, Members: members})
+	p.handle(&policy.Event{Kind: kind, Members: members})
 }
 
 // Change gives the module other settings, between two events. An error means that it keeps the ones that it has.
-func (p *Planner) Change(set decide.Settings) error {
+func (p *Planner) Change(set policy.Settings) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.module.(interface{ Change(decide.Settings) error })
+	m, ok := p.module.(interface{ Change(policy.Settings) error })
 	if !ok {
 		return errors.New("planner: this module keeps the settings that it began with")
 	}
@@ -190,7 +190,7 @@
 func (p *Planner) Learnt() ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.module.(interface{ Learnt() *decide.Learnt })
+	m, ok := p.module.(interface{ Learnt() *policy.Learnt })
 	if !ok {
 		return nil, nil
 	}
@@ -203,14 +203,14 @@
 
 // Adopt gives the module what another has found out, if that is no older than most. An error means that it was not believed.
 func (p *Planner) Adopt(text []byte, most time.Duration) error {
-	var l decide.Learnt
+	var l policy.Learnt
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("planner: %w", err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m, ok := p.module.(interface {
-		Adopt(decide.Time, *decide.Learnt) bool
+		Adopt(policy.Time, *policy.Learnt) bool
 	})
 	switch {
 	case !ok:
@@ -224,10 +224,10 @@
 }
 
 // Kept is what is held in memory for calls: calls and timers here, and what the module says of itself.
-func (p *Planner) Kept() (calls, timers int, module decide.Kept) {
+func (p *Planner) Kept() (calls, timers int, module policy.Kept) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, ok := p.module.(interface{ Kept() decide.Kept }); ok {
+	if m, ok := p.module.(interface{ Kept() policy.Kept }); ok {
 		module = m.Kept()
 	}
 	return len(p.calls), len(p.timers), module
@@ -246,7 +246,7 @@
 // handle gives the module one event and passes the actions on. A panic in the module costs the decision and
 // not the process, which would take every request in flight with it: calls left unanswered end at their
 // deadline.
-func (p *Planner) handle(ev *decide.Event) {
+func (p *Planner) handle(ev *policy.Event) {
 	defer func() {
 		if r := recover(); r != nil {
 			p.log.Error("the decision module panicked", "panic", r, "event", ev.Kind, "stack", string(debug.Stack()))
@@ -258,9 +258,9 @@
 	}
 }
 
-func (p *Planner) pass(a *decide.Action) {
+func (p *Planner) pass(a *policy.Action) {
 	switch a.Kind {
-	case decide.SetTimer:
+	case policy.SetTimer:
 		p.seq++
 		heap.Push(&p.timers, timer{due: time.Now().Add(time.Duration(a.After) * time.Microsecond), seq: p.seq, tag: a.ID})
 		if p.timers[0].seq == p.seq {
@@ -269,28 +269,28 @@
 			default:
 			}
 		}
-	case decide.Subscribe:
+	case policy.Subscribe:
 		p.hooks.Subscribe()
-	case decide.CloseUnused:
+	case policy.CloseUnused:
 		p.hooks.CloseUnused(a.Server)
-	case decide.Probe:
+	case policy.Probe:
 		if p.hooks.Probe != nil {
 			p.hooks.Probe(a.Server)
 		}
-	case decide.LogLine:
+	case policy.LogLine:
 		p.log.Info("module", "text", a.Text)
-	case decide.Send, decide.Refuse, decide.Fail, decide.Cancel:
+	case policy.Send, policy.Refuse, policy.Fail, policy.Cancel:
 		c := p.calls[a.ID]
-		if c == nil || c.over && a.Kind != decide.Cancel {
+		if c == nil || c.over && a.Kind != policy.Cancel {
 			p.log.Warn("action for a call that is over", "kind", a.Kind)
 			return
 		}
 		switch a.Kind {
-		case decide.Send:
+		case policy.Send:
 			c.attempts = append(c.attempts, attempt{server: a.Server, started: time.Now(), out: true})
 			c.out++
 			a.Attempt = uint8(len(c.attempts) - 1)
-		case decide.Refuse, decide.Fail:
+		case policy.Refuse, policy.Fail:
 			c.over = true
 			c.forget()
 		}
@@ -332,7 +332,7 @@
 			again = append(again, t)
 			continue
 		}
-		p.handle(&decide.Event{Kind: decide.TimerFired, ID: t.tag})
+		p.handle(&policy.Event{Kind: policy.TimerFired, ID: t.tag})
 	}
 	for _, t := range again {
 		heap.Push(&p.timers, t)
--- a/internal/planner/planner_test.go
+++ b/internal/standalone/engine/planner_test.go
@@ -1,4 +1,4 @@
-package planner
+package engine
 
 import (
 	"context"
@@ -8,17 +8,17 @@
 	"testing/synctest"
 	"time"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 // script is a module that answers each event as a test wants and remembers what it was told.
 type script struct {
-	told  []decide.Event
-	times []decide.Time
-	act   func(ev *decide.Event) []decide.Action
+	told  []policy.Event
+	times []policy.Time
+	act   func(ev *policy.Event) []policy.Action
 }
 
-func (s *script) Handle(now decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (s *script) Handle(now policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	s.told, s.times = append(s.told, *ev), append(s.times, now)
 	return append(out, s.act(ev)...)
 }
@@ -27,9 +27,9 @@
 	return New(s, Hooks{Subscribe: func() {}, CloseUnused: func(uint32) {}}, slog.New(slog.DiscardHandler))
 }
 
-func sendTwice(ev *decide.Event) []decide.Action {
-	if ev.Kind == decide.Arrival {
-		return []decide.Action{{Kind: decide.Send, ID: ev.ID, Server: 7}, {Kind: decide.Send, ID: ev.ID, Server: 8}}
+func sendTwice(ev *policy.Event) []policy.Action {
+	if ev.Kind == policy.Arrival {
+		return []policy.Action{{Kind: policy.Send, ID: ev.ID, Server: 7}, {Kind: policy.Send, ID: ev.ID, Server: 8}}
 	}
 	return nil
 }
@@ -41,8 +41,8 @@
 	if a, b := <-c.Actions(), <-c.Actions(); a.Attempt != 0 || b.Attempt != 1 {
 		t.Fatalf("attempts are numbered %d and %d", a.Attempt, b.Attempt)
 	}
-	got := []bool{c.Finish(1, decide.OK, nil, time.Time{}), c.Finish(1, decide.OK, nil, time.Time{}), c.Finish(0, decide.OK, nil, time.Time{}),
-		c.Finish(5, decide.OK, nil, time.Time{})}
+	got := []bool{c.Finish(1, policy.OK, nil, time.Time{}), c.Finish(1, policy.OK, nil, time.Time{}), c.Finish(0, policy.OK, nil, time.Time{}),
+		c.Finish(5, policy.OK, nil, time.Time{})}
 	if want := []bool{true, false, false, false}; !slices.Equal(got, want) {
 		t.Errorf("answers: %v, want %v", got, want)
 	}
@@ -57,9 +57,9 @@
 
 // A client that leaves is told to the module, and what it calls off comes before Depart returns.
 func TestDepartureBringsItsCancels(t *testing.T) {
-	s := &script{act: func(ev *decide.Event) []decide.Action {
-		if ev.Kind == decide.Departed {
-			return []decide.Action{{Kind: decide.Cancel, ID: ev.ID, Attempt: 1}}
+	s := &script{act: func(ev *policy.Event) []policy.Action {
+		if ev.Kind == policy.Departed {
+			return []policy.Action{{Kind: policy.Cancel, ID: ev.ID, Attempt: 1}}
 		}
 		return sendTwice(ev)
 	}}
@@ -69,7 +69,7 @@
 	c.Depart()
 	select {
 	case a := <-c.Actions():
-		if a.Kind != decide.Cancel || a.Attempt != 1 {
+		if a.Kind != policy.Cancel || a.Attempt != 1 {
 			t.Errorf("got %+v", a)
 		}
 	default:
@@ -79,19 +79,19 @@
 
 func TestTimersFireInOrderAndTheClockNeverGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{act: func(ev *decide.Event) []decide.Action {
-			if ev.Kind != decide.ListFull {
+		s := &script{act: func(ev *policy.Event) []policy.Action {
+			if ev.Kind != policy.ListFull {
 				return nil
 			}
-			return []decide.Action{{Kind: decide.SetTimer, ID: 3, After: 30_000}, {Kind: decide.SetTimer, ID: 1, After: 10_000},
-				{Kind: decide.SetTimer, ID: 2, After: 10_000}}
+			return []policy.Action{{Kind: policy.SetTimer, ID: 3, After: 30_000}, {Kind: policy.SetTimer, ID: 1, After: 10_000},
+				{Kind: policy.SetTimer, ID: 2, After: 10_000}}
 		}}
 		p := start(s)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go p.Run(ctx)
 		synctest.Wait()
-		p.List(decide.ListFull, nil)
+		p.List(policy.ListFull, nil)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		var tags []uint64
@@ -109,14 +109,14 @@
 
 // A panic in the module must cost one decision, not every request in flight.
 func TestModulePanicIsSurvived(t *testing.T) {
-	s := &script{act: func(ev *decide.Event) []decide.Action {
-		if ev.Kind == decide.ListFailed {
+	s := &script{act: func(ev *policy.Event) []policy.Action {
+		if ev.Kind == policy.ListFailed {
 			panic("a fault")
 		}
 		return sendTwice(ev)
 	}}
 	p := start(s)
-	p.List(decide.ListFailed, nil)
+	p.List(policy.ListFailed, nil)
 	if c := p.Arrive(Arrival{}); len(c.actions) != 2 {
 		t.Errorf("%d actions after the panic", len(c.actions))
 	}
--- a/internal/route/probes.go
+++ b/internal/standalone/forwarder/probes.go
@@ -1,4 +1,4 @@
-package route
+package forwarder
 
 import (
 	"context"
@@ -6,13 +6,13 @@
 	"sync"
 	"time"
 
-	"pumiceline/decide"
-	"pumiceline/internal/planner"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/policy"
 )
 
 // Prober asks a destination for its load.
 type Prober interface {
-	Probe(ctx context.Context, id uint32) (decide.Outcome, []float32, error)
+	Probe(ctx context.Context, id uint32) (policy.Outcome, []float32, error)
 }
 
 const (
@@ -26,7 +26,7 @@
 // Probes carries out the probes that the module wants. Close ends it.
 type Probes struct {
 	fleet   Prober
-	planner *planner.Planner
+	planner *engine.Planner
 	log     *slog.Logger
 	ctx     context.Context // ends with Close
 	cancel  context.CancelFunc
@@ -43,7 +43,7 @@
 }
 
 // Tell says whose module is told of what the probes bring.
-func (p *Probes) Tell(to *planner.Planner) { p.planner = to }
+func (p *Probes) Tell(to *engine.Planner) { p.planner = to }
 
 // Ask begins a probe and returns at once. One that there is no place for is not made: the module asks again.
 func (p *Probes) Ask(server uint32) {
--- a/internal/route/probes_test.go
+++ b/internal/standalone/forwarder/probes_test.go
@@ -1,4 +1,4 @@
-package route
+package forwarder
 
 import (
 	"context"
@@ -7,32 +7,32 @@
 	"testing/synctest"
 	"time"
 
-	"pumiceline/decide"
-	"pumiceline/internal/planner"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/policy"
 )
 
 // prober has destination 1 tell its load; the others hang.
 type prober struct{}
 
-func (prober) Probe(ctx context.Context, id uint32) (decide.Outcome, []float32, error) {
+func (prober) Probe(ctx context.Context, id uint32) (policy.Outcome, []float32, error) {
 	if id == 1 {
-		return decide.OK, []float32{0.5, 12}, nil
+		return policy.OK, []float32{0.5, 12}, nil
 	}
 	<-ctx.Done()
-	return decide.TimedOut, nil, ctx.Err()
+	return policy.TimedOut, nil, ctx.Err()
 }
 
 // What a probe brings reaches the module. Destinations that hang hold one probe each, a bounded number in all, for half a second; and
 // none outlives the proxy.
 func TestProbesAreFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var told []decide.Event
+		var told []policy.Event
 		log := slog.New(slog.DiscardHandler)
 		probes := NewProbes(prober{}, log)
-		probes.Tell(planner.New(script(func(ev *decide.Event) []decide.Action {
+		probes.Tell(engine.New(script(func(ev *policy.Event) []policy.Action {
 			told = append(told, *ev)
 			return nil
-		}), planner.Hooks{}, log))
+		}), engine.Hooks{}, log))
 		for id := range uint32(80) {
 			probes.Ask(100 + id%40)
 		}
@@ -44,8 +44,8 @@
 		synctest.Wait()
 		probes.Ask(1)
 		synctest.Wait()
-		if last := told[len(told)-1]; len(told) != mostProbes+1 || told[0].Outcome != decide.TimedOut || last.Kind != decide.Probed ||
-			last.Server != 1 || last.Outcome != decide.OK || len(last.Report) != 2 || probes.Out() != 0 {
+		if last := told[len(told)-1]; len(told) != mostProbes+1 || told[0].Outcome != policy.TimedOut || last.Kind != policy.Probed ||
+			last.Server != 1 || last.Outcome != policy.OK || len(last.Report) != 2 || probes.Out() != 0 {
 			t.Errorf("%d out, the module was told of %d and last %+v", probes.Out(), len(told), last)
 		}
 		probes.Ask(200)
--- a/internal/route/route.go
+++ b/internal/standalone/forwarder/route.go
@@ -1,6 +1,6 @@
-// Package route carries one request through its life: it tells the planner of it, makes the attempts that the
+// Package forwarder carries one request through its life: it tells the planner of it, makes the attempts that the
 // module asks for, and returns the one answer.
-package route
+package forwarder
 
 import (
 	"bytes"
@@ -15,23 +15,23 @@
 	"sync/atomic"
 	"time"
 
-	"pumiceline/decide"
-	"pumiceline/internal/destination"
-	"pumiceline/internal/planner"
-	"pumiceline/internal/upload"
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/requestbody"
 )
 
 // Inbound is what the front socket learnt of a request. The context that carries it has the client's deadline.
 type Inbound struct {
 	Class   uint8
 	Tenant  uint32
-	Work    decide.Time
-	Key     uint64         // what the request is about; 0: not told
-	Body    []byte         // as far as it is at hand
-	Rest    *upload.Upload // what is still to come; nil: nothing. Its context has no deadline until that has come.
-	Left    func() bool    // whether the client has gone; it ends the context then. nil: the context knows by itself
-	Served  bool           // set by RoundTrip when a destination has answered
-	Refused bool           // set by RoundTrip when the answer is a busy reply
+	Work    policy.Time
+	Key     uint64              // what the request is about; 0: not told
+	Body    []byte              // as far as it is at hand
+	Rest    *requestbody.Upload // what is still to come; nil: nothing. Its context has no deadline until that has come.
+	Left    func() bool         // whether the client has gone; it ends the context then. nil: the context knows by itself
+	Served  bool                // set by RoundTrip when a destination has answered
+	Refused bool                // set by RoundTrip when the answer is a busy reply
 }
 
 type inboundKey struct{}
@@ -49,7 +49,7 @@
 
 // Exchanger makes one exchange with a destination.
 type Exchanger interface {
-	Exchange(ctx context.Context, id uint32, a destination.Attempt) destination.Result
+	Exchange(ctx context.Context, id uint32, a backend.Attempt) backend.Result
 }
 
 // answerMargin is how long before the client's deadline attempts end, so that the module's last word still
@@ -58,7 +58,7 @@
 
 // Transport is an http.RoundTripper whose every attempt is the module's decision.
 type Transport struct {
-	Planner       *planner.Planner
+	Planner       *engine.Planner
 	Fleet         Exchanger
 	MaxRetryAfter atomic.Int64 // the longest time to come back that is told, in microseconds
 	Log           *slog.Logger
@@ -90,9 +90,9 @@
 		attempts, release = long, func() { cancel(nil) }
 		go in.Rest.Watch(long.Done(), answerMargin, func() { cancel(context.DeadlineExceeded) }, func(error) { cancel(nil) })
 	}
-	call := t.Planner.Arrive(planner.Arrival{Class: in.Class, Tenant: in.Tenant, Work: in.Work, Key: in.Key, Deadline: deadline, Slow: in.Rest != nil})
-	r := &retrier{t: t, call: call, sent: destination.Attempt{Request: req, Left: in.Left,
-		Body: destination.Body{Text: in.Body, Rest: in.Rest}}, answers: make(chan *destination.Answer, 1)}
+	call := t.Planner.Arrive(engine.Arrival{Class: in.Class, Tenant: in.Tenant, Work: in.Work, Key: in.Key, Deadline: deadline, Slow: in.Rest != nil})
+	r := &retrier{t: t, call: call, sent: backend.Attempt{Request: req, Left: in.Left,
+		Body: backend.Body{Text: in.Body, Rest: in.Rest}}, answers: make(chan *backend.Answer, 1)}
 	defer r.releaseAfter(release)
 	defer r.cancelRest() // after Depart, which says what is to be called off
 	defer call.Depart()  // nothing once the call is over; otherwise the client left, or this function panicked
@@ -101,19 +101,19 @@
 		select {
 		case action := <-call.Actions():
 			switch action.Kind {
-			case decide.Send: // an attempt
+			case policy.Send: // an attempt
 				if ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 					call.Depart() // it left in the same moment: the attempt is not made, and no other comes in its place
-					call.Finish(action.Attempt, decide.NotSent, nil, time.Time{})
+					call.Finish(action.Attempt, policy.NotSent, nil, time.Time{})
 					continue
 				}
 				r.attempt(attempts, action)
-			case decide.Cancel:
+			case policy.Cancel:
 				r.cancel(action.Attempt)
-			case decide.Refuse: // a busy reply
+			case policy.Refuse: // a busy reply
 				in.Refused = true
 				return busyReply(req, min(action.After, t.MaxRetryAfter.Load())), nil
-			case decide.Fail: // a failure
+			case policy.Fail: // a failure
 				return plain(req, http.StatusBadGateway, "no destination could answer\n"), nil
 			}
 		case answer := <-r.answers: // an answer
@@ -130,7 +130,7 @@
 			var long *http.MaxBytesError
 			switch {
 			case errors.As(cause, &long):
-				return plain(req, http.StatusRequestEntityTooLarge, destination.ErrTooLong.Error()+"\n"), nil
+				return plain(req, http.StatusRequestEntityTooLarge, backend.ErrTooLong.Error()+"\n"), nil
 			case in.Rest != nil && !errors.Is(cause, context.Canceled) && !errors.Is(cause, context.DeadlineExceeded):
 				return plain(req, http.StatusBadRequest, "the body did not come whole\n"), nil
 			case errors.Is(cause, context.DeadlineExceeded):
@@ -146,15 +146,15 @@
 // retrier is what RoundTrip keeps of a request's attempts.
 type retrier struct {
 	t       *Transport
-	call    *planner.Call
-	sent    destination.Attempt  // what each attempt sends
+	call    *engine.Call
+	sent    backend.Attempt      // what each attempt sends
 	cancels []context.CancelFunc // by attempt
 	running sync.WaitGroup       // attempts without an outcome
-	answers chan *destination.Answer
+	answers chan *backend.Answer
 }
 
 // attempt begins an attempt. Its outcome is told to the planner exactly once, whatever happens.
-func (r *retrier) attempt(ctx context.Context, action decide.Action) {
+func (r *retrier) attempt(ctx context.Context, action policy.Action) {
 	ctx, cancel := context.WithCancel(ctx)
 	r.cancels = append(r.cancels, cancel)
 	if int(action.Attempt) != len(r.cancels)-1 {
@@ -196,11 +196,11 @@
 }
 
 // exchange is one exchange that survives a panic: an attempt without an outcome would leave its request open.
-func (r *retrier) exchange(ctx context.Context, id uint32, sent destination.Attempt) (result destination.Result) {
+func (r *retrier) exchange(ctx context.Context, id uint32, sent backend.Attempt) (result backend.Result) {
 	defer func() {
 		if p := recover(); p != nil {
 			r.t.Log.Error("an attempt panicked", "panic", p, "stack", string(debug.Stack()))
-			result = destination.Result{Outcome: decide.Reset} // it may have run
+			result = backend.Result{Outcome: policy.Reset} // it may have run
 		}
 	}()
 	return r.t.Fleet.Exchange(ctx, id, sent)
@@ -218,10 +218,10 @@
 		select {
 		case action := <-r.call.Actions():
 			switch action.Kind {
-			case decide.Cancel:
+			case policy.Cancel:
 				r.cancel(action.Attempt)
-			case decide.Send: // decided just before the client left: it is not made
-				r.call.Finish(action.Attempt, decide.NotSent, nil, time.Time{})
+			case policy.Send: // decided just before the client left: it is not made
+				r.call.Finish(action.Attempt, policy.NotSent, nil, time.Time{})
 			}
 		default:
 			return
@@ -246,7 +246,7 @@
 }
 
 // busyReply tells the client that trying again is harmless, and when the module wants it back.
-func busyReply(req *http.Request, after decide.Time) *http.Response {
+func busyReply(req *http.Request, after policy.Time) *http.Response {
 	resp := plain(req, http.StatusServiceUnavailable, "busy\n")
 	if after > 0 {
 		resp.Header.Set("Retry-After", strconv.FormatFloat(float64(after)/1e6, 'f', 3, 64))
@@ -260,7 +260,7 @@
 
 // passed is an answer that is passed on while it comes. Its length stands in the header alone: what ReverseProxy takes to have
 // none is flushed piece by piece, and must be, as the next piece may take seconds.
-func passed(req *http.Request, answer *destination.Answer) *http.Response {
+func passed(req *http.Request, answer *backend.Answer) *http.Response {
 	resp := response(req, http.StatusOK, answer.Header, nil)
 	resp.ContentLength, resp.Body = -1, answer.Rest
 	if resp.Header.Del("Content-Length"); answer.Length >= 0 {
--- a/internal/route/route_test.go
+++ b/internal/standalone/forwarder/route_test.go
@@ -1,4 +1,4 @@
-package route
+package forwarder
 
 import (
 	"context"
@@ -11,28 +11,28 @@
 	"testing/synctest"
 	"time"
 
-	"pumiceline/decide"
-	"pumiceline/internal/destination"
-	"pumiceline/internal/planner"
-	"pumiceline/internal/upload"
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/requestbody"
 )
 
-type script func(ev *decide.Event) []decide.Action
+type script func(ev *policy.Event) []policy.Action
 
-func (s script) Handle(_ decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (s script) Handle(_ policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	return append(out, s(ev)...)
 }
 
-type exchange func(ctx context.Context, server uint32) destination.Result
+type exchange func(ctx context.Context, server uint32) backend.Result
 
-func (e exchange) Exchange(ctx context.Context, id uint32, _ destination.Attempt) destination.Result {
+func (e exchange) Exchange(ctx context.Context, id uint32, _ backend.Attempt) backend.Result {
 	return e(ctx, id)
 }
 
 // run sends one request with a second to live through a transport.
 func run(ctx context.Context, module script, ex exchange) (*http.Response, error) {
 	log := slog.New(slog.DiscardHandler)
-	t := &Transport{Planner: planner.New(module, planner.Hooks{}, log), Fleet: ex, Log: log}
+	t := &Transport{Planner: engine.New(module, engine.Hooks{}, log), Fleet: ex, Log: log}
 	t.MaxRetryAfter.Store(2_500_000)
 	ctx, cancel := context.WithTimeout(WithInbound(ctx, &Inbound{}), time.Second)
 	defer cancel()
@@ -43,43 +43,43 @@
 	return t.RoundTrip(req)
 }
 
-func send(id uint64, server uint32) decide.Action {
-	return decide.Action{Kind: decide.Send, ID: id, Server: server}
+func send(id uint64, server uint32) policy.Action {
+	return policy.Action{Kind: policy.Send, ID: id, Server: server}
 }
 
 // sendThen sends to server 1 and answers an outcome that is not final with an action.
-func sendThen(a decide.Action) script {
-	return func(ev *decide.Event) []decide.Action {
+func sendThen(a policy.Action) script {
+	return func(ev *policy.Event) []policy.Action {
 		switch {
-		case ev.Kind == decide.Arrival:
-			return []decide.Action{send(ev.ID, 1)}
-		case ev.Kind == decide.Outcomed && !ev.Final && ev.Server == 1:
+		case ev.Kind == policy.Arrival:
+			return []policy.Action{send(ev.ID, 1)}
+		case ev.Kind == policy.Outcomed && !ev.Final && ev.Server == 1:
 			a.ID = ev.ID
-			return []decide.Action{a}
+			return []policy.Action{a}
 		}
 		return nil
 	}
 }
 
 func TestAnswers(t *testing.T) {
-	served := destination.Result{Outcome: decide.OK,
-		Answer: &destination.Answer{Header: http.Header{}, Body: []byte("42")}}
-	full := destination.Result{Outcome: decide.Full}
+	served := backend.Result{Outcome: policy.OK,
+		Answer: &backend.Answer{Header: http.Header{}, Body: []byte("42")}}
+	full := backend.Result{Outcome: policy.Full}
 	for name, c := range map[string]struct {
 		module script
-		first  destination.Result
+		first  backend.Result
 		status int
 		body   string
 		after  string
 	}{
-		"served":          {sendThen(decide.Action{}), served, 200, "42", ""},
+		"served":          {sendThen(policy.Action{}), served, 200, "42", ""},
 		"repeated":        {sendThen(send(0, 2)), full, 200, "42", ""},
-		"busy":            {sendThen(decide.Action{Kind: decide.Refuse, After: 350_000}), full, 503, "busy\n", "0.350"},
-		"busy, no span":   {sendThen(decide.Action{Kind: decide.Refuse}), full, 503, "busy\n", ""},
-		"busy, long span": {sendThen(decide.Action{Kind: decide.Refuse, After: 9e6}), full, 503, "busy\n", "2.500"},
-		"failed":          {sendThen(decide.Action{Kind: decide.Fail}), full, 502, "no destination could answer\n", ""},
+		"busy":            {sendThen(policy.Action{Kind: policy.Refuse, After: 350_000}), full, 503, "busy\n", "0.350"},
+		"busy, no span":   {sendThen(policy.Action{Kind: policy.Refuse}), full, 503, "busy\n", ""},
+		"busy, long span": {sendThen(policy.Action{Kind: policy.Refuse, After: 9e6}), full, 503, "busy\n", "2.500"},
+		"failed":          {sendThen(policy.Action{Kind: policy.Fail}), full, 502, "no destination could answer\n", ""},
 	} {
-		resp, err := run(t.Context(), c.module, func(_ context.Context, server uint32) destination.Result {
+		resp, err := run(t.Context(), c.module, func(_ context.Context, server uint32) backend.Result {
 			if server == 1 {
 				return c.first
 			}
@@ -98,7 +98,7 @@
 
 // A request that comes with no time left is refused by the module at once; that is its answer, not that its time is up.
 func TestTheLastWordGoesFirst(t *testing.T) {
-	refuses := script(func(ev *decide.Event) []decide.Action { return []decide.Action{{Kind: decide.Refuse, ID: ev.ID}} })
+	refuses := script(func(ev *policy.Event) []policy.Action { return []policy.Action{{Kind: policy.Refuse, ID: ev.ID}} })
 	late, cancel := context.WithDeadline(t.Context(), time.Now())
 	defer cancel()
 	for range 50 {
@@ -111,18 +111,18 @@
 // Steps end before the client's deadline, so that the module's Fail still reaches the client; and a request
 // whose module stays silent is answered at the deadline all the same.
 func TestDeadlines(t *testing.T) {
-	wait := func(ctx context.Context, _ uint32) destination.Result {
+	wait := func(ctx context.Context, _ uint32) backend.Result {
 		<-ctx.Done()
-		return destination.Result{Outcome: decide.TimedOut}
+		return backend.Result{Outcome: policy.TimedOut}
 	}
 	for name, c := range map[string]struct {
 		module script
 		status int
 		at     time.Duration
 	}{
-		"failed by the module": {sendThen(decide.Action{Kind: decide.Fail}), 502, time.Second - answerMargin},
-		"silent module":        {sendThen(decide.Action{}), 504, time.Second},
-		"no attempt at all":    {func(*decide.Event) []decide.Action { return nil }, 504, time.Second},
+		"failed by the module": {sendThen(policy.Action{Kind: policy.Fail}), 502, time.Second - answerMargin},
+		"silent module":        {sendThen(policy.Action{}), 504, time.Second},
+		"no attempt at all":    {func(*policy.Event) []policy.Action { return nil }, 504, time.Second},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			start := time.Now()
@@ -138,13 +138,13 @@
 func TestClientLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		outcomes := 0
-		module := script(func(ev *decide.Event) []decide.Action {
+		module := script(func(ev *policy.Event) []policy.Action {
 			switch ev.Kind {
-			case decide.Arrival:
-				return []decide.Action{send(ev.ID, 1)}
-			case decide.Departed:
-				return []decide.Action{{Kind: decide.Cancel, ID: ev.ID}}
-			case decide.Outcomed:
+			case policy.Arrival:
+				return []policy.Action{send(ev.ID, 1)}
+			case policy.Departed:
+				return []policy.Action{{Kind: policy.Cancel, ID: ev.ID}}
+			case policy.Outcomed:
 				outcomes++
 			}
 			return nil
@@ -152,9 +152,9 @@
 		ctx, leave := context.WithCancel(t.Context())
 		time.AfterFunc(100*time.Millisecond, leave)
 		start := time.Now()
-		_, err := run(ctx, module, func(ctx context.Context, _ uint32) destination.Result {
+		_, err := run(ctx, module, func(ctx context.Context, _ uint32) backend.Result {
 			<-ctx.Done()
-			return destination.Result{Outcome: decide.Cancelled}
+			return backend.Result{Outcome: policy.Cancelled}
 		})
 		synctest.Wait()
 		if !errors.Is(err, context.Canceled) || outcomes != 1 || time.Since(start) > 200*time.Millisecond {
@@ -165,16 +165,16 @@
 
 // An attempt that panics has an outcome; without one its request would stay open until the deadline.
 func TestPanickingStepIsAReset(t *testing.T) {
-	resp, err := run(t.Context(), sendThen(decide.Action{Kind: decide.Fail}),
-		func(context.Context, uint32) destination.Result { panic("a fault") })
+	resp, err := run(t.Context(), sendThen(policy.Action{Kind: policy.Fail}),
+		func(context.Context, uint32) backend.Result { panic("a fault") })
 	if err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("%v, %v", resp, err)
 	}
 }
 
-type bodied func(body destination.Body) destination.Result
+type bodied func(body backend.Body) backend.Result
 
-func (e bodied) Exchange(_ context.Context, _ uint32, a destination.Attempt) destination.Result {
+func (e bodied) Exchange(_ context.Context, _ uint32, a backend.Attempt) backend.Result {
 	return e(a.Body)
 }
 
@@ -182,23 +182,23 @@
 func TestSlowBodiesAreHandedAtTheirEnd(t *testing.T) {
 	for name, whole := range map[string]bool{"whole": true, "broken off": false} {
 		synctest.Test(t, func(t *testing.T) {
-			var told []decide.EventKind
-			module := script(func(ev *decide.Event) []decide.Action {
+			var told []policy.EventKind
+			module := script(func(ev *policy.Event) []policy.Action {
 				told = append(told, ev.Kind)
-				if ev.Kind == decide.Arrival && ev.Slow {
-					return []decide.Action{send(ev.ID, 1)}
+				if ev.Kind == policy.Arrival && ev.Slow {
+					return []policy.Action{send(ev.ID, 1)}
 				}
 				return nil
 			})
 			from, to := io.Pipe()
-			in := &Inbound{Rest: upload.New(from, -1, time.Second)}
+			in := &Inbound{Rest: requestbody.New(from, -1, time.Second)}
 			log := slog.New(slog.DiscardHandler)
-			tr := &Transport{Planner: planner.New(module, planner.Hooks{}, log), Log: log, Fleet: bodied(func(body destination.Body) destination.Result {
+			tr := &Transport{Planner: engine.New(module, engine.Hooks{}, log), Log: log, Fleet: bodied(func(body backend.Body) backend.Result {
 				if _, err := io.Copy(io.Discard, body.Rest); err != nil {
-					return destination.Result{Outcome: decide.ConnectFailed}
+					return backend.Result{Outcome: policy.ConnectFailed}
 				}
 				time.Sleep(time.Millisecond) // the destination works
-				return destination.Result{Outcome: decide.OK, Answer: &destination.Answer{Header: http.Header{}}}
+				return backend.Result{Outcome: policy.OK, Answer: &backend.Answer{Header: http.Header{}}}
 			})}
 			ctx, leave := context.WithCancel(WithInbound(t.Context(), in))
 			defer leave()
@@ -213,7 +213,7 @@
 			if synctest.Wait(); len(told) != 1 {
 				t.Errorf("%s: while the body comes: %v", name, told)
 			}
-			want := []decide.EventKind{decide.Arrival, decide.Handed, decide.Outcomed}
+			want := []policy.EventKind{policy.Arrival, policy.Handed, policy.Outcomed}
 			if whole {
 				to.Close()
 			} else {
@@ -222,7 +222,7 @@
 			}
 			time.Sleep(time.Second)
 			synctest.Wait()
-			if whole && !slices.Equal(told, want) || !whole && slices.Contains(told, decide.Handed) {
+			if whole && !slices.Equal(told, want) || !whole && slices.Contains(told, policy.Handed) {
 				t.Errorf("%s: the module was told %v, want %v", name, told, want)
 			}
 		})
--- a/internal/handover/folder.go
+++ b/internal/standalone/hotrestart/folder.go
@@ -1,6 +1,6 @@
-// Package handover holds what the processes of one proxy have in common while a new version takes over from an old one: small
+// Package hotrestart holds what the processes of one proxy have in common while a new version takes over from an old one: small
 // files in a folder that both see, who of them is there, and the listening socket that the platform lends them.
-package handover
+package hotrestart
 
 import (
 	"errors"
--- a/internal/handover/presence.go
+++ b/internal/standalone/hotrestart/presence.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"encoding/binary"
--- a/internal/calm/calm.go
+++ b/internal/standalone/latencybaseline/calm.go
@@ -1,6 +1,6 @@
-// Package calm estimates what answers take where nothing queues, from the times of all answers. It is pure: the caller's clock is
+// Package latencybaseline estimates what answers take where nothing queues, from the times of all answers. It is pure: the caller's clock is
 // the only one that it knows.
-package calm
+package latencybaseline
 
 // What stands for "what answers take" is the time that share of them keep within. A running quantile follows it, and the least
 // that this was of late is the time without a queue: queues come and go, and while they last they only add.
--- a/internal/calm/calm_test.go
+++ b/internal/standalone/latencybaseline/calm_test.go
@@ -1,4 +1,4 @@
-package calm
+package latencybaseline
 
 import (
 	"math"
--- a/internal/front/bench_test.go
+++ b/internal/standalone/listener/bench_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"net/http/httptest"
 	"testing"
 
-	"pumiceline/internal/metrics"
+	"pumiceline/internal/standalone/metrics"
 )
 
 // BenchmarkFigures shows what the figures cost: a request through the front alone, without sockets, and the counts that it makes.
--- a/internal/front/change_test.go
+++ b/internal/standalone/listener/change_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"testing"
 	"testing/synctest"
 
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/settings"
 )
 
 // New settings bind requests that come from then on: a class that appears is served, with no key where it may never be
--- a/internal/front/conn.go
+++ b/internal/standalone/listener/conn.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"context"
--- a/internal/front/front.go
+++ b/internal/standalone/listener/front.go
@@ -1,6 +1,6 @@
-// Package front holds the front sockets, where clients come in: it reads a request's headers and body, hands it
+// Package listener holds the front sockets, where clients come in: it reads a request's headers and body, hands it
 // on, keeps to its part of the socket budget, and ends without losing what it has taken.
-package front
+package listener
 
 import (
 	"context"
@@ -16,9 +16,9 @@
 	"sync/atomic"
 	"time"
 
-	"pumiceline/internal/metrics"
-	"pumiceline/internal/route"
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/forwarder"
+	"pumiceline/internal/standalone/metrics"
+	"pumiceline/internal/standalone/settings"
 )
 
 // acceptOn is how long after the request to stop new connections are still taken: the front layer learns of
@@ -268,8 +268,8 @@
 var errEnds = fmt.Errorf("the proxy ends: %w", context.DeadlineExceeded)
 
 // within is a request's context, which ends with the client's time. That of one whose body is still coming begins with its last byte.
-func (f *Front) within(client context.Context, in *route.Inbound, deadline time.Time) (context.Context, context.CancelFunc) {
-	ctx, done := route.WithInbound(client, in), func() {}
+func (f *Front) within(client context.Context, in *forwarder.Inbound, deadline time.Time) (context.Context, context.CancelFunc) {
+	ctx, done := forwarder.WithInbound(client, in), func() {}
 	if in.Rest == nil {
 		ctx, done = context.WithDeadline(ctx, deadline)
 	}
@@ -283,7 +283,7 @@
 
 // cut ends a request whose body may not have come whole: whoever still reads it has to stop, and the connection is of no
 // further use.
-func (f *Front) cut(w http.ResponseWriter, in *route.Inbound, ended *metrics.Ended) {
+func (f *Front) cut(w http.ResponseWriter, in *forwarder.Inbound, ended *metrics.Ended) {
 	select {
 	case <-in.Rest.Ended():
 		if _, err := in.Rest.End(); err != nil {
--- a/internal/front/front_test.go
+++ b/internal/standalone/listener/front_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"bufio"
@@ -17,10 +17,10 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pumiceline/internal/destination"
-	"pumiceline/internal/route"
 	"pumiceline/internal/socket"
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/forwarder"
+	"pumiceline/internal/standalone/settings"
 )
 
 type transport func(*http.Request) (*http.Response, error)
@@ -102,7 +102,7 @@
 					t.Errorf("%s %s %v", r.Method, r.Host, r.Header)
 				}
 				deadline, _ := r.Context().Deadline()
-				if key := route.InboundOf(r.Context()).Key; key != xxhash.Sum64String("7f3a") {
+				if key := forwarder.InboundOf(r.Context()).Key; key != xxhash.Sum64String("7f3a") {
 					t.Errorf("key %x goes to the module", key)
 				}
 				if left := time.Until(deadline); left != 480*time.Millisecond {
@@ -594,7 +594,7 @@
 	f.Fuzz(func(t *testing.T, method, id, class, tenant, left, hint, key string) {
 		h := http.Header{idHeader: {id}, classHeader: {class}, tenantHeader: {tenant}, timeLeftHeader: {left},
 			hintHeader: {hint}, keyHeader: {key}}
-		var in *route.Inbound
+		var in *forwarder.Inbound
 		in, wait, err := rd.head(method, h)
 		if err != nil {
 			return
@@ -610,7 +610,7 @@
 // takesRest is a transport that reads what of a body is still coming, as an attempt would, and counts it.
 func takesRest(got *int, ended *error) transport {
 	return func(r *http.Request) (*http.Response, error) {
-		in := route.InboundOf(r.Context())
+		in := forwarder.InboundOf(r.Context())
 		*got = len(in.Body)
 		if in.Rest != nil {
 			n, err := io.Copy(io.Discard, in.Rest)
@@ -642,12 +642,12 @@
 		"long, slow":         {size: 640_000, piece: 64_000, pause: time.Second, status: 200, most: 12 * time.Second},
 		"coded, slow":        {size: 300_000, coded: true, piece: 20_000, pause: 300 * time.Millisecond, status: 200, most: 6 * time.Second},
 		"single bytes":       {size: 3000, coded: true, piece: 1, status: 200, most: time.Second},
-		"exactly kept":       {size: destination.MostBody, coded: true, piece: 4096, status: 200, most: time.Second},
+		"exactly kept":       {size: backend.MostBody, coded: true, piece: 4096, status: 200, most: time.Second},
 		"stalls at once":     {size: 640_000, piece: 10, sent: 10, status: 400, most: 2100 * time.Millisecond},
 		"stalls later":       {size: 640_000, piece: 64_000, sent: 320_000, most: 8 * time.Second},
 		"far too slow":       {size: 640_000, piece: 4000, pause: time.Second, status: 400, most: 4 * time.Second},
 		"client leaves":      {size: 900_000, piece: 100_000, sent: 300_000, leaves: true, most: time.Second},
-		"longer than it may": {size: destination.MostLong + 1000, coded: true, piece: 1 << 20, most: time.Second},
+		"longer than it may": {size: backend.MostLong + 1000, coded: true, piece: 1 << 20, most: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -724,7 +724,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			var over time.Time
 			f := newFront(func(r *http.Request) (*http.Response, error) {
-				if in := route.InboundOf(r.Context()); in.Rest != nil {
+				if in := forwarder.InboundOf(r.Context()); in.Rest != nil {
 					go io.Copy(io.Discard, in.Rest)
 				}
 				<-r.Context().Done()
--- a/internal/front/gate.go
+++ b/internal/standalone/listener/gate.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"context"
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"pumiceline/internal/door"
-	"pumiceline/internal/route"
+	"pumiceline/internal/standalone/admission"
+	"pumiceline/internal/standalone/forwarder"
 )
 
 // gateTick is how often the door is told of the time while requests wait.
@@ -31,37 +31,37 @@
 	origin time.Time
 
 	mu      sync.Mutex
-	door    *door.Door
+	door    *admission.Door
 	names   []string
-	actions []door.Action
-	waiting map[door.Ticket]chan door.Action
-	stats   []door.TenantStats // as last logged
+	actions []admission.Action
+	waiting map[admission.Ticket]chan admission.Action
+	stats   []admission.TenantStats // as last logged
 }
 
 // NewGate returns a gate for a door with these settings.
-func NewGate(set door.Settings, log *slog.Logger) (*Gate, error) {
-	d, err := door.New(set)
+func NewGate(set admission.Settings, log *slog.Logger) (*Gate, error) {
+	d, err := admission.New(set)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gate{log: log, seed: maphash.MakeSeed(), origin: time.Now(), door: d, waiting: map[door.Ticket]chan door.Action{}}
+	g := &Gate{log: log, seed: maphash.MakeSeed(), origin: time.Now(), door: d, waiting: map[admission.Ticket]chan admission.Action{}}
 	g.adopt(set)
 	return g, nil
 }
 
-func (g *Gate) adopt(set door.Settings) {
+func (g *Gate) adopt(set admission.Settings) {
 	g.names = g.names[:0]
 	for _, t := range set.Tenants {
 		g.names = append(g.names, t.Name)
 	}
-	g.stats = make([]door.TenantStats, len(g.names))
+	g.stats = make([]admission.TenantStats, len(g.names))
 }
 
 // now is the door's clock, by the monotonic one.
-func (g *Gate) now() door.Time { return time.Since(g.origin).Microseconds() + 1 }
+func (g *Gate) now() admission.Time { return time.Since(g.origin).Microseconds() + 1 }
 
 // Change takes over other settings as one whole, or none of them.
-func (g *Gate) Change(set door.Settings) error {
+func (g *Gate) Change(set admission.Settings) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out, err := g.door.Change(g.now(), set, g.actions[:0])
@@ -93,7 +93,7 @@
 }
 
 // tell hands decisions to those that wait for them. Called with the lock held.
-func (g *Gate) tell(out []door.Action) {
+func (g *Gate) tell(out []admission.Action) {
 	for _, a := range out {
 		if c := g.waiting[a.Ticket]; c != nil {
 			c <- a // it has room for the one decision that there is
@@ -105,21 +105,21 @@
 
 // enter takes a request through the door. It returns once the request may go on, is refused, or ctx has ended; leave is to be
 // called at the request's end if it may go on, and is nil otherwise.
-func (g *Gate) enter(ctx context.Context, r *http.Request, in *route.Inbound, deadline time.Time) (leave func(served bool), refused door.Action) {
+func (g *Gate) enter(ctx context.Context, r *http.Request, in *forwarder.Inbound, deadline time.Time) (leave func(served bool), refused admission.Action) {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		host = r.RemoteAddr
 	}
-	ask := door.Request{Tenant: int(in.Tenant), Class: int(in.Class), Client: maphash.String(g.seed, host), Work: in.Work,
+	ask := admission.Request{Tenant: int(in.Tenant), Class: int(in.Class), Client: maphash.String(g.seed, host), Work: in.Work,
 		Repeat: one(r.Header, repeatHeader) == "1"}
 	g.mu.Lock()
 	ask.Deadline = g.now() + time.Until(deadline.Add(-gateMargin)).Microseconds()
-	decided := make(chan door.Action, 1)
+	decided := make(chan admission.Action, 1)
 	ticket, out := g.door.Arrive(g.now(), ask, g.actions[:0])
 	g.waiting[ticket] = decided
 	g.tell(out)
 	g.mu.Unlock()
-	var a door.Action
+	var a admission.Action
 	select {
 	case a = <-decided:
 	case <-ctx.Done():
@@ -127,16 +127,16 @@
 		defer g.mu.Unlock()
 		select {
 		case a = <-decided: // just before
-			if a.Kind == door.Enter {
+			if a.Kind == admission.Enter {
 				g.tell(g.door.Leave(g.now(), ticket, false, g.actions[:0]))
 			}
 		default:
 			delete(g.waiting, ticket)
 			g.tell(g.door.Abandon(g.now(), ticket, g.actions[:0]))
 		}
-		return nil, door.Action{Kind: door.Refuse, Reason: door.TooLate}
+		return nil, admission.Action{Kind: admission.Refuse, Reason: admission.TooLate}
 	}
-	if a.Kind != door.Enter {
+	if a.Kind != admission.Enter {
 		return nil, a
 	}
 	return func(served bool) {
@@ -160,7 +160,7 @@
 		for k := range s.Refused {
 			n := s.Refused[k] - last.Refused[k]
 			refused += int(n)
-			args = append(args, "refused_"+strings.ReplaceAll(door.Reason(k).String(), " ", "_"), n)
+			args = append(args, "refused_"+strings.ReplaceAll(admission.Reason(k).String(), " ", "_"), n)
 		}
 		if refused > 0 || s.Waiting > 0 {
 			g.log.Info("door", append(args, "limit", int(limit), "inside", inside, "waits_in_all", waits)...)
@@ -169,7 +169,7 @@
 }
 
 // busy answers a refusal of the door's: nothing was sent, so trying again is harmless.
-func busy(w http.ResponseWriter, a door.Action) {
+func busy(w http.ResponseWriter, a admission.Action) {
 	if a.After > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.After)/1e6, 'f', 3, 64))
 	}
--- a/internal/front/gate_test.go
+++ b/internal/standalone/listener/gate_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"context"
@@ -15,15 +15,15 @@
 	"testing/synctest"
 	"time"
 
-	"pumiceline/internal/door"
+	"pumiceline/internal/standalone/admission"
 )
 
 // gated is a front behind a door that lets four in at once, before a transport that takes 100 ms.
-func gated(t *testing.T, change func(s *door.Settings)) (*Front, *Gate) {
+func gated(t *testing.T, change func(s *admission.Settings)) (*Front, *Gate) {
 	t.Helper()
-	s := door.Defaults()
-	s.Tenants = []door.Tenant{{Name: "acme", Share: 1}, {Name: "zenith", Share: 1}}
-	s.Classes = []door.Class{{Name: "quote", Worth: 1, Work: 100_000}, {Name: "issue", Worth: 5, Work: 100_000}}
+	s := admission.Defaults()
+	s.Tenants = []admission.Tenant{{Name: "acme", Share: 1}, {Name: "zenith", Share: 1}}
+	s.Classes = []admission.Class{{Name: "quote", Worth: 1, Work: 100_000}, {Name: "issue", Worth: 5, Work: 100_000}}
 	s.Least, s.Start, s.Most = 4, 4, 4
 	if change != nil {
 		change(&s)
@@ -122,7 +122,7 @@
 // front: each client that stays gets one whole answer, and the door is empty at the end.
 func TestTheGateLosesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, g := gated(t, func(s *door.Settings) { s.Waiting = 40 })
+		f, g := gated(t, func(s *admission.Settings) { s.Waiting = 40 })
 		ln, stop := start(t, f)
 		running, end := context.WithCancel(context.Background())
 		var all sync.WaitGroup
@@ -149,8 +149,8 @@
 			})
 		}
 		time.Sleep(120 * time.Millisecond)
-		less := door.Defaults()
-		less.Tenants, less.Classes = []door.Tenant{{Name: "zenith", Share: 1}, {Name: "acme", Share: 0}}, []door.Class{{Name: "quote", Worth: 1, Work: 100_000}}
+		less := admission.Defaults()
+		less.Tenants, less.Classes = []admission.Tenant{{Name: "zenith", Share: 1}, {Name: "acme", Share: 0}}, []admission.Class{{Name: "quote", Worth: 1, Work: 100_000}}
 		less.Least, less.Start, less.Most, less.Waiting = 2, 2, 2, 10
 		bad := less
 		bad.Buckets = 0
@@ -177,7 +177,7 @@
 // TestWaitingClientsAreToldInTime: one whose turn does not come is refused while it is still there.
 func TestWaitingClientsAreToldInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, g := gated(t, func(s *door.Settings) { s.Least, s.Start, s.Most = 1, 1, 1 })
+		f, g := gated(t, func(s *admission.Settings) { s.Least, s.Start, s.Most = 1, 1, 1 })
 		ln, stop := start(t, f)
 		running, end := context.WithCancel(context.Background())
 		var all sync.WaitGroup
