--- a/internal/front/leave_test.go
+++ b/internal/standalone/listener/leave_test.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"context"
@@ -13,20 +13,20 @@
 	"testing"
 	"time"
 
-	"pumiceline/decide"
-	"pumiceline/internal/destination"
-	"pumiceline/internal/door"
-	"pumiceline/internal/planner"
-	"pumiceline/internal/route"
 	"pumiceline/internal/socket"
+	"pumiceline/internal/standalone/admission"
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/forwarder"
+	"pumiceline/internal/standalone/policy"
 )
 
 // crossing is a proxy between real sockets whose module, listener and connections to the backend wait where a test says so.
 type crossing struct {
 	t       *testing.T
 	base    string
-	planner *planner.Planner
-	fleet   *destination.Fleet
+	planner *engine.Planner
+	fleet   *backend.Fleet
 	front   *Front
 	arrived chan struct{}                    // a value for each request that the module is told of
 	accept  chan struct{}                    // nil: the listener takes connections at once; else a value for each
@@ -42,25 +42,25 @@
 
 // Handle is planner.Module's. Nothing is ever called off, as where the settings allow no cancelling, and a list makes it send the
 // last request once more.
-func (c *crossing) Handle(_ decide.Time, ev *decide.Event, out []decide.Action) []decide.Action {
+func (c *crossing) Handle(_ policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
-	case decide.Arrival:
+	case policy.Arrival:
 		c.last.Store(ev.ID)
 		defer func() { c.arrived <- struct{}{} }()
 		if c.atOnce {
-			return append(out, decide.Action{Kind: decide.Send, ID: ev.ID, Server: 1})
+			return append(out, policy.Action{Kind: policy.Send, ID: ev.ID, Server: 1})
 		}
-	case decide.Outcomed:
+	case policy.Outcomed:
 		c.outcome.Store(uint32(ev.Outcome))
 		c.heard.Add(1)
-	case decide.ListFull:
-		return append(out, decide.Action{Kind: decide.Send, ID: c.last.Load(), Server: 1})
+	case policy.ListFull:
+		return append(out, policy.Action{Kind: policy.Send, ID: c.last.Load(), Server: 1})
 	}
 	return out
 }
 
 // sendOn has the module send the last request.
-func (c *crossing) sendOn() { c.planner.List(decide.ListFull, nil) }
+func (c *crossing) sendOn() { c.planner.List(policy.ListFull, nil) }
 
 // clientSide is a connection that a listener took, and how many bytes the proxy has read from it.
 type clientSide struct {
@@ -109,19 +109,19 @@
 	c := &crossing{t: t, arrived: make(chan struct{}, 16), dialing: make(chan struct{}, 16)}
 	log := slog.New(slog.DiscardHandler)
 	c.dial = func(nc net.Conn) (net.Conn, error) { return nc, nil }
-	c.planner = planner.New(c, planner.Hooks{}, log)
-	backend, err := net.Listen("tcp", "127.0.0.1:0")
+	c.planner = engine.New(c, engine.Hooks{}, log)
+	upstream, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { backend.Close() })
+	t.Cleanup(func() { upstream.Close() })
 	go func() {
-		_ = http.Serve(backend, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "42") }))
+		_ = http.Serve(upstream, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "42") }))
 	}()
-	c.fleet = destination.NewFleet(destination.Options{DialWithin: 5 * time.Second, IdleClose: time.Minute, MostSockets: 9,
+	c.fleet = backend.NewFleet(backend.Options{DialWithin: 5 * time.Second, IdleClose: time.Minute, MostSockets: 9,
 		Dial: func(_ context.Context, addr string, by time.Time) (net.Conn, error) {
 			c.dialing <- struct{}{}
-			nc, err := destination.OverTCP(context.Background(), addr, by) // as one that comes up in the moment of a cancel
+			nc, err := backend.OverTCP(context.Background(), addr, by) // as one that comes up in the moment of a cancel
 			if err != nil {
 				return nil, err
 			}
@@ -130,8 +130,8 @@
 			}
 			return &backendSide{nc, &c.written}, nil
 		}}, log)
-	c.fleet.Set(1, backend.Addr().String(), true)
-	transport := &route.Transport{Planner: c.planner, Fleet: c.fleet, Log: log}
+	c.fleet.Set(1, upstream.Addr().String(), true)
+	transport := &forwarder.Transport{Planner: c.planner, Fleet: c.fleet, Log: log}
 	opts := Options{Settings: site(), Transport: transport, Ready: func() bool { return true }, MostSockets: 9, Log: log,
 		Successor: func() bool { return true }} // it ends sooner then
 	if set != nil {
@@ -267,9 +267,9 @@
 			var gate *Gate
 			c := newCrossing(t, func(c *crossing, o *Options) {
 				c.atOnce = true
-				s := door.Defaults()
-				s.Tenants = []door.Tenant{{Name: "acme", Share: 1}, {Name: "zenith", Share: 1}}
-				s.Classes = []door.Class{{Name: "quote", Worth: 1, Work: 100_000}, {Name: "issue", Worth: 5, Work: 100_000}}
+				s := admission.Defaults()
+				s.Tenants = []admission.Tenant{{Name: "acme", Share: 1}, {Name: "zenith", Share: 1}}
+				s.Classes = []admission.Class{{Name: "quote", Worth: 1, Work: 100_000}, {Name: "issue", Worth: 5, Work: 100_000}}
 				s.Least, s.Start, s.Most = 1, 1, 1
 				var err error
 				if gate, err = NewGate(s, o.Log); err != nil {
@@ -280,7 +280,7 @@
 			running, end := context.WithCancel(t.Context())
 			defer end()
 			go gate.Run(running)
-			room, _ := gate.enter(t.Context(), &http.Request{RemoteAddr: "127.0.0.9:1"}, &route.Inbound{}, time.Now().Add(time.Hour))
+			room, _ := gate.enter(t.Context(), &http.Request{RemoteAddr: "127.0.0.9:1"}, &forwarder.Inbound{}, time.Now().Add(time.Hour))
 			client, n := c.ask("body")
 			c.until("it waits behind the door", func() bool { _, _, waiting := c.front.Kept(); return waiting == 1 })
 			leave(c, client, n)
@@ -329,7 +329,7 @@
 	c.seen()
 	c.settled()
 	// Without the leave it would be the attempt's own time that ends it.
-	if n, outcome := c.written.Load(), decide.Outcome(c.outcome.Load()); n != 100 || outcome != decide.NotSent {
+	if n, outcome := c.written.Load(), policy.Outcome(c.outcome.Load()); n != 100 || outcome != policy.NotSent {
 		t.Errorf("%d bytes written, of which 100 before the client left; outcome %d", n, outcome)
 	}
 }
--- a/internal/front/read.go
+++ b/internal/standalone/listener/read.go
@@ -1,4 +1,4 @@
-package front
+package listener
 
 import (
 	"bytes"
@@ -11,12 +11,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"pumiceline/decide"
-	"pumiceline/internal/classes"
-	"pumiceline/internal/destination"
-	"pumiceline/internal/route"
-	"pumiceline/internal/upload"
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/forwarder"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/requestbody"
+	"pumiceline/internal/standalone/requestclass"
+	"pumiceline/internal/standalone/settings"
 )
 
 // Headers of a request.
@@ -49,7 +49,7 @@
 // reader reads requests as the settings ask.
 type reader struct {
 	mu      sync.Mutex
-	book    classes.Book
+	book    requestclass.Book
 	tenants map[string]uint32
 }
 
@@ -76,10 +76,10 @@
 }
 
 // take begins a request of a class and a tenant. Where there is a fault, it has begun none.
-func (rd *reader) take(class, tenant string) (in *route.Inbound, c settings.Class, err error) {
+func (rd *reader) take(class, tenant string) (in *forwarder.Inbound, c settings.Class, err error) {
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
-	in = &route.Inbound{}
+	in = &forwarder.Inbound{}
 	known := true
 	if len(rd.tenants) > 0 {
 		in.Tenant, known = rd.tenants[tenant]
@@ -95,7 +95,7 @@
 }
 
 // leave ends a request that read returned.
-func (rd *reader) leave(in *route.Inbound) {
+func (rd *reader) leave(in *forwarder.Inbound) {
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
 	rd.book.Leave(in.Class)
@@ -104,13 +104,13 @@
 // read reads a request's headers and then its body, as far as it can be kept, and returns the client's deadline. The time left
 // counts from the request's last byte: of a body that is still to come, from there. coded and both say how the body is
 // delimited. Without an error, leave is owed.
-func (rd *reader) read(w http.ResponseWriter, r *http.Request, taken time.Time, coded, both bool) (in *route.Inbound,
+func (rd *reader) read(w http.ResponseWriter, r *http.Request, taken time.Time, coded, both bool) (in *forwarder.Inbound,
 	deadline time.Time, err error) {
 	in, left, err := rd.head(r.Method, r.Header)
 	if err != nil {
 		return nil, deadline, err
 	}
-	defer func(begun *route.Inbound) {
+	defer func(begun *forwarder.Inbound) {
 		if err != nil {
 			rd.leave(begun)
 		}
@@ -122,18 +122,18 @@
 	if coded && len(r.TransferEncoding) == 0 { // net/http reads no such body in HTTP/1.0
 		return nil, deadline, bad("Transfer-Encoding has no meaning here")
 	}
-	if r.ContentLength > destination.MostLong {
-		return nil, deadline, &badRequest{http.StatusRequestEntityTooLarge, destination.ErrTooLong.Error()}
+	if r.ContentLength > backend.MostLong {
+		return nil, deadline, &badRequest{http.StatusRequestEntityTooLarge, backend.ErrTooLong.Error()}
 	}
 	if r.ContentLength == 0 {
 		return in, deadline, nil
 	}
-	body := &paced{body: http.MaxBytesReader(w, r.Body, destination.MostLong), conn: http.NewResponseController(w)}
+	body := &paced{body: http.MaxBytesReader(w, r.Body, backend.MostLong), conn: http.NewResponseController(w)}
 	var text bytes.Buffer
 	if r.ContentLength > 0 {
 		text.Grow(int(min(r.ContentLength, trustedLength)) + bytes.MinRead)
 	}
-	most := int64(destination.MostBody)
+	most := int64(backend.MostBody)
 	if r.ContentLength < 0 {
 		most++ // a body of MostBody ends only with the byte after
 	}
@@ -142,7 +142,7 @@
 	}
 	in.Body = text.Bytes()
 	if r.ContentLength > most || r.ContentLength < 0 && int64(text.Len()) == most {
-		in.Rest = upload.New(body, r.ContentLength, left)
+		in.Rest = requestbody.New(body, r.ContentLength, left)
 		return in, time.Now().Add(left), nil
 	}
 	if r.ContentLength > 0 { // ReadFrom stopped short of the body's own end
@@ -162,8 +162,8 @@
 // trustedLength is how much memory a body gets for what it says of its length alone.
 const trustedLength = 16 << 10
 
-func (rd *reader) head(method string, h http.Header) (*route.Inbound, time.Duration, error) {
-	fail := func(format string, args ...any) (*route.Inbound, time.Duration, error) {
+func (rd *reader) head(method string, h http.Header) (*forwarder.Inbound, time.Duration, error) {
+	fail := func(format string, args ...any) (*forwarder.Inbound, time.Duration, error) {
 		return nil, 0, bad(format, args...)
 	}
 	if one(h, idHeader) == "" {
@@ -173,13 +173,13 @@
 	if err != nil {
 		return fail("%s is no time in whole milliseconds", timeLeftHeader)
 	}
-	var work decide.Time
+	var work policy.Time
 	if len(h[hintHeader]) > 0 {
 		hint, err := strconv.ParseUint(one(h, hintHeader), 10, 64)
 		if err != nil || hint > mostHint {
 			return fail("%s is no work in microseconds", hintHeader)
 		}
-		work = decide.Time(hint)
+		work = policy.Time(hint)
 	}
 	in, c, err := rd.take(one(h, classHeader), one(h, tenantHeader))
 	if err != nil {
--- a/internal/front/stop.go
+++ b/internal/standalone/listener/stop.go
@@ -1,9 +1,9 @@
-package front
+package listener
 
 import (
 	"time"
 
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/settings"
 )
 
 // What PROTOCOL promises of a planned restart: SIGKILL comes no sooner than the longest deadline, counted as
--- a/internal/probing/probing.go
+++ b/internal/standalone/loadpolling/probing.go
@@ -1,5 +1,5 @@
-// Package probing says when a server is asked for its load, where load reports come no other way. It is pure.
-package probing
+// Package loadpolling says when a server is asked for its load, where load reports come no other way. It is pure.
+package loadpolling
 
 // A probe costs its server work, and the deployment a little for each. Servers renew their figures two or three times in a
 // second, and what they say is smoothed over seconds, so that a report a second is as good as more.
--- a/internal/probing/probing_test.go
+++ b/internal/standalone/loadpolling/probing_test.go
@@ -1,4 +1,4 @@
-package probing
+package loadpolling
 
 import (
 	"math/rand/v2"
--- a/internal/suspension/suspension.go
+++ b/internal/standalone/maintenance/suspension.go
@@ -1,6 +1,6 @@
-// Package suspension decides which hosts are kept from work because operators took them out by hand. Its set stands between
+// Package maintenance decides which hosts are kept from work because operators took them out by hand. Its set stands between
 // the pool config and those that act on it. It has no I/O, clock or lock: its owner serialises the calls and tells the time.
-package suspension
+package maintenance
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 	"maps"
 	"slices"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 // Most bounds the names that are remembered: of hosts that were listed once, and of those that are taken out. A ban outlives its
@@ -34,11 +34,11 @@
 type host struct {
 	seen   uint64 // when it was listed last
 	banned bool
-	back   decide.Time // when it was resumed, in Unix microseconds; 0: never, or it has been started since
+	back   policy.Time // when it was resumed, in Unix microseconds; 0: never, or it has been started since
 }
 
 // Listed tells that a host is in the list, with its start as listed.
-func (s *Set) Listed(name string, upSince decide.Time) {
+func (s *Set) Listed(name string, upSince policy.Time) {
 	h := s.names[name]
 	if h == nil {
 		if s.names == nil {
@@ -86,7 +86,7 @@
 }
 
 // Resume brings a host back, as one that has just started. Of a host that is not taken out nothing changes.
-func (s *Set) Resume(name string, now decide.Time) error {
+func (s *Set) Resume(name string, now policy.Time) error {
 	h := s.names[name]
 	if h == nil {
 		return ErrUnknown
@@ -107,13 +107,13 @@
 }
 
 // Member is what a host that is listed as m is to be taken for.
-func (s *Set) Member(name string, m decide.Member) decide.Member {
+func (s *Set) Member(name string, m policy.Member) policy.Member {
 	h := s.names[name]
-	if h == nil || m.Mode == decide.ModeGone {
+	if h == nil || m.Mode == policy.ModeGone {
 		return m
 	}
-	if h.banned && m.Mode == decide.ModeReady {
-		m.Mode = decide.ModeDraining
+	if h.banned && m.Mode == policy.ModeReady {
+		m.Mode = policy.ModeDraining
 	}
 	m.UpSince = max(m.UpSince, h.back)
 	return m
@@ -123,12 +123,12 @@
 type kept struct {
 	Version int                    `json:"version"`
 	Banned  []string               `json:"banned"`
-	Back    map[string]decide.Time `json:"back"`
+	Back    map[string]policy.Time `json:"back"`
 }
 
 // Text is what is to be kept of the set.
 func (s *Set) Text() []byte {
-	k := kept{Version: version, Banned: []string{}, Back: map[string]decide.Time{}}
+	k := kept{Version: version, Banned: []string{}, Back: map[string]policy.Time{}}
 	for _, name := range slices.Sorted(maps.Keys(s.names)) {
 		if h := s.names[name]; h.banned {
 			k.Banned = append(k.Banned, name)
--- a/internal/suspension/suspension_test.go
+++ b/internal/standalone/maintenance/suspension_test.go
@@ -1,17 +1,17 @@
-package suspension
+package maintenance
 
 import (
 	"errors"
 	"fmt"
 	"testing"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
-const ready, draining = decide.ModeReady, decide.ModeDraining
+const ready, draining = policy.ModeReady, policy.ModeDraining
 
-func mode(s *Set, name string, listed decide.Mode) decide.Mode {
-	return s.Member(name, decide.Member{Mode: listed}).Mode
+func mode(s *Set, name string, listed policy.Mode) policy.Mode {
+	return s.Member(name, policy.Member{Mode: listed}).Mode
 }
 
 // A ban holds whatever the list says until one resume, however often it was said; then the host counts as started at the resume,
@@ -28,19 +28,19 @@
 		}
 	}
 	s.Listed("a", 5000) // restarted meanwhile
-	if mode(&s, "a", ready) != draining || mode(&s, "a", draining) != draining || mode(&s, "a", decide.ModeGone) != decide.ModeGone {
+	if mode(&s, "a", ready) != draining || mode(&s, "a", draining) != draining || mode(&s, "a", policy.ModeGone) != policy.ModeGone {
 		t.Error("the ban does not hold")
 	}
 	if err := s.Resume("a", 9000); err != nil || mode(&s, "a", ready) != ready {
 		t.Errorf("resumed: %v", err)
 	}
-	for listed, want := range map[decide.Time]decide.Time{100: 9000, 5000: 9000, 9500: 9500} {
-		if got := s.Member("a", decide.Member{Mode: ready, UpSince: listed}).UpSince; got != want {
+	for listed, want := range map[policy.Time]policy.Time{100: 9000, 5000: 9000, 9500: 9500} {
+		if got := s.Member("a", policy.Member{Mode: ready, UpSince: listed}).UpSince; got != want {
 			t.Errorf("listed as started at %d: %d", listed, got)
 		}
 	}
 	s.Listed("a", 9500)
-	if err := s.Resume("a", 12000); err != nil || s.Member("a", decide.Member{Mode: ready, UpSince: 9500}).UpSince != 9500 {
+	if err := s.Resume("a", 12000); err != nil || s.Member("a", policy.Member{Mode: ready, UpSince: 9500}).UpSince != 9500 {
 		t.Error("a resume of a host that is in use made it cold")
 	}
 }
@@ -59,7 +59,7 @@
 	if err := b.Adopt(a.Text()); err != nil {
 		t.Fatal(err)
 	}
-	if mode(&b, "x", ready) != draining || mode(&b, "z", ready) != ready || b.Member("y", decide.Member{Mode: ready}).UpSince != 77 {
+	if mode(&b, "x", ready) != draining || mode(&b, "z", ready) != ready || b.Member("y", policy.Member{Mode: ready}).UpSince != 77 {
 		t.Errorf("%s was taken up as %s", a.Text(), b.Text())
 	}
 	before := string(b.Text())
--- a/decide/api.go
+++ b/internal/standalone/policy/api.go
@@ -1,4 +1,4 @@
-// Package decide makes the decisions of one HTTP load balancer in a bank of them: which server gets a
+// Package policy makes the decisions of one HTTP load balancer in a bank of them: which server gets a
 // request, when to try again, when to refuse, and when to ask discovery for its list.
 //
 // A Balancer is a state machine. Create one with New, then call Handle with each event in the order it
@@ -7,7 +7,7 @@
 // origin, never going back. Timers are actions too (SetTimer), answered by TimerFired events.
 //
 // A Balancer is not safe for concurrent use. Balancers share nothing; run as many as you like.
-package decide
+package policy
 
 import (
 	"fmt"
--- a/decide/crowd_test.go
+++ b/internal/standalone/policy/crowd_test.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 import "testing"
 
--- a/decide/decide.go
+++ b/internal/standalone/policy/decide.go
@@ -1,4 +1,4 @@
-package decide
+package policy
 
 // Types, events and actions are in api.go. Here are dispatch and a request's life; weights.go has the A58
 // weights, A100's ramp and the cold budget, schedule.go the turns, health.go list, evidence and admission.
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"slices"
 
-	"pumiceline/internal/affinity"
-	"pumiceline/internal/calm"
+	"pumiceline/internal/standalone/affinity"
+	"pumiceline/internal/standalone/latencybaseline"
 	"pumiceline/internal/turns"
 )
 
@@ -55,13 +55,13 @@
 
 	started, refreshed Time
 	heldTimer          bool
-	arrivals           float64     // since the last refresh
-	arrivalRate        float64     // requests a second, smoothed
-	meanWork           float64     // of the requests that tell theirs
-	retries            float64     // tokens of the retry budget
-	shares             []float64   // tokens of each tenant's share
-	usual              float64     // time of a served attempt, median
-	calm               []calm.Time // by class: what answers take where nothing queues
+	arrivals           float64                // since the last refresh
+	arrivalRate        float64                // requests a second, smoothed
+	meanWork           float64                // of the requests that tell theirs
+	retries            float64                // tokens of the retry budget
+	shares             []float64              // tokens of each tenant's share
+	usual              float64                // time of a served attempt, median
+	calm               []latencybaseline.Time // by class: what answers take where nothing queues
 	disc               discovery
 }
 
@@ -115,7 +115,7 @@
 	}
 	shares := make([]float64, len(set.Tenants))
 	copy(shares, b.shares)
-	calms := make([]calm.Time, len(set.Classes))
+	calms := make([]latencybaseline.Time, len(set.Classes))
 	copy(calms, b.calm)
 	b.set, b.shares, b.calm = set, shares, calms
 	return nil
--- a/decide/health.go
+++ b/internal/standalone/policy/health.go
@@ -1,11 +1,11 @@
-package decide
+package policy
 
 import (
 	"math"
 
-	"pumiceline/internal/admission"
-	"pumiceline/internal/affinity"
-	"pumiceline/internal/calm"
+	"pumiceline/internal/standalone/affinity"
+	"pumiceline/internal/standalone/concurrency"
+	"pumiceline/internal/standalone/latencybaseline"
 )
 
 // discovery is the state of this balancer's subscription, where the list must be asked for.
@@ -236,7 +236,7 @@
 	if !givenUp || ratio > s.pace {
 		s.pace += (min(ratio, 10) - s.pace) / 2
 	}
-	b.usual = calm.Follow(b.usual, b.usual*ratio, 0.5, 0.06)
+	b.usual = latencybaseline.Follow(b.usual, b.usual*ratio, 0.5, 0.06)
 	return ratio
 }
 
@@ -334,13 +334,13 @@
 	}
 	b.signs += (sign - b.signs) * signGain
 	if sign > 0 {
-		b.window = admission.Narrow(b.window)
+		b.window = concurrency.Narrow(b.window)
 	} else if float64(b.inflight)+1 > 0.8*b.window {
-		b.window = admission.Widen(b.window, b.signs < signsFew)
+		b.window = concurrency.Widen(b.window, b.signs < signsFew)
 	}
 }
 
 // room says whether the window has room for another attempt.
 func (b *Balancer) room() bool {
-	return admission.Open(b.window, b.inflight, float64(b.now-b.lastEnd), b.usual)
+	return concurrency.Open(b.window, b.inflight, float64(b.now-b.lastEnd), b.usual)
 }
--- a/decide/learnt.go
+++ b/internal/standalone/policy/learnt.go
@@ -1,10 +1,10 @@
-package decide
+package policy
 
 import (
 	"math"
 
-	"pumiceline/internal/admission"
-	"pumiceline/internal/calm"
+	"pumiceline/internal/standalone/concurrency"
+	"pumiceline/internal/standalone/latencybaseline"
 )
 
 // Learnt is what a balancer has found out, for one that takes its place. It decides nothing. Times are on the clock of `now`, which
@@ -107,7 +107,7 @@
 		return false
 	}
 	b.arrivalRate, b.meanWork, b.usual, b.remote = l.ArrivalRate, l.MeanWork, l.Usual, l.Remote
-	b.window, b.warmTill = max(admission.Least, l.Window), b.now+warmFor
+	b.window, b.warmTill = max(concurrency.Least, l.Window), b.now+warmFor
 	b.mean = kindMean{size: l.Mean.Size, mean: l.Mean.Mean}
 	for _, k := range l.Kinds {
 		b.kinds[b.kindOf(k.Kind)] = kindMean{kind: k.Kind, qps: k.QPS, util: k.Util, size: k.Size, mean: k.Mean}
@@ -117,7 +117,7 @@
 	}
 	if len(l.Calm) == len(b.calm) {
 		for i, least := range l.Calm {
-			b.calm[i] = calm.Known(least)
+			b.calm[i] = latencybaseline.Known(least)
 		}
 	}
 	for _, t := range l.Servers {
--- a/decide/weights.go
+++ b/internal/standalone/policy/weights.go
@@ -1,10 +1,10 @@
-package decide
+package policy
 
 import (
 	"math"
 
-	"pumiceline/internal/admission"
-	"pumiceline/internal/probing"
+	"pumiceline/internal/standalone/concurrency"
+	"pumiceline/internal/standalone/loadpolling"
 	"pumiceline/internal/turns"
 	"pumiceline/internal/weight"
 )
@@ -36,7 +36,7 @@
 	qps, util, eps, mass float64
 	last                 [3]float64
 	lastReport           Time
-	probe                probing.Turn
+	probe                loadpolling.Turn
 	nonEmptySince        Time // 0: no valid report yet, or they expired
 	readySince           Time
 	cold                 bool
@@ -218,9 +218,9 @@
 	b.means()
 	b.roam(dt)
 	if b.now >= b.warmTill {
-		b.window = admission.Keep(b.window, b.inflight, len(b.order), b.set.GroupSize)
+		b.window = concurrency.Keep(b.window, b.inflight, len(b.order), b.set.GroupSize)
 	}
-	every := probing.Every(len(b.order), b.set.GroupSize, b.arrivalRate)
+	every := loadpolling.Every(len(b.order), b.set.GroupSize, b.arrivalRate)
 	for _, s := range b.order {
 		if b.set.probes() && s.Waits() && s.probe.Due(b.now, every, b.rng.Float64()) {
 			b.do(Action{Kind: Probe, Server: s.id})
--- a/internal/upload/upload.go
+++ b/internal/standalone/requestbody/upload.go
@@ -1,6 +1,6 @@
-// Package upload carries the body of a request that is too long to be kept: it is read once, while it is sent on, and tells
+// Package requestbody carries the body of a request that is too long to be kept: it is read once, while it is sent on, and tells
 // when its last byte has come, from which the client's time counts.
-package upload
+package requestbody
 
 import (
 	"errors"
--- a/internal/classes/classes.go
+++ b/internal/standalone/requestclass/classes.go
@@ -1,12 +1,12 @@
-// Package classes numbers the classes of requests, through changes of the settings. The decision module and the door know a
+// Package requestclass numbers the classes of requests, through changes of the settings. The decision module and the door know a
 // class by its number, so a number must mean the same class for as long as a request of it is under way. It has no I/O,
 // clock or lock: its owner serialises the calls.
-package classes
+package requestclass
 
 import (
 	"fmt"
 
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/settings"
 )
 
 // Most is how many numbers there are.
--- a/internal/classes/classes_test.go
+++ b/internal/standalone/requestclass/classes_test.go
@@ -1,11 +1,11 @@
-package classes
+package requestclass
 
 import (
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/settings"
 )
 
 func named(names ...string) (list []settings.Class) {
--- a/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"math"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 // Settings is the settings object as it is written: its names, and times in microseconds. Unknown keys are
@@ -65,73 +65,73 @@
 }
 
 // Micros turns a time as written into the module's unit, within what the module can add up.
-func Micros(v float64) decide.Time { return decide.Time(math.Max(-1, math.Min(v, 1e15))) }
+func Micros(v float64) policy.Time { return policy.Time(math.Max(-1, math.Min(v, 1e15))) }
 
 // Module reads the JSON text of the settings straight into the module's form.
-func Module(text []byte) (decide.Settings, error) {
+func Module(text []byte) (policy.Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(text, &s); err != nil {
-		return decide.Settings{}, fmt.Errorf("settings: %w", err)
+		return policy.Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	return s.Module()
 }
 
 // Module returns the settings in the module's form. Package decide judges whether it can act on the result.
-func (t *Settings) Module() (decide.Settings, error) {
-	s := decide.Settings{
+func (t *Settings) Module() (policy.Settings, error) {
+	s := policy.Settings{
 		AskDiscovery: t.RegistryMode == "subscribe", SizesTold: t.Weights != "silent" && t.Weights != "",
 		WorthByWork: t.WorthBy == "work", WarmKeys: t.FamilyInfo.WarmKeys, OverShareWorth: t.OverShareWorth,
 		GroupSize: t.GroupSize, Ordinal: t.Ordinal, Zone: t.Locality, Zones: len(t.Zones),
 		Round: Micros(t.Round),
-		Rules: decide.Rules{AnswerSlack: Micros(t.Rules.AnswerSlack), AskWithin: Micros(t.Rules.AskWithin),
+		Rules: policy.Rules{AnswerSlack: Micros(t.Rules.AnswerSlack), AskWithin: Micros(t.Rules.AskWithin),
 			Cold: Micros(t.Rules.Cold), ColdShare: t.Rules.ColdShare,
 			TipMultiple: t.Rules.TipMultiple, TipAfter: Micros(t.Rules.TipAfter)},
-		Limits: decide.Limits{Attempts: t.Limits.TryLimit, MostHeld: t.Limits.MostHeld,
+		Limits: policy.Limits{Attempts: t.Limits.TryLimit, MostHeld: t.Limits.MostHeld,
 			Cancel: t.Limits.Cancelling, Probe: t.Limits.MayProbe, SecondCopies: t.Limits.MayDuplicate,
 			IdleClose: Micros(t.Limits.IdleClose), MaxRetryAfter: Micros(t.Limits.MaxRetryAfter)},
-		Prices: decide.Prices{CrossZone: t.Prices.CrossZone},
+		Prices: policy.Prices{CrossZone: t.Prices.CrossZone},
 	}
 	switch t.LoadInfo.How {
 	case "piggyback":
-		s.ReportVia = decide.ReportsInAnswers
+		s.ReportVia = policy.ReportsInAnswers
 	case "pull":
-		s.ReportVia = decide.ReportsByProbe
+		s.ReportVia = policy.ReportsByProbe
 	}
 	for _, c := range t.LoadInfo.Columns {
-		col := decide.ColOther
+		col := policy.ColOther
 		switch c {
 		case "rps":
-			col = decide.ColQPS
+			col = policy.ColQPS
 		case "cpu":
-			col = decide.ColUtil
+			col = policy.ColUtil
 		case "err_rps":
-			col = decide.ColEPS
+			col = policy.ColEPS
 		}
 		s.Columns = append(s.Columns, col)
 	}
 	for _, p := range t.Projects {
-		s.Tenants = append(s.Tenants, decide.Tenant{QuotaPerS: p.QuotaPerS})
+		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerS: p.QuotaPerS})
 	}
 	for i, c := range t.Classes {
-		k := decide.Class{Window: Micros(c.Window), Aim: Micros(c.OnTime), Deadline: Micros(c.HardLimit),
+		k := policy.Class{Window: Micros(c.Window), Aim: Micros(c.OnTime), Deadline: Micros(c.HardLimit),
 			Worth: c.Worth}
 		switch c.Semantics {
 		case "pure":
-			k.Semantics = decide.Safe
+			k.Semantics = policy.Safe
 		case "token":
-			k.Semantics = decide.Keyed
+			k.Semantics = policy.Keyed
 		case "side_effect":
-			k.Semantics = decide.Unsafe
+			k.Semantics = policy.Unsafe
 		default:
 			return s, fmt.Errorf("settings: class %d has unknown semantics %q", i, c.Semantics)
 		}
 		switch c.Group {
 		case "all", "":
-			k.Group = decide.GroupAll
+			k.Group = policy.GroupAll
 		case "zone":
-			k.Group = decide.GroupZone
+			k.Group = policy.GroupZone
 		case "cell":
-			k.Group = decide.GroupCell
+			k.Group = policy.GroupCell
 		default:
 			return s, fmt.Errorf("settings: class %d has unknown group %q", i, c.Group)
 		}
--- a/settings/settings_test.go
+++ b/internal/standalone/settings/settings_test.go
@@ -3,7 +3,7 @@
 import (
 	"testing"
 
-	"pumiceline/decide"
+	"pumiceline/internal/standalone/policy"
 )
 
 func TestSettings(t *testing.T) {
@@ -15,9 +15,9 @@
 		t.Fatal(err)
 	}
 	c := s.Classes[0]
-	if c.Semantics != decide.Keyed || c.Group != decide.GroupCell || c.Window != 2e6 || c.Aim != 5e5 ||
-		s.ReportVia != decide.ReportsByProbe || !s.AskDiscovery || !s.SizesTold || !s.WarmKeys || s.Zones != 2 || s.Zone != 1 ||
-		s.Tenants[0].QuotaPerS != 12.5 || s.Columns[1] != decide.ColOther || s.Columns[2] != decide.ColQPS {
+	if c.Semantics != policy.Keyed || c.Group != policy.GroupCell || c.Window != 2e6 || c.Aim != 5e5 ||
+		s.ReportVia != policy.ReportsByProbe || !s.AskDiscovery || !s.SizesTold || !s.WarmKeys || s.Zones != 2 || s.Zone != 1 ||
+		s.Tenants[0].QuotaPerS != 12.5 || s.Columns[1] != policy.ColOther || s.Columns[2] != policy.ColQPS {
 		t.Errorf("settings read as %+v", s)
 	}
 	if s, err = Module([]byte(`{}`)); err != nil || s.AskDiscovery || s.SizesTold || s.WarmKeys {
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"pumiceline/internal/pool"
+	"pumiceline/internal/standalone/discovery"
 )
 
 // heartbeat is how often a watch says that nothing has changed.
@@ -19,13 +19,13 @@
 // Roster is discovery. Create it with NewRoster; it is an http.Handler and safe for concurrent use.
 type Roster struct {
 	mu      sync.Mutex
-	hosts   []pool.Entry // the present list, in the order of coming
-	changes []pool.Entry // change i made version i+1
+	hosts   []discovery.Entry // the present list, in the order of coming
+	changes []discovery.Entry // change i made version i+1
 	changed chan struct{}
 }
 
 // NewRoster returns a roster that lists the given hosts.
-func NewRoster(hosts ...pool.Entry) *Roster {
+func NewRoster(hosts ...discovery.Entry) *Roster {
 	r := &Roster{changed: make(chan struct{})}
 	for _, h := range hosts {
 		r.Put(h)
@@ -34,7 +34,7 @@
 }
 
 // Put lists a host, or changes what is listed of it. A host whose health is DELETED leaves the list.
-func (r *Roster) Put(h pool.Entry) {
+func (r *Roster) Put(h discovery.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := -1
@@ -59,9 +59,9 @@
 }
 
 type list struct {
-	Seq   int          `json:"seq"`
-	Whole bool         `json:"whole"`
-	Hosts []pool.Entry `json:"hosts"`
+	Seq   int               `json:"seq"`
+	Whole bool              `json:"whole"`
+	Hosts []discovery.Entry `json:"hosts"`
 }
 
 // since is what changed after a version, or the whole list where the version is none of ours, and a channel that closes
@@ -71,9 +71,9 @@
 	defer r.mu.Unlock()
 	l := list{Seq: len(r.changes)}
 	if version <= 0 || version > len(r.changes) {
-		l.Whole, l.Hosts = true, append([]pool.Entry{}, r.hosts...)
+		l.Whole, l.Hosts = true, append([]discovery.Entry{}, r.hosts...)
 	} else {
-		l.Hosts = append([]pool.Entry{}, r.changes[version:]...)
+		l.Hosts = append([]discovery.Entry{}, r.changes[version:]...)
 	}
 	return l, r.changed
 }
--- a/internal/standin/standin_test.go
+++ b/internal/standin/standin_test.go
@@ -14,13 +14,13 @@
 	"testing"
 	"time"
 
-	"pumiceline/internal/config"
 	"pumiceline/internal/ownership"
-	"pumiceline/internal/pool"
+	"pumiceline/internal/standalone/config"
+	"pumiceline/internal/standalone/discovery"
 )
 
-func entry(host, health string) pool.Entry {
-	return pool.Entry{Host: host, Dial: "127.0.0.1:9", Site: "a", Class: "k", Health: health, Share: 1}
+func entry(host, health string) discovery.Entry {
+	return discovery.Entry{Host: host, Dial: "127.0.0.1:9", Site: "a", Class: "k", Health: health, Share: 1}
 }
 
 // TestRosterWatch follows a watch: the whole list, then each change once and in order, also those that come between two
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -9,26 +9,26 @@
 	"net/http"
 	"time"
 
-	"pumiceline/internal/pool"
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/discovery"
+	"pumiceline/internal/standalone/settings"
 )
 
 // World is a roster and a few destinations on loopback listeners.
 type World struct {
 	Roster       *Roster
 	Destinations []*Destination
-	Entries      []pool.Entry // as the roster listed them first, in the destinations' order
+	Entries      []discovery.Entry // as the roster listed them first, in the destinations' order
 
-	discovery net.Listener
-	listeners []net.Listener
+	discoveryListener net.Listener
+	listeners         []net.Listener
 }
 
-// NewWorld makes a world whose roster listens at discovery and whose destinations listen at the others, in turn in the sites.
-func NewWorld(discovery net.Listener, destinations []net.Listener, sites []string, work func()) *World {
-	w := &World{Roster: NewRoster(), discovery: discovery, listeners: destinations}
+// NewWorld makes a world whose roster listens at discoveryListener and whose destinations listen at the others, in turn in the sites.
+func NewWorld(discoveryListener net.Listener, destinations []net.Listener, sites []string, work func()) *World {
+	w := &World{Roster: NewRoster(), discoveryListener: discoveryListener, listeners: destinations}
 	for i, ln := range destinations {
 		name := fmt.Sprintf("toy-%d", i+1)
-		e := pool.Entry{Host: name, Dial: ln.Addr().String(), Site: sites[i%len(sites)], Class: "std-8", Block: 1, Health: "SERVING", Share: 1}
+		e := discovery.Entry{Host: name, Dial: ln.Addr().String(), Site: sites[i%len(sites)], Class: "std-8", Block: 1, Health: "SERVING", Share: 1}
 		w.Roster.Put(e)
 		w.Entries = append(w.Entries, e)
 		w.Destinations = append(w.Destinations, &Destination{Name: name, Cores: 8, Work: work})
@@ -47,7 +47,7 @@
 	for i, d := range w.Destinations {
 		run(w.listeners[i], d)
 	}
-	run(w.discovery, w.Roster)
+	run(w.discoveryListener, w.Roster)
 	select {
 	case err := <-ended:
 		if errors.Is(err, http.ErrServerClosed) {
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"math"
 
-	"pumiceline/decide"
-	"pumiceline/settings"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/settings"
 )
 
 // Sizes of the frame headers, and the largest body a reader should accept.
@@ -52,7 +52,7 @@
 )
 
 // Header reads a batch header: the size of what follows, the record count and the clock.
-func Header(h []byte) (size, count uint32, now decide.Time, err error) {
+func Header(h []byte) (size, count uint32, now policy.Time, err error) {
 	size, count = binary.BigEndian.Uint32(h), binary.BigEndian.Uint32(h[4:])
 	clock := binary.BigEndian.Uint64(h[8:])
 	switch {
@@ -63,7 +63,7 @@
 	case uint64(count)*4 > uint64(size): // no record is shorter than code and instance
 		err = fmt.Errorf("batch header: %d records cannot fit in %d bytes", count, size)
 	}
-	return size, count, decide.Time(clock), err
+	return size, count, policy.Time(clock), err
 }
 
 // Kind tells what a decoded record asks of the host.
@@ -81,14 +81,14 @@
 	Kind     Kind
 	Instance uint16
 	Seed     uint64
-	Settings decide.Settings
-	Event    decide.Event
+	Settings policy.Settings
+	Event    policy.Event
 }
 
 // Decoder decodes records. It keeps the catalogs of the process and reuses its buffers: a Record is valid
 // until the next call.
 type Decoder struct {
-	pages  [maxPages][]decide.Member
+	pages  [maxPages][]policy.Member
 	known  [maxPages]bool
 	report [255]float32
 	body   []byte
@@ -152,13 +152,13 @@
 	return d.report[:n]
 }
 
-func (d *Decoder) outcome() decide.Outcome {
+func (d *Decoder) outcome() policy.Outcome {
 	rc := d.u16()
-	if rc > uint16(decide.NotSent) {
+	if rc > uint16(policy.NotSent) {
 		d.bad = true
 		return 0
 	}
-	return decide.Outcome(rc)
+	return policy.Outcome(rc)
 }
 
 // Next decodes the next record into r.
@@ -179,7 +179,7 @@
 }
 
 func (d *Decoder) record(code uint16, r *Record) (string, error) {
-	r.Event = decide.Event{}
+	r.Event = policy.Event{}
 	ev := &r.Event
 	if code == evCatalog {
 		r.Kind = None
@@ -204,13 +204,13 @@
 		d.u64() // the list's version
 		switch kind {
 		case 0:
-			ev.Kind = decide.ListDelta
+			ev.Kind = policy.ListDelta
 		case 2:
-			ev.Kind = decide.ListCached
+			ev.Kind = policy.ListCached
 		case 3:
-			ev.Kind = decide.ListFull
+			ev.Kind = policy.ListFull
 		case 4:
-			ev.Kind = decide.ListFailed
+			ev.Kind = policy.ListFailed
 			return "DirectoryUpdate", nil
 		default:
 			return "DirectoryUpdate", fmt.Errorf("unknown kind %d", kind)
@@ -221,32 +221,32 @@
 		ev.Members = d.pages[page]
 		return "DirectoryUpdate", nil
 	case evJobIn:
-		ev.Kind = decide.Arrival
-		ev.ID, ev.Patience = d.u64(), decide.Time(d.u32())
+		ev.Kind = policy.Arrival
+		ev.ID, ev.Patience = d.u64(), policy.Time(d.u32())
 		ev.Class, ev.Tenant, ev.Key = d.u8(), d.u32(), d.u64()
 		work, options := d.u32(), d.u8()
 		if options&1 != 0 {
-			ev.Work = decide.Time(work)
+			ev.Work = policy.Time(work)
 		}
 		return "JobIn", nil
 	case evBegun:
-		ev.Kind = decide.Begun
-		ev.ID, ev.Elapsed, ev.Server, ev.Attempt = d.u64(), decide.Time(d.u32()), d.u32(), d.u8()
+		ev.Kind = policy.Begun
+		ev.ID, ev.Elapsed, ev.Server, ev.Attempt = d.u64(), policy.Time(d.u32()), d.u32(), d.u8()
 		return "Begun", nil
 	case evFinished:
-		ev.Kind = decide.Outcomed
+		ev.Kind = policy.Outcomed
 		ev.ID, ev.Attempt, ev.Server, ev.Outcome = d.u64(), d.u8(), d.u32(), d.outcome()
-		ev.Elapsed, ev.Final, ev.Report = decide.Time(d.u32()), d.u8() != 0, d.usage()
+		ev.Elapsed, ev.Final, ev.Report = policy.Time(d.u32()), d.u8() != 0, d.usage()
 		return "Finished", nil
 	case evExpired:
-		ev.Kind, ev.ID = decide.Departed, d.u64()
+		ev.Kind, ev.ID = policy.Departed, d.u64()
 		return "Expired", nil
 	case evDue:
-		ev.Kind, ev.ID = decide.TimerFired, d.u64()
+		ev.Kind, ev.ID = policy.TimerFired, d.u64()
 		return "Due", nil
 	case evChecked:
-		ev.Kind, ev.Server, ev.Outcome = decide.Probed, d.u32(), d.outcome()
-		ev.Elapsed, ev.Report = decide.Time(d.u32()), d.usage()
+		ev.Kind, ev.Server, ev.Outcome = policy.Probed, d.u32(), d.outcome()
+		ev.Elapsed, ev.Report = policy.Time(d.u32()), d.usage()
 		return "Checked", nil
 	case evFromPeer:
 		r.Kind = None
@@ -273,18 +273,18 @@
 	}
 	list := d.pages[page][:0]
 	for i := uint32(0); i < n; i++ {
-		m := decide.Member{Server: d.u32(), Zone: d.u8(), Kind: d.u16(), Cell: d.u16()}
+		m := policy.Member{Server: d.u32(), Zone: d.u8(), Kind: d.u16(), Cell: d.u16()}
 		mode := d.u8()
-		if mode > uint8(decide.ModeDraining) {
+		if mode > uint8(policy.ModeDraining) {
 			return fmt.Errorf("entry %d has unknown mode %d", i, mode)
 		}
-		m.Mode = decide.Mode(mode)
+		m.Mode = policy.Mode(mode)
 		m.Size = float64(math.Float32frombits(d.u32()))
 		up := d.u64()
 		if up > math.MaxInt64 {
 			return fmt.Errorf("entry %d has start time %d, which does not fit", i, up)
 		}
-		m.UpSince = decide.Time(up)
+		m.UpSince = policy.Time(up)
 		list = append(list, m)
 	}
 	d.pages[page], d.known[page] = list, true
@@ -292,35 +292,35 @@
 }
 
 // AppendAction appends one action of an instance to a reply's body and returns it.
-func AppendAction(b []byte, instance uint16, a *decide.Action) []byte {
+func AppendAction(b []byte, instance uint16, a *policy.Action) []byte {
 	be := binary.BigEndian
 	head := func(code uint16) { b = be.AppendUint16(be.AppendUint16(b, code), instance) }
 	switch a.Kind {
-	case decide.Send:
+	case policy.Send:
 		head(acTransmit)
 		b = be.AppendUint32(be.AppendUint32(be.AppendUint64(b, a.ID), a.Server), span(a.After))
-	case decide.Refuse:
+	case policy.Refuse:
 		head(acReject)
 		b = be.AppendUint32(be.AppendUint64(b, a.ID), span(a.After))
-	case decide.Fail:
+	case policy.Fail:
 		head(acError)
 		b = be.AppendUint64(b, a.ID)
-	case decide.Cancel:
+	case policy.Cancel:
 		head(acRecall)
 		b = append(be.AppendUint64(b, a.ID), a.Attempt)
-	case decide.SetTimer:
+	case policy.SetTimer:
 		head(acNotifyMe)
 		b = be.AppendUint64(be.AppendUint32(b, span(a.After)), a.ID)
-	case decide.Probe:
+	case policy.Probe:
 		head(acAskLoad)
 		b = be.AppendUint32(b, a.Server)
-	case decide.CloseUnused:
+	case policy.CloseUnused:
 		head(acDropConns)
 		b = be.AppendUint32(b, a.Server)
-	case decide.Subscribe:
+	case policy.Subscribe:
 		head(acObserve)
 		b = append(b, 1)
-	case decide.LogLine:
+	case policy.LogLine:
 		text := a.Text
 		if len(text) > math.MaxUint16 {
 			text = text[:math.MaxUint16]
@@ -332,6 +332,6 @@
 }
 
 // span is a duration as the wire holds it.
-func span(t decide.Time) uint32 {
+func span(t policy.Time) uint32 {
 	return uint32(max(0, min(t, math.MaxUint32)))
 }
