--- a/cmd/pumiceline/guild.go
+++ b/cmd/pumiceline/guild.go
@@ -7,7 +7,7 @@
 	"strings"
 	"time"
 
-	"pumiceline/internal/stage/guild"
+	"pumiceline/internal/faulttest/clustertest"
 )
 
 type stageOwnersCmd struct {
@@ -27,7 +27,7 @@
 	if err != nil {
 		return fmt.Errorf("stage: %w", err)
 	}
-	v, err := guild.Play(program, &guild.Options{Seed: c.Seed, Members: c.Members, Instances: c.Instances, Works: c.Works, Lease: c.Lease, Length: c.Length,
+	v, err := clustertest.Play(program, &clustertest.Options{Seed: c.Seed, Members: c.Members, Instances: c.Instances, Works: c.Works, Lease: c.Lease, Length: c.Length,
 		Unfenced: c.Unfenced})
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 	if err != nil {
 		return fmt.Errorf("stage: %w", err)
 	}
-	v, err := guild.PlayRoster(program, &guild.RosterOptions{Members: c.Members, Instances: c.Instances, Lease: c.Lease, Calm: c.Calm, Proxies: c.Proxies})
+	v, err := clustertest.PlayRoster(program, &clustertest.RosterOptions{Members: c.Members, Instances: c.Instances, Lease: c.Lease, Calm: c.Calm, Proxies: c.Proxies})
 	if err != nil {
 		return err
 	}
--- a/cmd/pumiceline/main_test.go
+++ b/cmd/pumiceline/main_test.go
@@ -16,8 +16,8 @@
 	"testing"
 	"time"
 
+	"pumiceline/internal/fake/fakestandalone"
 	"pumiceline/internal/standalone/config"
-	"pumiceline/internal/standin"
 )
 
 const exampleConfig = "../../example/config.json"
@@ -56,7 +56,7 @@
 	working, goOn := make(chan struct{}, 9), make(chan struct{})
 	toys, endToys := context.WithCancel(context.Background())
 	defer endToys()
-	go standin.NewWorld(discovery, []net.Listener{listen(t, others), listen(t, others)}, []string{"ub-east"}, func() {
+	go fakestandalone.NewWorld(discovery, []net.Listener{listen(t, others), listen(t, others)}, []string{"ub-east"}, func() {
 		working <- struct{}{}
 		<-goOn
 	}).Serve(toys)
--- a/cmd/pumiceline/owner.go
+++ b/cmd/pumiceline/owner.go
@@ -20,11 +20,11 @@
 	"text/tabwriter"
 	"time"
 
-	"pumiceline/internal/owner"
-	"pumiceline/internal/quorum"
+	"pumiceline/internal/fake/fakestandalone"
+	"pumiceline/internal/singleton/leaseclient"
+	"pumiceline/internal/singleton/raftmember"
 	"pumiceline/internal/standalone/deployfile"
 	"pumiceline/internal/standalone/discoverycache"
-	"pumiceline/internal/standin"
 )
 
 // ownerCmd is the fleet's work: who agrees on it, who does it, and what operators may ask.
@@ -69,7 +69,7 @@
 	stop, cancel := untilTold()
 	defer cancel()
 	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is an error with its place, and no crash
-	member, err := quorum.Open(quorum.Options{Fleet: fleet.Name, ID: c.ID, Members: fleet.Members, Dir: c.Dir, Settings: fleet.Settings, Log: log})
+	member, err := raftmember.Open(raftmember.Options{Fleet: fleet.Name, ID: c.ID, Members: fleet.Members, Dir: c.Dir, Settings: fleet.Settings, Log: log})
 	if err != nil {
 		return err
 	}
@@ -101,8 +101,8 @@
 	}
 	stop, cancel := untilTold()
 	defer cancel()
-	opts := owner.Options{Fleet: fleet.Name, Name: c.Name, Life: rand.Uint64(), Zone: c.Zone, Build: c.Build, Settings: fleet.Settings, Log: log, Rate: c.ClockRate,
-		Members: fleet.Members, Works: map[string]owner.Step{}}
+	opts := leaseclient.Options{Fleet: fleet.Name, Name: c.Name, Life: rand.Uint64(), Zone: c.Zone, Build: c.Build, Settings: fleet.Settings, Log: log, Rate: c.ClockRate,
+		Members: fleet.Members, Works: map[string]leaseclient.Step{}}
 	told := io.Discard
 	if c.History != "" {
 		file, err := os.OpenFile(c.History, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
@@ -113,19 +113,19 @@
 		told = file
 	}
 	for work, receiver := range fleet.Receivers {
-		opts.Works[work] = owner.Sender(receiver, c.Name, told)
+		opts.Works[work] = leaseclient.Sender(receiver, c.Name, told)
 	}
 	var here *discoverycache.Mirror // its work's step says whether discovery is heard here
 	if fleet.Roster != "" && c.Mirror != "" {
 		opts.Addr = c.Mirror
-		opts.Works[fleet.Roster] = func(context.Context, owner.Act) error {
+		opts.Works[fleet.Roster] = func(context.Context, leaseclient.Act) error {
 			if !here.Direct() {
 				return errors.New("owner: discovery is not heard here")
 			}
 			return nil
 		}
 	}
-	agent, err := owner.New(opts)
+	agent, err := leaseclient.New(opts)
 	if err != nil {
 		return err
 	}
@@ -166,7 +166,7 @@
 	if err != nil {
 		return err
 	}
-	s := quorum.Ask(time.Now().Add(time.Second), fleet.Members)
+	s := raftmember.Ask(time.Now().Add(time.Second), fleet.Members)
 	if c.JSON {
 		text, err := json.MarshalIndent(s, "", " ")
 		if err != nil {
@@ -217,7 +217,7 @@
 	if err != nil {
 		return err
 	}
-	return quorum.Tell(time.Now().Add(2*time.Second), fleet.Name, fleet.Members, "/v1/works/"+url.PathEscape(c.Work)+"/free")
+	return raftmember.Tell(time.Now().Add(2*time.Second), fleet.Name, fleet.Members, "/v1/works/"+url.PathEscape(c.Work)+"/free")
 }
 
 type ownerMoveCmd struct {
@@ -232,7 +232,7 @@
 	if err != nil {
 		return err
 	}
-	return quorum.Tell(time.Now().Add(2*time.Second), fleet.Name, fleet.Members, "/v1/works/"+url.PathEscape(c.Work)+"/want?who="+url.QueryEscape(c.To))
+	return raftmember.Tell(time.Now().Add(2*time.Second), fleet.Name, fleet.Members, "/v1/works/"+url.PathEscape(c.Work)+"/want?who="+url.QueryEscape(c.To))
 }
 
 type ownerReceiveCmd struct {
@@ -243,7 +243,7 @@
 
 // Run records effects until told to stop.
 func (c *ownerReceiveCmd) Run() error {
-	r, err := standin.NewRecorder(c.File)
+	r, err := fakestandalone.NewRecorder(c.File)
 	if err != nil {
 		return err
 	}
--- a/cmd/pumiceline/process_test.go
+++ b/cmd/pumiceline/process_test.go
@@ -20,8 +20,8 @@
 	"testing"
 	"time"
 
-	"pumiceline/internal/stage"
-	"pumiceline/internal/standin"
+	"pumiceline/internal/fake/fakestandalone"
+	"pumiceline/internal/faulttest"
 )
 
 // TestMain lets the test's own binary be the program: a process that is killed has to be a real one.
@@ -42,7 +42,7 @@
 	file      string // the configuration
 	shared    string
 	memoryMB  int
-	world     *standin.World
+	world     *fakestandalone.World
 	tune      func(settings map[string]any) // nil: they stay
 }
 
@@ -66,7 +66,7 @@
 	t.Cleanup(end)
 	s := &scene{t: t, base: lent.Addr().String(), discovery: discovery.Addr().String(), shared: t.TempDir(), memoryMB: memoryMB,
 		file: filepath.Join(t.TempDir(), "config.json"),
-		world: standin.NewWorld(discovery, []net.Listener{open(), open(), open()}, []string{"ub-east"},
+		world: fakestandalone.NewWorld(discovery, []net.Listener{open(), open(), open()}, []string{"ub-east"},
 			func() { time.Sleep(2 * time.Millisecond) })}
 	go s.world.Serve(ctx)
 	var err error
@@ -81,7 +81,7 @@
 
 // write writes the configuration, with further classes like the first.
 func (s *scene) write(further ...string) {
-	text, err := standin.Config(s.base, s.discovery, []string{"ub-east"})
+	text, err := fakestandalone.Config(s.base, s.discovery, []string{"ub-east"})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -253,7 +253,7 @@
 // frozen for a second and a half serves on when it is thawed, and fails at most what was with it.
 func TestProxyIsCutOffAndFrozen(t *testing.T) {
 	s := newScene(t, 64)
-	faults := stage.New()
+	faults := faulttest.New()
 	defer faults.Close()
 	roster, err := faults.Relay("roster", s.discovery)
 	if err != nil {
@@ -269,7 +269,7 @@
 			failed.Add(1)
 		}
 	})
-	roster.Set(stage.Down, stage.Fault{Hold: true})
+	roster.Set(faulttest.Down, faulttest.Fault{Hold: true})
 	drained, before := s.world.Destinations[0], served.Load()
 	entry := s.world.Entries[0]
 	entry.Health = "DRAINING"
--- a/cmd/pumiceline/soak_test.go
+++ b/cmd/pumiceline/soak_test.go
@@ -18,9 +18,9 @@
 	"testing/synctest"
 	"time"
 
+	"pumiceline/internal/fake/fakestandalone"
 	"pumiceline/internal/standalone/config"
 	"pumiceline/internal/standalone/discovery"
-	"pumiceline/internal/standin"
 )
 
 // An hour in which hosts, classes, clients and watches come and go, on a fake clock: whatever is held by id, host, address or class
@@ -28,7 +28,7 @@
 func TestSoakHoldsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hour, breath = time.Hour, 20 * time.Second // breath: what is under way or idle has gone by then
-		mem := &standin.Memory{}
+		mem := &fakestandalone.Memory{}
 		world, endWorld := context.WithCancel(t.Context())
 		defer endWorld()
 		host := func(h http.Handler, addr string) context.CancelFunc {
@@ -42,14 +42,14 @@
 			context.AfterFunc(ctx, func() { server.Close() })
 			return end
 		}
-		roster := standin.NewRoster()
+		roster := fakestandalone.NewRoster()
 		host(roster, "10.0.0.1:8500")
 		rng := rand.New(rand.NewPCG(1, 2))
 		ends := map[string]context.CancelFunc{}
 		start := func(n int) discovery.Entry {
 			e := discovery.Entry{Host: fmt.Sprintf("s-%d", n), Dial: fmt.Sprintf("10.1.%d.%d:7070", n/250, n%250+1), Site: "ub-east", Class: "std-8",
 				Block: 1, Health: "SERVING", Share: 1, BornMs: float64(time.Now().UnixMilli())}
-			d := &standin.Destination{Name: e.Host, Cores: 8, Work: func() { time.Sleep(20 * time.Millisecond) }}
+			d := &fakestandalone.Destination{Name: e.Host, Cores: 8, Work: func() { time.Sleep(20 * time.Millisecond) }}
 			d.Fail(0.02)
 			ends[e.Host] = host(d, e.Dial)
 			roster.Put(e)
@@ -60,7 +60,7 @@
 			listed = append(listed, start(n))
 		}
 
-		text, err := standin.Config("10.0.0.2:7070", "10.0.0.1:8500", []string{"ub-east"})
+		text, err := fakestandalone.Config("10.0.0.2:7070", "10.0.0.1:8500", []string{"ub-east"})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -79,7 +79,7 @@
 			next := *now
 			class := next.Settings.Classes[0]
 			class.Name = fmt.Sprintf("season-%d", turn.Add(1))
-			next.Settings.Classes = append(slices.Clone(cfg.Settings.Classes[:len(standin.Classes)]), class)
+			next.Settings.Classes = append(slices.Clone(cfg.Settings.Classes[:len(fakestandalone.Classes)]), class)
 			var err error
 			next.Module, err = config.Module(&next.Settings)
 			return &next, err
@@ -101,10 +101,10 @@
 				ctx, cancel = context.WithTimeout(t.Context(), 10*time.Millisecond)
 			}
 			defer cancel()
-			class, method, body := standin.Classes[0], "GET", ""
+			class, method, body := fakestandalone.Classes[0], "GET", ""
 			switch {
 			case n%50 == 1: // too long to be kept
-				class, method, body = standin.Classes[2], "POST", strings.Repeat("x", 100_000)
+				class, method, body = fakestandalone.Classes[2], "POST", strings.Repeat("x", 100_000)
 			case n%50 == 2:
 				class.Name = fmt.Sprintf("season-%d", turn.Load())
 			}
--- a/cmd/pumiceline/stage.go
+++ b/cmd/pumiceline/stage.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"pumiceline/internal/stage"
-	"pumiceline/internal/standin"
+	"pumiceline/internal/fake/fakestandalone"
+	"pumiceline/internal/faulttest"
 )
 
 type stageCmd struct {
@@ -30,11 +30,11 @@
 
 // verdict is what a play came to.
 type verdict struct {
-	Seed    uint64       `json:"seed"`
-	Proxies []tallied    `json:"proxies"`
-	After   tallied      `json:"after"`  // of all, from a second after the last fault's end
-	Faults  []string     `json:"faults"` // what a proxy did that none may
-	History []stage.Note `json:"history"`
+	Seed    uint64           `json:"seed"`
+	Proxies []tallied        `json:"proxies"`
+	After   tallied          `json:"after"`  // of all, from a second after the last fault's end
+	Faults  []string         `json:"faults"` // what a proxy did that none may
+	History []faulttest.Note `json:"history"`
 }
 
 // tallied is what clients of one proxy got.
@@ -45,27 +45,27 @@
 	Failed  int `json:"failed"`
 }
 
-func (t *tallied) add(c *standin.Clients) {
+func (t *tallied) add(c *fakestandalone.Clients) {
 	n := c.Take()
 	t.Asked, t.Served, t.Refused, t.Failed = t.Asked+n.Asked, t.Served+n.Served, t.Refused+n.Refused, t.Failed+n.Failed
 }
 
 // theatre is what a play needs: the stage, stand-ins, and by proxy its process and its way to the roster.
 type theatre struct {
-	*stage.Stage
+	*faulttest.Stage
 	dir, program string
-	world        *standin.World
-	ways         []*stage.Relay // to destinations
-	rosters      []*stage.Relay // by proxy
+	world        *fakestandalone.World
+	ways         []*faulttest.Relay // to destinations
+	rosters      []*faulttest.Relay // by proxy
 	fronts       []string
 
 	mu        sync.Mutex
-	processes []*stage.Process
+	processes []*faulttest.Process
 }
 
 // Run plays a script and shows what clients got. It fails if a proxy ended by itself or in disorder.
 func (c *stageRunCmd) Run(out output) error {
-	script, err := stage.ReadScript(c.File)
+	script, err := faulttest.ReadScript(c.File)
 	if err != nil {
 		return err
 	}
@@ -80,17 +80,17 @@
 		return err
 	}
 	steps, v := script.Steps(c.Seed), verdict{Seed: c.Seed, Proxies: make([]tallied, script.Proxies)}
-	var clients []*standin.Clients
+	var clients []*fakestandalone.Clients
 	var running sync.WaitGroup
 	begun := time.Now()
 	load, endLoad := context.WithDeadline(ctx, begun.Add(time.Duration(script.Length)*time.Microsecond))
 	defer endLoad()
 	for _, front := range t.fronts {
-		k := &standin.Clients{Base: "http://" + front, Rate: script.Rate / float64(script.Proxies), Classes: standin.Classes, Tenants: standin.Tenants}
+		k := &fakestandalone.Clients{Base: "http://" + front, Rate: script.Rate / float64(script.Proxies), Classes: fakestandalone.Classes, Tenants: fakestandalone.Tenants}
 		clients = append(clients, k)
 		running.Go(func() { k.Run(load) })
 	}
-	stage.Play(steps, begun, ctx.Done(), t.do)
+	faulttest.Play(steps, begun, ctx.Done(), t.do)
 	select { // what the last fault left under way
 	case <-time.After(time.Second):
 	case <-load.Done():
@@ -138,8 +138,8 @@
 }
 
 // open sets the stage for a script: stand-ins behind relays, and proxies that are ready.
-func open(ctx context.Context, script *stage.Script) (*theatre, error) {
-	t := &theatre{Stage: stage.New(), processes: make([]*stage.Process, script.Proxies)}
+func open(ctx context.Context, script *faulttest.Script) (*theatre, error) {
+	t := &theatre{Stage: faulttest.New(), processes: make([]*faulttest.Process, script.Proxies)}
 	var err error
 	if t.program, err = os.Executable(); err != nil {
 		return t, fmt.Errorf("stage: %w", err)
@@ -156,7 +156,7 @@
 		listeners = append(listeners, ln)
 	}
 	sites := []string{"east", "west"}
-	t.world = standin.NewWorld(listeners[0], listeners[1:], sites, standin.Sleep(20*time.Millisecond))
+	t.world = fakestandalone.NewWorld(listeners[0], listeners[1:], sites, fakestandalone.Sleep(20*time.Millisecond))
 	go t.world.Serve(ctx) // its end is the play's
 	for i, e := range t.world.Entries {
 		way, err := t.Relay(fmt.Sprint("destination ", i), e.Dial)
@@ -197,7 +197,7 @@
 
 // configure writes the configuration of a proxy.
 func (t *theatre) configure(i, of int, sites []string) error {
-	text, err := standin.ConfigOf(t.fronts[i], t.rosters[i].Addr(), sites, i, of)
+	text, err := fakestandalone.ConfigOf(t.fronts[i], t.rosters[i].Addr(), sites, i, of)
 	if err == nil {
 		err = os.WriteFile(t.file(i), text, 0o600)
 	}
@@ -224,7 +224,7 @@
 }
 
 // do carries out a step and returns what ends it.
-func (t *theatre) do(s stage.Step) (undo func()) {
+func (t *theatre) do(s faulttest.Step) (undo func()) {
 	t.Say("script", "%v", &s)
 	if s.Who == "proxy" {
 		t.mu.Lock()
@@ -252,19 +252,19 @@
 	if s.Who == "roster" {
 		way = t.rosters
 	}
-	r, fault := way[s.N], stage.Fault{Hold: true}
+	r, fault := way[s.N], faulttest.Fault{Hold: true}
 	if s.Do == "break" {
 		r.Break()
 		return func() {}
 	}
 	if s.Do == "delay" {
-		fault = stage.Fault{Delay: time.Duration(s.Delay) * time.Microsecond}
+		fault = faulttest.Fault{Delay: time.Duration(s.Delay) * time.Microsecond}
 	}
 	if s.Do != "cut down" {
-		r.Set(stage.Up, fault)
+		r.Set(faulttest.Up, fault)
 	}
 	if s.Do != "cut up" {
-		r.Set(stage.Down, fault)
+		r.Set(faulttest.Down, fault)
 	}
 	return r.Heal
 }
--- a/cmd/pumiceline/try.go
+++ b/cmd/pumiceline/try.go
@@ -15,8 +15,8 @@
 
 	"golang.org/x/term"
 
+	"pumiceline/internal/fake/fakestandalone"
 	"pumiceline/internal/standalone/config"
-	"pumiceline/internal/standin"
 )
 
 type tryCmd struct {
@@ -46,7 +46,7 @@
 	operators := listeners[c.Nodes+2].Addr().String()
 	listeners[0].Close() // the proxy listens there next
 	listeners[c.Nodes+2].Close()
-	text, err := standin.Config(front, listeners[1].Addr().String(), sites)
+	text, err := fakestandalone.Config(front, listeners[1].Addr().String(), sites)
 	if err != nil {
 		return fmt.Errorf("try: %w", err)
 	}
@@ -57,7 +57,7 @@
 	cfg.Operator = operators
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	world := standin.NewWorld(listeners[1], listeners[2:c.Nodes+2], sites, standin.Sleep(40*time.Millisecond))
+	world := fakestandalone.NewWorld(listeners[1], listeners[2:c.Nodes+2], sites, fakestandalone.Sleep(40*time.Millisecond))
 	worldCtx, endWorld := context.WithCancel(context.Background())
 	defer endWorld()
 	var running sync.WaitGroup
@@ -82,7 +82,7 @@
 	if err := ready(ctx, "http://"+front, failed); err != nil {
 		return err
 	}
-	clients := &standin.Clients{Base: "http://" + front, Rate: c.Rate, Classes: standin.Classes, Tenants: standin.Tenants}
+	clients := &fakestandalone.Clients{Base: "http://" + front, Rate: c.Rate, Classes: fakestandalone.Classes, Tenants: fakestandalone.Tenants}
 	loadCtx, endLoad := context.WithDeadline(ctx, time.Now().Add(c.For))
 	loadDone := make(chan struct{})
 	running.Go(func() { defer close(loadDone); clients.Run(loadCtx) })
@@ -112,13 +112,13 @@
 }
 
 // follow shows a table each second: drawn over on a terminal, a line a second elsewhere.
-func (c *tryCmd) follow(ctx context.Context, out io.Writer, world *standin.World, clients *standin.Clients, failed <-chan error) error {
+func (c *tryCmd) follow(ctx context.Context, out io.Writer, world *fakestandalone.World, clients *fakestandalone.Clients, failed <-chan error) error {
 	f, _ := out.(output).Writer.(*os.File)
 	screen := f != nil && term.IsTerminal(int(f.Fd()))
 	begin, before := time.Now(), make([]int64, len(world.Destinations))
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	var total standin.Tally
+	var total fakestandalone.Tally
 	phase, state := 0, "all serve"
 	for lines := 0; ; {
 		select {
--- a/cmd/pumiceline/upgrade_test.go
+++ b/cmd/pumiceline/upgrade_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"pumiceline/internal/fake/fakestandalone"
 	"pumiceline/internal/standalone/config"
-	"pumiceline/internal/standin"
 )
 
 // A new version takes over on one lent socket under load: no request is turned back or lost, a host taken out at the old process is
@@ -28,7 +28,7 @@
 	defer file.Close()
 	world, endWorld := context.WithCancel(context.Background())
 	defer endWorld()
-	w := standin.NewWorld(discovery, []net.Listener{listen(t, "127.0.0.1"), listen(t, "127.0.0.1"), listen(t, "127.0.0.1")},
+	w := fakestandalone.NewWorld(discovery, []net.Listener{listen(t, "127.0.0.1"), listen(t, "127.0.0.1"), listen(t, "127.0.0.1")},
 		[]string{"ub-east"}, func() { time.Sleep(2 * time.Millisecond) })
 	go w.Serve(world)
 	shared := t.TempDir()
--- a/example/main.go
+++ b/example/main.go
@@ -9,7 +9,7 @@
 	"os/signal"
 	"time"
 
-	"pumiceline/internal/standin"
+	"pumiceline/internal/fake/fakestandalone"
 )
 
 func main() {
@@ -35,5 +35,5 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	fmt.Println("stand-in discovery at 127.0.0.1:8500, destinations at 127.0.0.1:9001 to 9003; interrupt to end")
-	return standin.NewWorld(discovery, destinations, []string{"ub-east"}, standin.Sleep(50*time.Millisecond)).Serve(ctx)
+	return fakestandalone.NewWorld(discovery, destinations, []string{"ub-east"}, fakestandalone.Sleep(50*time.Millisecond)).Serve(ctx)
 }
--- a/internal/standin/destination.go
+++ b/internal/fake/fakestandalone/destination.go
@@ -1,4 +1,4 @@
-package standin
+package fakestandalone
 
 import (
 	"fmt"
--- a/internal/standin/recorder.go
+++ b/internal/fake/fakestandalone/recorder.go
@@ -1,4 +1,4 @@
-package standin
+package fakestandalone
 
 import (
 	"bufio"
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"pumiceline/internal/ownership"
+	"pumiceline/internal/singleton"
 )
 
 // Recorder stands for an outside system that takes effects with their tokens: POST /effects with an ownership.Effect, 409 for one that
@@ -22,14 +22,14 @@
 
 	mu      sync.Mutex
 	file    *os.File
-	fence   ownership.Fence
+	fence   singleton.Fence
 	taken   []Taken
 	refused []string
 }
 
 // Taken is an effect that counts, in the order in which they did.
 type Taken struct {
-	ownership.Effect
+	singleton.Effect
 	From string    `json:"from"` // who sent it
 	At   time.Time `json:"at"`
 }
@@ -86,7 +86,7 @@
 
 // ServeHTTP implements http.Handler.
 func (r *Recorder) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	var e ownership.Effect
+	var e singleton.Effect
 	if req.Method != http.MethodPost || json.NewDecoder(http.MaxBytesReader(w, req.Body, 4<<10)).Decode(&e) != nil || e.Work == "" {
 		http.Error(w, "no effect", http.StatusBadRequest)
 		return
@@ -95,7 +95,7 @@
 	defer r.mu.Unlock()
 	if err := r.fence.Admit(e); err != nil && !r.Unfenced {
 		r.refused = append(r.refused, err.Error())
-		var older *ownership.Older
+		var older *singleton.Older
 		if errors.As(err, &older) {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
--- a/internal/standin/roster.go
+++ b/internal/fake/fakestandalone/roster.go
@@ -1,6 +1,6 @@
-// Package standin holds stand-ins on sockets for what surrounds the proxy: the roster, destinations and clients. They
+// Package fakestandalone holds stand-ins on sockets for what surrounds the proxy: the roster, destinations and clients. They
 // follow the published protocol and are for trying the proxy and for tests, on loopback addresses.
-package standin
+package fakestandalone
 
 import (
 	"encoding/json"
--- a/internal/stage/guild/guild.go
+++ b/internal/faulttest/clustertest/guild.go
@@ -1,6 +1,6 @@
-// Package guild plays owners of work with real processes: members of a quorum, instances and a recorder, with a relay on each way between two of
+// Package clustertest plays owners of work with real processes: members of a quorum, instances and a recorder, with a relay on each way between two of
 // them, faults drawn from a seed, and a checker of what counted.
-package guild
+package clustertest
 
 import (
 	"bytes"
@@ -21,37 +21,37 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"pumiceline/internal/owner"
-	"pumiceline/internal/ownership"
-	"pumiceline/internal/quorum"
-	"pumiceline/internal/stage"
-	"pumiceline/internal/standin"
+	"pumiceline/internal/fake/fakestandalone"
+	"pumiceline/internal/faulttest"
+	"pumiceline/internal/singleton"
+	"pumiceline/internal/singleton/leaseclient"
+	"pumiceline/internal/singleton/raftmember"
 )
 
 // guild is members, instances and a recorder on a stage: every process real, and a relay on each way between two of them.
 type guild struct {
-	*stage.Stage
+	*faulttest.Stage
 	dir, program string
 	lease        time.Duration
 	works        []string
 	real         []string // the members' own addresses
-	ways         map[string]*stage.Relay
-	processes    map[string]*stage.Process
+	ways         map[string]*faulttest.Relay
+	processes    map[string]*faulttest.Process
 	rates        map[string]float64 // of instances' clocks; absent: 1
-	recorder     *standin.Recorder
+	recorder     *fakestandalone.Recorder
 	server       *http.Server
 	receiver     string
 }
 
 // set sets the stage. Nothing runs yet but the recorder. program is the built program.
 func set(program string, members int, lease time.Duration, works []string, unfenced bool) (*guild, error) {
-	g := &guild{Stage: stage.New(), program: program, lease: lease, works: works, ways: map[string]*stage.Relay{},
-		processes: map[string]*stage.Process{}, rates: map[string]float64{}}
+	g := &guild{Stage: faulttest.New(), program: program, lease: lease, works: works, ways: map[string]*faulttest.Relay{},
+		processes: map[string]*faulttest.Process{}, rates: map[string]float64{}}
 	var err error
 	if g.dir, err = os.MkdirTemp("", "guild"); err != nil {
 		return g, fmt.Errorf("stage: %w", err)
 	}
-	if g.recorder, err = standin.NewRecorder(filepath.Join(g.dir, "effects")); err != nil {
+	if g.recorder, err = fakestandalone.NewRecorder(filepath.Join(g.dir, "effects")); err != nil {
 		return g, err
 	}
 	g.recorder.Unfenced = unfenced
@@ -94,7 +94,7 @@
 func instance(i int) string { return fmt.Sprint("instance ", i+1) }
 
 // way is the relay from a party to another, made at first use.
-func (g *guild) way(from, to string) (*stage.Relay, error) {
+func (g *guild) way(from, to string) (*faulttest.Relay, error) {
 	name := from + " to " + to
 	if r := g.ways[name]; r != nil {
 		return r, nil
@@ -200,7 +200,7 @@
 		for _, work := range g.works {
 			call := time.Now().UnixNano()
 			last := g.last(work).Effect
-			seen = append(seen, porcupine.Operation{Input: ownership.Effect{Work: work}, Call: call, Output: last, Return: time.Now().UnixNano()})
+			seen = append(seen, porcupine.Operation{Input: singleton.Effect{Work: work}, Call: call, Output: last, Return: time.Now().UnixNano()})
 		}
 	}
 }
@@ -217,9 +217,9 @@
 		if err != nil {
 			return false, fmt.Errorf("stage: %w", err)
 		}
-		open := map[ownership.Effect]int{}
+		open := map[singleton.Effect]int{}
 		for line := range bytes.Lines(text) {
-			var e owner.Told
+			var e leaseclient.Told
 			if json.Unmarshal(line, &e) != nil {
 				break // killed in the middle of it
 			}
@@ -235,14 +235,14 @@
 		Partition: func(all []porcupine.Operation) (out [][]porcupine.Operation) {
 			by := map[string][]porcupine.Operation{}
 			for _, o := range all {
-				work := o.Input.(ownership.Effect).Work
+				work := o.Input.(singleton.Effect).Work
 				by[work] = append(by[work], o)
 			}
 			return slices.Collect(maps.Values(by))
 		},
-		Init: func() any { return ownership.Effect{} },
+		Init: func() any { return singleton.Effect{} },
 		Step: func(state, input, output any) (bool, any) {
-			known, e := state.(ownership.Effect), input.(ownership.Effect)
+			known, e := state.(singleton.Effect), input.(singleton.Effect)
 			if e.Token == 0 {
 				return output == known, known
 			}
@@ -266,7 +266,7 @@
 }
 
 // status is what an operator sees.
-func (g *guild) status() (s quorum.Fleet, text string, err error) {
+func (g *guild) status() (s raftmember.Fleet, text string, err error) {
 	out, err := g.command("owner", "status", "--json", "--fleet", g.path("operator")).Output()
 	if json.Unmarshal(out, &s) != nil && err == nil {
 		err = fmt.Errorf("stage: status: %s", out)
@@ -286,7 +286,7 @@
 }
 
 // last is the latest effect that counted of a work.
-func (g *guild) last(work string) (last standin.Taken) {
+func (g *guild) last(work string) (last fakestandalone.Taken) {
 	for _, t := range g.recorder.Taken() {
 		if t.Work == work {
 			last = t
@@ -318,7 +318,7 @@
 	Gaps      map[string]float64 `json:"longest_gap_s"` // by work, between two effects that counted
 	AgainS    float64            `json:"owned_again_s"` // all works, after the last fault's end
 	Why       []string           `json:"why,omitempty"`
-	History   []stage.Note       `json:"history,omitempty"`
+	History   []faulttest.Note   `json:"history,omitempty"`
 }
 
 // Longest is the longest time, in seconds, for which no effect of a work counted.
@@ -392,7 +392,7 @@
 	}
 	v.AgainS = time.Since(calm).Seconds()
 	taken := g.recorder.Taken()
-	latest := map[string]standin.Taken{}
+	latest := map[string]fakestandalone.Taken{}
 	for _, t := range taken {
 		if was, there := latest[t.Work]; there {
 			v.Gaps[t.Work] = max(v.Gaps[t.Work], t.At.Sub(was.At).Seconds())
@@ -403,7 +403,7 @@
 		latest[t.Work] = t
 	}
 	v.Taken, v.Refused = len(taken), len(g.recorder.Refused())
-	if v.Harms, v.First = standin.Interleaved(taken); v.Harms > 0 {
+	if v.Harms, v.First = fakestandalone.Interleaved(taken); v.Harms > 0 {
 		v.Why = append(v.Why, v.First)
 	}
 	endLook()
@@ -422,9 +422,9 @@
 	work := g.works[draw.IntN(len(g.works))]
 	victim := g.last(work).From // who owns something is the one worth hitting
 	m := draw.IntN(c.Members)
-	hold := func(direction stage.Direction, ways ...*stage.Relay) func() {
+	hold := func(direction faulttest.Direction, ways ...*faulttest.Relay) func() {
 		for _, r := range ways {
-			r.Set(direction, stage.Fault{Hold: true})
+			r.Set(direction, faulttest.Fault{Hold: true})
 		}
 		return func() {
 			for _, r := range ways {
@@ -432,7 +432,7 @@
 			}
 		}
 	}
-	between := func(from, to func(name string) bool) (found []*stage.Relay) {
+	between := func(from, to func(name string) bool) (found []*faulttest.Relay) {
 		for name, r := range g.ways {
 			a, b, _ := strings.Cut(name, " to ")
 			if from(a) && to(b) {
@@ -447,7 +447,7 @@
 	case 0, 1: // the owner is frozen, in 1 with an effect that arrives later
 		release := func() {}
 		if kind == 1 {
-			release = hold(stage.Up, between(is(victim), is("recorder"))...)
+			release = hold(faulttest.Up, between(is(victim), is("recorder"))...)
 			time.Sleep(c.Lease / 5)
 		}
 		if err := g.processes[victim].Freeze(); err != nil {
@@ -460,9 +460,9 @@
 			}
 		}
 	case 2: // the quorum does not hear the owner, or the reverse; what was sent arrives later
-		return hold(stage.Direction(draw.IntN(2)), between(is(victim), members)...)
+		return hold(faulttest.Direction(draw.IntN(2)), between(is(victim), members)...)
 	case 3: // the owner's effects stand still while it beats
-		return hold(stage.Up, between(is(victim), is("recorder"))...)
+		return hold(faulttest.Up, between(is(victim), is("recorder"))...)
 	case 4:
 		g.processes[victim].Kill()
 		return func() {
@@ -502,9 +502,9 @@
 			}
 		}
 	default: // a member is cut off from the others, one way or both
-		release := hold(stage.Up, between(is(member(m)), members)...)
+		release := hold(faulttest.Up, between(is(member(m)), members)...)
 		if draw.IntN(2) == 0 {
-			other := hold(stage.Up, between(members, is(member(m)))...)
+			other := hold(faulttest.Up, between(members, is(member(m)))...)
 			return func() { release(); other() }
 		}
 		return release
--- a/internal/stage/guild/guild_test.go
+++ b/internal/faulttest/clustertest/guild_test.go
@@ -1,4 +1,4 @@
-package guild
+package clustertest
 
 import (
 	"fmt"
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"pumiceline/internal/stage"
-	"pumiceline/internal/standin"
+	"pumiceline/internal/fake/fakestandalone"
+	"pumiceline/internal/faulttest"
 )
 
 // program is the program as it is now, built for these tests: a process that is frozen or killed has to be a real one.
@@ -76,21 +76,21 @@
 		old := g.last("export").From
 		way := g.ways[old+" to recorder"]
 		// Its answers are held first, so that an effect has passed and is sent for all that its sender knows: that one is not on the way.
-		way.Set(stage.Down, stage.Fault{Hold: true})
-		soon(t, g, "an effect has passed", func() bool { return way.Held(stage.Down) > 0 })
-		way.Set(stage.Up, stage.Fault{Hold: true})
-		way.Set(stage.Down, stage.Fault{})
-		soon(t, g, "an effect is on the way", func() bool { return way.Held(stage.Up) > 0 })
+		way.Set(faulttest.Down, faulttest.Fault{Hold: true})
+		soon(t, g, "an effect has passed", func() bool { return way.Held(faulttest.Down) > 0 })
+		way.Set(faulttest.Up, faulttest.Fault{Hold: true})
+		way.Set(faulttest.Down, faulttest.Fault{})
+		soon(t, g, "an effect is on the way", func() bool { return way.Held(faulttest.Up) > 0 })
 		g.processes[old].Freeze()
 		another(t, g, old)
 		way.Heal() // it comes while its sender is still frozen
 		soon(t, g, "the late effect comes", func() bool {
-			harms, _ := standin.Interleaved(g.recorder.Taken())
+			harms, _ := fakestandalone.Interleaved(g.recorder.Taken())
 			return len(g.recorder.Refused())+harms > 0
 		})
 		g.processes[old].Thaw()
 		time.Sleep(time.Second)
-		harms, first := standin.Interleaved(g.recorder.Taken())
+		harms, first := fakestandalone.Interleaved(g.recorder.Taken())
 		refused := strings.Join(g.recorder.Refused(), "\n")
 		if (harms > 0) != unfenced || (refused == "") != unfenced || !unfenced && !strings.Contains(refused, "token 1, serial") {
 			t.Errorf("unfenced %v: %d harms (%s), refused: %s\n%s", unfenced, harms, first, refused, g)
@@ -107,14 +107,14 @@
 	}
 
 	old := g.last("export").From
-	g.ways[old+" to recorder"].Set(stage.Up, stage.Fault{Hold: true})
+	g.ways[old+" to recorder"].Set(faulttest.Up, faulttest.Fault{Hold: true})
 	now := another(t, g, old)
 	soon(t, g, "the cause is told", said(0, old+" is there and its work stands still"))
 	g.ways[old+" to recorder"].Heal()
 	soon(t, g, "its effect is refused", func() bool { return len(g.recorder.Refused()) > 0 })
 
 	for i := range 3 { // the quorum hears nothing of the owner, which sends on; it stops by itself before another starts
-		g.ways[now+" to "+member(i)].Set(stage.Up, stage.Fault{Hold: true})
+		g.ways[now+" to "+member(i)].Set(faulttest.Up, faulttest.Fault{Hold: true})
 	}
 	then := another(t, g, now)
 	for i := range 3 {
@@ -203,7 +203,7 @@
 		t.Fatal(err)
 	}
 	soon(t, g, "the work is owned again", func() bool { return g.last("export").At.After(quiet) })
-	if harms, first := standin.Interleaved(g.recorder.Taken()); harms > 0 {
+	if harms, first := fakestandalone.Interleaved(g.recorder.Taken()); harms > 0 {
 		t.Error(first)
 	}
 }
--- a/internal/stage/guild/roster.go
+++ b/internal/faulttest/clustertest/roster.go
@@ -1,4 +1,4 @@
-package guild
+package clustertest
 
 import (
 	"bufio"
@@ -19,8 +19,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"pumiceline/internal/fake/fakestandalone"
 	"pumiceline/internal/standalone/discovery"
-	"pumiceline/internal/standin"
 )
 
 // RosterOptions are what is to be played. The stage's command says what each means.
@@ -153,7 +153,7 @@
 		}
 		listeners = append(listeners, ln)
 	}
-	world := standin.NewWorld(listeners[0], listeners[1:], sites, standin.Sleep(20*time.Millisecond))
+	world := fakestandalone.NewWorld(listeners[0], listeners[1:], sites, fakestandalone.Sleep(20*time.Millisecond))
 	go world.Serve(ctx) // its end is the play's
 	roster := world.Roster
 	roster.Put(host("first"))
@@ -215,7 +215,7 @@
 	load, endLoad := context.WithCancel(ctx)
 	defer endLoad()
 	var loading sync.WaitGroup
-	tallies := make([]*standin.Clients, 2*c.Proxies)
+	tallies := make([]*fakestandalone.Clients, 2*c.Proxies)
 	for i := range tallies {
 		discovery := listeners[0].Addr().String()
 		if i%2 == 1 {
@@ -225,7 +225,7 @@
 		if err != nil {
 			return v, err
 		}
-		tallies[i] = &standin.Clients{Base: "http://" + front, Rate: 50, Classes: standin.Classes, Tenants: standin.Tenants}
+		tallies[i] = &fakestandalone.Clients{Base: "http://" + front, Rate: 50, Classes: fakestandalone.Classes, Tenants: fakestandalone.Tenants}
 		if !g.await(time.Now().Add(20*time.Second), func() bool {
 			resp, err := http.Get("http://" + front + "/ready")
 			if err == nil {
@@ -318,7 +318,7 @@
 	}
 	front = free.Addr().String()
 	free.Close()
-	text, err := standin.ConfigOf(front, discovery, sites, i, of)
+	text, err := fakestandalone.ConfigOf(front, discovery, sites, i, of)
 	file := filepath.Join(g.dir, fmt.Sprintf("proxy-%d.json", i))
 	if err == nil {
 		err = os.WriteFile(file, text, 0o600)
--- a/internal/stage/relay.go
+++ b/internal/faulttest/relay.go
@@ -1,4 +1,4 @@
-package stage
+package faulttest
 
 import (
 	"errors"
--- a/internal/stage/stage.go
+++ b/internal/faulttest/stage.go
@@ -1,7 +1,7 @@
-// Package stage puts real processes on loopback and faults between them: relays that delay, throttle, hold, cut and break what
+// Package faulttest puts real processes on loopback and faults between them: relays that delay, throttle, hold, cut and break what
 // passes, processes that are frozen, thawed and killed, and one history of all of it on one time axis. What the laboratory is for
 // decisions, the stage is for processes. It ends only what it has started.
-package stage
+package faulttest
 
 import (
 	"fmt"
--- a/internal/owner/owner.go
+++ b/internal/singleton/leaseclient/owner.go
@@ -1,5 +1,5 @@
-// Package owner is an instance's link to the members that agree on who owns which work: it beats, and does the steps of what it owns.
-package owner
+// Package leaseclient is an instance's link to the members that agree on who owns which work: it beats, and does the steps of what it owns.
+package leaseclient
 
 import (
 	"bytes"
@@ -16,11 +16,11 @@
 	"sync"
 	"time"
 
-	"pumiceline/internal/ownership"
+	"pumiceline/internal/singleton"
 )
 
 // Act has an effect carried out: do is called with the effect's name if the work is still owned, and never otherwise.
-type Act func(do func(ownership.Effect) error) error
+type Act func(do func(singleton.Effect) error) error
 
 // Step is one step of a work. It has to be over, and to do nothing more, soon after ctx ends. A step that has nothing to do and found that out is
 // done: an error is one that made no progress.
@@ -38,7 +38,7 @@
 	Zone     string
 	Build    uint64
 	Members  map[uint64]string // addresses by number
-	Settings ownership.Settings
+	Settings singleton.Settings
 	Works    map[string]Step // those that this instance can do; it beats for all
 	Log      *slog.Logger
 	Rate     float64 // of this instance's clock, for tests; 0: 1
@@ -62,11 +62,11 @@
 	kick   chan struct{} // a beat is due at once
 
 	mu     sync.Mutex
-	holder *ownership.Holder
+	holder *singleton.Holder
 	order  []uint64 // the members' numbers
 	at     int      // in order, the one that is taken to lead
 	why    string
-	owners map[string]ownership.Owner
+	owners map[string]singleton.Owner
 }
 
 // New returns an agent that owns nothing yet.
@@ -82,13 +82,13 @@
 	}
 	return &Agent{opts: opts, begun: time.Now(), lease: time.Duration(opts.Settings.Lease) * time.Microsecond, kick: make(chan struct{}, 1),
 		order:  slices.Sorted(maps.Keys(opts.Members)),
-		holder: ownership.NewHolder(opts.Settings, opts.Name, opts.Life, opts.Zone, opts.Build),
+		holder: singleton.NewHolder(opts.Settings, opts.Name, opts.Life, opts.Zone, opts.Build),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}}}, nil
 }
 
 // now is the instance's clock: it never jumps, not when the process is frozen either.
-func (a *Agent) now() ownership.Time {
-	return ownership.Time(float64(time.Since(a.begun).Microseconds()) * a.opts.Rate)
+func (a *Agent) now() singleton.Time {
+	return singleton.Time(float64(time.Since(a.begun).Microseconds()) * a.opts.Rate)
 }
 
 // Owned are the works that may be acted on now, with their tokens.
@@ -202,7 +202,7 @@
 }
 
 // call makes a beat, which is over by a moment. leader is the one to ask, where the member named it.
-func (a *Agent) call(ctx context.Context, by time.Time, member string, beat []byte) (answer ownership.Answer, leader uint64, err error) {
+func (a *Agent) call(ctx context.Context, by time.Time, member string, beat []byte) (answer singleton.Answer, leader uint64, err error) {
 	ctx, cancel := context.WithDeadline(ctx, by)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member+"/v1/beat", bytes.NewReader(beat))
@@ -228,7 +228,7 @@
 
 // work does the steps of a work whenever it is owned.
 func (a *Agent) work(ctx context.Context, work string, step Step) {
-	act := func(do func(ownership.Effect) error) error {
+	act := func(do func(singleton.Effect) error) error {
 		a.mu.Lock()
 		e, ok := a.holder.Effect(a.now(), work)
 		a.mu.Unlock()
--- a/internal/owner/send.go
+++ b/internal/singleton/leaseclient/send.go
@@ -1,4 +1,4 @@
-package owner
+package leaseclient
 
 import (
 	"bytes"
@@ -10,12 +10,12 @@
 	"net/http"
 	"time"
 
-	"pumiceline/internal/ownership"
+	"pumiceline/internal/singleton"
 )
 
 // Told is a line of a history: when an effect was sent, or what came of it.
 type Told struct {
-	ownership.Effect
+	singleton.Effect
 	At  int64  `json:"at"`  // Unix time in nanoseconds
 	Did string `json:"did"` // sent, taken, refused, unknown
 }
@@ -24,7 +24,7 @@
 // line each.
 func Sender(receiver, from string, history io.Writer) Step {
 	return func(ctx context.Context, act Act) error {
-		return act(func(e ownership.Effect) error {
+		return act(func(e singleton.Effect) error {
 			if err := json.NewEncoder(history).Encode(Told{e, time.Now().UnixNano(), "sent"}); err != nil {
 				return fmt.Errorf("owner: %w", err)
 			}
@@ -35,7 +35,7 @@
 }
 
 // send sends an effect to its receiver and says what came of it. An error says that it may not have come, or why it does not count.
-func send(ctx context.Context, receiver, from string, e ownership.Effect) (did string, err error) {
+func send(ctx context.Context, receiver, from string, e singleton.Effect) (did string, err error) {
 	text, err := json.Marshal(e)
 	if err != nil {
 		return "unknown", fmt.Errorf("owner: %w", err)
--- a/internal/ownership/ownership.go
+++ b/internal/singleton/ownership.go
@@ -1,11 +1,11 @@
-// Package ownership gives each piece of the fleet's work to one instance at a time. It is pure: events in, decisions out, no clock, no
+// Package singleton gives each piece of the fleet's work to one instance at a time. It is pure: events in, decisions out, no clock, no
 // network. State is what the quorum agrees on, entry by entry; Arbiter decides, at the member that leads, who gets what and whose lease
 // is over; Holder is an instance's own side, which stops before anybody else may start; Fence is a receiver's memory of tokens, which
 // turns away what an old owner sends when all of that was too late.
 //
 // Times are microseconds of the caller's own clock that never jumps. They are never compared between processes: a lease runs at the
 // holder from when it sent what renewed it, and at the arbiter from when that came, which is later.
-package ownership
+package singleton
 
 import (
 	"cmp"
--- a/internal/ownership/ownership_test.go
+++ b/internal/singleton/ownership_test.go
@@ -1,4 +1,4 @@
-package ownership
+package singleton
 
 import (
 	"errors"
--- a/internal/quorum/client.go
+++ b/internal/singleton/raftmember/client.go
@@ -1,4 +1,4 @@
-package quorum
+package raftmember
 
 import (
 	"bytes"
--- a/internal/quorum/member.go
+++ b/internal/singleton/raftmember/member.go
@@ -1,4 +1,4 @@
-// Package quorum is a member of the few that agree on who owns which work. The engine of agreement is go.etcd.io/raft; this package gives it
+// Package raftmember is a member of the few that agree on who owns which work. The engine of agreement is go.etcd.io/raft; this package gives it
 // a disk, links to the other members and a clock, and puts package ownership on top of it.
 //
 // Members and instances speak HTTP/1.1 over TCP:
@@ -13,7 +13,7 @@
 //
 // Every POST names its fleet in X-Fleet, and who is of another is answered 403: at an address that was another fleet's a moment ago two fleets
 // would agree with each other. A member that does not lead answers 503 with the leader's number in X-Leader, if it knows one.
-package quorum
+package raftmember
 
 import (
 	"bytes"
@@ -36,7 +36,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"pumiceline/internal/ownership"
+	"pumiceline/internal/singleton"
 )
 
 // Options are what a member needs to know.
@@ -45,7 +45,7 @@
 	ID       uint64            // its place among Members, from 1
 	Members  map[uint64]string // addresses, its own included
 	Dir      string            // for its file
-	Settings ownership.Settings
+	Settings singleton.Settings
 	Log      *slog.Logger
 	// CompactFrom is how many entries are carried out between two snapshots; 0: 2,000. A quarter of them stay, for a member that is a little late.
 	CompactFrom uint64
@@ -57,7 +57,7 @@
 	Leader    uint64                    `json:"leader"` // 0: none is known
 	Term      uint64                    `json:"term"`
 	Applied   uint64                    `json:"applied"`
-	Works     map[string]ownership.Work `json:"works"`
+	Works     map[string]singleton.Work `json:"works"`
 	AgeMs     map[string]int64          `json:"age_ms,omitempty"` // since each owner's latest progress; of the leader alone
 	Instances []string                  `json:"instances,omitempty"`
 	Changes   uint64                    `json:"changes"` // of owners, since this member started
@@ -99,12 +99,12 @@
 	// The rest is the loop's own.
 	node      *raft.RawNode
 	conf      *pb.ConfState
-	state     *ownership.State
+	state     *singleton.State
 	applied   uint64
 	snapAt    uint64
 	term      uint64
 	leader    uint64
-	arbiter   *ownership.Arbiter // nil: this member does not lead, or has not applied all that was agreed on before
+	arbiter   *singleton.Arbiter // nil: this member does not lead, or has not applied all that was agreed on before
 	asking    []func(led bool)   // wait for the next confirmation
 	confirm   map[uint64][]func(led bool)
 	confirmAt map[uint64]uint64 // which index has to be applied
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	m := &Member{opts: opts, store: s, nonce: rand.Uint64(), begun: time.Now(), inbox: make(chan *pb.Message, mostInbox), calls: make(chan func()), failed: make(chan error, 1),
-		peers: map[uint64]*peer{}, state: ownership.NewState(), confirm: map[uint64][]func(bool){}, confirmAt: map[uint64]uint64{},
+		peers: map[uint64]*peer{}, state: singleton.NewState(), confirm: map[uint64][]func(bool){}, confirmAt: map[uint64]uint64{},
 		// Ten ticks without a word from the leader bring an election, which has to be over well within a lease.
 		tick:   max(5*time.Millisecond, min(100*time.Millisecond, time.Duration(opts.Settings.Lease)*time.Microsecond/50)),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
@@ -148,7 +148,7 @@
 	}
 	snap, _ := s.mem.Snapshot() // of a MemoryStorage it never fails
 	if !raft.IsEmptySnap(snap) {
-		if m.state, err = ownership.ReadState(snap.GetData()); err != nil {
+		if m.state, err = singleton.ReadState(snap.GetData()); err != nil {
 			s.db.Close()
 			return nil, err
 		}
@@ -158,7 +158,7 @@
 }
 
 // now is the member's clock: it never jumps.
-func (m *Member) now() ownership.Time { return ownership.Time(time.Since(m.begun).Microseconds()) }
+func (m *Member) now() singleton.Time { return singleton.Time(time.Since(m.begun).Microseconds()) }
 
 // Run serves on ln and takes part until ctx ends, or until it can't: then the error says why, and the member must not go on.
 func (m *Member) Run(ctx context.Context, ln net.Listener) (err error) {
@@ -291,7 +291,7 @@
 }
 
 // propose puts commands into the log. What is dropped is decided anew at the next tick.
-func (m *Member) propose(commands ...ownership.Command) {
+func (m *Member) propose(commands ...singleton.Command) {
 	for _, c := range commands {
 		text, err := json.Marshal(c)
 		if err == nil {
@@ -351,7 +351,7 @@
 		m.pass(msg)
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		state, err := ownership.ReadState(rd.Snapshot.GetData())
+		state, err := singleton.ReadState(rd.Snapshot.GetData())
 		if err != nil {
 			return err
 		}
@@ -407,7 +407,7 @@
 		}
 		m.conf = m.node.ApplyConfChange(cc)
 	case len(e.GetData()) > 0:
-		var c ownership.Command
+		var c singleton.Command
 		if err := json.Unmarshal(e.GetData(), &c); err != nil { // of a newer build: nothing changes at any member that can't read it
 			m.opts.Log.Error("an entry can't be read", "index", e.GetIndex(), "error", err)
 			break
@@ -424,7 +424,7 @@
 	}
 	// Its own term's first entry: all that was agreed on before is applied. Until now nobody can have been told anything by this member.
 	if m.arbiter == nil && m.node.BasicStatus().RaftState == raft.StateLeader && e.GetTerm() == m.node.BasicStatus().GetTerm() {
-		m.arbiter = ownership.NewArbiter(m.opts.Settings, m.state, m.now())
+		m.arbiter = singleton.NewArbiter(m.opts.Settings, m.state, m.now())
 		m.opts.Log.Info("this member decides who owns what", "member", m.opts.ID, "term", e.GetTerm())
 	}
 	return nil
--- a/internal/quorum/quorum_test.go
+++ b/internal/singleton/raftmember/quorum_test.go
@@ -1,4 +1,4 @@
-package quorum
+package raftmember
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 	"go.etcd.io/bbolt"
 
-	"pumiceline/internal/ownership"
+	"pumiceline/internal/singleton"
 )
 
 // few are three members in this process, whose disks stay while they come and go.
@@ -60,7 +60,7 @@
 func (f *few) startOn(id uint64, dir, listen string) (context.CancelFunc, chan error) {
 	f.t.Helper()
 	m, err := Open(Options{Fleet: "f", ID: id, Members: f.addrs, Dir: dir, CompactFrom: f.compact, Log: slog.New(slog.DiscardHandler),
-		Settings: ownership.Settings{Works: []string{"w"}, Lease: 1e6, Drift: 0.2}})
+		Settings: singleton.Settings{Works: []string{"w"}, Lease: 1e6, Drift: 0.2}})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -119,16 +119,16 @@
 	f.t.Cleanup(func() { stop(); <-over })
 	go func() {
 		defer close(over)
-		b := ownership.Beat{Name: "a", Life: 1}
+		b := singleton.Beat{Name: "a", Life: 1}
 		for steps := uint64(1); ctx.Err() == nil; steps++ {
 			for _, addr := range f.addrs {
-				var a ownership.Answer
+				var a singleton.Answer
 				if !f.ask("POST", addr, "/v1/beat", b, &a) {
 					continue
 				}
 				b.Held = nil
 				for _, y := range a.Yours {
-					b.Held = append(b.Held, ownership.Held{Work: y.Work, Token: y.Token, Steps: steps})
+					b.Held = append(b.Held, singleton.Held{Work: y.Work, Token: y.Token, Steps: steps})
 				}
 				if len(a.Yours) > 0 {
 					select {
@@ -158,7 +158,7 @@
 }
 
 // agree waits till all that run have carried out as much, and the state holds the wish; it returns it.
-func (f *few) agree(wish string) (work ownership.Work) {
+func (f *few) agree(wish string) (work singleton.Work) {
 	f.t.Helper()
 	f.soon("all agree", func() bool {
 		var first Status
@@ -283,7 +283,7 @@
 	f.own()
 	f.wish("ours")
 	stranger, err := Open(Options{Fleet: "g", ID: 3, Members: map[uint64]string{1: f.addrs[1], 2: f.addrs[2], 3: "127.0.6.8:1"}, Dir: t.TempDir(),
-		Log: slog.New(slog.DiscardHandler), Settings: ownership.Settings{Works: []string{"w"}, Lease: 1e6}})
+		Log: slog.New(slog.DiscardHandler), Settings: singleton.Settings{Works: []string{"w"}, Lease: 1e6}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/quorum/serve.go
+++ b/internal/singleton/raftmember/serve.go
@@ -1,4 +1,4 @@
-package quorum
+package raftmember
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 
 	pb "go.etcd.io/raft/v3/raftpb"
 
-	"pumiceline/internal/ownership"
+	"pumiceline/internal/singleton"
 )
 
 // handler answers members, instances and operators.
@@ -24,16 +24,16 @@
 	mux.HandleFunc("GET /v1/status", m.tellStatus)
 	mux.HandleFunc("GET /v1/metrics", m.tellMetrics)
 	mux.HandleFunc("POST /v1/works/{work}/want", func(w http.ResponseWriter, r *http.Request) {
-		m.operator(w, r, func(work string, _ ownership.Work) (ownership.Command, error) {
-			return ownership.Command{Kind: ownership.Want, Work: work, Who: r.URL.Query().Get("who"), Why: "an operator wants it"}, nil
+		m.operator(w, r, func(work string, _ singleton.Work) (singleton.Command, error) {
+			return singleton.Command{Kind: singleton.Want, Work: work, Who: r.URL.Query().Get("who"), Why: "an operator wants it"}, nil
 		})
 	})
 	mux.HandleFunc("POST /v1/works/{work}/free", func(w http.ResponseWriter, r *http.Request) {
-		m.operator(w, r, func(work string, now ownership.Work) (ownership.Command, error) {
+		m.operator(w, r, func(work string, now singleton.Work) (singleton.Command, error) {
 			if now.Owner == "" {
-				return ownership.Command{}, errors.New("nobody owns it")
+				return singleton.Command{}, errors.New("nobody owns it")
 			}
-			return ownership.Command{Kind: ownership.Free, Work: work, Token: now.Token, Why: "taken away by an operator"}, nil
+			return singleton.Command{Kind: singleton.Free, Work: work, Token: now.Token, Why: "taken away by an operator"}, nil
 		})
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -116,13 +116,13 @@
 }
 
 func (m *Member) takeBeat(w http.ResponseWriter, r *http.Request) {
-	var b ownership.Beat
+	var b singleton.Beat
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBody)).Decode(&b); err != nil || b.Name == "" || len(b.Name) > 64 ||
-		len(b.Held) > ownership.MostWorks {
+		len(b.Held) > singleton.MostWorks {
 		http.Error(w, "no beat of an instance", http.StatusBadRequest)
 		return
 	}
-	var answer ownership.Answer
+	var answer singleton.Answer
 	var leader uint64
 	confirmed := make(chan bool, 1)
 	if !m.do(r, func() {
@@ -131,7 +131,7 @@
 			confirmed <- false
 			return
 		}
-		var commands []ownership.Command
+		var commands []singleton.Command
 		commands, answer = m.arbiter.Beat(m.now(), b, m.state)
 		m.propose(commands...)
 		m.asking = append(m.asking, func(led bool) { confirmed <- led })
@@ -152,7 +152,7 @@
 
 // status is what this member knows; false: the caller has gone, or the loop is over.
 func (m *Member) status(r *http.Request) (Status, bool) {
-	s := Status{ID: m.opts.ID, Works: map[string]ownership.Work{}}
+	s := Status{ID: m.opts.ID, Works: map[string]singleton.Work{}}
 	ok := m.do(r, func() {
 		s.Leader, s.Term, s.Applied, s.Changes = m.leader, m.term, m.applied, m.changes
 		for _, name := range m.opts.Settings.Works {
@@ -179,7 +179,7 @@
 	_ = json.NewEncoder(w).Encode(s)
 }
 
-func (m *Member) operator(w http.ResponseWriter, r *http.Request, make func(string, ownership.Work) (ownership.Command, error)) {
+func (m *Member) operator(w http.ResponseWriter, r *http.Request, make func(string, singleton.Work) (singleton.Command, error)) {
 	work := r.PathValue("work")
 	var leads, known bool
 	var leader uint64
@@ -192,7 +192,7 @@
 		if !leads || !known {
 			return
 		}
-		var c ownership.Command
+		var c singleton.Command
 		if c, err = make(work, m.state.Works[work]); err == nil {
 			m.propose(c)
 		}
--- a/internal/standalone/deployfile/fleet.go
+++ b/internal/standalone/deployfile/fleet.go
@@ -9,7 +9,7 @@
 	"slices"
 	"strconv"
 
-	"pumiceline/internal/ownership"
+	"pumiceline/internal/singleton"
 	"pumiceline/internal/span"
 	"pumiceline/internal/tomlfile"
 )
@@ -17,7 +17,7 @@
 // Fleet is deploy/fleet.toml: who agrees on the fleet's work, and what work there is.
 type Fleet struct {
 	Name      string // told with every call: who is of another fleet is not heard
-	Settings  ownership.Settings
+	Settings  singleton.Settings
 	Members   map[uint64]string // addresses by number
 	Receivers map[string]string // by work, where its effects go
 	Roster    string            // the work that is to follow discovery for all; empty: there is none
@@ -55,7 +55,7 @@
 			return nil, fault(key, `is a time and has no unit: write it as "250ms"`)
 		}
 	}
-	out := &Fleet{Settings: ownership.Settings{Lease: ownership.Time(f.Lease), Drift: f.Drift, Damp: ownership.Time(f.Damp)}, Members: map[uint64]string{},
+	out := &Fleet{Settings: singleton.Settings{Lease: singleton.Time(f.Lease), Drift: f.Drift, Damp: singleton.Time(f.Damp)}, Members: map[uint64]string{},
 		Receivers: map[string]string{}}
 	if out.Name = f.Name; f.Name == "" || len(f.Name) > 64 {
 		return nil, fault("name", "a fleet needs a name of 64 bytes at most")
--- a/internal/standalone/discoverycache/mirror_test.go
+++ b/internal/standalone/discoverycache/mirror_test.go
@@ -15,8 +15,8 @@
 
 	"pgregory.net/rapid"
 
+	"pumiceline/internal/fake/fakestandalone"
 	"pumiceline/internal/standalone/discovery"
-	"pumiceline/internal/standin"
 )
 
 func entry(n int, health string) discovery.Entry {
@@ -87,7 +87,7 @@
 // Of twenty mirrors one calls discovery; a drain is at all of them soon; without an owner each calls for itself, not all at once; a new owner has
 // them back; and the old one, which still believes, is not followed.
 func TestMirrorsFollowOneOwner(t *testing.T) {
-	roster := standin.NewRoster(entry(1, "SERVING"), entry(2, "SERVING"))
+	roster := fakestandalone.NewRoster(entry(1, "SERVING"), entry(2, "SERVING"))
 	var mu sync.Mutex
 	var calls []time.Time
 	serve := func(h http.Handler) (addr string) {
