--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -10,8 +10,8 @@
 	"io"
 	"os"
 
+	"pumiceline/internal/simlink"
 	"pumiceline/internal/standalone/policy"
-	"pumiceline/wire"
 )
 
 func main() {
@@ -25,12 +25,12 @@
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<16)
 	var (
-		head      [wire.BatchHeader]byte
+		head      [simlink.BatchHeader]byte
 		body      []byte
 		reply     []byte
 		actions   []policy.Action
-		dec       wire.Decoder
-		rec       wire.Record
+		dec       simlink.Decoder
+		rec       simlink.Record
 		instances = map[uint16]*policy.Balancer{}
 	)
 	for batch := 0; ; batch++ {
@@ -39,7 +39,7 @@
 		} else if err != nil {
 			return fmt.Errorf("batch %d: header truncated: %w", batch, err)
 		}
-		size, count, now, err := wire.Header(head[:])
+		size, count, now, err := simlink.Header(head[:])
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
@@ -47,29 +47,29 @@
 			return fmt.Errorf("batch %d: body truncated: %w", batch, err)
 		}
 		dec.Reset(body)
-		reply = append(reply[:0], make([]byte, wire.ReplyHeader)...)
+		reply = append(reply[:0], make([]byte, simlink.ReplyHeader)...)
 		replies := uint32(0)
 		for i := uint32(0); i < count; i++ {
 			if err := dec.Next(&rec); err != nil {
 				return fmt.Errorf("batch %d: record %d: %w", batch, i, err)
 			}
 			switch rec.Kind {
-			case wire.Spawn:
+			case simlink.Spawn:
 				b, err := policy.New(rec.Settings, rec.Seed)
 				if err != nil {
 					return fmt.Errorf("batch %d: record %d: instance %d: %w", batch, i, rec.Instance, err)
 				}
 				instances[rec.Instance] = b
-			case wire.Killed:
+			case simlink.Killed:
 				delete(instances, rec.Instance)
-			case wire.Deliver:
+			case simlink.Deliver:
 				b := instances[rec.Instance]
 				if b == nil {
 					return fmt.Errorf("batch %d: record %d: instance %d was not started", batch, i, rec.Instance)
 				}
 				actions = b.Handle(now, &rec.Event, actions[:0])
 				for k := range actions {
-					reply = wire.AppendAction(reply, rec.Instance, &actions[k])
+					reply = simlink.AppendAction(reply, rec.Instance, &actions[k])
 				}
 				replies += uint32(len(actions))
 			}
@@ -77,7 +77,7 @@
 		if dec.Rest() != 0 {
 			return fmt.Errorf("batch %d: %d bytes follow the last record", batch, dec.Rest())
 		}
-		binary.BigEndian.PutUint32(reply, uint32(len(reply)-wire.ReplyHeader))
+		binary.BigEndian.PutUint32(reply, uint32(len(reply)-simlink.ReplyHeader))
 		binary.BigEndian.PutUint32(reply[4:], replies)
 		if _, err := out.Write(reply); err != nil {
 			return err
--- a/cmd/pumicectl/simulate.go
+++ b/cmd/pumicectl/simulate.go
@@ -13,7 +13,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"pumiceline/internal/simulation"
+	"pumiceline/internal/controlplane/simulation"
 )
 
 // simulateCommand plays simulated clusters of coordinators.
--- a/cmd/pumicectl/try.go
+++ b/cmd/pumicectl/try.go
@@ -13,7 +13,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/pkg/errors"
 
-	"pumiceline/internal/trial"
+	"pumiceline/internal/demo"
 )
 
 // tryCommand runs the whole system on loopback.
@@ -29,7 +29,7 @@
 			if *length < time.Second {
 				return errors.New("--for: at least 1s")
 			}
-			options := trial.Options{Programs: *programs, Length: *length, Progress: os.Stdout}
+			options := demo.Options{Programs: *programs, Length: *length, Progress: os.Stdout}
 			if options.Programs == "" {
 				own, err := os.Executable()
 				if err != nil {
@@ -40,7 +40,7 @@
 			if *logs {
 				options.Log = os.Stderr
 			}
-			result, err := trial.Run(ctx, options)
+			result, err := demo.Run(ctx, options)
 			if err != nil {
 				return err
 			}
@@ -54,12 +54,12 @@
 	}
 }
 
-func printTrial(out io.Writer, r *trial.Result) {
+func printTrial(out io.Writer, r *demo.Result) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "REQUESTS\tSERVED\tREFUSED\tFAILED\tRUN TWICE\tNOT WHOLE")
 	for _, row := range []struct {
 		name  string
-		count trial.Count
+		count demo.Count
 	}{{"streams", r.Streams}, {"documents", r.Changing}} {
 		c := row.count
 		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\n", row.name, c.Served, c.Refused, c.Failed, c.Twice, c.Broken)
--- a/cmd/pumiceline/lab.go
+++ b/cmd/pumiceline/lab.go
@@ -13,10 +13,10 @@
 	"runtime"
 	"strings"
 
-	"pumiceline/internal/lab/console"
-	"pumiceline/internal/lab/experiment"
-	"pumiceline/internal/lab/model"
-	"pumiceline/internal/lab/plots"
+	"pumiceline/internal/fleetsim/experiment"
+	"pumiceline/internal/fleetsim/model"
+	"pumiceline/internal/fleetsim/plots"
+	"pumiceline/internal/fleetsim/progress"
 )
 
 type labCmd struct {
@@ -84,7 +84,7 @@
 	if jobs <= 0 {
 		jobs = runtime.GOMAXPROCS(0)
 	}
-	progress := console.NewProgress(os.Stderr, e.Count())
+	progress := progress.NewProgress(os.Stderr, e.Count())
 	var results []*experiment.Result
 	var failed []error
 	err := e.Run(ctx, jobs, func(r *experiment.Result) error {
@@ -134,7 +134,7 @@
 	e.Sweeps = nil
 	results, failed := c.play(e, out)
 	for _, r := range results {
-		console.Verdict(out, r)
+		progress.Verdict(out, r)
 	}
 	return failed
 }
@@ -156,7 +156,7 @@
 	}
 	results, failed := c.play(e, out)
 	if len(results) > 0 {
-		if err := console.Table(out, results, measures); err != nil {
+		if err := progress.Table(out, results, measures); err != nil {
 			return err
 		}
 	}
@@ -186,7 +186,7 @@
 		return err
 	}
 	for _, m := range measures {
-		if err := console.Differences(out, results, m); err != nil {
+		if err := progress.Differences(out, results, m); err != nil {
 			return err
 		}
 	}
@@ -320,7 +320,7 @@
 		trace = &experiment.Tracer{Out: f, Of: c.Of}
 	}
 	r.Stats, r.Report, r.Error = experiment.Play(&r.World, r.Policy, r.Seed, trace)
-	console.Verdict(out, &r)
+	progress.Verdict(out, &r)
 	if before != nil {
 		now, err := json.Marshal(r)
 		if err != nil {
--- a/internal/trial/load.go
+++ b/internal/demo/load.go
@@ -1,4 +1,4 @@
-package trial
+package demo
 
 import (
 	"context"
--- a/internal/trial/settings.go
+++ b/internal/demo/settings.go
@@ -1,6 +1,6 @@
-// Package trial runs the whole system on loopback with real processes and fake surroundings, takes a coordinator down
+// Package demo runs the whole system on loopback with real processes and fake surroundings, takes a coordinator down
 // under way, and says what became of every request and change.
-package trial
+package demo
 
 import (
 	"fmt"
--- a/internal/lab/baseline/baseline.go
+++ b/internal/fleetsim/baseline/baseline.go
@@ -7,7 +7,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"pumiceline/internal/lab/model"
+	"pumiceline/internal/fleetsim/model"
 	"pumiceline/internal/standalone/policy"
 )
 
--- a/internal/lab/referee/referee.go
+++ b/internal/fleetsim/checker/referee.go
@@ -1,6 +1,6 @@
-// Package referee judges a play of the laboratory from what passed, never from what a decider says of itself: the
+// Package checker judges a play of the laboratory from what passed, never from what a decider says of itself: the
 // four rules with their figures, each breach with its time, request and cause, and the service that clients got.
-package referee
+package checker
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"pumiceline/internal/lab/model"
+	"pumiceline/internal/fleetsim/model"
 	"pumiceline/internal/standalone/policy"
 )
 
--- a/internal/lab/referee/report.go
+++ b/internal/fleetsim/checker/report.go
@@ -1,4 +1,4 @@
-package referee
+package checker
 
 import (
 	"fmt"
--- a/internal/lab/referee/rules_test.go
+++ b/internal/fleetsim/checker/rules_test.go
@@ -1,11 +1,11 @@
-package referee_test
+package checker_test
 
 import (
 	"strings"
 	"testing"
 
-	"pumiceline/internal/lab/model"
-	"pumiceline/internal/lab/referee"
+	"pumiceline/internal/fleetsim/checker"
+	"pumiceline/internal/fleetsim/model"
 	"pumiceline/internal/standalone/policy"
 )
 
@@ -55,9 +55,9 @@
 }
 
 // play plays w with one script and returns the verdict.
-func play(t *testing.T, w model.World, on func(s *scripted, ev *policy.Event)) *referee.Report {
+func play(t *testing.T, w model.World, on func(s *scripted, ev *policy.Event)) *checker.Report {
 	t.Helper()
-	ref := referee.New(&w)
+	ref := checker.New(&w)
 	if _, err := model.Play(&w, 1, func(policy.Settings, uint64, *model.Truth) (model.Node, error) {
 		return &scripted{on: on}, nil
 	}, ref); err != nil {
@@ -72,7 +72,7 @@
 
 // judge fails unless the report tells of exactly one breach, of that rule, at that time (0: any), for that cause; or of
 // none, if rule is 0.
-func judge(t *testing.T, rep *referee.Report, rule int, at model.Time, cause string) {
+func judge(t *testing.T, rep *checker.Report, rule int, at model.Time, cause string) {
 	t.Helper()
 	switch {
 	case rule == 0 && !rep.Kept():
@@ -119,7 +119,7 @@
 		if late == 0 {
 			judge(t, rep, 0, 0, "")
 		} else {
-			judge(t, rep, referee.RuleAnswer, due, "no final answer")
+			judge(t, rep, checker.RuleAnswer, due, "no final answer")
 		}
 	}
 }
@@ -138,7 +138,7 @@
 			s.at(when, func() { s.send(id, server) })
 		}
 	}))
-	judge(t, rep, referee.RuleAnswer, when, "after its final answer")
+	judge(t, rep, checker.RuleAnswer, when, "after its final answer")
 }
 
 // TestRuleOnEffectsBothSides lets a first attempt be given up, so that it may have run, and sends a second one.
@@ -245,7 +245,7 @@
 		if allowed {
 			judge(t, rep, 0, 0, "")
 		} else {
-			judge(t, rep, referee.RuleEffect, when, "two attempts out")
+			judge(t, rep, checker.RuleEffect, when, "two attempts out")
 		}
 	}
 }
--- a/internal/lab/experiment/experiment_test.go
+++ b/internal/fleetsim/experiment/experiment_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"pumiceline/internal/lab/model"
+	"pumiceline/internal/fleetsim/model"
 	"pumiceline/internal/tomlfile"
 )
 
--- a/internal/lab/experiment/file.go
+++ b/internal/fleetsim/experiment/file.go
@@ -13,10 +13,10 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"pumiceline/internal/lab/baseline"
-	"pumiceline/internal/lab/doored"
-	"pumiceline/internal/lab/model"
-	"pumiceline/internal/lab/subsetted"
+	"pumiceline/internal/fleetsim/baseline"
+	"pumiceline/internal/fleetsim/model"
+	"pumiceline/internal/fleetsim/withadmission"
+	"pumiceline/internal/fleetsim/withsubset"
 	"pumiceline/internal/standalone/policy"
 	"pumiceline/internal/tomlfile"
 )
@@ -61,11 +61,11 @@
 	}}
 	makers["keyless"] = told(makers["decide"], func(set *policy.Settings) { set.WarmKeys = false }) // the module, not told of keys
 	makers["unprobed"] = told(makers["decide"], func(set *policy.Settings) { set.Limits.Probe = false })
-	makers["door"] = doored.Maker(makers["decide"], true)   // the module behind the door
-	makers["half"] = subsetted.Maker(makers["decide"], 0.5) // the module with a part of the fleet
-	makers["quarter"] = subsetted.Maker(makers["decide"], 0.25)
-	makers["eighth"] = subsetted.Maker(makers["decide"], 0.125)
-	makers["door-silent"] = doored.Maker(makers["decide"], false) // which names no time to come back
+	makers["door"] = withadmission.Maker(makers["decide"], true) // the module behind the door
+	makers["half"] = withsubset.Maker(makers["decide"], 0.5)     // the module with a part of the fleet
+	makers["quarter"] = withsubset.Maker(makers["decide"], 0.25)
+	makers["eighth"] = withsubset.Maker(makers["decide"], 0.125)
+	makers["door-silent"] = withadmission.Maker(makers["decide"], false) // which names no time to come back
 	for _, name := range []string{baseline.Random, baseline.RoundRobin, baseline.TwoChoices, baseline.Least, baseline.Truth} {
 		makers[name] = baseline.Maker(name)
 	}
--- a/internal/lab/experiment/luck_test.go
+++ b/internal/fleetsim/experiment/luck_test.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"testing"
 
-	"pumiceline/internal/lab/model"
+	"pumiceline/internal/fleetsim/model"
 )
 
 // What fits one deployment by luck shows in another. In either world service may be luckBound under that of a policy that sees the
--- a/internal/lab/experiment/run.go
+++ b/internal/fleetsim/experiment/run.go
@@ -12,8 +12,8 @@
 	"strings"
 	"sync"
 
-	"pumiceline/internal/lab/model"
-	"pumiceline/internal/lab/referee"
+	"pumiceline/internal/fleetsim/checker"
+	"pumiceline/internal/fleetsim/model"
 )
 
 // formatVersion is that of Result's JSON form. Readers refuse others.
@@ -33,7 +33,7 @@
 	Replay     string          `json:"replay"` // the command that plays it again
 	World      model.World     `json:"world"`
 	Stats      model.Stats     `json:"stats"`
-	Report     *referee.Report `json:"report,omitempty"`
+	Report     *checker.Report `json:"report,omitempty"`
 	Error      string          `json:"error,omitempty"` // why the play ended early
 }
 
@@ -144,7 +144,7 @@
 
 // Play plays a world once under the referee's eyes, and shows each record to trace as well, if there is one. fault says
 // why the play ended early. A panic of a decider is a fault like another: it must not take the other plays with it.
-func Play(w *model.World, policy string, seed uint64, trace model.Watcher) (stats model.Stats, rep *referee.Report, fault string) {
+func Play(w *model.World, policy string, seed uint64, trace model.Watcher) (stats model.Stats, rep *checker.Report, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			rep, fault = nil, fmt.Sprintf("panic: %v at %s", p, panicSite(debug.Stack()))
@@ -154,7 +154,7 @@
 	if make == nil {
 		return stats, nil, fmt.Sprintf("there is no policy %q", policy)
 	}
-	ref := referee.New(w)
+	ref := checker.New(w)
 	var watch model.Watcher = ref
 	if trace != nil {
 		watch = both{ref, trace}
--- a/internal/lab/model/model_test.go
+++ b/internal/fleetsim/model/model_test.go
@@ -9,9 +9,9 @@
 	"sync"
 	"testing"
 
-	"pumiceline/internal/lab/baseline"
-	"pumiceline/internal/lab/model"
-	"pumiceline/internal/lab/referee"
+	"pumiceline/internal/fleetsim/baseline"
+	"pumiceline/internal/fleetsim/checker"
+	"pumiceline/internal/fleetsim/model"
 	"pumiceline/internal/standalone/policy"
 )
 
@@ -123,7 +123,7 @@
 func TestWorldKeepsItsPromisesInTheRough(t *testing.T) {
 	w := rough()
 	starts := 0
-	ref := referee.New(&w)
+	ref := checker.New(&w)
 	_, err := model.Play(&w, 3, func(set policy.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
 		starts++
 		b, err := policy.New(set, seed)
@@ -236,7 +236,7 @@
 		w := model.Quotes()
 		w.Length, w.Clients.Reckless, w.Clients.Patience = 20*sec, reckless, 0.3
 		w.Troubles = []model.Trouble{{Kind: "hang", At: 5 * sec, For: 3 * sec, Part: 0.5}}
-		ref := referee.New(&w)
+		ref := checker.New(&w)
 		if _, err := model.Play(&w, 2, baseline.Maker(baseline.TwoChoices), ref); err != nil {
 			t.Fatal(err)
 		}
@@ -291,12 +291,12 @@
 		started, up, sent, made map[uint32]int
 		down                    int
 	}
-	play := func(trouble model.Trouble) (c count, rep *referee.Report) {
+	play := func(trouble model.Trouble) (c count, rep *checker.Report) {
 		w := model.Quotes()
 		w.Length, w.Servers, w.Proxies, w.Skew, w.Load, w.Discovery.Calls = 20*sec, 16, 20, 0, 0.3, 1000
 		w.Troubles = []model.Trouble{trouble}
 		c = count{map[uint32]int{}, map[uint32]int{}, map[uint32]int{}, map[uint32]int{}, 0}
-		ref := referee.New(&w)
+		ref := checker.New(&w)
 		if _, err := model.Play(&w, 1, baseline.Maker(baseline.TwoChoices), see(func(r *model.Record) {
 			ref.See(r)
 			switch {
--- a/internal/lab/plots/html.go
+++ b/internal/fleetsim/plots/html.go
@@ -6,7 +6,7 @@
 	"html/template"
 	"io"
 
-	"pumiceline/internal/lab/experiment"
+	"pumiceline/internal/fleetsim/experiment"
 )
 
 var page = template.Must(template.New("page").Parse(`<!doctype html>
--- a/internal/lab/plots/plots.go
+++ b/internal/fleetsim/plots/plots.go
@@ -20,7 +20,7 @@
 	"gonum.org/v1/plot/vg/vgimg"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"pumiceline/internal/lab/experiment"
+	"pumiceline/internal/fleetsim/experiment"
 )
 
 // The size of every plot.
--- a/internal/lab/plots/plots_test.go
+++ b/internal/fleetsim/plots/plots_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"pumiceline/internal/lab/experiment"
+	"pumiceline/internal/fleetsim/experiment"
 )
 
 // TestReportStandsAlone plays a small sweep and draws it: each figure must be readable as what it says it is, and the
--- a/internal/lab/console/console.go
+++ b/internal/fleetsim/progress/console.go
@@ -1,5 +1,5 @@
-// Package console shows the laboratory's work on a terminal: progress, and tables of results.
-package console
+// Package progress shows the laboratory's work on a terminal: progress, and tables of results.
+package progress
 
 import (
 	"fmt"
@@ -13,7 +13,7 @@
 	"github.com/schollz/progressbar/v3"
 	"golang.org/x/term"
 
-	"pumiceline/internal/lab/experiment"
+	"pumiceline/internal/fleetsim/experiment"
 )
 
 // Progress says how far a run is: as a bar with an estimate of the time left on a terminal, as plain lines elsewhere.
--- a/internal/lab/doored/doored.go
+++ b/internal/fleetsim/withadmission/doored.go
@@ -1,8 +1,8 @@
-// Package doored puts the door in front of the decision module within the laboratory, as the front does on sockets.
-package doored
+// Package withadmission puts the door in front of the decision module within the laboratory, as the front does on sockets.
+package withadmission
 
 import (
-	"pumiceline/internal/lab/model"
+	"pumiceline/internal/fleetsim/model"
 	"pumiceline/internal/standalone/admission"
 	"pumiceline/internal/standalone/policy"
 )
--- a/internal/lab/subsetted/subsetted.go
+++ b/internal/fleetsim/withsubset/subsetted.go
@@ -1,12 +1,12 @@
-// Package subsetted has the decision module see only its proxy's part of the fleet, within the laboratory: what keeping to a part is
+// Package withsubset has the decision module see only its proxy's part of the fleet, within the laboratory: what keeping to a part is
 // worth, before the module itself heeds it. The part does not widen, whatever becomes of its servers.
-package subsetted
+package withsubset
 
 import (
 	"math"
 	"slices"
 
-	"pumiceline/internal/lab/model"
+	"pumiceline/internal/fleetsim/model"
 	"pumiceline/internal/standalone/policy"
 	"pumiceline/internal/standalone/subset"
 )
--- a/internal/lab/experiment/helper_test.go
+++ /dev/null
@@ -1,5 +0,0 @@
-package experiment
-
-import "pumiceline/internal/lab/referee"
-
-func reportOf(g float64) *referee.Report { return &referee.Report{G: g} }
--- a/wire/wire.go
+++ b/internal/simlink/wire.go
@@ -1,6 +1,6 @@
-// Package wire translates between the bench's binary frames and the types of package decide. It decides
+// Package simlink translates between the bench's binary frames and the types of package decide. It decides
 // nothing.
-package wire
+package simlink
 
 import (
 	"encoding/binary"
--- a/wire/wire_test.go
+++ b/internal/simlink/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simlink
 
 import (
 	"encoding/hex"
--- a/tools/labrank/main.go
+++ b/tools/simrank/main.go
@@ -21,8 +21,8 @@
 	"github.com/alecthomas/kong"
 	"gonum.org/v1/gonum/stat"
 
-	"pumiceline/internal/lab/experiment"
-	"pumiceline/internal/lab/plots"
+	"pumiceline/internal/fleetsim/experiment"
+	"pumiceline/internal/fleetsim/plots"
 )
 
 type cli struct {
@@ -68,7 +68,7 @@
 }
 
 const (
-	ours        = "tools/labrank/worlds/"
+	ours        = "tools/simrank/worlds/"
 	invitations = "example/lab/invitations.toml"
 )
 
