--- a/cmd/pumiceline-coordinator/main.go
+++ b/cmd/pumiceline-coordinator/main.go
@@ -4,7 +4,7 @@
 
 import (
 	"pumiceline/internal/controlplane/coordinator"
-	"pumiceline/internal/service"
+	"pumiceline/internal/process"
 )
 
-func main() { service.Main("pumiceline-coordinator", coordinator.Run) }
+func main() { process.Main("pumiceline-coordinator", coordinator.Run) }
--- a/cmd/pumiceline-proxy/main.go
+++ b/cmd/pumiceline-proxy/main.go
@@ -4,7 +4,7 @@
 
 import (
 	"pumiceline/internal/dataplane/proxy"
-	"pumiceline/internal/service"
+	"pumiceline/internal/process"
 )
 
-func main() { service.Main("pumiceline-proxy", proxy.Run) }
+func main() { process.Main("pumiceline-proxy", proxy.Run) }
--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -9,7 +9,7 @@
 	"github.com/goccy/go-yaml"
 	"github.com/pkg/errors"
 
-	"pumiceline/internal/pathreader"
+	"pumiceline/internal/docreader"
 )
 
 // Variable names the environment variable that holds the path of the settings file.
@@ -84,15 +84,15 @@
 	if err := yaml.Unmarshal(text, &document); err != nil {
 		return nil, errors.Wrap(err, "not YAML")
 	}
-	findings := &pathreader.Findings{}
-	settings := read(pathreader.Root(document, findings))
+	findings := &docreader.Findings{}
+	settings := read(docreader.Root(document, findings))
 	if err := findings.Err(); err != nil {
 		return nil, err
 	}
 	return settings, nil
 }
 
-func read(root pathreader.Node) *Settings {
+func read(root docreader.Node) *Settings {
 	s := &Settings{
 		Node:            root.Get("node").RequiredText(),
 		Role:            root.Get("role").Text(""),
@@ -121,7 +121,7 @@
 	return s
 }
 
-func readPorts(node pathreader.Node, s *Settings) {
+func readPorts(node docreader.Node, s *Settings) {
 	ports := node.List()
 	if len(ports) != 2 {
 		node.Fault("the first and the last port are wanted")
@@ -133,7 +133,7 @@
 	}
 }
 
-func readLimits(node pathreader.Node, s *Settings) {
+func readLimits(node docreader.Node, s *Settings) {
 	s.Limits = Limits{
 		CPUShare:  node.Get("cpuShare").Number(1),
 		MemoryMB:  int(node.Get("memoryMb").Number(256)),
@@ -155,7 +155,7 @@
 	defaultMaxLag      = 800 * time.Millisecond
 )
 
-func readBounds(node pathreader.Node, s *Settings) {
+func readBounds(node docreader.Node, s *Settings) {
 	s.Bounds = Bounds{
 		Ack:         milliseconds(node.Get("ackMs"), defaultAck),
 		Apply:       milliseconds(node.Get("applyMs"), defaultApply),
@@ -174,7 +174,7 @@
 	}
 }
 
-func readPlatform(node pathreader.Node, s *Settings) {
+func readPlatform(node docreader.Node, s *Settings) {
 	s.Platform = Platform{
 		Address:   node.Get("address").Text(""),
 		RatePerS:  node.Get("ratePerS").Number(10),
@@ -183,10 +183,10 @@
 	}
 }
 
-func milliseconds(node pathreader.Node, fallback time.Duration) time.Duration {
+func milliseconds(node docreader.Node, fallback time.Duration) time.Duration {
 	return time.Duration(node.Number(float64(fallback)/float64(time.Millisecond)) * float64(time.Millisecond))
 }
 
-func seconds(node pathreader.Node, fallback time.Duration) time.Duration {
+func seconds(node docreader.Node, fallback time.Duration) time.Duration {
 	return time.Duration(node.Number(fallback.Seconds()) * float64(time.Second))
 }
--- a/internal/controlplane/configuration/configuration.go
+++ b/internal/controlplane/configuration/configuration.go
@@ -10,7 +10,7 @@
 
 	"github.com/pkg/errors"
 
-	"pumiceline/internal/pathreader"
+	"pumiceline/internal/docreader"
 )
 
 // RouteKind tells what of a route's requests may be repeated.
@@ -101,21 +101,21 @@
 	return config, nil
 }
 
-func decode(document []byte) (pathreader.Node, *pathreader.Findings, error) {
+func decode(document []byte) (docreader.Node, *docreader.Findings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(document))
 	decoder.UseNumber()
 	var value map[string]any
 	if err := decoder.Decode(&value); err != nil {
-		return pathreader.Node{}, nil, errors.Wrap(err, "not a whole JSON object")
+		return docreader.Node{}, nil, errors.Wrap(err, "not a whole JSON object")
 	}
 	if decoder.More() {
-		return pathreader.Node{}, nil, errors.New("more than one JSON value")
+		return docreader.Node{}, nil, errors.New("more than one JSON value")
 	}
-	findings := &pathreader.Findings{}
-	return pathreader.Root(value, findings), findings, nil
+	findings := &docreader.Findings{}
+	return docreader.Root(value, findings), findings, nil
 }
 
-func readConfig(root pathreader.Node, findings *pathreader.Findings) *Config {
+func readConfig(root docreader.Node, findings *docreader.Findings) *Config {
 	config := &Config{Services: map[string]*Service{}}
 	version := root.Get("version").Number(0)
 	if version < 1 || version != float64(uint64(version)) {
@@ -137,7 +137,7 @@
 	return config
 }
 
-func readService(node pathreader.Node) *Service {
+func readService(node docreader.Node) *Service {
 	service := &Service{
 		Name:           node.Get("name").RequiredText(),
 		HealthPath:     node.Get("healthPath").Text(""),
@@ -149,7 +149,7 @@
 	return service
 }
 
-func readRuntime(node pathreader.Node) *Runtime {
+func readRuntime(node docreader.Node) *Runtime {
 	runtime := &Runtime{
 		Capacity:     int(node.Get("capacity").Number(1)),
 		CacheTokens:  int(node.Get("cacheTokens").Number(0)),
@@ -169,7 +169,7 @@
 	return runtime
 }
 
-func readRoute(node pathreader.Node) *Route {
+func readRoute(node docreader.Node) *Route {
 	route := &Route{
 		Name:      node.Get("name").RequiredText(),
 		Host:      strings.ToLower(node.Get("host").RequiredText()),
@@ -198,7 +198,7 @@
 	return route
 }
 
-func milliseconds(node pathreader.Node, fallback time.Duration) time.Duration {
+func milliseconds(node docreader.Node, fallback time.Duration) time.Duration {
 	return time.Duration(node.Number(float64(fallback.Milliseconds())) * float64(time.Millisecond))
 }
 
@@ -210,7 +210,7 @@
 	defaultIdle        = 15 * time.Second
 )
 
-func readLimits(node pathreader.Node) Limits {
+func readLimits(node docreader.Node) Limits {
 	return Limits{
 		HeaderBytes: int(node.Get("headerBytes").Number(defaultHeaderBytes)),
 		BodyBytes:   int(node.Get("bodyBytes").Number(defaultBodyBytes)),
@@ -220,7 +220,7 @@
 }
 
 // checkRoutes finds what is wrong between items: unknown services, weights that sum to 0, two routes in one place.
-func checkRoutes(config *Config, root pathreader.Node, findings *pathreader.Findings) {
+func checkRoutes(config *Config, root docreader.Node, findings *docreader.Findings) {
 	places, names := map[string]bool{}, map[string]bool{}
 	for i, node := range root.Get("routes").List() {
 		route := config.Routes[i]
--- a/internal/dataplane/balancer/weight.go
+++ b/internal/dataplane/balancer/weight.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"pumiceline/internal/weight"
+	"pumiceline/internal/wrr"
 )
 
 // Parameters of the weights (gRFC A58) and of slow start (gRFC A100).
@@ -74,7 +74,7 @@
 	}
 	utilization := e.busySeconds / evidenceMemory.Seconds() / float64(max(1, slots))
 	rate := e.completions / evidenceMemory.Seconds()
-	return weight.A58(rate, utilization, e.errors/e.completions, errorUtilizationPenalty), true
+	return wrr.A58(rate, utilization, e.errors/e.completions, errorUtilizationPenalty), true
 }
 
 // ramp is the A100 factor: max(floor, time_factor^(1/aggression)) within the window since the backend became ready.
@@ -85,5 +85,5 @@
 	if readySince.IsZero() {
 		return 1 // it was there when this proxy began
 	}
-	return weight.SlowStart(age.Seconds(), 1, slowStartWindow.Seconds(), slowStartFloor, slowStartAggression)
+	return wrr.SlowStart(age.Seconds(), 1, slowStartWindow.Seconds(), slowStartFloor, slowStartAggression)
 }
--- a/internal/demo/trial.go
+++ b/internal/demo/trial.go
@@ -16,7 +16,7 @@
 	"github.com/pkg/errors"
 
 	"pumiceline/internal/controlplane/coordinator"
-	"pumiceline/internal/fake"
+	"pumiceline/internal/fake/fakesystem"
 )
 
 // Options of a trial.
@@ -76,9 +76,9 @@
 type trial struct {
 	Options
 	dir       string
-	runs      *fake.Runs
-	platform  *fake.Platform
-	backends  []*fake.Backend
+	runs      *fakesystem.Runs
+	platform  *fakesystem.Platform
+	backends  []*fakesystem.Backend
 	machines  []*machine // coordinators first, then proxies
 	processes []*process
 	client    *http.Client
@@ -95,7 +95,7 @@
 	if options.Log == nil {
 		options.Log = io.Discard
 	}
-	t := &trial{Options: options, dir: dir, runs: fake.NewRuns(), client: &http.Client{}}
+	t := &trial{Options: options, dir: dir, runs: fakesystem.NewRuns(), client: &http.Client{}}
 	defer t.close()
 	if err := t.surround(); err != nil {
 		return nil, err
@@ -116,7 +116,7 @@
 func (t *trial) surround() error {
 	held := [][]string{{"small"}, {"small", "large"}, {"large"}}
 	for i, models := range held {
-		backend := &fake.Backend{
+		backend := &fakesystem.Backend{
 			ID: fmt.Sprintf("model-%d", i), Service: "models", Zone: "z0", Capacity: 32, LoadTime: loadTime, Events: 8,
 		}
 		if err := backend.Start(t.runs, models...); err != nil {
@@ -125,13 +125,13 @@
 		t.backends = append(t.backends, backend)
 	}
 	for i := range 2 {
-		backend := &fake.Backend{ID: fmt.Sprintf("documents-%d", i), Service: "documents", Zone: "z0", Capacity: 8}
+		backend := &fakesystem.Backend{ID: fmt.Sprintf("documents-%d", i), Service: "documents", Zone: "z0", Capacity: 8}
 		if err := backend.Start(t.runs); err != nil {
 			return errors.Wrap(err, "starting a fake backend")
 		}
 		t.backends = append(t.backends, backend)
 	}
-	t.platform = &fake.Platform{}
+	t.platform = &fakesystem.Platform{}
 	return errors.Wrap(t.platform.Start(t.backends...), "starting the fake platform")
 }
 
--- a/internal/pathreader/pathreader.go
+++ b/internal/docreader/pathreader.go
@@ -1,6 +1,6 @@
-// Package pathreader walks decoded JSON or YAML documents by path. It collects every finding together with its
+// Package docreader walks decoded JSON or YAML documents by path. It collects every finding together with its
 // place, so that a file with several faults is reported once and whole.
-package pathreader
+package docreader
 
 import (
 	"encoding/json"
--- a/internal/span/span.go
+++ b/internal/duration/span.go
@@ -1,7 +1,7 @@
-// Package span reads and writes times as operators write them: microseconds in the program, "250ms" in files.
+// Package duration reads and writes times as operators write them: microseconds in the program, "250ms" in files.
 //
 // It is apart from package model so that nothing there imports the package that also holds the real clock.
-package span
+package duration
 
 import (
 	"fmt"
--- a/internal/turns/turns.go
+++ b/internal/edf/turns.go
@@ -1,5 +1,5 @@
-// Package turns holds an earliest-deadline-first queue of what waits for its turn. It is pure, and decides nothing but the order.
-package turns
+// Package edf holds an earliest-deadline-first queue of what waits for its turn. It is pure, and decides nothing but the order.
+package edf
 
 import "container/heap"
 
--- a/internal/fake/backend.go
+++ b/internal/fake/fakesystem/backend.go
@@ -1,6 +1,6 @@
-// Package fake holds what surrounds the system, spoken as PROTOCOL.md says: backends with models, a service that must run
+// Package fakesystem holds what surrounds the system, spoken as PROTOCOL.md says: backends with models, a service that must run
 // each request at most once, and the platform's list. It serves trials and tests on loopback.
-package fake
+package fakesystem
 
 import (
 	"encoding/json"
--- a/internal/fake/platform.go
+++ b/internal/fake/fakesystem/platform.go
@@ -1,4 +1,4 @@
-package fake
+package fakesystem
 
 import (
 	"encoding/json"
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -9,29 +9,29 @@
 	"strings"
 	"time"
 
-	"pumiceline/internal/span"
+	"pumiceline/internal/duration"
 	"pumiceline/internal/tomlfile"
 )
 
 // Script is what is to happen on a stage, as a file says it.
 type Script struct {
-	Title        string    `toml:"title"`
-	Length       span.Span `toml:"length"`       // clients ask for this long
-	Proxies      int       `toml:"proxies"`      // processes, each a proxy of its own
-	Destinations int       `toml:"destinations"` // stand-ins
-	Rate         float64   `toml:"rate"`         // requests a second, of all clients
-	Draw         int       `toml:"draw"`         // faults that are drawn from the seed besides those written
-	Faults       []Step    `toml:"fault"`
+	Title        string        `toml:"title"`
+	Length       duration.Span `toml:"length"`       // clients ask for this long
+	Proxies      int           `toml:"proxies"`      // processes, each a proxy of its own
+	Destinations int           `toml:"destinations"` // stand-ins
+	Rate         float64       `toml:"rate"`         // requests a second, of all clients
+	Draw         int           `toml:"draw"`         // faults that are drawn from the seed besides those written
+	Faults       []Step        `toml:"fault"`
 }
 
 // Step is one fault, with its end.
 type Step struct {
-	At    span.Span `toml:"at"`
-	For   span.Span `toml:"for"`
-	Do    string    `toml:"do"`    // see Deeds
-	Who   string    `toml:"who"`   // proxy, roster (the way between a proxy and it) or destination (the way of all to one)
-	N     int       `toml:"n"`     // its number, from 0
-	Delay span.Span `toml:"delay"` // of delay
+	At    duration.Span `toml:"at"`
+	For   duration.Span `toml:"for"`
+	Do    string        `toml:"do"`    // see Deeds
+	Who   string        `toml:"who"`   // proxy, roster (the way between a proxy and it) or destination (the way of all to one)
+	N     int           `toml:"n"`     // its number, from 0
+	Delay duration.Span `toml:"delay"` // of delay
 }
 
 // Deeds are what a step may do, and to whom.
@@ -105,8 +105,10 @@
 	for range s.Draw {
 		do := deeds[g.IntN(len(deeds))]
 		who := Deeds[do][g.IntN(len(Deeds[do]))]
-		part := func(from, to float64) span.Span { return span.Span(float64(s.Length) * (from + (to-from)*g.Float64())) }
-		steps = append(steps, Step{At: part(0.05, 0.7), For: part(0.02, 0.2), Do: do, Who: who, N: g.IntN(s.count(who)), Delay: span.Span(20_000 + g.IntN(280_000))})
+		part := func(from, to float64) duration.Span {
+			return duration.Span(float64(s.Length) * (from + (to-from)*g.Float64()))
+		}
+		steps = append(steps, Step{At: part(0.05, 0.7), For: part(0.02, 0.2), Do: do, Who: who, N: g.IntN(s.count(who)), Delay: duration.Span(20_000 + g.IntN(280_000))})
 	}
 	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return steps
@@ -120,7 +122,7 @@
 // does; what was done is then undone.
 func Play(steps []Step, begun time.Time, over <-chan struct{}, do func(Step) (undo func())) {
 	ended := make(chan struct{}, len(steps))
-	wait := func(at span.Span) bool {
+	wait := func(at duration.Span) bool {
 		timer := time.NewTimer(time.Until(begun.Add(time.Duration(at) * time.Microsecond)))
 		defer timer.Stop()
 		select {
--- a/internal/fleetsim/model/config.go
+++ b/internal/fleetsim/model/config.go
@@ -6,7 +6,7 @@
 	"math/rand/v2"
 	"slices"
 
-	"pumiceline/internal/span"
+	"pumiceline/internal/duration"
 	"pumiceline/internal/standalone/policy"
 )
 
@@ -14,7 +14,7 @@
 type Time = policy.Time
 
 // Span is a length of time that is written with its unit in files.
-type Span = span.Span
+type Span = duration.Span
 
 // World describes what is played: fleet, clients, network, discovery and troubles. Quotes returns a whole one. True
 // speeds and the like are drawn from the run's seed, within Spread of what stands here; deciders are told only what
--- a/internal/framing/framing.go
+++ b/internal/httpframing/framing.go
@@ -1,7 +1,7 @@
-// Package framing watches how the messages on an HTTP/1.1 connection are delimited. net/http drops a Content-Length that
+// Package httpframing watches how the messages on an HTTP/1.1 connection are delimited. net/http drops a Content-Length that
 // stands beside a Transfer-Encoding, and the second of two like lengths, without a word, so that nobody behind it can
 // tell; but whoever wrote such a message may mean its end to be elsewhere, and have hidden another message in it.
-package framing
+package httpframing
 
 import "bytes"
 
--- a/internal/framing/framing_test.go
+++ b/internal/httpframing/framing_test.go
@@ -1,4 +1,4 @@
-package framing
+package httpframing
 
 import (
 	"bufio"
--- a/internal/service/service.go
+++ b/internal/process/service.go
@@ -1,6 +1,6 @@
-// Package service is what the system's processes share from their start to their end: flags, logs, the settings file and
+// Package process is what the system's processes share from their start to their end: flags, logs, the settings file and
 // the signals of the platform.
-package service
+package process
 
 import (
 	"context"
--- a/internal/standalone/backend/exchange.go
+++ b/internal/standalone/backend/exchange.go
@@ -14,7 +14,7 @@
 
 	"golang.org/x/net/http/httpguts"
 
-	"pumiceline/internal/framing"
+	"pumiceline/internal/httpframing"
 	"pumiceline/internal/standalone/policy"
 	"pumiceline/internal/standalone/requestbody"
 )
@@ -368,7 +368,7 @@
 // answer must never pass for one. by is when the attempt ends.
 func (c *conn) read(by time.Time, f *Fleet, req *http.Request) (status int, answer *Answer, reusable bool, err error) {
 	c.limit.N = mostHead + MostBody
-	c.from.scanner = framing.Scanner{}
+	c.from.scanner = httpframing.Scanner{}
 	var resp *http.Response
 	interim := int32(0)
 	for ; ; interim++ {
--- a/internal/standalone/backend/fleet.go
+++ b/internal/standalone/backend/fleet.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"pumiceline/internal/framing"
+	"pumiceline/internal/httpframing"
 	"pumiceline/internal/socket"
 	"pumiceline/internal/standalone/policy"
 )
@@ -75,7 +75,7 @@
 // is wrong with an answer may be that it was cut.
 type source struct {
 	io.Reader
-	scanner framing.Scanner
+	scanner httpframing.Scanner
 	ended   bool
 }
 
--- a/internal/standalone/deployfile/door.go
+++ b/internal/standalone/deployfile/door.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"pumiceline/internal/span"
+	"pumiceline/internal/duration"
 	"pumiceline/internal/standalone/admission"
 	"pumiceline/internal/standalone/settings"
 	"pumiceline/internal/tomlfile"
@@ -18,19 +18,19 @@
 
 // doorFile is deploy/door.toml.
 type doorFile struct {
-	Waiting     int                  `toml:"waiting"`
-	Buckets     int                  `toml:"buckets"`
-	Least       float64              `toml:"least"`
-	Most        float64              `toml:"most"`
-	Start       float64              `toml:"start"`
-	Patience    float64              `toml:"patience"`
-	Repeats     float64              `toml:"repeats"`
-	RepeatBurst float64              `toml:"repeat_burst"`
-	MaxComeBack span.Span            `toml:"max_come_back"`
-	Rotate      span.Span            `toml:"rotate"`
-	Shares      map[string]float64   `toml:"shares"`
-	Worth       map[string]float64   `toml:"worth"`
-	Work        map[string]span.Span `toml:"work"`
+	Waiting     int                      `toml:"waiting"`
+	Buckets     int                      `toml:"buckets"`
+	Least       float64                  `toml:"least"`
+	Most        float64                  `toml:"most"`
+	Start       float64                  `toml:"start"`
+	Patience    float64                  `toml:"patience"`
+	Repeats     float64                  `toml:"repeats"`
+	RepeatBurst float64                  `toml:"repeat_burst"`
+	MaxComeBack duration.Span            `toml:"max_come_back"`
+	Rotate      duration.Span            `toml:"rotate"`
+	Shares      map[string]float64       `toml:"shares"`
+	Worth       map[string]float64       `toml:"worth"`
+	Work        map[string]duration.Span `toml:"work"`
 }
 
 // usualWork is what a request is taken to cost where neither its client nor the file says.
@@ -49,7 +49,7 @@
 func parseDoor(path string, text []byte, s *settings.Settings, seed uint64) (admission.Settings, error) {
 	set := admission.Defaults()
 	f := doorFile{Waiting: set.Waiting, Buckets: set.Buckets, Least: set.Least, Most: set.Most, Start: set.Start, Patience: set.Patience,
-		Repeats: set.Repeats, RepeatBurst: set.RepeatBurst, MaxComeBack: span.Span(set.MaxComeBack), Rotate: span.Span(set.RotateSalt)}
+		Repeats: set.Repeats, RepeatBurst: set.RepeatBurst, MaxComeBack: duration.Span(set.MaxComeBack), Rotate: duration.Span(set.RotateSalt)}
 	if err := tomlfile.Decode(path, text, &f); err != nil {
 		return set, err
 	}
--- a/internal/standalone/deployfile/fleet.go
+++ b/internal/standalone/deployfile/fleet.go
@@ -9,8 +9,8 @@
 	"slices"
 	"strconv"
 
+	"pumiceline/internal/duration"
 	"pumiceline/internal/singleton"
-	"pumiceline/internal/span"
 	"pumiceline/internal/tomlfile"
 )
 
@@ -26,9 +26,9 @@
 
 type fleetFile struct {
 	Name    string            `toml:"name"`
-	Lease   span.Span         `toml:"lease"`
+	Lease   duration.Span     `toml:"lease"`
 	Drift   float64           `toml:"drift"`
-	Damp    span.Span         `toml:"damp"`
+	Damp    duration.Span     `toml:"damp"`
 	Members map[string]string `toml:"members"`
 	Works   map[string]struct {
 		Receiver  string `toml:"receiver"`
--- a/internal/standalone/listener/conn.go
+++ b/internal/standalone/listener/conn.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"pumiceline/internal/framing"
+	"pumiceline/internal/httpframing"
 	"pumiceline/internal/socket"
 )
 
@@ -21,7 +21,7 @@
 	net.Conn
 
 	mu      sync.Mutex // guards what follows
-	scanner framing.Scanner
+	scanner httpframing.Scanner
 	reading bool  // a Read is under way
 	ended   bool  // by the proxy: what a read brings from then on was never read
 	handled int32 // requests that came to the handler
--- a/internal/standalone/policy/decide.go
+++ b/internal/standalone/policy/decide.go
@@ -8,9 +8,9 @@
 	"math/rand/v2"
 	"slices"
 
+	"pumiceline/internal/edf"
 	"pumiceline/internal/standalone/affinity"
 	"pumiceline/internal/standalone/latencybaseline"
-	"pumiceline/internal/turns"
 )
 
 const (
@@ -33,9 +33,9 @@
 	out []Action
 
 	servers  map[uint32]*server
-	order    []*server           // in the order of their listing, so that nothing depends on the map's
-	turns    turns.Queue[server] // each is due one every 1/weight, and the earliest due goes next
-	turn     float64             // virtual time: the deadline of the turn given out last
+	order    []*server         // in the order of their listing, so that nothing depends on the map's
+	turns    edf.Queue[server] // each is due one every 1/weight, and the earliest due goes next
+	turn     float64           // virtual time: the deadline of the turn given out last
 	keys     affinity.Table
 	passed   []*server // scratch of pick
 	lost     [256]int  // failures to connect in each zone since the last success
--- a/internal/standalone/policy/weights.go
+++ b/internal/standalone/policy/weights.go
@@ -3,10 +3,10 @@
 import (
 	"math"
 
+	"pumiceline/internal/edf"
 	"pumiceline/internal/standalone/concurrency"
 	"pumiceline/internal/standalone/loadpolling"
-	"pumiceline/internal/turns"
-	"pumiceline/internal/weight"
+	"pumiceline/internal/wrr"
 )
 
 // Parameters of A58 and A100. Window and floor of the ramp come from the settings' cold time and cold share.
@@ -22,7 +22,7 @@
 
 // server is what this balancer knows of one.
 type server struct {
-	turns.Turn[server]
+	edf.Turn[server]
 	id      uint32
 	zone    uint8
 	cell    uint16
@@ -112,7 +112,7 @@
 		return mean
 	}
 	qps, util := s.qps/s.mass, s.util/s.mass
-	return weight.A58(qps+meanShare*mean, util+meanShare, s.eps/s.qps, errorUtilizationPenalty)
+	return wrr.A58(qps+meanShare*mean, util+meanShare, s.eps/s.qps, errorUtilizationPenalty)
 }
 
 // like is the mean weight that goes for s: of its kind, else of all, scaled by listed size.
@@ -147,7 +147,7 @@
 	if !s.cold || age >= window {
 		return 1
 	}
-	return weight.SlowStart(age, 1e6, window, b.set.Rules.ColdShare, aggression)
+	return wrr.SlowStart(age, 1e6, window, b.set.Rules.ColdShare, aggression)
 }
 
 // guaranteed is the share of its capacity that a cold server is sure to have: an even climb from the cold
--- a/internal/weight/weight.go
+++ b/internal/wrr/weight.go
@@ -1,6 +1,6 @@
-// Package weight holds the formulas by which both programs weigh backends: gRFC A58's weight and gRFC A100's slow start.
+// Package wrr holds the formulas by which both programs weigh backends: gRFC A58's weight and gRFC A100's slow start.
 // It is pure.
-package weight
+package wrr
 
 import "math"
 
--- a/internal/weight/weight_test.go
+++ b/internal/wrr/weight_test.go
@@ -1,4 +1,4 @@
-package weight
+package wrr
 
 import (
 	"testing"
