--- a/internal/faulttest/stage_test.go
+++ b/internal/faulttest/stage_test.go
@@ -217,7 +217,7 @@
 
 // A seed draws the same faults each time, all of them playable; a script that can't be played is told with file, line and key.
 func TestScripts(t *testing.T) {
-	if _, err := ReadScript("../../example/stage/cuts.toml"); err != nil {
+	if _, err := ReadScript("../../example/faulttest/cuts.toml"); err != nil {
 		t.Error(err)
 	}
 	s := &Script{Length: 10e6, Proxies: 2, Destinations: 3, Rate: 1, Draw: 200}
--- a/internal/fleetsim/experiment/luck_test.go
+++ b/internal/fleetsim/experiment/luck_test.go
@@ -13,7 +13,7 @@
 // took half of the aim for a queue had 0.145 with invitations, where the truth has 0.848, and 0.072 with half of the work in waits.
 func TestServiceMovesNoFurtherThanTheTruth(t *testing.T) {
 	const luckBound = 0.06
-	invitations, err := Load("../../../example/lab/invitations.toml")
+	invitations, err := Load("../../../example/experiments/invitations.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/tools/simrank/main.go
+++ b/tools/simrank/main.go
@@ -69,7 +69,7 @@
 
 const (
 	ours        = "tools/simrank/worlds/"
-	invitations = "example/lab/invitations.toml"
+	invitations = "example/experiments/invitations.toml"
 )
 
 // deployments are the sites and worlds of each deployment.
