--- a/internal/controlplane/configuration/configuration_test.go
+++ b/internal/controlplane/configuration/configuration_test.go
@@ -61,7 +61,7 @@
 type transcript struct{ state message.ChainState }
 
 func (p *transcript) call(method, ifMatch, body string) int {
-	decision := Judge(&p.state, &message.ConfigCall{Method: method, IfMatch: ifMatch, Body: []byte(body)})
+	decision := Judge(&p.state, &message.ConfigRequest{Method: method, IfMatch: ifMatch, Body: []byte(body)})
 	if decision.Apply {
 		p.state.Version, p.state.Document = decision.Change.Version, decision.Document
 		p.state.History = append(p.state.History, decision.Change)
--- a/internal/controlplane/configuration/judge.go
+++ b/internal/controlplane/configuration/judge.go
@@ -17,7 +17,7 @@
 
 // Judge decides an operator's change on top of a state: it was taken before, it is to be applied, or it is refused
 // with 412 (another version is current) or 400 (invalid; the body names the places).
-func Judge(state *message.ChainState, call *message.ConfigCall) replica.Decision {
+func Judge(state *message.ChainState, call *message.ConfigRequest) replica.Decision {
 	digest := Digest(call)
 	taken := func(change message.Change) bool { return bytes.Equal(change.Digest, digest) }
 	if slices.ContainsFunc(state.History, taken) {
@@ -59,7 +59,7 @@
 // judgeAhead decides a change on top of a version that is not in force yet. The change that brings that version may be
 // under way, and a copy of this one may be judged again after it, so it must not be refused; what no state makes valid
 // may be.
-func judgeAhead(call *message.ConfigCall) replica.Decision {
+func judgeAhead(call *message.ConfigRequest) replica.Decision {
 	if call.Method == http.MethodPut {
 		if _, err := Parse(call.Body); err != nil {
 			return refuse(http.StatusBadRequest, err)
@@ -77,7 +77,7 @@
 }
 
 // Digest tells calls apart: a call that is sent again has the same one.
-func Digest(call *message.ConfigCall) []byte {
+func Digest(call *message.ConfigRequest) []byte {
 	hash := sha256.New()
 	hash.Write([]byte(call.Method + "\n" + strings.TrimSpace(call.IfMatch) + "\n"))
 	hash.Write(call.Body)
--- a/internal/controlplane/configuration/judge_test.go
+++ b/internal/controlplane/configuration/judge_test.go
@@ -13,11 +13,11 @@
 // force, and what was refused must never be.
 func TestAChangeAheadOfTheStateIsNotRefused(t *testing.T) {
 	state := message.ChainState{Version: 5}
-	ahead := &message.ConfigCall{Method: http.MethodPut, IfMatch: "7", Body: []byte(document(9, ""))}
+	ahead := &message.ConfigRequest{Method: http.MethodPut, IfMatch: "7", Body: []byte(document(9, ""))}
 	assert.Zero(t, Judge(&state, ahead).Status)
-	patched := &message.ConfigCall{Method: http.MethodPatch, IfMatch: "7", Body: []byte(`{"version":9}`)}
+	patched := &message.ConfigRequest{Method: http.MethodPatch, IfMatch: "7", Body: []byte(`{"version":9}`)}
 	assert.Zero(t, Judge(&state, patched).Status)
-	broken := &message.ConfigCall{Method: http.MethodPut, IfMatch: "7", Body: []byte(`{"version":9,`)}
+	broken := &message.ConfigRequest{Method: http.MethodPut, IfMatch: "7", Body: []byte(`{"version":9,`)}
 	assert.Equal(t, http.StatusBadRequest, Judge(&state, broken).Status, "no state makes it valid")
 	state.Version = 7
 	assert.True(t, Judge(&state, ahead).Apply)
@@ -26,8 +26,8 @@
 // Of changes before the horizon nothing is known: one of them may be sent again, so none is refused.
 func TestNothingIsRefusedBeforeTheHorizon(t *testing.T) {
 	state := message.ChainState{Version: 50, Horizon: 40}
-	old := &message.ConfigCall{Method: http.MethodPut, IfMatch: "39", Body: []byte(document(41, ""))}
+	old := &message.ConfigRequest{Method: http.MethodPut, IfMatch: "39", Body: []byte(document(41, ""))}
 	assert.Zero(t, Judge(&state, old).Status)
-	known := &message.ConfigCall{Method: http.MethodPut, IfMatch: "40", Body: []byte(document(41, ""))}
+	known := &message.ConfigRequest{Method: http.MethodPut, IfMatch: "40", Body: []byte(document(41, ""))}
 	assert.Equal(t, http.StatusPreconditionFailed, Judge(&state, known).Status)
 }
--- a/internal/controlplane/coordinator/api.go
+++ b/internal/controlplane/coordinator/api.go
@@ -20,20 +20,20 @@
 // resultBoard brings results to the calls that wait for them.
 type resultBoard struct {
 	mutex   sync.Mutex
-	waiting map[uint64]chan *message.ConfigResult
+	waiting map[uint64]chan *message.ConfigResponse
 	next    atomic.Uint64
 }
 
 // newResultBoard makes a board that numbers calls from incarnation, so that a result for an earlier process is none for
 // this one.
 func newResultBoard(incarnation uint64) *resultBoard {
-	b := &resultBoard{waiting: map[uint64]chan *message.ConfigResult{}}
+	b := &resultBoard{waiting: map[uint64]chan *message.ConfigResponse{}}
 	b.next.Store(incarnation)
 	return b
 }
 
-func (b *resultBoard) open() (uint64, chan *message.ConfigResult) {
-	id, result := b.next.Add(1), make(chan *message.ConfigResult, 1)
+func (b *resultBoard) open() (uint64, chan *message.ConfigResponse) {
+	id, result := b.next.Add(1), make(chan *message.ConfigResponse, 1)
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.waiting[id] = result
@@ -46,7 +46,7 @@
 	delete(b.waiting, id)
 }
 
-func (b *resultBoard) post(result *message.ConfigResult) {
+func (b *resultBoard) post(result *message.ConfigResponse) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if waiting, ok := b.waiting[result.ID]; ok {
@@ -83,7 +83,7 @@
 		http.Error(w, "the body cannot be read whole: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	call := &message.ConfigCall{Method: r.Method, IfMatch: r.Header.Get("If-Match"), Body: body}
+	call := &message.ConfigRequest{Method: r.Method, IfMatch: r.Header.Get("If-Match"), Body: body}
 	result := a.submit(r, call)
 	if result == nil {
 		w.Header().Set("Retry-After", "0.2")
@@ -93,7 +93,7 @@
 	answer(w, r, result)
 }
 
-func answer(w http.ResponseWriter, r *http.Request, result *message.ConfigResult) {
+func answer(w http.ResponseWriter, r *http.Request, result *message.ConfigResponse) {
 	if r.Method == http.MethodGet && len(result.Body) == 0 {
 		http.Error(w, "no configuration has been taken yet", http.StatusNotFound)
 		return
@@ -107,7 +107,7 @@
 }
 
 // submit brings the call to the member that decides it, again and again until it answers.
-func (a *api) submit(r *http.Request, call *message.ConfigCall) *message.ConfigResult {
+func (a *api) submit(r *http.Request, call *message.ConfigRequest) *message.ConfigResponse {
 	id, result := a.owner.results.open()
 	defer a.owner.results.close(id)
 	call.ID = id
@@ -117,7 +117,7 @@
 	again := time.NewTicker(resubmit)
 	defer again.Stop()
 	for {
-		m := &message.Message{From: self.Identity, FromAddress: self.Address, To: self.Identity, ConfigCall: call}
+		m := &message.Message{From: self.Identity, FromAddress: self.Address, To: self.Identity, ConfigRequest: call}
 		if s := a.owner.standing.Load(); s != nil {
 			m.View = s.view.Number
 		}
--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -365,15 +365,15 @@
 }
 
 // loadOrders tells proxies which loads are under way.
-func (c *controller) loadOrders(now time.Time) []message.LoadOrder {
-	var orders []message.LoadOrder
+func (c *controller) loadOrders(now time.Time) []message.PendingLoad {
+	var orders []message.PendingLoad
 	for id, running := range c.running {
 		if running.task.Load == "" {
 			continue
 		}
-		orders = append(orders, message.LoadOrder{
+		orders = append(orders, message.PendingLoad{
 			Service: running.task.Service, Model: running.task.Load, Backend: id,
-			DoneInMS: max(0, running.expected.Sub(now).Milliseconds()),
+			ReadyInMs: max(0, running.expected.Sub(now).Milliseconds()),
 		})
 	}
 	return orders
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -77,8 +77,8 @@
 	o.self = self
 	o.writer = newWriter(ring, &chain, o.released)
 	handle := func(m *message.Message, reply func(*message.Message)) {
-		if m.Pull != nil {
-			o.hub.HandlePull(m.From, *m.Pull, reply)
+		if m.PollRequest != nil {
+			o.hub.HandlePull(m.From, *m.PollRequest, reply)
 			return
 		}
 		if m.LoadReport != nil {
--- a/internal/controlplane/coordinator/owner.go
+++ b/internal/controlplane/coordinator/owner.go
@@ -56,9 +56,9 @@
 
 // deliver takes a message that came in, or one of its own.
 func (o *owner) deliver(m *message.Message) {
-	if m.ConfigResult != nil {
+	if m.ConfigResponse != nil {
 		if m.To == o.self.Identity { // else it is for whoever had this address before
-			o.results.post(m.ConfigResult)
+			o.results.post(m.ConfigResponse)
 		}
 		return
 	}
@@ -109,8 +109,8 @@
 		switch {
 		case m.ToAddress != o.self.Address || m.To != o.self.Identity:
 			o.sender.Send(m.ToAddress, m)
-		case m.ConfigResult != nil:
-			o.results.post(m.ConfigResult)
+		case m.ConfigResponse != nil:
+			o.results.post(m.ConfigResponse)
 		default:
 			local = append(local, m)
 		}
--- a/internal/controlplane/coordinator/status.go
+++ b/internal/controlplane/coordinator/status.go
@@ -66,7 +66,7 @@
 	status := Status{Node: a.node, Identity: a.owner.self.Identity, Tasks: a.owner.tasks.get()}
 	if s := a.owner.standing.Load(); s != nil {
 		status.View, status.Member, status.HasMajority = s.view.Number, s.member, s.hasMajority
-		status.Members, status.Voters = describe(s.view.Members), describe(s.view.Electorate())
+		status.Members, status.Voters = describe(s.view.Members), describe(s.view.EffectiveVoters())
 		status.Serves, status.WaitsFor = time.Now().Before(s.servesUntil), s.waitsFor
 		status.LeaseHolder, status.LeaseToken = s.holder, s.token
 		status.Sequence, status.Version = s.sequence, s.version
--- a/internal/controlplane/coordinator/status_test.go
+++ b/internal/controlplane/coordinator/status_test.go
@@ -36,12 +36,12 @@
 func TestResultsReachTheirCallersOnly(t *testing.T) {
 	o := &owner{self: message.Member{Identity: "n-2", Address: "a:1"}, results: newResultBoard(1000)}
 	id, waiting := o.results.open()
-	o.deliver(&message.Message{To: "n-2", ConfigResult: &message.ConfigResult{ID: id - 1000, Status: http.StatusOK}})
-	o.deliver(&message.Message{To: "n-1", ConfigResult: &message.ConfigResult{ID: id, Status: http.StatusOK}})
+	o.deliver(&message.Message{To: "n-2", ConfigResponse: &message.ConfigResponse{ID: id - 1000, Status: http.StatusOK}})
+	o.deliver(&message.Message{To: "n-1", ConfigResponse: &message.ConfigResponse{ID: id, Status: http.StatusOK}})
 	assert.Empty(t, waiting)
-	o.deliver(&message.Message{To: "n-2", ConfigResult: &message.ConfigResult{ID: id, Status: http.StatusConflict}})
+	o.deliver(&message.Message{To: "n-2", ConfigResponse: &message.ConfigResponse{ID: id, Status: http.StatusConflict}})
 	assert.Equal(t, http.StatusConflict, (<-waiting).Status)
 	o.results.close(id)
-	o.deliver(&message.Message{To: "n-2", ConfigResult: &message.ConfigResult{ID: id, Status: http.StatusOK}})
+	o.deliver(&message.Message{To: "n-2", ConfigResponse: &message.ConfigResponse{ID: id, Status: http.StatusOK}})
 	assert.Empty(t, waiting)
 }
--- a/internal/controlplane/coordinator/subscriber.go
+++ b/internal/controlplane/coordinator/subscriber.go
@@ -31,22 +31,22 @@
 func (s *holderSubscriber) SetMembers([]message.Member) {}
 
 // Versions tells the list that is known here and what was gathered from proxies.
-func (s *holderSubscriber) Versions() message.Pull {
+func (s *holderSubscriber) Versions() message.PollRequest {
 	demand, loads, proxies := s.owner.hub.TakeDemand()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return message.Pull{ConfigSequence: ^uint64(0), BackendDigest: s.digest, Demand: demand, Loads: loads, Proxies: proxies, LoadVersion: s.loads.Version()}
+	return message.PollRequest{ConfigSequence: ^uint64(0), BackendDigest: s.digest, Demand: demand, Loads: loads, Proxies: proxies, LoadVersion: s.loads.Version()}
 }
 
 // Apply takes the holder's list.
-func (s *holderSubscriber) Apply(reply *message.PullReply, sent time.Time) {
+func (s *holderSubscriber) Apply(reply *message.PollResponse, sent time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.owner.hub.SetTotals(s.loads.Take(reply), reply.Proxies, reply.Orders)
+	s.owner.hub.SetTotals(s.loads.Take(reply), reply.Proxies, reply.PendingLoads)
 	if !reply.BackendsKnown {
 		return
 	}
-	observed := sent.Add(time.Duration(reply.HeldMS-reply.BackendsAgeMS) * time.Millisecond)
+	observed := sent.Add(time.Duration(reply.WaitedMs-reply.BackendsAgeMs) * time.Millisecond)
 	switch {
 	case reply.Backends != nil:
 		table, ok := discovery.Apply(s.table, reply.Backends)
--- a/internal/controlplane/coordinator/writer_test.go
+++ b/internal/controlplane/coordinator/writer_test.go
@@ -39,7 +39,7 @@
 	require.NoError(t, ring.Write(map[storage.Kind][]byte{controlRecord: control, chainRecord: chain}))
 	_, readControl, readChain := openDir(t, dir)
 	assert.Equal(t, uint64(7), readControl.View.Number)
-	assert.Equal(t, readControl.View.Members, readControl.View.Electorate(), "its members are its voters")
+	assert.Equal(t, readControl.View.Members, readControl.View.EffectiveVoters(), "its members are its voters")
 	assert.True(t, readControl.Complete)
 	assert.Equal(t, uint64(9), readChain.Version)
 	assert.Len(t, readChain.History, 2)
@@ -60,7 +60,7 @@
 		document += fmt.Sprintf(`{"name":"r-%d","host":"h.example","pathStart":"/p%d/","kind":"changing","timeoutMs":%d,"service":"s"},`, i, i, timeout)
 	}
 	document = document[:len(document)-1] + fmt.Sprintf(`],"version":%d}`, version)
-	call := &message.ConfigCall{Method: "PUT", IfMatch: fmt.Sprint(state.Version), Body: []byte(document)}
+	call := &message.ConfigRequest{Method: "PUT", IfMatch: fmt.Sprint(state.Version), Body: []byte(document)}
 	decision := configuration.Judge(state, call)
 	require.True(t, decision.Apply, string(decision.Body))
 	record := message.ChangeRecord{
@@ -120,7 +120,7 @@
 	assert.Less(t, sizes[9000], sizes[4500]+1000)
 	assert.Less(t, records[9000], 600)
 	assert.Equal(t, state.History[0].Base, state.Horizon)
-	first := &message.ConfigCall{Method: "PUT", IfMatch: "0", Body: []byte(`{"version":1,"routes":[],"services":[]}`)}
+	first := &message.ConfigRequest{Method: "PUT", IfMatch: "0", Body: []byte(`{"version":1,"routes":[],"services":[]}`)}
 	assert.Zero(t, configuration.Judge(&state, first).Status, "nobody can tell whether it was taken")
 }
 
--- a/internal/controlplane/discovery/digest.go
+++ b/internal/controlplane/discovery/digest.go
@@ -42,7 +42,7 @@
 		delete(before, backend.ID)
 	}
 	for id := range before {
-		update.Gone = append(update.Gone, id)
+		update.Removed = append(update.Removed, id)
 	}
 	return update
 }
@@ -68,7 +68,7 @@
 		changed[backend.ID] = true
 	}
 	for _, backend := range base.Backends {
-		if !changed[backend.ID] && !slices.Contains(update.Gone, backend.ID) {
+		if !changed[backend.ID] && !slices.Contains(update.Removed, backend.ID) {
 			next.Backends = append(next.Backends, backend)
 		}
 	}
--- a/internal/controlplane/discovery/discovery.go
+++ b/internal/controlplane/discovery/discovery.go
@@ -137,7 +137,7 @@
 func (e *entry) backend() message.Backend {
 	backend := message.Backend{
 		ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone, Capacity: e.Capacity,
-		Draining: e.State == "draining", ColdLeftMS: int(e.ColdLeftMS), TimeLeftMS: int(e.TimeLeftMS),
+		Draining: e.State == "draining", WarmUpLeftMs: int(e.ColdLeftMS), TimeLeftMs: int(e.TimeLeftMS),
 	}
 	for _, model := range e.Models {
 		backend.Models = append(backend.Models, message.LoadedModel{Name: model.Name, Adapters: model.Adapters})
--- a/internal/controlplane/discovery/discovery_test.go
+++ b/internal/controlplane/discovery/discovery_test.go
@@ -72,7 +72,7 @@
 	before, after := tableOf(c, a, b), tableOf(loaded, a, message.Backend{ID: "d"})
 	update := after.Since(before)
 	assert.Len(t, update.Backends, 2, "only what changed")
-	assert.Equal(t, []string{"c"}, update.Gone)
+	assert.Equal(t, []string{"c"}, update.Removed)
 	next, ok := Apply(before, update)
 	require.True(t, ok)
 	assert.Equal(t, after.Backends, next.Backends)
@@ -83,7 +83,7 @@
 	whole, ok := Apply(nil, after.Whole())
 	require.True(t, ok)
 	assert.Equal(t, after.Digest, whole.Digest)
-	update.Gone = nil
+	update.Removed = nil
 	_, ok = Apply(before, update)
 	assert.False(t, ok, "an update that leads elsewhere is not taken")
 }
--- a/internal/controlplane/distribution/distribution_test.go
+++ b/internal/controlplane/distribution/distribution_test.go
@@ -30,11 +30,11 @@
 	return hub
 }
 
-func pull(t *testing.T, hub *Hub, from string, request message.Pull) *message.PullReply {
+func pull(t *testing.T, hub *Hub, from string, request message.PollRequest) *message.PollResponse {
 	t.Helper()
 	answer := make(chan *message.Message, 1)
 	hub.HandlePull(from, request, func(m *message.Message) { answer <- m })
-	return (<-answer).PullReply
+	return (<-answer).PollResponse
 }
 
 func table(id string, observed time.Time) *discovery.Table {
@@ -47,10 +47,10 @@
 	hub := newTestHub(t, true)
 	hub.SetConfig(message.ConfigUpdate{Sequence: 3, Document: []byte("c")})
 	hub.SetTable(table("b", time.Now()))
-	first := pull(t, hub, "p", message.Pull{})
+	first := pull(t, hub, "p", message.PollRequest{})
 	require.NotNil(t, first.Config)
 	require.NotNil(t, first.Backends)
-	second := pull(t, hub, "p", message.Pull{ConfigSequence: 3, BackendDigest: first.Backends.Digest})
+	second := pull(t, hub, "p", message.PollRequest{ConfigSequence: 3, BackendDigest: first.Backends.Digest})
 	assert.Nil(t, second.Config)
 	assert.Nil(t, second.Backends)
 	assert.True(t, second.BackendsKnown)
@@ -59,13 +59,13 @@
 func TestAHeldPullIsAnsweredByNews(t *testing.T) {
 	hub := newTestHub(t, true)
 	answer := make(chan *message.Message, 1)
-	hub.HandlePull("p", message.Pull{HoldMS: 60_000}, func(m *message.Message) { answer <- m })
+	hub.HandlePull("p", message.PollRequest{MaxWaitMs: 60_000}, func(m *message.Message) { answer <- m })
 	hub.SetConfig(message.ConfigUpdate{Sequence: 1})
-	assert.Equal(t, uint64(1), (<-answer).PullReply.Config.Sequence)
+	assert.Equal(t, uint64(1), (<-answer).PollResponse.Config.Sequence)
 }
 
 func TestAMemberWithoutMajoritySendsAway(t *testing.T) {
-	reply := pull(t, newTestHub(t, false), "p", message.Pull{HoldMS: 60_000})
+	reply := pull(t, newTestHub(t, false), "p", message.PollRequest{MaxWaitMs: 60_000})
 	assert.True(t, reply.Unavailable)
 	assert.Equal(t, "m", reply.Members[0].Address)
 }
@@ -74,9 +74,9 @@
 func TestAMemberServesNoLongerThanItWasConfirmed(t *testing.T) {
 	hub := newTestHub(t, true)
 	hub.SetConfig(message.ConfigUpdate{Sequence: 1})
-	assert.NotNil(t, pull(t, hub, "p", message.Pull{}).Config)
+	assert.NotNil(t, pull(t, hub, "p", message.PollRequest{}).Config)
 	hub.SetStatus(Status{Until: time.Now().Add(-time.Millisecond)})
-	reply := pull(t, hub, "p", message.Pull{})
+	reply := pull(t, hub, "p", message.PollRequest{})
 	assert.True(t, reply.Unavailable)
 	assert.Nil(t, reply.Config)
 }
@@ -89,11 +89,11 @@
 	second := message.ConfigUpdate{Sequence: 2, Document: []byte(`{"version":2,"routes":[` + routes + `]}`)}
 	hub.SetConfig(first)
 	var copied ConfigCopy
-	document, newer := copied.Take(pull(t, hub, "p", message.Pull{}).Config)
+	document, newer := copied.Take(pull(t, hub, "p", message.PollRequest{}).Config)
 	require.True(t, newer)
 	assert.Equal(t, first.Document, document)
 	hub.SetConfig(second)
-	update := pull(t, hub, "p", message.Pull{ConfigSequence: copied.Known()}).Config
+	update := pull(t, hub, "p", message.PollRequest{ConfigSequence: copied.Known()}).Config
 	assert.Empty(t, update.Document)
 	assert.Less(t, len(update.Delta), 100)
 
@@ -101,7 +101,7 @@
 	_, newer = spoilt.Take(update)
 	assert.False(t, newer)
 	assert.Equal(t, uint64(1), spoilt.Sequence(), "what it has stays in force")
-	document, newer = spoilt.Take(pull(t, hub, "p", message.Pull{ConfigSequence: spoilt.Known()}).Config)
+	document, newer = spoilt.Take(pull(t, hub, "p", message.PollRequest{ConfigSequence: spoilt.Known()}).Config)
 	assert.True(t, newer)
 	assert.Equal(t, second.Document, document)
 
@@ -119,7 +119,7 @@
 	hub.SetConfig(message.ConfigUpdate{Sequence: 4})
 	hub.SetTable(table("new", now))
 	hub.SetTable(table("old", now.Add(-time.Second)))
-	reply := pull(t, hub, "p", message.Pull{})
+	reply := pull(t, hub, "p", message.PollRequest{})
 	assert.Equal(t, uint64(5), reply.Config.Sequence)
 	assert.Equal(t, "new", reply.Backends.Backends[0].ID)
 }
@@ -127,7 +127,7 @@
 func TestDemandAndLoadsAreSummedOverSources(t *testing.T) {
 	hub := newTestHub(t, true)
 	for _, from := range []string{"p", "q"} {
-		pull(t, hub, from, message.Pull{
+		pull(t, hub, from, message.PollRequest{
 			Proxies: 1, Demand: []message.ModelDemand{{Service: "s", Model: "m", Arrivals: 2, Waiting: 1}},
 			Loads: []message.BackendLoad{{Backend: "b", Running: 3}},
 		})
@@ -145,17 +145,17 @@
 	addresses []string
 	mutex     sync.Mutex
 	members   []message.Member
-	applied   chan *message.PullReply
+	applied   chan *message.PollResponse
 }
 
-func (s *subscriber) Versions() message.Pull { return message.Pull{Proxies: 1} }
-func (s *subscriber) Addresses() []string    { return s.addresses }
+func (s *subscriber) Versions() message.PollRequest { return message.PollRequest{Proxies: 1} }
+func (s *subscriber) Addresses() []string           { return s.addresses }
 func (s *subscriber) SetMembers(members []message.Member) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.members = members
 }
-func (s *subscriber) Apply(reply *message.PullReply, _ time.Time) {
+func (s *subscriber) Apply(reply *message.PollResponse, _ time.Time) {
 	select {
 	case s.applied <- reply:
 	default:
@@ -168,7 +168,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
 	go transport.Serve(listener, func(m *message.Message, reply func(*message.Message)) {
-		hub.HandlePull(m.From, *m.Pull, reply)
+		hub.HandlePull(m.From, *m.PollRequest, reply)
 	})
 	return listener.Addr().String()
 }
@@ -180,7 +180,7 @@
 	require.NoError(t, err)
 	deadAddress := dead.Addr().String()
 	dead.Close()
-	s := &subscriber{addresses: []string{deadAddress, serve(t, cutOff), serve(t, well)}, applied: make(chan *message.PullReply, 1)}
+	s := &subscriber{addresses: []string{deadAddress, serve(t, cutOff), serve(t, well)}, applied: make(chan *message.PollResponse, 1)}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go NewPuller("p", s, time.Millisecond).Run(ctx)
@@ -196,11 +196,11 @@
 				loads = append(loads, message.BackendLoad{Backend: string(rune('a' + i)), Running: count})
 			}
 		}
-		pull(t, hub, "other", message.Pull{Loads: loads})
+		pull(t, hub, "other", message.PollRequest{Loads: loads})
 	}
 	var follower Loads
 	follow := func(has uint64) (told int, running map[string]int) {
-		reply := pull(t, hub, "me", message.Pull{LoadVersion: has})
+		reply := pull(t, hub, "me", message.PollRequest{LoadVersion: has})
 		running = map[string]int{}
 		for _, load := range follower.Take(reply) {
 			running[load.Backend] = load.Running
--- a/internal/controlplane/distribution/exchange.go
+++ b/internal/controlplane/distribution/exchange.go
@@ -12,16 +12,16 @@
 func (h *Hub) HandleLoads(from string, report *message.LoadReport, reply func(*message.Message)) {
 	h.commands <- func(s *state) {
 		now := time.Now()
-		s.ledger.Put(from, report.Loads, report.Whole, now)
+		s.ledger.Put(from, report.Loads, report.Complete, now)
 		if report.ID == 0 {
 			return
 		}
-		go reply(&message.Message{LoadReply: s.loadsFor(from, report, now)})
+		go reply(&message.Message{LoadResponse: s.loadsFor(from, report, now)})
 	}
 }
 
-func (s *state) loadsFor(from string, report *message.LoadReport, now time.Time) *message.LoadReply {
-	answer := &message.LoadReply{ID: report.ID}
+func (s *state) loadsFor(from string, report *message.LoadReport, now time.Time) *message.LoadResponse {
+	answer := &message.LoadResponse{ID: report.ID}
 	if !s.table.IsKnown() {
 		answer.Unknown = true
 		return answer
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -49,7 +49,7 @@
 	demand   map[demandKey]*message.ModelDemand
 	upstream []message.BackendLoad // what all proxies together carry, from the lease holder
 	proxies  int                   // how many proxies there are, from the lease holder; 0: not known
-	orders   []message.LoadOrder
+	orders   []message.PendingLoad
 	ordersAt time.Time
 	ledger   *Ledger
 	holders  holderIndex
@@ -66,7 +66,7 @@
 type demandKey struct{ service, model string }
 
 type heldPull struct {
-	pull    message.Pull
+	pull    message.PollRequest
 	from    string
 	arrived time.Time
 	reply   func(*message.Message)
@@ -137,7 +137,7 @@
 }
 
 // SetTotals tells what the lease holder knows of all proxies.
-func (h *Hub) SetTotals(loads []message.BackendLoad, proxies int, orders []message.LoadOrder) {
+func (h *Hub) SetTotals(loads []message.BackendLoad, proxies int, orders []message.PendingLoad) {
 	h.commands <- func(s *state) {
 		s.upstream, s.proxies = loads, proxies
 		s.setOrders(orders)
@@ -145,7 +145,7 @@
 }
 
 // SetHolder says that this member is the lease holder itself, and which loads it has under way.
-func (h *Hub) SetHolder(orders []message.LoadOrder) {
+func (h *Hub) SetHolder(orders []message.PendingLoad) {
 	h.commands <- func(s *state) {
 		s.upstream, s.proxies = nil, 0
 		s.setOrders(orders)
@@ -183,7 +183,7 @@
 }
 
 // HandlePull takes a pull; reply is called once.
-func (h *Hub) HandlePull(from string, pull message.Pull, reply func(*message.Message)) {
+func (h *Hub) HandlePull(from string, pull message.PollRequest, reply func(*message.Message)) {
 	arrived := time.Now()
 	h.commands <- func(s *state) {
 		s.note(from, &pull, arrived)
@@ -197,8 +197,8 @@
 	}
 }
 
-func isUrgent(pull *message.Pull) bool {
-	return slices.ContainsFunc(pull.Demand, func(d message.ModelDemand) bool { return d.Waiting > 0 || d.Missed > 0 })
+func isUrgent(pull *message.PollRequest) bool {
+	return slices.ContainsFunc(pull.Demand, func(d message.ModelDemand) bool { return d.Waiting > 0 || d.Unserved > 0 })
 }
 
 func (h *Hub) answerDue(s *state, now time.Time) {
@@ -217,47 +217,47 @@
 	status := h.status.Load()
 	waited := now.Sub(held.arrived)
 	if !now.Before(status.Until) {
-		if waited < unavailableHold && waited < time.Duration(held.pull.HoldMS)*time.Millisecond {
+		if waited < unavailableHold && waited < time.Duration(held.pull.MaxWaitMs)*time.Millisecond {
 			return false // a view that has just changed is confirmed in a moment
 		}
-		go held.reply(&message.Message{PullReply: &message.PullReply{ID: held.pull.ID, Unavailable: true, Members: status.Members}})
+		go held.reply(&message.Message{PollResponse: &message.PollResponse{ID: held.pull.ID, Unavailable: true, Members: status.Members}})
 		return true
 	}
 	newConfig := s.config.newest() > held.pull.ConfigSequence
 	newBackends := s.table.IsKnown() && s.table.Digest != held.pull.BackendDigest
-	if !newConfig && !newBackends && waited < time.Duration(held.pull.HoldMS)*time.Millisecond {
+	if !newConfig && !newBackends && waited < time.Duration(held.pull.MaxWaitMs)*time.Millisecond {
 		return false
 	}
-	reply := &message.PullReply{ID: held.pull.ID, Members: status.Members, HeldMS: waited.Milliseconds()}
+	reply := &message.PollResponse{ID: held.pull.ID, Members: status.Members, WaitedMs: waited.Milliseconds()}
 	if newConfig {
 		reply.Config = s.config.updateFrom(held.pull.ConfigSequence)
 	}
 	if s.table.IsKnown() {
 		reply.BackendsKnown = true
-		reply.BackendsAgeMS = now.Sub(s.table.Observed).Milliseconds()
+		reply.BackendsAgeMs = now.Sub(s.table.Observed).Milliseconds()
 		if newBackends {
 			reply.Backends = s.updateFrom(held.pull.BackendDigest)
 		}
 	}
 	reply.Proxies = max(s.proxies, s.countProxies(now))
 	s.addLoads(reply, held, now)
-	reply.Orders = s.remainingOrders(now)
-	go held.reply(&message.Message{PullReply: reply})
+	reply.PendingLoads = s.remainingOrders(now)
+	go held.reply(&message.Message{PollResponse: reply})
 	return true
 }
 
 // addLoads adds the sums of loads to an answer, as differences where the source has the version told last.
-func (s *state) addLoads(reply *message.PullReply, held *heldPull, now time.Time) {
+func (s *state) addLoads(reply *message.PollResponse, held *heldPull, now time.Time) {
 	totals := s.upstream
 	if totals == nil {
 		totals = s.sumLoads(now)
 	}
 	known := s.sources[held.from]
 	if known == nil {
-		reply.TotalLoads, reply.LoadsWhole = totals, true
+		reply.TotalLoads, reply.LoadsComplete = totals, true
 		return
 	}
-	reply.TotalLoads, reply.LoadsWhole, reply.LoadVersion = known.told.next(held.pull.LoadVersion, totals)
+	reply.TotalLoads, reply.LoadsComplete, reply.LoadVersion = known.told.next(held.pull.LoadVersion, totals)
 }
 
 // updateFrom makes the update for who has the table of that digest: the whole table where it is not known any more.
@@ -275,20 +275,20 @@
 	return update
 }
 
-func (s *state) setOrders(orders []message.LoadOrder) { s.orders, s.ordersAt = orders, time.Now() }
+func (s *state) setOrders(orders []message.PendingLoad) { s.orders, s.ordersAt = orders, time.Now() }
 
 // remainingOrders tells the loads under way with the time that is left from now.
-func (s *state) remainingOrders(now time.Time) []message.LoadOrder {
-	orders := make([]message.LoadOrder, 0, len(s.orders))
+func (s *state) remainingOrders(now time.Time) []message.PendingLoad {
+	orders := make([]message.PendingLoad, 0, len(s.orders))
 	for _, order := range s.orders {
-		order.DoneInMS -= now.Sub(s.ordersAt).Milliseconds()
+		order.ReadyInMs -= now.Sub(s.ordersAt).Milliseconds()
 		orders = append(orders, order)
 	}
 	return orders
 }
 
 // note keeps what a source tells of itself.
-func (s *state) note(from string, pull *message.Pull, now time.Time) {
+func (s *state) note(from string, pull *message.PollRequest, now time.Time) {
 	known := s.sources[from]
 	if known == nil {
 		known = &source{}
@@ -299,7 +299,7 @@
 	for _, d := range pull.Demand {
 		sum := s.demandFor(d.Service, d.Model)
 		sum.Arrivals += d.Arrivals
-		sum.Missed += d.Missed
+		sum.Unserved += d.Unserved
 	}
 }
 
--- a/internal/controlplane/distribution/ledger_test.go
+++ b/internal/controlplane/distribution/ledger_test.go
@@ -55,11 +55,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go hub.Run(ctx)
-	ask := func(from string, report message.LoadReport) *message.LoadReply {
+	ask := func(from string, report message.LoadReport) *message.LoadResponse {
 		answer := make(chan *message.Message, 1)
 		report.ID = 7
 		hub.HandleLoads(from, &report, func(m *message.Message) { answer <- m })
-		reply := (<-answer).LoadReply
+		reply := (<-answer).LoadResponse
 		assert.Equal(t, uint64(7), reply.ID)
 		return reply
 	}
--- a/internal/controlplane/distribution/loads.go
+++ b/internal/controlplane/distribution/loads.go
@@ -65,8 +65,8 @@
 func (l *Loads) Version() uint64 { return l.version }
 
 // Take takes an answer and returns the loads of all backends.
-func (l *Loads) Take(reply *message.PullReply) []message.BackendLoad {
-	if reply.LoadsWhole || l.loads == nil {
+func (l *Loads) Take(reply *message.PollResponse) []message.BackendLoad {
+	if reply.LoadsComplete || l.loads == nil {
 		l.loads = map[string]message.BackendLoad{}
 	}
 	for _, load := range reply.TotalLoads {
--- a/internal/controlplane/distribution/puller.go
+++ b/internal/controlplane/distribution/puller.go
@@ -20,9 +20,9 @@
 // Subscriber is who pulls.
 type Subscriber interface {
 	// Versions returns what the subscriber has, and what it tells of itself.
-	Versions() message.Pull
+	Versions() message.PollRequest
 	// Apply takes an answer; sent is when its request went out.
-	Apply(reply *message.PullReply, sent time.Time)
+	Apply(reply *message.PollResponse, sent time.Time)
 	// Addresses returns whom to ask, the preferred first.
 	Addresses() []string
 	// SetMembers tells the coordinators as a peer knows them.
@@ -67,7 +67,7 @@
 
 func (p *Puller) pullFrom(ctx context.Context, address string) bool {
 	pull := p.subscriber.Versions()
-	pull.HoldMS = int(p.hold.Milliseconds())
+	pull.MaxWaitMs = int(p.hold.Milliseconds())
 	ctx, cancel := context.WithTimeout(ctx, p.hold+pullMargin)
 	defer cancel()
 	sent := time.Now()
--- a/internal/controlplane/placement/demand.go
+++ b/internal/controlplane/placement/demand.go
@@ -130,7 +130,7 @@
 		names[name] = s
 	}
 	s.arrivals += d.Arrivals
-	s.missed += d.Missed
+	s.missed += d.Unserved
 	s.running += d.Running
 	s.waiting += d.Waiting
 }
--- a/internal/controlplane/placement/planner.go
+++ b/internal/controlplane/placement/planner.go
@@ -96,7 +96,7 @@
 	p := &plan{in: in, service: service, copies: map[string]int{}, desired: map[string]int{}, nextRate: map[string]float64{}}
 	for i := range in.Backends {
 		backend := &in.Backends[i]
-		if backend.Service != service.Name || backend.Draining || backend.TimeLeftMS > 0 {
+		if backend.Service != service.Name || backend.Draining || backend.TimeLeftMs > 0 {
 			continue
 		}
 		p.backends = append(p.backends, backend)
--- a/internal/controlplane/placement/planner_test.go
+++ b/internal/controlplane/placement/planner_test.go
@@ -123,7 +123,7 @@
 	f := newFleet([]string{"m0"}, []string{"m1"}, []string{"m2"}, []string{"m3"})
 	f.backends[0].Busy = true
 	f.backends[1].Draining = true
-	f.backends[2].TimeLeftMS = 900
+	f.backends[2].TimeLeftMs = 900
 	f.wait("m9", 1)
 	assert.Equal(t, map[string]string{"m9": "b3"}, loads(f.plan(10)))
 }
@@ -131,7 +131,7 @@
 func TestWhatOnlyALeavingBackendHoldsIsLoadedElsewhere(t *testing.T) {
 	f := newFleet([]string{"m0", "m1"}, []string{"m2"})
 	f.ask(5*time.Second, map[string]float64{"m1": 0.4})
-	f.backends[0].TimeLeftMS = 1500
+	f.backends[0].TimeLeftMs = 1500
 	assert.Equal(t, "b1", loads(f.plan(10))["m1"])
 }
 
--- a/internal/controlplane/replica/agreement.go
+++ b/internal/controlplane/replica/agreement.go
@@ -11,13 +11,13 @@
 // proposal is a round of the agreement on the next view that this member has begun.
 type proposal struct {
 	open      bool
-	ballot    message.Ballot
+	ballot    message.ProposalNumber
 	value     message.View
 	tentative bool // the value is what was wanted at the beginning of the round, and is given up when it no longer is
 	accepting bool
 	promises  map[string]bool
 	accepts   map[string]bool
-	best      message.Ballot // ballot of the accepted value that value was taken from
+	best      message.ProposalNumber // ballot of the accepted value that value was taken from
 	began     time.Duration
 	highest   uint64 // highest round seen
 }
@@ -43,9 +43,9 @@
 // undecidedAfter is how long an accepted value may stay undecided before another member takes it up.
 const undecidedAfter = 500 * time.Millisecond
 
-func ballotLess(a, b message.Ballot) bool {
-	if a.Round != b.Round {
-		return a.Round < b.Round
+func ballotLess(a, b message.ProposalNumber) bool {
+	if a.Counter != b.Counter {
+		return a.Counter < b.Counter
 	}
 	return a.Proposer < b.Proposer
 }
@@ -84,7 +84,7 @@
 		return
 	}
 	wanted, wants := r.wantedView()
-	undecided := r.control.Accepted.Number != 0
+	undecided := r.control.AcceptedView.Number != 0
 	if !wants && !undecided {
 		r.detector.wantsAnother = false
 		return
@@ -97,7 +97,7 @@
 		patience += volatileDelay
 	}
 	if !wants {
-		wanted, patience = r.control.Accepted, patience+undecidedAfter
+		wanted, patience = r.control.AcceptedView, patience+undecidedAfter
 	}
 	if r.now-r.detector.wantedSince < patience || r.proposal.open && r.now-r.proposal.began < roundTimeout {
 		return
@@ -109,16 +109,16 @@
 // beginRound opens a ballot above all that were seen. The own promise is synced before anyone hears of the ballot, so
 // that a restarted proposer never uses one twice.
 func (r *Replica) beginRound(value message.View) {
-	round := max(r.proposal.highest, r.control.Promised.Round) + 1
+	round := max(r.proposal.highest, r.control.HighestProposal.Counter) + 1
 	r.proposal = proposal{
 		open: true, value: value, began: r.now, highest: round,
-		ballot:   message.Ballot{Round: round, Proposer: r.control.Identity},
+		ballot:   message.ProposalNumber{Counter: round, Proposer: r.control.Identity},
 		promises: map[string]bool{}, accepts: map[string]bool{},
 	}
-	r.control.Promised = r.proposal.ballot
+	r.control.HighestProposal = r.proposal.ballot
 	r.controlDirty = true
-	for _, member := range r.control.View.Electorate() {
-		r.sendAfterSync(member, message.Message{Prepare: &message.Prepare{Ballot: r.proposal.ballot}})
+	for _, member := range r.control.View.EffectiveVoters() {
+		r.sendAfterSync(member, message.Message{Prepare: &message.Prepare{Proposal: r.proposal.ballot}})
 	}
 }
 
@@ -132,40 +132,40 @@
 	if !r.votes(m) {
 		return
 	}
-	promise := &message.Promise{Ballot: m.Prepare.Ballot}
-	if ballotLess(m.Prepare.Ballot, r.control.Promised) {
-		promise.Refused, promise.Promised = true, r.control.Promised
+	promise := &message.PrepareResponse{Proposal: m.Prepare.Proposal}
+	if ballotLess(m.Prepare.Proposal, r.control.HighestProposal) {
+		promise.Rejected, promise.HighestProposal = true, r.control.HighestProposal
 	} else {
-		r.control.Promised = m.Prepare.Ballot
+		r.control.HighestProposal = m.Prepare.Proposal
 		r.controlDirty = true
-		promise.AcceptedBallot, promise.Accepted = r.control.AcceptedBallot, r.control.Accepted
+		promise.AcceptedProposal, promise.AcceptedView = r.control.AcceptedProposal, r.control.AcceptedView
 	}
-	r.sendAfterSync(r.sender(m), message.Message{Promise: promise})
+	r.sendAfterSync(r.sender(m), message.Message{PrepareResponse: promise})
 }
 
 func (r *Replica) onPromise(m *message.Message) {
 	p := &r.proposal
-	if m.View != r.control.View.Number || !r.isVoterOf(m.From) || !p.open || p.accepting || m.Promise.Ballot != p.ballot {
+	if m.View != r.control.View.Number || !r.isVoterOf(m.From) || !p.open || p.accepting || m.PrepareResponse.Proposal != p.ballot {
 		return
 	}
-	if m.Promise.Refused {
-		p.highest = max(p.highest, m.Promise.Promised.Round)
+	if m.PrepareResponse.Rejected {
+		p.highest = max(p.highest, m.PrepareResponse.HighestProposal.Counter)
 		return
 	}
 	p.promises[m.From] = true
-	if m.Promise.Accepted.Number != 0 && !ballotLess(m.Promise.AcceptedBallot, p.best) {
-		p.best, p.value = m.Promise.AcceptedBallot, m.Promise.Accepted
+	if m.PrepareResponse.AcceptedView.Number != 0 && !ballotLess(m.PrepareResponse.AcceptedProposal, p.best) {
+		p.best, p.value = m.PrepareResponse.AcceptedProposal, m.PrepareResponse.AcceptedView
 	}
 	if len(p.promises) < r.majority() {
 		return
 	}
-	if p.tentative && p.best.Round == 0 && !r.stillWants(p.value) {
+	if p.tentative && p.best.Counter == 0 && !r.stillWants(p.value) {
 		p.open = false
 		return
 	}
 	p.accepting = true
-	for _, member := range r.control.View.Electorate() {
-		r.send(member, message.Message{Accept: &message.Accept{Ballot: p.ballot, Value: p.value}})
+	for _, member := range r.control.View.EffectiveVoters() {
+		r.send(member, message.Message{Accept: &message.Accept{Proposal: p.ballot, Value: p.value}})
 	}
 }
 
@@ -179,23 +179,23 @@
 	if !r.votes(m) || m.Accept.Value.Number != r.control.View.Number+1 {
 		return
 	}
-	accepted := &message.Accepted{Ballot: m.Accept.Ballot}
-	if ballotLess(m.Accept.Ballot, r.control.Promised) {
-		accepted.Refused, accepted.Promised = true, r.control.Promised
+	accepted := &message.AcceptResponse{Proposal: m.Accept.Proposal}
+	if ballotLess(m.Accept.Proposal, r.control.HighestProposal) {
+		accepted.Rejected, accepted.HighestProposal = true, r.control.HighestProposal
 	} else {
-		r.control.Promised, r.control.AcceptedBallot, r.control.Accepted = m.Accept.Ballot, m.Accept.Ballot, m.Accept.Value
+		r.control.HighestProposal, r.control.AcceptedProposal, r.control.AcceptedView = m.Accept.Proposal, m.Accept.Proposal, m.Accept.Value
 		r.controlDirty = true
 	}
-	r.sendAfterSync(r.sender(m), message.Message{Accepted: accepted})
+	r.sendAfterSync(r.sender(m), message.Message{AcceptResponse: accepted})
 }
 
 func (r *Replica) onAccepted(m *message.Message) {
 	p := &r.proposal
-	if m.View != r.control.View.Number || !r.isVoterOf(m.From) || !p.open || !p.accepting || m.Accepted.Ballot != p.ballot {
+	if m.View != r.control.View.Number || !r.isVoterOf(m.From) || !p.open || !p.accepting || m.AcceptResponse.Proposal != p.ballot {
 		return
 	}
-	if m.Accepted.Refused {
-		p.highest = max(p.highest, m.Accepted.Promised.Round)
+	if m.AcceptResponse.Rejected {
+		p.highest = max(p.highest, m.AcceptResponse.HighestProposal.Counter)
 		return
 	}
 	p.accepts[m.From] = true
@@ -211,7 +211,7 @@
 	r.enterView(view)
 	for _, member := range concerned {
 		if member.Identity != r.control.Identity {
-			r.send(member, message.Message{Announcement: &message.Announcement{View: view}})
+			r.send(member, message.Message{ViewAnnouncement: &message.ViewAnnouncement{View: view}})
 		}
 	}
 }
--- a/internal/controlplane/replica/agreement_model_test.go
+++ b/internal/controlplane/replica/agreement_model_test.go
@@ -67,7 +67,7 @@
 func (m *agreementModel) restart(index int) {
 	disk := m.disks[index]
 	if m.forgetful {
-		disk.Promised, disk.AcceptedBallot, disk.Accepted = message.Ballot{}, message.Ballot{}, message.View{}
+		disk.HighestProposal, disk.AcceptedProposal, disk.AcceptedView = message.ProposalNumber{}, message.ProposalNumber{}, message.View{}
 	}
 	m.members[index] = New(m.members[index].options, accept, 0, disk, message.ChainState{})
 	m.members[index].takeOutput()
@@ -87,7 +87,7 @@
 	if m.random.IntN(6) > 0 { // else it is delivered again later
 		m.flight = append(m.flight[:at:at], m.flight[at+1:]...)
 	}
-	if m.random.IntN(10) == 0 || delivered.Announcement != nil {
+	if m.random.IntN(10) == 0 || delivered.ViewAnnouncement != nil {
 		return // lost
 	}
 	for index, member := range m.members {
--- a/internal/controlplane/replica/agreement_test.go
+++ b/internal/controlplane/replica/agreement_test.go
@@ -19,10 +19,10 @@
 	out := head.takeOutput()
 	require.NotNil(t, out.Control)
 	require.NotEmpty(t, out.AfterSync, "Prepare waits for the disk")
-	assert.Equal(t, out.AfterSync[0].Prepare.Ballot, out.Control.Promised)
+	assert.Equal(t, out.AfterSync[0].Prepare.Proposal, out.Control.HighestProposal)
 	restarted := New(head.options, accept, g.now, *out.Control, head.chain)
 	restarted.beginRound(message.View{Number: 2})
-	assert.True(t, ballotLess(out.Control.Promised, restarted.proposal.ballot))
+	assert.True(t, ballotLess(out.Control.HighestProposal, restarted.proposal.ballot))
 }
 
 // Only voters count, whoever else answers.
@@ -33,7 +33,7 @@
 	head.beginRound(message.View{Number: 2, Members: head.View().Members})
 	head.takeOutput()
 	for _, stranger := range []string{"a", "b", "c"} {
-		m := message.Message{From: stranger, To: head.Identity(), View: 1, Promise: &message.Promise{Ballot: head.proposal.ballot}}
+		m := message.Message{From: stranger, To: head.Identity(), View: 1, PrepareResponse: &message.PrepareResponse{Proposal: head.proposal.ballot}}
 		head.Step(g.now, &m)
 	}
 	assert.False(t, head.proposal.accepting)
--- a/internal/controlplane/replica/calls.go
+++ b/internal/controlplane/replica/calls.go
@@ -9,13 +9,13 @@
 // onConfigCall takes an operator's call: the member that the operator reached passes it on, the head decides changes
 // and the tail answers reads.
 func (r *Replica) onConfigCall(m *message.Message) {
-	target, ok := r.responsibleFor(m.ConfigCall)
+	target, ok := r.responsibleFor(m.ConfigRequest)
 	if !ok {
 		return
 	}
 	if target.Identity != r.control.Identity {
 		if m.From == r.control.Identity {
-			r.send(target, message.Message{ConfigCall: m.ConfigCall})
+			r.send(target, message.Message{ConfigRequest: m.ConfigRequest})
 		}
 		return
 	}
@@ -23,15 +23,15 @@
 		return
 	}
 	for _, waiting := range r.link.calls {
-		if waiting.from.Identity == m.From && waiting.call.ID == m.ConfigCall.ID {
+		if waiting.from.Identity == m.From && waiting.call.ID == m.ConfigRequest.ID {
 			return
 		}
 	}
-	r.link.calls = append(r.link.calls, waitingCall{from: r.sender(m), call: *m.ConfigCall, arrived: r.now})
+	r.link.calls = append(r.link.calls, waitingCall{from: r.sender(m), call: *m.ConfigRequest, arrived: r.now})
 	r.serveCalls()
 }
 
-func (r *Replica) responsibleFor(call *message.ConfigCall) (message.Member, bool) {
+func (r *Replica) responsibleFor(call *message.ConfigRequest) (message.Member, bool) {
 	members := r.control.View.Members
 	if len(members) == 0 {
 		return message.Member{}, false
@@ -105,6 +105,6 @@
 }
 
 func (r *Replica) answer(call waitingCall, status int, body []byte) {
-	result := &message.ConfigResult{ID: call.call.ID, Status: status, Body: body}
-	r.send(call.from, message.Message{ConfigResult: result})
+	result := &message.ConfigResponse{ID: call.call.ID, Status: status, Body: body}
+	r.send(call.from, message.Message{ConfigResponse: result})
 }
--- a/internal/controlplane/replica/chain.go
+++ b/internal/controlplane/replica/chain.go
@@ -23,7 +23,7 @@
 // waitingCall is an operator's call that waits at the head or the tail.
 type waitingCall struct {
 	from    message.Member
-	call    message.ConfigCall
+	call    message.ConfigRequest
 	arrived time.Duration
 }
 
@@ -90,7 +90,7 @@
 	case bytes.Equal(r.chain.Digest, replicate.Digest) && r.chain.Sequence == replicate.Sequence:
 	case replicate.Change != nil && r.apply(replicate.Change) == nil:
 	default:
-		r.send(predecessor, message.Message{SnapshotRequest: &message.SnapshotRequest{Whole: true}})
+		r.send(predecessor, message.Message{SnapshotRequest: &message.SnapshotRequest{Full: true}})
 		return
 	}
 	first := !r.link.synced
@@ -177,7 +177,7 @@
 		return
 	}
 	replicate := &message.Replicate{Sequence: r.chain.Sequence, Digest: r.chain.Digest}
-	if m.SnapshotRequest.Whole {
+	if m.SnapshotRequest.Full {
 		state := r.chain
 		replicate.Snapshot = &state
 	}
--- a/internal/controlplane/replica/confirm.go
+++ b/internal/controlplane/replica/confirm.go
@@ -51,9 +51,9 @@
 
 func (r *Replica) sendConfirms() {
 	r.confirms.sentAt = r.now
-	for _, member := range r.control.View.Electorate() {
+	for _, member := range r.control.View.EffectiveVoters() {
 		if !r.confirms.votes[member.Identity] {
-			r.send(member, message.Message{Confirm: &message.Confirm{Round: r.confirms.round}})
+			r.send(member, message.Message{ConfirmRequest: &message.ConfirmRequest{RequestID: r.confirms.round}})
 		}
 	}
 }
@@ -63,13 +63,13 @@
 		return
 	}
 	// Nothing has to be on disk for it: an acceptance that is not yet synced has not been told to anyone either.
-	confirmed := &message.Confirmed{Round: m.Confirm.Round, Refuse: r.control.Accepted.Number != 0}
-	r.send(r.sender(m), message.Message{Confirmed: confirmed})
+	confirmed := &message.ConfirmResponse{RequestID: m.ConfirmRequest.RequestID, Rejected: r.control.AcceptedView.Number != 0}
+	r.send(r.sender(m), message.Message{ConfirmResponse: confirmed})
 }
 
 func (r *Replica) onConfirmed(m *message.Message) {
 	c := &r.confirms
-	if m.View != r.control.View.Number || c.running == nil || m.Confirmed.Round != c.round || m.Confirmed.Refuse {
+	if m.View != r.control.View.Number || c.running == nil || m.ConfirmResponse.RequestID != c.round || m.ConfirmResponse.Rejected {
 		return
 	}
 	if !r.isVoterOf(m.From) {
--- a/internal/controlplane/replica/detector.go
+++ b/internal/controlplane/replica/detector.go
@@ -151,9 +151,9 @@
 // noteSuccessions keeps whose vote went to a newcomer of its zone: they will probably be told to stop.
 func (d *detector) noteSuccessions(old, view message.View, now time.Duration) {
 	isNewcomer := func(m message.Member) bool { return !includes(everyone(old), m.Identity) }
-	for _, voter := range old.Electorate() {
+	for _, voter := range old.EffectiveVoters() {
 		isOfZone := func(m message.Member) bool { return isNewcomer(m) && m.Zone == voter.Zone }
-		if !includes(view.Electorate(), voter.Identity) && lo.ContainsBy(view.Electorate(), isOfZone) {
+		if !includes(view.EffectiveVoters(), voter.Identity) && lo.ContainsBy(view.EffectiveVoters(), isOfZone) {
 			d.superseded[voter.Identity] = now
 		}
 	}
@@ -228,5 +228,5 @@
 		return r.options.Volatile
 	}
 	hasDisk, told := r.detector.disk[member.Identity]
-	return member.Volatile || told && !hasDisk
+	return member.Diskless || told && !hasDisk
 }
--- a/internal/controlplane/replica/electorate.go
+++ b/internal/controlplane/replica/electorate.go
@@ -28,7 +28,7 @@
 	newcomer func(message.Member) (time.Duration, bool) // how long ago a member asked for admission for the first time
 	mayVote  func(message.Member) bool                  // whether a member may have the vote of any silent one
 
-	displaced []message.Displaced // lost their vote while they were silent
+	displaced []message.ReplacedVoter // lost their vote while they were silent
 }
 
 // successionTime is how long before its predecessor is told to stop a planned successor comes at the most.
@@ -70,7 +70,7 @@
 	at := slices.IndexFunc(e.voters, func(m message.Member) bool { return m.Identity == voter.Identity })
 	e.voters[at] = successor
 	if voter.Address != successor.Address && !e.isPresent(voter) && !e.leaves(voter) {
-		e.displaced = append(e.displaced, message.Displaced{Member: voter, By: successor.Identity})
+		e.displaced = append(e.displaced, message.ReplacedVoter{Member: voter, ReplacedBy: successor.Identity})
 	}
 }
 
@@ -143,8 +143,8 @@
 // newcomer that has the vote of a displaced member of another zone proves to have come for the leaver.
 func (e *electorate) restoreDisplaced() {
 	for _, leaver := range e.leavers() {
-		heir, ok := lo.Find(e.displaced, func(d message.Displaced) bool {
-			by, votes := lo.Find(e.voters, func(m message.Member) bool { return m.Identity == d.By && m.Identity != leaver.Identity })
+		heir, ok := lo.Find(e.displaced, func(d message.ReplacedVoter) bool {
+			by, votes := lo.Find(e.voters, func(m message.Member) bool { return m.Identity == d.ReplacedBy && m.Identity != leaver.Identity })
 			_, isNew := e.newcomer(by)
 			isOfAnother := d.Member.Zone != "" && d.Member.Zone != leaver.Zone
 			return votes && isNew && by.Zone == leaver.Zone && isOfAnother && !includes(e.voters, d.Member.Identity)
@@ -170,8 +170,8 @@
 
 // stillDisplaced are the displaced members that have no vote again, and whose address no voter has, the latest last.
 // Those that gave way to members with a disk are not kept: they never vote again.
-func (e *electorate) stillDisplaced(givesWay func(message.Member) bool) []message.Displaced {
-	displaced := lo.Reject(e.displaced, func(d message.Displaced, _ int) bool {
+func (e *electorate) stillDisplaced(givesWay func(message.Member) bool) []message.ReplacedVoter {
+	displaced := lo.Reject(e.displaced, func(d message.ReplacedVoter, _ int) bool {
 		return givesWay(d.Member) || lo.ContainsBy(e.voters, func(m message.Member) bool {
 			return m.Identity == d.Member.Identity || m.Address == d.Member.Address
 		})
@@ -180,7 +180,7 @@
 }
 
 func displacedMembers(view message.View) []message.Member {
-	return lo.Map(view.Displaced, func(d message.Displaced, _ int) message.Member { return d.Member })
+	return lo.Map(view.ReplacedVoters, func(d message.ReplacedVoter, _ int) message.Member { return d.Member })
 }
 
 // grow gives spares votes of their own, so many that the number of voters is odd.
@@ -205,7 +205,7 @@
 	for _, silent := range e.absent() {
 		if len(e.voters) > e.least {
 			e.voters = lo.Reject(e.voters, func(m message.Member, _ int) bool { return m.Identity == silent.Identity })
-			e.displaced = append(e.displaced, message.Displaced{Member: silent})
+			e.displaced = append(e.displaced, message.ReplacedVoter{Member: silent})
 		}
 	}
 	if len(e.voters) > e.least && len(e.voters)%2 == 0 {
@@ -217,7 +217,7 @@
 // chain though another could have its vote, or the number of voters is not what it should be.
 func (r *Replica) electorateIsUnsettled() bool {
 	view := r.control.View
-	voters := view.Electorate()
+	voters := view.EffectiveVoters()
 	spares := lo.CountBy(view.Members, func(m message.Member) bool { return !r.isVoterOf(m.Identity) })
 	absent := lo.CountBy(voters, func(m message.Member) bool { return positionOf(view, m.Identity) < 0 })
 	tooMany := len(voters) > r.leastVoters()
--- a/internal/controlplane/replica/electorate_test.go
+++ b/internal/controlplane/replica/electorate_test.go
@@ -49,7 +49,7 @@
 		},
 	}
 	for member, by := range s.displaced {
-		e.displaced = append(e.displaced, message.Displaced{Member: namedMember(member), By: by})
+		e.displaced = append(e.displaced, message.ReplacedVoter{Member: namedMember(member), ReplacedBy: by})
 	}
 	return e
 }
@@ -161,11 +161,11 @@
 func TestASecondLossLeavesAMajority(t *testing.T) {
 	g := newGroup(t, 4)
 	g.tick(2 * time.Second)
-	require.Len(t, g.members[0].View().Electorate(), 3)
+	require.Len(t, g.members[0].View().EffectiveVoters(), 3)
 	require.Len(t, g.members[0].View().Members, 4)
 	g.absent = []int{0}
 	g.tick(2*time.Second, 0)
-	require.Len(t, g.members[1].View().Electorate(), 3)
+	require.Len(t, g.members[1].View().EffectiveVoters(), 3)
 	g.absent = []int{0, 1}
 	g.tick(2*time.Second, 0, 1)
 	g.call(2, http.MethodPut, "0", "\x05x")
@@ -184,7 +184,7 @@
 	g.members[2].SetLeaving()
 	g.tick(3*time.Second, 0)
 	require.True(t, g.members[fresh].IsSynced())
-	require.True(t, includes(g.members[fresh].View().Electorate(), "seed-m0"), "it came for m2, so m0 has its vote")
+	require.True(t, includes(g.members[fresh].View().EffectiveVoters(), "seed-m0"), "it came for m2, so m0 has its vote")
 	g.absent = []int{1, 2} // m2 has left and the head is lost; m0 is back
 	g.tick(6*time.Second, 1, 2)
 	assert.True(t, g.members[0].IsSynced())
@@ -199,7 +199,7 @@
 	g.tick(200 * time.Millisecond)
 	g.members[fresh].SetLeaving()
 	assert.False(t, g.members[fresh].MayStop())
-	g.lost = func(m *message.Message) bool { return m.Join != nil && m.Join.Withdrawn } // it is not heard that it goes
+	g.lost = func(m *message.Message) bool { return m.JoinRequest != nil && m.JoinRequest.Withdrawn } // it is not heard that it goes
 	g.tick(joinLifetime)
 	assert.False(t, g.members[fresh].MayStop())
 	g.tick(withdrawalTime)
@@ -239,7 +239,7 @@
 	g.tick(2 * time.Second)
 	spare, _ := lo.Find(g.members, func(r *Replica) bool { return !r.isVoter() })
 	require.NotNil(t, spare)
-	renewal := &message.LeaseRequest{Token: 1, Round: 1, Renew: true}
+	renewal := &message.LeaseRequest{Token: 1, RequestID: 1, Renewal: true}
 	from := g.members[0]
 	require.NotEqual(t, from, spare)
 	g.tick(3*time.Second, 3) // the spare, the last of them, would stand now
--- a/internal/controlplane/replica/heartbeat.go
+++ b/internal/controlplane/replica/heartbeat.go
@@ -31,7 +31,7 @@
 	r.reportFindings()
 	r.tellAbsent()
 	if r.isIsolated() {
-		r.ask(&message.Join{Observer: true}) // its view may be an old one
+		r.ask(&message.JoinRequest{Observer: true}) // its view may be an old one
 	}
 }
 
@@ -51,14 +51,14 @@
 	inChain := lo.Map(view.Members, func(m message.Member, _ int) string { return m.Address })
 	for _, member := range lo.UniqBy(absent, func(m message.Member) string { return m.Address }) {
 		if !slices.Contains(inChain, member.Address) {
-			r.send(message.Member{Address: member.Address}, message.Message{Announcement: &message.Announcement{View: view}})
+			r.send(message.Member{Address: member.Address}, message.Message{ViewAnnouncement: &message.ViewAnnouncement{View: view}})
 		}
 	}
 }
 
 func (r *Replica) sendHeartbeats() {
 	beat := &message.Heartbeat{
-		Complete: r.control.Complete, DiskStalled: r.stalled, Leaving: r.leaving, Volatile: r.options.Volatile,
+		Complete: r.control.Complete, DiskStalled: r.stalled, Leaving: r.leaving, Diskless: r.options.Volatile,
 		Isolated: r.isIsolated(),
 	}
 	for _, monitor := range r.detector.monitors {
@@ -71,7 +71,7 @@
 	if r.now-r.lease.viewEntered < suspectAfter {
 		return false
 	}
-	near := lo.CountBy(r.control.View.Electorate(), func(m message.Member) bool {
+	near := lo.CountBy(r.control.View.EffectiveVoters(), func(m message.Member) bool {
 		heard, known := r.detector.heard[m.Identity]
 		return m.Identity == r.control.Identity || known && r.now-heard <= suspectAfter
 	})
@@ -83,7 +83,7 @@
 	if beat.Complete {
 		r.detector.complete[m.From] = m.View
 	}
-	r.detector.disk[m.From] = !beat.Volatile
+	r.detector.disk[m.From] = !beat.Diskless
 	r.detector.zone[m.From] = m.FromZone
 	r.detector.condition[m.From] = condition{unfit: beat.DiskStalled || beat.Isolated, leaving: beat.Leaving}
 	if at, said := r.detector.departing[m.From]; said && !beat.Leaving && r.now-at > joinPatience { // else it is a late one
--- a/internal/controlplane/replica/joining.go
+++ b/internal/controlplane/replica/joining.go
@@ -14,35 +14,35 @@
 // takes back what it has asked for.
 func (r *Replica) askToJoin() {
 	if r.leaving {
-		r.ask(&message.Join{Withdrawn: true})
+		r.ask(&message.JoinRequest{Withdrawn: true})
 		return
 	}
 	r.lastJoin = r.now
-	r.ask(&message.Join{DiskStalled: r.stalled, Volatile: r.options.Volatile})
+	r.ask(&message.JoinRequest{DiskStalled: r.stalled, Diskless: r.options.Volatile})
 }
 
 // ask sends a request to join to all whose address is known.
-func (r *Replica) ask(join *message.Join) {
+func (r *Replica) ask(join *message.JoinRequest) {
 	addresses := slices.Clone(r.options.Seeds)
 	for _, member := range everyone(r.control.View) {
 		addresses = append(addresses, member.Address)
 	}
 	for _, address := range lo.Uniq(addresses) {
 		if address != r.options.Self.Address {
-			r.send(message.Member{Address: address}, message.Message{Join: join})
+			r.send(message.Member{Address: address}, message.Message{JoinRequest: join})
 		}
 	}
 }
 
 func (r *Replica) onJoin(m *message.Message) {
 	if m.View < r.control.View.Number { // also from one that is no member: the sender may know of no other
-		r.send(r.sender(m), message.Message{Announcement: &message.Announcement{View: r.control.View}})
+		r.send(r.sender(m), message.Message{ViewAnnouncement: &message.ViewAnnouncement{View: r.control.View}})
 	}
-	if m.Join.Withdrawn {
+	if m.JoinRequest.Withdrawn {
 		delete(r.detector.joiners, m.From)
 		return
 	}
-	if !m.Join.Observer {
+	if !m.JoinRequest.Observer {
 		r.noteArrival(m.From)
 	}
 	if !r.mayAdmit(m) {
@@ -54,13 +54,13 @@
 		known.first = r.now
 	}
 	known.member, known.view, known.at = r.sender(m), m.View, r.now
-	known.member.Volatile = m.Join.Volatile
+	known.member.Diskless = m.JoinRequest.Diskless
 	r.detector.joiners[m.From] = known
 }
 
 // mayAdmit reports whether the sender of a request could become a member of the view.
 func (r *Replica) mayAdmit(m *message.Message) bool {
-	if m.Join.Observer || m.Join.DiskStalled || m.Join.Volatile && !r.isDiskless() {
+	if m.JoinRequest.Observer || m.JoinRequest.DiskStalled || m.JoinRequest.Diskless && !r.isDiskless() {
 		return false
 	}
 	return r.IsMember() && positionOf(r.control.View, m.From) < 0
@@ -99,7 +99,7 @@
 			continue
 		}
 		member := j.member
-		member.Since = r.control.View.Number + 1
+		member.SinceView = r.control.View.Number + 1
 		out = append(out, member)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Identity < out[j].Identity })
--- a/internal/controlplane/replica/lease.go
+++ b/internal/controlplane/replica/lease.go
@@ -84,7 +84,7 @@
 		lowest := r.control.View.Number << tokenViewBits
 		l.wantToken = max(lowest, r.control.LeaseToken, l.refusedFor) + 1
 	}
-	request := &message.LeaseRequest{Token: l.wantToken, Round: l.round, Renew: l.token != 0}
+	request := &message.LeaseRequest{Token: l.wantToken, RequestID: l.round, Renewal: l.token != 0}
 	for _, member := range everyone(r.control.View) { // who has no vote hears of the holder by it, and does not stand
 		r.send(member, message.Message{LeaseRequest: request})
 	}
@@ -128,21 +128,21 @@
 	}
 	l := &r.lease
 	request := m.LeaseRequest
-	if request.Renew && m.From != r.control.Identity {
+	if request.Renewal && m.From != r.control.Identity {
 		l.renewalSeen = r.now // who was away, or has no vote, knows of the holder by this before it would stand itself
 	}
-	if !r.isVoter() || r.control.Accepted.Number != 0 {
+	if !r.isVoter() || r.control.AcceptedView.Number != 0 {
 		return
 	}
-	grant := &message.LeaseGrant{Round: request.Round}
+	grant := &message.LeaseGrant{RequestID: request.RequestID}
 	held := r.now < l.expires
-	renewal := request.Renew && held && l.holder == m.From && request.Token == r.control.LeaseToken
+	renewal := request.Renewal && held && l.holder == m.From && request.Token == r.control.LeaseToken
 	// A holder that restarted has no lease any more, but only one process can have its identity.
 	vacant := !held && r.now >= max(l.startedAt, l.viewEntered)+l.length || held && l.holder == m.From
 	// A grantor that was away renews too, once it has granted nothing for a lease: the token shows that none of later
 	// date was granted by a majority with it.
-	returned := request.Renew && vacant && request.Token >= r.control.LeaseToken
-	if renewal || returned || !request.Renew && vacant && request.Token > r.control.LeaseToken {
+	returned := request.Renewal && vacant && request.Token >= r.control.LeaseToken
+	if renewal || returned || !request.Renewal && vacant && request.Token > r.control.LeaseToken {
 		grant.Granted = true
 		l.holder, l.holderAt, l.expires, l.heardOf = m.From, m.FromAddress, r.now+l.length, r.now
 	}
@@ -156,7 +156,7 @@
 
 func (r *Replica) onLeaseGrant(m *message.Message) {
 	l := &r.lease
-	if m.View != r.control.View.Number || m.LeaseGrant.Round != l.round || !r.isVoterOf(m.From) {
+	if m.View != r.control.View.Number || m.LeaseGrant.RequestID != l.round || !r.isVoterOf(m.From) {
 		return
 	}
 	if !m.LeaseGrant.Granted {
--- a/internal/controlplane/replica/lease_test.go
+++ b/internal/controlplane/replica/lease_test.go
@@ -33,7 +33,7 @@
 	}
 	decided := false
 	g.lost = func(m *message.Message) bool {
-		decided = decided || m.Accepted != nil && m.FromAddress == "m2"
+		decided = decided || m.AcceptResponse != nil && m.FromAddress == "m2"
 		rightProposes := m.Prepare != nil && m.FromAddress == "m3"
 		fromLeft := decided && m.ToAddress == "m2" && (m.FromAddress == "m0" || m.FromAddress == "m1")
 		return apart(m.FromAddress, m.ToAddress) || rightProposes || fromLeft
@@ -59,9 +59,9 @@
 	for i := range g.members {
 		for r := uint64(1); r <= round+1; r++ {
 			from := message.Message{From: "seed-" + address(i), To: started.Identity(), View: started.View().Number}
-			from.LeaseGrant = &message.LeaseGrant{Round: r, Granted: true, Token: 1}
+			from.LeaseGrant = &message.LeaseGrant{RequestID: r, Granted: true, Token: 1}
 			started.Step(0, &from)
-			from.LeaseGrant, from.Confirmed = nil, &message.Confirmed{Round: r}
+			from.LeaseGrant, from.ConfirmResponse = nil, &message.ConfirmResponse{RequestID: r}
 			started.Step(0, &from)
 		}
 	}
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -35,7 +35,7 @@
 	if len(next.Members) < r.leastChain() {
 		return view, false // nothing may be acknowledged on so few disks
 	}
-	if sameMembers(next.Members, current.Members) && sameMembers(next.Voters, current.Electorate()) && !r.tellsZones(next) {
+	if sameMembers(next.Members, current.Members) && sameMembers(next.Voters, current.EffectiveVoters()) && !r.tellsZones(next) {
 		return view, false
 	}
 	return next, true
@@ -101,7 +101,7 @@
 	electorate := r.electorateWith(append(active, admitted...))
 	electorate.mayGrow = !r.someoneIsInDoubt(stay)
 	next.Voters = electorate.next()
-	next.Displaced = electorate.stillDisplaced(r.givesWay)
+	next.ReplacedVoters = electorate.stillDisplaced(r.givesWay)
 	r.describe(next.Voters)
 	return next
 }
@@ -110,7 +110,7 @@
 func (r *Replica) electorateWith(present []message.Member) *electorate {
 	view := r.control.View
 	return &electorate{
-		least: r.leastVoters(), voters: slices.Clone(view.Electorate()), present: present, displaced: slices.Clone(view.Displaced),
+		least: r.leastVoters(), voters: slices.Clone(view.EffectiveVoters()), present: present, displaced: slices.Clone(view.ReplacedVoters),
 		leaves: r.isDeparting, silence: r.silenceOf, newcomer: r.asksAsNewcomer, mayVote: r.mayVote,
 	}
 }
@@ -186,7 +186,7 @@
 		if members[i].Zone == "" {
 			members[i].Zone = r.detector.zone[members[i].Identity]
 		}
-		members[i].Volatile = members[i].Volatile || r.isVolatile(members[i])
+		members[i].Diskless = members[i].Diskless || r.isVolatile(members[i])
 	}
 }
 
@@ -205,7 +205,7 @@
 // all power, and of as many disks as the tolerance says. Where no machine has a disk, and where there may be fewer
 // machines than that takes, the first seconds of a view are waited for.
 func (r *Replica) hasDurability() bool {
-	voters := r.control.View.Electorate()
+	voters := r.control.View.EffectiveVoters()
 	waited := r.now-r.lease.viewEntered >= disklessPatience
 	if r.control.View.Number == 1 && len(voters) < r.leastVoters() && !waited {
 		return false
@@ -227,5 +227,5 @@
 		return r.options.Volatile
 	}
 	hasDisk, told := r.detector.disk[member.Identity]
-	return member.Volatile || told && !hasDisk || !told && r.control.View.Number == 1
+	return member.Diskless || told && !hasDisk || !told && r.control.View.Number == 1
 }
--- a/internal/controlplane/replica/membership_test.go
+++ b/internal/controlplane/replica/membership_test.go
@@ -57,11 +57,11 @@
 	fresh := g.add(0, 1)
 	for range 100 {
 		g.tick(50*time.Millisecond, 2)
-		require.LessOrEqual(t, len(g.members[0].View().Electorate()), 3)
+		require.LessOrEqual(t, len(g.members[0].View().EffectiveVoters()), 3)
 	}
 	view := g.members[0].View()
 	assert.Equal(t, []string{"fresh-m3", "seed-m0", "seed-m1"}, identities(view.Members))
-	assert.Equal(t, []string{"fresh-m3", "seed-m0", "seed-m1"}, identities(view.Electorate()))
+	assert.Equal(t, []string{"fresh-m3", "seed-m0", "seed-m1"}, identities(view.EffectiveVoters()))
 	assert.True(t, g.members[fresh].IsSynced())
 
 	// A second loss right after it leaves a majority.
@@ -113,7 +113,7 @@
 	g.call(0, http.MethodPut, "0", "\x05x")
 	require.Len(t, g.results, 1)
 	require.Len(t, g.members[0].View().Members, 2)
-	require.Len(t, g.members[0].View().Electorate(), 3)
+	require.Len(t, g.members[0].View().EffectiveVoters(), 3)
 	g.wipe(0, "second-m0") // and the third member is back
 	g.absent = nil
 	g.tick(4 * time.Second)
@@ -202,7 +202,7 @@
 	g.absent = nil
 	g.lost = func(m *message.Message) bool {
 		hearsNobody := m.ToAddress == address(2)
-		asksInVain := m.Join != nil && m.FromAddress == address(1) // it votes, but is not admitted yet
+		asksInVain := m.JoinRequest != nil && m.FromAddress == address(1) // it votes, but is not admitted yet
 		return hearsNobody || asksInVain
 	}
 	for range 60 {
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -59,7 +59,7 @@
 }
 
 // Judge decides a call on top of a state. It must be a pure function.
-type Judge func(state *message.ChainState, call *message.ConfigCall) Decision
+type Judge func(state *message.ChainState, call *message.ConfigRequest) Decision
 
 // Output is what a step asks the caller to do, in this order: send Immediate; write Control and Chain where they are
 // set and sync them; then send AfterSync. Outputs are carried out in the order in which they were returned.
@@ -169,8 +169,8 @@
 // WaitsFor tells what keeps the member from going on, for people who look for a fault: empty where nothing does.
 func (r *Replica) WaitsFor() string {
 	switch {
-	case r.control.Accepted.Number != 0:
-		return "the decision on view " + strconv.FormatUint(r.control.Accepted.Number, 10)
+	case r.control.AcceptedView.Number != 0:
+		return "the decision on view " + strconv.FormatUint(r.control.AcceptedView.Number, 10)
 	case !r.IsMember():
 		return "admission to the chain"
 	case !r.control.Complete:
@@ -229,19 +229,19 @@
 	switch {
 	case m.Heartbeat != nil:
 		r.onHeartbeat(m)
-	case m.Suspicion != nil:
+	case m.SuspicionReport != nil:
 		r.onSuspicion(m)
-	case m.Join != nil:
+	case m.JoinRequest != nil:
 		r.onJoin(m)
-	case m.Announcement != nil:
-		r.enterView(m.Announcement.View)
+	case m.ViewAnnouncement != nil:
+		r.enterView(m.ViewAnnouncement.View)
 	case m.Prepare != nil:
 		r.onPrepare(m)
-	case m.Promise != nil:
+	case m.PrepareResponse != nil:
 		r.onPromise(m)
 	case m.Accept != nil:
 		r.onAccept(m)
-	case m.Accepted != nil:
+	case m.AcceptResponse != nil:
 		r.onAccepted(m)
 	case m.Replicate != nil:
 		r.onReplicate(m)
@@ -253,9 +253,9 @@
 		r.onCatchUpRequest(m)
 	case m.CatchUp != nil:
 		r.onCatchUp(m)
-	case m.Confirm != nil:
+	case m.ConfirmRequest != nil:
 		r.onConfirm(m)
-	case m.Confirmed != nil:
+	case m.ConfirmResponse != nil:
 		r.onConfirmed(m)
 	case m.LeaseRequest != nil:
 		r.onLeaseRequest(m)
@@ -263,7 +263,7 @@
 		r.onLeaseGrant(m)
 	case m.LeaseRelease != nil:
 		r.onLeaseRelease(m)
-	case m.ConfigCall != nil:
+	case m.ConfigRequest != nil:
 		r.onConfigCall(m)
 	}
 }
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -14,7 +14,7 @@
 )
 
 // accept takes every change: its version is its body's first byte.
-func accept(state *message.ChainState, call *message.ConfigCall) Decision {
+func accept(state *message.ChainState, call *message.ConfigRequest) Decision {
 	for _, change := range state.History {
 		if string(change.Digest) == string(call.Body) {
 			return Decision{Status: http.StatusOK}
@@ -33,7 +33,7 @@
 	members []*Replica
 	now     time.Duration
 	queue   []message.Message
-	results []message.ConfigResult
+	results []message.ConfigResponse
 	lines   []string
 	absent  []int                         // members that nothing reaches
 	lost    func(m *message.Message) bool // messages that get lost
@@ -91,8 +91,8 @@
 		if g.lost != nil && g.lost(&m) {
 			continue
 		}
-		if m.ConfigResult != nil {
-			g.results = append(g.results, *m.ConfigResult)
+		if m.ConfigResponse != nil {
+			g.results = append(g.results, *m.ConfigResponse)
 			continue
 		}
 		for i, member := range g.members {
@@ -115,9 +115,9 @@
 		g.lines = append(g.lines, fmt.Sprintf("%s -> %s: snapshot %d", from, to, m.Replicate.Sequence))
 	case m.Committed != nil && from != to:
 		g.lines = append(g.lines, fmt.Sprintf("%s -> %s: committed %d", from, to, m.Committed.Sequence))
-	case m.Confirm != nil:
+	case m.ConfirmRequest != nil:
 		g.lines = append(g.lines, fmt.Sprintf("%s -> %s: confirm", from, to))
-	case m.Accepted != nil:
+	case m.AcceptResponse != nil:
 		g.lines = append(g.lines, fmt.Sprintf("%s -> %s: accepted", from, to))
 	}
 }
@@ -126,7 +126,7 @@
 	member := g.members[at]
 	m := &message.Message{
 		From: member.Identity(), FromAddress: address(at), To: member.Identity(), View: member.View().Number,
-		ConfigCall: &message.ConfigCall{ID: uint64(len(g.results) + 1), Method: method, IfMatch: ifMatch, Body: []byte(body)},
+		ConfigRequest: &message.ConfigRequest{ID: uint64(len(g.results) + 1), Method: method, IfMatch: ifMatch, Body: []byte(body)},
 	}
 	g.take(member.Step(g.now, m))
 	g.deliver()
@@ -261,7 +261,7 @@
 	for i := range g.members {
 		member.Step(g.now, &message.Message{
 			From: "seed-" + address(i), To: member.Identity(), View: member.View().Number,
-			LeaseGrant: &message.LeaseGrant{Round: round, Granted: true},
+			LeaseGrant: &message.LeaseGrant{RequestID: round, Granted: true},
 		})
 	}
 	_, _, _, ok := member.Lease(g.now)
@@ -277,7 +277,7 @@
 	grantor := g.members[(index+1)%3]
 	request := &message.Message{
 		From: g.members[index].Identity(), FromAddress: address(index), To: grantor.Identity(), View: grantor.View().Number,
-		LeaseRequest: &message.LeaseRequest{Token: token, Round: 999},
+		LeaseRequest: &message.LeaseRequest{Token: token, RequestID: 999},
 	}
 	out := grantor.Step(g.now, request)
 	require.Len(t, out.AfterSync, 1)
--- a/internal/controlplane/replica/suspicion.go
+++ b/internal/controlplane/replica/suspicion.go
@@ -10,44 +10,44 @@
 	if m.View != r.control.View.Number || positionOf(r.control.View, m.From) < 0 {
 		return
 	}
-	r.noteFindings(m.Suspicion, m.From)
+	r.noteFindings(m.SuspicionReport, m.From)
 }
 
-func (r *Replica) noteFindings(s *message.Suspicion, reporter string) {
-	for _, identity := range s.Silent {
+func (r *Replica) noteFindings(s *message.SuspicionReport, reporter string) {
+	for _, identity := range s.Suspected {
 		r.detector.reports[report{isSilent, identity, reporter}] = r.now
 	}
 	for _, identity := range s.Leaving {
 		r.detector.reports[report{isLeaving, identity, reporter}] = r.now
 		r.detector.noteDeparture(identity, r.now)
 	}
-	for _, identity := range s.Doubted {
+	for _, identity := range s.Late {
 		r.detector.reports[report{isDoubted, identity, reporter}] = r.now
 	}
 }
 
 // reportFindings tells the other members who of those that this one monitors is silent, leaves or is in doubt.
 func (r *Replica) reportFindings() {
-	found := &message.Suspicion{}
+	found := &message.SuspicionReport{}
 	for _, member := range r.detector.monitored {
 		silence := r.now - r.detector.heard[member.Identity]
 		said := r.detector.condition[member.Identity]
 		switch {
 		case said.unfit || silence > suspectAfter:
-			found.Silent = append(found.Silent, member.Identity)
+			found.Suspected = append(found.Suspected, member.Identity)
 		case said.leaving:
 			found.Leaving = append(found.Leaving, member.Identity)
 		case silence > doubtAfter:
-			found.Doubted = append(found.Doubted, member.Identity)
+			found.Late = append(found.Late, member.Identity)
 		}
 	}
-	if len(found.Silent)+len(found.Leaving)+len(found.Doubted) == 0 {
+	if len(found.Suspected)+len(found.Leaving)+len(found.Late) == 0 {
 		return
 	}
 	r.noteFindings(found, r.control.Identity)
 	for _, member := range r.control.View.Members {
-		if member.Identity != r.control.Identity && !slices.Contains(found.Silent, member.Identity) {
-			r.send(member, message.Message{Suspicion: found})
+		if member.Identity != r.control.Identity && !slices.Contains(found.Suspected, member.Identity) {
+			r.send(member, message.Message{SuspicionReport: found})
 		}
 	}
 }
@@ -89,7 +89,7 @@
 		return false
 	}
 	for _, other := range r.control.View.Members {
-		if other.Address == member.Address && other.Since > member.Since {
+		if other.Address == member.Address && other.SinceView > member.SinceView {
 			return true
 		}
 	}
--- a/internal/controlplane/replica/view.go
+++ b/internal/controlplane/replica/view.go
@@ -12,14 +12,14 @@
 func FirstView(seeds []string) message.View {
 	view := message.View{Number: 1}
 	for _, address := range seeds {
-		view.Members = append(view.Members, message.Member{Identity: "seed-" + address, Address: address, Since: 1})
+		view.Members = append(view.Members, message.Member{Identity: "seed-" + address, Address: address, SinceView: 1})
 	}
 	view.Voters = slices.Clone(view.Members)
 	return view
 }
 
 // majority is how many voters decide.
-func (r *Replica) majority() int { return len(r.control.View.Electorate())/2 + 1 }
+func (r *Replica) majority() int { return len(r.control.View.EffectiveVoters())/2 + 1 }
 
 // leastVoters is how many voters there are at least: the tolerance may be lost for good, and a majority is left.
 func (r *Replica) leastVoters() int { return 2*r.options.Tolerance + 1 }
@@ -33,7 +33,7 @@
 func (r *Replica) isVoter() bool { return r.isVoterOf(r.control.Identity) }
 
 func (r *Replica) isVoterOf(identity string) bool {
-	return includes(r.control.View.Electorate(), identity)
+	return includes(r.control.View.EffectiveVoters(), identity)
 }
 
 // position is the replica's place in the chain, -1 where it is no member.
@@ -78,9 +78,9 @@
 	}
 	old := r.control.View
 	at := positionOf(view, r.control.Identity)
-	complete := at >= 0 && r.control.Complete && view.Members[at].Since <= old.Number
+	complete := at >= 0 && r.control.Complete && view.Members[at].SinceView <= old.Number
 	r.control.View, r.control.Complete = view, complete
-	r.control.Promised, r.control.AcceptedBallot, r.control.Accepted = message.Ballot{}, message.Ballot{}, message.View{}
+	r.control.HighestProposal, r.control.AcceptedProposal, r.control.AcceptedView = message.ProposalNumber{}, message.ProposalNumber{}, message.View{}
 	r.controlDirty = true
 	r.proposal = proposal{}
 	r.detector.enterView(old, view, r.control.Identity, r.now)
@@ -91,7 +91,7 @@
 
 // learnOfView passes on the newest view where the sender has an older one.
 func (r *Replica) learnOfView(m *message.Message) {
-	if m.View < r.control.View.Number && m.Announcement == nil && m.Join == nil && m.FromAddress != "" {
-		r.send(r.sender(m), message.Message{Announcement: &message.Announcement{View: r.control.View}})
+	if m.View < r.control.View.Number && m.ViewAnnouncement == nil && m.JoinRequest == nil && m.FromAddress != "" {
+		r.send(r.sender(m), message.Message{ViewAnnouncement: &message.ViewAnnouncement{View: r.control.View}})
 	}
 }
--- a/internal/controlplane/simulation/checks.go
+++ b/internal/controlplane/simulation/checks.go
@@ -45,7 +45,7 @@
 // checkCopies counts the disks that hold a change in the moment of its acknowledgement: one more than the tolerance.
 func (c *Cluster) checkCopies(acknowledged *call) {
 	want := min(c.options.Tolerance+1, c.options.Members-c.options.Volatile)
-	digest := configuration.Digest(&acknowledged.ConfigCall)
+	digest := configuration.Digest(&acknowledged.ConfigRequest)
 	copies := 0
 	for _, n := range c.nodes {
 		recent := n.wiped >= acknowledged.began // it may have held the change
@@ -84,9 +84,9 @@
 			live[n.replica.Identity()] = true
 		}
 	}
-	gone := lo.Reject(newest.Electorate(), func(m message.Member, _ int) bool { return live[m.Identity] })
+	gone := lo.Reject(newest.EffectiveVoters(), func(m message.Member, _ int) bool { return live[m.Identity] })
 	voting := lo.CountBy(newest.Members, func(m message.Member) bool { return live[m.Identity] })
-	if len(gone) > 0 && voting >= len(newest.Electorate()) {
+	if len(gone) > 0 && voting >= len(newest.EffectiveVoters()) {
 		c.violate("VOTERS", fmt.Sprintf("%s is gone and votes in view %d", gone[0].Identity, newest.Number))
 	}
 }
@@ -119,18 +119,20 @@
 		base = change.Version
 	}
 	for _, acknowledged := range c.history.inOrder {
-		if !taken[digestOf(&acknowledged.ConfigCall)] {
+		if !taken[digestOf(&acknowledged.ConfigRequest)] {
 			c.violate("LOST", fmt.Sprintf("version %d was acknowledged and is gone", acknowledged.version))
 		}
 	}
 	for _, refused := range c.history.refused {
-		if taken[digestOf(&refused.ConfigCall)] {
+		if taken[digestOf(&refused.ConfigRequest)] {
 			c.violate("REFUSED", fmt.Sprintf("version %d was refused and is in force", refused.version))
 		}
 	}
 }
 
-func digestOf(call *message.ConfigCall) string { return hex.EncodeToString(configuration.Digest(call)) }
+func digestOf(call *message.ConfigRequest) string {
+	return hex.EncodeToString(configuration.Digest(call))
+}
 
 func (c *Cluster) newestState() (message.ChainState, bool) {
 	var newest message.ChainState
@@ -173,7 +175,7 @@
 		return lo.Map(members, func(m message.Member, _ int) string { return strings.TrimPrefix(m.Identity, "seed-") })
 	}
 	line := fmt.Sprintf("    %6.2fs view %d: chain %v, voters %v", n.cluster.now.Seconds(), view.Number,
-		identities(view.Members), identities(view.Electorate()))
+		identities(view.Members), identities(view.EffectiveVoters()))
 	n.cluster.moves = append(n.cluster.moves, line)
 }
 
--- a/internal/controlplane/simulation/defects.go
+++ b/internal/controlplane/simulation/defects.go
@@ -62,17 +62,17 @@
 	switch {
 	case n.cluster.options.Defect == GrantTwice && m.LeaseGrant != nil:
 		m.LeaseGrant.Granted = true
-	case n.cluster.options.Defect == MinorityView && m.Promise != nil && !m.Promise.Refused:
+	case n.cluster.options.Defect == MinorityView && m.PrepareResponse != nil && !m.PrepareResponse.Rejected:
 		n.forge(view, func(from message.Member) message.Message {
-			return message.Message{Promise: &message.Promise{Ballot: m.Promise.Ballot}}
+			return message.Message{PrepareResponse: &message.PrepareResponse{Proposal: m.PrepareResponse.Proposal}}
 		})
-	case n.cluster.options.Defect == MinorityView && m.Accepted != nil && !m.Accepted.Refused:
+	case n.cluster.options.Defect == MinorityView && m.AcceptResponse != nil && !m.AcceptResponse.Rejected:
 		n.forge(view, func(from message.Member) message.Message {
-			return message.Message{Accepted: &message.Accepted{Ballot: m.Accepted.Ballot}}
+			return message.Message{AcceptResponse: &message.AcceptResponse{Proposal: m.AcceptResponse.Proposal}}
 		})
-	case n.confirmsAlone(view) && m.Confirm != nil && m.From == n.replica.Identity():
+	case n.confirmsAlone(view) && m.ConfirmRequest != nil && m.From == n.replica.Identity():
 		n.forge(view, func(from message.Member) message.Message {
-			return message.Message{Confirmed: &message.Confirmed{Round: m.Confirm.Round}}
+			return message.Message{ConfirmResponse: &message.ConfirmResponse{RequestID: m.ConfirmRequest.RequestID}}
 		})
 	case n.cluster.options.Defect == SkipMember && m.Replicate != nil && len(view.Members) > 1:
 		// The head takes its successor's receipt for the whole chain's.
@@ -165,7 +165,7 @@
 func (n *node) judge(real replica.Judge) replica.Judge {
 	switch n.cluster.options.Defect {
 	case IgnoreBase:
-		return func(state *message.ChainState, call *message.ConfigCall) replica.Decision {
+		return func(state *message.ChainState, call *message.ConfigRequest) replica.Decision {
 			rebased := *call
 			rebased.IfMatch = strconv.FormatUint(state.Version, 10)
 			decision := real(state, &rebased)
@@ -173,13 +173,13 @@
 			return decision
 		}
 	case ForgetChanges:
-		return func(state *message.ChainState, call *message.ConfigCall) replica.Decision {
+		return func(state *message.ChainState, call *message.ConfigRequest) replica.Decision {
 			forgetful := *state
 			forgetful.History = nil
 			return real(&forgetful, call)
 		}
 	case RefuseAhead:
-		return func(state *message.ChainState, call *message.ConfigCall) replica.Decision {
+		return func(state *message.ChainState, call *message.ConfigRequest) replica.Decision {
 			decision := real(state, call)
 			if decision.Status == 0 {
 				decision.Status = http.StatusPreconditionFailed
--- a/internal/controlplane/simulation/network.go
+++ b/internal/controlplane/simulation/network.go
@@ -48,17 +48,17 @@
 		return prepareKind
 	case m.Accept != nil:
 		return acceptKind
-	case m.Announcement != nil:
+	case m.ViewAnnouncement != nil:
 		return announcementKind
 	case m.Heartbeat != nil:
 		return heartbeatKind
 	case m.Committed != nil:
 		return committedKind
-	case m.Join != nil:
+	case m.JoinRequest != nil:
 		return joinKind
 	case m.LeaseGrant != nil:
 		return leaseGrantKind
-	case m.Confirm != nil:
+	case m.ConfirmRequest != nil:
 		return confirmKind
 	}
 	return messageKinds
@@ -69,8 +69,8 @@
 	if m.LeaseGrant != nil && m.LeaseGrant.Granted {
 		n.lastGrant = grantHold{holder: m.To, token: m.LeaseGrant.Token}
 	}
-	if m.ConfigResult != nil && m.ToAddress == n.address {
-		c.deliverResult(n, m.ConfigResult)
+	if m.ConfigResponse != nil && m.ToAddress == n.address {
+		c.deliverResult(n, m.ConfigResponse)
 		return
 	}
 	if m.ToAddress == n.address {
@@ -85,7 +85,7 @@
 	switch {
 	case c.random.IntN(lostOneIn) == 0:
 		return // lost with its connection
-	case m.ConfigCall != nil && c.random.IntN(busyOneIn) == 0, c.random.IntN(heldUpOneIn) == 0:
+	case m.ConfigRequest != nil && c.random.IntN(busyOneIn) == 0, c.random.IntN(heldUpOneIn) == 0:
 		delay += c.spread(heldUpSpread)
 	case c.random.IntN(lateOneIn) == 0:
 		delay += c.spread(lateSpread)
--- a/internal/controlplane/simulation/node.go
+++ b/internal/controlplane/simulation/node.go
@@ -200,9 +200,9 @@
 		n.queued = append(n.queued, m)
 		return
 	}
-	if m.ConfigResult != nil {
+	if m.ConfigResponse != nil {
 		if m.To == n.replica.Identity() {
-			n.cluster.deliverResult(n, m.ConfigResult)
+			n.cluster.deliverResult(n, m.ConfigResponse)
 		}
 		return
 	}
--- a/internal/controlplane/simulation/operators.go
+++ b/internal/controlplane/simulation/operators.go
@@ -39,7 +39,7 @@
 
 // call is an operator's call until its end.
 type call struct {
-	message.ConfigCall
+	message.ConfigRequest
 	began   time.Duration
 	tries   int
 	relay   *node
@@ -139,10 +139,10 @@
 	}
 	n := current.relay
 	if n.replica != nil && !n.frozen {
-		sent := current.ConfigCall
+		sent := current.ConfigRequest
 		self := n.replica.Identity()
 		n.receive(message.Message{
-			From: self, FromAddress: n.address, To: self, View: n.replica.View().Number, ConfigCall: &sent,
+			From: self, FromAddress: n.address, To: self, View: n.replica.View().Number, ConfigRequest: &sent,
 		})
 	}
 	o.cluster.after(resubmitEvery, func() { o.submit(current, tries) })
@@ -180,7 +180,7 @@
 }
 
 // deliverResult gives an answer to the call that waits for it at the machine.
-func (c *Cluster) deliverResult(n *node, result *message.ConfigResult) {
+func (c *Cluster) deliverResult(n *node, result *message.ConfigResponse) {
 	for _, o := range c.operators {
 		if o.call == nil || o.call.relay != n {
 			continue
@@ -191,7 +191,7 @@
 	}
 }
 
-func (o *operator) take(result *message.ConfigResult) {
+func (o *operator) take(result *message.ConfigResponse) {
 	current := o.call
 	c := o.cluster
 	switch {
@@ -211,7 +211,7 @@
 	o.finish()
 }
 
-func (o *operator) takeRead(current *call, result *message.ConfigResult) {
+func (o *operator) takeRead(current *call, result *message.ConfigResponse) {
 	c := o.cluster
 	c.history.reads++
 	version := uint64(0)
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -150,7 +150,7 @@
 }
 
 type expectedLoad struct {
-	message.LoadOrder
+	message.PendingLoad
 	at time.Time
 }
 
@@ -261,7 +261,7 @@
 }
 
 // SetTotals takes what all proxies together carry, and the loads under way.
-func (b *Balancer) SetTotals(loads []message.BackendLoad, orders []message.LoadOrder, now time.Time) {
+func (b *Balancer) SetTotals(loads []message.BackendLoad, orders []message.PendingLoad, now time.Time) {
 	totals := map[string]message.BackendLoad{}
 	for _, load := range loads {
 		totals[load.Backend] = load
@@ -277,7 +277,7 @@
 	}
 	b.orders = b.orders[:0]
 	for _, order := range orders {
-		b.orders = append(b.orders, expectedLoad{order, now.Add(time.Duration(order.DoneInMS) * time.Millisecond)})
+		b.orders = append(b.orders, expectedLoad{order, now.Add(time.Duration(order.ReadyInMs) * time.Millisecond)})
 	}
 	b.serveWaiting(now)
 }
@@ -345,11 +345,11 @@
 	}
 	for key, count := range b.demand {
 		entry := message.ModelDemand{
-			Service: key.service, Model: key.model, Arrivals: count.arrivals, Missed: count.missed,
+			Service: key.service, Model: key.model, Arrivals: count.arrivals, Unserved: count.missed,
 			Running: count.running, Waiting: waiting[key],
 		}
 		count.arrivals, count.missed = 0, 0
-		if entry.Arrivals == 0 && entry.Missed == 0 && entry.Running == 0 && entry.Waiting == 0 {
+		if entry.Arrivals == 0 && entry.Unserved == 0 && entry.Running == 0 && entry.Waiting == 0 {
 			delete(b.demand, key)
 			continue
 		}
--- a/internal/dataplane/balancer/dispatcher.go
+++ b/internal/dataplane/balancer/dispatcher.go
@@ -125,7 +125,7 @@
 }
 
 // Update takes what was pulled; nil parts are unchanged. Backends that are gone are given to onGone.
-func (d *Dispatcher) Update(config *configuration.Config, backends []message.Backend, hasBackends bool, reply *message.PullReply, loads []message.BackendLoad, onGone func([]*Backend)) {
+func (d *Dispatcher) Update(config *configuration.Config, backends []message.Backend, hasBackends bool, reply *message.PollResponse, loads []message.BackendLoad, onGone func([]*Backend)) {
 	d.commands <- func(b *Balancer) {
 		now := time.Now()
 		if config != nil {
@@ -140,7 +140,7 @@
 			}
 		}
 		if reply != nil {
-			b.SetTotals(loads, reply.Orders, now)
+			b.SetTotals(loads, reply.PendingLoads, now)
 		}
 	}
 }
--- a/internal/dataplane/loads/exchange.go
+++ b/internal/dataplane/loads/exchange.go
@@ -163,8 +163,8 @@
 
 // report makes a report of what was not told yet.
 func (e *Exchange) report(target string) message.LoadReport {
-	report := message.LoadReport{Whole: e.told != target}
-	if report.Whole {
+	report := message.LoadReport{Complete: e.told != target}
+	if report.Complete {
 		for _, load := range e.carried {
 			report.Loads = append(report.Loads, load)
 		}
--- a/internal/dataplane/loads/exchange_test.go
+++ b/internal/dataplane/loads/exchange_test.go
@@ -19,7 +19,7 @@
 	reports chan *message.LoadReport
 }
 
-func newCoordinator(t *testing.T, answer func(*message.LoadReport) *message.LoadReply) *coordinator {
+func newCoordinator(t *testing.T, answer func(*message.LoadReport) *message.LoadResponse) *coordinator {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -28,7 +28,7 @@
 	go transport.Serve(listener, func(m *message.Message, reply func(*message.Message)) {
 		c.reports <- m.LoadReport
 		if m.LoadReport.ID != 0 && answer != nil {
-			reply(&message.Message{LoadReply: answer(m.LoadReport)})
+			reply(&message.Message{LoadResponse: answer(m.LoadReport)})
 		}
 	})
 	return c
@@ -48,8 +48,8 @@
 }
 
 func TestTheFirstReportTellsEverythingAndTheNextWhatChanged(t *testing.T) {
-	c := newCoordinator(t, func(r *message.LoadReport) *message.LoadReply {
-		return &message.LoadReply{ID: r.ID, Loads: []message.BackendLoad{load("b9", 3, 4)}}
+	c := newCoordinator(t, func(r *message.LoadReport) *message.LoadResponse {
+		return &message.LoadResponse{ID: r.ID, Loads: []message.BackendLoad{load("b9", 3, 4)}}
 	})
 	e := connected(t, c.member)
 	e.Tell([]message.BackendLoad{load("b1", 1, 50)})
@@ -57,18 +57,18 @@
 	require.True(t, ok)
 	assert.Equal(t, []message.BackendLoad{load("b9", 3, 4)}, loads)
 	first := <-c.reports
-	assert.True(t, first.Whole)
+	assert.True(t, first.Complete)
 	assert.Equal(t, []message.BackendLoad{load("b1", 1, 50)}, first.Loads)
 	assert.Equal(t, "m", first.Model)
 	e.Tell([]message.BackendLoad{load("b1", 0, 0)})
 	e.flush(false)
 	second := <-c.reports
-	assert.False(t, second.Whole)
+	assert.False(t, second.Complete)
 	assert.Zero(t, second.ID, "it asks nothing")
 	assert.Equal(t, []message.BackendLoad{load("b1", 0, 0)}, second.Loads)
 	e.flush(true)
 	third := <-c.reports
-	assert.True(t, third.Whole)
+	assert.True(t, third.Complete)
 	assert.Empty(t, third.Loads)
 }
 
--- a/internal/dataplane/proxy/feed.go
+++ b/internal/dataplane/proxy/feed.go
@@ -88,22 +88,22 @@
 }
 
 // Versions tells what the proxy has, and its demand and loads.
-func (f *feed) Versions() message.Pull {
+func (f *feed) Versions() message.PollRequest {
 	demand, loads := f.dispatcher.Report()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return message.Pull{ConfigSequence: f.config.Known(), BackendDigest: f.digest, Demand: demand, Loads: loads, Proxies: 1, LoadVersion: f.totals.Version()}
+	return message.PollRequest{ConfigSequence: f.config.Known(), BackendDigest: f.digest, Demand: demand, Loads: loads, Proxies: 1, LoadVersion: f.totals.Version()}
 }
 
 // Apply takes an answer of a coordinator. Nothing ever goes backward within the life of the process.
-func (f *feed) Apply(reply *message.PullReply, sent time.Time) {
+func (f *feed) Apply(reply *message.PollResponse, sent time.Time) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	config := f.newConfig(reply.Config)
 	var backends []message.Backend
 	newer := false
 	if reply.BackendsKnown {
-		observed := sent.Add(time.Duration(reply.HeldMS-reply.BackendsAgeMS) * time.Millisecond)
+		observed := sent.Add(time.Duration(reply.WaitedMs-reply.BackendsAgeMs) * time.Millisecond)
 		if observed.After(f.observed) {
 			if reply.Backends != nil {
 				backends, newer = f.takeTable(reply.Backends)
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -6,11 +6,11 @@
 
 // Member is a coordinator: an identity that lives on its disk, and the address at which it is reached now.
 type Member struct {
-	Identity string `msg:"i"`
-	Address  string `msg:"a"`
-	Zone     string `msg:"z"`
-	Volatile bool   `msg:"v"` // it has no disk
-	Since    uint64 `msg:"s"` // number of the view from which it has been a member without a gap
+	Identity  string `msg:"i"`
+	Address   string `msg:"a"`
+	Zone      string `msg:"z"`
+	Diskless  bool   `msg:"v"` // it has no disk
+	SinceView uint64 `msg:"s"` // number of the view since which it has been a member without interruption
 }
 
 // View is an agreed membership. The chain changes whenever a member is lost or comes back. The vote of one that is
@@ -19,40 +19,40 @@
 	Number  uint64   `msg:"n"`
 	Members []Member `msg:"m"` // the chain, the head first
 	Voters  []Member `msg:"v"` // a majority of them decides on the next view; none: the members of the chain
-	// Displaced are silent members that have lost their vote, the latest last.
-	Displaced []Displaced `msg:"dp"`
+	// ReplacedVoters are silent members that have lost their vote, the latest last.
+	ReplacedVoters []ReplacedVoter `msg:"dp"`
 }
 
-// Displaced is a member that lost its vote while it was silent. It is told of the view; and it gets the vote of the
+// ReplacedVoter is a member that lost its vote while it was silent. It is told of the view; and it gets the vote of the
 // member for which the newcomer that has its own proves to have come.
-type Displaced struct {
-	Member Member `msg:"m"`
-	By     string `msg:"b"` // identity of the member that got the vote
+type ReplacedVoter struct {
+	Member     Member `msg:"m"`
+	ReplacedBy string `msg:"b"` // identity of the member that got the vote
 }
 
-// Electorate returns the members whose majority decides on the next view, confirms this one and grants the lease.
-func (v View) Electorate() []Member {
+// EffectiveVoters returns the members whose majority decides on the next view, confirms this one and grants the lease.
+func (v View) EffectiveVoters() []Member {
 	if len(v.Voters) == 0 { // records of earlier versions name no voters
 		return v.Members
 	}
 	return v.Voters
 }
 
-// Ballot orders the proposals for one view.
-type Ballot struct {
-	Round    uint64 `msg:"r"`
+// ProposalNumber orders the proposals for one view.
+type ProposalNumber struct {
+	Counter  uint64 `msg:"r"`
 	Proposer string `msg:"p"`
 }
 
 // ControlState is what a coordinator keeps on disk besides the configuration.
 type ControlState struct {
-	Identity       string `msg:"i"`
-	View           View   `msg:"v"`
-	Complete       bool   `msg:"c"` // it holds all that was acknowledged in earlier views
-	Promised       Ballot `msg:"p"`
-	AcceptedBallot Ballot `msg:"b"`
-	Accepted       View   `msg:"a"` // the accepted next view; its number is 0 where there is none
-	LeaseToken     uint64 `msg:"t"` // the highest token ever granted
+	Identity         string         `msg:"i"`
+	View             View           `msg:"v"`
+	Complete         bool           `msg:"c"` // it holds all that was acknowledged in earlier views
+	HighestProposal  ProposalNumber `msg:"p"`
+	AcceptedProposal ProposalNumber `msg:"b"`
+	AcceptedView     View           `msg:"a"` // the accepted next view; its number is 0 where there is none
+	LeaseToken       uint64         `msg:"t"` // the highest token ever granted
 }
 
 // Change is an operator's change as it was taken.
@@ -91,30 +91,30 @@
 	ToAddress   string `msg:"-"`
 	View        uint64 `msg:"v"` // sender's view
 
-	Heartbeat       *Heartbeat       `msg:"hb,omitempty"`
-	Suspicion       *Suspicion       `msg:"su,omitempty"`
-	Join            *Join            `msg:"jo,omitempty"`
-	Announcement    *Announcement    `msg:"an,omitempty"`
-	Prepare         *Prepare         `msg:"pr,omitempty"`
-	Promise         *Promise         `msg:"pm,omitempty"`
-	Accept          *Accept          `msg:"ac,omitempty"`
-	Accepted        *Accepted        `msg:"ad,omitempty"`
-	Replicate       *Replicate       `msg:"re,omitempty"`
-	Committed       *Committed       `msg:"co,omitempty"`
-	SnapshotRequest *SnapshotRequest `msg:"sr,omitempty"`
-	CatchUpRequest  *CatchUpRequest  `msg:"cq,omitempty"`
-	CatchUp         *CatchUp         `msg:"cu,omitempty"`
-	Confirm         *Confirm         `msg:"cf,omitempty"`
-	Confirmed       *Confirmed       `msg:"cd,omitempty"`
-	LeaseRequest    *LeaseRequest    `msg:"lr,omitempty"`
-	LeaseGrant      *LeaseGrant      `msg:"lg,omitempty"`
-	LeaseRelease    *LeaseRelease    `msg:"ll,omitempty"`
-	ConfigCall      *ConfigCall      `msg:"cc,omitempty"`
-	ConfigResult    *ConfigResult    `msg:"cr,omitempty"`
-	Pull            *Pull            `msg:"pu,omitempty"`
-	PullReply       *PullReply       `msg:"pl,omitempty"`
-	LoadReport      *LoadReport      `msg:"ld,omitempty"`
-	LoadReply       *LoadReply       `msg:"lq,omitempty"`
+	Heartbeat        *Heartbeat        `msg:"hb,omitempty"`
+	SuspicionReport  *SuspicionReport  `msg:"su,omitempty"`
+	JoinRequest      *JoinRequest      `msg:"jo,omitempty"`
+	ViewAnnouncement *ViewAnnouncement `msg:"an,omitempty"`
+	Prepare          *Prepare          `msg:"pr,omitempty"`
+	PrepareResponse  *PrepareResponse  `msg:"pm,omitempty"`
+	Accept           *Accept           `msg:"ac,omitempty"`
+	AcceptResponse   *AcceptResponse   `msg:"ad,omitempty"`
+	Replicate        *Replicate        `msg:"re,omitempty"`
+	Committed        *Committed        `msg:"co,omitempty"`
+	SnapshotRequest  *SnapshotRequest  `msg:"sr,omitempty"`
+	CatchUpRequest   *CatchUpRequest   `msg:"cq,omitempty"`
+	CatchUp          *CatchUp          `msg:"cu,omitempty"`
+	ConfirmRequest   *ConfirmRequest   `msg:"cf,omitempty"`
+	ConfirmResponse  *ConfirmResponse  `msg:"cd,omitempty"`
+	LeaseRequest     *LeaseRequest     `msg:"lr,omitempty"`
+	LeaseGrant       *LeaseGrant       `msg:"lg,omitempty"`
+	LeaseRelease     *LeaseRelease     `msg:"ll,omitempty"`
+	ConfigRequest    *ConfigRequest    `msg:"cc,omitempty"`
+	ConfigResponse   *ConfigResponse   `msg:"cr,omitempty"`
+	PollRequest      *PollRequest      `msg:"pu,omitempty"`
+	PollResponse     *PollResponse     `msg:"pl,omitempty"`
+	LoadReport       *LoadReport       `msg:"ld,omitempty"`
+	LoadResponse     *LoadResponse     `msg:"lq,omitempty"`
 }
 
 // Heartbeat tells a monitor that the sender is alive.
@@ -122,55 +122,55 @@
 	Complete    bool `msg:"c"`
 	DiskStalled bool `msg:"d"` // a write to its disk has been under way for too long
 	Leaving     bool `msg:"l"` // it was asked to stop
-	Volatile    bool `msg:"v"` // it has no disk
+	Diskless    bool `msg:"v"` // it has no disk
 	Isolated    bool `msg:"i"` // it has not heard a majority of the voters for too long
 }
 
-// Suspicion tells the members what the sender has found out about those that it monitors.
-type Suspicion struct {
-	Silent  []string `msg:"m"` // not heard for too long, isolated, or with a disk that stalls
-	Leaving []string `msg:"l"` // asked to stop, and still there
-	Doubted []string `msg:"d"` // not heard for a moment
+// SuspicionReport tells the members what the sender has found out about those that it monitors.
+type SuspicionReport struct {
+	Suspected []string `msg:"m"` // not heard for too long, isolated, or with a disk that stalls
+	Leaving   []string `msg:"l"` // asked to stop, and still there
+	Late      []string `msg:"d"` // not heard for a moment
 }
 
-// Join asks for membership.
-type Join struct {
+// JoinRequest asks for membership.
+type JoinRequest struct {
 	DiskStalled bool `msg:"d"`
 	Observer    bool `msg:"o"` // the sender only wants to know the newest view
-	Volatile    bool `msg:"v"` // it has no disk, and becomes a member only where none has one
+	Diskless    bool `msg:"v"` // it has no disk, and becomes a member only where none has one
 	Withdrawn   bool `msg:"w"` // the sender was told to stop: what it asked for before is void
 }
 
-// Announcement carries a decided view.
-type Announcement struct {
+// ViewAnnouncement carries a decided view.
+type ViewAnnouncement struct {
 	View View `msg:"v"`
 }
 
 // Prepare opens a ballot for the view after View.
 type Prepare struct {
-	Ballot Ballot `msg:"b"`
+	Proposal ProposalNumber `msg:"b"`
 }
 
-// Promise answers Prepare; when Refused, Ballot is the one that stands in the way.
-type Promise struct {
-	Ballot         Ballot `msg:"b"`
-	Refused        bool   `msg:"r"`
-	Promised       Ballot `msg:"p"`
-	AcceptedBallot Ballot `msg:"ab"`
-	Accepted       View   `msg:"a"`
+// PrepareResponse answers Prepare; when Refused, Ballot is the one that stands in the way.
+type PrepareResponse struct {
+	Proposal         ProposalNumber `msg:"b"`
+	Rejected         bool           `msg:"r"`
+	HighestProposal  ProposalNumber `msg:"p"`
+	AcceptedProposal ProposalNumber `msg:"ab"`
+	AcceptedView     View           `msg:"a"`
 }
 
 // Accept asks to accept a value for the next view.
 type Accept struct {
-	Ballot Ballot `msg:"b"`
-	Value  View   `msg:"v"`
+	Proposal ProposalNumber `msg:"b"`
+	Value    View           `msg:"v"`
 }
 
-// Accepted answers Accept.
-type Accepted struct {
-	Ballot   Ballot `msg:"b"`
-	Refused  bool   `msg:"r"`
-	Promised Ballot `msg:"p"`
+// AcceptResponse answers Accept.
+type AcceptResponse struct {
+	Proposal        ProposalNumber `msg:"b"`
+	Rejected        bool           `msg:"r"`
+	HighestProposal ProposalNumber `msg:"p"`
 }
 
 // Replicate passes the replicated state down the chain: a change on top of a known state, a whole state, or only
@@ -190,7 +190,7 @@
 
 // SnapshotRequest asks the predecessor for its state: whole, or only to be compared by its digest.
 type SnapshotRequest struct {
-	Whole bool `msg:"w"`
+	Full bool `msg:"w"`
 }
 
 // CatchUpRequest asks a complete member for its state, so that the sender is complete before the chain has reached it.
@@ -204,29 +204,29 @@
 	State  *ChainState `msg:"s,omitempty"` // nil: the receiver has it already
 }
 
-// Confirm asks whether the receiver still is in the sender's view.
-type Confirm struct {
-	Round uint64 `msg:"r"`
+// ConfirmRequest asks whether the receiver still is in the sender's view.
+type ConfirmRequest struct {
+	RequestID uint64 `msg:"r"`
 }
 
-// Confirmed says that the sender is in that view and has accepted no later one.
-type Confirmed struct {
-	Round  uint64 `msg:"r"`
-	Refuse bool   `msg:"f"` // it is there, but has accepted a later view
+// ConfirmResponse says that the sender is in that view and has accepted no later one.
+type ConfirmResponse struct {
+	RequestID uint64 `msg:"r"`
+	Rejected  bool   `msg:"f"` // it is there, but has accepted a later view
 }
 
 // LeaseRequest asks for the lease on the controller role, or renews it.
 type LeaseRequest struct {
-	Token uint64 `msg:"t"`
-	Round uint64 `msg:"r"`
-	Renew bool   `msg:"n"` // the sender holds the lease under this very token
+	Token     uint64 `msg:"t"`
+	RequestID uint64 `msg:"r"`
+	Renewal   bool   `msg:"n"` // the sender holds the lease under this very token
 }
 
 // LeaseGrant answers LeaseRequest.
 type LeaseGrant struct {
-	Round   uint64 `msg:"r"`
-	Granted bool   `msg:"g"`
-	Token   uint64 `msg:"t"` // the highest token that the grantor knows of
+	RequestID uint64 `msg:"r"`
+	Granted   bool   `msg:"g"`
+	Token     uint64 `msg:"t"` // the highest token that the grantor knows of
 }
 
 // LeaseRelease gives the lease back before it expires.
@@ -234,16 +234,16 @@
 	Token uint64 `msg:"t"`
 }
 
-// ConfigCall is an operator's call on its way to the member that decides it.
-type ConfigCall struct {
+// ConfigRequest is an operator's call on its way to the member that decides it.
+type ConfigRequest struct {
 	ID      uint64 `msg:"i"` // the relaying member's number of the call
 	Method  string `msg:"m"`
 	IfMatch string `msg:"f"`
 	Body    []byte `msg:"b"`
 }
 
-// ConfigResult answers ConfigCall.
-type ConfigResult struct {
+// ConfigResponse answers ConfigRequest.
+type ConfigResponse struct {
 	ID     uint64 `msg:"i"`
 	Status int    `msg:"s"`
 	Body   []byte `msg:"b"`
@@ -255,7 +255,7 @@
 	Model    string  `msg:"m"` // with its adapter after a slash
 	Arrivals float64 `msg:"a"`
 	Waiting  int     `msg:"w"` // requests that wait for it right now
-	Missed   float64 `msg:"x"` // requests that were refused as it was nowhere
+	Unserved float64 `msg:"x"` // requests that were refused as it was nowhere
 	Running  int     `msg:"r"` // requests of it that run right now
 }
 
@@ -269,48 +269,48 @@
 // LoadReport tells what the sender carries at some backends, as it has just changed, and may ask for what the other
 // proxies carry at the holders of a model.
 type LoadReport struct {
-	ID      uint64        `msg:"i"` // of the question; 0: nothing is asked
-	Service string        `msg:"s"`
-	Model   string        `msg:"m"` // with its adapter after a slash
-	Loads   []BackendLoad `msg:"l"` // present values, not differences
-	Whole   bool          `msg:"w"` // the sender carries nothing at any other backend
+	ID       uint64        `msg:"i"` // of the question; 0: nothing is asked
+	Service  string        `msg:"s"`
+	Model    string        `msg:"m"` // with its adapter after a slash
+	Loads    []BackendLoad `msg:"l"` // present values, not differences
+	Complete bool          `msg:"w"` // the sender carries nothing at any other backend
 }
 
-// LoadReply answers a question of LoadReport: what all proxies but the asking one carry. Backends where they carry
+// LoadResponse answers a question of LoadReport: what all proxies but the asking one carry. Backends where they carry
 // nothing are left out.
-type LoadReply struct {
+type LoadResponse struct {
 	ID      uint64        `msg:"i"`
 	Unknown bool          `msg:"u"` // the member has no list of backends
 	Loads   []BackendLoad `msg:"l"`
 }
 
-// Pull asks for what the sender lacks: it tells the versions that it has.
-type Pull struct {
+// PollRequest asks for what the sender lacks: it tells the versions that it has.
+type PollRequest struct {
 	ID             uint64        `msg:"i"`
 	ConfigSequence uint64        `msg:"c"`
 	BackendDigest  uint64        `msg:"b"`
-	HoldMS         int           `msg:"h"` // how long the answer may be held while there is nothing new
+	MaxWaitMs      int           `msg:"h"` // how long the answer may be held while there is nothing new
 	Demand         []ModelDemand `msg:"d"`
 	Loads          []BackendLoad `msg:"l"`
 	Proxies        int           `msg:"p"` // how many proxies the sender speaks for
 	LoadVersion    uint64        `msg:"v"` // of the sums of loads that the sender has; 0: none
 }
 
-// PullReply carries what is newer than the versions told.
-type PullReply struct {
+// PollResponse carries what is newer than the versions told.
+type PollResponse struct {
 	ID            uint64         `msg:"i"`
 	Unavailable   bool           `msg:"u"` // the member has no majority behind it: ask another
 	Members       []Member       `msg:"m"` // the coordinators
 	Config        *ConfigUpdate  `msg:"c,omitempty"`
 	Backends      *BackendUpdate `msg:"b,omitempty"`
 	BackendsKnown bool           `msg:"k"`
-	BackendsAgeMS int64          `msg:"a"` // how old the list of backends is
-	HeldMS        int64          `msg:"h"`
+	BackendsAgeMs int64          `msg:"a"` // how old the list of backends is
+	WaitedMs      int64          `msg:"h"`
 	Proxies       int            `msg:"p"` // how many proxies there are
 	TotalLoads    []BackendLoad  `msg:"l"` // what all proxies together carry: all of it, or what has changed
-	LoadsWhole    bool           `msg:"w"`
+	LoadsComplete bool           `msg:"w"`
 	LoadVersion   uint64         `msg:"lv"`
-	Orders        []LoadOrder    `msg:"o"` // loads that are under way
+	PendingLoads  []PendingLoad  `msg:"o"` // loads that are under way
 }
 
 // ConfigUpdate is a configuration that was acknowledged, whole or as a difference.
@@ -327,20 +327,20 @@
 	Digest   uint64    `msg:"d"` // of the whole list
 	Base     uint64    `msg:"s"` // digest of the list that this builds on; 0: this is the whole list
 	Backends []Backend `msg:"b"` // all, or those that are new or changed
-	Gone     []string  `msg:"g"` // ids of those that are no more on the list
+	Removed  []string  `msg:"g"` // ids of those that are no more on the list
 }
 
 // Backend is an entry of the platform's list.
 type Backend struct {
-	ID         string        `msg:"i"`
-	Service    string        `msg:"s"`
-	Address    string        `msg:"a"`
-	Zone       string        `msg:"z"`
-	Capacity   int           `msg:"c"`
-	Draining   bool          `msg:"d"`
-	ColdLeftMS int           `msg:"-"`
-	TimeLeftMS int           `msg:"t"` // time until it is taken away; 0: not announced
-	Models     []LoadedModel `msg:"m"`
+	ID           string        `msg:"i"`
+	Service      string        `msg:"s"`
+	Address      string        `msg:"a"`
+	Zone         string        `msg:"z"`
+	Capacity     int           `msg:"c"`
+	Draining     bool          `msg:"d"`
+	WarmUpLeftMs int           `msg:"-"`
+	TimeLeftMs   int           `msg:"t"` // time until it is taken away; 0: not announced
+	Models       []LoadedModel `msg:"m"`
 }
 
 // LoadedModel is a model that a backend holds.
@@ -349,10 +349,10 @@
 	Adapters []string `msg:"a"`
 }
 
-// LoadOrder is a load of a model, or of an adapter after a slash, that is under way.
-type LoadOrder struct {
-	Service  string `msg:"s"`
-	Model    string `msg:"m"`
-	Backend  string `msg:"b"`
-	DoneInMS int64  `msg:"d"` // when it should be there
+// PendingLoad is a load of a model, or of an adapter after a slash, that is under way.
+type PendingLoad struct {
+	Service   string `msg:"s"`
+	Model     string `msg:"m"`
+	Backend   string `msg:"b"`
+	ReadyInMs int64  `msg:"d"` // when it should be there
 }
