--- a/internal/message/message_gen.go
+++ b/internal/message/message_gen.go
@@ -28,33 +28,33 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Ballot")
+				err = msgp.WrapError(err, "Proposal")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "Ballot")
+					err = msgp.WrapError(err, "Proposal")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					z.Ballot.Round, err = dc.ReadUint64()
+					z.Proposal.Counter, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Round")
+						err = msgp.WrapError(err, "Proposal", "Counter")
 						return
 					}
 				case "p":
-					z.Ballot.Proposer, err = dc.ReadString()
+					z.Proposal.Proposer, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Proposer")
+						err = msgp.WrapError(err, "Proposal", "Proposer")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot")
+						err = msgp.WrapError(err, "Proposal")
 						return
 					}
 				}
@@ -90,9 +90,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Ballot.Round)
+	err = en.WriteUint64(z.Proposal.Counter)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Round")
+		err = msgp.WrapError(err, "Proposal", "Counter")
 		return
 	}
 	// write "p"
@@ -100,9 +100,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Ballot.Proposer)
+	err = en.WriteString(z.Proposal.Proposer)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Proposer")
+		err = msgp.WrapError(err, "Proposal", "Proposer")
 		return
 	}
 	// write "v"
@@ -127,10 +127,10 @@
 	// map header, size 2
 	// string "r"
 	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Ballot.Round)
+	o = msgp.AppendUint64(o, z.Proposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Ballot.Proposer)
+	o = msgp.AppendString(o, z.Proposal.Proposer)
 	// string "v"
 	o = append(o, 0xa1, 0x76)
 	o, err = z.Value.MarshalMsg(o)
@@ -163,33 +163,33 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ballot")
+				err = msgp.WrapError(err, "Proposal")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ballot")
+					err = msgp.WrapError(err, "Proposal")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					z.Ballot.Round, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Proposal.Counter, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Round")
+						err = msgp.WrapError(err, "Proposal", "Counter")
 						return
 					}
 				case "p":
-					z.Ballot.Proposer, bts, err = msgp.ReadStringBytes(bts)
+					z.Proposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Proposer")
+						err = msgp.WrapError(err, "Proposal", "Proposer")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot")
+						err = msgp.WrapError(err, "Proposal")
 						return
 					}
 				}
@@ -214,12 +214,12 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Accept) Msgsize() (s int) {
-	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Ballot.Proposer) + 2 + z.Value.Msgsize()
+	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposal.Proposer) + 2 + z.Value.Msgsize()
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Accepted) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *AcceptResponse) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -240,74 +240,74 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Ballot")
+				err = msgp.WrapError(err, "Proposal")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "Ballot")
+					err = msgp.WrapError(err, "Proposal")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					z.Ballot.Round, err = dc.ReadUint64()
+					z.Proposal.Counter, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Round")
+						err = msgp.WrapError(err, "Proposal", "Counter")
 						return
 					}
 				case "p":
-					z.Ballot.Proposer, err = dc.ReadString()
+					z.Proposal.Proposer, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Proposer")
+						err = msgp.WrapError(err, "Proposal", "Proposer")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot")
+						err = msgp.WrapError(err, "Proposal")
 						return
 					}
 				}
 			}
 		case "r":
-			z.Refused, err = dc.ReadBool()
+			z.Rejected, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Refused")
+				err = msgp.WrapError(err, "Rejected")
 				return
 			}
 		case "p":
 			var zb0003 uint32
 			zb0003, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Promised")
+				err = msgp.WrapError(err, "HighestProposal")
 				return
 			}
 			for zb0003 > 0 {
 				zb0003--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "Promised")
+					err = msgp.WrapError(err, "HighestProposal")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					z.Promised.Round, err = dc.ReadUint64()
+					z.HighestProposal.Counter, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Round")
+						err = msgp.WrapError(err, "HighestProposal", "Counter")
 						return
 					}
 				case "p":
-					z.Promised.Proposer, err = dc.ReadString()
+					z.HighestProposal.Proposer, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Proposer")
+						err = msgp.WrapError(err, "HighestProposal", "Proposer")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "Promised")
+						err = msgp.WrapError(err, "HighestProposal")
 						return
 					}
 				}
@@ -324,7 +324,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Accepted) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *AcceptResponse) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 3
 	// write "b"
 	err = en.Append(0x83, 0xa1, 0x62)
@@ -337,9 +337,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Ballot.Round)
+	err = en.WriteUint64(z.Proposal.Counter)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Round")
+		err = msgp.WrapError(err, "Proposal", "Counter")
 		return
 	}
 	// write "p"
@@ -347,9 +347,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Ballot.Proposer)
+	err = en.WriteString(z.Proposal.Proposer)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Proposer")
+		err = msgp.WrapError(err, "Proposal", "Proposer")
 		return
 	}
 	// write "r"
@@ -357,9 +357,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Refused)
+	err = en.WriteBool(z.Rejected)
 	if err != nil {
-		err = msgp.WrapError(err, "Refused")
+		err = msgp.WrapError(err, "Rejected")
 		return
 	}
 	// write "p"
@@ -373,9 +373,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Promised.Round)
+	err = en.WriteUint64(z.HighestProposal.Counter)
 	if err != nil {
-		err = msgp.WrapError(err, "Promised", "Round")
+		err = msgp.WrapError(err, "HighestProposal", "Counter")
 		return
 	}
 	// write "p"
@@ -383,16 +383,16 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Promised.Proposer)
+	err = en.WriteString(z.HighestProposal.Proposer)
 	if err != nil {
-		err = msgp.WrapError(err, "Promised", "Proposer")
+		err = msgp.WrapError(err, "HighestProposal", "Proposer")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Accepted) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *AcceptResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "b"
@@ -400,27 +400,27 @@
 	// map header, size 2
 	// string "r"
 	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Ballot.Round)
+	o = msgp.AppendUint64(o, z.Proposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Ballot.Proposer)
+	o = msgp.AppendString(o, z.Proposal.Proposer)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendBool(o, z.Refused)
+	o = msgp.AppendBool(o, z.Rejected)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
 	// map header, size 2
 	// string "r"
 	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Promised.Round)
+	o = msgp.AppendUint64(o, z.HighestProposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Promised.Proposer)
+	o = msgp.AppendString(o, z.HighestProposal.Proposer)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Accepted) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *AcceptResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -441,74 +441,74 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ballot")
+				err = msgp.WrapError(err, "Proposal")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ballot")
+					err = msgp.WrapError(err, "Proposal")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					z.Ballot.Round, bts, err = msgp.ReadUint64Bytes(bts)
+					z.Proposal.Counter, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Round")
+						err = msgp.WrapError(err, "Proposal", "Counter")
 						return
 					}
 				case "p":
-					z.Ballot.Proposer, bts, err = msgp.ReadStringBytes(bts)
+					z.Proposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Proposer")
+						err = msgp.WrapError(err, "Proposal", "Proposer")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Ballot")
+						err = msgp.WrapError(err, "Proposal")
 						return
 					}
 				}
 			}
 		case "r":
-			z.Refused, bts, err = msgp.ReadBoolBytes(bts)
+			z.Rejected, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Refused")
+				err = msgp.WrapError(err, "Rejected")
 				return
 			}
 		case "p":
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Promised")
+				err = msgp.WrapError(err, "HighestProposal")
 				return
 			}
 			for zb0003 > 0 {
 				zb0003--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Promised")
+					err = msgp.WrapError(err, "HighestProposal")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					z.Promised.Round, bts, err = msgp.ReadUint64Bytes(bts)
+					z.HighestProposal.Counter, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Round")
+						err = msgp.WrapError(err, "HighestProposal", "Counter")
 						return
 					}
 				case "p":
-					z.Promised.Proposer, bts, err = msgp.ReadStringBytes(bts)
+					z.HighestProposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Proposer")
+						err = msgp.WrapError(err, "HighestProposal", "Proposer")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Promised")
+						err = msgp.WrapError(err, "HighestProposal")
 						return
 					}
 				}
@@ -526,115 +526,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Accepted) Msgsize() (s int) {
-	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Ballot.Proposer) + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Promised.Proposer)
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Announcement) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "v":
-			err = z.View.DecodeMsg(dc)
-			if err != nil {
-				err = msgp.WrapError(err, "View")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Announcement) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 1
-	// write "v"
-	err = en.Append(0x81, 0xa1, 0x76)
-	if err != nil {
-		return
-	}
-	err = z.View.EncodeMsg(en)
-	if err != nil {
-		err = msgp.WrapError(err, "View")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Announcement) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "v"
-	o = append(o, 0x81, 0xa1, 0x76)
-	o, err = z.View.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "View")
-		return
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Announcement) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "v":
-			bts, err = z.View.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "View")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Announcement) Msgsize() (s int) {
-	s = 1 + 2 + z.View.Msgsize()
+func (z *AcceptResponse) Msgsize() (s int) {
+	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposal.Proposer) + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.HighestProposal.Proposer)
 	return
 }
 
@@ -693,9 +586,9 @@
 				return
 			}
 		case "t":
-			z.TimeLeftMS, err = dc.ReadInt()
+			z.TimeLeftMs, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "TimeLeftMS")
+				err = msgp.WrapError(err, "TimeLeftMs")
 				return
 			}
 		case "m":
@@ -838,9 +731,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt(z.TimeLeftMS)
+	err = en.WriteInt(z.TimeLeftMs)
 	if err != nil {
-		err = msgp.WrapError(err, "TimeLeftMS")
+		err = msgp.WrapError(err, "TimeLeftMs")
 		return
 	}
 	// write "m"
@@ -910,7 +803,7 @@
 	o = msgp.AppendBool(o, z.Draining)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendInt(o, z.TimeLeftMS)
+	o = msgp.AppendInt(o, z.TimeLeftMs)
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Models)))
@@ -984,9 +877,9 @@
 				return
 			}
 		case "t":
-			z.TimeLeftMS, bts, err = msgp.ReadIntBytes(bts)
+			z.TimeLeftMs, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "TimeLeftMS")
+				err = msgp.WrapError(err, "TimeLeftMs")
 				return
 			}
 		case "m":
@@ -1280,18 +1173,18 @@
 			var zb0003 uint32
 			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Gone")
+				err = msgp.WrapError(err, "Removed")
 				return
 			}
-			if cap(z.Gone) >= int(zb0003) {
-				z.Gone = (z.Gone)[:zb0003]
+			if cap(z.Removed) >= int(zb0003) {
+				z.Removed = (z.Removed)[:zb0003]
 			} else {
-				z.Gone = make([]string, zb0003)
+				z.Removed = make([]string, zb0003)
 			}
-			for za0002 := range z.Gone {
-				z.Gone[za0002], err = dc.ReadString()
+			for za0002 := range z.Removed {
+				z.Removed[za0002], err = dc.ReadString()
 				if err != nil {
-					err = msgp.WrapError(err, "Gone", za0002)
+					err = msgp.WrapError(err, "Removed", za0002)
 					return
 				}
 			}
@@ -1351,15 +1244,15 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Gone)))
+	err = en.WriteArrayHeader(uint32(len(z.Removed)))
 	if err != nil {
-		err = msgp.WrapError(err, "Gone")
+		err = msgp.WrapError(err, "Removed")
 		return
 	}
-	for za0002 := range z.Gone {
-		err = en.WriteString(z.Gone[za0002])
+	for za0002 := range z.Removed {
+		err = en.WriteString(z.Removed[za0002])
 		if err != nil {
-			err = msgp.WrapError(err, "Gone", za0002)
+			err = msgp.WrapError(err, "Removed", za0002)
 			return
 		}
 	}
@@ -1388,9 +1281,9 @@
 	}
 	// string "g"
 	o = append(o, 0xa1, 0x67)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Gone)))
-	for za0002 := range z.Gone {
-		o = msgp.AppendString(o, z.Gone[za0002])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Removed)))
+	for za0002 := range z.Removed {
+		o = msgp.AppendString(o, z.Removed[za0002])
 	}
 	return
 }
@@ -1448,18 +1341,18 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Gone")
+				err = msgp.WrapError(err, "Removed")
 				return
 			}
-			if cap(z.Gone) >= int(zb0003) {
-				z.Gone = (z.Gone)[:zb0003]
+			if cap(z.Removed) >= int(zb0003) {
+				z.Removed = (z.Removed)[:zb0003]
 			} else {
-				z.Gone = make([]string, zb0003)
+				z.Removed = make([]string, zb0003)
 			}
-			for za0002 := range z.Gone {
-				z.Gone[za0002], bts, err = msgp.ReadStringBytes(bts)
+			for za0002 := range z.Removed {
+				z.Removed[za0002], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Gone", za0002)
+					err = msgp.WrapError(err, "Removed", za0002)
 					return
 				}
 			}
@@ -1482,137 +1375,9 @@
 		s += z.Backends[za0001].Msgsize()
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Gone {
-		s += msgp.StringPrefixSize + len(z.Gone[za0002])
-	}
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Ballot) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "r":
-			z.Round, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Round")
-				return
-			}
-		case "p":
-			z.Proposer, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Proposer")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z Ballot) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "r"
-	err = en.Append(0x82, 0xa1, 0x72)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Round)
-	if err != nil {
-		err = msgp.WrapError(err, "Round")
-		return
-	}
-	// write "p"
-	err = en.Append(0xa1, 0x70)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Proposer)
-	if err != nil {
-		err = msgp.WrapError(err, "Proposer")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z Ballot) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "r"
-	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Round)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Proposer)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Ballot) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "r":
-			z.Round, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Round")
-				return
-			}
-		case "p":
-			z.Proposer, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Proposer")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
+	for za0002 := range z.Removed {
+		s += msgp.StringPrefixSize + len(z.Removed[za0002])
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Ballot) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposer)
 	return
 }
 
@@ -2911,7 +2676,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *ConfigCall) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ConfigRequest) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -2964,7 +2729,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *ConfigCall) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *ConfigRequest) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 4
 	// write "i"
 	err = en.Append(0x84, 0xa1, 0x69)
@@ -3010,7 +2775,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *ConfigCall) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ConfigRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "i"
@@ -3029,7 +2794,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ConfigCall) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ConfigRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3083,13 +2848,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ConfigCall) Msgsize() (s int) {
+func (z *ConfigRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Method) + 2 + msgp.StringPrefixSize + len(z.IfMatch) + 2 + msgp.BytesPrefixSize + len(z.Body)
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *ConfigResult) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ConfigResponse) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3136,7 +2901,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *ConfigResult) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *ConfigResponse) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 3
 	// write "i"
 	err = en.Append(0x83, 0xa1, 0x69)
@@ -3172,7 +2937,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *ConfigResult) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *ConfigResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "i"
@@ -3188,7 +2953,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *ConfigResult) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ConfigResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3236,7 +3001,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *ConfigResult) Msgsize() (s int) {
+func (z *ConfigResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.Body)
 	return
 }
@@ -3445,7 +3210,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Confirm) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ConfirmRequest) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3463,9 +3228,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "r":
-			z.Round, err = dc.ReadUint64()
+			z.RequestID, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Round")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		default:
@@ -3480,33 +3245,33 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Confirm) EncodeMsg(en *msgp.Writer) (err error) {
+func (z ConfirmRequest) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 1
 	// write "r"
 	err = en.Append(0x81, 0xa1, 0x72)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.RequestID)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "RequestID")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Confirm) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ConfirmRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 1
 	// string "r"
 	o = append(o, 0x81, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.RequestID)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Confirm) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ConfirmRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3524,9 +3289,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "r":
-			z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+			z.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Round")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		default:
@@ -3542,13 +3307,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Confirm) Msgsize() (s int) {
+func (z ConfirmRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Confirmed) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *ConfirmResponse) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3566,15 +3331,15 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "r":
-			z.Round, err = dc.ReadUint64()
+			z.RequestID, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Round")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		case "f":
-			z.Refuse, err = dc.ReadBool()
+			z.Rejected, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Refuse")
+				err = msgp.WrapError(err, "Rejected")
 				return
 			}
 		default:
@@ -3589,16 +3354,16 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z Confirmed) EncodeMsg(en *msgp.Writer) (err error) {
+func (z ConfirmResponse) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 2
 	// write "r"
 	err = en.Append(0x82, 0xa1, 0x72)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.RequestID)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "RequestID")
 		return
 	}
 	// write "f"
@@ -3606,29 +3371,29 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Refuse)
+	err = en.WriteBool(z.Rejected)
 	if err != nil {
-		err = msgp.WrapError(err, "Refuse")
+		err = msgp.WrapError(err, "Rejected")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z Confirmed) MarshalMsg(b []byte) (o []byte, err error) {
+func (z ConfirmResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 2
 	// string "r"
 	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.RequestID)
 	// string "f"
 	o = append(o, 0xa1, 0x66)
-	o = msgp.AppendBool(o, z.Refuse)
+	o = msgp.AppendBool(o, z.Rejected)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Confirmed) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *ConfirmResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -3646,15 +3411,15 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "r":
-			z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+			z.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Round")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		case "f":
-			z.Refuse, bts, err = msgp.ReadBoolBytes(bts)
+			z.Rejected, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Refuse")
+				err = msgp.WrapError(err, "Rejected")
 				return
 			}
 		default:
@@ -3670,7 +3435,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z Confirmed) Msgsize() (s int) {
+func (z ConfirmResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize
 	return
 }
@@ -3715,33 +3480,33 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Promised")
+				err = msgp.WrapError(err, "HighestProposal")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "Promised")
+					err = msgp.WrapError(err, "HighestProposal")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					z.Promised.Round, err = dc.ReadUint64()
+					z.HighestProposal.Counter, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Round")
+						err = msgp.WrapError(err, "HighestProposal", "Counter")
 						return
 					}
 				case "p":
-					z.Promised.Proposer, err = dc.ReadString()
+					z.HighestProposal.Proposer, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Proposer")
+						err = msgp.WrapError(err, "HighestProposal", "Proposer")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "Promised")
+						err = msgp.WrapError(err, "HighestProposal")
 						return
 					}
 				}
@@ -3750,41 +3515,41 @@
 			var zb0003 uint32
 			zb0003, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "AcceptedBallot")
+				err = msgp.WrapError(err, "AcceptedProposal")
 				return
 			}
 			for zb0003 > 0 {
 				zb0003--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
-					err = msgp.WrapError(err, "AcceptedBallot")
+					err = msgp.WrapError(err, "AcceptedProposal")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					z.AcceptedBallot.Round, err = dc.ReadUint64()
+					z.AcceptedProposal.Counter, err = dc.ReadUint64()
 					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot", "Round")
+						err = msgp.WrapError(err, "AcceptedProposal", "Counter")
 						return
 					}
 				case "p":
-					z.AcceptedBallot.Proposer, err = dc.ReadString()
+					z.AcceptedProposal.Proposer, err = dc.ReadString()
 					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot", "Proposer")
+						err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
 						return
 					}
 				default:
 					err = dc.Skip()
 					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot")
+						err = msgp.WrapError(err, "AcceptedProposal")
 						return
 					}
 				}
 			}
 		case "a":
-			err = z.Accepted.DecodeMsg(dc)
+			err = z.AcceptedView.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Accepted")
+				err = msgp.WrapError(err, "AcceptedView")
 				return
 			}
 		case "t":
@@ -3848,9 +3613,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Promised.Round)
+	err = en.WriteUint64(z.HighestProposal.Counter)
 	if err != nil {
-		err = msgp.WrapError(err, "Promised", "Round")
+		err = msgp.WrapError(err, "HighestProposal", "Counter")
 		return
 	}
 	// write "p"
@@ -3858,9 +3623,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Promised.Proposer)
+	err = en.WriteString(z.HighestProposal.Proposer)
 	if err != nil {
-		err = msgp.WrapError(err, "Promised", "Proposer")
+		err = msgp.WrapError(err, "HighestProposal", "Proposer")
 		return
 	}
 	// write "b"
@@ -3874,9 +3639,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.AcceptedBallot.Round)
+	err = en.WriteUint64(z.AcceptedProposal.Counter)
 	if err != nil {
-		err = msgp.WrapError(err, "AcceptedBallot", "Round")
+		err = msgp.WrapError(err, "AcceptedProposal", "Counter")
 		return
 	}
 	// write "p"
@@ -3884,9 +3649,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.AcceptedBallot.Proposer)
+	err = en.WriteString(z.AcceptedProposal.Proposer)
 	if err != nil {
-		err = msgp.WrapError(err, "AcceptedBallot", "Proposer")
+		err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
 		return
 	}
 	// write "a"
@@ -3894,9 +3659,9 @@
 	if err != nil {
 		return
 	}
-	err = z.Accepted.EncodeMsg(en)
+	err = z.AcceptedView.EncodeMsg(en)
 	if err != nil {
-		err = msgp.WrapError(err, "Accepted")
+		err = msgp.WrapError(err, "AcceptedView")
 		return
 	}
 	// write "t"
@@ -3934,24 +3699,24 @@
 	// map header, size 2
 	// string "r"
 	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Promised.Round)
+	o = msgp.AppendUint64(o, z.HighestProposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Promised.Proposer)
+	o = msgp.AppendString(o, z.HighestProposal.Proposer)
 	// string "b"
 	o = append(o, 0xa1, 0x62)
 	// map header, size 2
 	// string "r"
 	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.AcceptedBallot.Round)
+	o = msgp.AppendUint64(o, z.AcceptedProposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.AcceptedBallot.Proposer)
+	o = msgp.AppendString(o, z.AcceptedProposal.Proposer)
 	// string "a"
 	o = append(o, 0xa1, 0x61)
-	o, err = z.Accepted.MarshalMsg(o)
+	o, err = z.AcceptedView.MarshalMsg(o)
 	if err != nil {
-		err = msgp.WrapError(err, "Accepted")
+		err = msgp.WrapError(err, "AcceptedView")
 		return
 	}
 	// string "t"
@@ -4000,33 +3765,33 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Promised")
+				err = msgp.WrapError(err, "HighestProposal")
 				return
 			}
 			for zb0002 > 0 {
 				zb0002--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Promised")
+					err = msgp.WrapError(err, "HighestProposal")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					z.Promised.Round, bts, err = msgp.ReadUint64Bytes(bts)
+					z.HighestProposal.Counter, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Round")
+						err = msgp.WrapError(err, "HighestProposal", "Counter")
 						return
 					}
 				case "p":
-					z.Promised.Proposer, bts, err = msgp.ReadStringBytes(bts)
+					z.HighestProposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Proposer")
+						err = msgp.WrapError(err, "HighestProposal", "Proposer")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Promised")
+						err = msgp.WrapError(err, "HighestProposal")
 						return
 					}
 				}
@@ -4035,41 +3800,41 @@
 			var zb0003 uint32
 			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "AcceptedBallot")
+				err = msgp.WrapError(err, "AcceptedProposal")
 				return
 			}
 			for zb0003 > 0 {
 				zb0003--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "AcceptedBallot")
+					err = msgp.WrapError(err, "AcceptedProposal")
 					return
 				}
 				switch msgp.UnsafeString(field) {
 				case "r":
-					z.AcceptedBallot.Round, bts, err = msgp.ReadUint64Bytes(bts)
+					z.AcceptedProposal.Counter, bts, err = msgp.ReadUint64Bytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot", "Round")
+						err = msgp.WrapError(err, "AcceptedProposal", "Counter")
 						return
 					}
 				case "p":
-					z.AcceptedBallot.Proposer, bts, err = msgp.ReadStringBytes(bts)
+					z.AcceptedProposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot", "Proposer")
+						err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
 						return
 					}
 				default:
 					bts, err = msgp.Skip(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot")
+						err = msgp.WrapError(err, "AcceptedProposal")
 						return
 					}
 				}
 			}
 		case "a":
-			bts, err = z.Accepted.UnmarshalMsg(bts)
+			bts, err = z.AcceptedView.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Accepted")
+				err = msgp.WrapError(err, "AcceptedView")
 				return
 			}
 		case "t":
@@ -4092,12 +3857,12 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *ControlState) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Identity) + 2 + z.View.Msgsize() + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Promised.Proposer) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.AcceptedBallot.Proposer) + 2 + z.Accepted.Msgsize() + 2 + msgp.Uint64Size
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Identity) + 2 + z.View.Msgsize() + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.HighestProposal.Proposer) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.AcceptedProposal.Proposer) + 2 + z.AcceptedView.Msgsize() + 2 + msgp.Uint64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Displaced) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Heartbeat) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4114,16 +3879,34 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "m":
-			err = z.Member.DecodeMsg(dc)
+		case "c":
+			z.Complete, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Member")
+				err = msgp.WrapError(err, "Complete")
 				return
 			}
-		case "b":
-			z.By, err = dc.ReadString()
+		case "d":
+			z.DiskStalled, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "DiskStalled")
+				return
+			}
+		case "l":
+			z.Leaving, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "Leaving")
+				return
+			}
+		case "v":
+			z.Diskless, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "Diskless")
+				return
+			}
+		case "i":
+			z.Isolated, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "By")
+				err = msgp.WrapError(err, "Isolated")
 				return
 			}
 		default:
@@ -4138,166 +3921,16 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Displaced) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "m"
-	err = en.Append(0x82, 0xa1, 0x6d)
+func (z *Heartbeat) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 5
+	// write "c"
+	err = en.Append(0x85, 0xa1, 0x63)
 	if err != nil {
 		return
 	}
-	err = z.Member.EncodeMsg(en)
+	err = en.WriteBool(z.Complete)
 	if err != nil {
-		err = msgp.WrapError(err, "Member")
-		return
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.By)
-	if err != nil {
-		err = msgp.WrapError(err, "By")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Displaced) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "m"
-	o = append(o, 0x82, 0xa1, 0x6d)
-	o, err = z.Member.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Member")
-		return
-	}
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendString(o, z.By)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Displaced) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "m":
-			bts, err = z.Member.UnmarshalMsg(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Member")
-				return
-			}
-		case "b":
-			z.By, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "By")
-				return
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Displaced) Msgsize() (s int) {
-	s = 1 + 2 + z.Member.Msgsize() + 2 + msgp.StringPrefixSize + len(z.By)
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Heartbeat) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "c":
-			z.Complete, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Complete")
-				return
-			}
-		case "d":
-			z.DiskStalled, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "DiskStalled")
-				return
-			}
-		case "l":
-			z.Leaving, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Leaving")
-				return
-			}
-		case "v":
-			z.Volatile, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Volatile")
-				return
-			}
-		case "i":
-			z.Isolated, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Isolated")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Heartbeat) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "c"
-	err = en.Append(0x85, 0xa1, 0x63)
-	if err != nil {
-		return
-	}
-	err = en.WriteBool(z.Complete)
-	if err != nil {
-		err = msgp.WrapError(err, "Complete")
+		err = msgp.WrapError(err, "Complete")
 		return
 	}
 	// write "d"
@@ -4325,9 +3958,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Volatile)
+	err = en.WriteBool(z.Diskless)
 	if err != nil {
-		err = msgp.WrapError(err, "Volatile")
+		err = msgp.WrapError(err, "Diskless")
 		return
 	}
 	// write "i"
@@ -4358,7 +3991,7 @@
 	o = msgp.AppendBool(o, z.Leaving)
 	// string "v"
 	o = append(o, 0xa1, 0x76)
-	o = msgp.AppendBool(o, z.Volatile)
+	o = msgp.AppendBool(o, z.Diskless)
 	// string "i"
 	o = append(o, 0xa1, 0x69)
 	o = msgp.AppendBool(o, z.Isolated)
@@ -4402,9 +4035,9 @@
 				return
 			}
 		case "v":
-			z.Volatile, bts, err = msgp.ReadBoolBytes(bts)
+			z.Diskless, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Volatile")
+				err = msgp.WrapError(err, "Diskless")
 				return
 			}
 		case "i":
@@ -4432,7 +4065,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Join) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *JoinRequest) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4462,9 +4095,9 @@
 				return
 			}
 		case "v":
-			z.Volatile, err = dc.ReadBool()
+			z.Diskless, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Volatile")
+				err = msgp.WrapError(err, "Diskless")
 				return
 			}
 		case "w":
@@ -4485,7 +4118,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Join) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *JoinRequest) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 4
 	// write "d"
 	err = en.Append(0x84, 0xa1, 0x64)
@@ -4512,9 +4145,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Volatile)
+	err = en.WriteBool(z.Diskless)
 	if err != nil {
-		err = msgp.WrapError(err, "Volatile")
+		err = msgp.WrapError(err, "Diskless")
 		return
 	}
 	// write "w"
@@ -4531,7 +4164,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Join) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *JoinRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "d"
@@ -4542,7 +4175,7 @@
 	o = msgp.AppendBool(o, z.Observer)
 	// string "v"
 	o = append(o, 0xa1, 0x76)
-	o = msgp.AppendBool(o, z.Volatile)
+	o = msgp.AppendBool(o, z.Diskless)
 	// string "w"
 	o = append(o, 0xa1, 0x77)
 	o = msgp.AppendBool(o, z.Withdrawn)
@@ -4550,7 +4183,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Join) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *JoinRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -4580,9 +4213,9 @@
 				return
 			}
 		case "v":
-			z.Volatile, bts, err = msgp.ReadBoolBytes(bts)
+			z.Diskless, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Volatile")
+				err = msgp.WrapError(err, "Diskless")
 				return
 			}
 		case "w":
@@ -4604,7 +4237,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Join) Msgsize() (s int) {
+func (z *JoinRequest) Msgsize() (s int) {
 	s = 1 + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize + 2 + msgp.BoolSize
 	return
 }
@@ -4628,9 +4261,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "r":
-			z.Round, err = dc.ReadUint64()
+			z.RequestID, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Round")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		case "g":
@@ -4664,9 +4297,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.RequestID)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "RequestID")
 		return
 	}
 	// write "g"
@@ -4698,7 +4331,7 @@
 	// map header, size 3
 	// string "r"
 	o = append(o, 0x83, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.RequestID)
 	// string "g"
 	o = append(o, 0xa1, 0x67)
 	o = msgp.AppendBool(o, z.Granted)
@@ -4727,9 +4360,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "r":
-			z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+			z.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Round")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		case "g":
@@ -4890,15 +4523,15 @@
 				return
 			}
 		case "r":
-			z.Round, err = dc.ReadUint64()
+			z.RequestID, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Round")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		case "n":
-			z.Renew, err = dc.ReadBool()
+			z.Renewal, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Renew")
+				err = msgp.WrapError(err, "Renewal")
 				return
 			}
 		default:
@@ -4930,9 +4563,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Round)
+	err = en.WriteUint64(z.RequestID)
 	if err != nil {
-		err = msgp.WrapError(err, "Round")
+		err = msgp.WrapError(err, "RequestID")
 		return
 	}
 	// write "n"
@@ -4940,9 +4573,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Renew)
+	err = en.WriteBool(z.Renewal)
 	if err != nil {
-		err = msgp.WrapError(err, "Renew")
+		err = msgp.WrapError(err, "Renewal")
 		return
 	}
 	return
@@ -4957,10 +4590,10 @@
 	o = msgp.AppendUint64(o, z.Token)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Round)
+	o = msgp.AppendUint64(o, z.RequestID)
 	// string "n"
 	o = append(o, 0xa1, 0x6e)
-	o = msgp.AppendBool(o, z.Renew)
+	o = msgp.AppendBool(o, z.Renewal)
 	return
 }
 
@@ -4989,15 +4622,15 @@
 				return
 			}
 		case "r":
-			z.Round, bts, err = msgp.ReadUint64Bytes(bts)
+			z.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Round")
+				err = msgp.WrapError(err, "RequestID")
 				return
 			}
 		case "n":
-			z.Renew, bts, err = msgp.ReadBoolBytes(bts)
+			z.Renewal, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Renew")
+				err = msgp.WrapError(err, "Renewal")
 				return
 			}
 		default:
@@ -5019,7 +4652,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *LoadOrder) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LoadReport) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5036,6 +4669,12 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "i":
+			z.ID, err = dc.ReadUint64()
+			if err != nil {
+				err = msgp.WrapError(err, "ID")
+				return
+			}
 		case "s":
 			z.Service, err = dc.ReadString()
 			if err != nil {
@@ -5048,16 +4687,64 @@
 				err = msgp.WrapError(err, "Model")
 				return
 			}
-		case "b":
-			z.Backend, err = dc.ReadString()
+		case "l":
+			var zb0002 uint32
+			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Backend")
+				err = msgp.WrapError(err, "Loads")
 				return
 			}
-		case "d":
-			z.DoneInMS, err = dc.ReadInt64()
+			if cap(z.Loads) >= int(zb0002) {
+				z.Loads = (z.Loads)[:zb0002]
+			} else {
+				z.Loads = make([]BackendLoad, zb0002)
+			}
+			for za0001 := range z.Loads {
+				var zb0003 uint32
+				zb0003, err = dc.ReadMapHeader()
+				if err != nil {
+					err = msgp.WrapError(err, "Loads", za0001)
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, err = dc.ReadMapKeyPtr()
+					if err != nil {
+						err = msgp.WrapError(err, "Loads", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "b":
+						z.Loads[za0001].Backend, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0001, "Backend")
+							return
+						}
+					case "r":
+						z.Loads[za0001].Running, err = dc.ReadInt()
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0001, "Running")
+							return
+						}
+					case "q":
+						z.Loads[za0001].Queued, err = dc.ReadInt()
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0001, "Queued")
+							return
+						}
+					default:
+						err = dc.Skip()
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0001)
+							return
+						}
+					}
+				}
+			}
+		case "w":
+			z.Complete, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "DoneInMS")
+				err = msgp.WrapError(err, "Complete")
 				return
 			}
 		default:
@@ -5072,10 +4759,20 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *LoadOrder) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 4
+func (z *LoadReport) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 5
+	// write "i"
+	err = en.Append(0x85, 0xa1, 0x69)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.ID)
+	if err != nil {
+		err = msgp.WrapError(err, "ID")
+		return
+	}
 	// write "s"
-	err = en.Append(0x84, 0xa1, 0x73)
+	err = en.Append(0xa1, 0x73)
 	if err != nil {
 		return
 	}
@@ -5094,50 +4791,98 @@
 		err = msgp.WrapError(err, "Model")
 		return
 	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Backend)
-	if err != nil {
-		err = msgp.WrapError(err, "Backend")
-		return
-	}
-	// write "d"
-	err = en.Append(0xa1, 0x64)
+	// write "l"
+	err = en.Append(0xa1, 0x6c)
 	if err != nil {
 		return
 	}
-	err = en.WriteInt64(z.DoneInMS)
+	err = en.WriteArrayHeader(uint32(len(z.Loads)))
 	if err != nil {
-		err = msgp.WrapError(err, "DoneInMS")
+		err = msgp.WrapError(err, "Loads")
 		return
 	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *LoadOrder) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 4
-	// string "s"
-	o = append(o, 0x84, 0xa1, 0x73)
-	o = msgp.AppendString(o, z.Service)
-	// string "m"
-	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendString(o, z.Model)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendString(o, z.Backend)
-	// string "d"
-	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendInt64(o, z.DoneInMS)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *LoadOrder) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	for za0001 := range z.Loads {
+		// map header, size 3
+		// write "b"
+		err = en.Append(0x83, 0xa1, 0x62)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Loads[za0001].Backend)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0001, "Backend")
+			return
+		}
+		// write "r"
+		err = en.Append(0xa1, 0x72)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt(z.Loads[za0001].Running)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0001, "Running")
+			return
+		}
+		// write "q"
+		err = en.Append(0xa1, 0x71)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt(z.Loads[za0001].Queued)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0001, "Queued")
+			return
+		}
+	}
+	// write "w"
+	err = en.Append(0xa1, 0x77)
+	if err != nil {
+		return
+	}
+	err = en.WriteBool(z.Complete)
+	if err != nil {
+		err = msgp.WrapError(err, "Complete")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *LoadReport) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 5
+	// string "i"
+	o = append(o, 0x85, 0xa1, 0x69)
+	o = msgp.AppendUint64(o, z.ID)
+	// string "s"
+	o = append(o, 0xa1, 0x73)
+	o = msgp.AppendString(o, z.Service)
+	// string "m"
+	o = append(o, 0xa1, 0x6d)
+	o = msgp.AppendString(o, z.Model)
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
+	for za0001 := range z.Loads {
+		// map header, size 3
+		// string "b"
+		o = append(o, 0x83, 0xa1, 0x62)
+		o = msgp.AppendString(o, z.Loads[za0001].Backend)
+		// string "r"
+		o = append(o, 0xa1, 0x72)
+		o = msgp.AppendInt(o, z.Loads[za0001].Running)
+		// string "q"
+		o = append(o, 0xa1, 0x71)
+		o = msgp.AppendInt(o, z.Loads[za0001].Queued)
+	}
+	// string "w"
+	o = append(o, 0xa1, 0x77)
+	o = msgp.AppendBool(o, z.Complete)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *LoadReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5154,6 +4899,12 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "i":
+			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ID")
+				return
+			}
 		case "s":
 			z.Service, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
@@ -5166,16 +4917,64 @@
 				err = msgp.WrapError(err, "Model")
 				return
 			}
-		case "b":
-			z.Backend, bts, err = msgp.ReadStringBytes(bts)
+		case "l":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Backend")
+				err = msgp.WrapError(err, "Loads")
 				return
 			}
-		case "d":
-			z.DoneInMS, bts, err = msgp.ReadInt64Bytes(bts)
+			if cap(z.Loads) >= int(zb0002) {
+				z.Loads = (z.Loads)[:zb0002]
+			} else {
+				z.Loads = make([]BackendLoad, zb0002)
+			}
+			for za0001 := range z.Loads {
+				var zb0003 uint32
+				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Loads", za0001)
+					return
+				}
+				for zb0003 > 0 {
+					zb0003--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Loads", za0001)
+						return
+					}
+					switch msgp.UnsafeString(field) {
+					case "b":
+						z.Loads[za0001].Backend, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0001, "Backend")
+							return
+						}
+					case "r":
+						z.Loads[za0001].Running, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0001, "Running")
+							return
+						}
+					case "q":
+						z.Loads[za0001].Queued, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0001, "Queued")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0001)
+							return
+						}
+					}
+				}
+			}
+		case "w":
+			z.Complete, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "DoneInMS")
+				err = msgp.WrapError(err, "Complete")
 				return
 			}
 		default:
@@ -5191,13 +4990,17 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LoadOrder) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(z.Model) + 2 + msgp.StringPrefixSize + len(z.Backend) + 2 + msgp.Int64Size
+func (z *LoadReport) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(z.Model) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Loads {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Loads[za0001].Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
+	}
+	s += 2 + msgp.BoolSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *LoadReply) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LoadResponse) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5292,7 +5095,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *LoadReply) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *LoadResponse) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 3
 	// write "i"
 	err = en.Append(0x83, 0xa1, 0x69)
@@ -5361,7 +5164,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *LoadReply) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LoadResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "i"
@@ -5389,7 +5192,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *LoadReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LoadResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5485,7 +5288,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LoadReply) Msgsize() (s int) {
+func (z *LoadResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Loads {
 		s += 1 + 2 + msgp.StringPrefixSize + len(z.Loads[za0001].Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
@@ -5494,7 +5297,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *LoadReport) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *LoadedModel) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5511,83 +5314,30 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "ID")
-				return
-			}
-		case "s":
-			z.Service, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Service")
-				return
-			}
-		case "m":
-			z.Model, err = dc.ReadString()
+		case "n":
+			z.Name, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Model")
+				err = msgp.WrapError(err, "Name")
 				return
 			}
-		case "l":
+		case "a":
 			var zb0002 uint32
 			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Loads")
+				err = msgp.WrapError(err, "Adapters")
 				return
 			}
-			if cap(z.Loads) >= int(zb0002) {
-				z.Loads = (z.Loads)[:zb0002]
+			if cap(z.Adapters) >= int(zb0002) {
+				z.Adapters = (z.Adapters)[:zb0002]
 			} else {
-				z.Loads = make([]BackendLoad, zb0002)
+				z.Adapters = make([]string, zb0002)
 			}
-			for za0001 := range z.Loads {
-				var zb0003 uint32
-				zb0003, err = dc.ReadMapHeader()
+			for za0001 := range z.Adapters {
+				z.Adapters[za0001], err = dc.ReadString()
 				if err != nil {
-					err = msgp.WrapError(err, "Loads", za0001)
+					err = msgp.WrapError(err, "Adapters", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "Loads", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.Loads[za0001].Backend, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Backend")
-							return
-						}
-					case "r":
-						z.Loads[za0001].Running, err = dc.ReadInt()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Running")
-							return
-						}
-					case "q":
-						z.Loads[za0001].Queued, err = dc.ReadInt()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Queued")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001)
-							return
-						}
-					}
-				}
-			}
-		case "w":
-			z.Whole, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Whole")
-				return
 			}
 		default:
 			err = dc.Skip()
@@ -5601,130 +5351,56 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *LoadReport) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "i"
-	err = en.Append(0x85, 0xa1, 0x69)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.ID)
+func (z *LoadedModel) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
+	// write "n"
+	err = en.Append(0x82, 0xa1, 0x6e)
 	if err != nil {
-		err = msgp.WrapError(err, "ID")
 		return
 	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
+	err = en.WriteString(z.Name)
 	if err != nil {
+		err = msgp.WrapError(err, "Name")
 		return
 	}
-	err = en.WriteString(z.Service)
+	// write "a"
+	err = en.Append(0xa1, 0x61)
 	if err != nil {
-		err = msgp.WrapError(err, "Service")
 		return
 	}
-	// write "m"
-	err = en.Append(0xa1, 0x6d)
+	err = en.WriteArrayHeader(uint32(len(z.Adapters)))
 	if err != nil {
+		err = msgp.WrapError(err, "Adapters")
 		return
 	}
-	err = en.WriteString(z.Model)
-	if err != nil {
-		err = msgp.WrapError(err, "Model")
-		return
-	}
-	// write "l"
-	err = en.Append(0xa1, 0x6c)
-	if err != nil {
-		return
-	}
-	err = en.WriteArrayHeader(uint32(len(z.Loads)))
-	if err != nil {
-		err = msgp.WrapError(err, "Loads")
-		return
-	}
-	for za0001 := range z.Loads {
-		// map header, size 3
-		// write "b"
-		err = en.Append(0x83, 0xa1, 0x62)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Loads[za0001].Backend)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Backend")
-			return
-		}
-		// write "r"
-		err = en.Append(0xa1, 0x72)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Loads[za0001].Running)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Running")
-			return
-		}
-		// write "q"
-		err = en.Append(0xa1, 0x71)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Loads[za0001].Queued)
+	for za0001 := range z.Adapters {
+		err = en.WriteString(z.Adapters[za0001])
 		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Queued")
+			err = msgp.WrapError(err, "Adapters", za0001)
 			return
 		}
 	}
-	// write "w"
-	err = en.Append(0xa1, 0x77)
-	if err != nil {
-		return
-	}
-	err = en.WriteBool(z.Whole)
-	if err != nil {
-		err = msgp.WrapError(err, "Whole")
-		return
-	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *LoadReport) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *LoadedModel) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
-	// string "i"
-	o = append(o, 0x85, 0xa1, 0x69)
-	o = msgp.AppendUint64(o, z.ID)
-	// string "s"
-	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendString(o, z.Service)
-	// string "m"
-	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendString(o, z.Model)
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
-	for za0001 := range z.Loads {
-		// map header, size 3
-		// string "b"
-		o = append(o, 0x83, 0xa1, 0x62)
-		o = msgp.AppendString(o, z.Loads[za0001].Backend)
-		// string "r"
-		o = append(o, 0xa1, 0x72)
-		o = msgp.AppendInt(o, z.Loads[za0001].Running)
-		// string "q"
-		o = append(o, 0xa1, 0x71)
-		o = msgp.AppendInt(o, z.Loads[za0001].Queued)
+	// map header, size 2
+	// string "n"
+	o = append(o, 0x82, 0xa1, 0x6e)
+	o = msgp.AppendString(o, z.Name)
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Adapters)))
+	for za0001 := range z.Adapters {
+		o = msgp.AppendString(o, z.Adapters[za0001])
 	}
-	// string "w"
-	o = append(o, 0xa1, 0x77)
-	o = msgp.AppendBool(o, z.Whole)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *LoadReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *LoadedModel) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5741,83 +5417,30 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ID")
-				return
-			}
-		case "s":
-			z.Service, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Service")
-				return
-			}
-		case "m":
-			z.Model, bts, err = msgp.ReadStringBytes(bts)
+		case "n":
+			z.Name, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Model")
+				err = msgp.WrapError(err, "Name")
 				return
 			}
-		case "l":
+		case "a":
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Loads")
+				err = msgp.WrapError(err, "Adapters")
 				return
 			}
-			if cap(z.Loads) >= int(zb0002) {
-				z.Loads = (z.Loads)[:zb0002]
+			if cap(z.Adapters) >= int(zb0002) {
+				z.Adapters = (z.Adapters)[:zb0002]
 			} else {
-				z.Loads = make([]BackendLoad, zb0002)
+				z.Adapters = make([]string, zb0002)
 			}
-			for za0001 := range z.Loads {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+			for za0001 := range z.Adapters {
+				z.Adapters[za0001], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Loads", za0001)
+					err = msgp.WrapError(err, "Adapters", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Loads", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.Loads[za0001].Backend, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Backend")
-							return
-						}
-					case "r":
-						z.Loads[za0001].Running, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Running")
-							return
-						}
-					case "q":
-						z.Loads[za0001].Queued, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Queued")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001)
-							return
-						}
-					}
-				}
-			}
-		case "w":
-			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Whole")
-				return
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -5832,17 +5455,16 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LoadReport) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(z.Model) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Loads {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Loads[za0001].Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
+func (z *LoadedModel) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Adapters {
+		s += msgp.StringPrefixSize + len(z.Adapters[za0001])
 	}
-	s += 2 + msgp.BoolSize
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *LoadedModel) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *Member) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -5859,30 +5481,35 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, err = dc.ReadString()
+		case "i":
+			z.Identity, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Name")
+				err = msgp.WrapError(err, "Identity")
 				return
 			}
 		case "a":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			z.Address, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Adapters")
+				err = msgp.WrapError(err, "Address")
 				return
 			}
-			if cap(z.Adapters) >= int(zb0002) {
-				z.Adapters = (z.Adapters)[:zb0002]
-			} else {
-				z.Adapters = make([]string, zb0002)
+		case "z":
+			z.Zone, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Zone")
+				return
 			}
-			for za0001 := range z.Adapters {
-				z.Adapters[za0001], err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "Adapters", za0001)
-					return
-				}
+		case "v":
+			z.Diskless, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "Diskless")
+				return
+			}
+		case "s":
+			z.SinceView, err = dc.ReadUint64()
+			if err != nil {
+				err = msgp.WrapError(err, "SinceView")
+				return
 			}
 		default:
 			err = dc.Skip()
@@ -5896,16 +5523,16 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *LoadedModel) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 2
-	// write "n"
-	err = en.Append(0x82, 0xa1, 0x6e)
+func (z *Member) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 5
+	// write "i"
+	err = en.Append(0x85, 0xa1, 0x69)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Name)
+	err = en.WriteString(z.Identity)
 	if err != nil {
-		err = msgp.WrapError(err, "Name")
+		err = msgp.WrapError(err, "Identity")
 		return
 	}
 	// write "a"
@@ -5913,212 +5540,40 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Adapters)))
+	err = en.WriteString(z.Address)
 	if err != nil {
-		err = msgp.WrapError(err, "Adapters")
+		err = msgp.WrapError(err, "Address")
 		return
 	}
-	for za0001 := range z.Adapters {
-		err = en.WriteString(z.Adapters[za0001])
-		if err != nil {
-			err = msgp.WrapError(err, "Adapters", za0001)
-			return
-		}
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *LoadedModel) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 2
-	// string "n"
-	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Adapters)))
-	for za0001 := range z.Adapters {
-		o = msgp.AppendString(o, z.Adapters[za0001])
-	}
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *LoadedModel) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
-			}
-		case "a":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Adapters")
-				return
-			}
-			if cap(z.Adapters) >= int(zb0002) {
-				z.Adapters = (z.Adapters)[:zb0002]
-			} else {
-				z.Adapters = make([]string, zb0002)
-			}
-			for za0001 := range z.Adapters {
-				z.Adapters[za0001], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Adapters", za0001)
-					return
-				}
-			}
-		default:
-			bts, err = msgp.Skip(bts)
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *LoadedModel) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Adapters {
-		s += msgp.StringPrefixSize + len(z.Adapters[za0001])
-	}
-	return
-}
-
-// DecodeMsg implements msgp.Decodable
-func (z *Member) DecodeMsg(dc *msgp.Reader) (err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, err = dc.ReadMapKeyPtr()
-		if err != nil {
-			err = msgp.WrapError(err)
-			return
-		}
-		switch msgp.UnsafeString(field) {
-		case "i":
-			z.Identity, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Identity")
-				return
-			}
-		case "a":
-			z.Address, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Address")
-				return
-			}
-		case "z":
-			z.Zone, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Zone")
-				return
-			}
-		case "v":
-			z.Volatile, err = dc.ReadBool()
-			if err != nil {
-				err = msgp.WrapError(err, "Volatile")
-				return
-			}
-		case "s":
-			z.Since, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Since")
-				return
-			}
-		default:
-			err = dc.Skip()
-			if err != nil {
-				err = msgp.WrapError(err)
-				return
-			}
-		}
-	}
-	return
-}
-
-// EncodeMsg implements msgp.Encodable
-func (z *Member) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "i"
-	err = en.Append(0x85, 0xa1, 0x69)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Identity)
-	if err != nil {
-		err = msgp.WrapError(err, "Identity")
-		return
-	}
-	// write "a"
-	err = en.Append(0xa1, 0x61)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Address)
-	if err != nil {
-		err = msgp.WrapError(err, "Address")
-		return
-	}
-	// write "z"
-	err = en.Append(0xa1, 0x7a)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Zone)
-	if err != nil {
-		err = msgp.WrapError(err, "Zone")
-		return
-	}
-	// write "v"
-	err = en.Append(0xa1, 0x76)
-	if err != nil {
-		return
-	}
-	err = en.WriteBool(z.Volatile)
-	if err != nil {
-		err = msgp.WrapError(err, "Volatile")
-		return
-	}
-	// write "s"
-	err = en.Append(0xa1, 0x73)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.Since)
-	if err != nil {
-		err = msgp.WrapError(err, "Since")
-		return
+	// write "z"
+	err = en.Append(0xa1, 0x7a)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Zone)
+	if err != nil {
+		err = msgp.WrapError(err, "Zone")
+		return
+	}
+	// write "v"
+	err = en.Append(0xa1, 0x76)
+	if err != nil {
+		return
+	}
+	err = en.WriteBool(z.Diskless)
+	if err != nil {
+		err = msgp.WrapError(err, "Diskless")
+		return
+	}
+	// write "s"
+	err = en.Append(0xa1, 0x73)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.SinceView)
+	if err != nil {
+		err = msgp.WrapError(err, "SinceView")
+		return
 	}
 	return
 }
@@ -6138,10 +5593,10 @@
 	o = msgp.AppendString(o, z.Zone)
 	// string "v"
 	o = append(o, 0xa1, 0x76)
-	o = msgp.AppendBool(o, z.Volatile)
+	o = msgp.AppendBool(o, z.Diskless)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.Since)
+	o = msgp.AppendUint64(o, z.SinceView)
 	return
 }
 
@@ -6182,15 +5637,15 @@
 				return
 			}
 		case "v":
-			z.Volatile, bts, err = msgp.ReadBoolBytes(bts)
+			z.Diskless, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Volatile")
+				err = msgp.WrapError(err, "Diskless")
 				return
 			}
 		case "s":
-			z.Since, bts, err = msgp.ReadUint64Bytes(bts)
+			z.SinceView, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Since")
+				err = msgp.WrapError(err, "SinceView")
 				return
 			}
 		default:
@@ -6281,17 +5736,17 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "Suspicion")
+					err = msgp.WrapError(err, "SuspicionReport")
 					return
 				}
-				z.Suspicion = nil
+				z.SuspicionReport = nil
 			} else {
-				if z.Suspicion == nil {
-					z.Suspicion = new(Suspicion)
+				if z.SuspicionReport == nil {
+					z.SuspicionReport = new(SuspicionReport)
 				}
-				err = z.Suspicion.DecodeMsg(dc)
+				err = z.SuspicionReport.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Suspicion")
+					err = msgp.WrapError(err, "SuspicionReport")
 					return
 				}
 			}
@@ -6299,17 +5754,17 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "Join")
+					err = msgp.WrapError(err, "JoinRequest")
 					return
 				}
-				z.Join = nil
+				z.JoinRequest = nil
 			} else {
-				if z.Join == nil {
-					z.Join = new(Join)
+				if z.JoinRequest == nil {
+					z.JoinRequest = new(JoinRequest)
 				}
-				err = z.Join.DecodeMsg(dc)
+				err = z.JoinRequest.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Join")
+					err = msgp.WrapError(err, "JoinRequest")
 					return
 				}
 			}
@@ -6317,38 +5772,38 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "Announcement")
+					err = msgp.WrapError(err, "ViewAnnouncement")
 					return
 				}
-				z.Announcement = nil
+				z.ViewAnnouncement = nil
 			} else {
-				if z.Announcement == nil {
-					z.Announcement = new(Announcement)
+				if z.ViewAnnouncement == nil {
+					z.ViewAnnouncement = new(ViewAnnouncement)
 				}
 				var zb0002 uint32
 				zb0002, err = dc.ReadMapHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "Announcement")
+					err = msgp.WrapError(err, "ViewAnnouncement")
 					return
 				}
 				for zb0002 > 0 {
 					zb0002--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "Announcement")
+						err = msgp.WrapError(err, "ViewAnnouncement")
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "v":
-						err = z.Announcement.View.DecodeMsg(dc)
+						err = z.ViewAnnouncement.View.DecodeMsg(dc)
 						if err != nil {
-							err = msgp.WrapError(err, "Announcement", "View")
+							err = msgp.WrapError(err, "ViewAnnouncement", "View")
 							return
 						}
 					default:
 						err = dc.Skip()
 						if err != nil {
-							err = msgp.WrapError(err, "Announcement")
+							err = msgp.WrapError(err, "ViewAnnouncement")
 							return
 						}
 					}
@@ -6384,33 +5839,33 @@
 						var zb0004 uint32
 						zb0004, err = dc.ReadMapHeader()
 						if err != nil {
-							err = msgp.WrapError(err, "Prepare", "Ballot")
+							err = msgp.WrapError(err, "Prepare", "Proposal")
 							return
 						}
 						for zb0004 > 0 {
 							zb0004--
 							field, err = dc.ReadMapKeyPtr()
 							if err != nil {
-								err = msgp.WrapError(err, "Prepare", "Ballot")
+								err = msgp.WrapError(err, "Prepare", "Proposal")
 								return
 							}
 							switch msgp.UnsafeString(field) {
 							case "r":
-								z.Prepare.Ballot.Round, err = dc.ReadUint64()
+								z.Prepare.Proposal.Counter, err = dc.ReadUint64()
 								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Ballot", "Round")
+									err = msgp.WrapError(err, "Prepare", "Proposal", "Counter")
 									return
 								}
 							case "p":
-								z.Prepare.Ballot.Proposer, err = dc.ReadString()
+								z.Prepare.Proposal.Proposer, err = dc.ReadString()
 								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Ballot", "Proposer")
+									err = msgp.WrapError(err, "Prepare", "Proposal", "Proposer")
 									return
 								}
 							default:
 								err = dc.Skip()
 								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Ballot")
+									err = msgp.WrapError(err, "Prepare", "Proposal")
 									return
 								}
 							}
@@ -6428,17 +5883,17 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "Promise")
+					err = msgp.WrapError(err, "PrepareResponse")
 					return
 				}
-				z.Promise = nil
+				z.PrepareResponse = nil
 			} else {
-				if z.Promise == nil {
-					z.Promise = new(Promise)
+				if z.PrepareResponse == nil {
+					z.PrepareResponse = new(PrepareResponse)
 				}
-				err = z.Promise.DecodeMsg(dc)
+				err = z.PrepareResponse.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Promise")
+					err = msgp.WrapError(err, "PrepareResponse")
 					return
 				}
 			}
@@ -6464,17 +5919,17 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "Accepted")
+					err = msgp.WrapError(err, "AcceptResponse")
 					return
 				}
-				z.Accepted = nil
+				z.AcceptResponse = nil
 			} else {
-				if z.Accepted == nil {
-					z.Accepted = new(Accepted)
+				if z.AcceptResponse == nil {
+					z.AcceptResponse = new(AcceptResponse)
 				}
-				err = z.Accepted.DecodeMsg(dc)
+				err = z.AcceptResponse.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Accepted")
+					err = msgp.WrapError(err, "AcceptResponse")
 					return
 				}
 			}
@@ -6570,9 +6025,9 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "w":
-						z.SnapshotRequest.Whole, err = dc.ReadBool()
+						z.SnapshotRequest.Full, err = dc.ReadBool()
 						if err != nil {
-							err = msgp.WrapError(err, "SnapshotRequest", "Whole")
+							err = msgp.WrapError(err, "SnapshotRequest", "Full")
 							return
 						}
 					default:
@@ -6688,38 +6143,38 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "Confirm")
+					err = msgp.WrapError(err, "ConfirmRequest")
 					return
 				}
-				z.Confirm = nil
+				z.ConfirmRequest = nil
 			} else {
-				if z.Confirm == nil {
-					z.Confirm = new(Confirm)
+				if z.ConfirmRequest == nil {
+					z.ConfirmRequest = new(ConfirmRequest)
 				}
 				var zb0009 uint32
 				zb0009, err = dc.ReadMapHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "Confirm")
+					err = msgp.WrapError(err, "ConfirmRequest")
 					return
 				}
 				for zb0009 > 0 {
 					zb0009--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "Confirm")
+						err = msgp.WrapError(err, "ConfirmRequest")
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "r":
-						z.Confirm.Round, err = dc.ReadUint64()
+						z.ConfirmRequest.RequestID, err = dc.ReadUint64()
 						if err != nil {
-							err = msgp.WrapError(err, "Confirm", "Round")
+							err = msgp.WrapError(err, "ConfirmRequest", "RequestID")
 							return
 						}
 					default:
 						err = dc.Skip()
 						if err != nil {
-							err = msgp.WrapError(err, "Confirm")
+							err = msgp.WrapError(err, "ConfirmRequest")
 							return
 						}
 					}
@@ -6729,44 +6184,44 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "Confirmed")
+					err = msgp.WrapError(err, "ConfirmResponse")
 					return
 				}
-				z.Confirmed = nil
+				z.ConfirmResponse = nil
 			} else {
-				if z.Confirmed == nil {
-					z.Confirmed = new(Confirmed)
+				if z.ConfirmResponse == nil {
+					z.ConfirmResponse = new(ConfirmResponse)
 				}
 				var zb0010 uint32
 				zb0010, err = dc.ReadMapHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "Confirmed")
+					err = msgp.WrapError(err, "ConfirmResponse")
 					return
 				}
 				for zb0010 > 0 {
 					zb0010--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "Confirmed")
+						err = msgp.WrapError(err, "ConfirmResponse")
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "r":
-						z.Confirmed.Round, err = dc.ReadUint64()
+						z.ConfirmResponse.RequestID, err = dc.ReadUint64()
 						if err != nil {
-							err = msgp.WrapError(err, "Confirmed", "Round")
+							err = msgp.WrapError(err, "ConfirmResponse", "RequestID")
 							return
 						}
 					case "f":
-						z.Confirmed.Refuse, err = dc.ReadBool()
+						z.ConfirmResponse.Rejected, err = dc.ReadBool()
 						if err != nil {
-							err = msgp.WrapError(err, "Confirmed", "Refuse")
+							err = msgp.WrapError(err, "ConfirmResponse", "Rejected")
 							return
 						}
 					default:
 						err = dc.Skip()
 						if err != nil {
-							err = msgp.WrapError(err, "Confirmed")
+							err = msgp.WrapError(err, "ConfirmResponse")
 							return
 						}
 					}
@@ -6805,15 +6260,15 @@
 							return
 						}
 					case "r":
-						z.LeaseRequest.Round, err = dc.ReadUint64()
+						z.LeaseRequest.RequestID, err = dc.ReadUint64()
 						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest", "Round")
+							err = msgp.WrapError(err, "LeaseRequest", "RequestID")
 							return
 						}
 					case "n":
-						z.LeaseRequest.Renew, err = dc.ReadBool()
+						z.LeaseRequest.Renewal, err = dc.ReadBool()
 						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest", "Renew")
+							err = msgp.WrapError(err, "LeaseRequest", "Renewal")
 							return
 						}
 					default:
@@ -6852,9 +6307,9 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "r":
-						z.LeaseGrant.Round, err = dc.ReadUint64()
+						z.LeaseGrant.RequestID, err = dc.ReadUint64()
 						if err != nil {
-							err = msgp.WrapError(err, "LeaseGrant", "Round")
+							err = msgp.WrapError(err, "LeaseGrant", "RequestID")
 							return
 						}
 					case "g":
@@ -6923,17 +6378,17 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "ConfigCall")
+					err = msgp.WrapError(err, "ConfigRequest")
 					return
 				}
-				z.ConfigCall = nil
+				z.ConfigRequest = nil
 			} else {
-				if z.ConfigCall == nil {
-					z.ConfigCall = new(ConfigCall)
+				if z.ConfigRequest == nil {
+					z.ConfigRequest = new(ConfigRequest)
 				}
-				err = z.ConfigCall.DecodeMsg(dc)
+				err = z.ConfigRequest.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "ConfigCall")
+					err = msgp.WrapError(err, "ConfigRequest")
 					return
 				}
 			}
@@ -6941,50 +6396,50 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "ConfigResult")
+					err = msgp.WrapError(err, "ConfigResponse")
 					return
 				}
-				z.ConfigResult = nil
+				z.ConfigResponse = nil
 			} else {
-				if z.ConfigResult == nil {
-					z.ConfigResult = new(ConfigResult)
+				if z.ConfigResponse == nil {
+					z.ConfigResponse = new(ConfigResponse)
 				}
 				var zb0014 uint32
 				zb0014, err = dc.ReadMapHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "ConfigResult")
+					err = msgp.WrapError(err, "ConfigResponse")
 					return
 				}
 				for zb0014 > 0 {
 					zb0014--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "ConfigResult")
+						err = msgp.WrapError(err, "ConfigResponse")
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "i":
-						z.ConfigResult.ID, err = dc.ReadUint64()
+						z.ConfigResponse.ID, err = dc.ReadUint64()
 						if err != nil {
-							err = msgp.WrapError(err, "ConfigResult", "ID")
+							err = msgp.WrapError(err, "ConfigResponse", "ID")
 							return
 						}
 					case "s":
-						z.ConfigResult.Status, err = dc.ReadInt()
+						z.ConfigResponse.Status, err = dc.ReadInt()
 						if err != nil {
-							err = msgp.WrapError(err, "ConfigResult", "Status")
+							err = msgp.WrapError(err, "ConfigResponse", "Status")
 							return
 						}
 					case "b":
-						z.ConfigResult.Body, err = dc.ReadBytes(z.ConfigResult.Body)
+						z.ConfigResponse.Body, err = dc.ReadBytes(z.ConfigResponse.Body)
 						if err != nil {
-							err = msgp.WrapError(err, "ConfigResult", "Body")
+							err = msgp.WrapError(err, "ConfigResponse", "Body")
 							return
 						}
 					default:
 						err = dc.Skip()
 						if err != nil {
-							err = msgp.WrapError(err, "ConfigResult")
+							err = msgp.WrapError(err, "ConfigResponse")
 							return
 						}
 					}
@@ -6994,17 +6449,17 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "Pull")
+					err = msgp.WrapError(err, "PollRequest")
 					return
 				}
-				z.Pull = nil
+				z.PollRequest = nil
 			} else {
-				if z.Pull == nil {
-					z.Pull = new(Pull)
+				if z.PollRequest == nil {
+					z.PollRequest = new(PollRequest)
 				}
-				err = z.Pull.DecodeMsg(dc)
+				err = z.PollRequest.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Pull")
+					err = msgp.WrapError(err, "PollRequest")
 					return
 				}
 			}
@@ -7012,17 +6467,17 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "PullReply")
+					err = msgp.WrapError(err, "PollResponse")
 					return
 				}
-				z.PullReply = nil
+				z.PollResponse = nil
 			} else {
-				if z.PullReply == nil {
-					z.PullReply = new(PullReply)
+				if z.PollResponse == nil {
+					z.PollResponse = new(PollResponse)
 				}
-				err = z.PullReply.DecodeMsg(dc)
+				err = z.PollResponse.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "PullReply")
+					err = msgp.WrapError(err, "PollResponse")
 					return
 				}
 			}
@@ -7048,17 +6503,17 @@
 			if dc.IsNil() {
 				err = dc.ReadNil()
 				if err != nil {
-					err = msgp.WrapError(err, "LoadReply")
+					err = msgp.WrapError(err, "LoadResponse")
 					return
 				}
-				z.LoadReply = nil
+				z.LoadResponse = nil
 			} else {
-				if z.LoadReply == nil {
-					z.LoadReply = new(LoadReply)
+				if z.LoadResponse == nil {
+					z.LoadResponse = new(LoadResponse)
 				}
-				err = z.LoadReply.DecodeMsg(dc)
+				err = z.LoadResponse.DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "LoadReply")
+					err = msgp.WrapError(err, "LoadResponse")
 					return
 				}
 			}
@@ -7083,15 +6538,15 @@
 		zb0001Len--
 		zb0001Mask |= 0x20
 	}
-	if z.Suspicion == nil {
+	if z.SuspicionReport == nil {
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
-	if z.Join == nil {
+	if z.JoinRequest == nil {
 		zb0001Len--
 		zb0001Mask |= 0x80
 	}
-	if z.Announcement == nil {
+	if z.ViewAnnouncement == nil {
 		zb0001Len--
 		zb0001Mask |= 0x100
 	}
@@ -7099,7 +6554,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
-	if z.Promise == nil {
+	if z.PrepareResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x400
 	}
@@ -7107,7 +6562,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x800
 	}
-	if z.Accepted == nil {
+	if z.AcceptResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x1000
 	}
@@ -7131,11 +6586,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x20000
 	}
-	if z.Confirm == nil {
+	if z.ConfirmRequest == nil {
 		zb0001Len--
 		zb0001Mask |= 0x40000
 	}
-	if z.Confirmed == nil {
+	if z.ConfirmResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x80000
 	}
@@ -7151,19 +6606,19 @@
 		zb0001Len--
 		zb0001Mask |= 0x400000
 	}
-	if z.ConfigCall == nil {
+	if z.ConfigRequest == nil {
 		zb0001Len--
 		zb0001Mask |= 0x800000
 	}
-	if z.ConfigResult == nil {
+	if z.ConfigResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x1000000
 	}
-	if z.Pull == nil {
+	if z.PollRequest == nil {
 		zb0001Len--
 		zb0001Mask |= 0x2000000
 	}
-	if z.PullReply == nil {
+	if z.PollResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x4000000
 	}
@@ -7171,7 +6626,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x8000000
 	}
-	if z.LoadReply == nil {
+	if z.LoadResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10000000
 	}
@@ -7258,15 +6713,15 @@
 			if err != nil {
 				return
 			}
-			if z.Suspicion == nil {
+			if z.SuspicionReport == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
 				}
 			} else {
-				err = z.Suspicion.EncodeMsg(en)
+				err = z.SuspicionReport.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Suspicion")
+					err = msgp.WrapError(err, "SuspicionReport")
 					return
 				}
 			}
@@ -7277,15 +6732,15 @@
 			if err != nil {
 				return
 			}
-			if z.Join == nil {
+			if z.JoinRequest == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
 				}
 			} else {
-				err = z.Join.EncodeMsg(en)
+				err = z.JoinRequest.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Join")
+					err = msgp.WrapError(err, "JoinRequest")
 					return
 				}
 			}
@@ -7296,7 +6751,7 @@
 			if err != nil {
 				return
 			}
-			if z.Announcement == nil {
+			if z.ViewAnnouncement == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
@@ -7308,9 +6763,9 @@
 				if err != nil {
 					return
 				}
-				err = z.Announcement.View.EncodeMsg(en)
+				err = z.ViewAnnouncement.View.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Announcement", "View")
+					err = msgp.WrapError(err, "ViewAnnouncement", "View")
 					return
 				}
 			}
@@ -7339,9 +6794,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteUint64(z.Prepare.Ballot.Round)
+				err = en.WriteUint64(z.Prepare.Proposal.Counter)
 				if err != nil {
-					err = msgp.WrapError(err, "Prepare", "Ballot", "Round")
+					err = msgp.WrapError(err, "Prepare", "Proposal", "Counter")
 					return
 				}
 				// write "p"
@@ -7349,9 +6804,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteString(z.Prepare.Ballot.Proposer)
+				err = en.WriteString(z.Prepare.Proposal.Proposer)
 				if err != nil {
-					err = msgp.WrapError(err, "Prepare", "Ballot", "Proposer")
+					err = msgp.WrapError(err, "Prepare", "Proposal", "Proposer")
 					return
 				}
 			}
@@ -7362,15 +6817,15 @@
 			if err != nil {
 				return
 			}
-			if z.Promise == nil {
+			if z.PrepareResponse == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
 				}
 			} else {
-				err = z.Promise.EncodeMsg(en)
+				err = z.PrepareResponse.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Promise")
+					err = msgp.WrapError(err, "PrepareResponse")
 					return
 				}
 			}
@@ -7400,15 +6855,15 @@
 			if err != nil {
 				return
 			}
-			if z.Accepted == nil {
+			if z.AcceptResponse == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
 				}
 			} else {
-				err = z.Accepted.EncodeMsg(en)
+				err = z.AcceptResponse.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Accepted")
+					err = msgp.WrapError(err, "AcceptResponse")
 					return
 				}
 			}
@@ -7485,9 +6940,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteBool(z.SnapshotRequest.Whole)
+				err = en.WriteBool(z.SnapshotRequest.Full)
 				if err != nil {
-					err = msgp.WrapError(err, "SnapshotRequest", "Whole")
+					err = msgp.WrapError(err, "SnapshotRequest", "Full")
 					return
 				}
 			}
@@ -7583,7 +7038,7 @@
 			if err != nil {
 				return
 			}
-			if z.Confirm == nil {
+			if z.ConfirmRequest == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
@@ -7595,9 +7050,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteUint64(z.Confirm.Round)
+				err = en.WriteUint64(z.ConfirmRequest.RequestID)
 				if err != nil {
-					err = msgp.WrapError(err, "Confirm", "Round")
+					err = msgp.WrapError(err, "ConfirmRequest", "RequestID")
 					return
 				}
 			}
@@ -7608,7 +7063,7 @@
 			if err != nil {
 				return
 			}
-			if z.Confirmed == nil {
+			if z.ConfirmResponse == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
@@ -7620,9 +7075,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteUint64(z.Confirmed.Round)
+				err = en.WriteUint64(z.ConfirmResponse.RequestID)
 				if err != nil {
-					err = msgp.WrapError(err, "Confirmed", "Round")
+					err = msgp.WrapError(err, "ConfirmResponse", "RequestID")
 					return
 				}
 				// write "f"
@@ -7630,9 +7085,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteBool(z.Confirmed.Refuse)
+				err = en.WriteBool(z.ConfirmResponse.Rejected)
 				if err != nil {
-					err = msgp.WrapError(err, "Confirmed", "Refuse")
+					err = msgp.WrapError(err, "ConfirmResponse", "Rejected")
 					return
 				}
 			}
@@ -7665,9 +7120,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteUint64(z.LeaseRequest.Round)
+				err = en.WriteUint64(z.LeaseRequest.RequestID)
 				if err != nil {
-					err = msgp.WrapError(err, "LeaseRequest", "Round")
+					err = msgp.WrapError(err, "LeaseRequest", "RequestID")
 					return
 				}
 				// write "n"
@@ -7675,9 +7130,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteBool(z.LeaseRequest.Renew)
+				err = en.WriteBool(z.LeaseRequest.Renewal)
 				if err != nil {
-					err = msgp.WrapError(err, "LeaseRequest", "Renew")
+					err = msgp.WrapError(err, "LeaseRequest", "Renewal")
 					return
 				}
 			}
@@ -7700,9 +7155,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteUint64(z.LeaseGrant.Round)
+				err = en.WriteUint64(z.LeaseGrant.RequestID)
 				if err != nil {
-					err = msgp.WrapError(err, "LeaseGrant", "Round")
+					err = msgp.WrapError(err, "LeaseGrant", "RequestID")
 					return
 				}
 				// write "g"
@@ -7758,15 +7213,15 @@
 			if err != nil {
 				return
 			}
-			if z.ConfigCall == nil {
+			if z.ConfigRequest == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
 				}
 			} else {
-				err = z.ConfigCall.EncodeMsg(en)
+				err = z.ConfigRequest.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "ConfigCall")
+					err = msgp.WrapError(err, "ConfigRequest")
 					return
 				}
 			}
@@ -7777,7 +7232,7 @@
 			if err != nil {
 				return
 			}
-			if z.ConfigResult == nil {
+			if z.ConfigResponse == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
@@ -7789,9 +7244,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteUint64(z.ConfigResult.ID)
+				err = en.WriteUint64(z.ConfigResponse.ID)
 				if err != nil {
-					err = msgp.WrapError(err, "ConfigResult", "ID")
+					err = msgp.WrapError(err, "ConfigResponse", "ID")
 					return
 				}
 				// write "s"
@@ -7799,9 +7254,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteInt(z.ConfigResult.Status)
+				err = en.WriteInt(z.ConfigResponse.Status)
 				if err != nil {
-					err = msgp.WrapError(err, "ConfigResult", "Status")
+					err = msgp.WrapError(err, "ConfigResponse", "Status")
 					return
 				}
 				// write "b"
@@ -7809,9 +7264,9 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteBytes(z.ConfigResult.Body)
+				err = en.WriteBytes(z.ConfigResponse.Body)
 				if err != nil {
-					err = msgp.WrapError(err, "ConfigResult", "Body")
+					err = msgp.WrapError(err, "ConfigResponse", "Body")
 					return
 				}
 			}
@@ -7822,15 +7277,15 @@
 			if err != nil {
 				return
 			}
-			if z.Pull == nil {
+			if z.PollRequest == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
 				}
 			} else {
-				err = z.Pull.EncodeMsg(en)
+				err = z.PollRequest.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Pull")
+					err = msgp.WrapError(err, "PollRequest")
 					return
 				}
 			}
@@ -7841,15 +7296,15 @@
 			if err != nil {
 				return
 			}
-			if z.PullReply == nil {
+			if z.PollResponse == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
 				}
 			} else {
-				err = z.PullReply.EncodeMsg(en)
+				err = z.PollResponse.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "PullReply")
+					err = msgp.WrapError(err, "PollResponse")
 					return
 				}
 			}
@@ -7879,15 +7334,15 @@
 			if err != nil {
 				return
 			}
-			if z.LoadReply == nil {
+			if z.LoadResponse == nil {
 				err = en.WriteNil()
 				if err != nil {
 					return
 				}
 			} else {
-				err = z.LoadReply.EncodeMsg(en)
+				err = z.LoadResponse.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "LoadReply")
+					err = msgp.WrapError(err, "LoadResponse")
 					return
 				}
 			}
@@ -7907,15 +7362,15 @@
 		zb0001Len--
 		zb0001Mask |= 0x20
 	}
-	if z.Suspicion == nil {
+	if z.SuspicionReport == nil {
 		zb0001Len--
 		zb0001Mask |= 0x40
 	}
-	if z.Join == nil {
+	if z.JoinRequest == nil {
 		zb0001Len--
 		zb0001Mask |= 0x80
 	}
-	if z.Announcement == nil {
+	if z.ViewAnnouncement == nil {
 		zb0001Len--
 		zb0001Mask |= 0x100
 	}
@@ -7923,7 +7378,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x200
 	}
-	if z.Promise == nil {
+	if z.PrepareResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x400
 	}
@@ -7931,7 +7386,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x800
 	}
-	if z.Accepted == nil {
+	if z.AcceptResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x1000
 	}
@@ -7955,11 +7410,11 @@
 		zb0001Len--
 		zb0001Mask |= 0x20000
 	}
-	if z.Confirm == nil {
+	if z.ConfirmRequest == nil {
 		zb0001Len--
 		zb0001Mask |= 0x40000
 	}
-	if z.Confirmed == nil {
+	if z.ConfirmResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x80000
 	}
@@ -7975,19 +7430,19 @@
 		zb0001Len--
 		zb0001Mask |= 0x400000
 	}
-	if z.ConfigCall == nil {
+	if z.ConfigRequest == nil {
 		zb0001Len--
 		zb0001Mask |= 0x800000
 	}
-	if z.ConfigResult == nil {
+	if z.ConfigResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x1000000
 	}
-	if z.Pull == nil {
+	if z.PollRequest == nil {
 		zb0001Len--
 		zb0001Mask |= 0x2000000
 	}
-	if z.PullReply == nil {
+	if z.PollResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x4000000
 	}
@@ -7995,7 +7450,7 @@
 		zb0001Len--
 		zb0001Mask |= 0x8000000
 	}
-	if z.LoadReply == nil {
+	if z.LoadResponse == nil {
 		zb0001Len--
 		zb0001Mask |= 0x10000000
 	}
@@ -8035,12 +7490,12 @@
 		if (zb0001Mask & 0x40) == 0 { // if not omitted
 			// string "su"
 			o = append(o, 0xa2, 0x73, 0x75)
-			if z.Suspicion == nil {
+			if z.SuspicionReport == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				o, err = z.Suspicion.MarshalMsg(o)
+				o, err = z.SuspicionReport.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Suspicion")
+					err = msgp.WrapError(err, "SuspicionReport")
 					return
 				}
 			}
@@ -8048,12 +7503,12 @@
 		if (zb0001Mask & 0x80) == 0 { // if not omitted
 			// string "jo"
 			o = append(o, 0xa2, 0x6a, 0x6f)
-			if z.Join == nil {
+			if z.JoinRequest == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				o, err = z.Join.MarshalMsg(o)
+				o, err = z.JoinRequest.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Join")
+					err = msgp.WrapError(err, "JoinRequest")
 					return
 				}
 			}
@@ -8061,15 +7516,15 @@
 		if (zb0001Mask & 0x100) == 0 { // if not omitted
 			// string "an"
 			o = append(o, 0xa2, 0x61, 0x6e)
-			if z.Announcement == nil {
+			if z.ViewAnnouncement == nil {
 				o = msgp.AppendNil(o)
 			} else {
 				// map header, size 1
 				// string "v"
 				o = append(o, 0x81, 0xa1, 0x76)
-				o, err = z.Announcement.View.MarshalMsg(o)
+				o, err = z.ViewAnnouncement.View.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Announcement", "View")
+					err = msgp.WrapError(err, "ViewAnnouncement", "View")
 					return
 				}
 			}
@@ -8086,21 +7541,21 @@
 				// map header, size 2
 				// string "r"
 				o = append(o, 0x82, 0xa1, 0x72)
-				o = msgp.AppendUint64(o, z.Prepare.Ballot.Round)
+				o = msgp.AppendUint64(o, z.Prepare.Proposal.Counter)
 				// string "p"
 				o = append(o, 0xa1, 0x70)
-				o = msgp.AppendString(o, z.Prepare.Ballot.Proposer)
+				o = msgp.AppendString(o, z.Prepare.Proposal.Proposer)
 			}
 		}
 		if (zb0001Mask & 0x400) == 0 { // if not omitted
 			// string "pm"
 			o = append(o, 0xa2, 0x70, 0x6d)
-			if z.Promise == nil {
+			if z.PrepareResponse == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				o, err = z.Promise.MarshalMsg(o)
+				o, err = z.PrepareResponse.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Promise")
+					err = msgp.WrapError(err, "PrepareResponse")
 					return
 				}
 			}
@@ -8121,12 +7576,12 @@
 		if (zb0001Mask & 0x1000) == 0 { // if not omitted
 			// string "ad"
 			o = append(o, 0xa2, 0x61, 0x64)
-			if z.Accepted == nil {
+			if z.AcceptResponse == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				o, err = z.Accepted.MarshalMsg(o)
+				o, err = z.AcceptResponse.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Accepted")
+					err = msgp.WrapError(err, "AcceptResponse")
 					return
 				}
 			}
@@ -8168,7 +7623,7 @@
 				// map header, size 1
 				// string "w"
 				o = append(o, 0x81, 0xa1, 0x77)
-				o = msgp.AppendBool(o, z.SnapshotRequest.Whole)
+				o = msgp.AppendBool(o, z.SnapshotRequest.Full)
 			}
 		}
 		if (zb0001Mask & 0x10000) == 0 { // if not omitted
@@ -8224,28 +7679,28 @@
 		if (zb0001Mask & 0x40000) == 0 { // if not omitted
 			// string "cf"
 			o = append(o, 0xa2, 0x63, 0x66)
-			if z.Confirm == nil {
+			if z.ConfirmRequest == nil {
 				o = msgp.AppendNil(o)
 			} else {
 				// map header, size 1
 				// string "r"
 				o = append(o, 0x81, 0xa1, 0x72)
-				o = msgp.AppendUint64(o, z.Confirm.Round)
+				o = msgp.AppendUint64(o, z.ConfirmRequest.RequestID)
 			}
 		}
 		if (zb0001Mask & 0x80000) == 0 { // if not omitted
 			// string "cd"
 			o = append(o, 0xa2, 0x63, 0x64)
-			if z.Confirmed == nil {
+			if z.ConfirmResponse == nil {
 				o = msgp.AppendNil(o)
 			} else {
 				// map header, size 2
 				// string "r"
 				o = append(o, 0x82, 0xa1, 0x72)
-				o = msgp.AppendUint64(o, z.Confirmed.Round)
+				o = msgp.AppendUint64(o, z.ConfirmResponse.RequestID)
 				// string "f"
 				o = append(o, 0xa1, 0x66)
-				o = msgp.AppendBool(o, z.Confirmed.Refuse)
+				o = msgp.AppendBool(o, z.ConfirmResponse.Rejected)
 			}
 		}
 		if (zb0001Mask & 0x100000) == 0 { // if not omitted
@@ -8260,10 +7715,10 @@
 				o = msgp.AppendUint64(o, z.LeaseRequest.Token)
 				// string "r"
 				o = append(o, 0xa1, 0x72)
-				o = msgp.AppendUint64(o, z.LeaseRequest.Round)
+				o = msgp.AppendUint64(o, z.LeaseRequest.RequestID)
 				// string "n"
 				o = append(o, 0xa1, 0x6e)
-				o = msgp.AppendBool(o, z.LeaseRequest.Renew)
+				o = msgp.AppendBool(o, z.LeaseRequest.Renewal)
 			}
 		}
 		if (zb0001Mask & 0x200000) == 0 { // if not omitted
@@ -8275,7 +7730,7 @@
 				// map header, size 3
 				// string "r"
 				o = append(o, 0x83, 0xa1, 0x72)
-				o = msgp.AppendUint64(o, z.LeaseGrant.Round)
+				o = msgp.AppendUint64(o, z.LeaseGrant.RequestID)
 				// string "g"
 				o = append(o, 0xa1, 0x67)
 				o = msgp.AppendBool(o, z.LeaseGrant.Granted)
@@ -8299,12 +7754,12 @@
 		if (zb0001Mask & 0x800000) == 0 { // if not omitted
 			// string "cc"
 			o = append(o, 0xa2, 0x63, 0x63)
-			if z.ConfigCall == nil {
+			if z.ConfigRequest == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				o, err = z.ConfigCall.MarshalMsg(o)
+				o, err = z.ConfigRequest.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "ConfigCall")
+					err = msgp.WrapError(err, "ConfigRequest")
 					return
 				}
 			}
@@ -8312,30 +7767,30 @@
 		if (zb0001Mask & 0x1000000) == 0 { // if not omitted
 			// string "cr"
 			o = append(o, 0xa2, 0x63, 0x72)
-			if z.ConfigResult == nil {
+			if z.ConfigResponse == nil {
 				o = msgp.AppendNil(o)
 			} else {
 				// map header, size 3
 				// string "i"
 				o = append(o, 0x83, 0xa1, 0x69)
-				o = msgp.AppendUint64(o, z.ConfigResult.ID)
+				o = msgp.AppendUint64(o, z.ConfigResponse.ID)
 				// string "s"
 				o = append(o, 0xa1, 0x73)
-				o = msgp.AppendInt(o, z.ConfigResult.Status)
+				o = msgp.AppendInt(o, z.ConfigResponse.Status)
 				// string "b"
 				o = append(o, 0xa1, 0x62)
-				o = msgp.AppendBytes(o, z.ConfigResult.Body)
+				o = msgp.AppendBytes(o, z.ConfigResponse.Body)
 			}
 		}
 		if (zb0001Mask & 0x2000000) == 0 { // if not omitted
 			// string "pu"
 			o = append(o, 0xa2, 0x70, 0x75)
-			if z.Pull == nil {
+			if z.PollRequest == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				o, err = z.Pull.MarshalMsg(o)
+				o, err = z.PollRequest.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "Pull")
+					err = msgp.WrapError(err, "PollRequest")
 					return
 				}
 			}
@@ -8343,12 +7798,12 @@
 		if (zb0001Mask & 0x4000000) == 0 { // if not omitted
 			// string "pl"
 			o = append(o, 0xa2, 0x70, 0x6c)
-			if z.PullReply == nil {
+			if z.PollResponse == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				o, err = z.PullReply.MarshalMsg(o)
+				o, err = z.PollResponse.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "PullReply")
+					err = msgp.WrapError(err, "PollResponse")
 					return
 				}
 			}
@@ -8369,12 +7824,12 @@
 		if (zb0001Mask & 0x10000000) == 0 { // if not omitted
 			// string "lq"
 			o = append(o, 0xa2, 0x6c, 0x71)
-			if z.LoadReply == nil {
+			if z.LoadResponse == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				o, err = z.LoadReply.MarshalMsg(o)
+				o, err = z.LoadResponse.MarshalMsg(o)
 				if err != nil {
-					err = msgp.WrapError(err, "LoadReply")
+					err = msgp.WrapError(err, "LoadResponse")
 					return
 				}
 			}
@@ -8454,14 +7909,14 @@
 				if err != nil {
 					return
 				}
-				z.Suspicion = nil
+				z.SuspicionReport = nil
 			} else {
-				if z.Suspicion == nil {
-					z.Suspicion = new(Suspicion)
+				if z.SuspicionReport == nil {
+					z.SuspicionReport = new(SuspicionReport)
 				}
-				bts, err = z.Suspicion.UnmarshalMsg(bts)
+				bts, err = z.SuspicionReport.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Suspicion")
+					err = msgp.WrapError(err, "SuspicionReport")
 					return
 				}
 			}
@@ -8471,14 +7926,14 @@
 				if err != nil {
 					return
 				}
-				z.Join = nil
+				z.JoinRequest = nil
 			} else {
-				if z.Join == nil {
-					z.Join = new(Join)
+				if z.JoinRequest == nil {
+					z.JoinRequest = new(JoinRequest)
 				}
-				bts, err = z.Join.UnmarshalMsg(bts)
+				bts, err = z.JoinRequest.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Join")
+					err = msgp.WrapError(err, "JoinRequest")
 					return
 				}
 			}
@@ -8488,35 +7943,35 @@
 				if err != nil {
 					return
 				}
-				z.Announcement = nil
+				z.ViewAnnouncement = nil
 			} else {
-				if z.Announcement == nil {
-					z.Announcement = new(Announcement)
+				if z.ViewAnnouncement == nil {
+					z.ViewAnnouncement = new(ViewAnnouncement)
 				}
 				var zb0002 uint32
 				zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Announcement")
+					err = msgp.WrapError(err, "ViewAnnouncement")
 					return
 				}
 				for zb0002 > 0 {
 					zb0002--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Announcement")
+						err = msgp.WrapError(err, "ViewAnnouncement")
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "v":
-						bts, err = z.Announcement.View.UnmarshalMsg(bts)
+						bts, err = z.ViewAnnouncement.View.UnmarshalMsg(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Announcement", "View")
+							err = msgp.WrapError(err, "ViewAnnouncement", "View")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Announcement")
+							err = msgp.WrapError(err, "ViewAnnouncement")
 							return
 						}
 					}
@@ -8551,33 +8006,33 @@
 						var zb0004 uint32
 						zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Prepare", "Ballot")
+							err = msgp.WrapError(err, "Prepare", "Proposal")
 							return
 						}
 						for zb0004 > 0 {
 							zb0004--
 							field, bts, err = msgp.ReadMapKeyZC(bts)
 							if err != nil {
-								err = msgp.WrapError(err, "Prepare", "Ballot")
+								err = msgp.WrapError(err, "Prepare", "Proposal")
 								return
 							}
 							switch msgp.UnsafeString(field) {
 							case "r":
-								z.Prepare.Ballot.Round, bts, err = msgp.ReadUint64Bytes(bts)
+								z.Prepare.Proposal.Counter, bts, err = msgp.ReadUint64Bytes(bts)
 								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Ballot", "Round")
+									err = msgp.WrapError(err, "Prepare", "Proposal", "Counter")
 									return
 								}
 							case "p":
-								z.Prepare.Ballot.Proposer, bts, err = msgp.ReadStringBytes(bts)
+								z.Prepare.Proposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
 								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Ballot", "Proposer")
+									err = msgp.WrapError(err, "Prepare", "Proposal", "Proposer")
 									return
 								}
 							default:
 								bts, err = msgp.Skip(bts)
 								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Ballot")
+									err = msgp.WrapError(err, "Prepare", "Proposal")
 									return
 								}
 							}
@@ -8597,14 +8052,14 @@
 				if err != nil {
 					return
 				}
-				z.Promise = nil
+				z.PrepareResponse = nil
 			} else {
-				if z.Promise == nil {
-					z.Promise = new(Promise)
+				if z.PrepareResponse == nil {
+					z.PrepareResponse = new(PrepareResponse)
 				}
-				bts, err = z.Promise.UnmarshalMsg(bts)
+				bts, err = z.PrepareResponse.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Promise")
+					err = msgp.WrapError(err, "PrepareResponse")
 					return
 				}
 			}
@@ -8631,14 +8086,14 @@
 				if err != nil {
 					return
 				}
-				z.Accepted = nil
+				z.AcceptResponse = nil
 			} else {
-				if z.Accepted == nil {
-					z.Accepted = new(Accepted)
+				if z.AcceptResponse == nil {
+					z.AcceptResponse = new(AcceptResponse)
 				}
-				bts, err = z.Accepted.UnmarshalMsg(bts)
+				bts, err = z.AcceptResponse.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Accepted")
+					err = msgp.WrapError(err, "AcceptResponse")
 					return
 				}
 			}
@@ -8731,9 +8186,9 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "w":
-						z.SnapshotRequest.Whole, bts, err = msgp.ReadBoolBytes(bts)
+						z.SnapshotRequest.Full, bts, err = msgp.ReadBoolBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "SnapshotRequest", "Whole")
+							err = msgp.WrapError(err, "SnapshotRequest", "Full")
 							return
 						}
 					default:
@@ -8848,35 +8303,35 @@
 				if err != nil {
 					return
 				}
-				z.Confirm = nil
+				z.ConfirmRequest = nil
 			} else {
-				if z.Confirm == nil {
-					z.Confirm = new(Confirm)
+				if z.ConfirmRequest == nil {
+					z.ConfirmRequest = new(ConfirmRequest)
 				}
 				var zb0009 uint32
 				zb0009, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Confirm")
+					err = msgp.WrapError(err, "ConfirmRequest")
 					return
 				}
 				for zb0009 > 0 {
 					zb0009--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Confirm")
+						err = msgp.WrapError(err, "ConfirmRequest")
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "r":
-						z.Confirm.Round, bts, err = msgp.ReadUint64Bytes(bts)
+						z.ConfirmRequest.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Confirm", "Round")
+							err = msgp.WrapError(err, "ConfirmRequest", "RequestID")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Confirm")
+							err = msgp.WrapError(err, "ConfirmRequest")
 							return
 						}
 					}
@@ -8888,41 +8343,41 @@
 				if err != nil {
 					return
 				}
-				z.Confirmed = nil
+				z.ConfirmResponse = nil
 			} else {
-				if z.Confirmed == nil {
-					z.Confirmed = new(Confirmed)
+				if z.ConfirmResponse == nil {
+					z.ConfirmResponse = new(ConfirmResponse)
 				}
 				var zb0010 uint32
 				zb0010, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Confirmed")
+					err = msgp.WrapError(err, "ConfirmResponse")
 					return
 				}
 				for zb0010 > 0 {
 					zb0010--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Confirmed")
+						err = msgp.WrapError(err, "ConfirmResponse")
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "r":
-						z.Confirmed.Round, bts, err = msgp.ReadUint64Bytes(bts)
+						z.ConfirmResponse.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Confirmed", "Round")
+							err = msgp.WrapError(err, "ConfirmResponse", "RequestID")
 							return
 						}
 					case "f":
-						z.Confirmed.Refuse, bts, err = msgp.ReadBoolBytes(bts)
+						z.ConfirmResponse.Rejected, bts, err = msgp.ReadBoolBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Confirmed", "Refuse")
+							err = msgp.WrapError(err, "ConfirmResponse", "Rejected")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Confirmed")
+							err = msgp.WrapError(err, "ConfirmResponse")
 							return
 						}
 					}
@@ -8960,15 +8415,15 @@
 							return
 						}
 					case "r":
-						z.LeaseRequest.Round, bts, err = msgp.ReadUint64Bytes(bts)
+						z.LeaseRequest.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest", "Round")
+							err = msgp.WrapError(err, "LeaseRequest", "RequestID")
 							return
 						}
 					case "n":
-						z.LeaseRequest.Renew, bts, err = msgp.ReadBoolBytes(bts)
+						z.LeaseRequest.Renewal, bts, err = msgp.ReadBoolBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest", "Renew")
+							err = msgp.WrapError(err, "LeaseRequest", "Renewal")
 							return
 						}
 					default:
@@ -9006,9 +8461,9 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "r":
-						z.LeaseGrant.Round, bts, err = msgp.ReadUint64Bytes(bts)
+						z.LeaseGrant.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "LeaseGrant", "Round")
+							err = msgp.WrapError(err, "LeaseGrant", "RequestID")
 							return
 						}
 					case "g":
@@ -9078,14 +8533,14 @@
 				if err != nil {
 					return
 				}
-				z.ConfigCall = nil
+				z.ConfigRequest = nil
 			} else {
-				if z.ConfigCall == nil {
-					z.ConfigCall = new(ConfigCall)
+				if z.ConfigRequest == nil {
+					z.ConfigRequest = new(ConfigRequest)
 				}
-				bts, err = z.ConfigCall.UnmarshalMsg(bts)
+				bts, err = z.ConfigRequest.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "ConfigCall")
+					err = msgp.WrapError(err, "ConfigRequest")
 					return
 				}
 			}
@@ -9095,47 +8550,47 @@
 				if err != nil {
 					return
 				}
-				z.ConfigResult = nil
+				z.ConfigResponse = nil
 			} else {
-				if z.ConfigResult == nil {
-					z.ConfigResult = new(ConfigResult)
+				if z.ConfigResponse == nil {
+					z.ConfigResponse = new(ConfigResponse)
 				}
 				var zb0014 uint32
 				zb0014, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "ConfigResult")
+					err = msgp.WrapError(err, "ConfigResponse")
 					return
 				}
 				for zb0014 > 0 {
 					zb0014--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "ConfigResult")
+						err = msgp.WrapError(err, "ConfigResponse")
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "i":
-						z.ConfigResult.ID, bts, err = msgp.ReadUint64Bytes(bts)
+						z.ConfigResponse.ID, bts, err = msgp.ReadUint64Bytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "ConfigResult", "ID")
+							err = msgp.WrapError(err, "ConfigResponse", "ID")
 							return
 						}
 					case "s":
-						z.ConfigResult.Status, bts, err = msgp.ReadIntBytes(bts)
+						z.ConfigResponse.Status, bts, err = msgp.ReadIntBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "ConfigResult", "Status")
+							err = msgp.WrapError(err, "ConfigResponse", "Status")
 							return
 						}
 					case "b":
-						z.ConfigResult.Body, bts, err = msgp.ReadBytesBytes(bts, z.ConfigResult.Body)
+						z.ConfigResponse.Body, bts, err = msgp.ReadBytesBytes(bts, z.ConfigResponse.Body)
 						if err != nil {
-							err = msgp.WrapError(err, "ConfigResult", "Body")
+							err = msgp.WrapError(err, "ConfigResponse", "Body")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "ConfigResult")
+							err = msgp.WrapError(err, "ConfigResponse")
 							return
 						}
 					}
@@ -9147,14 +8602,14 @@
 				if err != nil {
 					return
 				}
-				z.Pull = nil
+				z.PollRequest = nil
 			} else {
-				if z.Pull == nil {
-					z.Pull = new(Pull)
+				if z.PollRequest == nil {
+					z.PollRequest = new(PollRequest)
 				}
-				bts, err = z.Pull.UnmarshalMsg(bts)
+				bts, err = z.PollRequest.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Pull")
+					err = msgp.WrapError(err, "PollRequest")
 					return
 				}
 			}
@@ -9164,14 +8619,14 @@
 				if err != nil {
 					return
 				}
-				z.PullReply = nil
+				z.PollResponse = nil
 			} else {
-				if z.PullReply == nil {
-					z.PullReply = new(PullReply)
+				if z.PollResponse == nil {
+					z.PollResponse = new(PollResponse)
 				}
-				bts, err = z.PullReply.UnmarshalMsg(bts)
+				bts, err = z.PollResponse.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "PullReply")
+					err = msgp.WrapError(err, "PollResponse")
 					return
 				}
 			}
@@ -9198,14 +8653,14 @@
 				if err != nil {
 					return
 				}
-				z.LoadReply = nil
+				z.LoadResponse = nil
 			} else {
-				if z.LoadReply == nil {
-					z.LoadReply = new(LoadReply)
+				if z.LoadResponse == nil {
+					z.LoadResponse = new(LoadResponse)
 				}
-				bts, err = z.LoadReply.UnmarshalMsg(bts)
+				bts, err = z.LoadResponse.UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "LoadReply")
+					err = msgp.WrapError(err, "LoadResponse")
 					return
 				}
 			}
@@ -9230,34 +8685,34 @@
 		s += z.Heartbeat.Msgsize()
 	}
 	s += 3
-	if z.Suspicion == nil {
+	if z.SuspicionReport == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.Suspicion.Msgsize()
+		s += z.SuspicionReport.Msgsize()
 	}
 	s += 3
-	if z.Join == nil {
+	if z.JoinRequest == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.Join.Msgsize()
+		s += z.JoinRequest.Msgsize()
 	}
 	s += 3
-	if z.Announcement == nil {
+	if z.ViewAnnouncement == nil {
 		s += msgp.NilSize
 	} else {
-		s += 1 + 2 + z.Announcement.View.Msgsize()
+		s += 1 + 2 + z.ViewAnnouncement.View.Msgsize()
 	}
 	s += 3
 	if z.Prepare == nil {
 		s += msgp.NilSize
 	} else {
-		s += 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Prepare.Ballot.Proposer)
+		s += 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Prepare.Proposal.Proposer)
 	}
 	s += 3
-	if z.Promise == nil {
+	if z.PrepareResponse == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.Promise.Msgsize()
+		s += z.PrepareResponse.Msgsize()
 	}
 	s += 3
 	if z.Accept == nil {
@@ -9266,10 +8721,10 @@
 		s += z.Accept.Msgsize()
 	}
 	s += 3
-	if z.Accepted == nil {
+	if z.AcceptResponse == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.Accepted.Msgsize()
+		s += z.AcceptResponse.Msgsize()
 	}
 	s += 3
 	if z.Replicate == nil {
@@ -9307,13 +8762,13 @@
 		}
 	}
 	s += 3
-	if z.Confirm == nil {
+	if z.ConfirmRequest == nil {
 		s += msgp.NilSize
 	} else {
 		s += 1 + 2 + msgp.Uint64Size
 	}
 	s += 3
-	if z.Confirmed == nil {
+	if z.ConfirmResponse == nil {
 		s += msgp.NilSize
 	} else {
 		s += 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize
@@ -9337,28 +8792,28 @@
 		s += 1 + 2 + msgp.Uint64Size
 	}
 	s += 3
-	if z.ConfigCall == nil {
+	if z.ConfigRequest == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.ConfigCall.Msgsize()
+		s += z.ConfigRequest.Msgsize()
 	}
 	s += 3
-	if z.ConfigResult == nil {
+	if z.ConfigResponse == nil {
 		s += msgp.NilSize
 	} else {
-		s += 1 + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.ConfigResult.Body)
+		s += 1 + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.BytesPrefixSize + len(z.ConfigResponse.Body)
 	}
 	s += 3
-	if z.Pull == nil {
+	if z.PollRequest == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.Pull.Msgsize()
+		s += z.PollRequest.Msgsize()
 	}
 	s += 3
-	if z.PullReply == nil {
+	if z.PollResponse == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.PullReply.Msgsize()
+		s += z.PollResponse.Msgsize()
 	}
 	s += 3
 	if z.LoadReport == nil {
@@ -9367,10 +8822,10 @@
 		s += z.LoadReport.Msgsize()
 	}
 	s += 3
-	if z.LoadReply == nil {
+	if z.LoadResponse == nil {
 		s += msgp.NilSize
 	} else {
-		s += z.LoadReply.Msgsize()
+		s += z.LoadResponse.Msgsize()
 	}
 	return
 }
@@ -9418,9 +8873,9 @@
 				return
 			}
 		case "x":
-			z.Missed, err = dc.ReadFloat64()
+			z.Unserved, err = dc.ReadFloat64()
 			if err != nil {
-				err = msgp.WrapError(err, "Missed")
+				err = msgp.WrapError(err, "Unserved")
 				return
 			}
 		case "r":
@@ -9488,9 +8943,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteFloat64(z.Missed)
+	err = en.WriteFloat64(z.Unserved)
 	if err != nil {
-		err = msgp.WrapError(err, "Missed")
+		err = msgp.WrapError(err, "Unserved")
 		return
 	}
 	// write "r"
@@ -9524,7 +8979,7 @@
 	o = msgp.AppendInt(o, z.Waiting)
 	// string "x"
 	o = append(o, 0xa1, 0x78)
-	o = msgp.AppendFloat64(o, z.Missed)
+	o = msgp.AppendFloat64(o, z.Unserved)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendInt(o, z.Running)
@@ -9574,9 +9029,9 @@
 				return
 			}
 		case "x":
-			z.Missed, bts, err = msgp.ReadFloat64Bytes(bts)
+			z.Unserved, bts, err = msgp.ReadFloat64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Missed")
+				err = msgp.WrapError(err, "Unserved")
 				return
 			}
 		case "r":
@@ -9604,7 +9059,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Prepare) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *PendingLoad) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -9621,40 +9076,29 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "s":
+			z.Service, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Service")
+				return
+			}
+		case "m":
+			z.Model, err = dc.ReadString()
+			if err != nil {
+				err = msgp.WrapError(err, "Model")
+				return
+			}
 		case "b":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
+			z.Backend, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Ballot")
+				err = msgp.WrapError(err, "Backend")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
-				field, err = dc.ReadMapKeyPtr()
-				if err != nil {
-					err = msgp.WrapError(err, "Ballot")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "r":
-					z.Ballot.Round, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Round")
-						return
-					}
-				case "p":
-					z.Ballot.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Proposer")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot")
-						return
-					}
-				}
+		case "d":
+			z.ReadyInMs, err = dc.ReadInt64()
+			if err != nil {
+				err = msgp.WrapError(err, "ReadyInMs")
+				return
 			}
 		default:
 			err = dc.Skip()
@@ -9668,55 +9112,72 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Prepare) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 1
-	// write "b"
-	err = en.Append(0x81, 0xa1, 0x62)
+func (z *PendingLoad) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 4
+	// write "s"
+	err = en.Append(0x84, 0xa1, 0x73)
 	if err != nil {
 		return
 	}
-	// map header, size 2
-	// write "r"
-	err = en.Append(0x82, 0xa1, 0x72)
+	err = en.WriteString(z.Service)
 	if err != nil {
+		err = msgp.WrapError(err, "Service")
 		return
 	}
-	err = en.WriteUint64(z.Ballot.Round)
+	// write "m"
+	err = en.Append(0xa1, 0x6d)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Round")
 		return
 	}
-	// write "p"
-	err = en.Append(0xa1, 0x70)
+	err = en.WriteString(z.Model)
 	if err != nil {
+		err = msgp.WrapError(err, "Model")
 		return
 	}
-	err = en.WriteString(z.Ballot.Proposer)
+	// write "b"
+	err = en.Append(0xa1, 0x62)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Proposer")
 		return
 	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Prepare) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 1
-	// string "b"
-	o = append(o, 0x81, 0xa1, 0x62)
-	// map header, size 2
-	// string "r"
-	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Ballot.Round)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Ballot.Proposer)
+	err = en.WriteString(z.Backend)
+	if err != nil {
+		err = msgp.WrapError(err, "Backend")
+		return
+	}
+	// write "d"
+	err = en.Append(0xa1, 0x64)
+	if err != nil {
+		return
+	}
+	err = en.WriteInt64(z.ReadyInMs)
+	if err != nil {
+		err = msgp.WrapError(err, "ReadyInMs")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *PendingLoad) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 4
+	// string "s"
+	o = append(o, 0x84, 0xa1, 0x73)
+	o = msgp.AppendString(o, z.Service)
+	// string "m"
+	o = append(o, 0xa1, 0x6d)
+	o = msgp.AppendString(o, z.Model)
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendString(o, z.Backend)
+	// string "d"
+	o = append(o, 0xa1, 0x64)
+	o = msgp.AppendInt64(o, z.ReadyInMs)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Prepare) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PendingLoad) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -9733,40 +9194,29 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "s":
+			z.Service, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Service")
+				return
+			}
+		case "m":
+			z.Model, bts, err = msgp.ReadStringBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Model")
+				return
+			}
 		case "b":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+			z.Backend, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ballot")
+				err = msgp.WrapError(err, "Backend")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Ballot")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "r":
-					z.Ballot.Round, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Round")
-						return
-					}
-				case "p":
-					z.Ballot.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Proposer")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot")
-						return
-					}
-				}
+		case "d":
+			z.ReadyInMs, bts, err = msgp.ReadInt64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ReadyInMs")
+				return
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -9781,13 +9231,13 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Prepare) Msgsize() (s int) {
-	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Ballot.Proposer)
+func (z *PendingLoad) Msgsize() (s int) {
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(z.Model) + 2 + msgp.StringPrefixSize + len(z.Backend) + 2 + msgp.Int64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Promise) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *PollRequest) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -9804,121 +9254,113 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "b":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
+		case "i":
+			z.ID, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Ballot")
+				err = msgp.WrapError(err, "ID")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
-				field, err = dc.ReadMapKeyPtr()
-				if err != nil {
-					err = msgp.WrapError(err, "Ballot")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "r":
-					z.Ballot.Round, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Round")
-						return
-					}
-				case "p":
-					z.Ballot.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Proposer")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot")
-						return
-					}
-				}
+		case "c":
+			z.ConfigSequence, err = dc.ReadUint64()
+			if err != nil {
+				err = msgp.WrapError(err, "ConfigSequence")
+				return
 			}
-		case "r":
-			z.Refused, err = dc.ReadBool()
+		case "b":
+			z.BackendDigest, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Refused")
+				err = msgp.WrapError(err, "BackendDigest")
 				return
 			}
-		case "p":
-			var zb0003 uint32
-			zb0003, err = dc.ReadMapHeader()
+		case "h":
+			z.MaxWaitMs, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Promised")
+				err = msgp.WrapError(err, "MaxWaitMs")
 				return
 			}
-			for zb0003 > 0 {
-				zb0003--
-				field, err = dc.ReadMapKeyPtr()
+		case "d":
+			var zb0002 uint32
+			zb0002, err = dc.ReadArrayHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "Demand")
+				return
+			}
+			if cap(z.Demand) >= int(zb0002) {
+				z.Demand = (z.Demand)[:zb0002]
+			} else {
+				z.Demand = make([]ModelDemand, zb0002)
+			}
+			for za0001 := range z.Demand {
+				err = z.Demand[za0001].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Promised")
+					err = msgp.WrapError(err, "Demand", za0001)
 					return
 				}
-				switch msgp.UnsafeString(field) {
-				case "r":
-					z.Promised.Round, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Round")
-						return
-					}
-				case "p":
-					z.Promised.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Proposer")
-						return
-					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "Promised")
-						return
-					}
-				}
 			}
-		case "ab":
-			var zb0004 uint32
-			zb0004, err = dc.ReadMapHeader()
+		case "l":
+			var zb0003 uint32
+			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "AcceptedBallot")
+				err = msgp.WrapError(err, "Loads")
 				return
 			}
-			for zb0004 > 0 {
-				zb0004--
-				field, err = dc.ReadMapKeyPtr()
+			if cap(z.Loads) >= int(zb0003) {
+				z.Loads = (z.Loads)[:zb0003]
+			} else {
+				z.Loads = make([]BackendLoad, zb0003)
+			}
+			for za0002 := range z.Loads {
+				var zb0004 uint32
+				zb0004, err = dc.ReadMapHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "AcceptedBallot")
+					err = msgp.WrapError(err, "Loads", za0002)
 					return
 				}
-				switch msgp.UnsafeString(field) {
-				case "r":
-					z.AcceptedBallot.Round, err = dc.ReadUint64()
-					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot", "Round")
-						return
-					}
-				case "p":
-					z.AcceptedBallot.Proposer, err = dc.ReadString()
+				for zb0004 > 0 {
+					zb0004--
+					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot", "Proposer")
+						err = msgp.WrapError(err, "Loads", za0002)
 						return
 					}
-				default:
-					err = dc.Skip()
-					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot")
-						return
+					switch msgp.UnsafeString(field) {
+					case "b":
+						z.Loads[za0002].Backend, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0002, "Backend")
+							return
+						}
+					case "r":
+						z.Loads[za0002].Running, err = dc.ReadInt()
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0002, "Running")
+							return
+						}
+					case "q":
+						z.Loads[za0002].Queued, err = dc.ReadInt()
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0002, "Queued")
+							return
+						}
+					default:
+						err = dc.Skip()
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0002)
+							return
+						}
 					}
 				}
 			}
-		case "a":
-			err = z.Accepted.DecodeMsg(dc)
+		case "p":
+			z.Proxies, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "Proxies")
+				return
+			}
+		case "v":
+			z.LoadVersion, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "Accepted")
+				err = msgp.WrapError(err, "LoadVersion")
 				return
 			}
 		default:
@@ -9933,155 +9375,183 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Promise) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 5
-	// write "b"
-	err = en.Append(0x85, 0xa1, 0x62)
+func (z *PollRequest) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 8
+	// write "i"
+	err = en.Append(0x88, 0xa1, 0x69)
 	if err != nil {
 		return
 	}
-	// map header, size 2
-	// write "r"
-	err = en.Append(0x82, 0xa1, 0x72)
+	err = en.WriteUint64(z.ID)
 	if err != nil {
+		err = msgp.WrapError(err, "ID")
 		return
 	}
-	err = en.WriteUint64(z.Ballot.Round)
+	// write "c"
+	err = en.Append(0xa1, 0x63)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Round")
 		return
 	}
-	// write "p"
-	err = en.Append(0xa1, 0x70)
+	err = en.WriteUint64(z.ConfigSequence)
 	if err != nil {
+		err = msgp.WrapError(err, "ConfigSequence")
 		return
 	}
-	err = en.WriteString(z.Ballot.Proposer)
+	// write "b"
+	err = en.Append(0xa1, 0x62)
 	if err != nil {
-		err = msgp.WrapError(err, "Ballot", "Proposer")
 		return
 	}
-	// write "r"
-	err = en.Append(0xa1, 0x72)
+	err = en.WriteUint64(z.BackendDigest)
 	if err != nil {
+		err = msgp.WrapError(err, "BackendDigest")
 		return
 	}
-	err = en.WriteBool(z.Refused)
+	// write "h"
+	err = en.Append(0xa1, 0x68)
 	if err != nil {
-		err = msgp.WrapError(err, "Refused")
 		return
 	}
-	// write "p"
-	err = en.Append(0xa1, 0x70)
+	err = en.WriteInt(z.MaxWaitMs)
 	if err != nil {
+		err = msgp.WrapError(err, "MaxWaitMs")
 		return
 	}
-	// map header, size 2
-	// write "r"
-	err = en.Append(0x82, 0xa1, 0x72)
+	// write "d"
+	err = en.Append(0xa1, 0x64)
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Promised.Round)
+	err = en.WriteArrayHeader(uint32(len(z.Demand)))
 	if err != nil {
-		err = msgp.WrapError(err, "Promised", "Round")
+		err = msgp.WrapError(err, "Demand")
 		return
 	}
-	// write "p"
-	err = en.Append(0xa1, 0x70)
-	if err != nil {
-		return
-	}
-	err = en.WriteString(z.Promised.Proposer)
-	if err != nil {
-		err = msgp.WrapError(err, "Promised", "Proposer")
-		return
+	for za0001 := range z.Demand {
+		err = z.Demand[za0001].EncodeMsg(en)
+		if err != nil {
+			err = msgp.WrapError(err, "Demand", za0001)
+			return
+		}
 	}
-	// write "ab"
-	err = en.Append(0xa2, 0x61, 0x62)
+	// write "l"
+	err = en.Append(0xa1, 0x6c)
 	if err != nil {
 		return
 	}
-	// map header, size 2
-	// write "r"
-	err = en.Append(0x82, 0xa1, 0x72)
+	err = en.WriteArrayHeader(uint32(len(z.Loads)))
 	if err != nil {
+		err = msgp.WrapError(err, "Loads")
 		return
 	}
-	err = en.WriteUint64(z.AcceptedBallot.Round)
-	if err != nil {
-		err = msgp.WrapError(err, "AcceptedBallot", "Round")
-		return
+	for za0002 := range z.Loads {
+		// map header, size 3
+		// write "b"
+		err = en.Append(0x83, 0xa1, 0x62)
+		if err != nil {
+			return
+		}
+		err = en.WriteString(z.Loads[za0002].Backend)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "Backend")
+			return
+		}
+		// write "r"
+		err = en.Append(0xa1, 0x72)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt(z.Loads[za0002].Running)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "Running")
+			return
+		}
+		// write "q"
+		err = en.Append(0xa1, 0x71)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt(z.Loads[za0002].Queued)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002, "Queued")
+			return
+		}
 	}
 	// write "p"
 	err = en.Append(0xa1, 0x70)
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.AcceptedBallot.Proposer)
+	err = en.WriteInt(z.Proxies)
 	if err != nil {
-		err = msgp.WrapError(err, "AcceptedBallot", "Proposer")
+		err = msgp.WrapError(err, "Proxies")
 		return
 	}
-	// write "a"
-	err = en.Append(0xa1, 0x61)
+	// write "v"
+	err = en.Append(0xa1, 0x76)
 	if err != nil {
 		return
 	}
-	err = z.Accepted.EncodeMsg(en)
+	err = en.WriteUint64(z.LoadVersion)
 	if err != nil {
-		err = msgp.WrapError(err, "Accepted")
+		err = msgp.WrapError(err, "LoadVersion")
 		return
 	}
 	return
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Promise) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PollRequest) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// map header, size 5
+	// map header, size 8
+	// string "i"
+	o = append(o, 0x88, 0xa1, 0x69)
+	o = msgp.AppendUint64(o, z.ID)
+	// string "c"
+	o = append(o, 0xa1, 0x63)
+	o = msgp.AppendUint64(o, z.ConfigSequence)
 	// string "b"
-	o = append(o, 0x85, 0xa1, 0x62)
-	// map header, size 2
-	// string "r"
-	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Ballot.Round)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Ballot.Proposer)
-	// string "r"
-	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendBool(o, z.Refused)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	// map header, size 2
-	// string "r"
-	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.Promised.Round)
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Promised.Proposer)
-	// string "ab"
-	o = append(o, 0xa2, 0x61, 0x62)
-	// map header, size 2
-	// string "r"
-	o = append(o, 0x82, 0xa1, 0x72)
-	o = msgp.AppendUint64(o, z.AcceptedBallot.Round)
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendUint64(o, z.BackendDigest)
+	// string "h"
+	o = append(o, 0xa1, 0x68)
+	o = msgp.AppendInt(o, z.MaxWaitMs)
+	// string "d"
+	o = append(o, 0xa1, 0x64)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Demand)))
+	for za0001 := range z.Demand {
+		o, err = z.Demand[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Demand", za0001)
+			return
+		}
+	}
+	// string "l"
+	o = append(o, 0xa1, 0x6c)
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
+	for za0002 := range z.Loads {
+		// map header, size 3
+		// string "b"
+		o = append(o, 0x83, 0xa1, 0x62)
+		o = msgp.AppendString(o, z.Loads[za0002].Backend)
+		// string "r"
+		o = append(o, 0xa1, 0x72)
+		o = msgp.AppendInt(o, z.Loads[za0002].Running)
+		// string "q"
+		o = append(o, 0xa1, 0x71)
+		o = msgp.AppendInt(o, z.Loads[za0002].Queued)
+	}
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.AcceptedBallot.Proposer)
-	// string "a"
-	o = append(o, 0xa1, 0x61)
-	o, err = z.Accepted.MarshalMsg(o)
-	if err != nil {
-		err = msgp.WrapError(err, "Accepted")
-		return
-	}
+	o = msgp.AppendInt(o, z.Proxies)
+	// string "v"
+	o = append(o, 0xa1, 0x76)
+	o = msgp.AppendUint64(o, z.LoadVersion)
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Promise) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PollRequest) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -10098,121 +9568,113 @@
 			return
 		}
 		switch msgp.UnsafeString(field) {
+		case "i":
+			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ID")
+				return
+			}
+		case "c":
+			z.ConfigSequence, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "ConfigSequence")
+				return
+			}
 		case "b":
+			z.BackendDigest, bts, err = msgp.ReadUint64Bytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "BackendDigest")
+				return
+			}
+		case "h":
+			z.MaxWaitMs, bts, err = msgp.ReadIntBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "MaxWaitMs")
+				return
+			}
+		case "d":
 			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Ballot")
+				err = msgp.WrapError(err, "Demand")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
+			if cap(z.Demand) >= int(zb0002) {
+				z.Demand = (z.Demand)[:zb0002]
+			} else {
+				z.Demand = make([]ModelDemand, zb0002)
+			}
+			for za0001 := range z.Demand {
+				bts, err = z.Demand[za0001].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Ballot")
+					err = msgp.WrapError(err, "Demand", za0001)
 					return
 				}
-				switch msgp.UnsafeString(field) {
-				case "r":
-					z.Ballot.Round, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Round")
-						return
-					}
-				case "p":
-					z.Ballot.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot", "Proposer")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Ballot")
-						return
-					}
-				}
-			}
-		case "r":
-			z.Refused, bts, err = msgp.ReadBoolBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Refused")
-				return
 			}
-		case "p":
+		case "l":
 			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Promised")
+				err = msgp.WrapError(err, "Loads")
 				return
 			}
-			for zb0003 > 0 {
-				zb0003--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
+			if cap(z.Loads) >= int(zb0003) {
+				z.Loads = (z.Loads)[:zb0003]
+			} else {
+				z.Loads = make([]BackendLoad, zb0003)
+			}
+			for za0002 := range z.Loads {
+				var zb0004 uint32
+				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Promised")
+					err = msgp.WrapError(err, "Loads", za0002)
 					return
 				}
-				switch msgp.UnsafeString(field) {
-				case "r":
-					z.Promised.Round, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Round")
-						return
-					}
-				case "p":
-					z.Promised.Proposer, bts, err = msgp.ReadStringBytes(bts)
+				for zb0004 > 0 {
+					zb0004--
+					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Promised", "Proposer")
+						err = msgp.WrapError(err, "Loads", za0002)
 						return
 					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Promised")
-						return
+					switch msgp.UnsafeString(field) {
+					case "b":
+						z.Loads[za0002].Backend, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0002, "Backend")
+							return
+						}
+					case "r":
+						z.Loads[za0002].Running, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0002, "Running")
+							return
+						}
+					case "q":
+						z.Loads[za0002].Queued, bts, err = msgp.ReadIntBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0002, "Queued")
+							return
+						}
+					default:
+						bts, err = msgp.Skip(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Loads", za0002)
+							return
+						}
 					}
 				}
 			}
-		case "ab":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
+		case "p":
+			z.Proxies, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "AcceptedBallot")
+				err = msgp.WrapError(err, "Proxies")
 				return
 			}
-			for zb0004 > 0 {
-				zb0004--
-				field, bts, err = msgp.ReadMapKeyZC(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "AcceptedBallot")
-					return
-				}
-				switch msgp.UnsafeString(field) {
-				case "r":
-					z.AcceptedBallot.Round, bts, err = msgp.ReadUint64Bytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot", "Round")
-						return
-					}
-				case "p":
-					z.AcceptedBallot.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot", "Proposer")
-						return
-					}
-				default:
-					bts, err = msgp.Skip(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "AcceptedBallot")
-						return
-					}
-				}
-			}
-		case "a":
-			bts, err = z.Accepted.UnmarshalMsg(bts)
+		case "v":
+			z.LoadVersion, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Accepted")
+				err = msgp.WrapError(err, "LoadVersion")
 				return
 			}
 		default:
@@ -10228,13 +9690,21 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Promise) Msgsize() (s int) {
-	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Ballot.Proposer) + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Promised.Proposer) + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.AcceptedBallot.Proposer) + 2 + z.Accepted.Msgsize()
+func (z *PollRequest) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Demand {
+		s += z.Demand[za0001].Msgsize()
+	}
+	s += 2 + msgp.ArrayHeaderSize
+	for za0002 := range z.Loads {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.Loads[za0002].Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
+	}
+	s += 2 + msgp.IntSize + 2 + msgp.Uint64Size
 	return
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Pull) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *PollResponse) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -10257,109 +9727,176 @@
 				err = msgp.WrapError(err, "ID")
 				return
 			}
-		case "c":
-			z.ConfigSequence, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "ConfigSequence")
-				return
-			}
-		case "b":
-			z.BackendDigest, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "BackendDigest")
-				return
-			}
-		case "h":
-			z.HoldMS, err = dc.ReadInt()
+		case "u":
+			z.Unavailable, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "HoldMS")
+				err = msgp.WrapError(err, "Unavailable")
 				return
 			}
-		case "d":
+		case "m":
 			var zb0002 uint32
 			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Demand")
+				err = msgp.WrapError(err, "Members")
 				return
 			}
-			if cap(z.Demand) >= int(zb0002) {
-				z.Demand = (z.Demand)[:zb0002]
+			if cap(z.Members) >= int(zb0002) {
+				z.Members = (z.Members)[:zb0002]
 			} else {
-				z.Demand = make([]ModelDemand, zb0002)
+				z.Members = make([]Member, zb0002)
 			}
-			for za0001 := range z.Demand {
-				err = z.Demand[za0001].DecodeMsg(dc)
+			for za0001 := range z.Members {
+				err = z.Members[za0001].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "Demand", za0001)
+					err = msgp.WrapError(err, "Members", za0001)
+					return
+				}
+			}
+		case "c":
+			if dc.IsNil() {
+				err = dc.ReadNil()
+				if err != nil {
+					err = msgp.WrapError(err, "Config")
+					return
+				}
+				z.Config = nil
+			} else {
+				if z.Config == nil {
+					z.Config = new(ConfigUpdate)
+				}
+				err = z.Config.DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "Config")
+					return
+				}
+			}
+		case "b":
+			if dc.IsNil() {
+				err = dc.ReadNil()
+				if err != nil {
+					err = msgp.WrapError(err, "Backends")
+					return
+				}
+				z.Backends = nil
+			} else {
+				if z.Backends == nil {
+					z.Backends = new(BackendUpdate)
+				}
+				err = z.Backends.DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "Backends")
 					return
 				}
 			}
+		case "k":
+			z.BackendsKnown, err = dc.ReadBool()
+			if err != nil {
+				err = msgp.WrapError(err, "BackendsKnown")
+				return
+			}
+		case "a":
+			z.BackendsAgeMs, err = dc.ReadInt64()
+			if err != nil {
+				err = msgp.WrapError(err, "BackendsAgeMs")
+				return
+			}
+		case "h":
+			z.WaitedMs, err = dc.ReadInt64()
+			if err != nil {
+				err = msgp.WrapError(err, "WaitedMs")
+				return
+			}
+		case "p":
+			z.Proxies, err = dc.ReadInt()
+			if err != nil {
+				err = msgp.WrapError(err, "Proxies")
+				return
+			}
 		case "l":
 			var zb0003 uint32
 			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Loads")
+				err = msgp.WrapError(err, "TotalLoads")
 				return
 			}
-			if cap(z.Loads) >= int(zb0003) {
-				z.Loads = (z.Loads)[:zb0003]
+			if cap(z.TotalLoads) >= int(zb0003) {
+				z.TotalLoads = (z.TotalLoads)[:zb0003]
 			} else {
-				z.Loads = make([]BackendLoad, zb0003)
+				z.TotalLoads = make([]BackendLoad, zb0003)
 			}
-			for za0002 := range z.Loads {
+			for za0002 := range z.TotalLoads {
 				var zb0004 uint32
 				zb0004, err = dc.ReadMapHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "Loads", za0002)
+					err = msgp.WrapError(err, "TotalLoads", za0002)
 					return
 				}
 				for zb0004 > 0 {
 					zb0004--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "Loads", za0002)
+						err = msgp.WrapError(err, "TotalLoads", za0002)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "b":
-						z.Loads[za0002].Backend, err = dc.ReadString()
+						z.TotalLoads[za0002].Backend, err = dc.ReadString()
 						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Backend")
+							err = msgp.WrapError(err, "TotalLoads", za0002, "Backend")
 							return
 						}
 					case "r":
-						z.Loads[za0002].Running, err = dc.ReadInt()
+						z.TotalLoads[za0002].Running, err = dc.ReadInt()
 						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Running")
+							err = msgp.WrapError(err, "TotalLoads", za0002, "Running")
 							return
 						}
 					case "q":
-						z.Loads[za0002].Queued, err = dc.ReadInt()
+						z.TotalLoads[za0002].Queued, err = dc.ReadInt()
 						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Queued")
+							err = msgp.WrapError(err, "TotalLoads", za0002, "Queued")
 							return
 						}
 					default:
 						err = dc.Skip()
 						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002)
+							err = msgp.WrapError(err, "TotalLoads", za0002)
 							return
 						}
 					}
 				}
 			}
-		case "p":
-			z.Proxies, err = dc.ReadInt()
+		case "w":
+			z.LoadsComplete, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Proxies")
+				err = msgp.WrapError(err, "LoadsComplete")
 				return
 			}
-		case "v":
+		case "lv":
 			z.LoadVersion, err = dc.ReadUint64()
 			if err != nil {
 				err = msgp.WrapError(err, "LoadVersion")
 				return
 			}
+		case "o":
+			var zb0005 uint32
+			zb0005, err = dc.ReadArrayHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "PendingLoads")
+				return
+			}
+			if cap(z.PendingLoads) >= int(zb0005) {
+				z.PendingLoads = (z.PendingLoads)[:zb0005]
+			} else {
+				z.PendingLoads = make([]PendingLoad, zb0005)
+			}
+			for za0003 := range z.PendingLoads {
+				err = z.PendingLoads[za0003].DecodeMsg(dc)
+				if err != nil {
+					err = msgp.WrapError(err, "PendingLoads", za0003)
+					return
+				}
+			}
 		default:
 			err = dc.Skip()
 			if err != nil {
@@ -10372,367 +9909,368 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Pull) EncodeMsg(en *msgp.Writer) (err error) {
-	// map header, size 8
-	// write "i"
-	err = en.Append(0x88, 0xa1, 0x69)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.ID)
-	if err != nil {
-		err = msgp.WrapError(err, "ID")
-		return
-	}
-	// write "c"
-	err = en.Append(0xa1, 0x63)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.ConfigSequence)
-	if err != nil {
-		err = msgp.WrapError(err, "ConfigSequence")
-		return
-	}
-	// write "b"
-	err = en.Append(0xa1, 0x62)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.BackendDigest)
-	if err != nil {
-		err = msgp.WrapError(err, "BackendDigest")
-		return
-	}
-	// write "h"
-	err = en.Append(0xa1, 0x68)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt(z.HoldMS)
-	if err != nil {
-		err = msgp.WrapError(err, "HoldMS")
-		return
+func (z *PollResponse) EncodeMsg(en *msgp.Writer) (err error) {
+	// check for omitted fields
+	zb0001Len := uint32(13)
+	var zb0001Mask uint16 /* 13 bits */
+	_ = zb0001Mask
+	if z.Config == nil {
+		zb0001Len--
+		zb0001Mask |= 0x8
 	}
-	// write "d"
-	err = en.Append(0xa1, 0x64)
-	if err != nil {
-		return
+	if z.Backends == nil {
+		zb0001Len--
+		zb0001Mask |= 0x10
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Demand)))
+	// variable map header, size zb0001Len
+	err = en.Append(0x80 | uint8(zb0001Len))
 	if err != nil {
-		err = msgp.WrapError(err, "Demand")
 		return
 	}
-	for za0001 := range z.Demand {
-		err = z.Demand[za0001].EncodeMsg(en)
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// write "i"
+		err = en.Append(0xa1, 0x69)
 		if err != nil {
-			err = msgp.WrapError(err, "Demand", za0001)
 			return
 		}
-	}
-	// write "l"
-	err = en.Append(0xa1, 0x6c)
-	if err != nil {
-		return
-	}
-	err = en.WriteArrayHeader(uint32(len(z.Loads)))
-	if err != nil {
-		err = msgp.WrapError(err, "Loads")
-		return
-	}
-	for za0002 := range z.Loads {
-		// map header, size 3
-		// write "b"
-		err = en.Append(0x83, 0xa1, 0x62)
+		err = en.WriteUint64(z.ID)
 		if err != nil {
+			err = msgp.WrapError(err, "ID")
 			return
 		}
-		err = en.WriteString(z.Loads[za0002].Backend)
+		// write "u"
+		err = en.Append(0xa1, 0x75)
 		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Backend")
 			return
 		}
-		// write "r"
-		err = en.Append(0xa1, 0x72)
+		err = en.WriteBool(z.Unavailable)
 		if err != nil {
+			err = msgp.WrapError(err, "Unavailable")
 			return
 		}
-		err = en.WriteInt(z.Loads[za0002].Running)
+		// write "m"
+		err = en.Append(0xa1, 0x6d)
 		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Running")
 			return
 		}
-		// write "q"
-		err = en.Append(0xa1, 0x71)
+		err = en.WriteArrayHeader(uint32(len(z.Members)))
 		if err != nil {
+			err = msgp.WrapError(err, "Members")
 			return
 		}
-		err = en.WriteInt(z.Loads[za0002].Queued)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Queued")
+		for za0001 := range z.Members {
+			err = z.Members[za0001].EncodeMsg(en)
+			if err != nil {
+				err = msgp.WrapError(err, "Members", za0001)
+				return
+			}
+		}
+		if (zb0001Mask & 0x8) == 0 { // if not omitted
+			// write "c"
+			err = en.Append(0xa1, 0x63)
+			if err != nil {
+				return
+			}
+			if z.Config == nil {
+				err = en.WriteNil()
+				if err != nil {
+					return
+				}
+			} else {
+				err = z.Config.EncodeMsg(en)
+				if err != nil {
+					err = msgp.WrapError(err, "Config")
+					return
+				}
+			}
+		}
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// write "b"
+			err = en.Append(0xa1, 0x62)
+			if err != nil {
+				return
+			}
+			if z.Backends == nil {
+				err = en.WriteNil()
+				if err != nil {
+					return
+				}
+			} else {
+				err = z.Backends.EncodeMsg(en)
+				if err != nil {
+					err = msgp.WrapError(err, "Backends")
+					return
+				}
+			}
+		}
+		// write "k"
+		err = en.Append(0xa1, 0x6b)
+		if err != nil {
 			return
 		}
-	}
-	// write "p"
-	err = en.Append(0xa1, 0x70)
-	if err != nil {
-		return
-	}
-	err = en.WriteInt(z.Proxies)
-	if err != nil {
-		err = msgp.WrapError(err, "Proxies")
-		return
-	}
-	// write "v"
-	err = en.Append(0xa1, 0x76)
-	if err != nil {
-		return
-	}
-	err = en.WriteUint64(z.LoadVersion)
-	if err != nil {
-		err = msgp.WrapError(err, "LoadVersion")
-		return
-	}
-	return
-}
-
-// MarshalMsg implements msgp.Marshaler
-func (z *Pull) MarshalMsg(b []byte) (o []byte, err error) {
-	o = msgp.Require(b, z.Msgsize())
-	// map header, size 8
-	// string "i"
-	o = append(o, 0x88, 0xa1, 0x69)
-	o = msgp.AppendUint64(o, z.ID)
-	// string "c"
-	o = append(o, 0xa1, 0x63)
-	o = msgp.AppendUint64(o, z.ConfigSequence)
-	// string "b"
-	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendUint64(o, z.BackendDigest)
-	// string "h"
-	o = append(o, 0xa1, 0x68)
-	o = msgp.AppendInt(o, z.HoldMS)
-	// string "d"
-	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Demand)))
-	for za0001 := range z.Demand {
-		o, err = z.Demand[za0001].MarshalMsg(o)
+		err = en.WriteBool(z.BackendsKnown)
 		if err != nil {
-			err = msgp.WrapError(err, "Demand", za0001)
+			err = msgp.WrapError(err, "BackendsKnown")
 			return
 		}
-	}
-	// string "l"
-	o = append(o, 0xa1, 0x6c)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
-	for za0002 := range z.Loads {
-		// map header, size 3
-		// string "b"
-		o = append(o, 0x83, 0xa1, 0x62)
-		o = msgp.AppendString(o, z.Loads[za0002].Backend)
-		// string "r"
-		o = append(o, 0xa1, 0x72)
-		o = msgp.AppendInt(o, z.Loads[za0002].Running)
-		// string "q"
-		o = append(o, 0xa1, 0x71)
-		o = msgp.AppendInt(o, z.Loads[za0002].Queued)
-	}
-	// string "p"
-	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendInt(o, z.Proxies)
-	// string "v"
-	o = append(o, 0xa1, 0x76)
-	o = msgp.AppendUint64(o, z.LoadVersion)
-	return
-}
-
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *Pull) UnmarshalMsg(bts []byte) (o []byte, err error) {
-	var field []byte
-	_ = field
-	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
-	if err != nil {
-		err = msgp.WrapError(err)
-		return
-	}
-	for zb0001 > 0 {
-		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
+		// write "a"
+		err = en.Append(0xa1, 0x61)
 		if err != nil {
-			err = msgp.WrapError(err)
 			return
 		}
-		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
+		err = en.WriteInt64(z.BackendsAgeMs)
+		if err != nil {
+			err = msgp.WrapError(err, "BackendsAgeMs")
+			return
+		}
+		// write "h"
+		err = en.Append(0xa1, 0x68)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt64(z.WaitedMs)
+		if err != nil {
+			err = msgp.WrapError(err, "WaitedMs")
+			return
+		}
+		// write "p"
+		err = en.Append(0xa1, 0x70)
+		if err != nil {
+			return
+		}
+		err = en.WriteInt(z.Proxies)
+		if err != nil {
+			err = msgp.WrapError(err, "Proxies")
+			return
+		}
+		// write "l"
+		err = en.Append(0xa1, 0x6c)
+		if err != nil {
+			return
+		}
+		err = en.WriteArrayHeader(uint32(len(z.TotalLoads)))
+		if err != nil {
+			err = msgp.WrapError(err, "TotalLoads")
+			return
+		}
+		for za0002 := range z.TotalLoads {
+			// map header, size 3
+			// write "b"
+			err = en.Append(0x83, 0xa1, 0x62)
 			if err != nil {
-				err = msgp.WrapError(err, "ID")
 				return
 			}
-		case "c":
-			z.ConfigSequence, bts, err = msgp.ReadUint64Bytes(bts)
+			err = en.WriteString(z.TotalLoads[za0002].Backend)
 			if err != nil {
-				err = msgp.WrapError(err, "ConfigSequence")
+				err = msgp.WrapError(err, "TotalLoads", za0002, "Backend")
 				return
 			}
-		case "b":
-			z.BackendDigest, bts, err = msgp.ReadUint64Bytes(bts)
+			// write "r"
+			err = en.Append(0xa1, 0x72)
 			if err != nil {
-				err = msgp.WrapError(err, "BackendDigest")
 				return
 			}
-		case "h":
-			z.HoldMS, bts, err = msgp.ReadIntBytes(bts)
+			err = en.WriteInt(z.TotalLoads[za0002].Running)
 			if err != nil {
-				err = msgp.WrapError(err, "HoldMS")
+				err = msgp.WrapError(err, "TotalLoads", za0002, "Running")
 				return
 			}
-		case "d":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			// write "q"
+			err = en.Append(0xa1, 0x71)
 			if err != nil {
-				err = msgp.WrapError(err, "Demand")
 				return
 			}
-			if cap(z.Demand) >= int(zb0002) {
-				z.Demand = (z.Demand)[:zb0002]
-			} else {
-				z.Demand = make([]ModelDemand, zb0002)
-			}
-			for za0001 := range z.Demand {
-				bts, err = z.Demand[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Demand", za0001)
-					return
-				}
-			}
-		case "l":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			err = en.WriteInt(z.TotalLoads[za0002].Queued)
 			if err != nil {
-				err = msgp.WrapError(err, "Loads")
+				err = msgp.WrapError(err, "TotalLoads", za0002, "Queued")
 				return
 			}
-			if cap(z.Loads) >= int(zb0003) {
-				z.Loads = (z.Loads)[:zb0003]
-			} else {
-				z.Loads = make([]BackendLoad, zb0003)
+		}
+		// write "w"
+		err = en.Append(0xa1, 0x77)
+		if err != nil {
+			return
+		}
+		err = en.WriteBool(z.LoadsComplete)
+		if err != nil {
+			err = msgp.WrapError(err, "LoadsComplete")
+			return
+		}
+		// write "lv"
+		err = en.Append(0xa2, 0x6c, 0x76)
+		if err != nil {
+			return
+		}
+		err = en.WriteUint64(z.LoadVersion)
+		if err != nil {
+			err = msgp.WrapError(err, "LoadVersion")
+			return
+		}
+		// write "o"
+		err = en.Append(0xa1, 0x6f)
+		if err != nil {
+			return
+		}
+		err = en.WriteArrayHeader(uint32(len(z.PendingLoads)))
+		if err != nil {
+			err = msgp.WrapError(err, "PendingLoads")
+			return
+		}
+		for za0003 := range z.PendingLoads {
+			err = z.PendingLoads[za0003].EncodeMsg(en)
+			if err != nil {
+				err = msgp.WrapError(err, "PendingLoads", za0003)
+				return
 			}
-			for za0002 := range z.Loads {
-				var zb0004 uint32
-				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Loads", za0002)
-					return
-				}
-				for zb0004 > 0 {
-					zb0004--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Loads", za0002)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.Loads[za0002].Backend, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Backend")
-							return
-						}
-					case "r":
-						z.Loads[za0002].Running, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Running")
-							return
-						}
-					case "q":
-						z.Loads[za0002].Queued, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Queued")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002)
-							return
-						}
-					}
-				}
-			}
-		case "p":
-			z.Proxies, bts, err = msgp.ReadIntBytes(bts)
+		}
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *PollResponse) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// check for omitted fields
+	zb0001Len := uint32(13)
+	var zb0001Mask uint16 /* 13 bits */
+	_ = zb0001Mask
+	if z.Config == nil {
+		zb0001Len--
+		zb0001Mask |= 0x8
+	}
+	if z.Backends == nil {
+		zb0001Len--
+		zb0001Mask |= 0x10
+	}
+	// variable map header, size zb0001Len
+	o = append(o, 0x80|uint8(zb0001Len))
+
+	// skip if no fields are to be emitted
+	if zb0001Len != 0 {
+		// string "i"
+		o = append(o, 0xa1, 0x69)
+		o = msgp.AppendUint64(o, z.ID)
+		// string "u"
+		o = append(o, 0xa1, 0x75)
+		o = msgp.AppendBool(o, z.Unavailable)
+		// string "m"
+		o = append(o, 0xa1, 0x6d)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.Members)))
+		for za0001 := range z.Members {
+			o, err = z.Members[za0001].MarshalMsg(o)
 			if err != nil {
-				err = msgp.WrapError(err, "Proxies")
+				err = msgp.WrapError(err, "Members", za0001)
 				return
 			}
-		case "v":
-			z.LoadVersion, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "LoadVersion")
-				return
+		}
+		if (zb0001Mask & 0x8) == 0 { // if not omitted
+			// string "c"
+			o = append(o, 0xa1, 0x63)
+			if z.Config == nil {
+				o = msgp.AppendNil(o)
+			} else {
+				o, err = z.Config.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "Config")
+					return
+				}
 			}
-		default:
-			bts, err = msgp.Skip(bts)
+		}
+		if (zb0001Mask & 0x10) == 0 { // if not omitted
+			// string "b"
+			o = append(o, 0xa1, 0x62)
+			if z.Backends == nil {
+				o = msgp.AppendNil(o)
+			} else {
+				o, err = z.Backends.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "Backends")
+					return
+				}
+			}
+		}
+		// string "k"
+		o = append(o, 0xa1, 0x6b)
+		o = msgp.AppendBool(o, z.BackendsKnown)
+		// string "a"
+		o = append(o, 0xa1, 0x61)
+		o = msgp.AppendInt64(o, z.BackendsAgeMs)
+		// string "h"
+		o = append(o, 0xa1, 0x68)
+		o = msgp.AppendInt64(o, z.WaitedMs)
+		// string "p"
+		o = append(o, 0xa1, 0x70)
+		o = msgp.AppendInt(o, z.Proxies)
+		// string "l"
+		o = append(o, 0xa1, 0x6c)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.TotalLoads)))
+		for za0002 := range z.TotalLoads {
+			// map header, size 3
+			// string "b"
+			o = append(o, 0x83, 0xa1, 0x62)
+			o = msgp.AppendString(o, z.TotalLoads[za0002].Backend)
+			// string "r"
+			o = append(o, 0xa1, 0x72)
+			o = msgp.AppendInt(o, z.TotalLoads[za0002].Running)
+			// string "q"
+			o = append(o, 0xa1, 0x71)
+			o = msgp.AppendInt(o, z.TotalLoads[za0002].Queued)
+		}
+		// string "w"
+		o = append(o, 0xa1, 0x77)
+		o = msgp.AppendBool(o, z.LoadsComplete)
+		// string "lv"
+		o = append(o, 0xa2, 0x6c, 0x76)
+		o = msgp.AppendUint64(o, z.LoadVersion)
+		// string "o"
+		o = append(o, 0xa1, 0x6f)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.PendingLoads)))
+		for za0003 := range z.PendingLoads {
+			o, err = z.PendingLoads[za0003].MarshalMsg(o)
 			if err != nil {
-				err = msgp.WrapError(err)
+				err = msgp.WrapError(err, "PendingLoads", za0003)
 				return
 			}
 		}
 	}
-	o = bts
-	return
-}
-
-// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Pull) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.IntSize + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Demand {
-		s += z.Demand[za0001].Msgsize()
-	}
-	s += 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.Loads {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Loads[za0002].Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
-	}
-	s += 2 + msgp.IntSize + 2 + msgp.Uint64Size
 	return
 }
 
-// DecodeMsg implements msgp.Decodable
-func (z *PullReply) DecodeMsg(dc *msgp.Reader) (err error) {
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *PollResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
-	zb0001, err = dc.ReadMapHeader()
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
 	for zb0001 > 0 {
 		zb0001--
-		field, err = dc.ReadMapKeyPtr()
+		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
 			err = msgp.WrapError(err)
 			return
 		}
 		switch msgp.UnsafeString(field) {
 		case "i":
-			z.ID, err = dc.ReadUint64()
+			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "ID")
 				return
 			}
 		case "u":
-			z.Unavailable, err = dc.ReadBool()
+			z.Unavailable, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Unavailable")
 				return
 			}
 		case "m":
 			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Members")
 				return
@@ -10743,17 +10281,16 @@
 				z.Members = make([]Member, zb0002)
 			}
 			for za0001 := range z.Members {
-				err = z.Members[za0001].DecodeMsg(dc)
+				bts, err = z.Members[za0001].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Members", za0001)
 					return
 				}
 			}
 		case "c":
-			if dc.IsNil() {
-				err = dc.ReadNil()
+			if msgp.IsNil(bts) {
+				bts, err = msgp.ReadNilBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Config")
 					return
 				}
 				z.Config = nil
@@ -10761,17 +10298,16 @@
 				if z.Config == nil {
 					z.Config = new(ConfigUpdate)
 				}
-				err = z.Config.DecodeMsg(dc)
+				bts, err = z.Config.UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Config")
 					return
 				}
 			}
 		case "b":
-			if dc.IsNil() {
-				err = dc.ReadNil()
+			if msgp.IsNil(bts) {
+				bts, err = msgp.ReadNilBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Backends")
 					return
 				}
 				z.Backends = nil
@@ -10779,39 +10315,39 @@
 				if z.Backends == nil {
 					z.Backends = new(BackendUpdate)
 				}
-				err = z.Backends.DecodeMsg(dc)
+				bts, err = z.Backends.UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Backends")
 					return
 				}
 			}
 		case "k":
-			z.BackendsKnown, err = dc.ReadBool()
+			z.BackendsKnown, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "BackendsKnown")
 				return
 			}
 		case "a":
-			z.BackendsAgeMS, err = dc.ReadInt64()
+			z.BackendsAgeMs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "BackendsAgeMS")
+				err = msgp.WrapError(err, "BackendsAgeMs")
 				return
 			}
 		case "h":
-			z.HeldMS, err = dc.ReadInt64()
+			z.WaitedMs, bts, err = msgp.ReadInt64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "HeldMS")
+				err = msgp.WrapError(err, "WaitedMs")
 				return
 			}
 		case "p":
-			z.Proxies, err = dc.ReadInt()
+			z.Proxies, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Proxies")
 				return
 			}
 		case "l":
 			var zb0003 uint32
-			zb0003, err = dc.ReadArrayHeader()
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "TotalLoads")
 				return
@@ -10823,39 +10359,39 @@
 			}
 			for za0002 := range z.TotalLoads {
 				var zb0004 uint32
-				zb0004, err = dc.ReadMapHeader()
+				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "TotalLoads", za0002)
 					return
 				}
 				for zb0004 > 0 {
 					zb0004--
-					field, err = dc.ReadMapKeyPtr()
+					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "TotalLoads", za0002)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "b":
-						z.TotalLoads[za0002].Backend, err = dc.ReadString()
+						z.TotalLoads[za0002].Backend, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "TotalLoads", za0002, "Backend")
 							return
 						}
 					case "r":
-						z.TotalLoads[za0002].Running, err = dc.ReadInt()
+						z.TotalLoads[za0002].Running, bts, err = msgp.ReadIntBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "TotalLoads", za0002, "Running")
 							return
 						}
 					case "q":
-						z.TotalLoads[za0002].Queued, err = dc.ReadInt()
+						z.TotalLoads[za0002].Queued, bts, err = msgp.ReadIntBytes(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "TotalLoads", za0002, "Queued")
 							return
 						}
 					default:
-						err = dc.Skip()
+						bts, err = msgp.Skip(bts)
 						if err != nil {
 							err = msgp.WrapError(err, "TotalLoads", za0002)
 							return
@@ -10864,261 +10400,399 @@
 				}
 			}
 		case "w":
-			z.LoadsWhole, err = dc.ReadBool()
+			z.LoadsComplete, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "LoadsWhole")
+				err = msgp.WrapError(err, "LoadsComplete")
 				return
 			}
 		case "lv":
-			z.LoadVersion, err = dc.ReadUint64()
+			z.LoadVersion, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "LoadVersion")
 				return
 			}
 		case "o":
 			var zb0005 uint32
-			zb0005, err = dc.ReadArrayHeader()
+			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Orders")
+				err = msgp.WrapError(err, "PendingLoads")
 				return
 			}
-			if cap(z.Orders) >= int(zb0005) {
-				z.Orders = (z.Orders)[:zb0005]
+			if cap(z.PendingLoads) >= int(zb0005) {
+				z.PendingLoads = (z.PendingLoads)[:zb0005]
 			} else {
-				z.Orders = make([]LoadOrder, zb0005)
+				z.PendingLoads = make([]PendingLoad, zb0005)
 			}
-			for za0003 := range z.Orders {
-				err = z.Orders[za0003].DecodeMsg(dc)
+			for za0003 := range z.PendingLoads {
+				bts, err = z.PendingLoads[za0003].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0003)
+					err = msgp.WrapError(err, "PendingLoads", za0003)
 					return
 				}
 			}
 		default:
-			err = dc.Skip()
+			bts, err = msgp.Skip(bts)
 			if err != nil {
 				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
+	o = bts
 	return
 }
 
-// EncodeMsg implements msgp.Encodable
-func (z *PullReply) EncodeMsg(en *msgp.Writer) (err error) {
-	// check for omitted fields
-	zb0001Len := uint32(13)
-	var zb0001Mask uint16 /* 13 bits */
-	_ = zb0001Mask
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *PollResponse) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
+	for za0001 := range z.Members {
+		s += z.Members[za0001].Msgsize()
+	}
+	s += 2
 	if z.Config == nil {
-		zb0001Len--
-		zb0001Mask |= 0x8
+		s += msgp.NilSize
+	} else {
+		s += z.Config.Msgsize()
 	}
+	s += 2
 	if z.Backends == nil {
-		zb0001Len--
-		zb0001Mask |= 0x10
+		s += msgp.NilSize
+	} else {
+		s += z.Backends.Msgsize()
 	}
-	// variable map header, size zb0001Len
-	err = en.Append(0x80 | uint8(zb0001Len))
+	s += 2 + msgp.BoolSize + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.IntSize + 2 + msgp.ArrayHeaderSize
+	for za0002 := range z.TotalLoads {
+		s += 1 + 2 + msgp.StringPrefixSize + len(z.TotalLoads[za0002].Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
+	}
+	s += 2 + msgp.BoolSize + 3 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
+	for za0003 := range z.PendingLoads {
+		s += z.PendingLoads[za0003].Msgsize()
+	}
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *Prepare) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
 	if err != nil {
+		err = msgp.WrapError(err)
 		return
 	}
-
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// write "i"
-		err = en.Append(0xa1, 0x69)
-		if err != nil {
-			return
-		}
-		err = en.WriteUint64(z.ID)
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
 		if err != nil {
-			err = msgp.WrapError(err, "ID")
+			err = msgp.WrapError(err)
 			return
 		}
-		// write "u"
-		err = en.Append(0xa1, 0x75)
-		if err != nil {
-			return
-		}
-		err = en.WriteBool(z.Unavailable)
-		if err != nil {
-			err = msgp.WrapError(err, "Unavailable")
-			return
-		}
-		// write "m"
-		err = en.Append(0xa1, 0x6d)
-		if err != nil {
-			return
-		}
-		err = en.WriteArrayHeader(uint32(len(z.Members)))
-		if err != nil {
-			err = msgp.WrapError(err, "Members")
-			return
-		}
-		for za0001 := range z.Members {
-			err = z.Members[za0001].EncodeMsg(en)
-			if err != nil {
-				err = msgp.WrapError(err, "Members", za0001)
-				return
-			}
-		}
-		if (zb0001Mask & 0x8) == 0 { // if not omitted
-			// write "c"
-			err = en.Append(0xa1, 0x63)
+		switch msgp.UnsafeString(field) {
+		case "b":
+			var zb0002 uint32
+			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
+				err = msgp.WrapError(err, "Proposal")
 				return
 			}
-			if z.Config == nil {
-				err = en.WriteNil()
+			for zb0002 > 0 {
+				zb0002--
+				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
+					err = msgp.WrapError(err, "Proposal")
 					return
 				}
-			} else {
-				err = z.Config.EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "Config")
-					return
+				switch msgp.UnsafeString(field) {
+				case "r":
+					z.Proposal.Counter, err = dc.ReadUint64()
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal", "Counter")
+						return
+					}
+				case "p":
+					z.Proposal.Proposer, err = dc.ReadString()
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal", "Proposer")
+						return
+					}
+				default:
+					err = dc.Skip()
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal")
+						return
+					}
 				}
 			}
-		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// write "b"
-			err = en.Append(0xa1, 0x62)
+		default:
+			err = dc.Skip()
 			if err != nil {
+				err = msgp.WrapError(err)
 				return
 			}
-			if z.Backends == nil {
-				err = en.WriteNil()
-				if err != nil {
-					return
-				}
-			} else {
-				err = z.Backends.EncodeMsg(en)
-				if err != nil {
-					err = msgp.WrapError(err, "Backends")
-					return
-				}
-			}
-		}
-		// write "k"
-		err = en.Append(0xa1, 0x6b)
-		if err != nil {
-			return
-		}
-		err = en.WriteBool(z.BackendsKnown)
-		if err != nil {
-			err = msgp.WrapError(err, "BackendsKnown")
-			return
-		}
-		// write "a"
-		err = en.Append(0xa1, 0x61)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt64(z.BackendsAgeMS)
-		if err != nil {
-			err = msgp.WrapError(err, "BackendsAgeMS")
-			return
-		}
-		// write "h"
-		err = en.Append(0xa1, 0x68)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt64(z.HeldMS)
-		if err != nil {
-			err = msgp.WrapError(err, "HeldMS")
-			return
-		}
-		// write "p"
-		err = en.Append(0xa1, 0x70)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Proxies)
-		if err != nil {
-			err = msgp.WrapError(err, "Proxies")
-			return
-		}
-		// write "l"
-		err = en.Append(0xa1, 0x6c)
-		if err != nil {
-			return
 		}
-		err = en.WriteArrayHeader(uint32(len(z.TotalLoads)))
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *Prepare) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 1
+	// write "b"
+	err = en.Append(0x81, 0xa1, 0x62)
+	if err != nil {
+		return
+	}
+	// map header, size 2
+	// write "r"
+	err = en.Append(0x82, 0xa1, 0x72)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.Proposal.Counter)
+	if err != nil {
+		err = msgp.WrapError(err, "Proposal", "Counter")
+		return
+	}
+	// write "p"
+	err = en.Append(0xa1, 0x70)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Proposal.Proposer)
+	if err != nil {
+		err = msgp.WrapError(err, "Proposal", "Proposer")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *Prepare) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 1
+	// string "b"
+	o = append(o, 0x81, 0xa1, 0x62)
+	// map header, size 2
+	// string "r"
+	o = append(o, 0x82, 0xa1, 0x72)
+	o = msgp.AppendUint64(o, z.Proposal.Counter)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendString(o, z.Proposal.Proposer)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *Prepare) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
 		if err != nil {
-			err = msgp.WrapError(err, "TotalLoads")
+			err = msgp.WrapError(err)
 			return
 		}
-		for za0002 := range z.TotalLoads {
-			// map header, size 3
-			// write "b"
-			err = en.Append(0x83, 0xa1, 0x62)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.TotalLoads[za0002].Backend)
+		switch msgp.UnsafeString(field) {
+		case "b":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "TotalLoads", za0002, "Backend")
+				err = msgp.WrapError(err, "Proposal")
 				return
 			}
-			// write "r"
-			err = en.Append(0xa1, 0x72)
-			if err != nil {
-				return
+			for zb0002 > 0 {
+				zb0002--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Proposal")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "r":
+					z.Proposal.Counter, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal", "Counter")
+						return
+					}
+				case "p":
+					z.Proposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal", "Proposer")
+						return
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal")
+						return
+					}
+				}
 			}
-			err = en.WriteInt(z.TotalLoads[za0002].Running)
+		default:
+			bts, err = msgp.Skip(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "TotalLoads", za0002, "Running")
+				err = msgp.WrapError(err)
 				return
 			}
-			// write "q"
-			err = en.Append(0xa1, 0x71)
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *Prepare) Msgsize() (s int) {
+	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposal.Proposer)
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *PrepareResponse) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "b":
+			var zb0002 uint32
+			zb0002, err = dc.ReadMapHeader()
 			if err != nil {
+				err = msgp.WrapError(err, "Proposal")
 				return
 			}
-			err = en.WriteInt(z.TotalLoads[za0002].Queued)
+			for zb0002 > 0 {
+				zb0002--
+				field, err = dc.ReadMapKeyPtr()
+				if err != nil {
+					err = msgp.WrapError(err, "Proposal")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "r":
+					z.Proposal.Counter, err = dc.ReadUint64()
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal", "Counter")
+						return
+					}
+				case "p":
+					z.Proposal.Proposer, err = dc.ReadString()
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal", "Proposer")
+						return
+					}
+				default:
+					err = dc.Skip()
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal")
+						return
+					}
+				}
+			}
+		case "r":
+			z.Rejected, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "TotalLoads", za0002, "Queued")
+				err = msgp.WrapError(err, "Rejected")
 				return
 			}
-		}
-		// write "w"
-		err = en.Append(0xa1, 0x77)
-		if err != nil {
-			return
-		}
-		err = en.WriteBool(z.LoadsWhole)
-		if err != nil {
-			err = msgp.WrapError(err, "LoadsWhole")
-			return
-		}
-		// write "lv"
-		err = en.Append(0xa2, 0x6c, 0x76)
-		if err != nil {
-			return
-		}
-		err = en.WriteUint64(z.LoadVersion)
-		if err != nil {
-			err = msgp.WrapError(err, "LoadVersion")
-			return
-		}
-		// write "o"
-		err = en.Append(0xa1, 0x6f)
-		if err != nil {
-			return
-		}
-		err = en.WriteArrayHeader(uint32(len(z.Orders)))
-		if err != nil {
-			err = msgp.WrapError(err, "Orders")
-			return
-		}
-		for za0003 := range z.Orders {
-			err = z.Orders[za0003].EncodeMsg(en)
+		case "p":
+			var zb0003 uint32
+			zb0003, err = dc.ReadMapHeader()
+			if err != nil {
+				err = msgp.WrapError(err, "HighestProposal")
+				return
+			}
+			for zb0003 > 0 {
+				zb0003--
+				field, err = dc.ReadMapKeyPtr()
+				if err != nil {
+					err = msgp.WrapError(err, "HighestProposal")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "r":
+					z.HighestProposal.Counter, err = dc.ReadUint64()
+					if err != nil {
+						err = msgp.WrapError(err, "HighestProposal", "Counter")
+						return
+					}
+				case "p":
+					z.HighestProposal.Proposer, err = dc.ReadString()
+					if err != nil {
+						err = msgp.WrapError(err, "HighestProposal", "Proposer")
+						return
+					}
+				default:
+					err = dc.Skip()
+					if err != nil {
+						err = msgp.WrapError(err, "HighestProposal")
+						return
+					}
+				}
+			}
+		case "ab":
+			var zb0004 uint32
+			zb0004, err = dc.ReadMapHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Orders", za0003)
+				err = msgp.WrapError(err, "AcceptedProposal")
+				return
+			}
+			for zb0004 > 0 {
+				zb0004--
+				field, err = dc.ReadMapKeyPtr()
+				if err != nil {
+					err = msgp.WrapError(err, "AcceptedProposal")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "r":
+					z.AcceptedProposal.Counter, err = dc.ReadUint64()
+					if err != nil {
+						err = msgp.WrapError(err, "AcceptedProposal", "Counter")
+						return
+					}
+				case "p":
+					z.AcceptedProposal.Proposer, err = dc.ReadString()
+					if err != nil {
+						err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
+						return
+					}
+				default:
+					err = dc.Skip()
+					if err != nil {
+						err = msgp.WrapError(err, "AcceptedProposal")
+						return
+					}
+				}
+			}
+		case "a":
+			err = z.AcceptedView.DecodeMsg(dc)
+			if err != nil {
+				err = msgp.WrapError(err, "AcceptedView")
+				return
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
 				return
 			}
 		}
