@@ -11126,307 +10800,549 @@
 	return
 }
 
+// EncodeMsg implements msgp.Encodable
+func (z *PrepareResponse) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 5
+	// write "b"
+	err = en.Append(0x85, 0xa1, 0x62)
+	if err != nil {
+		return
+	}
+	// map header, size 2
+	// write "r"
+	err = en.Append(0x82, 0xa1, 0x72)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.Proposal.Counter)
+	if err != nil {
+		err = msgp.WrapError(err, "Proposal", "Counter")
+		return
+	}
+	// write "p"
+	err = en.Append(0xa1, 0x70)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Proposal.Proposer)
+	if err != nil {
+		err = msgp.WrapError(err, "Proposal", "Proposer")
+		return
+	}
+	// write "r"
+	err = en.Append(0xa1, 0x72)
+	if err != nil {
+		return
+	}
+	err = en.WriteBool(z.Rejected)
+	if err != nil {
+		err = msgp.WrapError(err, "Rejected")
+		return
+	}
+	// write "p"
+	err = en.Append(0xa1, 0x70)
+	if err != nil {
+		return
+	}
+	// map header, size 2
+	// write "r"
+	err = en.Append(0x82, 0xa1, 0x72)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.HighestProposal.Counter)
+	if err != nil {
+		err = msgp.WrapError(err, "HighestProposal", "Counter")
+		return
+	}
+	// write "p"
+	err = en.Append(0xa1, 0x70)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.HighestProposal.Proposer)
+	if err != nil {
+		err = msgp.WrapError(err, "HighestProposal", "Proposer")
+		return
+	}
+	// write "ab"
+	err = en.Append(0xa2, 0x61, 0x62)
+	if err != nil {
+		return
+	}
+	// map header, size 2
+	// write "r"
+	err = en.Append(0x82, 0xa1, 0x72)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.AcceptedProposal.Counter)
+	if err != nil {
+		err = msgp.WrapError(err, "AcceptedProposal", "Counter")
+		return
+	}
+	// write "p"
+	err = en.Append(0xa1, 0x70)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.AcceptedProposal.Proposer)
+	if err != nil {
+		err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
+		return
+	}
+	// write "a"
+	err = en.Append(0xa1, 0x61)
+	if err != nil {
+		return
+	}
+	err = z.AcceptedView.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "AcceptedView")
+		return
+	}
+	return
+}
+
 // MarshalMsg implements msgp.Marshaler
-func (z *PullReply) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PrepareResponse) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
-	// check for omitted fields
-	zb0001Len := uint32(13)
-	var zb0001Mask uint16 /* 13 bits */
-	_ = zb0001Mask
-	if z.Config == nil {
-		zb0001Len--
-		zb0001Mask |= 0x8
-	}
-	if z.Backends == nil {
-		zb0001Len--
-		zb0001Mask |= 0x10
+	// map header, size 5
+	// string "b"
+	o = append(o, 0x85, 0xa1, 0x62)
+	// map header, size 2
+	// string "r"
+	o = append(o, 0x82, 0xa1, 0x72)
+	o = msgp.AppendUint64(o, z.Proposal.Counter)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendString(o, z.Proposal.Proposer)
+	// string "r"
+	o = append(o, 0xa1, 0x72)
+	o = msgp.AppendBool(o, z.Rejected)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	// map header, size 2
+	// string "r"
+	o = append(o, 0x82, 0xa1, 0x72)
+	o = msgp.AppendUint64(o, z.HighestProposal.Counter)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendString(o, z.HighestProposal.Proposer)
+	// string "ab"
+	o = append(o, 0xa2, 0x61, 0x62)
+	// map header, size 2
+	// string "r"
+	o = append(o, 0x82, 0xa1, 0x72)
+	o = msgp.AppendUint64(o, z.AcceptedProposal.Counter)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendString(o, z.AcceptedProposal.Proposer)
+	// string "a"
+	o = append(o, 0xa1, 0x61)
+	o, err = z.AcceptedView.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "AcceptedView")
+		return
 	}
-	// variable map header, size zb0001Len
-	o = append(o, 0x80|uint8(zb0001Len))
+	return
+}
 
-	// skip if no fields are to be emitted
-	if zb0001Len != 0 {
-		// string "i"
-		o = append(o, 0xa1, 0x69)
-		o = msgp.AppendUint64(o, z.ID)
-		// string "u"
-		o = append(o, 0xa1, 0x75)
-		o = msgp.AppendBool(o, z.Unavailable)
-		// string "m"
-		o = append(o, 0xa1, 0x6d)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Members)))
-		for za0001 := range z.Members {
-			o, err = z.Members[za0001].MarshalMsg(o)
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *PrepareResponse) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "b":
+			var zb0002 uint32
+			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Proposal")
+				return
+			}
+			for zb0002 > 0 {
+				zb0002--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Proposal")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "r":
+					z.Proposal.Counter, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal", "Counter")
+						return
+					}
+				case "p":
+					z.Proposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal", "Proposer")
+						return
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Proposal")
+						return
+					}
+				}
+			}
+		case "r":
+			z.Rejected, bts, err = msgp.ReadBoolBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "Rejected")
+				return
+			}
+		case "p":
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "HighestProposal")
+				return
+			}
+			for zb0003 > 0 {
+				zb0003--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "HighestProposal")
+					return
+				}
+				switch msgp.UnsafeString(field) {
+				case "r":
+					z.HighestProposal.Counter, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "HighestProposal", "Counter")
+						return
+					}
+				case "p":
+					z.HighestProposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "HighestProposal", "Proposer")
+						return
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "HighestProposal")
+						return
+					}
+				}
+			}
+		case "ab":
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Members", za0001)
+				err = msgp.WrapError(err, "AcceptedProposal")
 				return
 			}
-		}
-		if (zb0001Mask & 0x8) == 0 { // if not omitted
-			// string "c"
-			o = append(o, 0xa1, 0x63)
-			if z.Config == nil {
-				o = msgp.AppendNil(o)
-			} else {
-				o, err = z.Config.MarshalMsg(o)
+			for zb0004 > 0 {
+				zb0004--
+				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Config")
+					err = msgp.WrapError(err, "AcceptedProposal")
 					return
 				}
-			}
-		}
-		if (zb0001Mask & 0x10) == 0 { // if not omitted
-			// string "b"
-			o = append(o, 0xa1, 0x62)
-			if z.Backends == nil {
-				o = msgp.AppendNil(o)
-			} else {
-				o, err = z.Backends.MarshalMsg(o)
-				if err != nil {
-					err = msgp.WrapError(err, "Backends")
-					return
+				switch msgp.UnsafeString(field) {
+				case "r":
+					z.AcceptedProposal.Counter, bts, err = msgp.ReadUint64Bytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "AcceptedProposal", "Counter")
+						return
+					}
+				case "p":
+					z.AcceptedProposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
+						return
+					}
+				default:
+					bts, err = msgp.Skip(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "AcceptedProposal")
+						return
+					}
 				}
 			}
-		}
-		// string "k"
-		o = append(o, 0xa1, 0x6b)
-		o = msgp.AppendBool(o, z.BackendsKnown)
-		// string "a"
-		o = append(o, 0xa1, 0x61)
-		o = msgp.AppendInt64(o, z.BackendsAgeMS)
-		// string "h"
-		o = append(o, 0xa1, 0x68)
-		o = msgp.AppendInt64(o, z.HeldMS)
-		// string "p"
-		o = append(o, 0xa1, 0x70)
-		o = msgp.AppendInt(o, z.Proxies)
-		// string "l"
-		o = append(o, 0xa1, 0x6c)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.TotalLoads)))
-		for za0002 := range z.TotalLoads {
-			// map header, size 3
-			// string "b"
-			o = append(o, 0x83, 0xa1, 0x62)
-			o = msgp.AppendString(o, z.TotalLoads[za0002].Backend)
-			// string "r"
-			o = append(o, 0xa1, 0x72)
-			o = msgp.AppendInt(o, z.TotalLoads[za0002].Running)
-			// string "q"
-			o = append(o, 0xa1, 0x71)
-			o = msgp.AppendInt(o, z.TotalLoads[za0002].Queued)
-		}
-		// string "w"
-		o = append(o, 0xa1, 0x77)
-		o = msgp.AppendBool(o, z.LoadsWhole)
-		// string "lv"
-		o = append(o, 0xa2, 0x6c, 0x76)
-		o = msgp.AppendUint64(o, z.LoadVersion)
-		// string "o"
-		o = append(o, 0xa1, 0x6f)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Orders)))
-		for za0003 := range z.Orders {
-			o, err = z.Orders[za0003].MarshalMsg(o)
+		case "a":
+			bts, err = z.AcceptedView.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "AcceptedView")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Orders", za0003)
+				err = msgp.WrapError(err)
 				return
 			}
 		}
 	}
+	o = bts
 	return
 }
 
-// UnmarshalMsg implements msgp.Unmarshaler
-func (z *PullReply) UnmarshalMsg(bts []byte) (o []byte, err error) {
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *PrepareResponse) Msgsize() (s int) {
+	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposal.Proposer) + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.HighestProposal.Proposer) + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.AcceptedProposal.Proposer) + 2 + z.AcceptedView.Msgsize()
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *ProposalNumber) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
-	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	zb0001, err = dc.ReadMapHeader()
 	if err != nil {
 		err = msgp.WrapError(err)
 		return
 	}
 	for zb0001 > 0 {
 		zb0001--
-		field, bts, err = msgp.ReadMapKeyZC(bts)
+		field, err = dc.ReadMapKeyPtr()
 		if err != nil {
 			err = msgp.WrapError(err)
 			return
 		}
 		switch msgp.UnsafeString(field) {
-		case "i":
-			z.ID, bts, err = msgp.ReadUint64Bytes(bts)
+		case "r":
+			z.Counter, err = dc.ReadUint64()
 			if err != nil {
-				err = msgp.WrapError(err, "ID")
+				err = msgp.WrapError(err, "Counter")
 				return
 			}
-		case "u":
-			z.Unavailable, bts, err = msgp.ReadBoolBytes(bts)
+		case "p":
+			z.Proposer, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "Unavailable")
+				err = msgp.WrapError(err, "Proposer")
 				return
 			}
-		case "m":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		default:
+			err = dc.Skip()
 			if err != nil {
-				err = msgp.WrapError(err, "Members")
+				err = msgp.WrapError(err)
 				return
 			}
-			if cap(z.Members) >= int(zb0002) {
-				z.Members = (z.Members)[:zb0002]
-			} else {
-				z.Members = make([]Member, zb0002)
-			}
-			for za0001 := range z.Members {
-				bts, err = z.Members[za0001].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Members", za0001)
-					return
-				}
-			}
-		case "c":
-			if msgp.IsNil(bts) {
-				bts, err = msgp.ReadNilBytes(bts)
-				if err != nil {
-					return
-				}
-				z.Config = nil
-			} else {
-				if z.Config == nil {
-					z.Config = new(ConfigUpdate)
-				}
-				bts, err = z.Config.UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Config")
-					return
-				}
-			}
-		case "b":
-			if msgp.IsNil(bts) {
-				bts, err = msgp.ReadNilBytes(bts)
-				if err != nil {
-					return
-				}
-				z.Backends = nil
-			} else {
-				if z.Backends == nil {
-					z.Backends = new(BackendUpdate)
-				}
-				bts, err = z.Backends.UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Backends")
-					return
-				}
-			}
-		case "k":
-			z.BackendsKnown, bts, err = msgp.ReadBoolBytes(bts)
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z ProposalNumber) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
+	// write "r"
+	err = en.Append(0x82, 0xa1, 0x72)
+	if err != nil {
+		return
+	}
+	err = en.WriteUint64(z.Counter)
+	if err != nil {
+		err = msgp.WrapError(err, "Counter")
+		return
+	}
+	// write "p"
+	err = en.Append(0xa1, 0x70)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.Proposer)
+	if err != nil {
+		err = msgp.WrapError(err, "Proposer")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z ProposalNumber) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "r"
+	o = append(o, 0x82, 0xa1, 0x72)
+	o = msgp.AppendUint64(o, z.Counter)
+	// string "p"
+	o = append(o, 0xa1, 0x70)
+	o = msgp.AppendString(o, z.Proposer)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ProposalNumber) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "r":
+			z.Counter, bts, err = msgp.ReadUint64Bytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "BackendsKnown")
+				err = msgp.WrapError(err, "Counter")
 				return
 			}
-		case "a":
-			z.BackendsAgeMS, bts, err = msgp.ReadInt64Bytes(bts)
+		case "p":
+			z.Proposer, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "BackendsAgeMS")
+				err = msgp.WrapError(err, "Proposer")
 				return
 			}
-		case "h":
-			z.HeldMS, bts, err = msgp.ReadInt64Bytes(bts)
+		default:
+			bts, err = msgp.Skip(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "HeldMS")
+				err = msgp.WrapError(err)
 				return
 			}
-		case "p":
-			z.Proxies, bts, err = msgp.ReadIntBytes(bts)
+		}
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z ProposalNumber) Msgsize() (s int) {
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposer)
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *ReplacedVoter) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "m":
+			err = z.Member.DecodeMsg(dc)
 			if err != nil {
-				err = msgp.WrapError(err, "Proxies")
+				err = msgp.WrapError(err, "Member")
 				return
 			}
-		case "l":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "b":
+			z.ReplacedBy, err = dc.ReadString()
 			if err != nil {
-				err = msgp.WrapError(err, "TotalLoads")
+				err = msgp.WrapError(err, "ReplacedBy")
 				return
 			}
-			if cap(z.TotalLoads) >= int(zb0003) {
-				z.TotalLoads = (z.TotalLoads)[:zb0003]
-			} else {
-				z.TotalLoads = make([]BackendLoad, zb0003)
-			}
-			for za0002 := range z.TotalLoads {
-				var zb0004 uint32
-				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "TotalLoads", za0002)
-					return
-				}
-				for zb0004 > 0 {
-					zb0004--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "TotalLoads", za0002)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.TotalLoads[za0002].Backend, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002, "Backend")
-							return
-						}
-					case "r":
-						z.TotalLoads[za0002].Running, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002, "Running")
-							return
-						}
-					case "q":
-						z.TotalLoads[za0002].Queued, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002, "Queued")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002)
-							return
-						}
-					}
-				}
-			}
-		case "w":
-			z.LoadsWhole, bts, err = msgp.ReadBoolBytes(bts)
+		default:
+			err = dc.Skip()
 			if err != nil {
-				err = msgp.WrapError(err, "LoadsWhole")
+				err = msgp.WrapError(err)
 				return
 			}
-		case "lv":
-			z.LoadVersion, bts, err = msgp.ReadUint64Bytes(bts)
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *ReplacedVoter) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 2
+	// write "m"
+	err = en.Append(0x82, 0xa1, 0x6d)
+	if err != nil {
+		return
+	}
+	err = z.Member.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "Member")
+		return
+	}
+	// write "b"
+	err = en.Append(0xa1, 0x62)
+	if err != nil {
+		return
+	}
+	err = en.WriteString(z.ReplacedBy)
+	if err != nil {
+		err = msgp.WrapError(err, "ReplacedBy")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *ReplacedVoter) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 2
+	// string "m"
+	o = append(o, 0x82, 0xa1, 0x6d)
+	o, err = z.Member.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "Member")
+		return
+	}
+	// string "b"
+	o = append(o, 0xa1, 0x62)
+	o = msgp.AppendString(o, z.ReplacedBy)
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ReplacedVoter) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "m":
+			bts, err = z.Member.UnmarshalMsg(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "LoadVersion")
+				err = msgp.WrapError(err, "Member")
 				return
 			}
-		case "o":
-			var zb0005 uint32
-			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
+		case "b":
+			z.ReplacedBy, bts, err = msgp.ReadStringBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Orders")
+				err = msgp.WrapError(err, "ReplacedBy")
 				return
 			}
-			if cap(z.Orders) >= int(zb0005) {
-				z.Orders = (z.Orders)[:zb0005]
-			} else {
-				z.Orders = make([]LoadOrder, zb0005)
-			}
-			for za0003 := range z.Orders {
-				bts, err = z.Orders[za0003].UnmarshalMsg(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Orders", za0003)
-					return
-				}
-			}
 		default:
 			bts, err = msgp.Skip(bts)
 			if err != nil {
@@ -11440,31 +11356,8 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *PullReply) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Members {
-		s += z.Members[za0001].Msgsize()
-	}
-	s += 2
-	if z.Config == nil {
-		s += msgp.NilSize
-	} else {
-		s += z.Config.Msgsize()
-	}
-	s += 2
-	if z.Backends == nil {
-		s += msgp.NilSize
-	} else {
-		s += z.Backends.Msgsize()
-	}
-	s += 2 + msgp.BoolSize + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.IntSize + 2 + msgp.ArrayHeaderSize
-	for za0002 := range z.TotalLoads {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.TotalLoads[za0002].Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
-	}
-	s += 2 + msgp.BoolSize + 3 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0003 := range z.Orders {
-		s += z.Orders[za0003].Msgsize()
-	}
+func (z *ReplacedVoter) Msgsize() (s int) {
+	s = 1 + 2 + z.Member.Msgsize() + 2 + msgp.StringPrefixSize + len(z.ReplacedBy)
 	return
 }
 
@@ -11797,9 +11690,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "w":
-			z.Whole, err = dc.ReadBool()
+			z.Full, err = dc.ReadBool()
 			if err != nil {
-				err = msgp.WrapError(err, "Whole")
+				err = msgp.WrapError(err, "Full")
 				return
 			}
 		default:
@@ -11821,9 +11714,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteBool(z.Whole)
+	err = en.WriteBool(z.Full)
 	if err != nil {
-		err = msgp.WrapError(err, "Whole")
+		err = msgp.WrapError(err, "Full")
 		return
 	}
 	return
@@ -11835,7 +11728,7 @@
 	// map header, size 1
 	// string "w"
 	o = append(o, 0x81, 0xa1, 0x77)
-	o = msgp.AppendBool(o, z.Whole)
+	o = msgp.AppendBool(o, z.Full)
 	return
 }
 
@@ -11858,9 +11751,9 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "w":
-			z.Whole, bts, err = msgp.ReadBoolBytes(bts)
+			z.Full, bts, err = msgp.ReadBoolBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Whole")
+				err = msgp.WrapError(err, "Full")
 				return
 			}
 		default:
@@ -11882,7 +11775,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *Suspicion) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *SuspicionReport) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -11903,18 +11796,18 @@
 			var zb0002 uint32
 			zb0002, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Silent")
+				err = msgp.WrapError(err, "Suspected")
 				return
 			}
-			if cap(z.Silent) >= int(zb0002) {
-				z.Silent = (z.Silent)[:zb0002]
+			if cap(z.Suspected) >= int(zb0002) {
+				z.Suspected = (z.Suspected)[:zb0002]
 			} else {
-				z.Silent = make([]string, zb0002)
+				z.Suspected = make([]string, zb0002)
 			}
-			for za0001 := range z.Silent {
-				z.Silent[za0001], err = dc.ReadString()
+			for za0001 := range z.Suspected {
+				z.Suspected[za0001], err = dc.ReadString()
 				if err != nil {
-					err = msgp.WrapError(err, "Silent", za0001)
+					err = msgp.WrapError(err, "Suspected", za0001)
 					return
 				}
 			}
@@ -11941,18 +11834,18 @@
 			var zb0004 uint32
 			zb0004, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Doubted")
+				err = msgp.WrapError(err, "Late")
 				return
 			}
-			if cap(z.Doubted) >= int(zb0004) {
-				z.Doubted = (z.Doubted)[:zb0004]
+			if cap(z.Late) >= int(zb0004) {
+				z.Late = (z.Late)[:zb0004]
 			} else {
-				z.Doubted = make([]string, zb0004)
+				z.Late = make([]string, zb0004)
 			}
-			for za0003 := range z.Doubted {
-				z.Doubted[za0003], err = dc.ReadString()
+			for za0003 := range z.Late {
+				z.Late[za0003], err = dc.ReadString()
 				if err != nil {
-					err = msgp.WrapError(err, "Doubted", za0003)
+					err = msgp.WrapError(err, "Late", za0003)
 					return
 				}
 			}
@@ -11968,22 +11861,22 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *Suspicion) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *SuspicionReport) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 3
 	// write "m"
 	err = en.Append(0x83, 0xa1, 0x6d)
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Silent)))
+	err = en.WriteArrayHeader(uint32(len(z.Suspected)))
 	if err != nil {
-		err = msgp.WrapError(err, "Silent")
+		err = msgp.WrapError(err, "Suspected")
 		return
 	}
-	for za0001 := range z.Silent {
-		err = en.WriteString(z.Silent[za0001])
+	for za0001 := range z.Suspected {
+		err = en.WriteString(z.Suspected[za0001])
 		if err != nil {
-			err = msgp.WrapError(err, "Silent", za0001)
+			err = msgp.WrapError(err, "Suspected", za0001)
 			return
 		}
 	}
@@ -12009,15 +11902,15 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Doubted)))
+	err = en.WriteArrayHeader(uint32(len(z.Late)))
 	if err != nil {
-		err = msgp.WrapError(err, "Doubted")
+		err = msgp.WrapError(err, "Late")
 		return
 	}
-	for za0003 := range z.Doubted {
-		err = en.WriteString(z.Doubted[za0003])
+	for za0003 := range z.Late {
+		err = en.WriteString(z.Late[za0003])
 		if err != nil {
-			err = msgp.WrapError(err, "Doubted", za0003)
+			err = msgp.WrapError(err, "Late", za0003)
 			return
 		}
 	}
@@ -12025,14 +11918,14 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *Suspicion) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *SuspicionReport) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 3
 	// string "m"
 	o = append(o, 0x83, 0xa1, 0x6d)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Silent)))
-	for za0001 := range z.Silent {
-		o = msgp.AppendString(o, z.Silent[za0001])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Suspected)))
+	for za0001 := range z.Suspected {
+		o = msgp.AppendString(o, z.Suspected[za0001])
 	}
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
@@ -12042,15 +11935,15 @@
 	}
 	// string "d"
 	o = append(o, 0xa1, 0x64)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Doubted)))
-	for za0003 := range z.Doubted {
-		o = msgp.AppendString(o, z.Doubted[za0003])
+	o = msgp.AppendArrayHeader(o, uint32(len(z.Late)))
+	for za0003 := range z.Late {
+		o = msgp.AppendString(o, z.Late[za0003])
 	}
 	return
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *Suspicion) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *SuspicionReport) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -12071,18 +11964,18 @@
 			var zb0002 uint32
 			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Silent")
+				err = msgp.WrapError(err, "Suspected")
 				return
 			}
-			if cap(z.Silent) >= int(zb0002) {
-				z.Silent = (z.Silent)[:zb0002]
+			if cap(z.Suspected) >= int(zb0002) {
+				z.Suspected = (z.Suspected)[:zb0002]
 			} else {
-				z.Silent = make([]string, zb0002)
+				z.Suspected = make([]string, zb0002)
 			}
-			for za0001 := range z.Silent {
-				z.Silent[za0001], bts, err = msgp.ReadStringBytes(bts)
+			for za0001 := range z.Suspected {
+				z.Suspected[za0001], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Silent", za0001)
+					err = msgp.WrapError(err, "Suspected", za0001)
 					return
 				}
 			}
@@ -12109,18 +12002,18 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Doubted")
+				err = msgp.WrapError(err, "Late")
 				return
 			}
-			if cap(z.Doubted) >= int(zb0004) {
-				z.Doubted = (z.Doubted)[:zb0004]
+			if cap(z.Late) >= int(zb0004) {
+				z.Late = (z.Late)[:zb0004]
 			} else {
-				z.Doubted = make([]string, zb0004)
+				z.Late = make([]string, zb0004)
 			}
-			for za0003 := range z.Doubted {
-				z.Doubted[za0003], bts, err = msgp.ReadStringBytes(bts)
+			for za0003 := range z.Late {
+				z.Late[za0003], bts, err = msgp.ReadStringBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Doubted", za0003)
+					err = msgp.WrapError(err, "Late", za0003)
 					return
 				}
 			}
@@ -12137,18 +12030,18 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *Suspicion) Msgsize() (s int) {
+func (z *SuspicionReport) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize
-	for za0001 := range z.Silent {
-		s += msgp.StringPrefixSize + len(z.Silent[za0001])
+	for za0001 := range z.Suspected {
+		s += msgp.StringPrefixSize + len(z.Suspected[za0001])
 	}
 	s += 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.Leaving {
 		s += msgp.StringPrefixSize + len(z.Leaving[za0002])
 	}
 	s += 2 + msgp.ArrayHeaderSize
-	for za0003 := range z.Doubted {
-		s += msgp.StringPrefixSize + len(z.Doubted[za0003])
+	for za0003 := range z.Late {
+		s += msgp.StringPrefixSize + len(z.Late[za0003])
 	}
 	return
 }
@@ -12219,45 +12112,45 @@
 			var zb0004 uint32
 			zb0004, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "Displaced")
+				err = msgp.WrapError(err, "ReplacedVoters")
 				return
 			}
-			if cap(z.Displaced) >= int(zb0004) {
-				z.Displaced = (z.Displaced)[:zb0004]
+			if cap(z.ReplacedVoters) >= int(zb0004) {
+				z.ReplacedVoters = (z.ReplacedVoters)[:zb0004]
 			} else {
-				z.Displaced = make([]Displaced, zb0004)
+				z.ReplacedVoters = make([]ReplacedVoter, zb0004)
 			}
-			for za0003 := range z.Displaced {
+			for za0003 := range z.ReplacedVoters {
 				var zb0005 uint32
 				zb0005, err = dc.ReadMapHeader()
 				if err != nil {
-					err = msgp.WrapError(err, "Displaced", za0003)
+					err = msgp.WrapError(err, "ReplacedVoters", za0003)
 					return
 				}
 				for zb0005 > 0 {
 					zb0005--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
-						err = msgp.WrapError(err, "Displaced", za0003)
+						err = msgp.WrapError(err, "ReplacedVoters", za0003)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "m":
-						err = z.Displaced[za0003].Member.DecodeMsg(dc)
+						err = z.ReplacedVoters[za0003].Member.DecodeMsg(dc)
 						if err != nil {
-							err = msgp.WrapError(err, "Displaced", za0003, "Member")
+							err = msgp.WrapError(err, "ReplacedVoters", za0003, "Member")
 							return
 						}
 					case "b":
-						z.Displaced[za0003].By, err = dc.ReadString()
+						z.ReplacedVoters[za0003].ReplacedBy, err = dc.ReadString()
 						if err != nil {
-							err = msgp.WrapError(err, "Displaced", za0003, "By")
+							err = msgp.WrapError(err, "ReplacedVoters", za0003, "ReplacedBy")
 							return
 						}
 					default:
 						err = dc.Skip()
 						if err != nil {
-							err = msgp.WrapError(err, "Displaced", za0003)
+							err = msgp.WrapError(err, "ReplacedVoters", za0003)
 							return
 						}
 					}
@@ -12326,21 +12219,21 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteArrayHeader(uint32(len(z.Displaced)))
+	err = en.WriteArrayHeader(uint32(len(z.ReplacedVoters)))
 	if err != nil {
-		err = msgp.WrapError(err, "Displaced")
+		err = msgp.WrapError(err, "ReplacedVoters")
 		return
 	}
-	for za0003 := range z.Displaced {
+	for za0003 := range z.ReplacedVoters {
 		// map header, size 2
 		// write "m"
 		err = en.Append(0x82, 0xa1, 0x6d)
 		if err != nil {
 			return
 		}
-		err = z.Displaced[za0003].Member.EncodeMsg(en)
+		err = z.ReplacedVoters[za0003].Member.EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Displaced", za0003, "Member")
+			err = msgp.WrapError(err, "ReplacedVoters", za0003, "Member")
 			return
 		}
 		// write "b"
@@ -12348,9 +12241,9 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.Displaced[za0003].By)
+		err = en.WriteString(z.ReplacedVoters[za0003].ReplacedBy)
 		if err != nil {
-			err = msgp.WrapError(err, "Displaced", za0003, "By")
+			err = msgp.WrapError(err, "ReplacedVoters", za0003, "ReplacedBy")
 			return
 		}
 	}
@@ -12386,19 +12279,19 @@
 	}
 	// string "dp"
 	o = append(o, 0xa2, 0x64, 0x70)
-	o = msgp.AppendArrayHeader(o, uint32(len(z.Displaced)))
-	for za0003 := range z.Displaced {
+	o = msgp.AppendArrayHeader(o, uint32(len(z.ReplacedVoters)))
+	for za0003 := range z.ReplacedVoters {
 		// map header, size 2
 		// string "m"
 		o = append(o, 0x82, 0xa1, 0x6d)
-		o, err = z.Displaced[za0003].Member.MarshalMsg(o)
+		o, err = z.ReplacedVoters[za0003].Member.MarshalMsg(o)
 		if err != nil {
-			err = msgp.WrapError(err, "Displaced", za0003, "Member")
+			err = msgp.WrapError(err, "ReplacedVoters", za0003, "Member")
 			return
 		}
 		// string "b"
 		o = append(o, 0xa1, 0x62)
-		o = msgp.AppendString(o, z.Displaced[za0003].By)
+		o = msgp.AppendString(o, z.ReplacedVoters[za0003].ReplacedBy)
 	}
 	return
 }
@@ -12469,45 +12362,45 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Displaced")
+				err = msgp.WrapError(err, "ReplacedVoters")
 				return
 			}
-			if cap(z.Displaced) >= int(zb0004) {
-				z.Displaced = (z.Displaced)[:zb0004]
+			if cap(z.ReplacedVoters) >= int(zb0004) {
+				z.ReplacedVoters = (z.ReplacedVoters)[:zb0004]
 			} else {
-				z.Displaced = make([]Displaced, zb0004)
+				z.ReplacedVoters = make([]ReplacedVoter, zb0004)
 			}
-			for za0003 := range z.Displaced {
+			for za0003 := range z.ReplacedVoters {
 				var zb0005 uint32
 				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "Displaced", za0003)
+					err = msgp.WrapError(err, "ReplacedVoters", za0003)
 					return
 				}
 				for zb0005 > 0 {
 					zb0005--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
-						err = msgp.WrapError(err, "Displaced", za0003)
+						err = msgp.WrapError(err, "ReplacedVoters", za0003)
 						return
 					}
 					switch msgp.UnsafeString(field) {
 					case "m":
-						bts, err = z.Displaced[za0003].Member.UnmarshalMsg(bts)
+						bts, err = z.ReplacedVoters[za0003].Member.UnmarshalMsg(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Displaced", za0003, "Member")
+							err = msgp.WrapError(err, "ReplacedVoters", za0003, "Member")
 							return
 						}
 					case "b":
-						z.Displaced[za0003].By, bts, err = msgp.ReadStringBytes(bts)
+						z.ReplacedVoters[za0003].ReplacedBy, bts, err = msgp.ReadStringBytes(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Displaced", za0003, "By")
+							err = msgp.WrapError(err, "ReplacedVoters", za0003, "ReplacedBy")
 							return
 						}
 					default:
 						bts, err = msgp.Skip(bts)
 						if err != nil {
-							err = msgp.WrapError(err, "Displaced", za0003)
+							err = msgp.WrapError(err, "ReplacedVoters", za0003)
 							return
 						}
 					}
@@ -12536,8 +12429,115 @@
 		s += z.Voters[za0002].Msgsize()
 	}
 	s += 3 + msgp.ArrayHeaderSize
-	for za0003 := range z.Displaced {
-		s += 1 + 2 + z.Displaced[za0003].Member.Msgsize() + 2 + msgp.StringPrefixSize + len(z.Displaced[za0003].By)
+	for za0003 := range z.ReplacedVoters {
+		s += 1 + 2 + z.ReplacedVoters[za0003].Member.Msgsize() + 2 + msgp.StringPrefixSize + len(z.ReplacedVoters[za0003].ReplacedBy)
+	}
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *ViewAnnouncement) DecodeMsg(dc *msgp.Reader) (err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, err = dc.ReadMapHeader()
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, err = dc.ReadMapKeyPtr()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "v":
+			err = z.View.DecodeMsg(dc)
+			if err != nil {
+				err = msgp.WrapError(err, "View")
+				return
+			}
+		default:
+			err = dc.Skip()
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z *ViewAnnouncement) EncodeMsg(en *msgp.Writer) (err error) {
+	// map header, size 1
+	// write "v"
+	err = en.Append(0x81, 0xa1, 0x76)
+	if err != nil {
+		return
+	}
+	err = z.View.EncodeMsg(en)
+	if err != nil {
+		err = msgp.WrapError(err, "View")
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z *ViewAnnouncement) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	// map header, size 1
+	// string "v"
+	o = append(o, 0x81, 0xa1, 0x76)
+	o, err = z.View.MarshalMsg(o)
+	if err != nil {
+		err = msgp.WrapError(err, "View")
+		return
+	}
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ViewAnnouncement) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	var field []byte
+	_ = field
+	var zb0001 uint32
+	zb0001, bts, err = msgp.ReadMapHeaderBytes(bts)
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	for zb0001 > 0 {
+		zb0001--
+		field, bts, err = msgp.ReadMapKeyZC(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		switch msgp.UnsafeString(field) {
+		case "v":
+			bts, err = z.View.UnmarshalMsg(bts)
+			if err != nil {
+				err = msgp.WrapError(err, "View")
+				return
+			}
+		default:
+			bts, err = msgp.Skip(bts)
+			if err != nil {
+				err = msgp.WrapError(err)
+				return
+			}
+		}
 	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z *ViewAnnouncement) Msgsize() (s int) {
+	s = 1 + 2 + z.View.Msgsize()
 	return
 }
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -27,8 +27,8 @@
 // ErrDisconnected ends the calls on a connection that broke.
 var ErrDisconnected = errors.New("the connection broke")
 
-// Pull asks the peer at address and waits for its answer until ctx ends, which ends the connection, too.
-func (c *Client) Pull(ctx context.Context, address string, from string, pull message.Pull) (*message.PullReply, error) {
+// PollRequest asks the peer at address and waits for its answer until ctx ends, which ends the connection, too.
+func (c *Client) Pull(ctx context.Context, address string, from string, pull message.PollRequest) (*message.PollResponse, error) {
 	conn, err := c.connect(address)
 	if err != nil {
 		return nil, err
@@ -36,17 +36,17 @@
 	id, answer := c.register()
 	defer c.forget(id)
 	pull.ID = id
-	m, err := c.call(ctx, conn, &message.Message{From: from, Pull: &pull}, answer)
+	m, err := c.call(ctx, conn, &message.Message{From: from, PollRequest: &pull}, answer)
 	switch {
 	case ctx.Err() != nil:
 		c.drop(conn)
 		return nil, ctx.Err()
 	case err != nil:
 		return nil, err
-	case m.PullReply == nil:
+	case m.PollResponse == nil:
 		return nil, ErrDisconnected
 	}
-	return m.PullReply, nil
+	return m.PollResponse, nil
 }
 
 // IsConnected reports whether a connection to the peer at address is open.
@@ -122,14 +122,14 @@
 }
 
 // Wait returns the answer, or an error when ctx ends before it; the connection stays.
-func (q *Question) Wait(ctx context.Context) (*message.LoadReply, error) {
+func (q *Question) Wait(ctx context.Context) (*message.LoadResponse, error) {
 	defer q.client.forget(q.id)
 	select {
 	case m, ok := <-q.answer:
-		if !ok || m.LoadReply == nil {
+		if !ok || m.LoadResponse == nil {
 			return nil, ErrDisconnected
 		}
-		return m.LoadReply, nil
+		return m.LoadResponse, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -242,10 +242,10 @@
 // answerTo is the number of the call that a message answers.
 func answerTo(m *message.Message) (id uint64, ok bool) {
 	switch {
-	case m.PullReply != nil:
-		return m.PullReply.ID, true
-	case m.LoadReply != nil:
-		return m.LoadReply.ID, true
+	case m.PollResponse != nil:
+		return m.PollResponse.ID, true
+	case m.LoadResponse != nil:
+		return m.LoadResponse.ID, true
 	}
 	return 0, false
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -13,12 +13,12 @@
 )
 
 func TestAFrameIsReadBackAndNothingElseIs(t *testing.T) {
-	frame, err := Encode(&message.Message{From: "a", Confirm: &message.Confirm{Round: 7}})
+	frame, err := Encode(&message.Message{From: "a", ConfirmRequest: &message.ConfirmRequest{RequestID: 7}})
 	require.NoError(t, err)
 	m, err := Decode(bytes.NewReader(frame))
 	require.NoError(t, err)
-	assert.Equal(t, uint64(7), m.Confirm.Round)
-	assert.Nil(t, m.Confirmed)
+	assert.Equal(t, uint64(7), m.ConfirmRequest.RequestID)
+	assert.Nil(t, m.ConfirmResponse)
 	for cut := range frame {
 		_, err := Decode(bytes.NewReader(frame[:cut]))
 		assert.Error(t, err, "cut at %d", cut)
@@ -28,7 +28,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	frame, err := Encode(&message.Message{From: "a", Pull: &message.Pull{ID: 1}})
+	frame, err := Encode(&message.Message{From: "a", PollRequest: &message.PollRequest{ID: 1}})
 	require.NoError(f, err)
 	f.Add(frame)
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -44,8 +44,8 @@
 	defer listener.Close()
 	got := make(chan *message.Message, 1)
 	go Serve(listener, func(m *message.Message, _ func(*message.Message)) { got <- m })
-	NewSender(nil).Send(listener.Addr().String(), &message.Message{From: "a", Join: &message.Join{}})
-	assert.NotNil(t, (<-got).Join)
+	NewSender(nil).Send(listener.Addr().String(), &message.Message{From: "a", JoinRequest: &message.JoinRequest{}})
+	assert.NotNil(t, (<-got).JoinRequest)
 }
 
 func TestABrokenConnectionEndsItsCalls(t *testing.T) {
@@ -61,7 +61,7 @@
 			conn.Close()
 		}
 	}()
-	_, err = NewClient().Pull(context.Background(), listener.Addr().String(), "p", message.Pull{})
+	_, err = NewClient().Pull(context.Background(), listener.Addr().String(), "p", message.PollRequest{})
 	assert.ErrorIs(t, err, ErrDisconnected)
 }
 
@@ -77,7 +77,7 @@
 			return
 		}
 		for _, report := range []*message.LoadReport{first, m.LoadReport} {
-			reply(&message.Message{LoadReply: &message.LoadReply{ID: report.ID, Loads: []message.BackendLoad{{Backend: report.Model}}}})
+			reply(&message.Message{LoadResponse: &message.LoadResponse{ID: report.ID, Loads: []message.BackendLoad{{Backend: report.Model}}}})
 		}
 	})
 	address := listener.Addr().String()
