--- a/internal/faulttest/clustertest/roster.go
+++ b/internal/faulttest/clustertest/roster.go
@@ -51,7 +51,10 @@
 
 // Served is what clients of some proxies got.
 type Served struct {
-	Asked, Served, Refused, Failed int
+	Asked   int `json:"Asked"`
+	Served  int `json:"Served"`
+	Refused int `json:"Refused"`
+	Failed  int `json:"Failed"`
 }
 
 // Spread is how long something took to be at all, in milliseconds.
@@ -78,8 +81,8 @@
 		if resp, err := http.DefaultTransport.RoundTrip(req); err == nil {
 			for lines := bufio.NewScanner(resp.Body); resp.StatusCode == http.StatusOK && lines.Scan(); {
 				var u struct {
-					Seq   uint64
-					Hosts []discovery.Entry
+					Seq   uint64            `json:"seq"`
+					Hosts []discovery.Entry `json:"hosts"`
 				}
 				if text := bytes.TrimSpace(lines.Bytes()); len(text) == 0 || json.Unmarshal(text, &u) != nil {
 					continue
--- a/internal/faulttest/stage.go
+++ b/internal/faulttest/stage.go
@@ -23,9 +23,9 @@
 
 // Note is one thing that happened, on the stage's time axis.
 type Note struct {
-	At   time.Duration // since the stage began
-	Who  string
-	What string
+	At   time.Duration `json:"At"` // since the stage began
+	Who  string        `json:"Who"`
+	What string        `json:"What"`
 }
 
 // New returns an empty stage, whose time begins now.
--- a/internal/fleetsim/experiment/file.go
+++ b/internal/fleetsim/experiment/file.go
@@ -332,7 +332,9 @@
 	if !ok {
 		return Setting{}, fmt.Errorf("%q is not key=value", text)
 	}
-	var doc struct{ V any }
+	var doc struct {
+		V any `toml:"v"`
+	}
 	if err := toml.Unmarshal([]byte("v = "+value), &doc); err != nil {
 		doc.V = value
 	}
--- a/internal/fleetsim/model/record.go
+++ b/internal/fleetsim/model/record.go
@@ -34,26 +34,26 @@
 
 // Record is one thing that passed. It and what it refers to are valid only during the call of See.
 type Record struct {
-	At       Time
-	Kind     RecordKind
-	Outcome  policy.Outcome
-	Flag     bool
-	Attempt  uint8
-	Class    uint8
-	Tenant   uint16
-	Proxy    int32
-	Server   uint32 // as deciders know it
-	Zone     uint8
-	Cell     uint16
-	ID       uint64
-	Call     uint64
-	Work     Time
-	Worth    float64
-	Span     Time
-	Capacity float64 // standard cores
-	Version  int
-	Members  []policy.Member
-	Load     []float64 // use of each server that runs, 0 to 1, in rising order
+	At       Time            `json:"At"`
+	Kind     RecordKind      `json:"Kind"`
+	Outcome  policy.Outcome  `json:"Outcome"`
+	Flag     bool            `json:"Flag"`
+	Attempt  uint8           `json:"Attempt"`
+	Class    uint8           `json:"Class"`
+	Tenant   uint16          `json:"Tenant"`
+	Proxy    int32           `json:"Proxy"`
+	Server   uint32          `json:"Server"` // as deciders know it
+	Zone     uint8           `json:"Zone"`
+	Cell     uint16          `json:"Cell"`
+	ID       uint64          `json:"ID"`
+	Call     uint64          `json:"Call"`
+	Work     Time            `json:"Work"`
+	Worth    float64         `json:"Worth"`
+	Span     Time            `json:"Span"`
+	Capacity float64         `json:"Capacity"` // standard cores
+	Version  int             `json:"Version"`
+	Members  []policy.Member `json:"Members"`
+	Load     []float64       `json:"Load"` // use of each server that runs, 0 to 1, in rising order
 }
 
 // Watcher sees all that passes in a world.
--- a/internal/fleetsim/model/run.go
+++ b/internal/fleetsim/model/run.go
@@ -214,10 +214,10 @@
 
 // Stats is what a play cost.
 type Stats struct {
-	Events   int64 // of the model
-	Handled  int64 // events given to nodes
-	Requests int64 // first tries
-	End      Time  // when the last answer was given
+	Events   int64 `json:"Events"`   // of the model
+	Handled  int64 `json:"Handled"`  // events given to nodes
+	Requests int64 `json:"Requests"` // first tries
+	End      Time  `json:"End"`      // when the last answer was given
 }
 
 // Play plays w from the seed with the nodes that make makes, and shows watch all that passes. One play is
--- a/internal/standalone/discovery/list.go
+++ b/internal/standalone/discovery/list.go
@@ -72,7 +72,9 @@
 	for i, raw := range u.Hosts {
 		h, err := t.host(raw)
 		if err != nil {
-			var named struct{ Host string }
+			var named struct {
+				Host string `json:"host"`
+			}
 			_ = json.Unmarshal(raw, &named) // where the name is what can't be read, it names no host that is known
 			bad = append(bad, &BadHost{named.Host, fmt.Errorf("pool config: host %d: %w", i, err)})
 			continue
--- a/internal/standalone/policy/api.go
+++ b/internal/standalone/policy/api.go
@@ -183,13 +183,13 @@
 
 // Member is a server as discovery lists it.
 type Member struct {
-	Server  uint32
-	Zone    uint8
-	Cell    uint16
-	Kind    uint16 // servers of one kind are alike
-	Mode    Mode
-	Size    float64
-	UpSince Time // the latest start; 0: long ago
+	Server  uint32  `json:"Server"`
+	Zone    uint8   `json:"Zone"`
+	Cell    uint16  `json:"Cell"`
+	Kind    uint16  `json:"Kind"` // servers of one kind are alike
+	Mode    Mode    `json:"Mode"`
+	Size    float64 `json:"Size"`
+	UpSince Time    `json:"UpSince"` // the latest start; 0: long ago
 }
 
 // size is Size if that compares servers, else 1.
--- a/internal/standalone/policy/learnt.go
+++ b/internal/standalone/policy/learnt.go
@@ -8,30 +8,46 @@
 )
 
 // Learnt is what a balancer has found out, for one that takes its place. It decides nothing. Times are on the clock of `now`, which
-// both must share.
+// both must share. One process hands it to another, which may be of another version: the keys are the form and stay as they are,
+// whatever the fields are named.
 type Learnt struct {
-	At                                           Time
-	ArrivalRate, MeanWork, Usual, Window, Remote float64
-	Mean                                         LearntKind
-	Kinds                                        []LearntKind
-	Shares                                       []float64
-	Calm                                         []float64 // by class; 0: not known
-	Servers                                      []LearntServer
+	At          Time           `json:"At"`
+	ArrivalRate float64        `json:"ArrivalRate"`
+	MeanWork    float64        `json:"MeanWork"`
+	Usual       float64        `json:"Usual"`
+	Window      float64        `json:"Window"`
+	Remote      float64        `json:"Remote"`
+	Mean        LearntKind     `json:"Mean"`
+	Kinds       []LearntKind   `json:"Kinds"`
+	Shares      []float64      `json:"Shares"`
+	Calm        []float64      `json:"Calm"` // by class; 0: not known
+	Servers     []LearntServer `json:"Servers"`
 }
 
 // LearntKind is the mean weight of a kind of servers.
 type LearntKind struct {
-	Kind                  uint16
-	QPS, Util, Size, Mean float64
+	Kind uint16  `json:"Kind"`
+	QPS  float64 `json:"QPS"`
+	Util float64 `json:"Util"`
+	Size float64 `json:"Size"`
+	Mean float64 `json:"Mean"`
 }
 
 // LearntServer is what was found out of one server.
 type LearntServer struct {
-	Server                                    uint32
-	UpSince, LastReport, NonEmptySince, Ready Time
-	Cold                                      bool
-	QPS, Util, EPS, Mass, Tokens              float64
-	Pace, Faults                              float64
+	Server        uint32  `json:"Server"`
+	UpSince       Time    `json:"UpSince"`
+	LastReport    Time    `json:"LastReport"`
+	NonEmptySince Time    `json:"NonEmptySince"`
+	Ready         Time    `json:"Ready"`
+	Cold          bool    `json:"Cold"`
+	QPS           float64 `json:"QPS"`
+	Util          float64 `json:"Util"`
+	EPS           float64 `json:"EPS"`
+	Mass          float64 `json:"Mass"`
+	Tokens        float64 `json:"Tokens"`
+	Pace          float64 `json:"Pace"`
+	Faults        float64 `json:"Faults"`
 }
 
 // Kept is how much a balancer holds in memory. It decides nothing.
--- a/internal/standalone/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -11,57 +11,65 @@
 )
 
 // Settings is the settings object as it is written: its names, and times in microseconds. Unknown keys are
-// ignored, absent ones stay zero.
+// ignored, absent ones stay zero. The keys are the platform's and stay as they are, whatever the fields are named.
 type Settings struct {
-	Classes      []Class
-	Projects     []Project
-	RegistryMode string
-	GroupSize    int
-	Ordinal      int
+	Classes      []Class   `json:"Classes"`
+	Projects     []Project `json:"Projects"`
+	RegistryMode string    `json:"RegistryMode"`
+	GroupSize    int       `json:"GroupSize"`
+	Ordinal      int       `json:"Ordinal"`
 	Limits       struct {
-		Cancelling    bool
-		DialTimeout   float64
-		IdleClose     float64
-		MaxRetryAfter float64
-		MayDuplicate  bool
-		MayProbe      bool
-		MostHeld      int
-		TryLimit      int
-	}
+		Cancelling    bool    `json:"Cancelling"`
+		DialTimeout   float64 `json:"DialTimeout"`
+		IdleClose     float64 `json:"IdleClose"`
+		MaxRetryAfter float64 `json:"MaxRetryAfter"`
+		MayDuplicate  bool    `json:"MayDuplicate"`
+		MayProbe      bool    `json:"MayProbe"`
+		MostHeld      int     `json:"MostHeld"`
+		TryLimit      int     `json:"TryLimit"`
+	} `json:"Limits"`
 	LoadInfo struct {
-		Columns []string
-		How     string
-	}
-	FamilyInfo     struct{ WarmKeys bool }
-	Flavors        []string
-	Locality       int
-	OverShareWorth float64
-	Prices         struct{ CrossZone float64 }
-	Round          float64
-	Rules          struct {
-		AnswerSlack, AskWithin, Cold, TipAfter float64
-		ColdShare, TipMultiple                 float64
-	}
-	Weights string
-	WorthBy string
-	Zones   []string
+		Columns []string `json:"Columns"`
+		How     string   `json:"How"`
+	} `json:"LoadInfo"`
+	FamilyInfo struct {
+		WarmKeys bool `json:"WarmKeys"`
+	} `json:"FamilyInfo"`
+	Flavors        []string `json:"Flavors"`
+	Locality       int      `json:"Locality"`
+	OverShareWorth float64  `json:"OverShareWorth"`
+	Prices         struct {
+		CrossZone float64 `json:"CrossZone"`
+	} `json:"Prices"`
+	Round float64 `json:"Round"`
+	Rules struct {
+		AnswerSlack float64 `json:"AnswerSlack"`
+		AskWithin   float64 `json:"AskWithin"`
+		Cold        float64 `json:"Cold"`
+		TipAfter    float64 `json:"TipAfter"`
+		ColdShare   float64 `json:"ColdShare"`
+		TipMultiple float64 `json:"TipMultiple"`
+	} `json:"Rules"`
+	Weights string   `json:"Weights"`
+	WorthBy string   `json:"WorthBy"`
+	Zones   []string `json:"Zones"`
 }
 
 // Class is a request class.
 type Class struct {
-	Name      string
-	Semantics string
-	Group     string
-	Window    float64
-	OnTime    float64
-	HardLimit float64
-	Worth     float64
+	Name      string  `json:"Name"`
+	Semantics string  `json:"Semantics"`
+	Group     string  `json:"Group"`
+	Window    float64 `json:"Window"`
+	OnTime    float64 `json:"OnTime"`
+	HardLimit float64 `json:"HardLimit"`
+	Worth     float64 `json:"Worth"`
 }
 
 // Project is a tenant.
 type Project struct {
-	Name      string
-	QuotaPerS float64
+	Name      string  `json:"Name"`
+	QuotaPerS float64 `json:"QuotaPerS"`
 }
 
 // Micros turns a time as written into the module's unit, within what the module can add up.
