--- /dev/null
+++ b/internal/standalone/discovery/stored_test.go
@@ -0,0 +1,95 @@
+package discovery
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"pumiceline/internal/standalone/policy"
+)
+
+// The folder holds what a process of an earlier version, of the proxy "n0", stored of suspended and resumed hosts. Its successor finds the file
+// by its name, acts on it, and writes its own word under the same name and keys.
+func TestReadsStateStoredByEarlierVersion(t *testing.T) {
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS("testdata/folder")); err != nil {
+		t.Fatal(err)
+	}
+	w, l := hands(t, dir)
+	for name, want := range map[string]bool{"s-1": true, "s-2": false} {
+		if got := l.out(t, w, name); got != want {
+			t.Errorf("%s is out: %v, want %v", name, got, want)
+		}
+	}
+	l.mu.Lock()
+	if got := l.modes[w.table.id("s-2")].UpSince; got != 1_800_000_000_000_001 {
+		t.Errorf("s-2 is taken for one that started at %d", got)
+	}
+	l.mu.Unlock()
+	if got := w.TakenOut(); got != 1 {
+		t.Errorf("%d listed hosts are out", got)
+	}
+	if err := w.Suspend("s-2"); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(filepath.Join(dir, storedName))
+	if want := `{"version":1,"banned":["s-1","s-2","s-3"],"back":{}}`; err != nil || string(text) != want {
+		t.Errorf("written %s, %v, want %s", text, err, want)
+	}
+}
+
+// storedName is that under which an earlier version stored suspended hosts of the proxy "n0".
+const storedName = "pumiceline-08b37c07b558d673-bans.json"
+
+// Messages of discovery as it sent them to an earlier version: every field is read.
+func TestReadsListSentToEarlierVersion(t *testing.T) {
+	text, err := os.ReadFile("testdata/list.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var u Update
+	if err := json.Unmarshal(text, &u); err != nil {
+		t.Fatal(err)
+	}
+	if u.Seq != 41 || !u.Whole || len(u.Hosts) != 4 {
+		t.Errorf("read %+v", u)
+	}
+	want := []Entry{
+		{Host: "quote-01", Dial: "10.0.0.1:80", Site: "a", Class: "std-8", Block: 5, Health: "SERVING", Share: 1.5, BornMs: 1.7e12},
+		{Host: "quote-02", Dial: "10.0.0.2:80", Site: "b", Class: "small-6", Block: 6, Health: "DRAINING", Share: 0.75, BornMs: 1.6e12},
+		{Host: "quote-03", Dial: "10.0.0.3:80", Site: "a", Class: "std-8", Block: 7, Health: "DELETED", Share: 1.25, BornMs: 1.5e12},
+		{Host: "quote-04", Dial: "10.0.0.4:80", Site: "elsewhere", Class: "std-8", Block: 8, Health: "SERVING", Share: 1, BornMs: 1.4e12},
+	}
+	for i, raw := range u.Hosts {
+		var e Entry
+		if err := json.Unmarshal(raw, &e); err != nil || e != want[i] {
+			t.Errorf("host %d read as %+v, %v, want %+v", i, e, err, want[i])
+		}
+	}
+	table := NewTable([]string{"a", "b"}, []string{"small-6", "std-8"})
+	_, hosts, bad, err := table.Read(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	members := []Host{
+		{"quote-01", "10.0.0.1:80", policy.Member{Server: 0xdcbf2eb1, Zone: 0, Cell: 5, Kind: 1, Mode: policy.ModeReady, Size: 1.5, UpSince: 1.7e15}},
+		{"quote-02", "10.0.0.2:80", policy.Member{Server: 0xd9bf29f8, Zone: 1, Cell: 6, Kind: 0, Mode: policy.ModeDraining, Size: 0.75, UpSince: 1.6e15}},
+		{"quote-03", "", policy.Member{Server: 0xdabf2b8b, Mode: policy.ModeGone}},
+	}
+	if !reflect.DeepEqual(hosts, members) {
+		t.Errorf("read %+v\nwant %+v", hosts, members)
+	}
+	if len(bad) != 1 || bad[0].Name != "quote-04" {
+		t.Errorf("unusable are %v", bad)
+	}
+	written, err := json.Marshal(Update{Seq: 41, Whole: true, Hosts: u.Hosts[:1]})
+	if want := `{"seq":41,"whole":true,"hosts":[{"host":"quote-01","dial":"10.0.0.1:80","site":"a","class":"std-8","block":5,"health":"SERVING",` +
+		`"share":1.5,"born_ms":1700000000000}]}`; err != nil || string(written) != want {
+		t.Errorf("written %s, %v, want %s", written, err, want)
+	}
+	if entry, err := json.Marshal(want[0]); err != nil || string(entry) != string(u.Hosts[0]) {
+		t.Errorf("written %s, %v, want %s", entry, err, u.Hosts[0])
+	}
+}
--- /dev/null
+++ b/internal/standalone/hotrestart/stored_test.go
@@ -0,0 +1,111 @@
+package hotrestart
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"regexp"
+	"syscall"
+	"testing"
+)
+
+// storedIdentity is that of the proxy whose processes stored testdata/folder, and storedPrefix what its files' names begin with.
+const (
+	storedIdentity = "proxy-1 127.0.0.1:7070"
+	storedPrefix   = "pumiceline-ad236b2ef305dcaa-"
+)
+
+// storedFolder copies testdata/folder, which an earlier version stored, to where it may be changed.
+func storedFolder(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	if err := os.CopyFS(dir, os.DirFS("testdata/folder")); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// hold locks a stored presence file as its living process would.
+func hold(t *testing.T, path string) {
+	t.Helper()
+	f, err := os.Open(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { f.Close() })
+	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// Presence files of a process of an earlier version are found by their names, told from those of a dead one by their locks, and read field by
+// field.
+func TestReadsStateStoredByEarlierVersion(t *testing.T) {
+	for _, c := range []struct {
+		name, file string
+		want       State
+	}{
+		{"starting", "process-4711-00c0ffee", State{Stage: Starting, Fronts: 0x01020304, Connections: 0x05060708}},
+		{"serving", "process-4712-0badcafe", State{Stage: Serving, Fronts: 7, Connections: 300}},
+		{"ending", "process-4713-deadbeef", State{Stage: Ending, Fronts: 70_000, Connections: 12}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			dir := storedFolder(t)
+			hold(t, filepath.Join(dir, storedPrefix+c.file))
+			p, err := NewFolder(dir, storedIdentity).Join()
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer p.Leave()
+			if got := p.Others(); len(got) != 1 || got[0] != c.want {
+				t.Errorf("others are %+v, want %+v", got, c.want)
+			}
+			left, err := filepath.Glob(filepath.Join(dir, storedPrefix+"process-*"))
+			if err != nil || len(left) != 2 {
+				t.Errorf("%v, %v: the files of the dead processes are to be removed", left, err)
+			}
+			if err := p.Set(c.want); err != nil {
+				t.Fatal(err)
+			}
+			stored, err := os.ReadFile(filepath.Join("testdata/folder", storedPrefix+c.file))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if written, err := os.ReadFile(p.path); err != nil || !bytes.Equal(written, stored) {
+				t.Errorf("written %x, %v, stored was %x", written, err, stored)
+			}
+			if name := regexp.MustCompile(`^` + storedPrefix + `process-[0-9]+-[0-9a-f]{8}$`); !name.MatchString(filepath.Base(p.path)) {
+				t.Errorf("%s is not named as an earlier version names it", p.path)
+			}
+		})
+	}
+}
+
+// The bytes that stand for the stages are part of the form in which an earlier version stored them.
+func TestStagesAreThoseStoredByEarlierVersion(t *testing.T) {
+	if Starting != 's' || Serving != 'r' || Ending != 'e' {
+		t.Errorf("%q, %q, %q", Starting, Serving, Ending)
+	}
+}
+
+// A file that an earlier version stored is read and replaced under its name.
+func TestReadsFileStoredByEarlierVersion(t *testing.T) {
+	dir := storedFolder(t)
+	d := NewFolder(dir, storedIdentity)
+	const want = `{"version":1,"banned":["quote-01"],"back":{"quote-03":1700000000000001}}`
+	if text, err := d.Read("bans.json"); err != nil || string(text) != want {
+		t.Errorf("%s, %v", text, err)
+	}
+	err := d.Update("bans.json", func(old []byte) ([]byte, error) {
+		if string(old) != want {
+			t.Errorf("the old text is %s", old)
+		}
+		return []byte("next"), nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if text, err := os.ReadFile(filepath.Join(dir, storedPrefix+"bans.json")); err != nil || string(text) != "next" {
+		t.Errorf("%s, %v", text, err)
+	}
+}
--- /dev/null
+++ b/internal/standalone/maintenance/stored_test.go
@@ -0,0 +1,47 @@
+package maintenance
+
+import (
+	"bytes"
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+
+	"pumiceline/internal/standalone/policy"
+)
+
+// The file is what an earlier version stored of the hosts that operators suspended and resumed, for its successor.
+func TestReadsStateStoredByEarlierVersion(t *testing.T) {
+	text, err := os.ReadFile("testdata/suspended.json")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got kept
+	if err := json.Unmarshal(text, &got); err != nil {
+		t.Fatal(err)
+	}
+	want := kept{Version: 1, Banned: []string{"quote-01", "quote-02"},
+		Back: map[string]policy.Time{"quote-03": 1_700_000_000_000_001, "quote-04": 1_700_000_000_000_002}}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v, want %+v", got, want)
+	}
+	var s Set
+	if err := s.Adopt(text); err != nil {
+		t.Fatal(err)
+	}
+	ready := policy.Member{Server: 9, Mode: policy.ModeReady, UpSince: 5}
+	for name, want := range map[string]policy.Member{
+		"quote-01": {Server: 9, Mode: policy.ModeDraining, UpSince: 5},
+		"quote-02": {Server: 9, Mode: policy.ModeDraining, UpSince: 5},
+		"quote-03": {Server: 9, Mode: policy.ModeReady, UpSince: 1_700_000_000_000_001},
+		"quote-04": {Server: 9, Mode: policy.ModeReady, UpSince: 1_700_000_000_000_002},
+		"quote-05": ready,
+	} {
+		if got := s.Member(name, ready); got != want {
+			t.Errorf("%s is taken for %+v, want %+v", name, got, want)
+		}
+	}
+	if written := s.Text(); !bytes.Equal(written, bytes.TrimSpace(text)) {
+		t.Errorf("written %s, want %s", written, text)
+	}
+}
