--- /dev/null
+++ b/internal/fleetsim/experiment/stored_test.go
@@ -0,0 +1,174 @@
+package experiment
+
+import (
+	"bytes"
+	"os"
+	"reflect"
+	"slices"
+	"testing"
+
+	"pumiceline/internal/fleetsim/checker"
+	"pumiceline/internal/fleetsim/model"
+	"pumiceline/internal/standalone/policy"
+)
+
+// requireTold reports each field of a sample that has its zero value: nothing would then show that its key is read.
+func requireTold(t *testing.T, path string, v reflect.Value) {
+	t.Helper()
+	switch v.Kind() {
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if f := v.Type().Field(i); f.IsExported() {
+				requireTold(t, path+"."+f.Name, v.Field(i))
+			}
+		}
+	case reflect.Pointer:
+		requireTold(t, path, v.Elem())
+	case reflect.Slice:
+		if v.Len() == 0 {
+			t.Errorf("%s: the sample says nothing of it", path)
+		}
+		for i := range v.Len() {
+			if v.Index(i).Kind() == reflect.Struct {
+				requireTold(t, path, v.Index(i))
+			}
+		}
+	default:
+		if v.IsZero() {
+			t.Errorf("%s: the sample says nothing of it", path)
+		}
+	}
+}
+
+// An experiment that a user stored for an earlier version is read: every key, each kind of trouble, and each policy by its name.
+func TestReadsExperimentStoredByEarlierVersion(t *testing.T) {
+	got, err := Load("testdata/experiment.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Experiment{
+		Name: "whole", Title: "Every key", Text: "An experiment as a user wrote it for an earlier version.",
+		Policies: []string{"decide", "random", "round-robin", "two-choices", "least", "truth", "keyless", "unprobed", "door", "door-silent", "half",
+			"quarter", "eighth"},
+		Seeds: []uint64{3, 5},
+		Sweeps: []Sweep{
+			{Key: "world.proxies", Values: []any{int64(2), int64(3)}, With: map[string][]any{"world.load": {0.3, 0.6}}, Log: true, Label: "proxies"},
+			{Key: "world.kinds.0.cores", Values: []any{int64(4)}, With: map[string][]any{"world.told.cold": {"20s"}}, Log: true, Label: "cores"},
+		},
+		World: worldSample(),
+	}
+	requireTold(t, "world", reflect.ValueOf(want.World))
+	read := *got
+	read.File, read.keys = "", nil
+	if !reflect.DeepEqual(read, want) {
+		t.Errorf("read %+v\nwant %+v", read, want)
+	}
+	kinds := map[string]bool{}
+	for _, trouble := range got.World.Troubles {
+		kinds[trouble.Kind] = true
+	}
+	for kind := range model.Troubles {
+		if !kinds[kind] {
+			t.Errorf("the sample has no %s", kind)
+		}
+	}
+	for policy := range Policies() {
+		if !slices.Contains(want.Policies, policy) {
+			t.Errorf("the sample has no policy %s", policy)
+		}
+	}
+	points, err := got.Points() // the swept keys are found by the names in the file
+	if err != nil || len(points) != 2 {
+		t.Fatalf("%d points, %v", len(points), err)
+	}
+	last := points[1]
+	if last.World.Proxies != 3 || last.World.Load != 0.6 || last.World.Kinds[0].Cores != 4 || last.World.Told.Cold != 20e6 {
+		t.Errorf("the last point is %v", last.Set)
+	}
+}
+
+// resultSample is the first line of testdata/results.jsonl: every key, none with its zero value.
+func resultSample() *Result {
+	breach := func(rule int) checker.Breach {
+		return checker.Breach{Rule: rule, At: 1_500_000, Proxy: 2, Server: 7, ID: 99, Cause: "sent after its end"}
+	}
+	r := &Result{
+		Format: 1, Experiment: "whole", Title: "Every key", Text: "A play as an earlier version kept it.", Policy: "decide", Seed: 3,
+		Point:  []Setting{{Key: "world.proxies", Value: 2.0}, {Key: "world.told.cold", Value: "20s"}},
+		Axes:   []Axis{{Key: "world.proxies", Label: "proxies", Log: true}},
+		Replay: "pumiceline lab replay whole.toml --policy=decide --seed=3 --set=world.proxies=2",
+		World:  worldSample(),
+		Stats:  model.Stats{Events: 1001, Handled: 1002, Requests: 1003, End: 46_000_001},
+		Error:  "panic: none at pumiceline/decide.New",
+		Report: &checker.Report{
+			G: 0.91, Whole: 0.92, Worst10s: 0.81, WorstAt: 11,
+			Class: map[string]float64{"quick-quote": 0.93, "full-quote": 0.94}, Tenant: map[string]float64{"steppe-tours": 0.95},
+			Prices: map[string]float64{"cross": 0.01, "waste": 0.02},
+			Broken: [4]int{1, 2, 3, 4}, Breaches: []checker.Breach{breach(1), breach(4)}, Twice: 5, TwiceCauses: []checker.Breach{breach(2)},
+			ColdStarts: 6, Fallen: 7, Overdriven: 8, ColdPeak: 2.75,
+			Asks: 9, AsksFailed: 10, AsksPeak: 11, ListedIn95: 1.25,
+			Calls: 12, InTime: 13, Late: 14, Unserved: 15,
+			Crossed: 0.11, Opened: 0.12, Wasted: 0.13,
+			Service: []float64{0.5, -1}, Bands: [][]float64{{0.1, 0.2}, {0.3, 0.4}}, Latency: map[string]string{"quick-quote": "HISTFAAA"},
+		},
+	}
+	r.Report.Answers.Served, r.Report.Answers.Refused, r.Report.Answers.Failed = 16, 17, 18
+	return r
+}
+
+// Results that an earlier version stored are read, every field from its key, and written to the byte as they were: `lab replay` compares them so.
+func TestReadsResultsStoredByEarlierVersion(t *testing.T) {
+	stored, err := os.ReadFile("testdata/results.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	got, err := Read(bytes.NewReader(stored))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := resultSample()
+	requireTold(t, "result", reflect.ValueOf(want))
+	if len(got) != 1 || !reflect.DeepEqual(got[0], want) {
+		t.Fatalf("read %+v\nwant %+v", got, want)
+	}
+	var written bytes.Buffer
+	if err := got[0].Write(&written); err != nil || !bytes.Equal(written.Bytes(), stored) {
+		t.Errorf("%v: written %s\nwant %s", err, &written, stored)
+	}
+}
+
+// A trace is written under the keys of an earlier version, one line for each kind of record with its name.
+func TestWritesTraceAsStoredByEarlierVersion(t *testing.T) {
+	stored, err := os.ReadFile("testdata/trace.jsonl")
+	if err != nil {
+		t.Fatal(err)
+	}
+	sample := model.Record{At: 1_250_000, Outcome: policy.TimedOut, Flag: true, Attempt: 2, Class: 3, Tenant: 4, Proxy: 5, Server: 6, Zone: 7, Cell: 8,
+		ID: 9, Call: 10, Work: 11, Worth: 1.5, Span: 12, Capacity: 2.5, Version: 13, Load: []float64{0.25, 0.75},
+		Members: []policy.Member{{Server: 14, Zone: 15, Cell: 16, Kind: 17, Mode: policy.ModeDraining, Size: 3.5, UpSince: 18}}}
+	var written bytes.Buffer
+	tracer := Tracer{Out: &written}
+	for kind := model.Opening; kind <= model.Sample; kind++ {
+		sample.Kind = kind
+		tracer.See(&sample)
+	}
+	requireTold(t, "record", reflect.ValueOf(sample))
+	if !bytes.Equal(written.Bytes(), stored) {
+		t.Errorf("written %s\nwant %s", &written, stored)
+	}
+}
+
+// A value on the command line is read as in the file.
+func TestReadsSettingWrittenForEarlierVersion(t *testing.T) {
+	for text, want := range map[string]Setting{
+		"world.servers=50":       {Key: "world.servers", Value: int64(50)},
+		"world.tick=5ms":         {Key: "world.tick", Value: "5ms"},
+		"world.load=0.5":         {Key: "world.load", Value: 0.5},
+		"world.trouble=[]":       {Key: "world.trouble", Value: []any{}},
+		"world.told.copies=true": {Key: "world.told.copies", Value: true},
+	} {
+		if got, err := ParseSetting(text); err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s read as %+v, %v", text, got, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/fleetsim/experiment/stored_world_test.go
@@ -0,0 +1,72 @@
+package experiment
+
+import "pumiceline/internal/fleetsim/model"
+
+// worldSample is the world of testdata/experiment.toml and of testdata/results.jsonl: every key, none with its zero value.
+func worldSample() model.World {
+	return model.World{
+		Length: 45_001_000, Tick: 5001,
+		Servers: 14, Proxies: 5, Zones: 5, Cell: 7,
+		Load: 0.66, Swing: 0.22, Wave: 30_001_000,
+		Burst: 1.5, BurstOn: 2_000_000, Skew: 0.44, Spread: 0.165, Hint: 0.25,
+		Keys: model.Keys{Count: 7, Zipf: 0.9, Gain: 0.6, For: 30_000_000, PerCore: 9},
+		Kinds: []model.Kind{
+			{Name: "std-8", Share: 0.616,
+				Cores: 9, Speed: 0.88, Slots: 57, Room: 151, Knee: 43, Crowding: 0.0385,
+				ColdFrom: 0.253, ColdFor: 17_001_000, WarmByWork: true, PauseEvery: 30_001_000, Pause: 61_000, Errors: 0.0011},
+			{Name: "small-6", Share: 0.484,
+				Cores: 7, Speed: 0.814, Slots: 45, Room: 141, Knee: 32, Crowding: 0.044,
+				ColdFrom: 0.253, ColdFor: 17_001_000, WarmByWork: true, PauseEvery: 25_001_000, Pause: 141_000, Errors: 0.0011},
+		},
+		Classes: []model.Class{
+			{Name: "quick-quote", Share: 0.473, Work: 101_000, CV: 0.88,
+				Noise: 0.33, Wait: 20_000, Aim: 601_000, Deadline: 1_501_000, Worth: 3.3, Late: 0.275,
+				Effect: "unsafe", Group: "all", Window: 5_001_000},
+			{Name: "full-quote", Share: 0.418, Work: 261_000, CV: 1.21,
+				Noise: 0.33, Wait: 20_000, Aim: 1_501_000, Deadline: 6_001_000, Worth: 0.88, Late: 0.33,
+				Effect: "safe", Group: "all", Window: 5_001_000},
+			{Name: "issue-policy", Share: 0.11, Work: 131_000, CV: 1.32,
+				Noise: 0.33, Wait: 20_000, Aim: 1_001_000, Deadline: 3_001_000, Worth: 5.5, Late: 0.55,
+				Effect: "keyed", Group: "zone", Window: 3_001_000},
+			{Name: "amend-cover", Share: 0.099, Work: 141_000, CV: 0.88,
+				Noise: 0.33, Wait: 20_000, Aim: 801_000, Deadline: 2_001_000, Worth: 3.3, Late: 0.55,
+				Effect: "keyed", Group: "cell", Window: 2_001_000},
+		},
+		Tenants: []model.Tenant{
+			{Name: "steppe-tours", Share: 0.847, Usage: 0.88},
+			{Name: "khan-air", Share: 0.253, Usage: 0.88},
+		},
+		Clients: model.Clients{Retries: 3, Patience: 0.528, Backoff: 175_000, Marks: true, Heed: 0.275, MostHeeded: 2_501_000,
+			Hasty: 0.06, Reckless: 0.055, Notice: 2_601_000, OverShare: 0.11},
+		Net:  model.Net{Same: 231, Cross: 8800, Client: 561, Jitter: 0.22, Peer: 21_000, Loss: 0.011},
+		Conn: model.Conn{Trips: 2.5, Work: 1701, Idle: 10_001_000, DialWithin: 251_000, CapPerCore: 751, Tax: 0.308},
+		Reports: model.Reports{Via: "probe", Every: 1_101_000, Delay: 331_000,
+			Noise: 0.0385},
+		Discovery: model.Discovery{Notice: 2_901_000, Silent: 8_801_000, Add: 1_401_000, Spread: 701_000, Calls: 4.95, Within: 1_001_000, BreakIn: 60_000_000},
+		Tip:       model.Tip{Multiple: 3.5, Over: 1_001_000, Slack: 2.2, Down: 20_000_000},
+		Told: model.Told{AnswerSlack: 21_000, AskWithin: 10_001_000, DrainGrace: 501_000, Cold: 24_001_000,
+			ColdShare: 0.132, TipMultiple: 3.25, Attempts: 4, MostHeld: 20_001, Copies: true, Cancel: true},
+		Prices: model.Prices{LateFail: 0.165, Waste: 0.033, Cross: 0.033, Handshake: 0.022, Probe: 0.055, Peer: 0.011},
+		Troubles: []model.Trouble{
+			{Kind: "hang", At: 1_000_000, For: 1_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "fast_errors", At: 2_000_000, For: 2_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "neighbour", At: 3_000_000, For: 3_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "gray", At: 4_000_000, For: 4_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "report_late", At: 5_000_000, For: 5_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "deploy", At: 6_000_000, For: 6_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "restart", At: 7_000_000, For: 7_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "zone_lost", At: 8_000_000, For: 8_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "zone_cut", At: 9_000_000, For: 9_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "cut", At: 10_000_000, For: 10_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "discovery", At: 11_000_000, For: 11_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "discovery_zone", At: 12_000_000, For: 12_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "reconnect_storm", At: 13_000_000, For: 13_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "proxy_kill", At: 14_000_000, For: 14_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "proxy_roll", At: 15_000_000, For: 15_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "shift", At: 16_000_000, For: 16_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "retry_storm", At: 17_000_000, For: 17_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+			{Kind: "flood", At: 18_000_000, For: 18_500_000, Part: 0.25, Size: 0.5, Every: 300_000, From: "zone:1", To: "proxy:2", Fresh: true},
+		},
+		Draw: 1,
+	}
+}
--- /dev/null
+++ b/internal/standalone/deployfile/stored_test.go
@@ -0,0 +1,55 @@
+package deployfile
+
+import (
+	"reflect"
+	"testing"
+
+	"pumiceline/internal/singleton"
+	"pumiceline/internal/standalone/admission"
+	"pumiceline/internal/standalone/settings"
+)
+
+// A fleet's file that operators stored for an earlier version is read, with every key.
+func TestReadsFleetStoredByEarlierVersion(t *testing.T) {
+	got, err := ReadFleet("testdata/fleet.toml")
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := &Fleet{
+		Name:      "north",
+		Settings:  singleton.Settings{Works: []string{"billing", "export", "roster"}, Lease: 3e6, Drift: 0.15, Damp: 4e6},
+		Members:   map[uint64]string{1: "127.0.0.1:7301", 2: "127.0.0.1:7302", 3: "127.0.0.1:7303"},
+		Receivers: map[string]string{"export": "http://127.0.0.1:7310/effects", "billing": "http://127.0.0.1:7311/effects"},
+		Roster:    "roster", Discovery: "127.0.0.1:8500",
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v\nwant %+v", got, want)
+	}
+}
+
+// A door's file that operators stored for an earlier version is read, with every key. None has the value that stands in for an absent one.
+func TestReadsDoorStoredByEarlierVersion(t *testing.T) {
+	deployment := &settings.Settings{GroupSize: 2, OverShareWorth: 0.2,
+		Projects: []settings.Project{{Name: "steppe-tours", QuotaPerS: 254}, {Name: "khan-air", QuotaPerS: 76}},
+		Classes:  []settings.Class{{Name: "quick-quote", Worth: 3, OnTime: 600_000}, {Name: "issue-policy", Worth: 5, OnTime: 900_000}}}
+	got, err := Door("testdata/door.toml", deployment, 7)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := admission.Settings{
+		Tenants: []admission.Tenant{{Name: "steppe-tours", Share: 0.6, Rate: 127}, {Name: "khan-air", Share: 0.4, Rate: 38}},
+		Classes: []admission.Class{{Name: "quick-quote", Worth: 2.5, Work: 110_000, Aim: 600_000},
+			{Name: "issue-policy", Worth: 6.5, Work: 210_000, Aim: 900_000}},
+		OverShare: 0.2, Waiting: 1024, Buckets: 16, Least: 5, Most: 2048, Start: 32, Patience: 0.7, Repeats: 0.25, RepeatBurst: 15,
+		MaxComeBack: 1_500_000, RotateSalt: 12_000_000, Seed: 7,
+	}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("read %+v\nwant %+v", got, want)
+	}
+	usual := admission.Defaults()
+	for i := range reflect.TypeOf(want).NumField() {
+		if reflect.ValueOf(want).Field(i).IsZero() || reflect.DeepEqual(reflect.ValueOf(want).Field(i).Interface(), reflect.ValueOf(usual).Field(i).Interface()) {
+			t.Errorf("the sample says nothing of %s", reflect.TypeOf(want).Field(i).Name)
+		}
+	}
+}
