--- /dev/null
+++ b/internal/controlplane/storage/stored_test.go
@@ -0,0 +1,65 @@
+package storage
+
+import (
+	"compress/gzip"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// unpackRing unpacks the files of a ring from testdata into a folder of the test.
+func unpackRing(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	for i := range FileCount {
+		name := fmt.Sprintf("ring-%d", i)
+		packed, err := os.Open(filepath.Join("testdata", name+".gz"))
+		require.NoError(t, err)
+		unpacked, err := gzip.NewReader(packed)
+		require.NoError(t, err)
+		text, err := io.ReadAll(unpacked)
+		require.NoError(t, err)
+		require.NoError(t, packed.Close())
+		require.NoError(t, os.WriteFile(filepath.Join(dir, name), text, 0o600))
+	}
+	return dir
+}
+
+// The files in testdata were stored by an earlier version, cef8855, and are never written anew. That version opened the
+// ring three times: file 0 holds an older record of each kind, file 1 what was written after the second start, file 2
+// what was written after the third. There the last record, an addition, is torn.
+func TestReadsRingStoredByEarlierVersion(t *testing.T) {
+	dir := unpackRing(t)
+	for i := range FileCount {
+		info, err := os.Stat(filepath.Join(dir, fmt.Sprintf("ring-%d", i)))
+		require.NoError(t, err)
+		require.EqualValues(t, FileBytes, info.Size(), "a file of another size would be cut or grown at the start")
+	}
+	ring, err := Open(dir)
+	require.NoError(t, err)
+	assert.Equal(t, "control, third", string(ring.Newest(1)))
+	assert.Equal(t, "chain, second", string(ring.Newest(2)))
+	assert.Equal(t, "another kind", string(ring.Newest(7)))
+	assert.Nil(t, ring.Newest(3))
+	assert.Empty(t, ring.Added(1))
+	assert.Equal(t, [][]byte{[]byte("addition 1"), []byte("addition 2"), []byte("addition 3")}, ring.Added(2))
+	assert.Empty(t, ring.Added(7))
+	assert.Equal(t, 2, ring.current)
+	assert.EqualValues(t, 16, ring.sequence)
+	assert.False(t, ring.CanAdd(1, nil), "what follows the last record is torn")
+
+	require.NoError(t, ring.Write(map[Kind][]byte{2: []byte("chain, third")}))
+	again, err := Open(dir)
+	require.NoError(t, err)
+	assert.Equal(t, "control, third", string(again.Newest(1)))
+	assert.Equal(t, "chain, third", string(again.Newest(2)))
+	assert.Equal(t, "another kind", string(again.Newest(7)))
+	assert.Empty(t, again.Added(2))
+	assert.Equal(t, 3, again.current)
+	assert.EqualValues(t, 19, again.sequence)
+}
