--- /dev/null
+++ b/internal/singleton/raftmember/stored_test.go
@@ -0,0 +1,280 @@
+package raftmember
+
+import (
+	"compress/gzip"
+	"encoding/json"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"pumiceline/internal/singleton"
+)
+
+// The stores in testdata were stored by an earlier version, cef8855, and are never written anew. log.db is that of a
+// member with no snapshot: the entries of the three members, then a command of each kind. snapshot.db is that of a member
+// with a snapshot of the same state at index 10, two further commands, and what it knows of the others' disks.
+
+// storedCommands are the commands in both logs, from index 4 on.
+var storedCommands = []singleton.Command{
+	{Kind: "term", Lease: 2_000_000, Why: "its lease differs"},
+	{Kind: "want", Work: "roster", Who: "instance-b", Why: "an operator wants it"},
+	{Kind: "grant", Work: "roster", Who: "instance-a", Life: 18446744073709551615, Why: "it has none"},
+	{Kind: "grant", Work: "prices", Who: "instance-c", Life: 7, Why: "it has none"},
+	{Kind: "expire", Work: "prices", Token: 1, Why: "no progress for a lease"},
+	{Kind: "free", Work: "roster", Token: 1, Why: "it was given back"},
+	{Kind: "grant", Work: "prices", Who: "instance-a", Life: 18446744073709551615, Token: 1, Why: "it has the least"},
+	{Kind: "spare", Who: "instance-c", Why: "none for long"},
+	{Kind: "grant", Work: "roster", Who: "instance-b", Life: 9, Token: 1, Why: "an operator wants it"},
+}
+
+// Indexes in the stores.
+const (
+	storedMembers  = 3  // the entries that add the members come first
+	storedSnapshot = 10 // index of the snapshot: the last two commands come after it
+)
+
+func storedStateAtSnapshot() *singleton.State {
+	return &singleton.State{
+		Works: map[string]singleton.Work{
+			"roster": {Token: 1, Want: "instance-b"},
+			"prices": {Token: 2, Owner: "instance-a", Life: 18446744073709551615},
+		},
+		Lapses: map[string]int{"instance-c": 1},
+		Lease:  2_000_000,
+	}
+}
+
+func storedStateAtEnd() *singleton.State {
+	return &singleton.State{
+		Works: map[string]singleton.Work{
+			"roster": {Token: 2, Owner: "instance-b", Life: 9},
+			"prices": {Token: 2, Owner: "instance-a", Life: 18446744073709551615},
+		},
+		Lapses: map[string]int{},
+		Lease:  2_000_000,
+	}
+}
+
+var storedMarks = map[uint64]mark{
+	1: {Boot: 4, Nonce: 18446744073709551615, Term: 5, Index: 12},
+	3: {Boot: 2, Nonce: 11, Term: 4, Index: 9},
+}
+
+// unpackStore unpacks a store from testdata into a member's folder.
+func unpackStore(t *testing.T, name string) (dir string) {
+	t.Helper()
+	packed, err := os.Open(filepath.Join("testdata", name+".gz"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer packed.Close()
+	unpacked, err := gzip.NewReader(packed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := io.ReadAll(unpacked)
+	if err != nil {
+		t.Fatal(err)
+	}
+	dir = t.TempDir()
+	if err := os.WriteFile(filepath.Join(dir, "member.db"), text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// openStored opens a member over a stored store, as the member 2 of three.
+func openStored(t *testing.T, name string) *Member {
+	t.Helper()
+	m, err := Open(Options{
+		Fleet: "fleet", ID: 2, Members: map[uint64]string{1: "127.0.0.1:1", 2: "127.0.0.1:2", 3: "127.0.0.1:3"}, Dir: unpackStore(t, name),
+		Settings: singleton.Settings{Works: []string{"roster", "prices"}, Lease: 2_000_000, Drift: 0.1},
+		Log:      slog.New(slog.DiscardHandler),
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { m.store.db.Close() })
+	return m
+}
+
+// checkHardState checks term, vote and commit index, and how often the member has started: once before it was stored.
+func checkHardState(t *testing.T, m *Member) {
+	t.Helper()
+	hard, _, err := m.store.mem.InitialState()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if hard.GetTerm() != 5 || hard.GetVote() != 3 || hard.GetCommit() != 12 {
+		t.Errorf("term %d, vote %d, commit %d", hard.GetTerm(), hard.GetVote(), hard.GetCommit())
+	}
+	if m.store.boot != 2 {
+		t.Errorf("start %d", m.store.boot)
+	}
+	if at, want := m.store.at(8), (mark{Boot: 2, Nonce: 8, Term: 5, Index: 12}); at != want {
+		t.Errorf("the disk is at %+v, not %+v", at, want)
+	}
+}
+
+// storedEntries are the entries of a store from an index on.
+func storedEntries(t *testing.T, m *Member, from uint64) []*pb.Entry {
+	t.Helper()
+	first, err := m.store.mem.FirstIndex()
+	if err != nil {
+		t.Fatal(err)
+	}
+	last, err := m.store.mem.LastIndex()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if first != from || last != 12 {
+		t.Fatalf("entries %d to %d, not %d to 12", first, last, from)
+	}
+	entries, err := m.store.mem.Entries(first, last+1, 1<<20)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return entries
+}
+
+// checkCommands compares entries with the commands that were stored from an index on.
+func checkCommands(t *testing.T, entries []*pb.Entry, from int) {
+	t.Helper()
+	if len(entries) != len(storedCommands)-from {
+		t.Fatalf("%d entries of commands", len(entries))
+	}
+	for i, e := range entries {
+		number := from + i
+		var c singleton.Command
+		if err := json.Unmarshal(e.GetData(), &c); err != nil {
+			t.Fatal(err)
+		}
+		if c != storedCommands[number] {
+			t.Errorf("command %d: %+v, not %+v", number, c, storedCommands[number])
+		}
+		if want := uint64(storedMembers + 1 + number); e.GetIndex() != want || e.GetTerm() != uint64(2+number/3) || e.GetType() != pb.EntryType_EntryNormal {
+			t.Errorf("command %d: index %d, term %d, type %v", number, e.GetIndex(), e.GetTerm(), e.GetType())
+		}
+	}
+}
+
+// apply carries out entries at a member, and checks what they come to.
+func apply(t *testing.T, m *Member, entries []*pb.Entry) {
+	t.Helper()
+	if err := m.join(); err != nil {
+		t.Fatal(err)
+	}
+	for _, e := range entries {
+		if err := m.apply(e); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if want := storedStateAtEnd(); !reflect.DeepEqual(m.state, want) {
+		t.Errorf("state %+v, not %+v", m.state, want)
+	}
+	checkConfiguration(t, m.conf)
+	if m.applied != 12 {
+		t.Errorf("applied %d", m.applied)
+	}
+}
+
+func checkConfiguration(t *testing.T, conf *pb.ConfState) {
+	t.Helper()
+	if !proto.Equal(conf, &pb.ConfState{Voters: []uint64{1, 2, 3}, AutoLeave: proto.Bool(false)}) {
+		t.Errorf("configuration %v", conf)
+	}
+}
+
+func TestReadsLogStoredByEarlierVersion(t *testing.T) {
+	m := openStored(t, "log.db")
+	checkHardState(t, m)
+	if snap, err := m.store.mem.Snapshot(); err != nil || !raft.IsEmptySnap(snap) || m.applied != 0 || m.snapAt != 0 {
+		t.Errorf("snapshot %v, %v; applied %d, snapshot at %d", snap, err, m.applied, m.snapAt)
+	}
+	if len(m.marks) != 0 {
+		t.Errorf("marks %v", m.marks)
+	}
+	entries := storedEntries(t, m, 1)
+	for i, e := range entries[:storedMembers] {
+		var change pb.ConfChange
+		if err := proto.Unmarshal(e.GetData(), &change); err != nil {
+			t.Fatal(err)
+		}
+		if e.GetType() != pb.EntryType_EntryConfChange || e.GetIndex() != uint64(i+1) || e.GetTerm() != 1 ||
+			change.GetType() != pb.ConfChangeType_ConfChangeAddNode || change.GetNodeId() != uint64(i+1) || len(change.GetContext()) != 0 {
+			t.Errorf("entry %v, change %v", e, &change)
+		}
+	}
+	checkCommands(t, entries[storedMembers:], 0)
+	apply(t, m, entries)
+}
+
+func TestReadsSnapshotStoredByEarlierVersion(t *testing.T) {
+	m := openStored(t, "snapshot.db")
+	checkHardState(t, m)
+	snap, err := m.store.mem.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if meta := snap.GetMetadata(); meta.GetIndex() != storedSnapshot || meta.GetTerm() != 4 {
+		t.Errorf("snapshot at index %d, term %d", meta.GetIndex(), meta.GetTerm())
+	}
+	checkConfiguration(t, snap.GetMetadata().GetConfState())
+	checkConfiguration(t, m.conf)
+	if want := storedStateAtSnapshot(); !reflect.DeepEqual(m.state, want) {
+		t.Errorf("state %+v, not %+v", m.state, want)
+	}
+	if m.applied != storedSnapshot || m.snapAt != storedSnapshot {
+		t.Errorf("applied %d, snapshot at %d", m.applied, m.snapAt)
+	}
+	if !reflect.DeepEqual(m.marks, storedMarks) {
+		t.Errorf("marks %+v, not %+v", m.marks, storedMarks)
+	}
+	entries := storedEntries(t, m, storedSnapshot+1)
+	checkCommands(t, entries, storedSnapshot-storedMembers)
+	apply(t, m, entries)
+}
+
+// What members say to each other and to operators has the form that an earlier version has: the members of a fleet are
+// brought to a new version one after the other.
+func TestWritesAsEarlierVersion(t *testing.T) {
+	status := Status{
+		ID: 2, Leader: 3, Term: 5, Applied: 12, Works: map[string]singleton.Work{"roster": {Token: 2, Owner: "instance-b", Life: 9, Want: "instance-c"}},
+		AgeMs: map[string]int64{"roster": 40}, Instances: []string{"instance-b"}, Changes: 6,
+	}
+	for _, c := range []struct {
+		name  string
+		value any
+		text  string
+	}{
+		{"hello", Hello{ID: 2, mark: mark{Boot: 3, Nonce: 4, Term: 5, Index: 6}}, `{"id":2,"boot":3,"nonce":4,"term":5,"index":6}`},
+		{"marks", storedMarks, `{"1":{"boot":4,"nonce":18446744073709551615,"term":5,"index":12},"3":{"boot":2,"nonce":11,"term":4,"index":9}}`},
+		{"fleet", Fleet{Quorum: true, Members: map[uint64]Status{2: status}, Silent: map[uint64]string{1: "refused"}},
+			`{"quorum":true,"members":{"2":{"id":2,"leader":3,"term":5,"applied":12,"works":{"roster":{"token":2,"owner":"instance-b","life":9,` +
+				`"want":"instance-c"}},"age_ms":{"roster":40},"instances":["instance-b"],"changes":6}},"silent":{"1":"refused"}}`},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			text, err := json.Marshal(c.value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if string(text) != c.text {
+				t.Errorf("%s\nnot\n%s", text, c.text)
+			}
+			read := reflect.New(reflect.TypeOf(c.value))
+			if err := json.Unmarshal([]byte(c.text), read.Interface()); err != nil {
+				t.Fatal(err)
+			}
+			if !reflect.DeepEqual(read.Elem().Interface(), c.value) {
+				t.Errorf("read %+v", read.Elem())
+			}
+		})
+	}
+}
