--- a/cmd/pumicectl/simulate.go
+++ b/cmd/pumicectl/simulate.go
@@ -72,9 +72,9 @@
 }
 
 type playedSeed struct {
-	Seed   uint64
-	Result *simulation.Result
-	Story  string `json:",omitempty"`
+	Seed   uint64             `json:"Seed"`
+	Result *simulation.Result `json:"Result"`
+	Story  string             `json:"Story,omitempty"`
 }
 
 // playOne plays a seed; a failing one is shrunk where that is wanted.
--- a/internal/controlplane/simulation/cluster.go
+++ b/internal/controlplane/simulation/cluster.go
@@ -28,28 +28,28 @@
 
 // Violation is a broken rule.
 type Violation struct {
-	At   time.Duration
-	Rule string
-	Text string
+	At   time.Duration `json:"At"`
+	Rule string        `json:"Rule"`
+	Text string        `json:"Text"`
 }
 
 func (v Violation) String() string { return fmt.Sprintf("%s at %v: %s", v.Rule, v.At, v.Text) }
 
 // Result is what a run came to.
 type Result struct {
-	Violations   []Violation
-	Acknowledged int
-	Refused      int
-	Reads        int
-	Views        uint64
-	Leases       int
-	Faults       int
-	Members      int // of the last view
-	Struck       []Fault
-	Moves        []string        // view changes, in order
-	Ends         []string        // how each machine stands at the end
-	Waits        []time.Duration // of each acknowledged change, from its first try
-	Pause        time.Duration   // the longest span between two acknowledgements, while faults strike
+	Violations   []Violation     `json:"Violations"`
+	Acknowledged int             `json:"Acknowledged"`
+	Refused      int             `json:"Refused"`
+	Reads        int             `json:"Reads"`
+	Views        uint64          `json:"Views"`
+	Leases       int             `json:"Leases"`
+	Faults       int             `json:"Faults"`
+	Members      int             `json:"Members"` // of the last view
+	Struck       []Fault         `json:"Struck"`
+	Moves        []string        `json:"Moves"` // view changes, in order
+	Ends         []string        `json:"Ends"`  // how each machine stands at the end
+	Waits        []time.Duration `json:"Waits"` // of each acknowledged change, from its first try
+	Pause        time.Duration   `json:"Pause"` // the longest span between two acknowledgements, while faults strike
 }
 
 // Cluster is one run.
--- a/internal/controlplane/simulation/plan.go
+++ b/internal/controlplane/simulation/plan.go
@@ -58,13 +58,13 @@
 
 // Fault is a planned harm.
 type Fault struct {
-	Place int // in the plan
-	At    time.Duration
-	Kind  FaultKind
-	Span  time.Duration
-	Slots []int // whom it strikes first, then next, and so on
-	Count int   // how many of them
-	Draw  uint64
+	Place int           `json:"Place"` // in the plan
+	At    time.Duration `json:"At"`
+	Kind  FaultKind     `json:"Kind"`
+	Span  time.Duration `json:"Span"`
+	Slots []int         `json:"Slots"` // whom it strikes first, then next, and so on
+	Count int           `json:"Count"` // how many of them
+	Draw  uint64        `json:"Draw"`
 }
 
 func (f Fault) String() string {
