--- /dev/null
+++ b/tools/purity/check.go
@@ -0,0 +1,139 @@
+package main
+
+import (
+	"fmt"
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+)
+
+const (
+	modulePrefix    = "pumiceline/"
+	durationPackage = "pumiceline/internal/duration" // reads and writes times, and asks for none
+)
+
+// forbiddenImports are what no deciding package may import, with the packages below them.
+var forbiddenImports = []string{"net", "os", "syscall"}
+
+// clockFunctions are the functions of package time that read the clock or wait for it.
+var clockFunctions = map[string]bool{
+	"After": true, "AfterFunc": true, "NewTicker": true, "NewTimer": true, "Now": true, "Since": true, "Sleep": true,
+	"Tick": true, "Until": true,
+}
+
+// check returns what a package does that its rule forbids, each finding with its place.
+func check(rule Rule) ([]string, error) {
+	files, err := filepath.Glob(filepath.Join(rule.Folder, "*.go"))
+	if err != nil {
+		return nil, err
+	}
+	var findings []string
+	checked := 0
+	for _, file := range files {
+		if strings.HasSuffix(file, "_test.go") || rule.Except[filepath.Base(file)] {
+			continue
+		}
+		checked++
+		found, err := checkFile(file)
+		if err != nil {
+			return nil, err
+		}
+		findings = append(findings, found...)
+	}
+	if checked == 0 {
+		return nil, fmt.Errorf("no Go file in %s", rule.Folder)
+	}
+	if rule.Level == NoTime {
+		found, err := checkDependencies(rule.Folder)
+		if err != nil {
+			return nil, err
+		}
+		findings = append(findings, found...)
+	}
+	return findings, nil
+}
+
+// checkFile returns the forbidden imports of one file, and its uses of the clock.
+func checkFile(name string) ([]string, error) {
+	positions := token.NewFileSet()
+	file, err := parser.ParseFile(positions, name, nil, 0)
+	if err != nil {
+		return nil, err
+	}
+	var findings []string
+	names := map[string]string{} // the file's name for a package: its path
+	for _, imported := range file.Imports {
+		path, err := strconv.Unquote(imported.Path.Value)
+		if err != nil {
+			return nil, err
+		}
+		name := path[strings.LastIndex(path, "/")+1:]
+		if imported.Name != nil {
+			name = imported.Name.Name
+		}
+		names[name] = path
+		if isForbidden(path) && (path != "net/http" || name == "_" || name == ".") {
+			findings = append(findings, fmt.Sprintf("%s: imports %s", positions.Position(imported.Pos()), path))
+		}
+	}
+	ast.Inspect(file, func(node ast.Node) bool {
+		selector, ok := node.(*ast.SelectorExpr)
+		if !ok {
+			return true
+		}
+		qualifier, ok := selector.X.(*ast.Ident)
+		if ok && isForbiddenUse(names[qualifier.Name], selector.Sel.Name) {
+			findings = append(findings, fmt.Sprintf("%s: uses %s.%s", positions.Position(node.Pos()), names[qualifier.Name], selector.Sel.Name))
+		}
+		return true
+	})
+	return findings, nil
+}
+
+// isForbiddenUse reports whether a name of a package reads the clock, waits, or belongs to the network. Of net/http the names of
+// statuses and methods are free: they are numbers and words.
+func isForbiddenUse(path, name string) bool {
+	switch path {
+	case "time":
+		return clockFunctions[name]
+	case "net/http":
+		return !strings.HasPrefix(name, "Status") && !strings.HasPrefix(name, "Method")
+	default:
+		return false
+	}
+}
+
+func isForbidden(path string) bool {
+	for _, forbidden := range forbiddenImports {
+		if path == forbidden || strings.HasPrefix(path, forbidden+"/") {
+			return true
+		}
+	}
+	return false
+}
+
+// checkDependencies returns the imports of time, net, os and syscall in the package and in those of this module that it
+// depends on.
+func checkDependencies(folder string) ([]string, error) {
+	const format = `{{if not .Standard}}{{$p := .ImportPath}}{{range .Imports}}{{$p}} {{.}}{{"\n"}}{{end}}{{end}}`
+	out, err := exec.Command("go", "list", "-deps", "-f", format, "./"+filepath.ToSlash(folder)).Output()
+	if err != nil {
+		return nil, fmt.Errorf("go list: %w", err)
+	}
+	var findings []string
+	for line := range strings.Lines(string(out)) {
+		importer, path, ok := strings.Cut(strings.TrimSpace(line), " ")
+		if !ok || !strings.HasPrefix(importer, modulePrefix) {
+			continue
+		}
+		isTime := path == "time" && importer != durationPackage
+		if isTime || isForbidden(path) {
+			findings = append(findings, fmt.Sprintf("%s: depends on %s, which imports %s", folder, importer, path))
+		}
+	}
+	return findings, nil
+}
