--- a/internal/standalone/deployfile/door_test.go
+++ b/internal/standalone/deployfile/door_test.go
@@ -17,7 +17,7 @@
 
 func TestDoorFile(t *testing.T) {
 	// The file that stands under deploy/ says what is so without it.
-	text, err := os.ReadFile("../../deploy/door.toml")
+	text, err := os.ReadFile("../../../deploy/door.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
