--- a/cmd/pumicectl/stored_test.go
+++ b/cmd/pumicectl/stored_test.go
@@ -11,6 +11,7 @@
 
 	"pumiceline/internal/controlplane/coordinator"
 	"pumiceline/internal/controlplane/simulation"
+	"pumiceline/internal/message"
 )
 
 // The files in testdata were stored from the output of an earlier version, cef8855, and are never written anew: scripts read
@@ -38,7 +39,7 @@
 			Node: "node-a", Identity: "node-a-00112233", View: 12, Members: []string{"node-a-00112233 10.0.0.1:7000"},
 			Voters: []string{"node-b-44556677 10.0.0.2:7000"}, Member: true, HasMajority: true, Serves: true, WaitsFor: "the rest of the chain",
 			Sequence: 41, Version: 43, LeaseHolder: "10.0.0.2:7000", LeaseToken: 77, Proxies: 3, Backends: 5,
-			Tasks: []coordinator.Task{{Backend: "b-1", Load: "m", Unload: []string{"n"}, Adapters: []string{"x"}, Reason: "demand"}},
+			Tasks: []coordinator.Task{{Backend: "b-1", Load: "m", Unload: []message.ModelName{"n"}, Adapters: []message.ModelName{"x"}, Reason: "demand"}},
 		}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
--- a/internal/controlplane/configuration/configuration.go
+++ b/internal/controlplane/configuration/configuration.go
@@ -11,6 +11,7 @@
 	"github.com/pkg/errors"
 
 	"pumiceline/internal/docreader"
+	"pumiceline/internal/message"
 )
 
 // RouteKind tells what of a route's requests may be repeated.
@@ -47,7 +48,7 @@
 
 // Model is a model that a service offers.
 type Model struct {
-	Name      string
+	Name      message.ModelName
 	WeightsMB float64
 	Load      time.Duration // how long a load from the weight store lasts
 	Adapters  int
@@ -159,7 +160,7 @@
 	}
 	for _, model := range node.Get("models").List() {
 		runtime.Models = append(runtime.Models, Model{
-			Name:      model.Get("name").RequiredText(),
+			Name:      message.ModelName(model.Get("name").RequiredText()),
 			WeightsMB: model.Get("weightsMb").Number(0),
 			Load:      time.Duration(model.Get("loadS").Number(0) * float64(time.Second)),
 			Adapters:  int(model.Get("adapters").Number(0)),
--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -38,9 +38,9 @@
 	lastRead time.Time
 
 	table      *discovery.Table
-	overlays   map[string]overlay
-	running    map[string]*runningTask
-	resting    map[string]time.Time // backends that are left alone until then
+	overlays   map[message.BackendID]overlay
+	running    map[message.BackendID]*runningTask
+	resting    map[message.BackendID]time.Time // backends that are left alone until then
 	demand     *placement.DemandTable
 	allowances map[string]*placement.LoadAllowance // by service
 	warm       warmHistory
@@ -67,7 +67,7 @@
 	return &controller{
 		owner: o, settings: settings, reader: discovery.NewReader(settings.Platform.Address),
 		caller: placement.NewCaller(), events: make(chan func(time.Time), resultQueue),
-		overlays: map[string]overlay{}, running: map[string]*runningTask{}, resting: map[string]time.Time{},
+		overlays: map[message.BackendID]overlay{}, running: map[message.BackendID]*runningTask{}, resting: map[message.BackendID]time.Time{},
 		demand: placement.NewDemandTable(), allowances: map[string]*placement.LoadAllowance{},
 	}
 }
@@ -220,7 +220,7 @@
 	}
 	input := &placement.Input{
 		Now: now, Services: c.config.Services, Backends: c.present(now), Demand: c.demand,
-		Running: lo.SliceToMap(loads, func(l message.BackendLoad) (string, int) { return l.Backend, l.Running }),
+		Running: lo.SliceToMap(loads, func(l message.BackendLoad) (message.BackendID, int) { return l.Backend, l.Running }),
 		Loading: c.loading(), LoadsLeft: c.loadsLeft(now),
 	}
 	for _, task := range placement.Plan(input) {
@@ -260,15 +260,15 @@
 	return backends
 }
 
-func (c *controller) loading() map[string]map[string]int {
-	out := map[string]map[string]int{}
+func (c *controller) loading() map[string]map[message.ModelName]int {
+	out := map[string]map[message.ModelName]int{}
 	for _, running := range c.running {
 		task := running.task
 		if task.Load == "" || running.holdsLoad(c.overlays[task.Backend.ID]) {
 			continue
 		}
 		if out[task.Service] == nil {
-			out[task.Service] = map[string]int{}
+			out[task.Service] = map[message.ModelName]int{}
 		}
 		out[task.Service][task.Load]++
 	}
@@ -308,10 +308,10 @@
 	c.running[id] = &runningTask{task: task, expected: now.Add(task.LoadTime), cancel: cancel}
 	executor := &placement.Executor{
 		Caller: c.caller, Owner: c.owner.self.Identity, Fence: c.fence(c.token),
-		Publish: func(backend string, models []message.LoadedModel) {
+		Publish: func(backend message.BackendID, models []message.LoadedModel) {
 			c.events <- func(now time.Time) { c.note(backend, models, now) }
 		},
-		Started: func(backend string) { c.events <- func(now time.Time) { c.noteStart(backend, now) } },
+		Started: func(backend message.BackendID) { c.events <- func(now time.Time) { c.noteStart(backend, now) } },
 	}
 	logrus.WithFields(logrus.Fields{
 		"backend": id, "load": task.Load, "unload": task.Unload, "adapters": task.Adapters, "drop": task.Drop, "reason": task.Reason,
@@ -333,7 +333,7 @@
 }
 
 // noteStart counts a load that has begun.
-func (c *controller) noteStart(backend string, now time.Time) {
+func (c *controller) noteStart(backend message.BackendID, now time.Time) {
 	running := c.running[backend]
 	if running == nil {
 		return
@@ -345,7 +345,7 @@
 	}
 }
 
-func (c *controller) note(backend string, models []message.LoadedModel, now time.Time) {
+func (c *controller) note(backend message.BackendID, models []message.LoadedModel, now time.Time) {
 	if c.token == 0 {
 		return
 	}
@@ -353,7 +353,7 @@
 	c.publish(now)
 }
 
-func (c *controller) finish(id string, models []message.LoadedModel, known bool, err error, now time.Time) {
+func (c *controller) finish(id message.BackendID, models []message.LoadedModel, known bool, err error, now time.Time) {
 	delete(c.running, id)
 	if err != nil {
 		logrus.WithError(err).WithField("backend", id).Info("a task came to nothing")
--- a/internal/controlplane/coordinator/status.go
+++ b/internal/controlplane/coordinator/status.go
@@ -33,18 +33,18 @@
 
 // Task is what a backend is being ordered, and why.
 type Task struct {
-	Backend  string   `json:"backend"`
-	Load     string   `json:"load,omitempty"`
-	Unload   []string `json:"unload,omitempty"`
-	Adapters []string `json:"adapters,omitempty"`
-	Reason   string   `json:"reason"`
+	Backend  message.BackendID   `json:"backend"`
+	Load     message.ModelName   `json:"load,omitempty"`
+	Unload   []message.ModelName `json:"unload,omitempty"`
+	Adapters []message.ModelName `json:"adapters,omitempty"`
+	Reason   string              `json:"reason"`
 }
 
 // taskBoard shows the controller's tasks to whoever asks.
 type taskBoard struct{ tasks atomic.Pointer[[]Task] }
 
-func (b *taskBoard) set(running map[string]*runningTask) {
-	tasks := lo.MapToSlice(running, func(id string, r *runningTask) Task {
+func (b *taskBoard) set(running map[message.BackendID]*runningTask) {
+	tasks := lo.MapToSlice(running, func(id message.BackendID, r *runningTask) Task {
 		return Task{Backend: id, Load: r.task.Load, Unload: r.task.Unload, Adapters: r.task.Adapters, Reason: r.task.Reason}
 	})
 	b.tasks.Store(&tasks)
--- a/internal/controlplane/discovery/digest.go
+++ b/internal/controlplane/discovery/digest.go
@@ -30,7 +30,7 @@
 // Since makes an update for who has the older table base.
 func (t *Table) Since(base *Table) *message.BackendUpdate {
 	update := &message.BackendUpdate{Digest: t.Digest, Base: base.Digest}
-	before := map[string]*message.Backend{}
+	before := map[message.BackendID]*message.Backend{}
 	for i := range base.Backends {
 		before[base.Backends[i].ID] = &base.Backends[i]
 	}
@@ -63,7 +63,7 @@
 		return nil, false
 	}
 	next := &Table{}
-	changed := map[string]bool{}
+	changed := map[message.BackendID]bool{}
 	for _, backend := range update.Backends {
 		changed[backend.ID] = true
 	}
--- a/internal/controlplane/discovery/discovery.go
+++ b/internal/controlplane/discovery/discovery.go
@@ -136,11 +136,11 @@
 
 func (e *entry) backend() message.Backend {
 	backend := message.Backend{
-		ID: e.ID, Service: e.Service, Address: e.Address, Zone: e.Zone, Capacity: e.Capacity,
+		ID: message.BackendID(e.ID), Service: e.Service, Address: e.Address, Zone: e.Zone, Capacity: e.Capacity,
 		Draining: e.State == "draining", WarmUpLeftMs: int(e.ColdLeftMS), TimeLeftMs: int(e.TimeLeftMS),
 	}
 	for _, model := range e.Models {
-		backend.Models = append(backend.Models, message.LoadedModel{Name: model.Name, Adapters: model.Adapters})
+		backend.Models = append(backend.Models, message.LoadedModel{Name: message.ModelName(model.Name), Adapters: model.Adapters})
 	}
 	return backend
 }
--- a/internal/controlplane/discovery/discovery_test.go
+++ b/internal/controlplane/discovery/discovery_test.go
@@ -72,7 +72,7 @@
 	before, after := tableOf(c, a, b), tableOf(loaded, a, message.Backend{ID: "d"})
 	update := after.Since(before)
 	assert.Len(t, update.Backends, 2, "only what changed")
-	assert.Equal(t, []string{"c"}, update.Removed)
+	assert.Equal(t, []message.BackendID{"c"}, update.Removed)
 	next, ok := Apply(before, update)
 	require.True(t, ok)
 	assert.Equal(t, after.Backends, next.Backends)
--- a/internal/controlplane/distribution/distribution_test.go
+++ b/internal/controlplane/distribution/distribution_test.go
@@ -37,7 +37,7 @@
 	return (<-answer).PollResponse
 }
 
-func table(id string, observed time.Time) *discovery.Table {
+func table(id message.BackendID, observed time.Time) *discovery.Table {
 	t := &discovery.Table{Observed: observed, Backends: []message.Backend{{ID: id, Service: "s", Address: "a"}}}
 	t.SetDigest()
 	return t
@@ -193,15 +193,15 @@
 		var loads []message.BackendLoad
 		for i, count := range running {
 			if count > 0 {
-				loads = append(loads, message.BackendLoad{Backend: string(rune('a' + i)), Running: count})
+				loads = append(loads, message.BackendLoad{Backend: message.BackendID(rune('a' + i)), Running: count})
 			}
 		}
 		pull(t, hub, "other", message.PollRequest{Loads: loads})
 	}
 	var follower Loads
-	follow := func(has uint64) (told int, running map[string]int) {
+	follow := func(has uint64) (told int, running map[message.BackendID]int) {
 		reply := pull(t, hub, "me", message.PollRequest{LoadVersion: has})
-		running = map[string]int{}
+		running = map[message.BackendID]int{}
 		for _, load := range follower.Take(reply) {
 			running[load.Backend] = load.Running
 		}
@@ -210,13 +210,13 @@
 	tell(10, 20, 30)
 	told, running := follow(0)
 	assert.Equal(t, 3, told)
-	assert.Equal(t, map[string]int{"a": 10, "b": 20, "c": 30}, running)
+	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 20, "c": 30}, running)
 	tell(10, 21, 0)
 	told, running = follow(follower.Version())
 	assert.Equal(t, 1, told, "a small change is not told, an end is")
-	assert.Equal(t, map[string]int{"a": 10, "b": 20}, running)
+	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 20}, running)
 	tell(10, 30, 5)
 	told, running = follow(7)
 	assert.Equal(t, 3, told, "one that missed an answer gets all")
-	assert.Equal(t, map[string]int{"a": 10, "b": 30, "c": 5}, running)
+	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 30, "c": 5}, running)
 }
--- a/internal/controlplane/distribution/exchange.go
+++ b/internal/controlplane/distribution/exchange.go
@@ -37,12 +37,12 @@
 // holderIndex finds the backends that hold a model or an adapter; it is made anew for each list.
 type holderIndex struct {
 	table   *discovery.Table
-	holders map[demandKey][]string // ids of backends
+	holders map[demandKey][]message.BackendID
 }
 
-func (x *holderIndex) of(table *discovery.Table, service, model string) []string {
+func (x *holderIndex) of(table *discovery.Table, service string, model message.ModelName) []message.BackendID {
 	if x.table != table {
-		x.table, x.holders = table, map[demandKey][]string{}
+		x.table, x.holders = table, map[demandKey][]message.BackendID{}
 		for i := range table.Backends {
 			x.add(&table.Backends[i])
 		}
@@ -54,11 +54,11 @@
 	for _, model := range backend.Models {
 		x.put(demandKey{backend.Service, model.Name}, backend.ID)
 		for _, adapter := range model.Adapters {
-			x.put(demandKey{backend.Service, model.Name + "/" + adapter}, backend.ID)
+			x.put(demandKey{backend.Service, model.Name.WithAdapter(adapter)}, backend.ID)
 		}
 	}
 }
 
-func (x *holderIndex) put(key demandKey, backend string) {
+func (x *holderIndex) put(key demandKey, backend message.BackendID) {
 	x.holders[key] = append(x.holders[key], backend)
 }
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -63,7 +63,10 @@
 	told    loadsTold
 }
 
-type demandKey struct{ service, model string }
+type demandKey struct {
+	service string
+	model   message.ModelName
+}
 
 type heldPull struct {
 	pull    message.PollRequest
@@ -304,7 +307,7 @@
 }
 
 // demandFor returns the sum for a model, which it makes where there is none.
-func (s *state) demandFor(service, model string) *message.ModelDemand {
+func (s *state) demandFor(service string, model message.ModelName) *message.ModelDemand {
 	key := demandKey{service, model}
 	sum := s.demand[key]
 	if sum == nil {
@@ -327,7 +330,7 @@
 }
 
 func (s *state) sumLoads(now time.Time) []message.BackendLoad {
-	sums := map[string]message.BackendLoad{}
+	sums := map[message.BackendID]message.BackendLoad{}
 	for _, known := range s.sources {
 		if now.Sub(known.at) > loadLifetime {
 			continue
--- a/internal/controlplane/distribution/ledger.go
+++ b/internal/controlplane/distribution/ledger.go
@@ -13,7 +13,7 @@
 // Ledger keeps what each proxy carries at each backend, by its latest word. It is soft state: it may be lost at any time
 // and fills again as proxies tell of changes. Entries are present values, so one that is told twice counts once.
 type Ledger struct {
-	entries map[string]map[string]ledgerEntry // by backend and source
+	entries map[message.BackendID]map[string]ledgerEntry // by backend and source
 }
 
 type ledgerEntry struct {
@@ -22,7 +22,7 @@
 }
 
 // NewLedger makes an empty ledger.
-func NewLedger() *Ledger { return &Ledger{entries: map[string]map[string]ledgerEntry{}} }
+func NewLedger() *Ledger { return &Ledger{entries: map[message.BackendID]map[string]ledgerEntry{}} }
 
 // Put takes what a source carries now; whole says that it carries nothing elsewhere.
 func (l *Ledger) Put(source string, loads []message.BackendLoad, whole bool, now time.Time) {
@@ -45,7 +45,7 @@
 	}
 }
 
-func (l *Ledger) remove(backend, source string) {
+func (l *Ledger) remove(backend message.BackendID, source string) {
 	sources := l.entries[backend]
 	delete(sources, source)
 	if len(sources) == 0 {
@@ -54,7 +54,7 @@
 }
 
 // Others is what all sources but one carry at a backend.
-func (l *Ledger) Others(backend, source string, now time.Time) message.BackendLoad {
+func (l *Ledger) Others(backend message.BackendID, source string, now time.Time) message.BackendLoad {
 	sum := message.BackendLoad{Backend: backend}
 	for name, entry := range l.entries[backend] {
 		switch {
--- a/internal/controlplane/distribution/ledger_test.go
+++ b/internal/controlplane/distribution/ledger_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/message"
 )
 
-func load(backend string, running, queued int) message.BackendLoad {
+func load(backend message.BackendID, running, queued int) message.BackendLoad {
 	return message.BackendLoad{Backend: backend, Running: running, Queued: queued}
 }
 
@@ -26,7 +26,7 @@
 	assert.Equal(t, load("b2", 0, 0), ledger.Others("b2", "p1", now))
 	ledger.Put("p1", []message.BackendLoad{load("b2", 0, 0)}, false, now)
 	assert.Equal(t, load("b2", 0, 0), ledger.Others("b2", "p3", now))
-	assert.NotContains(t, ledger.entries, "b2", "what carries nothing takes no place")
+	assert.NotContains(t, ledger.entries, message.BackendID("b2"), "what carries nothing takes no place")
 }
 
 func TestLedgerForgetsTheSilent(t *testing.T) {
--- a/internal/controlplane/distribution/loads.go
+++ b/internal/controlplane/distribution/loads.go
@@ -16,16 +16,16 @@
 // loadsTold is what one source was told of the loads last.
 type loadsTold struct {
 	version uint64
-	loads   map[string]message.BackendLoad
+	loads   map[message.BackendID]message.BackendLoad
 }
 
 // next returns what is to be told now to a source that has the given version.
 func (t *loadsTold) next(has uint64, totals []message.BackendLoad) (out []message.BackendLoad, whole bool, version uint64) {
 	if t.version == 0 || has != t.version {
-		t.loads = map[string]message.BackendLoad{}
+		t.loads = map[message.BackendID]message.BackendLoad{}
 		whole = true
 	}
-	present := map[string]bool{}
+	present := map[message.BackendID]bool{}
 	for _, load := range totals {
 		present[load.Backend] = true
 		if old, ok := t.loads[load.Backend]; !ok || differs(old, load) {
@@ -58,7 +58,7 @@
 // Loads follows the sums of loads as a hub tells them.
 type Loads struct {
 	version uint64
-	loads   map[string]message.BackendLoad
+	loads   map[message.BackendID]message.BackendLoad
 }
 
 // Version returns what has been followed so far.
@@ -67,7 +67,7 @@
 // Take takes an answer and returns the loads of all backends.
 func (l *Loads) Take(reply *message.PollResponse) []message.BackendLoad {
 	if reply.LoadsComplete || l.loads == nil {
-		l.loads = map[string]message.BackendLoad{}
+		l.loads = map[message.BackendID]message.BackendLoad{}
 	}
 	for _, load := range reply.TotalLoads {
 		l.loads[load.Backend] = load
--- a/internal/controlplane/placement/adapters.go
+++ b/internal/controlplane/placement/adapters.go
@@ -6,11 +6,12 @@
 	"sort"
 
 	"pumiceline/internal/controlplane/configuration"
+	"pumiceline/internal/message"
 )
 
 // adapterWant is an adapter that has fewer copies than it should.
 type adapterWant struct {
-	model   string
+	model   message.ModelName
 	adapter string
 	asked   bool
 	worth   float64
@@ -35,7 +36,7 @@
 		} else if !ok {
 			continue
 		}
-		task.Adapters = append(task.Adapters, wanted.model+"/"+wanted.adapter)
+		task.Adapters = append(task.Adapters, wanted.model.WithAdapter(wanted.adapter))
 	}
 	for _, backend := range p.backends {
 		if task := added[backend]; task != nil && len(task.Adapters) > 0 {
@@ -86,7 +87,7 @@
 	out := make([]adapterWant, 0, model.Adapters)
 	for i := 1; i <= model.Adapters; i++ {
 		adapter := fmt.Sprintf("a%d", i)
-		demand := p.in.Demand.Of(p.service.Name, model.Name+"/"+adapter)
+		demand := p.in.Demand.Of(p.service.Name, model.Name.WithAdapter(adapter))
 		asked := demand.Waiting > 0 || demand.Missed > 0.05 || !demand.LastAsked.IsZero() && p.in.Now.Sub(demand.LastAsked) < keepAsked
 		worth := max(demand.Fast, demand.Slow) + waitingWorth*(float64(demand.Waiting)+demand.Missed) + 0.01
 		out = append(out, adapterWant{model: model.Name, adapter: adapter, asked: asked, worth: worth})
@@ -96,7 +97,7 @@
 }
 
 // adaptersFor are the adapters that a new copy of a model gets with it: those that have the fewest copies.
-func (p *plan) adaptersFor(model configuration.Model, chosen *option) []string {
+func (p *plan) adaptersFor(model configuration.Model, chosen *option) []message.ModelName {
 	if p.desired[model.Name] <= 1 {
 		return nil
 	}
@@ -109,14 +110,14 @@
 	held := p.adapterCopies(model.Name)
 	ranked := p.rankAdapters(model)
 	sort.SliceStable(ranked, func(i, j int) bool { return held[ranked[i].adapter] < held[ranked[j].adapter] })
-	var names []string
+	var names []message.ModelName
 	for _, wanted := range ranked[:max(0, min(places, len(ranked)))] {
-		names = append(names, wanted.model+"/"+wanted.adapter)
+		names = append(names, wanted.model.WithAdapter(wanted.adapter))
 	}
 	return names
 }
 
-func (p *plan) adapterCopies(model string) map[string]int {
+func (p *plan) adapterCopies(model message.ModelName) map[string]int {
 	held := map[string]int{}
 	for _, backend := range p.backends {
 		for _, m := range backend.Models {
@@ -136,7 +137,7 @@
 	var best *Backend
 	fewest := 0
 	for _, backend := range p.backends {
-		if backend.Busy || !holds(backend, wanted.model) || backend.Holds(wanted.model+"/"+wanted.adapter) || planned(added[backend], wanted) {
+		if backend.Busy || !holds(backend, wanted.model) || backend.Holds(wanted.model.WithAdapter(wanted.adapter)) || planned(added[backend], wanted) {
 			continue
 		}
 		count := p.adapterCount(backend, added[backend])
@@ -148,7 +149,7 @@
 }
 
 func planned(task *Task, wanted adapterWant) bool {
-	return task != nil && slices.Contains(task.Adapters, wanted.model+"/"+wanted.adapter)
+	return task != nil && slices.Contains(task.Adapters, wanted.model.WithAdapter(wanted.adapter))
 }
 
 func (p *plan) adapterCount(backend *Backend, task *Task) int {
@@ -160,7 +161,7 @@
 }
 
 // adapterToDrop names the adapter that has to go for another; ok is false where none is worth less.
-func (p *plan) adapterToDrop(backend *Backend, task *Task, wanted adapterWant) (drop string, ok bool) {
+func (p *plan) adapterToDrop(backend *Backend, task *Task, wanted adapterWant) (drop message.ModelName, ok bool) {
 	if p.adapterCount(backend, task) < p.service.Runtime.AdapterSlots && p.adapterFits(backend, task, wanted) {
 		return "", true
 	}
@@ -170,7 +171,7 @@
 	least := wanted.worth/gainOverVictim - adapterGain
 	for _, model := range backend.Models {
 		for _, adapter := range model.Adapters {
-			name := model.Name + "/" + adapter
+			name := model.Name.WithAdapter(adapter)
 			if slices.Contains(task.Drop, name) {
 				continue
 			}
@@ -189,7 +190,9 @@
 	for _, name := range task.Adapters {
 		used += p.adapterSize(name)
 	}
-	return used+p.adapterSize(wanted.model+"/"+wanted.adapter) <= p.service.Runtime.WeightsMB
+	return used+p.adapterSize(wanted.model.WithAdapter(wanted.adapter)) <= p.service.Runtime.WeightsMB
 }
 
-func (p *plan) adapterSize(name string) float64 { return Room{p.service.Runtime}.SizeOf(name) }
+func (p *plan) adapterSize(name message.ModelName) float64 {
+	return Room{p.service.Runtime}.SizeOf(name)
+}
--- a/internal/controlplane/placement/demand.go
+++ b/internal/controlplane/placement/demand.go
@@ -4,7 +4,6 @@
 
 import (
 	"math"
-	"strings"
 	"time"
 
 	"pumiceline/internal/message"
@@ -38,15 +37,17 @@
 
 // DemandTable keeps averages by service and model; adapters have entries of their own beside their model's.
 type DemandTable struct {
-	entries map[string]map[string]*Demand
+	entries map[string]map[message.ModelName]*Demand
 	updated time.Time
 }
 
 // NewDemandTable makes an empty table.
-func NewDemandTable() *DemandTable { return &DemandTable{entries: map[string]map[string]*Demand{}} }
+func NewDemandTable() *DemandTable {
+	return &DemandTable{entries: map[string]map[message.ModelName]*Demand{}}
+}
 
 // Of returns the demand for a model, or for an adapter named after a slash.
-func (t *DemandTable) Of(service, model string) Demand {
+func (t *DemandTable) Of(service string, model message.ModelName) Demand {
 	if entry := t.entries[service][model]; entry != nil {
 		return *entry
 	}
@@ -57,7 +58,7 @@
 func (t *DemandTable) IsEmpty(service string) bool { return len(t.entries[service]) == 0 }
 
 // Duration is how many seconds a request of a model takes, by Little's law.
-func (t *DemandTable) Duration(service, model string) float64 {
+func (t *DemandTable) Duration(service string, model message.ModelName) float64 {
 	entry := t.entries[service][model]
 	if entry == nil || entry.rates < leastRate {
 		return usualDuration.Seconds()
@@ -65,10 +66,10 @@
 	return min(longestDuration.Seconds(), entry.durations/entry.rates)
 }
 
-func (t *DemandTable) entry(service, model string) *Demand {
+func (t *DemandTable) entry(service string, model message.ModelName) *Demand {
 	models := t.entries[service]
 	if models == nil {
-		models = map[string]*Demand{}
+		models = map[message.ModelName]*Demand{}
 		t.entries[service] = models
 	}
 	entry := models[model]
@@ -92,10 +93,10 @@
 		span = fastMemory.Seconds()
 	}
 	t.updated = now
-	samples := map[string]map[string]*sample{}
+	samples := map[string]map[message.ModelName]*sample{}
 	for _, d := range demand {
 		add(samples, d.Service, d.Model, d)
-		if model, _, isAdapter := strings.Cut(d.Model, "/"); isAdapter {
+		if model := message.ModelOf(d.Model); model != d.Model {
 			add(samples, d.Service, model, d)
 		}
 	}
@@ -118,10 +119,10 @@
 	}
 }
 
-func add(samples map[string]map[string]*sample, service, name string, d message.ModelDemand) {
+func add(samples map[string]map[message.ModelName]*sample, service string, name message.ModelName, d message.ModelDemand) {
 	names := samples[service]
 	if names == nil {
-		names = map[string]*sample{}
+		names = map[message.ModelName]*sample{}
 		samples[service] = names
 	}
 	s := names[name]
--- a/internal/controlplane/placement/executor.go
+++ b/internal/controlplane/placement/executor.go
@@ -38,9 +38,9 @@
 	Owner  string
 	Fence  Fence
 	// Publish tells what a backend holds now, or what proxies may still use of it.
-	Publish func(backend string, models []message.LoadedModel)
+	Publish func(backend message.BackendID, models []message.LoadedModel)
 	// Started tells that the task's load has begun, or may have.
-	Started func(backend string)
+	Started func(backend message.BackendID)
 	// Pause waits; tests put their own in its place. Nil: the steady clock's.
 	Pause func(ctx context.Context, span time.Duration) error
 }
@@ -95,7 +95,7 @@
 }
 
 // give gives an order and counts it.
-func (r *run) give(ctx context.Context, operation, name string) (Answer, error) {
+func (r *run) give(ctx context.Context, operation string, name message.ModelName) (Answer, error) {
 	token, ok := r.Fence()
 	if !ok {
 		return Refused, ErrFenced
@@ -119,7 +119,7 @@
 }
 
 // insist gives an order until it is taken; conflicts and silence are followed by a look at the backend.
-func (r *run) insist(ctx context.Context, operation, name string) (Answer, error) {
+func (r *run) insist(ctx context.Context, operation string, name message.ModelName) (Answer, error) {
 	for range maxConflicts {
 		answer, err := r.give(ctx, operation, name)
 		if err != nil {
@@ -141,7 +141,7 @@
 	return Conflict, errors.Errorf("%s of %s meets one conflict after another", operation, name)
 }
 
-func (r *run) unload(ctx context.Context, model string) error {
+func (r *run) unload(ctx context.Context, model message.ModelName) error {
 	if !r.holds(model) {
 		return nil
 	}
@@ -157,7 +157,7 @@
 }
 
 // awaitUnload polls until the model is gone; its runs have to end first.
-func (r *run) awaitUnload(ctx context.Context, model string) error {
+func (r *run) awaitUnload(ctx context.Context, model message.ModelName) error {
 	deadline := time.Now().Add(unloadPatience)
 	for time.Now().Before(deadline) {
 		if err := r.pause(ctx, pollUnload); err != nil {
@@ -179,12 +179,12 @@
 	return errors.Errorf("%s takes too long to be unloaded", model)
 }
 
-func (r *run) holds(name string) bool {
+func (r *run) holds(name message.ModelName) bool {
 	held := message.Backend{Models: r.models}
 	return held.Holds(name)
 }
 
-func (r *run) load(ctx context.Context, model string) error {
+func (r *run) load(ctx context.Context, model message.ModelName) error {
 	if r.holds(model) {
 		return nil
 	}
@@ -248,7 +248,7 @@
 	return nil
 }
 
-func (r *run) loadAdapter(ctx context.Context, name string) error {
+func (r *run) loadAdapter(ctx context.Context, name message.ModelName) error {
 	for range maxConflicts {
 		answer, err := r.give(ctx, Load, name)
 		if err != nil {
@@ -280,7 +280,7 @@
 }
 
 // withAdapter returns models with one adapter more; the lists given are not changed.
-func withAdapter(models []message.LoadedModel, name string) []message.LoadedModel {
+func withAdapter(models []message.LoadedModel, name message.ModelName) []message.LoadedModel {
 	out := slices.Clone(models)
 	for i := range out {
 		if out[i].Name == message.ModelOf(name) {
--- a/internal/controlplane/placement/executor_test.go
+++ b/internal/controlplane/placement/executor_test.go
@@ -22,7 +22,7 @@
 // fakeBackend takes orders as PROTOCOL says and writes them down.
 type fakeBackend struct {
 	mutex  sync.Mutex
-	models map[string][]string
+	models map[message.ModelName][]string
 	count  uint64
 	inUse  bool
 	lines  []string
@@ -44,7 +44,7 @@
 	status := b.take(order)
 	name := order.Model
 	if order.Adapter != "" {
-		name += "/" + order.Adapter
+		name = name.WithAdapter(order.Adapter)
 	}
 	b.lines = append(b.lines, fmt.Sprintf("%s %s if %d: %d", order.Operation, name, *order.IfRevision, status))
 	w.WriteHeader(status)
@@ -75,8 +75,8 @@
 
 func (b *fakeBackend) report(w http.ResponseWriter) {
 	type model struct {
-		Name     string   `json:"name"`
-		Adapters []string `json:"adapters"`
+		Name     message.ModelName `json:"name"`
+		Adapters []string          `json:"adapters"`
 	}
 	models := []model{}
 	for name, adapters := range b.models {
@@ -97,7 +97,7 @@
 		fence = func() (uint64, bool) { return 7, true }
 	}
 	executor := &Executor{
-		Caller: NewCaller(), Owner: "me", Fence: fence, Publish: func(string, []message.LoadedModel) {}, Started: func(string) {},
+		Caller: NewCaller(), Owner: "me", Fence: fence, Publish: func(message.BackendID, []message.LoadedModel) {}, Started: func(message.BackendID) {},
 		Pause: func(context.Context, time.Duration) error { return nil },
 	}
 	models, _, err := executor.Run(context.Background(), &task)
@@ -105,8 +105,8 @@
 }
 
 func TestATaskIsCarriedOutInOrder(t *testing.T) {
-	b := &fakeBackend{models: map[string][]string{"m": {}, "n": {}}, count: 4}
-	_, err := b.run(t, Task{Unload: []string{"n"}, Load: "o", Adapters: []string{"m/a1"}}, nil)
+	b := &fakeBackend{models: map[message.ModelName][]string{"m": {}, "n": {}}, count: 4}
+	_, err := b.run(t, Task{Unload: []message.ModelName{"n"}, Load: "o", Adapters: []message.ModelName{"m/a1"}}, nil)
 	require.NoError(t, err)
 	assert.Equal(t, []string{
 		"model_unload n if 4: 202", "model_load o if 5: 202", "model_load m/a1 if 6: 202",
@@ -115,20 +115,20 @@
 
 // Found on the bench (LIMIT): a load cut off midway was not in the list by which the next was planned.
 func TestNoOrderWhereAReportShowsNoRoom(t *testing.T) {
-	b := &fakeBackend{models: map[string][]string{"m": {}, "n": {}}}
+	b := &fakeBackend{models: map[message.ModelName][]string{"m": {}, "n": {}}}
 	_, err := b.run(t, Task{Load: "o"}, nil)
 	assert.ErrorContains(t, err, "no room for o")
 	assert.Empty(t, b.lines)
-	b = &fakeBackend{models: map[string][]string{"m": {"a1", "a2"}}}
-	_, err = b.run(t, Task{Adapters: []string{"m/a3"}}, nil)
+	b = &fakeBackend{models: map[message.ModelName][]string{"m": {"a1", "a2"}}}
+	_, err = b.run(t, Task{Adapters: []message.ModelName{"m/a3"}}, nil)
 	assert.ErrorContains(t, err, "no room for m/a3")
 	assert.Empty(t, b.lines)
 }
 
 func TestNoOrderWithoutTheLease(t *testing.T) {
-	b := &fakeBackend{models: map[string][]string{"m": {}, "n": {}}}
+	b := &fakeBackend{models: map[message.ModelName][]string{"m": {}, "n": {}}}
 	orders := 0
-	_, err := b.run(t, Task{Unload: []string{"n"}, Load: "o"}, func() (uint64, bool) {
+	_, err := b.run(t, Task{Unload: []message.ModelName{"n"}, Load: "o"}, func() (uint64, bool) {
 		orders++
 		return 7, orders == 1
 	})
@@ -138,7 +138,7 @@
 
 // An order of a predecessor that arrives in between makes the count differ: the executor looks again.
 func TestAForeignOrderIsSeenBeforeTheNext(t *testing.T) {
-	b := &fakeBackend{models: map[string][]string{"m": {}}}
+	b := &fakeBackend{models: map[message.ModelName][]string{"m": {}}}
 	once := true
 	b.before = func(b *fakeBackend, order Order) int {
 		if once {
--- a/internal/controlplane/placement/orders.go
+++ b/internal/controlplane/placement/orders.go
@@ -41,12 +41,12 @@
 
 // Order is one order to a backend.
 type Order struct {
-	Operation  string  `json:"operation"`
-	Model      string  `json:"model"`
-	Adapter    string  `json:"adapter,omitempty"`
-	IfRevision *uint64 `json:"ifRevision,omitempty"`
-	Owner      string  `json:"owner"`
-	Fence      uint64  `json:"fenceNo"`
+	Operation  string            `json:"operation"`
+	Model      message.ModelName `json:"model"`
+	Adapter    string            `json:"adapter,omitempty"`
+	IfRevision *uint64           `json:"ifRevision,omitempty"`
+	Owner      string            `json:"owner"`
+	Fence      uint64            `json:"fenceNo"`
 }
 
 // The operations of orders.
@@ -77,7 +77,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "asking for a report")
 	}
-	request.Header.Set("Target-Backend", target.ID)
+	request.Header.Set("Target-Backend", string(target.ID))
 	response, err := c.reports.Do(request)
 	if err != nil {
 		return nil, errors.Wrap(err, "asking for a report")
@@ -110,7 +110,7 @@
 	}
 	report := &Report{InUse: read.InUse, Orders: read.CallCount}
 	for _, model := range *read.Models {
-		report.Models = append(report.Models, message.LoadedModel{Name: model.Name, Adapters: model.Adapters})
+		report.Models = append(report.Models, message.LoadedModel{Name: message.ModelName(model.Name), Adapters: model.Adapters})
 	}
 	return report, nil
 }
@@ -129,7 +129,7 @@
 	}
 	request.GetBody = nil // so that the transport cannot send it again
 	request.Header.Set("Content-Type", "application/json")
-	request.Header.Set("Target-Backend", target.ID)
+	request.Header.Set("Target-Backend", string(target.ID))
 	response, err := c.orders.Do(request)
 	if err != nil {
 		return Unknown
--- a/internal/controlplane/placement/planner.go
+++ b/internal/controlplane/placement/planner.go
@@ -33,20 +33,20 @@
 // Backend is a backend as the planner sees it.
 type Backend struct {
 	message.Backend
-	Busy bool            // an order or a task is under way
-	Warm map[string]bool // models that it held before and reads from its own disk
+	Busy bool                       // an order or a task is under way
+	Warm map[message.ModelName]bool // models that it held before and reads from its own disk
 }
 
 // Task is what one backend is to be ordered, in this order: unloads, then a load, then adapters.
 type Task struct {
 	Backend  message.Backend
 	Service  string
-	Unload   []string // models
-	Load     string   // model; empty: none
+	Unload   []message.ModelName // models
+	Load     message.ModelName   // model; empty: none
 	LoadTime time.Duration
-	Warm     bool     // the load is read from the backend's own disk
-	Drop     []string // adapters to be unloaded, as model/adapter
-	Adapters []string // adapters to be loaded, as model/adapter
+	Warm     bool                // the load is read from the backend's own disk
+	Drop     []message.ModelName // adapters to be unloaded, as model/adapter
+	Adapters []message.ModelName // adapters to be loaded, as model/adapter
 	Room     Room
 	Reason   string
 }
@@ -56,10 +56,10 @@
 	Now       time.Time
 	Services  map[string]*configuration.Service
 	Backends  []Backend
-	Loading   map[string]map[string]int // by service and model: loads that tasks under way will bring
+	Loading   map[string]map[message.ModelName]int // by service and model: loads that tasks under way will bring
 	Demand    *DemandTable
-	Running   map[string]int // requests under way by backend
-	LoadsLeft map[string]int // by service: loads that may begin now
+	Running   map[message.BackendID]int // requests under way by backend
+	LoadsLeft map[string]int            // by service: loads that may begin now
 }
 
 // plan is one run of the planner for one service.
@@ -67,9 +67,9 @@
 	in       *Input
 	service  *configuration.Service
 	backends []*Backend
-	copies   map[string]int // held and being loaded
-	desired  map[string]int
-	nextRate map[string]float64 // the highest rate that may move on to a model
+	copies   map[message.ModelName]int // held and being loaded
+	desired  map[message.ModelName]int
+	nextRate map[message.ModelName]float64 // the highest rate that may move on to a model
 	tasks    []Task
 }
 
@@ -93,7 +93,7 @@
 }
 
 func newPlan(in *Input, service *configuration.Service) *plan {
-	p := &plan{in: in, service: service, copies: map[string]int{}, desired: map[string]int{}, nextRate: map[string]float64{}}
+	p := &plan{in: in, service: service, copies: map[message.ModelName]int{}, desired: map[message.ModelName]int{}, nextRate: map[message.ModelName]float64{}}
 	for i := range in.Backends {
 		backend := &in.Backends[i]
 		if backend.Service != service.Name || backend.Draining || backend.TimeLeftMs > 0 {
@@ -134,7 +134,7 @@
 
 // rateOf is the rate at which a model is asked for. Before any demand was seen, a model that the platform placed more
 // than once is taken to be busy.
-func (p *plan) rateOf(model string) float64 {
+func (p *plan) rateOf(model message.ModelName) float64 {
 	if !p.in.Demand.IsEmpty(p.service.Name) {
 		demand := p.in.Demand.Of(p.service.Name, model)
 		return max(demand.Fast, demand.Slow)
@@ -146,7 +146,7 @@
 }
 
 // copiesFor is how many copies a model needs at a rate, by the time that its requests take; 0 where it is not busy.
-func (p *plan) copiesFor(model string, rate float64) int {
+func (p *plan) copiesFor(model message.ModelName, rate float64) int {
 	if rate < busyRate {
 		return 0
 	}
@@ -174,12 +174,12 @@
 }
 
 // expectedRate is the rate at which a model is asked for, or a part of the rate that may move on to it.
-func (p *plan) expectedRate(model string) float64 {
+func (p *plan) expectedRate(model message.ModelName) float64 {
 	return max(p.rateOf(model), anticipation*p.nextRate[model])
 }
 
 // worthOfMore is what one more copy is worth, in requests a second.
-func (p *plan) worthOfMore(model string) float64 {
+func (p *plan) worthOfMore(model message.ModelName) float64 {
 	demand := p.in.Demand.Of(p.service.Name, model)
 	if p.copies[model] == 0 {
 		return p.expectedRate(model) + waitingWorth*(float64(demand.Waiting)+demand.Missed) + soleWorth
@@ -188,7 +188,7 @@
 }
 
 // worthOfOne is what is lost when one of a model's copies goes.
-func (p *plan) worthOfOne(model string) float64 {
+func (p *plan) worthOfOne(model message.ModelName) float64 {
 	demand := p.in.Demand.Of(p.service.Name, model)
 	copies := p.copies[model]
 	if copies > p.desired[model] && copies > 1 {
@@ -223,7 +223,7 @@
 // option is a backend that could take a model, and what has to go for it.
 type option struct {
 	backend *Backend
-	victims []string
+	victims []message.ModelName
 	loss    float64
 }
 
@@ -266,7 +266,7 @@
 	return model.Load
 }
 
-func holds(backend *Backend, model string) bool {
+func holds(backend *Backend, model message.ModelName) bool {
 	return slices.ContainsFunc(backend.Models, func(m message.LoadedModel) bool { return m.Name == model })
 }
 
--- a/internal/controlplane/placement/planner_test.go
+++ b/internal/controlplane/placement/planner_test.go
@@ -21,18 +21,18 @@
 	now      time.Time
 }
 
-func newFleet(holdings ...[]string) *fleet {
+func newFleet(holdings ...[]message.ModelName) *fleet {
 	f := &fleet{demand: NewDemandTable(), now: start, runtime: &configuration.Runtime{
 		Capacity: 8, WeightsMB: 210, AdapterSlots: 3, LoadsPerS: 2,
 	}}
 	for i := range 10 {
 		f.runtime.Models = append(f.runtime.Models, configuration.Model{
-			Name: fmt.Sprintf("m%d", i), WeightsMB: 100, Load: 5 * time.Second, AdapterMB: 1,
+			Name: message.ModelName(fmt.Sprintf("m%d", i)), WeightsMB: 100, Load: 5 * time.Second, AdapterMB: 1,
 		})
 	}
 	for i, names := range holdings {
-		backend := Backend{Warm: map[string]bool{}}
-		backend.ID, backend.Service = fmt.Sprintf("b%d", i), "s"
+		backend := Backend{Warm: map[message.ModelName]bool{}}
+		backend.ID, backend.Service = message.BackendID(fmt.Sprintf("b%d", i)), "s"
 		for _, name := range names {
 			backend.Models = append(backend.Models, message.LoadedModel{Name: name})
 		}
@@ -42,7 +42,7 @@
 }
 
 // ask lets demand be as given for a while: requests a second by model.
-func (f *fleet) ask(span time.Duration, rates map[string]float64) {
+func (f *fleet) ask(span time.Duration, rates map[message.ModelName]float64) {
 	for passed := time.Duration(0); passed < span; passed += 100 * time.Millisecond {
 		f.now = f.now.Add(100 * time.Millisecond)
 		var report []message.ModelDemand
@@ -53,7 +53,7 @@
 	}
 }
 
-func (f *fleet) wait(model string, waiting int) {
+func (f *fleet) wait(model message.ModelName, waiting int) {
 	f.now = f.now.Add(100 * time.Millisecond)
 	f.demand.Update(f.now, []message.ModelDemand{{Service: "s", Model: model, Arrivals: float64(waiting), Waiting: waiting}})
 }
@@ -61,7 +61,7 @@
 func (f *fleet) plan(loadsLeft int) []Task {
 	return Plan(&Input{
 		Now: f.now, Services: map[string]*configuration.Service{"s": {Name: "s", Runtime: f.runtime}},
-		Backends: append([]Backend{}, f.backends...), Demand: f.demand, Loading: map[string]map[string]int{},
+		Backends: append([]Backend{}, f.backends...), Demand: f.demand, Loading: map[string]map[message.ModelName]int{},
 		LoadsLeft: map[string]int{"s": loadsLeft},
 	})
 }
@@ -70,7 +70,7 @@
 	out := map[string]string{}
 	for _, task := range tasks {
 		if task.Load != "" {
-			out[task.Load] = task.Backend.ID
+			out[string(task.Load)] = string(task.Backend.ID)
 		}
 	}
 	return out
@@ -78,30 +78,30 @@
 
 // Found on the bench: sole copies were evicted before the first request came.
 func TestNothingMovesBeforeAnyDemand(t *testing.T) {
-	f := newFleet([]string{"m0", "m1"}, []string{"m0", "m2"}, []string{"m3", "m4"})
+	f := newFleet([]message.ModelName{"m0", "m1"}, []message.ModelName{"m0", "m2"}, []message.ModelName{"m3", "m4"})
 	assert.Empty(t, loads(f.plan(10)))
 }
 
 func TestAMissingModelReplacesTheLeastWanted(t *testing.T) {
-	f := newFleet([]string{"m0", "m1"}, []string{"m8", "m2"}, []string{"m3", "m4"})
-	f.ask(10*time.Second, map[string]float64{"m0": 0.5, "m1": 0.3, "m2": 0.3, "m3": 0.3, "m8": 0.3})
+	f := newFleet([]message.ModelName{"m0", "m1"}, []message.ModelName{"m8", "m2"}, []message.ModelName{"m3", "m4"})
+	f.ask(10*time.Second, map[message.ModelName]float64{"m0": 0.5, "m1": 0.3, "m2": 0.3, "m3": 0.3, "m8": 0.3})
 	f.wait("m7", 1)
 	tasks := f.plan(10)
 	assert.Equal(t, map[string]string{"m7": "b2"}, loads(tasks))
-	assert.Equal(t, []string{"m4"}, tasks[0].Unload, "the only model that nobody asks for")
+	assert.Equal(t, []message.ModelName{"m4"}, tasks[0].Unload, "the only model that nobody asks for")
 }
 
 func TestABusyModelGetsMoreCopies(t *testing.T) {
-	f := newFleet([]string{"m0", "m1"}, []string{"m2", "m3"}, []string{"m4", "m5"}, []string{"m6", "m8"})
-	f.ask(20*time.Second, map[string]float64{"m0": 12})
+	f := newFleet([]message.ModelName{"m0", "m1"}, []message.ModelName{"m2", "m3"}, []message.ModelName{"m4", "m5"}, []message.ModelName{"m6", "m8"})
+	f.ask(20*time.Second, map[message.ModelName]float64{"m0": 12})
 	found := loads(f.plan(10))
 	assert.Contains(t, found, "m0")
 	assert.Contains(t, found, "m1", "and so does the next one in the operator's list, ahead of its demand")
 }
 
 func TestLoadsKeepToWhatIsLeft(t *testing.T) {
-	f := newFleet([]string{"m0", "m1"}, []string{"m2", "m3"}, []string{"m4", "m5"})
-	for _, model := range []string{"m6", "m7", "m8"} {
+	f := newFleet([]message.ModelName{"m0", "m1"}, []message.ModelName{"m2", "m3"}, []message.ModelName{"m4", "m5"})
+	for _, model := range []message.ModelName{"m6", "m7", "m8"} {
 		f.wait(model, 1)
 	}
 	assert.Len(t, loads(f.plan(1)), 1)
@@ -111,7 +111,7 @@
 }
 
 func TestAWarmBackendIsPreferred(t *testing.T) {
-	f := newFleet([]string{"m0", "m1"}, []string{"m2", "m3"}, []string{"m4", "m5"})
+	f := newFleet([]message.ModelName{"m0", "m1"}, []message.ModelName{"m2", "m3"}, []message.ModelName{"m4", "m5"})
 	f.backends[2].Warm["m9"] = true
 	f.wait("m9", 1)
 	tasks := f.plan(10)
@@ -120,7 +120,7 @@
 }
 
 func TestBusyDrainingAndLeavingBackendsGetNoOrders(t *testing.T) {
-	f := newFleet([]string{"m0"}, []string{"m1"}, []string{"m2"}, []string{"m3"})
+	f := newFleet([]message.ModelName{"m0"}, []message.ModelName{"m1"}, []message.ModelName{"m2"}, []message.ModelName{"m3"})
 	f.backends[0].Busy = true
 	f.backends[1].Draining = true
 	f.backends[2].TimeLeftMs = 900
@@ -129,17 +129,17 @@
 }
 
 func TestWhatOnlyALeavingBackendHoldsIsLoadedElsewhere(t *testing.T) {
-	f := newFleet([]string{"m0", "m1"}, []string{"m2"})
-	f.ask(5*time.Second, map[string]float64{"m1": 0.4})
+	f := newFleet([]message.ModelName{"m0", "m1"}, []message.ModelName{"m2"})
+	f.ask(5*time.Second, map[message.ModelName]float64{"m1": 0.4})
 	f.backends[0].TimeLeftMs = 1500
 	assert.Equal(t, "b1", loads(f.plan(10))["m1"])
 }
 
 func TestAdaptersOfBusyModelsAreSpreadOverTheirHolders(t *testing.T) {
-	f := newFleet([]string{"m0"}, []string{"m0"})
+	f := newFleet([]message.ModelName{"m0"}, []message.ModelName{"m0"})
 	f.runtime.Models[0].Adapters = 5
-	f.ask(5*time.Second, map[string]float64{"m0": 4})
-	placed := map[string]int{}
+	f.ask(5*time.Second, map[message.ModelName]float64{"m0": 4})
+	placed := map[message.ModelName]int{}
 	for _, task := range f.plan(0) {
 		assert.LessOrEqual(t, len(task.Adapters), f.runtime.AdapterSlots)
 		for _, adapter := range task.Adapters {
@@ -150,24 +150,24 @@
 }
 
 func TestAnAdapterNobodyAskedForDisplacesNone(t *testing.T) {
-	f := newFleet([]string{"m0"})
+	f := newFleet([]message.ModelName{"m0"})
 	f.runtime.Models[0].Adapters = 9
 	f.backends[0].Models[0].Adapters = []string{"a1", "a2", "a3"}
-	f.ask(5*time.Second, map[string]float64{"m0": 4})
+	f.ask(5*time.Second, map[message.ModelName]float64{"m0": 4})
 	assert.Empty(t, f.plan(0))
 	f.wait("m0/a7", 2)
 	tasks := f.plan(0)
 	assert.Len(t, tasks, 1)
-	assert.Equal(t, []string{"m0/a7"}, tasks[0].Adapters)
+	assert.Equal(t, []message.ModelName{"m0/a7"}, tasks[0].Adapters)
 	assert.Len(t, tasks[0].Drop, 1)
 }
 
 func TestAPlanNeverExceedsTheRoom(t *testing.T) {
-	f := newFleet([]string{"m0", "m1"}, []string{"m2", "m3"}, []string{"m4"})
+	f := newFleet([]message.ModelName{"m0", "m1"}, []message.ModelName{"m2", "m3"}, []message.ModelName{"m4"})
 	f.runtime.Models[0].Adapters = 3
-	f.ask(5*time.Second, map[string]float64{"m0": 9, "m5": 2, "m6": 1, "m7": 0.5})
+	f.ask(5*time.Second, map[message.ModelName]float64{"m0": 9, "m5": 2, "m6": 1, "m7": 0.5})
 	for _, task := range f.plan(10) {
-		held := map[string]bool{}
+		held := map[message.ModelName]bool{}
 		for _, model := range task.Backend.Models {
 			held[model.Name] = true
 		}
@@ -184,8 +184,8 @@
 // Found on the bench: a model was loaded for requests that waited, they were sent to it, and in the next plan a busy
 // model took its place; the backend turned away what had not begun.
 func TestAModelInUseStays(t *testing.T) {
-	f := newFleet([]string{"m0", "m1"}, []string{"m4", "m7"})
-	f.ask(20*time.Second, map[string]float64{"m0": 12, "m4": 0.9})
+	f := newFleet([]message.ModelName{"m0", "m1"}, []message.ModelName{"m4", "m7"})
+	f.ask(20*time.Second, map[message.ModelName]float64{"m0": 12, "m4": 0.9})
 	f.wait("m7", 1)
 	f.now = f.now.Add(100 * time.Millisecond)
 	report := []message.ModelDemand{
@@ -194,20 +194,20 @@
 	}
 	f.demand.Update(f.now, report)
 	for _, task := range f.plan(10) {
-		assert.NotContains(t, task.Unload, "m7")
+		assert.NotContains(t, task.Unload, message.ModelName("m7"))
 	}
 	f.now = f.now.Add(100 * time.Millisecond)
 	f.demand.Update(f.now, report[:2])
 	tasks := f.plan(10)
 	assert.Equal(t, "b1", loads(tasks)["m0"])
-	assert.Equal(t, []string{"m7"}, tasks[0].Unload, "once it is idle it goes first")
+	assert.Equal(t, []message.ModelName{"m7"}, tasks[0].Unload, "once it is idle it goes first")
 }
 
 // Found on the bench: copies of busy models took each other's place again and again, as rates over some seconds waver by a
 // third; each swap costs a load and both copies meanwhile.
 func TestCopiesOfSimilarWorthDoNotTakeEachOthersPlace(t *testing.T) {
-	f := newFleet([]string{"m0", "m4"}, []string{"m0", "m7"})
-	f.ask(20*time.Second, map[string]float64{"m0": 4, "m4": 6.6, "m7": 4})
+	f := newFleet([]message.ModelName{"m0", "m4"}, []message.ModelName{"m0", "m7"})
+	f.ask(20*time.Second, map[message.ModelName]float64{"m0": 4, "m4": 6.6, "m7": 4})
 	for _, task := range f.plan(10) {
 		assert.Empty(t, task.Unload, "%s for %v", task.Load, task.Unload)
 	}
--- a/internal/controlplane/placement/room.go
+++ b/internal/controlplane/placement/room.go
@@ -27,7 +27,7 @@
 }
 
 // SizeOf is what a model, or an adapter named after a slash, takes in MB.
-func (r Room) SizeOf(name string) float64 {
+func (r Room) SizeOf(name message.ModelName) float64 {
 	model, ok := r.model(message.ModelOf(name))
 	switch {
 	case !ok:
@@ -38,7 +38,7 @@
 	return model.WeightsMB
 }
 
-func (r Room) model(name string) (configuration.Model, bool) {
+func (r Room) model(name message.ModelName) (configuration.Model, bool) {
 	for _, model := range r.Runtime.Models {
 		if model.Name == name {
 			return model, true
@@ -48,7 +48,7 @@
 }
 
 // Fits reports whether a model or an adapter may be loaded beside what is held.
-func (r Room) Fits(models []message.LoadedModel, name string) bool {
+func (r Room) Fits(models []message.LoadedModel, name message.ModelName) bool {
 	if message.AdapterOf(name) != "" && countAdapters(models) >= r.Runtime.AdapterSlots {
 		return false
 	}
--- a/internal/dataplane/backend/exchange.go
+++ b/internal/dataplane/backend/exchange.go
@@ -11,6 +11,8 @@
 	"time"
 
 	"github.com/pkg/errors"
+
+	"pumiceline/internal/message"
 )
 
 // Names of headers on the wire.
@@ -40,7 +42,7 @@
 	Header    http.Header // without those that concern one connection only
 	Body      []byte
 	ID        string
-	Backend   string // the backend's id
+	Backend   message.BackendID // the backend's id
 	Address   string
 	Deadline  time.Time
 	Priority  int
@@ -77,7 +79,7 @@
 	conn     *conn
 	response *http.Response
 	stop     func() bool
-	id       string
+	id       message.BackendID
 	whole    bool
 	unsent   bool // it came before the whole request was written
 }
--- a/internal/dataplane/backend/pool.go
+++ b/internal/dataplane/backend/pool.go
@@ -12,6 +12,8 @@
 
 	"github.com/pkg/errors"
 	"golang.org/x/sys/unix"
+
+	"pumiceline/internal/message"
 )
 
 // Times and sizes of connections.
@@ -62,15 +64,15 @@
 // Pool keeps idle connections by backend. The newest is used first, so that those not needed run out.
 type Pool struct {
 	mutex sync.Mutex
-	idle  map[string][]*conn
+	idle  map[message.BackendID][]*conn
 }
 
 // NewPool makes an empty pool.
-func NewPool() *Pool { return &Pool{idle: map[string][]*conn{}} }
+func NewPool() *Pool { return &Pool{idle: map[message.BackendID][]*conn{}} }
 
 // acquire returns a connection to the backend: an idle one, or a new one. One that carried an earlier attempt of the
 // same request is not used: a second answer to that attempt, which may come late, would bear the right id.
-func (p *Pool) acquire(ctx context.Context, id, address, requestID string) (*conn, error) {
+func (p *Pool) acquire(ctx context.Context, id message.BackendID, address, requestID string) (*conn, error) {
 	for {
 		c := p.takeIdle(id)
 		if c == nil {
@@ -88,7 +90,7 @@
 	return &conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBuffer)}, nil
 }
 
-func (p *Pool) takeIdle(id string) *conn {
+func (p *Pool) takeIdle(id message.BackendID) *conn {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	list := p.idle[id]
@@ -100,7 +102,7 @@
 	return c
 }
 
-func (p *Pool) release(id string, c *conn, idleTime time.Duration) {
+func (p *Pool) release(id message.BackendID, c *conn, idleTime time.Duration) {
 	c.expires = time.Now().Add(idleTime)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -108,7 +110,7 @@
 }
 
 // HasIdle reports whether a connection to the backend is kept that may be used now.
-func (p *Pool) HasIdle(id string) bool {
+func (p *Pool) HasIdle(id message.BackendID) bool {
 	now := time.Now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -117,7 +119,7 @@
 }
 
 // Forget closes the idle connections to a backend that is gone.
-func (p *Pool) Forget(id string) {
+func (p *Pool) Forget(id message.BackendID) {
 	p.mutex.Lock()
 	list := p.idle[id]
 	delete(p.idle, id)
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -15,7 +15,7 @@
 // Request is what the balancer knows of a request.
 type Request struct {
 	Service      string
-	Model        string // with its adapter after a slash; empty for services without models
+	Model        message.ModelName // with its adapter after a slash; empty for services without models
 	Priority     int
 	PromptTokens int
 	OutputTokens int
@@ -26,7 +26,7 @@
 	Aim          time.Duration
 
 	grant   chan Grant
-	tried   []string
+	tried   []message.BackendID
 	sends   int // attempts that may have arrived at a backend
 	counted bool
 	waits   bool
@@ -37,8 +37,8 @@
 
 // Grant is the answer to a request: a backend, or a refusal.
 type Grant struct {
-	Backend    *Backend // nil: refused; only the balancer looks into it
-	ID         string   // the backend's
+	Backend    *Backend          // nil: refused; only the balancer looks into it
+	ID         message.BackendID // the backend's
 	Address    string
 	RetryAfter time.Duration
 	Reason     string
@@ -86,7 +86,7 @@
 	message.Backend
 	MaxConnections int
 
-	holds     map[string]time.Time // models and adapters, and since when they are ready here
+	holds     map[message.ModelName]time.Time // models and adapters, and since when they are ready here
 	evidence  evidence
 	due       float64 // virtual time of its next turn
 	weight    float64
@@ -104,7 +104,7 @@
 	retryAt   time.Time
 	backoff   time.Duration
 	shedUntil time.Time // it said that it is full
-	missing   map[string]time.Time
+	missing   map[message.ModelName]time.Time
 }
 
 // Bounds of waiting and choosing.
@@ -124,7 +124,7 @@
 type Balancer struct {
 	zone          string
 	config        *configuration.Config
-	backends      map[string]*Backend
+	backends      map[message.BackendID]*Backend
 	services      map[string]*service
 	waiting       []*Request
 	budget        *RetryBudget
@@ -132,9 +132,9 @@
 	orders        []expectedLoad
 	pace          paceTable
 	leaving       bool
-	hasConnection func(backend string) bool // whether an idle connection is kept; nil: not known
-	urgent        bool                      // a model is missing that the coordinators have not been told of
-	changed       map[string]*Backend       // whose load by this proxy has changed since TakeChanged
+	hasConnection func(backend message.BackendID) bool // whether an idle connection is kept; nil: not known
+	urgent        bool                                 // a model is missing that the coordinators have not been told of
+	changed       map[message.BackendID]*Backend       // whose load by this proxy has changed since TakeChanged
 }
 
 type service struct {
@@ -142,7 +142,10 @@
 	time     float64 // virtual time of the turns
 }
 
-type demandKey struct{ service, model string }
+type demandKey struct {
+	service string
+	model   message.ModelName
+}
 
 type demandCount struct {
 	arrivals, missed float64
@@ -158,13 +161,15 @@
 func New(zone string, budget *RetryBudget) *Balancer {
 	return &Balancer{
 		zone: zone, budget: budget,
-		pace: paceTable{}, backends: map[string]*Backend{}, services: map[string]*service{}, demand: map[demandKey]*demandCount{},
-		changed: map[string]*Backend{},
+		pace: paceTable{}, backends: map[message.BackendID]*Backend{}, services: map[string]*service{}, demand: map[demandKey]*demandCount{},
+		changed: map[message.BackendID]*Backend{},
 	}
 }
 
 // SetConnections tells how to find out whether an idle connection to a backend is kept. It is called by the owner alone.
-func (b *Balancer) SetConnections(hasIdle func(backend string) bool) { b.hasConnection = hasIdle }
+func (b *Balancer) SetConnections(hasIdle func(backend message.BackendID) bool) {
+	b.hasConnection = hasIdle
+}
 
 // SetConfig takes the configuration in force.
 func (b *Balancer) SetConfig(config *configuration.Config, now time.Time) {
@@ -230,7 +235,7 @@
 func (b *Balancer) take(entry message.Backend, first bool, now time.Time) {
 	backend := b.backends[entry.ID]
 	if backend == nil {
-		backend = &Backend{holds: map[string]time.Time{}, missing: map[string]time.Time{}, weight: 1}
+		backend = &Backend{holds: map[message.ModelName]time.Time{}, missing: map[message.ModelName]time.Time{}, weight: 1}
 		backend.MaxConnections = b.connectionShare(entry.Service)
 		if !first {
 			backend.evidence.readySince = now
@@ -242,17 +247,17 @@
 	if first {
 		readySince = time.Time{} // it may have been there for long
 	}
-	held := map[string]time.Time{}
+	held := map[message.ModelName]time.Time{}
 	for _, model := range entry.Models {
 		keepSince(held, backend.holds, model.Name, readySince)
 		for _, adapter := range model.Adapters {
-			keepSince(held, backend.holds, model.Name+"/"+adapter, readySince)
+			keepSince(held, backend.holds, model.Name.WithAdapter(adapter), readySince)
 		}
 	}
 	backend.holds = held
 }
 
-func keepSince(to, from map[string]time.Time, name string, now time.Time) {
+func keepSince(to, from map[message.ModelName]time.Time, name message.ModelName, now time.Time) {
 	since, ok := from[name]
 	if !ok {
 		since = now
@@ -262,7 +267,7 @@
 
 // SetTotals takes what all proxies together carry, and the loads under way.
 func (b *Balancer) SetTotals(loads []message.BackendLoad, orders []message.PendingLoad, now time.Time) {
-	totals := map[string]message.BackendLoad{}
+	totals := map[message.BackendID]message.BackendLoad{}
 	for _, load := range loads {
 		totals[load.Backend] = load
 	}
@@ -284,12 +289,12 @@
 
 // Refresh takes what the other proxies carry at the holders of a model at this moment; where nothing is named they carry
 // nothing.
-func (b *Balancer) Refresh(service, model string, loads []message.BackendLoad, now time.Time) {
+func (b *Balancer) Refresh(service string, model message.ModelName, loads []message.BackendLoad, now time.Time) {
 	s := b.services[service]
 	if s == nil {
 		return
 	}
-	others := map[string]message.BackendLoad{}
+	others := map[message.BackendID]message.BackendLoad{}
 	for _, load := range loads {
 		others[load.Backend] = load
 	}
@@ -316,7 +321,7 @@
 }
 
 // FirstWaiting returns what the first request that waits for a place asks for.
-func (b *Balancer) FirstWaiting() (service, model string, waits bool) {
+func (b *Balancer) FirstWaiting() (service string, model message.ModelName, waits bool) {
 	for _, request := range b.waiting {
 		if request.reason == WaitPlace && request.Model != "" {
 			return request.Service, request.Model, true
--- a/internal/dataplane/balancer/balancer_test.go
+++ b/internal/dataplane/balancer/balancer_test.go
@@ -29,19 +29,19 @@
 	return b
 }
 
-func plain(id string) message.Backend {
-	return message.Backend{ID: id, Service: "plain", Address: id + ":1", Zone: "here", Capacity: 1000}
+func plain(id message.BackendID) message.Backend {
+	return message.Backend{ID: id, Service: "plain", Address: string(id) + ":1", Zone: "here", Capacity: 1000}
 }
 
-func holding(id string, models ...string) message.Backend {
-	backend := message.Backend{ID: id, Service: "llm", Address: id + ":1", Zone: "here", Capacity: 64}
+func holding(id message.BackendID, models ...message.ModelName) message.Backend {
+	backend := message.Backend{ID: id, Service: "llm", Address: string(id) + ":1", Zone: "here", Capacity: 64}
 	for _, model := range models {
 		backend.Models = append(backend.Models, message.LoadedModel{Name: model})
 	}
 	return backend
 }
 
-func request(service, model string, now time.Time) *Request {
+func request(service string, model message.ModelName, now time.Time) *Request {
 	return &Request{
 		Service: service, Model: model, Arrived: now, Aim: time.Second, PromptTokens: 10, OutputTokens: 10,
 		Deadline: now.Add(20 * time.Second), Patience: now.Add(20 * time.Second), grant: make(chan Grant, 1),
@@ -112,7 +112,7 @@
 			r := request("plain", "", now)
 			grant, waiting := arrive(b, r, now)
 			require.False(t, waiting)
-			order += grant.Backend.ID
+			order += string(grant.Backend.ID)
 			grant.Backend.running-- // ended, without evidence
 		}
 		return order
@@ -165,7 +165,7 @@
 	for range 10 {
 		grant, waiting := arrive(b, request("llm", "m", start), start)
 		require.False(t, waiting)
-		assert.Equal(t, "b", grant.Backend.ID)
+		assert.Equal(t, message.BackendID("b"), grant.Backend.ID)
 	}
 }
 
@@ -184,7 +184,7 @@
 	assert.Nil(t, grant.Backend)
 	assert.Positive(t, grant.RetryAfter)
 	b.SetBackends([]message.Backend{holding("a", "n", "m")}, start.Add(3*time.Second))
-	assert.Equal(t, "a", (<-patient.grant).Backend.ID, "those that wait get it as soon as it is there")
+	assert.Equal(t, message.BackendID("a"), (<-patient.grant).Backend.ID, "those that wait get it as soon as it is there")
 }
 
 // Found on the bench (LOST): requests that waited for a model outlasted the grace time of a stopping proxy.
@@ -340,7 +340,7 @@
 	b := newBalancer(t, holding("a", "m", "n"), holding("b", "n"))
 	now := start.Add(time.Minute)
 	b.SetBackends([]message.Backend{holding("a", "m", "n"), holding("b", "n", "m")}, now)
-	weights := func(model string, now time.Time) (float64, float64) {
+	weights := func(model message.ModelName, now time.Time) (float64, float64) {
 		r := request("llm", model, now)
 		return b.backends["a"].weightFor(r, now), b.backends["b"].weightFor(r, now)
 	}
--- a/internal/dataplane/balancer/choose.go
+++ b/internal/dataplane/balancer/choose.go
@@ -35,7 +35,7 @@
 }
 
 // has reports whether the backend holds a model, and its adapter where one is named.
-func (backend *Backend) has(model string, now time.Time) bool {
+func (backend *Backend) has(model message.ModelName, now time.Time) bool {
 	if model == "" {
 		return true
 	}
--- a/internal/dataplane/balancer/dispatcher.go
+++ b/internal/dataplane/balancer/dispatcher.go
@@ -23,7 +23,7 @@
 // LoadSource knows what other proxies carry, and is told what this one does.
 type LoadSource interface {
 	// Ask returns what the other proxies carry at the holders of a model; ok is false where that is not known.
-	Ask(ctx context.Context, service, model string) (loads []message.BackendLoad, ok bool)
+	Ask(ctx context.Context, service string, model message.ModelName) (loads []message.BackendLoad, ok bool)
 	// Tell takes what this proxy carries now where that has changed. It does not wait.
 	Tell(loads []message.BackendLoad)
 }
--- a/internal/dataplane/balancer/pace.go
+++ b/internal/dataplane/balancer/pace.go
@@ -8,7 +8,7 @@
 
 // paceTable keeps, by model, how many milliseconds a prompt token takes until the first event where nothing waits
 // before it: a low quantile of what was seen, as most of what is above it is waiting.
-type paceTable map[string]float64
+type paceTable map[message.ModelName]float64
 
 const (
 	usualPace   = 0.05 // milliseconds a token, where nothing was seen
--- a/internal/dataplane/balancer/refresh_test.go
+++ b/internal/dataplane/balancer/refresh_test.go
@@ -17,7 +17,7 @@
 	var list []message.Backend
 	var loads []message.BackendLoad
 	for i := range count {
-		id := fmt.Sprintf("b%02d", i)
+		id := message.BackendID(fmt.Sprintf("b%02d", i))
 		list = append(list, holding(id, "m"))
 		if i < count-1 {
 			loads = append(loads, message.BackendLoad{Backend: id, Running: 1, Queued: 200})
@@ -31,7 +31,7 @@
 	b.Refresh("llm", "m", loads, start)
 	grant, waiting := arrive(b, request("llm", "m", start), start)
 	require.False(t, waiting)
-	assert.Equal(t, "b19", grant.ID)
+	assert.Equal(t, message.BackendID("b19"), grant.ID)
 }
 
 func TestOlderLoadsAreComparedOverTheDueTurns(t *testing.T) {
@@ -40,7 +40,7 @@
 	later := start.Add(freshLifetime + time.Millisecond)
 	grant, waiting := arrive(b, request("llm", "m", later), later)
 	require.False(t, waiting)
-	assert.Equal(t, "b00", grant.ID, "the first of those due; the idle one is not among them")
+	assert.Equal(t, message.BackendID("b00"), grant.ID, "the first of those due; the idle one is not among them")
 }
 
 func TestFreshLoadsStandAboveOlderSums(t *testing.T) {
@@ -71,15 +71,15 @@
 
 func TestABackendWithAConnectionIsPreferredUntilItIsBusier(t *testing.T) {
 	b, _ := holders(t, 20)
-	b.SetConnections(func(id string) bool { return id == "b07" })
-	arriveAt := func(queued int) string {
+	b.SetConnections(func(id message.BackendID) bool { return id == "b07" })
+	arriveAt := func(queued int) message.BackendID {
 		b.Refresh("llm", "m", []message.BackendLoad{{Backend: "b07", Queued: queued}}, start)
 		grant, waiting := arrive(b, request("llm", "m", start), start)
 		require.False(t, waiting)
 		b.Finish(&Request{Service: "llm", Model: "m"}, grant.Backend, Answered, time.Millisecond, start)
 		return grant.ID
 	}
-	assert.Equal(t, "b07", arriveAt(0))
-	assert.Equal(t, "b07", arriveAt(connectionCost-10))
-	assert.NotEqual(t, "b07", arriveAt(connectionCost+10))
+	assert.Equal(t, message.BackendID("b07"), arriveAt(0))
+	assert.Equal(t, message.BackendID("b07"), arriveAt(connectionCost-10))
+	assert.NotEqual(t, message.BackendID("b07"), arriveAt(connectionCost+10))
 }
--- a/internal/dataplane/balancer/waiting.go
+++ b/internal/dataplane/balancer/waiting.go
@@ -158,7 +158,7 @@
 	b.serveWaiting(now)
 }
 
-func (b *Balancer) heldAnywhere(name, model string, now time.Time) bool {
+func (b *Balancer) heldAnywhere(name string, model message.ModelName, now time.Time) bool {
 	s := b.services[name]
 	return s != nil && slices.ContainsFunc(s.backends, func(backend *Backend) bool { return backend.has(model, now) })
 }
--- a/internal/dataplane/ingress/ingress.go
+++ b/internal/dataplane/ingress/ingress.go
@@ -17,6 +17,7 @@
 	"pumiceline/internal/controlplane/configuration"
 	"pumiceline/internal/dataplane/backend"
 	"pumiceline/internal/dataplane/balancer"
+	"pumiceline/internal/message"
 )
 
 const (
@@ -160,7 +161,7 @@
 
 func newBalancerRequest(r *http.Request, route *configuration.Route, service string, arrived, deadline time.Time) *balancer.Request {
 	request := &balancer.Request{
-		Service: service, Model: r.Header.Get("Model"), Priority: route.Priority,
+		Service: service, Model: message.ModelName(r.Header.Get("Model")), Priority: route.Priority,
 		Arrived: arrived, Deadline: deadline, Patience: patience(route, arrived, deadline), Aim: route.Aim,
 	}
 	if request.Model == "" {
@@ -192,13 +193,13 @@
 }
 
 // prefixKey names the shared part of a prompt: all parts but the last, which belongs to the request or its session.
-func prefixKey(model, parts string) uint64 {
+func prefixKey(model message.ModelName, parts string) uint64 {
 	last := strings.LastIndexByte(parts, ',')
 	if last < 0 {
 		return 0
 	}
 	hash := fnv.New64a()
-	_, _ = hash.Write([]byte(model + "\n" + parts[:last])) // a hash takes everything
+	_, _ = hash.Write([]byte(string(model) + "\n" + parts[:last])) // a hash takes everything
 	return hash.Sum64()
 }
 
--- a/internal/dataplane/loads/exchange.go
+++ b/internal/dataplane/loads/exchange.go
@@ -39,15 +39,15 @@
 	failures   int
 	connecting bool
 	told       string // address of the coordinator that has been told everything
-	carried    map[string]message.BackendLoad
-	changed    map[string]bool
+	carried    map[message.BackendID]message.BackendLoad
+	changed    map[message.BackendID]bool
 }
 
 // New makes an exchange for the proxy of that identity; Run must be called once.
 func New(identity string) *Exchange {
 	return &Exchange{
 		identity: identity, client: transport.NewClient(), signal: make(chan struct{}, 1), timeout: askTimeout,
-		passedOver: map[string]time.Time{}, carried: map[string]message.BackendLoad{}, changed: map[string]bool{},
+		passedOver: map[string]time.Time{}, carried: map[message.BackendID]message.BackendLoad{}, changed: map[message.BackendID]bool{},
 	}
 }
 
@@ -104,7 +104,7 @@
 
 // Ask returns what the other proxies carry at the holders of a model; backends where they carry nothing are left out.
 // ok is false where no answer came in time.
-func (e *Exchange) Ask(ctx context.Context, service, model string) (loads []message.BackendLoad, ok bool) {
+func (e *Exchange) Ask(ctx context.Context, service string, model message.ModelName) (loads []message.BackendLoad, ok bool) {
 	question := e.ask(service, model)
 	if question == nil {
 		return nil, false
@@ -119,7 +119,7 @@
 	return reply.Loads, true
 }
 
-func (e *Exchange) ask(service, model string) *transport.Question {
+func (e *Exchange) ask(service string, model message.ModelName) *transport.Question {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	target := e.target(time.Now())
--- a/internal/dataplane/loads/exchange_test.go
+++ b/internal/dataplane/loads/exchange_test.go
@@ -43,7 +43,7 @@
 	return e
 }
 
-func load(backend string, running, queued int) message.BackendLoad {
+func load(backend message.BackendID, running, queued int) message.BackendLoad {
 	return message.BackendLoad{Backend: backend, Running: running, Queued: queued}
 }
 
@@ -59,7 +59,7 @@
 	first := <-c.reports
 	assert.True(t, first.Complete)
 	assert.Equal(t, []message.BackendLoad{load("b1", 1, 50)}, first.Loads)
-	assert.Equal(t, "m", first.Model)
+	assert.Equal(t, message.ModelName("m"), first.Model)
 	e.Tell([]message.BackendLoad{load("b1", 0, 0)})
 	e.flush(false)
 	second := <-c.reports
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -2,7 +2,7 @@
 // disk. The codecs are generated: go generate needs tinylib/msgp's generator, the build does not.
 package message
 
-//go:generate msgp -tests=false -o message_gen.go
+//go:generate msgp -tests=false -o message_gen.go -file .
 
 // Member is a coordinator: an identity that lives on its disk, and the address at which it is reached now.
 type Member struct {
@@ -251,19 +251,19 @@
 
 // ModelDemand is what was asked for one model since the last report.
 type ModelDemand struct {
-	Service  string  `msg:"s"`
-	Model    string  `msg:"m"` // with its adapter after a slash
-	Arrivals float64 `msg:"a"`
-	Waiting  int     `msg:"w"` // requests that wait for it right now
-	Unserved float64 `msg:"x"` // requests that were refused as it was nowhere
-	Running  int     `msg:"r"` // requests of it that run right now
+	Service  string    `msg:"s"`
+	Model    ModelName `msg:"m"` // with its adapter after a slash
+	Arrivals float64   `msg:"a"`
+	Waiting  int       `msg:"w"` // requests that wait for it right now
+	Unserved float64   `msg:"x"` // requests that were refused as it was nowhere
+	Running  int       `msg:"r"` // requests of it that run right now
 }
 
 // BackendLoad is what the proxies carry at one backend.
 type BackendLoad struct {
-	Backend string `msg:"b"`
-	Running int    `msg:"r"`
-	Queued  int    `msg:"q"` // milliseconds of prompts that have not brought their first event yet
+	Backend BackendID `msg:"b"`
+	Running int       `msg:"r"`
+	Queued  int       `msg:"q"` // milliseconds of prompts that have not brought their first event yet
 }
 
 // LoadReport tells what the sender carries at some backends, as it has just changed, and may ask for what the other
@@ -271,7 +271,7 @@
 type LoadReport struct {
 	ID       uint64        `msg:"i"` // of the question; 0: nothing is asked
 	Service  string        `msg:"s"`
-	Model    string        `msg:"m"` // with its adapter after a slash
+	Model    ModelName     `msg:"m"` // with its adapter after a slash
 	Loads    []BackendLoad `msg:"l"` // present values, not differences
 	Complete bool          `msg:"w"` // the sender carries nothing at any other backend
 }
@@ -324,15 +324,15 @@
 
 // BackendUpdate is the list of backends, or what has changed since the list that the receiver has.
 type BackendUpdate struct {
-	Digest   uint64    `msg:"d"` // of the whole list
-	Base     uint64    `msg:"s"` // digest of the list that this builds on; 0: this is the whole list
-	Backends []Backend `msg:"b"` // all, or those that are new or changed
-	Removed  []string  `msg:"g"` // ids of those that are no more on the list
+	Digest   uint64      `msg:"d"` // of the whole list
+	Base     uint64      `msg:"s"` // digest of the list that this builds on; 0: this is the whole list
+	Backends []Backend   `msg:"b"` // all, or those that are new or changed
+	Removed  []BackendID `msg:"g"` // ids of those that are no more on the list
 }
 
 // Backend is an entry of the platform's list.
 type Backend struct {
-	ID           string        `msg:"i"`
+	ID           BackendID     `msg:"i"`
 	Service      string        `msg:"s"`
 	Address      string        `msg:"a"`
 	Zone         string        `msg:"z"`
@@ -345,14 +345,14 @@
 
 // LoadedModel is a model that a backend holds.
 type LoadedModel struct {
-	Name     string   `msg:"n"`
-	Adapters []string `msg:"a"`
+	Name     ModelName `msg:"n"`
+	Adapters []string  `msg:"a"`
 }
 
 // PendingLoad is a load of a model, or of an adapter after a slash, that is under way.
 type PendingLoad struct {
-	Service   string `msg:"s"`
-	Model     string `msg:"m"`
-	Backend   string `msg:"b"`
-	ReadyInMs int64  `msg:"d"` // when it should be there
+	Service   string    `msg:"s"`
+	Model     ModelName `msg:"m"`
+	Backend   BackendID `msg:"b"`
+	ReadyInMs int64     `msg:"d"` // when it should be there
 }
--- a/internal/message/message_gen.go
+++ b/internal/message/message_gen.go
@@ -550,10 +550,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "i":
-			z.ID, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "ID")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "ID")
+					return
+				}
+				z.ID = BackendID(zb0002)
 			}
 		case "s":
 			z.Service, err = dc.ReadString()
@@ -592,65 +596,23 @@
 				return
 			}
 		case "m":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			var zb0003 uint32
+			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "Models")
 				return
 			}
-			if cap(z.Models) >= int(zb0002) {
-				z.Models = (z.Models)[:zb0002]
+			if cap(z.Models) >= int(zb0003) {
+				z.Models = (z.Models)[:zb0003]
 			} else {
-				z.Models = make([]LoadedModel, zb0002)
+				z.Models = make([]LoadedModel, zb0003)
 			}
 			for za0001 := range z.Models {
-				var zb0003 uint32
-				zb0003, err = dc.ReadMapHeader()
+				err = z.Models[za0001].DecodeMsg(dc)
 				if err != nil {
 					err = msgp.WrapError(err, "Models", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "Models", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						z.Models[za0001].Name, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "Models", za0001, "Name")
-							return
-						}
-					case "a":
-						var zb0004 uint32
-						zb0004, err = dc.ReadArrayHeader()
-						if err != nil {
-							err = msgp.WrapError(err, "Models", za0001, "Adapters")
-							return
-						}
-						if cap(z.Models[za0001].Adapters) >= int(zb0004) {
-							z.Models[za0001].Adapters = (z.Models[za0001].Adapters)[:zb0004]
-						} else {
-							z.Models[za0001].Adapters = make([]string, zb0004)
-						}
-						for za0002 := range z.Models[za0001].Adapters {
-							z.Models[za0001].Adapters[za0002], err = dc.ReadString()
-							if err != nil {
-								err = msgp.WrapError(err, "Models", za0001, "Adapters", za0002)
-								return
-							}
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "Models", za0001)
-							return
-						}
-					}
-				}
 			}
 		default:
 			err = dc.Skip()
@@ -671,7 +633,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.ID)
+	err = en.WriteString(string(z.ID))
 	if err != nil {
 		err = msgp.WrapError(err, "ID")
 		return
@@ -747,34 +709,11 @@
 		return
 	}
 	for za0001 := range z.Models {
-		// map header, size 2
-		// write "n"
-		err = en.Append(0x82, 0xa1, 0x6e)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Models[za0001].Name)
-		if err != nil {
-			err = msgp.WrapError(err, "Models", za0001, "Name")
-			return
-		}
-		// write "a"
-		err = en.Append(0xa1, 0x61)
+		err = z.Models[za0001].EncodeMsg(en)
 		if err != nil {
+			err = msgp.WrapError(err, "Models", za0001)
 			return
 		}
-		err = en.WriteArrayHeader(uint32(len(z.Models[za0001].Adapters)))
-		if err != nil {
-			err = msgp.WrapError(err, "Models", za0001, "Adapters")
-			return
-		}
-		for za0002 := range z.Models[za0001].Adapters {
-			err = en.WriteString(z.Models[za0001].Adapters[za0002])
-			if err != nil {
-				err = msgp.WrapError(err, "Models", za0001, "Adapters", za0002)
-				return
-			}
-		}
 	}
 	return
 }
@@ -785,7 +724,7 @@
 	// map header, size 8
 	// string "i"
 	o = append(o, 0x88, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.ID)
+	o = msgp.AppendString(o, string(z.ID))
 	// string "s"
 	o = append(o, 0xa1, 0x73)
 	o = msgp.AppendString(o, z.Service)
@@ -808,15 +747,10 @@
 	o = append(o, 0xa1, 0x6d)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Models)))
 	for za0001 := range z.Models {
-		// map header, size 2
-		// string "n"
-		o = append(o, 0x82, 0xa1, 0x6e)
-		o = msgp.AppendString(o, z.Models[za0001].Name)
-		// string "a"
-		o = append(o, 0xa1, 0x61)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.Models[za0001].Adapters)))
-		for za0002 := range z.Models[za0001].Adapters {
-			o = msgp.AppendString(o, z.Models[za0001].Adapters[za0002])
+		o, err = z.Models[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Models", za0001)
+			return
 		}
 	}
 	return
@@ -841,10 +775,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "i":
-			z.ID, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ID")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "ID")
+					return
+				}
+				z.ID = BackendID(zb0002)
 			}
 		case "s":
 			z.Service, bts, err = msgp.ReadStringBytes(bts)
@@ -883,65 +821,23 @@
 				return
 			}
 		case "m":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Models")
 				return
 			}
-			if cap(z.Models) >= int(zb0002) {
-				z.Models = (z.Models)[:zb0002]
+			if cap(z.Models) >= int(zb0003) {
+				z.Models = (z.Models)[:zb0003]
 			} else {
-				z.Models = make([]LoadedModel, zb0002)
+				z.Models = make([]LoadedModel, zb0003)
 			}
 			for za0001 := range z.Models {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				bts, err = z.Models[za0001].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Models", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Models", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "n":
-						z.Models[za0001].Name, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Models", za0001, "Name")
-							return
-						}
-					case "a":
-						var zb0004 uint32
-						zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Models", za0001, "Adapters")
-							return
-						}
-						if cap(z.Models[za0001].Adapters) >= int(zb0004) {
-							z.Models[za0001].Adapters = (z.Models[za0001].Adapters)[:zb0004]
-						} else {
-							z.Models[za0001].Adapters = make([]string, zb0004)
-						}
-						for za0002 := range z.Models[za0001].Adapters {
-							z.Models[za0001].Adapters[za0002], bts, err = msgp.ReadStringBytes(bts)
-							if err != nil {
-								err = msgp.WrapError(err, "Models", za0001, "Adapters", za0002)
-								return
-							}
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Models", za0001)
-							return
-						}
-					}
-				}
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -957,16 +853,65 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Backend) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.ID) + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.IntSize + 2 + msgp.ArrayHeaderSize
+	s = 1 + 2 + msgp.StringPrefixSize + len(string(z.ID)) + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.IntSize + 2 + msgp.BoolSize + 2 + msgp.IntSize + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Models {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Models[za0001].Name) + 2 + msgp.ArrayHeaderSize
-		for za0002 := range z.Models[za0001].Adapters {
-			s += msgp.StringPrefixSize + len(z.Models[za0001].Adapters[za0002])
+		s += z.Models[za0001].Msgsize()
+	}
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *BackendID) DecodeMsg(dc *msgp.Reader) (err error) {
+	{
+		var zb0001 string
+		zb0001, err = dc.ReadString()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
 		}
+		(*z) = BackendID(zb0001)
 	}
 	return
 }
 
+// EncodeMsg implements msgp.Encodable
+func (z BackendID) EncodeMsg(en *msgp.Writer) (err error) {
+	err = en.WriteString(string(z))
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z BackendID) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	o = msgp.AppendString(o, string(z))
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *BackendID) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	{
+		var zb0001 string
+		zb0001, bts, err = msgp.ReadStringBytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = BackendID(zb0001)
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z BackendID) Msgsize() (s int) {
+	s = msgp.StringPrefixSize + len(string(z))
+	return
+}
+
 // DecodeMsg implements msgp.Decodable
 func (z *BackendLoad) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
@@ -986,10 +931,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "b":
-			z.Backend, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Backend")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "Backend")
+					return
+				}
+				z.Backend = BackendID(zb0002)
 			}
 		case "r":
 			z.Running, err = dc.ReadInt()
@@ -1022,7 +971,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Backend)
+	err = en.WriteString(string(z.Backend))
 	if err != nil {
 		err = msgp.WrapError(err, "Backend")
 		return
@@ -1056,7 +1005,7 @@
 	// map header, size 3
 	// string "b"
 	o = append(o, 0x83, 0xa1, 0x62)
-	o = msgp.AppendString(o, z.Backend)
+	o = msgp.AppendString(o, string(z.Backend))
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendInt(o, z.Running)
@@ -1085,10 +1034,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "b":
-			z.Backend, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Backend")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Backend")
+					return
+				}
+				z.Backend = BackendID(zb0002)
 			}
 		case "r":
 			z.Running, bts, err = msgp.ReadIntBytes(bts)
@@ -1116,7 +1069,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z BackendLoad) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
+	s = 1 + 2 + msgp.StringPrefixSize + len(string(z.Backend)) + 2 + msgp.IntSize + 2 + msgp.IntSize
 	return
 }
 
@@ -1179,13 +1132,17 @@
 			if cap(z.Removed) >= int(zb0003) {
 				z.Removed = (z.Removed)[:zb0003]
 			} else {
-				z.Removed = make([]string, zb0003)
+				z.Removed = make([]BackendID, zb0003)
 			}
 			for za0002 := range z.Removed {
-				z.Removed[za0002], err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "Removed", za0002)
-					return
+				{
+					var zb0004 string
+					zb0004, err = dc.ReadString()
+					if err != nil {
+						err = msgp.WrapError(err, "Removed", za0002)
+						return
+					}
+					z.Removed[za0002] = BackendID(zb0004)
 				}
 			}
 		default:
@@ -1250,7 +1207,7 @@
 		return
 	}
 	for za0002 := range z.Removed {
-		err = en.WriteString(z.Removed[za0002])
+		err = en.WriteString(string(z.Removed[za0002]))
 		if err != nil {
 			err = msgp.WrapError(err, "Removed", za0002)
 			return
@@ -1283,7 +1240,7 @@
 	o = append(o, 0xa1, 0x67)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Removed)))
 	for za0002 := range z.Removed {
-		o = msgp.AppendString(o, z.Removed[za0002])
+		o = msgp.AppendString(o, string(z.Removed[za0002]))
 	}
 	return
 }
@@ -1347,13 +1304,17 @@
 			if cap(z.Removed) >= int(zb0003) {
 				z.Removed = (z.Removed)[:zb0003]
 			} else {
-				z.Removed = make([]string, zb0003)
+				z.Removed = make([]BackendID, zb0003)
 			}
 			for za0002 := range z.Removed {
-				z.Removed[za0002], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Removed", za0002)
-					return
+				{
+					var zb0004 string
+					zb0004, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Removed", za0002)
+						return
+					}
+					z.Removed[za0002] = BackendID(zb0004)
 				}
 			}
 		default:
@@ -1376,7 +1337,7 @@
 	}
 	s += 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.Removed {
-		s += msgp.StringPrefixSize + len(z.Removed[za0002])
+		s += msgp.StringPrefixSize + len(string(z.Removed[za0002]))
 	}
 	return
 }
@@ -4682,64 +4643,33 @@
 				return
 			}
 		case "m":
-			z.Model, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Model")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "Model")
+					return
+				}
+				z.Model = ModelName(zb0002)
 			}
 		case "l":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			var zb0003 uint32
+			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "Loads")
 				return
 			}
-			if cap(z.Loads) >= int(zb0002) {
-				z.Loads = (z.Loads)[:zb0002]
+			if cap(z.Loads) >= int(zb0003) {
+				z.Loads = (z.Loads)[:zb0003]
 			} else {
-				z.Loads = make([]BackendLoad, zb0002)
+				z.Loads = make([]BackendLoad, zb0003)
 			}
 			for za0001 := range z.Loads {
-				var zb0003 uint32
-				zb0003, err = dc.ReadMapHeader()
+				err = z.Loads[za0001].DecodeMsg(dc)
 				if err != nil {
 					err = msgp.WrapError(err, "Loads", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "Loads", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.Loads[za0001].Backend, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Backend")
-							return
-						}
-					case "r":
-						z.Loads[za0001].Running, err = dc.ReadInt()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Running")
-							return
-						}
-					case "q":
-						z.Loads[za0001].Queued, err = dc.ReadInt()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Queued")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001)
-							return
-						}
-					}
-				}
 			}
 		case "w":
 			z.Complete, err = dc.ReadBool()
@@ -4786,7 +4716,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Model)
+	err = en.WriteString(string(z.Model))
 	if err != nil {
 		err = msgp.WrapError(err, "Model")
 		return
@@ -4802,35 +4732,9 @@
 		return
 	}
 	for za0001 := range z.Loads {
-		// map header, size 3
-		// write "b"
-		err = en.Append(0x83, 0xa1, 0x62)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Loads[za0001].Backend)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Backend")
-			return
-		}
-		// write "r"
-		err = en.Append(0xa1, 0x72)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Loads[za0001].Running)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Running")
-			return
-		}
-		// write "q"
-		err = en.Append(0xa1, 0x71)
+		err = z.Loads[za0001].EncodeMsg(en)
 		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Loads[za0001].Queued)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Queued")
+			err = msgp.WrapError(err, "Loads", za0001)
 			return
 		}
 	}
@@ -4859,21 +4763,16 @@
 	o = msgp.AppendString(o, z.Service)
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendString(o, z.Model)
+	o = msgp.AppendString(o, string(z.Model))
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
 	for za0001 := range z.Loads {
-		// map header, size 3
-		// string "b"
-		o = append(o, 0x83, 0xa1, 0x62)
-		o = msgp.AppendString(o, z.Loads[za0001].Backend)
-		// string "r"
-		o = append(o, 0xa1, 0x72)
-		o = msgp.AppendInt(o, z.Loads[za0001].Running)
-		// string "q"
-		o = append(o, 0xa1, 0x71)
-		o = msgp.AppendInt(o, z.Loads[za0001].Queued)
+		o, err = z.Loads[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0001)
+			return
+		}
 	}
 	// string "w"
 	o = append(o, 0xa1, 0x77)
@@ -4912,64 +4811,33 @@
 				return
 			}
 		case "m":
-			z.Model, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Model")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Model")
+					return
+				}
+				z.Model = ModelName(zb0002)
 			}
 		case "l":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Loads")
 				return
 			}
-			if cap(z.Loads) >= int(zb0002) {
-				z.Loads = (z.Loads)[:zb0002]
+			if cap(z.Loads) >= int(zb0003) {
+				z.Loads = (z.Loads)[:zb0003]
 			} else {
-				z.Loads = make([]BackendLoad, zb0002)
+				z.Loads = make([]BackendLoad, zb0003)
 			}
 			for za0001 := range z.Loads {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				bts, err = z.Loads[za0001].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Loads", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Loads", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.Loads[za0001].Backend, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Backend")
-							return
-						}
-					case "r":
-						z.Loads[za0001].Running, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Running")
-							return
-						}
-					case "q":
-						z.Loads[za0001].Queued, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Queued")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001)
-							return
-						}
-					}
-				}
 			}
 		case "w":
 			z.Complete, bts, err = msgp.ReadBoolBytes(bts)
@@ -4991,9 +4859,9 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *LoadReport) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(z.Model) + 2 + msgp.ArrayHeaderSize
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(string(z.Model)) + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Loads {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Loads[za0001].Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
+		s += z.Loads[za0001].Msgsize()
 	}
 	s += 2 + msgp.BoolSize
 	return
@@ -5042,46 +4910,11 @@
 				z.Loads = make([]BackendLoad, zb0002)
 			}
 			for za0001 := range z.Loads {
-				var zb0003 uint32
-				zb0003, err = dc.ReadMapHeader()
+				err = z.Loads[za0001].DecodeMsg(dc)
 				if err != nil {
 					err = msgp.WrapError(err, "Loads", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "Loads", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.Loads[za0001].Backend, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Backend")
-							return
-						}
-					case "r":
-						z.Loads[za0001].Running, err = dc.ReadInt()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Running")
-							return
-						}
-					case "q":
-						z.Loads[za0001].Queued, err = dc.ReadInt()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Queued")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001)
-							return
-						}
-					}
-				}
 			}
 		default:
 			err = dc.Skip()
@@ -5126,37 +4959,11 @@
 	if err != nil {
 		err = msgp.WrapError(err, "Loads")
 		return
-	}
-	for za0001 := range z.Loads {
-		// map header, size 3
-		// write "b"
-		err = en.Append(0x83, 0xa1, 0x62)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Loads[za0001].Backend)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Backend")
-			return
-		}
-		// write "r"
-		err = en.Append(0xa1, 0x72)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Loads[za0001].Running)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Running")
-			return
-		}
-		// write "q"
-		err = en.Append(0xa1, 0x71)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Loads[za0001].Queued)
+	}
+	for za0001 := range z.Loads {
+		err = z.Loads[za0001].EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0001, "Queued")
+			err = msgp.WrapError(err, "Loads", za0001)
 			return
 		}
 	}
@@ -5177,16 +4984,11 @@
 	o = append(o, 0xa1, 0x6c)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
 	for za0001 := range z.Loads {
-		// map header, size 3
-		// string "b"
-		o = append(o, 0x83, 0xa1, 0x62)
-		o = msgp.AppendString(o, z.Loads[za0001].Backend)
-		// string "r"
-		o = append(o, 0xa1, 0x72)
-		o = msgp.AppendInt(o, z.Loads[za0001].Running)
-		// string "q"
-		o = append(o, 0xa1, 0x71)
-		o = msgp.AppendInt(o, z.Loads[za0001].Queued)
+		o, err = z.Loads[za0001].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0001)
+			return
+		}
 	}
 	return
 }
@@ -5234,46 +5036,11 @@
 				z.Loads = make([]BackendLoad, zb0002)
 			}
 			for za0001 := range z.Loads {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				bts, err = z.Loads[za0001].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Loads", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Loads", za0001)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.Loads[za0001].Backend, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Backend")
-							return
-						}
-					case "r":
-						z.Loads[za0001].Running, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Running")
-							return
-						}
-					case "q":
-						z.Loads[za0001].Queued, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001, "Queued")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0001)
-							return
-						}
-					}
-				}
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -5291,7 +5058,7 @@
 func (z *LoadResponse) Msgsize() (s int) {
 	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Loads {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Loads[za0001].Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
+		s += z.Loads[za0001].Msgsize()
 	}
 	return
 }
@@ -5315,22 +5082,26 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "n":
-			z.Name, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "Name")
+					return
+				}
+				z.Name = ModelName(zb0002)
 			}
 		case "a":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			var zb0003 uint32
+			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "Adapters")
 				return
 			}
-			if cap(z.Adapters) >= int(zb0002) {
-				z.Adapters = (z.Adapters)[:zb0002]
+			if cap(z.Adapters) >= int(zb0003) {
+				z.Adapters = (z.Adapters)[:zb0003]
 			} else {
-				z.Adapters = make([]string, zb0002)
+				z.Adapters = make([]string, zb0003)
 			}
 			for za0001 := range z.Adapters {
 				z.Adapters[za0001], err = dc.ReadString()
@@ -5358,7 +5129,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Name)
+	err = en.WriteString(string(z.Name))
 	if err != nil {
 		err = msgp.WrapError(err, "Name")
 		return
@@ -5389,7 +5160,7 @@
 	// map header, size 2
 	// string "n"
 	o = append(o, 0x82, 0xa1, 0x6e)
-	o = msgp.AppendString(o, z.Name)
+	o = msgp.AppendString(o, string(z.Name))
 	// string "a"
 	o = append(o, 0xa1, 0x61)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Adapters)))
@@ -5418,22 +5189,26 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "n":
-			z.Name, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Name")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Name")
+					return
+				}
+				z.Name = ModelName(zb0002)
 			}
 		case "a":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Adapters")
 				return
 			}
-			if cap(z.Adapters) >= int(zb0002) {
-				z.Adapters = (z.Adapters)[:zb0002]
+			if cap(z.Adapters) >= int(zb0003) {
+				z.Adapters = (z.Adapters)[:zb0003]
 			} else {
-				z.Adapters = make([]string, zb0002)
+				z.Adapters = make([]string, zb0003)
 			}
 			for za0001 := range z.Adapters {
 				z.Adapters[za0001], bts, err = msgp.ReadStringBytes(bts)
@@ -5456,7 +5231,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *LoadedModel) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Name) + 2 + msgp.ArrayHeaderSize
+	s = 1 + 2 + msgp.StringPrefixSize + len(string(z.Name)) + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Adapters {
 		s += msgp.StringPrefixSize + len(z.Adapters[za0001])
 	}
@@ -8855,10 +8630,14 @@
 				return
 			}
 		case "m":
-			z.Model, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Model")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "Model")
+					return
+				}
+				z.Model = ModelName(zb0002)
 			}
 		case "a":
 			z.Arrivals, err = dc.ReadFloat64()
@@ -8913,7 +8692,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Model)
+	err = en.WriteString(string(z.Model))
 	if err != nil {
 		err = msgp.WrapError(err, "Model")
 		return
@@ -8970,7 +8749,7 @@
 	o = msgp.AppendString(o, z.Service)
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendString(o, z.Model)
+	o = msgp.AppendString(o, string(z.Model))
 	// string "a"
 	o = append(o, 0xa1, 0x61)
 	o = msgp.AppendFloat64(o, z.Arrivals)
@@ -9011,10 +8790,14 @@
 				return
 			}
 		case "m":
-			z.Model, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Model")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Model")
+					return
+				}
+				z.Model = ModelName(zb0002)
 			}
 		case "a":
 			z.Arrivals, bts, err = msgp.ReadFloat64Bytes(bts)
@@ -9054,7 +8837,59 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *ModelDemand) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(z.Model) + 2 + msgp.Float64Size + 2 + msgp.IntSize + 2 + msgp.Float64Size + 2 + msgp.IntSize
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(string(z.Model)) + 2 + msgp.Float64Size + 2 + msgp.IntSize + 2 + msgp.Float64Size + 2 + msgp.IntSize
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *ModelName) DecodeMsg(dc *msgp.Reader) (err error) {
+	{
+		var zb0001 string
+		zb0001, err = dc.ReadString()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = ModelName(zb0001)
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z ModelName) EncodeMsg(en *msgp.Writer) (err error) {
+	err = en.WriteString(string(z))
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z ModelName) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	o = msgp.AppendString(o, string(z))
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ModelName) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	{
+		var zb0001 string
+		zb0001, bts, err = msgp.ReadStringBytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = ModelName(zb0001)
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z ModelName) Msgsize() (s int) {
+	s = msgp.StringPrefixSize + len(string(z))
 	return
 }
 
@@ -9083,16 +8918,24 @@
 				return
 			}
 		case "m":
-			z.Model, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Model")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "Model")
+					return
+				}
+				z.Model = ModelName(zb0002)
 			}
 		case "b":
-			z.Backend, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Backend")
-				return
+			{
+				var zb0003 string
+				zb0003, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "Backend")
+					return
+				}
+				z.Backend = BackendID(zb0003)
 			}
 		case "d":
 			z.ReadyInMs, err = dc.ReadInt64()
@@ -9129,7 +8972,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Model)
+	err = en.WriteString(string(z.Model))
 	if err != nil {
 		err = msgp.WrapError(err, "Model")
 		return
@@ -9139,7 +8982,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Backend)
+	err = en.WriteString(string(z.Backend))
 	if err != nil {
 		err = msgp.WrapError(err, "Backend")
 		return
@@ -9166,10 +9009,10 @@
 	o = msgp.AppendString(o, z.Service)
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
-	o = msgp.AppendString(o, z.Model)
+	o = msgp.AppendString(o, string(z.Model))
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendString(o, z.Backend)
+	o = msgp.AppendString(o, string(z.Backend))
 	// string "d"
 	o = append(o, 0xa1, 0x64)
 	o = msgp.AppendInt64(o, z.ReadyInMs)
@@ -9201,16 +9044,24 @@
 				return
 			}
 		case "m":
-			z.Model, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Model")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Model")
+					return
+				}
+				z.Model = ModelName(zb0002)
 			}
 		case "b":
-			z.Backend, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Backend")
-				return
+			{
+				var zb0003 string
+				zb0003, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Backend")
+					return
+				}
+				z.Backend = BackendID(zb0003)
 			}
 		case "d":
 			z.ReadyInMs, bts, err = msgp.ReadInt64Bytes(bts)
@@ -9232,7 +9083,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *PendingLoad) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(z.Model) + 2 + msgp.StringPrefixSize + len(z.Backend) + 2 + msgp.Int64Size
+	s = 1 + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(string(z.Model)) + 2 + msgp.StringPrefixSize + len(string(z.Backend)) + 2 + msgp.Int64Size
 	return
 }
 
@@ -9310,46 +9161,11 @@
 				z.Loads = make([]BackendLoad, zb0003)
 			}
 			for za0002 := range z.Loads {
-				var zb0004 uint32
-				zb0004, err = dc.ReadMapHeader()
+				err = z.Loads[za0002].DecodeMsg(dc)
 				if err != nil {
 					err = msgp.WrapError(err, "Loads", za0002)
 					return
 				}
-				for zb0004 > 0 {
-					zb0004--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "Loads", za0002)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.Loads[za0002].Backend, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Backend")
-							return
-						}
-					case "r":
-						z.Loads[za0002].Running, err = dc.ReadInt()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Running")
-							return
-						}
-					case "q":
-						z.Loads[za0002].Queued, err = dc.ReadInt()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Queued")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002)
-							return
-						}
-					}
-				}
 			}
 		case "p":
 			z.Proxies, err = dc.ReadInt()
@@ -9445,35 +9261,9 @@
 		return
 	}
 	for za0002 := range z.Loads {
-		// map header, size 3
-		// write "b"
-		err = en.Append(0x83, 0xa1, 0x62)
-		if err != nil {
-			return
-		}
-		err = en.WriteString(z.Loads[za0002].Backend)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Backend")
-			return
-		}
-		// write "r"
-		err = en.Append(0xa1, 0x72)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Loads[za0002].Running)
+		err = z.Loads[za0002].EncodeMsg(en)
 		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Running")
-			return
-		}
-		// write "q"
-		err = en.Append(0xa1, 0x71)
-		if err != nil {
-			return
-		}
-		err = en.WriteInt(z.Loads[za0002].Queued)
-		if err != nil {
-			err = msgp.WrapError(err, "Loads", za0002, "Queued")
+			err = msgp.WrapError(err, "Loads", za0002)
 			return
 		}
 	}
@@ -9530,16 +9320,11 @@
 	o = append(o, 0xa1, 0x6c)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Loads)))
 	for za0002 := range z.Loads {
-		// map header, size 3
-		// string "b"
-		o = append(o, 0x83, 0xa1, 0x62)
-		o = msgp.AppendString(o, z.Loads[za0002].Backend)
-		// string "r"
-		o = append(o, 0xa1, 0x72)
-		o = msgp.AppendInt(o, z.Loads[za0002].Running)
-		// string "q"
-		o = append(o, 0xa1, 0x71)
-		o = msgp.AppendInt(o, z.Loads[za0002].Queued)
+		o, err = z.Loads[za0002].MarshalMsg(o)
+		if err != nil {
+			err = msgp.WrapError(err, "Loads", za0002)
+			return
+		}
 	}
 	// string "p"
 	o = append(o, 0xa1, 0x70)
@@ -9624,46 +9409,11 @@
 				z.Loads = make([]BackendLoad, zb0003)
 			}
 			for za0002 := range z.Loads {
-				var zb0004 uint32
-				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
+				bts, err = z.Loads[za0002].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Loads", za0002)
 					return
 				}
-				for zb0004 > 0 {
-					zb0004--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Loads", za0002)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.Loads[za0002].Backend, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Backend")
-							return
-						}
-					case "r":
-						z.Loads[za0002].Running, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Running")
-							return
-						}
-					case "q":
-						z.Loads[za0002].Queued, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002, "Queued")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Loads", za0002)
-							return
-						}
-					}
-				}
 			}
 		case "p":
 			z.Proxies, bts, err = msgp.ReadIntBytes(bts)
@@ -9697,7 +9447,7 @@
 	}
 	s += 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.Loads {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.Loads[za0002].Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
+		s += z.Loads[za0002].Msgsize()
 	}
 	s += 2 + msgp.IntSize + 2 + msgp.Uint64Size
 	return
@@ -9825,46 +9575,11 @@
 				z.TotalLoads = make([]BackendLoad, zb0003)
 			}
 			for za0002 := range z.TotalLoads {
-				var zb0004 uint32
-				zb0004, err = dc.ReadMapHeader()
+				err = z.TotalLoads[za0002].DecodeMsg(dc)
 				if err != nil {
 					err = msgp.WrapError(err, "TotalLoads", za0002)
 					return
 				}
-				for zb0004 > 0 {
-					zb0004--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "TotalLoads", za0002)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.TotalLoads[za0002].Backend, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002, "Backend")
-							return
-						}
-					case "r":
-						z.TotalLoads[za0002].Running, err = dc.ReadInt()
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002, "Running")
-							return
-						}
-					case "q":
-						z.TotalLoads[za0002].Queued, err = dc.ReadInt()
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002, "Queued")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002)
-							return
-						}
-					}
-				}
 			}
 		case "w":
 			z.LoadsComplete, err = dc.ReadBool()
@@ -9879,16 +9594,16 @@
 				return
 			}
 		case "o":
-			var zb0005 uint32
-			zb0005, err = dc.ReadArrayHeader()
+			var zb0004 uint32
+			zb0004, err = dc.ReadArrayHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "PendingLoads")
 				return
 			}
-			if cap(z.PendingLoads) >= int(zb0005) {
-				z.PendingLoads = (z.PendingLoads)[:zb0005]
+			if cap(z.PendingLoads) >= int(zb0004) {
+				z.PendingLoads = (z.PendingLoads)[:zb0004]
 			} else {
-				z.PendingLoads = make([]PendingLoad, zb0005)
+				z.PendingLoads = make([]PendingLoad, zb0004)
 			}
 			for za0003 := range z.PendingLoads {
 				err = z.PendingLoads[za0003].DecodeMsg(dc)
@@ -10056,35 +9771,9 @@
 			return
 		}
 		for za0002 := range z.TotalLoads {
-			// map header, size 3
-			// write "b"
-			err = en.Append(0x83, 0xa1, 0x62)
-			if err != nil {
-				return
-			}
-			err = en.WriteString(z.TotalLoads[za0002].Backend)
-			if err != nil {
-				err = msgp.WrapError(err, "TotalLoads", za0002, "Backend")
-				return
-			}
-			// write "r"
-			err = en.Append(0xa1, 0x72)
-			if err != nil {
-				return
-			}
-			err = en.WriteInt(z.TotalLoads[za0002].Running)
-			if err != nil {
-				err = msgp.WrapError(err, "TotalLoads", za0002, "Running")
-				return
-			}
-			// write "q"
-			err = en.Append(0xa1, 0x71)
+			err = z.TotalLoads[za0002].EncodeMsg(en)
 			if err != nil {
-				return
-			}
-			err = en.WriteInt(z.TotalLoads[za0002].Queued)
-			if err != nil {
-				err = msgp.WrapError(err, "TotalLoads", za0002, "Queued")
+				err = msgp.WrapError(err, "TotalLoads", za0002)
 				return
 			}
 		}
@@ -10207,16 +9896,11 @@
 		o = append(o, 0xa1, 0x6c)
 		o = msgp.AppendArrayHeader(o, uint32(len(z.TotalLoads)))
 		for za0002 := range z.TotalLoads {
-			// map header, size 3
-			// string "b"
-			o = append(o, 0x83, 0xa1, 0x62)
-			o = msgp.AppendString(o, z.TotalLoads[za0002].Backend)
-			// string "r"
-			o = append(o, 0xa1, 0x72)
-			o = msgp.AppendInt(o, z.TotalLoads[za0002].Running)
-			// string "q"
-			o = append(o, 0xa1, 0x71)
-			o = msgp.AppendInt(o, z.TotalLoads[za0002].Queued)
+			o, err = z.TotalLoads[za0002].MarshalMsg(o)
+			if err != nil {
+				err = msgp.WrapError(err, "TotalLoads", za0002)
+				return
+			}
 		}
 		// string "w"
 		o = append(o, 0xa1, 0x77)
@@ -10358,46 +10042,11 @@
 				z.TotalLoads = make([]BackendLoad, zb0003)
 			}
 			for za0002 := range z.TotalLoads {
-				var zb0004 uint32
-				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
+				bts, err = z.TotalLoads[za0002].UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "TotalLoads", za0002)
 					return
 				}
-				for zb0004 > 0 {
-					zb0004--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "TotalLoads", za0002)
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						z.TotalLoads[za0002].Backend, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002, "Backend")
-							return
-						}
-					case "r":
-						z.TotalLoads[za0002].Running, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002, "Running")
-							return
-						}
-					case "q":
-						z.TotalLoads[za0002].Queued, bts, err = msgp.ReadIntBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002, "Queued")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "TotalLoads", za0002)
-							return
-						}
-					}
-				}
 			}
 		case "w":
 			z.LoadsComplete, bts, err = msgp.ReadBoolBytes(bts)
@@ -10412,16 +10061,16 @@
 				return
 			}
 		case "o":
-			var zb0005 uint32
-			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "PendingLoads")
 				return
 			}
-			if cap(z.PendingLoads) >= int(zb0005) {
-				z.PendingLoads = (z.PendingLoads)[:zb0005]
+			if cap(z.PendingLoads) >= int(zb0004) {
+				z.PendingLoads = (z.PendingLoads)[:zb0004]
 			} else {
-				z.PendingLoads = make([]PendingLoad, zb0005)
+				z.PendingLoads = make([]PendingLoad, zb0004)
 			}
 			for za0003 := range z.PendingLoads {
 				bts, err = z.PendingLoads[za0003].UnmarshalMsg(bts)
@@ -10462,7 +10111,7 @@
 	}
 	s += 2 + msgp.BoolSize + 2 + msgp.Int64Size + 2 + msgp.Int64Size + 2 + msgp.IntSize + 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.TotalLoads {
-		s += 1 + 2 + msgp.StringPrefixSize + len(z.TotalLoads[za0002].Backend) + 2 + msgp.IntSize + 2 + msgp.IntSize
+		s += z.TotalLoads[za0002].Msgsize()
 	}
 	s += 2 + msgp.BoolSize + 3 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
 	for za0003 := range z.PendingLoads {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -77,7 +77,7 @@
 			return
 		}
 		for _, report := range []*message.LoadReport{first, m.LoadReport} {
-			reply(&message.Message{LoadResponse: &message.LoadResponse{ID: report.ID, Loads: []message.BackendLoad{{Backend: report.Model}}}})
+			reply(&message.Message{LoadResponse: &message.LoadResponse{ID: report.ID, Loads: []message.BackendLoad{{Backend: message.BackendID(report.Model)}}}})
 		}
 	})
 	address := listener.Addr().String()
@@ -95,7 +95,7 @@
 	require.NoError(t, err)
 	reply, err := later.Wait(context.Background())
 	require.NoError(t, err)
-	assert.Equal(t, "m2", reply.Loads[0].Backend)
+	assert.Equal(t, message.BackendID("m2"), reply.Loads[0].Backend)
 	assert.True(t, client.IsConnected(address))
 	client.Disconnect()
 	assert.False(t, client.IsConnected(address))
