--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -301,7 +301,7 @@
 }
 
 // kept is how much the proxy holds in memory by id, host, address or class. Each of these comes down again with its owner, or has a
-// bound of its own; docs/operations.md says which.
+// bound of its own; docs/runbook-standalone.md says which.
 func kept(plan *engine.Planner, fleet *backend.Fleet, watcher *discovery.Watcher, clients *listener.Front, figures *metrics.Metrics,
 	probes *forwarder.Probes) map[string]int {
 	calls, timers, module := plan.Kept()
--- a/internal/standalone/admission/door_test.go
+++ b/internal/standalone/admission/door_test.go
@@ -607,7 +607,7 @@
 	return float64(in) / float64(max(1, came))
 }
 
-// TestThoseWhoComeBackWhenToldFindRoom: the figures stand in docs/door.md.
+// TestThoseWhoComeBackWhenToldFindRoom: the figures stand in docs/admission.md.
 func TestThoseWhoComeBackWhenToldFindRoom(t *testing.T) {
 	for _, overload := range []float64{2, 10} {
 		told, fixed := returns(t, overload, 0), returns(t, overload, sec)
--- a/tools/simrank/main.go
+++ b/tools/simrank/main.go
@@ -29,7 +29,7 @@
 	Sim   string `help:"The simulator." required:"" type:"path"`
 	On    string `help:"The deployment." enum:"quotes,invitations" default:"quotes"`
 	Days  int    `help:"Days of each kind." default:"3"`
-	Plots string `help:"Folder for the scatter plot and the figures." default:"docs/plots" type:"path"`
+	Plots string `help:"Folder for the scatter plot and the figures." default:"docs/reports/plots" type:"path"`
 }
 
 func main() {
