--- a/cmd/pumiceline/change.go
+++ b/cmd/pumiceline/change.go
@@ -27,10 +27,10 @@
 	cfg       *config.Config // in use
 	door      string         // the door's file
 	gate      *listener.Gate // nil without one
-	plan      *engine.Planner
-	fleet     *backend.Fleet
+	plan      *engine.Engine
+	fleet     *backend.Pool
 	transport *forwarder.Transport
-	clients   *listener.Front
+	clients   *listener.Server
 	watcher   *discovery.Watcher
 	figures   *metrics.Metrics
 	log       *slog.Logger
@@ -55,13 +55,13 @@
 	if c.gate == nil {
 		return
 	}
-	if err := c.clients.Change(&c.cfg.Settings, c.changeDoor); err != nil {
+	if err := c.clients.ApplySettings(&c.cfg.Settings, c.changeDoor); err != nil {
 		c.log.Error("the door's new file is not usable; the old one stays", "error", err)
 	}
 }
 
 func (c *changer) take(next *config.Config) error {
-	err := c.clients.Change(&next.Settings, func(numbered *settings.Settings) error {
+	err := c.clients.ApplySettings(&next.Settings, func(numbered *settings.Settings) error {
 		module, err := c.module(numbered)
 		if err != nil {
 			return err
@@ -73,13 +73,13 @@
 		if err := c.changeDoor(numbered); err != nil {
 			return err
 		}
-		return c.plan.Change(module)
+		return c.plan.ApplySettings(module)
 	})
 	if err != nil {
 		return err
 	}
 	limits := &next.Settings.Limits
-	c.fleet.Change(micros(limits.DialTimeout), micros(limits.IdleClose), config.Columns(&next.Settings, &next.Module))
+	c.fleet.ApplySettings(micros(limits.DialTimeout), micros(limits.IdleClose), config.Columns(&next.Settings, &next.Module))
 	c.transport.MaxRetryAfter.Store(settings.Micros(limits.MaxRetryAfter))
 	c.figures.Classes(classNames(&next.Settings))
 	for _, key := range fixed(c.cfg, next) {
@@ -108,12 +108,12 @@
 	}
 	c.processes = processes
 	c.log.Info("processes of this proxy that serve", "processes", processes)
-	return c.clients.Change(&c.cfg.Settings, func(numbered *settings.Settings) error {
+	return c.clients.ApplySettings(&c.cfg.Settings, func(numbered *settings.Settings) error {
 		module, err := c.module(numbered)
 		if err != nil {
 			return err
 		}
-		return c.plan.Change(module)
+		return c.plan.ApplySettings(module)
 	})
 }
 
@@ -126,7 +126,7 @@
 	if err != nil {
 		return err
 	}
-	return c.gate.Change(set)
+	return c.gate.ApplySettings(set)
 }
 
 func classNames(s *settings.Settings) (names []string) {
--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -148,7 +148,7 @@
 
 func (tcp) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 func (tcp) Dial(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
-	return backend.OverTCP(ctx, addr, by)
+	return backend.DialTCP(ctx, addr, by)
 }
 
 // serve puts the parts together and runs them until stop ends and all that was taken is answered. At each hangup it
@@ -175,10 +175,10 @@
 	figures.Classes(classNames(&cfg.Settings))
 	limits := &cfg.Settings.Limits
 	allSockets := float64(cfg.Limits.Sockets)
-	fleetOptions := backend.Options{DialWithin: micros(limits.DialTimeout), IdleClose: micros(limits.IdleClose),
-		MostSockets: int(allSockets * destinationPart), Sent: figures.Sent, Dial: with.network.Dial}
-	fleetOptions.Columns = config.Columns(&cfg.Settings, &cfg.Module)
-	fleet := backend.NewFleet(fleetOptions, log)
+	fleetOptions := backend.Options{DialTimeout: micros(limits.DialTimeout), IdleTimeout: micros(limits.IdleClose),
+		MaxConnections: int(allSockets * destinationPart), OnRequestWritten: figures.Sent, Dial: with.network.Dial}
+	fleetOptions.ReportColumns = config.Columns(&cfg.Settings, &cfg.Module)
+	fleet := backend.NewPool(fleetOptions, log)
 	watcher := discovery.NewWatcher(cfg.Discovery, discovery.NewTable(cfg.Settings.Zones, cfg.Settings.Flavors), fleet, log)
 	watcher.Over(with.network.Dial)
 	share := &sharing{memoryMB: cfg.Limits.MemoryMB}
@@ -195,22 +195,22 @@
 	}
 	probes := forwarder.NewProbes(fleet, log)
 	defer probes.Close()
-	plan := engine.New(module, engine.Hooks{Subscribe: watcher.Ask, CloseUnused: fleet.CloseUnused, Probe: probes.Ask}, log)
-	probes.Tell(plan)
+	plan := engine.New(module, engine.Hooks{Subscribe: watcher.Ask, CloseUnused: fleet.CloseIdle, Probe: probes.Start}, log)
+	probes.SetEngine(plan)
 	share.plan, share.log = plan, log
-	transport := &forwarder.Transport{Planner: plan, Fleet: fleet, Log: log}
+	transport := &forwarder.Transport{Engine: plan, Backends: fleet, Log: log}
 	transport.MaxRetryAfter.Store(settings.Micros(limits.MaxRetryAfter))
 	clients := listener.New(listener.Options{Settings: &cfg.Settings, Ready: watcher.Held, Log: log, Gate: gate, Metrics: figures,
-		MostSockets: int(allSockets * frontPart), Successor: share.successor,
-		Sockets: func() int { // what destinations have no use for, less some room for them to grow
+		GuaranteedSockets: int(allSockets * frontPart), HasSuccessor: share.successor,
+		SocketLimit: func() int { // what destinations have no use for, less some room for them to grow
 			fronts, connections := share.others()
-			spare := allSockets*(frontPart+destinationPart) - max(allSockets*destinationLeast, float64(fleet.Open()+connections)+allSockets*destinationRoom)
+			spare := allSockets*(frontPart+destinationPart) - max(allSockets*destinationLeast, float64(fleet.OpenConnections()+connections)+allSockets*destinationRoom)
 			return max(int(max(allSockets*frontPart, spare))-fronts, int(allSockets*frontPart*sharedLeast))
 		},
 		Transport: transport})
 
-	figures.Watch(metrics.Gauges{Current: clients.Current, Size: watcher.Size,
-		Unhealthy: func() int { return plan.Avoided() + watcher.TakenOut() },
+	figures.Watch(metrics.Gauges{Current: clients.InFlight, Size: watcher.Size,
+		Unhealthy: func() int { return plan.AvoidedBackends() + watcher.TakenOut() },
 		Kept:      func() map[string]int { return kept(plan, fleet, watcher, clients, figures, probes) }})
 
 	var ln net.Listener
@@ -269,10 +269,10 @@
 			}
 		}
 	}()
-	share.counts = func() (int, int) { return clients.Sockets(), fleet.Open() }
+	share.counts = func() (int, int) { return clients.OpenSockets(), fleet.OpenConnections() }
 	share.budgets = func(processes int) error {
 		_, connections := share.others()
-		fleet.Limit(max(int(allSockets*destinationPart)-connections, int(allSockets*destinationPart*sharedLeast)))
+		fleet.SetMaxConnections(max(int(allSockets*destinationPart)-connections, int(allSockets*destinationPart*sharedLeast)))
 		return change.share(processes)
 	}
 	look := func() {
@@ -302,17 +302,17 @@
 
 // kept is how much the proxy holds in memory by id, host, address or class. Each of these comes down again with its owner, or has a
 // bound of its own; docs/runbook-standalone.md says which.
-func kept(plan *engine.Planner, fleet *backend.Fleet, watcher *discovery.Watcher, clients *listener.Front, figures *metrics.Metrics,
+func kept(plan *engine.Engine, fleet *backend.Pool, watcher *discovery.Watcher, clients *listener.Server, figures *metrics.Metrics,
 	probes *forwarder.Probes) map[string]int {
-	calls, timers, module := plan.Kept()
-	destinations, idle := fleet.Known()
+	calls, timers, module := plan.TableSizes()
+	destinations, idle := fleet.TableSizes()
 	listed, names, out := watcher.Kept()
-	ids, classes, waiting := clients.Kept()
+	ids, classes, waiting := clients.TableSizes()
 	return map[string]int{"calls": calls, "timers": timers, "module_requests": module.Requests, "module_held": module.Held,
 		"module_spare": module.Spare, "module_servers": module.Servers, "module_kinds": module.Kinds, "destinations": destinations,
-		"connections": fleet.Open(), "idle_connections": idle, "hosts": listed, "host_names": names, "suspension_names": out,
-		"front_sockets": clients.Sockets(), "correlation_ids": ids, "class_numbers": classes, "class_series": figures.Shown(),
-		"gate_waiting": waiting, "probes": probes.Out()}
+		"connections": fleet.OpenConnections(), "idle_connections": idle, "hosts": listed, "host_names": names, "suspension_names": out,
+		"front_sockets": clients.OpenSockets(), "correlation_ids": ids, "class_numbers": classes, "class_series": figures.Shown(),
+		"gate_waiting": waiting, "probes": probes.InFlight()}
 }
 
 // awaitList waits until discovery has told of the list, and says whether that came before stop. Beside a process that serves, one
--- a/cmd/pumiceline/share.go
+++ b/cmd/pumiceline/share.go
@@ -25,7 +25,7 @@
 	counts   func() (fronts, connections int) // that this process holds
 	budgets  func(working int) error          // told how many processes take or have requests
 	folder   *hotrestart.Folder
-	plan     *engine.Planner
+	plan     *engine.Engine
 	log      *slog.Logger
 
 	at      atomic.Int32 // this process's handover.Stage
@@ -87,7 +87,7 @@
 )
 
 func (s *sharing) teach() error {
-	text, err := s.plan.Learnt()
+	text, err := s.plan.Snapshot()
 	if err != nil || text == nil {
 		return err
 	}
@@ -106,7 +106,7 @@
 	if err == nil {
 		body, ok := bytes.CutPrefix(text, []byte(learntVersion))
 		if err = errors.New("another version wrote it"); ok {
-			err = s.plan.Adopt(body, learntFresh)
+			err = s.plan.Restore(body, learntFresh)
 		}
 	}
 	if err != nil {
--- a/cmd/pumiceline/stored_test.go
+++ b/cmd/pumiceline/stored_test.go
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.presence.Leave)
-	s.plan.List(policy.ListFull, []policy.Member{{Server: 7, Kind: 1, Mode: policy.ModeReady, Size: 1, UpSince: 1_700_000_000_000_001}})
+	s.plan.UpdateMembers(policy.ListFull, []policy.Member{{Server: 7, Kind: 1, Mode: policy.ModeReady, Size: 1, UpSince: 1_700_000_000_000_001}})
 	return s
 }
 
--- a/internal/httpframing/framing_test.go
+++ b/internal/httpframing/framing_test.go
@@ -11,14 +11,14 @@
 func TestScanner(t *testing.T) {
 	for text, want := range map[string]Scanner{
 		"POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\n\r\nGET / HTTP/1.1\r\n\r\n":                      {Heads: 2},
-		"POST / HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n":                  {Heads: 1, Coded: 1, Both: true, Odd: 1},
-		"GET / HTTP/1.1\n\nPOST / HTTP/1.1\ntransfer-encoding:chunked\n\n0\r\n\r\n":                   {Heads: 2, Coded: 2},
+		"POST / HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n":                  {Heads: 1, TransferEncodingHead: 1, HasLengthAndEncoding: true, AmbiguousHead: 1},
+		"GET / HTTP/1.1\n\nPOST / HTTP/1.1\ntransfer-encoding:chunked\n\n0\r\n\r\n":                   {Heads: 2, TransferEncodingHead: 2},
 		"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\ncontent-length: 2\r\n":     {Heads: 1},
-		"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\ncontent-length: 2\r\n\r\n": {Heads: 2, Odd: 2},
+		"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\ncontent-length: 2\r\n\r\n": {Heads: 2, AmbiguousHead: 2},
 	} {
 		var got Scanner
 		got.Scan([]byte(text))
-		if got.Heads != want.Heads || got.Coded != want.Coded || got.Both != want.Both || got.Odd != want.Odd {
+		if got.Heads != want.Heads || got.TransferEncodingHead != want.TransferEncodingHead || got.HasLengthAndEncoding != want.HasLengthAndEncoding || got.AmbiguousHead != want.AmbiguousHead {
 			t.Errorf("%q: %+v", text, got)
 		}
 	}
@@ -50,12 +50,12 @@
 				t.Fatalf("net/http reads head %d, and %d were seen", heads, got.Heads)
 			}
 			if len(r.TransferEncoding) > 0 {
-				if got.Coded != heads {
+				if got.TransferEncodingHead != heads {
 					t.Fatalf("head %d has a coding that was not seen", heads)
 				}
 				return
 			}
-			if got.Coded == heads {
+			if got.TransferEncodingHead == heads {
 				return // a coding that net/http ignores; the front turns such a request away
 			}
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// look has at see the descriptor of a connection or listener. It is not known where c has none, as pipes in tests; an error
+// withDescriptor has at see the descriptor of a connection or listener. It is not known where c has none, as pipes in tests; an error
 // means that it is closed.
-func look(c any, at func(fd int)) (known bool, err error) {
+func withDescriptor(c any, at func(fd int)) (known bool, err error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return false, nil
@@ -24,8 +24,8 @@
 	return true, raw.Control(func(fd uintptr) { at(int(fd)) })
 }
 
-// poll is what of these events holds for a descriptor now.
-func poll(fd int, events int16) int16 {
+// pollNow is what of these events holds for a descriptor now.
+func pollNow(fd int, events int16) int16 {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	if n, err := unix.Poll(fds, 0); err != nil || n <= 0 {
 		return 0
@@ -33,11 +33,11 @@
 	return fds[0].Revents
 }
 
-// Quiet says whether a connection is still open with nothing to read. One that the other side has closed, or that has died, has an
+// IsOpenAndEmpty says whether a connection is still open with nothing to read. One that the other side has closed, or that has died, has an
 // end or a reset to read.
-func Quiet(nc net.Conn) bool {
+func IsOpenAndEmpty(nc net.Conn) bool {
 	quiet := false
-	known, err := look(nc, func(fd int) {
+	known, err := withDescriptor(nc, func(fd int) {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		quiet = errors.Is(err, syscall.EAGAIN)
@@ -45,18 +45,18 @@
 	return !known || err == nil && quiet
 }
 
-// Left says whether the other side has closed a connection, or its half of it, also where bytes that came before lie unread.
-func Left(nc net.Conn) bool {
+// HasPeerClosed says whether the other side has closed a connection, or its half of it, also where bytes that came before lie unread.
+func HasPeerClosed(nc net.Conn) bool {
 	left := false
-	known, err := look(nc, func(fd int) {
-		left = poll(fd, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	known, err := withDescriptor(nc, func(fd int) {
+		left = pollNow(fd, unix.POLLRDHUP)&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
 	return known && (err != nil || left)
 }
 
-// Waits says whether a connection waits at a listener to be accepted.
-func Waits(ln net.Listener) bool {
+// HasPendingConnection says whether a connection waits at a listener to be accepted.
+func HasPendingConnection(ln net.Listener) bool {
 	waits := false
-	known, err := look(ln, func(fd int) { waits = poll(fd, unix.POLLIN)&unix.POLLIN != 0 })
+	known, err := withDescriptor(ln, func(fd int) { waits = pollNow(fd, unix.POLLIN)&unix.POLLIN != 0 })
 	return known && err == nil && waits
 }
--- a/internal/standalone/backend/destination_test.go
+++ b/internal/standalone/backend/destination_test.go
@@ -56,10 +56,10 @@
 	return ln.Addr().String(), conns, requests
 }
 
-func fleet(addr string, most int) *Fleet {
-	f := NewFleet(Options{DialWithin: 5 * time.Second, IdleClose: time.Minute, MostSockets: most,
-		Columns: []string{"cpu", "rps"}}, slog.New(slog.DiscardHandler))
-	f.Set(1, addr, true)
+func fleet(addr string, most int) *Pool {
+	f := NewPool(Options{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConnections: most,
+		ReportColumns: []string{"cpu", "rps"}}, slog.New(slog.DiscardHandler))
+	f.SetBackend(1, addr, true)
 	return f
 }
 
@@ -68,10 +68,10 @@
 		Header: http.Header{"Idempotency-Key": {"k1"}, "X-Correlation-Id": {"id1"}}}
 }
 
-func exchange(t *testing.T, f *Fleet) Result {
+func exchange(t *testing.T, f *Pool) Result {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
-	return f.Exchange(ctx, 1, Attempt{Request: post(), Body: Body{Text: []byte("body")}})
+	return f.Exchange(ctx, 1, Attempt{Request: post(), Body: Body{Buffered: []byte("body")}})
 }
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n42"
@@ -96,7 +96,7 @@
 		"no end told":         {"HTTP/1.1 200 OK\r\n\r\n42", policy.OK},
 		"other protocol":      {"HTTP/1.1 101 Switching Protocols\r\n\r\n", policy.Failed},
 		"garbage":             {"\x00\x01\x02 garbage\r\n\r\n", policy.Failed},
-		"too long":            {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MostLong+1) + strings.Repeat("x", MostBody), policy.Failed},
+		"too long":            {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MaxStreamedBody+1) + strings.Repeat("x", MaxBufferedBody), policy.Failed},
 		"long error":          {"HTTP/1.1 500 No\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("x", 400_000), policy.Failed},
 		"the longest":         {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), policy.OK},
 		"endless head":        {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10) + "\r\n\r\n", policy.Failed},
@@ -113,7 +113,7 @@
 			return false
 		})
 		res := exchange(t, fleet(addr, 9))
-		if res.Outcome != c.want || requests.Load() != 1 || (res.Answer != nil) != (c.want == policy.OK) {
+		if res.Outcome != c.want || requests.Load() != 1 || (res.Response != nil) != (c.want == policy.OK) {
 			t.Errorf("%s: outcome %d (%v), want %d; %d requests", name, res.Outcome, res.Err, c.want, requests.Load())
 		}
 	}
@@ -160,7 +160,7 @@
 		io.ReadFull(there, make([]byte, 10))
 		there.Close()
 	}()
-	res, reusable := f.exchange(t.Context(), &conn{nc: here, dest: f.byID[1]}, &Attempt{Request: post(), Body: Body{Text: []byte("body")}})
+	res, reusable := f.exchange(t.Context(), &conn{nc: here, backend: f.byID[1]}, &Attempt{Request: post(), Body: Body{Buffered: []byte("body")}})
 	if res.Outcome != policy.ConnectFailed || reusable {
 		t.Errorf("outcome %d, %v, reusable %v", res.Outcome, res.Err, reusable)
 	}
@@ -170,10 +170,10 @@
 func TestComplaintsAreFew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log strings.Builder
-		f := NewFleet(Options{}, slog.New(slog.NewTextHandler(&log, nil)))
+		f := NewPool(Options{}, slog.New(slog.NewTextHandler(&log, nil)))
 		time.Sleep(time.Second)
 		for range 300 {
-			f.complain("garbage", &dest{}, io.EOF)
+			f.warnMalformed("garbage", &backendState{}, io.EOF)
 			time.Sleep(10 * time.Millisecond)
 		}
 		if lines := strings.Count(log.String(), "\n"); lines != 3 || !strings.Contains(log.String(), "unlogged_before=99") {
@@ -197,7 +197,7 @@
 			t.Fatalf("outcome %d, %v", res.Outcome, res.Err)
 		}
 		<-closed
-		for len(f.byID[1].idle) > 0 && socket.Quiet(f.byID[1].idle[0].nc) {
+		for len(f.byID[1].idle) > 0 && socket.IsOpenAndEmpty(f.byID[1].idle[0].nc) {
 			time.Sleep(time.Millisecond) // until the end has come over
 		}
 	}
@@ -209,7 +209,7 @@
 	exchange(t, f)
 	letRest(f)
 	exchange(t, f) // on the same
-	f.byID[1].idle[0].used = time.Now().Add(-f.opts.IdleClose * 9 / 10)
+	f.byID[1].idle[0].lastUsed = time.Now().Add(-f.opts.IdleTimeout * 9 / 10)
 	exchange(t, f)
 	if conns.Load() != 2 {
 		t.Errorf("%d connections, want 2: the first was near its idle close", conns.Load())
@@ -226,9 +226,9 @@
 	}{{[]time.Duration{0}, -1}, {[]time.Duration{1}, 0}, {[]time.Duration{3, 2, 1, 0}, 2}, {[]time.Duration{0, 0, 0}, -1}, {[]time.Duration{4, 3}, 1}} {
 		var idle []*conn
 		for _, ago := range c.ago {
-			idle = append(idle, &conn{used: now.Add(-ago * rest)})
+			idle = append(idle, &conn{lastUsed: now.Add(-ago * minIdleBeforeReuse)})
 		}
-		if got := rested(idle, now); got != c.want {
+		if got := lastReusable(idle, now); got != c.want {
 			t.Errorf("last used %v rests ago: %d, want %d", c.ago, got, c.want)
 		}
 	}
@@ -239,18 +239,18 @@
 			t.Fatalf("outcome %d, %v", res.Outcome, res.Err)
 		}
 	}
-	if f.open != 1 {
-		t.Errorf("%d connections are open after %d, 1 may be", f.open, conns.Load())
+	if f.openConns != 1 {
+		t.Errorf("%d connections are open after %d, 1 may be", f.openConns, conns.Load())
 	}
 }
 
 // letRest has the idle connections of f had their rest.
-func letRest(f *Fleet) {
+func letRest(f *Pool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range f.byID {
 		for _, c := range d.idle {
-			c.used = c.used.Add(-rest)
+			c.lastUsed = c.lastUsed.Add(-minIdleBeforeReuse)
 		}
 	}
 }
@@ -272,15 +272,15 @@
 	})
 	f := fleet(addr, 9)
 	sent := 0
-	f.opts.Sent = func() {
+	f.opts.OnRequestWritten = func() {
 		if sent++; sent == 2 {
 			io.WriteString(<-first, ok)
 			close(second)
 		}
 	}
 	for i, want := range []string{"42", "own", "own"} {
-		if res := exchange(t, f); res.Outcome != policy.OK || string(res.Answer.Body) != want {
-			t.Errorf("request %d: outcome %d, %v, %+v", i, res.Outcome, res.Err, res.Answer)
+		if res := exchange(t, f); res.Outcome != policy.OK || string(res.Response.Body) != want {
+			t.Errorf("request %d: outcome %d, %v, %+v", i, res.Outcome, res.Err, res.Response)
 		}
 		if i == 1 {
 			letRest(f) // now the first connection is looked at, and closed for what lies on it
@@ -305,7 +305,7 @@
 		read <- err
 	}()
 	time.Sleep(10 * time.Millisecond) // the reader is most likely at work by then; without one the test passes anyway
-	if !socket.Quiet(c) {
+	if !socket.IsOpenAndEmpty(c) {
 		t.Error("a connection with nothing to read is not quiet")
 	}
 	c.Close()
@@ -335,8 +335,8 @@
 	if res := f.Exchange(ctx, 1, Attempt{Request: post()}); res.Outcome != policy.NotSent {
 		t.Errorf("out of time before anything was sent: outcome %d, %v", res.Outcome, res.Err)
 	}
-	if f.open != 0 {
-		t.Errorf("%d connections are still counted", f.open)
+	if f.openConns != 0 {
+		t.Errorf("%d connections are still counted", f.openConns)
 	}
 }
 
@@ -345,7 +345,7 @@
 	addr, _, requests := serve(t, func(_ int, c net.Conn) bool { io.WriteString(c, ok); return true })
 	f := fleet(addr, 9)
 	c, _, _ := f.acquire(t.Context(), 1)
-	f.Set(1, addr, false)
+	f.SetBackend(1, addr, false)
 	if res, _ := f.exchange(t.Context(), c, &Attempt{Request: post()}); res.Outcome != policy.NotSent {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
@@ -353,9 +353,9 @@
 	if res := exchange(t, f); res.Outcome != policy.NotSent {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
-	f.Set(1, "", false)
-	if requests.Load() != 0 || f.open != 0 || len(f.byID) != 0 {
-		t.Errorf("%d requests, %d open, %d destinations", requests.Load(), f.open, len(f.byID))
+	f.SetBackend(1, "", false)
+	if requests.Load() != 0 || f.openConns != 0 || len(f.byID) != 0 {
+		t.Errorf("%d requests, %d open, %d destinations", requests.Load(), f.openConns, len(f.byID))
 	}
 }
 
@@ -363,25 +363,25 @@
 func TestSocketBudget(t *testing.T) {
 	addr, _, _ := serve(t, func(_ int, c net.Conn) bool { io.WriteString(c, ok); return true })
 	f := fleet(addr, 1)
-	f.Set(2, addr, true)
+	f.SetBackend(2, addr, true)
 	exchange(t, f)
 	c, _, err := f.acquire(t.Context(), 2)
-	if err != nil || f.open != 1 {
-		t.Fatalf("no connection (%v), or %d open", err, f.open)
+	if err != nil || f.openConns != 1 {
+		t.Fatalf("no connection (%v), or %d open", err, f.openConns)
 	}
 	if res := exchange(t, f); res.Outcome != policy.NotSent {
 		t.Errorf("over the budget: outcome %d", res.Outcome)
 	}
 	f.release(c, true)
-	if f.open != 1 || len(f.byID[1].idle) != 0 || len(f.byID[2].idle) != 1 {
-		t.Errorf("%d connections open at the end", f.open)
+	if f.openConns != 1 || len(f.byID[1].idle) != 0 || len(f.byID[2].idle) != 1 {
+		t.Errorf("%d connections open at the end", f.openConns)
 	}
 }
 
 func TestRequestPassesUnchanged(t *testing.T) {
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(time.Hour))
 	defer cancel()
-	text, err := encode(ctx, post(), Body{Text: []byte("\x00body")})
+	text, err := encodeRequest(ctx, post(), Body{Buffered: []byte("\x00body")})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -421,22 +421,22 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n"))
 	f.Add([]byte("\xff\x00\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		from := &source{Reader: strings.NewReader(string(text))}
+		from := &responseSource{Reader: strings.NewReader(string(text))}
 		limit := &io.LimitedReader{R: from}
 		here, there := net.Pipe()
 		defer here.Close()
 		defer there.Close()
-		c := &conn{nc: here, from: from, limit: limit, br: bufio.NewReader(limit), dest: &dest{}}
-		status, answer, _, err := c.read(time.Now().Add(time.Minute), NewFleet(Options{}, slog.New(slog.DiscardHandler)), post())
-		if (err == nil) != (answer != nil) || err == nil && (status < 200 || len(answer.Body) > MostBody) {
+		c := &conn{nc: here, source: from, limit: limit, reader: bufio.NewReader(limit), backend: &backendState{}}
+		status, answer, _, err := c.readResponse(time.Now().Add(time.Minute), NewPool(Options{}, slog.New(slog.DiscardHandler)), post())
+		if (err == nil) != (answer != nil) || err == nil && (status < 200 || len(answer.Body) > MaxBufferedBody) {
 			t.Errorf("status %d, %v, %v", status, answer, err)
 		}
 		if err != nil {
 			return
 		}
-		if answer.Rest != nil { // more than MostBody of it came, so that it is passed on
-			n, _ := io.Copy(io.Discard, answer.Rest)
-			answer.Rest.Close()
+		if answer.Stream != nil { // more than MaxBufferedBody of it came, so that it is passed on
+			n, _ := io.Copy(io.Discard, answer.Stream)
+			answer.Stream.Close()
 			answer.Body = make([]byte, n)
 		}
 		if len(answer.Body) > len(text) {
@@ -469,7 +469,7 @@
 // A connection that the module does not ask to be closed is closed by the clock once it is too old to be used; one used since is not.
 func TestOldIdleConnectionsAreReaped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := NewFleet(Options{DialWithin: time.Second, IdleClose: 10 * time.Second, MostSockets: 9,
+		f := NewPool(Options{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, MaxConnections: 9,
 			Dial: func(context.Context, string, time.Time) (net.Conn, error) {
 				near, far := net.Pipe()
 				go func() {
@@ -485,7 +485,7 @@
 				}()
 				return near, nil
 			}}, slog.New(slog.DiscardHandler))
-		f.Set(1, "10.0.0.1:1", true)
+		f.SetBackend(1, "10.0.0.1:1", true)
 		for _, c := range []struct {
 			wait time.Duration
 			used bool
@@ -494,8 +494,8 @@
 			if time.Sleep(c.wait); c.used {
 				exchange(t, f)
 			}
-			if synctest.Wait(); f.Open() != c.open {
-				t.Errorf("after %v more: %d open, want %d", c.wait, f.Open(), c.open)
+			if synctest.Wait(); f.OpenConnections() != c.open {
+				t.Errorf("after %v more: %d open, want %d", c.wait, f.OpenConnections(), c.open)
 			}
 		}
 	})
@@ -515,10 +515,10 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			here, there := net.Pipe()
-			f := NewFleet(Options{DialWithin: 5 * time.Second, IdleClose: time.Minute, MostSockets: 9,
+			f := NewPool(Options{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConnections: 9,
 				Dial: func(context.Context, string, time.Time) (net.Conn, error) { time.Sleep(c.connecting); return here, nil }},
 				slog.New(slog.DiscardHandler))
-			f.Set(1, "a", true)
+			f.SetBackend(1, "a", true)
 			got := 0
 			go func() {
 				for b := make([]byte, 1); got < c.reads; got++ {
@@ -533,7 +533,7 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			defer cancel()
 			start := time.Now()
-			res := f.Exchange(ctx, 1, Attempt{Request: post(), Body: Body{Text: []byte("body!")}, WriteBy: start.Add(300 * time.Millisecond)})
+			res := f.Exchange(ctx, 1, Attempt{Request: post(), Body: Body{Buffered: []byte("body!")}, WriteBy: start.Add(300 * time.Millisecond)})
 			if res.Outcome != c.want || c.connecting == 300*time.Millisecond && got > 0 || time.Since(start) > 300*time.Millisecond {
 				t.Errorf("%s: outcome %d (%v) after %v, %d bytes arrived", name, res.Outcome, res.Err, time.Since(start), got)
 			}
@@ -546,7 +546,7 @@
 // A destination that turns a request away before it has read it whole, and closes over what it has not read, has its connection
 // reset. Its answer, which lies there already, is heard, or the request's last byte never went out: both prove that it never ran.
 func TestAnEarlyRefusalIsHeard(t *testing.T) {
-	for name, size := range map[string]int{"short": 100, "as long as is kept": MostBody, "longer than all buffers": 20 << 20} {
+	for name, size := range map[string]int{"short": 100, "as long as is kept": MaxBufferedBody, "longer than all buffers": 20 << 20} {
 		goOn := make(chan struct{})
 		f, _ := once(t, func(c net.Conn) error {
 			defer close(goOn)
@@ -556,11 +556,11 @@
 			return c.Close()
 		})
 		f.opts.Dial = func(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
-			nc, err := OverTCP(ctx, addr, by)
+			nc, err := DialTCP(ctx, addr, by)
 			return &heldReads{nc, goOn}, err
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
-		res := f.Exchange(ctx, 1, Attempt{Request: post(), Body: Body{Text: []byte(strings.Repeat("x", size))}})
+		res := f.Exchange(ctx, 1, Attempt{Request: post(), Body: Body{Buffered: []byte(strings.Repeat("x", size))}})
 		cancel()
 		if res.Outcome != policy.Full && res.Outcome != policy.ConnectFailed {
 			t.Errorf("%s: outcome %d, %v", name, res.Outcome, res.Err)
--- a/internal/standalone/backend/exchange.go
+++ b/internal/standalone/backend/exchange.go
@@ -19,46 +19,46 @@
 	"pumiceline/internal/standalone/requestbody"
 )
 
-// MostBody is the largest body that is kept whole: of an answer, which is served only whole, and of a request, which can be sent
+// MaxBufferedBody is the largest body that is kept whole: of an answer, which is served only whole, and of a request, which can be sent
 // again. Longer ones are passed on while they come.
-const MostBody = 64 << 10
+const MaxBufferedBody = 64 << 10
 
 const (
-	mostHead     = 64 << 10 // bytes of an answer's head, interim answers included
-	mostInterim  = 5
-	unprocessed  = "X-Unprocessed"
-	timeLeftName = "X-Time-Left-Ms"
+	maxHeadBytes        = 64 << 10 // bytes of an answer's head, interim answers included
+	maxInterimResponses = 5
+	unprocessedHeader   = "X-Unprocessed"
+	timeLeftHeader      = "X-Time-Left-Ms"
 )
 
-// Answer is a destination's whole answer, or one that is passed on while it comes.
-type Answer struct {
+// Response is a destination's whole answer, or one that is passed on while it comes.
+type Response struct {
 	Header http.Header
 	Body   []byte
-	Rest   io.ReadCloser // of a long answer: all of its body, and Body is empty. It must be closed.
+	Stream io.ReadCloser // of a long answer: all of its body, and Body is empty. It must be closed.
 	Length int64         // of a long answer; -1: not told
 }
 
 // Body is a request's: what is at hand, which can be sent again, and what comes after it, which can't.
 type Body struct {
-	Text []byte
-	Rest *requestbody.Upload // nil: Text is all
+	Buffered []byte
+	Stream   *requestbody.Stream // nil: Text is all
 }
 
 // Result is how one exchange ended. Answer is set if the outcome is OK.
 type Result struct {
-	Sent    time.Time // when the last byte of a body that was still coming went out; zero for others
-	Outcome policy.Outcome
-	Answer  *Answer
-	Report  []float32
-	Err     error // what went wrong, for the log
+	BodySentAt time.Time // when the last byte of a body that was still coming went out; zero for others
+	Outcome    policy.Outcome
+	Response   *Response
+	Report     []float32
+	Err        error // what went wrong, for the log
 }
 
 // Attempt is a request that is to be sent, and what has to hold in the moment in which it is.
 type Attempt struct {
-	Request *http.Request // its body is given apart; its context is the client's
-	Body    Body
-	WriteBy time.Time   // nothing is written from then on, as what an earlier attempt's group forgets could run twice; zero: no such limit
-	Left    func() bool // whether the client has gone, where its context may not have heard of it yet; nil: its context knows
+	Request            *http.Request // its body is given apart; its context is the client's
+	Body               Body
+	WriteBy            time.Time   // nothing is written from then on, as what an earlier attempt's group forgets could run twice; zero: no such limit
+	ClientDisconnected func() bool // whether the client has gone, where its context may not have heard of it yet; nil: its context knows
 }
 
 // Exchange sends a request to a destination and waits for its answer until ctx ends: all of a short one, and of a long one as far
@@ -67,25 +67,25 @@
 //
 // Once the client has gone nobody waits for the answer. While the request's last byte has not gone out the exchange is then given
 // up, also where the deployment lets nothing be cancelled that a destination may have begun.
-func (f *Fleet) Exchange(ctx context.Context, id uint32, a Attempt) Result {
-	if a.Body.Rest != nil && a.Body.Rest.Spent() {
-		return Result{Outcome: policy.NotSent, Err: errSpent}
+func (f *Pool) Exchange(ctx context.Context, id uint32, a Attempt) Result {
+	if a.Body.Stream != nil && a.Body.Stream.IsClaimed() {
+		return Result{Outcome: policy.NotSent, Err: errBodyConsumed}
 	}
-	c, outcome, err := f.connect(ctx, id, &a)
+	c, outcome, err := f.acquireWhileWanted(ctx, id, &a)
 	if err != nil {
 		return Result{Outcome: outcome, Err: err}
 	}
 	// Ending ctx closes the connection: that is how an attempt is given up.
 	stop := context.AfterFunc(ctx, func() { c.nc.Close() })
 	res, reusable := f.exchange(ctx, c, &a)
-	if res.Answer != nil && res.Answer.Rest != nil {
-		s := res.Answer.Rest.(*stream)
+	if res.Response != nil && res.Response.Stream != nil {
+		s := res.Response.Stream.(*stream)
 		if !stop() { // given up in the same moment
 			s.abandon()
 			f.release(c, false)
-			return Result{Outcome: ended(ctx, policy.Reset), Err: errors.New("a long answer came too late")}
+			return Result{Outcome: outcomeAfter(ctx, policy.Reset), Err: errors.New("a long answer came too late")}
 		}
-		s.pass() // the connection is given back at its end
+		s.startForwarding() // the connection is given back at its end
 		return res
 	}
 	f.release(c, stop() && reusable) // before the outcome is told, so that no attempt is out on an open connection
@@ -93,14 +93,14 @@
 }
 
 var (
-	errOver   = errors.New("not sent: over or draining")
-	errLeft   = errors.New("not sent: its client has left")
-	errWindow = errors.New("not sent: the window for a repeat is over")
+	errAttemptEnded       = errors.New("not sent: over or draining")
+	errClientDisconnected = errors.New("not sent: its client has left")
+	errRetryWindowClosed  = errors.New("not sent: the window for a repeat is over")
 )
 
-// connect is acquire for as long as somebody waits for what is to be sent. That nobody does any more says nothing of the
+// acquireWhileWanted is acquire for as long as somebody waits for what is to be sent. That nobody does any more says nothing of the
 // destination.
-func (f *Fleet) connect(ctx context.Context, id uint32, a *Attempt) (*conn, policy.Outcome, error) {
+func (f *Pool) acquireWhileWanted(ctx context.Context, id uint32, a *Attempt) (*conn, policy.Outcome, error) {
 	wanted, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(a.Request.Context(), cancel)()
@@ -114,72 +114,72 @@
 	return c, outcome, err
 }
 
-// forbidden says why nothing of a may go out now, whatever held when it was decided on: since then the connection was made.
-func (f *Fleet) forbidden(ctx context.Context, c *conn, a *Attempt) error {
+// sendError says why nothing of a may go out now, whatever held when it was decided on: since then the connection was made.
+func (f *Pool) sendError(ctx context.Context, c *conn, a *Attempt) error {
 	switch {
-	case ctx.Err() != nil || !f.takes(c.dest):
-		return errOver
+	case ctx.Err() != nil || !f.isReady(c.backend):
+		return errAttemptEnded
 	case !a.WriteBy.IsZero() && !time.Now().Before(a.WriteBy):
-		return errWindow
-	case a.Request.Context().Err() != nil || a.Left != nil && a.Left():
-		return errLeft
+		return errRetryWindowClosed
+	case a.Request.Context().Err() != nil || a.ClientDisconnected != nil && a.ClientDisconnected():
+		return errClientDisconnected
 	}
 	return nil
 }
 
-func (f *Fleet) exchange(ctx context.Context, c *conn, a *Attempt) (res Result, reusable bool) {
+func (f *Pool) exchange(ctx context.Context, c *conn, a *Attempt) (res Result, reusable bool) {
 	req, body := a.Request, a.Body
-	text, err := encode(ctx, req, body)
+	text, err := encodeRequest(ctx, req, body)
 	if err != nil {
 		return Result{Outcome: policy.NotSent, Err: err}, false
 	}
-	if err := f.forbidden(ctx, c, a); err != nil {
-		return Result{Outcome: ended(ctx, policy.NotSent), Err: err}, true
+	if err := f.sendError(ctx, c, a); err != nil {
+		return Result{Outcome: outcomeAfter(ctx, policy.NotSent), Err: err}, true
 	}
 	if outcome, err := c.send(ctx, a, text); err != nil {
 		return Result{Outcome: outcome, Err: err}, false
 	}
-	if body.Rest != nil {
-		res.Sent = time.Now()
+	if body.Stream != nil {
+		res.BodySentAt = time.Now()
 	}
-	if f.opts.Sent != nil {
-		f.opts.Sent()
+	if f.opts.OnRequestWritten != nil {
+		f.opts.OnRequestWritten()
 	}
 	by, ok := ctx.Deadline()
-	if !ok && body.Rest != nil {
-		by = res.Sent.Add(body.Rest.Left)
+	if !ok && body.Stream != nil {
+		by = res.BodySentAt.Add(body.Stream.ClientTimeout)
 	}
-	status, answer, reusable, err := c.read(by, f, req)
+	status, answer, reusable, err := c.readResponse(by, f, req)
 	if err != nil {
-		if ctx.Err() == nil && !c.from.ended {
-			f.complain("answer not understood", c.dest, err)
+		if ctx.Err() == nil && !c.source.ended {
+			f.warnMalformed("answer not understood", c.backend, err)
 			// No break: the destination answered, so that it may have run, and the answer is of no use.
-			return Result{Outcome: policy.Failed, Err: fmt.Errorf("reading the answer: %w", err), Sent: res.Sent}, false
+			return Result{Outcome: policy.Failed, Err: fmt.Errorf("reading the answer: %w", err), BodySentAt: res.BodySentAt}, false
 		}
-		return Result{Outcome: ended(ctx, policy.Reset), Err: fmt.Errorf("reading the answer: %w", err), Sent: res.Sent}, false
+		return Result{Outcome: outcomeAfter(ctx, policy.Reset), Err: fmt.Errorf("reading the answer: %w", err), BodySentAt: res.BodySentAt}, false
 	}
-	_, columns := f.told()
+	_, columns := f.currentSettings()
 	res.Outcome = policy.Failed
 	switch status {
 	case http.StatusOK:
-		res.Outcome, res.Answer = policy.OK, answer
+		res.Outcome, res.Response = policy.OK, answer
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if answer.Header.Get(unprocessed) == "1" { // without that mark it may have run
+		if answer.Header.Get(unprocessedHeader) == "1" { // without that mark it may have run
 			res.Outcome = policy.Full
 		}
 	}
 	if text := answer.Header.Get(ReportHeader); text != "" && len(columns) > 0 {
 		if res.Report, err = ParseReport(text, columns); err != nil {
-			f.complain("load report not understood", c.dest, err)
+			f.warnMalformed("load report not understood", c.backend, err)
 		}
 		answer.Header.Del(ReportHeader)
 	}
 	return res, reusable
 }
 
-// encode writes req as it goes on the wire, with the time that is left. The head is written here and not by
+// encodeRequest writes req as it goes on the wire, with the time that is left. The head is written here and not by
 // http.Request.Write, which copies the request and its headers first: that was a seventh of a busy proxy's CPU.
-func encode(ctx context.Context, req *http.Request, body Body) ([]byte, error) {
+func encodeRequest(ctx context.Context, req *http.Request, body Body) ([]byte, error) {
 	target := req.URL.RequestURI()
 	if req.URL.Opaque != "" {
 		target = req.URL.Opaque
@@ -192,35 +192,35 @@
 		return nil, fmt.Errorf("encoding the request: target %q or host %q", target, req.Host)
 	}
 	var text bytes.Buffer
-	text.Grow(headGuess + len(body.Text))
+	text.Grow(typicalHeadBytes + len(body.Buffered))
 	text.WriteString(req.Method)
 	text.WriteByte(' ')
 	text.WriteString(target)
 	text.WriteString(" HTTP/1.1\r\nHost: ")
 	text.WriteString(req.Host)
 	text.WriteString("\r\n")
-	if err := req.Header.WriteSubset(&text, writtenHere); err != nil {
+	if err := req.Header.WriteSubset(&text, headersNotCopied); err != nil {
 		return nil, fmt.Errorf("encoding the request: %w", err)
 	}
 	if agent := req.Header.Get("User-Agent"); agent != "" { // ReverseProxy says by an empty one that there is none
 		text.WriteString("User-Agent: " + strings.NewReplacer("\r", " ", "\n", " ").Replace(agent) + "\r\n")
 	}
 	var number [20]byte
-	if deadline, ok := ctx.Deadline(); ok || body.Rest != nil {
+	if deadline, ok := ctx.Deadline(); ok || body.Stream != nil {
 		if !ok { // its time begins with its last byte
-			deadline = time.Now().Add(body.Rest.Left)
+			deadline = time.Now().Add(body.Stream.ClientTimeout)
 		}
-		text.WriteString(timeLeftName + ": ")
+		text.WriteString(timeLeftHeader + ": ")
 		text.Write(strconv.AppendInt(number[:0], max(0, time.Until(deadline).Milliseconds()), 10))
 		text.WriteString("\r\n")
 	}
-	length := int64(len(body.Text))
-	if body.Rest != nil {
-		length = body.Rest.Length
+	length := int64(len(body.Buffered))
+	if body.Stream != nil {
+		length = body.Stream.Length
 	}
 	if length < 0 {
 		text.WriteString("Transfer-Encoding: chunked\r\n\r\n")
-		chunk(&text, body.Text)
+		appendChunk(&text, body.Buffered)
 		return text.Bytes(), nil
 	}
 	if length > 0 || req.Method != http.MethodGet && req.Method != http.MethodHead {
@@ -229,12 +229,12 @@
 		text.WriteString("\r\n")
 	}
 	text.WriteString("\r\n")
-	text.Write(body.Text)
+	text.Write(body.Buffered)
 	return text.Bytes(), nil
 }
 
-// chunk writes a piece of a body whose length is not told.
-func chunk(text *bytes.Buffer, piece []byte) {
+// appendChunk writes a piece of a body whose length is not told.
+func appendChunk(text *bytes.Buffer, piece []byte) {
 	if len(piece) > 0 { // an empty one would be the end
 		fmt.Fprintf(text, "%x\r\n", len(piece))
 		text.Write(piece)
@@ -248,17 +248,17 @@
 	client := a.Request.Context()
 	if !a.WriteBy.IsZero() {
 		if err := c.nc.SetWriteDeadline(a.WriteBy); err != nil {
-			return neverSent(ctx), fmt.Errorf("writing the request: %w", err)
+			return outcomeUnsent(ctx), fmt.Errorf("writing the request: %w", err)
 		}
 	}
 	stopped := make(chan struct{})
 	stop := context.AfterFunc(client, func() {
 		defer close(stopped)
-		_ = c.nc.SetWriteDeadline(longPast) // it fails only where writing does
+		_ = c.nc.SetWriteDeadline(expiredDeadline) // it fails only where writing does
 	})
 	_, err := c.nc.Write(text)
-	if err == nil && a.Body.Rest != nil {
-		err = c.pour(client, a.Body)
+	if err == nil && a.Body.Stream != nil {
+		err = c.sendStream(client, a.Body)
 	}
 	if !stop() {
 		<-stopped // or it would end the writing of the connection's next request
@@ -268,48 +268,48 @@
 		return policy.OK, nil
 	}
 	err = fmt.Errorf("writing the request: %w", err)
-	if client.Err() != nil || !a.WriteBy.IsZero() && !time.Now().Before(a.WriteBy) || errors.Is(err, errBody) || errors.Is(err, errSpent) {
-		return ended(ctx, policy.NotSent), err // which says nothing of the destination
+	if client.Err() != nil || !a.WriteBy.IsZero() && !time.Now().Before(a.WriteBy) || errors.Is(err, errReadingBody) || errors.Is(err, errBodyConsumed) {
+		return outcomeAfter(ctx, policy.NotSent), err // which says nothing of the destination
 	}
-	return neverSent(ctx), err
+	return outcomeUnsent(ctx), err
 }
 
-// longPast is a write deadline that stops a write at once.
-var longPast = time.Unix(1, 0)
+// expiredDeadline is a write deadline that stops a write at once.
+var expiredDeadline = time.Unix(1, 0)
 
 var (
-	errSpent = errors.New("the request's body was read for another attempt and is gone")
-	errBody  = errors.New("the request's body")
+	errBodyConsumed = errors.New("the request's body was read for another attempt and is gone")
+	errReadingBody  = errors.New("the request's body")
 )
 
-// pour sends what of a body is still coming, while it comes.
-func (c *conn) pour(client context.Context, body Body) error {
-	if !body.Rest.Take() {
-		return errSpent
+// sendStream sends what of a body is still coming, while it comes.
+func (c *conn) sendStream(client context.Context, body Body) error {
+	if !body.Stream.Claim() {
+		return errBodyConsumed
 	}
-	piece := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(piece)
+	piece := chunkBuffers.Get().(*[chunkBytes]byte)
+	defer chunkBuffers.Put(piece)
 	var framed bytes.Buffer
 	for {
-		n, err := body.Rest.Read(piece[:])
+		n, err := body.Stream.Read(piece[:])
 		out := piece[:n]
-		if body.Rest.Length < 0 {
+		if body.Stream.Length < 0 {
 			framed.Reset()
-			chunk(&framed, out)
+			appendChunk(&framed, out)
 			if err == io.EOF {
 				framed.WriteString("0\r\n\r\n")
 			}
 			out = framed.Bytes()
 		}
 		if err != nil && err != io.EOF {
-			return fmt.Errorf("%w: %w", errBody, err)
+			return fmt.Errorf("%w: %w", errReadingBody, err)
 		}
 		if len(out) > 0 {
-			if err := c.nc.SetWriteDeadline(time.Now().Add(longStall)); err != nil {
+			if err := c.nc.SetWriteDeadline(time.Now().Add(streamStallTimeout)); err != nil {
 				return err
 			}
 			if client.Err() != nil { // its leave may have set the write deadline just before
-				return errLeft
+				return errClientDisconnected
 			}
 			if _, err := c.nc.Write(out); err != nil {
 				return err
@@ -321,14 +321,14 @@
 	}
 }
 
-// headGuess is room for nearly every head.
-const headGuess = 1 << 10
+// typicalHeadBytes is room for nearly every head.
+const typicalHeadBytes = 1 << 10
 
-// writtenHere are the headers that encode writes itself, or that say how a body was delimited on its way here.
-var writtenHere = map[string]bool{"Host": true, "User-Agent": true, timeLeftName: true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true}
+// headersNotCopied are the headers that encode writes itself, or that say how a body was delimited on its way here.
+var headersNotCopied = map[string]bool{"Host": true, "User-Agent": true, timeLeftHeader: true, "Content-Length": true, "Transfer-Encoding": true, "Trailer": true}
 
-// ended is the outcome of an attempt that did not come to an answer: that of ctx if it is over, else otherwise.
-func ended(ctx context.Context, otherwise policy.Outcome) policy.Outcome {
+// outcomeAfter is the outcome of an attempt that did not come to an answer: that of ctx if it is over, else otherwise.
+func outcomeAfter(ctx context.Context, otherwise policy.Outcome) policy.Outcome {
 	switch cause := context.Cause(ctx); {
 	case cause == nil:
 		return otherwise
@@ -342,40 +342,40 @@
 	}
 }
 
-// neverSent is the outcome of an attempt whose request did not go out whole: it certainly never ran.
-func neverSent(ctx context.Context) policy.Outcome {
+// outcomeUnsent is the outcome of an attempt whose request did not go out whole: it certainly never ran.
+func outcomeUnsent(ctx context.Context) policy.Outcome {
 	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return policy.Cancelled
 	}
 	return policy.ConnectFailed
 }
 
-// pauseFor is how long a long answer that has begun may pause before what there is of it is passed on.
-const pauseFor = 150 * time.Millisecond
+// streamAfterPause is how long a long answer that has begun may pause before what there is of it is passed on.
+const streamAfterPause = 150 * time.Millisecond
 
-// passBefore is how long before an attempt's end an answer of unknown length is passed on as far as it has come.
-const passBefore = 10 * time.Millisecond
+// streamBeforeDeadline is how long before an attempt's end an answer of unknown length is passed on as far as it has come.
+const streamBeforeDeadline = 10 * time.Millisecond
 
-// trustedLength is how much memory an answer gets for what it says of its length alone.
-const trustedLength = 64 << 10
+// maxPreallocatedBytes is how much memory an answer gets for what it says of its length alone.
+const maxPreallocatedBytes = 64 << 10
 
 var (
-	errNoAnswer = errors.New("a long answer that serves nobody")
-	errTwoEnds  = errors.New("the answer's end can be read in two ways")
+	errErrorTooLong = errors.New("a long answer that serves nobody")
+	errAmbiguousEnd = errors.New("the answer's end can be read in two ways")
 )
 
-// read takes one answer: whole, or as far as shows that it is long. What lies beyond the limits is an error, and a part of an
+// readResponse takes one answer: whole, or as far as shows that it is long. What lies beyond the limits is an error, and a part of an
 // answer must never pass for one. by is when the attempt ends.
-func (c *conn) read(by time.Time, f *Fleet, req *http.Request) (status int, answer *Answer, reusable bool, err error) {
-	c.limit.N = mostHead + MostBody
-	c.from.scanner = httpframing.Scanner{}
+func (c *conn) readResponse(by time.Time, f *Pool, req *http.Request) (status int, answer *Response, reusable bool, err error) {
+	c.limit.N = maxHeadBytes + MaxBufferedBody
+	c.source.scanner = httpframing.Scanner{}
 	var resp *http.Response
 	interim := int32(0)
 	for ; ; interim++ {
-		if resp, err = http.ReadResponse(c.br, req); err != nil {
+		if resp, err = http.ReadResponse(c.reader, req); err != nil {
 			return 0, nil, false, err
 		}
-		if resp.StatusCode >= 200 || interim == mostInterim || resp.StatusCode == http.StatusSwitchingProtocols {
+		if resp.StatusCode >= 200 || interim == maxInterimResponses || resp.StatusCode == http.StatusSwitchingProtocols {
 			break
 		}
 	}
@@ -383,47 +383,47 @@
 	if resp.StatusCode < 200 {
 		return 0, nil, false, fmt.Errorf("answer with status %d", resp.StatusCode)
 	}
-	if c.from.scanner.Odd == interim+1 {
-		return 0, nil, false, errTwoEnds
+	if c.source.scanner.AmbiguousHead == interim+1 {
+		return 0, nil, false, errAmbiguousEnd
 	}
-	if resp.ContentLength > MostLong { // not worth waiting for: it may keep coming for minutes
-		return 0, nil, false, ErrTooLong
+	if resp.ContentLength > MaxStreamedBody { // not worth waiting for: it may keep coming for minutes
+		return 0, nil, false, ErrBodyTooLarge
 	}
-	answer = &Answer{Header: resp.Header, Length: resp.ContentLength}
-	if resp.ContentLength >= 0 && resp.ContentLength <= MostBody {
+	answer = &Response{Header: resp.Header, Length: resp.ContentLength}
+	if resp.ContentLength >= 0 && resp.ContentLength <= MaxBufferedBody {
 		// What is said of the length saves growing the buffer, up to a size that a lie may cost.
 		var text bytes.Buffer
-		if n := min(resp.ContentLength, trustedLength); n > 0 {
+		if n := min(resp.ContentLength, maxPreallocatedBytes); n > 0 {
 			text.Grow(int(n) + bytes.MinRead)
 		}
 		if _, err := text.ReadFrom(resp.Body); err != nil {
 			return 0, nil, false, err
 		}
 		answer.Body = text.Bytes()
-		return resp.StatusCode, answer, !resp.Close && c.br.Buffered() == 0, nil
+		return resp.StatusCode, answer, !resp.Close && c.reader.Buffered() == 0, nil
 	}
 	// A body that the connection's end delimits is whole if that end is in order: a destination that dies resets its connections.
 	ends := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
-	reuse := func() bool { return !resp.Close && !ends && c.br.Buffered() == 0 }
+	reuse := func() bool { return !resp.Close && !ends && c.reader.Buffered() == 0 }
 	c.limit.N = math.MaxInt64 // from here the stream counts
 	s := newStream(f, c, resp.Body, reuse)
-	passAt := time.Now().Add(pauseFor)
+	passAt := time.Now().Add(streamAfterPause)
 	if resp.ContentLength < 0 { // it may still turn out to be short, and is then served only whole
-		passAt = by.Add(-passBefore)
+		passAt = by.Add(-streamBeforeDeadline)
 	}
 	again := time.AfterFunc(time.Until(passAt), s.wake)
 	defer again.Stop()
-	_, err = s.gather(func(have int) bool { return have > 0 && !time.Now().Before(passAt) })
+	_, err = s.waitBuffered(func(have int) bool { return have > 0 && !time.Now().Before(passAt) })
 	switch {
 	case err == io.EOF:
-		answer.Body = s.whole()
+		answer.Body = s.bytes()
 		return resp.StatusCode, answer, reuse(), nil
 	case err != nil: // known to be broken before anything was passed on, so that it can still be had elsewhere
 		return 0, nil, false, err
 	case resp.StatusCode != http.StatusOK:
 		s.abandon()
-		return 0, nil, false, errNoAnswer
+		return 0, nil, false, errErrorTooLong
 	}
-	answer.Rest = s
+	answer.Stream = s
 	return resp.StatusCode, answer, false, nil
 }
--- a/internal/standalone/backend/fleet.go
+++ b/internal/standalone/backend/fleet.go
@@ -22,39 +22,39 @@
 
 // Options are what a Fleet needs to know of the deployment.
 type Options struct {
-	DialWithin  time.Duration // a connection not made by then has failed
-	IdleClose   time.Duration // destinations close connections that stood idle for this long
-	MostSockets int           // connections to all destinations together
-	Columns     []string      // of load reports; empty: answers carry none
-	Sent        func()        // called for each request whose last byte is written; nil: nobody counts
-	Dial        Dial          // nil: over TCP
+	DialTimeout      time.Duration // a connection not made by then has failed
+	IdleTimeout      time.Duration // destinations close connections that stood idle for this long
+	MaxConnections   int           // connections to all destinations together
+	ReportColumns    []string      // of load reports; empty: answers carry none
+	OnRequestWritten func()        // called for each request whose last byte is written; nil: nobody counts
+	Dial             Dial          // nil: over TCP
 }
 
 // Dial makes a connection to addr, or fails at the latest at by.
 type Dial func(ctx context.Context, addr string, by time.Time) (net.Conn, error)
 
-// OverTCP is the Dial of the network.
-func OverTCP(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
+// DialTCP is the Dial of the network.
+func DialTCP(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
 	dialer := net.Dialer{Deadline: by}
 	return dialer.DialContext(ctx, "tcp", addr)
 }
 
-// Fleet holds the destinations by id. It is safe for concurrent use and never calls back.
-type Fleet struct {
-	opts    Options
-	columns []string
-	log     *slog.Logger
+// Pool holds the destinations by id. It is safe for concurrent use and never calls back.
+type Pool struct {
+	opts          Options
+	reportColumns []string
+	log           *slog.Logger
 
-	mu      sync.Mutex
-	byID    map[uint32]*dest
-	open    int
-	reaping bool // reap will be called
+	mu            sync.Mutex
+	byID          map[uint32]*backendState
+	openConns     int
+	reapScheduled bool // reap will be called
 
-	complained time.Time // when a fault in what destinations say was logged last
-	unlogged   int       // such faults since
+	lastWarning        time.Time // when a fault in what destinations say was logged last
+	suppressedWarnings int       // such faults since
 }
 
-type dest struct {
+type backendState struct {
 	id    uint32
 	addr  string
 	ready bool    // listed and not draining
@@ -62,99 +62,99 @@
 }
 
 type conn struct {
-	nc    net.Conn
-	from  *source
-	limit *io.LimitedReader
-	br    *bufio.Reader
-	dest  *dest
-	addr  string
-	used  time.Time
+	nc       net.Conn
+	source   *responseSource
+	limit    *io.LimitedReader
+	reader   *bufio.Reader
+	backend  *backendState
+	addr     string
+	lastUsed time.Time
 }
 
-// source watches what comes on a connection: how answers are delimited, and whether the connection has ended, when what
+// responseSource watches what comes on a connection: how answers are delimited, and whether the connection has ended, when what
 // is wrong with an answer may be that it was cut.
-type source struct {
+type responseSource struct {
 	io.Reader
 	scanner httpframing.Scanner
 	ended   bool
 }
 
-func (s *source) Read(b []byte) (int, error) {
+func (s *responseSource) Read(b []byte) (int, error) {
 	n, err := s.Reader.Read(b)
 	s.scanner.Scan(b[:n])
 	s.ended = s.ended || err != nil
 	return n, err
 }
 
-// NewFleet returns a fleet without destinations.
-func NewFleet(opts Options, log *slog.Logger) *Fleet {
+// NewPool returns a fleet without destinations.
+func NewPool(opts Options, log *slog.Logger) *Pool {
 	if opts.Dial == nil {
-		opts.Dial = OverTCP
+		opts.Dial = DialTCP
 	}
-	return &Fleet{opts: opts, columns: opts.Columns, log: log, byID: map[uint32]*dest{}}
+	return &Pool{opts: opts, reportColumns: opts.ReportColumns, log: log, byID: map[uint32]*backendState{}}
 }
 
-// Change takes over what new settings say: the time limits, and the columns of load reports. Connections that stand idle are
+// ApplySettings takes over what new settings say: the time limits, and the columns of load reports. Connections that stand idle are
 // judged by the new limits.
-func (f *Fleet) Change(dialWithin, idleClose time.Duration, columns []string) {
+func (f *Pool) ApplySettings(dialWithin, idleClose time.Duration, columns []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.opts.DialWithin, f.opts.IdleClose, f.columns = dialWithin, idleClose, columns
+	f.opts.DialTimeout, f.opts.IdleTimeout, f.reportColumns = dialWithin, idleClose, columns
 }
 
-// Limit sets how many connections there may be from now on. Those that are too many stay until they are given back.
-func (f *Fleet) Limit(most int) {
+// SetMaxConnections sets how many connections there may be from now on. Those that are too many stay until they are given back.
+func (f *Pool) SetMaxConnections(most int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.opts.MostSockets = most
-	for f.open > most && f.evict() {
+	f.opts.MaxConnections = most
+	for f.openConns > most && f.evictOldest() {
 	}
 }
 
-// told is what Change said last.
-func (f *Fleet) told() (dialWithin time.Duration, columns []string) {
+// currentSettings is what Change said last.
+func (f *Pool) currentSettings() (dialWithin time.Duration, columns []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.opts.DialWithin, f.columns
+	return f.opts.DialTimeout, f.reportColumns
 }
 
-// Set tells where a destination listens and whether new work may go to it. No address means that it is gone.
-func (f *Fleet) Set(id uint32, addr string, ready bool) {
+// SetBackend tells where a destination listens and whether new work may go to it. No address means that it is gone.
+func (f *Pool) SetBackend(id uint32, addr string, ready bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := f.byID[id]
 	if d == nil {
-		d = &dest{id: id}
+		d = &backendState{id: id}
 		f.byID[id] = d
 	}
 	if d.addr != addr && addr != "" {
 		d.addr = addr
-		f.closeIdle(d)
+		f.closeIdleOf(d)
 	}
 	d.ready = ready
 	if !ready {
-		f.closeIdle(d)
+		f.closeIdleOf(d)
 	}
 	if addr == "" { // attempts under way keep their pointer, which says that it takes nothing
 		delete(f.byID, id)
 	}
 }
 
-// complain logs that a destination's words are not understood, once a second at most: a destination with that fault
+// warnMalformed logs that a destination's words are not understood, once a second at most: a destination with that fault
 // has it in every answer.
-func (f *Fleet) complain(what string, d *dest, err error) {
+func (f *Pool) warnMalformed(what string, d *backendState, err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if time.Since(f.complained) < time.Second {
-		f.unlogged++
+	if time.Since(f.lastWarning) < time.Second {
+		f.suppressedWarnings++
 		return
 	}
-	f.log.Warn(what, "destination", d.addr, "error", err, "unlogged_before", f.unlogged)
-	f.complained, f.unlogged = time.Now(), 0
+	f.log.Warn(what, "destination", d.addr, "error", err, "unlogged_before", f.suppressedWarnings)
+	f.lastWarning, f.suppressedWarnings = time.Now(), 0
 }
 
-// Known is how many destinations are kept by their ids, and how many of their connections stand idle.
-func (f *Fleet) Known() (destinations, idle int) {
+// TableSizes is how many destinations are kept by their ids, and how many of their connections stand idle.
+func (f *Pool) TableSizes() (destinations, idle int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, d := range f.byID {
@@ -163,30 +163,30 @@
 	return len(f.byID), idle
 }
 
-// Open is how many connections there are.
-func (f *Fleet) Open() int {
+// OpenConnections is how many connections there are.
+func (f *Pool) OpenConnections() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.open
+	return f.openConns
 }
 
-// takes says whether new work may go to d.
-func (f *Fleet) takes(d *dest) bool {
+// isReady says whether new work may go to d.
+func (f *Pool) isReady(d *backendState) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return d.ready
 }
 
-// CloseUnused closes the idle connections to a destination.
-func (f *Fleet) CloseUnused(id uint32) {
+// CloseIdle closes the idle connections to a destination.
+func (f *Pool) CloseIdle(id uint32) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if d := f.byID[id]; d != nil {
-		f.closeIdle(d)
+		f.closeIdleOf(d)
 	}
 }
 
-func (f *Fleet) closeIdle(d *dest) {
+func (f *Pool) closeIdleOf(d *backendState) {
 	for _, c := range d.idle {
 		f.closeConn(c)
 	}
@@ -194,101 +194,101 @@
 	d.idle = d.idle[:0]
 }
 
-func (f *Fleet) closeConn(c *conn) {
+func (f *Pool) closeConn(c *conn) {
 	c.nc.Close()
-	f.open--
+	f.openConns--
 }
 
 // acquire returns an idle connection, or a new one. With an error comes the outcome that it means.
-func (f *Fleet) acquire(ctx context.Context, id uint32) (*conn, policy.Outcome, error) {
-	c, err := f.take(id)
+func (f *Pool) acquire(ctx context.Context, id uint32) (*conn, policy.Outcome, error) {
+	c, err := f.reuseOrReserve(id)
 	if err != nil {
 		return nil, policy.NotSent, err
 	}
 	if c.nc != nil {
 		return c, 0, nil
 	}
-	within, _ := f.told()
+	within, _ := f.currentSettings()
 	if c.nc, err = f.opts.Dial(ctx, c.addr, time.Now().Add(within)); err != nil {
 		f.mu.Lock()
-		f.open--
+		f.openConns--
 		f.mu.Unlock()
 		outcome := policy.ConnectFailed
 		if ctx.Err() != nil {
-			outcome = ended(ctx, policy.NotSent)
+			outcome = outcomeAfter(ctx, policy.NotSent)
 		} else if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
 			errors.Is(err, syscall.EADDRNOTAVAIL) {
 			outcome = policy.NotSent // our own shortage says nothing of the destination
 		}
 		return nil, outcome, fmt.Errorf("connecting: %w", err)
 	}
-	c.from = &source{Reader: c.nc}
-	c.limit = &io.LimitedReader{R: c.from}
-	c.br = bufio.NewReader(c.limit)
+	c.source = &responseSource{Reader: c.nc}
+	c.limit = &io.LimitedReader{R: c.source}
+	c.reader = bufio.NewReader(c.limit)
 	return c, 0, nil
 }
 
 var (
-	errUnknown = errors.New("no such destination, or it drains")
-	errBudget  = errors.New("all sockets meant for destinations are in use")
+	errNotReady        = errors.New("no such destination, or it drains")
+	errConnectionLimit = errors.New("all sockets meant for destinations are in use")
 )
 
-// take returns an idle connection to reuse, or counts one that the caller is to make: it has no nc yet.
-func (f *Fleet) take(id uint32) (*conn, error) {
+// reuseOrReserve returns an idle connection to reuse, or counts one that the caller is to make: it has no nc yet.
+func (f *Pool) reuseOrReserve(id uint32) (*conn, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	d := f.byID[id]
 	if d == nil || !d.ready {
-		return nil, errUnknown
+		return nil, errNotReady
 	}
 	now := time.Now()
 	for {
-		i := rested(d.idle, now)
+		i := lastReusable(d.idle, now)
 		if i < 0 {
 			break
 		}
 		c := d.idle[i]
 		d.idle = slices.Delete(d.idle, i, i+1)
-		// The destination closes a connection at the latest after IdleClose; a request that crosses the close
+		// The destination closes a connection at the latest after IdleTimeout; a request that crosses the close
 		// is a reset, which may spend the only attempt that a keyed class has.
 		// One that died or closed it has sent an end or a reset by now; a request written there would be lost for nothing.
-		if now.Sub(c.used) < f.keep() && socket.Quiet(c.nc) {
+		if now.Sub(c.lastUsed) < f.maxIdleAge() && socket.IsOpenAndEmpty(c.nc) {
 			return c, nil
 		}
 		f.closeConn(c)
 	}
-	if f.open >= f.opts.MostSockets && !f.evict() {
-		return nil, errBudget
+	if f.openConns >= f.opts.MaxConnections && !f.evictOldest() {
+		return nil, errConnectionLimit
 	}
-	f.open++
-	return &conn{dest: d, addr: d.addr}, nil
+	f.openConns++
+	return &conn{backend: d, addr: d.addr}, nil
 }
 
-// rest is how long a connection is not used after an answer. A destination may send more than belongs to it, a whole second
+// minIdleBeforeReuse is how long a connection is not used after an answer. A destination may send more than belongs to it, a whole second
 // answer even, some milliseconds late; nothing would tell that from the answer to the next request, which another client would
 // get. By the end of the rest it has come, and a look at it finds it. A new connection costs less than a wrong answer. Of 48 second
 // answers on the bench the latest came after 5 ms; a rest of 10 ms costs 0.03 of the standing test's score, this one nothing seen.
-const rest = 6 * time.Millisecond
+const minIdleBeforeReuse = 6 * time.Millisecond
 
-// rested picks from idle connections, which are in the order of their last use, the last that has had its rest, so that
+// lastReusable picks from idle connections, which are in the order of their last use, the last that has had its rest, so that
 // those that are not needed grow old. It is -1 where none has.
-func rested(idle []*conn, now time.Time) int {
+func lastReusable(idle []*conn, now time.Time) int {
 	for i := len(idle) - 1; i >= 0; i-- {
-		if now.Sub(idle[i].used) >= rest {
+		if now.Sub(idle[i].lastUsed) >= minIdleBeforeReuse {
 			return i
 		}
 	}
 	return -1
 }
 
-// keep is how long a connection may stand idle and still be used: a good part short of the destination's close.
-func (f *Fleet) keep() time.Duration { return f.opts.IdleClose * 4 / 5 }
+// maxIdleAge is how long a connection may stand idle and still be used: a good part short of the destination's close.
+func (f *Pool) maxIdleAge() time.Duration { return f.opts.IdleTimeout * 4 / 5 }
 
-// evict closes the idle connection that has been unused for longest.
-func (f *Fleet) evict() bool {
-	var oldest *dest
+// evictOldest closes the idle connection that has been unused for longest.
+func (f *Pool) evictOldest() bool {
+	var oldest *backendState
 	for _, d := range f.byID {
-		if len(d.idle) > 0 && (oldest == nil || d.idle[0].used.Before(oldest.idle[0].used)) {
+		if len(d.idle) > 0 && (oldest == nil || d.idle[0].lastUsed.Before(oldest.idle[0].lastUsed)) {
 			oldest = d
 		}
 	}
@@ -301,43 +301,43 @@
 }
 
 // release takes a connection back after an exchange.
-func (f *Fleet) release(c *conn, reusable bool) {
+func (f *Pool) release(c *conn, reusable bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	d := c.dest
+	d := c.backend
 	if !reusable || !d.ready || c.addr != d.addr {
 		f.closeConn(c)
 		return
 	}
-	c.used = time.Now()
-	for len(d.idle) > 0 && time.Since(d.idle[0].used) >= f.keep() {
+	c.lastUsed = time.Now()
+	for len(d.idle) > 0 && time.Since(d.idle[0].lastUsed) >= f.maxIdleAge() {
 		f.closeConn(d.idle[0])
 		d.idle = slices.Delete(d.idle, 0, 1)
 	}
 	d.idle = append(d.idle, c)
-	if !f.reaping {
-		f.reaping = true
-		time.AfterFunc(f.keep(), f.reap)
+	if !f.reapScheduled {
+		f.reapScheduled = true
+		time.AfterFunc(f.maxIdleAge(), f.closeExpired)
 	}
 }
 
-// reap closes the connections that have stood idle for too long to be used again. The module calls for most of them to be closed
+// closeExpired closes the connections that have stood idle for too long to be used again. The module calls for most of them to be closed
 // sooner; one that it does not know of, at a destination that gets no work any more, would hold its descriptor for good.
-func (f *Fleet) reap() {
+func (f *Pool) closeExpired() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now, next := time.Now(), time.Duration(-1)
 	for _, d := range f.byID {
 		old := 0
-		for old < len(d.idle) && now.Sub(d.idle[old].used) >= f.keep() {
+		for old < len(d.idle) && now.Sub(d.idle[old].lastUsed) >= f.maxIdleAge() {
 			f.closeConn(d.idle[old])
 			old++
 		}
 		if d.idle = slices.Delete(d.idle, 0, old); len(d.idle) > 0 {
-			next = max(next, now.Sub(d.idle[0].used))
+			next = max(next, now.Sub(d.idle[0].lastUsed))
 		}
 	}
-	if f.reaping = next >= 0; f.reaping {
-		time.AfterFunc(f.keep()-next, f.reap)
+	if f.reapScheduled = next >= 0; f.reapScheduled {
+		time.AfterFunc(f.maxIdleAge()-next, f.closeExpired)
 	}
 }
--- a/internal/standalone/backend/long_test.go
+++ b/internal/standalone/backend/long_test.go
@@ -16,7 +16,7 @@
 )
 
 // once serves one answer, and says when that has been written or can't be.
-func once(t *testing.T, answer func(c net.Conn) error) (f *Fleet, written chan error) {
+func once(t *testing.T, answer func(c net.Conn) error) (f *Pool, written chan error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -37,12 +37,12 @@
 			io.Copy(io.Discard, nc) // the connection stays open: nothing else says that no more will come
 		}
 	}()
-	f = NewFleet(Options{DialWithin: time.Second, IdleClose: time.Minute, MostSockets: 9}, slog.New(slog.DiscardHandler))
-	f.Set(1, ln.Addr().String(), true)
+	f = NewPool(Options{DialTimeout: time.Second, IdleTimeout: time.Minute, MaxConnections: 9}, slog.New(slog.DiscardHandler))
+	f.SetBackend(1, ln.Addr().String(), true)
 	return f, written
 }
 
-func ask(t *testing.T, f *Fleet, within time.Duration) Result {
+func ask(t *testing.T, f *Pool, within time.Duration) Result {
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(within))
 	defer cancel()
 	req, err := http.NewRequest(http.MethodGet, "http://d/quote", nil)
@@ -83,7 +83,7 @@
 		}, long, 1},
 		"pauses early": {func(c net.Conn) error {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", long)
-			time.Sleep(2 * pauseFor)
+			time.Sleep(2 * streamAfterPause)
 			io.WriteString(c, strings.Repeat("x", long-1))
 			return nil
 		}, long, 1},
@@ -100,7 +100,7 @@
 			return errEnd
 		}, long, 0},
 		"breaks off": {func(c net.Conn) error {
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", long, strings.Repeat("x", MostBody))
+			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", long, strings.Repeat("x", MaxBufferedBody))
 			time.Sleep(20 * time.Millisecond)
 			return errEnd
 		}, -1, 0},
@@ -112,21 +112,21 @@
 		}, -1, 0},
 		"without an end": {func(c net.Conn) error {
 			io.WriteString(c, coded)
-			return chunks(c, MostLong/50_000+9, 50_000)
+			return chunks(c, MaxStreamedBody/50_000+9, 50_000)
 		}, -1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f, _ := once(t, c.answer)
 			res := ask(t, f, time.Minute)
-			if res.Outcome != policy.OK || res.Answer.Rest == nil {
+			if res.Outcome != policy.OK || res.Response.Stream == nil {
 				t.Fatalf("outcome %d, %v", res.Outcome, res.Err)
 			}
-			n, err := io.Copy(io.Discard, res.Answer.Rest)
+			n, err := io.Copy(io.Discard, res.Response.Stream)
 			if c.whole >= 0 && (err != nil || int(n) != c.whole) || c.whole < 0 && err == nil {
 				t.Errorf("%d bytes, %v", n, err)
 			}
-			res.Answer.Rest.Close()
-			if open := f.Open(); open != c.open {
+			res.Response.Stream.Close()
+			if open := f.OpenConnections(); open != c.open {
 				t.Errorf("%d connections are kept", open)
 			}
 		})
@@ -138,53 +138,53 @@
 	coded := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	f, _ := once(t, func(c net.Conn) error {
 		io.WriteString(c, coded+"1\r\nx\r\n")
-		time.Sleep(2 * pauseFor)
+		time.Sleep(2 * streamAfterPause)
 		io.WriteString(c, "1\r\ny\r\n0\r\n\r\n")
 		return nil
 	})
-	if res := ask(t, f, time.Minute); res.Outcome != policy.OK || res.Answer.Rest != nil || string(res.Answer.Body) != "xy" {
+	if res := ask(t, f, time.Minute); res.Outcome != policy.OK || res.Response.Stream != nil || string(res.Response.Body) != "xy" {
 		t.Errorf("%+v", res)
 	}
 	f, _ = once(t, func(c net.Conn) error {
 		_, err := io.WriteString(c, coded)
 		return err
 	})
-	if res := ask(t, f, 200*time.Millisecond); res.Outcome != policy.TimedOut || f.Open() != 0 {
-		t.Errorf("nothing of a body came: outcome %d, %v, %d connections", res.Outcome, res.Err, f.Open())
+	if res := ask(t, f, 200*time.Millisecond); res.Outcome != policy.TimedOut || f.OpenConnections() != 0 {
+		t.Errorf("nothing of a body came: outcome %d, %v, %d connections", res.Outcome, res.Err, f.OpenConnections())
 	}
 }
 
 // A destination that is ahead of its reader waits: what is held does not grow with the answer. One that is given up is cut off.
 func TestSlowReadersHoldTheDestinationBack(t *testing.T) {
 	f, written := once(t, func(c net.Conn) error {
-		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MostLong)
-		_, err := io.WriteString(c, strings.Repeat("x", MostLong))
+		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MaxStreamedBody)
+		_, err := io.WriteString(c, strings.Repeat("x", MaxStreamedBody))
 		return err
 	})
 	res := ask(t, f, 300*time.Millisecond)
-	if res.Outcome != policy.OK || res.Answer.Rest == nil {
+	if res.Outcome != policy.OK || res.Response.Stream == nil {
 		t.Fatalf("outcome %d, %v", res.Outcome, res.Err)
 	}
-	s := res.Answer.Rest.(*stream)
+	s := res.Response.Stream.(*stream)
 	time.Sleep(500 * time.Millisecond) // past the attempt's end, which must not end the answer
 	s.mu.Lock()
-	held, err := len(s.held), s.err
+	held, err := len(s.buffered), s.err
 	s.mu.Unlock()
-	if held > MostBody+pieceSize || err != nil {
+	if held > MaxBufferedBody+chunkBytes || err != nil {
 		t.Errorf("%d bytes are held, %v", held, err)
 	}
 	if len(written) > 0 {
 		t.Error("32 MiB went out with nobody reading")
 	}
-	if _, err := io.CopyN(io.Discard, s, MostLong/2); err != nil {
+	if _, err := io.CopyN(io.Discard, s, MaxStreamedBody/2); err != nil {
 		t.Errorf("half of it: %v", err)
 	}
 	s.Close()
 	if err := <-written; err == nil {
 		t.Error("the destination wrote all of what was given up")
 	}
-	if f.Open() != 0 {
-		t.Errorf("%d connections are kept", f.Open())
+	if f.OpenConnections() != 0 {
+		t.Errorf("%d connections are kept", f.OpenConnections())
 	}
 }
 
@@ -203,7 +203,7 @@
 // the last bytes or comes after bytes were passed on, and whether the answer is short or long.
 func TestAResetIsNoEnd(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-	for name, size := range map[string]int{"empty": 0, "short": 100, "a piece": pieceSize, "as much as is held": MostBody, "long": 300_000} {
+	for name, size := range map[string]int{"empty": 0, "short": 100, "a piece": chunkBytes, "as much as is held": MaxBufferedBody, "long": 300_000} {
 		for _, reset := range []bool{true, false} {
 			goOn := make(chan struct{})
 			f, written := once(t, func(c net.Conn) error {
@@ -225,24 +225,24 @@
 				close(goOn)
 			}
 			f.opts.Dial = func(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
-				nc, err := OverTCP(ctx, addr, by)
+				nc, err := DialTCP(ctx, addr, by)
 				return &heldReads{nc, goOn}, err
 			}
 			res := ask(t, f, 20*time.Second)
 			<-written
 			whole := res.Outcome == policy.OK
-			if whole && res.Answer.Rest != nil {
-				n, err := io.Copy(io.Discard, res.Answer.Rest)
+			if whole && res.Response.Stream != nil {
+				n, err := io.Copy(io.Discard, res.Response.Stream)
 				whole = err == nil && int(n) == size
-				res.Answer.Rest.Close()
+				res.Response.Stream.Close()
 			} else if whole {
-				whole = len(res.Answer.Body) == size
+				whole = len(res.Response.Body) == size
 			}
 			if whole == reset {
 				t.Errorf("%s, reset %v: whole %v; outcome %d, %v", name, reset, whole, res.Outcome, res.Err)
 			}
-			if f.Open() != 0 {
-				t.Errorf("%s, reset %v: %d connections are kept", name, reset, f.Open())
+			if f.OpenConnections() != 0 {
+				t.Errorf("%s, reset %v: %d connections are kept", name, reset, f.OpenConnections())
 			}
 		}
 	}
--- a/internal/standalone/backend/probe_test.go
+++ b/internal/standalone/backend/probe_test.go
@@ -29,7 +29,7 @@
 		"report":            {say(200, report), policy.OK, []float32{0.5, 12}, true},
 		"nothing to tell":   {say(200, "TEXT "), policy.OK, nil, true},
 		"unwell":            {say(503, report), policy.Failed, nil, true},
-		"longer than any":   {"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + strings.Repeat("x", 2*MostBody), policy.Failed, nil, false},
+		"longer than any":   {"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + strings.Repeat("x", 2*MaxBufferedBody), policy.Failed, nil, false},
 		"more than belongs": {say(200, report) + "HTTP", policy.OK, []float32{0.5, 12}, false},
 		"silence":           {"", policy.TimedOut, nil, false},
 		"draining":          {"", policy.NotSent, nil, false},
@@ -46,7 +46,7 @@
 			return c.keeps
 		})
 		f := fleet(addr, 9)
-		f.Set(1, addr, name != "draining")
+		f.SetBackend(1, addr, name != "draining")
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		outcome, report, err := f.Probe(ctx, 1)
 		cancel()
@@ -58,7 +58,7 @@
 			if res := exchange(t, f); res.Outcome != policy.OK || conns.Load() != 1 {
 				t.Errorf("%s: then a request has outcome %d on %d connections: %v", name, res.Outcome, conns.Load(), res.Err)
 			}
-		} else if open := f.Open(); open != 0 {
+		} else if open := f.OpenConnections(); open != 0 {
 			t.Errorf("%s: %d connections are left", name, open)
 		}
 	}
--- a/internal/standalone/backend/report.go
+++ b/internal/standalone/backend/report.go
@@ -10,8 +10,8 @@
 // ReportHeader is the header that carries a destination's load report.
 const ReportHeader = "X-Backend-Load"
 
-// columnNames maps the names that a report may use to those of the settings' columns.
-var columnNames = map[string]string{
+// reportNameAliases maps the names that a report may use to those of the settings' columns.
+var reportNameAliases = map[string]string{
 	"util": "cpu", "cpu_utilization": "cpu", "qps": "rps", "rps_fractional": "rps", "eps": "err_rps",
 	"inflight": "active", "queue": "waiting", "latency_ms": "avg_ms",
 }
@@ -34,7 +34,7 @@
 			return nil, fmt.Errorf("load report %.80q: field %q is no number", text, field)
 		}
 		name = strings.TrimSpace(name)
-		if own, ok := columnNames[name]; ok {
+		if own, ok := reportNameAliases[name]; ok {
 			name = own
 		}
 		found[name] = float32(v)
--- a/internal/standalone/backend/stream.go
+++ b/internal/standalone/backend/stream.go
@@ -8,75 +8,75 @@
 	"time"
 )
 
-// MostLong is the longest body of an answer or a request that is passed on.
-const MostLong = 32 << 20
+// MaxStreamedBody is the longest body of an answer or a request that is passed on.
+const MaxStreamedBody = 32 << 20
 
-// longStall is how long a peer may bring or take nothing in the middle of a long body.
-const longStall = 10 * time.Second
+// streamStallTimeout is how long a peer may bring or take nothing in the middle of a long body.
+const streamStallTimeout = 10 * time.Second
 
-// ErrTooLong is the end of a body over MostLong.
-var ErrTooLong = fmt.Errorf("the body is longer than %d bytes", int64(MostLong))
+// ErrBodyTooLarge is the end of a body over MaxStreamedBody.
+var ErrBodyTooLarge = fmt.Errorf("the body is longer than %d bytes", int64(MaxStreamedBody))
 
-// errClosed is the end of a stream that was given up.
-var errClosed = errors.New("given up")
+// errStreamClosed is the end of a stream that was given up.
+var errStreamClosed = errors.New("given up")
 
-// stream carries an answer's body from the destination's side to the client's. It holds MostBody at most: a destination that
+// stream carries an answer's body from the destination's side to the client's. It holds MaxBufferedBody at most: a destination that
 // is ahead waits, so that memory does not grow with the answer or with its reader's slowness.
 type stream struct {
-	conn  *conn
-	fleet *Fleet
-	body  io.Reader
-	reuse func() bool // whether the connection can be used again once the body has ended
-
-	mu     sync.Mutex
-	moved  sync.Cond // bytes came or went, or the stream ended
-	held   []byte
-	err    error // why no more will come; io.EOF: all has
-	closed bool
-	passed bool // bytes go on to a client: from here the destination has to keep coming
-	freed  sync.Once
+	conn     *conn
+	pool     *Pool
+	body     io.Reader
+	canReuse func() bool // whether the connection can be used again once the body has ended
+
+	mu          sync.Mutex
+	changed     sync.Cond // bytes came or went, or the stream ended
+	buffered    []byte
+	err         error // why no more will come; io.EOF: all has
+	closed      bool
+	forwarding  bool // bytes go on to a client: from here the destination has to keep coming
+	releaseOnce sync.Once
 }
 
-func newStream(f *Fleet, c *conn, body io.Reader, reuse func() bool) *stream {
-	s := &stream{conn: c, fleet: f, body: body, reuse: reuse}
-	s.moved.L = &s.mu
+func newStream(f *Pool, c *conn, body io.Reader, reuse func() bool) *stream {
+	s := &stream{conn: c, pool: f, body: body, canReuse: reuse}
+	s.changed.L = &s.mu
 	go s.pump()
 	return s
 }
 
-// pieceSize is what is read at a time.
-const pieceSize = 16 << 10
+// chunkBytes is what is read at a time.
+const chunkBytes = 16 << 10
 
 // pump reads the body until it ends or is given up.
 func (s *stream) pump() {
-	piece := pieces.Get().(*[pieceSize]byte)
-	defer pieces.Put(piece)
+	piece := chunkBuffers.Get().(*[chunkBytes]byte)
+	defer chunkBuffers.Put(piece)
 	total := int64(0)
 	for {
 		s.mu.Lock()
-		for len(s.held) >= MostBody && !s.closed {
-			s.moved.Wait()
+		for len(s.buffered) >= MaxBufferedBody && !s.closed {
+			s.changed.Wait()
 		}
-		closed, passed := s.closed, s.passed
+		closed, passed := s.closed, s.forwarding
 		s.mu.Unlock()
 		if closed {
-			s.end(errClosed)
+			s.end(errStreamClosed)
 			return
 		}
 		if passed { // before that, the attempt's own end bounds the wait
-			if err := s.conn.nc.SetReadDeadline(time.Now().Add(longStall)); err != nil {
+			if err := s.conn.nc.SetReadDeadline(time.Now().Add(streamStallTimeout)); err != nil {
 				s.end(err)
 				return
 			}
 		}
 		n, err := s.body.Read(piece[:])
-		if total += int64(n); total > MostLong {
-			n, err = 0, ErrTooLong
+		if total += int64(n); total > MaxStreamedBody {
+			n, err = 0, ErrBodyTooLarge
 		}
 		if n > 0 {
 			s.mu.Lock()
-			s.held = append(s.held, piece[:n]...)
-			s.moved.Broadcast()
+			s.buffered = append(s.buffered, piece[:n]...)
+			s.changed.Broadcast()
 			s.mu.Unlock()
 		}
 		if err != nil {
@@ -86,68 +86,68 @@
 	}
 }
 
-var pieces = sync.Pool{New: func() any { return new([pieceSize]byte) }}
+var chunkBuffers = sync.Pool{New: func() any { return new([chunkBytes]byte) }}
 
 // end notes why no more comes, and gives the connection back where that can be.
 func (s *stream) end(err error) {
 	s.mu.Lock()
 	s.err = err
-	reusable := err == io.EOF && !s.closed && s.reuse()
-	s.moved.Broadcast()
-	passed := s.passed
+	reusable := err == io.EOF && !s.closed && s.canReuse()
+	s.changed.Broadcast()
+	passed := s.forwarding
 	s.mu.Unlock()
 	if passed {
-		s.free(reusable)
+		s.release(reusable)
 	}
 }
 
-// free gives the connection back to the fleet, once.
-func (s *stream) free(reusable bool) {
-	s.freed.Do(func() {
+// release gives the connection back to the fleet, once.
+func (s *stream) release(reusable bool) {
+	s.releaseOnce.Do(func() {
 		if reusable {
 			reusable = s.conn.nc.SetReadDeadline(time.Time{}) == nil
 		}
-		s.fleet.release(s.conn, reusable)
+		s.pool.release(s.conn, reusable)
 	})
 }
 
-// gather waits until the body has ended, MostBody bytes are there, or enough says that what is there is enough. It returns what
+// waitBuffered waits until the body has ended, MaxBufferedBody bytes are there, or enough says that what is there is enough. It returns what
 // is there, and the body's end if it has come.
-func (s *stream) gather(enough func(have int) bool) (have int, err error) {
+func (s *stream) waitBuffered(enough func(have int) bool) (have int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.err == nil && len(s.held) < MostBody && !enough(len(s.held)) {
-		s.moved.Wait()
+	for s.err == nil && len(s.buffered) < MaxBufferedBody && !enough(len(s.buffered)) {
+		s.changed.Wait()
 	}
-	return len(s.held), s.err
+	return len(s.buffered), s.err
 }
 
 // wake lets gather look again.
 func (s *stream) wake() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.moved.Broadcast()
+	s.changed.Broadcast()
 }
 
-// whole is the body, of a stream that has ended.
-func (s *stream) whole() []byte {
+// bytes is the body, of a stream that has ended.
+func (s *stream) bytes() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.held
+	return s.buffered
 }
 
-// pass lets the stream go on by itself: its connection is given back at its end.
-func (s *stream) pass() {
+// startForwarding lets the stream go on by itself: its connection is given back at its end.
+func (s *stream) startForwarding() {
 	s.mu.Lock()
-	s.passed = true
+	s.forwarding = true
 	ended, err := s.err != nil, s.err
 	// The pump may be in a read that began before.
 	if !ended {
-		_ = s.conn.nc.SetReadDeadline(time.Now().Add(longStall)) // a connection that is closed says so to the read
+		_ = s.conn.nc.SetReadDeadline(time.Now().Add(streamStallTimeout)) // a connection that is closed says so to the read
 	}
 	s.mu.Unlock()
 	if ended {
-		s.free(err == io.EOF && s.reuse())
+		s.release(err == io.EOF && s.canReuse())
 	}
 }
 
@@ -156,25 +156,25 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	s.moved.Broadcast()
+	s.changed.Broadcast()
 }
 
 // Read returns what has come, and waits where nothing has. A body that broke off has an error other than io.EOF.
 func (s *stream) Read(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for len(s.held) == 0 && s.err == nil {
-		s.moved.Wait()
+	for len(s.buffered) == 0 && s.err == nil {
+		s.changed.Wait()
 	}
-	if len(s.held) == 0 {
+	if len(s.buffered) == 0 {
 		if s.err == io.EOF {
 			return 0, io.EOF
 		}
 		return 0, fmt.Errorf("a long answer broke off: %w", s.err)
 	}
-	n := copy(b, s.held)
-	s.held = s.held[:copy(s.held, s.held[n:])]
-	s.moved.Broadcast()
+	n := copy(b, s.buffered)
+	s.buffered = s.buffered[:copy(s.buffered, s.buffered[n:])]
+	s.changed.Broadcast()
 	return n, nil
 }
 
@@ -183,11 +183,11 @@
 	s.mu.Lock()
 	s.closed = true
 	ended := s.err != nil
-	s.moved.Broadcast()
+	s.changed.Broadcast()
 	s.mu.Unlock()
 	if !ended {
 		s.conn.nc.Close() // ends the pump's read
-		s.free(false)
+		s.release(false)
 	}
 	return nil
 }
--- a/internal/standalone/discovery/hands.go
+++ b/internal/standalone/discovery/hands.go
@@ -133,10 +133,10 @@
 		w.log.Info("a host is taken out or brought back by hand", "host", h.Name, "out", m.Mode != h.Member.Mode, slog.Int64("up_since", m.UpSince))
 		h.told = m
 		w.listed[id] = h
-		w.fleet.Set(id, h.Dial, m.Mode == policy.ModeReady)
+		w.fleet.SetBackend(id, h.Dial, m.Mode == policy.ModeReady)
 		changed = append(changed, m)
 	}
 	if len(changed) > 0 {
-		w.module.List(policy.ListDelta, changed)
+		w.module.UpdateMembers(policy.ListDelta, changed)
 	}
 }
--- a/internal/standalone/discovery/hands_test.go
+++ b/internal/standalone/discovery/hands_test.go
@@ -22,7 +22,7 @@
 	members int
 }
 
-func (l *last) List(kind policy.EventKind, members []policy.Member) {
+func (l *last) UpdateMembers(kind policy.EventKind, members []policy.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range members {
@@ -31,7 +31,7 @@
 	}
 }
 
-func (l *last) Set(id uint32, _ string, ready bool) {
+func (l *last) SetBackend(id uint32, _ string, ready bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ready[id] = ready
--- a/internal/standalone/discovery/pool_test.go
+++ b/internal/standalone/discovery/pool_test.go
@@ -95,7 +95,7 @@
 	lines []string
 }
 
-func (h *heard) List(kind policy.EventKind, members []policy.Member) {
+func (h *heard) UpdateMembers(kind policy.EventKind, members []policy.Member) {
 	names := map[policy.EventKind]string{policy.ListFull: "full", policy.ListCached: "cached",
 		policy.ListDelta: "delta", policy.ListFailed: "failed", policy.ListSilent: "silent"}
 	h.mu.Lock()
@@ -103,7 +103,7 @@
 	h.lines = append(h.lines, fmt.Sprintf("%s %d", names[kind], len(members)))
 }
 
-func (h *heard) Set(_ uint32, addr string, ready bool) {
+func (h *heard) SetBackend(_ uint32, addr string, ready bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lines = append(h.lines, fmt.Sprintf("%q %v", addr, ready))
--- a/internal/standalone/discovery/watch.go
+++ b/internal/standalone/discovery/watch.go
@@ -30,12 +30,12 @@
 
 // Module is told what the list says.
 type Module interface {
-	List(kind policy.EventKind, members []policy.Member)
+	UpdateMembers(kind policy.EventKind, members []policy.Member)
 }
 
 // Fleet is told where destinations are and which may get work.
 type Fleet interface {
-	Set(id uint32, addr string, ready bool)
+	SetBackend(id uint32, addr string, ready bool)
 }
 
 // Watcher keeps the pool config and asks discovery for it when the module wants it asked.
@@ -64,7 +64,7 @@
 
 // NewWatcher returns a watcher of discovery at addr, which it reaches over TCP.
 func NewWatcher(addr string, table *Table, fleet Fleet, log *slog.Logger) *Watcher {
-	dial := backend.OverTCP
+	dial := backend.DialTCP
 	return &Watcher{addr: addr, dial: dial, table: table, fleet: fleet, log: log, ask: make(chan struct{}, 1),
 		moved: make(chan struct{}, 1), listed: map[uint32]entry{}}
 }
@@ -125,12 +125,12 @@
 func (w *Watcher) Start(module Module, known []byte) {
 	w.module = module
 	if len(known) == 0 {
-		w.module.List(policy.ListCached, nil)
+		w.module.UpdateMembers(policy.ListCached, nil)
 		return
 	}
 	if err := w.apply(known, true); err != nil {
 		w.log.Error("the known pool config is not usable", "error", err)
-		w.module.List(policy.ListCached, nil)
+		w.module.UpdateMembers(policy.ListCached, nil)
 	}
 }
 
@@ -172,9 +172,9 @@
 			w.log.Warn("the watch of the pool config ended", "error", err)
 			// Nobody knows what a watch missed that fell silent, and what a new discovery has to tell counts soon too.
 			if fresh := w.fresh.Swap(false); fresh || errors.Is(err, os.ErrDeadlineExceeded) {
-				w.module.List(policy.ListSilent, nil)
+				w.module.UpdateMembers(policy.ListSilent, nil)
 			} else {
-				w.module.List(policy.ListFailed, nil)
+				w.module.UpdateMembers(policy.ListFailed, nil)
 			}
 		}(done)
 	}
@@ -224,7 +224,7 @@
 		w.fresh.Store(false)
 		if len(text) == 0 {
 			if first { // nothing has changed: the module still waits for an answer to its call
-				w.module.List(policy.ListDelta, nil)
+				w.module.UpdateMembers(policy.ListDelta, nil)
 				w.heard.Store(true)
 			}
 			continue
@@ -269,7 +269,7 @@
 		members[i] = m
 		now[m.Server] = m.Mode != policy.ModeGone
 		w.listed[m.Server] = entry{*h, m}
-		w.fleet.Set(m.Server, hosts[i].Dial, m.Mode == policy.ModeReady)
+		w.fleet.SetBackend(m.Server, hosts[i].Dial, m.Mode == policy.ModeReady)
 		if m.Mode == policy.ModeGone {
 			w.forget(m.Server)
 		}
@@ -279,7 +279,7 @@
 		kind = policy.ListFull
 		for id := range w.listed { // a whole list drops what it misses
 			if !now[id] {
-				w.fleet.Set(id, "", false)
+				w.fleet.SetBackend(id, "", false)
 				w.forget(id)
 			}
 		}
@@ -289,7 +289,7 @@
 	}
 	w.seq = u.Seq
 	w.size.Store(int64(len(w.listed)))
-	w.module.List(kind, members)
+	w.module.UpdateMembers(kind, members)
 	if len(w.listed) > 0 || u.Whole && !cached {
 		w.held.Store(true)
 	}
--- a/internal/standalone/engine/planner.go
+++ b/internal/standalone/engine/planner.go
@@ -25,53 +25,53 @@
 	Probe       func(server uint32) // asks a server for its load; Probed tells what came of it
 }
 
-// Module makes the decisions: a *decide.Balancer, save in tests.
-type Module interface {
+// Policy makes the decisions: a *decide.Balancer, save in tests.
+type Policy interface {
 	Handle(now policy.Time, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
-// Planner serialises what happens to one Balancer. Its methods may be called from any goroutine.
-type Planner struct {
+// Engine serialises what happens to one Balancer. Its methods may be called from any goroutine.
+type Engine struct {
 	hooks Hooks
 	log   *slog.Logger
 
-	mu      sync.Mutex
-	module  Module
-	actions []policy.Action
-	calls   map[uint64]*Call
-	nextID  uint64
-	timers  timerQueue
-	seq     uint64
-	wake    chan struct{}
-
-	origin time.Time // with its monotonic reading
-	base   policy.Time
+	mu       sync.Mutex
+	policy   Policy
+	actions  []policy.Action
+	calls    map[uint64]*Call
+	nextID   uint64
+	timers   timerQueue
+	timerSeq uint64
+	wake     chan struct{}
+
+	origin       time.Time // with its monotonic reading
+	originMicros policy.Time
 }
 
 // New returns a planner for module.
-func New(module Module, hooks Hooks, log *slog.Logger) *Planner {
+func New(module Policy, hooks Hooks, log *slog.Logger) *Engine {
 	now := time.Now()
-	return &Planner{hooks: hooks, log: log, module: module, calls: map[uint64]*Call{},
-		wake: make(chan struct{}, 1), origin: now, base: now.UnixMicro()}
+	return &Engine{hooks: hooks, log: log, policy: module, calls: map[uint64]*Call{},
+		wake: make(chan struct{}, 1), origin: now, originMicros: now.UnixMicro()}
 }
 
 // now is the module's clock: Unix time read once, carried on by the monotonic clock. A step of the system's
 // clock must not let ramps and windows jump.
-func (p *Planner) now() policy.Time { return p.base + time.Since(p.origin).Microseconds() }
+func (p *Engine) now() policy.Time { return p.originMicros + time.Since(p.origin).Microseconds() }
 
-// At is when the module's clock shows t.
-func (p *Planner) At(t policy.Time) time.Time {
-	return p.origin.Add(time.Duration(t-p.base) * time.Microsecond)
+// TimeOf is when the module's clock shows t.
+func (p *Engine) TimeOf(t policy.Time) time.Time {
+	return p.origin.Add(time.Duration(t-p.originMicros) * time.Microsecond)
 }
 
-// Arrival is what the module is told about a new request.
-type Arrival struct {
-	Class    uint8
-	Tenant   uint32
-	Key      uint64
-	Work     policy.Time
-	Deadline time.Time // when the last attempt has to have ended
-	Slow     bool      // the body is still coming; Handed tells when a destination has it
+// Request is what the module is told about a new request.
+type Request struct {
+	Class       uint8
+	Tenant      uint32
+	SessionKey  uint64
+	WorkHint    policy.Time
+	Deadline    time.Time // when the last attempt has to have ended
+	BodyPending bool      // the body is still coming; Handed tells when a destination has it
 }
 
 // maxActions is more than the module can say about one call: at most 8 sends, as many cancels, one answer.
@@ -79,42 +79,42 @@
 
 // Call is one request on its way through the module.
 type Call struct {
-	planner  *Planner
+	engine   *Engine
 	id       uint64
 	actions  chan policy.Action
-	over     bool
+	ended    bool
 	attempts []attempt
-	out      int
+	running  int
 }
 
 type attempt struct {
 	server  uint32
 	started time.Time
-	out     bool
+	running bool
 }
 
 // Actions brings what the module wants done for the call: Send, Cancel, and at most one Refuse or Fail.
 func (c *Call) Actions() <-chan policy.Action { return c.actions }
 
-// Arrive tells the module of a new request.
-func (p *Planner) Arrive(a Arrival) *Call {
+// Start tells the module of a new request.
+func (p *Engine) Start(a Request) *Call {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.nextID++
-	c := &Call{planner: p, id: p.nextID, actions: make(chan policy.Action, maxActions)}
+	c := &Call{engine: p, id: p.nextID, actions: make(chan policy.Action, maxActions)}
 	p.calls[c.id] = c
-	p.handle(&policy.Event{Kind: policy.Arrival, ID: c.id, Class: a.Class, Tenant: a.Tenant, Key: a.Key,
-		Work: a.Work, Patience: time.Until(a.Deadline).Microseconds(), Slow: a.Slow})
+	p.dispatch(&policy.Event{Kind: policy.Arrival, ID: c.id, Class: a.Class, Tenant: a.Tenant, Key: a.SessionKey,
+		Work: a.WorkHint, Patience: time.Until(a.Deadline).Microseconds(), Slow: a.BodyPending})
 	return c
 }
 
-// Handed tells the module that a slow request's last byte has come, and so is with the destination of an attempt.
-func (c *Call) Handed(attempt uint8) {
-	p := c.planner
+// BodySent tells the module that a slow request's last byte has come, and so is with the destination of an attempt.
+func (c *Call) BodySent(attempt uint8) {
+	p := c.engine
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if int(attempt) < len(c.attempts) && c.attempts[attempt].out {
-		p.handle(&policy.Event{Kind: policy.Handed, ID: c.id, Attempt: attempt})
+	if int(attempt) < len(c.attempts) && c.attempts[attempt].running {
+		p.dispatch(&policy.Event{Kind: policy.Handed, ID: c.id, Attempt: attempt})
 	}
 }
 
@@ -122,75 +122,75 @@
 // is OK and nothing had ended the call before. What a second report of the same attempt says is ignored. sent is when the last byte
 // of a request that took its time to send went out: a slow client is no slow server. It may be zero.
 func (c *Call) Finish(attempt uint8, outcome policy.Outcome, report []float32, sent time.Time) bool {
-	p := c.planner
+	p := c.engine
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if int(attempt) >= len(c.attempts) || !c.attempts[attempt].out {
+	if int(attempt) >= len(c.attempts) || !c.attempts[attempt].running {
 		return false
 	}
 	s := &c.attempts[attempt]
-	s.out = false
-	c.out--
-	answers := outcome == policy.OK && !c.over
-	c.over = c.over || answers
+	s.running = false
+	c.running--
+	answers := outcome == policy.OK && !c.ended
+	c.ended = c.ended || answers
 	if sent.Before(s.started) {
 		sent = s.started
 	}
-	p.handle(&policy.Event{Kind: policy.Outcomed, ID: c.id, Attempt: attempt, Server: s.server,
-		Outcome: outcome, Elapsed: time.Since(sent).Microseconds(), Final: c.over, Report: report})
-	c.forget()
+	p.dispatch(&policy.Event{Kind: policy.Outcomed, ID: c.id, Attempt: attempt, Server: s.server,
+		Outcome: outcome, Elapsed: time.Since(sent).Microseconds(), Final: c.ended, Report: report})
+	c.removeIfEnded()
 	return answers
 }
 
-// Depart tells the module that the client is gone or has waited too long; a call that is over stays as it is.
-func (c *Call) Depart() {
-	p := c.planner
+// Cancel tells the module that the client is gone or has waited too long; a call that is over stays as it is.
+func (c *Call) Cancel() {
+	p := c.engine
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.over {
+	if c.ended {
 		return
 	}
-	c.over = true
-	p.handle(&policy.Event{Kind: policy.Departed, ID: c.id})
-	c.forget()
+	c.ended = true
+	p.dispatch(&policy.Event{Kind: policy.Departed, ID: c.id})
+	c.removeIfEnded()
 }
 
-func (c *Call) forget() {
-	if c.over && c.out == 0 {
-		delete(c.planner.calls, c.id)
+func (c *Call) removeIfEnded() {
+	if c.ended && c.running == 0 {
+		delete(c.engine.calls, c.id)
 	}
 }
 
-// Probed tells the module how a probe ended that Hooks.Probe was called for.
-func (p *Planner) Probed(server uint32, outcome policy.Outcome, took time.Duration, report []float32) {
+// ProbeDone tells the module how a probe ended that Hooks.Probe was called for.
+func (p *Engine) ProbeDone(server uint32, outcome policy.Outcome, took time.Duration, report []float32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.handle(&policy.Event{Kind: policy.Probed, Server: server, Outcome: outcome, Elapsed: took.Microseconds(), Report: report})
+	p.dispatch(&policy.Event{Kind: policy.Probed, Server: server, Outcome: outcome, Elapsed: took.Microseconds(), Report: report})
 }
 
-// List tells the module what discovery said. kind is one of the module's list events.
-func (p *Planner) List(kind policy.EventKind, members []policy.Member) {
+// UpdateMembers tells the module what discovery said. kind is one of the module's list events.
+func (p *Engine) UpdateMembers(kind policy.EventKind, members []policy.Member) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.handle(&policy.Event{Kind: kind, Members: members})
+	p.dispatch(&policy.Event{Kind: kind, Members: members})
 }
 
-// Change gives the module other settings, between two events. An error means that it keeps the ones that it has.
-func (p *Planner) Change(set policy.Settings) error {
+// ApplySettings gives the module other settings, between two events. An error means that it keeps the ones that it has.
+func (p *Engine) ApplySettings(set policy.Settings) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.module.(interface{ Change(policy.Settings) error })
+	m, ok := p.policy.(interface{ Change(policy.Settings) error })
 	if !ok {
 		return errors.New("planner: this module keeps the settings that it began with")
 	}
 	return m.Change(set)
 }
 
-// Learnt is what the module has found out, as JSON; nothing where the module does not say.
-func (p *Planner) Learnt() ([]byte, error) {
+// Snapshot is what the module has found out, as JSON; nothing where the module does not say.
+func (p *Engine) Snapshot() ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.module.(interface{ Learnt() *policy.Learnt })
+	m, ok := p.policy.(interface{ Learnt() *policy.Learnt })
 	if !ok {
 		return nil, nil
 	}
@@ -201,15 +201,15 @@
 	return text, nil
 }
 
-// Adopt gives the module what another has found out, if that is no older than most. An error means that it was not believed.
-func (p *Planner) Adopt(text []byte, most time.Duration) error {
+// Restore gives the module what another has found out, if that is no older than most. An error means that it was not believed.
+func (p *Engine) Restore(text []byte, most time.Duration) error {
 	var l policy.Learnt
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("planner: %w", err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.module.(interface {
+	m, ok := p.policy.(interface {
 		Adopt(policy.Time, *policy.Learnt) bool
 	})
 	switch {
@@ -223,47 +223,47 @@
 	return nil
 }
 
-// Kept is what is held in memory for calls: calls and timers here, and what the module says of itself.
-func (p *Planner) Kept() (calls, timers int, module policy.Kept) {
+// TableSizes is what is held in memory for calls: calls and timers here, and what the module says of itself.
+func (p *Engine) TableSizes() (calls, timers int, module policy.Kept) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, ok := p.module.(interface{ Kept() policy.Kept }); ok {
+	if m, ok := p.policy.(interface{ Kept() policy.Kept }); ok {
 		module = m.Kept()
 	}
 	return len(p.calls), len(p.timers), module
 }
 
-// Avoided is how many listed servers the module gives no turns by its own choice; 0 where the module does not say.
-func (p *Planner) Avoided() int {
+// AvoidedBackends is how many listed servers the module gives no turns by its own choice; 0 where the module does not say.
+func (p *Engine) AvoidedBackends() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, ok := p.module.(interface{ Avoided() int }); ok {
+	if m, ok := p.policy.(interface{ Avoided() int }); ok {
 		return m.Avoided()
 	}
 	return 0
 }
 
-// handle gives the module one event and passes the actions on. A panic in the module costs the decision and
+// dispatch gives the module one event and passes the actions on. A panic in the module costs the decision and
 // not the process, which would take every request in flight with it: calls left unanswered end at their
 // deadline.
-func (p *Planner) handle(ev *policy.Event) {
+func (p *Engine) dispatch(ev *policy.Event) {
 	defer func() {
 		if r := recover(); r != nil {
 			p.log.Error("the decision module panicked", "panic", r, "event", ev.Kind, "stack", string(debug.Stack()))
 		}
 	}()
-	p.actions = p.module.Handle(p.now(), ev, p.actions[:0])
+	p.actions = p.policy.Handle(p.now(), ev, p.actions[:0])
 	for i := range p.actions {
-		p.pass(&p.actions[i])
+		p.execute(&p.actions[i])
 	}
 }
 
-func (p *Planner) pass(a *policy.Action) {
+func (p *Engine) execute(a *policy.Action) {
 	switch a.Kind {
 	case policy.SetTimer:
-		p.seq++
-		heap.Push(&p.timers, timer{due: time.Now().Add(time.Duration(a.After) * time.Microsecond), seq: p.seq, tag: a.ID})
-		if p.timers[0].seq == p.seq {
+		p.timerSeq++
+		heap.Push(&p.timers, timer{due: time.Now().Add(time.Duration(a.After) * time.Microsecond), seq: p.timerSeq, id: a.ID})
+		if p.timers[0].seq == p.timerSeq {
 			select {
 			case p.wake <- struct{}{}:
 			default:
@@ -281,18 +281,18 @@
 		p.log.Info("module", "text", a.Text)
 	case policy.Send, policy.Refuse, policy.Fail, policy.Cancel:
 		c := p.calls[a.ID]
-		if c == nil || c.over && a.Kind != policy.Cancel {
+		if c == nil || c.ended && a.Kind != policy.Cancel {
 			p.log.Warn("action for a call that is over", "kind", a.Kind)
 			return
 		}
 		switch a.Kind {
 		case policy.Send:
-			c.attempts = append(c.attempts, attempt{server: a.Server, started: time.Now(), out: true})
-			c.out++
+			c.attempts = append(c.attempts, attempt{server: a.Server, started: time.Now(), running: true})
+			c.running++
 			a.Attempt = uint8(len(c.attempts) - 1)
 		case policy.Refuse, policy.Fail:
-			c.over = true
-			c.forget()
+			c.ended = true
+			c.removeIfEnded()
 		}
 		select {
 		case c.actions <- *a:
@@ -305,11 +305,11 @@
 }
 
 // Run fires the module's timers until ctx ends.
-func (p *Planner) Run(ctx context.Context) {
+func (p *Engine) Run(ctx context.Context) {
 	alarm := time.NewTimer(time.Hour)
 	defer alarm.Stop()
 	for {
-		alarm.Reset(time.Until(p.fire()))
+		alarm.Reset(time.Until(p.fireDueTimers()))
 		select {
 		case <-ctx.Done():
 			return
@@ -319,12 +319,12 @@
 	}
 }
 
-// fire hands over the timers that are due and returns when the next one is. Timers that the module sets
+// fireDueTimers hands over the timers that are due and returns when the next one is. Timers that the module sets
 // meanwhile wait for the next round, so that it can never hold the planner for good.
-func (p *Planner) fire() time.Time {
+func (p *Engine) fireDueTimers() time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	now, last := time.Now(), p.seq
+	now, last := time.Now(), p.timerSeq
 	var again []timer
 	for len(p.timers) > 0 && !p.timers[0].due.After(now) {
 		t := heap.Pop(&p.timers).(timer)
@@ -332,7 +332,7 @@
 			again = append(again, t)
 			continue
 		}
-		p.handle(&policy.Event{Kind: policy.TimerFired, ID: t.tag})
+		p.dispatch(&policy.Event{Kind: policy.TimerFired, ID: t.id})
 	}
 	for _, t := range again {
 		heap.Push(&p.timers, t)
@@ -346,7 +346,7 @@
 type timer struct {
 	due time.Time
 	seq uint64 // timers due together fire in the order of their setting
-	tag uint64
+	id  uint64
 }
 
 type timerQueue []timer
--- a/internal/standalone/engine/planner_test.go
+++ b/internal/standalone/engine/planner_test.go
@@ -23,7 +23,7 @@
 	return append(out, s.act(ev)...)
 }
 
-func start(s *script) *Planner {
+func start(s *script) *Engine {
 	return New(s, Hooks{Subscribe: func() {}, CloseUnused: func(uint32) {}}, slog.New(slog.DiscardHandler))
 }
 
@@ -37,7 +37,7 @@
 // Each attempt's outcome reaches the module once, and only the first OK is the answer.
 func TestOutcomesAreToldOnce(t *testing.T) {
 	s := &script{act: sendTwice}
-	c := start(s).Arrive(Arrival{Deadline: time.Now().Add(time.Second)})
+	c := start(s).Start(Request{Deadline: time.Now().Add(time.Second)})
 	if a, b := <-c.Actions(), <-c.Actions(); a.Attempt != 0 || b.Attempt != 1 {
 		t.Fatalf("attempts are numbered %d and %d", a.Attempt, b.Attempt)
 	}
@@ -46,11 +46,11 @@
 	if want := []bool{true, false, false, false}; !slices.Equal(got, want) {
 		t.Errorf("answers: %v, want %v", got, want)
 	}
-	c.Depart()
+	c.Cancel()
 	if len(s.told) != 3 || !s.told[1].Final || s.told[1].Server != 8 || !s.told[2].Final {
 		t.Errorf("the module was told %+v", s.told)
 	}
-	if len(c.planner.calls) != 0 {
+	if len(c.engine.calls) != 0 {
 		t.Error("the call is not forgotten")
 	}
 }
@@ -63,10 +63,10 @@
 		}
 		return sendTwice(ev)
 	}}
-	c := start(s).Arrive(Arrival{})
+	c := start(s).Start(Request{})
 	<-c.Actions()
 	<-c.Actions()
-	c.Depart()
+	c.Cancel()
 	select {
 	case a := <-c.Actions():
 		if a.Kind != policy.Cancel || a.Attempt != 1 {
@@ -91,7 +91,7 @@
 		defer cancel()
 		go p.Run(ctx)
 		synctest.Wait()
-		p.List(policy.ListFull, nil)
+		p.UpdateMembers(policy.ListFull, nil)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		var tags []uint64
@@ -116,8 +116,8 @@
 		return sendTwice(ev)
 	}}
 	p := start(s)
-	p.List(policy.ListFailed, nil)
-	if c := p.Arrive(Arrival{}); len(c.actions) != 2 {
+	p.UpdateMembers(policy.ListFailed, nil)
+	if c := p.Start(Request{}); len(c.actions) != 2 {
 		t.Errorf("%d actions after the panic", len(c.actions))
 	}
 }
--- a/internal/standalone/forwarder/probes.go
+++ b/internal/standalone/forwarder/probes.go
@@ -16,65 +16,65 @@
 }
 
 const (
-	// probeWithin is how long a probe may take. The module asks again after a second at the earliest, and what a destination says
+	// probeTimeout is how long a probe may take. The module asks again after a second at the earliest, and what a destination says
 	// of itself half a second late is not worth a descriptor.
-	probeWithin = 500 * time.Millisecond
-	// mostProbes are out at once, and one at most at a destination: hung ones must not hold what requests need.
-	mostProbes = 16
+	probeTimeout = 500 * time.Millisecond
+	// maxProbes are out at once, and one at most at a destination: hung ones must not hold what requests need.
+	maxProbes = 16
 )
 
 // Probes carries out the probes that the module wants. Close ends it.
 type Probes struct {
-	fleet   Prober
-	planner *engine.Planner
-	log     *slog.Logger
-	ctx     context.Context // ends with Close
-	cancel  context.CancelFunc
-	running sync.WaitGroup
+	backends Prober
+	engine   *engine.Engine
+	log      *slog.Logger
+	ctx      context.Context // ends with Close
+	cancel   context.CancelFunc
+	running  sync.WaitGroup
 
-	mu  sync.Mutex
-	out map[uint32]struct{}
+	mu      sync.Mutex
+	pending map[uint32]struct{}
 }
 
 // NewProbes returns Probes that ask fleet. Before the first probe it must be told by Tell who is to know.
 func NewProbes(fleet Prober, log *slog.Logger) *Probes {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &Probes{fleet: fleet, log: log, ctx: ctx, cancel: cancel, out: map[uint32]struct{}{}}
+	return &Probes{backends: fleet, log: log, ctx: ctx, cancel: cancel, pending: map[uint32]struct{}{}}
 }
 
-// Tell says whose module is told of what the probes bring.
-func (p *Probes) Tell(to *engine.Planner) { p.planner = to }
+// SetEngine says whose module is told of what the probes bring.
+func (p *Probes) SetEngine(to *engine.Engine) { p.engine = to }
 
-// Ask begins a probe and returns at once. One that there is no place for is not made: the module asks again.
-func (p *Probes) Ask(server uint32) {
+// Start begins a probe and returns at once. One that there is no place for is not made: the module asks again.
+func (p *Probes) Start(server uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, is := p.out[server]; is || len(p.out) >= mostProbes || p.ctx.Err() != nil {
+	if _, is := p.pending[server]; is || len(p.pending) >= maxProbes || p.ctx.Err() != nil {
 		return
 	}
-	p.out[server] = struct{}{}
+	p.pending[server] = struct{}{}
 	p.running.Go(func() { p.probe(server) })
 }
 
 func (p *Probes) probe(server uint32) {
-	ctx, cancel := context.WithDeadline(p.ctx, time.Now().Add(probeWithin))
+	ctx, cancel := context.WithDeadline(p.ctx, time.Now().Add(probeTimeout))
 	defer cancel()
 	start := time.Now()
-	outcome, report, err := p.fleet.Probe(ctx, server)
+	outcome, report, err := p.backends.Probe(ctx, server)
 	if err != nil {
 		p.log.Debug("probe", "destination", server, "outcome", outcome, "error", err)
 	}
 	p.mu.Lock()
-	delete(p.out, server)
+	delete(p.pending, server)
 	p.mu.Unlock()
-	p.planner.Probed(server, outcome, time.Since(start), report)
+	p.engine.ProbeDone(server, outcome, time.Since(start), report)
 }
 
-// Out is how many probes are under way.
-func (p *Probes) Out() int {
+// InFlight is how many probes are under way.
+func (p *Probes) InFlight() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return len(p.out)
+	return len(p.pending)
 }
 
 // Close gives up what is out and waits for its end; nothing more is asked.
--- a/internal/standalone/forwarder/probes_test.go
+++ b/internal/standalone/forwarder/probes_test.go
@@ -29,30 +29,30 @@
 		var told []policy.Event
 		log := slog.New(slog.DiscardHandler)
 		probes := NewProbes(prober{}, log)
-		probes.Tell(engine.New(script(func(ev *policy.Event) []policy.Action {
+		probes.SetEngine(engine.New(script(func(ev *policy.Event) []policy.Action {
 			told = append(told, *ev)
 			return nil
 		}), engine.Hooks{}, log))
 		for id := range uint32(80) {
-			probes.Ask(100 + id%40)
+			probes.Start(100 + id%40)
 		}
 		synctest.Wait()
-		if probes.Out() != mostProbes {
-			t.Errorf("%d probes are out", probes.Out())
+		if probes.InFlight() != maxProbes {
+			t.Errorf("%d probes are out", probes.InFlight())
 		}
-		time.Sleep(probeWithin)
+		time.Sleep(probeTimeout)
 		synctest.Wait()
-		probes.Ask(1)
+		probes.Start(1)
 		synctest.Wait()
-		if last := told[len(told)-1]; len(told) != mostProbes+1 || told[0].Outcome != policy.TimedOut || last.Kind != policy.Probed ||
-			last.Server != 1 || last.Outcome != policy.OK || len(last.Report) != 2 || probes.Out() != 0 {
-			t.Errorf("%d out, the module was told of %d and last %+v", probes.Out(), len(told), last)
+		if last := told[len(told)-1]; len(told) != maxProbes+1 || told[0].Outcome != policy.TimedOut || last.Kind != policy.Probed ||
+			last.Server != 1 || last.Outcome != policy.OK || len(last.Report) != 2 || probes.InFlight() != 0 {
+			t.Errorf("%d out, the module was told of %d and last %+v", probes.InFlight(), len(told), last)
 		}
-		probes.Ask(200)
+		probes.Start(200)
 		probes.Close()
-		probes.Ask(201)
-		if len(told) != mostProbes+2 || probes.Out() != 0 {
-			t.Errorf("after the end %d are out, %d were told", probes.Out(), len(told))
+		probes.Start(201)
+		if len(told) != maxProbes+2 || probes.InFlight() != 0 {
+			t.Errorf("after the end %d are out, %d were told", probes.InFlight(), len(told))
 		}
 	})
 }
--- a/internal/standalone/forwarder/route.go
+++ b/internal/standalone/forwarder/route.go
@@ -21,29 +21,29 @@
 	"pumiceline/internal/standalone/requestbody"
 )
 
-// Inbound is what the front socket learnt of a request. The context that carries it has the client's deadline.
-type Inbound struct {
-	Class   uint8
-	Tenant  uint32
-	Work    policy.Time
-	Key     uint64              // what the request is about; 0: not told
-	Body    []byte              // as far as it is at hand
-	Rest    *requestbody.Upload // what is still to come; nil: nothing. Its context has no deadline until that has come.
-	Left    func() bool         // whether the client has gone; it ends the context then. nil: the context knows by itself
-	Served  bool                // set by RoundTrip when a destination has answered
-	Refused bool                // set by RoundTrip when the answer is a busy reply
+// RequestInfo is what the front socket learnt of a request. The context that carries it has the client's deadline.
+type RequestInfo struct {
+	Class              uint8
+	Tenant             uint32
+	WorkHint           policy.Time
+	SessionKey         uint64              // what the request is about; 0: not told
+	Body               []byte              // as far as it is at hand
+	Stream             *requestbody.Stream // what is still to come; nil: nothing. Its context has no deadline until that has come.
+	ClientDisconnected func() bool         // whether the client has gone; it ends the context then. nil: the context knows by itself
+	Answered           bool                // set by RoundTrip when a destination has answered
+	Rejected           bool                // set by RoundTrip when the answer is a busy reply
 }
 
-type inboundKey struct{}
+type requestInfoKey struct{}
 
-// WithInbound returns a context that carries in.
-func WithInbound(ctx context.Context, in *Inbound) context.Context {
-	return context.WithValue(ctx, inboundKey{}, in)
+// WithRequestInfo returns a context that carries in.
+func WithRequestInfo(ctx context.Context, in *RequestInfo) context.Context {
+	return context.WithValue(ctx, requestInfoKey{}, in)
 }
 
-// InboundOf is what WithInbound put into a context, or nil.
-func InboundOf(ctx context.Context) *Inbound {
-	in, _ := ctx.Value(inboundKey{}).(*Inbound)
+// RequestInfoFrom is what WithRequestInfo put into a context, or nil.
+func RequestInfoFrom(ctx context.Context) *RequestInfo {
+	in, _ := ctx.Value(requestInfoKey{}).(*RequestInfo)
 	return in
 }
 
@@ -52,50 +52,50 @@
 	Exchange(ctx context.Context, id uint32, a backend.Attempt) backend.Result
 }
 
-// answerMargin is how long before the client's deadline attempts end, so that the module's last word still
+// responseMargin is how long before the client's deadline attempts end, so that the module's last word still
 // reaches a client that is about to leave.
-const answerMargin = 15 * time.Millisecond
+const responseMargin = 15 * time.Millisecond
 
 // Transport is an http.RoundTripper whose every attempt is the module's decision.
 type Transport struct {
-	Planner       *engine.Planner
-	Fleet         Exchanger
+	Engine        *engine.Engine
+	Backends      Exchanger
 	MaxRetryAfter atomic.Int64 // the longest time to come back that is told, in microseconds
 	Log           *slog.Logger
 }
 
-var errNoInbound = errors.New("route: the request has no deadline or was not read by a front socket")
+var errNoRequestInfo = errors.New("route: the request has no deadline or was not read by a front socket")
 
 // RoundTrip is the life of one request.
 func (t *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	ctx := req.Context()
-	in := InboundOf(ctx)
+	in := RequestInfoFrom(ctx)
 	clientDeadline, hasDeadline := ctx.Deadline()
-	if in == nil || !hasDeadline && in.Rest == nil {
-		return nil, errNoInbound
+	if in == nil || !hasDeadline && in.Stream == nil {
+		return nil, errNoRequestInfo
 	}
 	if errors.Is(context.Cause(ctx), context.Canceled) { // it left while it waited to come in
 		return nil, ctx.Err()
 	}
 
-	// Arrival: the body is in. Steps have a context of their own: the module alone calls them off.
-	deadline := clientDeadline.Add(-answerMargin)
-	var attempts context.Context
+	// Request: the body is in. Steps have a context of their own: the module alone calls them off.
+	deadline := clientDeadline.Add(-responseMargin)
+	var attemptContext context.Context
 	var release context.CancelFunc
-	if in.Rest == nil {
-		attempts, release = context.WithDeadline(context.WithoutCancel(ctx), deadline)
+	if in.Stream == nil {
+		attemptContext, release = context.WithDeadline(context.WithoutCancel(ctx), deadline)
 	} else { // the module reckons as if it were here: what it may still do afterwards, no attempt can
-		deadline = time.Now().Add(in.Rest.Left - answerMargin)
+		deadline = time.Now().Add(in.Stream.ClientTimeout - responseMargin)
 		long, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
-		attempts, release = long, func() { cancel(nil) }
-		go in.Rest.Watch(long.Done(), answerMargin, func() { cancel(context.DeadlineExceeded) }, func(error) { cancel(nil) })
+		attemptContext, release = long, func() { cancel(nil) }
+		go in.Stream.WatchDeadline(long.Done(), responseMargin, func() { cancel(context.DeadlineExceeded) }, func(error) { cancel(nil) })
 	}
-	call := t.Planner.Arrive(engine.Arrival{Class: in.Class, Tenant: in.Tenant, Work: in.Work, Key: in.Key, Deadline: deadline, Slow: in.Rest != nil})
-	r := &retrier{t: t, call: call, sent: backend.Attempt{Request: req, Left: in.Left,
-		Body: backend.Body{Text: in.Body, Rest: in.Rest}}, answers: make(chan *backend.Answer, 1)}
+	call := t.Engine.Start(engine.Request{Class: in.Class, Tenant: in.Tenant, WorkHint: in.WorkHint, SessionKey: in.SessionKey, Deadline: deadline, BodyPending: in.Stream != nil})
+	r := &attempts{transport: t, call: call, template: backend.Attempt{Request: req, ClientDisconnected: in.ClientDisconnected,
+		Body: backend.Body{Buffered: in.Body, Stream: in.Stream}}, responses: make(chan *backend.Response, 1)}
 	defer r.releaseAfter(release)
-	defer r.cancelRest() // after Depart, which says what is to be called off
-	defer call.Depart()  // nothing once the call is over; otherwise the client left, or this function panicked
+	defer r.cancelPending() // after Depart, which says what is to be called off
+	defer call.Cancel()     // nothing once the call is over; otherwise the client left, or this function panicked
 
 	for {
 		select {
@@ -103,77 +103,77 @@
 			switch action.Kind {
 			case policy.Send: // an attempt
 				if ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-					call.Depart() // it left in the same moment: the attempt is not made, and no other comes in its place
+					call.Cancel() // it left in the same moment: the attempt is not made, and no other comes in its place
 					call.Finish(action.Attempt, policy.NotSent, nil, time.Time{})
 					continue
 				}
-				r.attempt(attempts, action)
+				r.start(attemptContext, action)
 			case policy.Cancel:
 				r.cancel(action.Attempt)
 			case policy.Refuse: // a busy reply
-				in.Refused = true
-				return busyReply(req, min(action.After, t.MaxRetryAfter.Load())), nil
+				in.Rejected = true
+				return rejectedResponse(req, min(action.After, t.MaxRetryAfter.Load())), nil
 			case policy.Fail: // a failure
-				return plain(req, http.StatusBadGateway, "no destination could answer\n"), nil
+				return textResponse(req, http.StatusBadGateway, "no destination could answer\n"), nil
 			}
-		case answer := <-r.answers: // an answer
-			in.Served = true
-			if answer.Rest != nil {
-				return passed(req, answer), nil
+		case answer := <-r.responses: // an answer
+			in.Answered = true
+			if answer.Stream != nil {
+				return streamedResponse(req, answer), nil
 			}
-			return response(req, http.StatusOK, answer.Header, answer.Body), nil
+			return bufferedResponse(req, http.StatusOK, answer.Header, answer.Body), nil
 		case <-ctx.Done():
 			cause := context.Cause(ctx)
-			if errors.Is(cause, context.DeadlineExceeded) && len(call.Actions())+len(r.answers) > 0 {
+			if errors.Is(cause, context.DeadlineExceeded) && len(call.Actions())+len(r.responses) > 0 {
 				continue // the last word is there, as for a request that came with no time left: it goes first
 			}
 			var long *http.MaxBytesError
 			switch {
 			case errors.As(cause, &long):
-				return plain(req, http.StatusRequestEntityTooLarge, backend.ErrTooLong.Error()+"\n"), nil
-			case in.Rest != nil && !errors.Is(cause, context.Canceled) && !errors.Is(cause, context.DeadlineExceeded):
-				return plain(req, http.StatusBadRequest, "the body did not come whole\n"), nil
+				return textResponse(req, http.StatusRequestEntityTooLarge, backend.ErrBodyTooLarge.Error()+"\n"), nil
+			case in.Stream != nil && !errors.Is(cause, context.Canceled) && !errors.Is(cause, context.DeadlineExceeded):
+				return textResponse(req, http.StatusBadRequest, "the body did not come whole\n"), nil
 			case errors.Is(cause, context.DeadlineExceeded):
 				// The module should have settled it by now. The client must get an answer all the same.
 				t.Log.Error("a request was still open at its deadline", "error", cause)
-				return plain(req, http.StatusGatewayTimeout, "out of time\n"), nil
+				return textResponse(req, http.StatusGatewayTimeout, "out of time\n"), nil
 			}
 			return nil, ctx.Err() // the client left
 		}
 	}
 }
 
-// retrier is what RoundTrip keeps of a request's attempts.
-type retrier struct {
-	t       *Transport
-	call    *engine.Call
-	sent    backend.Attempt      // what each attempt sends
-	cancels []context.CancelFunc // by attempt
-	running sync.WaitGroup       // attempts without an outcome
-	answers chan *backend.Answer
+// attempts is what RoundTrip keeps of a request's attempts.
+type attempts struct {
+	transport *Transport
+	call      *engine.Call
+	template  backend.Attempt      // what each attempt sends
+	cancels   []context.CancelFunc // by attempt
+	running   sync.WaitGroup       // attempts without an outcome
+	responses chan *backend.Response
 }
 
-// attempt begins an attempt. Its outcome is told to the planner exactly once, whatever happens.
-func (r *retrier) attempt(ctx context.Context, action policy.Action) {
+// start begins an attempt. Its outcome is told to the planner exactly once, whatever happens.
+func (r *attempts) start(ctx context.Context, action policy.Action) {
 	ctx, cancel := context.WithCancel(ctx)
 	r.cancels = append(r.cancels, cancel)
 	if int(action.Attempt) != len(r.cancels)-1 {
-		r.t.Log.Error("an attempt is out of order", "attempt", action.Attempt)
+		r.transport.Log.Error("an attempt is out of order", "attempt", action.Attempt)
 	}
 	if action.After > 0 {
 		ctx, cancel = context.WithDeadline(ctx, time.Now().Add(time.Duration(action.After)*time.Microsecond))
 	}
-	sent := r.sent
+	sent := r.template
 	if action.By > 0 {
-		sent.WriteBy = r.t.Planner.At(action.By)
+		sent.WriteBy = r.transport.Engine.TimeOf(action.By)
 	}
 	done := make(chan struct{})
-	if sent.Body.Rest != nil {
+	if sent.Body.Stream != nil {
 		go func() { // until then no destination is at work on it
 			select {
-			case <-sent.Body.Rest.Ended():
-				if _, err := sent.Body.Rest.End(); err == nil {
-					r.call.Handed(action.Attempt)
+			case <-sent.Body.Stream.Ended():
+				if _, err := sent.Body.Stream.End(); err == nil {
+					r.call.BodySent(action.Attempt)
 				}
 			case <-done:
 			}
@@ -184,36 +184,36 @@
 		defer cancel()
 		result := r.exchange(ctx, action.Server, sent)
 		if result.Err != nil {
-			r.t.Log.Debug("attempt", "attempt", action.Attempt, "destination", action.Server,
+			r.transport.Log.Debug("attempt", "attempt", action.Attempt, "destination", action.Server,
 				"outcome", result.Outcome, "error", result.Err)
 		}
-		if r.call.Finish(action.Attempt, result.Outcome, result.Report, result.Sent) {
-			r.answers <- result.Answer
-		} else if result.Answer != nil && result.Answer.Rest != nil {
-			result.Answer.Rest.Close() // too late
+		if r.call.Finish(action.Attempt, result.Outcome, result.Report, result.BodySentAt) {
+			r.responses <- result.Response
+		} else if result.Response != nil && result.Response.Stream != nil {
+			result.Response.Stream.Close() // too late
 		}
 	})
 }
 
 // exchange is one exchange that survives a panic: an attempt without an outcome would leave its request open.
-func (r *retrier) exchange(ctx context.Context, id uint32, sent backend.Attempt) (result backend.Result) {
+func (r *attempts) exchange(ctx context.Context, id uint32, sent backend.Attempt) (result backend.Result) {
 	defer func() {
 		if p := recover(); p != nil {
-			r.t.Log.Error("an attempt panicked", "panic", p, "stack", string(debug.Stack()))
+			r.transport.Log.Error("an attempt panicked", "panic", p, "stack", string(debug.Stack()))
 			result = backend.Result{Outcome: policy.Reset} // it may have run
 		}
 	}()
-	return r.t.Fleet.Exchange(ctx, id, sent)
+	return r.transport.Backends.Exchange(ctx, id, sent)
 }
 
-func (r *retrier) cancel(attempt uint8) {
+func (r *attempts) cancel(attempt uint8) {
 	if int(attempt) < len(r.cancels) {
 		r.cancels[attempt]()
 	}
 }
 
-// cancelRest carries out what the module called off when it learnt that the request is over.
-func (r *retrier) cancelRest() {
+// cancelPending carries out what the module called off when it learnt that the request is over.
+func (r *attempts) cancelPending() {
 	for {
 		select {
 		case action := <-r.call.Actions():
@@ -231,45 +231,45 @@
 
 // releaseAfter frees the attempts' context once none needs it: where the deployment allows no cancelling, attempts go
 // on after the answer.
-func (r *retrier) releaseAfter(release context.CancelFunc) {
+func (r *attempts) releaseAfter(release context.CancelFunc) {
 	go func() {
 		r.running.Wait()
 		release()
 		select {
-		case a := <-r.answers: // it came just after the client had left
-			if a.Rest != nil {
-				a.Rest.Close()
+		case a := <-r.responses: // it came just after the client had left
+			if a.Stream != nil {
+				a.Stream.Close()
 			}
 		default:
 		}
 	}()
 }
 
-// busyReply tells the client that trying again is harmless, and when the module wants it back.
-func busyReply(req *http.Request, after policy.Time) *http.Response {
-	resp := plain(req, http.StatusServiceUnavailable, "busy\n")
+// rejectedResponse tells the client that trying again is harmless, and when the module wants it back.
+func rejectedResponse(req *http.Request, after policy.Time) *http.Response {
+	resp := textResponse(req, http.StatusServiceUnavailable, "busy\n")
 	if after > 0 {
 		resp.Header.Set("Retry-After", strconv.FormatFloat(float64(after)/1e6, 'f', 3, 64))
 	}
 	return resp
 }
 
-func plain(req *http.Request, status int, text string) *http.Response {
-	return response(req, status, http.Header{"Content-Type": {"text/plain; charset=utf-8"}}, []byte(text))
+func textResponse(req *http.Request, status int, text string) *http.Response {
+	return bufferedResponse(req, status, http.Header{"Content-Type": {"text/plain; charset=utf-8"}}, []byte(text))
 }
 
-// passed is an answer that is passed on while it comes. Its length stands in the header alone: what ReverseProxy takes to have
+// streamedResponse is an answer that is passed on while it comes. Its length stands in the header alone: what ReverseProxy takes to have
 // none is flushed piece by piece, and must be, as the next piece may take seconds.
-func passed(req *http.Request, answer *backend.Answer) *http.Response {
-	resp := response(req, http.StatusOK, answer.Header, nil)
-	resp.ContentLength, resp.Body = -1, answer.Rest
+func streamedResponse(req *http.Request, answer *backend.Response) *http.Response {
+	resp := bufferedResponse(req, http.StatusOK, answer.Header, nil)
+	resp.ContentLength, resp.Body = -1, answer.Stream
 	if resp.Header.Del("Content-Length"); answer.Length >= 0 {
 		resp.Header.Set("Content-Length", strconv.FormatInt(answer.Length, 10))
 	}
 	return resp
 }
 
-func response(req *http.Request, status int, header http.Header, body []byte) *http.Response {
+func bufferedResponse(req *http.Request, status int, header http.Header, body []byte) *http.Response {
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	return &http.Response{StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Header: header,
 		ContentLength: int64(len(body)), Body: io.NopCloser(bytes.NewReader(body)), Request: req}
--- a/internal/standalone/forwarder/route_test.go
+++ b/internal/standalone/forwarder/route_test.go
@@ -32,9 +32,9 @@
 // run sends one request with a second to live through a transport.
 func run(ctx context.Context, module script, ex exchange) (*http.Response, error) {
 	log := slog.New(slog.DiscardHandler)
-	t := &Transport{Planner: engine.New(module, engine.Hooks{}, log), Fleet: ex, Log: log}
+	t := &Transport{Engine: engine.New(module, engine.Hooks{}, log), Backends: ex, Log: log}
 	t.MaxRetryAfter.Store(2_500_000)
-	ctx, cancel := context.WithTimeout(WithInbound(ctx, &Inbound{}), time.Second)
+	ctx, cancel := context.WithTimeout(WithRequestInfo(ctx, &RequestInfo{}), time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "/quote", nil)
 	if err != nil {
@@ -63,7 +63,7 @@
 
 func TestAnswers(t *testing.T) {
 	served := backend.Result{Outcome: policy.OK,
-		Answer: &backend.Answer{Header: http.Header{}, Body: []byte("42")}}
+		Response: &backend.Response{Header: http.Header{}, Body: []byte("42")}}
 	full := backend.Result{Outcome: policy.Full}
 	for name, c := range map[string]struct {
 		module script
@@ -120,7 +120,7 @@
 		status int
 		at     time.Duration
 	}{
-		"failed by the module": {sendThen(policy.Action{Kind: policy.Fail}), 502, time.Second - answerMargin},
+		"failed by the module": {sendThen(policy.Action{Kind: policy.Fail}), 502, time.Second - responseMargin},
 		"silent module":        {sendThen(policy.Action{}), 504, time.Second},
 		"no attempt at all":    {func(*policy.Event) []policy.Action { return nil }, 504, time.Second},
 	} {
@@ -191,16 +191,16 @@
 				return nil
 			})
 			from, to := io.Pipe()
-			in := &Inbound{Rest: requestbody.New(from, -1, time.Second)}
+			in := &RequestInfo{Stream: requestbody.New(from, -1, time.Second)}
 			log := slog.New(slog.DiscardHandler)
-			tr := &Transport{Planner: engine.New(module, engine.Hooks{}, log), Log: log, Fleet: bodied(func(body backend.Body) backend.Result {
-				if _, err := io.Copy(io.Discard, body.Rest); err != nil {
+			tr := &Transport{Engine: engine.New(module, engine.Hooks{}, log), Log: log, Backends: bodied(func(body backend.Body) backend.Result {
+				if _, err := io.Copy(io.Discard, body.Stream); err != nil {
 					return backend.Result{Outcome: policy.ConnectFailed}
 				}
 				time.Sleep(time.Millisecond) // the destination works
-				return backend.Result{Outcome: policy.OK, Answer: &backend.Answer{Header: http.Header{}}}
+				return backend.Result{Outcome: policy.OK, Response: &backend.Response{Header: http.Header{}}}
 			})}
-			ctx, leave := context.WithCancel(WithInbound(t.Context(), in))
+			ctx, leave := context.WithCancel(WithRequestInfo(t.Context(), in))
 			defer leave()
 			req, err := http.NewRequestWithContext(ctx, http.MethodPost, "/quote", nil)
 			if err != nil {
--- a/internal/standalone/listener/bench_test.go
+++ b/internal/standalone/listener/bench_test.go
@@ -16,7 +16,7 @@
 	b.Run("request", func(b *testing.B) {
 		for i := range b.N {
 			r := httptest.NewRequest(http.MethodGet, "/quote", nil)
-			r.Header = http.Header{idHeader: {fmt.Sprint(i)}, classHeader: {"quote"}, tenantHeader: {"acme"}, timeLeftHeader: {"900"}}
+			r.Header = http.Header{correlationIDHeader: {fmt.Sprint(i)}, classHeader: {"quote"}, tenantHeader: {"acme"}, timeLeftHeader: {"900"}}
 			f.ServeHTTP(httptest.NewRecorder(), r)
 		}
 	})
--- a/internal/standalone/listener/change_test.go
+++ b/internal/standalone/listener/change_test.go
@@ -36,21 +36,21 @@
 		<-inside
 		next := site()
 		next.Classes = []settings.Class{{Name: "bind", Semantics: "side_effect", HardLimit: 1e6}, next.Classes[1]}
-		if err := f.Change(next, func(*settings.Settings) error { return errors.New("no") }); err == nil {
+		if err := f.ApplySettings(next, func(*settings.Settings) error { return errors.New("no") }); err == nil {
 			t.Error("a change that another part turned down was taken")
 		}
 		if got := ask("bind", "POST", "2"); got != 400 {
 			t.Errorf("a class of settings that were turned down: %d", got)
 		}
 		var numbered []settings.Class
-		if err := f.Change(next, func(s *settings.Settings) error { numbered = s.Classes; return nil }); err != nil {
+		if err := f.ApplySettings(next, func(s *settings.Settings) error { numbered = s.Classes; return nil }); err != nil {
 			t.Error(err)
 		}
 		if len(numbered) != 3 || numbered[0].Name != "quote" {
 			t.Errorf("the number of a request under way went to another class: %+v", numbered)
 		}
-		if f.Current() != 1 {
-			t.Errorf("%d requests are under way", f.Current())
+		if f.InFlight() != 1 {
+			t.Errorf("%d requests are under way", f.InFlight())
 		}
 		close(goOn)
 		if got := <-old; got != 200 {
--- a/internal/standalone/listener/close_test.go
+++ b/internal/standalone/listener/close_test.go
@@ -67,7 +67,7 @@
 }
 
 // serveHeld serves on a real socket, and connects one client to it.
-func serveHeld(t *testing.T, f *Front) (client *net.TCPConn, held *heldConn, stop func() chan error) {
+func serveHeld(t *testing.T, f *Server) (client *net.TCPConn, held *heldConn, stop func() chan error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -87,18 +87,18 @@
 // A request that is read in the moment in which the proxy ends its connection is not sent on: its answer would find no connection,
 // and its client sends it again. Without the lock between the two it was read, as the read had taken its bytes when the proxy looked.
 func TestARequestThatCrossesTheEndIsNotRead(t *testing.T) {
-	for name, end := range map[string]func(f *Front, stop func() chan error){
-		"making room": func(f *Front, _ func() chan error) {
-			if !f.sockets.makeRoom() {
+	for name, end := range map[string]func(f *Server, stop func() chan error){
+		"making room": func(f *Server, _ func() chan error) {
+			if !f.budget.evict() {
 				t.Error("no room was made")
 			}
 		},
-		"stopping": func(_ *Front, stop func() chan error) { stop() },
+		"stopping": func(_ *Server, stop func() chan error) { stop() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int32
-			f := New(Options{Settings: site(), Ready: func() bool { return true }, MostSockets: 9, Log: slog.New(slog.DiscardHandler),
-				Successor: func() bool { return true }, Transport: transport(func(r *http.Request) (*http.Response, error) {
+			f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
+				HasSuccessor: func() bool { return true }, Transport: transport(func(r *http.Request) (*http.Response, error) {
 					requests.Add(1)
 					return answer(r)
 				})})
@@ -107,7 +107,7 @@
 			if resp, _, err := request(client, br, quote); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("%v, %v", resp, err)
 			}
-			for f.sockets.idleNow() == 0 { // the state changes just after the answer
+			for f.budget.idleNow() == 0 { // the state changes just after the answer
 				time.Sleep(time.Millisecond)
 			}
 			held.holding.Store(true)
@@ -134,16 +134,16 @@
 }
 
 // idleNow is how many sockets are idle, and muteNow how many have brought nothing yet.
-func (s *sockets) idleNow() int {
+func (s *socketBudget) idleNow() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.idle
 }
 
-func (s *sockets) muteNow() int {
+func (s *socketBudget) muteNow() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.mute
+	return s.unused
 }
 
 // An answer that its client has not taken yet when the proxy closes the connection is not lost to bytes that lie there unread. What
@@ -186,8 +186,8 @@
 
 // A connection that is ended while it rests hears an end and no reset, also when a request crosses it, and does not hold the stop up.
 func TestARestingConnectionIsEndedInOrder(t *testing.T) {
-	f := New(Options{Settings: site(), Ready: func() bool { return true }, MostSockets: 9, Log: slog.New(slog.DiscardHandler),
-		Successor: func() bool { return true }, Transport: transport(answer)})
+	f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
+		HasSuccessor: func() bool { return true }, Transport: transport(answer)})
 	client, held, stop := serveHeld(t, f)
 	br := bufio.NewReader(client)
 	if resp, _, err := request(client, br, quote); err != nil || resp.StatusCode != 200 {
@@ -208,7 +208,7 @@
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Errorf("the client reads %v", err)
 	}
-	if err := <-ended; err != nil || time.Since(begin) > acceptOn+2*lingerFor {
+	if err := <-ended; err != nil || time.Since(begin) > acceptGrace+2*lingerTimeout {
 		t.Errorf("%v after %v", err, time.Since(begin))
 	}
 }
@@ -221,8 +221,8 @@
 		rest bool // the rest comes
 	}{"on a new connection": {false, true}, "on a kept one": {true, true}, "never whole": {true, false}} {
 		synctest.Test(t, func(t *testing.T) {
-			f := New(Options{Settings: site(), Ready: func() bool { return true }, MostSockets: 9, Log: slog.New(slog.DiscardHandler),
-				Successor: func() bool { return true }, Transport: transport(answer)})
+			f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
+				HasSuccessor: func() bool { return true }, Transport: transport(answer)})
 			ln, stop := start(t, f)
 			client, r := ln.dial()
 			defer client.Close()
@@ -244,7 +244,7 @@
 			} else if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
 				t.Errorf("%s: %v", name, err)
 			}
-			if err := <-ended; err != nil || time.Since(begin) > countedAtMost+killAfter {
+			if err := <-ended; err != nil || time.Since(begin) > maxCountedDeadline+killDelay {
 				t.Errorf("%s: %v after %v", name, err, time.Since(begin))
 			}
 		})
@@ -257,7 +257,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		set := site()
 		set.Classes[0].Name = "ready"
-		f := New(Options{Settings: set, Ready: func() bool { return true }, MostSockets: 9, Log: slog.New(slog.DiscardHandler), Transport: transport(answer)})
+		f := New(Options{Settings: set, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler), Transport: transport(answer)})
 		ln, stop := start(t, f)
 		c, r := ln.dial()
 		for _, x := range [][2]string{
--- a/internal/standalone/listener/conn.go
+++ b/internal/standalone/listener/conn.go
@@ -20,15 +20,15 @@
 type clientConn struct {
 	net.Conn
 
-	mu      sync.Mutex // guards what follows
-	scanner httpframing.Scanner
-	reading bool  // a Read is under way
-	ended   bool  // by the proxy: what a read brings from then on was never read
-	handled int32 // requests that came to the handler
-
-	aborted   atomic.Bool  // net/http has stopped its own read
-	stage     atomic.Int32 // of a kept connection, between its requests
-	lingering atomic.Bool  // it is closed, and waits for its client to have heard of that
+	mu              sync.Mutex // guards what follows
+	scanner         httpframing.Scanner
+	readInProgress  bool  // a Read is under way
+	endedByProxy    bool  // by the proxy: what a read brings from then on was never read
+	handledRequests int32 // requests that came to the handler
+
+	readAborted atomic.Bool  // net/http has stopped its own read
+	phase       atomic.Int32 // of a kept connection, between its requests
+	lingering   atomic.Bool  // it is closed, and waits for its client to have heard of that
 }
 
 // Read notes the heads that pass. net/http reads on one goroutine at a time, which need not be the handler's.
@@ -37,16 +37,16 @@
 // whose last byte the kernel holds is taken. Closed for being slow, it would be lost.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
-	c.reading = true
+	c.readInProgress = true
 	c.mu.Unlock()
 	for {
 		n, err := c.Conn.Read(b)
-		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && !c.aborted.Load() && !socket.Quiet(c.Conn) {
-			if err = c.Conn.SetReadDeadline(time.Now().Add(graceForRead)); err == nil {
+		if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) && !c.readAborted.Load() && !socket.IsOpenAndEmpty(c.Conn) {
+			if err = c.Conn.SetReadDeadline(time.Now().Add(lateReadGrace)); err == nil {
 				n, err = c.Conn.Read(b)
 			}
 		}
-		if over := c.took(b[:n], err); !over {
+		if over := c.recordRead(b[:n], err); !over {
 			return n, err
 		} else if err != nil {
 			return 0, err
@@ -54,35 +54,35 @@
 	}
 }
 
-// took notes what a read has brought, and says whether the connection had been ended before: a request that came meanwhile is
+// recordRead notes what a read has brought, and says whether the connection had been ended before: a request that came meanwhile is
 // not read, so that its client may send it again elsewhere.
-func (c *clientConn) took(b []byte, err error) (over bool) {
+func (c *clientConn) recordRead(b []byte, err error) (over bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.reading = c.ended && err == nil
-	if !c.ended && c.scanner.Coded == 0 {
+	c.readInProgress = c.endedByProxy && err == nil
+	if !c.endedByProxy && c.scanner.TransferEncodingHead == 0 {
 		c.scanner.Scan(b)
 	}
-	return c.ended
+	return c.endedByProxy
 }
 
-// part ends a connection that is between two requests and says whether it has: not where something of a request has come, read or
+// endIfIdle ends a connection that is between two requests and says whether it has: not where something of a request has come, read or
 // not, unless always. It looks and decides in one, as a request may come between the two.
-func (c *clientConn) part(always bool) bool {
+func (c *clientConn) endIfIdle(always bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	begun := !c.scanner.Between() || c.scanner.Heads != c.handled
-	if c.ended || !c.reading || !always && (begun || !socket.Quiet(c.Conn)) {
+	begun := !c.scanner.AtMessageBoundary() || c.scanner.Heads != c.handledRequests
+	if c.endedByProxy || !c.readInProgress || !always && (begun || !socket.IsOpenAndEmpty(c.Conn)) {
 		return false
 	}
-	c.ended = true
+	c.endedByProxy = true
 	return true
 }
 
-// retire ends a connection between two requests in order: its client hears of the end first, and what crosses that is read, to
+// closeGracefully ends a connection between two requests in order: its client hears of the end first, and what crosses that is read, to
 // nowhere, until by at the latest. A close over bytes that nobody has read would reset the connection.
-func (c *clientConn) retire(by time.Time, always bool) {
-	if !c.part(always) {
+func (c *clientConn) closeGracefully(by time.Time, always bool) {
+	if !c.endIfIdle(always) {
 		return
 	}
 	c.lingering.Store(true)
@@ -96,96 +96,96 @@
 	return ok && half.CloseWrite() == nil
 }
 
-// lingerFor is how long a closed connection may wait for its client to close its side, and mostLingering how many bytes are read
+// lingerTimeout is how long a closed connection may wait for its client to close its side, and maxLingerBytes how many bytes are read
 // meanwhile.
 const (
-	lingerFor     = 500 * time.Millisecond
-	mostLingering = 256 << 10
+	lingerTimeout  = 500 * time.Millisecond
+	maxLingerBytes = 256 << 10
 )
 
 // Close is net/http's, after a last answer or for want of a request. Bytes that lie unread, or come before the client has heard
 // of the end, would have the kernel reset the connection, and drop what it still holds of the answer.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
-	ended := c.ended
-	c.ended = true
+	ended := c.endedByProxy
+	c.endedByProxy = true
 	c.mu.Unlock()
-	if ended || socket.Left(c.Conn) || !c.closeWrite() {
+	if ended || socket.HasPeerClosed(c.Conn) || !c.closeWrite() {
 		return c.Conn.Close()
 	}
 	c.lingering.Store(true)
-	if err := c.Conn.SetReadDeadline(time.Now().Add(lingerFor)); err == nil {
-		_, _ = io.CopyBuffer(io.Discard, struct{ io.Reader }{io.LimitReader(c.Conn, mostLingering)}, make([]byte, 4<<10))
+	if err := c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout)); err == nil {
+		_, _ = io.CopyBuffer(io.Discard, struct{ io.Reader }{io.LimitReader(c.Conn, maxLingerBytes)}, make([]byte, 4<<10))
 	}
 	return c.Conn.Close()
 }
 
-// gone says whether a request's client has closed its connection, or its half of it. net/http watches for that by a read of one
+// clientDisconnected says whether a request's client has closed its connection, or its half of it. net/http watches for that by a read of one
 // byte, which tells it too late for a request that comes together with the end, and never behind bytes that came after the request.
-func gone(r *http.Request) bool {
-	c, ok := r.Context().Value(connKey{}).(*clientConn)
-	return ok && socket.Left(c.Conn)
+func clientDisconnected(r *http.Request) bool {
+	c, ok := r.Context().Value(connContextKey{}).(*clientConn)
+	return ok && socket.HasPeerClosed(c.Conn)
 }
 
-// graceForRead is more than enough for a read of what is there already.
-const graceForRead = 50 * time.Millisecond
+// lateReadGrace is more than enough for a read of what is there already.
+const lateReadGrace = 50 * time.Millisecond
 
 // SetReadDeadline is net/http's. It sets a moment long past to stop a read of its own, which must not go on then. And it
 // gives each head as long as the first on its connection, where a client is owed an error or a close soon: a later request
 // that is cut off in the middle may be whole by then, and lost, so it gets more.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
-	c.aborted.Store(!t.IsZero() && time.Since(t) > time.Hour)
+	c.readAborted.Store(!t.IsZero() && time.Since(t) > time.Hour)
 	switch {
-	case c.aborted.Load() || t.IsZero():
-	case c.stage.CompareAndSwap(idleStage, headStage): // this is the time that it may be idle; the next is the head's
-	case c.stage.Load() == headStage:
-		t = t.Add(laterHeads)
+	case c.readAborted.Load() || t.IsZero():
+	case c.phase.CompareAndSwap(phaseIdle, phaseNextHead): // this is the time that it may be idle; the next is the head's
+	case c.phase.Load() == phaseNextHead:
+		t = t.Add(laterHeadExtension)
 	}
 	return c.Conn.SetReadDeadline(t)
 }
 
 // Stages of a kept connection.
 const (
-	busyStage int32 = iota // it has a request, or never had one
-	idleStage
-	headStage // its time for idling is set, so the next that is set is for a further request's head
+	phaseActive int32 = iota // it has a request, or never had one
+	phaseIdle
+	phaseNextHead // its time for idling is set, so the next that is set is for a further request's head
 )
 
-// laterHeads is how much longer than the first head a later one may take.
-const laterHeads = 3 * time.Second
+// laterHeadExtension is how much longer than the first head a later one may take.
+const laterHeadExtension = 3 * time.Second
 
-// buffers are the pieces in which answers are copied to clients. Without a pool ReverseProxy makes one of 32 KiB for each
+// bufferPool are the pieces in which answers are copied to clients. Without a pool ReverseProxy makes one of 32 KiB for each
 // answer: at a thousand a second the collector had little else to do.
-type buffers struct{ pool sync.Pool }
+type bufferPool struct{ pool sync.Pool }
 
-// bufferSize holds nearly every answer whole.
-const bufferSize = 16 << 10
+// copyBufferBytes holds nearly every answer whole.
+const copyBufferBytes = 16 << 10
 
-func newBuffers() *buffers {
-	return &buffers{sync.Pool{New: func() any { return new([bufferSize]byte) }}}
+func newBufferPool() *bufferPool {
+	return &bufferPool{sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}}
 }
 
 // Get and Put are httputil.BufferPool's.
-func (b *buffers) Get() []byte    { return b.pool.Get().(*[bufferSize]byte)[:] }
-func (b *buffers) Put(old []byte) { b.pool.Put((*[bufferSize]byte)(old)) }
+func (b *bufferPool) Get() []byte    { return b.pool.Get().(*[copyBufferBytes]byte)[:] }
+func (b *bufferPool) Put(old []byte) { b.pool.Put((*[copyBufferBytes]byte)(old)) }
 
-type connKey struct{}
+type connContextKey struct{}
 
-func withConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+func contextWithConn(ctx context.Context, c net.Conn) context.Context {
+	return context.WithValue(ctx, connContextKey{}, c)
 }
 
-// delimited counts a request that came to the handler, and returns whether its body has a Transfer-Encoding and whether
+// recordRequest counts a request that came to the handler, and returns whether its body has a Transfer-Encoding and whether
 // a length as well. Behind such a request the scanner is lost, which is why it is its connection's last.
-func delimited(r *http.Request) (coded, both bool) {
-	c, ok := r.Context().Value(connKey{}).(*clientConn)
+func recordRequest(r *http.Request) (coded, both bool) {
+	c, ok := r.Context().Value(connContextKey{}).(*clientConn)
 	if !ok {
 		return false, false
 	}
-	c.stage.Store(busyStage)
+	c.phase.Store(phaseActive)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.handled++
-	coded = c.scanner.Coded == c.handled
-	return coded, coded && c.scanner.Both
+	c.handledRequests++
+	coded = c.scanner.TransferEncodingHead == c.handledRequests
+	return coded, coded && c.scanner.HasLengthAndEncoding
 }
--- a/internal/standalone/listener/front_test.go
+++ b/internal/standalone/listener/front_test.go
@@ -32,8 +32,8 @@
 		{Name: "issue", Semantics: "token", HardLimit: 3e6}}, Projects: []settings.Project{{Name: "acme"}, {Name: "zenith"}}}
 }
 
-func newFront(t transport, most int) *Front {
-	return New(Options{Settings: site(), Transport: t, Ready: func() bool { return true }, MostSockets: most,
+func newFront(t transport, most int) *Server {
+	return New(Options{Settings: site(), Transport: t, Ready: func() bool { return true }, GuaranteedSockets: most,
 		Log: slog.New(slog.DiscardHandler)})
 }
 
@@ -67,7 +67,7 @@
 }
 
 // start serves until stop is called, which returns Serve's error once it has ended.
-func start(t *testing.T, f *Front) (ln *pipes, stop func() chan error) {
+func start(t *testing.T, f *Server) (ln *pipes, stop func() chan error) {
 	ln = listen()
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
@@ -102,7 +102,7 @@
 					t.Errorf("%s %s %v", r.Method, r.Host, r.Header)
 				}
 				deadline, _ := r.Context().Deadline()
-				if key := forwarder.InboundOf(r.Context()).Key; key != xxhash.Sum64String("7f3a") {
+				if key := forwarder.RequestInfoFrom(r.Context()).SessionKey; key != xxhash.Sum64String("7f3a") {
 					t.Errorf("key %x goes to the module", key)
 				}
 				if left := time.Until(deadline); left != 480*time.Millisecond {
@@ -276,7 +276,7 @@
 		if resp, _, err := request(conns[1], readers[1], quote); err != nil || resp.StatusCode != 200 {
 			t.Errorf("the second: %v, %v", resp, err)
 		}
-		if n := f.sockets.count(); n != 2 {
+		if n := f.budget.count(); n != 2 {
 			t.Errorf("%d sockets, want 2", n)
 		}
 		for _, c := range conns {
@@ -340,7 +340,7 @@
 	})
 }
 
-// Sockets that say nothing, or only half of something, are closed in time; silent ones by the hundred push out no client
+// SocketLimit that say nothing, or only half of something, are closed in time; silent ones by the hundred push out no client
 // that has been served, and one that says something is served in between.
 func TestSilentSocketsMakeWay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -357,7 +357,7 @@
 			c, _ := ln.dial()
 			silent = append(silent, c)
 			time.Sleep(3 * time.Millisecond)
-			if n := f.sockets.count(); n > 10 {
+			if n := f.budget.count(); n > 10 {
 				t.Fatalf("%d sockets with a budget of 10", n)
 			}
 			if i%50 == 49 {
@@ -369,14 +369,14 @@
 		if _, err := io.ReadAll(halfReader); err != nil {
 			t.Error(err)
 		}
-		time.Sleep(headWithin + time.Millisecond)
+		time.Sleep(headTimeout + time.Millisecond)
 		synctest.Wait()
-		if n := f.sockets.count(); n != 1 {
+		if n := f.budget.count(); n != 1 {
 			t.Errorf("%d sockets, want the usual one", n)
 		}
-		time.Sleep(idleFor)
+		time.Sleep(idleTimeout)
 		synctest.Wait()
-		if n := f.sockets.count(); n != 0 {
+		if n := f.budget.count(); n != 0 {
 			t.Errorf("%d sockets that have been idle for long", n)
 		}
 		for _, c := range append(silent, usual, half) {
@@ -410,13 +410,13 @@
 			conns = append(conns, c)
 			synctest.Wait()
 		}
-		if n := f.sockets.count(); closed != 3 || n != 14 || f.sockets.idleNow() != 9 || f.sockets.muteNow() != 5 {
-			t.Errorf("%d closed, %d open, %d idle, %d mute", closed, n, f.sockets.idleNow(), f.sockets.muteNow())
+		if n := f.budget.count(); closed != 3 || n != 14 || f.budget.idleNow() != 9 || f.budget.muteNow() != 5 {
+			t.Errorf("%d closed, %d open, %d idle, %d mute", closed, n, f.budget.idleNow(), f.budget.muteNow())
 		}
-		time.Sleep(idleFor + time.Second)
+		time.Sleep(idleTimeout + time.Second)
 		synctest.Wait()
-		if f.sockets.idleNow() != 0 {
-			t.Errorf("%d idle with no socket open", f.sockets.idleNow())
+		if f.budget.idleNow() != 0 {
+			t.Errorf("%d idle with no socket open", f.budget.idleNow())
 		}
 		for _, c := range conns {
 			c.Close()
@@ -435,7 +435,7 @@
 		for i := range 3 {
 			io.WriteString(c, quote[:30])
 			if i > 0 {
-				time.Sleep(headWithin + time.Second)
+				time.Sleep(headTimeout + time.Second)
 			}
 			if resp, _, err := request(c, r, quote[30:]); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("request %d: %v, %v", i, resp, err)
@@ -446,7 +446,7 @@
 		if _, err := io.ReadAll(r); err != nil {
 			t.Error(err)
 		}
-		if took := time.Since(begin); took != headWithin+laterHeads {
+		if took := time.Since(begin); took != headTimeout+laterHeadExtension {
 			t.Errorf("half a later head held its socket for %v", took)
 		}
 		c.Close()
@@ -492,7 +492,7 @@
 	if _, err := io.WriteString(client, "GET"); err != nil {
 		t.Fatal(err)
 	}
-	for socket.Quiet(nc) { // until it has come
+	for socket.IsOpenAndEmpty(nc) { // until it has come
 		time.Sleep(time.Millisecond)
 	}
 	var b [8]byte
@@ -512,12 +512,12 @@
 	}
 }
 
-// Front sockets may use what destinations have no use for, and no more.
+// Server sockets may use what destinations have no use for, and no more.
 func TestSocketsMayGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := 3
-		f := New(Options{Settings: site(), Ready: func() bool { return true }, Log: slog.New(slog.DiscardHandler), MostSockets: 2,
-			Sockets: func() int { return now }, Transport: transport(func(r *http.Request) (*http.Response, error) {
+		f := New(Options{Settings: site(), Ready: func() bool { return true }, Log: slog.New(slog.DiscardHandler), GuaranteedSockets: 2,
+			SocketLimit: func() int { return now }, Transport: transport(func(r *http.Request) (*http.Response, error) {
 				time.Sleep(time.Second)
 				return answer(r)
 			})})
@@ -579,7 +579,7 @@
 // A session key is the same number at every proxy and in every version, and none, or one that stands twice, is no key.
 func TestSessionKeys(t *testing.T) {
 	for want, values := range map[uint64][]string{0: {"a", "b"}, 0x580fd9631c029177: {"7f3a9c21e0b4d655"}} {
-		if got := sessionKey(one(http.Header{sessionHeader: values}, sessionHeader)); got != want {
+		if got := sessionKey(singleValue(http.Header{sessionKeyHeader: values}, sessionKeyHeader)); got != want {
 			t.Errorf("%q: %#x, want %#x", values, got, want)
 		}
 	}
@@ -590,17 +590,17 @@
 	f.Add("POST", "9b1f", "issue", "zenith", "480", "900", "5c0f")
 	f.Add("GET", "9b1f", "quote", "acme", "4294967296", "-1", "")
 	f.Add("\x00", "", "iss", "\xff", "1e3", "0x9", "k")
-	rd := newFront(nil, 1).reader
+	rd := newFront(nil, 1).requests
 	f.Fuzz(func(t *testing.T, method, id, class, tenant, left, hint, key string) {
-		h := http.Header{idHeader: {id}, classHeader: {class}, tenantHeader: {tenant}, timeLeftHeader: {left},
-			hintHeader: {hint}, keyHeader: {key}}
-		var in *forwarder.Inbound
-		in, wait, err := rd.head(method, h)
+		h := http.Header{correlationIDHeader: {id}, classHeader: {class}, tenantHeader: {tenant}, timeLeftHeader: {left},
+			workHintHeader: {hint}, idempotencyKeyHeader: {key}}
+		var in *forwarder.RequestInfo
+		in, wait, err := rd.readHead(method, h)
 		if err != nil {
 			return
 		}
-		defer rd.leave(in)
-		if in.Class > 1 || in.Tenant > 1 || in.Work < 0 || wait < 0 || wait > 3*time.Second ||
+		defer rd.end(in)
+		if in.Class > 1 || in.Tenant > 1 || in.WorkHint < 0 || wait < 0 || wait > 3*time.Second ||
 			id == "" || in.Class == 1 && key == "" {
 			t.Errorf("passed: %+v, %v", in, wait)
 		}
@@ -610,10 +610,10 @@
 // takesRest is a transport that reads what of a body is still coming, as an attempt would, and counts it.
 func takesRest(got *int, ended *error) transport {
 	return func(r *http.Request) (*http.Response, error) {
-		in := forwarder.InboundOf(r.Context())
+		in := forwarder.RequestInfoFrom(r.Context())
 		*got = len(in.Body)
-		if in.Rest != nil {
-			n, err := io.Copy(io.Discard, in.Rest)
+		if in.Stream != nil {
+			n, err := io.Copy(io.Discard, in.Stream)
 			*got += int(n)
 			if *ended = err; err != nil {
 				<-r.Context().Done()
@@ -642,12 +642,12 @@
 		"long, slow":         {size: 640_000, piece: 64_000, pause: time.Second, status: 200, most: 12 * time.Second},
 		"coded, slow":        {size: 300_000, coded: true, piece: 20_000, pause: 300 * time.Millisecond, status: 200, most: 6 * time.Second},
 		"single bytes":       {size: 3000, coded: true, piece: 1, status: 200, most: time.Second},
-		"exactly kept":       {size: backend.MostBody, coded: true, piece: 4096, status: 200, most: time.Second},
+		"exactly kept":       {size: backend.MaxBufferedBody, coded: true, piece: 4096, status: 200, most: time.Second},
 		"stalls at once":     {size: 640_000, piece: 10, sent: 10, status: 400, most: 2100 * time.Millisecond},
 		"stalls later":       {size: 640_000, piece: 64_000, sent: 320_000, most: 8 * time.Second},
 		"far too slow":       {size: 640_000, piece: 4000, pause: time.Second, status: 400, most: 4 * time.Second},
 		"client leaves":      {size: 900_000, piece: 100_000, sent: 300_000, leaves: true, most: time.Second},
-		"longer than it may": {size: backend.MostLong + 1000, coded: true, piece: 1 << 20, most: time.Second},
+		"longer than it may": {size: backend.MaxStreamedBody + 1000, coded: true, piece: 1 << 20, most: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -704,7 +704,7 @@
 				if err := <-stop(); err != nil {
 					t.Error(err)
 				}
-				if f.Current() != 0 || len(f.ids.ids) != 0 || f.Sockets() != 0 {
+				if f.InFlight() != 0 || len(f.openIDs.ids) != 0 || f.OpenSockets() != 0 {
 					t.Error("something is kept of it")
 				}
 				if c.leaves && (ended == nil || got != c.sent) { // the step that reads must learn of it
@@ -724,8 +724,8 @@
 		synctest.Test(t, func(t *testing.T) {
 			var over time.Time
 			f := newFront(func(r *http.Request) (*http.Response, error) {
-				if in := forwarder.InboundOf(r.Context()); in.Rest != nil {
-					go io.Copy(io.Discard, in.Rest)
+				if in := forwarder.RequestInfoFrom(r.Context()); in.Stream != nil {
+					go io.Copy(io.Discard, in.Stream)
 				}
 				<-r.Context().Done()
 				if over = time.Now(); !errors.Is(context.Cause(r.Context()), context.DeadlineExceeded) {
@@ -811,15 +811,15 @@
 func TestClientsThatTakeNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stalled{}
-		a := &answering{ResponseWriter: s, conn: http.NewResponseController(s)}
+		a := &responseWriter{ResponseWriter: s, conn: http.NewResponseController(s)}
 		if _, err := a.Write([]byte("x")); err != nil || !s.deadline.IsZero() {
 			t.Errorf("the first piece: %v, deadline %v", err, s.deadline)
 		}
 		begun := time.Now()
-		if _, err := a.Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) != takesWithin {
+		if _, err := a.Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) != writeStallTimeout {
 			t.Errorf("%v after %v", err, time.Since(begun))
 		}
-		if a.done(); !s.deadline.IsZero() {
+		if a.clearWriteDeadline(); !s.deadline.IsZero() {
 			t.Error("a deadline is left")
 		}
 	})
--- a/internal/standalone/listener/gate.go
+++ b/internal/standalone/listener/gate.go
@@ -15,14 +15,14 @@
 	"pumiceline/internal/standalone/forwarder"
 )
 
-// gateTick is how often the door is told of the time while requests wait.
-const gateTick = 10 * time.Millisecond
+// gateTickInterval is how often the door is told of the time while requests wait.
+const gateTickInterval = 10 * time.Millisecond
 
-// gateMargin is how long before its deadline a request is refused at the latest, so that its client still hears of it.
-const gateMargin = 2 * gateTick
+// gateRejectMargin is how long before its deadline a request is refused at the latest, so that its client still hears of it.
+const gateRejectMargin = 2 * gateTickInterval
 
-// reportEvery is how often the door's state is logged while it has had to refuse or hold anything.
-const reportEvery = 10 * time.Second
+// statsInterval is how often the door's state is logged while it has had to refuse or hold anything.
+const statsInterval = 10 * time.Second
 
 // Gate runs the door for the front sockets: it owns it, keeps its clock, and lets each request wait for its decision.
 type Gate struct {
@@ -30,12 +30,12 @@
 	seed   maphash.Seed // clients are told apart by their address's hash, which nobody outside can steer
 	origin time.Time
 
-	mu      sync.Mutex
-	door    *admission.Door
-	names   []string
-	actions []admission.Action
-	waiting map[admission.Ticket]chan admission.Action
-	stats   []admission.TenantStats // as last logged
+	mu          sync.Mutex
+	controller  *admission.Door
+	tenantNames []string
+	actions     []admission.Action
+	pending     map[admission.Ticket]chan admission.Action
+	loggedStats []admission.TenantStats // as last logged
 }
 
 // NewGate returns a gate for a door with these settings.
@@ -44,38 +44,38 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gate{log: log, seed: maphash.MakeSeed(), origin: time.Now(), door: d, waiting: map[admission.Ticket]chan admission.Action{}}
-	g.adopt(set)
+	g := &Gate{log: log, seed: maphash.MakeSeed(), origin: time.Now(), controller: d, pending: map[admission.Ticket]chan admission.Action{}}
+	g.useSettings(set)
 	return g, nil
 }
 
-func (g *Gate) adopt(set admission.Settings) {
-	g.names = g.names[:0]
+func (g *Gate) useSettings(set admission.Settings) {
+	g.tenantNames = g.tenantNames[:0]
 	for _, t := range set.Tenants {
-		g.names = append(g.names, t.Name)
+		g.tenantNames = append(g.tenantNames, t.Name)
 	}
-	g.stats = make([]admission.TenantStats, len(g.names))
+	g.loggedStats = make([]admission.TenantStats, len(g.tenantNames))
 }
 
 // now is the door's clock, by the monotonic one.
 func (g *Gate) now() admission.Time { return time.Since(g.origin).Microseconds() + 1 }
 
-// Change takes over other settings as one whole, or none of them.
-func (g *Gate) Change(set admission.Settings) error {
+// ApplySettings takes over other settings as one whole, or none of them.
+func (g *Gate) ApplySettings(set admission.Settings) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out, err := g.door.Change(g.now(), set, g.actions[:0])
+	out, err := g.controller.Change(g.now(), set, g.actions[:0])
 	if err != nil {
 		return err
 	}
-	g.adopt(set)
-	g.tell(out)
+	g.useSettings(set)
+	g.deliver(out)
 	return nil
 }
 
 // Run lets the door's time pass until ctx ends.
 func (g *Gate) Run(ctx context.Context) {
-	tick, report := time.NewTicker(gateTick), time.NewTicker(reportEvery)
+	tick, report := time.NewTicker(gateTickInterval), time.NewTicker(statsInterval)
 	defer tick.Stop()
 	defer report.Stop()
 	for {
@@ -84,40 +84,40 @@
 			return
 		case <-tick.C:
 			g.mu.Lock()
-			g.tell(g.door.Tick(g.now(), g.actions[:0]))
+			g.deliver(g.controller.Tick(g.now(), g.actions[:0]))
 			g.mu.Unlock()
 		case <-report.C:
-			g.report()
+			g.logStats()
 		}
 	}
 }
 
-// tell hands decisions to those that wait for them. Called with the lock held.
-func (g *Gate) tell(out []admission.Action) {
+// deliver hands decisions to those that wait for them. Called with the lock held.
+func (g *Gate) deliver(out []admission.Action) {
 	for _, a := range out {
-		if c := g.waiting[a.Ticket]; c != nil {
+		if c := g.pending[a.Ticket]; c != nil {
 			c <- a // it has room for the one decision that there is
-			delete(g.waiting, a.Ticket)
+			delete(g.pending, a.Ticket)
 		}
 	}
 	g.actions = out[:0]
 }
 
-// enter takes a request through the door. It returns once the request may go on, is refused, or ctx has ended; leave is to be
+// admit takes a request through the door. It returns once the request may go on, is refused, or ctx has ended; leave is to be
 // called at the request's end if it may go on, and is nil otherwise.
-func (g *Gate) enter(ctx context.Context, r *http.Request, in *forwarder.Inbound, deadline time.Time) (leave func(served bool), refused admission.Action) {
+func (g *Gate) admit(ctx context.Context, r *http.Request, in *forwarder.RequestInfo, deadline time.Time) (leave func(served bool), refused admission.Action) {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		host = r.RemoteAddr
 	}
-	ask := admission.Request{Tenant: int(in.Tenant), Class: int(in.Class), Client: maphash.String(g.seed, host), Work: in.Work,
-		Repeat: one(r.Header, repeatHeader) == "1"}
+	ask := admission.Request{Tenant: int(in.Tenant), Class: int(in.Class), Client: maphash.String(g.seed, host), Work: in.WorkHint,
+		Repeat: singleValue(r.Header, repeatHeader) == "1"}
 	g.mu.Lock()
-	ask.Deadline = g.now() + time.Until(deadline.Add(-gateMargin)).Microseconds()
+	ask.Deadline = g.now() + time.Until(deadline.Add(-gateRejectMargin)).Microseconds()
 	decided := make(chan admission.Action, 1)
-	ticket, out := g.door.Arrive(g.now(), ask, g.actions[:0])
-	g.waiting[ticket] = decided
-	g.tell(out)
+	ticket, out := g.controller.Arrive(g.now(), ask, g.actions[:0])
+	g.pending[ticket] = decided
+	g.deliver(out)
 	g.mu.Unlock()
 	var a admission.Action
 	select {
@@ -128,11 +128,11 @@
 		select {
 		case a = <-decided: // just before
 			if a.Kind == admission.Enter {
-				g.tell(g.door.Leave(g.now(), ticket, false, g.actions[:0]))
+				g.deliver(g.controller.Leave(g.now(), ticket, false, g.actions[:0]))
 			}
 		default:
-			delete(g.waiting, ticket)
-			g.tell(g.door.Abandon(g.now(), ticket, g.actions[:0]))
+			delete(g.pending, ticket)
+			g.deliver(g.controller.Abandon(g.now(), ticket, g.actions[:0]))
 		}
 		return nil, admission.Action{Kind: admission.Refuse, Reason: admission.TooLate}
 	}
@@ -142,18 +142,18 @@
 	return func(served bool) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.tell(g.door.Leave(g.now(), ticket, served, g.actions[:0]))
+		g.deliver(g.controller.Leave(g.now(), ticket, served, g.actions[:0]))
 	}, a
 }
 
-// report logs what each tenant has come to since the last time, where anything had to wait or was refused.
-func (g *Gate) report() {
+// logStats logs what each tenant has come to since the last time, where anything had to wait or was refused.
+func (g *Gate) logStats() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	limit, inside, waits := g.door.State()
-	for i, name := range g.names {
-		s, last := g.door.Stats(i), g.stats[i]
-		g.stats[i] = s
+	limit, inside, waits := g.controller.State()
+	for i, name := range g.tenantNames {
+		s, last := g.controller.Stats(i), g.loggedStats[i]
+		g.loggedStats[i] = s
 		refused := 0
 		args := []any{"tenant", name, "came", s.Came - last.Came, "entered", s.Entered - last.Entered, "waits", s.Waiting,
 			"work_s", (s.Work - last.Work) / 1e6, "returns", s.Returned - last.Returned, "returns_in", s.ReturnsIn - last.ReturnsIn}
@@ -168,8 +168,8 @@
 	}
 }
 
-// busy answers a refusal of the door's: nothing was sent, so trying again is harmless.
-func busy(w http.ResponseWriter, a admission.Action) {
+// writeRejection answers a refusal of the door's: nothing was sent, so trying again is harmless.
+func writeRejection(w http.ResponseWriter, a admission.Action) {
 	if a.After > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.After)/1e6, 'f', 3, 64))
 	}
--- a/internal/standalone/listener/gate_test.go
+++ b/internal/standalone/listener/gate_test.go
@@ -19,7 +19,7 @@
 )
 
 // gated is a front behind a door that lets four in at once, before a transport that takes 100 ms.
-func gated(t *testing.T, change func(s *admission.Settings)) (*Front, *Gate) {
+func gated(t *testing.T, change func(s *admission.Settings)) (*Server, *Gate) {
 	t.Helper()
 	s := admission.Defaults()
 	s.Tenants = []admission.Tenant{{Name: "acme", Share: 1}, {Name: "zenith", Share: 1}}
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := New(Options{Settings: site(), Ready: func() bool { return true }, MostSockets: 10_000, Gate: g, Log: slog.New(slog.DiscardHandler),
+	f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 10_000, Gate: g, Log: slog.New(slog.DiscardHandler),
 		Transport: transport(func(r *http.Request) (*http.Response, error) {
 			select { // as a route does
 			case <-time.After(100 * time.Millisecond):
@@ -154,10 +154,10 @@
 		less.Least, less.Start, less.Most, less.Waiting = 2, 2, 2, 10
 		bad := less
 		bad.Buckets = 0
-		if err := g.Change(bad); err == nil || !strings.Contains(err.Error(), "buckets") {
+		if err := g.ApplySettings(bad); err == nil || !strings.Contains(err.Error(), "buckets") {
 			t.Errorf("a wrong file passes: %v", err)
 		}
-		if err := g.Change(less); err != nil {
+		if err := g.ApplySettings(less); err != nil {
 			t.Error(err)
 		}
 		stopped := stop()
@@ -168,8 +168,8 @@
 		if n := status[200] + status[503]; n != 100-14 || status[200] < 10 || status[503] < 20 {
 			t.Errorf("answers: %v", status)
 		}
-		if _, inside, waits := g.door.State(); inside != 0 || waits != 0 || len(g.waiting) != 0 {
-			t.Errorf("%d inside, %d wait, %d are waited for", inside, waits, len(g.waiting))
+		if _, inside, waits := g.controller.State(); inside != 0 || waits != 0 || len(g.pending) != 0 {
+			t.Errorf("%d inside, %d wait, %d are waited for", inside, waits, len(g.pending))
 		}
 	})
 }
--- a/internal/standalone/listener/leave_test.go
+++ b/internal/standalone/listener/leave_test.go
@@ -25,9 +25,9 @@
 type crossing struct {
 	t       *testing.T
 	base    string
-	planner *engine.Planner
-	fleet   *backend.Fleet
-	front   *Front
+	planner *engine.Engine
+	fleet   *backend.Pool
+	front   *Server
 	arrived chan struct{}                    // a value for each request that the module is told of
 	accept  chan struct{}                    // nil: the listener takes connections at once; else a value for each
 	taken   atomic.Pointer[clientSide]       // the connection accepted last
@@ -60,7 +60,7 @@
 }
 
 // sendOn has the module send the last request.
-func (c *crossing) sendOn() { c.planner.List(policy.ListFull, nil) }
+func (c *crossing) sendOn() { c.planner.UpdateMembers(policy.ListFull, nil) }
 
 // clientSide is a connection that a listener took, and how many bytes the proxy has read from it.
 type clientSide struct {
@@ -118,10 +118,10 @@
 	go func() {
 		_ = http.Serve(upstream, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "42") }))
 	}()
-	c.fleet = backend.NewFleet(backend.Options{DialWithin: 5 * time.Second, IdleClose: time.Minute, MostSockets: 9,
+	c.fleet = backend.NewPool(backend.Options{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConnections: 9,
 		Dial: func(_ context.Context, addr string, by time.Time) (net.Conn, error) {
 			c.dialing <- struct{}{}
-			nc, err := backend.OverTCP(context.Background(), addr, by) // as one that comes up in the moment of a cancel
+			nc, err := backend.DialTCP(context.Background(), addr, by) // as one that comes up in the moment of a cancel
 			if err != nil {
 				return nil, err
 			}
@@ -130,10 +130,10 @@
 			}
 			return &backendSide{nc, &c.written}, nil
 		}}, log)
-	c.fleet.Set(1, upstream.Addr().String(), true)
-	transport := &forwarder.Transport{Planner: c.planner, Fleet: c.fleet, Log: log}
-	opts := Options{Settings: site(), Transport: transport, Ready: func() bool { return true }, MostSockets: 9, Log: log,
-		Successor: func() bool { return true }} // it ends sooner then
+	c.fleet.SetBackend(1, upstream.Addr().String(), true)
+	transport := &forwarder.Transport{Engine: c.planner, Backends: c.fleet, Log: log}
+	opts := Options{Settings: site(), Transport: transport, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: log,
+		HasSuccessor: func() bool { return true }} // it ends sooner then
 	if set != nil {
 		set(c, &opts)
 	}
@@ -185,12 +185,12 @@
 
 // seen waits until the proxy's socket knows of the leave.
 func (c *crossing) seen() {
-	c.until("the proxy's socket hears of the leave", func() bool { side := c.taken.Load(); return side != nil && socket.Left(side.TCPConn) })
+	c.until("the proxy's socket hears of the leave", func() bool { side := c.taken.Load(); return side != nil && socket.HasPeerClosed(side.TCPConn) })
 }
 
 // settled waits until nothing is left of the requests that the module was told of.
 func (c *crossing) settled() {
-	c.until("requests and attempts all end", func() bool { calls, _, _ := c.planner.Kept(); return calls == 0 && c.front.Current() == 0 })
+	c.until("requests and attempts all end", func() bool { calls, _, _ := c.planner.TableSizes(); return calls == 0 && c.front.InFlight() == 0 })
 }
 
 // leaving is the ways in which a client goes. Behind bytes that nobody reads, net/http does not hear of it.
@@ -253,12 +253,12 @@
 			c.nothingWritten()
 		})
 		t.Run("with no socket left for the backend, "+way, func(t *testing.T) {
-			c := newCrossing(t, func(c *crossing, _ *Options) { c.atOnce = true; c.fleet.Limit(0) })
+			c := newCrossing(t, func(c *crossing, _ *Options) { c.atOnce = true; c.fleet.SetMaxConnections(0) })
 			client, n := c.ask("body")
 			c.until("the first attempt finds no socket", func() bool { return c.heard.Load() == 1 })
 			leave(c, client, n)
 			c.seen()
-			c.fleet.Limit(9)
+			c.fleet.SetMaxConnections(9)
 			c.sendOn()
 			c.settled()
 			c.nothingWritten()
@@ -280,9 +280,9 @@
 			running, end := context.WithCancel(t.Context())
 			defer end()
 			go gate.Run(running)
-			room, _ := gate.enter(t.Context(), &http.Request{RemoteAddr: "127.0.0.9:1"}, &forwarder.Inbound{}, time.Now().Add(time.Hour))
+			room, _ := gate.admit(t.Context(), &http.Request{RemoteAddr: "127.0.0.9:1"}, &forwarder.RequestInfo{}, time.Now().Add(time.Hour))
 			client, n := c.ask("body")
-			c.until("it waits behind the door", func() bool { _, _, waiting := c.front.Kept(); return waiting == 1 })
+			c.until("it waits behind the door", func() bool { _, _, waiting := c.front.TableSizes(); return waiting == 1 })
 			leave(c, client, n)
 			c.seen()
 			room(true)
@@ -298,7 +298,7 @@
 			leave(c, client, n)
 			c.accept <- struct{}{}
 			c.seen()
-			c.until("the connection is given up", func() bool { return c.front.Sockets() == 0 })
+			c.until("the connection is given up", func() bool { return c.front.OpenSockets() == 0 })
 			c.settled()
 			c.nothingWritten()
 		})
--- a/internal/standalone/listener/read.go
+++ b/internal/standalone/listener/read.go
@@ -21,44 +21,44 @@
 
 // Headers of a request.
 const (
-	idHeader       = "X-Correlation-Id"
-	classHeader    = "X-Service-Class"
-	tenantHeader   = "X-Account"
-	timeLeftHeader = "X-Time-Left-Ms"
-	hintHeader     = "X-Weight-Hint"
-	keyHeader      = "Idempotency-Key"
-	sessionHeader  = "X-Session-Key"
-	repeatHeader   = "X-Repeat"
+	correlationIDHeader  = "X-Correlation-Id"
+	classHeader          = "X-Service-Class"
+	tenantHeader         = "X-Account"
+	timeLeftHeader       = "X-Time-Left-Ms"
+	workHintHeader       = "X-Weight-Hint"
+	idempotencyKeyHeader = "Idempotency-Key"
+	sessionKeyHeader     = "X-Session-Key"
+	repeatHeader         = "X-Repeat"
 )
 
-// mostHint is the largest guess at the work that is believed: an hour.
-const mostHint = 3_600_000_000
+// maxWorkHintMicros is the largest guess at the work that is believed: an hour.
+const maxWorkHintMicros = 3_600_000_000
 
-// badRequest is a fault of the client's. Its answer is plain and no busy reply: trying again would not help.
-type badRequest struct {
+// requestError is a fault of the client's. Its answer is plain and no busy reply: trying again would not help.
+type requestError struct {
 	status int
 	text   string
 }
 
-func (b *badRequest) Error() string { return b.text }
+func (b *requestError) Error() string { return b.text }
 
-func bad(format string, args ...any) error {
-	return &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+func badRequestf(format string, args ...any) error {
+	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// reader reads requests as the settings ask.
-type reader struct {
+// requestReader reads requests as the settings ask.
+type requestReader struct {
 	mu      sync.Mutex
-	book    requestclass.Book
+	classes requestclass.Book
 	tenants map[string]uint32
 }
 
-// change takes over new settings, if those that act on the classes' numbers do: apply gets the settings with the classes in
+// applySettings takes over new settings, if those that act on the classes' numbers do: apply gets the settings with the classes in
 // the order of their numbers. Requests come in by the new numbers only after it.
-func (rd *reader) change(s *settings.Settings, apply func(numbered *settings.Settings) error) error {
+func (rd *requestReader) applySettings(s *settings.Settings, apply func(numbered *settings.Settings) error) error {
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
-	plan, err := rd.book.Plan(s.Classes)
+	plan, err := rd.classes.Plan(s.Classes)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 	if err := apply(&numbered); err != nil {
 		return err
 	}
-	rd.book.Change(plan, s.Classes)
+	rd.classes.Change(plan, s.Classes)
 	rd.tenants = map[string]uint32{}
 	for i, p := range s.Projects {
 		rd.tenants[p.Name] = uint32(i)
@@ -75,128 +75,128 @@
 	return nil
 }
 
-// take begins a request of a class and a tenant. Where there is a fault, it has begun none.
-func (rd *reader) take(class, tenant string) (in *forwarder.Inbound, c settings.Class, err error) {
+// begin begins a request of a class and a tenant. Where there is a fault, it has begun none.
+func (rd *requestReader) begin(class, tenant string) (in *forwarder.RequestInfo, c settings.Class, err error) {
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
-	in = &forwarder.Inbound{}
+	in = &forwarder.RequestInfo{}
 	known := true
 	if len(rd.tenants) > 0 {
 		in.Tenant, known = rd.tenants[tenant]
 	}
-	if in.Class, c, _ = rd.book.Take(class); c.Name == "" {
-		return nil, c, bad("%s names no class", classHeader)
+	if in.Class, c, _ = rd.classes.Take(class); c.Name == "" {
+		return nil, c, badRequestf("%s names no class", classHeader)
 	}
 	if !known {
-		rd.book.Leave(in.Class)
-		return nil, c, bad("%s names no tenant", tenantHeader)
+		rd.classes.Leave(in.Class)
+		return nil, c, badRequestf("%s names no tenant", tenantHeader)
 	}
 	return in, c, nil
 }
 
-// leave ends a request that read returned.
-func (rd *reader) leave(in *forwarder.Inbound) {
+// end ends a request that read returned.
+func (rd *requestReader) end(in *forwarder.RequestInfo) {
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
-	rd.book.Leave(in.Class)
+	rd.classes.Leave(in.Class)
 }
 
 // read reads a request's headers and then its body, as far as it can be kept, and returns the client's deadline. The time left
 // counts from the request's last byte: of a body that is still to come, from there. coded and both say how the body is
 // delimited. Without an error, leave is owed.
-func (rd *reader) read(w http.ResponseWriter, r *http.Request, taken time.Time, coded, both bool) (in *forwarder.Inbound,
+func (rd *requestReader) read(w http.ResponseWriter, r *http.Request, taken time.Time, coded, both bool) (in *forwarder.RequestInfo,
 	deadline time.Time, err error) {
-	in, left, err := rd.head(r.Method, r.Header)
+	in, left, err := rd.readHead(r.Method, r.Header)
 	if err != nil {
 		return nil, deadline, err
 	}
-	defer func(begun *forwarder.Inbound) {
+	defer func(begun *forwarder.RequestInfo) {
 		if err != nil {
-			rd.leave(begun)
+			rd.end(begun)
 		}
 	}(in)
 	deadline = taken.Add(left)
 	if both {
-		return nil, deadline, bad("Content-Length and Transfer-Encoding do not go together")
+		return nil, deadline, badRequestf("Content-Length and Transfer-Encoding do not go together")
 	}
 	if coded && len(r.TransferEncoding) == 0 { // net/http reads no such body in HTTP/1.0
-		return nil, deadline, bad("Transfer-Encoding has no meaning here")
+		return nil, deadline, badRequestf("Transfer-Encoding has no meaning here")
 	}
-	if r.ContentLength > backend.MostLong {
-		return nil, deadline, &badRequest{http.StatusRequestEntityTooLarge, backend.ErrTooLong.Error()}
+	if r.ContentLength > backend.MaxStreamedBody {
+		return nil, deadline, &requestError{http.StatusRequestEntityTooLarge, backend.ErrBodyTooLarge.Error()}
 	}
 	if r.ContentLength == 0 {
 		return in, deadline, nil
 	}
-	body := &paced{body: http.MaxBytesReader(w, r.Body, backend.MostLong), conn: http.NewResponseController(w)}
+	body := &pacedBody{body: http.MaxBytesReader(w, r.Body, backend.MaxStreamedBody), conn: http.NewResponseController(w)}
 	var text bytes.Buffer
 	if r.ContentLength > 0 {
-		text.Grow(int(min(r.ContentLength, trustedLength)) + bytes.MinRead)
+		text.Grow(int(min(r.ContentLength, maxPreallocatedBytes)) + bytes.MinRead)
 	}
-	most := int64(backend.MostBody)
+	most := int64(backend.MaxBufferedBody)
 	if r.ContentLength < 0 {
-		most++ // a body of MostBody ends only with the byte after
+		most++ // a body of MaxBufferedBody ends only with the byte after
 	}
 	if _, err = text.ReadFrom(io.LimitReader(body, most)); err != nil {
-		return nil, deadline, bad("the body did not come whole")
+		return nil, deadline, badRequestf("the body did not come whole")
 	}
 	in.Body = text.Bytes()
 	if r.ContentLength > most || r.ContentLength < 0 && int64(text.Len()) == most {
-		in.Rest = requestbody.New(body, r.ContentLength, left)
+		in.Stream = requestbody.New(body, r.ContentLength, left)
 		return in, time.Now().Add(left), nil
 	}
 	if r.ContentLength > 0 { // ReadFrom stopped short of the body's own end
 		if _, err = io.Copy(io.Discard, body); err != nil {
-			return nil, deadline, bad("the body did not come whole")
+			return nil, deadline, badRequestf("the body did not come whole")
 		}
 	}
-	if now := time.Now(); now.Sub(taken) > atOnce {
+	if now := time.Now(); now.Sub(taken) > bodyArrivedWithHead {
 		deadline = now.Add(left)
 	}
 	return in, deadline, nil
 }
 
-// atOnce is within what a body that came with its head is read, even by a busy proxy: its client's time counts from the head.
-const atOnce = 50 * time.Millisecond
+// bodyArrivedWithHead is within what a body that came with its head is read, even by a busy proxy: its client's time counts from the head.
+const bodyArrivedWithHead = 50 * time.Millisecond
 
-// trustedLength is how much memory a body gets for what it says of its length alone.
-const trustedLength = 16 << 10
+// maxPreallocatedBytes is how much memory a body gets for what it says of its length alone.
+const maxPreallocatedBytes = 16 << 10
 
-func (rd *reader) head(method string, h http.Header) (*forwarder.Inbound, time.Duration, error) {
-	fail := func(format string, args ...any) (*forwarder.Inbound, time.Duration, error) {
-		return nil, 0, bad(format, args...)
+func (rd *requestReader) readHead(method string, h http.Header) (*forwarder.RequestInfo, time.Duration, error) {
+	fail := func(format string, args ...any) (*forwarder.RequestInfo, time.Duration, error) {
+		return nil, 0, badRequestf(format, args...)
 	}
-	if one(h, idHeader) == "" {
-		return fail("%s is missing or stands twice", idHeader)
+	if singleValue(h, correlationIDHeader) == "" {
+		return fail("%s is missing or stands twice", correlationIDHeader)
 	}
-	left, err := strconv.ParseUint(one(h, timeLeftHeader), 10, 32)
+	left, err := strconv.ParseUint(singleValue(h, timeLeftHeader), 10, 32)
 	if err != nil {
 		return fail("%s is no time in whole milliseconds", timeLeftHeader)
 	}
 	var work policy.Time
-	if len(h[hintHeader]) > 0 {
-		hint, err := strconv.ParseUint(one(h, hintHeader), 10, 64)
-		if err != nil || hint > mostHint {
-			return fail("%s is no work in microseconds", hintHeader)
+	if len(h[workHintHeader]) > 0 {
+		hint, err := strconv.ParseUint(singleValue(h, workHintHeader), 10, 64)
+		if err != nil || hint > maxWorkHintMicros {
+			return fail("%s is no work in microseconds", workHintHeader)
 		}
 		work = policy.Time(hint)
 	}
-	in, c, err := rd.take(one(h, classHeader), one(h, tenantHeader))
+	in, c, err := rd.begin(singleValue(h, classHeader), singleValue(h, tenantHeader))
 	if err != nil {
 		return nil, 0, err
 	}
-	in.Work, in.Key = work, sessionKey(one(h, sessionHeader))
+	in.WorkHint, in.SessionKey = work, sessionKey(singleValue(h, sessionKeyHeader))
 	want := http.MethodGet
 	if c.Semantics != "pure" {
 		want = http.MethodPost
-		if c.Semantics == "token" && one(h, keyHeader) == "" { // without one, a request must not be repeated, and needs no key
-			rd.leave(in)
-			return fail("%s is missing or stands twice", keyHeader)
+		if c.Semantics == "token" && singleValue(h, idempotencyKeyHeader) == "" { // without one, a request must not be repeated, and needs no key
+			rd.end(in)
+			return fail("%s is missing or stands twice", idempotencyKeyHeader)
 		}
 	}
 	if method != want {
-		rd.leave(in)
-		return nil, 0, &badRequest{http.StatusMethodNotAllowed, "this class goes by " + want}
+		rd.end(in)
+		return nil, 0, &requestError{http.StatusMethodNotAllowed, "this class goes by " + want}
 	}
 	most := time.Duration(settings.Micros(c.HardLimit)) * time.Microsecond
 	return in, min(time.Duration(left)*time.Millisecond, most), nil
@@ -210,17 +210,17 @@
 	return max(1, xxhash.Sum64String(text))
 }
 
-// openIDs are the correlation ids of the requests under way. Another request with one of them would be taken for the
+// openIDSet are the correlation ids of the requests under way. Another request with one of them would be taken for the
 // same one at a destination and in every log.
-type openIDs struct {
+type openIDSet struct {
 	mu  sync.Mutex
 	ids map[string]struct{}
 }
 
-func newOpenIDs() *openIDs { return &openIDs{ids: map[string]struct{}{}} }
+func newOpenIDSet() *openIDSet { return &openIDSet{ids: map[string]struct{}{}} }
 
-// open says whether id was free, and takes it.
-func (o *openIDs) open(id string) bool {
+// reserve says whether id was free, and takes it.
+func (o *openIDSet) reserve(id string) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if _, taken := o.ids[id]; taken {
@@ -230,14 +230,14 @@
 	return true
 }
 
-func (o *openIDs) close(id string) {
+func (o *openIDSet) release(id string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	delete(o.ids, id)
 }
 
-// one returns a header's only value, or nothing if there are several: no choice among them would be right.
-func one(h http.Header, name string) string {
+// singleValue returns a header's only value, or nothing if there are several: no choice among them would be right.
+func singleValue(h http.Header, name string) string {
 	if v := h[name]; len(v) == 1 {
 		return v[0]
 	}
--- a/internal/standalone/listener/stop_test.go
+++ b/internal/standalone/listener/stop_test.go
@@ -19,7 +19,7 @@
 		{9 * time.Second, 2450 * time.Millisecond, 3450 * time.Millisecond}, // SIGKILL waits for 3 s at most
 		{200 * time.Millisecond, 0, 650 * time.Millisecond},                 // no time to keep anything: close at once
 	} {
-		if closeFrom, last := stopTimes(stop, c[0]); closeFrom.Sub(stop) != c[1] || last.Sub(stop) != c[2] {
+		if closeFrom, last := shutdownTimes(stop, c[0]); closeFrom.Sub(stop) != c[1] || last.Sub(stop) != c[2] {
 			t.Errorf("longest %v: closing after %v, last answer after %v", c[0], closeFrom.Sub(stop), last.Sub(stop))
 		}
 	}
@@ -31,8 +31,8 @@
 	for _, successor := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			var stopped time.Time
-			f := New(Options{Settings: site(), Ready: func() bool { return true }, MostSockets: 9, Log: slog.New(slog.DiscardHandler),
-				Successor: func() bool { return successor }, Transport: transport(func(r *http.Request) (*http.Response, error) {
+			f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
+				HasSuccessor: func() bool { return successor }, Transport: transport(func(r *http.Request) (*http.Response, error) {
 					if d, _ := r.Context().Deadline(); !stopped.IsZero() && d.Sub(stopped) > 3450*time.Millisecond {
 						t.Errorf("a deadline %v after the stop", d.Sub(stopped)) // SIGKILL may come 3.7 s after it
 					}
@@ -76,7 +76,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			set := site()
 			set.Classes[1].HardLimit = 12e6
-			f := New(Options{Settings: set, Ready: func() bool { return true }, MostSockets: 9, Log: slog.New(slog.DiscardHandler),
+			f := New(Options{Settings: set, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
 				Transport: transport(func(r *http.Request) (*http.Response, error) {
 					<-r.Context().Done() // as a route whose module has not settled it
 					if !errors.Is(context.Cause(r.Context()), context.DeadlineExceeded) {
@@ -90,7 +90,7 @@
 			time.AfterFunc(100*time.Millisecond, func() { stop() })
 			begin := time.Now()
 			resp, _, err := request(c, r, "POST /issue HTTP/1.1\r\n"+strings.Replace(headers, "Left-Ms: 480", "Left-Ms: 12000", 1)+body)
-			if took := time.Since(begin) - 100*time.Millisecond; err != nil || resp.StatusCode != 504 || took > countedAtMost+killAfter-beforeKill {
+			if took := time.Since(begin) - 100*time.Millisecond; err != nil || resp.StatusCode != 504 || took > maxCountedDeadline+killDelay-killMargin {
 				t.Errorf("%s: %v, %v, %v after the stop", name, resp, err, took)
 			}
 			c.Close()
--- a/internal/standalone/requestbody/upload.go
+++ b/internal/standalone/requestbody/upload.go
@@ -10,36 +10,36 @@
 	"time"
 )
 
-// Upload is what of a body is still to come. One reader takes it; it is safe for concurrent use otherwise.
-type Upload struct {
-	Length int64         // of the whole body, with what is at hand already; -1: not told
-	Left   time.Duration // how long the client waits from its last byte
+// Stream is what of a body is still to come. One reader takes it; it is safe for concurrent use otherwise.
+type Stream struct {
+	Length        int64         // of the whole body, with what is at hand already; -1: not told
+	ClientTimeout time.Duration // how long the client waits from its last byte
 
-	src   io.Reader
-	taken atomic.Bool
-	once  sync.Once
-	ended chan struct{}
-	at    time.Time
-	err   error
+	source  io.Reader
+	claimed atomic.Bool
+	once    sync.Once
+	ended   chan struct{}
+	endedAt time.Time
+	err     error
 }
 
 // New returns an upload of what src still brings.
-func New(src io.Reader, length int64, left time.Duration) *Upload {
-	return &Upload{Length: length, Left: left, src: src, ended: make(chan struct{})}
+func New(src io.Reader, length int64, left time.Duration) *Stream {
+	return &Stream{Length: length, ClientTimeout: left, source: src, ended: make(chan struct{})}
 }
 
-// Take says whether the caller may read it: only the first one may, as what was read is gone.
-func (u *Upload) Take() bool { return u.taken.CompareAndSwap(false, true) }
+// Claim says whether the caller may read it: only the first one may, as what was read is gone.
+func (u *Stream) Claim() bool { return u.claimed.CompareAndSwap(false, true) }
 
-// Spent says whether it was taken.
-func (u *Upload) Spent() bool { return u.taken.Load() }
+// IsClaimed says whether it was taken.
+func (u *Stream) IsClaimed() bool { return u.claimed.Load() }
 
 // Read reads on. Its errors are the client's.
-func (u *Upload) Read(b []byte) (int, error) {
-	n, err := u.src.Read(b)
+func (u *Stream) Read(b []byte) (int, error) {
+	n, err := u.source.Read(b)
 	if err != nil {
 		u.once.Do(func() {
-			u.at = time.Now()
+			u.endedAt = time.Now()
 			if !errors.Is(err, io.EOF) {
 				u.err = err
 			}
@@ -50,14 +50,14 @@
 }
 
 // Ended closes when the last byte has been read, or none can come any more.
-func (u *Upload) Ended() <-chan struct{} { return u.ended }
+func (u *Stream) Ended() <-chan struct{} { return u.ended }
 
 // End tells when the body ended, and why before its last byte. It is to be called after Ended.
-func (u *Upload) End() (at time.Time, err error) { return u.at, u.err }
+func (u *Stream) End() (at time.Time, err error) { return u.endedAt, u.err }
 
-// Watch calls late once the client's time less margin is over, counted from the last byte, or broken where that does not come.
+// WatchDeadline calls late once the client's time less margin is over, counted from the last byte, or broken where that does not come.
 // It returns when it has, or when done closes.
-func (u *Upload) Watch(done <-chan struct{}, margin time.Duration, late func(), broken func(error)) {
+func (u *Stream) WatchDeadline(done <-chan struct{}, margin time.Duration, late func(), broken func(error)) {
 	select {
 	case <-done:
 		return
@@ -67,7 +67,7 @@
 		broken(u.err)
 		return
 	}
-	over := time.NewTimer(time.Until(u.at.Add(u.Left - margin)))
+	over := time.NewTimer(time.Until(u.endedAt.Add(u.ClientTimeout - margin)))
 	defer over.Stop()
 	select {
 	case <-done:
