--- a/cmd/pumicectl/status.go
+++ b/cmd/pumicectl/status.go
@@ -80,7 +80,7 @@
 
 func printRow(table io.Writer, address string, s *coordinator.Status) {
 	fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%v\t%v\t%v\t%d\t%s\t%d\t%d\t%d\t%s\n", address, s.View, len(s.Members), len(s.Voters),
-		s.Member, s.HasMajority, s.Serves, s.Version, s.LeaseHolder, s.Proxies, s.Backends, len(s.Tasks), s.WaitsFor)
+		s.IsMember, s.HasMajority, s.IsServing, s.Version, s.LeaseHolder, s.Proxies, s.Backends, len(s.Tasks), s.WaitingFor)
 }
 
 func describeTasks(tasks []coordinator.Task) []string {
--- a/cmd/pumicectl/stored_test.go
+++ b/cmd/pumicectl/stored_test.go
@@ -37,7 +37,7 @@
 		}},
 		{"status.json", coordinator.Status{
 			Node: "node-a", Identity: "node-a-00112233", View: 12, Members: []string{"node-a-00112233 10.0.0.1:7000"},
-			Voters: []string{"node-b-44556677 10.0.0.2:7000"}, Member: true, HasMajority: true, Serves: true, WaitsFor: "the rest of the chain",
+			Voters: []string{"node-b-44556677 10.0.0.2:7000"}, IsMember: true, HasMajority: true, IsServing: true, WaitingFor: "the rest of the chain",
 			Sequence: 41, Version: 43, LeaseHolder: "10.0.0.2:7000", LeaseToken: 77, Proxies: 3, Backends: 5,
 			Tasks: []coordinator.Task{{Backend: "b-1", Load: "m", Unload: []message.ModelName{"n"}, Adapters: []message.ModelName{"x"}, Reason: "demand"}},
 		}},
--- a/internal/controlplane/coordinator/api.go
+++ b/internal/controlplane/coordinator/api.go
@@ -3,97 +3,65 @@
 import (
 	"io"
 	"net/http"
-	"sync"
-	"sync/atomic"
 	"time"
 
+	"github.com/pkg/errors"
+
 	"pumiceline/internal/message"
 )
 
-// Times of the operator's calls. An operator that hears nothing for a second asks another member.
+// Times of the operator's requests. An operator's client asks another member after a second without a response.
 const (
-	answerWithin = 930 * time.Millisecond
-	resubmit     = 220 * time.Millisecond
-	maxBody      = 8 << 20
+	decisionTimeout  = 930 * time.Millisecond
+	resubmitInterval = 220 * time.Millisecond
 )
 
-// resultBoard brings results to the calls that wait for them.
-type resultBoard struct {
-	mutex   sync.Mutex
-	waiting map[uint64]chan *message.ConfigResponse
-	next    atomic.Uint64
-}
-
-// newResultBoard makes a board that numbers calls from incarnation, so that a result for an earlier process is none for
-// this one.
-func newResultBoard(incarnation uint64) *resultBoard {
-	b := &resultBoard{waiting: map[uint64]chan *message.ConfigResponse{}}
-	b.next.Store(incarnation)
-	return b
-}
-
-func (b *resultBoard) open() (uint64, chan *message.ConfigResponse) {
-	id, result := b.next.Add(1), make(chan *message.ConfigResponse, 1)
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	b.waiting[id] = result
-	return id, result
-}
+const maxConfigBody = 8 << 20 // bytes
 
-func (b *resultBoard) close(id uint64) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	delete(b.waiting, id)
-}
-
-func (b *resultBoard) post(result *message.ConfigResponse) {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if waiting, ok := b.waiting[result.ID]; ok {
-		select {
-		case waiting <- result:
-		default:
-		}
-	}
-}
+// errNotDecided says that no member decided a request in time. It may have been applied all the same, so the client
+// sends it again unchanged.
+var errNotDecided = errors.New("not decided yet: ask again")
 
-// api serves the operator.
-type api struct {
-	owner *owner
-	node  string
+// operatorAPI is the operator's HTTP API: GET, PUT and PATCH on /config, GET on /status.
+type operatorAPI struct {
+	loop *replicaLoop
+	node string
 }
 
-// ServeHTTP answers PUT, PATCH and GET on /config.
-func (a *api) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == "/status" && r.Method == http.MethodGet {
+// ServeHTTP answers a request of the operator.
+func (a *operatorAPI) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	switch {
+	case r.URL.Path == "/status" && r.Method == http.MethodGet:
 		a.serveStatus(w)
-		return
-	}
-	if r.URL.Path != "/config" {
+	case r.URL.Path == "/config":
+		a.serveConfig(w, r)
+	default:
 		http.NotFound(w, r)
-		return
 	}
+}
+
+func (a *operatorAPI) serveConfig(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodPut && r.Method != http.MethodPatch {
 		w.Header().Set("Allow", "GET, PUT, PATCH")
 		http.Error(w, "GET, PUT or PATCH is wanted", http.StatusMethodNotAllowed)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxConfigBody))
 	if err != nil {
 		http.Error(w, "the body cannot be read whole: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	call := &message.ConfigRequest{Method: r.Method, IfMatch: r.Header.Get("If-Match"), Body: body}
-	result := a.submit(r, call)
-	if result == nil {
+	request := &message.ConfigRequest{Method: r.Method, IfMatch: r.Header.Get("If-Match"), Body: body}
+	result, err := a.submit(r, request)
+	if err != nil {
 		w.Header().Set("Retry-After", "0.2")
-		http.Error(w, "not decided yet: ask again", http.StatusServiceUnavailable)
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
 	}
-	answer(w, r, result)
+	writeConfigResponse(w, r, result)
 }
 
-func answer(w http.ResponseWriter, r *http.Request, result *message.ConfigResponse) {
+func writeConfigResponse(w http.ResponseWriter, r *http.Request, result *message.ConfigResponse) {
 	if r.Method == http.MethodGet && len(result.Body) == 0 {
 		http.Error(w, "no configuration has been taken yet", http.StatusNotFound)
 		return
@@ -103,33 +71,39 @@
 	if len(result.Body) == 0 {
 		result.Body = []byte("{}")
 	}
-	_, _ = w.Write(result.Body) // a caller that has gone asks again
+	_, _ = w.Write(result.Body) // a client that has gone sends its request again
 }
 
-// submit brings the call to the member that decides it, again and again until it answers.
-func (a *api) submit(r *http.Request, call *message.ConfigRequest) *message.ConfigResponse {
-	id, result := a.owner.results.open()
-	defer a.owner.results.close(id)
-	call.ID = id
-	self := a.owner.self
-	deadline := time.NewTimer(answerWithin)
+// submit gives the request to the replica, which forwards it to the member that decides it. As messages may be lost it
+// does so again and again until a response comes. The error is errNotDecided.
+func (a *operatorAPI) submit(r *http.Request, request *message.ConfigRequest) (*message.ConfigResponse, error) {
+	id, results := a.loop.pending.register()
+	defer a.loop.pending.unregister(id)
+	request.ID = id
+	deadline := time.NewTimer(decisionTimeout)
 	defer deadline.Stop()
-	again := time.NewTicker(resubmit)
-	defer again.Stop()
+	resubmit := time.NewTicker(resubmitInterval)
+	defer resubmit.Stop()
 	for {
-		m := &message.Message{From: self.Identity, FromAddress: self.Address, To: self.Identity, ConfigRequest: call}
-		if s := a.owner.standing.Load(); s != nil {
-			m.View = s.view.Number
-		}
-		a.owner.deliver(m)
+		a.deliver(request)
 		select {
-		case found := <-result:
-			return found
-		case <-again.C:
+		case result := <-results:
+			return result, nil
+		case <-resubmit.C:
 		case <-deadline.C:
-			return nil
+			return nil, errNotDecided
 		case <-r.Context().Done():
-			return nil
+			return nil, errNotDecided
 		}
 	}
 }
+
+// deliver queues the request for the replica as a message from itself.
+func (a *operatorAPI) deliver(request *message.ConfigRequest) {
+	self := a.loop.self
+	m := &message.Message{From: self.Identity, FromAddress: self.Address, To: self.Identity, ConfigRequest: request}
+	if s := a.loop.snapshot.Load(); s != nil {
+		m.View = s.view.Number
+	}
+	a.loop.deliver(m)
+}
--- /dev/null
+++ b/internal/controlplane/coordinator/backends.go
@@ -0,0 +1,87 @@
+package coordinator
+
+import (
+	"context"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"pumiceline/internal/controlplane/discovery"
+	"pumiceline/internal/controlplane/placement"
+	"pumiceline/internal/message"
+)
+
+// observedModels is what a placement task saw at a backend itself. It is ahead of discovery, which lags, and takes
+// precedence until discovery has certainly caught up.
+type observedModels struct {
+	models []message.LoadedModel
+	at     time.Time
+}
+
+// pollBackends reads the backends from discovery in the background, at most once per interval.
+func (c *controller) pollBackends(ctx context.Context, now time.Time, interval time.Duration) {
+	if c.polling || now.Sub(c.lastPoll) < interval {
+		return
+	}
+	c.polling, c.lastPoll = true, now
+	go func() {
+		table, err := c.reader.Read(ctx)
+		c.events <- func(time.Time) { c.onBackendsRead(table, err) }
+	}()
+}
+
+func (c *controller) onBackendsRead(table *discovery.Table, err error) {
+	c.polling = false
+	if err != nil {
+		logrus.WithError(err).Debug("discovery poll failed")
+		return
+	}
+	c.table = table
+	c.publishBackends()
+}
+
+// publishBackends gives the hub the backends as discovery listed them, with the models that were observed since.
+func (c *controller) publishBackends() {
+	if c.table == nil {
+		return
+	}
+	discoveryLag := c.settings.Platform.MaxLag + holderPollInterval
+	merged := &discovery.Table{Observed: c.table.Observed}
+	for _, backend := range c.table.Backends {
+		seen, ok := c.observed[backend.ID]
+		_, busy := c.running[backend.ID]
+		switch {
+		case ok && !busy && c.table.Observed.Sub(seen.at) > discoveryLag:
+			delete(c.observed, backend.ID)
+		case ok:
+			backend.Models = seen.models
+		}
+		merged.Backends = append(merged.Backends, backend)
+	}
+	merged.SetDigest()
+	c.loop.hub.SetTable(merged)
+}
+
+// onModelsObserved takes what a task saw at a backend.
+func (c *controller) onModelsObserved(backend message.BackendID, models []message.LoadedModel, now time.Time) {
+	if c.leaseToken == 0 {
+		return
+	}
+	c.observed[backend] = observedModels{models: models, at: now}
+	c.publishBackends()
+}
+
+// placementBackends returns the backends as the planner needs them.
+func (c *controller) placementBackends(now time.Time) []placement.Backend {
+	backends := make([]placement.Backend, 0, len(c.table.Backends))
+	for _, entry := range c.table.Backends {
+		if seen, ok := c.observed[entry.ID]; ok {
+			entry.Models = seen.models
+		}
+		_, busy := c.running[entry.ID]
+		backends = append(backends, placement.Backend{
+			Backend: entry, Busy: busy || now.Before(c.backoffUntil[entry.ID]), Warm: c.residency.modelsOf(entry),
+		})
+	}
+	return backends
+}
--- a/internal/controlplane/coordinator/handover_test.go
+++ b/internal/controlplane/coordinator/controller_test.go
@@ -10,12 +10,13 @@
 	"pumiceline/internal/controlplane/placement"
 )
 
-// The rule on holders names a span in which they may not take turns; it goes by the backends' own check where they have one.
-func TestANewHolderWaitsByWhatBackendsCheck(t *testing.T) {
+// A new lease holder waits for the span that the rule on lease holders names, and for less where backends check fencing
+// tokens themselves.
+func TestController_HandoverDelay(t *testing.T) {
 	bounds := bootstrap.Bounds{Lease: 3 * time.Second, Thaw: 300 * time.Millisecond}
 	unchecked := &controller{settings: &bootstrap.Settings{Bounds: bounds}}
-	assert.Equal(t, bounds.Lease+bounds.Thaw, unchecked.handoverPause())
+	assert.Equal(t, bounds.Lease+bounds.Thaw, unchecked.handoverDelay())
 	bounds.ChecksFence = true
 	checked := &controller{settings: &bootstrap.Settings{Bounds: bounds}}
-	assert.Equal(t, placement.OrderTimeout+bounds.Thaw, checked.handoverPause(), "the last order of the holder before has ended")
+	assert.Equal(t, placement.OrderTimeout+bounds.Thaw, checked.handoverDelay(), "the predecessor's last command has ended")
 }
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -1,15 +1,19 @@
-// Package coordinator assembles a machine's part in the control plane: the replica with its disk, the operator's API,
-// the hub from which proxies pull, and the controller that the lease holder runs.
+// Package coordinator assembles a machine's part in the control plane. One process runs
+//
+//   - the replica loop, which owns the replica state machine (package replica) and carries out what it returns,
+//   - the state writer, which syncs the replica's records to the ring of files (package storage),
+//   - the hub that proxies poll for configuration, backends and loads (package distribution),
+//   - the operator's HTTP API (/config and /status), and
+//   - the controller, which polls discovery and places models while this member holds the controller lease.
+//
+// Only the replica loop touches the replica. The rest of the process reads the membershipSnapshot that the loop
+// publishes after each step.
 package coordinator
 
 import (
 	"context"
-	"crypto/rand"
-	"encoding/binary"
-	"encoding/hex"
 	"net"
 	"net/http"
-	"strconv"
 	"time"
 
 	"github.com/pkg/errors"
@@ -23,126 +27,102 @@
 	"pumiceline/internal/transport"
 )
 
-// LeaseLength is how long a grant of the controller lease lasts.
-const LeaseLength = 2 * time.Second
+// LeaseDuration is how long a grant of the controller lease lasts.
+const LeaseDuration = 2 * time.Second
 
+// Limits of a graceful shutdown. The member first waits for its removal from the view, for at most maxRemovalWait and
+// maxRemovalShare of the grace time; the rest of the grace time is for the listeners.
 const (
-	leaveWithin    = 4 * time.Second // a leaving member waits so long to be taken out of the view
-	leaveShare     = 0.6             // of the grace time, at the most
-	leavePoll      = 50 * time.Millisecond
-	shutdownWithin = 500 * time.Millisecond
-	headerTimeout  = 3 * time.Second
+	maxRemovalWait      = 4 * time.Second
+	maxRemovalShare     = 0.6
+	removalPollInterval = 50 * time.Millisecond
+	httpShutdownTimeout = 500 * time.Millisecond
 )
 
-// InternalAddress is where the coordinator of a machine takes messages from inside the system.
-func InternalAddress(ip string, firstPort int) string {
-	return net.JoinHostPort(ip, strconv.Itoa(firstPort))
-}
-
-// SeedAddresses turns the control addresses of the settings into internal ones.
-func SeedAddresses(settings *bootstrap.Settings) []string {
-	var out []string
-	for _, seed := range settings.Seeds {
-		host, _, err := net.SplitHostPort(seed)
-		if err != nil {
-			logrus.WithField("seed", seed).Warn("a seed that is no address")
-			continue
-		}
-		out = append(out, InternalAddress(host, settings.FirstPort))
-	}
-	return out
-}
+const readHeaderTimeout = 3 * time.Second
 
-// Run runs the coordinator until ctx ends, then leaves in order.
+// Run runs the coordinator until ctx ends, then leaves the view and stops serving. It returns only when the process is
+// about to exit: the state writer and the transport run until then, and every record that they had not synced counts
+// as never written.
 func Run(ctx context.Context, settings *bootstrap.Settings) error {
-	self := message.Member{Address: InternalAddress(settings.IP, settings.FirstPort), Identity: newIdentity(settings.Node), Zone: settings.Zone}
+	self := message.Member{
+		Address:  InternalAddress(settings.IP, settings.FirstPort),
+		Identity: newIdentity(settings.Node),
+		Zone:     settings.Zone,
+	}
 	listener, err := net.Listen("tcp", self.Address)
 	if err != nil {
-		return errors.Wrap(err, "listening for the system")
+		return errors.Wrap(err, "listen for other processes of the system")
 	}
-	ring, control, chain, err := openState(settings.StateDir)
+	stored, err := openState(settings.StateDir)
 	if err != nil {
 		return err
 	}
-	options := replica.Options{
-		Self: self, Seeds: SeedAddresses(settings), Tolerance: settings.Tolerance,
-		Lease: LeaseLength, FirstStart: settings.FirstStart, Volatile: ring == nil, Incarnation: newIncarnation(),
-	}
-	o := &owner{
-		started: time.Now(), queue: make(chan *message.Message, queueLength), leaving: make(chan struct{}),
-		hub: distribution.NewHub(), results: newResultBoard(newIncarnation()),
-	}
-	o.replica = replica.New(options, configuration.Judge, 0, control, chain)
-	self.Identity = o.replica.Identity()
-	o.self = self
-	o.writer = newWriter(ring, &chain, o.released)
-	handle := func(m *message.Message, reply func(*message.Message)) {
-		if m.PollRequest != nil {
-			o.hub.HandlePull(m.From, *m.PollRequest, reply)
-			return
-		}
-		if m.LoadReport != nil {
-			o.hub.HandleLoads(m.From, m.LoadReport, reply)
-			return
-		}
-		o.deliver(m)
-	}
-	o.sender = transport.NewSender(handle)
-	running, stop := context.WithCancel(context.Background())
+	loop := newReplicaLoop(self, settings, stored)
+	background, stop := context.WithCancel(context.Background())
 	defer stop()
-	go o.writer.run()
-	go o.hub.Run(running)
-	go o.run(running)
-	go transport.Serve(listener, handle)
-	go newController(o, settings).run(running)
-	server := &http.Server{Handler: &api{owner: o, node: settings.Node}, ReadHeaderTimeout: headerTimeout}
-	operatorListener, err := net.Listen("tcp", settings.ControlAddress)
+	go loop.writer.run()
+	go loop.hub.Run(background)
+	go loop.run(background)
+	go transport.Serve(listener, loop.handleMessage)
+	go newController(loop, settings).run(background)
+	server, err := serveOperatorAPI(loop, settings)
 	if err != nil {
-		return errors.Wrap(err, "listening for the operator")
+		return err
 	}
-	go func() {
-		if err := server.Serve(operatorListener); !errors.Is(err, http.ErrServerClosed) {
-			logrus.WithError(err).Error("the operator's API stopped")
-		}
-	}()
 	<-ctx.Done()
-	leave(o, settings.Bounds.Grace)
-	shutdown, cancel := context.WithTimeout(context.Background(), shutdownWithin)
+	awaitRemoval(loop, settings.Bounds.Grace)
+	shutdown, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
 	defer cancel()
-	_ = server.Shutdown(shutdown) // what is still open then is cut
+	_ = server.Shutdown(shutdown) // connections that are still open then are cut
 	return nil
 }
 
-// leave waits until the others have taken this member out of the view: they do so once enough of them hold the state.
-// One that is outside it waits until no request of its own can bring it in again.
-// Meanwhile it goes on as a member. What is left of the grace time is for the listeners.
-func leave(o *owner, grace time.Duration) {
-	close(o.leaving)
-	deadline := time.Now().Add(min(leaveWithin, time.Duration(leaveShare*float64(grace))))
-	for time.Now().Before(deadline) {
-		time.Sleep(leavePoll)
-		if s := o.standing.Load(); s != nil && (s.mayStop || s.member && len(s.view.Members) == 1) {
-			return
-		}
+// newReplicaLoop makes the replica from what was found on disk, together with the parts that carry out its outputs.
+func newReplicaLoop(self message.Member, settings *bootstrap.Settings, stored *storedState) *replicaLoop {
+	options := replica.Options{
+		Self: self, Seeds: SeedAddresses(settings), Tolerance: settings.Tolerance, Lease: LeaseDuration,
+		FirstStart: settings.FirstStart, Volatile: stored.ring == nil, Incarnation: newIncarnation(),
+	}
+	l := &replicaLoop{
+		started: time.Now(), inbox: make(chan *message.Message, inboxLength), leaving: make(chan struct{}),
+		hub: distribution.NewHub(), pending: newPendingResults(newIncarnation()),
 	}
-	logrus.Warn("leaving while the others need this member's state, or cannot agree to let it go")
+	l.replica = replica.New(options, configuration.Judge, 0, stored.control, stored.chain)
+	self.Identity = l.replica.Identity()
+	l.self = self
+	l.writer = newStateWriter(stored.ring, &stored.chain, l.onSynced)
+	l.sender = transport.NewSender(l.handleMessage)
+	return l
 }
 
-// newIncarnation draws the number from which a life of the process counts. Its upper part is random, so that no answer
-// to an earlier life matches; the clock would not do, as it may be set back.
-func newIncarnation() uint64 {
-	var random [8]byte
-	if _, err := rand.Read(random[:]); err != nil {
-		logrus.WithError(err).Warn("no random numbers: answers to an earlier process may be taken for this one's")
+// serveOperatorAPI starts the HTTP server for the operator. The caller shuts it down.
+func serveOperatorAPI(loop *replicaLoop, settings *bootstrap.Settings) (*http.Server, error) {
+	server := &http.Server{Handler: &operatorAPI{loop: loop, node: settings.Node}, ReadHeaderTimeout: readHeaderTimeout}
+	listener, err := net.Listen("tcp", settings.ControlAddress)
+	if err != nil {
+		return nil, errors.Wrap(err, "listen for the operator")
 	}
-	return binary.BigEndian.Uint64(random[:]) >> 1 // room to count up
+	go func() {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
+			logrus.WithError(err).Error("operator API stopped")
+		}
+	}()
+	return server, nil
 }
 
-// newIdentity makes an identity that no process had before.
-func newIdentity(node string) string {
-	var random [8]byte
-	if _, err := rand.Read(random[:]); err != nil {
-		return node + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
+// awaitRemoval asks to be taken out of the view and waits until that is done. The others remove the member only once
+// enough of them hold the state; until then it goes on as a member. One that is outside the view waits until no join
+// request of its own can bring it in again. The last member of a view stops at once.
+func awaitRemoval(loop *replicaLoop, grace time.Duration) {
+	close(loop.leaving)
+	deadline := time.Now().Add(min(maxRemovalWait, time.Duration(maxRemovalShare*float64(grace))))
+	for time.Now().Before(deadline) {
+		time.Sleep(removalPollInterval)
+		s := loop.snapshot.Load()
+		if s != nil && (s.canStop || s.isMember && len(s.view.Members) == 1) {
+			return
+		}
 	}
-	return node + "-" + hex.EncodeToString(random[:])
+	logrus.Warn("leaving without removal from the view: peers lack the state or a majority")
 }
--- /dev/null
+++ b/internal/controlplane/coordinator/identity.go
@@ -0,0 +1,54 @@
+package coordinator
+
+import (
+	"crypto/rand"
+	"encoding/binary"
+	"encoding/hex"
+	"net"
+	"strconv"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"pumiceline/internal/bootstrap"
+	"pumiceline/internal/logkey"
+)
+
+// InternalAddress returns where the coordinator of a machine listens for other processes of the system.
+func InternalAddress(ip string, firstPort int) string {
+	return net.JoinHostPort(ip, strconv.Itoa(firstPort))
+}
+
+// SeedAddresses returns the internal addresses of the seeds, which the settings name by their control addresses. All
+// machines use the same first port.
+func SeedAddresses(settings *bootstrap.Settings) []string {
+	var addresses []string
+	for _, seed := range settings.Seeds {
+		host, _, err := net.SplitHostPort(seed)
+		if err != nil {
+			logrus.WithField(logkey.Seed, seed).Warn("invalid seed address")
+			continue
+		}
+		addresses = append(addresses, InternalAddress(host, settings.FirstPort))
+	}
+	return addresses
+}
+
+// newIncarnation draws the number from which this life of the process counts its requests, so that no response to an
+// earlier incarnation matches one of this. It is random because the clock may have been set back.
+func newIncarnation() uint64 {
+	var random [8]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		logrus.WithError(err).Warn("no random incarnation: responses to an earlier process may match")
+	}
+	return binary.BigEndian.Uint64(random[:]) >> 1 // leaves room to count up without an overflow
+}
+
+// newIdentity draws an identity that no process had before.
+func newIdentity(node string) string {
+	var random [8]byte
+	if _, err := rand.Read(random[:]); err != nil {
+		return node + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
+	}
+	return node + "-" + hex.EncodeToString(random[:])
+}
--- /dev/null
+++ b/internal/controlplane/coordinator/lease_holder_subscriber.go
@@ -0,0 +1,78 @@
+package coordinator
+
+import (
+	"math"
+	"sync"
+	"time"
+
+	"pumiceline/internal/controlplane/discovery"
+	"pumiceline/internal/controlplane/distribution"
+	"pumiceline/internal/message"
+)
+
+// noConfigWanted is a sequence above all others: a coordinator gets the configuration along the replication chain.
+const noConfigWanted = math.MaxUint64
+
+// leaseHolderSubscriber polls the lease holder for the backends and the total loads, which this coordinator's hub passes
+// on to its proxies, and reports what the hub gathered from them.
+type leaseHolderSubscriber struct {
+	loop  *replicaLoop
+	mutex sync.Mutex // urgent reports run beside the polls
+
+	digest uint64 // of table; 0: none
+	table  *discovery.Table
+	loads  distribution.Loads
+}
+
+// Addresses returns the lease holder's internal address, unless it is unknown or this process.
+func (s *leaseHolderSubscriber) Addresses() []string {
+	snapshot := s.loop.snapshot.Load()
+	if snapshot == nil || snapshot.leaseHolder == "" || snapshot.leaseHolder == s.loop.self.Address {
+		return nil
+	}
+	return []string{snapshot.leaseHolder}
+}
+
+// SetMembers does nothing: a coordinator knows the members from its view.
+func (s *leaseHolderSubscriber) SetMembers([]message.Member) {}
+
+// Versions returns the versions that are known here, and the demand and loads gathered from proxies since the last poll.
+func (s *leaseHolderSubscriber) Versions() message.PollRequest {
+	demand, loads, proxies := s.loop.hub.TakeDemand()
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return message.PollRequest{
+		ConfigSequence: noConfigWanted, BackendDigest: s.digest, LoadVersion: s.loads.Version(),
+		Demand: demand, Loads: loads, Proxies: proxies,
+	}
+}
+
+// Apply takes the lease holder's response to a request that was sent at sent.
+func (s *leaseHolderSubscriber) Apply(response *message.PollResponse, sent time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.loop.hub.SetTotals(s.loads.Take(response), response.Proxies, response.PendingLoads)
+	if !response.BackendsKnown {
+		return
+	}
+	if response.Backends != nil {
+		table, ok := discovery.Apply(s.table, response.Backends)
+		if !ok { // the next poll asks for the complete table
+			s.table, s.digest = nil, 0
+			return
+		}
+		s.table, s.digest = table, table.Digest
+	}
+	if s.table == nil {
+		return
+	}
+	current := *s.table
+	current.Observed = observedAt(response, sent)
+	s.loop.hub.SetTable(&current)
+}
+
+// observedAt is when the lease holder's table was read, by this process's clock and at the earliest: it takes the
+// request to have arrived as soon as it was sent.
+func observedAt(response *message.PollResponse, sent time.Time) time.Time {
+	return sent.Add(time.Duration(response.WaitedMs-response.BackendsAgeMs) * time.Millisecond)
+}
--- /dev/null
+++ b/internal/controlplane/coordinator/pending_results.go
@@ -0,0 +1,49 @@
+package coordinator
+
+import (
+	"sync"
+	"sync/atomic"
+
+	"pumiceline/internal/message"
+)
+
+// pendingResults brings configuration responses to the API requests that wait for them.
+type pendingResults struct {
+	mutex   sync.Mutex
+	waiting map[uint64]chan *message.ConfigResponse
+	lastID  atomic.Uint64
+}
+
+// newPendingResults numbers requests from incarnation, so that a response to an earlier process matches none of this.
+func newPendingResults(incarnation uint64) *pendingResults {
+	p := &pendingResults{waiting: map[uint64]chan *message.ConfigResponse{}}
+	p.lastID.Store(incarnation)
+	return p
+}
+
+// register returns the ID of a new request and the channel on which its response comes. The caller unregisters it.
+func (p *pendingResults) register() (uint64, chan *message.ConfigResponse) {
+	id, result := p.lastID.Add(1), make(chan *message.ConfigResponse, 1)
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.waiting[id] = result
+	return id, result
+}
+
+func (p *pendingResults) unregister(id uint64) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	delete(p.waiting, id)
+}
+
+// resolve hands a response to its request. It is dropped where the request has one already, or waits no more.
+func (p *pendingResults) resolve(result *message.ConfigResponse) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	if waiting, ok := p.waiting[result.ID]; ok {
+		select {
+		case waiting <- result:
+		default:
+		}
+	}
+}
--- /dev/null
+++ b/internal/controlplane/coordinator/placement_tasks.go
@@ -0,0 +1,162 @@
+package coordinator
+
+import (
+	"context"
+	"time"
+
+	"github.com/samber/lo"
+	"github.com/sirupsen/logrus"
+
+	"pumiceline/internal/controlplane/configuration"
+	"pumiceline/internal/controlplane/placement"
+	"pumiceline/internal/logkey"
+	"pumiceline/internal/message"
+)
+
+// runningTask is a placement task that an executor carries out at a backend. A backend has at most one.
+type runningTask struct {
+	task         placement.Task
+	expectedDone time.Time // when its load should be complete
+	cancel       context.CancelFunc
+	loadStarted  bool // the backend has taken the load command
+}
+
+func (t *runningTask) hasLoaded(seen observedModels) bool {
+	return lo.ContainsBy(seen.models, func(m message.LoadedModel) bool { return m.Name == t.task.Load })
+}
+
+// placeModels starts the tasks that the planner wants now.
+func (c *controller) placeModels(ctx context.Context, now time.Time) {
+	demand, loads, _ := c.loop.hub.TakeDemand()
+	c.demand.Update(now, demand)
+	if c.table == nil || !c.refreshConfig() {
+		return
+	}
+	input := &placement.Input{
+		Now: now, Services: c.config.Services, Backends: c.placementBackends(now), Demand: c.demand,
+		Running: lo.SliceToMap(loads, func(l message.BackendLoad) (message.BackendID, int) { return l.Backend, l.Running }),
+		Loading: c.loadsInFlight(), LoadsLeft: c.loadsAllowed(now),
+	}
+	for _, task := range placement.Plan(input) {
+		c.startTask(ctx, task, now)
+	}
+}
+
+// refreshConfig parses the newest acknowledged configuration where it has changed. It reports whether there is one.
+func (c *controller) refreshConfig() bool {
+	update := c.loop.hub.Config()
+	if update == nil {
+		return false
+	}
+	if c.config != nil && update.Sequence == c.configSequence {
+		return true
+	}
+	config, err := configuration.Parse(update.Document)
+	if err != nil {
+		logrus.WithError(err).Error("parse configuration failed, the previous one stays in force")
+		return c.config != nil
+	}
+	c.config, c.configSequence = config, update.Sequence
+	return true
+}
+
+// loadsInFlight counts the loads under way by service and model.
+func (c *controller) loadsInFlight() map[string]map[message.ModelName]int {
+	counts := map[string]map[message.ModelName]int{}
+	for _, running := range c.running {
+		task := running.task
+		if task.Load == "" || running.hasLoaded(c.observed[task.Backend.ID]) {
+			continue
+		}
+		if counts[task.Service] == nil {
+			counts[task.Service] = map[message.ModelName]int{}
+		}
+		counts[task.Service][task.Load]++
+	}
+	return counts
+}
+
+// loadsAllowed returns how many loads from the weight store may start now, by service.
+func (c *controller) loadsAllowed(now time.Time) map[string]int {
+	allowed := map[string]int{}
+	for name, service := range c.config.Services {
+		if service.Runtime == nil {
+			continue
+		}
+		pending := lo.CountBy(lo.Values(c.running), func(t *runningTask) bool {
+			return t.task.Service == name && t.task.Load != "" && !t.task.Warm && !t.loadStarted
+		})
+		bounds := c.settings.Bounds
+		allowed[name] = c.allowance(name).Left(now, service.Runtime.LoadsPerS, bounds.CapExcess, bounds.CapWindow, pending)
+	}
+	return allowed
+}
+
+func (c *controller) allowance(service string) *placement.LoadAllowance {
+	if c.allowances[service] == nil {
+		c.allowances[service] = placement.NewLoadAllowance(c.leaseStart)
+	}
+	return c.allowances[service]
+}
+
+// startTask carries a task out in the background. It ends by itself, with ctx, or when the lease is lost.
+func (c *controller) startTask(ctx context.Context, task placement.Task, now time.Time) {
+	id := task.Backend.ID
+	taskCtx, cancel := context.WithCancel(ctx)
+	c.running[id] = &runningTask{task: task, expectedDone: now.Add(task.LoadTime), cancel: cancel}
+	executor := &placement.Executor{
+		Caller: c.caller, Owner: c.loop.self.Identity, Fence: c.commandFence(c.leaseToken),
+		Publish: func(backend message.BackendID, models []message.LoadedModel) {
+			c.events <- func(now time.Time) { c.onModelsObserved(backend, models, now) }
+		},
+		Started: func(backend message.BackendID) { c.events <- func(now time.Time) { c.onLoadStarted(backend, now) } },
+	}
+	logrus.WithFields(logrus.Fields{
+		logkey.Backend: id, logkey.Load: task.Load, logkey.Unload: task.Unload,
+		logkey.Adapters: task.Adapters, logkey.DropAdapters: task.Drop, logkey.Reason: task.Reason,
+	}).Debug("placement task started")
+	go func() {
+		models, known, err := executor.Run(taskCtx, &task)
+		cancel()
+		c.events <- func(now time.Time) { c.onTaskDone(id, models, known, err, now) }
+	}()
+}
+
+// onLoadStarted counts a load against the service's allowance. Loads from the backend's own disk are free.
+func (c *controller) onLoadStarted(backend message.BackendID, now time.Time) {
+	running := c.running[backend]
+	if running == nil {
+		return
+	}
+	running.loadStarted = true
+	running.expectedDone = now.Add(running.task.LoadTime)
+	if !running.task.Warm {
+		c.allowance(running.task.Service).Start(now)
+	}
+}
+
+func (c *controller) onTaskDone(id message.BackendID, models []message.LoadedModel, known bool, err error, now time.Time) {
+	delete(c.running, id)
+	if err != nil {
+		logrus.WithError(err).WithField(logkey.Backend, id).Info("placement task failed")
+		c.backoffUntil[id] = now.Add(failedTaskBackoff)
+	}
+	if known {
+		c.onModelsObserved(id, models, now)
+	}
+}
+
+// pendingLoads returns the loads under way, for proxies that have requests waiting for them.
+func (c *controller) pendingLoads(now time.Time) []message.PendingLoad {
+	var loads []message.PendingLoad
+	for id, running := range c.running {
+		if running.task.Load == "" {
+			continue
+		}
+		loads = append(loads, message.PendingLoad{
+			Service: running.task.Service, Model: running.task.Load, Backend: id,
+			ReadyInMs: max(0, running.expectedDone.Sub(now).Milliseconds()),
+		})
+	}
+	return loads
+}
--- /dev/null
+++ b/internal/controlplane/coordinator/replica_loop.go
@@ -0,0 +1,187 @@
+package coordinator
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"github.com/samber/lo"
+	"github.com/sirupsen/logrus"
+
+	"pumiceline/internal/controlplane/distribution"
+	"pumiceline/internal/controlplane/replica"
+	"pumiceline/internal/logkey"
+	"pumiceline/internal/message"
+	"pumiceline/internal/transport"
+)
+
+const (
+	tickInterval = 50 * time.Millisecond
+	inboxLength  = 1024
+)
+
+// replicaLoop owns the replica: one goroutine (run) feeds it messages and ticks, and carries its outputs out in the
+// order in which they were returned. The replica counts time from started.
+type replicaLoop struct {
+	replica  *replica.Replica
+	started  time.Time
+	inbox    chan *message.Message
+	leaving  chan struct{} // closed when the process was asked to stop
+	sender   *transport.Sender
+	writer   *stateWriter
+	hub      *distribution.Hub
+	pending  *pendingResults
+	tasks    taskList
+	self     message.Member
+	snapshot atomic.Pointer[membershipSnapshot]
+
+	publishedSequence uint64 // of the configuration that the hub got last
+	loggedView        uint64 // number of the view that was logged last
+}
+
+// membershipSnapshot is what the rest of the process may know of the replica, as of its last step.
+type membershipSnapshot struct {
+	view         message.View
+	isMember     bool
+	canStop      bool   // it was asked to stop, and the others can do without it
+	leaseHolder  string // internal address of the controller lease's holder; empty: not known
+	leaseToken   uint64 // fencing token of the lease where this member holds it, else 0
+	leaseStart   time.Time
+	leaseUntil   time.Time
+	sequence     uint64 // of the newest acknowledged change
+	version      uint64 // the operator's version after that change
+	hasMajority  bool
+	servingUntil time.Time
+	waitingFor   string // what keeps the member from taking part, for operators; empty: nothing
+}
+
+func (l *replicaLoop) now() time.Duration { return time.Since(l.started) }
+
+// handleMessage takes a message from another process. Any goroutine may call it.
+func (l *replicaLoop) handleMessage(m *message.Message, reply func(*message.Message)) {
+	switch {
+	case m.PollRequest != nil:
+		l.hub.HandlePull(m.From, *m.PollRequest, reply)
+	case m.LoadReport != nil:
+		l.hub.HandleLoads(m.From, m.LoadReport, reply)
+	default:
+		l.deliver(m)
+	}
+}
+
+// deliver queues a message for the replica, or hands a configuration response to the request that waits for it. Any
+// goroutine may call it. Where the inbox is full the message is lost, as on a busy network.
+func (l *replicaLoop) deliver(m *message.Message) {
+	if m.ConfigResponse != nil {
+		if m.To == l.self.Identity { // else it is for an earlier process at this address
+			l.pending.resolve(m.ConfigResponse)
+		}
+		return
+	}
+	select {
+	case l.inbox <- m:
+	default:
+	}
+}
+
+// run steps the replica until ctx ends.
+func (l *replicaLoop) run(ctx context.Context) {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	l.applyOutput(l.replica.Tick(l.now()))
+	leaving := l.leaving
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case m := <-l.inbox:
+			l.applyOutput(l.replica.Step(l.now(), m))
+		case <-leaving:
+			l.replica.SetLeaving()
+			leaving = nil
+		case <-ticker.C:
+			l.replica.SetDiskStalled(l.writer.isStalled())
+			l.applyOutput(l.replica.Tick(l.now()))
+		}
+		l.publish()
+	}
+}
+
+// applyOutput carries out what a step asked for. Messages from the replica to itself are steps of their own.
+func (l *replicaLoop) applyOutput(out replica.Output) {
+	local := l.send(out.Immediate)
+	if out.Control != nil || out.Chain != nil || len(out.AfterSync) > 0 {
+		l.writer.enqueue(out)
+	}
+	for _, m := range local {
+		l.applyOutput(l.replica.Step(l.now(), m))
+	}
+}
+
+// send sends messages to other processes and returns those for this replica.
+func (l *replicaLoop) send(messages []message.Message) []*message.Message {
+	var local []*message.Message
+	for i := range messages {
+		m := &messages[i]
+		switch {
+		case m.ToAddress != l.self.Address || m.To != l.self.Identity:
+			l.sender.Send(m.ToAddress, m)
+		case m.ConfigResponse != nil:
+			l.pending.resolve(m.ConfigResponse)
+		default:
+			local = append(local, m)
+		}
+	}
+	return local
+}
+
+// onSynced sends the messages whose records are on disk. The state writer calls it from its goroutine.
+func (l *replicaLoop) onSynced(messages []message.Message) {
+	for _, m := range l.send(messages) {
+		l.inbox <- m
+	}
+}
+
+// publish brings the snapshot and the hub up to date with the replica.
+func (l *replicaLoop) publish() {
+	s := l.takeSnapshot()
+	if served := l.replica.Served(); served.Sequence > l.publishedSequence {
+		l.publishedSequence = served.Sequence
+		l.hub.SetConfig(message.ConfigUpdate{Sequence: served.Sequence, Document: served.Document})
+	}
+	l.snapshot.Store(s)
+	l.hub.SetStatus(distribution.Status{Until: s.servingUntil, Members: s.view.Members})
+	l.logNewView(s)
+}
+
+func (l *replicaLoop) takeSnapshot() *membershipSnapshot {
+	served := l.replica.Served()
+	s := &membershipSnapshot{
+		view:         l.replica.View(),
+		isMember:     l.replica.IsMember(),
+		canStop:      l.replica.MayStop(),
+		sequence:     served.Sequence,
+		version:      served.Version,
+		hasMajority:  l.replica.HasMajority(),
+		servingUntil: l.started.Add(l.replica.ServesUntil()),
+		waitingFor:   l.replica.WaitsFor(),
+	}
+	if address, ok := l.replica.LeaseHolder(); ok {
+		s.leaseHolder = address
+	}
+	if token, since, until, ok := l.replica.Lease(l.now()); ok {
+		s.leaseToken, s.leaseStart, s.leaseUntil = token, l.started.Add(since), l.started.Add(until)
+	}
+	return s
+}
+
+func (l *replicaLoop) logNewView(s *membershipSnapshot) {
+	if s.view.Number == l.loggedView {
+		return
+	}
+	l.loggedView = s.view.Number
+	addresses := lo.Map(s.view.Members, func(m message.Member, _ int) string { return m.Address })
+	logrus.WithFields(logrus.Fields{
+		logkey.View: s.view.Number, logkey.Members: addresses, logkey.IsMember: s.isMember,
+	}).Info("view entered")
+}
--- /dev/null
+++ b/internal/controlplane/coordinator/state.go
@@ -0,0 +1,105 @@
+package coordinator
+
+import (
+	"github.com/pkg/errors"
+
+	"pumiceline/internal/controlplane/replica"
+	"pumiceline/internal/controlplane/storage"
+	"pumiceline/internal/message"
+)
+
+// Kinds of records on disk. Of records that are written together the ring keeps those of the higher kind first: the
+// control state says that the chain state is complete, so it must never be kept without it.
+const (
+	controlRecord storage.Kind = 1 // a message.ControlState
+	chainRecord   storage.Kind = 2 // a message.ChainState, with message.ChangeRecords appended
+)
+
+// storedState is what a start finds on disk.
+type storedState struct {
+	ring    *storage.Ring // nil on a machine without a disk
+	control message.ControlState
+	chain   message.ChainState
+}
+
+// openState opens the state folder and reads it. An empty dir stands for a machine without a disk: it has no state.
+func openState(dir string) (*storedState, error) {
+	if dir == "" {
+		return &storedState{}, nil
+	}
+	ring, err := storage.Open(dir)
+	if err != nil {
+		return nil, errors.Wrap(err, "open the state folder")
+	}
+	stored := &storedState{ring: ring}
+	if err := stored.readControl(); err != nil {
+		return nil, err
+	}
+	if err := stored.readChain(); err != nil {
+		return nil, err
+	}
+	return stored, nil
+}
+
+func (s *storedState) readControl() error {
+	record := s.ring.Newest(controlRecord)
+	if record == nil {
+		return nil
+	}
+	_, err := s.control.UnmarshalMsg(record)
+	return errors.Wrap(err, "decode the control state on disk")
+}
+
+// readChain reads the chain state and extends it by the changes appended since.
+func (s *storedState) readChain() error {
+	if record := s.ring.Newest(chainRecord); record != nil {
+		if _, err := s.chain.UnmarshalMsg(record); err != nil {
+			return errors.Wrap(err, "decode the configuration on disk")
+		}
+	}
+	for i, record := range s.ring.Added(chainRecord) {
+		var change message.ChangeRecord
+		if _, err := change.UnmarshalMsg(record); err != nil {
+			return errors.Wrapf(err, "decode change %d after the configuration on disk", i+1)
+		}
+		next, err := replica.Extend(&s.chain, &change)
+		if err != nil {
+			return errors.Wrapf(err, "apply change %d after the configuration on disk", i+1)
+		}
+		s.chain = next
+	}
+	return nil
+}
+
+// encodeChanges also returns how many bytes the records take in the ring.
+func encodeChanges(changes []message.ChangeRecord) (records [][]byte, size int, err error) {
+	for i := range changes {
+		record, err := changes[i].MarshalMsg(nil)
+		if err != nil {
+			return nil, 0, errors.Wrap(err, "encode a change")
+		}
+		records = append(records, record)
+		size += storage.AdditionBytes(record)
+	}
+	return records, size, nil
+}
+
+// encodeRecords encodes the states that are given; a nil one is left out.
+func encodeRecords(control *message.ControlState, chain *message.ChainState) (map[storage.Kind][]byte, error) {
+	records := map[storage.Kind][]byte{}
+	if control != nil {
+		record, err := control.MarshalMsg(nil)
+		if err != nil {
+			return nil, errors.Wrap(err, "encode the control state")
+		}
+		records[controlRecord] = record
+	}
+	if chain != nil {
+		record, err := chain.MarshalMsg(nil)
+		if err != nil {
+			return nil, errors.Wrap(err, "encode the chain state")
+		}
+		records[chainRecord] = record
+	}
+	return records, nil
+}
--- a/internal/controlplane/coordinator/writer_test.go
+++ b/internal/controlplane/coordinator/state_writer_test.go
@@ -21,14 +21,14 @@
 	oldChain   = "86a17707a17302a164c41030313233343536373839616263646566a17609a163c4277b2276657273696f6e223a392c22726f75746573223a5b5d2c227365727669636573223a5b5d7da1689283a17605a16200a164c4106161616161616161616161616161616183a17609a16205a164c41062626262626262626262626262626262"
 )
 
-func openDir(t *testing.T, dir string) (*storage.Ring, message.ControlState, message.ChainState) {
+func openDir(t *testing.T, dir string) *storedState {
 	t.Helper()
-	ring, control, chain, err := openState(dir)
+	stored, err := openState(dir)
 	require.NoError(t, err)
-	return ring, control, chain
+	return stored
 }
 
-func TestAStateFolderOfAnEarlierVersionIsRead(t *testing.T) {
+func TestOpenState_ReadsRecordsOfEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	ring, err := storage.Open(dir)
 	require.NoError(t, err)
@@ -37,16 +37,16 @@
 	chain, err := hex.DecodeString(oldChain)
 	require.NoError(t, err)
 	require.NoError(t, ring.Write(map[storage.Kind][]byte{controlRecord: control, chainRecord: chain}))
-	_, readControl, readChain := openDir(t, dir)
-	assert.Equal(t, uint64(7), readControl.View.Number)
-	assert.Equal(t, readControl.View.Members, readControl.View.EffectiveVoters(), "its members are its voters")
-	assert.True(t, readControl.Complete)
-	assert.Equal(t, uint64(9), readChain.Version)
-	assert.Len(t, readChain.History, 2)
-	assert.Zero(t, readChain.Horizon)
+	stored := openDir(t, dir)
+	assert.Equal(t, uint64(7), stored.control.View.Number)
+	assert.Equal(t, stored.control.View.Members, stored.control.View.EffectiveVoters(), "its members are its voters")
+	assert.True(t, stored.control.Complete)
+	assert.Equal(t, uint64(9), stored.chain.Version)
+	assert.Len(t, stored.chain.History, 2)
+	assert.Zero(t, stored.chain.Horizon)
 }
 
-// extend makes the next change on top of a state: one of some routes gets another time-out.
+// extend makes the next change on top of a state: one of its routes gets another time-out.
 func extend(t *testing.T, state *message.ChainState) (message.ChainState, message.ChangeRecord) {
 	t.Helper()
 	version := state.Version + 1
@@ -60,8 +60,8 @@
 		document += fmt.Sprintf(`{"name":"r-%d","host":"h.example","pathStart":"/p%d/","kind":"changing","timeoutMs":%d,"service":"s"},`, i, i, timeout)
 	}
 	document = document[:len(document)-1] + fmt.Sprintf(`],"version":%d}`, version)
-	call := &message.ConfigRequest{Method: "PUT", IfMatch: fmt.Sprint(state.Version), Body: []byte(document)}
-	decision := configuration.Judge(state, call)
+	request := &message.ConfigRequest{Method: "PUT", IfMatch: fmt.Sprint(state.Version), Body: []byte(document)}
+	decision := configuration.Judge(state, request)
 	require.True(t, decision.Apply, string(decision.Body))
 	record := message.ChangeRecord{
 		Previous: state.Digest, Change: decision.Change, Delta: delta.Make(state.Document, decision.Document),
@@ -72,12 +72,12 @@
 	return next, record
 }
 
-// Changes are added to the state on disk, and what is read back is the newest state, wherever the process ends.
-func TestChangesAreAddedToTheStateOnDisk(t *testing.T) {
+// What a restart reads back is the newest state that was written, wherever the process ended.
+func TestStateWriter_RestartReadsNewestState(t *testing.T) {
 	dir := t.TempDir()
-	ring, _, chain := openDir(t, dir)
-	w := newWriter(ring, &chain, func([]message.Message) {})
-	state := chain
+	stored := openDir(t, dir)
+	w := newStateWriter(stored.ring, &stored.chain, func([]message.Message) {})
+	state := stored.chain
 	for i := range 600 {
 		next, record := extend(t, &state)
 		state = next
@@ -85,23 +85,22 @@
 		out := replica.Output{Chain: &written, Additions: []message.ChangeRecord{record}}
 		switch i % 97 {
 		case 0:
-			out.Additions = nil // replaced whole, as by a snapshot
+			out.Additions = nil // replaced, as by a snapshot
 		case 1:
 			out.Control = &message.ControlState{Identity: fmt.Sprint(i)}
 		}
 		w.write([]replica.Output{out})
 		if i%50 == 49 {
-			var read message.ChainState
-			ring, _, read = openDir(t, dir)
-			require.Equal(t, state.Digest, read.Digest, "change %d", i)
-			require.Equal(t, string(state.Document), string(read.Document))
-			w = newWriter(ring, &state, func([]message.Message) {})
+			stored := openDir(t, dir)
+			require.Equal(t, state.Digest, stored.chain.Digest, "change %d", i)
+			require.Equal(t, string(state.Document), string(stored.chain.Document))
+			w = newStateWriter(stored.ring, &state, func([]message.Message) {})
 		}
 	}
 }
 
-// A change costs about as much as it changes, however many there were; the state is bounded.
-func TestTheStateIsBounded(t *testing.T) {
+// A record is about as large as what it changes, however many changes there were, and the chain state does not grow.
+func TestChainState_SizeIsBounded(t *testing.T) {
 	var state message.ChainState
 	sizes := map[int]int{}
 	records := map[int]int{}
@@ -109,29 +108,29 @@
 		next, record := extend(t, &state)
 		state = next
 		if i == 100 || i%4500 == 0 {
-			whole, err := state.MarshalMsg(nil)
+			full, err := state.MarshalMsg(nil)
 			require.NoError(t, err)
 			text, err := record.MarshalMsg(nil)
 			require.NoError(t, err)
-			sizes[i], records[i] = len(whole), len(text)
+			sizes[i], records[i] = len(full), len(text)
 		}
 	}
-	t.Logf("whole: %v bytes; a change: %v bytes", sizes, records)
+	t.Logf("chain state: %v bytes; a change: %v bytes", sizes, records)
 	assert.Less(t, sizes[9000], sizes[4500]+1000)
 	assert.Less(t, records[9000], 600)
 	assert.Equal(t, state.History[0].Base, state.Horizon)
 	first := &message.ConfigRequest{Method: "PUT", IfMatch: "0", Body: []byte(`{"version":1,"routes":[],"services":[]}`)}
-	assert.Zero(t, configuration.Judge(&state, first).Status, "nobody can tell whether it was taken")
+	assert.Zero(t, configuration.Judge(&state, first).Status, "it may have been taken before the horizon")
 }
 
-func TestABrokenChangeOnDiskIsNamed(t *testing.T) {
+func TestOpenState_NamesMalformedChange(t *testing.T) {
 	dir := t.TempDir()
-	ring, _, chain := openDir(t, dir)
-	w := newWriter(ring, &chain, func([]message.Message) {})
-	state, record := extend(t, &chain)
-	w.write([]replica.Output{{Chain: &chain}})
+	stored := openDir(t, dir)
+	w := newStateWriter(stored.ring, &stored.chain, func([]message.Message) {})
+	state, record := extend(t, &stored.chain)
+	w.write([]replica.Output{{Chain: &stored.chain}})
 	w.write([]replica.Output{{Chain: &state, Additions: []message.ChangeRecord{record}}})
-	require.NoError(t, ring.Add(chainRecord, [][]byte{[]byte("no change")}, nil))
-	_, _, _, err := openState(dir)
+	require.NoError(t, stored.ring.Add(chainRecord, [][]byte{[]byte("no change")}, nil))
+	_, err := openState(dir)
 	assert.ErrorContains(t, err, "change 2 after the configuration on disk")
 }
--- a/internal/controlplane/coordinator/status_test.go
+++ b/internal/controlplane/coordinator/status_test.go
@@ -14,34 +14,34 @@
 	"pumiceline/internal/message"
 )
 
-// A coordinator that is cut off tells so: it serves nobody, and says what it waits for.
-func TestStatusTellsWhatACutCoordinatorWaitsFor(t *testing.T) {
+// The status of a partitioned coordinator shows that it serves no proxy, and what it waits for.
+func TestStatus_PartitionedCoordinator(t *testing.T) {
 	hub := distribution.NewHub()
 	go hub.Run(t.Context())
-	o := &owner{self: message.Member{Identity: "n-1", Address: "a:1"}, hub: hub, results: newResultBoard(1)}
+	loop := &replicaLoop{self: message.Member{Identity: "n-1", Address: "a:1"}, hub: hub, pending: newPendingResults(1)}
 	view := message.View{Number: 4, Members: []message.Member{{Identity: "n-1", Address: "a:1"}}}
 	view.Voters = append(view.Members, message.Member{Identity: "n-2", Address: "b:1"})
-	o.standing.Store(&standing{view: view, member: true, servesUntil: time.Now().Add(-time.Second), waitsFor: "a majority of the voters"})
+	loop.snapshot.Store(&membershipSnapshot{view: view, isMember: true, servingUntil: time.Now().Add(-time.Second), waitingFor: "a majority of the voters"})
 	recorder := httptest.NewRecorder()
-	(&api{owner: o, node: "n"}).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/status", nil))
+	(&operatorAPI{loop: loop, node: "n"}).ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/status", nil))
 	var status Status
 	require.NoError(t, json.Unmarshal(recorder.Body.Bytes(), &status))
 	assert.Equal(t, []string{"n-1 a:1"}, status.Members)
 	assert.Equal(t, []string{"n-1 a:1", "n-2 b:1"}, status.Voters)
-	assert.False(t, status.Serves)
-	assert.Equal(t, "a majority of the voters", status.WaitsFor)
+	assert.False(t, status.IsServing)
+	assert.Equal(t, "a majority of the voters", status.WaitingFor)
 }
 
-// A result for a call that an earlier process took, or for who had the address before, reaches no caller.
-func TestResultsReachTheirCallersOnly(t *testing.T) {
-	o := &owner{self: message.Member{Identity: "n-2", Address: "a:1"}, results: newResultBoard(1000)}
-	id, waiting := o.results.open()
-	o.deliver(&message.Message{To: "n-2", ConfigResponse: &message.ConfigResponse{ID: id - 1000, Status: http.StatusOK}})
-	o.deliver(&message.Message{To: "n-1", ConfigResponse: &message.ConfigResponse{ID: id, Status: http.StatusOK}})
+// A response to a request of an earlier process, or to another process at this address, reaches no request.
+func TestPendingResults_IgnoreResponsesToEarlierProcesses(t *testing.T) {
+	loop := &replicaLoop{self: message.Member{Identity: "n-2", Address: "a:1"}, pending: newPendingResults(1000)}
+	id, waiting := loop.pending.register()
+	loop.deliver(&message.Message{To: "n-2", ConfigResponse: &message.ConfigResponse{ID: id - 1000, Status: http.StatusOK}})
+	loop.deliver(&message.Message{To: "n-1", ConfigResponse: &message.ConfigResponse{ID: id, Status: http.StatusOK}})
 	assert.Empty(t, waiting)
-	o.deliver(&message.Message{To: "n-2", ConfigResponse: &message.ConfigResponse{ID: id, Status: http.StatusConflict}})
+	loop.deliver(&message.Message{To: "n-2", ConfigResponse: &message.ConfigResponse{ID: id, Status: http.StatusConflict}})
 	assert.Equal(t, http.StatusConflict, (<-waiting).Status)
-	o.results.close(id)
-	o.deliver(&message.Message{To: "n-2", ConfigResponse: &message.ConfigResponse{ID: id, Status: http.StatusOK}})
+	loop.pending.unregister(id)
+	loop.deliver(&message.Message{To: "n-2", ConfigResponse: &message.ConfigResponse{ID: id, Status: http.StatusOK}})
 	assert.Empty(t, waiting)
 }
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -120,9 +120,10 @@
 }
 
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
-	ring, control, chain, err := openState(unpackState(t))
+	stored, err := openState(unpackState(t))
 	require.NoError(t, err)
-	checkControlState(t, control)
+	ring, chain := stored.ring, stored.chain
+	checkControlState(t, stored.control)
 
 	var whole message.ChainState
 	rest, err := whole.UnmarshalMsg(ring.Newest(chainRecord))
@@ -165,8 +166,9 @@
 
 // A state that an earlier version stored is also what today's code would store: the records have the same bytes.
 func TestWritesStateAsStoredByEarlierVersion(t *testing.T) {
-	ring, _, _, err := openState(unpackState(t))
+	stored, err := openState(unpackState(t))
 	require.NoError(t, err)
+	ring := stored.ring
 	records, err := encodeRecords(&storedControl, &storedWhole)
 	require.NoError(t, err)
 	assert.Equal(t, ring.Newest(controlRecord), records[controlRecord])
@@ -176,8 +178,9 @@
 // An operator who sends a change again that an earlier version took and stored is told that it was taken: the digest of
 // a call is stored, so it must stay what it was.
 func TestRecognizesCallsStoredByEarlierVersion(t *testing.T) {
-	_, _, chain, err := openState(unpackState(t))
+	stored, err := openState(unpackState(t))
 	require.NoError(t, err)
+	chain := stored.chain
 	for _, call := range storedCalls() {
 		decision := configuration.Judge(&chain, call)
 		assert.Equal(t, http.StatusOK, decision.Status, string(decision.Body))
@@ -187,13 +190,13 @@
 
 // A replica goes on with what an earlier version stored: as the same member of the same view, with the same state.
 func TestReplicaStartsFromStateStoredByEarlierVersion(t *testing.T) {
-	_, control, chain, err := openState(unpackState(t))
+	stored, err := openState(unpackState(t))
 	require.NoError(t, err)
 	options := replica.Options{
 		Self:      message.Member{Identity: "another-identity", Address: "10.0.0.1:7000", Zone: "z1"},
-		Tolerance: 1, Lease: LeaseLength, Incarnation: 1,
+		Tolerance: 1, Lease: LeaseDuration, Incarnation: 1,
 	}
-	started := replica.New(options, configuration.Judge, 0, control, chain)
+	started := replica.New(options, configuration.Judge, 0, stored.control, stored.chain)
 	assert.Equal(t, "node-a-00112233", started.Identity())
 	assert.Equal(t, storedControl.View, started.View())
 	assert.True(t, started.IsMember())
