--- a/cmd/pumiceline/change.go
+++ b/cmd/pumiceline/change.go
@@ -122,7 +122,7 @@
 	if c.gate == nil {
 		return nil
 	}
-	set, err := deployfile.Door(c.door, s, c.cfg.Seed)
+	set, err := deployfile.ReadAdmission(c.door, s, c.cfg.Seed)
 	if err != nil {
 		return err
 	}
--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -160,7 +160,7 @@
 	}
 	var gate *listener.Gate
 	if with.door != "" {
-		set, err := deployfile.Door(with.door, &cfg.Settings, cfg.Seed)
+		set, err := deployfile.ReadAdmission(with.door, &cfg.Settings, cfg.Seed)
 		if err != nil {
 			return err
 		}
--- a/internal/fleetsim/withadmission/doored.go
+++ b/internal/fleetsim/withadmission/doored.go
@@ -23,7 +23,7 @@
 // node is a module behind a door.
 type node struct {
 	module  model.Node
-	door    *admission.Door
+	door    *admission.Controller
 	open    map[uint64]*request
 	ids     map[admission.Ticket]uint64
 	said    []admission.Action
@@ -35,7 +35,7 @@
 // Settings are the door's for a deployment as a decider is told of it.
 func Settings(set policy.Settings, seed uint64) admission.Settings {
 	s := admission.Defaults()
-	s.Seed, s.OverShare = seed, set.OverShareWorth
+	s.Seed, s.OverQuotaFactor = seed, set.OverShareWorth
 	for _, t := range set.Tenants {
 		s.Tenants = append(s.Tenants, admission.Tenant{Share: t.QuotaPerS, Rate: t.QuotaPerS / float64(max(1, set.GroupSize))})
 	}
@@ -43,9 +43,9 @@
 		s.Tenants = []admission.Tenant{{Share: 1}}
 	}
 	for _, c := range set.Classes {
-		s.Classes = append(s.Classes, admission.Class{Worth: c.Worth, Work: 100_000, Aim: c.Aim})
+		s.Classes = append(s.Classes, admission.Class{Value: c.Worth, Work: 100_000, LatencyTarget: c.Aim})
 	}
-	s.MaxComeBack = max(100_000, set.Limits.MaxRetryAfter)
+	s.MaxRetryAfter = max(100_000, set.Limits.MaxRetryAfter)
 	return s
 }
 
@@ -70,8 +70,8 @@
 	case ev.Kind == policy.Arrival:
 		r := &request{arrival: *ev, deadline: now + ev.Patience}
 		n.open[ev.ID] = r
-		r.ticket, n.said = n.door.Arrive(now, admission.Request{Tenant: int(ev.Tenant), Class: int(ev.Class), Client: ev.Key, Work: ev.Work,
-			Deadline: r.deadline, Repeat: ev.Repeat}, n.said[:0])
+		r.ticket, n.said = n.door.Submit(now, admission.Request{Tenant: int(ev.Tenant), Class: int(ev.Class), Client: ev.Key, Work: ev.Work,
+			Deadline: r.deadline, IsRetry: ev.Repeat}, n.said[:0])
 		n.ids[r.ticket] = ev.ID
 	case ev.Kind == policy.TimerFired && ev.ID == tickTag:
 		n.ticking = false
@@ -80,7 +80,7 @@
 		n.said = n.said[:0]
 		if ev.Kind == policy.Departed {
 			if r := n.open[ev.ID]; r != nil && !r.inside {
-				n.said = n.door.Abandon(now, r.ticket, n.said)
+				n.said = n.door.Cancel(now, r.ticket, n.said)
 				n.forget(ev.ID, r)
 				return n.follow(now, out)
 			}
@@ -114,7 +114,7 @@
 		return out
 	}
 	n.forget(id, r)
-	n.said = n.door.Leave(now, r.ticket, served, n.said[:0])
+	n.said = n.door.Finish(now, r.ticket, served, n.said[:0])
 	return n.follow(now, out)
 }
 
@@ -132,9 +132,9 @@
 		if r == nil {
 			continue
 		}
-		if a.Kind == admission.Refuse {
+		if a.Kind == admission.Reject {
 			n.forget(id, r)
-			after := a.After
+			after := a.RetryAfter
 			if !n.comes {
 				after = 0
 			}
--- a/internal/standalone/admission/door_test.go
+++ b/internal/standalone/admission/door_test.go
@@ -13,11 +13,11 @@
 
 func settings(shares ...float64) Settings {
 	s := Defaults()
-	s.Classes = []Class{{Name: "quote", Worth: 1, Work: 100 * ms}, {Name: "policy", Worth: 5, Work: 100 * ms}}
+	s.Classes = []Class{{Name: "quote", Value: 1, Work: 100 * ms}, {Name: "policy", Value: 5, Work: 100 * ms}}
 	for i, x := range shares {
 		s.Tenants = append(s.Tenants, Tenant{Name: fmt.Sprint("t", i), Share: x})
 	}
-	s.Least, s.Start, s.Most = 4, 4, 4 // a fixed limit, so that what goes in is what the test lets out
+	s.MinLimit, s.InitialLimit, s.MaxLimit = 4, 4, 4 // a fixed limit, so that what goes in is what the test lets out
 	return s
 }
 
@@ -25,7 +25,7 @@
 // request gets no decision, or two.
 type world struct {
 	t       testing.TB
-	d       *Door
+	d       *Controller
 	now     Time
 	inside  []Ticket
 	decided map[Ticket]Action
@@ -47,10 +47,10 @@
 		}
 		w.decided[a.Ticket] = a
 		delete(w.waits, a.Ticket)
-		if a.Kind == Enter {
+		if a.Kind == Admit {
 			w.inside = append(w.inside, a.Ticket)
-		} else if a.After < 0 || a.After > w.d.set.MaxComeBack {
-			w.t.Fatalf("refused with a return in %d us", a.After)
+		} else if a.RetryAfter < 0 || a.RetryAfter > w.d.settings.MaxRetryAfter {
+			w.t.Fatalf("refused with a return in %d us", a.RetryAfter)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 	if r.Deadline == 0 {
 		r.Deadline = w.now + 3600*sec
 	}
-	ticket, out := w.d.Arrive(w.now, r, nil)
+	ticket, out := w.d.Submit(w.now, r, nil)
 	w.waits[ticket] = true
 	w.take(out)
 	return ticket
@@ -69,7 +69,7 @@
 func (w *world) leave() {
 	t := w.inside[0]
 	w.inside = w.inside[1:]
-	w.take(w.d.Leave(w.now, t, true, nil))
+	w.take(w.d.Finish(w.now, t, true, nil))
 }
 
 // TestSharesOfBackloggedTenants keeps five tenants backlogged with requests of very unlike work and checks over every
@@ -77,14 +77,14 @@
 func TestSharesOfBackloggedTenants(t *testing.T) {
 	shares := []float64{1, 2, 3, 4, 10}
 	s := settings(shares...)
-	s.Waiting = 1000
+	s.MaxQueued = 1000
 	w := newWorld(t, s)
 	g := rand.New(rand.NewPCG(1, 2))
 	got := make([]float64, len(shares))
 	most := 0.0
 	fill := func() {
 		for i := range shares {
-			for w.d.tenants[i].waiting < 20 {
+			for w.d.tenants[i].queued < 20 {
 				// A tenant of ten thousand clients beside tenants of one.
 				client := uint64(1)
 				if i == 0 {
@@ -105,7 +105,7 @@
 		}
 		sum, total := 0.0, 0.0
 		for i, x := range shares {
-			got[i] = w.d.tenants[i].stats.Work - begin[i]
+			got[i] = w.d.tenants[i].stats.AdmittedWork - begin[i]
 			begin[i] += got[i]
 			sum, total = sum+x, total+got[i]
 		}
@@ -137,7 +137,7 @@
 				w.leave()
 				turns++
 			}
-			if w.decided[ticket].Kind != Enter {
+			if w.decided[ticket].Kind != Admit {
 				t.Fatalf("step %d: refused: %v", step, w.decided[ticket].Reason)
 			}
 			worst = max(worst, turns)
@@ -148,7 +148,7 @@
 	if worst > 2 {
 		t.Errorf("the quiet tenant waited for %d turns", worst)
 	}
-	if s := w.d.Stats(1); s.Refused != [reasons]uint64{} {
+	if s := w.d.Stats(1); s.Rejected != [reasonCount]uint64{} {
 		t.Errorf("the quiet tenant was refused: %+v", s)
 	}
 }
@@ -158,17 +158,17 @@
 func TestIdleHourBuysNothing(t *testing.T) {
 	w := newWorld(t, settings(1, 1))
 	work := func(steps int, both bool) (float64, float64) {
-		a, b := w.d.tenants[0].stats.Work, w.d.tenants[1].stats.Work
+		a, b := w.d.tenants[0].stats.AdmittedWork, w.d.tenants[1].stats.AdmittedWork
 		for range steps {
 			for i := 0; i < 2 && (i == 0 || both); i++ {
-				for w.d.tenants[i].waiting < 10 {
+				for w.d.tenants[i].queued < 10 {
 					w.arrive(Request{Tenant: i, Client: uint64(i)})
 				}
 			}
 			w.now += 36 * ms
 			w.leave()
 		}
-		return w.d.tenants[0].stats.Work - a, w.d.tenants[1].stats.Work - b
+		return w.d.tenants[0].stats.AdmittedWork - a, w.d.tenants[1].stats.AdmittedWork - b
 	}
 	work(100_000, false)
 	a, b := work(200, true)
@@ -181,7 +181,7 @@
 // goes in soon.
 func TestPoliciesPassAFloodOfQuotes(t *testing.T) {
 	s := settings(1, 1)
-	s.Waiting = 50
+	s.MaxQueued = 50
 	w := newWorld(t, s)
 	for i := range 200 {
 		w.arrive(Request{Tenant: 0, Class: 0, Client: uint64(i)})
@@ -194,7 +194,7 @@
 		w.now += ms
 		w.leave()
 	}
-	if a := w.decided[ticket]; a.Kind != Enter {
+	if a := w.decided[ticket]; a.Kind != Admit {
 		t.Errorf("a policy was refused: %v", a.Reason)
 	}
 	if _, _, waits := w.d.State(); waits > 50 {
@@ -205,18 +205,18 @@
 // TestNoShare: a tenant without a share gets what nobody else wants, and pays first where places are short.
 func TestNoShare(t *testing.T) {
 	s := settings(0, 1)
-	s.Waiting = 10
+	s.MaxQueued = 10
 	w := newWorld(t, s)
 	for range 14 {
 		w.arrive(Request{Tenant: 0})
 	}
-	if got := w.d.Stats(0).Entered; got != 4 {
+	if got := w.d.Stats(0).Admitted; got != 4 {
 		t.Errorf("alone, it got %d in", got)
 	}
 	for range 10 {
 		w.arrive(Request{Tenant: 1})
 	}
-	if a, b := w.d.tenants[0].waiting, w.d.tenants[1].waiting; a != 0 || b != 10 {
+	if a, b := w.d.tenants[0].queued, w.d.tenants[1].queued; a != 0 || b != 10 {
 		t.Errorf("%d and %d wait", a, b)
 	}
 	for range 3000 { // tags of a flow without a weight must not spoil the others' in the long run
@@ -224,8 +224,8 @@
 		w.now += ms
 		w.leave()
 	}
-	if s := w.d.Stats(1); s.Entered != 10 {
-		t.Errorf("the other got %d in", s.Entered)
+	if s := w.d.Stats(1); s.Admitted != 10 {
+		t.Errorf("the other got %d in", s.Admitted)
 	}
 }
 
@@ -241,7 +241,7 @@
 	}
 	waits := len(w.waits)
 	hasty := w.arrive(Request{Deadline: w.now + 100*ms})
-	if a := w.decided[hasty]; a.Kind != Refuse || a.Reason != TooLate || len(w.waits) != waits {
+	if a := w.decided[hasty]; a.Kind != Reject || a.Reason != TooLate || len(w.waits) != waits {
 		t.Errorf("%+v", a)
 	}
 	// What waits is refused when its time is up, and neither sooner nor later.
@@ -249,7 +249,7 @@
 	if !w.waits[last] {
 		t.Fatalf("refused at once: %+v", w.decided[last])
 	}
-	due := w.d.items[w.d.find(last)].ends
+	due := w.d.entries[w.d.lookup(last)].admitBy
 	w.now = due
 	w.take(w.d.Tick(w.now, nil))
 	if !w.waits[last] {
@@ -260,7 +260,7 @@
 	}
 	w.now++
 	w.take(w.d.Tick(w.now, nil))
-	if a := w.decided[last]; a.Kind != Refuse || a.Reason != TooLate {
+	if a := w.decided[last]; a.Kind != Reject || a.Reason != TooLate {
 		t.Errorf("past its time: %+v", a)
 	}
 }
@@ -272,20 +272,20 @@
 	for range 7 {
 		all = append(all, w.arrive(Request{Client: 1}))
 	}
-	w.take(w.d.Abandon(w.now, all[4], nil))
-	w.take(w.d.Abandon(w.now, all[4], nil))
-	w.take(w.d.Abandon(w.now, all[0], nil)) // it is inside: nothing happens
+	w.take(w.d.Cancel(w.now, all[4], nil))
+	w.take(w.d.Cancel(w.now, all[4], nil))
+	w.take(w.d.Cancel(w.now, all[0], nil)) // it is inside: nothing happens
 	delete(w.waits, all[4])
 	w.leave()
-	if w.decided[all[5]].Kind != Enter || w.waits[all[5]] {
+	if w.decided[all[5]].Kind != Admit || w.waits[all[5]] {
 		t.Error("the next did not go in")
 	}
 	w.leave()
 	w.leave()
-	if _, ok := w.decided[all[4]]; ok || w.decided[all[6]].Kind != Enter {
+	if _, ok := w.decided[all[4]]; ok || w.decided[all[6]].Kind != Admit {
 		t.Error("the abandoned one was decided, or the last was not")
 	}
-	w.take(w.d.Leave(w.now, all[0], true, nil)) // a second end of one that left
+	w.take(w.d.Finish(w.now, all[0], true, nil)) // a second end of one that left
 	if _, inside, waits := w.d.State(); inside != 4 && inside != len(w.inside) || waits != 0 {
 		t.Errorf("%d inside, %d wait", inside, waits)
 	}
@@ -293,22 +293,22 @@
 
 func TestRepeatsHaveTheirBudget(t *testing.T) {
 	s := settings(1, 1)
-	s.RepeatBurst, s.Repeats = 5, 0.1
+	s.RetryBurst, s.RetryRatio = 5, 0.1
 	w := newWorld(t, s)
 	refused := 0
 	for range 50 {
-		if a, ok := w.decided[w.arrive(Request{Repeat: true})]; ok && a.Kind == Refuse {
-			if a.Reason != Repeats {
+		if a, ok := w.decided[w.arrive(Request{IsRetry: true})]; ok && a.Kind == Reject {
+			if a.Reason != RetryBudgetExhausted {
 				t.Errorf("%v", a.Reason)
 			}
 			refused++
 		}
 	}
 	// Five of the burst; those that come when promised are not counted against it.
-	if got := int(w.d.Stats(0).Refused[Repeats]); got != refused || refused < 30 {
+	if got := int(w.d.Stats(0).Rejected[RetryBudgetExhausted]); got != refused || refused < 30 {
 		t.Errorf("%d of 50 repeats refused, %d counted", refused, got)
 	}
-	if a := w.arrive(Request{Tenant: 1, Repeat: true}); !w.waits[a] {
+	if a := w.arrive(Request{Tenant: 1, IsRetry: true}); !w.waits[a] {
 		t.Error("one tenant's repeats cost another's")
 	}
 }
@@ -317,20 +317,20 @@
 // order or is refused, and a wrong file changes nothing.
 func TestChangeWhileFull(t *testing.T) {
 	s := settings(1, 1, 1)
-	s.Waiting = 30
+	s.MaxQueued = 30
 	w := newWorld(t, s)
 	for i := range 40 {
 		w.arrive(Request{Tenant: i % 3, Client: uint64(i)})
 	}
 	bad := s
-	bad.Least = 0
-	if out, err := w.d.Change(w.now, bad, nil); err == nil || len(out) > 0 {
+	bad.MinLimit = 0
+	if out, err := w.d.ApplySettings(w.now, bad, nil); err == nil || len(out) > 0 {
 		t.Errorf("a wrong file: %v, %v", out, err)
 	}
 	_, inside, waits := w.d.State()
 	next := settings(5, 1)
-	next.Waiting, next.Start, next.Least, next.Most = 15, 6, 6, 6
-	out, err := w.d.Change(w.now, next, nil)
+	next.MaxQueued, next.InitialLimit, next.MinLimit, next.MaxLimit = 15, 6, 6, 6
+	out, err := w.d.ApplySettings(w.now, next, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -353,7 +353,7 @@
 func TestTheLimitFindsWhatTheServersBear(t *testing.T) {
 	for _, start := range []float64{4, 1000} {
 		s := settings(1)
-		s.Least, s.Start, s.Most, s.Waiting = 4, start, 4096, 200
+		s.MinLimit, s.InitialLimit, s.MaxLimit, s.MaxQueued = 4, start, 4096, 200
 		w := newWorld(t, s)
 		g := rand.New(rand.NewPCG(3, 4))
 		type job struct {
@@ -376,7 +376,7 @@
 				if j.left -= share; j.left > 0 {
 					kept = append(kept, j)
 				} else {
-					w.take(w.d.Leave(w.now, j.ticket, true, nil))
+					w.take(w.d.Finish(w.now, j.ticket, true, nil))
 				}
 			}
 			jobs = kept
@@ -385,7 +385,7 @@
 		if limit, _, _ := w.d.State(); limit < 18 || limit > 70 {
 			t.Errorf("from %v the limit settles at %.1f where 20 go at once", start, limit)
 		}
-		if got := w.d.Stats(0).Work / 118e6 / 20; got < 0.85 {
+		if got := w.d.Stats(0).AdmittedWork / 118e6 / 20; got < 0.85 {
 			t.Errorf("from %v: only %.2f of what the service can do is used", start, got)
 		}
 	}
@@ -398,15 +398,15 @@
 	var out []Action
 	for i := range 1_000_000 {
 		w.now += 60
-		_, out = w.d.Arrive(w.now, Request{Tenant: i & 1, Class: i >> 1 & 1, Client: uint64(i), Deadline: w.now + sec}, out[:0])
+		_, out = w.d.Submit(w.now, Request{Tenant: i & 1, Class: i >> 1 & 1, Client: uint64(i), Deadline: w.now + sec}, out[:0])
 		for _, a := range out {
-			if a.Kind == Enter {
-				w.d.Leave(w.now, a.Ticket, false, nil)
+			if a.Kind == Admit {
+				w.d.Finish(w.now, a.Ticket, false, nil)
 			}
 		}
 	}
-	if n := len(w.d.items); n > s.Waiting+8 {
-		t.Errorf("%d places for %d that may wait", n, s.Waiting)
+	if n := len(w.d.entries); n > s.MaxQueued+8 {
+		t.Errorf("%d places for %d that may wait", n, s.MaxQueued)
 	}
 }
 
@@ -415,7 +415,7 @@
 func TestInvariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := settings(rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.1, 1, 1, 10}), 1, 5).Draw(rt, "shares")...)
-		s.Waiting, s.Buckets = rapid.IntRange(1, 20).Draw(rt, "waiting"), rapid.IntRange(1, 4).Draw(rt, "buckets")
+		s.MaxQueued, s.QueuesPerClass = rapid.IntRange(1, 20).Draw(rt, "waiting"), rapid.IntRange(1, 4).Draw(rt, "buckets")
 		w := newWorld(t, s)
 		var all []Ticket
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
@@ -423,7 +423,7 @@
 			switch rapid.IntRange(0, 5).Draw(rt, "what") {
 			case 0, 1, 2:
 				r := Request{Tenant: rapid.IntRange(0, len(s.Tenants)-1).Draw(rt, "tenant"), Class: rapid.IntRange(0, 1).Draw(rt, "class"),
-					Client: uint64(rapid.IntRange(0, 9).Draw(rt, "client")), Repeat: rapid.Bool().Draw(rt, "repeat"),
+					Client: uint64(rapid.IntRange(0, 9).Draw(rt, "client")), IsRetry: rapid.Bool().Draw(rt, "repeat"),
 					Work:     Time(rapid.SampledFrom([]int{0, 1, 100 * ms, 1 << 40}).Draw(rt, "work")),
 					Deadline: w.now + Time(rapid.SampledFrom([]int{-sec, 0, 100 * ms, 60 * sec}).Draw(rt, "left"))}
 				if r.Deadline == 0 {
@@ -438,7 +438,7 @@
 				if len(all) > 0 {
 					a := all[rapid.IntRange(0, len(all)-1).Draw(rt, "abandon")]
 					delete(w.waits, a)
-					w.take(w.d.Abandon(w.now, a, nil))
+					w.take(w.d.Cancel(w.now, a, nil))
 				}
 			case 5:
 				w.take(w.d.Tick(w.now, nil))
@@ -458,27 +458,27 @@
 func check(t *rapid.T, w *world) {
 	d := w.d
 	waits, states := 0, [3]int{}
-	for i := range d.items {
-		states[d.items[i].state]++
+	for i := range d.entries {
+		states[d.entries[i].state]++
 	}
 	for i := range d.tenants {
 		tn := &d.tenants[i]
-		waits += tn.waiting
-		if n := d.order.flows[i].n; n != tn.waiting {
-			t.Fatalf("tenant %d: %d wait, its flow says %d", i, tn.waiting, n)
+		waits += tn.queued
+		if n := d.tenantOrder.flows[i].queued; n != tn.queued {
+			t.Fatalf("tenant %d: %d wait, its flow says %d", i, tn.queued, n)
 		}
 	}
-	if waits != d.waits || states[waiting] != waits || len(d.ends) != waits || waits > d.set.Waiting || len(w.waits) != waits {
-		t.Fatalf("%d wait, %d by tenants, %d by places, %d by ends, %d by the world, of %d", d.waits, waits, states[waiting], len(d.ends),
-			len(w.waits), d.set.Waiting)
+	if waits != d.queued || states[stateQueued] != waits || len(d.admitByHeap) != waits || waits > d.settings.MaxQueued || len(w.waits) != waits {
+		t.Fatalf("%d wait, %d by tenants, %d by places, %d by ends, %d by the world, of %d", d.queued, waits, states[stateQueued], len(d.admitByHeap),
+			len(w.waits), d.settings.MaxQueued)
 	}
-	if states[inside] != d.inside || d.inside != len(w.inside) {
-		t.Fatalf("%d inside, %d by places, %d by the world", d.inside, states[inside], len(w.inside))
+	if states[stateInFlight] != d.inFlight || d.inFlight != len(w.inside) {
+		t.Fatalf("%d inside, %d by places, %d by the world", d.inFlight, states[stateInFlight], len(w.inside))
 	}
-	if waits > 0 && d.inside == 0 {
+	if waits > 0 && d.inFlight == 0 {
 		t.Fatal("requests wait and nothing is inside")
 	}
-	if waits > 0 && d.items[d.ends[0]].ends < d.now {
+	if waits > 0 && d.entries[d.admitByHeap[0]].admitBy < d.now {
 		t.Fatal("one waits past its end")
 	}
 }
@@ -488,7 +488,7 @@
 	for _, queued := range []int{0, 10, 10_000} {
 		b.Run(fmt.Sprint("queued=", queued), func(b *testing.B) {
 			s := settings(1, 2, 3, 4, 10)
-			s.Waiting = 20_000
+			s.MaxQueued = 20_000
 			d, err := New(s)
 			if err != nil {
 				b.Fatal(err)
@@ -498,7 +498,7 @@
 			out := make([]Action, 0, 64)
 			take := func() {
 				for _, a := range out {
-					if a.Kind == Enter {
+					if a.Kind == Admit {
 						inside = append(inside, a.Ticket)
 					}
 				}
@@ -506,7 +506,7 @@
 			n := uint64(0)
 			arrive := func() {
 				n++
-				_, out = d.Arrive(now, Request{Tenant: int(n % 5), Class: int(n >> 3 & 1), Client: mix(n), Deadline: now + 3600*sec}, out[:0])
+				_, out = d.Submit(now, Request{Tenant: int(n % 5), Class: int(n >> 3 & 1), Client: splitMix64(n), Deadline: now + 3600*sec}, out[:0])
 				take()
 			}
 			for range queued + 4 {
@@ -519,7 +519,7 @@
 				arrive()
 				t := inside[0]
 				inside = append(inside[:0], inside[1:]...)
-				out = d.Leave(now, t, true, out[:0])
+				out = d.Finish(now, t, true, out[:0])
 				take()
 			}
 		})
@@ -529,15 +529,15 @@
 // TestPastTheRateComesLast keeps one tenant at three times its rate: what is within goes in, what is past it pays.
 func TestPastTheRateComesLast(t *testing.T) {
 	s := settings(1)
-	s.Tenants[0].Rate, s.Waiting = 20, 30
+	s.Tenants[0].Rate, s.MaxQueued = 20, 30
 	w := newWorld(t, s)
 	within, in := 0, 0
 	for step := range 3000 { // a request each 16 ms, an end each 25 ms: 60 and 40 a second
-		before := w.d.tenants[0].within
+		before := w.d.tenants[0].quotaTokens
 		ticket := w.arrive(Request{Client: uint64(step), Deadline: w.now + 2*sec})
-		if within20 := w.d.tenants[0].within < before; within20 || before >= 1 {
+		if within20 := w.d.tenants[0].quotaTokens < before; within20 || before >= 1 {
 			within++
-			if a := w.decided[ticket]; w.waits[ticket] || a.Kind == Enter {
+			if a := w.decided[ticket]; w.waits[ticket] || a.Kind == Admit {
 				in++
 			}
 		}
@@ -555,7 +555,7 @@
 // returns the share of those that then went in.
 func returns(t *testing.T, overload float64, fixed Time) float64 {
 	s := settings(1)
-	s.Waiting, s.Repeats = 16, 10
+	s.MaxQueued, s.RetryRatio = 16, 10
 	w := newWorld(t, s)
 	g := rand.New(rand.NewPCG(5, 6))
 	var due []Time
@@ -577,7 +577,7 @@
 			fresh = 1
 		}
 		for i := range now + fresh {
-			ticket := w.arrive(Request{Client: g.Uint64(), Deadline: w.now + sec, Repeat: i < now})
+			ticket := w.arrive(Request{Client: g.Uint64(), Deadline: w.now + sec, IsRetry: i < now})
 			if back[ticket] = i < now; i < now {
 				came++
 			}
@@ -588,10 +588,10 @@
 		w.take(w.d.Tick(w.now, nil))
 		for ticket, a := range w.decided {
 			switch {
-			case a.Kind == Enter && back[ticket]:
+			case a.Kind == Admit && back[ticket]:
 				in++
-			case a.Kind == Refuse && !back[ticket]: // who is refused twice gives up
-				after := a.After
+			case a.Kind == Reject && !back[ticket]: // who is refused twice gives up
+				after := a.RetryAfter
 				if fixed > 0 {
 					after = fixed
 				}
--- a/internal/standalone/deployfile/door.go
+++ b/internal/standalone/deployfile/door.go
@@ -16,8 +16,8 @@
 	"pumiceline/internal/tomlfile"
 )
 
-// doorFile is deploy/door.toml.
-type doorFile struct {
+// admissionFile is deploy/door.toml.
+type admissionFile struct {
 	Waiting     int                      `toml:"waiting"`
 	Buckets     int                      `toml:"buckets"`
 	Least       float64                  `toml:"least"`
@@ -33,23 +33,23 @@
 	Work        map[string]duration.Span `toml:"work"`
 }
 
-// usualWork is what a request is taken to cost where neither its client nor the file says.
-const usualWork = 100_000
+// defaultWorkMicros is what a request is taken to cost where neither its client nor the file says.
+const defaultWorkMicros = 100_000
 
-// Door reads the door's file for a deployment. Tenants have their quota for a share where the file names none, classes the
+// ReadAdmission reads the door's file for a deployment. Tenants have their quota for a share where the file names none, classes the
 // worth that the deployment's settings give them. Faults are *tomlfile.Error.
-func Door(path string, s *settings.Settings, seed uint64) (admission.Settings, error) {
+func ReadAdmission(path string, s *settings.Settings, seed uint64) (admission.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return admission.Settings{}, fmt.Errorf("door: %w", err)
 	}
-	return parseDoor(path, text, s, seed)
+	return parseAdmission(path, text, s, seed)
 }
 
-func parseDoor(path string, text []byte, s *settings.Settings, seed uint64) (admission.Settings, error) {
+func parseAdmission(path string, text []byte, s *settings.Settings, seed uint64) (admission.Settings, error) {
 	set := admission.Defaults()
-	f := doorFile{Waiting: set.Waiting, Buckets: set.Buckets, Least: set.Least, Most: set.Most, Start: set.Start, Patience: set.Patience,
-		Repeats: set.Repeats, RepeatBurst: set.RepeatBurst, MaxComeBack: duration.Span(set.MaxComeBack), Rotate: duration.Span(set.RotateSalt)}
+	f := admissionFile{Waiting: set.MaxQueued, Buckets: set.QueuesPerClass, Least: set.MinLimit, Most: set.MaxLimit, Start: set.InitialLimit, Patience: set.RequiredTimeFactor,
+		Repeats: set.RetryRatio, RepeatBurst: set.RetryBurst, MaxComeBack: duration.Span(set.MaxRetryAfter), Rotate: duration.Span(set.SaltRotation)}
 	if err := tomlfile.Decode(path, text, &f); err != nil {
 		return set, err
 	}
@@ -62,10 +62,10 @@
 			return set, fault(key, "is a time and has no unit: write it as \"250ms\"")
 		}
 	}
-	set.Waiting, set.Buckets, set.Least, set.Most, set.Start, set.Patience = f.Waiting, f.Buckets, f.Least, f.Most, f.Start, f.Patience
-	set.Repeats, set.RepeatBurst, set.MaxComeBack, set.RotateSalt = f.Repeats, f.RepeatBurst, admission.Time(f.MaxComeBack), admission.Time(f.Rotate)
+	set.MaxQueued, set.QueuesPerClass, set.MinLimit, set.MaxLimit, set.InitialLimit, set.RequiredTimeFactor = f.Waiting, f.Buckets, f.Least, f.Most, f.Start, f.Patience
+	set.RetryRatio, set.RetryBurst, set.MaxRetryAfter, set.SaltRotation = f.Repeats, f.RepeatBurst, admission.Time(f.MaxComeBack), admission.Time(f.Rotate)
 	set.Seed = seed
-	set.OverShare = s.OverShareWorth
+	set.OverQuotaFactor = s.OverShareWorth
 	tenants, classes := map[string]bool{}, map[string]bool{}
 	for _, p := range s.Projects {
 		tenants[p.Name] = true
@@ -80,9 +80,9 @@
 	}
 	for _, c := range s.Classes {
 		classes[c.Name] = true
-		k := admission.Class{Name: c.Name, Worth: c.Worth, Work: usualWork, Aim: settings.Micros(c.OnTime)}
+		k := admission.Class{Name: c.Name, Value: c.Worth, Work: defaultWorkMicros, LatencyTarget: settings.Micros(c.OnTime)}
 		if w, told := f.Worth[c.Name]; told {
-			k.Worth = w
+			k.Value = w
 		}
 		if w, told := f.Work[c.Name]; told {
 			k.Work = admission.Time(w)
--- a/internal/standalone/deployfile/door_test.go
+++ b/internal/standalone/deployfile/door_test.go
@@ -21,23 +21,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	written, err := parseDoor("door.toml", text, deployment(), 7)
+	written, err := parseAdmission("door.toml", text, deployment(), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	empty, err := parseDoor("door.toml", nil, deployment(), 7)
+	empty, err := parseAdmission("door.toml", nil, deployment(), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if written.Waiting != empty.Waiting || written.MaxComeBack != empty.MaxComeBack || written.Tenants[1] != empty.Tenants[1] ||
-		written.Classes[1] != empty.Classes[1] || written.RotateSalt != empty.RotateSalt || written.Patience != empty.Patience {
+	if written.MaxQueued != empty.MaxQueued || written.MaxRetryAfter != empty.MaxRetryAfter || written.Tenants[1] != empty.Tenants[1] ||
+		written.Classes[1] != empty.Classes[1] || written.SaltRotation != empty.SaltRotation || written.RequiredTimeFactor != empty.RequiredTimeFactor {
 		t.Errorf("deploy/door.toml says %+v, without it %+v", written, empty)
 	}
-	if empty.Tenants[0].Share != 254 || empty.Classes[1].Worth != 5 {
+	if empty.Tenants[0].Share != 254 || empty.Classes[1].Value != 5 {
 		t.Errorf("the deployment's shares and worth: %+v", empty)
 	}
-	set, err := parseDoor("door.toml", []byte("[shares]\nkhan-air = 300.0\n[work]\nissue-policy = \"130ms\"\n[worth]\nquick-quote = 0.0"), deployment(), 7)
-	if err != nil || set.Tenants[1].Share != 300 || set.Classes[1].Work != 130_000 || set.Classes[0].Worth != 0 || set.Classes[0].Work != usualWork {
+	set, err := parseAdmission("door.toml", []byte("[shares]\nkhan-air = 300.0\n[work]\nissue-policy = \"130ms\"\n[worth]\nquick-quote = 0.0"), deployment(), 7)
+	if err != nil || set.Tenants[1].Share != 300 || set.Classes[1].Work != 130_000 || set.Classes[0].Value != 0 || set.Classes[0].Work != defaultWorkMicros {
 		t.Errorf("%+v, %v", set, err)
 	}
 }
@@ -56,13 +56,13 @@
 		"max_come_back = \"1 fortnight\"": "d.toml:1: max_come_back",
 		"waiting = 3\nwaiting = 4":        "d.toml",
 	} {
-		_, err := parseDoor("d.toml", []byte(text), deployment(), 1)
+		_, err := parseAdmission("d.toml", []byte(text), deployment(), 1)
 		var fault *tomlfile.Error
 		if !errors.As(err, &fault) || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
-	if _, err := Door("none.toml", deployment(), 1); !errors.Is(err, os.ErrNotExist) {
+	if _, err := ReadAdmission("none.toml", deployment(), 1); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("a missing file: %v", err)
 	}
 }
--- a/internal/standalone/deployfile/stored_test.go
+++ b/internal/standalone/deployfile/stored_test.go
@@ -32,16 +32,16 @@
 	deployment := &settings.Settings{GroupSize: 2, OverShareWorth: 0.2,
 		Projects: []settings.Project{{Name: "steppe-tours", QuotaPerS: 254}, {Name: "khan-air", QuotaPerS: 76}},
 		Classes:  []settings.Class{{Name: "quick-quote", Worth: 3, OnTime: 600_000}, {Name: "issue-policy", Worth: 5, OnTime: 900_000}}}
-	got, err := Door("testdata/door.toml", deployment, 7)
+	got, err := ReadAdmission("testdata/door.toml", deployment, 7)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := admission.Settings{
 		Tenants: []admission.Tenant{{Name: "steppe-tours", Share: 0.6, Rate: 127}, {Name: "khan-air", Share: 0.4, Rate: 38}},
-		Classes: []admission.Class{{Name: "quick-quote", Worth: 2.5, Work: 110_000, Aim: 600_000},
-			{Name: "issue-policy", Worth: 6.5, Work: 210_000, Aim: 900_000}},
-		OverShare: 0.2, Waiting: 1024, Buckets: 16, Least: 5, Most: 2048, Start: 32, Patience: 0.7, Repeats: 0.25, RepeatBurst: 15,
-		MaxComeBack: 1_500_000, RotateSalt: 12_000_000, Seed: 7,
+		Classes: []admission.Class{{Name: "quick-quote", Value: 2.5, Work: 110_000, LatencyTarget: 600_000},
+			{Name: "issue-policy", Value: 6.5, Work: 210_000, LatencyTarget: 900_000}},
+		OverQuotaFactor: 0.2, MaxQueued: 1024, QueuesPerClass: 16, MinLimit: 5, MaxLimit: 2048, InitialLimit: 32, RequiredTimeFactor: 0.7, RetryRatio: 0.25, RetryBurst: 15,
+		MaxRetryAfter: 1_500_000, SaltRotation: 12_000_000, Seed: 7,
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
--- a/internal/standalone/listener/gate.go
+++ b/internal/standalone/listener/gate.go
@@ -31,7 +31,7 @@
 	origin time.Time
 
 	mu          sync.Mutex
-	controller  *admission.Door
+	controller  *admission.Controller
 	tenantNames []string
 	actions     []admission.Action
 	pending     map[admission.Ticket]chan admission.Action
@@ -64,7 +64,7 @@
 func (g *Gate) ApplySettings(set admission.Settings) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out, err := g.controller.Change(g.now(), set, g.actions[:0])
+	out, err := g.controller.ApplySettings(g.now(), set, g.actions[:0])
 	if err != nil {
 		return err
 	}
@@ -111,11 +111,11 @@
 		host = r.RemoteAddr
 	}
 	ask := admission.Request{Tenant: int(in.Tenant), Class: int(in.Class), Client: maphash.String(g.seed, host), Work: in.WorkHint,
-		Repeat: singleValue(r.Header, repeatHeader) == "1"}
+		IsRetry: singleValue(r.Header, repeatHeader) == "1"}
 	g.mu.Lock()
 	ask.Deadline = g.now() + time.Until(deadline.Add(-gateRejectMargin)).Microseconds()
 	decided := make(chan admission.Action, 1)
-	ticket, out := g.controller.Arrive(g.now(), ask, g.actions[:0])
+	ticket, out := g.controller.Submit(g.now(), ask, g.actions[:0])
 	g.pending[ticket] = decided
 	g.deliver(out)
 	g.mu.Unlock()
@@ -127,22 +127,22 @@
 		defer g.mu.Unlock()
 		select {
 		case a = <-decided: // just before
-			if a.Kind == admission.Enter {
-				g.deliver(g.controller.Leave(g.now(), ticket, false, g.actions[:0]))
+			if a.Kind == admission.Admit {
+				g.deliver(g.controller.Finish(g.now(), ticket, false, g.actions[:0]))
 			}
 		default:
 			delete(g.pending, ticket)
-			g.deliver(g.controller.Abandon(g.now(), ticket, g.actions[:0]))
+			g.deliver(g.controller.Cancel(g.now(), ticket, g.actions[:0]))
 		}
-		return nil, admission.Action{Kind: admission.Refuse, Reason: admission.TooLate}
+		return nil, admission.Action{Kind: admission.Reject, Reason: admission.TooLate}
 	}
-	if a.Kind != admission.Enter {
+	if a.Kind != admission.Admit {
 		return nil, a
 	}
 	return func(served bool) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.deliver(g.controller.Leave(g.now(), ticket, served, g.actions[:0]))
+		g.deliver(g.controller.Finish(g.now(), ticket, served, g.actions[:0]))
 	}, a
 }
 
@@ -155,14 +155,14 @@
 		s, last := g.controller.Stats(i), g.loggedStats[i]
 		g.loggedStats[i] = s
 		refused := 0
-		args := []any{"tenant", name, "came", s.Came - last.Came, "entered", s.Entered - last.Entered, "waits", s.Waiting,
-			"work_s", (s.Work - last.Work) / 1e6, "returns", s.Returned - last.Returned, "returns_in", s.ReturnsIn - last.ReturnsIn}
-		for k := range s.Refused {
-			n := s.Refused[k] - last.Refused[k]
+		args := []any{"tenant", name, "came", s.Arrived - last.Arrived, "entered", s.Admitted - last.Admitted, "waits", s.Queued,
+			"work_s", (s.AdmittedWork - last.AdmittedWork) / 1e6, "returns", s.Returned - last.Returned, "returns_in", s.ReturnsAdmitted - last.ReturnsAdmitted}
+		for k := range s.Rejected {
+			n := s.Rejected[k] - last.Rejected[k]
 			refused += int(n)
 			args = append(args, "refused_"+strings.ReplaceAll(admission.Reason(k).String(), " ", "_"), n)
 		}
-		if refused > 0 || s.Waiting > 0 {
+		if refused > 0 || s.Queued > 0 {
 			g.log.Info("door", append(args, "limit", int(limit), "inside", inside, "waits_in_all", waits)...)
 		}
 	}
@@ -170,8 +170,8 @@
 
 // writeRejection answers a refusal of the door's: nothing was sent, so trying again is harmless.
 func writeRejection(w http.ResponseWriter, a admission.Action) {
-	if a.After > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.After)/1e6, 'f', 3, 64))
+	if a.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.RetryAfter)/1e6, 'f', 3, 64))
 	}
 	http.Error(w, "busy: "+a.Reason.String(), http.StatusServiceUnavailable)
 }
--- a/internal/standalone/listener/gate_test.go
+++ b/internal/standalone/listener/gate_test.go
@@ -23,8 +23,8 @@
 	t.Helper()
 	s := admission.Defaults()
 	s.Tenants = []admission.Tenant{{Name: "acme", Share: 1}, {Name: "zenith", Share: 1}}
-	s.Classes = []admission.Class{{Name: "quote", Worth: 1, Work: 100_000}, {Name: "issue", Worth: 5, Work: 100_000}}
-	s.Least, s.Start, s.Most = 4, 4, 4
+	s.Classes = []admission.Class{{Name: "quote", Value: 1, Work: 100_000}, {Name: "issue", Value: 5, Work: 100_000}}
+	s.MinLimit, s.InitialLimit, s.MaxLimit = 4, 4, 4
 	if change != nil {
 		change(&s)
 	}
@@ -122,7 +122,7 @@
 // front: each client that stays gets one whole answer, and the door is empty at the end.
 func TestTheGateLosesNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, g := gated(t, func(s *admission.Settings) { s.Waiting = 40 })
+		f, g := gated(t, func(s *admission.Settings) { s.MaxQueued = 40 })
 		ln, stop := start(t, f)
 		running, end := context.WithCancel(context.Background())
 		var all sync.WaitGroup
@@ -150,10 +150,10 @@
 		}
 		time.Sleep(120 * time.Millisecond)
 		less := admission.Defaults()
-		less.Tenants, less.Classes = []admission.Tenant{{Name: "zenith", Share: 1}, {Name: "acme", Share: 0}}, []admission.Class{{Name: "quote", Worth: 1, Work: 100_000}}
-		less.Least, less.Start, less.Most, less.Waiting = 2, 2, 2, 10
+		less.Tenants, less.Classes = []admission.Tenant{{Name: "zenith", Share: 1}, {Name: "acme", Share: 0}}, []admission.Class{{Name: "quote", Value: 1, Work: 100_000}}
+		less.MinLimit, less.InitialLimit, less.MaxLimit, less.MaxQueued = 2, 2, 2, 10
 		bad := less
-		bad.Buckets = 0
+		bad.QueuesPerClass = 0
 		if err := g.ApplySettings(bad); err == nil || !strings.Contains(err.Error(), "buckets") {
 			t.Errorf("a wrong file passes: %v", err)
 		}
@@ -177,7 +177,7 @@
 // TestWaitingClientsAreToldInTime: one whose turn does not come is refused while it is still there.
 func TestWaitingClientsAreToldInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, g := gated(t, func(s *admission.Settings) { s.Least, s.Start, s.Most = 1, 1, 1 })
+		f, g := gated(t, func(s *admission.Settings) { s.MinLimit, s.InitialLimit, s.MaxLimit = 1, 1, 1 })
 		ln, stop := start(t, f)
 		running, end := context.WithCancel(context.Background())
 		var all sync.WaitGroup
--- a/internal/standalone/listener/leave_test.go
+++ b/internal/standalone/listener/leave_test.go
@@ -269,8 +269,8 @@
 				c.atOnce = true
 				s := admission.Defaults()
 				s.Tenants = []admission.Tenant{{Name: "acme", Share: 1}, {Name: "zenith", Share: 1}}
-				s.Classes = []admission.Class{{Name: "quote", Worth: 1, Work: 100_000}, {Name: "issue", Worth: 5, Work: 100_000}}
-				s.Least, s.Start, s.Most = 1, 1, 1
+				s.Classes = []admission.Class{{Name: "quote", Value: 1, Work: 100_000}, {Name: "issue", Value: 5, Work: 100_000}}
+				s.MinLimit, s.InitialLimit, s.MaxLimit = 1, 1, 1
 				var err error
 				if gate, err = NewGate(s, o.Log); err != nil {
 					t.Fatal(err)
