--- a/internal/controlplane/coordinator/state.go
+++ b/internal/controlplane/coordinator/state.go
@@ -57,7 +57,7 @@
 			return errors.Wrap(err, "decode the configuration on disk")
 		}
 	}
-	for i, record := range s.ring.Added(chainRecord) {
+	for i, record := range s.ring.Appended(chainRecord) {
 		var change message.ChangeRecord
 		if _, err := change.UnmarshalMsg(record); err != nil {
 			return errors.Wrapf(err, "decode change %d after the configuration on disk", i+1)
@@ -79,7 +79,7 @@
 			return nil, 0, errors.Wrap(err, "encode a change")
 		}
 		records = append(records, record)
-		size += storage.AdditionBytes(record)
+		size += storage.FrameBytes(record)
 	}
 	return records, size, nil
 }
--- a/internal/controlplane/coordinator/state_writer.go
+++ b/internal/controlplane/coordinator/state_writer.go
@@ -134,10 +134,10 @@
 	if err != nil {
 		return err
 	}
-	canAppend := !batch.replacesChain && w.appended+len(changes) <= maxAppendedChanges && w.ring.CanAdd(size, records)
+	canAppend := !batch.replacesChain && w.appended+len(changes) <= maxAppendedChanges && w.ring.CanAppend(size, records)
 	if canAppend && len(changes) > 0 {
 		w.appended += len(changes)
-		return w.ring.Add(chainRecord, changes, records)
+		return w.ring.Append(chainRecord, changes, records)
 	}
 	if canAppend {
 		return w.ring.Write(records)
--- a/internal/controlplane/coordinator/state_writer_test.go
+++ b/internal/controlplane/coordinator/state_writer_test.go
@@ -130,7 +130,7 @@
 	state, record := extend(t, &stored.chain)
 	w.write([]replica.Output{{Chain: &stored.chain}})
 	w.write([]replica.Output{{Chain: &state, Additions: []message.ChangeRecord{record}}})
-	require.NoError(t, stored.ring.Add(chainRecord, [][]byte{[]byte("no change")}, nil))
+	require.NoError(t, stored.ring.Append(chainRecord, [][]byte{[]byte("no change")}, nil))
 	_, err := openState(dir)
 	assert.ErrorContains(t, err, "change 2 after the configuration on disk")
 }
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -85,7 +85,7 @@
 func unpackState(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	for i := range storage.FileCount {
+	for i := range storage.SegmentCount {
 		name := fmt.Sprintf("ring-%d", i)
 		packed, err := os.Open(filepath.Join("testdata", name+".gz"))
 		require.NoError(t, err)
@@ -146,8 +146,8 @@
 			DocumentDigest: fromHex(t, "ada504f9e147211436bfb4c08e75fb4e"),
 		},
 	}
-	require.Len(t, ring.Added(chainRecord), len(additions))
-	for i, text := range ring.Added(chainRecord) {
+	require.Len(t, ring.Appended(chainRecord), len(additions))
+	for i, text := range ring.Appended(chainRecord) {
 		var addition message.ChangeRecord
 		rest, err := addition.UnmarshalMsg(text)
 		require.NoError(t, err)
--- /dev/null
+++ b/internal/controlplane/storage/recovery.go
@@ -0,0 +1,79 @@
+package storage
+
+import "github.com/pkg/errors"
+
+// OpenFiles opens a ring on segments of SegmentBytes each and reads what they hold. An error means that a segment
+// cannot be read; what a crash left is none.
+func OpenFiles(files []File) (*Ring, error) {
+	ring := &Ring{files: files, newest: map[Kind][]byte{}, appended: map[Kind][][]byte{}}
+	found := map[Kind]uint64{} // sequence of the newest record by kind
+	last := len(files) - 1
+	for i, file := range files {
+		contents, err := readSegment(file)
+		if err != nil {
+			return nil, errors.Wrapf(err, "read segment %d of the ring", i)
+		}
+		if contents.lastSequence > ring.sequence {
+			ring.sequence, last = contents.lastSequence, i
+		}
+		for kind, record := range contents.newest {
+			if record.sequence > found[kind] {
+				found[kind] = record.sequence
+				ring.newest[kind], ring.appended[kind] = record.payload, contents.appended[kind]
+			}
+		}
+	}
+	// What follows the last frame may be torn, so writing goes on in the next segment.
+	ring.current, ring.mustRotate = last, true
+	return ring, nil
+}
+
+// segmentContents is what one segment holds.
+type segmentContents struct {
+	newest       map[Kind]record
+	appended     map[Kind][][]byte // since the newest record of their kind
+	lastSequence uint64
+}
+
+type record struct {
+	sequence uint64
+	payload  []byte
+}
+
+// readSegment reads a segment up to the first frame that does not count. A sequence that does not rise shows a frame
+// of the segment's earlier use, which stands behind the end of the present one.
+func readSegment(file File) (*segmentContents, error) {
+	contents := &segmentContents{newest: map[Kind]record{}, appended: map[Kind][][]byte{}}
+	encoded := make([]byte, headerBytes)
+	for offset := int64(0); offset+headerBytes <= SegmentBytes; {
+		if _, err := file.ReadAt(encoded, offset); err != nil {
+			return nil, err
+		}
+		header := decodeHeader(encoded)
+		end := offset + headerBytes + header.length
+		if header.magic != magic || header.sequence <= contents.lastSequence || end > SegmentBytes {
+			break
+		}
+		payload := make([]byte, header.length)
+		if _, err := file.ReadAt(payload, offset+headerBytes); err != nil {
+			return nil, err
+		}
+		if checksum(encoded, payload) != header.checksum {
+			break
+		}
+		contents.add(header.kind, record{sequence: header.sequence, payload: payload})
+		offset = end
+	}
+	return contents, nil
+}
+
+func (c *segmentContents) add(kind Kind, found record) {
+	c.lastSequence = found.sequence
+	if kind.isAppended() {
+		base := kind &^ appendedBit
+		c.appended[base] = append(c.appended[base], found.payload)
+		return
+	}
+	c.newest[kind] = found
+	delete(c.appended, kind)
+}
--- a/internal/controlplane/storage/ring_test.go
+++ b/internal/controlplane/storage/ring_test.go
@@ -8,14 +8,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// memoryFile keeps written and synced contents apart, as a disk does that loses power.
+// memoryFile is a segment in memory. It keeps written and synced contents apart, as a disk does that loses power.
 type memoryFile struct {
 	written, synced []byte
-	refuse          bool
+	failing         bool
 }
 
 func newMemoryFile() *memoryFile {
-	return &memoryFile{written: make([]byte, FileBytes), synced: make([]byte, FileBytes)}
+	return &memoryFile{written: make([]byte, SegmentBytes), synced: make([]byte, SegmentBytes)}
 }
 
 func (f *memoryFile) ReadAt(p []byte, offset int64) (int, error) {
@@ -23,14 +23,14 @@
 }
 
 func (f *memoryFile) WriteAt(p []byte, offset int64) (int, error) {
-	if f.refuse {
+	if f.failing {
 		return 0, errors.New("no space left")
 	}
 	return copy(f.written[offset:], p), nil
 }
 
 func (f *memoryFile) Sync() error {
-	if f.refuse {
+	if f.failing {
 		return errors.New("no space left")
 	}
 	f.synced = append(f.synced[:0], f.written...)
@@ -38,7 +38,7 @@
 }
 
 func newFiles() ([]File, []*memoryFile) {
-	files, memory := make([]File, FileCount), make([]*memoryFile, FileCount)
+	files, memory := make([]File, SegmentCount), make([]*memoryFile, SegmentCount)
 	for i := range files {
 		memory[i] = newMemoryFile()
 		files[i] = memory[i]
@@ -53,7 +53,7 @@
 	return ring
 }
 
-func TestNewestRecordOfEachKindIsKept(t *testing.T) {
+func TestRing_KeepsNewestRecordOfEachKind(t *testing.T) {
 	files, _ := newFiles()
 	ring := open(t, files)
 	require.NoError(t, ring.Write(map[Kind][]byte{1: []byte("a"), 2: []byte("b")}))
@@ -64,9 +64,9 @@
 	assert.Nil(t, again.Newest(3))
 }
 
-// copyWith returns copies of the files as a loss of power leaves them, with other bytes at an offset of one of them.
+// copyWith returns copies of the segments, with other bytes at an offset of one of them.
 func copyWith(memory []*memoryFile, changed int, offset int64, text []byte) []File {
-	copies := make([]File, FileCount)
+	copies := make([]File, SegmentCount)
 	for i, file := range memory {
 		contents := newMemoryFile()
 		copy(contents.written, file.written)
@@ -76,13 +76,13 @@
 	return copies
 }
 
-// Every cut of a write that was not synced leaves the records before it, and the next write is kept.
-func TestEveryTornWriteLeavesWhatWasSynced(t *testing.T) {
+// Wherever a write that was not synced is cut, the records before it are found, and so is the next write.
+func TestRing_TornWriteLeavesSyncedRecords(t *testing.T) {
 	files, memory := newFiles()
 	ring := open(t, files)
 	require.NoError(t, ring.Write(map[Kind][]byte{1: []byte("first"), 2: []byte("other")}))
 	current, offset := ring.current, ring.offset
-	torn := appendRecord(nil, 1, ring.sequence+1, []byte("second"))
+	torn := encodeFrame(nil, 1, ring.sequence+1, []byte("second"))
 	for cut := 0; cut < len(torn); cut++ {
 		copies := copyWith(memory, current, offset, torn[:cut])
 		restarted := open(t, copies)
@@ -93,9 +93,9 @@
 	}
 }
 
-// A member's control state says that its configuration is complete: after a torn write of both it must not be there
-// with the configuration before.
-func TestATornBlockKeepsHigherKindsFirst(t *testing.T) {
+// A control state says that the chain state is complete: after a torn write of both it must not be found with the chain
+// state before.
+func TestRing_TornWriteKeepsHigherKindsFirst(t *testing.T) {
 	files, memory := newFiles()
 	ring := open(t, files)
 	require.NoError(t, ring.Write(map[Kind][]byte{1: []byte("incomplete"), 2: []byte("old")}))
@@ -112,22 +112,22 @@
 	}
 }
 
-func TestAChangedByteIsNoRecord(t *testing.T) {
+func TestRing_IgnoresFrameWithWrongChecksum(t *testing.T) {
 	files, memory := newFiles()
 	ring := open(t, files)
 	require.NoError(t, ring.Write(map[Kind][]byte{1: []byte("first")}))
 	current, offset := ring.current, ring.offset
 	require.NoError(t, ring.Write(map[Kind][]byte{1: []byte("second")}))
-	memory[current].written[offset+headerSize] ^= 1
+	memory[current].written[offset+headerBytes] ^= 1
 	assert.Equal(t, "first", string(open(t, files).Newest(1)))
 }
 
-func TestTheRingGoesRound(t *testing.T) {
+func TestRing_WrapsAround(t *testing.T) {
 	files, _ := newFiles()
 	ring := open(t, files)
 	require.NoError(t, ring.Write(map[Kind][]byte{2: []byte("kept")}))
-	large := make([]byte, FileBytes/3)
-	for i := byte(0); i < 5*FileCount; i++ {
+	large := make([]byte, SegmentBytes/3)
+	for i := byte(0); i < 5*SegmentCount; i++ {
 		large[0] = i
 		require.NoError(t, ring.Write(map[Kind][]byte{1: large}))
 		again := open(t, files)
@@ -136,25 +136,25 @@
 	}
 }
 
-func TestARefusedWriteIsTriedInTheNextFile(t *testing.T) {
+func TestRing_RetriesFailedWriteInNextSegment(t *testing.T) {
 	files, memory := newFiles()
 	ring := open(t, files)
 	require.NoError(t, ring.Write(map[Kind][]byte{1: []byte("first"), 2: []byte("other")}))
-	memory[ring.current].refuse = true
+	memory[ring.current].failing = true
 	require.Error(t, ring.Write(map[Kind][]byte{1: []byte("second")}))
-	assert.Equal(t, "first", string(open(t, files).Newest(1)), "a refused write is not kept")
+	assert.Equal(t, "first", string(open(t, files).Newest(1)), "a failed write is not found")
 	require.NoError(t, ring.Write(map[Kind][]byte{1: []byte("second")}))
 	again := open(t, files)
 	assert.Equal(t, "second", string(again.Newest(1)))
 	assert.Equal(t, "other", string(again.Newest(2)))
 }
 
-func TestARecordThatFitsNowhere(t *testing.T) {
+func TestRing_RecordTooLarge(t *testing.T) {
 	files, _ := newFiles()
-	assert.ErrorIs(t, open(t, files).Write(map[Kind][]byte{1: make([]byte, FileBytes)}), ErrTooLarge)
+	assert.ErrorIs(t, open(t, files).Write(map[Kind][]byte{1: make([]byte, SegmentBytes)}), ErrTooLarge)
 }
 
-func TestFilesOnDisk(t *testing.T) {
+func TestOpen_ReadsFilesOnDisk(t *testing.T) {
 	dir := t.TempDir()
 	ring, err := Open(dir)
 	require.NoError(t, err)
@@ -164,42 +164,42 @@
 	assert.Equal(t, "kept", string(again.Newest(1)))
 }
 
-// Additions are kept in order with the record that they add to, whatever else is written, and end with the next one.
-func TestAdditionsFollowTheirRecord(t *testing.T) {
+// Appended records stay in order with their record, whatever else is written, until the next record of the kind.
+func TestRing_KeepsAppendedRecordsInOrder(t *testing.T) {
 	files, _ := newFiles()
 	ring := open(t, files)
-	assert.False(t, ring.CanAdd(1, nil), "the first write begins a file")
+	assert.False(t, ring.CanAppend(1, nil), "the first write begins a segment")
 	require.NoError(t, ring.Write(map[Kind][]byte{2: []byte("base")}))
-	require.True(t, ring.CanAdd(10, nil))
-	require.NoError(t, ring.Add(2, [][]byte{[]byte("one"), []byte("two")}, map[Kind][]byte{1: []byte("control")}))
+	require.True(t, ring.CanAppend(10, nil))
+	require.NoError(t, ring.Append(2, [][]byte{[]byte("one"), []byte("two")}, map[Kind][]byte{1: []byte("control")}))
 	require.NoError(t, ring.Write(map[Kind][]byte{1: []byte("control again")}))
-	require.NoError(t, ring.Add(2, [][]byte{[]byte("three")}, nil))
+	require.NoError(t, ring.Append(2, [][]byte{[]byte("three")}, nil))
 	again := open(t, files)
-	assert.Equal(t, [][]byte{[]byte("one"), []byte("two"), []byte("three")}, again.Added(2))
+	assert.Equal(t, [][]byte{[]byte("one"), []byte("two"), []byte("three")}, again.Appended(2))
 	assert.Equal(t, "control again", string(again.Newest(1)))
-	assert.False(t, again.CanAdd(1, nil), "what follows may be torn")
+	assert.False(t, again.CanAppend(1, nil), "what follows may be torn")
 	require.NoError(t, again.Write(map[Kind][]byte{2: []byte("base with three")}))
 	last := open(t, files)
-	assert.Empty(t, last.Added(2))
+	assert.Empty(t, last.Appended(2))
 	assert.Equal(t, "base with three", string(last.Newest(2)))
 }
 
-// A torn or refused addition leaves those before it, and a file that is full takes no more.
-func TestEveryTornAdditionLeavesWhatWasSynced(t *testing.T) {
+// A torn or failed append leaves the appended records before it, and a full segment takes no more.
+func TestRing_TornAppendLeavesSyncedRecords(t *testing.T) {
 	files, memory := newFiles()
 	ring := open(t, files)
 	require.NoError(t, ring.Write(map[Kind][]byte{2: []byte("base")}))
-	require.NoError(t, ring.Add(2, [][]byte{[]byte("one")}, nil))
+	require.NoError(t, ring.Append(2, [][]byte{[]byte("one")}, nil))
 	current, offset := ring.current, ring.offset
-	torn := appendRecord(nil, Kind(2).additions(), ring.sequence+1, []byte("two"))
+	torn := encodeFrame(nil, Kind(2).appendedKind(), ring.sequence+1, []byte("two"))
 	for cut := 0; cut < len(torn); cut++ {
 		copies := copyWith(memory, current, offset, torn[:cut])
-		require.Equal(t, [][]byte{[]byte("one")}, open(t, copies).Added(2), "cut at %d", cut)
+		require.Equal(t, [][]byte{[]byte("one")}, open(t, copies).Appended(2), "cut at %d", cut)
 	}
-	memory[current].refuse = true
-	require.Error(t, ring.Add(2, [][]byte{[]byte("two")}, nil))
-	assert.False(t, ring.CanAdd(1, nil))
+	memory[current].failing = true
+	require.Error(t, ring.Append(2, [][]byte{[]byte("two")}, nil))
+	assert.False(t, ring.CanAppend(1, nil))
 	require.NoError(t, ring.Write(map[Kind][]byte{2: []byte("whole")}))
-	assert.Empty(t, open(t, files).Added(2))
-	assert.False(t, ring.CanAdd(FileBytes, nil))
+	assert.Empty(t, open(t, files).Appended(2))
+	assert.False(t, ring.CanAppend(SegmentBytes, nil))
 }
--- /dev/null
+++ b/internal/controlplane/storage/segment.go
@@ -0,0 +1,68 @@
+package storage
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+
+	"github.com/pkg/errors"
+	"golang.org/x/sys/unix"
+)
+
+// segmentFile is a segment on disk. Its size never changes, so that a sync need not write metadata.
+type segmentFile struct{ *os.File }
+
+// Sync writes the contents to the disk.
+func (f segmentFile) Sync() error { return unix.Fdatasync(int(f.Fd())) }
+
+// Open opens the ring in a folder and reads what it holds. It makes the folder and the segments where they are missing.
+func Open(dir string) (*Ring, error) {
+	if err := os.MkdirAll(dir, 0o755); err != nil {
+		return nil, errors.Wrap(err, "make the folder of the ring")
+	}
+	files := make([]File, SegmentCount)
+	anyCreated := false
+	for i := range files {
+		file, created, err := openSegment(filepath.Join(dir, fmt.Sprintf("ring-%d", i)))
+		if err != nil {
+			return nil, err
+		}
+		files[i] = file
+		anyCreated = anyCreated || created
+	}
+	if anyCreated {
+		if err := syncDir(dir); err != nil {
+			return nil, err
+		}
+	}
+	return OpenFiles(files)
+}
+
+// openSegment opens a segment; one that is missing, or has another size, is preallocated.
+func openSegment(path string) (segment File, created bool, err error) {
+	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
+	if err != nil {
+		return nil, false, errors.Wrap(err, "open a segment")
+	}
+	info, err := file.Stat()
+	if err != nil {
+		return nil, false, errors.Wrap(err, "open a segment")
+	}
+	if info.Size() == SegmentBytes {
+		return segmentFile{file}, false, nil
+	}
+	if err := file.Truncate(SegmentBytes); err != nil {
+		return nil, false, errors.Wrap(err, "preallocate a segment")
+	}
+	return segmentFile{file}, true, errors.Wrap(file.Sync(), "sync a new segment")
+}
+
+// syncDir makes the entries of new files in a folder durable.
+func syncDir(dir string) error {
+	folder, err := os.Open(dir)
+	if err != nil {
+		return errors.Wrap(err, "open the folder of the ring")
+	}
+	defer folder.Close()
+	return errors.Wrap(folder.Sync(), "sync the folder of the ring")
+}
--- a/internal/controlplane/storage/stored_test.go
+++ b/internal/controlplane/storage/stored_test.go
@@ -16,7 +16,7 @@
 func unpackRing(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
-	for i := range FileCount {
+	for i := range SegmentCount {
 		name := fmt.Sprintf("ring-%d", i)
 		packed, err := os.Open(filepath.Join("testdata", name+".gz"))
 		require.NoError(t, err)
@@ -35,10 +35,10 @@
 // what was written after the third. There the last record, an addition, is torn.
 func TestReadsRingStoredByEarlierVersion(t *testing.T) {
 	dir := unpackRing(t)
-	for i := range FileCount {
+	for i := range SegmentCount {
 		info, err := os.Stat(filepath.Join(dir, fmt.Sprintf("ring-%d", i)))
 		require.NoError(t, err)
-		require.EqualValues(t, FileBytes, info.Size(), "a file of another size would be cut or grown at the start")
+		require.EqualValues(t, SegmentBytes, info.Size(), "a file of another size would be cut or grown at the start")
 	}
 	ring, err := Open(dir)
 	require.NoError(t, err)
@@ -46,12 +46,12 @@
 	assert.Equal(t, "chain, second", string(ring.Newest(2)))
 	assert.Equal(t, "another kind", string(ring.Newest(7)))
 	assert.Nil(t, ring.Newest(3))
-	assert.Empty(t, ring.Added(1))
-	assert.Equal(t, [][]byte{[]byte("addition 1"), []byte("addition 2"), []byte("addition 3")}, ring.Added(2))
-	assert.Empty(t, ring.Added(7))
+	assert.Empty(t, ring.Appended(1))
+	assert.Equal(t, [][]byte{[]byte("addition 1"), []byte("addition 2"), []byte("addition 3")}, ring.Appended(2))
+	assert.Empty(t, ring.Appended(7))
 	assert.Equal(t, 2, ring.current)
 	assert.EqualValues(t, 16, ring.sequence)
-	assert.False(t, ring.CanAdd(1, nil), "what follows the last record is torn")
+	assert.False(t, ring.CanAppend(1, nil), "what follows the last record is torn")
 
 	require.NoError(t, ring.Write(map[Kind][]byte{2: []byte("chain, third")}))
 	again, err := Open(dir)
@@ -59,7 +59,7 @@
 	assert.Equal(t, "control, third", string(again.Newest(1)))
 	assert.Equal(t, "chain, third", string(again.Newest(2)))
 	assert.Equal(t, "another kind", string(again.Newest(7)))
-	assert.Empty(t, again.Added(2))
+	assert.Empty(t, again.Appended(2))
 	assert.Equal(t, 3, again.current)
 	assert.EqualValues(t, 19, again.sequence)
 }
