--- a/internal/dataplane/backend/exchange.go
+++ b/internal/dataplane/backend/exchange.go
@@ -1,146 +1,86 @@
 package backend
 
 import (
-	"bytes"
 	"context"
-	"fmt"
 	"io"
 	"net/http"
-	"strconv"
-	"strings"
 	"time"
 
 	"github.com/pkg/errors"
-
-	"pumiceline/internal/message"
 )
 
-// Names of headers on the wire.
 const (
-	HeaderRequestID   = "Request-Id"
-	HeaderTimeLeft    = "Time-Left-Ms"
-	HeaderTarget      = "Target-Backend"
-	HeaderSeal        = "Server-Seal"
-	HeaderNotRun      = "Not-Run"
-	HeaderLoad        = "Backend-Load"
-	HeaderBackendID   = "Backend-Id"
-	HeaderLastEventID = "Last-Event-Id"
-	HeaderPriority    = "Priority"
+	// deadlineSlack is added to the request's deadline, so that a backend's own response at the deadline still arrives.
+	deadlineSlack = 50 * time.Millisecond
+	// maxInlineWrite is the size in bytes up to which a request fits into the socket's buffer: writing it does not wait.
+	maxInlineWrite = 8 << 10
+	// maxSkippedResponses bounds how many responses to other requests are skipped before the awaited one.
+	maxSkippedResponses = 4
+	// maxSkippedBody bounds the body of such a response in bytes.
+	maxSkippedBody = 1 << 20
 )
 
-// maxSurplus bounds how many answers to other requests are passed over before the awaited one.
-const maxSurplus = 4
-
-// maxSurplusBody bounds the body of such an answer.
-const maxSurplusBody = 1 << 20
-
-// Request is what is written to a backend.
-type Request struct {
-	Method    string
-	Target    string // path and query as the client sent them
-	Host      string
-	Header    http.Header // without those that concern one connection only
-	Body      []byte
-	ID        string
-	Backend   message.BackendID // the backend's id
-	Address   string
-	Deadline  time.Time
-	Priority  int
-	LastEvent string // id of the last event that the client has; empty: from the start
-}
-
-// Phase tells how far an exchange came.
-type Phase int
-
-// The phases of an exchange that failed.
-const (
-	NotSent Phase = iota // nothing of the request was written
-	Sent                 // it may have run
-)
-
-// Error is an exchange that brought no answer.
-type Error struct {
-	Phase Phase
-	cause error
-}
-
-func (e *Error) Error() string { return e.cause.Error() }
-
-// Unwrap returns the cause.
-func (e *Error) Unwrap() error { return e.cause }
-
-// Answer is an answer whose body is still to be read. Close must be called.
-type Answer struct {
-	Status   int
-	Header   http.Header
-	Body     io.Reader
-	Length   int64 // -1: not told
-	pool     *Pool
-	conn     *conn
-	response *http.Response
-	stop     func() bool
-	id       message.BackendID
-	whole    bool
-	unsent   bool // it came before the whole request was written
-}
-
-// Do writes a request and waits for the head of its answer. When ctx ends, the connection is closed. A request is
-// written once, on one connection, whatever becomes of it.
-func (p *Pool) Do(ctx context.Context, request *Request) (*Answer, error) {
+// Do sends a request and waits for the headers of its response. The request is written once, on one connection,
+// whatever becomes of it. When ctx ends, the connection is closed, also while the body is read. Errors are of type
+// *Error.
+func (p *Pool) Do(ctx context.Context, request *Request) (*Response, error) {
 	c, err := p.acquire(ctx, request.Backend, request.Address, request.ID)
 	if err != nil {
 		return nil, &Error{Phase: NotSent, cause: err}
 	}
-	c.carried = request.ID
-	stop := context.AfterFunc(ctx, func() { c.Close() })
-	_ = c.SetDeadline(request.Deadline.Add(deadlineSlack)) // reading reports what matters
-	response, sent, err := exchangeOn(c, encode(request), request.ID)
+	c.lastRequest = request.ID
+	stopWatch := context.AfterFunc(ctx, func() { c.Close() })
+	_ = c.SetDeadline(request.Deadline.Add(deadlineSlack)) // where it fails, reading fails too
+	head, err := roundTrip(c, encode(request), request.ID)
 	if err != nil {
-		stop()
+		stopWatch()
 		c.Close()
 		return nil, err
 	}
-	answer := &Answer{
-		Status: response.StatusCode, Header: response.Header, Length: response.ContentLength,
-		pool: p, conn: c, response: response, stop: stop, id: request.Backend, unsent: !sent,
+	response := &Response{
+		Status: head.raw.StatusCode, Header: head.raw.Header, Length: head.raw.ContentLength,
+		pool: p, conn: c, raw: head.raw, stopWatch: stopWatch, backend: request.Backend, requestWritten: head.requestWritten,
 	}
-	answer.Body = &bodyReader{answer}
-	return answer, nil
+	response.Body = &bodyReader{response}
+	return response, nil
 }
 
-// inlineWrite is the size up to which a request goes into the socket's buffer at once.
-const inlineWrite = 8 << 10
+// responseHead is a response whose headers have been read.
+type responseHead struct {
+	raw            *http.Response
+	requestWritten bool // false: the response came before the whole request was written
+}
 
-// exchangeOn writes a request and reads the head of its answer. A backend may answer before it has read a long request:
-// sent tells whether all of it was written by then.
-func exchangeOn(c *conn, text []byte, id string) (response *http.Response, sent bool, err error) {
-	if len(text) <= inlineWrite {
-		if err := writeAll(c, text); err != nil {
-			return nil, false, err
+// roundTrip writes a request and reads the headers of its response. A backend may respond before it has read a long
+// request, so a long one is written by a goroutine of its own, which ends with the connection at the latest.
+func roundTrip(c *conn, text []byte, id string) (responseHead, error) {
+	if len(text) <= maxInlineWrite {
+		if err := writeRequest(c, text); err != nil {
+			return responseHead{}, err
 		}
-		response, err = readHead(c, id)
-		return response, true, asSent(err)
+		raw, err := readHead(c, id)
+		return responseHead{raw, true}, readError(err)
 	}
 	written := make(chan error, 1)
-	go func() { written <- writeAll(c, text) }()
-	response, err = readHead(c, id)
+	go func() { written <- writeRequest(c, text) }()
+	raw, err := readHead(c, id)
 	if err == nil {
 		select {
 		case writeErr := <-written:
-			return response, writeErr == nil, nil
+			return responseHead{raw, writeErr == nil}, nil
 		default:
-			return response, false, nil // the writer ends with the connection, which is not used again
+			return responseHead{raw, false}, nil // the connection is not used again
 		}
 	}
 	c.Close() // it ends the writer
 	if writeErr := <-written; writeErr != nil {
-		return nil, false, writeErr
+		return responseHead{}, writeErr
 	}
-	return nil, true, asSent(err)
+	return responseHead{}, readError(err)
 }
 
-// writeAll writes a request; its error tells whether anything of it may have arrived.
-func writeAll(c *conn, text []byte) error {
+// writeRequest writes a request; its error says whether a part of it may have arrived.
+func writeRequest(c *conn, text []byte) error {
 	n, err := c.Write(text)
 	if err == nil {
 		return nil
@@ -149,22 +89,20 @@
 	if n == 0 {
 		phase = NotSent
 	}
-	return &Error{Phase: phase, cause: errors.Wrap(err, "writing the request")}
+	return &Error{Phase: phase, cause: errors.Wrap(err, "write the request")}
 }
 
-func asSent(err error) error {
+func readError(err error) error {
 	if err == nil {
 		return nil
 	}
-	return &Error{Phase: Sent, cause: errors.Wrap(err, "reading the answer")}
+	return &Error{Phase: Sent, cause: errors.Wrap(err, "read the response")}
 }
 
-// deadlineSlack lets a backend's own answer at the deadline still arrive.
-const deadlineSlack = 50 * time.Millisecond
-
-// readHead reads up to the head of the answer to request id; answers to earlier requests are passed over.
+// readHead reads up to the headers of the response to request id. It skips informational responses, and responses to
+// earlier requests on the connection.
 func readHead(c *conn, id string) (*http.Response, error) {
-	for range maxSurplus {
+	for range maxSkippedResponses {
 		response, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
 			return nil, err
@@ -175,100 +113,24 @@
 		if response.Header.Get(HeaderRequestID) == id {
 			return response, nil
 		}
-		if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return nil, errors.New("an answer to another request without an end")
-		}
-		if n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSurplusBody)); err != nil || n == maxSurplusBody {
-			return nil, errors.New("an answer to another request that does not end")
-		}
-	}
-	return nil, errors.New("only answers to other requests")
-}
-
-// bodyReader notes when the body came to its proper end.
-type bodyReader struct{ answer *Answer }
-
-func (b *bodyReader) Read(p []byte) (int, error) {
-	n, err := b.answer.response.Body.Read(p)
-	if err == io.EOF {
-		b.answer.whole = true
-	}
-	return n, err
-}
-
-// HasEnd reports whether the body's end can be told from a break.
-func (a *Answer) HasEnd() bool { return a.Length >= 0 || len(a.response.TransferEncoding) > 0 }
-
-// Close gives the connection back where the answer was read whole, else closes it.
-func (a *Answer) Close() {
-	live := a.stop()
-	if !live || !a.whole || a.unsent || !a.HasEnd() || a.response.Close || a.conn.reader.Buffered() > 0 {
-		a.conn.Close()
-		return
-	}
-	_ = a.conn.SetDeadline(time.Time{}) // the next exchange sets its own
-	a.pool.release(a.id, a.conn, idleTime(a.Header))
-}
-
-// idleTime is how long the connection may rest by the answer's word.
-func idleTime(header http.Header) time.Duration {
-	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
-		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
-		if !ok || !strings.EqualFold(name, "timeout") {
-			continue
-		}
-		if seconds, err := strconv.Atoi(strings.TrimSpace(value)); err == nil {
-			return max(0, time.Duration(seconds)*time.Second-keepAliveMargin)
-		}
-	}
-	return idleWithoutWord
-}
-
-// IsNotRun reports whether the answer promises that the request has not run.
-func (a *Answer) IsNotRun() bool {
-	return a.Header.Get(HeaderNotRun) != "" || a.Status == http.StatusMisdirectedRequest
-}
-
-// ParseLoad reads running requests, waiting requests and places from a load header.
-func ParseLoad(text string) (running, waiting, slots int, ok bool) {
-	parts := strings.Split(text, ",")
-	if len(parts) != 3 {
-		return 0, 0, 0, false
-	}
-	var numbers [3]int
-	for i, part := range parts {
-		number, err := strconv.Atoi(strings.TrimSpace(part))
-		if err != nil || number < 0 {
-			return 0, 0, 0, false
+		if err := skipBody(response); err != nil {
+			return nil, err
 		}
-		numbers[i] = number
 	}
-	return numbers[0], numbers[1], numbers[2], true
+	return nil, errors.New("only responses to other requests")
 }
 
-// writtenHere are headers that encode writes itself.
-var writtenHere = map[string]bool{
-	"Host": true, "Content-Length": true, HeaderTimeLeft: true, HeaderTarget: true, HeaderPriority: true,
-	HeaderLastEventID: true,
-}
-
-func encode(r *Request) []byte {
-	var text bytes.Buffer
-	text.Grow(1024 + len(r.Body))
-	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
-	_ = r.Header.WriteSubset(&text, writtenHere) // a buffer takes everything
-	left := max(0, time.Until(r.Deadline).Milliseconds())
-	fmt.Fprintf(&text, "%s: %d\r\n%s: %s\r\n", HeaderTimeLeft, left, HeaderTarget, r.Backend)
-	if r.Priority >= 0 {
-		fmt.Fprintf(&text, "%s: %d\r\n", HeaderPriority, r.Priority)
+// skipBody reads the body of a response to another request.
+func skipBody(response *http.Response) error {
+	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
+		return errors.New("a response to another request has no end")
 	}
-	if r.LastEvent != "" {
-		fmt.Fprintf(&text, "%s: %s\r\n", HeaderLastEventID, r.LastEvent)
+	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBody))
+	if err != nil {
+		return errors.Wrap(err, "skip a response to another request")
 	}
-	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
-		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(r.Body))
+	if n == maxSkippedBody {
+		return errors.New("a response to another request is too long")
 	}
-	text.WriteString("\r\n")
-	text.Write(r.Body)
-	return text.Bytes()
+	return nil
 }
--- a/internal/dataplane/backend/exchange_test.go
+++ b/internal/dataplane/backend/exchange_test.go
@@ -80,7 +80,7 @@
 // A backend declined a request, and says so once more when the request comes again: the second word is about the first
 // attempt, and bears the right id. Taken for an answer to the second attempt it would promise that a request that runs
 // has not.
-func TestASecondAnswerToAnEarlierAttemptReachesNobody(t *testing.T) {
+func TestDo_SkipsSecondResponseToEarlierAttempt(t *testing.T) {
 	server := newFakeServer(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 		for attempt := 1; ; attempt++ {
 			request, err := http.ReadRequest(reader)
@@ -109,7 +109,7 @@
 
 // A backend answers before it has read a long request, and reads on only then: the answer is not waited for until the
 // whole request is written, and the connection, on which the rest is due, carries no other request.
-func TestAnEarlyAnswerToALongRequest(t *testing.T) {
+func TestDo_ResponseBeforeLongRequestIsWritten(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
 	server := newFakeServer(t, func(number int, conn net.Conn, reader *bufio.Reader) {
@@ -131,7 +131,7 @@
 	got, err := pool.Do(context.Background(), server.request("r1", long))
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, got.Status)
-	assert.True(t, got.IsNotRun())
+	assert.True(t, got.IsRejected())
 	got.Close()
 	status, body := read(t, pool, server.request("r2", []byte("short")))
 	assert.Equal(t, http.StatusOK, status)
@@ -140,7 +140,7 @@
 }
 
 // After silence, a close or a reset nothing is sent again by itself, and what was written may have run.
-func TestNothingIsSentTwice(t *testing.T) {
+func TestDo_NeverRetries(t *testing.T) {
 	var mutex sync.Mutex
 	var seen []string
 	server := newFakeServer(t, func(number int, conn net.Conn, reader *bufio.Reader) {
@@ -173,7 +173,7 @@
 }
 
 // Informational answers are no answers, and bytes after a whole answer end its connection.
-func TestWhatStandsAroundAnAnswer(t *testing.T) {
+func TestDo_SkipsInformationalResponsesAndSurplusBytes(t *testing.T) {
 	server := newFakeServer(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
@@ -196,7 +196,7 @@
 	assert.Equal(t, "two", body)
 }
 
-func TestAnIdleConnectionIsToldUntilItExpires(t *testing.T) {
+func TestPool_HasIdleUntilExpiration(t *testing.T) {
 	pool := NewPool()
 	assert.False(t, pool.HasIdle("b"))
 	client, server := net.Pipe()
--- /dev/null
+++ b/internal/dataplane/backend/headers.go
@@ -0,0 +1,14 @@
+package backend
+
+// Names of headers between clients, proxies and backends.
+const (
+	HeaderRequestID   = "Request-Id"
+	HeaderTimeLeft    = "Time-Left-Ms"
+	HeaderTarget      = "Target-Backend" // the backend's ID; another backend answers 421
+	HeaderSeal        = "Server-Seal"
+	HeaderNotRun      = "Not-Run"      // the backend rejected the request before processing it
+	HeaderLoad        = "Backend-Load" // see ParseLoad
+	HeaderBackendID   = "Backend-Id"
+	HeaderLastEventID = "Last-Event-Id"
+	HeaderPriority    = "Priority"
+)
--- a/internal/dataplane/backend/pool.go
+++ b/internal/dataplane/backend/pool.go
@@ -1,115 +1,33 @@
-// Package backend keeps connections to backends and makes single exchanges on them. A request is written once; no
-// exchange repeats anything by itself.
+// Package backend keeps connections to backends and makes single exchanges on them. A request is written once: nothing
+// here retries, so that the caller can account for every time that a request may have run.
 package backend
 
 import (
-	"bufio"
 	"context"
-	"net"
 	"sync"
-	"syscall"
 	"time"
 
-	"github.com/pkg/errors"
-	"golang.org/x/sys/unix"
-
 	"pumiceline/internal/message"
 )
 
-// Times and sizes of connections.
 const (
-	dialTimeout     = 700 * time.Millisecond
-	userTimeout     = 2 * time.Second // unacknowledged bytes end a connection after so long
-	idleWithoutWord = 5 * time.Second // reuse of a connection whose backend told no keep-alive time
+	// defaultIdleTime is how long a connection is kept idle where the backend names no time.
+	defaultIdleTime = 5 * time.Second
+	// keepAliveMargin is taken off the time that the backend names, so that it does not close a connection in use.
 	keepAliveMargin = 800 * time.Millisecond
-	readBuffer      = 4 << 10
 )
 
-var dialer = net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
-
-func setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	return raw.Control(func(fd uintptr) {
-		// Where the option is refused, the exchange still has its deadline.
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
-	})
-}
-
-// conn is a connection to one backend.
-type conn struct {
-	net.Conn
-	reader  *bufio.Reader
-	expires time.Time // it is not used again from then on
-	carried string    // id of the request that it carried last
-}
-
-// isAlive reports whether an idle connection is still open and has nothing unread.
-func (c *conn) isAlive() bool {
-	if c.reader.Buffered() > 0 || !time.Now().Before(c.expires) {
-		return false
-	}
-	raw, err := c.Conn.(*net.TCPConn).SyscallConn()
-	if err != nil {
-		return false
-	}
-	alive := false
-	var one [1]byte
-	err = raw.Read(func(fd uintptr) bool {
-		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		alive = errors.Is(err, unix.EAGAIN)
-		return true
-	})
-	return err == nil && alive
-}
-
-// Pool keeps idle connections by backend. The newest is used first, so that those not needed run out.
+// Pool keeps idle connections by backend. The newest is used first, so that those not needed expire. All methods may be
+// called from any goroutine.
 type Pool struct {
 	mutex sync.Mutex
-	idle  map[message.BackendID][]*conn
+	idle  map[message.BackendID][]*conn // by the backend's ID, the newest last
 }
 
 // NewPool makes an empty pool.
 func NewPool() *Pool { return &Pool{idle: map[message.BackendID][]*conn{}} }
 
-// acquire returns a connection to the backend: an idle one, or a new one. One that carried an earlier attempt of the
-// same request is not used: a second answer to that attempt, which may come late, would bear the right id.
-func (p *Pool) acquire(ctx context.Context, id message.BackendID, address, requestID string) (*conn, error) {
-	for {
-		c := p.takeIdle(id)
-		if c == nil {
-			break
-		}
-		if c.carried != requestID && c.isAlive() {
-			return c, nil
-		}
-		c.Close()
-	}
-	opened, err := dialer.DialContext(ctx, "tcp", address)
-	if err != nil {
-		return nil, errors.Wrap(err, "connecting")
-	}
-	return &conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBuffer)}, nil
-}
-
-func (p *Pool) takeIdle(id message.BackendID) *conn {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	list := p.idle[id]
-	if len(list) == 0 {
-		return nil
-	}
-	c := list[len(list)-1]
-	p.idle[id] = list[:len(list)-1]
-	return c
-}
-
-func (p *Pool) release(id message.BackendID, c *conn, idleTime time.Duration) {
-	c.expires = time.Now().Add(idleTime)
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.idle[id] = append(p.idle[id], c)
-}
-
-// HasIdle reports whether a connection to the backend is kept that may be used now.
+// HasIdle reports whether there is an idle connection to the backend that has not expired.
 func (p *Pool) HasIdle(id message.BackendID) bool {
 	now := time.Now()
 	p.mutex.Lock()
@@ -118,7 +36,7 @@
 	return len(list) > 0 && now.Before(list[len(list)-1].expires)
 }
 
-// Forget closes the idle connections to a backend that is gone.
+// Forget closes the idle connections to a backend that was removed.
 func (p *Pool) Forget(id message.BackendID) {
 	p.mutex.Lock()
 	list := p.idle[id]
@@ -129,11 +47,16 @@
 	}
 }
 
-// CloseExpired closes idle connections that are not used again.
+// CloseExpired closes the idle connections that have expired.
 func (p *Pool) CloseExpired() {
-	now := time.Now()
-	var expired []*conn
+	for _, c := range p.takeExpired(time.Now()) {
+		c.Close()
+	}
+}
+
+func (p *Pool) takeExpired(now time.Time) (expired []*conn) {
 	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	for id, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
@@ -147,8 +70,40 @@
 			delete(p.idle, id)
 		}
 	}
-	p.mutex.Unlock()
-	for _, c := range expired {
+	return expired
+}
+
+// acquire returns an idle connection to the backend, or a new one. It does not return one that carried an earlier attempt
+// of the same request: a late second response to that attempt would bear the right request ID.
+func (p *Pool) acquire(ctx context.Context, id message.BackendID, address, requestID string) (*conn, error) {
+	for {
+		c := p.takeIdle(id)
+		if c == nil {
+			return dial(ctx, address)
+		}
+		if c.lastRequest != requestID && c.isAlive() {
+			return c, nil
+		}
 		c.Close()
 	}
 }
+
+func (p *Pool) takeIdle(id message.BackendID) *conn {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	list := p.idle[id]
+	if len(list) == 0 {
+		return nil
+	}
+	c := list[len(list)-1]
+	p.idle[id] = list[:len(list)-1]
+	return c
+}
+
+// release keeps a connection idle for so long.
+func (p *Pool) release(id message.BackendID, c *conn, idleTime time.Duration) {
+	c.expires = time.Now().Add(idleTime)
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.idle[id] = append(p.idle[id], c)
+}
--- /dev/null
+++ b/internal/dataplane/backend/response.go
@@ -0,0 +1,100 @@
+package backend
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"pumiceline/internal/message"
+)
+
+// Response is a response whose body is still to be read. Close must be called.
+type Response struct {
+	Status int
+	Header http.Header
+	Body   io.Reader
+	Length int64 // of the body in bytes; -1: not known
+
+	pool           *Pool
+	conn           *conn
+	raw            *http.Response
+	stopWatch      func() bool // stops watching the context; false where it has ended
+	backend        message.BackendID
+	requestWritten bool // in full, before the response came
+	bodyRead       bool // up to its proper end
+}
+
+// bodyReader notes when the body has come to its proper end.
+type bodyReader struct{ response *Response }
+
+// Read reads from the body.
+func (b *bodyReader) Read(p []byte) (int, error) {
+	n, err := b.response.raw.Body.Read(p)
+	if err == io.EOF {
+		b.response.bodyRead = true
+	}
+	return n, err
+}
+
+// HasEnd reports whether the end of the body differs from a break of the connection.
+func (r *Response) HasEnd() bool { return r.Length >= 0 || len(r.raw.TransferEncoding) > 0 }
+
+// IsRejected reports whether the backend promises that it has not processed the request.
+func (r *Response) IsRejected() bool {
+	return r.Header.Get(HeaderNotRun) != "" || r.Status == http.StatusMisdirectedRequest
+}
+
+// Close returns the connection to the pool where it can be used again, else closes it.
+func (r *Response) Close() {
+	isLive := r.stopWatch()
+	if !isLive || !r.isReusable() {
+		r.conn.Close()
+		return
+	}
+	_ = r.conn.SetDeadline(time.Time{}) // the next exchange sets its own
+	r.pool.release(r.backend, r.conn, idleTime(r.Header))
+}
+
+// isReusable reports whether the connection stands exactly behind this request and response.
+func (r *Response) isReusable() bool {
+	return r.requestWritten && r.bodyRead && r.HasEnd() && !r.raw.Close && r.conn.reader.Buffered() == 0
+}
+
+// idleTime is how long the connection may be kept idle by the backend's Keep-Alive header.
+func idleTime(header http.Header) time.Duration {
+	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
+		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
+		if !ok || !strings.EqualFold(name, "timeout") {
+			continue
+		}
+		if seconds, err := strconv.Atoi(strings.TrimSpace(value)); err == nil {
+			return max(0, time.Duration(seconds)*time.Second-keepAliveMargin)
+		}
+	}
+	return defaultIdleTime
+}
+
+// Load is a backend's load as it reports it with a response.
+type Load struct {
+	Running, Waiting int // requests of all proxies
+	Slots            int // requests that can run at the same time
+}
+
+// ParseLoad reads the value of HeaderLoad: running, waiting and slots, separated by commas. ok is false where it is
+// missing or malformed.
+func ParseLoad(text string) (load Load, ok bool) {
+	parts := strings.Split(text, ",")
+	if len(parts) != 3 {
+		return Load{}, false
+	}
+	for i, field := range []*int{&load.Running, &load.Waiting, &load.Slots} {
+		number, err := strconv.Atoi(strings.TrimSpace(parts[i]))
+		if err != nil || number < 0 {
+			return Load{}, false
+		}
+		*field = number
+	}
+	return load, true
+}
--- /dev/null
+++ b/internal/dataplane/balancer/completion.go
@@ -0,0 +1,63 @@
+package balancer
+
+import "time"
+
+// FirstEvent notes that a request's first event came so long after it was sent: its prefill is over.
+func (b *Balancer) FirstEvent(request *Request, backend *Backend, elapsed time.Duration) {
+	b.endPrefill(request, backend)
+	b.prefill.observe(request, elapsed)
+}
+
+// Finish takes the outcome of an attempt, which took elapsed since it was sent. It must be called once for each picked
+// backend.
+func (b *Balancer) Finish(request *Request, backend *Backend, outcome Outcome, elapsed time.Duration, now time.Time) {
+	backend.inFlight--
+	b.endPrefill(request, backend)
+	backend.inFlightTokens -= request.tokens()
+	backend.probeInFlight = false
+	if request.Model != "" {
+		b.demandFor(request).inFlight--
+		b.changedLoads[backend.ID] = backend
+	}
+	switch outcome {
+	case Succeeded:
+		backend.stats.addCompletion(now, elapsed)
+		backend.markReachable(now)
+	case Failed:
+		backend.stats.addError(now)
+	case Rejected:
+		backend.ejectedUntil = now.Add(overloadEjection)
+		backend.markReachable(now)
+	case Misdirected:
+		backend.missingUntil[request.Model] = now.Add(missingModelEjection)
+		backend.markReachable(now)
+	case ConnectFailed:
+		request.delivered-- // nothing was sent, so another attempt is no retry
+		backend.markUnreachable(now)
+	case Canceled: // it says nothing of the backend
+	}
+	b.updateWeights(backend.Service, now)
+	b.pickQueued(now)
+}
+
+func (b *Balancer) endPrefill(request *Request, backend *Backend) {
+	if request.isPrefilling {
+		b.changedLoads[backend.ID] = backend
+		request.isPrefilling = false
+		backend.queuedPrefillMs = max(0, backend.queuedPrefillMs-request.prefillMs)
+	}
+}
+
+// markUnreachable ejects a backend that could not be connected to, by exponential backoff.
+func (backend *Backend) markUnreachable(now time.Time) {
+	backend.connectBackoff = min(maxConnectBackoff, max(initialConnectBackoff, backend.connectBackoff*2))
+	backend.isUnreachable, backend.probeAt = true, now.Add(backend.connectBackoff)
+}
+
+// markReachable ends the ejection of an unreachable backend after a probe that came through; it begins in slow start.
+func (backend *Backend) markReachable(now time.Time) {
+	if backend.isUnreachable {
+		backend.isUnreachable, backend.connectBackoff = false, 0
+		backend.stats.readySince = now
+	}
+}
--- a/internal/dataplane/balancer/dispatcher.go
+++ b/internal/dataplane/balancer/dispatcher.go
@@ -9,35 +9,46 @@
 )
 
 const (
-	dispatchQueue = 256
-	dispatchTick  = 50 * time.Millisecond
+	commandQueueSize = 256
+	tickInterval     = 50 * time.Millisecond
 )
 
-// Dispatcher owns a balancer: one goroutine that works through a queue of commands.
+// Dispatcher owns a balancer: one goroutine carries out commands in order. Its methods may be called from any goroutine.
 type Dispatcher struct {
-	commands chan func(*Balancer)
-	onUrgent func()
-	loads    LoadSource
+	commands       chan func(*Balancer)
+	onUrgentDemand func()
+	peerLoads      PeerLoads
 }
 
-// LoadSource knows what other proxies carry, and is told what this one does.
-type LoadSource interface {
-	// Ask returns what the other proxies carry at the holders of a model; ok is false where that is not known.
-	Ask(ctx context.Context, service string, model message.ModelName) (loads []message.BackendLoad, ok bool)
-	// Tell takes what this proxy carries now where that has changed. It does not wait.
-	Tell(loads []message.BackendLoad)
+// PeerLoads exchanges with the other proxies what each has in flight.
+type PeerLoads interface {
+	// Query returns what the other proxies have in flight at the backends that have loaded a model; ok is false where
+	// that is not known.
+	Query(ctx context.Context, service string, model message.ModelName) (loads []message.BackendLoad, ok bool)
+	// Publish takes this proxy's loads at backends where they have changed. It does not wait.
+	Publish(loads []message.BackendLoad)
 }
 
-// NewDispatcher starts the owner of a balancer; it ends with ctx. onUrgent is called when a model is missing, once
-// until the next report; it must not wait. loads may be nil: then the choice goes by what is pulled.
-func NewDispatcher(ctx context.Context, b *Balancer, onUrgent func(), loads LoadSource) *Dispatcher {
-	d := &Dispatcher{commands: make(chan func(*Balancer), dispatchQueue), onUrgent: onUrgent, loads: loads}
+// DispatcherOptions connect a dispatcher with its proxy. Both may be nil.
+type DispatcherOptions struct {
+	// OnUrgentDemand is called when a request waits for a model, again and again until the next Report; it must not wait.
+	OnUrgentDemand func()
+	// PeerLoads is queried before each pick; nil: the loads are those that were polled.
+	PeerLoads PeerLoads
+}
+
+// NewDispatcher starts the owner of a balancer, which ends with ctx. No method may be called after that.
+func NewDispatcher(ctx context.Context, b *Balancer, options DispatcherOptions) *Dispatcher {
+	d := &Dispatcher{
+		commands:       make(chan func(*Balancer), commandQueueSize),
+		onUrgentDemand: options.OnUrgentDemand, peerLoads: options.PeerLoads,
+	}
 	go d.run(ctx, b)
 	return d
 }
 
 func (d *Dispatcher) run(ctx context.Context, b *Balancer) {
-	ticker := time.NewTicker(dispatchTick)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -45,107 +56,121 @@
 			return
 		case command := <-d.commands:
 			command(b)
-			if b.urgent {
-				d.onUrgent()
+			if b.hasUrgentDemand && d.onUrgentDemand != nil {
+				d.onUrgentDemand()
 			}
 		case now := <-ticker.C:
 			b.Tick(now)
-			d.refreshForWaiting(ctx, b)
+			d.refreshQueued(ctx, b)
 		}
-		if changed := b.TakeChanged(); d.loads != nil && len(changed) > 0 {
-			d.loads.Tell(changed)
+		if changed := b.TakeChangedLoads(); d.peerLoads != nil && len(changed) > 0 {
+			d.peerLoads.Publish(changed)
 		}
 	}
 }
 
-// refreshForWaiting asks anew for the first request that waits for a place.
-func (d *Dispatcher) refreshForWaiting(ctx context.Context, b *Balancer) {
-	service, model, waits := b.FirstWaiting()
-	if !waits || d.loads == nil {
+// refreshQueued queries the peers' loads anew for the first request that waits for capacity. The goroutine ends with the
+// query.
+func (d *Dispatcher) refreshQueued(ctx context.Context, b *Balancer) {
+	key, ok := b.FirstQueuedForCapacity()
+	if !ok || d.peerLoads == nil {
 		return
 	}
 	go func() {
-		if loads, ok := d.loads.Ask(ctx, service, model); ok {
-			d.commands <- func(b *Balancer) { b.Refresh(service, model, loads, time.Now()) }
+		if loads, ok := d.peerLoads.Query(ctx, key.Service, key.Model); ok {
+			d.commands <- func(b *Balancer) { b.SetPeerLoads(key.Service, key.Model, loads, time.Now()) }
 		}
 	}()
 }
 
-// Acquire asks for a backend and waits for the answer. An error means that ctx ended first.
-func (d *Dispatcher) Acquire(ctx context.Context, request *Request) (Grant, error) {
-	if request.grant == nil {
-		request.grant = make(chan Grant, 1)
+// Pick waits until a backend is picked for the request or the request is rejected. An error means that ctx ended first.
+func (d *Dispatcher) Pick(ctx context.Context, request *Request) (PickResult, error) {
+	if request.result == nil {
+		request.result = make(chan PickResult, 1)
 	}
 	var loads []message.BackendLoad
-	fresh := false
-	if request.Model != "" && d.loads != nil {
-		loads, fresh = d.loads.Ask(ctx, request.Service, request.Model)
+	isFresh := false
+	if request.Model != "" && d.peerLoads != nil {
+		loads, isFresh = d.peerLoads.Query(ctx, request.Service, request.Model)
 	}
 	d.commands <- func(b *Balancer) {
 		now := time.Now()
-		if fresh {
-			b.Refresh(request.Service, request.Model, loads, now)
+		if isFresh {
+			b.SetPeerLoads(request.Service, request.Model, loads, now)
 		}
-		b.Arrive(request, now)
+		b.Submit(request, now)
 	}
 	select {
-	case grant := <-request.grant:
-		return grant, nil
+	case result := <-request.result:
+		return result, nil
 	case <-ctx.Done():
-		return d.giveUp(ctx, request)
+		return d.cancel(ctx, request)
 	}
 }
 
-// giveUp takes a request out; a grant that was made in the same moment is returned.
-func (d *Dispatcher) giveUp(ctx context.Context, request *Request) (Grant, error) {
-	left := make(chan bool, 1)
-	d.commands <- func(b *Balancer) { left <- b.Leave(request) }
-	if <-left {
-		return Grant{}, ctx.Err()
+// cancel takes a request out of the queue. A backend that was picked in the same moment is returned: it must be finished.
+func (d *Dispatcher) cancel(ctx context.Context, request *Request) (PickResult, error) {
+	canceled := make(chan bool, 1)
+	d.commands <- func(b *Balancer) { canceled <- b.Cancel(request) }
+	if <-canceled {
+		return PickResult{}, ctx.Err()
 	}
-	return <-request.grant, nil
+	return <-request.result, nil
 }
 
-// SetLeaving says that the process was asked to stop.
-func (d *Dispatcher) SetLeaving() { d.commands <- func(b *Balancer) { b.SetLeaving(time.Now()) } }
+// StartDraining rejects what the process could not serve before it ends.
+func (d *Dispatcher) StartDraining() { d.commands <- func(b *Balancer) { b.StartDraining(time.Now()) } }
 
-// Observe tells what a backend said of its load with an answer.
-func (d *Dispatcher) Observe(backend *Backend, running, waiting int) {
-	d.commands <- func(b *Balancer) { b.Observe(backend, running, waiting, time.Now()) }
+// ObserveLoad takes the load that a backend reported with an answer.
+func (d *Dispatcher) ObserveLoad(backend *Backend, running, waiting int) {
+	d.commands <- func(b *Balancer) { b.ObserveLoad(backend, running, waiting, time.Now()) }
 }
 
-// Began tells that a request's first event came after span.
-func (d *Dispatcher) Began(request *Request, backend *Backend, span time.Duration) {
-	d.commands <- func(b *Balancer) { b.Began(request, backend, span) }
+// FirstEvent notes that the first event of an attempt came so long after it was sent.
+func (d *Dispatcher) FirstEvent(request *Request, backend *Backend, elapsed time.Duration) {
+	d.commands <- func(b *Balancer) { b.FirstEvent(request, backend, elapsed) }
 }
 
-// Finish tells the outcome of an attempt.
-func (d *Dispatcher) Finish(request *Request, backend *Backend, outcome Outcome, span time.Duration) {
-	d.commands <- func(b *Balancer) { b.Finish(request, backend, outcome, span, time.Now()) }
+// Finish takes the outcome of an attempt. It must be called once for each picked backend.
+func (d *Dispatcher) Finish(request *Request, backend *Backend, outcome Outcome, elapsed time.Duration) {
+	d.commands <- func(b *Balancer) { b.Finish(request, backend, outcome, elapsed, time.Now()) }
 }
 
-// Update takes what was pulled; nil parts are unchanged. Backends that are gone are given to onGone.
-func (d *Dispatcher) Update(config *configuration.Config, backends []message.Backend, hasBackends bool, reply *message.PollResponse, loads []message.BackendLoad, onGone func([]*Backend)) {
-	d.commands <- func(b *Balancer) {
-		now := time.Now()
-		if config != nil {
-			b.SetConfig(config, now)
-		}
-		if reply != nil {
-			b.SetProxies(reply.Proxies, now)
-		}
-		if hasBackends {
-			if gone := b.SetBackends(backends, now); len(gone) > 0 && onGone != nil {
-				onGone(gone)
-			}
-		}
-		if reply != nil {
-			b.SetTotals(loads, reply.PendingLoads, now)
+// Update is news from the coordinators; what is nil stays as it is.
+type Update struct {
+	Config      *configuration.Config
+	Backends    []message.Backend // the whole list, taken where HasBackends is set
+	HasBackends bool
+	Response    *message.PollResponse // number of proxies and pending loads
+	TotalLoads  []message.BackendLoad // of all proxies, taken with Response
+	// OnRemoved receives the backends that the list no longer has. It is called by the balancer's owner and must not
+	// wait; nil: nobody wants them.
+	OnRemoved func([]*Backend)
+}
+
+// Update puts an update in force. It does not wait for that.
+func (d *Dispatcher) Update(update Update) {
+	d.commands <- func(b *Balancer) { update.apply(b, time.Now()) }
+}
+
+func (u *Update) apply(b *Balancer, now time.Time) {
+	if u.Config != nil {
+		b.SetConfig(u.Config, now)
+	}
+	if u.Response != nil {
+		b.SetProxies(u.Response.Proxies, now)
+	}
+	if u.HasBackends {
+		if removed := b.SetBackends(u.Backends, now); len(removed) > 0 && u.OnRemoved != nil {
+			u.OnRemoved(removed)
 		}
 	}
+	if u.Response != nil {
+		b.SetTotalLoads(u.TotalLoads, u.Response.PendingLoads, now)
+	}
 }
 
-// Report returns what the coordinators are told.
+// Report returns the demand since the last report and the present loads, for the coordinators.
 func (d *Dispatcher) Report() (demand []message.ModelDemand, loads []message.BackendLoad) {
 	done := make(chan struct{})
 	d.commands <- func(b *Balancer) {
--- /dev/null
+++ b/internal/dataplane/balancer/endpoints.go
@@ -0,0 +1,147 @@
+package balancer
+
+import (
+	"time"
+
+	"pumiceline/internal/message"
+)
+
+// Backend is a backend as this proxy sees it. It is read and changed by the balancer's owner alone.
+type Backend struct {
+	message.Backend
+	MaxConnections int // this proxy's share of the connections that the backend accepts
+
+	readySince map[message.ModelName]time.Time // models and adapters that are loaded; zero: since before this proxy started
+	isListed   bool
+
+	// The schedule.
+	stats    endpointStats
+	weight   float64 // relative to the mean of the service
+	deadline float64 // in the virtual time of the service
+
+	// What this proxy has in flight.
+	inFlight        int
+	inFlightTokens  int
+	queuedPrefillMs float64             // of requests that have not brought their first event
+	lastReported    message.BackendLoad // the load that the coordinators received last
+
+	// What other proxies have in flight.
+	othersInFlight        int
+	othersQueuedPrefillMs float64
+	loadReportedAt        time.Time // when the backend itself reported its load last
+	othersUpdatedAt       time.Time // when the peers' loads were queried last
+
+	// Ejection.
+	isUnreachable  bool
+	probeInFlight  bool // one attempt finds out whether it is reachable again
+	probeAt        time.Time
+	connectBackoff time.Duration
+	ejectedUntil   time.Time                       // after a rejection by the backend
+	missingUntil   map[message.ModelName]time.Time // models that the backend said it lacks
+}
+
+// endpointSet is the backends of one service with their schedule.
+type endpointSet struct {
+	backends    []*Backend
+	virtualTime float64
+}
+
+// SetBackends replaces the list of backends and returns those that were removed.
+func (b *Balancer) SetBackends(list []message.Backend, now time.Time) (removed []*Backend) {
+	isFirst := len(b.backends) == 0
+	for _, backend := range b.backends {
+		backend.isListed = false
+	}
+	for i := range list {
+		b.upsertBackend(list[i], isFirst, now)
+	}
+	for _, s := range b.services {
+		s.backends = s.backends[:0]
+	}
+	for id, backend := range b.backends {
+		if !backend.isListed {
+			delete(b.backends, id)
+			removed = append(removed, backend)
+		}
+	}
+	for i := range list {
+		s := b.service(list[i].Service)
+		s.backends = append(s.backends, b.backends[list[i].ID])
+	}
+	b.pickQueued(now)
+	return removed
+}
+
+func (b *Balancer) service(name string) *endpointSet {
+	s := b.services[name]
+	if s == nil {
+		s = &endpointSet{}
+		b.services[name] = s
+	}
+	return s
+}
+
+// upsertBackend adds or updates one backend. Slow start begins now for a backend or model that was not listed before,
+// except in the first list: those may have been ready for long.
+func (b *Balancer) upsertBackend(entry message.Backend, isFirst bool, now time.Time) {
+	backend := b.backends[entry.ID]
+	if backend == nil {
+		backend = &Backend{
+			readySince: map[message.ModelName]time.Time{}, missingUntil: map[message.ModelName]time.Time{}, weight: 1,
+		}
+		backend.MaxConnections = b.connectionLimit(entry.Service)
+		if !isFirst {
+			backend.stats.readySince = now
+		}
+		b.backends[entry.ID] = backend
+	}
+	backend.Backend, backend.isListed = entry, true
+	since := now
+	if isFirst {
+		since = time.Time{}
+	}
+	backend.setModels(entry.Models, since)
+}
+
+// setModels replaces the loaded models and adapters; since is the ready time of those that were not loaded before.
+func (backend *Backend) setModels(models []message.LoadedModel, since time.Time) {
+	loaded := map[message.ModelName]time.Time{}
+	add := func(name message.ModelName) {
+		if earlier, ok := backend.readySince[name]; ok {
+			loaded[name] = earlier
+		} else {
+			loaded[name] = since
+		}
+	}
+	for _, model := range models {
+		add(model.Name)
+		for _, adapter := range model.Adapters {
+			add(model.Name.WithAdapter(adapter))
+		}
+	}
+	backend.readySince = loaded
+}
+
+// hasModel reports whether the backend has loaded a model, and its adapter where one is named. An empty model is had by
+// all.
+func (backend *Backend) hasModel(model message.ModelName, now time.Time) bool {
+	if model == "" {
+		return true
+	}
+	if until, ok := backend.missingUntil[model]; ok {
+		if now.Before(until) {
+			return false
+		}
+		delete(backend.missingUntil, model)
+	}
+	_, ok := backend.readySince[model]
+	return ok
+}
+
+// isEjected reports whether the backend is out of the schedule. An unreachable one takes a single probe at a time.
+func (backend *Backend) isEjected(now time.Time) bool {
+	if now.Before(backend.ejectedUntil) {
+		return true
+	}
+	return backend.isUnreachable && (backend.probeInFlight || now.Before(backend.probeAt))
+}
--- /dev/null
+++ b/internal/dataplane/balancer/loads.go
@@ -0,0 +1,79 @@
+package balancer
+
+import (
+	"time"
+
+	"pumiceline/internal/message"
+)
+
+// SetTotalLoads takes the polled loads of all proxies together, and the model loads in progress.
+func (b *Balancer) SetTotalLoads(loads []message.BackendLoad, pending []message.PendingLoad, now time.Time) {
+	totals := loadsByBackend(loads)
+	for id, backend := range b.backends {
+		if now.Sub(backend.othersUpdatedAt) <= loadReportLifetime {
+			continue
+		}
+		if now.Sub(backend.loadReportedAt) > loadReportLifetime {
+			backend.othersInFlight = max(0, totals[id].Running-backend.lastReported.Running)
+		}
+		backend.othersQueuedPrefillMs = float64(max(0, totals[id].Queued-backend.lastReported.Queued))
+	}
+	b.pendingLoads = b.pendingLoads[:0]
+	for _, load := range pending {
+		b.pendingLoads = append(b.pendingLoads, pendingLoad{load, now.Add(time.Duration(load.ReadyInMs) * time.Millisecond)})
+	}
+	b.pickQueued(now)
+}
+
+// SetPeerLoads takes what the other proxies have in flight at this moment at the backends that have loaded a model;
+// at backends that are not named they have nothing.
+func (b *Balancer) SetPeerLoads(service string, model message.ModelName, loads []message.BackendLoad, now time.Time) {
+	s := b.services[service]
+	if s == nil {
+		return
+	}
+	others := loadsByBackend(loads)
+	for _, backend := range s.backends {
+		if !backend.hasModel(model, now) {
+			continue
+		}
+		load := others[backend.ID]
+		backend.othersInFlight, backend.othersQueuedPrefillMs, backend.othersUpdatedAt = load.Running, float64(load.Queued), now
+	}
+	b.pickQueued(now)
+}
+
+func loadsByBackend(loads []message.BackendLoad) map[message.BackendID]message.BackendLoad {
+	index := map[message.BackendID]message.BackendLoad{}
+	for _, load := range loads {
+		index[load.Backend] = load
+	}
+	return index
+}
+
+// ObserveLoad takes the load that a backend reports with an answer: requests of all proxies that run and wait there.
+func (b *Balancer) ObserveLoad(backend *Backend, running, waiting int, now time.Time) {
+	if now.Sub(backend.othersUpdatedAt) <= loadReportLifetime {
+		return // the peers' loads are as new, and include requests that have not arrived yet
+	}
+	backend.othersInFlight = max(0, running+waiting-backend.inFlight)
+	backend.loadReportedAt = now
+}
+
+// TakeChangedLoads returns this proxy's loads at the backends where they have changed since the last call.
+func (b *Balancer) TakeChangedLoads() []message.BackendLoad {
+	if len(b.changedLoads) == 0 {
+		return nil
+	}
+	loads := make([]message.BackendLoad, 0, len(b.changedLoads))
+	for _, backend := range b.changedLoads {
+		loads = append(loads, backend.load())
+	}
+	clear(b.changedLoads)
+	return loads
+}
+
+// load is what this proxy has in flight at the backend.
+func (backend *Backend) load() message.BackendLoad {
+	return message.BackendLoad{Backend: backend.ID, Running: backend.inFlight, Queued: int(backend.queuedPrefillMs)}
+}
--- /dev/null
+++ b/internal/dataplane/balancer/loads_test.go
@@ -0,0 +1,36 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"pumiceline/internal/message"
+)
+
+func TestPeerLoads_TakePrecedenceOverTotals(t *testing.T) {
+	b, loads := balancerWithLoads(t, 3)
+	b.SetPeerLoads("llm", "m", loads, start)
+	b.SetTotalLoads([]message.BackendLoad{{Backend: "b02", Running: 50, Queued: 900}}, nil, start.Add(loadReportLifetime))
+	assert.Zero(t, b.backends["b02"].othersInFlight)
+	b.ObserveLoad(b.backends["b02"], 9, 9, start.Add(loadReportLifetime))
+	assert.Zero(t, b.backends["b02"].othersInFlight)
+	b.SetTotalLoads([]message.BackendLoad{{Backend: "b02", Running: 50, Queued: 900}}, nil, start.Add(loadReportLifetime+1))
+	assert.Equal(t, 50, b.backends["b02"].othersInFlight)
+	assert.Equal(t, 900.0, b.backends["b02"].othersQueuedPrefillMs)
+}
+
+// TestTakeChangedLoads_ReturnsEachChangeOnce follows one request from its pick to its end.
+func TestTakeChangedLoads_ReturnsEachChangeOnce(t *testing.T) {
+	b := newBalancer(t, backendWith("b1", "m"))
+	r := newRequest("llm", "m", start)
+	r.PromptTokens = 1000
+	result, _ := submit(b, r, start)
+	assert.Equal(t, []message.BackendLoad{{Backend: "b1", Running: 1, Queued: 50}}, b.TakeChangedLoads())
+	assert.Empty(t, b.TakeChangedLoads())
+	b.FirstEvent(r, result.Backend, 100*time.Millisecond)
+	assert.Equal(t, []message.BackendLoad{{Backend: "b1", Running: 1}}, b.TakeChangedLoads())
+	b.Finish(r, result.Backend, Succeeded, time.Second, start)
+	assert.Equal(t, []message.BackendLoad{{Backend: "b1"}}, b.TakeChangedLoads())
+}
--- /dev/null
+++ b/internal/dataplane/balancer/queue.go
@@ -0,0 +1,89 @@
+package balancer
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Submit takes a request, or one whose last attempt may be retried. It is answered at once, or queued.
+func (b *Balancer) Submit(request *Request, now time.Time) {
+	request.prefillMs = b.prefill.estimateMs(request)
+	if !request.isCounted {
+		request.isCounted = true
+		if request.Model != "" {
+			b.demandFor(request).arrivals++
+		}
+	}
+	if b.tryAnswer(request, now) {
+		return
+	}
+	if len(b.queue) >= maxQueued {
+		b.reject(request, queueFullRetryAfter, RejectQueueFull)
+		return
+	}
+	request.isQueued = true
+	b.queue = append(b.queue, request)
+	slices.SortStableFunc(b.queue, func(x, y *Request) int {
+		return cmp.Or(cmp.Compare(x.Priority, y.Priority), x.Deadline.Compare(y.Deadline))
+	})
+}
+
+// Cancel takes a request out of the queue. It returns false where the request was answered already.
+func (b *Balancer) Cancel(request *Request) bool {
+	if !request.isQueued {
+		return false
+	}
+	request.isQueued = false
+	b.queue = slices.DeleteFunc(b.queue, func(r *Request) bool { return r == request })
+	return true
+}
+
+// Tick answers the queued requests for which the time has come. It is to be called every few milliseconds.
+func (b *Balancer) Tick(now time.Time) { b.pickQueued(now) }
+
+// FirstQueuedForCapacity returns the model of the first request that waits for capacity; ok is false where none does.
+func (b *Balancer) FirstQueuedForCapacity() (key ModelKey, ok bool) {
+	for _, request := range b.queue {
+		if request.waitReason == WaitCapacity && request.Model != "" {
+			return request.key(), true
+		}
+	}
+	return ModelKey{}, false
+}
+
+// pickQueued answers the queued requests that can be answered now, in the order of the queue.
+func (b *Balancer) pickQueued(now time.Time) {
+	if len(b.queue) == 0 {
+		return
+	}
+	remaining := b.queue[:0]
+	for _, request := range b.queue {
+		if b.tryAnswer(request, now) {
+			request.isQueued = false
+			continue
+		}
+		remaining = append(remaining, request)
+	}
+	clear(b.queue[len(remaining):])
+	b.queue = remaining
+}
+
+// tryAnswer picks a backend for the request or rejects it; false means that it has to wait.
+func (b *Balancer) tryAnswer(request *Request, now time.Time) bool {
+	candidates, hasHolder := b.candidates(request, now)
+	if len(candidates) == 0 {
+		return b.rejectIfTooLate(request, hasHolder, now)
+	}
+	if request.delivered > 0 && !b.budget.TryRetry(now) {
+		b.reject(request, rejectedRetryAfter, RejectRetryBudget)
+		return true
+	}
+	picked := b.pick(request, candidates, now)
+	queuedMs := picked.queuedPrefillMs + picked.othersQueuedPrefillMs
+	b.assign(request, picked, Decision{
+		Candidates: len(candidates), InFlight: picked.inFlight + picked.othersInFlight,
+		QueuedPrefill: time.Duration(queuedMs * float64(time.Millisecond)), WaitReason: request.waitReason,
+	}, now)
+	return true
+}
--- /dev/null
+++ b/internal/dataplane/balancer/rejection.go
@@ -0,0 +1,92 @@
+package balancer
+
+import (
+	"slices"
+	"time"
+
+	"pumiceline/internal/message"
+)
+
+// pendingLoad is a load of a model by a backend that is in progress.
+type pendingLoad struct {
+	message.PendingLoad
+	readyAt time.Time
+}
+
+// loads reports whether the request's model will be there, or the model of its adapter.
+func (l *pendingLoad) loads(request *Request) bool {
+	return l.Service == request.Service && (l.Model == request.Model || l.Model == message.ModelOf(request.Model))
+}
+
+// rejectIfTooLate rejects a request that cannot be served in time by waiting; false means that it waits. hasHolder says
+// that a backend has loaded its model, so that it waits for capacity.
+func (b *Balancer) rejectIfTooLate(request *Request, hasHolder bool, now time.Time) bool {
+	if hasHolder || request.Model == "" {
+		return b.rejectWithoutCapacity(request, now)
+	}
+	return b.rejectWithoutModel(request, now)
+}
+
+func (b *Balancer) rejectWithoutCapacity(request *Request, now time.Time) bool {
+	request.waitReason = WaitCapacity
+	if now.Sub(request.Arrived) < time.Duration(capacityWaitShare*float64(request.LatencyTarget)) {
+		return false
+	}
+	b.reject(request, rejectedRetryAfter, RejectNoCapacity)
+	return true
+}
+
+func (b *Balancer) rejectWithoutModel(request *Request, now time.Time) bool {
+	if request.waitReason != WaitModel {
+		request.waitReason = WaitModel
+		b.hasUrgentDemand = true
+	}
+	if b.isDraining {
+		b.reject(request, drainingRetryAfter, RejectDraining)
+		return true
+	}
+	readyAt := b.expectedReadyAt(request, now)
+	if !readyAt.Add(minServiceTime).After(request.ClientTimeoutAt) {
+		return false
+	}
+	b.demandFor(request).unserved++
+	b.reject(request, max(rejectedRetryAfter, readyAt.Sub(now)), RejectNoModel)
+	return true
+}
+
+// expectedReadyAt estimates when the request's model is loaded: by the load in progress where there is one, else by how
+// long a load that begins now takes.
+func (b *Balancer) expectedReadyAt(request *Request, now time.Time) time.Time {
+	for i := range b.pendingLoads {
+		if load := &b.pendingLoads[i]; load.loads(request) {
+			return load.readyAt.Add(loadPropagation / 2)
+		}
+	}
+	runtime := b.runtime(request.Service)
+	if runtime == nil {
+		return now.Add(unknownLoadTime)
+	}
+	if now.Sub(request.Arrived) < time.Duration(placementWaitShare*float64(request.LatencyTarget)) {
+		return now.Add(warmLoadTime) // it may still be placed, by a load from a backend's own disk
+	}
+	for _, model := range runtime.Models {
+		if model.Name == message.ModelOf(request.Model) {
+			if b.isLoadedAnywhere(request.Service, model.Name, now) {
+				return now.Add(adapterLoadTime) // only the adapter is missing
+			}
+			return now.Add(model.Load + loadPropagation)
+		}
+	}
+	return now.Add(unknownLoadTime)
+}
+
+func (b *Balancer) isLoadedAnywhere(service string, model message.ModelName, now time.Time) bool {
+	s := b.services[service]
+	return s != nil && slices.ContainsFunc(s.backends, func(backend *Backend) bool { return backend.hasModel(model, now) })
+}
+
+func (b *Balancer) reject(request *Request, retryAfter time.Duration, reason RejectReason) {
+	request.result <- PickResult{
+		RetryAfter: retryAfter, Rejection: reason, Decision: Decision{WaitReason: request.waitReason},
+	}
+}
--- /dev/null
+++ b/internal/dataplane/balancer/rejection_test.go
@@ -0,0 +1,58 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"pumiceline/internal/message"
+)
+
+func TestMissingModel_QueuedOrRejectedByClientTimeout(t *testing.T) {
+	b := newBalancer(t, backendWith("a", "n"))
+	patient := newRequest("llm", "m", start)
+	_, waiting := submit(b, patient, start)
+	assert.True(t, waiting, "a load of 5 s can end in time")
+	assert.True(t, b.hasUrgentDemand, "the coordinators are notified at once")
+	hasty := newRequest("llm", "m", start)
+	hasty.ClientTimeoutAt = start.Add(2 * time.Second)
+	_, waiting = submit(b, hasty, start)
+	assert.True(t, waiting, "briefly: it may still be placed by a warm load")
+	b.Tick(start.Add(300 * time.Millisecond))
+	result := <-hasty.result
+	assert.Nil(t, result.Backend)
+	assert.Positive(t, result.RetryAfter)
+	b.SetBackends([]message.Backend{backendWith("a", "n", "m")}, start.Add(3*time.Second))
+	assert.Equal(t, message.BackendID("a"), (<-patient.result).Backend.ID, "queued requests get it as soon as it is loaded")
+}
+
+func TestNoCapacity_RejectedAfterQuarterOfLatencyTarget(t *testing.T) {
+	full := plainBackend("a")
+	full.Capacity = 1
+	b := newBalancer(t, full)
+	submit(b, newRequest("plain", "", start), start)
+	r := newRequest("plain", "", start)
+	_, waiting := submit(b, r, start)
+	require.True(t, waiting)
+	b.Tick(start.Add(249 * time.Millisecond))
+	assert.Empty(t, r.result)
+	b.Tick(start.Add(250 * time.Millisecond))
+	assert.Nil(t, (<-r.result).Backend)
+}
+
+func TestQueuedPrefill_BoundedByClientTimeout(t *testing.T) {
+	b := newBalancer(t, backendWith("a", "m"))
+	for range 3 {
+		r := newRequest("llm", "m", start)
+		r.PromptTokens, r.ClientTimeoutAt = 7000, start.Add(2*time.Second)
+		submit(b, r, start)
+	}
+	r := newRequest("llm", "m", start)
+	r.PromptTokens, r.ClientTimeoutAt = 4000, start.Add(2*time.Second)
+	_, waiting := submit(b, r, start)
+	require.True(t, waiting, "more than 1 s of prefill is queued at the only backend with the model")
+	b.Tick(start.Add(time.Second / 4))
+	assert.Nil(t, (<-r.result).Backend, "and it is rejected before its client gives up")
+}
--- /dev/null
+++ b/internal/dataplane/balancer/retrybudget.go
@@ -0,0 +1,62 @@
+package balancer
+
+import "time"
+
+// RetryBudget bounds the retries of a proxy: attempts beyond the first of each request. A proxy may use a ratio of its
+// own requests in a sliding window, and its share of an allowance that all proxies have together. A proxy that has just
+// started takes its share of the allowance to be spent by its predecessor.
+type RetryBudget struct {
+	window    time.Duration
+	ratio     float64
+	allowance float64 // retries in a window, of all proxies together
+	started   time.Time
+
+	requests    []time.Time // first attempts in the window
+	retries     []time.Time // retries in the window
+	proxies     int
+	confirmedAt time.Time // when the coordinators last counted at least as many proxies
+}
+
+// NewRetryBudget makes a budget of ratio retries per request and allowance retries of all proxies in each window.
+func NewRetryBudget(window time.Duration, ratio, allowance float64, now time.Time) *RetryBudget {
+	return &RetryBudget{window: window, ratio: ratio, allowance: allowance, started: now, proxies: 1}
+}
+
+// SetProxies sets how many proxies share the allowance. A lower count is believed only after two windows: a coordinator
+// that has just started has not heard from all, and a proxy behind a partition still uses its share.
+func (b *RetryBudget) SetProxies(count int, now time.Time) {
+	if count >= b.proxies || now.Sub(b.confirmedAt) > 2*b.window {
+		b.proxies, b.confirmedAt = max(1, count), now
+	}
+}
+
+// Proxies returns how many proxies share the allowance, at least 1.
+func (b *RetryBudget) Proxies() int { return b.proxies }
+
+// AddRequest counts the first attempt of a request.
+func (b *RetryBudget) AddRequest(now time.Time) {
+	b.requests = append(b.inWindow(b.requests, now), now)
+}
+
+// TryRetry takes a retry from the budget; false means that it must not be made.
+func (b *RetryBudget) TryRetry(now time.Time) bool {
+	b.requests, b.retries = b.inWindow(b.requests, now), b.inWindow(b.retries, now)
+	allowed := float64(len(b.requests)) * b.ratio * ratioMargin
+	if now.Sub(b.started) >= b.window {
+		allowed += b.allowance * allowanceMargin / float64(b.proxies)
+	}
+	if float64(len(b.retries)+1) > allowed {
+		return false
+	}
+	b.retries = append(b.retries, now)
+	return true
+}
+
+// inWindow drops the times that the window has left behind.
+func (b *RetryBudget) inWindow(times []time.Time, now time.Time) []time.Time {
+	expired := 0
+	for expired < len(times) && now.Sub(times[expired]) > b.window {
+		expired++
+	}
+	return times[expired:]
+}
--- /dev/null
+++ b/internal/dataplane/balancer/retrybudget_test.go
@@ -0,0 +1,57 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestRetryBudget_HoldsInEveryWindow(t *testing.T) {
+	budget := NewRetryBudget(10*time.Second, 0.2, 60, start)
+	budget.SetProxies(10, start)
+	now := start
+	var requests, retries []time.Time
+	for step := range 4000 {
+		now = now.Add(10 * time.Millisecond)
+		if step%7 == 0 && step < 3000 {
+			budget.AddRequest(now)
+			requests = append(requests, now)
+		}
+		if budget.TryRetry(now) {
+			retries = append(retries, now)
+		}
+	}
+	within := func(times []time.Time, end time.Time) (count int) {
+		for _, at := range times {
+			if !at.After(end) && end.Sub(at) <= 10*time.Second {
+				count++
+			}
+		}
+		return count
+	}
+	for _, end := range retries {
+		assert.LessOrEqual(t, float64(within(retries, end)), 0.2*float64(within(requests, end))+60.0/10)
+	}
+	assert.NotEmpty(t, retries)
+}
+
+func TestRetryBudget_NoAllowanceAfterStart(t *testing.T) {
+	budget := NewRetryBudget(10*time.Second, 0.2, 60, start)
+	assert.False(t, budget.TryRetry(start.Add(9*time.Second)), "its predecessor may have spent it")
+	assert.True(t, budget.TryRetry(start.Add(10*time.Second)))
+}
+
+// A coordinator that has just started counts one proxy, and each proxy would take the whole allowance.
+func TestRetryBudget_LowerProxyCountTakenLate(t *testing.T) {
+	budget := NewRetryBudget(10*time.Second, 0.2, 60, start)
+	budget.SetProxies(10, start)
+	budget.SetProxies(1, start.Add(15*time.Second))
+	assert.Equal(t, 10, budget.Proxies())
+	budget.SetProxies(12, start.Add(16*time.Second))
+	assert.Equal(t, 12, budget.Proxies(), "a higher count is taken at once")
+	budget.SetProxies(11, start.Add(36*time.Second))
+	assert.Equal(t, 12, budget.Proxies())
+	budget.SetProxies(11, start.Add(37*time.Second))
+	assert.Equal(t, 11, budget.Proxies())
+}
--- a/internal/dataplane/balancer/weight.go
+++ b/internal/dataplane/balancer/weight.go
@@ -7,83 +7,103 @@
 	"pumiceline/internal/wrr"
 )
 
-// Parameters of the weights (gRFC A58) and of slow start (gRFC A100).
-const (
-	errorUtilizationPenalty = 1.0
-	blackoutPeriod          = 10 * time.Second
-	weightExpiration        = 60 * time.Second
-	slowStartWindow         = 2 * time.Second
-	slowStartAggression     = 1.0
-	slowStartFloor          = 0.10
-	evidenceMemory          = 15 * time.Second // completions and their durations fade with this time constant
-	minEvidence             = 4.0              // faded completions below which the mean weight is used
-	minWeight               = 1e-3
-)
-
-// evidence is what a proxy has derived of one backend from its own traffic: completions, the time that they kept a
-// place busy, and errors, all fading.
-type evidence struct {
+// endpointStats is what a proxy has measured of one backend by its own traffic, for the backend's weight. Backends send
+// no load reports as in gRFC A58, so that completions stand for its requests per second, and the time that they kept a
+// slot busy for its utilization. All sums decay with statsTimeConstant.
+type endpointStats struct {
 	completions   float64
 	busySeconds   float64
 	errors        float64
-	updated       time.Time
-	lastReport    time.Time
-	nonEmptySince time.Time
-	readySince    time.Time
+	decayedAt     time.Time // to when the sums are decayed
+	lastUpdated   time.Time
+	nonEmptySince time.Time // begin of the blackout period; zero: no completion yet, or the weight has expired
+	readySince    time.Time // begin of slow start; zero: ready since before this proxy started
 }
 
-func (e *evidence) fade(now time.Time) {
-	if !e.updated.IsZero() {
-		keep := math.Exp(-now.Sub(e.updated).Seconds() / evidenceMemory.Seconds())
-		e.completions *= keep
-		e.busySeconds *= keep
-		e.errors *= keep
-	}
-	e.updated = now
+// addCompletion adds a request that succeeded and kept a slot busy for elapsed.
+func (e *endpointStats) addCompletion(now time.Time, elapsed time.Duration) {
+	e.decay(now)
+	e.completions++
+	e.busySeconds += elapsed.Seconds()
+	e.noteUpdate(now)
 }
 
-// report adds one finished request that kept a place busy for span.
-func (e *evidence) report(now time.Time, span time.Duration, failed bool) {
-	e.fade(now)
-	if failed {
-		e.errors++
-	} else {
-		e.completions++
-		e.busySeconds += span.Seconds()
-	}
-	e.lastReport = now
+// addError adds a request that failed.
+func (e *endpointStats) addError(now time.Time) {
+	e.decay(now)
+	e.errors++
+	e.noteUpdate(now)
+}
+
+func (e *endpointStats) noteUpdate(now time.Time) {
+	e.lastUpdated = now
 	if e.nonEmptySince.IsZero() && e.completions > 0 {
 		e.nonEmptySince = now
 	}
 }
 
-// derived is the A58 weight: rate / (utilization + errors/rate * penalty). Rate and utilization are those of the
-// proxy's own traffic over the same time, so that the time cancels out. ok is false during the blackout, after
-// expiry, and where the proxy's own traffic does not suffice.
-func (e *evidence) derived(now time.Time, slots int) (derived float64, ok bool) {
+func (e *endpointStats) decay(now time.Time) {
+	if !e.decayedAt.IsZero() {
+		keep := math.Exp(-now.Sub(e.decayedAt).Seconds() / statsTimeConstant.Seconds())
+		e.completions *= keep
+		e.busySeconds *= keep
+		e.errors *= keep
+	}
+	e.decayedAt = now
+}
+
+// weight is the A58 weight of a backend with that many slots. Rate and utilization are taken over the same time, which
+// cancels out. ok is false during the blackout period, after expiry, and while there are too few completions: then the
+// mean weight is to be used.
+func (e *endpointStats) weight(now time.Time, slots int) (weight float64, ok bool) {
 	if e.nonEmptySince.IsZero() || now.Sub(e.nonEmptySince) < blackoutPeriod {
 		return 0, false
 	}
-	if now.Sub(e.lastReport) > weightExpiration {
+	if now.Sub(e.lastUpdated) > weightExpiration {
 		e.nonEmptySince = time.Time{}
 		return 0, false
 	}
-	e.fade(now)
-	if e.completions < minEvidence || e.busySeconds <= 0 {
+	e.decay(now)
+	if e.completions < minCompletions || e.busySeconds <= 0 {
 		return 0, false
 	}
-	utilization := e.busySeconds / evidenceMemory.Seconds() / float64(max(1, slots))
-	rate := e.completions / evidenceMemory.Seconds()
+	utilization := e.busySeconds / statsTimeConstant.Seconds() / float64(max(1, slots))
+	rate := e.completions / statsTimeConstant.Seconds()
 	return wrr.A58(rate, utilization, e.errors/e.completions, errorUtilizationPenalty), true
 }
 
-// ramp is the A100 factor: max(floor, time_factor^(1/aggression)) within the window since the backend became ready.
-func (e *evidence) ramp(now time.Time) float64 { return ramp(e.readySince, now) }
-
-func ramp(readySince, now time.Time) float64 {
-	age := now.Sub(readySince)
+// slowStartFactor is the A100 factor of a backend, or of a model there, that has been ready since readySince. The zero
+// time is before this proxy started: there is no slow start.
+func slowStartFactor(readySince, now time.Time) float64 {
 	if readySince.IsZero() {
-		return 1 // it was there when this proxy began
+		return 1
 	}
+	age := now.Sub(readySince)
 	return wrr.SlowStart(age.Seconds(), 1, slowStartWindow.Seconds(), slowStartFloor, slowStartAggression)
 }
+
+// updateWeights brings the weights of a service's backends up to date. They are relative to the mean, which stands for
+// the backends whose weight is not known.
+func (b *Balancer) updateWeights(service string, now time.Time) {
+	s := b.services[service]
+	if s == nil {
+		return
+	}
+	total, count := 0.0, 0
+	for _, backend := range s.backends {
+		if weight, ok := backend.stats.weight(now, backend.Capacity); ok {
+			total += weight
+			count++
+		}
+	}
+	for _, backend := range s.backends {
+		relative := 1.0
+		if count > 0 {
+			mean := total / float64(count)
+			if weight, ok := backend.stats.weight(now, backend.Capacity); ok {
+				relative = weight / mean
+			}
+		}
+		backend.weight = max(minWeight, relative*slowStartFactor(backend.stats.readySince, now))
+	}
+}
--- /dev/null
+++ b/internal/dataplane/ingress/attempt.go
@@ -0,0 +1,113 @@
+package ingress
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"pumiceline/internal/controlplane/configuration"
+	"pumiceline/internal/dataplane/backend"
+	"pumiceline/internal/dataplane/balancer"
+)
+
+// maxDiscarded bounds the body of a rejection that is read so that its connection can be used again.
+const maxDiscarded = 64 << 10
+
+// attemptResult is what an attempt means for the exchange.
+type attemptResult int
+
+const (
+	attemptDone        attemptResult = iota // the client has its response
+	attemptRetryable                        // another backend may be tried
+	attemptInterrupted                      // a response that has begun cannot be completed by this backend
+)
+
+// attempt sends the request to one backend and copies its response to the client.
+func (x *exchange) attempt(ctx context.Context, picked balancer.PickResult) attemptResult {
+	target := picked.Backend
+	began := time.Now()
+	x.outgoing.Backend, x.outgoing.Address = picked.BackendID, picked.Address
+	response, err := x.handler.pool.Do(ctx, &x.outgoing)
+	if err != nil {
+		return x.handleError(ctx, target, began, err)
+	}
+	defer response.Close()
+	if load, ok := backend.ParseLoad(response.Header.Get(backend.HeaderLoad)); ok {
+		x.handler.dispatcher.ObserveLoad(target, load.Running, load.Waiting)
+	}
+	outcome := balancer.Failed // also where copying panics
+	defer func() { x.handler.dispatcher.Finish(x.request, target, outcome, time.Since(began)) }()
+	if response.IsRejected() {
+		outcome = rejectionOutcome(response)
+		discard(response)
+		return attemptRetryable
+	}
+	x.runs++
+	var result attemptResult
+	if !x.isStream(response) {
+		result, outcome = x.copyResponse(ctx, response)
+		return result
+	}
+	result, outcome = x.copyStream(ctx, response, func() {
+		x.handler.dispatcher.FirstEvent(x.request, target, time.Since(began))
+	})
+	if outcome == balancer.Succeeded {
+		x.handler.drain.observeStream(time.Since(began), x.request.OutputTokens)
+	}
+	return result
+}
+
+// isStream reports whether the response is a stream of events; errors never are.
+func (x *exchange) isStream(response *backend.Response) bool {
+	return response.Status >= 200 && response.Status <= 299 && x.route.Kind == configuration.Streaming
+}
+
+func rejectionOutcome(response *backend.Response) balancer.Outcome {
+	if response.Status == http.StatusMisdirectedRequest {
+		return balancer.Misdirected
+	}
+	return balancer.Rejected
+}
+
+// discard reads a short response so that its connection can be used again.
+func discard(response *backend.Response) {
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscarded)) // Close sees an incomplete body
+}
+
+// handleError ends an attempt that brought no response.
+func (x *exchange) handleError(ctx context.Context, target *balancer.Backend, began time.Time, err error) attemptResult {
+	var failure *backend.Error
+	wasSent := !errors.As(err, &failure) || failure.Phase == backend.Sent
+	outcome := balancer.Failed
+	switch {
+	case ctx.Err() != nil:
+		outcome = balancer.Canceled
+	case !wasSent:
+		outcome = balancer.ConnectFailed
+	}
+	x.handler.dispatcher.Finish(x.request, target, outcome, time.Since(began))
+	if !wasSent {
+		return attemptRetryable
+	}
+	x.runs++
+	result, _ := x.handleBreak(ctx, "the backend broke off")
+	return result
+}
+
+// handleBreak ends an attempt whose request may have run and whose response broke off before a part of it was copied.
+func (x *exchange) handleBreak(ctx context.Context, message string) (attemptResult, balancer.Outcome) {
+	switch {
+	case x.headersSent:
+		return attemptInterrupted, balancer.Failed
+	case ctx.Err() != nil:
+		x.timeOut()
+		return attemptDone, balancer.Canceled
+	case x.canRetry():
+		return attemptRetryable, balancer.Failed
+	}
+	http.Error(x.writer, message, http.StatusBadGateway)
+	return attemptDone, balancer.Failed
+}
--- /dev/null
+++ b/internal/dataplane/ingress/copy.go
@@ -0,0 +1,144 @@
+package ingress
+
+import (
+	"bytes"
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+
+	"pumiceline/internal/dataplane/backend"
+	"pumiceline/internal/dataplane/balancer"
+)
+
+const (
+	// maxBufferedBody bounds a response that is not a stream: it is read in full before its first byte is sent.
+	maxBufferedBody = 4 << 20
+	// streamBuffer is the size of one read from a stream.
+	streamBuffer = 4 << 10
+)
+
+// copyResponse copies a response that is not a stream. It is read in full first, so that one that breaks off can be
+// retried.
+func (x *exchange) copyResponse(ctx context.Context, response *backend.Response) (attemptResult, balancer.Outcome) {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBody+1))
+	if err != nil || !response.HasEnd() || len(body) > maxBufferedBody {
+		return x.handleBreak(ctx, "the backend's answer broke off")
+	}
+	if x.headersSent {
+		return attemptInterrupted, balancer.Failed // the continuation of a stream was answered with an error
+	}
+	outcome := balancer.Succeeded
+	if response.Status >= http.StatusInternalServerError {
+		outcome = balancer.Failed
+		if x.canRetry() {
+			return attemptRetryable, outcome
+		}
+	}
+	x.timing.isComplete = outcome == balancer.Succeeded
+	x.copyHeaders(response)
+	x.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	x.writer.WriteHeader(response.Status)
+	_, _ = x.writer.Write(body) // it fails only where the client has gone
+	return attemptDone, outcome
+}
+
+// copyHeaders copies the backend's headers to the client's response.
+func (x *exchange) copyHeaders(response *backend.Response) {
+	header := x.writer.Header()
+	for name, values := range endToEndHeaders(response.Header) {
+		header[name] = values
+	}
+	header.Del("Content-Length")
+	header.Del(backend.HeaderLoad)
+	if header.Get("Content-Type") == "" {
+		header["Content-Type"] = nil // else the server would guess one
+	}
+}
+
+// copyStream copies events as they come, each complete. onFirst is called at the first event of this attempt. A stream
+// that breaks off between two events can be resumed by another backend.
+func (x *exchange) copyStream(
+	ctx context.Context, response *backend.Response, onFirst func(),
+) (attemptResult, balancer.Outcome) {
+	if !x.headersSent {
+		x.copyHeaders(response)
+		x.writer.WriteHeader(response.Status)
+		x.headersSent = true
+		if err := x.flush(); err != nil {
+			return attemptDone, balancer.Canceled
+		}
+	}
+	var pending []byte
+	buffer := make([]byte, streamBuffer)
+	for {
+		n, err := response.Body.Read(buffer)
+		pending = append(pending, buffer[:n]...)
+		if end := completeEvents(pending); end > 0 {
+			if onFirst != nil {
+				onFirst()
+				onFirst = nil
+			}
+			if !x.copyEvents(pending[:end]) {
+				return attemptDone, balancer.Canceled
+			}
+			pending = append(pending[:0], pending[end:]...)
+		}
+		if err != nil {
+			return x.endStream(ctx, response, pending, err)
+		}
+	}
+}
+
+// endStream ends a stream whose reading ended with err. pending are the bytes after its last complete event.
+func (x *exchange) endStream(
+	ctx context.Context, response *backend.Response, pending []byte, err error,
+) (attemptResult, balancer.Outcome) {
+	switch {
+	case err == io.EOF && response.HasEnd():
+		if len(pending) > 0 && !x.copyEvents(pending) {
+			return attemptDone, balancer.Canceled
+		}
+		x.timing.isComplete = true
+		return attemptDone, balancer.Succeeded
+	case ctx.Err() != nil:
+		abort()
+	}
+	return attemptInterrupted, balancer.Failed
+}
+
+// copyEvents sends events to the client; false means that the client has gone.
+func (x *exchange) copyEvents(events []byte) bool {
+	x.timing.noteEvent(x.request.Arrived)
+	if id := lastEventID(events); id != "" {
+		x.outgoing.LastEvent = id
+	}
+	if _, err := x.writer.Write(events); err != nil {
+		return false
+	}
+	return x.flush() == nil
+}
+
+func (x *exchange) flush() error { return http.NewResponseController(x.writer).Flush() }
+
+// completeEvents returns the length of the complete events that text begins with: up to the last empty line.
+func completeEvents(text []byte) int {
+	end := 0
+	for _, separator := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
+		if at := bytes.LastIndex(text, separator); at >= 0 {
+			end = max(end, at+len(separator))
+		}
+	}
+	return end
+}
+
+// lastEventID returns the ID of the last event that has one.
+func lastEventID(events []byte) string {
+	lines := bytes.Split(events, []byte("\n"))
+	for i := len(lines) - 1; i >= 0; i-- {
+		if rest, ok := bytes.CutPrefix(lines[i], []byte("id:")); ok {
+			return string(bytes.TrimSpace(rest))
+		}
+	}
+	return ""
+}
--- a/internal/dataplane/ingress/leaving_client_test.go
+++ b/internal/dataplane/ingress/exchange_test.go
@@ -16,20 +16,19 @@
 	"pumiceline/internal/dataplane/backend"
 )
 
-const farAway = 10 * time.Second // a test that waits so long has failed
+const testTimeout = 10 * time.Second // a test that waits for so long has failed
 
-func await(t *testing.T, what string, happened <-chan struct{}) {
+func waitFor(t *testing.T, what string, happened <-chan struct{}) {
 	t.Helper()
 	select {
 	case <-happened:
-	case <-time.After(farAway):
+	case <-time.After(testTimeout):
 		t.Fatal(what + " did not happen")
 	}
 }
 
-// When a client has left, the backend that works for it is told so by the end of its connection, and no other backend
-// gets the request.
-func TestABackendStopsWhenItsClientHasLeft(t *testing.T) {
+// When a client has left, the connection to the backend that works for it is closed, and the request is not retried.
+func TestExchange_ClientLeavingClosesBackendConnection(t *testing.T) {
 	begun, ended := make(chan struct{}), make(chan struct{})
 	working := newFakeBackend(t, func(conn net.Conn, _ *http.Request) {
 		close(begun)
@@ -51,15 +50,15 @@
 			response.Body.Close()
 		}
 	}()
-	await(t, "the request", begun)
+	waitFor(t, "the request", begun)
 	leave()
-	await(t, "the client's end", answered)
-	await(t, "the end of the backend's work", ended)
+	waitFor(t, "the client's end", answered)
+	waitFor(t, "the end of the backend's work", ended)
 	assert.Empty(t, other.requests())
 }
 
-// A backend that says nothing is given up at the route's time-out, and what may have run gets no promise.
-func TestAnAnswerComesAtTheRoutesTimeout(t *testing.T) {
+// The attempt at a silent backend ends at the route's time-out. The request may have run, so that 503 would be wrong.
+func TestExchange_GatewayTimeoutAtRouteTimeout(t *testing.T) {
 	mute := newFakeBackend(t, func(conn net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, conn) })
 	p := newProxy(t, mute)
 	config, err := configuration.Parse([]byte(strings.ReplaceAll(routes, `"timeoutMs":60000,"targetMs":40000`, `"timeoutMs":150,"targetMs":100`)))
@@ -69,15 +68,15 @@
 	response, _, err := p.call(t, "/once/a", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
-	assert.Less(t, time.Since(began), farAway, "though its client would wait for a minute")
+	assert.Less(t, time.Since(began), testTimeout, "though its client would wait for a minute")
 }
 
-// The time that a backend is told is what is left of the client's, never more.
-func TestABackendIsToldNoMoreTimeThanIsLeft(t *testing.T) {
-	told := make(chan string, 1)
+// The backend receives the time that is left of the client's, never more.
+func TestExchange_ForwardsRemainingTime(t *testing.T) {
+	sent := make(chan string, 1)
 	b := newFakeBackend(t, func(conn net.Conn, request *http.Request) {
-		told <- request.Header.Get(backend.HeaderTimeLeft)
-		whole("a")(conn, request)
+		sent <- request.Header.Get(backend.HeaderTimeLeft)
+		okResponse("a")(conn, request)
 	})
 	p := newProxy(t, b)
 	request, err := http.NewRequest(http.MethodPost, p.server.URL+"/once/a", strings.NewReader(""))
@@ -88,8 +87,8 @@
 	response, err := http.DefaultClient.Do(request)
 	require.NoError(t, err)
 	response.Body.Close()
-	left, err := time.ParseDuration(<-told + "ms")
+	left, err := time.ParseDuration(<-sent + "ms")
 	require.NoError(t, err)
 	assert.LessOrEqual(t, left, 30*time.Second)
-	assert.Greater(t, left, 30*time.Second-farAway)
+	assert.Greater(t, left, 30*time.Second-testTimeout)
 }
--- /dev/null
+++ b/internal/dataplane/ingress/handler_test.go
@@ -0,0 +1,125 @@
+package ingress
+
+import (
+	"context"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"pumiceline/internal/dataplane/backend"
+	"pumiceline/internal/dataplane/balancer"
+)
+
+func TestHandler_CopiesResponseUnchanged(t *testing.T) {
+	b := newFakeBackend(t, okResponse("hello"))
+	p := newProxy(t, b)
+	response, body, err := p.call(t, "/once/a?b=c", "text")
+	require.NoError(t, err)
+	assert.Equal(t, http.StatusOK, response.StatusCode)
+	assert.Equal(t, "hello", body)
+	assert.Equal(t, "x", response.Header.Get(backend.HeaderSeal))
+	assert.Equal(t, []string{`POST /once/a?b=c "text" target i-0 last ""`}, b.requests())
+}
+
+func TestHandler_ChangingRequestRetriedOnlyAfterRejection(t *testing.T) {
+	refusing, serving := newFakeBackend(t, rejection), newFakeBackend(t, okResponse("served"))
+	response, body, err := newProxy(t, refusing, serving).call(t, "/once/a", "")
+	require.NoError(t, err)
+	assert.Equal(t, http.StatusOK, response.StatusCode)
+	assert.Equal(t, "served", body)
+
+	breaking, other := newFakeBackend(t, closeConn), newFakeBackend(t, okResponse("again"))
+	response, _, err = newProxy(t, breaking, other).call(t, "/once/a", "")
+	require.NoError(t, err)
+	assert.Equal(t, http.StatusBadGateway, response.StatusCode, "it may have run: 503 would promise that it has not")
+	assert.Empty(t, other.requests(), "and it is not retried")
+}
+
+func TestHandler_IdempotentRequestRetriedWithinAttempts(t *testing.T) {
+	breaking, other := newFakeBackend(t, closeConn), newFakeBackend(t, okResponse("again"))
+	response, body, err := newProxy(t, breaking, other).call(t, "/read/a", "")
+	require.NoError(t, err)
+	assert.Equal(t, http.StatusOK, response.StatusCode)
+	assert.Equal(t, "again", body)
+
+	response, _, err = newProxy(t, newFakeBackend(t, closeConn), newFakeBackend(t, closeConn)).call(t, "/read/a", "")
+	require.NoError(t, err)
+	assert.Equal(t, http.StatusBadGateway, response.StatusCode, "it may have run: 503 would promise that it has not")
+}
+
+func TestHandler_SkipsResponseToOtherRequest(t *testing.T) {
+	b := newFakeBackend(t, respond("HTTP/1.1 200 OK\nRequest-Id: old\nServer-Seal: y\nContent-Length: 3\n\noldHTTP/1.1 200 OK\n"+
+		"Request-Id: ID\nServer-Seal: x\nContent-Length: 3\n\nnew"))
+	response, body, err := newProxy(t, b).call(t, "/once/a", "")
+	require.NoError(t, err)
+	assert.Equal(t, "new", body)
+	assert.Equal(t, "x", response.Header.Get(backend.HeaderSeal))
+}
+
+func TestHandler_TruncatedResponseIsBadGateway(t *testing.T) {
+	b := newFakeBackend(t, func(conn net.Conn, r *http.Request) {
+		respond("HTTP/1.1 200 OK\nRequest-Id: ID\nServer-Seal: x\nContent-Length: 30\n\nhalf")(conn, r)
+		conn.Close()
+	})
+	response, _, err := newProxy(t, b).call(t, "/once/a", "")
+	require.NoError(t, err)
+	assert.Equal(t, http.StatusBadGateway, response.StatusCode)
+	assert.Empty(t, response.Header.Get(backend.HeaderSeal))
+}
+
+func TestHandler_StreamEndsCompleteOrAborted(t *testing.T) {
+	_, body, err := newProxy(t, newFakeBackend(t, stream(true, 1, 2))).call(t, "/stream/a", "")
+	require.NoError(t, err)
+	assert.Equal(t, "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n", body)
+
+	_, body, err = newProxy(t, newFakeBackend(t, stream(false, 1, 2)), newFakeBackend(t, stream(true, 3))).call(t, "/stream/a", "")
+	require.Error(t, err, "a stream that cannot be resumed is aborted")
+	assert.Equal(t, "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n", body, "only complete events were copied")
+}
+
+func TestHandler_ResumesStreamAtOtherBackend(t *testing.T) {
+	first, second := newFakeBackend(t, stream(false, 1, 2)), newFakeBackend(t, stream(true, 3, 4))
+	_, body, err := newProxy(t, first, second).call(t, "/resume/a", "")
+	require.NoError(t, err)
+	assert.Equal(t, "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\nid: 3\ndata: e3\n\nid: 4\ndata: e4\n\n", body)
+	assert.Equal(t, []string{`POST /resume/a "" target i-1 last "2"`}, second.requests())
+}
+
+func TestHandler_UnknownRouteDeniedUnlessConfigStale(t *testing.T) {
+	p := newProxy(t, newFakeBackend(t, rejection))
+	response, _, err := p.call(t, "/none/", "")
+	require.NoError(t, err)
+	assert.Equal(t, http.StatusNotFound, response.StatusCode)
+	p.handler.confirmed.Store(int64(-time.Hour))
+	response, _, err = p.call(t, "/none/", "")
+	require.NoError(t, err)
+	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "the route may be there in a newer configuration")
+	assert.NotEmpty(t, response.Header.Get("Retry-After"))
+}
+
+func TestHandler_RejectsWithoutConfig(t *testing.T) {
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	budget := balancer.NewRetryBudget(time.Minute, 1, 1, time.Now())
+	handler := New(balancer.NewDispatcher(ctx, balancer.New(budget), balancer.DispatcherOptions{}), backend.NewPool())
+	server := httptest.NewServer(handler)
+	defer server.Close()
+	p := &proxy{handler: handler, server: server}
+	response, _, err := p.call(t, "/once/a", "")
+	require.NoError(t, err)
+	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode)
+}
+
+func TestHandler_DrainingClosesConnectionAfterResponse(t *testing.T) {
+	p := newProxy(t, newFakeBackend(t, okResponse("a")))
+	p.handler.StartDraining(time.Now().Add(time.Minute))
+	response, body, err := p.call(t, "/once/a", "")
+	require.NoError(t, err)
+	assert.Equal(t, "a", body)
+	assert.True(t, response.Close)
+}
--- /dev/null
+++ b/internal/dataplane/ingress/request.go
@@ -0,0 +1,93 @@
+package ingress
+
+import (
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"pumiceline/internal/controlplane/configuration"
+	"pumiceline/internal/dataplane/backend"
+	"pumiceline/internal/dataplane/balancer"
+	"pumiceline/internal/message"
+)
+
+// Request headers that the proxy alone reads.
+const (
+	headerModel      = "Model"
+	headerTokenCount = "Token-Count" // tokens of the prompt and, after a comma, at most of the output
+)
+
+const (
+	// maxTimeLeft bounds the time that a client gives, and is used where it gives none.
+	maxTimeLeft = 10 * time.Minute
+	// maxPriority is the number of the lowest priority; 0 is the highest.
+	maxPriority = 9
+	// defaultPromptTokens and defaultOutputTokens are used where the client does not give the number of tokens.
+	defaultPromptTokens = 1000
+	defaultOutputTokens = 200
+
+	// A client gives up a stream that has been silent for the longest of these.
+	minStreamTimeout       = 2 * time.Second
+	streamTimeoutPerTarget = 4 // times the route's latency target
+	streamTimeoutPerPause  = 8 // times the route's longest pause between events
+)
+
+func newBalancerRequest(
+	r *http.Request, route *configuration.Route, service string, arrived, deadline time.Time,
+) *balancer.Request {
+	request := &balancer.Request{
+		Service: service, Model: message.ModelName(r.Header.Get(headerModel)), Priority: route.Priority,
+		Arrived: arrived, Deadline: deadline, ClientTimeoutAt: clientTimeoutAt(route, arrived, deadline),
+		LatencyTarget: route.Aim,
+	}
+	if request.Model != "" {
+		request.PromptTokens, request.OutputTokens = tokenCount(r)
+	}
+	return request
+}
+
+// tokenCount returns the tokens of the prompt and of the output.
+func tokenCount(r *http.Request) (prompt, output int) {
+	prompt, output = defaultPromptTokens, defaultOutputTokens
+	promptText, outputText, hasOutput := strings.Cut(r.Header.Get(headerTokenCount), ",")
+	if count, err := strconv.Atoi(strings.TrimSpace(promptText)); err == nil && count >= 0 {
+		prompt = count
+	}
+	if count, err := strconv.Atoi(strings.TrimSpace(outputText)); hasOutput && err == nil && count >= 0 {
+		output = count
+	}
+	return prompt, output
+}
+
+// priorityOf is the priority that the backend gets: the client's, else the route's.
+func priorityOf(r *http.Request, route *configuration.Route) int {
+	if text := r.Header.Get(backend.HeaderPriority); text != "" {
+		if priority, err := strconv.Atoi(text); err == nil {
+			return priority
+		}
+	}
+	return min(maxPriority, max(0, route.Priority))
+}
+
+// timeLeft is the time that the client gives the request.
+func timeLeft(r *http.Request) time.Duration {
+	text := r.Header.Get(backend.HeaderTimeLeft)
+	milliseconds, err := strconv.ParseFloat(text, 64)
+	if err != nil || milliseconds < 0 || milliseconds > float64(maxTimeLeft.Milliseconds()) {
+		return maxTimeLeft
+	}
+	return time.Duration(milliseconds * float64(time.Millisecond))
+}
+
+// clientTimeoutAt is when the client gives up if it has received nothing.
+func clientTimeoutAt(route *configuration.Route, arrived, deadline time.Time) time.Time {
+	if route.Kind != configuration.Streaming {
+		return deadline
+	}
+	timeout := max(minStreamTimeout, streamTimeoutPerTarget*route.Aim, streamTimeoutPerPause*route.MaxPause)
+	if at := arrived.Add(timeout); at.Before(deadline) {
+		return at
+	}
+	return deadline
+}
--- a/internal/dataplane/ingress/timing.go
+++ b/internal/dataplane/ingress/timing.go
@@ -8,52 +8,53 @@
 	"pumiceline/internal/dataplane/balancer"
 )
 
-// timing is where the time of a request went, for the log at debug level.
+// timing records where the time of a request went, for the log at debug level. Times count from the arrival.
 type timing struct {
-	waited    time.Duration // until its first backend was chosen
-	sent      time.Duration // until its last attempt began
-	first     time.Duration // until its first event
-	last      time.Duration
-	longest   time.Duration // pause between events
-	attempts  int
-	hasEvents bool
-	choice    balancer.Choice // of the last attempt
-	refusal   string          // why it was refused; empty: it was not
-	whole     bool            // a whole answer was passed on
+	queued       time.Duration // until its first backend was picked
+	sent         time.Duration // until its last attempt began
+	firstEvent   time.Duration
+	lastEvent    time.Duration
+	longestPause time.Duration // between two events
+	attempts     int
+	hasEvents    bool
+	decision     balancer.Decision // of the last attempt
+	rejection    string            // empty: it was not rejected
+	isComplete   bool              // the client was sent a complete response
 }
 
-func (t *timing) granted(arrived time.Time, choice balancer.Choice) {
+func (t *timing) notePicked(arrived time.Time, decision balancer.Decision) {
 	t.attempts++
-	t.sent, t.choice = time.Since(arrived), choice
+	t.sent, t.decision = time.Since(arrived), decision
 	if t.attempts == 1 {
-		t.waited = t.sent
+		t.queued = t.sent
 	}
 }
 
-func (t *timing) event(arrived time.Time) {
+func (t *timing) noteEvent(arrived time.Time) {
 	at := time.Since(arrived)
 	if !t.hasEvents {
-		t.hasEvents, t.first = true, at
+		t.hasEvents, t.firstEvent = true, at
 	} else {
-		t.longest = max(t.longest, at-t.last)
+		t.longestPause = max(t.longestPause, at-t.lastEvent)
 	}
-	t.last = at
+	t.lastEvent = at
 }
 
-// logTiming tells where the time of a request went. tools/account reads these lines.
+// logTiming logs where the time of the request went. tools/lossreport reads these lines: it has to know their keys.
 func (x *exchange) logTiming() {
 	if !logrus.IsLevelEnabled(logrus.DebugLevel) {
 		return
 	}
 	t := &x.timing
 	logrus.WithFields(logrus.Fields{
-		"id": x.outgoing.ID, "route": x.route.Name, "priority": x.route.Priority, "model": x.request.Model,
-		"prompt": x.request.PromptTokens, "output": x.request.OutputTokens,
-		"aim": x.route.Aim.Milliseconds(), "pause": x.route.MaxPause.Milliseconds(),
-		"waited": t.waited.Milliseconds(), "for": t.choice.Waited, "sent": t.sent.Milliseconds(),
-		"first": t.first.Milliseconds(), "longest": t.longest.Milliseconds(), "total": time.Since(x.request.Arrived).Milliseconds(),
-		"attempts": t.attempts, "backend": x.outgoing.Backend, "candidates": t.choice.Candidates,
-		"running": t.choice.Running, "queued": t.choice.Queued.Milliseconds(),
-		"events": t.hasEvents, "whole": t.whole, "refusal": t.refusal,
+		"request": x.outgoing.ID, "route": x.route.Name, "priority": x.route.Priority, "model": x.request.Model,
+		"prompt_tokens": x.request.PromptTokens, "output_tokens": x.request.OutputTokens,
+		"latency_target_ms": x.route.Aim.Milliseconds(), "max_pause_ms": x.route.MaxPause.Milliseconds(),
+		"queued_ms": t.queued.Milliseconds(), "wait_reason": t.decision.WaitReason, "sent_ms": t.sent.Milliseconds(),
+		"first_event_ms": t.firstEvent.Milliseconds(), "longest_pause_ms": t.longestPause.Milliseconds(),
+		"total_ms": time.Since(x.request.Arrived).Milliseconds(),
+		"attempts": t.attempts, "backend": x.outgoing.Backend, "candidates": t.decision.Candidates,
+		"in_flight": t.decision.InFlight, "queued_prefill_ms": t.decision.QueuedPrefill.Milliseconds(),
+		"has_events": t.hasEvents, "complete": t.isComplete, "rejection": t.rejection,
 	}).Debug("request done")
 }
--- a/internal/dataplane/ingress/splitter.go
+++ b/internal/dataplane/ingress/trafficsplit.go
@@ -6,33 +6,29 @@
 	"pumiceline/internal/controlplane/configuration"
 )
 
-// splitter spreads a route's requests over its services by smooth weighted round robin.
-type splitter struct {
+// trafficSplit divides a route's requests among its services by smooth weighted round robin: each request adds every
+// service's weight to its credit, and goes to the service with the most, which pays the sum of the weights. The zero
+// value is ready; all methods may be called from any goroutine.
+type trafficSplit struct {
 	mutex  sync.Mutex
 	credit map[string]map[string]float64 // by route and service
 }
 
 // reset forgets the routes of an earlier configuration.
-func (s *splitter) reset() {
+func (s *trafficSplit) reset() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.credit = nil
 }
 
-func (s *splitter) pick(route *configuration.Route) string {
+// pick returns the service that gets the next request of the route.
+func (s *trafficSplit) pick(route *configuration.Route) string {
 	if len(route.Shares) == 1 {
 		return route.Shares[0].Service
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.credit == nil {
-		s.credit = map[string]map[string]float64{}
-	}
-	credit := s.credit[route.Name]
-	if credit == nil {
-		credit = map[string]float64{}
-		s.credit[route.Name] = credit
-	}
+	credit := s.creditOf(route.Name)
 	total, best := 0.0, ""
 	for _, share := range route.Shares {
 		if share.Weight <= 0 {
@@ -47,3 +43,16 @@
 	credit[best] -= total
 	return best
 }
+
+// creditOf returns the credit of a route's services. The mutex must be held.
+func (s *trafficSplit) creditOf(route string) map[string]float64 {
+	if s.credit == nil {
+		s.credit = map[string]map[string]float64{}
+	}
+	credit := s.credit[route]
+	if credit == nil {
+		credit = map[string]float64{}
+		s.credit[route] = credit
+	}
+	return credit
+}
--- a/internal/dataplane/loads/exchange.go
+++ b/internal/dataplane/loads/exchange.go
@@ -85,8 +85,8 @@
 	return ""
 }
 
-// Tell takes what the proxy carries now at backends where that has changed. It does not wait.
-func (e *Exchange) Tell(loads []message.BackendLoad) {
+// Publish takes what the proxy carries now at backends where that has changed. It does not wait.
+func (e *Exchange) Publish(loads []message.BackendLoad) {
 	e.mutex.Lock()
 	for _, load := range loads {
 		e.carried[load.Backend] = load
@@ -102,9 +102,9 @@
 	}
 }
 
-// Ask returns what the other proxies carry at the holders of a model; backends where they carry nothing are left out.
+// Query returns what the other proxies carry at the holders of a model; backends where they carry nothing are left out.
 // ok is false where no answer came in time.
-func (e *Exchange) Ask(ctx context.Context, service string, model message.ModelName) (loads []message.BackendLoad, ok bool) {
+func (e *Exchange) Query(ctx context.Context, service string, model message.ModelName) (loads []message.BackendLoad, ok bool) {
 	question := e.ask(service, model)
 	if question == nil {
 		return nil, false
--- a/internal/dataplane/loads/exchange_test.go
+++ b/internal/dataplane/loads/exchange_test.go
@@ -52,15 +52,15 @@
 		return &message.LoadResponse{ID: r.ID, Loads: []message.BackendLoad{load("b9", 3, 4)}}
 	})
 	e := connected(t, c.member)
-	e.Tell([]message.BackendLoad{load("b1", 1, 50)})
-	loads, ok := e.Ask(context.Background(), "s", "m")
+	e.Publish([]message.BackendLoad{load("b1", 1, 50)})
+	loads, ok := e.Query(context.Background(), "s", "m")
 	require.True(t, ok)
 	assert.Equal(t, []message.BackendLoad{load("b9", 3, 4)}, loads)
 	first := <-c.reports
 	assert.True(t, first.Complete)
 	assert.Equal(t, []message.BackendLoad{load("b1", 1, 50)}, first.Loads)
 	assert.Equal(t, message.ModelName("m"), first.Model)
-	e.Tell([]message.BackendLoad{load("b1", 0, 0)})
+	e.Publish([]message.BackendLoad{load("b1", 0, 0)})
 	e.flush(false)
 	second := <-c.reports
 	assert.False(t, second.Complete)
@@ -74,10 +74,10 @@
 
 func TestWithoutAConnectionNothingIsWaitedFor(t *testing.T) {
 	e := New("p1")
-	_, ok := e.Ask(context.Background(), "s", "m")
+	_, ok := e.Query(context.Background(), "s", "m")
 	assert.False(t, ok, "no coordinator is known")
 	e.SetMembers([]message.Member{{Address: "127.0.0.1:1"}})
-	_, ok = e.Ask(context.Background(), "s", "m")
+	_, ok = e.Query(context.Background(), "s", "m")
 	assert.False(t, ok, "none is reached")
 }
 
@@ -88,7 +88,7 @@
 	e.timeout = time.Millisecond
 	first := e.members[0].Address
 	for range failuresMost {
-		_, ok := e.Ask(context.Background(), "s", "m")
+		_, ok := e.Query(context.Background(), "s", "m")
 		assert.False(t, ok)
 	}
 	e.mutex.Lock()
--- a/internal/dataplane/proxy/feed.go
+++ b/internal/dataplane/proxy/feed.go
@@ -114,7 +114,9 @@
 		}
 	}
 	f.proxies = max(1, reply.Proxies)
-	f.dispatcher.Update(config, backends, newer, reply, f.totals.Take(reply), f.forget)
+	f.dispatcher.Update(balancer.Update{
+		Config: config, Backends: backends, HasBackends: newer, Response: reply, TotalLoads: f.totals.Take(reply), OnRemoved: f.forget,
+	})
 	if config != nil {
 		f.handler.SetConfig(config)
 	}
@@ -186,5 +188,5 @@
 		return
 	}
 	f.observed, f.digest, f.table = table.Observed, table.Digest, table
-	f.dispatcher.Update(nil, table.Backends, true, nil, nil, f.forget)
+	f.dispatcher.Update(balancer.Update{Backends: table.Backends, HasBackends: true, OnRemoved: f.forget})
 }
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -51,9 +51,9 @@
 	urgent := newUrgency()
 	exchange := loads.New(settings.Node + "/" + settings.IP)
 	pool := backend.NewPool()
-	chooser := balancer.New(settings.Zone, budget)
-	chooser.SetConnections(pool.HasIdle)
-	dispatcher := balancer.NewDispatcher(running, chooser, urgent.raise, exchange)
+	chooser := balancer.New(budget)
+	chooser.SetIdleConnectionCheck(pool.HasIdle)
+	dispatcher := balancer.NewDispatcher(running, chooser, balancer.DispatcherOptions{OnUrgentDemand: urgent.raise, PeerLoads: exchange})
 	handler := ingress.New(dispatcher, pool)
 	feed := newFeed(settings, dispatcher, handler, pool, exchange, coordinator.SeedAddresses(settings))
 	p := &Proxy{settings: settings, handler: handler, feed: feed}
@@ -103,7 +103,7 @@
 func (p *Proxy) stop(front *http.Server) error {
 	ends := time.Now().Add(p.settings.Bounds.Grace - stopMargin)
 	p.leaving.Store(true)
-	p.handler.SetLeaving(ends)
+	p.handler.StartDraining(ends)
 	logrus.Info("stopping")
 	time.Sleep(min(noticeTime, time.Duration(noticeShare*float64(p.settings.Bounds.Grace))))
 	ctx, cancel := context.WithDeadline(context.Background(), ends)
--- a/tools/lossreport/account.go
+++ b/tools/lossreport/account.go
@@ -18,7 +18,14 @@
 // fieldPattern finds the fields of a line of the log.
 var fieldPattern = regexp.MustCompile(`(\w+)=("[^"]*"|\S*)`)
 
-// fields are those of a line; quotes are taken off.
+// earlierKeys are the keys under which earlier versions of the proxy logged the fields of today. Both are read.
+var earlierKeys = map[string]string{
+	"latency_target_ms": "aim", "max_pause_ms": "pause", "queued_ms": "waited", "wait_reason": "for",
+	"first_event_ms": "first", "longest_pause_ms": "longest", "total_ms": "total",
+	"has_events": "events", "complete": "whole", "rejection": "refusal",
+}
+
+// fields are the fields of a log line by key; quotes are taken off.
 type fields map[string]string
 
 func parseFields(line string) fields {
@@ -29,9 +36,21 @@
 	return out
 }
 
-func (f fields) number(name string) (int, error) {
-	value, err := strconv.Atoi(f[name])
-	return value, errors.Wrap(err, name)
+// value returns the field of that key, or of the key that it had earlier.
+func (f fields) value(key string) string { return f[f.keyInUse(key)] }
+
+func (f fields) keyInUse(key string) string {
+	if earlier, ok := earlierKeys[key]; ok {
+		if _, isLogged := f[earlier]; isLogged {
+			return earlier
+		}
+	}
+	return key
+}
+
+func (f fields) number(key string) (int, error) {
+	value, err := strconv.Atoi(f.value(key))
+	return value, errors.Wrap(err, f.keyInUse(key))
 }
 
 // routeAccount is what became of the requests of a route.
@@ -96,15 +115,15 @@
 	a.requests++
 	route := a.routes[f["route"]]
 	if route == nil {
-		route = &routeAccount{priority: f["priority"], aim: f["aim"], late: map[string]int{}, lost: map[string]int{}}
+		route = &routeAccount{priority: f["priority"], aim: f.value("latency_target_ms"), late: map[string]int{}, lost: map[string]int{}}
 		a.routes[f["route"]] = route
 	}
 	route.total++
-	if f["refusal"] != "" {
-		route.lost["refused, "+f["refusal"]+", waited for "+f["for"]]++
+	if f.value("rejection") != "" {
+		route.lost["refused, "+f.value("rejection")+", waited for "+f.value("wait_reason")]++
 		return nil
 	}
-	if f["whole"] != "true" {
+	if f.value("complete") != "true" {
 		route.lost["broken off or failed"]++
 		return nil
 	}
@@ -123,7 +142,9 @@
 // lateness says why an answer was late; empty: it was in time.
 func lateness(f fields) (string, error) {
 	var values [6]int
-	for i, name := range []string{"aim", "pause", "first", "longest", "waited", "total"} {
+	for i, name := range []string{
+		"latency_target_ms", "max_pause_ms", "first_event_ms", "longest_pause_ms", "queued_ms", "total_ms",
+	} {
 		value, err := f.number(name)
 		if err != nil {
 			return "", err
@@ -132,12 +153,12 @@
 	}
 	aim, pause, first, longest, waited, total := values[0], values[1], values[2], values[3], values[4], values[5]
 	begun := first
-	if f["events"] != "true" {
+	if f.value("has_events") != "true" {
 		begun = total
 	}
 	switch {
 	case begun > aim && waited > aim/2:
-		return "first event, waited for " + f["for"], nil
+		return "first event, waited for " + f.value("wait_reason"), nil
 	case begun > aim && f["attempts"] != "1":
 		return "first event, more than one attempt", nil
 	case begun > aim:
--- a/tools/lossreport/account_test.go
+++ b/tools/lossreport/account_test.go
@@ -50,6 +50,24 @@
 	assert.Equal(t, accounted, out.String())
 }
 
+// Today's proxies log the same fields under other keys than earlier ones, and "capacity" as a reason to wait.
+func TestLossReport_ReadsTodaysKeys(t *testing.T) {
+	today := strings.NewReplacer(" aim=", " latency_target_ms=", " pause=", " max_pause_ms=", " waited=", " queued_ms=",
+		" for=place", " wait_reason=capacity", " for=", " wait_reason=", " first=", " first_event_ms=",
+		" longest=", " longest_pause_ms=", " total=", " total_ms=", " events=", " has_events=", " whole=", " complete=",
+		" refusal=", " rejection=").Replace(played)
+	require.NotContains(t, today, "aim=")
+	want := strings.Replace(accounted, "waited for place", "waited for capacity", 1)
+	path := filepath.Join(t.TempDir(), "report.json")
+	require.NoError(t, os.WriteFile(path, []byte(`{"classes":[{"name":"tagging","n":50,"worth":0.9}]}`), 0o600))
+	var out strings.Builder
+	require.NoError(t, run(strings.NewReader(today), &out, path))
+	assert.Equal(t, want, out.String())
+
+	broken := strings.Replace(today, "queued_ms=2", "queued_ms=x", 1)
+	assert.ErrorContains(t, run(strings.NewReader(broken), &out, ""), "line 2: queued_ms")
+}
+
 func TestBadInputIsNamed(t *testing.T) {
 	var out strings.Builder
 	assert.ErrorContains(t, run(strings.NewReader("nothing\n"), &out, ""), "no finished request")
