--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -25,7 +25,7 @@
 func serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<16)
 	var (
-		head      [simlink.BatchHeader]byte
+		head      [simlink.BatchHeaderSize]byte
 		body      []byte
 		reply     []byte
 		actions   []policy.Action
@@ -39,7 +39,7 @@
 		} else if err != nil {
 			return fmt.Errorf("batch %d: header truncated: %w", batch, err)
 		}
-		size, count, now, err := simlink.Header(head[:])
+		size, count, now, err := simlink.ParseBatchHeader(head[:])
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
@@ -47,22 +47,22 @@
 			return fmt.Errorf("batch %d: body truncated: %w", batch, err)
 		}
 		dec.Reset(body)
-		reply = append(reply[:0], make([]byte, simlink.ReplyHeader)...)
+		reply = append(reply[:0], make([]byte, simlink.ReplyHeaderSize)...)
 		replies := uint32(0)
 		for i := uint32(0); i < count; i++ {
 			if err := dec.Next(&rec); err != nil {
 				return fmt.Errorf("batch %d: record %d: %w", batch, i, err)
 			}
 			switch rec.Kind {
-			case simlink.Spawn:
+			case simlink.SpawnInstance:
 				b, err := policy.New(rec.Settings, rec.Seed)
 				if err != nil {
 					return fmt.Errorf("batch %d: record %d: instance %d: %w", batch, i, rec.Instance, err)
 				}
 				instances[rec.Instance] = b
-			case simlink.Killed:
+			case simlink.RemoveInstance:
 				delete(instances, rec.Instance)
-			case simlink.Deliver:
+			case simlink.DeliverEvent:
 				b := instances[rec.Instance]
 				if b == nil {
 					return fmt.Errorf("batch %d: record %d: instance %d was not started", batch, i, rec.Instance)
@@ -74,10 +74,10 @@
 				replies += uint32(len(actions))
 			}
 		}
-		if dec.Rest() != 0 {
-			return fmt.Errorf("batch %d: %d bytes follow the last record", batch, dec.Rest())
+		if dec.Remaining() != 0 {
+			return fmt.Errorf("batch %d: %d bytes follow the last record", batch, dec.Remaining())
 		}
-		binary.BigEndian.PutUint32(reply, uint32(len(reply)-simlink.ReplyHeader))
+		binary.BigEndian.PutUint32(reply, uint32(len(reply)-simlink.ReplyHeaderSize))
 		binary.BigEndian.PutUint32(reply[4:], replies)
 		if _, err := out.Write(reply); err != nil {
 			return err
--- a/cmd/pumiceline/change.go
+++ b/cmd/pumiceline/change.go
@@ -87,7 +87,7 @@
 	}
 	c.log.Info("configuration read again", "discovery", next.Discovery, "classes", classNames(&next.Settings), "attempts", limits.TryLimit)
 	c.cfg = next
-	c.watcher.Move(next.Discovery, next.Settings.Zones, next.Settings.Flavors)
+	c.watcher.Move(next.Discovery, next.Settings.Zones, next.Settings.InstanceTypes)
 	return nil
 }
 
--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -79,7 +79,7 @@
 		return fmt.Errorf("config: settings: %w", err)
 	}
 	_, err = fmt.Fprintf(out, "%s listens on %s and asks %s; %d classes, %d tenants, %d zones\n", cfg.Name, cfg.Listen,
-		cfg.Discovery, len(cfg.Settings.Classes), len(cfg.Settings.Projects), len(cfg.Settings.Zones))
+		cfg.Discovery, len(cfg.Settings.Classes), len(cfg.Settings.Tenants), len(cfg.Settings.Zones))
 	return err
 }
 
@@ -179,7 +179,7 @@
 		MaxConnections: int(allSockets * destinationPart), OnRequestWritten: figures.Sent, Dial: with.network.Dial}
 	fleetOptions.ReportColumns = config.Columns(&cfg.Settings, &cfg.Module)
 	fleet := backend.NewPool(fleetOptions, log)
-	watcher := discovery.NewWatcher(cfg.Discovery, discovery.NewTable(cfg.Settings.Zones, cfg.Settings.Flavors), fleet, log)
+	watcher := discovery.NewWatcher(cfg.Discovery, discovery.NewTable(cfg.Settings.Zones, cfg.Settings.InstanceTypes), fleet, log)
 	watcher.Over(with.network.Dial)
 	share := &sharing{memoryMB: cfg.Limits.MemoryMB}
 	share.at.Store(int32(hotrestart.Starting))
@@ -308,8 +308,8 @@
 	destinations, idle := fleet.TableSizes()
 	listed, names, out := watcher.Kept()
 	ids, classes, waiting := clients.TableSizes()
-	return map[string]int{"calls": calls, "timers": timers, "module_requests": module.Requests, "module_held": module.Held,
-		"module_spare": module.Spare, "module_servers": module.Servers, "module_kinds": module.Kinds, "destinations": destinations,
+	return map[string]int{"calls": calls, "timers": timers, "module_requests": module.OpenRequests, "module_held": module.QueuedRequests,
+		"module_spare": module.FreeRequests, "module_servers": module.Servers, "module_kinds": module.InstanceTypes, "destinations": destinations,
 		"connections": fleet.OpenConnections(), "idle_connections": idle, "hosts": listed, "host_names": names, "suspension_names": out,
 		"front_sockets": clients.OpenSockets(), "correlation_ids": ids, "class_numbers": classes, "class_series": figures.Shown(),
 		"gate_waiting": waiting, "probes": probes.InFlight()}
--- a/cmd/pumiceline/stored_test.go
+++ b/cmd/pumiceline/stored_test.go
@@ -20,8 +20,8 @@
 // successor starts as the proxy of testdata/folder, beside what a process of an earlier version stored there.
 func successor(t *testing.T, folder string) *sharing {
 	t.Helper()
-	set := policy.Settings{Classes: []policy.Class{{Deadline: 4e6, Worth: 1}}, Columns: []policy.Column{policy.ColQPS, policy.ColUtil},
-		ReportVia: policy.ReportsInAnswers, Rules: policy.Rules{Cold: 24e6, ColdShare: 0.1}}
+	set := policy.Settings{Classes: []policy.Class{{ClientTimeout: 4e6, Value: 1}}, ReportColumns: []policy.ReportColumn{policy.ColumnQPS, policy.ColumnUtilization},
+		ReportDelivery: policy.ReportsInResponses, Rules: policy.Rules{WarmupTime: 24e6, InitialCapacity: 0.1}}
 	module, err := policy.New(set, 3)
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.presence.Leave)
-	s.plan.UpdateMembers(policy.ListFull, []policy.Member{{Server: 7, Kind: 1, Mode: policy.ModeReady, Size: 1, UpSince: 1_700_000_000_000_001}})
+	s.plan.UpdateMembers(policy.MembershipFull, []policy.Member{{Server: 7, InstanceType: 1, Mode: policy.ModeReady, Size: 1, StartedAt: 1_700_000_000_000_001}})
 	return s
 }
 
--- a/internal/fake/fakestandalone/world.go
+++ b/internal/fake/fakestandalone/world.go
@@ -74,23 +74,23 @@
 // ConfigOf writes that of proxy i, from 0, of so many.
 func ConfigOf(listen, discovery string, sites []string, i, of int) ([]byte, error) {
 	const us = 1e6
-	s := settings.Settings{RegistryMode: "subscribe", GroupSize: of, Ordinal: i, Locality: i % len(sites), Flavors: []string{"std-8"}, OverShareWorth: 0.1, Round: 5000,
-		Weights: "nominal", WorthBy: "work", Zones: sites}
+	s := settings.Settings{DiscoveryMode: "subscribe", GroupSize: of, Ordinal: i, Zone: i % len(sites), InstanceTypes: []string{"std-8"}, OverQuotaValue: 0.1, BatchPeriod: 5000,
+		SizeReporting: "nominal", ValueBasis: "work", Zones: sites}
 	for _, c := range Classes {
-		k := settings.Class{Name: c.Name, Semantics: "pure", Group: "all", Window: 5 * us, OnTime: c.Deadline.Seconds() / 2 * us,
-			HardLimit: c.Deadline.Seconds() * us, Worth: 1}
+		k := settings.Class{Name: c.Name, Semantics: "pure", DedupScope: "all", DedupWindow: 5 * us, LatencyTarget: c.Deadline.Seconds() / 2 * us,
+			ClientTimeout: c.Deadline.Seconds() * us, Value: 1}
 		if c.Keyed {
-			k.Semantics, k.Group, k.Window, k.Worth = "token", "zone", 3*us, 5
+			k.Semantics, k.DedupScope, k.DedupWindow, k.Value = "token", "zone", 3*us, 5
 		}
 		s.Classes = append(s.Classes, k)
 	}
 	for _, t := range Tenants {
-		s.Projects = append(s.Projects, settings.Project{Name: t, QuotaPerS: 200})
+		s.Tenants = append(s.Tenants, settings.Tenant{Name: t, QuotaPerS: 200})
 	}
 	l := &s.Limits
 	l.Cancelling, l.MayDuplicate, l.DialTimeout, l.IdleClose, l.MaxRetryAfter = true, true, 0.25*us, 10*us, 2.5*us
 	l.MostHeld, l.TryLimit = 20000, 3
-	s.LoadInfo.Columns, s.LoadInfo.How = []string{"cpu", "rps", "err_rps"}, "piggyback"
+	s.LoadReports.Columns, s.LoadReports.How = []string{"cpu", "rps", "err_rps"}, "piggyback"
 	s.Prices.CrossZone = 0.03
 	r := &s.Rules
 	r.AnswerSlack, r.AskWithin, r.Cold, r.TipAfter, r.ColdShare, r.TipMultiple = 0.02*us, 10*us, 24*us, us, 0.12, 3
--- a/internal/fleetsim/baseline/baseline.go
+++ b/internal/fleetsim/baseline/baseline.go
@@ -45,7 +45,7 @@
 			n.truth = truth
 		}
 		for _, c := range set.Classes {
-			n.mostWorth = max(n.mostWorth, c.Worth)
+			n.mostWorth = max(n.mostWorth, c.Value)
 		}
 		return n, nil
 	}
@@ -106,10 +106,10 @@
 		rate := t.QuotaPerS / float64(max(1, n.set.GroupSize))
 		n.shares[i] = min(max(1, rate), n.shares[i]+rate*dt)
 	}
-	worth := n.set.Classes[ev.Class].Worth
+	worth := n.set.Classes[ev.Class].Value
 	if int(ev.Tenant) < len(n.shares) {
 		if n.shares[ev.Tenant] < 1 {
-			return worth * n.set.OverShareWorth
+			return worth * n.set.OverQuotaValue
 		}
 		n.shares[ev.Tenant]--
 	}
@@ -121,25 +121,25 @@
 	n.now, n.out = now, out
 	if !n.begun {
 		n.begun = true
-		n.ask(n.set.Rules.AskWithin / 4)
+		n.ask(n.set.Rules.SubscribeWithin / 4)
 	}
 	switch ev.Kind {
-	case policy.Arrival:
-		r := &request{id: ev.ID, class: &n.set.Classes[ev.Class], work: max(1, ev.Work), arrived: now, deadline: now + ev.Patience, worth: n.worth(ev)}
+	case policy.RequestArrived:
+		r := &request{id: ev.ID, class: &n.set.Classes[ev.Class], work: max(1, ev.Work), arrived: now, deadline: now + ev.ClientTimeout, worth: n.worth(ev)}
 		n.open[ev.ID] = r
 		n.send(r)
-	case policy.Outcomed:
+	case policy.AttemptEnded:
 		n.ended(ev)
-	case policy.Departed:
+	case policy.RequestAbandoned:
 		if r := n.open[ev.ID]; r != nil {
 			r.over = true
 			n.forget(r)
 		}
 	case policy.TimerFired:
-		n.out = append(n.out, policy.Action{Kind: policy.Subscribe})
-	case policy.ListFailed:
-		n.ask(n.set.Rules.AskWithin / 2)
-	case policy.ListFull, policy.ListCached, policy.ListDelta:
+		n.out = append(n.out, policy.Action{Kind: policy.SubscribeDiscovery})
+	case policy.DiscoveryFailed:
+		n.ask(n.set.Rules.SubscribeWithin / 2)
+	case policy.MembershipFull, policy.MembershipCached, policy.MembershipDelta:
 		n.listed(ev)
 	}
 	out, n.out = n.out, nil
@@ -152,7 +152,7 @@
 }
 
 func (n *node) listed(ev *policy.Event) {
-	if ev.Kind != policy.ListDelta {
+	if ev.Kind != policy.MembershipDelta {
 		for i := range n.servers {
 			n.servers[i].Mode = policy.ModeGone
 		}
@@ -219,11 +219,11 @@
 		if a.place == at {
 			return false
 		}
-		if !a.mayRun || r.class.Semantics != policy.Keyed {
+		if !a.mayRun || r.class.Semantics != policy.Deduplicated {
 			continue
 		}
 		was := &n.servers[a.place]
-		if r.class.Group == policy.GroupZone && was.Zone != s.Zone || r.class.Group == policy.GroupCell && was.Cell != s.Cell {
+		if r.class.DedupScope == policy.DedupPerZone && was.Zone != s.Zone || r.class.DedupScope == policy.DedupPerCell && was.Cell != s.Cell {
 			return false
 		}
 	}
@@ -232,12 +232,12 @@
 
 // another says whether r may have a further attempt at all.
 func (n *node) another(r *request) bool {
-	if len(r.attempts) >= n.set.Limits.Attempts || n.now >= r.deadline || r.out > 0 {
+	if len(r.attempts) >= n.set.Limits.MaxAttempts || n.now >= r.deadline || r.out > 0 {
 		return false
 	}
 	for i := range r.attempts {
-		if a := &r.attempts[i]; a.mayRun && (r.class.Semantics == policy.Unsafe ||
-			r.class.Semantics == policy.Keyed && n.now-a.sent >= r.class.Window*7/8) {
+		if a := &r.attempts[i]; a.mayRun && (r.class.Semantics == policy.NonIdempotent ||
+			r.class.Semantics == policy.Deduplicated && n.now-a.sent >= r.class.DedupWindow*7/8) {
 			return false
 		}
 	}
@@ -261,7 +261,7 @@
 	r.attempts = append(r.attempts, attempt{place: at, sent: n.now, out: true, mayRun: true})
 	r.out++
 	n.count(at, 1)
-	n.out = append(n.out, policy.Action{Kind: policy.Send, ID: r.id, Server: n.servers[at].Server, After: r.limit})
+	n.out = append(n.out, policy.Action{Kind: policy.SendAttempt, ID: r.id, Server: n.servers[at].Server, After: r.limit})
 }
 
 func (n *node) ended(ev *policy.Event) {
@@ -274,7 +274,7 @@
 	r.out--
 	n.count(a.place, -1)
 	switch ev.Outcome {
-	case policy.Full, policy.ConnectFailed, policy.NotSent:
+	case policy.Rejected, policy.ConnectFailed, policy.NotSent:
 		a.mayRun = false
 	}
 	if ev.Final {
@@ -290,11 +290,11 @@
 	if r.over || r.out > 0 {
 		return
 	}
-	kind := policy.Refuse
+	kind := policy.RejectRequest
 	for i := range r.attempts {
-		if r.attempts[i].mayRun && (r.class.Semantics == policy.Unsafe ||
-			r.class.Semantics == policy.Keyed && r.class.Group != policy.GroupAll) {
-			kind = policy.Fail
+		if r.attempts[i].mayRun && (r.class.Semantics == policy.NonIdempotent ||
+			r.class.Semantics == policy.Deduplicated && r.class.DedupScope != policy.DedupEverywhere) {
+			kind = policy.FailRequest
 		}
 	}
 	n.out = append(n.out, policy.Action{Kind: kind, ID: r.id})
--- a/internal/fleetsim/checker/attempts.go
+++ b/internal/fleetsim/checker/attempts.go
@@ -39,17 +39,17 @@
 		if a.out && !r.w.Told.Copies {
 			r.breach(rec, RuleEffect, "two attempts out at once, where copies are not allowed")
 		}
-		if !a.mayRun || c.Semantics == policy.Safe {
+		if !a.mayRun || c.Semantics == policy.Idempotent {
 			continue
 		}
 		switch {
-		case c.Semantics == policy.Unsafe:
+		case c.Semantics == policy.NonIdempotent:
 			r.breach(rec, RuleEffect, "an unsafe request sent again though attempt %d may have run", i)
-		case !same(c.Group, a, rec):
+		case !same(c.DedupScope, a, rec):
 			r.breach(rec, RuleEffect, "a keyed request sent outside the group of attempt %d, which may have run", i)
-		case rec.At-a.sent > c.Window:
+		case rec.At-a.sent > c.DedupWindow:
 			r.breach(rec, RuleEffect, "a keyed request sent again %.3f s after attempt %d, past the window of %.3f s", secs(rec.At-a.sent), i,
-				secs(c.Window))
+				secs(c.DedupWindow))
 		}
 	}
 	t.attempts = append(t.attempts, attempt{server: rec.Server, zone: rec.Zone, cell: rec.Cell, sent: rec.At, out: true, mayRun: true})
@@ -57,11 +57,11 @@
 	r.drained(rec)
 }
 
-func same(g policy.Group, a *attempt, rec *model.Record) bool {
+func same(g policy.DedupScope, a *attempt, rec *model.Record) bool {
 	switch g {
-	case policy.GroupZone:
+	case policy.DedupPerZone:
 		return a.zone == rec.Zone
-	case policy.GroupCell:
+	case policy.DedupPerCell:
 		return a.cell == rec.Cell
 	}
 	return true
@@ -105,7 +105,7 @@
 	a.out = false
 	t.out--
 	switch rec.Outcome {
-	case policy.Full, policy.ConnectFailed, policy.NotSent:
+	case policy.Rejected, policy.ConnectFailed, policy.NotSent:
 		a.mayRun = false
 	}
 	r.drop(rec.ID, t)
--- a/internal/fleetsim/checker/calls.go
+++ b/internal/fleetsim/checker/calls.go
@@ -26,11 +26,11 @@
 	switch rec.Outcome {
 	case policy.OK:
 		r.rep.Answers.Served++
-	case policy.Full:
+	case policy.Rejected:
 		r.rep.Answers.Refused++
 		c := &r.classes[t.class]
 		for i := range t.attempts {
-			if a := &t.attempts[i]; a.mayRun && (c.Semantics == policy.Unsafe || c.Semantics == policy.Keyed && c.Group != policy.GroupAll) {
+			if a := &t.attempts[i]; a.mayRun && (c.Semantics == policy.NonIdempotent || c.Semantics == policy.Deduplicated && c.DedupScope != policy.DedupEverywhere) {
 				r.breach(rec, RuleEffect, "refused as harmless to repeat though attempt %d may have run", i)
 				break
 			}
@@ -49,7 +49,7 @@
 	} else {
 		c = &call{}
 	}
-	*c = call{made: rec.At, aim: r.classes[rec.Class].Aim, worth: rec.Worth, class: rec.Class, tenant: rec.Tenant, within: true}
+	*c = call{made: rec.At, aim: r.classes[rec.Class].LatencyTarget, worth: rec.Worth, class: rec.Class, tenant: rec.Tenant, within: true}
 	if dt := float64(rec.At - r.tokensAt); dt > 0 && len(r.tokens) > 0 {
 		r.tokensAt = rec.At
 		for i, q := range r.quota {
--- a/internal/fleetsim/checker/checker.go
+++ b/internal/fleetsim/checker/checker.go
@@ -165,7 +165,7 @@
 			m := &rec.Members[i]
 			if m.Mode == policy.ModeReady {
 				delete(r.gone, m.Server)
-				r.starts[m.Server], r.heard[m.Server] = m.UpSince, rec.At
+				r.starts[m.Server], r.heard[m.Server] = m.StartedAt, rec.At
 			} else if _, known := r.gone[m.Server]; !known {
 				r.gone[m.Server] = rec.At
 			}
@@ -250,8 +250,8 @@
 		}
 		if m.Mode == policy.ModeReady {
 			delete(p.gone, m.Server)
-			if m.UpSince > 0 {
-				p.starts[m.Server] = m.UpSince
+			if m.StartedAt > 0 {
+				p.starts[m.Server] = m.StartedAt
 			}
 		} else if _, known := p.gone[m.Server]; !known {
 			p.gone[m.Server] = rec.At
--- a/internal/fleetsim/checker/rules_test.go
+++ b/internal/fleetsim/checker/rules_test.go
@@ -37,7 +37,7 @@
 }
 
 func (s *scripted) send(id uint64, server uint32) {
-	s.do(policy.Action{Kind: policy.Send, ID: id, Server: server})
+	s.do(policy.Action{Kind: policy.SendAttempt, ID: id, Server: server})
 }
 
 // world is a small and exact one: one proxy, no jitter, no noise, no ticks; four servers of one core in two zones, two
@@ -91,15 +91,15 @@
 func first(act func(s *scripted, ev *policy.Event)) func(s *scripted, ev *policy.Event) {
 	var id uint64
 	return func(s *scripted, ev *policy.Event) {
-		if ev.Kind == policy.Arrival {
+		if ev.Kind == policy.RequestArrived {
 			if id == 0 {
 				id = ev.ID
 			} else {
-				s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
+				s.do(policy.Action{Kind: policy.FailRequest, ID: ev.ID})
 				return
 			}
 		}
-		if ev.Kind != policy.Outcomed || ev.ID == id {
+		if ev.Kind != policy.AttemptEnded || ev.ID == id {
 			act(s, ev)
 		}
 	}
@@ -110,10 +110,10 @@
 		w := world("safe", "all")
 		var due model.Time
 		rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
-			if ev.Kind == policy.Arrival {
+			if ev.Kind == policy.RequestArrived {
 				id := ev.ID
-				due = s.now + ev.Patience + model.Time(w.Told.AnswerSlack) + late
-				s.at(due, func() { s.do(policy.Action{Kind: policy.Fail, ID: id}) })
+				due = s.now + ev.ClientTimeout + model.Time(w.Told.AnswerSlack) + late
+				s.at(due, func() { s.do(policy.Action{Kind: policy.FailRequest, ID: id}) })
 			}
 		}))
 		if late == 0 {
@@ -129,11 +129,11 @@
 	var when model.Time
 	rep := play(t, world("safe", "all"), first(func(s *scripted, ev *policy.Event) {
 		switch ev.Kind {
-		case policy.ListCached:
+		case policy.MembershipCached:
 			server = ev.Members[0].Server
-		case policy.Arrival:
+		case policy.RequestArrived:
 			id := ev.ID
-			s.do(policy.Action{Kind: policy.Refuse, ID: id})
+			s.do(policy.Action{Kind: policy.RejectRequest, ID: id})
 			when = s.now + 30*ms
 			s.at(when, func() { s.send(id, server) })
 		}
@@ -167,18 +167,18 @@
 			var when model.Time
 			rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
 				switch ev.Kind {
-				case policy.ListCached:
+				case policy.MembershipCached:
 					for _, m := range ev.Members {
 						servers = append(servers, m.Server)
 					}
-				case policy.Arrival:
+				case policy.RequestArrived:
 					id := ev.ID
-					s.do(policy.Action{Kind: policy.Send, ID: id, Server: servers[0], After: 500 * ms})
+					s.do(policy.Action{Kind: policy.SendAttempt, ID: id, Server: servers[0], After: 500 * ms})
 					when = s.now + c.after
 					s.at(when, func() { s.send(id, servers[c.second]) })
-				case policy.Outcomed:
+				case policy.AttemptEnded:
 					if ev.Attempt == 1 {
-						s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
+						s.do(policy.Action{Kind: policy.FailRequest, ID: ev.ID})
 					}
 				}
 			}))
@@ -211,13 +211,13 @@
 			var when model.Time
 			rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
 				switch ev.Kind {
-				case policy.ListCached:
+				case policy.MembershipCached:
 					server = ev.Members[0].Server
-				case policy.Arrival:
-					s.do(policy.Action{Kind: policy.Send, ID: ev.ID, Server: server, After: 500 * ms})
-				case policy.Outcomed:
+				case policy.RequestArrived:
+					s.do(policy.Action{Kind: policy.SendAttempt, ID: ev.ID, Server: server, After: 500 * ms})
+				case policy.AttemptEnded:
 					when = s.now
-					s.do(policy.Action{Kind: policy.Refuse, ID: ev.ID})
+					s.do(policy.Action{Kind: policy.RejectRequest, ID: ev.ID})
 				}
 			}))
 			judge(t, rep, c.rule, when, "may have run")
@@ -233,9 +233,9 @@
 		var when model.Time
 		rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
 			switch ev.Kind {
-			case policy.ListCached:
+			case policy.MembershipCached:
 				servers = ev.Members
-			case policy.Arrival:
+			case policy.RequestArrived:
 				id := ev.ID
 				s.send(id, servers[0].Server)
 				when = s.now + 10*ms
@@ -286,9 +286,9 @@
 			}
 			rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
 				switch ev.Kind {
-				case policy.ListCached:
+				case policy.MembershipCached:
 					if c.asks > 0 {
-						s.do(policy.Action{Kind: policy.Subscribe})
+						s.do(policy.Action{Kind: policy.SubscribeDiscovery})
 					}
 					if c.asks != 1 { // the server that drains shows itself by turning away; here the world's draw is known
 						span := model.Time(w.Told.AskWithin)
@@ -298,18 +298,18 @@
 						server = ev.Members[drained(t, w)].Server
 						plan(s, listed+span+model.Time(w.Told.DrainGrace))
 					}
-				case policy.ListDelta:
+				case policy.MembershipDelta:
 					for _, m := range ev.Members {
 						if m.Mode == policy.ModeDraining && !planned {
 							server = m.Server
 							plan(s, s.now+model.Time(w.Told.DrainGrace))
 						}
 					}
-				case policy.Arrival:
+				case policy.RequestArrived:
 					id = ev.ID
-				case policy.Outcomed:
+				case policy.AttemptEnded:
 					if ev.Outcome != policy.OK {
-						s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
+						s.do(policy.Action{Kind: policy.FailRequest, ID: ev.ID})
 					}
 				}
 			}))
@@ -327,12 +327,12 @@
 	if _, err := model.Play(&w, 1, func(policy.Settings, uint64, *model.Truth) (model.Node, error) {
 		return &scripted{on: func(s *scripted, ev *policy.Event) {
 			switch ev.Kind {
-			case policy.ListCached:
-				s.do(policy.Action{Kind: policy.Subscribe})
+			case policy.MembershipCached:
+				s.do(policy.Action{Kind: policy.SubscribeDiscovery})
 				for _, m := range ev.Members {
 					list = append(list, m.Server)
 				}
-			case policy.ListDelta:
+			case policy.MembershipDelta:
 				for _, m := range ev.Members {
 					for i := range list {
 						if list[i] == m.Server && m.Mode == policy.ModeDraining {
@@ -340,8 +340,8 @@
 						}
 					}
 				}
-			case policy.Arrival:
-				s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
+			case policy.RequestArrived:
+				s.do(policy.Action{Kind: policy.FailRequest, ID: ev.ID})
 			}
 		}}, nil
 	}, quiet{}); err != nil || found < 0 {
@@ -382,15 +382,15 @@
 			var when model.Time
 			find := func(s *scripted, ev *policy.Event) {
 				for _, m := range ev.Members {
-					if m.UpSince > 0 {
+					if m.StartedAt > 0 {
 						server = m.Server
 					}
 				}
 			}
 			rep := play(t, w, func(s *scripted, ev *policy.Event) {
 				switch ev.Kind {
-				case policy.ListCached:
-					s.do(policy.Action{Kind: policy.Subscribe})
+				case policy.MembershipCached:
+					s.do(policy.Action{Kind: policy.SubscribeDiscovery})
 					for _, m := range ev.Members {
 						list = append(list, m.Server)
 					}
@@ -403,14 +403,14 @@
 							s.send(id, server)
 						}
 					})
-				case policy.ListDelta, policy.ListFull:
+				case policy.MembershipDelta, policy.MembershipFull:
 					find(s, ev)
-				case policy.Arrival:
+				case policy.RequestArrived:
 					if ids = append(ids, ev.ID); len(ids) > 20 {
-						s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
+						s.do(policy.Action{Kind: policy.FailRequest, ID: ev.ID})
 					} else {
 						id := ev.ID
-						s.at(s.now+ev.Patience, func() { s.do(policy.Action{Kind: policy.Fail, ID: id}) })
+						s.at(s.now+ev.ClientTimeout, func() { s.do(policy.Action{Kind: policy.FailRequest, ID: id}) })
 					}
 				}
 			})
@@ -433,14 +433,14 @@
 	if _, err := model.Play(&w, 1, func(policy.Settings, uint64, *model.Truth) (model.Node, error) {
 		return &scripted{on: func(s *scripted, ev *policy.Event) {
 			switch ev.Kind {
-			case policy.ListCached:
-				s.do(policy.Action{Kind: policy.Subscribe})
-			case policy.Arrival:
-				s.do(policy.Action{Kind: policy.Fail, ID: ev.ID})
+			case policy.MembershipCached:
+				s.do(policy.Action{Kind: policy.SubscribeDiscovery})
+			case policy.RequestArrived:
+				s.do(policy.Action{Kind: policy.FailRequest, ID: ev.ID})
 			}
 			for _, m := range ev.Members {
 				for i := range list {
-					if list[i] == m.Server && m.UpSince > 0 {
+					if list[i] == m.Server && m.StartedAt > 0 {
 						found = i
 					}
 				}
--- a/internal/fleetsim/experiment/file.go
+++ b/internal/fleetsim/experiment/file.go
@@ -59,8 +59,8 @@
 	makers := map[string]model.Maker{"decide": func(set policy.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
 		return policy.New(set, seed)
 	}}
-	makers["keyless"] = told(makers["decide"], func(set *policy.Settings) { set.WarmKeys = false }) // the module, not told of keys
-	makers["unprobed"] = told(makers["decide"], func(set *policy.Settings) { set.Limits.Probe = false })
+	makers["keyless"] = told(makers["decide"], func(set *policy.Settings) { set.KeyAffinity = false }) // the module, not told of keys
+	makers["unprobed"] = told(makers["decide"], func(set *policy.Settings) { set.Limits.AllowLoadPolls = false })
 	makers["door"] = withadmission.Maker(makers["decide"], true) // the module behind the door
 	makers["half"] = withsubset.Maker(makers["decide"], 0.5)     // the module with a part of the fleet
 	makers["quarter"] = withsubset.Maker(makers["decide"], 0.25)
--- a/internal/fleetsim/experiment/stored_test.go
+++ b/internal/fleetsim/experiment/stored_test.go
@@ -145,7 +145,7 @@
 	}
 	sample := model.Record{At: 1_250_000, Outcome: policy.TimedOut, Flag: true, Attempt: 2, Class: 3, Tenant: 4, Proxy: 5, Server: 6, Zone: 7, Cell: 8,
 		ID: 9, Call: 10, Work: 11, Worth: 1.5, Span: 12, Capacity: 2.5, Version: 13, Load: []float64{0.25, 0.75},
-		Members: []policy.Member{{Server: 14, Zone: 15, Cell: 16, Kind: 17, Mode: policy.ModeDraining, Size: 3.5, UpSince: 18}}}
+		Members: []policy.Member{{Server: 14, Zone: 15, Cell: 16, InstanceType: 17, Mode: policy.ModeDraining, Size: 3.5, StartedAt: 18}}}
 	var written bytes.Buffer
 	tracer := Tracer{Out: &written}
 	for kind := model.Opening; kind <= model.Sample; kind++ {
--- a/internal/fleetsim/model/attempts.go
+++ b/internal/fleetsim/model/attempts.go
@@ -148,7 +148,7 @@
 	if out == policy.OK && !j.over {
 		r.finish(m, policy.OK, 0)
 	}
-	r.ev = policy.Event{Kind: policy.Outcomed, ID: id, Attempt: at, Server: server, Outcome: out, Elapsed: elapsed, Final: j.over,
+	r.ev = policy.Event{Kind: policy.AttemptEnded, ID: id, Attempt: at, Server: server, Outcome: out, Elapsed: elapsed, Final: j.over,
 		Report: report}
 	r.tidy(m)
 	r.give(n)
--- a/internal/fleetsim/model/clients.go
+++ b/internal/fleetsim/model/clients.go
@@ -149,8 +149,8 @@
 	patience := max(1, j.deadline-r.now)
 	r.see(Record{Kind: Taken, Proxy: j.proxy, ID: id, Call: c.no, Class: c.class, Span: patience})
 	r.at(j.deadline+Time(r.w.Told.AnswerSlack)+1, event{kind: evOverdue, a: m, id: id})
-	r.ev = policy.Event{Kind: policy.Arrival, ID: id, Class: c.class, Tenant: uint32(c.tenant), Key: c.key, Work: c.hint,
-		Patience: patience, Repeat: r.w.Clients.Marks && c.tries > 1}
+	r.ev = policy.Event{Kind: policy.RequestArrived, ID: id, Class: c.class, Tenant: uint32(c.tenant), AffinityKey: c.key, Work: c.hint,
+		ClientTimeout: patience, ClientRetry: r.w.Clients.Marks && c.tries > 1}
 	r.give(j.proxy)
 }
 
@@ -180,8 +180,8 @@
 	c := &r.calls[n]
 	k := &r.w.Classes[c.class]
 	c.job = 1 // answers to the last try come too late from here
-	may := out == policy.Full || out == policy.ConnectFailed || *effects[k.Effect] == policy.Safe ||
-		*effects[k.Effect] == policy.Keyed && *groups[k.Group] == policy.GroupAll && r.now-c.made < Time(k.Window)
+	may := out == policy.Rejected || out == policy.ConnectFailed || *effects[k.Effect] == policy.Idempotent ||
+		*effects[k.Effect] == policy.Deduplicated && *groups[k.Group] == policy.DedupEverywhere && r.now-c.made < Time(k.Window)
 	if !may && c.draw(3) < r.w.Clients.Reckless {
 		may = true
 	}
--- a/internal/fleetsim/model/discovery.go
+++ b/internal/fleetsim/model/discovery.go
@@ -26,7 +26,7 @@
 
 func (g *registry) begin(r *run) {
 	for _, s := range r.servers {
-		g.known = append(g.known, policy.Member{Server: s.id, Zone: s.zone, Cell: s.cell, Kind: uint16(s.kindNo),
+		g.known = append(g.known, policy.Member{Server: s.id, Zone: s.zone, Cell: s.cell, InstanceType: uint16(s.kindNo),
 			Mode: policy.ModeReady, Size: float64(s.kind.Cores)})
 		g.epochs = append(g.epochs, 0)
 	}
@@ -84,7 +84,7 @@
 		return // late news of a process that has a successor, or no news
 	}
 	g.epochs[e.a] = e.b
-	m.Mode, m.UpSince = policy.Mode(e.n), Time(e.id)
+	m.Mode, m.StartedAt = policy.Mode(e.n), Time(e.id)
 	g.log = append(g.log, *m)
 	r.see(Record{Kind: Listed, Members: g.log[len(g.log)-1:], Version: len(g.log)})
 	for i := range r.proxies {
@@ -126,12 +126,12 @@
 func (r *run) tell(n int32) {
 	p, g := &r.proxies[n], &r.reg
 	members := g.log[p.version:len(g.log):len(g.log)]
-	kind := policy.ListDelta
+	kind := policy.MembershipDelta
 	if len(members) > len(g.known) {
-		members, kind = g.list(), policy.ListFull
+		members, kind = g.list(), policy.MembershipFull
 	}
 	p.version = len(g.log)
-	r.see(Record{Kind: Informed, Proxy: n, Members: members, Version: p.version, Flag: kind == policy.ListFull})
+	r.see(Record{Kind: Informed, Proxy: n, Members: members, Version: p.version, Flag: kind == policy.MembershipFull})
 	r.ev = policy.Event{Kind: kind, Members: members}
 	r.give(n)
 }
@@ -183,6 +183,6 @@
 	}
 	p.watching = false
 	r.see(Record{Kind: Unwatched, Proxy: n, Flag: call})
-	r.ev = policy.Event{Kind: policy.ListFailed}
+	r.ev = policy.Event{Kind: policy.DiscoveryFailed}
 	r.give(n)
 }
--- a/internal/fleetsim/model/faults.go
+++ b/internal/fleetsim/model/faults.go
@@ -243,7 +243,7 @@
 		for i := range j.tries[:j.n] {
 			if t := &j.tries[i]; t.out && t.task >= 0 {
 				r.drop(t)
-				r.at(r.tick(r.now+1), event{kind: evFailed, a: int32(m), n: uint8(i), b: int32(policy.Reset), id: j.id})
+				r.at(r.tick(r.now+1), event{kind: evFailed, a: int32(m), n: uint8(i), b: int32(policy.ConnectionReset), id: j.id})
 			}
 		}
 	}
--- a/internal/fleetsim/model/lifecycle.go
+++ b/internal/fleetsim/model/lifecycle.go
@@ -23,7 +23,7 @@
 	broken = append(broken, s.queue[s.head:]...)
 	s.slots, s.queue, s.head, s.owed, s.nextAt = s.slots[:0], s.queue[:0], 0, 0, 0
 	for _, t := range broken {
-		r.returned(t, policy.Reset, false)
+		r.returned(t, policy.ConnectionReset, false)
 	}
 	s.conns = 0
 	s.epoch++
@@ -71,7 +71,7 @@
 		next := r.addServer(int32(s.zone), s.kindNo, s.kind, s.speed)
 		next.cell, next.state = s.cell, down
 		r.reg.known = append(r.reg.known, policy.Member{Server: next.id, Zone: next.zone, Cell: next.cell,
-			Kind: uint16(next.kindNo), Mode: policy.ModeGone, Size: float64(next.kind.Cores)})
+			InstanceType: uint16(next.kindNo), Mode: policy.ModeGone, Size: float64(next.kind.Cores)})
 		r.reg.epochs = append(r.reg.epochs, -1) // nothing of it is known: its first start is news
 		s = next
 	}
--- a/internal/fleetsim/model/model_test.go
+++ b/internal/fleetsim/model/model_test.go
@@ -92,25 +92,25 @@
 	}
 	s.now = now
 	switch ev.Kind {
-	case policy.Arrival:
+	case policy.RequestArrived:
 		if s.had[ev.ID] {
 			s.t.Errorf("request %d came twice", ev.ID)
 		}
 		s.had[ev.ID] = true
-	case policy.Outcomed:
+	case policy.AttemptEnded:
 		key := fmt.Sprint(ev.ID, ev.Attempt)
 		if !s.out[key] {
 			s.t.Errorf("at %d: an outcome of attempt %s, which is not out at this incarnation", now, key)
 		}
 		delete(s.out, key)
-	case policy.Departed:
+	case policy.RequestAbandoned:
 		if !s.had[ev.ID] {
 			s.t.Errorf("request %d departed and never came", ev.ID)
 		}
 	}
 	out = s.Node.Handle(now, ev, out)
 	for _, a := range out {
-		if a.Kind == policy.Send {
+		if a.Kind == policy.SendAttempt {
 			s.out[fmt.Sprint(a.ID, s.sent[a.ID])] = true
 			s.sent[a.ID]++
 		}
@@ -189,13 +189,13 @@
 			return append(out, policy.Action{Kind: policy.SetTimer, After: 0})
 		}},
 		{"unknown request", "names request 4194305, which it was never given", func(ev *policy.Event, out []policy.Action) []policy.Action {
-			return append(out, policy.Action{Kind: policy.Refuse, ID: 1<<22 | 1})
+			return append(out, policy.Action{Kind: policy.RejectRequest, ID: 1<<22 | 1})
 		}},
 		{"unknown server", "which no list has named", func(ev *policy.Event, out []policy.Action) []policy.Action {
-			if ev.Kind != policy.Arrival {
+			if ev.Kind != policy.RequestArrived {
 				return out
 			}
-			return append(out, policy.Action{Kind: policy.Send, ID: ev.ID, Server: 12345})
+			return append(out, policy.Action{Kind: policy.SendAttempt, ID: ev.ID, Server: 12345})
 		}},
 		{"unknown action", "does not know", func(ev *policy.Event, out []policy.Action) []policy.Action {
 			return append(out, policy.Action{Kind: 200})
@@ -204,9 +204,9 @@
 			if len(ev.Members) > 0 {
 				member = ev.Members[0].Server
 			}
-			if ev.Kind == policy.Arrival {
+			if ev.Kind == policy.RequestArrived {
 				for range 4 {
-					out = append(out, policy.Action{Kind: policy.Send, ID: ev.ID, Server: member})
+					out = append(out, policy.Action{Kind: policy.SendAttempt, ID: ev.ID, Server: member})
 				}
 			}
 			return out
@@ -347,7 +347,7 @@
 }
 
 func (g *gossip) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
-	if ev.Kind == policy.Arrival {
+	if ev.Kind == policy.RequestArrived {
 		g.post = append(g.post, model.Letter{To: -1, Text: []byte{byte(g.ordinal)}})
 	}
 	return g.Node.Handle(now, ev, out)
--- a/internal/fleetsim/model/probe.go
+++ b/internal/fleetsim/model/probe.go
@@ -8,7 +8,7 @@
 // waited ends the wait on others of an attempt that its server has done its own work for.
 func (r *run) waited(t int32, out policy.Outcome) {
 	if k := &r.tasks[t]; r.servers[k.server].epoch != k.epoch { // its process has ended meanwhile
-		r.returned(t, policy.Reset, false)
+		r.returned(t, policy.ConnectionReset, false)
 		return
 	}
 	r.reply(t, out)
@@ -41,7 +41,7 @@
 // probe has a proxy ask a server for its load. Its answer is late like every report; a server that hangs gives none.
 func (r *run) probe(n int32, id uint32) {
 	s := r.serverOf(id)
-	if reportVias[r.w.Reports.Via] != policy.ReportsByProbe || s == nil {
+	if reportVias[r.w.Reports.Via] != policy.ReportsByPolling || s == nil {
 		r.fail(n, "probes server %d, which it may not", id)
 		return
 	}
@@ -55,7 +55,7 @@
 	if p.inc != inc || !p.up {
 		return
 	}
-	r.ev = policy.Event{Kind: policy.Probed, Server: id, Outcome: policy.TimedOut}
+	r.ev = policy.Event{Kind: policy.LoadPolled, Server: id, Outcome: policy.TimedOut}
 	if s.state != down && s.hung == 0 && s.paused == 0 && !r.parted(n, s) {
 		r.ev.Outcome = policy.OK
 		if report, has := r.reportOf(s); has {
--- a/internal/fleetsim/model/proxies.go
+++ b/internal/fleetsim/model/proxies.go
@@ -62,7 +62,7 @@
 	p.conns = map[int32]*conns{}
 	members := r.reg.cached(p.version)
 	r.see(Record{Kind: ProxyUp, Proxy: n, Members: members, Version: p.version})
-	r.ev = policy.Event{Kind: policy.ListCached, Members: members}
+	r.ev = policy.Event{Kind: policy.MembershipCached, Members: members}
 	r.give(n)
 	r.at(r.now+1_000_000+Time(n)*997%1_000_000, event{kind: evSweep, a: n, b: p.inc})
 }
@@ -87,7 +87,7 @@
 			}
 		}
 		if !j.over {
-			r.at(r.now+Time(r.w.Net.Client), event{kind: evBack, a: j.call, n: uint8(policy.Reset), id: j.id})
+			r.at(r.now+Time(r.w.Net.Client), event{kind: evBack, a: j.call, n: uint8(policy.ConnectionReset), id: j.id})
 		}
 		r.freeJob(int32(m))
 	}
@@ -115,11 +115,11 @@
 	for i := 0; i < len(r.actions) && r.err == nil; i++ {
 		a := &r.actions[i]
 		switch a.Kind {
-		case policy.Send:
+		case policy.SendAttempt:
 			r.send(n, a)
-		case policy.Refuse, policy.Fail:
+		case policy.RejectRequest, policy.FailRequest:
 			r.answer(n, a)
-		case policy.Cancel:
+		case policy.CancelAttempt:
 			m := r.jobOf(n, a.ID)
 			if m < 0 {
 				continue // it ended before
@@ -139,17 +139,17 @@
 				r.fail(n, "sets timers without end: %d within a second", p.timers)
 			}
 			r.at(r.tick(r.now+max(1, a.After)), event{kind: evTimer, a: n, b: p.inc, id: a.ID})
-		case policy.Subscribe:
+		case policy.SubscribeDiscovery:
 			r.subscribe(n)
-		case policy.CloseUnused:
+		case policy.CloseIdleConns:
 			if s := r.serverOf(a.Server); s != nil {
 				if k := p.conns[s.n]; k != nil && k.epoch == s.epoch {
 					s.conns -= len(k.idle)
 					k.idle = k.idle[:0]
 				}
 			}
-		case policy.LogLine:
-		case policy.Probe:
+		case policy.LogMessage:
+		case policy.PollLoad:
 			r.probe(n, a.Server)
 		default:
 			r.fail(n, "wants action %d, which this world does not know", a.Kind)
@@ -209,9 +209,9 @@
 	if m < 0 || r.jobs[m].over {
 		return // ended already: disregarded, as the wire does
 	}
-	out := policy.Failed
-	if a.Kind == policy.Refuse {
-		out = policy.Full
+	out := policy.ErrorResponse
+	if a.Kind == policy.RejectRequest {
+		out = policy.Rejected
 	}
 	r.finish(m, out, a.After)
 	r.tidy(m)
@@ -227,6 +227,6 @@
 	r.proxies[n].open--
 	r.see(Record{Kind: Overdue, Proxy: n, ID: id})
 	r.tidy(m)
-	r.ev = policy.Event{Kind: policy.Departed, ID: id}
+	r.ev = policy.Event{Kind: policy.RequestAbandoned, ID: id}
 	r.give(n)
 }
--- a/internal/fleetsim/model/serving.go
+++ b/internal/fleetsim/model/serving.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if s.state == down || s.epoch != k.epoch && !k.fresh {
-		out := policy.Reset // written to a connection whose other end is gone
+		out := policy.ConnectionReset // written to a connection whose other end is gone
 		if k.fresh {
 			out = policy.ConnectFailed
 		}
@@ -62,24 +62,24 @@
 		if tip := &r.w.Tip; s.cold && tip.Multiple > 0 {
 			bears := tip.Multiple*able*float64(tip.Over) + tip.Slack*r.w.meanWork()
 			if s.pushed.add(r.now, Time(tip.Over), k.work) > bears {
-				r.returned(t, policy.Reset, false)
+				r.returned(t, policy.ConnectionReset, false)
 				r.fall(s)
 				return
 			}
 		}
 	}
 	if s.state == draining {
-		r.returned(t, policy.Full, true)
+		r.returned(t, policy.Rejected, true)
 		return
 	}
 	if s.failing > 0 && r.chance.Float64() < s.failing {
 		s.done++
 		s.errors++
-		r.returned(t, policy.Failed, true)
+		r.returned(t, policy.ErrorResponse, true)
 		return
 	}
 	if len(s.slots) >= s.kind.Slots && len(s.queue)-s.head >= s.kind.Room {
-		r.returned(t, policy.Full, true)
+		r.returned(t, policy.Rejected, true)
 		return
 	}
 	if r.meets(s, r.calls[k.call].key) {
@@ -102,23 +102,23 @@
 	c := &r.calls[k.call]
 	class := &r.w.Classes[c.class]
 	effect := *effects[class.Effect]
-	if effect == policy.Safe {
+	if effect == policy.Idempotent {
 		return
 	}
 	if c.effectAt < 0 {
 		c.effectAt, c.effect.zone, c.effect.cell = r.now, s.zone, s.cell
 		return
 	}
-	if effect == policy.Keyed && r.now-c.effectAt <= Time(class.Window) {
+	if effect == policy.Deduplicated && r.now-c.effectAt <= Time(class.Window) {
 		switch *groups[class.Group] {
-		case policy.GroupZone:
+		case policy.DedupPerZone:
 			effect = known(c.effect.zone == s.zone)
-		case policy.GroupCell:
+		case policy.DedupPerCell:
 			effect = known(c.effect.cell == s.cell)
 		default:
-			effect = policy.Safe
+			effect = policy.Idempotent
 		}
-		if effect == policy.Safe {
+		if effect == policy.Idempotent {
 			k.work = math.Min(k.work, 500) // looked up, not done
 			return
 		}
@@ -128,9 +128,9 @@
 
 func known(same bool) policy.Semantics {
 	if same {
-		return policy.Safe
+		return policy.Idempotent
 	}
-	return policy.Unsafe
+	return policy.NonIdempotent
 }
 
 // reply sends an attempt's end back to its proxy with the server's load report.
@@ -152,7 +152,7 @@
 	}
 	k.outcome = out
 	if answered {
-		if k.report, k.reports = r.reportOf(s); reportVias[r.w.Reports.Via] != policy.ReportsInAnswers {
+		if k.report, k.reports = r.reportOf(s); reportVias[r.w.Reports.Via] != policy.ReportsInResponses {
 			k.reports = false
 		}
 	} else {
@@ -167,7 +167,7 @@
 func (r *run) outcome(t int32) {
 	k := &r.tasks[t]
 	j := &r.jobs[k.job]
-	if k.dropped && k.outcome != policy.Reset && k.outcome != policy.ConnectFailed || j.id != k.id || !j.tries[k.attempt].out ||
+	if k.dropped && k.outcome != policy.ConnectionReset && k.outcome != policy.ConnectFailed || j.id != k.id || !j.tries[k.attempt].out ||
 		j.tries[k.attempt].task != t {
 		r.freeTask(t) // given up in the meantime
 		return
--- a/internal/fleetsim/model/settings.go
+++ b/internal/fleetsim/model/settings.go
@@ -6,13 +6,13 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-var effects = map[string]*policy.Semantics{"safe": ref(policy.Safe), "keyed": ref(policy.Keyed), "unsafe": ref(policy.Unsafe)}
+var effects = map[string]*policy.Semantics{"safe": ref(policy.Idempotent), "keyed": ref(policy.Deduplicated), "unsafe": ref(policy.NonIdempotent)}
 
-var groups = map[string]*policy.Group{"": ref(policy.GroupAll), "all": ref(policy.GroupAll), "zone": ref(policy.GroupZone),
-	"cell": ref(policy.GroupCell)}
+var groups = map[string]*policy.DedupScope{"": ref(policy.DedupEverywhere), "all": ref(policy.DedupEverywhere), "zone": ref(policy.DedupPerZone),
+	"cell": ref(policy.DedupPerCell)}
 
-var reportVias = map[string]policy.ReportVia{"": policy.ReportsInAnswers, "answers": policy.ReportsInAnswers,
-	"probe": policy.ReportsByProbe, "none": policy.ReportsNone}
+var reportVias = map[string]policy.ReportDelivery{"": policy.ReportsInResponses, "answers": policy.ReportsInResponses,
+	"probe": policy.ReportsByPolling, "none": policy.ReportsNone}
 
 func ref[T any](v T) *T { return &v }
 
@@ -27,20 +27,20 @@
 
 // Settings is what the decider of one proxy is told. quota is what the fleet can do, in requests a second.
 func (w *World) settings(ordinal, zone int, quota float64) policy.Settings {
-	s := policy.Settings{Columns: []policy.Column{policy.ColUtil, policy.ColQPS, policy.ColEPS},
-		ReportVia: reportVias[w.Reports.Via], WarmKeys: w.Keys.Count > 0 && w.Keys.Gain > 0, AskDiscovery: true, SizesTold: true, WorthByWork: true,
-		OverShareWorth: w.Clients.OverShare, GroupSize: w.Proxies, Ordinal: ordinal, Zone: zone, Zones: w.Zones,
-		Round: Time(w.Tick),
-		Rules: policy.Rules{AnswerSlack: Time(w.Told.AnswerSlack), AskWithin: Time(w.Told.AskWithin), Cold: Time(w.Told.Cold),
-			ColdShare: w.Told.ColdShare, TipMultiple: w.Told.TipMultiple, TipAfter: Time(w.Tip.Over)},
-		Limits: policy.Limits{Attempts: w.Told.Attempts, MostHeld: w.Told.MostHeld, Cancel: w.Told.Cancel,
-			Probe:        reportVias[w.Reports.Via] == policy.ReportsByProbe,
-			SecondCopies: w.Told.Copies, IdleClose: Time(w.Conn.Idle), MaxRetryAfter: Time(w.Clients.MostHeeded)},
+	s := policy.Settings{ReportColumns: []policy.ReportColumn{policy.ColumnUtilization, policy.ColumnQPS, policy.ColumnEPS},
+		ReportDelivery: reportVias[w.Reports.Via], KeyAffinity: w.Keys.Count > 0 && w.Keys.Gain > 0, SubscribeDiscovery: true, SizesKnown: true, ValuePerWork: true,
+		OverQuotaValue: w.Clients.OverShare, GroupSize: w.Proxies, Ordinal: ordinal, Zone: zone, Zones: w.Zones,
+		BatchPeriod: Time(w.Tick),
+		Rules: policy.Rules{ResponseGrace: Time(w.Told.AnswerSlack), SubscribeWithin: Time(w.Told.AskWithin), WarmupTime: Time(w.Told.Cold),
+			InitialCapacity: w.Told.ColdShare, OverloadFactor: w.Told.TipMultiple, OverloadTime: Time(w.Tip.Over)},
+		Limits: policy.Limits{MaxAttempts: w.Told.Attempts, MaxOpenRequests: w.Told.MostHeld, AllowCancel: w.Told.Cancel,
+			AllowLoadPolls: reportVias[w.Reports.Via] == policy.ReportsByPolling,
+			AllowHedging:   w.Told.Copies, ConnIdleTimeout: Time(w.Conn.Idle), MaxRetryAfter: Time(w.Clients.MostHeeded)},
 		Prices: policy.Prices{CrossZone: w.Prices.Cross},
 	}
 	for _, c := range w.Classes {
-		s.Classes = append(s.Classes, policy.Class{Semantics: *effects[c.Effect], Group: *groups[c.Group], Window: Time(c.Window),
-			Aim: Time(c.Aim), Deadline: Time(c.Deadline), Worth: c.Worth})
+		s.Classes = append(s.Classes, policy.Class{Semantics: *effects[c.Effect], DedupScope: *groups[c.Group], DedupWindow: Time(c.Window),
+			LatencyTarget: Time(c.Aim), ClientTimeout: Time(c.Deadline), Value: c.Worth})
 	}
 	for _, t := range w.Tenants {
 		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerS: t.Share * quota * quotaOfCapacity})
--- a/internal/fleetsim/model/work.go
+++ b/internal/fleetsim/model/work.go
@@ -108,7 +108,7 @@
 		}
 		out := policy.OK
 		if s.kind.Errors > 0 && r.chance.Float64() < s.kind.Errors {
-			out = policy.Failed
+			out = policy.ErrorResponse
 			s.errors++
 		}
 		r.see(Record{Kind: Ran, Server: s.id, ID: k.id, Attempt: k.attempt, Call: r.calls[k.call].no, Work: Time(k.work),
--- a/internal/fleetsim/withadmission/withadmission.go
+++ b/internal/fleetsim/withadmission/withadmission.go
@@ -35,7 +35,7 @@
 // Settings are the door's for a deployment as a decider is told of it.
 func Settings(set policy.Settings, seed uint64) admission.Settings {
 	s := admission.Defaults()
-	s.Seed, s.OverQuotaFactor = seed, set.OverShareWorth
+	s.Seed, s.OverQuotaFactor = seed, set.OverQuotaValue
 	for _, t := range set.Tenants {
 		s.Tenants = append(s.Tenants, admission.Tenant{Share: t.QuotaPerS, Rate: t.QuotaPerS / float64(max(1, set.GroupSize))})
 	}
@@ -43,7 +43,7 @@
 		s.Tenants = []admission.Tenant{{Share: 1}}
 	}
 	for _, c := range set.Classes {
-		s.Classes = append(s.Classes, admission.Class{Value: c.Worth, Work: 100_000, LatencyTarget: c.Aim})
+		s.Classes = append(s.Classes, admission.Class{Value: c.Value, Work: 100_000, LatencyTarget: c.LatencyTarget})
 	}
 	s.MaxRetryAfter = max(100_000, set.Limits.MaxRetryAfter)
 	return s
@@ -67,18 +67,18 @@
 // Handle is model.Node's.
 func (n *node) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch {
-	case ev.Kind == policy.Arrival:
-		r := &request{arrival: *ev, deadline: now + ev.Patience}
+	case ev.Kind == policy.RequestArrived:
+		r := &request{arrival: *ev, deadline: now + ev.ClientTimeout}
 		n.open[ev.ID] = r
-		r.ticket, n.said = n.door.Submit(now, admission.Request{Tenant: int(ev.Tenant), Class: int(ev.Class), Client: ev.Key, Work: ev.Work,
-			Deadline: r.deadline, IsRetry: ev.Repeat}, n.said[:0])
+		r.ticket, n.said = n.door.Submit(now, admission.Request{Tenant: int(ev.Tenant), Class: int(ev.Class), Client: ev.AffinityKey, Work: ev.Work,
+			Deadline: r.deadline, IsRetry: ev.ClientRetry}, n.said[:0])
 		n.ids[r.ticket] = ev.ID
 	case ev.Kind == policy.TimerFired && ev.ID == tickTag:
 		n.ticking = false
 		n.said = n.door.Tick(now, n.said[:0])
 	default:
 		n.said = n.said[:0]
-		if ev.Kind == policy.Departed {
+		if ev.Kind == policy.RequestAbandoned {
 			if r := n.open[ev.ID]; r != nil && !r.inside {
 				n.said = n.door.Cancel(now, r.ticket, n.said)
 				n.forget(ev.ID, r)
@@ -86,8 +86,8 @@
 			}
 		}
 		out = n.hand(now, ev, out)
-		if ev.Kind == policy.Departed || ev.Kind == policy.Outcomed && ev.Final {
-			out = n.ended(now, ev.ID, ev.Kind == policy.Outcomed && ev.Outcome == policy.OK, out)
+		if ev.Kind == policy.RequestAbandoned || ev.Kind == policy.AttemptEnded && ev.Final {
+			out = n.ended(now, ev.ID, ev.Kind == policy.AttemptEnded && ev.Outcome == policy.OK, out)
 		}
 		return out
 	}
@@ -100,7 +100,7 @@
 	out = n.module.Handle(now, ev, out)
 	to := len(out)
 	for i := from; i < to; i++ {
-		if k := out[i].Kind; k == policy.Refuse || k == policy.Fail {
+		if k := out[i].Kind; k == policy.RejectRequest || k == policy.FailRequest {
 			out = n.ended(now, out[i].ID, false, out)
 		}
 	}
@@ -138,12 +138,12 @@
 			if !n.comes {
 				after = 0
 			}
-			out = append(out, policy.Action{Kind: policy.Refuse, ID: id, After: after})
+			out = append(out, policy.Action{Kind: policy.RejectRequest, ID: id, After: after})
 			continue
 		}
 		r.inside = true
 		ev := r.arrival
-		ev.Patience = max(1, r.deadline-now)
+		ev.ClientTimeout = max(1, r.deadline-now)
 		out = n.hand(now, &ev, out)
 	}
 	if _, _, waits := n.door.State(); waits > 0 && !n.ticking {
--- a/internal/fleetsim/withsubset/withsubset.go
+++ b/internal/fleetsim/withsubset/withsubset.go
@@ -47,9 +47,9 @@
 // Handle is model.Node's.
 func (n *node) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
-	case policy.ListFull, policy.ListCached:
+	case policy.MembershipFull, policy.MembershipCached:
 		clear(n.listed)
-	case policy.ListDelta:
+	case policy.MembershipDelta:
 	default:
 		return n.module.Handle(now, ev, out)
 	}
@@ -67,21 +67,21 @@
 		}
 	}
 	part := *ev
-	if part.Kind == policy.ListDelta {
-		part.Kind = policy.ListFull
+	if part.Kind == policy.MembershipDelta {
+		part.Kind = policy.MembershipFull
 	}
 	n.members = n.members[:0]
-	for _, m := range subset.Pick(servers, n.ordinal, n.arc, least) {
+	for _, m := range subset.Select(servers, n.ordinal, n.arc, least) {
 		n.members = append(n.members, n.listed[m.ID])
 	}
 	part.Members = n.members
 	return n.module.Handle(now, &part, out)
 }
 
-// Avoided is as the module says.
-func (n *node) Avoided() int {
-	if m, ok := n.module.(interface{ Avoided() int }); ok {
-		return m.Avoided()
+// EjectedServers is as the module says.
+func (n *node) EjectedServers() int {
+	if m, ok := n.module.(interface{ EjectedServers() int }); ok {
+		return m.EjectedServers()
 	}
 	return 0
 }
--- a/internal/simlink/wire.go
+++ b/internal/simlink/wire.go
@@ -13,9 +13,9 @@
 
 // Sizes of the frame headers, and the largest body a reader should accept.
 const (
-	BatchHeader = 16
-	ReplyHeader = 8
-	MaxBody     = 1 << 30
+	BatchHeaderSize = 16
+	ReplyHeaderSize = 8
+	MaxBodySize     = 1 << 30
 )
 
 // Codes of events, as the wire numbers them.
@@ -51,13 +51,13 @@
 	maxPages   = 16
 )
 
-// Header reads a batch header: the size of what follows, the record count and the clock.
-func Header(h []byte) (size, count uint32, now policy.Time, err error) {
+// ParseBatchHeader reads a batch header: the size of what follows, the record count and the clock.
+func ParseBatchHeader(h []byte) (size, count uint32, now policy.Time, err error) {
 	size, count = binary.BigEndian.Uint32(h), binary.BigEndian.Uint32(h[4:])
 	clock := binary.BigEndian.Uint64(h[8:])
 	switch {
-	case size > MaxBody:
-		err = fmt.Errorf("batch header: length %d is over the limit of %d", size, MaxBody)
+	case size > MaxBodySize:
+		err = fmt.Errorf("batch header: length %d is over the limit of %d", size, MaxBodySize)
 	case clock > math.MaxInt64:
 		err = fmt.Errorf("batch header: clock %d does not fit", clock)
 	case uint64(count)*4 > uint64(size): // no record is shorter than code and instance
@@ -66,19 +66,19 @@
 	return size, count, policy.Time(clock), err
 }
 
-// Kind tells what a decoded record asks of the host.
-type Kind uint8
+// RecordKind tells what a decoded record asks of the host.
+type RecordKind uint8
 
 const (
-	None    Kind = iota // nothing for an instance (a catalog, a peer message)
-	Spawn               // start an instance with Seed and Settings
-	Killed              // forget an instance
-	Deliver             // hand Event to the instance
+	Ignored        RecordKind = iota // nothing for an instance (a catalog, a peer message)
+	SpawnInstance                    // start an instance with Seed and Settings
+	RemoveInstance                   // forget an instance
+	DeliverEvent                     // hand Event to the instance
 )
 
 // Record is one decoded record.
 type Record struct {
-	Kind     Kind
+	Kind     RecordKind
 	Instance uint16
 	Seed     uint64
 	Settings policy.Settings
@@ -99,8 +99,8 @@
 // Reset starts on the body of a new batch.
 func (d *Decoder) Reset(body []byte) { d.body, d.at, d.bad = body, 0, false }
 
-// Rest is how many bytes are left.
-func (d *Decoder) Rest() int { return len(d.body) - d.at }
+// Remaining is how many bytes are left.
+func (d *Decoder) Remaining() int { return len(d.body) - d.at }
 
 func (d *Decoder) take(n int) []byte {
 	if d.bad || n < 0 || n > len(d.body)-d.at {
@@ -182,35 +182,35 @@
 	r.Event = policy.Event{}
 	ev := &r.Event
 	if code == evCatalog {
-		r.Kind = None
+		r.Kind = Ignored
 		return "Catalog", d.catalog()
 	}
-	r.Instance, r.Kind = d.u16(), Deliver
+	r.Instance, r.Kind = d.u16(), DeliverEvent
 	switch code {
 	case evSpawn:
-		r.Kind, r.Seed = Spawn, d.u64()
+		r.Kind, r.Seed = SpawnInstance, d.u64()
 		text := d.take(int(d.u32()))
 		if d.bad {
 			return "Spawn", nil
 		}
 		var err error
-		r.Settings, err = settings.Module(text)
+		r.Settings, err = settings.ParsePolicy(text)
 		return "Spawn", err
 	case evKilled:
-		r.Kind = Killed
+		r.Kind = RemoveInstance
 		return "Killed", nil
 	case evDirectory:
 		kind, page := d.u8(), d.u16()
 		d.u64() // the list's version
 		switch kind {
 		case 0:
-			ev.Kind = policy.ListDelta
+			ev.Kind = policy.MembershipDelta
 		case 2:
-			ev.Kind = policy.ListCached
+			ev.Kind = policy.MembershipCached
 		case 3:
-			ev.Kind = policy.ListFull
+			ev.Kind = policy.MembershipFull
 		case 4:
-			ev.Kind = policy.ListFailed
+			ev.Kind = policy.DiscoveryFailed
 			return "DirectoryUpdate", nil
 		default:
 			return "DirectoryUpdate", fmt.Errorf("unknown kind %d", kind)
@@ -221,35 +221,35 @@
 		ev.Members = d.pages[page]
 		return "DirectoryUpdate", nil
 	case evJobIn:
-		ev.Kind = policy.Arrival
-		ev.ID, ev.Patience = d.u64(), policy.Time(d.u32())
-		ev.Class, ev.Tenant, ev.Key = d.u8(), d.u32(), d.u64()
+		ev.Kind = policy.RequestArrived
+		ev.ID, ev.ClientTimeout = d.u64(), policy.Time(d.u32())
+		ev.Class, ev.Tenant, ev.AffinityKey = d.u8(), d.u32(), d.u64()
 		work, options := d.u32(), d.u8()
 		if options&1 != 0 {
 			ev.Work = policy.Time(work)
 		}
 		return "JobIn", nil
 	case evBegun:
-		ev.Kind = policy.Begun
+		ev.Kind = policy.ResponseStarted
 		ev.ID, ev.Elapsed, ev.Server, ev.Attempt = d.u64(), policy.Time(d.u32()), d.u32(), d.u8()
 		return "Begun", nil
 	case evFinished:
-		ev.Kind = policy.Outcomed
+		ev.Kind = policy.AttemptEnded
 		ev.ID, ev.Attempt, ev.Server, ev.Outcome = d.u64(), d.u8(), d.u32(), d.outcome()
 		ev.Elapsed, ev.Final, ev.Report = policy.Time(d.u32()), d.u8() != 0, d.usage()
 		return "Finished", nil
 	case evExpired:
-		ev.Kind, ev.ID = policy.Departed, d.u64()
+		ev.Kind, ev.ID = policy.RequestAbandoned, d.u64()
 		return "Expired", nil
 	case evDue:
 		ev.Kind, ev.ID = policy.TimerFired, d.u64()
 		return "Due", nil
 	case evChecked:
-		ev.Kind, ev.Server, ev.Outcome = policy.Probed, d.u32(), d.outcome()
+		ev.Kind, ev.Server, ev.Outcome = policy.LoadPolled, d.u32(), d.outcome()
 		ev.Elapsed, ev.Report = policy.Time(d.u32()), d.usage()
 		return "Checked", nil
 	case evFromPeer:
-		r.Kind = None
+		r.Kind = Ignored
 		d.u32()
 		d.take(int(d.u16()))
 		return "FromPeer", nil
@@ -268,12 +268,12 @@
 	if page >= maxPages {
 		return fmt.Errorf("list number %d is over %d", page, maxPages-1)
 	}
-	if uint64(n)*memberSize > uint64(d.Rest()) { // checked before anything is allocated by it
-		return fmt.Errorf("%d entries do not fit in the %d bytes left", n, d.Rest())
+	if uint64(n)*memberSize > uint64(d.Remaining()) { // checked before anything is allocated by it
+		return fmt.Errorf("%d entries do not fit in the %d bytes left", n, d.Remaining())
 	}
 	list := d.pages[page][:0]
 	for i := uint32(0); i < n; i++ {
-		m := policy.Member{Server: d.u32(), Zone: d.u8(), Kind: d.u16(), Cell: d.u16()}
+		m := policy.Member{Server: d.u32(), Zone: d.u8(), InstanceType: d.u16(), Cell: d.u16()}
 		mode := d.u8()
 		if mode > uint8(policy.ModeDraining) {
 			return fmt.Errorf("entry %d has unknown mode %d", i, mode)
@@ -284,7 +284,7 @@
 		if up > math.MaxInt64 {
 			return fmt.Errorf("entry %d has start time %d, which does not fit", i, up)
 		}
-		m.UpSince = policy.Time(up)
+		m.StartedAt = policy.Time(up)
 		list = append(list, m)
 	}
 	d.pages[page], d.known[page] = list, true
@@ -296,31 +296,31 @@
 	be := binary.BigEndian
 	head := func(code uint16) { b = be.AppendUint16(be.AppendUint16(b, code), instance) }
 	switch a.Kind {
-	case policy.Send:
+	case policy.SendAttempt:
 		head(acTransmit)
 		b = be.AppendUint32(be.AppendUint32(be.AppendUint64(b, a.ID), a.Server), span(a.After))
-	case policy.Refuse:
+	case policy.RejectRequest:
 		head(acReject)
 		b = be.AppendUint32(be.AppendUint64(b, a.ID), span(a.After))
-	case policy.Fail:
+	case policy.FailRequest:
 		head(acError)
 		b = be.AppendUint64(b, a.ID)
-	case policy.Cancel:
+	case policy.CancelAttempt:
 		head(acRecall)
 		b = append(be.AppendUint64(b, a.ID), a.Attempt)
 	case policy.SetTimer:
 		head(acNotifyMe)
 		b = be.AppendUint64(be.AppendUint32(b, span(a.After)), a.ID)
-	case policy.Probe:
+	case policy.PollLoad:
 		head(acAskLoad)
 		b = be.AppendUint32(b, a.Server)
-	case policy.CloseUnused:
+	case policy.CloseIdleConns:
 		head(acDropConns)
 		b = be.AppendUint32(b, a.Server)
-	case policy.Subscribe:
+	case policy.SubscribeDiscovery:
 		head(acObserve)
 		b = append(b, 1)
-	case policy.LogLine:
+	case policy.LogMessage:
 		text := a.Text
 		if len(text) > math.MaxUint16 {
 			text = text[:math.MaxUint16]
--- a/internal/simlink/wire_test.go
+++ b/internal/simlink/wire_test.go
@@ -29,7 +29,7 @@
 	var d Decoder
 	d.Reset(body(t, text))
 	var all []Record
-	for d.Rest() > 0 {
+	for d.Remaining() > 0 {
 		var r Record
 		if err := d.Next(&r); err != nil {
 			return all, err
@@ -45,19 +45,19 @@
 		t.Fatal(err)
 	}
 	ev := recs[0].Event
-	if recs[0].Instance != 3 || ev.Kind != policy.Arrival || ev.ID != 0x000912295d3a91c4 || ev.Class != 1 ||
-		ev.Patience != 0x3a980 || ev.Tenant != 2 || ev.Key != 0x91f03b7c55d20a64 || ev.Work != 0x2ee0 {
+	if recs[0].Instance != 3 || ev.Kind != policy.RequestArrived || ev.ID != 0x000912295d3a91c4 || ev.Class != 1 ||
+		ev.ClientTimeout != 0x3a980 || ev.Tenant != 2 || ev.AffinityKey != 0x91f03b7c55d20a64 || ev.Work != 0x2ee0 {
 		t.Errorf("arrival read as %+v", ev)
 	}
 	ev = recs[1].Event
-	if ev.Kind != policy.Outcomed || ev.Outcome != policy.TimedOut || ev.Server != 0x03124a07 || !ev.Final ||
+	if ev.Kind != policy.AttemptEnded || ev.Outcome != policy.TimedOut || ev.Server != 0x03124a07 || !ev.Final ||
 		ev.Elapsed != 0x4844 || len(ev.Report) != 2 || ev.Report[0] != 0.5 || ev.Report[1] != 14.5 {
 		t.Errorf("outcome read as %+v", ev)
 	}
 	ev = recs[3].Event
-	want := policy.Member{Server: 0x2c9011f2, Zone: 1, Kind: 1, Cell: 2, Mode: policy.ModeDraining, Size: 1.5,
-		UpSince: 0x5d1420}
-	if ev.Kind != policy.ListCached || len(ev.Members) != 2 || ev.Members[1] != want {
+	want := policy.Member{Server: 0x2c9011f2, Zone: 1, InstanceType: 1, Cell: 2, Mode: policy.ModeDraining, Size: 1.5,
+		StartedAt: 0x5d1420}
+	if ev.Kind != policy.MembershipCached || len(ev.Members) != 2 || ev.Members[1] != want {
 		t.Errorf("list read as %+v", ev)
 	}
 }
@@ -92,16 +92,16 @@
 
 func TestActionsAreWritten(t *testing.T) {
 	for want, a := range map[string]policy.Action{
-		"03e8 0003 000912295d3a91c4 03124a07 00013880": {Kind: policy.Send, ID: 0x000912295d3a91c4,
+		"03e8 0003 000912295d3a91c4 03124a07 00013880": {Kind: policy.SendAttempt, ID: 0x000912295d3a91c4,
 			Server: 0x03124a07, After: 80_000},
-		"03f2 0003 000ec3ff0e6f2b19 0003d090":               {Kind: policy.Refuse, ID: 0x000ec3ff0e6f2b19, After: 250_000},
-		"03fc 0003 000ec3ff0e6f2b19":                        {Kind: policy.Fail, ID: 0x000ec3ff0e6f2b19},
-		"0406 0003 000912295d3a91c4 02":                     {Kind: policy.Cancel, ID: 0x000912295d3a91c4, Attempt: 2},
+		"03f2 0003 000ec3ff0e6f2b19 0003d090":               {Kind: policy.RejectRequest, ID: 0x000ec3ff0e6f2b19, After: 250_000},
+		"03fc 0003 000ec3ff0e6f2b19":                        {Kind: policy.FailRequest, ID: 0x000ec3ff0e6f2b19},
+		"0406 0003 000912295d3a91c4 02":                     {Kind: policy.CancelAttempt, ID: 0x000912295d3a91c4, Attempt: 2},
 		"0410 0003 0007a120 000000000000004d":               {Kind: policy.SetTimer, ID: 0x4d, After: 500_000},
 		"0410 0003 ffffffff 000000000000004d":               {Kind: policy.SetTimer, ID: 0x4d, After: math.MaxInt64},
-		"041a 0003 2c9011f2":                                {Kind: policy.Probe, Server: 0x2c9011f2},
-		"044c 0003 01":                                      {Kind: policy.Subscribe},
-		"0438 0003 0011 74776f2073657276657273206b6e6f776e": {Kind: policy.LogLine, Text: "two servers known"},
+		"041a 0003 2c9011f2":                                {Kind: policy.PollLoad, Server: 0x2c9011f2},
+		"044c 0003 01":                                      {Kind: policy.SubscribeDiscovery},
+		"0438 0003 0011 74776f2073657276657273206b6e6f776e": {Kind: policy.LogMessage, Text: "two servers known"},
 	} {
 		if got := AppendAction(nil, 3, &a); string(got) != string(body(t, want)) {
 			t.Errorf("%+v written as %x, want %s", a, got, want)
@@ -120,12 +120,12 @@
 		var d Decoder
 		var r Record
 		d.Reset(b)
-		for d.Rest() > 0 {
-			before := d.Rest()
+		for d.Remaining() > 0 {
+			before := d.Remaining()
 			if d.Next(&r) != nil {
 				return
 			}
-			if d.Rest() >= before {
+			if d.Remaining() >= before {
 				t.Fatal("a record took no bytes")
 			}
 		}
--- a/internal/standalone/affinity/affinity.go
+++ b/internal/standalone/affinity/affinity.go
@@ -31,8 +31,8 @@
 	changes uint32
 }
 
-// Set tells which servers there are. Ids must not repeat.
-func (t *Table) Set(members []Member) {
+// SetMembers tells which servers there are. Ids must not repeat.
+func (t *Table) SetMembers(members []Member) {
 	next := slices.DeleteFunc(slices.Clone(members), func(m Member) bool { return !(m.Weight > 0) || math.IsInf(m.Weight, 1) })
 	slices.SortFunc(next, func(a, b Member) int { return cmp.Compare(a.ID, b.ID) })
 	if slices.Equal(next, t.members) {
--- a/internal/standalone/affinity/affinity_test.go
+++ b/internal/standalone/affinity/affinity_test.go
@@ -9,7 +9,7 @@
 const keys = 20_000
 
 func homesOf(table *Table, members []Member) (homes [keys][2]uint32) {
-	table.Set(members)
+	table.SetMembers(members)
 	for k := range homes {
 		homes[k], _ = table.Homes(uint64(k))
 	}
@@ -62,7 +62,7 @@
 func TestOddMembers(t *testing.T) {
 	for weight, want := range map[float64]bool{0: false, math.NaN(): false, math.Inf(1): false, -2: false, 1: true} {
 		var table Table
-		table.Set([]Member{{5, weight}, {6, 0}})
+		table.SetMembers([]Member{{5, weight}, {6, 0}})
 		if h, ok := table.Homes(7); ok != want || ok && h != [2]uint32{5, 5} {
 			t.Errorf("weight %v: home %v, %v", weight, h, ok)
 		}
@@ -71,7 +71,7 @@
 
 func BenchmarkHomes(b *testing.B) {
 	var table Table
-	table.Set(fleet(12))
+	table.SetMembers(fleet(12))
 	for k := range uint64(b.N) {
 		table.Homes(k % keys)
 	}
--- a/internal/standalone/backend/destination_test.go
+++ b/internal/standalone/backend/destination_test.go
@@ -84,28 +84,28 @@
 		"served":              {ok, policy.OK},
 		"chunked":             {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", policy.OK},
 		"interim":             {"HTTP/1.1 103 Early Hints\r\n\r\n" + ok, policy.OK},
-		"error":               {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.Failed},
-		"busy, unseen":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Full},
-		"late, unseen":        {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Full},
-		"busy, perhaps run":   {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.Failed},
-		"busy reply":          {"HTTP/1.1 429 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Failed},
-		"nothing":             {"", policy.Reset},
-		"half a head":         {"HTTP/1.1 200 OK\r\nConte", policy.Reset},
-		"half a body":         {ok[:len(ok)-1], policy.Reset},
-		"half a chunk":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n42", policy.Reset},
+		"error":               {"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse},
+		"busy, unseen":        {"HTTP/1.1 503 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Rejected},
+		"late, unseen":        {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Rejected},
+		"busy, perhaps run":   {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse},
+		"busy reply":          {"HTTP/1.1 429 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse},
+		"nothing":             {"", policy.ConnectionReset},
+		"half a head":         {"HTTP/1.1 200 OK\r\nConte", policy.ConnectionReset},
+		"half a body":         {ok[:len(ok)-1], policy.ConnectionReset},
+		"half a chunk":        {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n42", policy.ConnectionReset},
 		"no end told":         {"HTTP/1.1 200 OK\r\n\r\n42", policy.OK},
-		"other protocol":      {"HTTP/1.1 101 Switching Protocols\r\n\r\n", policy.Failed},
-		"garbage":             {"\x00\x01\x02 garbage\r\n\r\n", policy.Failed},
-		"too long":            {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MaxStreamedBody+1) + strings.Repeat("x", MaxBufferedBody), policy.Failed},
-		"long error":          {"HTTP/1.1 500 No\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("x", 400_000), policy.Failed},
+		"other protocol":      {"HTTP/1.1 101 Switching Protocols\r\n\r\n", policy.ErrorResponse},
+		"garbage":             {"\x00\x01\x02 garbage\r\n\r\n", policy.ErrorResponse},
+		"too long":            {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MaxStreamedBody+1) + strings.Repeat("x", MaxBufferedBody), policy.ErrorResponse},
+		"long error":          {"HTTP/1.1 500 No\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("x", 400_000), policy.ErrorResponse},
 		"the longest":         {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), policy.OK},
-		"endless head":        {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10) + "\r\n\r\n", policy.Failed},
-		"endless interim":     {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), policy.Failed},
-		"two lengths":         {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n42", policy.Failed},
-		"a length twice":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n42", policy.Failed},
+		"endless head":        {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10) + "\r\n\r\n", policy.ErrorResponse},
+		"endless interim":     {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), policy.ErrorResponse},
+		"two lengths":         {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n42", policy.ErrorResponse},
+		"a length twice":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n42", policy.ErrorResponse},
 		"noise behind":        {ok + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", policy.OK},
-		"length and coding":   {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", policy.Failed},
-		"3 GB to come":        {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n42", policy.Failed},
+		"length and coding":   {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", policy.ErrorResponse},
+		"3 GB to come":        {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n42", policy.ErrorResponse},
 		"report not readable": {"HTTP/1.1 200 OK\r\nX-Backend-Load: garbage=,=\r\nContent-Length: 0\r\n\r\n", policy.OK},
 	} {
 		addr, _, requests := serve(t, func(_ int, conn net.Conn) bool {
@@ -143,7 +143,7 @@
 	first := exchange(t, f)
 	letRest(f)
 	second := exchange(t, f)
-	if first.Outcome != policy.OK || second.Outcome != policy.Reset {
+	if first.Outcome != policy.OK || second.Outcome != policy.ConnectionReset {
 		t.Errorf("outcomes %d, %d (%v)", first.Outcome, second.Outcome, second.Err)
 	}
 	if conns.Load() != 1 || requests.Load() != 2 {
@@ -562,7 +562,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		res := f.Exchange(ctx, 1, Attempt{Request: post(), Body: Body{Buffered: []byte(strings.Repeat("x", size))}})
 		cancel()
-		if res.Outcome != policy.Full && res.Outcome != policy.ConnectFailed {
+		if res.Outcome != policy.Rejected && res.Outcome != policy.ConnectFailed {
 			t.Errorf("%s: outcome %d, %v", name, res.Outcome, res.Err)
 		}
 	}
--- a/internal/standalone/backend/exchange.go
+++ b/internal/standalone/backend/exchange.go
@@ -83,7 +83,7 @@
 		if !stop() { // given up in the same moment
 			s.abandon()
 			f.release(c, false)
-			return Result{Outcome: outcomeAfter(ctx, policy.Reset), Err: errors.New("a long answer came too late")}
+			return Result{Outcome: outcomeAfter(ctx, policy.ConnectionReset), Err: errors.New("a long answer came too late")}
 		}
 		s.startForwarding() // the connection is given back at its end
 		return res
@@ -154,18 +154,18 @@
 		if ctx.Err() == nil && !c.source.ended {
 			f.warnMalformed("answer not understood", c.backend, err)
 			// No break: the destination answered, so that it may have run, and the answer is of no use.
-			return Result{Outcome: policy.Failed, Err: fmt.Errorf("reading the answer: %w", err), BodySentAt: res.BodySentAt}, false
+			return Result{Outcome: policy.ErrorResponse, Err: fmt.Errorf("reading the answer: %w", err), BodySentAt: res.BodySentAt}, false
 		}
-		return Result{Outcome: outcomeAfter(ctx, policy.Reset), Err: fmt.Errorf("reading the answer: %w", err), BodySentAt: res.BodySentAt}, false
+		return Result{Outcome: outcomeAfter(ctx, policy.ConnectionReset), Err: fmt.Errorf("reading the answer: %w", err), BodySentAt: res.BodySentAt}, false
 	}
 	_, columns := f.currentSettings()
-	res.Outcome = policy.Failed
+	res.Outcome = policy.ErrorResponse
 	switch status {
 	case http.StatusOK:
 		res.Outcome, res.Response = policy.OK, answer
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if answer.Header.Get(unprocessedHeader) == "1" { // without that mark it may have run
-			res.Outcome = policy.Full
+			res.Outcome = policy.Rejected
 		}
 	}
 	if text := answer.Header.Get(ReportHeader); text != "" && len(columns) > 0 {
--- a/internal/standalone/backend/probe.go
+++ b/internal/standalone/backend/probe.go
@@ -38,14 +38,14 @@
 	by, _ := ctx.Deadline()
 	status, answer, reusable, err := c.readResponse(by, f, req)
 	if err != nil {
-		return outcomeAfter(ctx, policy.Reset), nil, false, fmt.Errorf("reading a probe's answer: %w", err)
+		return outcomeAfter(ctx, policy.ConnectionReset), nil, false, fmt.Errorf("reading a probe's answer: %w", err)
 	}
 	if answer.Stream != nil { // no report is as long
 		answer.Stream.(*stream).abandon()
-		return policy.Failed, nil, false, ErrBodyTooLarge
+		return policy.ErrorResponse, nil, false, ErrBodyTooLarge
 	}
 	if status != http.StatusOK {
-		return policy.Failed, nil, reusable, fmt.Errorf("a probe is answered with %d", status)
+		return policy.ErrorResponse, nil, reusable, fmt.Errorf("a probe is answered with %d", status)
 	}
 	_, columns := f.currentSettings()
 	text := strings.TrimSpace(string(answer.Body))
@@ -57,7 +57,7 @@
 	}
 	if report, err = ParseReport(text, columns); err != nil {
 		f.warnMalformed("load report not understood", c.backend, err)
-		return policy.Failed, nil, reusable, err
+		return policy.ErrorResponse, nil, reusable, err
 	}
 	return policy.OK, report, reusable, nil
 }
--- a/internal/standalone/backend/probe_test.go
+++ b/internal/standalone/backend/probe_test.go
@@ -28,8 +28,8 @@
 	}{
 		"report":            {say(200, report), policy.OK, []float32{0.5, 12}, true},
 		"nothing to tell":   {say(200, "TEXT "), policy.OK, nil, true},
-		"unwell":            {say(503, report), policy.Failed, nil, true},
-		"longer than any":   {"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + strings.Repeat("x", 2*MaxBufferedBody), policy.Failed, nil, false},
+		"unwell":            {say(503, report), policy.ErrorResponse, nil, true},
+		"longer than any":   {"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + strings.Repeat("x", 2*MaxBufferedBody), policy.ErrorResponse, nil, false},
 		"more than belongs": {say(200, report) + "HTTP", policy.OK, []float32{0.5, 12}, false},
 		"silence":           {"", policy.TimedOut, nil, false},
 		"draining":          {"", policy.NotSent, nil, false},
--- a/internal/standalone/concurrency/admission.go
+++ b/internal/standalone/concurrency/admission.go
@@ -6,11 +6,11 @@
 // none is out, so that on the mean as many are out as its size says.
 package concurrency
 
-// Least is the narrowest window: an attempt for a tenth of the time still finds out that the crowding is over.
-const Least = 0.1
+// MinLimit is the narrowest window: an attempt for a tenth of the time still finds out that the crowding is over.
+const MinLimit = 0.1
 
-// Borne is the share of answers speaking of a queue that leaves a window of usual size as it is.
-const Borne = 0.25
+// ToleratedCongestion is the share of answers speaking of a queue that leaves a window of usual size as it is.
+const ToleratedCongestion = 0.25
 
 const (
 	narrowBy = 0.4 // a narrow window loses this part of itself at most: a step of one would close it on a single answer
@@ -19,22 +19,22 @@
 	swift    = 0.5 // the least step while hardly an answer speaks of a queue: after a start, or when others' clients come
 )
 
-// Open says whether one more attempt fits in. sinceLast is how long ago an attempt ended last, and usual how long one takes.
-func Open(window float64, out int, sinceLast, usual float64) bool {
+// Admits says whether one more attempt fits in. sinceLast is how long ago an attempt ended last, and usual how long one takes.
+func Admits(window float64, out int, sinceLast, usual float64) bool {
 	if window >= 1 {
 		return float64(out) < window
 	}
 	return out == 0 && sinceLast >= usual*(1/window-1)
 }
 
-// Narrow is the window after an answer that speaks of a queue: one step for each, so that it does not fall on old news.
-func Narrow(window float64) float64 {
-	return max(Least, window-(1-Borne), window*(1-narrowBy))
+// Decrease is the window after an answer that speaks of a queue: one step for each, so that it does not fall on old news.
+func Decrease(window float64) float64 {
+	return max(MinLimit, window-(1-ToleratedCongestion), window*(1-narrowBy))
 }
 
-// Widen is a window that is in use after an answer without a queue; calm is whether hardly an answer has spoken of one of late.
-func Widen(window float64, calm bool) float64 {
-	step := Borne * min(0.5+grows/window, window)
+// Increase is a window that is in use after an answer without a queue; calm is whether hardly an answer has spoken of one of late.
+func Increase(window float64, calm bool) float64 {
+	step := ToleratedCongestion * min(0.5+grows/window, window)
 	if calm {
 		step = max(step, min(swift, widenBy*window))
 	}
@@ -48,8 +48,8 @@
 	perServer = 4.0  // but of each server no more than this for all balancers of the group: what they start with must not flood it
 )
 
-// Keep is the window when out attempts are out, of one of group balancers with this many servers.
-func Keep(window float64, out, servers, group int) float64 {
+// LimitToUsage is the window when out attempts are out, of one of group balancers with this many servers.
+func LimitToUsage(window float64, out, servers, group int) float64 {
 	spare := min(mostSpare, perServer*float64(servers)/float64(max(1, group)))
 	return min(window, overUse*float64(out)+max(1, spare))
 }
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -262,22 +262,22 @@
 			return fmt.Errorf("config: settings.Classes[%d].Name: missing", i)
 		case seen[class.Name]:
 			return fmt.Errorf("config: settings.Classes[%d].Name: %q stands twice", i, class.Name)
-		case class.HardLimit <= 0:
-			return fmt.Errorf("config: settings.Classes[%d].HardLimit: %v is no time", i, class.HardLimit)
+		case class.ClientTimeout <= 0:
+			return fmt.Errorf("config: settings.Classes[%d].HardLimit: %v is no time", i, class.ClientTimeout)
 		}
 		seen[class.Name] = true
 	}
-	if s.Locality < 0 || s.Locality >= max(1, len(s.Zones)) {
-		return fmt.Errorf("config: settings.Locality: %d is none of the %d Zones", s.Locality, len(s.Zones))
+	if s.Zone < 0 || s.Zone >= max(1, len(s.Zones)) {
+		return fmt.Errorf("config: settings.Locality: %d is none of the %d Zones", s.Zone, len(s.Zones))
 	}
 	var err error
 	c.Module, err = Module(s)
 	return err
 }
 
-// Module is the module's form of settings. Destinations are probed where it allows that, and nowhere else.
+// Policy is the module's form of settings. Destinations are probed where it allows that, and nowhere else.
 func Module(s *settings.Settings) (policy.Settings, error) {
-	m, err := s.Module()
+	m, err := s.Policy()
 	if err != nil {
 		return m, fmt.Errorf("config: %w", err)
 	}
@@ -286,10 +286,10 @@
 
 // Columns are the names of the columns of load reports that the module of these settings makes use of.
 func Columns(s *settings.Settings, m *policy.Settings) []string {
-	if m.ReportVia == policy.ReportsNone || m.ReportVia == policy.ReportsByProbe && !m.Limits.Probe {
+	if m.ReportDelivery == policy.ReportsNone || m.ReportDelivery == policy.ReportsByPolling && !m.Limits.AllowLoadPolls {
 		return nil
 	}
-	return s.LoadInfo.Columns
+	return s.LoadReports.Columns
 }
 
 func (l *Limits) check() error {
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -26,7 +26,7 @@
 		c.Settings.Limits.DialTimeout != 100_000 || c.Settings.Limits.IdleClose != defaultIdleClose {
 		t.Errorf("%+v", c)
 	}
-	if !c.Module.Limits.Probe || c.Module.Zone != 1 || len(c.Module.Classes) != 1 {
+	if !c.Module.Limits.AllowLoadPolls || c.Module.Zone != 1 || len(c.Module.Classes) != 1 {
 		t.Errorf("module settings %+v", c.Module)
 	}
 	c, err = Parse([]byte(strings.Replace(valid, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1)), nothing)
--- a/internal/standalone/config/stored_test.go
+++ b/internal/standalone/config/stored_test.go
@@ -24,7 +24,7 @@
 	if err := json.Unmarshal(text, &want.Settings); err != nil {
 		t.Fatal(err)
 	}
-	if want.Module, err = settings.Module(text); err != nil {
+	if want.Module, err = settings.ParsePolicy(text); err != nil {
 		t.Fatal(err)
 	}
 	got.text = nil // the file as a whole, with which a later one is compared
--- a/internal/standalone/deployfile/door.go
+++ b/internal/standalone/deployfile/door.go
@@ -65,9 +65,9 @@
 	set.MaxQueued, set.QueuesPerClass, set.MinLimit, set.MaxLimit, set.InitialLimit, set.RequiredTimeFactor = f.Waiting, f.Buckets, f.Least, f.Most, f.Start, f.Patience
 	set.RetryRatio, set.RetryBurst, set.MaxRetryAfter, set.SaltRotation = f.Repeats, f.RepeatBurst, admission.Time(f.MaxComeBack), admission.Time(f.Rotate)
 	set.Seed = seed
-	set.OverQuotaFactor = s.OverShareWorth
+	set.OverQuotaFactor = s.OverQuotaValue
 	tenants, classes := map[string]bool{}, map[string]bool{}
-	for _, p := range s.Projects {
+	for _, p := range s.Tenants {
 		tenants[p.Name] = true
 		share, told := f.Shares[p.Name]
 		if !told {
@@ -80,7 +80,7 @@
 	}
 	for _, c := range s.Classes {
 		classes[c.Name] = true
-		k := admission.Class{Name: c.Name, Value: c.Worth, Work: defaultWorkMicros, LatencyTarget: settings.Micros(c.OnTime)}
+		k := admission.Class{Name: c.Name, Value: c.Value, Work: defaultWorkMicros, LatencyTarget: settings.Micros(c.LatencyTarget)}
 		if w, told := f.Worth[c.Name]; told {
 			k.Value = w
 		}
--- a/internal/standalone/deployfile/door_test.go
+++ b/internal/standalone/deployfile/door_test.go
@@ -11,8 +11,8 @@
 )
 
 func deployment() *settings.Settings {
-	return &settings.Settings{Projects: []settings.Project{{Name: "steppe-tours", QuotaPerS: 254}, {Name: "khan-air", QuotaPerS: 76}},
-		Classes: []settings.Class{{Name: "quick-quote", Worth: 3}, {Name: "issue-policy", Worth: 5}}}
+	return &settings.Settings{Tenants: []settings.Tenant{{Name: "steppe-tours", QuotaPerS: 254}, {Name: "khan-air", QuotaPerS: 76}},
+		Classes: []settings.Class{{Name: "quick-quote", Value: 3}, {Name: "issue-policy", Value: 5}}}
 }
 
 func TestDoorFile(t *testing.T) {
--- a/internal/standalone/deployfile/stored_test.go
+++ b/internal/standalone/deployfile/stored_test.go
@@ -29,9 +29,9 @@
 
 // A door's file that operators stored for an earlier version is read, with every key. None has the value that stands in for an absent one.
 func TestReadsDoorStoredByEarlierVersion(t *testing.T) {
-	deployment := &settings.Settings{GroupSize: 2, OverShareWorth: 0.2,
-		Projects: []settings.Project{{Name: "steppe-tours", QuotaPerS: 254}, {Name: "khan-air", QuotaPerS: 76}},
-		Classes:  []settings.Class{{Name: "quick-quote", Worth: 3, OnTime: 600_000}, {Name: "issue-policy", Worth: 5, OnTime: 900_000}}}
+	deployment := &settings.Settings{GroupSize: 2, OverQuotaValue: 0.2,
+		Tenants: []settings.Tenant{{Name: "steppe-tours", QuotaPerS: 254}, {Name: "khan-air", QuotaPerS: 76}},
+		Classes: []settings.Class{{Name: "quick-quote", Value: 3, LatencyTarget: 600_000}, {Name: "issue-policy", Value: 5, LatencyTarget: 900_000}}}
 	got, err := ReadAdmission("testdata/door.toml", deployment, 7)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standalone/discovery/hands.go
+++ b/internal/standalone/discovery/hands.go
@@ -130,13 +130,13 @@
 		if m == h.told {
 			continue
 		}
-		w.log.Info("a host is taken out or brought back by hand", "host", h.Name, "out", m.Mode != h.Member.Mode, slog.Int64("up_since", m.UpSince))
+		w.log.Info("a host is taken out or brought back by hand", "host", h.Name, "out", m.Mode != h.Member.Mode, slog.Int64("up_since", m.StartedAt))
 		h.told = m
 		w.listed[id] = h
 		w.fleet.SetBackend(id, h.Dial, m.Mode == policy.ModeReady)
 		changed = append(changed, m)
 	}
 	if len(changed) > 0 {
-		w.module.UpdateMembers(policy.ListDelta, changed)
+		w.module.UpdateMembers(policy.MembershipDelta, changed)
 	}
 }
--- a/internal/standalone/discovery/hands_test.go
+++ b/internal/standalone/discovery/hands_test.go
@@ -87,12 +87,12 @@
 	if err := w.Resume("s-1"); err != nil || l.out(t, w, "s-1") || w.TakenOut() != 0 {
 		t.Errorf("resumed: %v", err)
 	}
-	back := l.modes[w.table.id("s-1")].UpSince
+	back := l.modes[w.table.id("s-1")].StartedAt
 	if back <= 1700000009999000 {
 		t.Error("it came back as if it had never stopped")
 	}
 	// Discovery may tell of it again with the old start: that must not make it warm.
-	if err := w.apply([]byte(update(5, false, host("s-1", "SERVING"))), false); err != nil || l.modes[w.table.id("s-1")].UpSince != back {
+	if err := w.apply([]byte(update(5, false, host("s-1", "SERVING"))), false); err != nil || l.modes[w.table.id("s-1")].StartedAt != back {
 		t.Error("the list made it warm")
 	}
 	if err := w.Suspend("s-1"); err != nil {
--- a/internal/standalone/discovery/list.go
+++ b/internal/standalone/discovery/list.go
@@ -133,8 +133,8 @@
 	if kind < 0 { // a kind of its own: nothing is known of it
 		kind = len(t.kinds)
 	}
-	m.Zone, m.Kind, m.Cell = uint8(max(0, zone)), uint16(kind), uint16(e.Block)
-	m.Size, m.UpSince = e.Share, policy.Time(e.BornMs*1000)
+	m.Zone, m.InstanceType, m.Cell = uint8(max(0, zone)), uint16(kind), uint16(e.Block)
+	m.Size, m.StartedAt = e.Share, policy.Time(e.BornMs*1000)
 	return h, nil
 }
 
--- a/internal/standalone/discovery/pool_test.go
+++ b/internal/standalone/discovery/pool_test.go
@@ -37,8 +37,8 @@
 	if err != nil || len(bad) != 0 || len(hosts) != 3 || u.Seq != 41 || !u.Whole {
 		t.Fatalf("%+v, %v, %v, %v", u, hosts, bad, err)
 	}
-	want := policy.Member{Server: hosts[0].Member.Server, Zone: 1, Cell: 3, Kind: 1, Mode: policy.ModeReady, Size: 1.5,
-		UpSince: 1700000000123000}
+	want := policy.Member{Server: hosts[0].Member.Server, Zone: 1, Cell: 3, InstanceType: 1, Mode: policy.ModeReady, Size: 1.5,
+		StartedAt: 1700000000123000}
 	if hosts[0].Member != want || hosts[1].Member.Mode != policy.ModeDraining ||
 		hosts[2].Member.Mode != policy.ModeGone || hosts[2].Dial != "" {
 		t.Errorf("%+v", hosts)
@@ -96,8 +96,8 @@
 }
 
 func (h *heard) UpdateMembers(kind policy.EventKind, members []policy.Member) {
-	names := map[policy.EventKind]string{policy.ListFull: "full", policy.ListCached: "cached",
-		policy.ListDelta: "delta", policy.ListFailed: "failed", policy.ListSilent: "silent"}
+	names := map[policy.EventKind]string{policy.MembershipFull: "full", policy.MembershipCached: "cached",
+		policy.MembershipDelta: "delta", policy.DiscoveryFailed: "failed", policy.DiscoverySilent: "silent"}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lines = append(h.lines, fmt.Sprintf("%s %d", names[kind], len(members)))
@@ -361,7 +361,7 @@
 		seen := map[uint32]string{}
 		for _, h := range hosts {
 			m := h.Member
-			if err != nil || h.Name == "" || m.Zone > 1 || m.Kind > 2 || m.UpSince < 0 || m.Mode != policy.ModeGone && h.Dial == "" {
+			if err != nil || h.Name == "" || m.Zone > 1 || m.InstanceType > 2 || m.StartedAt < 0 || m.Mode != policy.ModeGone && h.Dial == "" {
 				t.Errorf("%+v, %v", h, err)
 			}
 			if other, ok := seen[m.Server]; ok && other != h.Name {
--- a/internal/standalone/discovery/silence_test.go
+++ b/internal/standalone/discovery/silence_test.go
@@ -16,8 +16,8 @@
 
 // asking is a module that decides when discovery is asked, as one of a group, and that runs until the test's end.
 func asking(t *testing.T, w *Watcher, group int, seed uint64) Module {
-	set := policy.Settings{Classes: []policy.Class{{Deadline: 1e6, Aim: 1e6, Worth: 1}}, AskDiscovery: true, GroupSize: group}
-	set.Rules.AskWithin = 10e6
+	set := policy.Settings{Classes: []policy.Class{{ClientTimeout: 1e6, LatencyTarget: 1e6, Value: 1}}, SubscribeDiscovery: true, GroupSize: group}
+	set.Rules.SubscribeWithin = 10e6
 	module, err := policy.New(set, seed)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/standalone/discovery/stored_test.go
+++ b/internal/standalone/discovery/stored_test.go
@@ -24,7 +24,7 @@
 		}
 	}
 	l.mu.Lock()
-	if got := l.modes[w.table.id("s-2")].UpSince; got != 1_800_000_000_000_001 {
+	if got := l.modes[w.table.id("s-2")].StartedAt; got != 1_800_000_000_000_001 {
 		t.Errorf("s-2 is taken for one that started at %d", got)
 	}
 	l.mu.Unlock()
@@ -74,8 +74,8 @@
 		t.Fatal(err)
 	}
 	members := []Host{
-		{"quote-01", "10.0.0.1:80", policy.Member{Server: 0xdcbf2eb1, Zone: 0, Cell: 5, Kind: 1, Mode: policy.ModeReady, Size: 1.5, UpSince: 1.7e15}},
-		{"quote-02", "10.0.0.2:80", policy.Member{Server: 0xd9bf29f8, Zone: 1, Cell: 6, Kind: 0, Mode: policy.ModeDraining, Size: 0.75, UpSince: 1.6e15}},
+		{"quote-01", "10.0.0.1:80", policy.Member{Server: 0xdcbf2eb1, Zone: 0, Cell: 5, InstanceType: 1, Mode: policy.ModeReady, Size: 1.5, StartedAt: 1.7e15}},
+		{"quote-02", "10.0.0.2:80", policy.Member{Server: 0xd9bf29f8, Zone: 1, Cell: 6, InstanceType: 0, Mode: policy.ModeDraining, Size: 0.75, StartedAt: 1.6e15}},
 		{"quote-03", "", policy.Member{Server: 0xdabf2b8b, Mode: policy.ModeGone}},
 	}
 	if !reflect.DeepEqual(hosts, members) {
--- a/internal/standalone/discovery/watch.go
+++ b/internal/standalone/discovery/watch.go
@@ -125,12 +125,12 @@
 func (w *Watcher) Start(module Module, known []byte) {
 	w.module = module
 	if len(known) == 0 {
-		w.module.UpdateMembers(policy.ListCached, nil)
+		w.module.UpdateMembers(policy.MembershipCached, nil)
 		return
 	}
 	if err := w.apply(known, true); err != nil {
 		w.log.Error("the known pool config is not usable", "error", err)
-		w.module.UpdateMembers(policy.ListCached, nil)
+		w.module.UpdateMembers(policy.MembershipCached, nil)
 	}
 }
 
@@ -172,9 +172,9 @@
 			w.log.Warn("the watch of the pool config ended", "error", err)
 			// Nobody knows what a watch missed that fell silent, and what a new discovery has to tell counts soon too.
 			if fresh := w.fresh.Swap(false); fresh || errors.Is(err, os.ErrDeadlineExceeded) {
-				w.module.UpdateMembers(policy.ListSilent, nil)
+				w.module.UpdateMembers(policy.DiscoverySilent, nil)
 			} else {
-				w.module.UpdateMembers(policy.ListFailed, nil)
+				w.module.UpdateMembers(policy.DiscoveryFailed, nil)
 			}
 		}(done)
 	}
@@ -224,7 +224,7 @@
 		w.fresh.Store(false)
 		if len(text) == 0 {
 			if first { // nothing has changed: the module still waits for an answer to its call
-				w.module.UpdateMembers(policy.ListDelta, nil)
+				w.module.UpdateMembers(policy.MembershipDelta, nil)
 				w.heard.Store(true)
 			}
 			continue
@@ -263,7 +263,7 @@
 	for i := range hosts {
 		h := &hosts[i]
 		if h.Member.Mode != policy.ModeGone {
-			w.bans.Listed(h.Name, h.Member.UpSince)
+			w.bans.Listed(h.Name, h.Member.StartedAt)
 		}
 		m := w.bans.Member(h.Name, h.Member)
 		members[i] = m
@@ -274,9 +274,9 @@
 			w.forget(m.Server)
 		}
 	}
-	kind := policy.ListDelta
+	kind := policy.MembershipDelta
 	if u.Whole {
-		kind = policy.ListFull
+		kind = policy.MembershipFull
 		for id := range w.listed { // a whole list drops what it misses
 			if !now[id] {
 				w.fleet.SetBackend(id, "", false)
@@ -285,7 +285,7 @@
 		}
 	}
 	if cached {
-		kind = policy.ListCached
+		kind = policy.MembershipCached
 	}
 	w.seq = u.Seq
 	w.size.Store(int64(len(w.listed)))
--- a/internal/standalone/engine/planner.go
+++ b/internal/standalone/engine/planner.go
@@ -103,8 +103,8 @@
 	p.nextID++
 	c := &Call{engine: p, id: p.nextID, actions: make(chan policy.Action, maxActions)}
 	p.calls[c.id] = c
-	p.dispatch(&policy.Event{Kind: policy.Arrival, ID: c.id, Class: a.Class, Tenant: a.Tenant, Key: a.SessionKey,
-		Work: a.WorkHint, Patience: time.Until(a.Deadline).Microseconds(), Slow: a.BodyPending})
+	p.dispatch(&policy.Event{Kind: policy.RequestArrived, ID: c.id, Class: a.Class, Tenant: a.Tenant, AffinityKey: a.SessionKey,
+		Work: a.WorkHint, ClientTimeout: time.Until(a.Deadline).Microseconds(), BodyPending: a.BodyPending})
 	return c
 }
 
@@ -114,7 +114,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if int(attempt) < len(c.attempts) && c.attempts[attempt].running {
-		p.dispatch(&policy.Event{Kind: policy.Handed, ID: c.id, Attempt: attempt})
+		p.dispatch(&policy.Event{Kind: policy.BodySent, ID: c.id, Attempt: attempt})
 	}
 }
 
@@ -136,7 +136,7 @@
 	if sent.Before(s.started) {
 		sent = s.started
 	}
-	p.dispatch(&policy.Event{Kind: policy.Outcomed, ID: c.id, Attempt: attempt, Server: s.server,
+	p.dispatch(&policy.Event{Kind: policy.AttemptEnded, ID: c.id, Attempt: attempt, Server: s.server,
 		Outcome: outcome, Elapsed: time.Since(sent).Microseconds(), Final: c.ended, Report: report})
 	c.removeIfEnded()
 	return answers
@@ -151,7 +151,7 @@
 		return
 	}
 	c.ended = true
-	p.dispatch(&policy.Event{Kind: policy.Departed, ID: c.id})
+	p.dispatch(&policy.Event{Kind: policy.RequestAbandoned, ID: c.id})
 	c.removeIfEnded()
 }
 
@@ -165,7 +165,7 @@
 func (p *Engine) ProbeDone(server uint32, outcome policy.Outcome, took time.Duration, report []float32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.dispatch(&policy.Event{Kind: policy.Probed, Server: server, Outcome: outcome, Elapsed: took.Microseconds(), Report: report})
+	p.dispatch(&policy.Event{Kind: policy.LoadPolled, Server: server, Outcome: outcome, Elapsed: took.Microseconds(), Report: report})
 }
 
 // UpdateMembers tells the module what discovery said. kind is one of the module's list events.
@@ -179,22 +179,22 @@
 func (p *Engine) ApplySettings(set policy.Settings) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.policy.(interface{ Change(policy.Settings) error })
+	m, ok := p.policy.(interface{ ApplySettings(policy.Settings) error })
 	if !ok {
 		return errors.New("planner: this module keeps the settings that it began with")
 	}
-	return m.Change(set)
+	return m.ApplySettings(set)
 }
 
 // Snapshot is what the module has found out, as JSON; nothing where the module does not say.
 func (p *Engine) Snapshot() ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.policy.(interface{ Learnt() *policy.Learnt })
+	m, ok := p.policy.(interface{ Snapshot() *policy.Snapshot })
 	if !ok {
 		return nil, nil
 	}
-	text, err := json.Marshal(m.Learnt())
+	text, err := json.Marshal(m.Snapshot())
 	if err != nil {
 		return nil, fmt.Errorf("planner: what the module has learnt: %w", err)
 	}
@@ -203,32 +203,32 @@
 
 // Restore gives the module what another has found out, if that is no older than most. An error means that it was not believed.
 func (p *Engine) Restore(text []byte, most time.Duration) error {
-	var l policy.Learnt
+	var l policy.Snapshot
 	if err := json.Unmarshal(text, &l); err != nil {
 		return fmt.Errorf("planner: %w", err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	m, ok := p.policy.(interface {
-		Adopt(policy.Time, *policy.Learnt) bool
+		Restore(policy.Time, *policy.Snapshot) bool
 	})
 	switch {
 	case !ok:
 		return errors.New("planner: this module learns for itself")
 	case p.now()-l.At > most.Microseconds():
 		return fmt.Errorf("planner: it is %v old", time.Duration(p.now()-l.At)*time.Microsecond)
-	case !m.Adopt(p.now(), &l):
+	case !m.Restore(p.now(), &l):
 		return errors.New("planner: it has numbers that cannot be")
 	}
 	return nil
 }
 
 // TableSizes is what is held in memory for calls: calls and timers here, and what the module says of itself.
-func (p *Engine) TableSizes() (calls, timers int, module policy.Kept) {
+func (p *Engine) TableSizes() (calls, timers int, module policy.TableSizes) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, ok := p.policy.(interface{ Kept() policy.Kept }); ok {
-		module = m.Kept()
+	if m, ok := p.policy.(interface{ TableSizes() policy.TableSizes }); ok {
+		module = m.TableSizes()
 	}
 	return len(p.calls), len(p.timers), module
 }
@@ -237,8 +237,8 @@
 func (p *Engine) AvoidedBackends() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, ok := p.policy.(interface{ Avoided() int }); ok {
-		return m.Avoided()
+	if m, ok := p.policy.(interface{ EjectedServers() int }); ok {
+		return m.EjectedServers()
 	}
 	return 0
 }
@@ -269,28 +269,28 @@
 			default:
 			}
 		}
-	case policy.Subscribe:
+	case policy.SubscribeDiscovery:
 		p.hooks.Subscribe()
-	case policy.CloseUnused:
+	case policy.CloseIdleConns:
 		p.hooks.CloseUnused(a.Server)
-	case policy.Probe:
+	case policy.PollLoad:
 		if p.hooks.Probe != nil {
 			p.hooks.Probe(a.Server)
 		}
-	case policy.LogLine:
+	case policy.LogMessage:
 		p.log.Info("module", "text", a.Text)
-	case policy.Send, policy.Refuse, policy.Fail, policy.Cancel:
+	case policy.SendAttempt, policy.RejectRequest, policy.FailRequest, policy.CancelAttempt:
 		c := p.calls[a.ID]
-		if c == nil || c.ended && a.Kind != policy.Cancel {
+		if c == nil || c.ended && a.Kind != policy.CancelAttempt {
 			p.log.Warn("action for a call that is over", "kind", a.Kind)
 			return
 		}
 		switch a.Kind {
-		case policy.Send:
+		case policy.SendAttempt:
 			c.attempts = append(c.attempts, attempt{server: a.Server, started: time.Now(), running: true})
 			c.running++
 			a.Attempt = uint8(len(c.attempts) - 1)
-		case policy.Refuse, policy.Fail:
+		case policy.RejectRequest, policy.FailRequest:
 			c.ended = true
 			c.removeIfEnded()
 		}
--- a/internal/standalone/engine/planner_test.go
+++ b/internal/standalone/engine/planner_test.go
@@ -28,8 +28,8 @@
 }
 
 func sendTwice(ev *policy.Event) []policy.Action {
-	if ev.Kind == policy.Arrival {
-		return []policy.Action{{Kind: policy.Send, ID: ev.ID, Server: 7}, {Kind: policy.Send, ID: ev.ID, Server: 8}}
+	if ev.Kind == policy.RequestArrived {
+		return []policy.Action{{Kind: policy.SendAttempt, ID: ev.ID, Server: 7}, {Kind: policy.SendAttempt, ID: ev.ID, Server: 8}}
 	}
 	return nil
 }
@@ -58,8 +58,8 @@
 // A client that leaves is told to the module, and what it calls off comes before Depart returns.
 func TestDepartureBringsItsCancels(t *testing.T) {
 	s := &script{act: func(ev *policy.Event) []policy.Action {
-		if ev.Kind == policy.Departed {
-			return []policy.Action{{Kind: policy.Cancel, ID: ev.ID, Attempt: 1}}
+		if ev.Kind == policy.RequestAbandoned {
+			return []policy.Action{{Kind: policy.CancelAttempt, ID: ev.ID, Attempt: 1}}
 		}
 		return sendTwice(ev)
 	}}
@@ -69,7 +69,7 @@
 	c.Cancel()
 	select {
 	case a := <-c.Actions():
-		if a.Kind != policy.Cancel || a.Attempt != 1 {
+		if a.Kind != policy.CancelAttempt || a.Attempt != 1 {
 			t.Errorf("got %+v", a)
 		}
 	default:
@@ -80,7 +80,7 @@
 func TestTimersFireInOrderAndTheClockNeverGoesBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &script{act: func(ev *policy.Event) []policy.Action {
-			if ev.Kind != policy.ListFull {
+			if ev.Kind != policy.MembershipFull {
 				return nil
 			}
 			return []policy.Action{{Kind: policy.SetTimer, ID: 3, After: 30_000}, {Kind: policy.SetTimer, ID: 1, After: 10_000},
@@ -91,7 +91,7 @@
 		defer cancel()
 		go p.Run(ctx)
 		synctest.Wait()
-		p.UpdateMembers(policy.ListFull, nil)
+		p.UpdateMembers(policy.MembershipFull, nil)
 		time.Sleep(time.Second)
 		synctest.Wait()
 		var tags []uint64
@@ -110,13 +110,13 @@
 // A panic in the module must cost one decision, not every request in flight.
 func TestModulePanicIsSurvived(t *testing.T) {
 	s := &script{act: func(ev *policy.Event) []policy.Action {
-		if ev.Kind == policy.ListFailed {
+		if ev.Kind == policy.DiscoveryFailed {
 			panic("a fault")
 		}
 		return sendTwice(ev)
 	}}
 	p := start(s)
-	p.UpdateMembers(policy.ListFailed, nil)
+	p.UpdateMembers(policy.DiscoveryFailed, nil)
 	if c := p.Start(Request{}); len(c.actions) != 2 {
 		t.Errorf("%d actions after the panic", len(c.actions))
 	}
--- a/internal/standalone/forwarder/probes_test.go
+++ b/internal/standalone/forwarder/probes_test.go
@@ -44,7 +44,7 @@
 		synctest.Wait()
 		probes.Start(1)
 		synctest.Wait()
-		if last := told[len(told)-1]; len(told) != maxProbes+1 || told[0].Outcome != policy.TimedOut || last.Kind != policy.Probed ||
+		if last := told[len(told)-1]; len(told) != maxProbes+1 || told[0].Outcome != policy.TimedOut || last.Kind != policy.LoadPolled ||
 			last.Server != 1 || last.Outcome != policy.OK || len(last.Report) != 2 || probes.InFlight() != 0 {
 			t.Errorf("%d out, the module was told of %d and last %+v", probes.InFlight(), len(told), last)
 		}
--- a/internal/standalone/forwarder/route.go
+++ b/internal/standalone/forwarder/route.go
@@ -101,19 +101,19 @@
 		select {
 		case action := <-call.Actions():
 			switch action.Kind {
-			case policy.Send: // an attempt
+			case policy.SendAttempt: // an attempt
 				if ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 					call.Cancel() // it left in the same moment: the attempt is not made, and no other comes in its place
 					call.Finish(action.Attempt, policy.NotSent, nil, time.Time{})
 					continue
 				}
 				r.start(attemptContext, action)
-			case policy.Cancel:
+			case policy.CancelAttempt:
 				r.cancel(action.Attempt)
-			case policy.Refuse: // a busy reply
+			case policy.RejectRequest: // a busy reply
 				in.Rejected = true
 				return rejectedResponse(req, min(action.After, t.MaxRetryAfter.Load())), nil
-			case policy.Fail: // a failure
+			case policy.FailRequest: // a failure
 				return textResponse(req, http.StatusBadGateway, "no destination could answer\n"), nil
 			}
 		case answer := <-r.responses: // an answer
@@ -164,8 +164,8 @@
 		ctx, cancel = context.WithDeadline(ctx, time.Now().Add(time.Duration(action.After)*time.Microsecond))
 	}
 	sent := r.template
-	if action.By > 0 {
-		sent.WriteBy = r.transport.Engine.TimeOf(action.By)
+	if action.SendBefore > 0 {
+		sent.WriteBy = r.transport.Engine.TimeOf(action.SendBefore)
 	}
 	done := make(chan struct{})
 	if sent.Body.Stream != nil {
@@ -200,7 +200,7 @@
 	defer func() {
 		if p := recover(); p != nil {
 			r.transport.Log.Error("an attempt panicked", "panic", p, "stack", string(debug.Stack()))
-			result = backend.Result{Outcome: policy.Reset} // it may have run
+			result = backend.Result{Outcome: policy.ConnectionReset} // it may have run
 		}
 	}()
 	return r.transport.Backends.Exchange(ctx, id, sent)
@@ -218,9 +218,9 @@
 		select {
 		case action := <-r.call.Actions():
 			switch action.Kind {
-			case policy.Cancel:
+			case policy.CancelAttempt:
 				r.cancel(action.Attempt)
-			case policy.Send: // decided just before the client left: it is not made
+			case policy.SendAttempt: // decided just before the client left: it is not made
 				r.call.Finish(action.Attempt, policy.NotSent, nil, time.Time{})
 			}
 		default:
--- a/internal/standalone/forwarder/route_test.go
+++ b/internal/standalone/forwarder/route_test.go
@@ -44,16 +44,16 @@
 }
 
 func send(id uint64, server uint32) policy.Action {
-	return policy.Action{Kind: policy.Send, ID: id, Server: server}
+	return policy.Action{Kind: policy.SendAttempt, ID: id, Server: server}
 }
 
 // sendThen sends to server 1 and answers an outcome that is not final with an action.
 func sendThen(a policy.Action) script {
 	return func(ev *policy.Event) []policy.Action {
 		switch {
-		case ev.Kind == policy.Arrival:
+		case ev.Kind == policy.RequestArrived:
 			return []policy.Action{send(ev.ID, 1)}
-		case ev.Kind == policy.Outcomed && !ev.Final && ev.Server == 1:
+		case ev.Kind == policy.AttemptEnded && !ev.Final && ev.Server == 1:
 			a.ID = ev.ID
 			return []policy.Action{a}
 		}
@@ -64,7 +64,7 @@
 func TestAnswers(t *testing.T) {
 	served := backend.Result{Outcome: policy.OK,
 		Response: &backend.Response{Header: http.Header{}, Body: []byte("42")}}
-	full := backend.Result{Outcome: policy.Full}
+	full := backend.Result{Outcome: policy.Rejected}
 	for name, c := range map[string]struct {
 		module script
 		first  backend.Result
@@ -74,10 +74,10 @@
 	}{
 		"served":          {sendThen(policy.Action{}), served, 200, "42", ""},
 		"repeated":        {sendThen(send(0, 2)), full, 200, "42", ""},
-		"busy":            {sendThen(policy.Action{Kind: policy.Refuse, After: 350_000}), full, 503, "busy\n", "0.350"},
-		"busy, no span":   {sendThen(policy.Action{Kind: policy.Refuse}), full, 503, "busy\n", ""},
-		"busy, long span": {sendThen(policy.Action{Kind: policy.Refuse, After: 9e6}), full, 503, "busy\n", "2.500"},
-		"failed":          {sendThen(policy.Action{Kind: policy.Fail}), full, 502, "no destination could answer\n", ""},
+		"busy":            {sendThen(policy.Action{Kind: policy.RejectRequest, After: 350_000}), full, 503, "busy\n", "0.350"},
+		"busy, no span":   {sendThen(policy.Action{Kind: policy.RejectRequest}), full, 503, "busy\n", ""},
+		"busy, long span": {sendThen(policy.Action{Kind: policy.RejectRequest, After: 9e6}), full, 503, "busy\n", "2.500"},
+		"failed":          {sendThen(policy.Action{Kind: policy.FailRequest}), full, 502, "no destination could answer\n", ""},
 	} {
 		resp, err := run(t.Context(), c.module, func(_ context.Context, server uint32) backend.Result {
 			if server == 1 {
@@ -98,7 +98,9 @@
 
 // A request that comes with no time left is refused by the module at once; that is its answer, not that its time is up.
 func TestTheLastWordGoesFirst(t *testing.T) {
-	refuses := script(func(ev *policy.Event) []policy.Action { return []policy.Action{{Kind: policy.Refuse, ID: ev.ID}} })
+	refuses := script(func(ev *policy.Event) []policy.Action {
+		return []policy.Action{{Kind: policy.RejectRequest, ID: ev.ID}}
+	})
 	late, cancel := context.WithDeadline(t.Context(), time.Now())
 	defer cancel()
 	for range 50 {
@@ -120,7 +122,7 @@
 		status int
 		at     time.Duration
 	}{
-		"failed by the module": {sendThen(policy.Action{Kind: policy.Fail}), 502, time.Second - responseMargin},
+		"failed by the module": {sendThen(policy.Action{Kind: policy.FailRequest}), 502, time.Second - responseMargin},
 		"silent module":        {sendThen(policy.Action{}), 504, time.Second},
 		"no attempt at all":    {func(*policy.Event) []policy.Action { return nil }, 504, time.Second},
 	} {
@@ -140,11 +142,11 @@
 		outcomes := 0
 		module := script(func(ev *policy.Event) []policy.Action {
 			switch ev.Kind {
-			case policy.Arrival:
+			case policy.RequestArrived:
 				return []policy.Action{send(ev.ID, 1)}
-			case policy.Departed:
-				return []policy.Action{{Kind: policy.Cancel, ID: ev.ID}}
-			case policy.Outcomed:
+			case policy.RequestAbandoned:
+				return []policy.Action{{Kind: policy.CancelAttempt, ID: ev.ID}}
+			case policy.AttemptEnded:
 				outcomes++
 			}
 			return nil
@@ -165,7 +167,7 @@
 
 // An attempt that panics has an outcome; without one its request would stay open until the deadline.
 func TestPanickingStepIsAReset(t *testing.T) {
-	resp, err := run(t.Context(), sendThen(policy.Action{Kind: policy.Fail}),
+	resp, err := run(t.Context(), sendThen(policy.Action{Kind: policy.FailRequest}),
 		func(context.Context, uint32) backend.Result { panic("a fault") })
 	if err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("%v, %v", resp, err)
@@ -185,7 +187,7 @@
 			var told []policy.EventKind
 			module := script(func(ev *policy.Event) []policy.Action {
 				told = append(told, ev.Kind)
-				if ev.Kind == policy.Arrival && ev.Slow {
+				if ev.Kind == policy.RequestArrived && ev.BodyPending {
 					return []policy.Action{send(ev.ID, 1)}
 				}
 				return nil
@@ -213,7 +215,7 @@
 			if synctest.Wait(); len(told) != 1 {
 				t.Errorf("%s: while the body comes: %v", name, told)
 			}
-			want := []policy.EventKind{policy.Arrival, policy.Handed, policy.Outcomed}
+			want := []policy.EventKind{policy.RequestArrived, policy.BodySent, policy.AttemptEnded}
 			if whole {
 				to.Close()
 			} else {
@@ -222,7 +224,7 @@
 			}
 			time.Sleep(time.Second)
 			synctest.Wait()
-			if whole && !slices.Equal(told, want) || !whole && slices.Contains(told, policy.Handed) {
+			if whole && !slices.Equal(told, want) || !whole && slices.Contains(told, policy.BodySent) {
 				t.Errorf("%s: the module was told %v, want %v", name, told, want)
 			}
 		})
--- a/internal/standalone/latencybaseline/calm.go
+++ b/internal/standalone/latencybaseline/calm.go
@@ -12,17 +12,17 @@
 	forgets = 0.01      // a second, of the least: what takes longer for good comes to be known as calm
 )
 
-// Follow moves quantile, that under which a share of samples lie, by a step (a part of its value) towards where sample says
+// StepQuantile moves quantile, that under which a share of samples lie, by a step (a part of its value) towards where sample says
 // that it is.
-func Follow(quantile, sample, share, step float64) float64 {
+func StepQuantile(quantile, sample, share, step float64) float64 {
 	if sample < quantile {
 		return quantile * (1 - (1-share)*step)
 	}
 	return quantile * (1 + share*step)
 }
 
-// Time is the estimate for one kind of answers. The zero Time knows nothing.
-type Time struct {
+// Estimator is the estimate for one kind of answers. The zero Time knows nothing.
+type Estimator struct {
 	seen    int
 	running float64
 	least   float64
@@ -30,14 +30,14 @@
 }
 
 // Observe takes the time that an answer took, in any unit, at now, in microseconds.
-func (t *Time) Observe(now int64, took float64) {
+func (t *Estimator) Observe(now int64, took float64) {
 	if !(took > 0) {
 		return
 	}
 	if t.seen++; t.seen == 1 {
 		t.running = took
 	}
-	t.running = Follow(t.running, took, share, step*float64(max(1, warmup/2/t.seen)))
+	t.running = StepQuantile(t.running, took, share, step*float64(max(1, warmup/2/t.seen)))
 	switch passed := now - t.looked; {
 	case t.seen == warmup:
 		t.least, t.looked = t.running, now
@@ -46,13 +46,13 @@
 	}
 }
 
-// Known is an estimate that another has come to; nothing is known if it is not over 0.
-func Known(least float64) (t Time) {
+// Restore is an estimate that another has come to; nothing is known if it is not over 0.
+func Restore(least float64) (t Estimator) {
 	if least > 0 {
-		t = Time{seen: warmup, running: least, least: least}
+		t = Estimator{seen: warmup, running: least, least: least}
 	}
 	return t
 }
 
-// Least is what most answers take where nothing queues, in the unit of Observe, once enough have come.
-func (t *Time) Least() (took float64, known bool) { return t.least, t.seen >= warmup }
+// Baseline is what most answers take where nothing queues, in the unit of Observe, once enough have come.
+func (t *Estimator) Baseline() (took float64, known bool) { return t.least, t.seen >= warmup }
--- a/internal/standalone/latencybaseline/calm_test.go
+++ b/internal/standalone/latencybaseline/calm_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// Least is near what four in five answers take without a queue, at any rate and scale: a queue of ten seconds is not taken for it,
+// Baseline is near what four in five answers take without a queue, at any rate and scale: a queue of ten seconds is not taken for it,
 // what takes longer for good is in the end, and what is fast again is at once. Nothing is told of few answers, or of nonsense.
 func TestLeast(t *testing.T) {
 	for _, rate := range []int{30, 300} {
 		for _, scale := range []float64{0.25, 1, 4} {
 			r := rand.New(rand.NewPCG(uint64(rate), 1))
 			most, at := 300_000*scale*math.Exp(0.3*0.8416), int64(0) // the value that 80% of draws lie under
-			var c Time
+			var c Estimator
 			for _, step := range []struct {
 				seconds, times int
 				least, top     float64
@@ -22,19 +22,19 @@
 					at += 1e6 / int64(rate)
 					c.Observe(at, float64(step.times)*300_000*scale*math.Exp(0.3*r.NormFloat64()))
 				}
-				if least, known := c.Least(); !known || least < step.least*most || least > step.top*most {
+				if least, known := c.Baseline(); !known || least < step.least*most || least > step.top*most {
 					t.Errorf("rate %d, scale %v, %d s of %d times: %.2f of the truth", rate, scale, step.seconds, step.times, least/most)
 				}
 			}
 		}
 	}
-	var c Time
+	var c Estimator
 	for i := range int64(warmup - 1) {
 		c.Observe(i*1e6, 1000)
 		c.Observe(i*1e6, math.NaN())
 		c.Observe(i*1e6, -1)
 	}
-	if _, known := c.Least(); known || c.running < 100 || c.running > 3000 {
+	if _, known := c.Baseline(); known || c.running < 100 || c.running > 3000 {
 		t.Errorf("%v is told after %d answers of 1000", c.running, warmup-1)
 	}
 }
@@ -46,11 +46,11 @@
 	truth, sum, off := math.Log(5), 0.0, 0 // the value that 80% of the draws lie under
 	const draws = 1000
 	for range draws {
-		var c Time
+		var c Estimator
 		for i := range int64(20) {
 			c.Observe(i*50_000, r.ExpFloat64())
 		}
-		least, known := c.Least()
+		least, known := c.Baseline()
 		if sum += least / truth; !known || least < truth/2 || least > truth*2 {
 			off++
 		}
--- a/internal/standalone/listener/change_test.go
+++ b/internal/standalone/listener/change_test.go
@@ -35,7 +35,7 @@
 		go func() { old <- ask("quote", "GET", "1") }()
 		<-inside
 		next := site()
-		next.Classes = []settings.Class{{Name: "bind", Semantics: "side_effect", HardLimit: 1e6}, next.Classes[1]}
+		next.Classes = []settings.Class{{Name: "bind", Semantics: "side_effect", ClientTimeout: 1e6}, next.Classes[1]}
 		if err := f.ApplySettings(next, func(*settings.Settings) error { return errors.New("no") }); err == nil {
 			t.Error("a change that another part turned down was taken")
 		}
--- a/internal/standalone/listener/front_test.go
+++ b/internal/standalone/listener/front_test.go
@@ -28,8 +28,8 @@
 func (t transport) RoundTrip(r *http.Request) (*http.Response, error) { return t(r) }
 
 func site() *settings.Settings {
-	return &settings.Settings{Classes: []settings.Class{{Name: "quote", Semantics: "pure", HardLimit: 1.5e6},
-		{Name: "issue", Semantics: "token", HardLimit: 3e6}}, Projects: []settings.Project{{Name: "acme"}, {Name: "zenith"}}}
+	return &settings.Settings{Classes: []settings.Class{{Name: "quote", Semantics: "pure", ClientTimeout: 1.5e6},
+		{Name: "issue", Semantics: "token", ClientTimeout: 3e6}}, Tenants: []settings.Tenant{{Name: "acme"}, {Name: "zenith"}}}
 }
 
 func newFront(t transport, most int) *Server {
--- a/internal/standalone/listener/leave_test.go
+++ b/internal/standalone/listener/leave_test.go
@@ -44,23 +44,23 @@
 // last request once more.
 func (c *crossing) Handle(_ policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
-	case policy.Arrival:
+	case policy.RequestArrived:
 		c.last.Store(ev.ID)
 		defer func() { c.arrived <- struct{}{} }()
 		if c.atOnce {
-			return append(out, policy.Action{Kind: policy.Send, ID: ev.ID, Server: 1})
+			return append(out, policy.Action{Kind: policy.SendAttempt, ID: ev.ID, Server: 1})
 		}
-	case policy.Outcomed:
+	case policy.AttemptEnded:
 		c.outcome.Store(uint32(ev.Outcome))
 		c.heard.Add(1)
-	case policy.ListFull:
-		return append(out, policy.Action{Kind: policy.Send, ID: c.last.Load(), Server: 1})
+	case policy.MembershipFull:
+		return append(out, policy.Action{Kind: policy.SendAttempt, ID: c.last.Load(), Server: 1})
 	}
 	return out
 }
 
 // sendOn has the module send the last request.
-func (c *crossing) sendOn() { c.planner.UpdateMembers(policy.ListFull, nil) }
+func (c *crossing) sendOn() { c.planner.UpdateMembers(policy.MembershipFull, nil) }
 
 // clientSide is a connection that a listener took, and how many bytes the proxy has read from it.
 type clientSide struct {
--- a/internal/standalone/listener/read.go
+++ b/internal/standalone/listener/read.go
@@ -69,7 +69,7 @@
 	}
 	rd.classes.Change(plan, s.Classes)
 	rd.tenants = map[string]uint32{}
-	for i, p := range s.Projects {
+	for i, p := range s.Tenants {
 		rd.tenants[p.Name] = uint32(i)
 	}
 	return nil
@@ -198,7 +198,7 @@
 		rd.end(in)
 		return nil, 0, &requestError{http.StatusMethodNotAllowed, "this class goes by " + want}
 	}
-	most := time.Duration(settings.Micros(c.HardLimit)) * time.Microsecond
+	most := time.Duration(settings.Micros(c.ClientTimeout)) * time.Microsecond
 	return in, min(time.Duration(left)*time.Millisecond, most), nil
 }
 
--- a/internal/standalone/listener/stop.go
+++ b/internal/standalone/listener/stop.go
@@ -35,7 +35,7 @@
 func longestHardLimit(s *settings.Settings) time.Duration {
 	var longest time.Duration
 	for _, c := range s.Classes {
-		longest = max(longest, time.Duration(c.HardLimit)*time.Microsecond)
+		longest = max(longest, time.Duration(c.ClientTimeout)*time.Microsecond)
 	}
 	return longest
 }
--- a/internal/standalone/listener/stop_test.go
+++ b/internal/standalone/listener/stop_test.go
@@ -75,7 +75,7 @@
 	for name, body := range map[string]string{"whole": "Content-Length: 2\r\n\r\n{}", "still coming": "Content-Length: 99999\r\n\r\n" + strings.Repeat("x", 70_000)} {
 		synctest.Test(t, func(t *testing.T) {
 			set := site()
-			set.Classes[1].HardLimit = 12e6
+			set.Classes[1].ClientTimeout = 12e6
 			f := New(Options{Settings: set, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
 				Transport: transport(func(r *http.Request) (*http.Response, error) {
 					<-r.Context().Done() // as a route whose module has not settled it
--- a/internal/standalone/loadpolling/probing.go
+++ b/internal/standalone/loadpolling/probing.go
@@ -9,15 +9,15 @@
 	perRequest = 0.05      // probes that a balancer may send for each request that it has
 )
 
-// Every is how long a balancer leaves between two probes of one server, in microseconds, if it knows of this many servers, shares
+// Interval is how long a balancer leaves between two probes of one server, in microseconds, if it knows of this many servers, shares
 // them with others so that there are balancers of them in all, and has rate requests a second.
-func Every(servers, balancers int, rate float64) int64 {
+func Interval(servers, balancers int, rate float64) int64 {
 	every := max(leastEvery, eachEvery*float64(balancers))
 	return int64(max(every, 1e6*float64(servers)/(perRequest*max(1, rate))))
 }
 
-// Turn is when a server was probed last. The zero Turn was never.
-type Turn struct {
+// Schedule is when a server was probed last. The zero Turn was never.
+type Schedule struct {
 	next int64
 	set  bool
 }
@@ -25,7 +25,7 @@
 // Due says whether the server is to be probed now, at now in microseconds, and takes it that it is. drawn is a random number from 0
 // to 1: the first probe comes within one period, so that balancers that start together do not probe together, and later ones
 // a tenth of it early or late.
-func (t *Turn) Due(now, every int64, drawn float64) bool {
+func (t *Schedule) Due(now, every int64, drawn float64) bool {
 	if !t.set {
 		t.next, t.set = now+int64(drawn*float64(min(every, leastEvery))), true
 		return false
--- a/internal/standalone/maintenance/stored_test.go
+++ b/internal/standalone/maintenance/stored_test.go
@@ -29,12 +29,12 @@
 	if err := s.Adopt(text); err != nil {
 		t.Fatal(err)
 	}
-	ready := policy.Member{Server: 9, Mode: policy.ModeReady, UpSince: 5}
+	ready := policy.Member{Server: 9, Mode: policy.ModeReady, StartedAt: 5}
 	for name, want := range map[string]policy.Member{
-		"quote-01": {Server: 9, Mode: policy.ModeDraining, UpSince: 5},
-		"quote-02": {Server: 9, Mode: policy.ModeDraining, UpSince: 5},
-		"quote-03": {Server: 9, Mode: policy.ModeReady, UpSince: 1_700_000_000_000_001},
-		"quote-04": {Server: 9, Mode: policy.ModeReady, UpSince: 1_700_000_000_000_002},
+		"quote-01": {Server: 9, Mode: policy.ModeDraining, StartedAt: 5},
+		"quote-02": {Server: 9, Mode: policy.ModeDraining, StartedAt: 5},
+		"quote-03": {Server: 9, Mode: policy.ModeReady, StartedAt: 1_700_000_000_000_001},
+		"quote-04": {Server: 9, Mode: policy.ModeReady, StartedAt: 1_700_000_000_000_002},
 		"quote-05": ready,
 	} {
 		if got := s.Member(name, ready); got != want {
--- a/internal/standalone/maintenance/suspension.go
+++ b/internal/standalone/maintenance/suspension.go
@@ -115,7 +115,7 @@
 	if h.banned && m.Mode == policy.ModeReady {
 		m.Mode = policy.ModeDraining
 	}
-	m.UpSince = max(m.UpSince, h.back)
+	m.StartedAt = max(m.StartedAt, h.back)
 	return m
 }
 
--- a/internal/standalone/maintenance/suspension_test.go
+++ b/internal/standalone/maintenance/suspension_test.go
@@ -35,12 +35,12 @@
 		t.Errorf("resumed: %v", err)
 	}
 	for listed, want := range map[policy.Time]policy.Time{100: 9000, 5000: 9000, 9500: 9500} {
-		if got := s.Member("a", policy.Member{Mode: ready, UpSince: listed}).UpSince; got != want {
+		if got := s.Member("a", policy.Member{Mode: ready, StartedAt: listed}).StartedAt; got != want {
 			t.Errorf("listed as started at %d: %d", listed, got)
 		}
 	}
 	s.Listed("a", 9500)
-	if err := s.Resume("a", 12000); err != nil || s.Member("a", policy.Member{Mode: ready, UpSince: 9500}).UpSince != 9500 {
+	if err := s.Resume("a", 12000); err != nil || s.Member("a", policy.Member{Mode: ready, StartedAt: 9500}).StartedAt != 9500 {
 		t.Error("a resume of a host that is in use made it cold")
 	}
 }
@@ -59,7 +59,7 @@
 	if err := b.Adopt(a.Text()); err != nil {
 		t.Fatal(err)
 	}
-	if mode(&b, "x", ready) != draining || mode(&b, "z", ready) != ready || b.Member("y", policy.Member{Mode: ready}).UpSince != 77 {
+	if mode(&b, "x", ready) != draining || mode(&b, "z", ready) != ready || b.Member("y", policy.Member{Mode: ready}).StartedAt != 77 {
 		t.Errorf("%s was taken up as %s", a.Text(), b.Text())
 	}
 	before := string(b.Text())
--- a/internal/standalone/policy/ask_test.go
+++ b/internal/standalone/policy/ask_test.go
@@ -28,34 +28,34 @@
 				switch {
 				case a.Kind == SetTimer && a.ID == tagAsk:
 					queue = append(queue, due{now + a.After, n, Event{Kind: TimerFired, ID: a.ID}})
-				case a.Kind == Subscribe:
+				case a.Kind == SubscribeDiscovery:
 					perSecond[now/1e6]++
 					if busy = max(busy, now); busy-now > 1e6 {
-						queue = append(queue, due{now + 1e6, n, Event{Kind: ListFailed}})
+						queue = append(queue, due{now + 1e6, n, Event{Kind: DiscoveryFailed}})
 						continue
 					}
 					busy += 1e6 / c.perS
-					queue = append(queue, due{busy, n, Event{Kind: ListFull}})
+					queue = append(queue, due{busy, n, Event{Kind: MembershipFull}})
 				}
 			}
 		}
 		set := settings()
-		set.AskDiscovery, set.GroupSize, set.Rules.AskWithin = true, c.group, 10e6
+		set.SubscribeDiscovery, set.GroupSize, set.Rules.SubscribeWithin = true, c.group, 10e6
 		for n := range herd {
 			var err error
 			if herd[n], err = New(set, uint64(n+1)); err != nil {
 				t.Fatal(err)
 			}
-			give(n, 1, Event{Kind: ListCached})
+			give(n, 1, Event{Kind: MembershipCached})
 		}
 		for len(queue) > 0 && listed < c.herd {
 			slices.SortFunc(queue, func(a, b due) int { return int(a.at - b.at) })
 			d := queue[0]
 			queue = queue[1:]
 			switch d.ev.Kind {
-			case ListFailed:
+			case DiscoveryFailed:
 				failed++
-			case ListFull:
+			case MembershipFull:
 				listed++
 				last = d.at
 			}
--- a/internal/standalone/policy/change_test.go
+++ b/internal/standalone/policy/change_test.go
@@ -5,35 +5,37 @@
 // New settings bind what arrives from then on. A request under way ends by the class and the attempts that it came with, and
 // what was learnt of servers stays.
 func TestChangeBindsNewRequests(t *testing.T) {
-	set := Settings{Classes: []Class{{Semantics: Safe, Aim: 1e6, Deadline: 4e6, Worth: 1}}, Limits: Limits{Attempts: 3},
+	set := Settings{Classes: []Class{{Semantics: Idempotent, LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}}, Limits: Limits{MaxAttempts: 3},
 		Tenants: []Tenant{{QuotaPerS: 100}}}
 	b, err := New(set, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	members := []Member{{Server: 1, Mode: ModeReady, Size: 1}, {Server: 2, Mode: ModeReady, Size: 1}, {Server: 3, Mode: ModeReady, Size: 1}}
-	b.Handle(1, &Event{Kind: ListFull, Members: members}, nil)
-	arrive := func(id uint64) { b.Handle(2, &Event{Kind: Arrival, ID: id, Work: 1000, Patience: 4e6}, nil) }
+	b.Handle(1, &Event{Kind: MembershipFull, Members: members}, nil)
+	arrive := func(id uint64) {
+		b.Handle(2, &Event{Kind: RequestArrived, ID: id, Work: 1000, ClientTimeout: 4e6}, nil)
+	}
 	fail := func(id uint64, attempt uint8) (sent bool) {
 		at := b.open[id].tries[attempt].id
-		for _, a := range b.Handle(3, &Event{Kind: Outcomed, ID: id, Attempt: attempt, Server: at, Outcome: Failed, Elapsed: 1000}, nil) {
-			sent = sent || a.Kind == Send
+		for _, a := range b.Handle(3, &Event{Kind: AttemptEnded, ID: id, Attempt: attempt, Server: at, Outcome: ErrorResponse, Elapsed: 1000}, nil) {
+			sent = sent || a.Kind == SendAttempt
 		}
 		return sent
 	}
 	arrive(1)
 	faults := b.servers[b.open[1].tries[0].id].faults
 	next := set
-	next.Classes = []Class{{Semantics: Unsafe, Aim: 1e6, Deadline: 4e6, Worth: 1}, {Semantics: Safe, Aim: 1e6, Deadline: 4e6, Worth: 1}}
-	next.Limits.Attempts, next.Tenants = 1, []Tenant{{QuotaPerS: 10}, {QuotaPerS: 20}}
-	if err := b.Change(Settings{}); err == nil {
+	next.Classes = []Class{{Semantics: NonIdempotent, LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}, {Semantics: Idempotent, LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}}
+	next.Limits.MaxAttempts, next.Tenants = 1, []Tenant{{QuotaPerS: 10}, {QuotaPerS: 20}}
+	if err := b.ApplySettings(Settings{}); err == nil {
 		t.Fatal("settings without classes were taken")
 	}
-	if err := b.Change(next); err != nil {
+	if err := b.ApplySettings(next); err != nil {
 		t.Fatal(err)
 	}
 	arrive(2)
-	b.Handle(2, &Event{Kind: Arrival, ID: 3, Class: 1, Tenant: 1, Work: 1000, Patience: 4e6}, nil)
+	b.Handle(2, &Event{Kind: RequestArrived, ID: 3, Class: 1, Tenant: 1, Work: 1000, ClientTimeout: 4e6}, nil)
 	if len(b.servers) != 3 || b.servers[1].faults != faults {
 		t.Error("what was learnt of servers is lost")
 	}
--- a/internal/standalone/policy/crowd_test.go
+++ b/internal/standalone/policy/crowd_test.go
@@ -9,10 +9,10 @@
 	b.usual, b.warmTill = 1e6, b.now+60e6 // nothing is taken for hung, and the window is not narrowed to what is in use
 	b.window = 40
 	for id := range uint64(40) {
-		b.Handle(b.now, &Event{Kind: Arrival, ID: id + 1, Patience: 60e6}, nil)
-		b.Handle(b.now, &Event{Kind: Handed, ID: id + 1}, nil)
+		b.Handle(b.now, &Event{Kind: RequestArrived, ID: id + 1, ClientTimeout: 60e6}, nil)
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id + 1}, nil)
 	}
-	b.Handle(b.now+3*b.set.Classes[0].Aim, &Event{Kind: TimerFired, ID: tagRefresh}, nil)
+	b.Handle(b.now+3*b.set.Classes[0].LatencyTarget, &Event{Kind: TimerFired, ID: tagRefresh}, nil)
 	if b.window >= 40 {
 		t.Errorf("40 attempts are out for three times the aim, and the window is %v", b.window)
 	}
@@ -30,10 +30,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(1e9, &Event{Kind: ListFull, Members: fleet(servers)}, nil)
+		b.Handle(1e9, &Event{Kind: MembershipFull, Members: fleet(servers)}, nil)
 		for id := range uint64(20) {
-			for _, a := range b.Handle(1e9, &Event{Kind: Arrival, ID: id, Patience: 1e6}, nil) {
-				if a.Kind == Send {
+			for _, a := range b.Handle(1e9, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e6}, nil) {
+				if a.Kind == SendAttempt {
 					sent++
 				}
 			}
--- a/internal/standalone/policy/decide.go
+++ b/internal/standalone/policy/decide.go
@@ -55,13 +55,13 @@
 
 	started, refreshed Time
 	heldTimer          bool
-	arrivals           float64                // since the last refresh
-	arrivalRate        float64                // requests a second, smoothed
-	meanWork           float64                // of the requests that tell theirs
-	retries            float64                // tokens of the retry budget
-	shares             []float64              // tokens of each tenant's share
-	usual              float64                // time of a served attempt, median
-	calm               []latencybaseline.Time // by class: what answers take where nothing queues
+	arrivals           float64                     // since the last refresh
+	arrivalRate        float64                     // requests a second, smoothed
+	meanWork           float64                     // of the requests that tell theirs
+	retries            float64                     // tokens of the retry budget
+	shares             []float64                   // tokens of each tenant's share
+	usual              float64                     // time of a served attempt, median
+	calm               []latencybaseline.Estimator // by class: what answers take where nothing queues
 	disc               discovery
 }
 
@@ -105,17 +105,17 @@
 func New(set Settings, seed uint64) (*Balancer, error) {
 	b := &Balancer{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), started: -1,
 		servers: map[uint32]*server{}, open: map[uint64]*request{}, retries: retryBurst, window: math.Inf(1)}
-	return b, b.Change(set)
+	return b, b.ApplySettings(set)
 }
 
-// Change takes over other settings, or none with an error. Requests keep the class and attempts they had.
-func (b *Balancer) Change(set Settings) error {
+// ApplySettings takes over other settings, or none with an error. Requests keep the class and attempts they had.
+func (b *Balancer) ApplySettings(set Settings) error {
 	if err := set.complete(); err != nil {
 		return err
 	}
 	shares := make([]float64, len(set.Tenants))
 	copy(shares, b.shares)
-	calms := make([]latencybaseline.Time, len(set.Classes))
+	calms := make([]latencybaseline.Estimator, len(set.Classes))
 	copy(calms, b.calm)
 	b.set, b.shares, b.calm = set, shares, calms
 	return nil
@@ -130,30 +130,30 @@
 		b.askSoon()
 	}
 	switch ev.Kind {
-	case Arrival:
+	case RequestArrived:
 		b.arrive(ev)
-	case Outcomed:
+	case AttemptEnded:
 		b.ended(ev)
-	case Begun:
+	case ResponseStarted:
 		if r := b.open[ev.ID]; r != nil {
 			r.streams = true // from here the answer is the client's and no deadline runs
 		}
-	case Handed:
+	case BodySent:
 		if r := b.open[ev.ID]; r != nil && int(ev.Attempt) < len(r.tries) && r.tries[ev.Attempt].slow {
 			r.slow = false
 			b.handed(&r.tries[ev.Attempt])
 		}
-	case Departed:
+	case RequestAbandoned:
 		if r := b.open[ev.ID]; r != nil {
 			b.conclude(r)
 		}
 	case TimerFired:
 		b.fired(ev.ID)
-	case Probed:
+	case LoadPolled:
 		if s := b.servers[ev.Server]; s != nil {
 			b.report(s, ev.Report)
 		}
-	case ListFull, ListCached, ListDelta, ListFailed, ListSilent:
+	case MembershipFull, MembershipCached, MembershipDelta, DiscoveryFailed, DiscoverySilent:
 		b.listed(ev)
 	}
 	out, b.out = b.out, nil
@@ -194,9 +194,9 @@
 	}
 	r := b.spare[len(b.spare)-1]
 	b.spare = b.spare[:len(b.spare)-1]
-	*r = request{id: ev.ID, class: &b.set.Classes[ev.Class], number: ev.Class, key: ev.Key, cost: 1,
-		arrived: b.now, deadline: b.now + ev.Patience, attempts: b.set.Limits.Attempts, tries: r.tries[:0],
-		slow: ev.Slow}
+	*r = request{id: ev.ID, class: &b.set.Classes[ev.Class], number: ev.Class, key: ev.AffinityKey, cost: 1,
+		arrived: b.now, deadline: b.now + ev.ClientTimeout, attempts: b.set.Limits.MaxAttempts, tries: r.tries[:0],
+		slow: ev.BodyPending}
 	if ev.Work > 0 {
 		w := float64(ev.Work)
 		if b.meanWork == 0 {
@@ -205,8 +205,8 @@
 		b.meanWork += (w - b.meanWork) / 256
 		r.cost = w / b.meanWork
 	}
-	r.value = r.class.Worth
-	if !b.set.WorthByWork {
+	r.value = r.class.Value
+	if !b.set.ValuePerWork {
 		r.value /= r.cost
 	}
 	// What a tenant sends beyond its share is worth little, and must not push out what others send within
@@ -215,7 +215,7 @@
 		if b.shares[ev.Tenant] >= 1 {
 			b.shares[ev.Tenant]--
 		} else {
-			r.value *= b.set.OverShareWorth
+			r.value *= b.set.OverQuotaValue
 		}
 	}
 	b.open[r.id] = r
@@ -235,10 +235,10 @@
 	}
 	for i := range r.tries {
 		t := &r.tries[i]
-		if !t.mayHaveRun || r.class.Semantics != Keyed {
+		if !t.mayHaveRun || r.class.Semantics != Deduplicated {
 			continue
 		}
-		if r.class.Group == GroupZone && t.zone != s.zone || r.class.Group == GroupCell && t.cell != s.cell {
+		if r.class.DedupScope == DedupPerZone && t.zone != s.zone || r.class.DedupScope == DedupPerCell && t.cell != s.cell {
 			return false
 		}
 	}
@@ -250,7 +250,7 @@
 	if r.over || r.streams || len(r.tries) >= r.attempts || b.now >= r.deadline {
 		return false
 	}
-	if r.out > 0 && !b.set.Limits.SecondCopies {
+	if r.out > 0 && !b.set.Limits.AllowHedging {
 		return false
 	}
 	return b.now < r.repeatBy()
@@ -262,10 +262,10 @@
 func (r *request) repeatBy() Time {
 	by := Time(math.MaxInt64)
 	for i := range r.tries {
-		if t := &r.tries[i]; t.mayHaveRun && r.class.Semantics == Unsafe {
+		if t := &r.tries[i]; t.mayHaveRun && r.class.Semantics == NonIdempotent {
 			return 0
-		} else if t.mayHaveRun && r.class.Semantics == Keyed {
-			by = min(by, t.sent+r.class.Window-r.class.Window/8)
+		} else if t.mayHaveRun && r.class.Semantics == Deduplicated {
+			by = min(by, t.sent+r.class.DedupWindow-r.class.DedupWindow/8)
 		}
 	}
 	return by
@@ -274,8 +274,8 @@
 // mayRefuse says whether the client may be told that trying again is harmless.
 func (r *request) mayRefuse() bool {
 	for i := range r.tries {
-		if r.tries[i].mayHaveRun && (r.class.Semantics == Unsafe ||
-			r.class.Semantics == Keyed && r.class.Group != GroupAll) {
+		if r.tries[i].mayHaveRun && (r.class.Semantics == NonIdempotent ||
+			r.class.Semantics == Deduplicated && r.class.DedupScope != DedupEverywhere) {
 			return false
 		}
 	}
@@ -315,7 +315,7 @@
 	r.out++
 	s.slow++
 	b.charge(s, r.cost)
-	if b.now-s.lastSend >= b.set.Limits.IdleClose {
+	if b.now-s.lastSend >= b.set.Limits.ConnIdleTimeout {
 		s.conns = s.inflight
 	}
 	s.lastSend = b.now
@@ -323,7 +323,7 @@
 		b.handed(&r.tries[len(r.tries)-1])
 	}
 	b.place(s)
-	b.do(Action{Kind: Send, ID: r.id, Server: s.id, By: by})
+	b.do(Action{Kind: SendAttempt, ID: r.id, Server: s.id, SendBefore: by})
 }
 
 // handed counts an attempt as one that its server has.
@@ -345,8 +345,8 @@
 // hold keeps r until a server can take it and the window has room. It ends by itself while a refusal is
 // still in time: what counts is the client's patience, and an answer past the aim is worth little.
 func (b *Balancer) hold(r *request) {
-	margin := heldEvery + 2*b.set.Round
-	r.holdTill = min(r.deadline-margin, r.arrived+max(r.class.Aim/8, r.class.Aim-Time(2*b.usual)))
+	margin := heldEvery + 2*b.set.BatchPeriod
+	r.holdTill = min(r.deadline-margin, r.arrived+max(r.class.LatencyTarget/8, r.class.LatencyTarget-Time(2*b.usual)))
 	if !slices.ContainsFunc(r.tries, func(t attempt) bool { return t.mayHaveRun }) {
 		// Sent nowhere, it is owed its refusal while the client has half of its time left to do better.
 		r.holdTill = min(r.holdTill, r.arrived+(r.deadline-r.arrived)/2-margin)
@@ -354,7 +354,7 @@
 	// With every server drained or taken out there is nothing to wait for.
 	out := len(b.order) > 0 &&
 		!slices.ContainsFunc(b.order, func(s *server) bool { return s.listed && s.mode == ModeReady })
-	crowded := b.set.Limits.MostHeld > 0 && 2*len(b.open) > b.set.Limits.MostHeld
+	crowded := b.set.Limits.MaxOpenRequests > 0 && 2*len(b.open) > b.set.Limits.MaxOpenRequests
 	if out || crowded || b.now+heldEvery > r.holdTill {
 		b.settle(r)
 		return
@@ -421,9 +421,9 @@
 		return
 	}
 	if r.mayRefuse() {
-		b.do(Action{Kind: Refuse, ID: r.id, After: b.comeBack()})
+		b.do(Action{Kind: RejectRequest, ID: r.id, After: b.comeBack()})
 	} else {
-		b.do(Action{Kind: Fail, ID: r.id})
+		b.do(Action{Kind: FailRequest, ID: r.id})
 	}
 	b.conclude(r)
 }
@@ -438,10 +438,10 @@
 // conclude marks r answered and calls off what is still out for it.
 func (b *Balancer) conclude(r *request) {
 	r.over = true
-	if b.set.Limits.Cancel && r.out > 0 && !r.streams {
+	if b.set.Limits.AllowCancel && r.out > 0 && !r.streams {
 		for i := range r.tries {
 			if r.tries[i].out {
-				b.do(Action{Kind: Cancel, ID: r.id, Attempt: uint8(i)})
+				b.do(Action{Kind: CancelAttempt, ID: r.id, Attempt: uint8(i)})
 			}
 		}
 	}
--- a/internal/standalone/policy/health.go
+++ b/internal/standalone/policy/health.go
@@ -21,9 +21,9 @@
 // discovery's capacity does not: after a start or a failure common to all, calls must not come together. One
 // plan stands at a time: a failed call must not leave two behind, or an outage would breed calls.
 func (b *Balancer) askSoon() {
-	if b.set.AskDiscovery { // after a failed call the rule allows four times as long, which leaves room
-		within := float64(b.set.Rules.AskWithin) / 8 * max(1, min(2, float64(b.set.GroupSize)/100))
-		within = min(within*math.Exp2(float64(max(1, b.disc.failures))), 2*float64(b.set.Rules.AskWithin))
+	if b.set.SubscribeDiscovery { // after a failed call the rule allows four times as long, which leaves room
+		within := float64(b.set.Rules.SubscribeWithin) / 8 * max(1, min(2, float64(b.set.GroupSize)/100))
+		within = min(within*math.Exp2(float64(max(1, b.disc.failures))), 2*float64(b.set.Rules.SubscribeWithin))
 		if b.disc.silent {
 			within = min(within, silentWithin)
 		}
@@ -39,27 +39,27 @@
 }
 
 func (b *Balancer) ask() {
-	if b.disc.subscribed || b.now < b.disc.askAt || !b.set.AskDiscovery {
+	if b.disc.subscribed || b.now < b.disc.askAt || !b.set.SubscribeDiscovery {
 		return
 	}
 	b.disc.asked = true
-	b.do(Action{Kind: Subscribe})
-	b.askAfter(b.jitter(b.set.Rules.AskWithin * 2 / 3)) // in case no answer comes at all
+	b.do(Action{Kind: SubscribeDiscovery})
+	b.askAfter(b.jitter(b.set.Rules.SubscribeWithin * 2 / 3)) // in case no answer comes at all
 }
 
 // listed takes news of the list.
 func (b *Balancer) listed(ev *Event) {
-	if ev.Kind == ListFailed || ev.Kind == ListSilent {
+	if ev.Kind == DiscoveryFailed || ev.Kind == DiscoverySilent {
 		if !b.disc.asked && !b.disc.subscribed {
 			return // news of an earlier call: the present plan stands, or failures could put it off for ever
 		}
-		b.disc.subscribed, b.disc.asked, b.disc.silent = false, false, ev.Kind == ListSilent
+		b.disc.subscribed, b.disc.asked, b.disc.silent = false, false, ev.Kind == DiscoverySilent
 		b.disc.failures++
 		b.askSoon()
 		return
 	}
 	for _, s := range b.order {
-		s.listed = s.listed && ev.Kind == ListDelta
+		s.listed = s.listed && ev.Kind == MembershipDelta
 	}
 	for i := range ev.Members {
 		b.member(&ev.Members[i])
@@ -71,8 +71,8 @@
 			members = append(members, affinity.Member{ID: s.id, Weight: s.size})
 		}
 	}
-	b.keys.Set(members)
-	if ev.Kind != ListCached && b.disc.asked {
+	b.keys.SetMembers(members)
+	if ev.Kind != MembershipCached && b.disc.asked {
 		b.disc.asked, b.disc.subscribed, b.disc.failures = false, true, 0
 	}
 	b.means()
@@ -90,20 +90,20 @@
 	}
 	fresh := s == nil
 	if fresh {
-		s = &server{id: m.Server, pace: 1, readySince: -b.set.Rules.Cold, weight: 1, toil: 1}
+		s = &server{id: m.Server, pace: 1, readySince: -b.set.Rules.WarmupTime, weight: 1, toil: 1}
 		s.Tie, s.Of = s.id, s
 		b.servers[m.Server] = s
 		b.order = append(b.order, s)
 	}
 	s.zone, s.cell, s.mode, s.size, s.listed = m.Zone, m.Cell, m.Mode, m.size(), true
-	s.kind = b.kindOf(m.Kind)
-	if m.UpSince != s.upSince || fresh {
-		s.upSince = m.UpSince
+	s.kind = b.kindOf(m.InstanceType)
+	if m.StartedAt != s.upSince || fresh {
+		s.upSince = m.StartedAt
 		if !fresh { // another process: what the old one reported is void
 			s.qps, s.util, s.eps, s.mass, s.nonEmptySince = 0, 0, 0, 0, 0
 		}
-		if m.UpSince > 0 && b.now-m.UpSince < b.set.Rules.Cold && m.UpSince > s.readySince {
-			b.chill(s, m.UpSince)
+		if m.StartedAt > 0 && b.now-m.StartedAt < b.set.Rules.WarmupTime && m.StartedAt > s.readySince {
+			b.chill(s, m.StartedAt)
 		}
 	}
 	if fresh {
@@ -158,7 +158,7 @@
 		b.benched--
 		b.inflight += s.inflight + 1
 	}
-	if b.set.ReportVia == ReportsInAnswers {
+	if b.set.ReportDelivery == ReportsInResponses {
 		b.report(s, ev.Report)
 	}
 	switch ev.Outcome {
@@ -170,7 +170,7 @@
 			s.lost = true
 			b.suspend(s, 500_000, 8_000_000)
 		}
-	case Full:
+	case Rejected:
 		// It drains unannounced or its queue is full: more requests only come back. Not when half of all
 		// are out already: then the cause is shared, and fewer servers would make it worse.
 		b.revive(s)
@@ -191,10 +191,10 @@
 		b.revive(s)
 		s.backoff = 0
 		s.faults -= s.faults * faultGain
-	case Failed:
+	case ErrorResponse:
 		b.revive(s)
 		s.faults += (1 - s.faults) * faultGain
-	case Reset:
+	case ConnectionReset:
 		s.faults += (1 - s.faults) * faultGain
 	}
 	b.place(s)
@@ -236,7 +236,7 @@
 	if !givenUp || ratio > s.pace {
 		s.pace += (min(ratio, 10) - s.pace) / 2
 	}
-	b.usual = latencybaseline.Follow(b.usual, b.usual*ratio, 0.5, 0.06)
+	b.usual = latencybaseline.StepQuantile(b.usual, b.usual*ratio, 0.5, 0.06)
 	return ratio
 }
 
@@ -283,7 +283,7 @@
 	}
 	if s.conns > s.inflight && b.now-s.lastSend > idleMost {
 		s.conns = s.inflight
-		b.do(Action{Kind: CloseUnused, Server: s.id})
+		b.do(Action{Kind: CloseIdleConns, Server: s.id})
 	}
 	if s.suspended && b.now >= s.retryAt {
 		s.suspended, s.trial = false, true
@@ -304,8 +304,8 @@
 // crowded says whether an answer to r that took this long speaks of a queue. Where work, or waits on others,
 // fill the aim, half of it is passed with nothing queued. What comes after the aim speaks of one in any case.
 func (b *Balancer) crowded(r *request, elapsed Time) bool {
-	aim, line := float64(r.class.Aim), 0.75 // between the two, until enough is known
-	if took, known := b.calm[r.number].Least(); known {
+	aim, line := float64(r.class.LatencyTarget), 0.75 // between the two, until enough is known
+	if took, known := b.calm[r.number].Baseline(); known {
 		line = max(crowdedFrom, min(crowdedCalm*took/aim, 1))
 	}
 	return float64(elapsed) > line*aim
@@ -318,7 +318,7 @@
 	}
 	sign := 0.0
 	switch ev.Outcome {
-	case Full:
+	case Rejected:
 		sign = 1
 	case OK, TimedOut:
 		if ev.Outcome == OK {
@@ -334,13 +334,13 @@
 	}
 	b.signs += (sign - b.signs) * signGain
 	if sign > 0 {
-		b.window = concurrency.Narrow(b.window)
+		b.window = concurrency.Decrease(b.window)
 	} else if float64(b.inflight)+1 > 0.8*b.window {
-		b.window = concurrency.Widen(b.window, b.signs < signsFew)
+		b.window = concurrency.Increase(b.window, b.signs < signsFew)
 	}
 }
 
 // room says whether the window has room for another attempt.
 func (b *Balancer) room() bool {
-	return concurrency.Open(b.window, b.inflight, float64(b.now-b.lastEnd), b.usual)
+	return concurrency.Admits(b.window, b.inflight, float64(b.now-b.lastEnd), b.usual)
 }
--- a/internal/standalone/policy/jam_test.go
+++ b/internal/standalone/policy/jam_test.go
@@ -6,13 +6,13 @@
 // went on until more was refused than sent, and clients that asked again kept it so.
 func TestColdServersDoNotNarrowTheWindow(t *testing.T) {
 	for _, c := range []struct{ cold, narrows bool }{{true, false}, {false, true}} {
-		b, err := New(Settings{Classes: []Class{{Aim: 1e6, Deadline: 4e6}}}, 1)
+		b, err := New(Settings{Classes: []Class{{LatencyTarget: 1e6, ClientTimeout: 4e6}}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b.window = 20
 		s := &server{pace: 1, cold: c.cold}
-		for _, o := range []Outcome{OK, Full, TimedOut} {
+		for _, o := range []Outcome{OK, Rejected, TimedOut} {
 			before := b.window
 			b.pace(&request{class: &b.set.Classes[0]}, &attempt{server: s}, &Event{Outcome: o, Elapsed: 900_000})
 			if (b.window < before) != c.narrows {
@@ -27,19 +27,19 @@
 	for _, c := range []struct {
 		mode Mode
 		want ActionKind
-	}{{ModeDraining, Refuse}, {ModeGone, 0}, {ModeReady, Send}} {
-		b, err := New(Settings{Classes: []Class{{Aim: 1e6, Deadline: 4e6}}, Limits: Limits{MaxRetryAfter: 1e6}}, 1)
+	}{{ModeDraining, RejectRequest}, {ModeGone, 0}, {ModeReady, SendAttempt}} {
+		b, err := New(Settings{Classes: []Class{{LatencyTarget: 1e6, ClientTimeout: 4e6}}, Limits: Limits{MaxRetryAfter: 1e6}}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.Handle(1, &Event{Kind: ListFull, Members: []Member{{Server: 1, Mode: c.mode, Size: 1}, {Server: 2, Mode: c.mode, Size: 1}}}, nil)
+		b.Handle(1, &Event{Kind: MembershipFull, Members: []Member{{Server: 1, Mode: c.mode, Size: 1}, {Server: 2, Mode: c.mode, Size: 1}}}, nil)
 		var got Action
-		for _, a := range b.Handle(2, &Event{Kind: Arrival, ID: 1, Work: 1000, Patience: 4e6}, nil) {
+		for _, a := range b.Handle(2, &Event{Kind: RequestArrived, ID: 1, Work: 1000, ClientTimeout: 4e6}, nil) {
 			if a.Kind != SetTimer {
 				got = a
 			}
 		}
-		if got.Kind != c.want || got.Kind == Refuse && got.After <= 0 {
+		if got.Kind != c.want || got.Kind == RejectRequest && got.After <= 0 {
 			t.Errorf("mode %d: %+v", c.mode, got)
 		}
 	}
--- a/internal/standalone/policy/keys_test.go
+++ b/internal/standalone/policy/keys_test.go
@@ -14,10 +14,10 @@
 	id := uint64(0)
 	return b, func(key uint64, back bool) uint32 {
 		id++
-		for _, a := range b.Handle(b.now, &Event{Kind: Arrival, ID: id, Key: key, Patience: 1e9}, nil) {
-			if a.Kind == Send {
+		for _, a := range b.Handle(b.now, &Event{Kind: RequestArrived, ID: id, AffinityKey: key, ClientTimeout: 1e9}, nil) {
+			if a.Kind == SendAttempt {
 				if back {
-					b.Handle(b.now, &Event{Kind: Outcomed, ID: id, Server: a.Server, Outcome: OK, Elapsed: 1000, Final: true}, nil)
+					b.Handle(b.now, &Event{Kind: AttemptEnded, ID: id, Server: a.Server, Outcome: OK, Elapsed: 1000, Final: true}, nil)
 				}
 				return a.Server
 			}
@@ -32,7 +32,7 @@
 // served at their second homes, all of a key at one, and has them back; no other key moves.
 func TestOneKeyGoesToOneServer(t *testing.T) {
 	set := settings()
-	set.WarmKeys = true
+	set.KeyAffinity = true
 	b, to := placing(t, set, fleet(12))
 	_, other := placing(t, set, fleet(12))
 	_, cold := placing(t, settings(), fleet(12))
@@ -48,7 +48,7 @@
 	}
 	s := b.servers[before[0]]
 	mode := func(m Mode) {
-		b.Handle(b.now, &Event{Kind: ListDelta, Members: []Member{{Server: s.id, Size: s.size, Mode: m}}}, nil)
+		b.Handle(b.now, &Event{Kind: MembershipDelta, Members: []Member{{Server: s.id, Size: s.size, Mode: m}}}, nil)
 	}
 	for name, away := range map[string]func(is bool){
 		"draining": func(is bool) { mode(map[bool]Mode{true: ModeDraining, false: ModeReady}[is]) },
@@ -72,7 +72,7 @@
 // as what its home can't take goes to its second home and then to all.
 func TestNoServerIsHot(t *testing.T) {
 	set := settings()
-	set.ReportVia, set.SizesTold, set.Columns, set.WarmKeys = ReportsNone, true, nil, true
+	set.ReportDelivery, set.SizesKnown, set.ReportColumns, set.KeyAffinity = ReportsNone, true, nil, true
 	members := fleet(12)
 	for i := range members {
 		members[i].Size = float64(1 + 2*(i%2))
--- a/internal/standalone/policy/narrow_test.go
+++ b/internal/standalone/policy/narrow_test.go
@@ -25,7 +25,7 @@
 	give := func(ev Event) {
 		for _, a := range b.Handle(now, &ev, nil) {
 			switch a.Kind {
-			case Send:
+			case SendAttempt:
 				took := Time(600_000) // the aim is 500,000
 				if now-begin >= 40e6 {
 					took = 20_000
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	give(Event{Kind: ListFull, Members: fleet(90)})
+	give(Event{Kind: MembershipFull, Members: fleet(90)})
 	for now = begin; now < begin+80e6; now += 5000 {
 		for i := 0; i < len(timers); {
 			if tm := timers[i]; tm.at <= now {
@@ -52,14 +52,14 @@
 				if now-begin >= 60e6 {
 					served++
 				}
-				give(Event{Kind: Outcomed, ID: o.id, Server: o.server, Outcome: OK, Elapsed: o.took, Final: true})
+				give(Event{Kind: AttemptEnded, ID: o.id, Server: o.server, Outcome: OK, Elapsed: o.took, Final: true})
 				continue
 			}
 			i++
 		}
 		if now%50_000 == 0 { // 20 a second
 			id++
-			give(Event{Kind: Arrival, ID: id, Patience: 2_000_000})
+			give(Event{Kind: RequestArrived, ID: id, ClientTimeout: 2_000_000})
 		}
 		if now-begin >= 20e6 && now-begin < 40e6 {
 			busy += len(out)
--- a/internal/standalone/policy/probe_test.go
+++ b/internal/standalone/policy/probe_test.go
@@ -7,16 +7,16 @@
 func TestProbes(t *testing.T) {
 	for name, c := range map[string]struct {
 		allowed    bool
-		via        ReportVia
+		via        ReportDelivery
 		group      int
 		least, top int // probes of one server in 20 seconds
 	}{
-		"allowed": {true, ReportsByProbe, 2, 16, 23}, "forbidden": {false, ReportsByProbe, 2, 0, 0},
-		"in answers": {true, ReportsInAnswers, 2, 0, 0}, "300 proxies": {true, ReportsByProbe, 300, 0, 1},
+		"allowed": {true, ReportsByPolling, 2, 16, 23}, "forbidden": {false, ReportsByPolling, 2, 0, 0},
+		"in answers": {true, ReportsInResponses, 2, 0, 0}, "300 proxies": {true, ReportsByPolling, 300, 0, 1},
 	} {
 		set := settings()
-		set.Limits.Probe, set.ReportVia, set.GroupSize = c.allowed, c.via, c.group
-		set.Columns = []Column{ColUtil, ColQPS, ColEPS}
+		set.Limits.AllowLoadPolls, set.ReportDelivery, set.GroupSize = c.allowed, c.via, c.group
+		set.ReportColumns = []ReportColumn{ColumnUtilization, ColumnQPS, ColumnEPS}
 		members := fleet(3)
 		members[2].Mode = ModeDraining
 		b := newBalancer(t, set, members)
@@ -24,14 +24,14 @@
 		for i := range 200 {
 			b.arrivals = 100
 			for _, a := range b.Handle(b.now+refreshEvery, &Event{Kind: TimerFired, ID: tagRefresh}, nil) {
-				if a.Kind == Probe {
+				if a.Kind == PollLoad {
 					probed[a.Server]++
 					rate := map[uint32]float32{100: 30, 101: 10}[a.Server] + float32(i%2)
-					b.Handle(b.now, &Event{Kind: Probed, Server: a.Server, Report: []float32{0.5, rate, 0}}, nil)
+					b.Handle(b.now, &Event{Kind: LoadPolled, Server: a.Server, Report: []float32{0.5, rate, 0}}, nil)
 				}
 			}
 		}
-		b.Handle(b.now, &Event{Kind: Probed, Server: 999, Report: []float32{0.5, 10, 0}}, nil) // gone since
+		b.Handle(b.now, &Event{Kind: LoadPolled, Server: 999, Report: []float32{0.5, 10, 0}}, nil) // gone since
 		if n, m := probed[100], probed[101]; min(n, m) < c.least || max(n, m) > c.top || probed[102] != 0 {
 			t.Errorf("%s: probed %v", name, probed)
 		}
--- a/internal/standalone/policy/rules_test.go
+++ b/internal/standalone/policy/rules_test.go
@@ -13,9 +13,9 @@
 	open   bool // no outcome yet
 	proven bool // it never ran
 }{
-	{"served", OK, false, false}, {"error", Failed, false, false}, {"full", Full, false, true},
+	{"served", OK, false, false}, {"error", ErrorResponse, false, false}, {"full", Rejected, false, true},
 	{"timeout", TimedOut, false, false}, {"no connection", ConnectFailed, false, true},
-	{"reset", Reset, false, false}, {"cancelled", Cancelled, false, false}, {"not sent", NotSent, false, true},
+	{"reset", ConnectionReset, false, false}, {"cancelled", Cancelled, false, false}, {"not sent", NotSent, false, true},
 	{"outstanding", 0, true, false},
 }
 
@@ -23,8 +23,8 @@
 func TestEffects(t *testing.T) {
 	const window = 4_000_000
 	for _, f := range fates {
-		for _, sem := range []Semantics{Safe, Keyed, Unsafe} {
-			for _, group := range []Group{GroupAll, GroupZone, GroupCell} {
+		for _, sem := range []Semantics{Idempotent, Deduplicated, NonIdempotent} {
+			for _, group := range []DedupScope{DedupEverywhere, DedupPerZone, DedupPerCell} {
 				for _, age := range []Time{0, window - 1, window, window + 1, window / 2} {
 					for _, copies := range []bool{false, true} {
 						effectCase(t, f.name, f.out, f.open, f.proven, sem, group, age, window, copies)
@@ -35,11 +35,11 @@
 	}
 }
 
-func effectCase(t *testing.T, name string, out Outcome, open, proven bool, sem Semantics, group Group, age,
+func effectCase(t *testing.T, name string, out Outcome, open, proven bool, sem Semantics, group DedupScope, age,
 	window Time, copies bool) {
 	set := settings()
-	set.Classes = []Class{{Semantics: sem, Group: group, Window: window, Aim: 1e9, Deadline: 1e12}}
-	set.Limits.SecondCopies = copies
+	set.Classes = []Class{{Semantics: sem, DedupScope: group, DedupWindow: window, LatencyTarget: 1e9, ClientTimeout: 1e12}}
+	set.Limits.AllowHedging = copies
 	members := []Member{
 		{Server: 1, Zone: 0, Cell: 0, Mode: ModeReady}, // the first attempt's
 		{Server: 2, Zone: 0, Cell: 0, Mode: ModeReady}, // same zone and cell
@@ -61,13 +61,13 @@
 		switch {
 		case open && !copies:
 			may = false
-		case proven || sem == Safe:
-		case sem == Unsafe:
+		case proven || sem == Idempotent:
+		case sem == NonIdempotent:
 			may = false
 		case age >= window:
 			may = false
 		default:
-			may = group == GroupAll || group == GroupZone && i <= 2 || group == GroupCell && i <= 1
+			may = group == DedupEverywhere || group == DedupPerZone && i <= 2 || group == DedupPerCell && i <= 1
 		}
 		got := b.permits(r, s)
 		if got && !may {
@@ -77,7 +77,7 @@
 			t.Errorf("%s: not sent to server %d", where, s.id)
 		}
 	}
-	mayRefuse := proven || sem == Safe || sem == Keyed && group == GroupAll
+	mayRefuse := proven || sem == Idempotent || sem == Deduplicated && group == DedupEverywhere
 	if got := r.mayRefuse(); got != mayRefuse {
 		t.Errorf("%s: may refuse is %v", where, got)
 	}
@@ -88,8 +88,8 @@
 		r.tries = []attempt{{server: s, id: 1, out: true, sent: b.now, mayHaveRun: true}}
 		s.inflight, b.inflight = 1, 1
 		b.open[9] = r
-		acts := b.Handle(b.now, &Event{Kind: Outcomed, ID: 9, Server: 1, Outcome: out}, nil)
-		if len(acts) != 1 || (acts[0].Kind == Refuse) != mayRefuse || acts[0].Kind != Refuse && acts[0].Kind != Fail {
+		acts := b.Handle(b.now, &Event{Kind: AttemptEnded, ID: 9, Server: 1, Outcome: out}, nil)
+		if len(acts) != 1 || (acts[0].Kind == RejectRequest) != mayRefuse || acts[0].Kind != RejectRequest && acts[0].Kind != FailRequest {
 			t.Errorf("%s: past the deadline it was answered with %v", where, acts)
 		}
 	}
@@ -144,7 +144,7 @@
 	for _, a := range acts {
 		q := c.open[a.ID]
 		switch a.Kind {
-		case Send:
+		case SendAttempt:
 			s := c.servers[a.Server]
 			switch {
 			case q == nil || q.answered:
@@ -153,25 +153,25 @@
 				c.bad("sent to server %d, which was never listed", a.Server)
 			case s.m.Mode != ModeReady:
 				c.bad("sent to server %d, told to be in mode %d", a.Server, s.m.Mode)
-			case q.out > 0 && !c.set.Limits.SecondCopies:
+			case q.out > 0 && !c.set.Limits.AllowHedging:
 				c.bad("request %d has two attempts out", a.ID)
-			case len(q.tries) >= c.set.Limits.Attempts:
+			case len(q.tries) >= c.set.Limits.MaxAttempts:
 				c.bad("request %d has too many attempts", a.ID)
 			}
 			for _, t := range q.tries {
-				if !t.mayHaveRun || q.class.Semantics == Safe {
+				if !t.mayHaveRun || q.class.Semantics == Idempotent {
 					continue
 				}
 				switch {
-				case q.class.Semantics == Unsafe:
+				case q.class.Semantics == NonIdempotent:
 					c.bad("unsafe request %d sent again", a.ID)
-				case c.now-t.at >= q.class.Window:
+				case c.now-t.at >= q.class.DedupWindow:
 					c.bad("keyed request %d sent again past its window", a.ID)
-				case a.By <= c.now || a.By >= t.at+q.class.Window: // what makes connections is late without knowing it
-					c.bad("keyed request %d sent at %d may be sent again until %d", a.ID, t.at, a.By)
-				case q.class.Group == GroupZone && t.zone != int(s.m.Zone):
+				case a.SendBefore <= c.now || a.SendBefore >= t.at+q.class.DedupWindow: // what makes connections is late without knowing it
+					c.bad("keyed request %d sent at %d may be sent again until %d", a.ID, t.at, a.SendBefore)
+				case q.class.DedupScope == DedupPerZone && t.zone != int(s.m.Zone):
 					c.bad("keyed request %d left its zone", a.ID)
-				case q.class.Group == GroupCell && t.cell != int(s.m.Cell):
+				case q.class.DedupScope == DedupPerCell && t.cell != int(s.m.Cell):
 					c.bad("keyed request %d left its cell", a.ID)
 				}
 			}
@@ -182,23 +182,23 @@
 			q.tries = append(q.tries, tried{a.Server, int(s.m.Zone), int(s.m.Cell), c.now, limit, true, true})
 			q.out++
 			c.cold(s)
-		case Refuse, Fail:
+		case RejectRequest, FailRequest:
 			if q == nil || q.answered {
 				c.bad("request %d answered twice", a.ID)
 			}
-			if c.now > q.deadline+c.set.Rules.AnswerSlack {
+			if c.now > q.deadline+c.set.Rules.ResponseGrace {
 				c.bad("request %d answered %d late", a.ID, c.now-q.deadline)
 			}
 			for _, t := range q.tries {
-				if a.Kind == Refuse && t.mayHaveRun && (q.class.Semantics == Unsafe ||
-					q.class.Semantics == Keyed && q.class.Group != GroupAll) {
+				if a.Kind == RejectRequest && t.mayHaveRun && (q.class.Semantics == NonIdempotent ||
+					q.class.Semantics == Deduplicated && q.class.DedupScope != DedupEverywhere) {
 					c.bad("request %d refused though it may have run", a.ID)
 				}
 			}
 			q.answered = true
 		case SetTimer:
 			c.timers = append(c.timers, timer{a.ID, c.now + a.After})
-		case Subscribe:
+		case SubscribeDiscovery:
 			c.asked++
 		}
 	}
@@ -207,19 +207,19 @@
 // cold counts what this one balancer sends a cold server: over the time that tips it, no more than its part
 // of what all may send, and one request for the random phase and one for the rounding of a token.
 func (c *checker) cold(s *told) {
-	age := c.now - s.m.UpSince
-	if s.m.UpSince == 0 || age >= c.set.Rules.Cold {
+	age := c.now - s.m.StartedAt
+	if s.m.StartedAt == 0 || age >= c.set.Rules.WarmupTime {
 		return
 	}
 	s.sends = append(s.sends, c.now)
-	span, n := c.set.Rules.TipAfter, 0
+	span, n := c.set.Rules.OverloadTime, 0
 	for _, at := range s.sends {
 		if at > c.now-span {
 			n++
 		}
 	}
-	share := c.set.Rules.ColdShare + (1-c.set.Rules.ColdShare)*float64(age)/float64(c.set.Rules.Cold)
-	most := c.set.Rules.TipMultiple * warmRate * share * float64(span) / 1e6 / float64(c.set.GroupSize)
+	share := c.set.Rules.InitialCapacity + (1-c.set.Rules.InitialCapacity)*float64(age)/float64(c.set.Rules.WarmupTime)
+	most := c.set.Rules.OverloadFactor * warmRate * share * float64(span) / 1e6 / float64(c.set.GroupSize)
 	if float64(n) > most+2 {
 		c.bad("cold server %d of age %d was sent %d in %d, its part is %.2f", s.m.Server, age, n, span, most)
 	}
@@ -239,12 +239,12 @@
 func randomRun(t *testing.T, run int) {
 	rng := rand.New(rand.NewPCG(uint64(run), 7))
 	set := settings()
-	set.AskDiscovery = run%2 == 0
+	set.SubscribeDiscovery = run%2 == 0
 	set.GroupSize = 1 + run%7
-	set.Limits.SecondCopies = run%3 != 0
-	set.Limits.Attempts = 1 + run%5
-	set.Classes[1].Group = Group(run % 3)
-	set.Classes[1].Window = []Time{300_000, 4_000_000}[run%2]
+	set.Limits.AllowHedging = run%3 != 0
+	set.Limits.MaxAttempts = 1 + run%5
+	set.Classes[1].DedupScope = DedupScope(run % 3)
+	set.Classes[1].DedupWindow = []Time{300_000, 4_000_000}[run%2]
 	b, err := New(set, uint64(run))
 	if err != nil {
 		t.Fatal(err)
@@ -253,7 +253,7 @@
 		servers: map[uint32]*told{}}
 	handle := func(ev Event) { c.take(b.Handle(c.now, &ev, nil)) }
 	list := func(kind EventKind, ms []Member) {
-		if kind != ListDelta {
+		if kind != MembershipDelta {
 			for _, s := range c.servers {
 				s.m.Mode = ModeGone
 			}
@@ -265,7 +265,7 @@
 				c.servers[m.Server] = s
 				c.order = append(c.order, m.Server)
 			}
-			if m.UpSince != s.m.UpSince {
+			if m.StartedAt != s.m.StartedAt {
 				s.sends = nil
 			}
 			s.m = m
@@ -276,17 +276,17 @@
 		m := Member{Server: uint32(id), Zone: uint8(id % 2), Cell: uint16(id % 4), Mode: Mode(1 + rng.IntN(5)/4),
 			Size: 1}
 		if rng.IntN(3) == 0 {
-			m.UpSince = c.now - Time(rng.Int64N(int64(set.Rules.Cold)))
+			m.StartedAt = c.now - Time(rng.Int64N(int64(set.Rules.WarmupTime)))
 		}
 		return m
 	}
 	var all []Member
 	for i := range 12 {
 		m := member(i)
-		m.UpSince = 0
+		m.StartedAt = 0
 		all = append(all, m)
 	}
-	list(ListCached, all)
+	list(MembershipCached, all)
 
 	next := uint64(1)
 	var ids []uint64
@@ -320,68 +320,68 @@
 		switch k := rng.IntN(40); {
 		case k < 24:
 			cl := rng.IntN(3)
-			patience := Time(rng.Int64N(int64(set.Classes[cl].Deadline)))
+			patience := Time(rng.Int64N(int64(set.Classes[cl].ClientTimeout)))
 			if rng.IntN(20) == 0 {
 				patience = rng.Int64N(30_000)
 			}
 			c.open[next] = &checked{class: set.Classes[cl], deadline: c.now + patience}
 			ids = append(ids, next)
-			handle(Event{Kind: Arrival, ID: next, Class: uint8(cl), Patience: patience})
+			handle(Event{Kind: RequestArrived, ID: next, Class: uint8(cl), ClientTimeout: patience})
 			next++
 		case k < 27:
-			list(ListDelta, []Member{member(rng.IntN(16))})
+			list(MembershipDelta, []Member{member(rng.IntN(16))})
 		case k == 27:
 			m := member(rng.IntN(16))
 			m.Mode = ModeGone
-			list(ListDelta, []Member{m})
+			list(MembershipDelta, []Member{m})
 		case k == 28 && rng.IntN(20) == 0:
-			list(ListFull, nil) // shrunk to nothing
+			list(MembershipFull, nil) // shrunk to nothing
 		case k == 29 && rng.IntN(10) == 0:
 			var ms []Member
 			for i := range 16 {
 				m := member(i)
-				m.UpSince = c.now - rng.Int64N(1_000_000) // nearly all redeployed
+				m.StartedAt = c.now - rng.Int64N(1_000_000) // nearly all redeployed
 				ms = append(ms, m)
 			}
-			list(ListFull, ms)
+			list(MembershipFull, ms)
 		case k == 30:
-			handle(Event{Kind: ListFailed})
+			handle(Event{Kind: DiscoveryFailed})
 		case k == 31: // odd: outcomes for what never was, and repeats
-			handle(Event{Kind: Outcomed, ID: uint64(rng.IntN(int(next))) + 1e6, Server: 3, Outcome: OK})
+			handle(Event{Kind: AttemptEnded, ID: uint64(rng.IntN(int(next))) + 1e6, Server: 3, Outcome: OK})
 			handle(Event{Kind: TimerFired, ID: rng.Uint64()})
-			handle(Event{Kind: Probed, Server: uint32(rng.IntN(20)), Report: report(5, 0.5, 0)})
-			handle(Event{Kind: Departed, ID: 1 << 50})
+			handle(Event{Kind: LoadPolled, Server: uint32(rng.IntN(20)), Report: report(5, 0.5, 0)})
+			handle(Event{Kind: RequestAbandoned, ID: 1 << 50})
 		case k == 32 && len(ids) > 0:
 			id := ids[rng.IntN(len(ids))]
 			c.open[id].answered = true // the client left; from here any action for it is wrong
-			handle(Event{Kind: Departed, ID: id})
+			handle(Event{Kind: RequestAbandoned, ID: id})
 		}
 	}
-	if set.AskDiscovery && c.asked == 0 {
+	if set.SubscribeDiscovery && c.asked == 0 {
 		c.bad("discovery was never asked")
 	}
 }
 
-// AnswerSlack is a helper for readability: an unanswered request is overdue past it.
-func (s Settings) AnswerSlack() Time { return s.Rules.AnswerSlack }
+// ResponseGrace is a helper for readability: an unanswered request is overdue past it.
+func (s Settings) AnswerSlack() Time { return s.Rules.ResponseGrace }
 
 // finish ends attempt i of a request in a random way, or by time-out at its limit.
 func (c *checker) finish(handle func(Event), rng *rand.Rand, id uint64, i int) {
 	q := c.open[id]
 	t := &q.tries[i]
-	out := []Outcome{OK, OK, OK, Failed, Full, ConnectFailed, Reset, NotSent}[rng.IntN(8)]
+	out := []Outcome{OK, OK, OK, ErrorResponse, Rejected, ConnectFailed, ConnectionReset, NotSent}[rng.IntN(8)]
 	if c.now >= t.limit {
 		out = TimedOut
 	}
 	t.open = false
 	q.out--
-	if out == Full || out == ConnectFailed || out == NotSent {
+	if out == Rejected || out == ConnectFailed || out == NotSent {
 		t.mayHaveRun = false
 	}
 	if out == OK {
 		q.answered = true
 	}
-	ev := Event{Kind: Outcomed, ID: id, Attempt: uint8(i), Server: t.to, Outcome: out, Final: q.answered,
+	ev := Event{Kind: AttemptEnded, ID: id, Attempt: uint8(i), Server: t.to, Outcome: out, Final: q.answered,
 		Elapsed: c.now - t.at, Report: report(warmRate/2, 0.5, 0)}
 	handle(ev)
 	if rng.IntN(10) == 0 {
@@ -392,11 +392,11 @@
 // Servers in a drain or gone get nothing from the moment the news arrives, whatever was planned for them.
 func TestDrainStopsAtOnce(t *testing.T) {
 	b := newBalancer(t, settings(), fleet(3))
-	b.Handle(b.now, &Event{Kind: ListDelta, Members: []Member{{Server: 100, Mode: ModeDraining},
+	b.Handle(b.now, &Event{Kind: MembershipDelta, Members: []Member{{Server: 100, Mode: ModeDraining},
 		{Server: 101, Mode: ModeGone}}}, nil)
 	for id := range uint64(20) {
-		out := b.Handle(b.now, &Event{Kind: Arrival, ID: id, Patience: 1e6}, nil)
-		if len(out) == 0 || out[0].Kind != Send || out[0].Server != 102 {
+		out := b.Handle(b.now, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e6}, nil)
+		if len(out) == 0 || out[0].Kind != SendAttempt || out[0].Server != 102 {
 			t.Fatalf("request %d: %v", id, out)
 		}
 	}
@@ -405,16 +405,16 @@
 // A start common to all balancers must not become a stampede on discovery, nor may one go unasked too long.
 func TestCallsToDiscoveryAreSpread(t *testing.T) {
 	set := settings()
-	set.AskDiscovery = true
+	set.SubscribeDiscovery = true
 	first := map[Time]int{}
 	for seed := range uint64(200) {
 		b, _ := New(set, seed)
-		for _, a := range b.Handle(1e9, &Event{Kind: ListCached, Members: fleet(2)}, nil) {
+		for _, a := range b.Handle(1e9, &Event{Kind: MembershipCached, Members: fleet(2)}, nil) {
 			if a.Kind == SetTimer && a.ID == tagAsk {
-				if a.After > set.Rules.AskWithin/2 {
+				if a.After > set.Rules.SubscribeWithin/2 {
 					t.Fatalf("first call only after %d", a.After)
 				}
-				first[a.After/(set.Rules.AskWithin/40)]++
+				first[a.After/(set.Rules.SubscribeWithin/40)]++
 			}
 		}
 	}
@@ -431,11 +431,11 @@
 // Held requests end in a refusal in good time when no server comes.
 func TestEmptyListEndsInRefusal(t *testing.T) {
 	b := newBalancer(t, settings(), nil)
-	out := b.Handle(b.now, &Event{Kind: Arrival, ID: 1, Patience: 400_000}, nil)
+	out := b.Handle(b.now, &Event{Kind: RequestArrived, ID: 1, ClientTimeout: 400_000}, nil)
 	deadline := b.now + 400_000
 	for b.now < deadline {
 		for _, a := range out {
-			if a.Kind == Refuse && a.ID == 1 {
+			if a.Kind == RejectRequest && a.ID == 1 {
 				return
 			}
 		}
@@ -449,7 +449,7 @@
 	b := newBalancer(t, settings(), fleet(40))
 	b.usual = 10_000
 	for id := range uint64(200) {
-		b.Handle(b.now+1000, &Event{Kind: Arrival, ID: id, Patience: 5e6}, nil)
+		b.Handle(b.now+1000, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 5e6}, nil)
 	}
 	b.later(2_000_000)
 	if n := b.turns.Len(); n < 20 {
@@ -461,10 +461,10 @@
 func TestHungServerStalls(t *testing.T) {
 	b := newBalancer(t, settings(), fleet(10))
 	for id := range uint64(500) {
-		out := b.Handle(b.now+10_000, &Event{Kind: Arrival, ID: id, Patience: 1e9}, nil)
+		out := b.Handle(b.now+10_000, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e9}, nil)
 		for _, a := range out {
-			if a.Kind == Send && a.Server != 100 {
-				b.Handle(b.now, &Event{Kind: Outcomed, ID: id, Server: a.Server, Elapsed: 20_000, Final: true}, nil)
+			if a.Kind == SendAttempt && a.Server != 100 {
+				b.Handle(b.now, &Event{Kind: AttemptEnded, ID: id, Server: a.Server, Elapsed: 20_000, Final: true}, nil)
 			}
 		}
 		if id%10 == 0 {
@@ -480,12 +480,12 @@
 // off as the deadline.
 func TestHeldNoLongerThanHalfOfTheTime(t *testing.T) {
 	set := settings()
-	set.Classes[0].Aim = set.Classes[0].Deadline
+	set.Classes[0].LatencyTarget = set.Classes[0].ClientTimeout
 	b := newBalancer(t, set, nil)
-	b.Handle(b.now, &Event{Kind: Arrival, ID: 1, Patience: 2_000_000}, nil)
+	b.Handle(b.now, &Event{Kind: RequestArrived, ID: 1, ClientTimeout: 2_000_000}, nil)
 	for begun := b.now; ; {
 		for _, a := range b.Handle(b.now+heldEvery, &Event{Kind: TimerFired, ID: tagHeld}, nil) {
-			if a.Kind == Refuse {
+			if a.Kind == RejectRequest {
 				if took := b.now - begun; took > 1_000_000 || took < 500_000 {
 					t.Errorf("refused after %d", took)
 				}
@@ -535,7 +535,7 @@
 			narrows     bool
 		}{{0.1, 0, false}, {0.55, 0, false}, {0.7, 0, false}, {0.1, 0.5, true}, {0.45, 0.6, true}, {1.1, 0, true}} {
 			set := settings()
-			set.Classes[0].Aim = Time(500_000 * pace)
+			set.Classes[0].LatencyTarget = Time(500_000 * pace)
 			b := newBalancer(t, set, fleet(1))
 			for i := range 400 {
 				took := c.calm * (0.8 + 0.2*float64(i%4)/3)
@@ -547,7 +547,7 @@
 				b.now += 10_000
 				b.inflight = int(b.window)
 				b.pace(&request{class: &b.set.Classes[0]}, &attempt{server: b.order[0], cost: 1},
-					&Event{Outcome: OK, Elapsed: Time(took * float64(set.Classes[0].Aim))})
+					&Event{Outcome: OK, Elapsed: Time(took * float64(set.Classes[0].LatencyTarget))})
 			}
 			if c.narrows && b.window >= 10 || !c.narrows && b.window < 100 {
 				t.Errorf("pace %v, %v of the aim and a queue of %v: window %.0f", pace, c.calm, c.queue, b.window)
@@ -584,15 +584,15 @@
 func TestDoomedRequestsAreNotSent(t *testing.T) {
 	b := newBalancer(t, settings(), fleet(3))
 	b.usual = 100_000
-	if out := b.Handle(b.now, &Event{Kind: Arrival, ID: 1, Patience: 60_000}, nil); len(out) != 1 || out[0].Kind != Refuse {
+	if out := b.Handle(b.now, &Event{Kind: RequestArrived, ID: 1, ClientTimeout: 60_000}, nil); len(out) != 1 || out[0].Kind != RejectRequest {
 		t.Errorf("with 60 ms left: %v", out)
 	}
-	out := b.Handle(b.now, &Event{Kind: Arrival, ID: 2, Patience: 200_000}, nil)
-	if len(out) != 1 || out[0].Kind != Send {
+	out := b.Handle(b.now, &Event{Kind: RequestArrived, ID: 2, ClientTimeout: 200_000}, nil)
+	if len(out) != 1 || out[0].Kind != SendAttempt {
 		t.Fatalf("with 200 ms left: %v", out)
 	}
-	out = b.Handle(b.now+150_000, &Event{Kind: Outcomed, ID: 2, Server: out[0].Server, Outcome: Failed}, nil)
-	if len(out) != 1 || out[0].Kind != Refuse {
+	out = b.Handle(b.now+150_000, &Event{Kind: AttemptEnded, ID: 2, Server: out[0].Server, Outcome: ErrorResponse}, nil)
+	if len(out) != 1 || out[0].Kind != RejectRequest {
 		t.Errorf("a repeat with 50 ms left: %v", out)
 	}
 }
@@ -626,7 +626,7 @@
 	}
 }
 
-// Attempts that end early because their clients had little time are no sign of a queue, and speak neither for nor against
+// MaxAttempts that end early because their clients had little time are no sign of a queue, and speak neither for nor against
 // a server; ones that took long are a sign.
 func TestImpatientTimeouts(t *testing.T) {
 	for _, c := range []struct {
@@ -636,8 +636,8 @@
 		b := newBalancer(t, settings(), fleet(10))
 		b.usual, b.window = 100_000, 50
 		for id := range uint64(30) {
-			out := b.Handle(b.now+1_000, &Event{Kind: Arrival, ID: id, Patience: c.elapsed}, nil)
-			b.Handle(b.now+c.elapsed, &Event{Kind: Outcomed, ID: id, Server: out[0].Server, Outcome: TimedOut,
+			out := b.Handle(b.now+1_000, &Event{Kind: RequestArrived, ID: id, ClientTimeout: c.elapsed}, nil)
+			b.Handle(b.now+c.elapsed, &Event{Kind: AttemptEnded, ID: id, Server: out[0].Server, Outcome: TimedOut,
 				Elapsed: c.elapsed}, nil)
 		}
 		slow := 0
@@ -654,7 +654,7 @@
 
 // A server whose attempts fail or break, without a report that would tell, loses turns, and has them back once it serves.
 func TestFaultyServerLosesTurns(t *testing.T) {
-	for _, outcome := range []Outcome{Failed, Reset} {
+	for _, outcome := range []Outcome{ErrorResponse, ConnectionReset} {
 		b := newBalancer(t, settings(), fleet(1))
 		b.later(refreshEvery)
 		bad := b.order[0]
@@ -680,7 +680,7 @@
 	b := newBalancer(t, settings(), fleet(1))
 	s := b.order[0]
 	// An answer in between shows that the server is there: a connection that fails now and then is no start anew.
-	for _, o := range []Outcome{ConnectFailed, OK, ConnectFailed, Failed} {
+	for _, o := range []Outcome{ConnectFailed, OK, ConnectFailed, ErrorResponse} {
 		s.inflight++
 		b.inflight++
 		b.observe(s, &attempt{cost: 1}, &Event{Outcome: o, Elapsed: 1000})
@@ -688,12 +688,12 @@
 	if b.later(refreshEvery); !s.Waits() || s.cold {
 		t.Fatal("a server that answers is left out, or cold")
 	}
-	out := b.Handle(b.now, &Event{Kind: Arrival, ID: 1, Patience: 1e7}, nil)
+	out := b.Handle(b.now, &Event{Kind: RequestArrived, ID: 1, ClientTimeout: 1e7}, nil)
 	for i := range missedMost {
-		if !s.Waits() || len(out) == 0 || out[0].Kind != Send {
+		if !s.Waits() || len(out) == 0 || out[0].Kind != SendAttempt {
 			t.Fatalf("after %d failures: %v", i, out)
 		}
-		out = b.Handle(b.now, &Event{Kind: Outcomed, ID: 1, Server: s.id, Attempt: uint8(i), Outcome: ConnectFailed}, nil)
+		out = b.Handle(b.now, &Event{Kind: AttemptEnded, ID: 1, Server: s.id, Attempt: uint8(i), Outcome: ConnectFailed}, nil)
 	}
 	if s.Waits() {
 		t.Fatal("still in the schedule after failures to connect")
@@ -702,11 +702,11 @@
 	if !s.trial || !s.Waits() {
 		t.Fatal("no trial came")
 	}
-	out = b.Handle(b.now, &Event{Kind: Arrival, ID: 2, Patience: 1e7}, nil)
-	if out[0].Kind != Send || s.Waits() {
+	out = b.Handle(b.now, &Event{Kind: RequestArrived, ID: 2, ClientTimeout: 1e7}, nil)
+	if out[0].Kind != SendAttempt || s.Waits() {
 		t.Fatalf("the trial is not a single attempt: %v", out)
 	}
-	b.Handle(b.now, &Event{Kind: Outcomed, ID: 2, Server: s.id, Elapsed: 1000, Final: true}, nil)
+	b.Handle(b.now, &Event{Kind: AttemptEnded, ID: 2, Server: s.id, Elapsed: 1000, Final: true}, nil)
 	if s.readySince != b.now || !s.cold {
 		t.Error("ready_since was not set by the successful trial")
 	}
@@ -715,11 +715,11 @@
 func TestSettingsThatCannotBeActedOn(t *testing.T) {
 	for name, change := range map[string]func(*Settings){
 		"no classes":        func(s *Settings) { s.Classes = nil },
-		"cold share":        func(s *Settings) { s.Rules.ColdShare = 1.5 },
-		"negative time":     func(s *Settings) { s.Rules.Cold = -1 },
+		"cold share":        func(s *Settings) { s.Rules.InitialCapacity = 1.5 },
+		"negative time":     func(s *Settings) { s.Rules.WarmupTime = -1 },
 		"negative count":    func(s *Settings) { s.GroupSize = -1 },
 		"class semantics":   func(s *Settings) { s.Classes[0].Semantics = 9 },
-		"negative multiple": func(s *Settings) { s.Rules.TipMultiple = -1 },
+		"negative multiple": func(s *Settings) { s.Rules.OverloadFactor = -1 },
 	} {
 		set := settings()
 		change(&set)
@@ -736,14 +736,14 @@
 func TestTenantsBeyondTheirShareGiveWay(t *testing.T) {
 	set := settings()
 	set.Tenants = []Tenant{{QuotaPerS: 20}, {QuotaPerS: 20}}
-	set.OverShareWorth = 0.1
+	set.OverQuotaValue = 0.1
 	b := newBalancer(t, set, fleet(2))
 	b.later(1_000_000)
 	b.window = 1
 	id := uint64(0)
 	take := func(tenant uint32) {
 		id++
-		b.Handle(b.now, &Event{Kind: Arrival, ID: id, Tenant: tenant, Patience: 2e6}, nil)
+		b.Handle(b.now, &Event{Kind: RequestArrived, ID: id, Tenant: tenant, ClientTimeout: 2e6}, nil)
 	}
 	for range 60 {
 		take(0) // three times its share of a second
@@ -760,7 +760,7 @@
 func TestCallsBackOffWhileDiscoveryFails(t *testing.T) {
 	for _, within := range []Time{8_000_000, 0} {
 		set := settings()
-		set.AskDiscovery, set.Rules.AskWithin = true, within
+		set.SubscribeDiscovery, set.Rules.SubscribeWithin = true, within
 		b, err := New(set, 5)
 		if err != nil {
 			t.Fatal(err)
@@ -775,7 +775,7 @@
 				}
 			}
 		}
-		take(b.Handle(start, &Event{Kind: ListCached, Members: fleet(2)}, nil))
+		take(b.Handle(start, &Event{Kind: MembershipCached, Members: fleet(2)}, nil))
 		for now := start; now < start+120_000_000; now += 10_000 {
 			for i := 0; i < len(timers); i++ {
 				if timers[i] > now {
@@ -786,9 +786,9 @@
 				acts := b.Handle(now, &Event{Kind: TimerFired, ID: tagAsk}, nil)
 				take(acts)
 				for _, a := range acts {
-					if a.Kind == Subscribe {
+					if a.Kind == SubscribeDiscovery {
 						calls[(now-start)/60_000_000]++
-						take(b.Handle(now, &Event{Kind: ListFailed}, nil))
+						take(b.Handle(now, &Event{Kind: DiscoveryFailed}, nil))
 					}
 				}
 			}
--- a/internal/standalone/policy/schedule.go
+++ b/internal/standalone/policy/schedule.go
@@ -69,7 +69,7 @@
 // Its turn counts as any other: what a server is given for its keys, it is not given of the rest.
 func (b *Balancer) atHome(r *request) (found *server, best float64) {
 	r.miss, best = 0, math.Inf(1)
-	if r.key == 0 || !b.set.WarmKeys {
+	if r.key == 0 || !b.set.KeyAffinity {
 		return nil, best
 	}
 	r.homes, _ = b.keys.Homes(r.key)
--- a/internal/standalone/policy/schedule_test.go
+++ b/internal/standalone/policy/schedule_test.go
@@ -118,9 +118,9 @@
 	rep := report(10, 0.5, 0)
 	round := func() {
 		id++
-		out = b.Handle(b.now+1000, &Event{Kind: Arrival, ID: id, Patience: 1e6}, out[:0])
+		out = b.Handle(b.now+1000, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e6}, out[:0])
 		sent := out[0]
-		out = b.Handle(b.now+1000, &Event{Kind: Outcomed, ID: id, Server: sent.Server, Elapsed: 1000,
+		out = b.Handle(b.now+1000, &Event{Kind: AttemptEnded, ID: id, Server: sent.Server, Elapsed: 1000,
 			Final: true, Report: rep}, out[:0])
 	}
 	for range 2000 {
@@ -163,7 +163,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			m.Handle(1, &Event{Kind: ListFull, Members: fleet(n)}, nil)
+			m.Handle(1, &Event{Kind: MembershipFull, Members: fleet(n)}, nil)
 			r := &request{class: &m.set.Classes[0], deadline: math.MaxInt64, cost: 1, attempts: 9}
 			for range b.N {
 				m.pick(r)
--- a/internal/standalone/policy/slow_test.go
+++ b/internal/standalone/policy/slow_test.go
@@ -8,8 +8,8 @@
 	b := newBalancer(t, settings(), fleet(3))
 	b.usual, b.window = 100_000, 5
 	arrive := func(id uint64, slow bool) Action {
-		for _, a := range b.Handle(b.now, &Event{Kind: Arrival, ID: id, Patience: 4e6, Slow: slow}, nil) {
-			if a.Kind == Send || a.Kind == Refuse {
+		for _, a := range b.Handle(b.now, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 4e6, BodyPending: slow}, nil) {
+			if a.Kind == SendAttempt || a.Kind == RejectRequest {
 				return a
 			}
 		}
@@ -18,7 +18,7 @@
 	sent := map[uint64]uint32{}
 	for id := range uint64(20) {
 		a := arrive(id+1, true)
-		if a.Kind != Send {
+		if a.Kind != SendAttempt {
 			t.Fatalf("slow request %d: %+v", id+1, a)
 		}
 		sent[id+1] = a.Server
@@ -28,32 +28,32 @@
 	}
 	b.now += slowFrom*100_000 + 1_000_000
 	b.refresh()
-	if n := b.Avoided(); n != 0 {
+	if n := b.EjectedServers(); n != 0 {
 		t.Errorf("%d servers are taken for silent while clients send", n)
 	}
-	if a := arrive(100, false); a.Kind != Send {
+	if a := arrive(100, false); a.Kind != SendAttempt {
 		t.Errorf("a quick request beside slow ones: %+v", a)
 	}
 	for id := range uint64(4) {
-		b.Handle(b.now, &Event{Kind: Handed, ID: id + 1}, nil)
-		b.Handle(b.now, &Event{Kind: Handed, ID: id + 1}, nil) // told twice it counts once
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id + 1}, nil)
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id + 1}, nil) // told twice it counts once
 	}
 	if b.inflight != 5 {
 		t.Errorf("%d out, want 5", b.inflight)
 	}
-	if a := arrive(101, false); a.Kind == Send {
+	if a := arrive(101, false); a.Kind == SendAttempt {
 		t.Error("a request past the window was sent")
 	}
-	b.Handle(b.now, &Event{Kind: Departed, ID: 101}, nil)
+	b.Handle(b.now, &Event{Kind: RequestAbandoned, ID: 101}, nil)
 	for _, s := range b.order { // all go while clients still send
-		b.Handle(b.now, &Event{Kind: ListDelta, Members: []Member{{Server: s.id, Mode: ModeGone}}}, nil)
+		b.Handle(b.now, &Event{Kind: MembershipDelta, Members: []Member{{Server: s.id, Mode: ModeGone}}}, nil)
 	}
 	b.refresh()
 	for id, server := range sent {
-		b.Handle(b.now, &Event{Kind: Outcomed, ID: id, Server: server, Outcome: ConnectFailed, Final: true}, nil)
-		b.Handle(b.now, &Event{Kind: Handed, ID: id}, nil)
+		b.Handle(b.now, &Event{Kind: AttemptEnded, ID: id, Server: server, Outcome: ConnectFailed, Final: true}, nil)
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id}, nil)
 	}
-	b.Handle(b.now, &Event{Kind: Departed, ID: 100}, nil)
+	b.Handle(b.now, &Event{Kind: RequestAbandoned, ID: 100}, nil)
 	for _, s := range b.order {
 		if s.inflight == 1 && s.slow == 0 { // request 100's, which was called off and has not ended
 			b.observe(s, &attempt{server: s, cost: 1}, &Event{Outcome: Cancelled})
--- a/internal/standalone/policy/stored_test.go
+++ b/internal/standalone/policy/stored_test.go
@@ -9,18 +9,18 @@
 )
 
 // learntSample is the content of testdata/learnt.json.
-func learntSample() Learnt {
-	return Learnt{
-		At: 1_700_000_000_000_000, ArrivalRate: 120.5, MeanWork: 2500.25, Usual: 52_000.5, Window: 64.5, Remote: 0.125,
-		Mean:   LearntKind{Kind: 3, QPS: 11.5, Util: 0.375, Size: 1.25, Mean: 30.5},
-		Kinds:  []LearntKind{{Kind: 1, QPS: 10.5, Util: 0.5, Size: 2.5, Mean: 21.5}, {Kind: 2, QPS: 8.25, Util: 0.75, Size: 1.5, Mean: 11.25}},
-		Shares: []float64{0.25, 0.5},
-		Calm:   []float64{41_000.5, 82_000.25},
-		Servers: []LearntServer{
-			{Server: 7, UpSince: 1_699_999_000_000_001, LastReport: 1_699_999_999_000_002, NonEmptySince: 1_699_999_500_000_003,
-				Ready: 1_699_999_010_000_004, Cold: true, QPS: 12.5, Util: 0.625, EPS: 0.25, Mass: 33.5, Tokens: 4.5, Pace: 1.75, Faults: 0.0625},
-			{Server: 8, UpSince: 1_699_998_000_000_005, LastReport: 1_699_999_998_000_006, NonEmptySince: 1_699_999_400_000_007,
-				Ready: 1_699_998_010_000_008, Cold: true, QPS: 14.5, Util: 0.875, EPS: 0.5, Mass: 35.5, Tokens: -2.5, Pace: 2.25, Faults: 0.125},
+func learntSample() Snapshot {
+	return Snapshot{
+		At: 1_700_000_000_000_000, ArrivalRate: 120.5, MeanWork: 2500.25, MedianAttemptTime: 52_000.5, ConcurrencyLimit: 64.5, RemoteZoneShare: 0.125,
+		Overall:         CapacitySnapshot{InstanceType: 3, QPS: 11.5, Utilization: 0.375, MeanSize: 1.25, MeanWeight: 30.5},
+		InstanceTypes:   []CapacitySnapshot{{InstanceType: 1, QPS: 10.5, Utilization: 0.5, MeanSize: 2.5, MeanWeight: 21.5}, {InstanceType: 2, QPS: 8.25, Utilization: 0.75, MeanSize: 1.5, MeanWeight: 11.25}},
+		TenantTokens:    []float64{0.25, 0.5},
+		UnloadedLatency: []float64{41_000.5, 82_000.25},
+		Servers: []ServerSnapshot{
+			{Server: 7, StartedAt: 1_699_999_000_000_001, LastReportAt: 1_699_999_999_000_002, NonEmptySince: 1_699_999_500_000_003,
+				ReadySince: 1_699_999_010_000_004, WarmingUp: true, QPSSum: 12.5, UtilizationSum: 0.625, EPSSum: 0.25, ReportWeight: 33.5, SlowStartTokens: 4.5, RelativeLatency: 1.75, FailureRate: 0.0625},
+			{Server: 8, StartedAt: 1_699_998_000_000_005, LastReportAt: 1_699_999_998_000_006, NonEmptySince: 1_699_999_400_000_007,
+				ReadySince: 1_699_998_010_000_008, WarmingUp: true, QPSSum: 14.5, UtilizationSum: 0.875, EPSSum: 0.5, ReportWeight: 35.5, SlowStartTokens: -2.5, RelativeLatency: 2.25, FailureRate: 0.125},
 		},
 	}
 }
@@ -32,7 +32,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got Learnt
+	var got Snapshot
 	if err := json.Unmarshal(text, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -51,23 +51,23 @@
 // A balancer that adopts what an earlier version stored has each of its values.
 func TestAdoptsStateStoredByEarlierVersion(t *testing.T) {
 	stored := learntSample()
-	set := Settings{Classes: []Class{{Deadline: 4e6, Worth: 1}, {Deadline: 2e6, Worth: 1}}, Columns: []Column{ColQPS, ColUtil},
-		ReportVia: ReportsInAnswers, Tenants: []Tenant{{QuotaPerS: 50}, {QuotaPerS: 20}}, Rules: Rules{Cold: 24e6, ColdShare: 0.1}}
+	set := Settings{Classes: []Class{{ClientTimeout: 4e6, Value: 1}, {ClientTimeout: 2e6, Value: 1}}, ReportColumns: []ReportColumn{ColumnQPS, ColumnUtilization},
+		ReportDelivery: ReportsInResponses, Tenants: []Tenant{{QuotaPerS: 50}, {QuotaPerS: 20}}, Rules: Rules{WarmupTime: 24e6, InitialCapacity: 0.1}}
 	b, err := New(set, 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	members := []Member{{Server: 7, Kind: 1, Mode: ModeReady, Size: 1, UpSince: stored.Servers[0].UpSince}, {Server: 8, Kind: 2, Mode: ModeReady, Size: 1, UpSince: stored.Servers[1].UpSince}}
-	b.Handle(stored.At, &Event{Kind: ListFull, Members: members}, nil)
-	if len(b.shares) != len(stored.Shares) {
-		t.Fatalf("%d shares, the sample has %d", len(b.shares), len(stored.Shares))
+	members := []Member{{Server: 7, InstanceType: 1, Mode: ModeReady, Size: 1, StartedAt: stored.Servers[0].StartedAt}, {Server: 8, InstanceType: 2, Mode: ModeReady, Size: 1, StartedAt: stored.Servers[1].StartedAt}}
+	b.Handle(stored.At, &Event{Kind: MembershipFull, Members: members}, nil)
+	if len(b.shares) != len(stored.TenantTokens) {
+		t.Fatalf("%d shares, the sample has %d", len(b.shares), len(stored.TenantTokens))
 	}
-	if !b.Adopt(stored.At, &stored) {
+	if !b.Restore(stored.At, &stored) {
 		t.Fatal("not adopted")
 	}
 	want := learntSample()
-	want.Mean.Kind, want.Mean.QPS, want.Mean.Util = 0, 0, 0 // the mean over all kinds has no kind and no load
-	if got := b.Learnt(); !reflect.DeepEqual(*got, want) {
+	want.Overall.InstanceType, want.Overall.QPS, want.Overall.Utilization = 0, 0, 0 // the mean over all kinds has no kind and no load
+	if got := b.Snapshot(); !reflect.DeepEqual(*got, want) {
 		t.Errorf("adopted %+v\nwant    %+v", *got, want)
 	}
 }
--- a/internal/standalone/policy/weights.go
+++ b/internal/standalone/policy/weights.go
@@ -36,7 +36,7 @@
 	qps, util, eps, mass float64
 	last                 [3]float64
 	lastReport           Time
-	probe                loadpolling.Turn
+	probe                loadpolling.Schedule
 	nonEmptySince        Time // 0: no valid report yet, or they expired
 	readySince           Time
 	cold                 bool
@@ -122,14 +122,14 @@
 		return k.mean
 	}
 	if b.mean.mean > 0 {
-		if b.set.SizesTold && b.mean.size > 0 && s.size > 0 {
+		if b.set.SizesKnown && b.mean.size > 0 && s.size > 0 {
 			return b.mean.mean * s.size / b.mean.size
 		}
 		return b.mean.mean
 	}
 	// Nothing is known yet. Sizes still compare servers; the unit is what each would get of the traffic.
 	w := b.fairShare()
-	if b.set.SizesTold && s.size > 0 && b.mean.size > 0 {
+	if b.set.SizesKnown && s.size > 0 && b.mean.size > 0 {
 		w *= s.size / b.mean.size
 	}
 	return w
@@ -142,12 +142,12 @@
 
 // scale is the A100 ramp: max(floor, time_factor^(1/aggression)) within the slow start window.
 func (b *Balancer) scale(s *server) float64 {
-	window := float64(b.set.Rules.Cold)
+	window := float64(b.set.Rules.WarmupTime)
 	age := float64(b.now - s.readySince)
 	if !s.cold || age >= window {
 		return 1
 	}
-	return wrr.SlowStart(age, 1e6, window, b.set.Rules.ColdShare, aggression)
+	return wrr.SlowStart(age, 1e6, window, b.set.Rules.InitialCapacity, aggression)
 }
 
 // guaranteed is the share of its capacity that a cold server is sure to have: an even climb from the cold
@@ -156,8 +156,8 @@
 	if !s.cold {
 		return 1
 	}
-	age := float64(b.now-s.readySince) / float64(max(1, b.set.Rules.Cold))
-	return min(1, b.set.Rules.ColdShare+(1-b.set.Rules.ColdShare)*max(0, age))
+	age := float64(b.now-s.readySince) / float64(max(1, b.set.Rules.WarmupTime))
+	return min(1, b.set.Rules.InitialCapacity+(1-b.set.Rules.InitialCapacity)*max(0, age))
 }
 
 // Chance decides how the balancers' sends fall together, and their work varies: what tips a cold server may
@@ -172,8 +172,8 @@
 // coldRate is this balancer's part of a cold server's budget, in mean requests a second.
 func (b *Balancer) coldRate(s *server) float64 {
 	able := b.like(s) * b.guaranteed(s)
-	span := max(1e-3, float64(b.set.Rules.TipAfter)/1e6)
-	tips := b.set.Rules.TipMultiple * able * span
+	span := max(1e-3, float64(b.set.Rules.OverloadTime)/1e6)
+	tips := b.set.Rules.OverloadFactor * able * span
 	root := (math.Sqrt(chance*chance+4*tips) - chance) / 2 // root^2 + chance*root = tips
 	return min(root*root/span, coldLoad*able) / float64(b.set.GroupSize)
 }
@@ -184,7 +184,7 @@
 // all balancers from landing together.
 func (b *Balancer) chill(s *server, since Time) {
 	s.readySince = since
-	s.cold = b.now-since < b.set.Rules.Cold
+	s.cold = b.now-since < b.set.Rules.WarmupTime
 	if s.cold {
 		s.tokens = b.rng.Float64()
 	}
@@ -218,19 +218,19 @@
 	b.means()
 	b.roam(dt)
 	if b.now >= b.warmTill {
-		b.window = concurrency.Keep(b.window, b.inflight, len(b.order), b.set.GroupSize)
+		b.window = concurrency.LimitToUsage(b.window, b.inflight, len(b.order), b.set.GroupSize)
 	}
-	every := loadpolling.Every(len(b.order), b.set.GroupSize, b.arrivalRate)
+	every := loadpolling.Interval(len(b.order), b.set.GroupSize, b.arrivalRate)
 	for _, s := range b.order {
 		if b.set.probes() && s.Waits() && s.probe.Due(b.now, every, b.rng.Float64()) {
-			b.do(Action{Kind: Probe, Server: s.id})
+			b.do(Action{Kind: PollLoad, Server: s.id})
 		}
 		if s.cold {
-			if b.now-s.readySince >= b.set.Rules.Cold {
+			if b.now-s.readySince >= b.set.Rules.WarmupTime {
 				s.cold = false
 			} else {
 				rate := b.coldRate(s)
-				most := max(1, rate*float64(b.set.Rules.TipAfter)/2e6)
+				most := max(1, rate*float64(b.set.Rules.OverloadTime)/2e6)
 				s.tokens = min(most, s.tokens+rate*dt)
 			}
 		}
--- a/internal/standalone/policy/weights_test.go
+++ b/internal/standalone/policy/weights_test.go
@@ -9,15 +9,15 @@
 func settings() Settings {
 	return Settings{
 		Classes: []Class{
-			{Semantics: Safe, Aim: 500_000, Deadline: 2_000_000, Worth: 1},
-			{Semantics: Keyed, Group: GroupZone, Window: 4_000_000, Aim: 500_000, Deadline: 3_000_000, Worth: 4},
-			{Semantics: Unsafe, Aim: 500_000, Deadline: 2_000_000, Worth: 2},
+			{Semantics: Idempotent, LatencyTarget: 500_000, ClientTimeout: 2_000_000, Value: 1},
+			{Semantics: Deduplicated, DedupScope: DedupPerZone, DedupWindow: 4_000_000, LatencyTarget: 500_000, ClientTimeout: 3_000_000, Value: 4},
+			{Semantics: NonIdempotent, LatencyTarget: 500_000, ClientTimeout: 2_000_000, Value: 2},
 		},
-		Columns: []Column{ColQPS, ColUtil, ColEPS}, ReportVia: ReportsInAnswers,
-		GroupSize: 1, Zones: 2, Round: 5_000,
-		Rules: Rules{AnswerSlack: 20_000, AskWithin: 8_000_000, Cold: 20_000_000,
-			ColdShare: 0.1, TipMultiple: 3, TipAfter: 2_000_000},
-		Limits: Limits{Attempts: 4, MostHeld: 10_000, Cancel: true, SecondCopies: true},
+		ReportColumns: []ReportColumn{ColumnQPS, ColumnUtilization, ColumnEPS}, ReportDelivery: ReportsInResponses,
+		GroupSize: 1, Zones: 2, BatchPeriod: 5_000,
+		Rules: Rules{ResponseGrace: 20_000, SubscribeWithin: 8_000_000, WarmupTime: 20_000_000,
+			InitialCapacity: 0.1, OverloadFactor: 3, OverloadTime: 2_000_000},
+		Limits: Limits{MaxAttempts: 4, MaxOpenRequests: 10_000, AllowCancel: true, AllowHedging: true},
 	}
 }
 
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Handle(1_000_000_000, &Event{Kind: ListFull, Members: members}, nil)
+	b.Handle(1_000_000_000, &Event{Kind: MembershipFull, Members: members}, nil)
 	return b
 }
 
@@ -52,7 +52,7 @@
 	b := newBalancer(t, settings(), fleet(1))
 	s := b.order[0]
 	s.cold = true
-	window := b.set.Rules.Cold
+	window := b.set.Rules.WarmupTime
 	for _, c := range []struct {
 		age  Time
 		want float64
@@ -91,7 +91,7 @@
 func TestRampMultipliesTheMean(t *testing.T) {
 	b := newBalancer(t, settings(), fleet(1))
 	s := b.order[0]
-	b.chill(s, b.now-b.set.Rules.Cold/4)
+	b.chill(s, b.now-b.set.Rules.WarmupTime/4)
 	b.kinds[0].mean, b.mean.mean = 8, 8
 	b.refresh()
 	near(t, "scaled mean weight", s.weight, 8*0.25, 1e-9)
@@ -130,12 +130,12 @@
 	b := newBalancer(t, set, fleet(1))
 	s := b.order[0]
 	b.kinds[0].mean = 10
-	for age := Time(0); age < set.Rules.Cold; age += set.Rules.Cold / 10 {
+	for age := Time(0); age < set.Rules.WarmupTime; age += set.Rules.WarmupTime / 10 {
 		s.cold, s.readySince = true, b.now-age
-		able := 10 * (set.Rules.ColdShare + (1-set.Rules.ColdShare)*float64(age)/float64(set.Rules.Cold))
-		span := float64(set.Rules.TipAfter) / 1e6
+		able := 10 * (set.Rules.InitialCapacity + (1-set.Rules.InitialCapacity)*float64(age)/float64(set.Rules.WarmupTime))
+		span := float64(set.Rules.OverloadTime) / 1e6
 		all := b.coldRate(s) * float64(set.GroupSize) * span
-		tips := set.Rules.TipMultiple * able * span
+		tips := set.Rules.OverloadFactor * able * span
 		if all+2*math.Sqrt(all) > tips {
 			t.Errorf("at age %d all may send %.2f, and %.2f tip it", age, all, tips)
 		}
@@ -149,11 +149,11 @@
 // cannot carry the traffic.
 func TestColdServersCarryMoreThanIsSure(t *testing.T) {
 	set := settings()
-	set.Rules.TipMultiple = 100
+	set.Rules.OverloadFactor = 100
 	b := newBalancer(t, set, fleet(1))
 	s := b.order[0]
 	b.kinds[0].mean = 10
-	s.cold, s.readySince = true, b.now-set.Rules.Cold/2
+	s.cold, s.readySince = true, b.now-set.Rules.WarmupTime/2
 	if able := 10 * b.guaranteed(s); b.coldRate(s) < 2*able {
 		t.Errorf("%v a second for a server that can do %v", b.coldRate(s), able)
 	}
@@ -190,14 +190,14 @@
 	b := newBalancer(t, settings(), members)
 	lost := 0
 	for id := range uint64(40) {
-		out := b.Handle(b.now+20_000, &Event{Kind: Arrival, ID: id, Patience: 1e6}, nil)
+		out := b.Handle(b.now+20_000, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e6}, nil)
 		for len(out) > 0 {
 			a := out[0]
 			out = out[1:]
-			if a.Kind != Send {
+			if a.Kind != SendAttempt {
 				continue
 			}
-			ev := Event{Kind: Outcomed, ID: id, Server: a.Server, Elapsed: 1000, Final: true}
+			ev := Event{Kind: AttemptEnded, ID: id, Server: a.Server, Elapsed: 1000, Final: true}
 			ev.Attempt = uint8(len(b.open[id].tries) - 1)
 			if a.Server%2 == 0 { // the home zone is gone
 				lost++
--- a/internal/standalone/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -13,12 +13,12 @@
 // Settings is the settings object as it is written: its names, and times in microseconds. Unknown keys are
 // ignored, absent ones stay zero. The keys are the platform's and stay as they are, whatever the fields are named.
 type Settings struct {
-	Classes      []Class   `json:"Classes"`
-	Projects     []Project `json:"Projects"`
-	RegistryMode string    `json:"RegistryMode"`
-	GroupSize    int       `json:"GroupSize"`
-	Ordinal      int       `json:"Ordinal"`
-	Limits       struct {
+	Classes       []Class  `json:"Classes"`
+	Tenants       []Tenant `json:"Projects"`
+	DiscoveryMode string   `json:"RegistryMode"`
+	GroupSize     int      `json:"GroupSize"`
+	Ordinal       int      `json:"Ordinal"`
+	Limits        struct {
 		Cancelling    bool    `json:"Cancelling"`
 		DialTimeout   float64 `json:"DialTimeout"`
 		IdleClose     float64 `json:"IdleClose"`
@@ -28,21 +28,21 @@
 		MostHeld      int     `json:"MostHeld"`
 		TryLimit      int     `json:"TryLimit"`
 	} `json:"Limits"`
-	LoadInfo struct {
+	LoadReports struct {
 		Columns []string `json:"Columns"`
 		How     string   `json:"How"`
 	} `json:"LoadInfo"`
-	FamilyInfo struct {
+	Affinity struct {
 		WarmKeys bool `json:"WarmKeys"`
 	} `json:"FamilyInfo"`
-	Flavors        []string `json:"Flavors"`
-	Locality       int      `json:"Locality"`
-	OverShareWorth float64  `json:"OverShareWorth"`
+	InstanceTypes  []string `json:"Flavors"`
+	Zone           int      `json:"Locality"`
+	OverQuotaValue float64  `json:"OverShareWorth"`
 	Prices         struct {
 		CrossZone float64 `json:"CrossZone"`
 	} `json:"Prices"`
-	Round float64 `json:"Round"`
-	Rules struct {
+	BatchPeriod float64 `json:"Round"`
+	Rules       struct {
 		AnswerSlack float64 `json:"AnswerSlack"`
 		AskWithin   float64 `json:"AskWithin"`
 		Cold        float64 `json:"Cold"`
@@ -50,24 +50,24 @@
 		ColdShare   float64 `json:"ColdShare"`
 		TipMultiple float64 `json:"TipMultiple"`
 	} `json:"Rules"`
-	Weights string   `json:"Weights"`
-	WorthBy string   `json:"WorthBy"`
-	Zones   []string `json:"Zones"`
+	SizeReporting string   `json:"Weights"`
+	ValueBasis    string   `json:"WorthBy"`
+	Zones         []string `json:"Zones"`
 }
 
 // Class is a request class.
 type Class struct {
-	Name      string  `json:"Name"`
-	Semantics string  `json:"Semantics"`
-	Group     string  `json:"Group"`
-	Window    float64 `json:"Window"`
-	OnTime    float64 `json:"OnTime"`
-	HardLimit float64 `json:"HardLimit"`
-	Worth     float64 `json:"Worth"`
+	Name          string  `json:"Name"`
+	Semantics     string  `json:"Semantics"`
+	DedupScope    string  `json:"Group"`
+	DedupWindow   float64 `json:"Window"`
+	LatencyTarget float64 `json:"OnTime"`
+	ClientTimeout float64 `json:"HardLimit"`
+	Value         float64 `json:"Worth"`
 }
 
-// Project is a tenant.
-type Project struct {
+// Tenant is a tenant.
+type Tenant struct {
 	Name      string  `json:"Name"`
 	QuotaPerS float64 `json:"QuotaPerS"`
 }
@@ -75,73 +75,73 @@
 // Micros turns a time as written into the module's unit, within what the module can add up.
 func Micros(v float64) policy.Time { return policy.Time(math.Max(-1, math.Min(v, 1e15))) }
 
-// Module reads the JSON text of the settings straight into the module's form.
-func Module(text []byte) (policy.Settings, error) {
+// Policy reads the JSON text of the settings straight into the module's form.
+func ParsePolicy(text []byte) (policy.Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(text, &s); err != nil {
 		return policy.Settings{}, fmt.Errorf("settings: %w", err)
 	}
-	return s.Module()
+	return s.Policy()
 }
 
-// Module returns the settings in the module's form. Package decide judges whether it can act on the result.
-func (t *Settings) Module() (policy.Settings, error) {
+// Policy returns the settings in the module's form. Package decide judges whether it can act on the result.
+func (t *Settings) Policy() (policy.Settings, error) {
 	s := policy.Settings{
-		AskDiscovery: t.RegistryMode == "subscribe", SizesTold: t.Weights != "silent" && t.Weights != "",
-		WorthByWork: t.WorthBy == "work", WarmKeys: t.FamilyInfo.WarmKeys, OverShareWorth: t.OverShareWorth,
-		GroupSize: t.GroupSize, Ordinal: t.Ordinal, Zone: t.Locality, Zones: len(t.Zones),
-		Round: Micros(t.Round),
-		Rules: policy.Rules{AnswerSlack: Micros(t.Rules.AnswerSlack), AskWithin: Micros(t.Rules.AskWithin),
-			Cold: Micros(t.Rules.Cold), ColdShare: t.Rules.ColdShare,
-			TipMultiple: t.Rules.TipMultiple, TipAfter: Micros(t.Rules.TipAfter)},
-		Limits: policy.Limits{Attempts: t.Limits.TryLimit, MostHeld: t.Limits.MostHeld,
-			Cancel: t.Limits.Cancelling, Probe: t.Limits.MayProbe, SecondCopies: t.Limits.MayDuplicate,
-			IdleClose: Micros(t.Limits.IdleClose), MaxRetryAfter: Micros(t.Limits.MaxRetryAfter)},
+		SubscribeDiscovery: t.DiscoveryMode == "subscribe", SizesKnown: t.SizeReporting != "silent" && t.SizeReporting != "",
+		ValuePerWork: t.ValueBasis == "work", KeyAffinity: t.Affinity.WarmKeys, OverQuotaValue: t.OverQuotaValue,
+		GroupSize: t.GroupSize, Ordinal: t.Ordinal, Zone: t.Zone, Zones: len(t.Zones),
+		BatchPeriod: Micros(t.BatchPeriod),
+		Rules: policy.Rules{ResponseGrace: Micros(t.Rules.AnswerSlack), SubscribeWithin: Micros(t.Rules.AskWithin),
+			WarmupTime: Micros(t.Rules.Cold), InitialCapacity: t.Rules.ColdShare,
+			OverloadFactor: t.Rules.TipMultiple, OverloadTime: Micros(t.Rules.TipAfter)},
+		Limits: policy.Limits{MaxAttempts: t.Limits.TryLimit, MaxOpenRequests: t.Limits.MostHeld,
+			AllowCancel: t.Limits.Cancelling, AllowLoadPolls: t.Limits.MayProbe, AllowHedging: t.Limits.MayDuplicate,
+			ConnIdleTimeout: Micros(t.Limits.IdleClose), MaxRetryAfter: Micros(t.Limits.MaxRetryAfter)},
 		Prices: policy.Prices{CrossZone: t.Prices.CrossZone},
 	}
-	switch t.LoadInfo.How {
+	switch t.LoadReports.How {
 	case "piggyback":
-		s.ReportVia = policy.ReportsInAnswers
+		s.ReportDelivery = policy.ReportsInResponses
 	case "pull":
-		s.ReportVia = policy.ReportsByProbe
+		s.ReportDelivery = policy.ReportsByPolling
 	}
-	for _, c := range t.LoadInfo.Columns {
-		col := policy.ColOther
+	for _, c := range t.LoadReports.Columns {
+		col := policy.ColumnOther
 		switch c {
 		case "rps":
-			col = policy.ColQPS
+			col = policy.ColumnQPS
 		case "cpu":
-			col = policy.ColUtil
+			col = policy.ColumnUtilization
 		case "err_rps":
-			col = policy.ColEPS
+			col = policy.ColumnEPS
 		}
-		s.Columns = append(s.Columns, col)
+		s.ReportColumns = append(s.ReportColumns, col)
 	}
-	for _, p := range t.Projects {
+	for _, p := range t.Tenants {
 		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerS: p.QuotaPerS})
 	}
 	for i, c := range t.Classes {
-		k := policy.Class{Window: Micros(c.Window), Aim: Micros(c.OnTime), Deadline: Micros(c.HardLimit),
-			Worth: c.Worth}
+		k := policy.Class{DedupWindow: Micros(c.DedupWindow), LatencyTarget: Micros(c.LatencyTarget), ClientTimeout: Micros(c.ClientTimeout),
+			Value: c.Value}
 		switch c.Semantics {
 		case "pure":
-			k.Semantics = policy.Safe
+			k.Semantics = policy.Idempotent
 		case "token":
-			k.Semantics = policy.Keyed
+			k.Semantics = policy.Deduplicated
 		case "side_effect":
-			k.Semantics = policy.Unsafe
+			k.Semantics = policy.NonIdempotent
 		default:
 			return s, fmt.Errorf("settings: class %d has unknown semantics %q", i, c.Semantics)
 		}
-		switch c.Group {
+		switch c.DedupScope {
 		case "all", "":
-			k.Group = policy.GroupAll
+			k.DedupScope = policy.DedupEverywhere
 		case "zone":
-			k.Group = policy.GroupZone
+			k.DedupScope = policy.DedupPerZone
 		case "cell":
-			k.Group = policy.GroupCell
+			k.DedupScope = policy.DedupPerCell
 		default:
-			return s, fmt.Errorf("settings: class %d has unknown group %q", i, c.Group)
+			return s, fmt.Errorf("settings: class %d has unknown group %q", i, c.DedupScope)
 		}
 		s.Classes = append(s.Classes, k)
 	}
