--- a/internal/standalone/settings/stored_test.go
+++ b/internal/standalone/settings/stored_test.go
@@ -14,21 +14,21 @@
 func settingsSample() Settings {
 	s := Settings{
 		Classes: []Class{
-			{Name: "quick-quote", Semantics: "pure", Group: "all", Window: 5e6, OnTime: 600_000, HardLimit: 1.5e6, Worth: 3.5},
-			{Name: "issue-policy", Semantics: "token", Group: "zone", Window: 3e6, OnTime: 1e6, HardLimit: 3e6, Worth: 5.5},
-			{Name: "amend-cover", Semantics: "side_effect", Group: "cell", Window: 2e6, OnTime: 800_000, HardLimit: 2e6, Worth: 2.5},
+			{Name: "quick-quote", Semantics: "pure", DedupScope: "all", DedupWindow: 5e6, LatencyTarget: 600_000, ClientTimeout: 1.5e6, Value: 3.5},
+			{Name: "issue-policy", Semantics: "token", DedupScope: "zone", DedupWindow: 3e6, LatencyTarget: 1e6, ClientTimeout: 3e6, Value: 5.5},
+			{Name: "amend-cover", Semantics: "side_effect", DedupScope: "cell", DedupWindow: 2e6, LatencyTarget: 800_000, ClientTimeout: 2e6, Value: 2.5},
 		},
-		Projects:     []Project{{Name: "steppe-tours", QuotaPerS: 254.5}, {Name: "khan-air", QuotaPerS: 76.25}},
-		RegistryMode: "subscribe", GroupSize: 3, Ordinal: 2,
-		Flavors: []string{"std-8", "small-6"}, Locality: 1, OverShareWorth: 0.1, Round: 5000,
-		Weights: "nominal", WorthBy: "work", Zones: []string{"ub-east", "ub-west"},
+		Tenants:       []Tenant{{Name: "steppe-tours", QuotaPerS: 254.5}, {Name: "khan-air", QuotaPerS: 76.25}},
+		DiscoveryMode: "subscribe", GroupSize: 3, Ordinal: 2,
+		InstanceTypes: []string{"std-8", "small-6"}, Zone: 1, OverQuotaValue: 0.1, BatchPeriod: 5000,
+		SizeReporting: "nominal", ValueBasis: "work", Zones: []string{"ub-east", "ub-west"},
 	}
 	l, r := &s.Limits, &s.Rules
 	l.Cancelling, l.MayDuplicate, l.MayProbe = true, true, true
 	l.DialTimeout, l.IdleClose, l.MaxRetryAfter = 250_000, 10e6, 2.5e6
 	l.MostHeld, l.TryLimit = 20_000, 3
-	s.LoadInfo.Columns, s.LoadInfo.How = []string{"cpu", "rps", "err_rps", "later"}, "piggyback"
-	s.FamilyInfo.WarmKeys = true
+	s.LoadReports.Columns, s.LoadReports.How = []string{"cpu", "rps", "err_rps", "later"}, "piggyback"
+	s.Affinity.WarmKeys = true
 	s.Prices.CrossZone = 0.03
 	r.AnswerSlack, r.AskWithin, r.Cold, r.TipAfter = 20_000, 11e6, 24e6, 1e6
 	r.ColdShare, r.TipMultiple = 0.12, 3.5
@@ -51,22 +51,22 @@
 	if written, err := json.Marshal(got); err != nil || !bytes.Equal(written, bytes.TrimSpace(text)) {
 		t.Errorf("%v: written %s\nwant %s", err, written, text)
 	}
-	module, err := Module(text)
+	module, err := ParsePolicy(text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := policy.Settings{
 		Classes: []policy.Class{
-			{Semantics: policy.Safe, Group: policy.GroupAll, Window: 5e6, Aim: 600_000, Deadline: 1.5e6, Worth: 3.5},
-			{Semantics: policy.Keyed, Group: policy.GroupZone, Window: 3e6, Aim: 1e6, Deadline: 3e6, Worth: 5.5},
-			{Semantics: policy.Unsafe, Group: policy.GroupCell, Window: 2e6, Aim: 800_000, Deadline: 2e6, Worth: 2.5},
+			{Semantics: policy.Idempotent, DedupScope: policy.DedupEverywhere, DedupWindow: 5e6, LatencyTarget: 600_000, ClientTimeout: 1.5e6, Value: 3.5},
+			{Semantics: policy.Deduplicated, DedupScope: policy.DedupPerZone, DedupWindow: 3e6, LatencyTarget: 1e6, ClientTimeout: 3e6, Value: 5.5},
+			{Semantics: policy.NonIdempotent, DedupScope: policy.DedupPerCell, DedupWindow: 2e6, LatencyTarget: 800_000, ClientTimeout: 2e6, Value: 2.5},
 		},
-		Tenants:   []policy.Tenant{{QuotaPerS: 254.5}, {QuotaPerS: 76.25}},
-		Columns:   []policy.Column{policy.ColUtil, policy.ColQPS, policy.ColEPS, policy.ColOther},
-		ReportVia: policy.ReportsInAnswers, AskDiscovery: true, SizesTold: true, WorthByWork: true, WarmKeys: true, OverShareWorth: 0.1,
-		GroupSize: 3, Ordinal: 2, Zone: 1, Zones: 2, Round: 5000,
-		Rules:  policy.Rules{AnswerSlack: 20_000, AskWithin: 11e6, Cold: 24e6, ColdShare: 0.12, TipMultiple: 3.5, TipAfter: 1e6},
-		Limits: policy.Limits{Attempts: 3, MostHeld: 20_000, Cancel: true, Probe: true, SecondCopies: true, IdleClose: 10e6, MaxRetryAfter: 2.5e6},
+		Tenants:        []policy.Tenant{{QuotaPerS: 254.5}, {QuotaPerS: 76.25}},
+		ReportColumns:  []policy.ReportColumn{policy.ColumnUtilization, policy.ColumnQPS, policy.ColumnEPS, policy.ColumnOther},
+		ReportDelivery: policy.ReportsInResponses, SubscribeDiscovery: true, SizesKnown: true, ValuePerWork: true, KeyAffinity: true, OverQuotaValue: 0.1,
+		GroupSize: 3, Ordinal: 2, Zone: 1, Zones: 2, BatchPeriod: 5000,
+		Rules:  policy.Rules{ResponseGrace: 20_000, SubscribeWithin: 11e6, WarmupTime: 24e6, InitialCapacity: 0.12, OverloadFactor: 3.5, OverloadTime: 1e6},
+		Limits: policy.Limits{MaxAttempts: 3, MaxOpenRequests: 20_000, AllowCancel: true, AllowLoadPolls: true, AllowHedging: true, ConnIdleTimeout: 10e6, MaxRetryAfter: 2.5e6},
 		Prices: policy.Prices{CrossZone: 0.03},
 	}
 	if !reflect.DeepEqual(module, want) {
--- a/internal/standalone/subset/subset.go
+++ b/internal/standalone/subset/subset.go
@@ -24,32 +24,32 @@
 
 // Member is a server that a proxy keeps to.
 type Member struct {
-	ID   uint32
-	Part float64 // of the server's width that the arc covers, over 0 and at most 1
+	ID       uint32
+	Coverage float64 // of the server's width that the arc covers, over 0 and at most 1
 }
 
 // golden is the golden ratio's fractional part.
 const golden = 0.6180339887498949
 
-// Start is where on each ring the proxy of a number begins, from 0 to under 1.
-func Start(ordinal int) float64 {
+// StartPosition is where on each ring the proxy of a number begins, from 0 to under 1.
+func StartPosition(ordinal int) float64 {
 	_, frac := math.Modf(float64(ordinal) * golden)
 	return frac
 }
 
-// Arc is the length of the arc for which a proxy with a rate of requests to a zone of the given number of servers keeps each
+// ArcLength is the length of the arc for which a proxy with a rate of requests to a zone of the given number of servers keeps each
 // server's connection in use: perServer requests a second for each, and at least least servers. At most 1, which is all.
-func Arc(rate, perServer float64, servers, least int) float64 {
+func ArcLength(rate, perServer float64, servers, least int) float64 {
 	if servers <= least || perServer <= 0 {
 		return 1
 	}
 	return min(1, max(float64(least), rate/perServer)/float64(servers))
 }
 
-// Pick returns the members of the proxy of a number, ring by ring in the order of their zones, from the start of the arc on. arc is the
+// Select returns the members of the proxy of a number, ring by ring in the order of their zones, from the start of the arc on. arc is the
 // part of each zone's ring, from 0 to 1; in a zone in which it holds fewer than least servers, it is longer. Servers may
 // be in any order, which is changed; the same ones give the same members at every proxy.
-func Pick(servers []Server, ordinal int, arc float64, least int) []Member {
+func Select(servers []Server, ordinal int, arc float64, least int) []Member {
 	slices.SortFunc(servers, func(a, b Server) int {
 		// Cells stay together, so that a keyed request finds a second server of its cell; their order on the ring, and that of servers
 		// within them, tells nothing of how they came.
@@ -62,7 +62,7 @@
 		for n < len(servers) && servers[n].Zone == servers[0].Zone {
 			n++
 		}
-		members = ring(members, servers[:n], Start(ordinal), arc, least)
+		members = ring(members, servers[:n], StartPosition(ordinal), arc, least)
 		servers = servers[n:]
 	}
 	return members
@@ -110,7 +110,7 @@
 		left = max(0, left-room)
 	}
 	if left > nothing { // the arc ends in the server that it began in
-		members[first].Part = min(1, members[first].Part+left/width(at))
+		members[first].Coverage = min(1, members[first].Coverage+left/width(at))
 	}
 	return members
 }
--- a/internal/standalone/subset/subset_test.go
+++ b/internal/standalone/subset/subset_test.go
@@ -42,19 +42,19 @@
 		servers := fleet(t, 20)
 		arc, n := rapid.Float64Range(0.3, 1).Draw(t, "arc"), rapid.IntRange(0, 5000).Draw(t, "ordinal")
 		wide, sum, seen := widths(servers), 0.0, map[uint32]bool{}
-		members := Pick(servers, n, arc, 4)
+		members := Select(servers, n, arc, 4)
 		for _, m := range members {
-			if m.Part <= 0 || m.Part > 1+1e-9 || seen[m.ID] {
+			if m.Coverage <= 0 || m.Coverage > 1+1e-9 || seen[m.ID] {
 				t.Fatalf("member %+v", m)
 			}
 			seen[m.ID] = true
-			sum += m.Part * wide[m.ID]
+			sum += m.Coverage * wide[m.ID]
 		}
 		if math.Abs(sum-arc) > 1e-6 {
 			t.Fatalf("the members make up %v of the ring, the arc is %v", sum, arc)
 		}
 		rand.New(rand.NewPCG(1, uint64(n))).Shuffle(len(servers), func(i, j int) { servers[i], servers[j] = servers[j], servers[i] })
-		if again := Pick(servers, n, arc, 4); !slices.Equal(members, again) {
+		if again := Select(servers, n, arc, 4); !slices.Equal(members, again) {
 			t.Fatalf("in another order: %v, then %v", members, again)
 		}
 	})
@@ -70,8 +70,8 @@
 		begin, arc := rapid.IntRange(0, 100_000).Draw(t, "begin"), rapid.Float64Range(0.25, 1).Draw(t, "arc")
 		parts := map[uint32]float64{}
 		for p := range proxies {
-			for _, m := range Pick(servers, begin+p*step, arc, 4) {
-				parts[m.ID] += m.Part
+			for _, m := range Select(servers, begin+p*step, arc, 4) {
+				parts[m.ID] += m.Coverage
 			}
 		}
 		slack := 4 + 2*math.Log10(float64(proxies))
@@ -94,13 +94,13 @@
 		}
 		n, arc := rapid.IntRange(0, 1000).Draw(t, "ordinal"), rapid.Float64Range(0.2, 0.9).Draw(t, "arc")
 		before := map[uint32]bool{}
-		for _, m := range Pick(servers, n, arc, 4) {
+		for _, m := range Select(servers, n, arc, 4) {
 			before[m.ID] = true
 		}
 		gone := rapid.IntRange(0, len(servers)-1).Draw(t, "gone")
 		servers = slices.Delete(servers, gone, gone+1)
 		changed := 0
-		for _, m := range Pick(servers, n, arc, 4) {
+		for _, m := range Select(servers, n, arc, 4) {
 			if !before[m.ID] {
 				changed++
 			}
@@ -115,10 +115,10 @@
 // Small zones are used whole; where none is listed there is nothing; a proxy with much to send keeps to more.
 func TestSmallZonesAreUsedWhole(t *testing.T) {
 	servers := []Server{{ID: 1}, {ID: 2, Zone: 1}, {ID: 3, Zone: 1}, {ID: 4, Zone: 1}}
-	if members := Pick(servers, 7, 0.01, 4); len(members) != 4 || members[0] != (Member{1, 1}) || members[3].Part != 1 {
+	if members := Select(servers, 7, 0.01, 4); len(members) != 4 || members[0] != (Member{1, 1}) || members[3].Coverage != 1 {
 		t.Errorf("all of two small zones: %v", members)
 	}
-	if members := Pick(nil, 7, 0.5, 4); len(members) != 0 {
+	if members := Select(nil, 7, 0.5, 4); len(members) != 0 {
 		t.Errorf("of no servers: %v", members)
 	}
 	for _, c := range []struct {
@@ -126,7 +126,7 @@
 		servers int
 		want    float64
 	}{{13, 4, 1}, {13, 50, 0.52}, {1, 50, 0.08}, {500, 50, 1}, {0, 50, 0.08}} {
-		if got := Arc(c.rate, 0.5, c.servers, 4); math.Abs(got-c.want) > 1e-9 {
+		if got := ArcLength(c.rate, 0.5, c.servers, 4); math.Abs(got-c.want) > 1e-9 {
 			t.Errorf("%v requests a second, %d servers: an arc of %v, want %v", c.rate, c.servers, got, c.want)
 		}
 	}
--- a/tools/simrank/main.go
+++ b/tools/simrank/main.go
@@ -58,7 +58,7 @@
 // keyed are those that matter only where servers are warm for keys.
 var keyed = []variant{
 	{"a cold key for 1", "internal/standalone/policy/schedule.go", "missLeast, missPart = 10.0, 1.0", "missLeast, missPart = 1.0, 0.0"},
-	{"no keys", "internal/standalone/policy/schedule.go", "r.key == 0 || !b.set.WarmKeys", "true"},
+	{"no keys", "internal/standalone/policy/schedule.go", "r.key == 0 || !b.set.KeyAffinity", "true"},
 }
 
 // world pairs one of the simulator's kinds of day with an experiment of ours, and what is changed in it.
