--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -34,7 +34,7 @@
 	settings *bootstrap.Settings
 	events   chan func(now time.Time)
 
-	leaseToken uint64 // of the lease under which the tables were filled; 0: not held
+	leaseToken message.FencingToken // of the lease under which the tables were filled; 0: not held
 	leaseStart time.Time
 
 	reader   *discovery.Reader
@@ -65,7 +65,7 @@
 
 // run works until ctx ends.
 func (c *controller) run(ctx context.Context) {
-	puller := distribution.NewPuller(c.loop.self.Identity, &leaseHolderSubscriber{loop: c.loop}, holderPollWait)
+	puller := distribution.NewPuller(string(c.loop.self.Identity), &leaseHolderSubscriber{loop: c.loop}, holderPollWait)
 	go puller.Run(ctx)
 	urgent := make(chan struct{}, 1)
 	c.loop.hub.SetOnUrgent(func() {
@@ -170,8 +170,8 @@
 }
 
 // commandFence allows a placement command only while the lease of token lasts beyond the command's own timeout.
-func (c *controller) commandFence(token uint64) placement.Fence {
-	return func() (uint64, bool) {
+func (c *controller) commandFence(token message.FencingToken) placement.Fence {
+	return func() (message.FencingToken, bool) {
 		now := time.Now()
 		s, holds := c.lease(now)
 		return token, holds && s.leaseToken == token && s.leaseUntil.Sub(now) > placement.OrderTimeout
--- a/internal/controlplane/coordinator/identity.go
+++ b/internal/controlplane/coordinator/identity.go
@@ -12,6 +12,7 @@
 
 	"pumiceline/internal/bootstrap"
 	"pumiceline/internal/logkey"
+	"pumiceline/internal/message"
 )
 
 // InternalAddress returns where the coordinator of a machine listens for other processes of the system.
@@ -45,10 +46,10 @@
 }
 
 // newIdentity draws an identity that no process had before.
-func newIdentity(node string) string {
+func newIdentity(node string) message.MemberID {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return node + "-" + strconv.FormatInt(time.Now().UnixNano(), 36)
+		return message.MemberID(node + "-" + strconv.FormatInt(time.Now().UnixNano(), 36))
 	}
-	return node + "-" + hex.EncodeToString(random[:])
+	return message.MemberID(node + "-" + hex.EncodeToString(random[:]))
 }
--- a/internal/controlplane/coordinator/placement_tasks.go
+++ b/internal/controlplane/coordinator/placement_tasks.go
@@ -105,7 +105,7 @@
 	taskCtx, cancel := context.WithCancel(ctx)
 	c.running[id] = &runningTask{task: task, expectedDone: now.Add(task.LoadTime), cancel: cancel}
 	executor := &placement.Executor{
-		Caller: c.caller, Owner: c.loop.self.Identity, Fence: c.commandFence(c.leaseToken),
+		Caller: c.caller, Owner: string(c.loop.self.Identity), Fence: c.commandFence(c.leaseToken),
 		Publish: func(backend message.BackendID, models []message.LoadedModel) {
 			c.events <- func(now time.Time) { c.onModelsObserved(backend, models, now) }
 		},
--- a/internal/controlplane/coordinator/replica_loop.go
+++ b/internal/controlplane/coordinator/replica_loop.go
@@ -35,17 +35,17 @@
 	self     message.Member
 	snapshot atomic.Pointer[membershipSnapshot]
 
-	publishedSequence uint64 // of the configuration that the hub got last
-	loggedView        uint64 // number of the view that was logged last
+	publishedSequence uint64             // of the configuration that the hub got last
+	loggedView        message.ViewNumber // number of the view that was logged last
 }
 
 // membershipSnapshot is what the rest of the process may know of the replica, as of its last step.
 type membershipSnapshot struct {
 	view         message.View
 	isMember     bool
-	canStop      bool   // it was asked to stop, and the others can do without it
-	leaseHolder  string // internal address of the controller lease's holder; empty: not known
-	leaseToken   uint64 // fencing token of the lease where this member holds it, else 0
+	canStop      bool                 // it was asked to stop, and the others can do without it
+	leaseHolder  string               // internal address of the controller lease's holder; empty: not known
+	leaseToken   message.FencingToken // fencing token of the lease where this member holds it, else 0
 	leaseStart   time.Time
 	leaseUntil   time.Time
 	sequence     uint64 // of the newest acknowledged change
@@ -61,9 +61,9 @@
 func (l *replicaLoop) handleMessage(m *message.Message, reply func(*message.Message)) {
 	switch {
 	case m.PollRequest != nil:
-		l.hub.HandlePull(m.From, *m.PollRequest, reply)
+		l.hub.HandlePull(string(m.From), *m.PollRequest, reply)
 	case m.LoadReport != nil:
-		l.hub.HandleLoads(m.From, m.LoadReport, reply)
+		l.hub.HandleLoads(string(m.From), m.LoadReport, reply)
 	default:
 		l.deliver(m)
 	}
--- a/internal/controlplane/coordinator/state_writer_test.go
+++ b/internal/controlplane/coordinator/state_writer_test.go
@@ -38,7 +38,7 @@
 	require.NoError(t, err)
 	require.NoError(t, ring.Write(map[storage.Kind][]byte{controlRecord: control, chainRecord: chain}))
 	stored := openDir(t, dir)
-	assert.Equal(t, uint64(7), stored.control.View.Number)
+	assert.Equal(t, message.ViewNumber(7), stored.control.View.Number)
 	assert.Equal(t, stored.control.View.Members, stored.control.View.EffectiveVoters(), "its members are its voters")
 	assert.True(t, stored.control.Complete)
 	assert.Equal(t, uint64(9), stored.chain.Version)
@@ -87,7 +87,7 @@
 		case 0:
 			out.Additions = nil // replaced, as by a snapshot
 		case 1:
-			out.Control = &message.ControlState{Identity: fmt.Sprint(i)}
+			out.Control = &message.ControlState{Identity: message.MemberID(fmt.Sprint(i))}
 		}
 		w.write([]replica.Output{out})
 		if i%50 == 49 {
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -197,7 +197,7 @@
 		Tolerance: 1, Lease: LeaseDuration, Incarnation: 1,
 	}
 	started := replica.New(options, configuration.Judge, 0, stored.control, stored.chain)
-	assert.Equal(t, "node-a-00112233", started.Identity())
+	assert.Equal(t, message.MemberID("node-a-00112233"), started.Identity())
 	assert.Equal(t, storedControl.View, started.View())
 	assert.True(t, started.IsMember())
 	assert.True(t, started.IsComplete())
--- a/internal/controlplane/distribution/distribution_test.go
+++ b/internal/controlplane/distribution/distribution_test.go
@@ -121,7 +121,7 @@
 	hub.SetTable(table("old", now.Add(-time.Second)))
 	reply := pull(t, hub, "p", message.PollRequest{})
 	assert.Equal(t, uint64(5), reply.Config.Sequence)
-	assert.Equal(t, "new", reply.Backends.Backends[0].ID)
+	assert.Equal(t, message.BackendID("new"), reply.Backends.Backends[0].ID)
 }
 
 func TestDemandAndLoadsAreSummedOverSources(t *testing.T) {
@@ -168,7 +168,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
 	go transport.Serve(listener, func(m *message.Message, reply func(*message.Message)) {
-		hub.HandlePull(m.From, *m.PollRequest, reply)
+		hub.HandlePull(string(m.From), *m.PollRequest, reply)
 	})
 	return listener.Addr().String()
 }
--- a/internal/controlplane/placement/executor.go
+++ b/internal/controlplane/placement/executor.go
@@ -30,7 +30,7 @@
 var ErrFenced = errors.New("the lease is over")
 
 // Fence returns the token with which an order may be given now; ok is false when the lease ends too soon.
-type Fence func() (token uint64, ok bool)
+type Fence func() (token message.FencingToken, ok bool)
 
 // Executor carries out tasks at backends.
 type Executor struct {
--- a/internal/controlplane/placement/executor_test.go
+++ b/internal/controlplane/placement/executor_test.go
@@ -94,7 +94,7 @@
 		{Name: "m", WeightsMB: 100, AdapterMB: 1}, {Name: "n", WeightsMB: 100, AdapterMB: 1}, {Name: "o", WeightsMB: 100},
 	}}}
 	if fence == nil {
-		fence = func() (uint64, bool) { return 7, true }
+		fence = func() (message.FencingToken, bool) { return 7, true }
 	}
 	executor := &Executor{
 		Caller: NewCaller(), Owner: "me", Fence: fence, Publish: func(message.BackendID, []message.LoadedModel) {}, Started: func(message.BackendID) {},
@@ -128,7 +128,7 @@
 func TestNoOrderWithoutTheLease(t *testing.T) {
 	b := &fakeBackend{models: map[message.ModelName][]string{"m": {}, "n": {}}}
 	orders := 0
-	_, err := b.run(t, Task{Unload: []message.ModelName{"n"}, Load: "o"}, func() (uint64, bool) {
+	_, err := b.run(t, Task{Unload: []message.ModelName{"n"}, Load: "o"}, func() (message.FencingToken, bool) {
 		orders++
 		return 7, orders == 1
 	})
--- a/internal/controlplane/placement/orders.go
+++ b/internal/controlplane/placement/orders.go
@@ -41,12 +41,12 @@
 
 // Order is one order to a backend.
 type Order struct {
-	Operation  string            `json:"operation"`
-	Model      message.ModelName `json:"model"`
-	Adapter    string            `json:"adapter,omitempty"`
-	IfRevision *uint64           `json:"ifRevision,omitempty"`
-	Owner      string            `json:"owner"`
-	Fence      uint64            `json:"fenceNo"`
+	Operation  string               `json:"operation"`
+	Model      message.ModelName    `json:"model"`
+	Adapter    string               `json:"adapter,omitempty"`
+	IfRevision *uint64              `json:"ifRevision,omitempty"`
+	Owner      string               `json:"owner"`
+	Fence      message.FencingToken `json:"fenceNo"`
 }
 
 // The operations of orders.
--- a/internal/controlplane/replica/agreement.go
+++ b/internal/controlplane/replica/agreement.go
@@ -15,8 +15,8 @@
 	value     message.View
 	tentative bool // the value is what was wanted at the beginning of the round, and is given up when it no longer is
 	accepting bool
-	promises  map[string]bool
-	accepts   map[string]bool
+	promises  map[message.MemberID]bool
+	accepts   map[message.MemberID]bool
 	best      message.ProposalNumber // ballot of the accepted value that value was taken from
 	began     time.Duration
 	highest   uint64 // highest round seen
@@ -113,7 +113,7 @@
 	r.proposal = proposal{
 		open: true, value: value, began: r.now, highest: round,
 		ballot:   message.ProposalNumber{Counter: round, Proposer: r.control.Identity},
-		promises: map[string]bool{}, accepts: map[string]bool{},
+		promises: map[message.MemberID]bool{}, accepts: map[message.MemberID]bool{},
 	}
 	r.control.HighestProposal = r.proposal.ballot
 	r.controlDirty = true
--- a/internal/controlplane/replica/agreement_test.go
+++ b/internal/controlplane/replica/agreement_test.go
@@ -32,7 +32,7 @@
 	head := g.members[0]
 	head.beginRound(message.View{Number: 2, Members: head.View().Members})
 	head.takeOutput()
-	for _, stranger := range []string{"a", "b", "c"} {
+	for _, stranger := range []message.MemberID{"a", "b", "c"} {
 		m := message.Message{From: stranger, To: head.Identity(), View: 1, PrepareResponse: &message.PrepareResponse{Proposal: head.proposal.ballot}}
 		head.Step(g.now, &m)
 	}
--- a/internal/controlplane/replica/confirm.go
+++ b/internal/controlplane/replica/confirm.go
@@ -12,7 +12,7 @@
 	round   uint64
 	running []func()
 	waiting []func()
-	votes   map[string]bool
+	votes   map[message.MemberID]bool
 	sentAt  time.Duration
 	began   time.Duration
 
@@ -44,7 +44,7 @@
 	}
 	c.round++
 	c.running, c.waiting = c.waiting, nil
-	c.votes = map[string]bool{}
+	c.votes = map[message.MemberID]bool{}
 	c.began = r.now
 	r.sendConfirms()
 }
--- a/internal/controlplane/replica/detector.go
+++ b/internal/controlplane/replica/detector.go
@@ -14,22 +14,22 @@
 // detector keeps who was heard when, and what the monitors report. It proposes who to take out and who to take in; it
 // decides nothing.
 type detector struct {
-	heard        map[string]time.Duration // from when a member's silence counts
-	spoke        map[string]time.Duration // when a message of it came last
-	complete     map[string]uint64        // the view in which a member said that it is complete
-	disk         map[string]bool          // whether a member has one, as it said
-	zone         map[string]string
-	condition    map[string]condition
+	heard        map[message.MemberID]time.Duration      // from when a member's silence counts
+	spoke        map[message.MemberID]time.Duration      // when a message of it came last
+	complete     map[message.MemberID]message.ViewNumber // the view in which a member said that it is complete
+	disk         map[message.MemberID]bool               // whether a member has one, as it said
+	zone         map[message.MemberID]string
+	condition    map[message.MemberID]condition
 	reports      map[report]time.Duration
-	joiners      map[string]joiner
-	veterans     map[string]bool          // identities that have been members
-	arrived      map[string]time.Duration // when an identity that was no member before asked for the first time
-	departing    map[string]time.Duration // when members said last that they were asked to stop, unless they came back since
-	cameBack     map[string]time.Duration // when a member asked to join last
-	superseded   map[string]time.Duration // when a member's vote went to a newcomer of its zone
-	stoodStill   time.Duration            // when this process went on after it had stood still for long
-	monitors     []message.Member         // to whom this member sends its heartbeats
-	monitored    []message.Member         // whose heartbeats it awaits
+	joiners      map[message.MemberID]joiner
+	veterans     map[message.MemberID]bool          // identities that have been members
+	arrived      map[message.MemberID]time.Duration // when an identity that was no member before asked for the first time
+	departing    map[message.MemberID]time.Duration // when members said last that they were asked to stop, unless they came back since
+	cameBack     map[message.MemberID]time.Duration // when a member asked to join last
+	superseded   map[message.MemberID]time.Duration // when a member's vote went to a newcomer of its zone
+	stoodStill   time.Duration                      // when this process went on after it had stood still for long
+	monitors     []message.Member                   // to whom this member sends its heartbeats
+	monitored    []message.Member                   // whose heartbeats it awaits
 	lastBeat     time.Duration
 	beaten       bool
 	toldAbsent   time.Duration
@@ -55,13 +55,13 @@
 
 type report struct {
 	finding  finding
-	member   string
-	reporter string
+	member   message.MemberID
+	reporter message.MemberID
 }
 
 type joiner struct {
 	member message.Member
-	view   uint64 // that it knew when it asked last
+	view   message.ViewNumber // that it knew when it asked last
 	at     time.Duration
 	first  time.Duration // since when it has asked without a gap
 }
@@ -70,19 +70,19 @@
 const disklessPatience = 3 * time.Second
 
 func (d *detector) init() {
-	d.heard = map[string]time.Duration{}
-	d.spoke = map[string]time.Duration{}
-	d.complete = map[string]uint64{}
-	d.disk = map[string]bool{}
-	d.zone = map[string]string{}
-	d.condition = map[string]condition{}
+	d.heard = map[message.MemberID]time.Duration{}
+	d.spoke = map[message.MemberID]time.Duration{}
+	d.complete = map[message.MemberID]message.ViewNumber{}
+	d.disk = map[message.MemberID]bool{}
+	d.zone = map[message.MemberID]string{}
+	d.condition = map[message.MemberID]condition{}
 	d.reports = map[report]time.Duration{}
-	d.joiners = map[string]joiner{}
-	d.veterans = map[string]bool{}
-	d.arrived = map[string]time.Duration{}
-	d.departing = map[string]time.Duration{}
-	d.superseded = map[string]time.Duration{}
-	d.cameBack = map[string]time.Duration{}
+	d.joiners = map[message.MemberID]joiner{}
+	d.veterans = map[message.MemberID]bool{}
+	d.arrived = map[message.MemberID]time.Duration{}
+	d.departing = map[message.MemberID]time.Duration{}
+	d.superseded = map[message.MemberID]time.Duration{}
+	d.cameBack = map[message.MemberID]time.Duration{}
 }
 
 // departureTime is how long a member that was asked to stop takes at the most until it has ended.
@@ -90,7 +90,7 @@
 
 // noteDeparture keeps that a member said that it was asked to stop. What comes just after it has been started again was
 // said before.
-func (d *detector) noteDeparture(identity string, now time.Duration) {
+func (d *detector) noteDeparture(identity message.MemberID, now time.Duration) {
 	at, known := d.cameBack[identity]
 	if !known || now-at > joinPatience {
 		d.departing[identity] = now
@@ -98,14 +98,14 @@
 }
 
 // noteReturn keeps that a member asks to join: it has been started again, or was taken out.
-func (d *detector) noteReturn(identity string, now time.Duration) {
+func (d *detector) noteReturn(identity message.MemberID, now time.Duration) {
 	delete(d.departing, identity)
 	delete(d.condition, identity)
 	d.cameBack[identity] = now
 }
 
 // hear notes that a message of a member came to self, which so takes back that it is silent.
-func (d *detector) hear(identity, self string, now time.Duration) {
+func (d *detector) hear(identity, self message.MemberID, now time.Duration) {
 	d.heard[identity], d.spoke[identity] = now, now
 	if len(d.reports) > 0 && !d.condition[identity].unfit {
 		delete(d.reports, report{isSilent, identity, self})
@@ -128,7 +128,7 @@
 
 // enterView starts the silences of those anew that self did not monitor before: a member that was silent in the old
 // view stays so.
-func (d *detector) enterView(old, view message.View, self string, now time.Duration) {
+func (d *detector) enterView(old, view message.View, self message.MemberID, now time.Duration) {
 	for _, member := range view.Members {
 		if !includes(monitorsOf(old, member.Identity), self) {
 			d.heard[member.Identity] = now
@@ -160,7 +160,7 @@
 }
 
 // setRing works out who monitors whom.
-func (d *detector) setRing(view message.View, self string) {
+func (d *detector) setRing(view message.View, self message.MemberID) {
 	d.monitors = monitorsOf(view, self)
 	d.monitored = lo.Filter(view.Members, func(m message.Member, _ int) bool {
 		return includes(monitorsOf(view, m.Identity), self)
@@ -186,7 +186,7 @@
 }
 
 // monitorsOf returns the members to which identity sends its heartbeats: the next ones on the ring of identities.
-func monitorsOf(view message.View, identity string) []message.Member {
+func monitorsOf(view message.View, identity message.MemberID) []message.Member {
 	ring := slices.Clone(view.Members)
 	sort.Slice(ring, func(i, j int) bool { return ring[i].Identity < ring[j].Identity })
 	at := slices.IndexFunc(ring, func(m message.Member) bool { return m.Identity == identity })
--- a/internal/controlplane/replica/electorate_test.go
+++ b/internal/controlplane/replica/electorate_test.go
@@ -27,7 +27,7 @@
 }
 
 func namedMember(name string) message.Member {
-	return message.Member{Identity: name, Address: "at-" + name, Zone: name[:1]}
+	return message.Member{Identity: message.MemberID(name), Address: "at-" + name, Zone: name[:1]}
 }
 
 func namedMembers(names []string) []message.Member {
@@ -37,19 +37,19 @@
 func (s succession) electorate() *electorate {
 	e := &electorate{
 		least: s.least, voters: namedMembers(s.voters), present: namedMembers(s.present), mayGrow: s.mayGrow,
-		leaves:  func(m message.Member) bool { return lo.Contains(s.leaving, m.Identity) },
-		silence: func(m message.Member) time.Duration { return s.silences[m.Identity] },
+		leaves:  func(m message.Member) bool { return lo.Contains(s.leaving, string(m.Identity)) },
+		silence: func(m message.Member) time.Duration { return s.silences[string(m.Identity)] },
 		newcomer: func(m message.Member) (time.Duration, bool) {
-			asked, ok := s.newcomers[m.Identity]
+			asked, ok := s.newcomers[string(m.Identity)]
 			return asked, ok
 		},
 		mayVote: func(m message.Member) bool {
-			asked, ok := s.newcomers[m.Identity]
+			asked, ok := s.newcomers[string(m.Identity)]
 			return !ok || asked >= joinPatience
 		},
 	}
 	for member, by := range s.displaced {
-		e.displaced = append(e.displaced, message.ReplacedVoter{Member: namedMember(member), ReplacedBy: by})
+		e.displaced = append(e.displaced, message.ReplacedVoter{Member: namedMember(member), ReplacedBy: message.MemberID(by)})
 	}
 	return e
 }
@@ -130,7 +130,7 @@
 		voters: []string{"a1"}, present: []string{"a1", "b1", "c1"}, least: 3,
 		want: []string{"a1", "b1", "c1"},
 	}} {
-		got := lo.Map(s.electorate().next(), func(m message.Member, _ int) string { return m.Identity })
+		got := lo.Map(s.electorate().next(), func(m message.Member, _ int) string { return string(m.Identity) })
 		assert.Equal(t, s.want, got, s.name)
 	}
 }
@@ -145,7 +145,7 @@
 	g.tick(2 * time.Second)
 	zones := lo.Map(g.members[0].View().Members, func(m message.Member, _ int) string { return m.Zone })
 	assert.ElementsMatch(t, []string{"a", "b", "c"}, zones)
-	assert.Equal(t, uint64(2), g.members[0].View().Number, "once is enough")
+	assert.Equal(t, message.ViewNumber(2), g.members[0].View().Number, "once is enough")
 }
 
 // A member of a lost disk or of another process at its address is gone for certain.
--- a/internal/controlplane/replica/history.go
+++ b/internal/controlplane/replica/history.go
@@ -37,7 +37,7 @@
 }
 
 // newRecord makes the record of a change that turns the document of a state into another.
-func newRecord(state *message.ChainState, change message.Change, document []byte, view uint64) *message.ChangeRecord {
+func newRecord(state *message.ChainState, change message.Change, document []byte, view message.ViewNumber) *message.ChangeRecord {
 	return &message.ChangeRecord{
 		View: view, Previous: state.Digest, Change: change,
 		Delta: delta.Make(state.Document, document), DocumentDigest: DocumentDigest(document),
--- a/internal/controlplane/replica/joining.go
+++ b/internal/controlplane/replica/joining.go
@@ -67,7 +67,7 @@
 }
 
 // noteArrival keeps when a machine came that was no member before.
-func (r *Replica) noteArrival(identity string) {
+func (r *Replica) noteArrival(identity message.MemberID) {
 	view := r.control.View
 	_, known := r.detector.arrived[identity]
 	if !known && !r.detector.veterans[identity] && !includes(append(everyone(view), displacedMembers(view)...), identity) {
@@ -83,7 +83,7 @@
 
 // freshJoiners are those that asked a moment ago and know the present view: they hear the members too. One that comes
 // with the address of a member that is still heard is not taken in beside it, as only one process can have the address.
-func (r *Replica) freshJoiners(suspects []string) []message.Member {
+func (r *Replica) freshJoiners(suspects []message.MemberID) []message.Member {
 	var out []message.Member
 	isFirst := r.isProposer()
 	for identity, j := range r.detector.joiners {
--- a/internal/controlplane/replica/lease.go
+++ b/internal/controlplane/replica/lease.go
@@ -13,22 +13,22 @@
 	viewEntered time.Duration
 
 	// as grantor
-	holder      string
+	holder      message.MemberID
 	holderAt    string // address
 	expires     time.Duration
 	heardOf     time.Duration // when the holder last renewed
 	renewalSeen time.Duration // when another member asked to renew; 0: never
 
 	// as holder
-	token      uint64
+	token      message.FencingToken
 	validUntil time.Duration
 	heldSince  time.Duration
 	round      uint64
 	asked      time.Duration // when the running round began
-	grants     map[string]bool
-	wantToken  uint64
+	grants     map[message.MemberID]bool
+	wantToken  message.FencingToken
 	everAsked  bool
-	refusedFor uint64 // highest token told in refusals
+	refusedFor message.FencingToken // highest token told in refusals
 }
 
 const (
@@ -43,7 +43,7 @@
 
 // Lease returns the fencing token of the lease, since when it is held without a gap and until when; ok is false where
 // it is not held now.
-func (r *Replica) Lease(now time.Duration) (token uint64, since, until time.Duration, ok bool) {
+func (r *Replica) Lease(now time.Duration) (token message.FencingToken, since, until time.Duration, ok bool) {
 	if r.lease.token == 0 || now >= r.lease.validUntil {
 		return 0, 0, 0, false
 	}
@@ -78,10 +78,10 @@
 	}
 	l.everAsked, l.asked = true, r.now
 	l.round++
-	l.grants = map[string]bool{}
+	l.grants = map[message.MemberID]bool{}
 	l.wantToken = l.token
 	if l.token == 0 {
-		lowest := r.control.View.Number << tokenViewBits
+		lowest := message.FencingToken(r.control.View.Number << tokenViewBits)
 		l.wantToken = max(lowest, r.control.LeaseToken, l.refusedFor) + 1
 	}
 	request := &message.LeaseRequest{Token: l.wantToken, RequestID: l.round, Renewal: l.token != 0}
--- a/internal/controlplane/replica/lease_test.go
+++ b/internal/controlplane/replica/lease_test.go
@@ -58,7 +58,7 @@
 	started.Tick(0)
 	for i := range g.members {
 		for r := uint64(1); r <= round+1; r++ {
-			from := message.Message{From: "seed-" + address(i), To: started.Identity(), View: started.View().Number}
+			from := message.Message{From: message.MemberID("seed-" + address(i)), To: started.Identity(), View: started.View().Number}
 			from.LeaseGrant = &message.LeaseGrant{RequestID: r, Granted: true, Token: 1}
 			started.Step(0, &from)
 			from.LeaseGrant, from.ConfirmResponse = nil, &message.ConfirmResponse{RequestID: r}
--- a/internal/controlplane/replica/membership_test.go
+++ b/internal/controlplane/replica/membership_test.go
@@ -18,7 +18,7 @@
 	index := len(g.members)
 	options := g.members[0].options
 	options.FirstStart = false
-	options.Self = message.Member{Address: address(index), Identity: "fresh-" + address(index)}
+	options.Self = message.Member{Address: address(index), Identity: message.MemberID("fresh-" + address(index))}
 	options.Seeds = lo.Map(seeds, func(i, _ int) string { return address(i) })
 	g.members = append(g.members, New(options, accept, g.now, message.ControlState{}, message.ChainState{}))
 	return index
@@ -35,7 +35,7 @@
 }
 
 // wipe starts a member anew with an empty disk at its old address.
-func (g *group) wipe(index int, identity string) {
+func (g *group) wipe(index int, identity message.MemberID) {
 	options := g.members[index].options
 	options.FirstStart = false
 	options.Self.Identity = identity
@@ -43,7 +43,7 @@
 }
 
 func identities(members []message.Member) []string {
-	names := lo.Map(members, func(m message.Member, _ int) string { return m.Identity })
+	names := lo.Map(members, func(m message.Member, _ int) string { return string(m.Identity) })
 	slices.Sort(names)
 	return names
 }
@@ -144,7 +144,7 @@
 	g.lost = func(m *message.Message) bool { return m.ToAddress == address(3) }
 	g.add(0, 1, 2)
 	g.tick(4 * time.Second)
-	assert.Equal(t, uint64(1), g.members[0].View().Number)
+	assert.Equal(t, message.ViewNumber(1), g.members[0].View().Number)
 }
 
 // An incomplete member becomes complete by any member that is, also when its predecessor says nothing.
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -134,7 +134,7 @@
 }
 
 // Identity returns the member's identity.
-func (r *Replica) Identity() string { return r.control.Identity }
+func (r *Replica) Identity() message.MemberID { return r.control.Identity }
 
 // View returns the newest view known.
 func (r *Replica) View() message.View { return r.control.View }
@@ -170,7 +170,7 @@
 func (r *Replica) WaitsFor() string {
 	switch {
 	case r.control.AcceptedView.Number != 0:
-		return "the decision on view " + strconv.FormatUint(r.control.AcceptedView.Number, 10)
+		return "the decision on view " + strconv.FormatUint(uint64(r.control.AcceptedView.Number), 10)
 	case !r.IsMember():
 		return "admission to the chain"
 	case !r.control.Complete:
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -107,7 +107,7 @@
 
 // note keeps the lines of the chain's messages for approved transcripts.
 func (g *group) note(m *message.Message) {
-	from, to := strings.TrimPrefix(m.From, "seed-"), strings.TrimPrefix(m.To, "seed-")
+	from, to := strings.TrimPrefix(string(m.From), "seed-"), strings.TrimPrefix(string(m.To), "seed-")
 	switch {
 	case m.Replicate != nil && m.Replicate.Change != nil:
 		g.lines = append(g.lines, fmt.Sprintf("%s -> %s: change %d", from, to, m.Replicate.Sequence))
@@ -174,14 +174,14 @@
 	require.Len(t, g.members[0].View().Members, 3)
 	assert.Equal(t, uint64(5), g.members[1].Served().Version, "it got what it missed")
 	view := g.members[0].View()
-	assert.Equal(t, "seed-m1", view.Members[2].Identity, "a member that returns stands at the tail")
+	assert.Equal(t, message.MemberID("seed-m1"), view.Members[2].Identity, "a member that returns stands at the tail")
 }
 
 func TestAMinorityDecidesNothing(t *testing.T) {
 	g := newGroup(t, 3)
 	g.tick(time.Second)
 	g.tick(5*time.Second, 1, 2)
-	assert.Equal(t, uint64(1), g.members[0].View().Number)
+	assert.Equal(t, message.ViewNumber(1), g.members[0].View().Number)
 	g.absent = []int{1, 2}
 	g.call(0, http.MethodPut, "0", "\x05x")
 	g.call(0, http.MethodPut, "7", "\x09y")
@@ -260,7 +260,7 @@
 	member.Tick(g.now)
 	for i := range g.members {
 		member.Step(g.now, &message.Message{
-			From: "seed-" + address(i), To: member.Identity(), View: member.View().Number,
+			From: message.MemberID("seed-" + address(i)), To: member.Identity(), View: member.View().Number,
 			LeaseGrant: &message.LeaseGrant{RequestID: round, Granted: true},
 		})
 	}
--- a/internal/controlplane/replica/suspicion.go
+++ b/internal/controlplane/replica/suspicion.go
@@ -13,7 +13,7 @@
 	r.noteFindings(m.SuspicionReport, m.From)
 }
 
-func (r *Replica) noteFindings(s *message.SuspicionReport, reporter string) {
+func (r *Replica) noteFindings(s *message.SuspicionReport, reporter message.MemberID) {
 	for _, identity := range s.Suspected {
 		r.detector.reports[report{isSilent, identity, reporter}] = r.now
 	}
@@ -54,8 +54,8 @@
 
 // suspects returns who is silent, by the reports that are fresh and by what this member hears itself. Where two suspect
 // one another, the one nearer to the head stays. A member whose address another process has now is gone.
-func (r *Replica) suspects() []string {
-	var out []string
+func (r *Replica) suspects() []message.MemberID {
+	var out []message.MemberID
 	members := r.control.View.Members
 	for i := len(members) - 1; i >= 0; i-- {
 		identity := members[i].Identity
@@ -67,7 +67,7 @@
 }
 
 // isReported reports whether someone who is not excluded has found something of a member.
-func (r *Replica) isReported(what finding, identity string, excluded []string) bool {
+func (r *Replica) isReported(what finding, identity message.MemberID, excluded []message.MemberID) bool {
 	for entry, at := range r.detector.reports {
 		if entry.finding == what && entry.member == identity && r.now-at <= reportLifetime && !slices.Contains(excluded, entry.reporter) {
 			return true
--- a/internal/controlplane/replica/view.go
+++ b/internal/controlplane/replica/view.go
@@ -12,7 +12,7 @@
 func FirstView(seeds []string) message.View {
 	view := message.View{Number: 1}
 	for _, address := range seeds {
-		view.Members = append(view.Members, message.Member{Identity: "seed-" + address, Address: address, SinceView: 1})
+		view.Members = append(view.Members, message.Member{Identity: message.MemberID("seed-" + address), Address: address, SinceView: 1})
 	}
 	view.Voters = slices.Clone(view.Members)
 	return view
@@ -32,18 +32,18 @@
 // isVoter reports whether the replica may vote on the next view.
 func (r *Replica) isVoter() bool { return r.isVoterOf(r.control.Identity) }
 
-func (r *Replica) isVoterOf(identity string) bool {
+func (r *Replica) isVoterOf(identity message.MemberID) bool {
 	return includes(r.control.View.EffectiveVoters(), identity)
 }
 
 // position is the replica's place in the chain, -1 where it is no member.
 func (r *Replica) position() int { return positionOf(r.control.View, r.control.Identity) }
 
-func positionOf(view message.View, identity string) int {
+func positionOf(view message.View, identity message.MemberID) int {
 	return slices.IndexFunc(view.Members, func(m message.Member) bool { return m.Identity == identity })
 }
 
-func includes(members []message.Member, identity string) bool {
+func includes(members []message.Member, identity message.MemberID) bool {
 	return lo.ContainsBy(members, func(m message.Member) bool { return m.Identity == identity })
 }
 
@@ -60,13 +60,13 @@
 	for _, view := range views {
 		all = append(append(all, view.Members...), view.Voters...)
 	}
-	return lo.UniqBy(all, func(m message.Member) string { return m.Identity })
+	return lo.UniqBy(all, func(m message.Member) message.MemberID { return m.Identity })
 }
 
 // sameMembers compares sets: an order alone is no reason for another view.
 func sameMembers(a, b []message.Member) bool {
-	identities := func(members []message.Member) []string {
-		return lo.Map(members, func(m message.Member, _ int) string { return m.Identity })
+	identities := func(members []message.Member) []message.MemberID {
+		return lo.Map(members, func(m message.Member, _ int) message.MemberID { return m.Identity })
 	}
 	return len(a) == len(b) && len(lo.Without(identities(a), identities(b)...)) == 0
 }
--- a/internal/controlplane/simulation/checks.go
+++ b/internal/controlplane/simulation/checks.go
@@ -78,7 +78,7 @@
 // loss than the system bears then leaves no majority.
 func (c *Cluster) checkVoters() {
 	newest := c.newestView()
-	live := map[string]bool{}
+	live := map[message.MemberID]bool{}
 	for _, n := range c.slots {
 		if n.replica != nil {
 			live[n.replica.Identity()] = true
@@ -156,8 +156,8 @@
 	for _, n := range c.slots {
 		result.Ends = append(result.Ends, n.describe())
 		if n.replica != nil {
-			if view := n.replica.View(); view.Number > result.Views {
-				result.Views, result.Members = view.Number, len(view.Members)
+			if view := n.replica.View(); uint64(view.Number) > result.Views {
+				result.Views, result.Members = uint64(view.Number), len(view.Members)
 			}
 		}
 	}
@@ -172,7 +172,7 @@
 	}
 	n.cluster.seenView = view.Number
 	identities := func(members []message.Member) []string {
-		return lo.Map(members, func(m message.Member, _ int) string { return strings.TrimPrefix(m.Identity, "seed-") })
+		return lo.Map(members, func(m message.Member, _ int) string { return strings.TrimPrefix(string(m.Identity), "seed-") })
 	}
 	line := fmt.Sprintf("    %6.2fs view %d: chain %v, voters %v", n.cluster.now.Seconds(), view.Number,
 		identities(view.Members), identities(view.EffectiveVoters()))
--- a/internal/controlplane/simulation/cluster.go
+++ b/internal/controlplane/simulation/cluster.go
@@ -9,6 +9,8 @@
 	"math/rand/v2"
 	"slices"
 	"time"
+
+	"pumiceline/internal/message"
 )
 
 // Options of a run.
@@ -69,7 +71,7 @@
 	faults    int
 	struck    []Fault // what struck, in order
 	moves     []string
-	seenView  uint64
+	seenView  message.ViewNumber
 }
 
 const (
--- a/internal/controlplane/simulation/defects.go
+++ b/internal/controlplane/simulation/defects.go
@@ -145,8 +145,8 @@
 
 // grantHold is a grant that a member gave.
 type grantHold struct {
-	holder string
-	token  uint64
+	holder message.MemberID
+	token  message.FencingToken
 }
 
 // forgetGrant lets a grantor take its grant for over as soon as it has given it.
--- a/internal/controlplane/simulation/leases.go
+++ b/internal/controlplane/simulation/leases.go
@@ -3,20 +3,22 @@
 import (
 	"fmt"
 	"time"
+
+	"pumiceline/internal/message"
 )
 
 // leaseCheck sees who holds the controller lease at any moment.
 type leaseCheck struct {
 	holder  *node
 	life    int
-	token   uint64
+	token   message.FencingToken
 	until   time.Duration // end of the lease as its holder knows it
-	highest uint64
+	highest message.FencingToken
 	count   int
 }
 
 type leaseHold struct {
-	token uint64
+	token message.FencingToken
 	until time.Duration
 }
 
--- a/internal/controlplane/simulation/node.go
+++ b/internal/controlplane/simulation/node.go
@@ -83,7 +83,7 @@
 		n.incarnation = 0
 	}
 	options := replica.Options{
-		Self:  message.Member{Address: n.address, Identity: fmt.Sprintf("node-%d-%d", n.index, n.identities), Zone: n.zone()},
+		Self:  message.Member{Address: n.address, Identity: message.MemberID(fmt.Sprintf("node-%d-%d", n.index, n.identities)), Zone: n.zone()},
 		Seeds: n.cluster.seeds(), Tolerance: n.cluster.options.Tolerance, Lease: leaseLength, FirstStart: first,
 		Volatile: n.isVolatile(), Incarnation: n.incarnation,
 	}
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -6,19 +6,19 @@
 
 // Member is a coordinator: an identity that lives on its disk, and the address at which it is reached now.
 type Member struct {
-	Identity  string `msg:"i"`
-	Address   string `msg:"a"`
-	Zone      string `msg:"z"`
-	Diskless  bool   `msg:"v"` // it has no disk
-	SinceView uint64 `msg:"s"` // number of the view since which it has been a member without interruption
+	Identity  MemberID   `msg:"i"`
+	Address   string     `msg:"a"`
+	Zone      string     `msg:"z"`
+	Diskless  bool       `msg:"v"` // it has no disk
+	SinceView ViewNumber `msg:"s"` // number of the view since which it has been a member without interruption
 }
 
 // View is an agreed membership. The chain changes whenever a member is lost or comes back. The vote of one that is
 // silent goes to a live member that has none; where there is none it keeps it.
 type View struct {
-	Number  uint64   `msg:"n"`
-	Members []Member `msg:"m"` // the chain, the head first
-	Voters  []Member `msg:"v"` // a majority of them decides on the next view; none: the members of the chain
+	Number  ViewNumber `msg:"n"`
+	Members []Member   `msg:"m"` // the chain, the head first
+	Voters  []Member   `msg:"v"` // a majority of them decides on the next view; none: the members of the chain
 	// ReplacedVoters are silent members that have lost their vote, the latest last.
 	ReplacedVoters []ReplacedVoter `msg:"dp"`
 }
@@ -26,8 +26,8 @@
 // ReplacedVoter is a member that lost its vote while it was silent. It is told of the view; and it gets the vote of the
 // member for which the newcomer that has its own proves to have come.
 type ReplacedVoter struct {
-	Member     Member `msg:"m"`
-	ReplacedBy string `msg:"b"` // identity of the member that got the vote
+	Member     Member   `msg:"m"`
+	ReplacedBy MemberID `msg:"b"` // identity of the member that got the vote
 }
 
 // EffectiveVoters returns the members whose majority decides on the next view, confirms this one and grants the lease.
@@ -40,19 +40,19 @@
 
 // ProposalNumber orders the proposals for one view.
 type ProposalNumber struct {
-	Counter  uint64 `msg:"r"`
-	Proposer string `msg:"p"`
+	Counter  uint64   `msg:"r"`
+	Proposer MemberID `msg:"p"`
 }
 
 // ControlState is what a coordinator keeps on disk besides the configuration.
 type ControlState struct {
-	Identity         string         `msg:"i"`
+	Identity         MemberID       `msg:"i"`
 	View             View           `msg:"v"`
 	Complete         bool           `msg:"c"` // it holds all that was acknowledged in earlier views
 	HighestProposal  ProposalNumber `msg:"p"`
 	AcceptedProposal ProposalNumber `msg:"b"`
 	AcceptedView     View           `msg:"a"` // the accepted next view; its number is 0 where there is none
-	LeaseToken       uint64         `msg:"t"` // the highest token ever granted
+	LeaseToken       FencingToken   `msg:"t"` // the highest token ever granted
 }
 
 // Change is an operator's change as it was taken.
@@ -64,32 +64,32 @@
 
 // ChainState is the replicated state: the configuration and every change that was taken.
 type ChainState struct {
-	View     uint64   `msg:"w"` // the view in which it was last agreed with the predecessor
-	Sequence uint64   `msg:"s"` // number of changes taken
-	Digest   []byte   `msg:"d"` // chained over all changes
-	Version  uint64   `msg:"v"` // the operator's version, 0 before the first
-	Document []byte   `msg:"c"` // the whole configuration as JSON
-	History  []Change `msg:"h"` // the newest changes, the oldest of them first
-	Horizon  uint64   `msg:"o"` // the version before the first change in History: of earlier ones nothing is known
+	View     ViewNumber `msg:"w"` // the view in which it was last agreed with the predecessor
+	Sequence uint64     `msg:"s"` // number of changes taken
+	Digest   []byte     `msg:"d"` // chained over all changes
+	Version  uint64     `msg:"v"` // the operator's version, 0 before the first
+	Document []byte     `msg:"c"` // the whole configuration as JSON
+	History  []Change   `msg:"h"` // the newest changes, the oldest of them first
+	Horizon  uint64     `msg:"o"` // the version before the first change in History: of earlier ones nothing is known
 }
 
 // ChangeRecord is a change as it is passed on and kept: what it makes of the state before it.
 type ChangeRecord struct {
-	View           uint64 `msg:"w"`
-	Previous       []byte `msg:"p"` // chained digest of the state that it builds on
-	Change         Change `msg:"c"`
-	Delta          []byte `msg:"x"` // from the document before it to the one after it
-	DocumentDigest []byte `msg:"o"` // of the document after it
+	View           ViewNumber `msg:"w"`
+	Previous       []byte     `msg:"p"` // chained digest of the state that it builds on
+	Change         Change     `msg:"c"`
+	Delta          []byte     `msg:"x"` // from the document before it to the one after it
+	DocumentDigest []byte     `msg:"o"` // of the document after it
 }
 
 // Message is one message between processes. Exactly one of the pointers is set.
 type Message struct {
-	From        string `msg:"f"` // sender's identity
-	FromAddress string `msg:"fa"`
-	FromZone    string `msg:"fz"`
-	To          string `msg:"t"` // receiver's identity; empty: whoever has the address
-	ToAddress   string `msg:"-"`
-	View        uint64 `msg:"v"` // sender's view
+	From        MemberID   `msg:"f"` // sender's identity
+	FromAddress string     `msg:"fa"`
+	FromZone    string     `msg:"fz"`
+	To          MemberID   `msg:"t"` // receiver's identity; empty: whoever has the address
+	ToAddress   string     `msg:"-"`
+	View        ViewNumber `msg:"v"` // sender's view
 
 	Heartbeat        *Heartbeat        `msg:"hb,omitempty"`
 	SuspicionReport  *SuspicionReport  `msg:"su,omitempty"`
@@ -128,9 +128,9 @@
 
 // SuspicionReport tells the members what the sender has found out about those that it monitors.
 type SuspicionReport struct {
-	Suspected []string `msg:"m"` // not heard for too long, isolated, or with a disk that stalls
-	Leaving   []string `msg:"l"` // asked to stop, and still there
-	Late      []string `msg:"d"` // not heard for a moment
+	Suspected []MemberID `msg:"m"` // not heard for too long, isolated, or with a disk that stalls
+	Leaving   []MemberID `msg:"l"` // asked to stop, and still there
+	Late      []MemberID `msg:"d"` // not heard for a moment
 }
 
 // JoinRequest asks for membership.
@@ -217,21 +217,21 @@
 
 // LeaseRequest asks for the lease on the controller role, or renews it.
 type LeaseRequest struct {
-	Token     uint64 `msg:"t"`
-	RequestID uint64 `msg:"r"`
-	Renewal   bool   `msg:"n"` // the sender holds the lease under this very token
+	Token     FencingToken `msg:"t"`
+	RequestID uint64       `msg:"r"`
+	Renewal   bool         `msg:"n"` // the sender holds the lease under this very token
 }
 
 // LeaseGrant answers LeaseRequest.
 type LeaseGrant struct {
-	RequestID uint64 `msg:"r"`
-	Granted   bool   `msg:"g"`
-	Token     uint64 `msg:"t"` // the highest token that the grantor knows of
+	RequestID uint64       `msg:"r"`
+	Granted   bool         `msg:"g"`
+	Token     FencingToken `msg:"t"` // the highest token that the grantor knows of
 }
 
 // LeaseRelease gives the lease back before it expires.
 type LeaseRelease struct {
-	Token uint64 `msg:"t"`
+	Token FencingToken `msg:"t"`
 }
 
 // ConfigRequest is an operator's call on its way to the member that decides it.
--- a/internal/message/message_gen.go
+++ b/internal/message/message_gen.go
@@ -46,10 +46,14 @@
 						return
 					}
 				case "p":
-					z.Proposal.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "Proposal", "Proposer")
-						return
+					{
+						var zb0003 string
+						zb0003, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "Proposal", "Proposer")
+							return
+						}
+						z.Proposal.Proposer = MemberID(zb0003)
 					}
 				default:
 					err = dc.Skip()
@@ -100,7 +104,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Proposal.Proposer)
+	err = en.WriteString(string(z.Proposal.Proposer))
 	if err != nil {
 		err = msgp.WrapError(err, "Proposal", "Proposer")
 		return
@@ -130,7 +134,7 @@
 	o = msgp.AppendUint64(o, z.Proposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Proposal.Proposer)
+	o = msgp.AppendString(o, string(z.Proposal.Proposer))
 	// string "v"
 	o = append(o, 0xa1, 0x76)
 	o, err = z.Value.MarshalMsg(o)
@@ -181,10 +185,14 @@
 						return
 					}
 				case "p":
-					z.Proposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Proposal", "Proposer")
-						return
+					{
+						var zb0003 string
+						zb0003, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Proposal", "Proposer")
+							return
+						}
+						z.Proposal.Proposer = MemberID(zb0003)
 					}
 				default:
 					bts, err = msgp.Skip(bts)
@@ -214,7 +222,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Accept) Msgsize() (s int) {
-	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposal.Proposer) + 2 + z.Value.Msgsize()
+	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(string(z.Proposal.Proposer)) + 2 + z.Value.Msgsize()
 	return
 }
 
@@ -258,10 +266,14 @@
 						return
 					}
 				case "p":
-					z.Proposal.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "Proposal", "Proposer")
-						return
+					{
+						var zb0003 string
+						zb0003, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "Proposal", "Proposer")
+							return
+						}
+						z.Proposal.Proposer = MemberID(zb0003)
 					}
 				default:
 					err = dc.Skip()
@@ -278,14 +290,14 @@
 				return
 			}
 		case "p":
-			var zb0003 uint32
-			zb0003, err = dc.ReadMapHeader()
+			var zb0004 uint32
+			zb0004, err = dc.ReadMapHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "HighestProposal")
 				return
 			}
-			for zb0003 > 0 {
-				zb0003--
+			for zb0004 > 0 {
+				zb0004--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
 					err = msgp.WrapError(err, "HighestProposal")
@@ -299,10 +311,14 @@
 						return
 					}
 				case "p":
-					z.HighestProposal.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "HighestProposal", "Proposer")
-						return
+					{
+						var zb0005 string
+						zb0005, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "HighestProposal", "Proposer")
+							return
+						}
+						z.HighestProposal.Proposer = MemberID(zb0005)
 					}
 				default:
 					err = dc.Skip()
@@ -347,7 +363,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Proposal.Proposer)
+	err = en.WriteString(string(z.Proposal.Proposer))
 	if err != nil {
 		err = msgp.WrapError(err, "Proposal", "Proposer")
 		return
@@ -383,7 +399,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.HighestProposal.Proposer)
+	err = en.WriteString(string(z.HighestProposal.Proposer))
 	if err != nil {
 		err = msgp.WrapError(err, "HighestProposal", "Proposer")
 		return
@@ -403,7 +419,7 @@
 	o = msgp.AppendUint64(o, z.Proposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Proposal.Proposer)
+	o = msgp.AppendString(o, string(z.Proposal.Proposer))
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendBool(o, z.Rejected)
@@ -415,7 +431,7 @@
 	o = msgp.AppendUint64(o, z.HighestProposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.HighestProposal.Proposer)
+	o = msgp.AppendString(o, string(z.HighestProposal.Proposer))
 	return
 }
 
@@ -459,10 +475,14 @@
 						return
 					}
 				case "p":
-					z.Proposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Proposal", "Proposer")
-						return
+					{
+						var zb0003 string
+						zb0003, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Proposal", "Proposer")
+							return
+						}
+						z.Proposal.Proposer = MemberID(zb0003)
 					}
 				default:
 					bts, err = msgp.Skip(bts)
@@ -479,14 +499,14 @@
 				return
 			}
 		case "p":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "HighestProposal")
 				return
 			}
-			for zb0003 > 0 {
-				zb0003--
+			for zb0004 > 0 {
+				zb0004--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "HighestProposal")
@@ -500,10 +520,14 @@
 						return
 					}
 				case "p":
-					z.HighestProposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "HighestProposal", "Proposer")
-						return
+					{
+						var zb0005 string
+						zb0005, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "HighestProposal", "Proposer")
+							return
+						}
+						z.HighestProposal.Proposer = MemberID(zb0005)
 					}
 				default:
 					bts, err = msgp.Skip(bts)
@@ -527,7 +551,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *AcceptResponse) Msgsize() (s int) {
-	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposal.Proposer) + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.HighestProposal.Proposer)
+	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(string(z.Proposal.Proposer)) + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(string(z.HighestProposal.Proposer))
 	return
 }
 
@@ -1668,10 +1692,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "w":
-			z.View, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "View")
-				return
+			{
+				var zb0002 uint64
+				zb0002, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "View")
+					return
+				}
+				z.View = ViewNumber(zb0002)
 			}
 		case "s":
 			z.Sequence, err = dc.ReadUint64()
@@ -1698,26 +1726,26 @@
 				return
 			}
 		case "h":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			var zb0003 uint32
+			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "History")
 				return
 			}
-			if cap(z.History) >= int(zb0002) {
-				z.History = (z.History)[:zb0002]
+			if cap(z.History) >= int(zb0003) {
+				z.History = (z.History)[:zb0003]
 			} else {
-				z.History = make([]Change, zb0002)
+				z.History = make([]Change, zb0003)
 			}
 			for za0001 := range z.History {
-				var zb0003 uint32
-				zb0003, err = dc.ReadMapHeader()
+				var zb0004 uint32
+				zb0004, err = dc.ReadMapHeader()
 				if err != nil {
 					err = msgp.WrapError(err, "History", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
+				for zb0004 > 0 {
+					zb0004--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
 						err = msgp.WrapError(err, "History", za0001)
@@ -1776,7 +1804,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.View)
+	err = en.WriteUint64(uint64(z.View))
 	if err != nil {
 		err = msgp.WrapError(err, "View")
 		return
@@ -1883,7 +1911,7 @@
 	// map header, size 7
 	// string "w"
 	o = append(o, 0x87, 0xa1, 0x77)
-	o = msgp.AppendUint64(o, z.View)
+	o = msgp.AppendUint64(o, uint64(z.View))
 	// string "s"
 	o = append(o, 0xa1, 0x73)
 	o = msgp.AppendUint64(o, z.Sequence)
@@ -1936,10 +1964,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "w":
-			z.View, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "View")
-				return
+			{
+				var zb0002 uint64
+				zb0002, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "View")
+					return
+				}
+				z.View = ViewNumber(zb0002)
 			}
 		case "s":
 			z.Sequence, bts, err = msgp.ReadUint64Bytes(bts)
@@ -1966,26 +1998,26 @@
 				return
 			}
 		case "h":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "History")
 				return
 			}
-			if cap(z.History) >= int(zb0002) {
-				z.History = (z.History)[:zb0002]
+			if cap(z.History) >= int(zb0003) {
+				z.History = (z.History)[:zb0003]
 			} else {
-				z.History = make([]Change, zb0002)
+				z.History = make([]Change, zb0003)
 			}
 			for za0001 := range z.History {
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				var zb0004 uint32
+				zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "History", za0001)
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
+				for zb0004 > 0 {
+					zb0004--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "History", za0001)
@@ -2219,10 +2251,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "w":
-			z.View, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "View")
-				return
+			{
+				var zb0002 uint64
+				zb0002, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "View")
+					return
+				}
+				z.View = ViewNumber(zb0002)
 			}
 		case "p":
 			z.Previous, err = dc.ReadBytes(z.Previous)
@@ -2231,14 +2267,14 @@
 				return
 			}
 		case "c":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
+			var zb0003 uint32
+			zb0003, err = dc.ReadMapHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "Change")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
+			for zb0003 > 0 {
+				zb0003--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
 					err = msgp.WrapError(err, "Change")
@@ -2302,7 +2338,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.View)
+	err = en.WriteUint64(uint64(z.View))
 	if err != nil {
 		err = msgp.WrapError(err, "View")
 		return
@@ -2382,7 +2418,7 @@
 	// map header, size 5
 	// string "w"
 	o = append(o, 0x85, 0xa1, 0x77)
-	o = msgp.AppendUint64(o, z.View)
+	o = msgp.AppendUint64(o, uint64(z.View))
 	// string "p"
 	o = append(o, 0xa1, 0x70)
 	o = msgp.AppendBytes(o, z.Previous)
@@ -2426,10 +2462,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "w":
-			z.View, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "View")
-				return
+			{
+				var zb0002 uint64
+				zb0002, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "View")
+					return
+				}
+				z.View = ViewNumber(zb0002)
 			}
 		case "p":
 			z.Previous, bts, err = msgp.ReadBytesBytes(bts, z.Previous)
@@ -2438,14 +2478,14 @@
 				return
 			}
 		case "c":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Change")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
+			for zb0003 > 0 {
+				zb0003--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Change")
@@ -3420,10 +3460,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "i":
-			z.Identity, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Identity")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "Identity")
+					return
+				}
+				z.Identity = MemberID(zb0002)
 			}
 		case "v":
 			err = z.View.DecodeMsg(dc)
@@ -3438,14 +3482,14 @@
 				return
 			}
 		case "p":
-			var zb0002 uint32
-			zb0002, err = dc.ReadMapHeader()
+			var zb0003 uint32
+			zb0003, err = dc.ReadMapHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "HighestProposal")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
+			for zb0003 > 0 {
+				zb0003--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
 					err = msgp.WrapError(err, "HighestProposal")
@@ -3459,10 +3503,14 @@
 						return
 					}
 				case "p":
-					z.HighestProposal.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "HighestProposal", "Proposer")
-						return
+					{
+						var zb0004 string
+						zb0004, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "HighestProposal", "Proposer")
+							return
+						}
+						z.HighestProposal.Proposer = MemberID(zb0004)
 					}
 				default:
 					err = dc.Skip()
@@ -3473,14 +3521,14 @@
 				}
 			}
 		case "b":
-			var zb0003 uint32
-			zb0003, err = dc.ReadMapHeader()
+			var zb0005 uint32
+			zb0005, err = dc.ReadMapHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "AcceptedProposal")
 				return
 			}
-			for zb0003 > 0 {
-				zb0003--
+			for zb0005 > 0 {
+				zb0005--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
 					err = msgp.WrapError(err, "AcceptedProposal")
@@ -3494,10 +3542,14 @@
 						return
 					}
 				case "p":
-					z.AcceptedProposal.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
-						return
+					{
+						var zb0006 string
+						zb0006, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
+							return
+						}
+						z.AcceptedProposal.Proposer = MemberID(zb0006)
 					}
 				default:
 					err = dc.Skip()
@@ -3514,10 +3566,14 @@
 				return
 			}
 		case "t":
-			z.LeaseToken, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "LeaseToken")
-				return
+			{
+				var zb0007 uint64
+				zb0007, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "LeaseToken")
+					return
+				}
+				z.LeaseToken = FencingToken(zb0007)
 			}
 		default:
 			err = dc.Skip()
@@ -3538,7 +3594,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Identity)
+	err = en.WriteString(string(z.Identity))
 	if err != nil {
 		err = msgp.WrapError(err, "Identity")
 		return
@@ -3584,7 +3640,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.HighestProposal.Proposer)
+	err = en.WriteString(string(z.HighestProposal.Proposer))
 	if err != nil {
 		err = msgp.WrapError(err, "HighestProposal", "Proposer")
 		return
@@ -3610,7 +3666,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.AcceptedProposal.Proposer)
+	err = en.WriteString(string(z.AcceptedProposal.Proposer))
 	if err != nil {
 		err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
 		return
@@ -3630,7 +3686,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.LeaseToken)
+	err = en.WriteUint64(uint64(z.LeaseToken))
 	if err != nil {
 		err = msgp.WrapError(err, "LeaseToken")
 		return
@@ -3644,7 +3700,7 @@
 	// map header, size 7
 	// string "i"
 	o = append(o, 0x87, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Identity)
+	o = msgp.AppendString(o, string(z.Identity))
 	// string "v"
 	o = append(o, 0xa1, 0x76)
 	o, err = z.View.MarshalMsg(o)
@@ -3663,7 +3719,7 @@
 	o = msgp.AppendUint64(o, z.HighestProposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.HighestProposal.Proposer)
+	o = msgp.AppendString(o, string(z.HighestProposal.Proposer))
 	// string "b"
 	o = append(o, 0xa1, 0x62)
 	// map header, size 2
@@ -3672,7 +3728,7 @@
 	o = msgp.AppendUint64(o, z.AcceptedProposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.AcceptedProposal.Proposer)
+	o = msgp.AppendString(o, string(z.AcceptedProposal.Proposer))
 	// string "a"
 	o = append(o, 0xa1, 0x61)
 	o, err = z.AcceptedView.MarshalMsg(o)
@@ -3682,7 +3738,7 @@
 	}
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.LeaseToken)
+	o = msgp.AppendUint64(o, uint64(z.LeaseToken))
 	return
 }
 
@@ -3705,10 +3761,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "i":
-			z.Identity, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Identity")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Identity")
+					return
+				}
+				z.Identity = MemberID(zb0002)
 			}
 		case "v":
 			bts, err = z.View.UnmarshalMsg(bts)
@@ -3723,14 +3783,14 @@
 				return
 			}
 		case "p":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "HighestProposal")
 				return
 			}
-			for zb0002 > 0 {
-				zb0002--
+			for zb0003 > 0 {
+				zb0003--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "HighestProposal")
@@ -3744,10 +3804,14 @@
 						return
 					}
 				case "p":
-					z.HighestProposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "HighestProposal", "Proposer")
-						return
+					{
+						var zb0004 string
+						zb0004, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "HighestProposal", "Proposer")
+							return
+						}
+						z.HighestProposal.Proposer = MemberID(zb0004)
 					}
 				default:
 					bts, err = msgp.Skip(bts)
@@ -3758,14 +3822,14 @@
 				}
 			}
 		case "b":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+			var zb0005 uint32
+			zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "AcceptedProposal")
 				return
 			}
-			for zb0003 > 0 {
-				zb0003--
+			for zb0005 > 0 {
+				zb0005--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "AcceptedProposal")
@@ -3779,10 +3843,14 @@
 						return
 					}
 				case "p":
-					z.AcceptedProposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
-						return
+					{
+						var zb0006 string
+						zb0006, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
+							return
+						}
+						z.AcceptedProposal.Proposer = MemberID(zb0006)
 					}
 				default:
 					bts, err = msgp.Skip(bts)
@@ -3799,10 +3867,14 @@
 				return
 			}
 		case "t":
-			z.LeaseToken, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "LeaseToken")
-				return
+			{
+				var zb0007 uint64
+				zb0007, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "LeaseToken")
+					return
+				}
+				z.LeaseToken = FencingToken(zb0007)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -3818,7 +3890,59 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *ControlState) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Identity) + 2 + z.View.Msgsize() + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.HighestProposal.Proposer) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.AcceptedProposal.Proposer) + 2 + z.AcceptedView.Msgsize() + 2 + msgp.Uint64Size
+	s = 1 + 2 + msgp.StringPrefixSize + len(string(z.Identity)) + 2 + z.View.Msgsize() + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(string(z.HighestProposal.Proposer)) + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(string(z.AcceptedProposal.Proposer)) + 2 + z.AcceptedView.Msgsize() + 2 + msgp.Uint64Size
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *FencingToken) DecodeMsg(dc *msgp.Reader) (err error) {
+	{
+		var zb0001 uint64
+		zb0001, err = dc.ReadUint64()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = FencingToken(zb0001)
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z FencingToken) EncodeMsg(en *msgp.Writer) (err error) {
+	err = en.WriteUint64(uint64(z))
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z FencingToken) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	o = msgp.AppendUint64(o, uint64(z))
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *FencingToken) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	{
+		var zb0001 uint64
+		zb0001, bts, err = msgp.ReadUint64Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = FencingToken(zb0001)
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z FencingToken) Msgsize() (s int) {
+	s = msgp.Uint64Size
 	return
 }
 
@@ -4234,10 +4358,14 @@
 				return
 			}
 		case "t":
-			z.Token, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Token")
-				return
+			{
+				var zb0002 uint64
+				zb0002, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "Token")
+					return
+				}
+				z.Token = FencingToken(zb0002)
 			}
 		default:
 			err = dc.Skip()
@@ -4278,7 +4406,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Token)
+	err = en.WriteUint64(uint64(z.Token))
 	if err != nil {
 		err = msgp.WrapError(err, "Token")
 		return
@@ -4298,7 +4426,7 @@
 	o = msgp.AppendBool(o, z.Granted)
 	// string "t"
 	o = append(o, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Token)
+	o = msgp.AppendUint64(o, uint64(z.Token))
 	return
 }
 
@@ -4333,10 +4461,14 @@
 				return
 			}
 		case "t":
-			z.Token, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Token")
-				return
+			{
+				var zb0002 uint64
+				zb0002, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Token")
+					return
+				}
+				z.Token = FencingToken(zb0002)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -4375,10 +4507,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "t":
-			z.Token, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Token")
-				return
+			{
+				var zb0002 uint64
+				zb0002, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "Token")
+					return
+				}
+				z.Token = FencingToken(zb0002)
 			}
 		default:
 			err = dc.Skip()
@@ -4399,7 +4535,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Token)
+	err = en.WriteUint64(uint64(z.Token))
 	if err != nil {
 		err = msgp.WrapError(err, "Token")
 		return
@@ -4413,7 +4549,7 @@
 	// map header, size 1
 	// string "t"
 	o = append(o, 0x81, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Token)
+	o = msgp.AppendUint64(o, uint64(z.Token))
 	return
 }
 
@@ -4436,10 +4572,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "t":
-			z.Token, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Token")
-				return
+			{
+				var zb0002 uint64
+				zb0002, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Token")
+					return
+				}
+				z.Token = FencingToken(zb0002)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -4478,10 +4618,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "t":
-			z.Token, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Token")
-				return
+			{
+				var zb0002 uint64
+				zb0002, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "Token")
+					return
+				}
+				z.Token = FencingToken(zb0002)
 			}
 		case "r":
 			z.RequestID, err = dc.ReadUint64()
@@ -4514,7 +4658,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Token)
+	err = en.WriteUint64(uint64(z.Token))
 	if err != nil {
 		err = msgp.WrapError(err, "Token")
 		return
@@ -4548,7 +4692,7 @@
 	// map header, size 3
 	// string "t"
 	o = append(o, 0x83, 0xa1, 0x74)
-	o = msgp.AppendUint64(o, z.Token)
+	o = msgp.AppendUint64(o, uint64(z.Token))
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendUint64(o, z.RequestID)
@@ -4577,10 +4721,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "t":
-			z.Token, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Token")
-				return
+			{
+				var zb0002 uint64
+				zb0002, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Token")
+					return
+				}
+				z.Token = FencingToken(zb0002)
 			}
 		case "r":
 			z.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
@@ -5257,10 +5405,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "i":
-			z.Identity, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Identity")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "Identity")
+					return
+				}
+				z.Identity = MemberID(zb0002)
 			}
 		case "a":
 			z.Address, err = dc.ReadString()
@@ -5281,12 +5433,16 @@
 				return
 			}
 		case "s":
-			z.SinceView, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "SinceView")
-				return
-			}
-		default:
+			{
+				var zb0003 uint64
+				zb0003, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "SinceView")
+					return
+				}
+				z.SinceView = ViewNumber(zb0003)
+			}
+		default:
 			err = dc.Skip()
 			if err != nil {
 				err = msgp.WrapError(err)
@@ -5305,7 +5461,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Identity)
+	err = en.WriteString(string(z.Identity))
 	if err != nil {
 		err = msgp.WrapError(err, "Identity")
 		return
@@ -5345,7 +5501,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.SinceView)
+	err = en.WriteUint64(uint64(z.SinceView))
 	if err != nil {
 		err = msgp.WrapError(err, "SinceView")
 		return
@@ -5359,7 +5515,7 @@
 	// map header, size 5
 	// string "i"
 	o = append(o, 0x85, 0xa1, 0x69)
-	o = msgp.AppendString(o, z.Identity)
+	o = msgp.AppendString(o, string(z.Identity))
 	// string "a"
 	o = append(o, 0xa1, 0x61)
 	o = msgp.AppendString(o, z.Address)
@@ -5371,7 +5527,7 @@
 	o = msgp.AppendBool(o, z.Diskless)
 	// string "s"
 	o = append(o, 0xa1, 0x73)
-	o = msgp.AppendUint64(o, z.SinceView)
+	o = msgp.AppendUint64(o, uint64(z.SinceView))
 	return
 }
 
@@ -5394,10 +5550,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "i":
-			z.Identity, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Identity")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Identity")
+					return
+				}
+				z.Identity = MemberID(zb0002)
 			}
 		case "a":
 			z.Address, bts, err = msgp.ReadStringBytes(bts)
@@ -5418,10 +5578,14 @@
 				return
 			}
 		case "s":
-			z.SinceView, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "SinceView")
-				return
+			{
+				var zb0003 uint64
+				zb0003, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "SinceView")
+					return
+				}
+				z.SinceView = ViewNumber(zb0003)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -5437,7 +5601,59 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Member) Msgsize() (s int) {
-	s = 1 + 2 + msgp.StringPrefixSize + len(z.Identity) + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.BoolSize + 2 + msgp.Uint64Size
+	s = 1 + 2 + msgp.StringPrefixSize + len(string(z.Identity)) + 2 + msgp.StringPrefixSize + len(z.Address) + 2 + msgp.StringPrefixSize + len(z.Zone) + 2 + msgp.BoolSize + 2 + msgp.Uint64Size
+	return
+}
+
+// DecodeMsg implements msgp.Decodable
+func (z *MemberID) DecodeMsg(dc *msgp.Reader) (err error) {
+	{
+		var zb0001 string
+		zb0001, err = dc.ReadString()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = MemberID(zb0001)
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z MemberID) EncodeMsg(en *msgp.Writer) (err error) {
+	err = en.WriteString(string(z))
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z MemberID) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	o = msgp.AppendString(o, string(z))
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *MemberID) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	{
+		var zb0001 string
+		zb0001, bts, err = msgp.ReadStringBytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = MemberID(zb0001)
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z MemberID) Msgsize() (s int) {
+	s = msgp.StringPrefixSize + len(string(z))
 	return
 }
 
@@ -5460,10 +5676,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "f":
-			z.From, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "From")
+					return
+				}
+				z.From = MemberID(zb0002)
 			}
 		case "fa":
 			z.FromAddress, err = dc.ReadString()
@@ -5478,16 +5698,24 @@
 				return
 			}
 		case "t":
-			z.To, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "To")
-				return
+			{
+				var zb0003 string
+				zb0003, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "To")
+					return
+				}
+				z.To = MemberID(zb0003)
 			}
 		case "v":
-			z.View, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "View")
-				return
+			{
+				var zb0004 uint64
+				zb0004, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "View")
+					return
+				}
+				z.View = ViewNumber(zb0004)
 			}
 		case "hb":
 			if dc.IsNil() {
@@ -5555,14 +5783,14 @@
 				if z.ViewAnnouncement == nil {
 					z.ViewAnnouncement = new(ViewAnnouncement)
 				}
-				var zb0002 uint32
-				zb0002, err = dc.ReadMapHeader()
+				var zb0005 uint32
+				zb0005, err = dc.ReadMapHeader()
 				if err != nil {
 					err = msgp.WrapError(err, "ViewAnnouncement")
 					return
 				}
-				for zb0002 > 0 {
-					zb0002--
+				for zb0005 > 0 {
+					zb0005--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
 						err = msgp.WrapError(err, "ViewAnnouncement")
@@ -5596,63 +5824,11 @@
 				if z.Prepare == nil {
 					z.Prepare = new(Prepare)
 				}
-				var zb0003 uint32
-				zb0003, err = dc.ReadMapHeader()
+				err = z.Prepare.DecodeMsg(dc)
 				if err != nil {
 					err = msgp.WrapError(err, "Prepare")
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "Prepare")
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						var zb0004 uint32
-						zb0004, err = dc.ReadMapHeader()
-						if err != nil {
-							err = msgp.WrapError(err, "Prepare", "Proposal")
-							return
-						}
-						for zb0004 > 0 {
-							zb0004--
-							field, err = dc.ReadMapKeyPtr()
-							if err != nil {
-								err = msgp.WrapError(err, "Prepare", "Proposal")
-								return
-							}
-							switch msgp.UnsafeString(field) {
-							case "r":
-								z.Prepare.Proposal.Counter, err = dc.ReadUint64()
-								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Proposal", "Counter")
-									return
-								}
-							case "p":
-								z.Prepare.Proposal.Proposer, err = dc.ReadString()
-								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Proposal", "Proposer")
-									return
-								}
-							default:
-								err = dc.Skip()
-								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Proposal")
-									return
-								}
-							}
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "Prepare")
-							return
-						}
-					}
-				}
 			}
 		case "pm":
 			if dc.IsNil() {
@@ -5738,14 +5914,14 @@
 				if z.Committed == nil {
 					z.Committed = new(Committed)
 				}
-				var zb0005 uint32
-				zb0005, err = dc.ReadMapHeader()
+				var zb0006 uint32
+				zb0006, err = dc.ReadMapHeader()
 				if err != nil {
 					err = msgp.WrapError(err, "Committed")
 					return
 				}
-				for zb0005 > 0 {
-					zb0005--
+				for zb0006 > 0 {
+					zb0006--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
 						err = msgp.WrapError(err, "Committed")
@@ -5785,14 +5961,14 @@
 				if z.SnapshotRequest == nil {
 					z.SnapshotRequest = new(SnapshotRequest)
 				}
-				var zb0006 uint32
-				zb0006, err = dc.ReadMapHeader()
+				var zb0007 uint32
+				zb0007, err = dc.ReadMapHeader()
 				if err != nil {
 					err = msgp.WrapError(err, "SnapshotRequest")
 					return
 				}
-				for zb0006 > 0 {
-					zb0006--
+				for zb0007 > 0 {
+					zb0007--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
 						err = msgp.WrapError(err, "SnapshotRequest")
@@ -5826,14 +6002,14 @@
 				if z.CatchUpRequest == nil {
 					z.CatchUpRequest = new(CatchUpRequest)
 				}
-				var zb0007 uint32
-				zb0007, err = dc.ReadMapHeader()
+				var zb0008 uint32
+				zb0008, err = dc.ReadMapHeader()
 				if err != nil {
 					err = msgp.WrapError(err, "CatchUpRequest")
 					return
 				}
-				for zb0007 > 0 {
-					zb0007--
+				for zb0008 > 0 {
+					zb0008--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
 						err = msgp.WrapError(err, "CatchUpRequest")
@@ -5867,14 +6043,14 @@
 				if z.CatchUp == nil {
 					z.CatchUp = new(CatchUp)
 				}
-				var zb0008 uint32
-				zb0008, err = dc.ReadMapHeader()
+				var zb0009 uint32
+				zb0009, err = dc.ReadMapHeader()
 				if err != nil {
 					err = msgp.WrapError(err, "CatchUp")
 					return
 				}
-				for zb0008 > 0 {
-					zb0008--
+				for zb0009 > 0 {
+					zb0009--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
 						err = msgp.WrapError(err, "CatchUp")
@@ -5926,14 +6102,14 @@
 				if z.ConfirmRequest == nil {
 					z.ConfirmRequest = new(ConfirmRequest)
 				}
-				var zb0009 uint32
-				zb0009, err = dc.ReadMapHeader()
+				var zb0010 uint32
+				zb0010, err = dc.ReadMapHeader()
 				if err != nil {
 					err = msgp.WrapError(err, "ConfirmRequest")
 					return
 				}
-				for zb0009 > 0 {
-					zb0009--
+				for zb0010 > 0 {
+					zb0010--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
 						err = msgp.WrapError(err, "ConfirmRequest")
@@ -5967,14 +6143,14 @@
 				if z.ConfirmResponse == nil {
 					z.ConfirmResponse = new(ConfirmResponse)
 				}
-				var zb0010 uint32
-				zb0010, err = dc.ReadMapHeader()
+				var zb0011 uint32
+				zb0011, err = dc.ReadMapHeader()
 				if err != nil {
 					err = msgp.WrapError(err, "ConfirmResponse")
 					return
 				}
-				for zb0010 > 0 {
-					zb0010--
+				for zb0011 > 0 {
+					zb0011--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
 						err = msgp.WrapError(err, "ConfirmResponse")
@@ -6014,46 +6190,11 @@
 				if z.LeaseRequest == nil {
 					z.LeaseRequest = new(LeaseRequest)
 				}
-				var zb0011 uint32
-				zb0011, err = dc.ReadMapHeader()
+				err = z.LeaseRequest.DecodeMsg(dc)
 				if err != nil {
 					err = msgp.WrapError(err, "LeaseRequest")
 					return
 				}
-				for zb0011 > 0 {
-					zb0011--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "LeaseRequest")
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "t":
-						z.LeaseRequest.Token, err = dc.ReadUint64()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest", "Token")
-							return
-						}
-					case "r":
-						z.LeaseRequest.RequestID, err = dc.ReadUint64()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest", "RequestID")
-							return
-						}
-					case "n":
-						z.LeaseRequest.Renewal, err = dc.ReadBool()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest", "Renewal")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest")
-							return
-						}
-					}
-				}
 			}
 		case "lg":
 			if dc.IsNil() {
@@ -6067,46 +6208,11 @@
 				if z.LeaseGrant == nil {
 					z.LeaseGrant = new(LeaseGrant)
 				}
-				var zb0012 uint32
-				zb0012, err = dc.ReadMapHeader()
+				err = z.LeaseGrant.DecodeMsg(dc)
 				if err != nil {
 					err = msgp.WrapError(err, "LeaseGrant")
 					return
 				}
-				for zb0012 > 0 {
-					zb0012--
-					field, err = dc.ReadMapKeyPtr()
-					if err != nil {
-						err = msgp.WrapError(err, "LeaseGrant")
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "r":
-						z.LeaseGrant.RequestID, err = dc.ReadUint64()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseGrant", "RequestID")
-							return
-						}
-					case "g":
-						z.LeaseGrant.Granted, err = dc.ReadBool()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseGrant", "Granted")
-							return
-						}
-					case "t":
-						z.LeaseGrant.Token, err = dc.ReadUint64()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseGrant", "Token")
-							return
-						}
-					default:
-						err = dc.Skip()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseGrant")
-							return
-						}
-					}
-				}
 			}
 		case "ll":
 			if dc.IsNil() {
@@ -6120,14 +6226,14 @@
 				if z.LeaseRelease == nil {
 					z.LeaseRelease = new(LeaseRelease)
 				}
-				var zb0013 uint32
-				zb0013, err = dc.ReadMapHeader()
+				var zb0012 uint32
+				zb0012, err = dc.ReadMapHeader()
 				if err != nil {
 					err = msgp.WrapError(err, "LeaseRelease")
 					return
 				}
-				for zb0013 > 0 {
-					zb0013--
+				for zb0012 > 0 {
+					zb0012--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
 						err = msgp.WrapError(err, "LeaseRelease")
@@ -6135,10 +6241,14 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "t":
-						z.LeaseRelease.Token, err = dc.ReadUint64()
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseRelease", "Token")
-							return
+						{
+							var zb0013 uint64
+							zb0013, err = dc.ReadUint64()
+							if err != nil {
+								err = msgp.WrapError(err, "LeaseRelease", "Token")
+								return
+							}
+							z.LeaseRelease.Token = FencingToken(zb0013)
 						}
 					default:
 						err = dc.Skip()
@@ -6418,7 +6528,7 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.From)
+		err = en.WriteString(string(z.From))
 		if err != nil {
 			err = msgp.WrapError(err, "From")
 			return
@@ -6448,7 +6558,7 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.To)
+		err = en.WriteString(string(z.To))
 		if err != nil {
 			err = msgp.WrapError(err, "To")
 			return
@@ -6458,7 +6568,7 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteUint64(z.View)
+		err = en.WriteUint64(uint64(z.View))
 		if err != nil {
 			err = msgp.WrapError(err, "View")
 			return
@@ -6557,31 +6667,9 @@
 					return
 				}
 			} else {
-				// map header, size 1
-				// write "b"
-				err = en.Append(0x81, 0xa1, 0x62)
-				if err != nil {
-					return
-				}
-				// map header, size 2
-				// write "r"
-				err = en.Append(0x82, 0xa1, 0x72)
-				if err != nil {
-					return
-				}
-				err = en.WriteUint64(z.Prepare.Proposal.Counter)
+				err = z.Prepare.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "Prepare", "Proposal", "Counter")
-					return
-				}
-				// write "p"
-				err = en.Append(0xa1, 0x70)
-				if err != nil {
-					return
-				}
-				err = en.WriteString(z.Prepare.Proposal.Proposer)
-				if err != nil {
-					err = msgp.WrapError(err, "Prepare", "Proposal", "Proposer")
+					err = msgp.WrapError(err, "Prepare")
 					return
 				}
 			}
@@ -6760,21 +6848,21 @@
 				}
 			} else {
 				// check for omitted fields
-				zb0008Len := uint32(2)
-				var zb0008Mask uint8 /* 2 bits */
-				_ = zb0008Mask
+				zb0006Len := uint32(2)
+				var zb0006Mask uint8 /* 2 bits */
+				_ = zb0006Mask
 				if z.CatchUp.State == nil {
-					zb0008Len--
-					zb0008Mask |= 0x2
+					zb0006Len--
+					zb0006Mask |= 0x2
 				}
-				// variable map header, size zb0008Len
-				err = en.Append(0x80 | uint8(zb0008Len))
+				// variable map header, size zb0006Len
+				err = en.Append(0x80 | uint8(zb0006Len))
 				if err != nil {
 					return
 				}
 
 				// skip if no fields are to be emitted
-				if zb0008Len != 0 {
+				if zb0006Len != 0 {
 					// write "d"
 					err = en.Append(0xa1, 0x64)
 					if err != nil {
@@ -6785,7 +6873,7 @@
 						err = msgp.WrapError(err, "CatchUp", "Digest")
 						return
 					}
-					if (zb0008Mask & 0x2) == 0 { // if not omitted
+					if (zb0006Mask & 0x2) == 0 { // if not omitted
 						// write "s"
 						err = en.Append(0xa1, 0x73)
 						if err != nil {
@@ -6879,35 +6967,9 @@
 					return
 				}
 			} else {
-				// map header, size 3
-				// write "t"
-				err = en.Append(0x83, 0xa1, 0x74)
-				if err != nil {
-					return
-				}
-				err = en.WriteUint64(z.LeaseRequest.Token)
-				if err != nil {
-					err = msgp.WrapError(err, "LeaseRequest", "Token")
-					return
-				}
-				// write "r"
-				err = en.Append(0xa1, 0x72)
+				err = z.LeaseRequest.EncodeMsg(en)
 				if err != nil {
-					return
-				}
-				err = en.WriteUint64(z.LeaseRequest.RequestID)
-				if err != nil {
-					err = msgp.WrapError(err, "LeaseRequest", "RequestID")
-					return
-				}
-				// write "n"
-				err = en.Append(0xa1, 0x6e)
-				if err != nil {
-					return
-				}
-				err = en.WriteBool(z.LeaseRequest.Renewal)
-				if err != nil {
-					err = msgp.WrapError(err, "LeaseRequest", "Renewal")
+					err = msgp.WrapError(err, "LeaseRequest")
 					return
 				}
 			}
@@ -6924,35 +6986,9 @@
 					return
 				}
 			} else {
-				// map header, size 3
-				// write "r"
-				err = en.Append(0x83, 0xa1, 0x72)
-				if err != nil {
-					return
-				}
-				err = en.WriteUint64(z.LeaseGrant.RequestID)
-				if err != nil {
-					err = msgp.WrapError(err, "LeaseGrant", "RequestID")
-					return
-				}
-				// write "g"
-				err = en.Append(0xa1, 0x67)
-				if err != nil {
-					return
-				}
-				err = en.WriteBool(z.LeaseGrant.Granted)
-				if err != nil {
-					err = msgp.WrapError(err, "LeaseGrant", "Granted")
-					return
-				}
-				// write "t"
-				err = en.Append(0xa1, 0x74)
-				if err != nil {
-					return
-				}
-				err = en.WriteUint64(z.LeaseGrant.Token)
+				err = z.LeaseGrant.EncodeMsg(en)
 				if err != nil {
-					err = msgp.WrapError(err, "LeaseGrant", "Token")
+					err = msgp.WrapError(err, "LeaseGrant")
 					return
 				}
 			}
@@ -6975,7 +7011,7 @@
 				if err != nil {
 					return
 				}
-				err = en.WriteUint64(z.LeaseRelease.Token)
+				err = en.WriteUint64(uint64(z.LeaseRelease.Token))
 				if err != nil {
 					err = msgp.WrapError(err, "LeaseRelease", "Token")
 					return
@@ -7236,7 +7272,7 @@
 	if zb0001Len != 0 {
 		// string "f"
 		o = append(o, 0xa1, 0x66)
-		o = msgp.AppendString(o, z.From)
+		o = msgp.AppendString(o, string(z.From))
 		// string "fa"
 		o = append(o, 0xa2, 0x66, 0x61)
 		o = msgp.AppendString(o, z.FromAddress)
@@ -7245,10 +7281,10 @@
 		o = msgp.AppendString(o, z.FromZone)
 		// string "t"
 		o = append(o, 0xa1, 0x74)
-		o = msgp.AppendString(o, z.To)
+		o = msgp.AppendString(o, string(z.To))
 		// string "v"
 		o = append(o, 0xa1, 0x76)
-		o = msgp.AppendUint64(o, z.View)
+		o = msgp.AppendUint64(o, uint64(z.View))
 		if (zb0001Mask & 0x20) == 0 { // if not omitted
 			// string "hb"
 			o = append(o, 0xa2, 0x68, 0x62)
@@ -7310,16 +7346,11 @@
 			if z.Prepare == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				// map header, size 1
-				// string "b"
-				o = append(o, 0x81, 0xa1, 0x62)
-				// map header, size 2
-				// string "r"
-				o = append(o, 0x82, 0xa1, 0x72)
-				o = msgp.AppendUint64(o, z.Prepare.Proposal.Counter)
-				// string "p"
-				o = append(o, 0xa1, 0x70)
-				o = msgp.AppendString(o, z.Prepare.Proposal.Proposer)
+				o, err = z.Prepare.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "Prepare")
+					return
+				}
 			}
 		}
 		if (zb0001Mask & 0x400) == 0 { // if not omitted
@@ -7420,22 +7451,22 @@
 				o = msgp.AppendNil(o)
 			} else {
 				// check for omitted fields
-				zb0008Len := uint32(2)
-				var zb0008Mask uint8 /* 2 bits */
-				_ = zb0008Mask
+				zb0006Len := uint32(2)
+				var zb0006Mask uint8 /* 2 bits */
+				_ = zb0006Mask
 				if z.CatchUp.State == nil {
-					zb0008Len--
-					zb0008Mask |= 0x2
+					zb0006Len--
+					zb0006Mask |= 0x2
 				}
-				// variable map header, size zb0008Len
-				o = append(o, 0x80|uint8(zb0008Len))
+				// variable map header, size zb0006Len
+				o = append(o, 0x80|uint8(zb0006Len))
 
 				// skip if no fields are to be emitted
-				if zb0008Len != 0 {
+				if zb0006Len != 0 {
 					// string "d"
 					o = append(o, 0xa1, 0x64)
 					o = msgp.AppendBytes(o, z.CatchUp.Digest)
-					if (zb0008Mask & 0x2) == 0 { // if not omitted
+					if (zb0006Mask & 0x2) == 0 { // if not omitted
 						// string "s"
 						o = append(o, 0xa1, 0x73)
 						if z.CatchUp.State == nil {
@@ -7484,16 +7515,11 @@
 			if z.LeaseRequest == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				// map header, size 3
-				// string "t"
-				o = append(o, 0x83, 0xa1, 0x74)
-				o = msgp.AppendUint64(o, z.LeaseRequest.Token)
-				// string "r"
-				o = append(o, 0xa1, 0x72)
-				o = msgp.AppendUint64(o, z.LeaseRequest.RequestID)
-				// string "n"
-				o = append(o, 0xa1, 0x6e)
-				o = msgp.AppendBool(o, z.LeaseRequest.Renewal)
+				o, err = z.LeaseRequest.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "LeaseRequest")
+					return
+				}
 			}
 		}
 		if (zb0001Mask & 0x200000) == 0 { // if not omitted
@@ -7502,16 +7528,11 @@
 			if z.LeaseGrant == nil {
 				o = msgp.AppendNil(o)
 			} else {
-				// map header, size 3
-				// string "r"
-				o = append(o, 0x83, 0xa1, 0x72)
-				o = msgp.AppendUint64(o, z.LeaseGrant.RequestID)
-				// string "g"
-				o = append(o, 0xa1, 0x67)
-				o = msgp.AppendBool(o, z.LeaseGrant.Granted)
-				// string "t"
-				o = append(o, 0xa1, 0x74)
-				o = msgp.AppendUint64(o, z.LeaseGrant.Token)
+				o, err = z.LeaseGrant.MarshalMsg(o)
+				if err != nil {
+					err = msgp.WrapError(err, "LeaseGrant")
+					return
+				}
 			}
 		}
 		if (zb0001Mask & 0x400000) == 0 { // if not omitted
@@ -7523,7 +7544,7 @@
 				// map header, size 1
 				// string "t"
 				o = append(o, 0x81, 0xa1, 0x74)
-				o = msgp.AppendUint64(o, z.LeaseRelease.Token)
+				o = msgp.AppendUint64(o, uint64(z.LeaseRelease.Token))
 			}
 		}
 		if (zb0001Mask & 0x800000) == 0 { // if not omitted
@@ -7632,10 +7653,14 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "f":
-			z.From, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "From")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "From")
+					return
+				}
+				z.From = MemberID(zb0002)
 			}
 		case "fa":
 			z.FromAddress, bts, err = msgp.ReadStringBytes(bts)
@@ -7650,16 +7675,24 @@
 				return
 			}
 		case "t":
-			z.To, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "To")
-				return
+			{
+				var zb0003 string
+				zb0003, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "To")
+					return
+				}
+				z.To = MemberID(zb0003)
 			}
 		case "v":
-			z.View, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "View")
-				return
+			{
+				var zb0004 uint64
+				zb0004, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "View")
+					return
+				}
+				z.View = ViewNumber(zb0004)
 			}
 		case "hb":
 			if msgp.IsNil(bts) {
@@ -7723,14 +7756,14 @@
 				if z.ViewAnnouncement == nil {
 					z.ViewAnnouncement = new(ViewAnnouncement)
 				}
-				var zb0002 uint32
-				zb0002, bts, err = msgp.ReadMapHeaderBytes(bts)
+				var zb0005 uint32
+				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "ViewAnnouncement")
 					return
 				}
-				for zb0002 > 0 {
-					zb0002--
+				for zb0005 > 0 {
+					zb0005--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "ViewAnnouncement")
@@ -7763,63 +7796,11 @@
 				if z.Prepare == nil {
 					z.Prepare = new(Prepare)
 				}
-				var zb0003 uint32
-				zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+				bts, err = z.Prepare.UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Prepare")
 					return
 				}
-				for zb0003 > 0 {
-					zb0003--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Prepare")
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "b":
-						var zb0004 uint32
-						zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Prepare", "Proposal")
-							return
-						}
-						for zb0004 > 0 {
-							zb0004--
-							field, bts, err = msgp.ReadMapKeyZC(bts)
-							if err != nil {
-								err = msgp.WrapError(err, "Prepare", "Proposal")
-								return
-							}
-							switch msgp.UnsafeString(field) {
-							case "r":
-								z.Prepare.Proposal.Counter, bts, err = msgp.ReadUint64Bytes(bts)
-								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Proposal", "Counter")
-									return
-								}
-							case "p":
-								z.Prepare.Proposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
-								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Proposal", "Proposer")
-									return
-								}
-							default:
-								bts, err = msgp.Skip(bts)
-								if err != nil {
-									err = msgp.WrapError(err, "Prepare", "Proposal")
-									return
-								}
-							}
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "Prepare")
-							return
-						}
-					}
-				}
 			}
 		case "pm":
 			if msgp.IsNil(bts) {
@@ -7900,14 +7881,14 @@
 				if z.Committed == nil {
 					z.Committed = new(Committed)
 				}
-				var zb0005 uint32
-				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
+				var zb0006 uint32
+				zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "Committed")
 					return
 				}
-				for zb0005 > 0 {
-					zb0005--
+				for zb0006 > 0 {
+					zb0006--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "Committed")
@@ -7946,14 +7927,14 @@
 				if z.SnapshotRequest == nil {
 					z.SnapshotRequest = new(SnapshotRequest)
 				}
-				var zb0006 uint32
-				zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
+				var zb0007 uint32
+				zb0007, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "SnapshotRequest")
 					return
 				}
-				for zb0006 > 0 {
-					zb0006--
+				for zb0007 > 0 {
+					zb0007--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "SnapshotRequest")
@@ -7986,14 +7967,14 @@
 				if z.CatchUpRequest == nil {
 					z.CatchUpRequest = new(CatchUpRequest)
 				}
-				var zb0007 uint32
-				zb0007, bts, err = msgp.ReadMapHeaderBytes(bts)
+				var zb0008 uint32
+				zb0008, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "CatchUpRequest")
 					return
 				}
-				for zb0007 > 0 {
-					zb0007--
+				for zb0008 > 0 {
+					zb0008--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "CatchUpRequest")
@@ -8026,14 +8007,14 @@
 				if z.CatchUp == nil {
 					z.CatchUp = new(CatchUp)
 				}
-				var zb0008 uint32
-				zb0008, bts, err = msgp.ReadMapHeaderBytes(bts)
+				var zb0009 uint32
+				zb0009, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "CatchUp")
 					return
 				}
-				for zb0008 > 0 {
-					zb0008--
+				for zb0009 > 0 {
+					zb0009--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "CatchUp")
@@ -8083,14 +8064,14 @@
 				if z.ConfirmRequest == nil {
 					z.ConfirmRequest = new(ConfirmRequest)
 				}
-				var zb0009 uint32
-				zb0009, bts, err = msgp.ReadMapHeaderBytes(bts)
+				var zb0010 uint32
+				zb0010, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "ConfirmRequest")
 					return
 				}
-				for zb0009 > 0 {
-					zb0009--
+				for zb0010 > 0 {
+					zb0010--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "ConfirmRequest")
@@ -8123,14 +8104,14 @@
 				if z.ConfirmResponse == nil {
 					z.ConfirmResponse = new(ConfirmResponse)
 				}
-				var zb0010 uint32
-				zb0010, bts, err = msgp.ReadMapHeaderBytes(bts)
+				var zb0011 uint32
+				zb0011, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "ConfirmResponse")
 					return
 				}
-				for zb0010 > 0 {
-					zb0010--
+				for zb0011 > 0 {
+					zb0011--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "ConfirmResponse")
@@ -8169,46 +8150,11 @@
 				if z.LeaseRequest == nil {
 					z.LeaseRequest = new(LeaseRequest)
 				}
-				var zb0011 uint32
-				zb0011, bts, err = msgp.ReadMapHeaderBytes(bts)
+				bts, err = z.LeaseRequest.UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "LeaseRequest")
 					return
 				}
-				for zb0011 > 0 {
-					zb0011--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "LeaseRequest")
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "t":
-						z.LeaseRequest.Token, bts, err = msgp.ReadUint64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest", "Token")
-							return
-						}
-					case "r":
-						z.LeaseRequest.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest", "RequestID")
-							return
-						}
-					case "n":
-						z.LeaseRequest.Renewal, bts, err = msgp.ReadBoolBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest", "Renewal")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseRequest")
-							return
-						}
-					}
-				}
 			}
 		case "lg":
 			if msgp.IsNil(bts) {
@@ -8221,45 +8167,10 @@
 				if z.LeaseGrant == nil {
 					z.LeaseGrant = new(LeaseGrant)
 				}
-				var zb0012 uint32
-				zb0012, bts, err = msgp.ReadMapHeaderBytes(bts)
+				bts, err = z.LeaseGrant.UnmarshalMsg(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "LeaseGrant")
-					return
-				}
-				for zb0012 > 0 {
-					zb0012--
-					field, bts, err = msgp.ReadMapKeyZC(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "LeaseGrant")
-						return
-					}
-					switch msgp.UnsafeString(field) {
-					case "r":
-						z.LeaseGrant.RequestID, bts, err = msgp.ReadUint64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseGrant", "RequestID")
-							return
-						}
-					case "g":
-						z.LeaseGrant.Granted, bts, err = msgp.ReadBoolBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseGrant", "Granted")
-							return
-						}
-					case "t":
-						z.LeaseGrant.Token, bts, err = msgp.ReadUint64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseGrant", "Token")
-							return
-						}
-					default:
-						bts, err = msgp.Skip(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseGrant")
-							return
-						}
-					}
+					return
 				}
 			}
 		case "ll":
@@ -8273,14 +8184,14 @@
 				if z.LeaseRelease == nil {
 					z.LeaseRelease = new(LeaseRelease)
 				}
-				var zb0013 uint32
-				zb0013, bts, err = msgp.ReadMapHeaderBytes(bts)
+				var zb0012 uint32
+				zb0012, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "LeaseRelease")
 					return
 				}
-				for zb0013 > 0 {
-					zb0013--
+				for zb0012 > 0 {
+					zb0012--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "LeaseRelease")
@@ -8288,10 +8199,14 @@
 					}
 					switch msgp.UnsafeString(field) {
 					case "t":
-						z.LeaseRelease.Token, bts, err = msgp.ReadUint64Bytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "LeaseRelease", "Token")
-							return
+						{
+							var zb0013 uint64
+							zb0013, bts, err = msgp.ReadUint64Bytes(bts)
+							if err != nil {
+								err = msgp.WrapError(err, "LeaseRelease", "Token")
+								return
+							}
+							z.LeaseRelease.Token = FencingToken(zb0013)
 						}
 					default:
 						bts, err = msgp.Skip(bts)
@@ -8453,7 +8368,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Message) Msgsize() (s int) {
-	s = 3 + 2 + msgp.StringPrefixSize + len(z.From) + 3 + msgp.StringPrefixSize + len(z.FromAddress) + 3 + msgp.StringPrefixSize + len(z.FromZone) + 2 + msgp.StringPrefixSize + len(z.To) + 2 + msgp.Uint64Size + 3
+	s = 3 + 2 + msgp.StringPrefixSize + len(string(z.From)) + 3 + msgp.StringPrefixSize + len(z.FromAddress) + 3 + msgp.StringPrefixSize + len(z.FromZone) + 2 + msgp.StringPrefixSize + len(string(z.To)) + 2 + msgp.Uint64Size + 3
 	if z.Heartbeat == nil {
 		s += msgp.NilSize
 	} else {
@@ -8481,7 +8396,7 @@
 	if z.Prepare == nil {
 		s += msgp.NilSize
 	} else {
-		s += 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Prepare.Proposal.Proposer)
+		s += z.Prepare.Msgsize()
 	}
 	s += 3
 	if z.PrepareResponse == nil {
@@ -8552,13 +8467,13 @@
 	if z.LeaseRequest == nil {
 		s += msgp.NilSize
 	} else {
-		s += 1 + 2 + msgp.Uint64Size + 2 + msgp.Uint64Size + 2 + msgp.BoolSize
+		s += z.LeaseRequest.Msgsize()
 	}
 	s += 3
 	if z.LeaseGrant == nil {
 		s += msgp.NilSize
 	} else {
-		s += 1 + 2 + msgp.Uint64Size + 2 + msgp.BoolSize + 2 + msgp.Uint64Size
+		s += z.LeaseGrant.Msgsize()
 	}
 	s += 3
 	if z.LeaseRelease == nil {
@@ -10160,10 +10075,14 @@
 						return
 					}
 				case "p":
-					z.Proposal.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "Proposal", "Proposer")
-						return
+					{
+						var zb0003 string
+						zb0003, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "Proposal", "Proposer")
+							return
+						}
+						z.Proposal.Proposer = MemberID(zb0003)
 					}
 				default:
 					err = dc.Skip()
@@ -10208,7 +10127,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Proposal.Proposer)
+	err = en.WriteString(string(z.Proposal.Proposer))
 	if err != nil {
 		err = msgp.WrapError(err, "Proposal", "Proposer")
 		return
@@ -10228,7 +10147,7 @@
 	o = msgp.AppendUint64(o, z.Proposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Proposal.Proposer)
+	o = msgp.AppendString(o, string(z.Proposal.Proposer))
 	return
 }
 
@@ -10272,10 +10191,14 @@
 						return
 					}
 				case "p":
-					z.Proposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Proposal", "Proposer")
-						return
+					{
+						var zb0003 string
+						zb0003, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Proposal", "Proposer")
+							return
+						}
+						z.Proposal.Proposer = MemberID(zb0003)
 					}
 				default:
 					bts, err = msgp.Skip(bts)
@@ -10299,7 +10222,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *Prepare) Msgsize() (s int) {
-	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposal.Proposer)
+	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(string(z.Proposal.Proposer))
 	return
 }
 
@@ -10343,10 +10266,14 @@
 						return
 					}
 				case "p":
-					z.Proposal.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "Proposal", "Proposer")
-						return
+					{
+						var zb0003 string
+						zb0003, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "Proposal", "Proposer")
+							return
+						}
+						z.Proposal.Proposer = MemberID(zb0003)
 					}
 				default:
 					err = dc.Skip()
@@ -10363,14 +10290,14 @@
 				return
 			}
 		case "p":
-			var zb0003 uint32
-			zb0003, err = dc.ReadMapHeader()
+			var zb0004 uint32
+			zb0004, err = dc.ReadMapHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "HighestProposal")
 				return
 			}
-			for zb0003 > 0 {
-				zb0003--
+			for zb0004 > 0 {
+				zb0004--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
 					err = msgp.WrapError(err, "HighestProposal")
@@ -10384,10 +10311,14 @@
 						return
 					}
 				case "p":
-					z.HighestProposal.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "HighestProposal", "Proposer")
-						return
+					{
+						var zb0005 string
+						zb0005, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "HighestProposal", "Proposer")
+							return
+						}
+						z.HighestProposal.Proposer = MemberID(zb0005)
 					}
 				default:
 					err = dc.Skip()
@@ -10398,14 +10329,14 @@
 				}
 			}
 		case "ab":
-			var zb0004 uint32
-			zb0004, err = dc.ReadMapHeader()
+			var zb0006 uint32
+			zb0006, err = dc.ReadMapHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "AcceptedProposal")
 				return
 			}
-			for zb0004 > 0 {
-				zb0004--
+			for zb0006 > 0 {
+				zb0006--
 				field, err = dc.ReadMapKeyPtr()
 				if err != nil {
 					err = msgp.WrapError(err, "AcceptedProposal")
@@ -10419,10 +10350,14 @@
 						return
 					}
 				case "p":
-					z.AcceptedProposal.Proposer, err = dc.ReadString()
-					if err != nil {
-						err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
-						return
+					{
+						var zb0007 string
+						zb0007, err = dc.ReadString()
+						if err != nil {
+							err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
+							return
+						}
+						z.AcceptedProposal.Proposer = MemberID(zb0007)
 					}
 				default:
 					err = dc.Skip()
@@ -10473,7 +10408,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Proposal.Proposer)
+	err = en.WriteString(string(z.Proposal.Proposer))
 	if err != nil {
 		err = msgp.WrapError(err, "Proposal", "Proposer")
 		return
@@ -10509,7 +10444,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.HighestProposal.Proposer)
+	err = en.WriteString(string(z.HighestProposal.Proposer))
 	if err != nil {
 		err = msgp.WrapError(err, "HighestProposal", "Proposer")
 		return
@@ -10535,7 +10470,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.AcceptedProposal.Proposer)
+	err = en.WriteString(string(z.AcceptedProposal.Proposer))
 	if err != nil {
 		err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
 		return
@@ -10565,7 +10500,7 @@
 	o = msgp.AppendUint64(o, z.Proposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Proposal.Proposer)
+	o = msgp.AppendString(o, string(z.Proposal.Proposer))
 	// string "r"
 	o = append(o, 0xa1, 0x72)
 	o = msgp.AppendBool(o, z.Rejected)
@@ -10577,7 +10512,7 @@
 	o = msgp.AppendUint64(o, z.HighestProposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.HighestProposal.Proposer)
+	o = msgp.AppendString(o, string(z.HighestProposal.Proposer))
 	// string "ab"
 	o = append(o, 0xa2, 0x61, 0x62)
 	// map header, size 2
@@ -10586,7 +10521,7 @@
 	o = msgp.AppendUint64(o, z.AcceptedProposal.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.AcceptedProposal.Proposer)
+	o = msgp.AppendString(o, string(z.AcceptedProposal.Proposer))
 	// string "a"
 	o = append(o, 0xa1, 0x61)
 	o, err = z.AcceptedView.MarshalMsg(o)
@@ -10637,10 +10572,14 @@
 						return
 					}
 				case "p":
-					z.Proposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "Proposal", "Proposer")
-						return
+					{
+						var zb0003 string
+						zb0003, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "Proposal", "Proposer")
+							return
+						}
+						z.Proposal.Proposer = MemberID(zb0003)
 					}
 				default:
 					bts, err = msgp.Skip(bts)
@@ -10657,14 +10596,14 @@
 				return
 			}
 		case "p":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadMapHeaderBytes(bts)
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "HighestProposal")
 				return
 			}
-			for zb0003 > 0 {
-				zb0003--
+			for zb0004 > 0 {
+				zb0004--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "HighestProposal")
@@ -10678,10 +10617,14 @@
 						return
 					}
 				case "p":
-					z.HighestProposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "HighestProposal", "Proposer")
-						return
+					{
+						var zb0005 string
+						zb0005, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "HighestProposal", "Proposer")
+							return
+						}
+						z.HighestProposal.Proposer = MemberID(zb0005)
 					}
 				default:
 					bts, err = msgp.Skip(bts)
@@ -10692,14 +10635,14 @@
 				}
 			}
 		case "ab":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadMapHeaderBytes(bts)
+			var zb0006 uint32
+			zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "AcceptedProposal")
 				return
 			}
-			for zb0004 > 0 {
-				zb0004--
+			for zb0006 > 0 {
+				zb0006--
 				field, bts, err = msgp.ReadMapKeyZC(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "AcceptedProposal")
@@ -10713,10 +10656,14 @@
 						return
 					}
 				case "p":
-					z.AcceptedProposal.Proposer, bts, err = msgp.ReadStringBytes(bts)
-					if err != nil {
-						err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
-						return
+					{
+						var zb0007 string
+						zb0007, bts, err = msgp.ReadStringBytes(bts)
+						if err != nil {
+							err = msgp.WrapError(err, "AcceptedProposal", "Proposer")
+							return
+						}
+						z.AcceptedProposal.Proposer = MemberID(zb0007)
 					}
 				default:
 					bts, err = msgp.Skip(bts)
@@ -10746,7 +10693,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *PrepareResponse) Msgsize() (s int) {
-	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposal.Proposer) + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.HighestProposal.Proposer) + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.AcceptedProposal.Proposer) + 2 + z.AcceptedView.Msgsize()
+	s = 1 + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(string(z.Proposal.Proposer)) + 2 + msgp.BoolSize + 2 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(string(z.HighestProposal.Proposer)) + 3 + 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(string(z.AcceptedProposal.Proposer)) + 2 + z.AcceptedView.Msgsize()
 	return
 }
 
@@ -10775,10 +10722,14 @@
 				return
 			}
 		case "p":
-			z.Proposer, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "Proposer")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "Proposer")
+					return
+				}
+				z.Proposer = MemberID(zb0002)
 			}
 		default:
 			err = dc.Skip()
@@ -10809,7 +10760,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.Proposer)
+	err = en.WriteString(string(z.Proposer))
 	if err != nil {
 		err = msgp.WrapError(err, "Proposer")
 		return
@@ -10826,7 +10777,7 @@
 	o = msgp.AppendUint64(o, z.Counter)
 	// string "p"
 	o = append(o, 0xa1, 0x70)
-	o = msgp.AppendString(o, z.Proposer)
+	o = msgp.AppendString(o, string(z.Proposer))
 	return
 }
 
@@ -10855,10 +10806,14 @@
 				return
 			}
 		case "p":
-			z.Proposer, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Proposer")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Proposer")
+					return
+				}
+				z.Proposer = MemberID(zb0002)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -10874,7 +10829,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z ProposalNumber) Msgsize() (s int) {
-	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(z.Proposer)
+	s = 1 + 2 + msgp.Uint64Size + 2 + msgp.StringPrefixSize + len(string(z.Proposer))
 	return
 }
 
@@ -10903,10 +10858,14 @@
 				return
 			}
 		case "b":
-			z.ReplacedBy, err = dc.ReadString()
-			if err != nil {
-				err = msgp.WrapError(err, "ReplacedBy")
-				return
+			{
+				var zb0002 string
+				zb0002, err = dc.ReadString()
+				if err != nil {
+					err = msgp.WrapError(err, "ReplacedBy")
+					return
+				}
+				z.ReplacedBy = MemberID(zb0002)
 			}
 		default:
 			err = dc.Skip()
@@ -10937,7 +10896,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteString(z.ReplacedBy)
+	err = en.WriteString(string(z.ReplacedBy))
 	if err != nil {
 		err = msgp.WrapError(err, "ReplacedBy")
 		return
@@ -10958,7 +10917,7 @@
 	}
 	// string "b"
 	o = append(o, 0xa1, 0x62)
-	o = msgp.AppendString(o, z.ReplacedBy)
+	o = msgp.AppendString(o, string(z.ReplacedBy))
 	return
 }
 
@@ -10987,10 +10946,14 @@
 				return
 			}
 		case "b":
-			z.ReplacedBy, bts, err = msgp.ReadStringBytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "ReplacedBy")
-				return
+			{
+				var zb0002 string
+				zb0002, bts, err = msgp.ReadStringBytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "ReplacedBy")
+					return
+				}
+				z.ReplacedBy = MemberID(zb0002)
 			}
 		default:
 			bts, err = msgp.Skip(bts)
@@ -11006,7 +10969,7 @@
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
 func (z *ReplacedVoter) Msgsize() (s int) {
-	s = 1 + 2 + z.Member.Msgsize() + 2 + msgp.StringPrefixSize + len(z.ReplacedBy)
+	s = 1 + 2 + z.Member.Msgsize() + 2 + msgp.StringPrefixSize + len(string(z.ReplacedBy))
 	return
 }
 
@@ -11451,51 +11414,63 @@
 			if cap(z.Suspected) >= int(zb0002) {
 				z.Suspected = (z.Suspected)[:zb0002]
 			} else {
-				z.Suspected = make([]string, zb0002)
+				z.Suspected = make([]MemberID, zb0002)
 			}
 			for za0001 := range z.Suspected {
-				z.Suspected[za0001], err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "Suspected", za0001)
-					return
+				{
+					var zb0003 string
+					zb0003, err = dc.ReadString()
+					if err != nil {
+						err = msgp.WrapError(err, "Suspected", za0001)
+						return
+					}
+					z.Suspected[za0001] = MemberID(zb0003)
 				}
 			}
 		case "l":
-			var zb0003 uint32
-			zb0003, err = dc.ReadArrayHeader()
+			var zb0004 uint32
+			zb0004, err = dc.ReadArrayHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "Leaving")
 				return
 			}
-			if cap(z.Leaving) >= int(zb0003) {
-				z.Leaving = (z.Leaving)[:zb0003]
+			if cap(z.Leaving) >= int(zb0004) {
+				z.Leaving = (z.Leaving)[:zb0004]
 			} else {
-				z.Leaving = make([]string, zb0003)
+				z.Leaving = make([]MemberID, zb0004)
 			}
 			for za0002 := range z.Leaving {
-				z.Leaving[za0002], err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "Leaving", za0002)
-					return
+				{
+					var zb0005 string
+					zb0005, err = dc.ReadString()
+					if err != nil {
+						err = msgp.WrapError(err, "Leaving", za0002)
+						return
+					}
+					z.Leaving[za0002] = MemberID(zb0005)
 				}
 			}
 		case "d":
-			var zb0004 uint32
-			zb0004, err = dc.ReadArrayHeader()
+			var zb0006 uint32
+			zb0006, err = dc.ReadArrayHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "Late")
 				return
 			}
-			if cap(z.Late) >= int(zb0004) {
-				z.Late = (z.Late)[:zb0004]
+			if cap(z.Late) >= int(zb0006) {
+				z.Late = (z.Late)[:zb0006]
 			} else {
-				z.Late = make([]string, zb0004)
+				z.Late = make([]MemberID, zb0006)
 			}
 			for za0003 := range z.Late {
-				z.Late[za0003], err = dc.ReadString()
-				if err != nil {
-					err = msgp.WrapError(err, "Late", za0003)
-					return
+				{
+					var zb0007 string
+					zb0007, err = dc.ReadString()
+					if err != nil {
+						err = msgp.WrapError(err, "Late", za0003)
+						return
+					}
+					z.Late[za0003] = MemberID(zb0007)
 				}
 			}
 		default:
@@ -11523,7 +11498,7 @@
 		return
 	}
 	for za0001 := range z.Suspected {
-		err = en.WriteString(z.Suspected[za0001])
+		err = en.WriteString(string(z.Suspected[za0001]))
 		if err != nil {
 			err = msgp.WrapError(err, "Suspected", za0001)
 			return
@@ -11540,7 +11515,7 @@
 		return
 	}
 	for za0002 := range z.Leaving {
-		err = en.WriteString(z.Leaving[za0002])
+		err = en.WriteString(string(z.Leaving[za0002]))
 		if err != nil {
 			err = msgp.WrapError(err, "Leaving", za0002)
 			return
@@ -11557,7 +11532,7 @@
 		return
 	}
 	for za0003 := range z.Late {
-		err = en.WriteString(z.Late[za0003])
+		err = en.WriteString(string(z.Late[za0003]))
 		if err != nil {
 			err = msgp.WrapError(err, "Late", za0003)
 			return
@@ -11574,19 +11549,19 @@
 	o = append(o, 0x83, 0xa1, 0x6d)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Suspected)))
 	for za0001 := range z.Suspected {
-		o = msgp.AppendString(o, z.Suspected[za0001])
+		o = msgp.AppendString(o, string(z.Suspected[za0001]))
 	}
 	// string "l"
 	o = append(o, 0xa1, 0x6c)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Leaving)))
 	for za0002 := range z.Leaving {
-		o = msgp.AppendString(o, z.Leaving[za0002])
+		o = msgp.AppendString(o, string(z.Leaving[za0002]))
 	}
 	// string "d"
 	o = append(o, 0xa1, 0x64)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Late)))
 	for za0003 := range z.Late {
-		o = msgp.AppendString(o, z.Late[za0003])
+		o = msgp.AppendString(o, string(z.Late[za0003]))
 	}
 	return
 }
@@ -11619,51 +11594,63 @@
 			if cap(z.Suspected) >= int(zb0002) {
 				z.Suspected = (z.Suspected)[:zb0002]
 			} else {
-				z.Suspected = make([]string, zb0002)
+				z.Suspected = make([]MemberID, zb0002)
 			}
 			for za0001 := range z.Suspected {
-				z.Suspected[za0001], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Suspected", za0001)
-					return
+				{
+					var zb0003 string
+					zb0003, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Suspected", za0001)
+						return
+					}
+					z.Suspected[za0001] = MemberID(zb0003)
 				}
 			}
 		case "l":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Leaving")
 				return
 			}
-			if cap(z.Leaving) >= int(zb0003) {
-				z.Leaving = (z.Leaving)[:zb0003]
+			if cap(z.Leaving) >= int(zb0004) {
+				z.Leaving = (z.Leaving)[:zb0004]
 			} else {
-				z.Leaving = make([]string, zb0003)
+				z.Leaving = make([]MemberID, zb0004)
 			}
 			for za0002 := range z.Leaving {
-				z.Leaving[za0002], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Leaving", za0002)
-					return
+				{
+					var zb0005 string
+					zb0005, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Leaving", za0002)
+						return
+					}
+					z.Leaving[za0002] = MemberID(zb0005)
 				}
 			}
 		case "d":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0006 uint32
+			zb0006, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Late")
 				return
 			}
-			if cap(z.Late) >= int(zb0004) {
-				z.Late = (z.Late)[:zb0004]
+			if cap(z.Late) >= int(zb0006) {
+				z.Late = (z.Late)[:zb0006]
 			} else {
-				z.Late = make([]string, zb0004)
+				z.Late = make([]MemberID, zb0006)
 			}
 			for za0003 := range z.Late {
-				z.Late[za0003], bts, err = msgp.ReadStringBytes(bts)
-				if err != nil {
-					err = msgp.WrapError(err, "Late", za0003)
-					return
+				{
+					var zb0007 string
+					zb0007, bts, err = msgp.ReadStringBytes(bts)
+					if err != nil {
+						err = msgp.WrapError(err, "Late", za0003)
+						return
+					}
+					z.Late[za0003] = MemberID(zb0007)
 				}
 			}
 		default:
@@ -11682,15 +11669,15 @@
 func (z *SuspicionReport) Msgsize() (s int) {
 	s = 1 + 2 + msgp.ArrayHeaderSize
 	for za0001 := range z.Suspected {
-		s += msgp.StringPrefixSize + len(z.Suspected[za0001])
+		s += msgp.StringPrefixSize + len(string(z.Suspected[za0001]))
 	}
 	s += 2 + msgp.ArrayHeaderSize
 	for za0002 := range z.Leaving {
-		s += msgp.StringPrefixSize + len(z.Leaving[za0002])
+		s += msgp.StringPrefixSize + len(string(z.Leaving[za0002]))
 	}
 	s += 2 + msgp.ArrayHeaderSize
 	for za0003 := range z.Late {
-		s += msgp.StringPrefixSize + len(z.Late[za0003])
+		s += msgp.StringPrefixSize + len(string(z.Late[za0003]))
 	}
 	return
 }
@@ -11714,22 +11701,26 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "n":
-			z.Number, err = dc.ReadUint64()
-			if err != nil {
-				err = msgp.WrapError(err, "Number")
-				return
+			{
+				var zb0002 uint64
+				zb0002, err = dc.ReadUint64()
+				if err != nil {
+					err = msgp.WrapError(err, "Number")
+					return
+				}
+				z.Number = ViewNumber(zb0002)
 			}
 		case "m":
-			var zb0002 uint32
-			zb0002, err = dc.ReadArrayHeader()
+			var zb0003 uint32
+			zb0003, err = dc.ReadArrayHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "Members")
 				return
 			}
-			if cap(z.Members) >= int(zb0002) {
-				z.Members = (z.Members)[:zb0002]
+			if cap(z.Members) >= int(zb0003) {
+				z.Members = (z.Members)[:zb0003]
 			} else {
-				z.Members = make([]Member, zb0002)
+				z.Members = make([]Member, zb0003)
 			}
 			for za0001 := range z.Members {
 				err = z.Members[za0001].DecodeMsg(dc)
@@ -11739,16 +11730,16 @@
 				}
 			}
 		case "v":
-			var zb0003 uint32
-			zb0003, err = dc.ReadArrayHeader()
+			var zb0004 uint32
+			zb0004, err = dc.ReadArrayHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "Voters")
 				return
 			}
-			if cap(z.Voters) >= int(zb0003) {
-				z.Voters = (z.Voters)[:zb0003]
+			if cap(z.Voters) >= int(zb0004) {
+				z.Voters = (z.Voters)[:zb0004]
 			} else {
-				z.Voters = make([]Member, zb0003)
+				z.Voters = make([]Member, zb0004)
 			}
 			for za0002 := range z.Voters {
 				err = z.Voters[za0002].DecodeMsg(dc)
@@ -11758,26 +11749,26 @@
 				}
 			}
 		case "dp":
-			var zb0004 uint32
-			zb0004, err = dc.ReadArrayHeader()
+			var zb0005 uint32
+			zb0005, err = dc.ReadArrayHeader()
 			if err != nil {
 				err = msgp.WrapError(err, "ReplacedVoters")
 				return
 			}
-			if cap(z.ReplacedVoters) >= int(zb0004) {
-				z.ReplacedVoters = (z.ReplacedVoters)[:zb0004]
+			if cap(z.ReplacedVoters) >= int(zb0005) {
+				z.ReplacedVoters = (z.ReplacedVoters)[:zb0005]
 			} else {
-				z.ReplacedVoters = make([]ReplacedVoter, zb0004)
+				z.ReplacedVoters = make([]ReplacedVoter, zb0005)
 			}
 			for za0003 := range z.ReplacedVoters {
-				var zb0005 uint32
-				zb0005, err = dc.ReadMapHeader()
+				var zb0006 uint32
+				zb0006, err = dc.ReadMapHeader()
 				if err != nil {
 					err = msgp.WrapError(err, "ReplacedVoters", za0003)
 					return
 				}
-				for zb0005 > 0 {
-					zb0005--
+				for zb0006 > 0 {
+					zb0006--
 					field, err = dc.ReadMapKeyPtr()
 					if err != nil {
 						err = msgp.WrapError(err, "ReplacedVoters", za0003)
@@ -11791,10 +11782,14 @@
 							return
 						}
 					case "b":
-						z.ReplacedVoters[za0003].ReplacedBy, err = dc.ReadString()
-						if err != nil {
-							err = msgp.WrapError(err, "ReplacedVoters", za0003, "ReplacedBy")
-							return
+						{
+							var zb0007 string
+							zb0007, err = dc.ReadString()
+							if err != nil {
+								err = msgp.WrapError(err, "ReplacedVoters", za0003, "ReplacedBy")
+								return
+							}
+							z.ReplacedVoters[za0003].ReplacedBy = MemberID(zb0007)
 						}
 					default:
 						err = dc.Skip()
@@ -11824,7 +11819,7 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteUint64(z.Number)
+	err = en.WriteUint64(uint64(z.Number))
 	if err != nil {
 		err = msgp.WrapError(err, "Number")
 		return
@@ -11890,7 +11885,7 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteString(z.ReplacedVoters[za0003].ReplacedBy)
+		err = en.WriteString(string(z.ReplacedVoters[za0003].ReplacedBy))
 		if err != nil {
 			err = msgp.WrapError(err, "ReplacedVoters", za0003, "ReplacedBy")
 			return
@@ -11905,7 +11900,7 @@
 	// map header, size 4
 	// string "n"
 	o = append(o, 0x84, 0xa1, 0x6e)
-	o = msgp.AppendUint64(o, z.Number)
+	o = msgp.AppendUint64(o, uint64(z.Number))
 	// string "m"
 	o = append(o, 0xa1, 0x6d)
 	o = msgp.AppendArrayHeader(o, uint32(len(z.Members)))
@@ -11940,7 +11935,7 @@
 		}
 		// string "b"
 		o = append(o, 0xa1, 0x62)
-		o = msgp.AppendString(o, z.ReplacedVoters[za0003].ReplacedBy)
+		o = msgp.AppendString(o, string(z.ReplacedVoters[za0003].ReplacedBy))
 	}
 	return
 }
@@ -11964,22 +11959,26 @@
 		}
 		switch msgp.UnsafeString(field) {
 		case "n":
-			z.Number, bts, err = msgp.ReadUint64Bytes(bts)
-			if err != nil {
-				err = msgp.WrapError(err, "Number")
-				return
+			{
+				var zb0002 uint64
+				zb0002, bts, err = msgp.ReadUint64Bytes(bts)
+				if err != nil {
+					err = msgp.WrapError(err, "Number")
+					return
+				}
+				z.Number = ViewNumber(zb0002)
 			}
 		case "m":
-			var zb0002 uint32
-			zb0002, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0003 uint32
+			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Members")
 				return
 			}
-			if cap(z.Members) >= int(zb0002) {
-				z.Members = (z.Members)[:zb0002]
+			if cap(z.Members) >= int(zb0003) {
+				z.Members = (z.Members)[:zb0003]
 			} else {
-				z.Members = make([]Member, zb0002)
+				z.Members = make([]Member, zb0003)
 			}
 			for za0001 := range z.Members {
 				bts, err = z.Members[za0001].UnmarshalMsg(bts)
@@ -11989,16 +11988,16 @@
 				}
 			}
 		case "v":
-			var zb0003 uint32
-			zb0003, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0004 uint32
+			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "Voters")
 				return
 			}
-			if cap(z.Voters) >= int(zb0003) {
-				z.Voters = (z.Voters)[:zb0003]
+			if cap(z.Voters) >= int(zb0004) {
+				z.Voters = (z.Voters)[:zb0004]
 			} else {
-				z.Voters = make([]Member, zb0003)
+				z.Voters = make([]Member, zb0004)
 			}
 			for za0002 := range z.Voters {
 				bts, err = z.Voters[za0002].UnmarshalMsg(bts)
@@ -12008,26 +12007,26 @@
 				}
 			}
 		case "dp":
-			var zb0004 uint32
-			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
+			var zb0005 uint32
+			zb0005, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
 				err = msgp.WrapError(err, "ReplacedVoters")
 				return
 			}
-			if cap(z.ReplacedVoters) >= int(zb0004) {
-				z.ReplacedVoters = (z.ReplacedVoters)[:zb0004]
+			if cap(z.ReplacedVoters) >= int(zb0005) {
+				z.ReplacedVoters = (z.ReplacedVoters)[:zb0005]
 			} else {
-				z.ReplacedVoters = make([]ReplacedVoter, zb0004)
+				z.ReplacedVoters = make([]ReplacedVoter, zb0005)
 			}
 			for za0003 := range z.ReplacedVoters {
-				var zb0005 uint32
-				zb0005, bts, err = msgp.ReadMapHeaderBytes(bts)
+				var zb0006 uint32
+				zb0006, bts, err = msgp.ReadMapHeaderBytes(bts)
 				if err != nil {
 					err = msgp.WrapError(err, "ReplacedVoters", za0003)
 					return
 				}
-				for zb0005 > 0 {
-					zb0005--
+				for zb0006 > 0 {
+					zb0006--
 					field, bts, err = msgp.ReadMapKeyZC(bts)
 					if err != nil {
 						err = msgp.WrapError(err, "ReplacedVoters", za0003)
@@ -12041,10 +12040,14 @@
 							return
 						}
 					case "b":
-						z.ReplacedVoters[za0003].ReplacedBy, bts, err = msgp.ReadStringBytes(bts)
-						if err != nil {
-							err = msgp.WrapError(err, "ReplacedVoters", za0003, "ReplacedBy")
-							return
+						{
+							var zb0007 string
+							zb0007, bts, err = msgp.ReadStringBytes(bts)
+							if err != nil {
+								err = msgp.WrapError(err, "ReplacedVoters", za0003, "ReplacedBy")
+								return
+							}
+							z.ReplacedVoters[za0003].ReplacedBy = MemberID(zb0007)
 						}
 					default:
 						bts, err = msgp.Skip(bts)
@@ -12079,7 +12082,7 @@
 	}
 	s += 3 + msgp.ArrayHeaderSize
 	for za0003 := range z.ReplacedVoters {
-		s += 1 + 2 + z.ReplacedVoters[za0003].Member.Msgsize() + 2 + msgp.StringPrefixSize + len(z.ReplacedVoters[za0003].ReplacedBy)
+		s += 1 + 2 + z.ReplacedVoters[za0003].Member.Msgsize() + 2 + msgp.StringPrefixSize + len(string(z.ReplacedVoters[za0003].ReplacedBy))
 	}
 	return
 }
@@ -12190,3 +12193,55 @@
 	s = 1 + 2 + z.View.Msgsize()
 	return
 }
+
+// DecodeMsg implements msgp.Decodable
+func (z *ViewNumber) DecodeMsg(dc *msgp.Reader) (err error) {
+	{
+		var zb0001 uint64
+		zb0001, err = dc.ReadUint64()
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = ViewNumber(zb0001)
+	}
+	return
+}
+
+// EncodeMsg implements msgp.Encodable
+func (z ViewNumber) EncodeMsg(en *msgp.Writer) (err error) {
+	err = en.WriteUint64(uint64(z))
+	if err != nil {
+		err = msgp.WrapError(err)
+		return
+	}
+	return
+}
+
+// MarshalMsg implements msgp.Marshaler
+func (z ViewNumber) MarshalMsg(b []byte) (o []byte, err error) {
+	o = msgp.Require(b, z.Msgsize())
+	o = msgp.AppendUint64(o, uint64(z))
+	return
+}
+
+// UnmarshalMsg implements msgp.Unmarshaler
+func (z *ViewNumber) UnmarshalMsg(bts []byte) (o []byte, err error) {
+	{
+		var zb0001 uint64
+		zb0001, bts, err = msgp.ReadUint64Bytes(bts)
+		if err != nil {
+			err = msgp.WrapError(err)
+			return
+		}
+		(*z) = ViewNumber(zb0001)
+	}
+	o = bts
+	return
+}
+
+// Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
+func (z ViewNumber) Msgsize() (s int) {
+	s = msgp.Uint64Size
+	return
+}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -36,7 +36,7 @@
 	id, answer := c.register()
 	defer c.forget(id)
 	pull.ID = id
-	m, err := c.call(ctx, conn, &message.Message{From: from, PollRequest: &pull}, answer)
+	m, err := c.call(ctx, conn, &message.Message{From: message.MemberID(from), PollRequest: &pull}, answer)
 	switch {
 	case ctx.Err() != nil:
 		c.drop(conn)
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	frame, err := Encode(&message.Message{From: from, LoadReport: &report})
+	frame, err := Encode(&message.Message{From: message.MemberID(from), LoadReport: &report})
 	if err != nil {
 		return err
 	}
@@ -110,7 +110,7 @@
 	}
 	id, answer := c.register()
 	report.ID = id
-	frame, err := Encode(&message.Message{From: from, LoadReport: &report})
+	frame, err := Encode(&message.Message{From: message.MemberID(from), LoadReport: &report})
 	if err == nil {
 		err = c.write(conn, frame)
 	}
