--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -65,10 +65,10 @@
 
 // run works until ctx ends.
 func (c *controller) run(ctx context.Context) {
-	puller := distribution.NewPuller(string(c.loop.self.Identity), &leaseHolderSubscriber{loop: c.loop}, holderPollWait)
-	go puller.Run(ctx)
+	poller := distribution.NewPoller(string(c.loop.self.Identity), &leaseHolderSubscriber{loop: c.loop}, holderPollWait)
+	go poller.Run(ctx)
 	urgent := make(chan struct{}, 1)
-	c.loop.hub.SetOnUrgent(func() {
+	c.loop.hub.SetOnUnmetDemand(func() {
 		select {
 		case urgent <- struct{}{}:
 		default:
@@ -84,7 +84,7 @@
 			event(time.Now())
 		case <-urgent:
 			if _, holds := c.lease(time.Now()); !holds {
-				go puller.Report(ctx)
+				go poller.PollNow(ctx)
 			}
 		case now := <-ticker.C:
 			c.tick(ctx, now)
@@ -115,7 +115,7 @@
 		c.onLeaseAcquired(s)
 	}
 	c.pollBackends(ctx, now, holderPollInterval)
-	c.loop.hub.SetHolder(c.pendingLoads(now))
+	c.loop.hub.UseOwnTotals(c.pendingLoads(now))
 	if now.Sub(s.leaseStart) >= c.handoverDelay() {
 		c.placeModels(ctx, now)
 	}
--- a/internal/controlplane/coordinator/lease_holder_subscriber.go
+++ b/internal/controlplane/coordinator/lease_holder_subscriber.go
@@ -7,6 +7,7 @@
 
 	"pumiceline/internal/controlplane/discovery"
 	"pumiceline/internal/controlplane/distribution"
+	"pumiceline/internal/controlplane/distribution/inflight"
 	"pumiceline/internal/message"
 )
 
@@ -21,7 +22,7 @@
 
 	digest uint64 // of table; 0: none
 	table  *discovery.Table
-	loads  distribution.Loads
+	loads  inflight.DeltaDecoder
 }
 
 // Addresses returns the lease holder's internal address, unless it is unknown or this process.
@@ -36,14 +37,14 @@
 // SetMembers does nothing: a coordinator knows the members from its view.
 func (s *leaseHolderSubscriber) SetMembers([]message.Member) {}
 
-// Versions returns the versions that are known here, and the demand and loads gathered from proxies since the last poll.
-func (s *leaseHolderSubscriber) Versions() message.PollRequest {
-	demand, loads, proxies := s.loop.hub.TakeDemand()
+// PollRequest returns the versions that are known here, and the demand and loads gathered from proxies since the last poll.
+func (s *leaseHolderSubscriber) PollRequest() message.PollRequest {
+	reported := s.loop.hub.CollectDemand()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return message.PollRequest{
 		ConfigSequence: noConfigWanted, BackendDigest: s.digest, LoadVersion: s.loads.Version(),
-		Demand: demand, Loads: loads, Proxies: proxies,
+		Demand: reported.Models, Loads: reported.Loads, Proxies: reported.Proxies,
 	}
 }
 
@@ -51,7 +52,9 @@
 func (s *leaseHolderSubscriber) Apply(response *message.PollResponse, sent time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.loop.hub.SetTotals(s.loads.Take(response), response.Proxies, response.PendingLoads)
+	s.loop.hub.SetTotals(distribution.Totals{
+		Loads: s.loads.Apply(inflight.DeltaOf(response)), Proxies: response.Proxies, PendingLoads: response.PendingLoads,
+	})
 	if !response.BackendsKnown {
 		return
 	}
--- a/internal/controlplane/coordinator/placement_tasks.go
+++ b/internal/controlplane/coordinator/placement_tasks.go
@@ -27,14 +27,16 @@
 
 // placeModels starts the tasks that the planner wants now.
 func (c *controller) placeModels(ctx context.Context, now time.Time) {
-	demand, loads, _ := c.loop.hub.TakeDemand()
-	c.demand.Update(now, demand)
+	reported := c.loop.hub.CollectDemand()
+	c.demand.Update(now, reported.Models)
 	if c.table == nil || !c.refreshConfig() {
 		return
 	}
 	input := &placement.Input{
 		Now: now, Services: c.config.Services, Backends: c.placementBackends(now), Demand: c.demand,
-		Running: lo.SliceToMap(loads, func(l message.BackendLoad) (message.BackendID, int) { return l.Backend, l.Running }),
+		Running: lo.SliceToMap(reported.Loads, func(l message.BackendLoad) (message.BackendID, int) {
+			return l.Backend, l.Running
+		}),
 		Loading: c.loadsInFlight(), LoadsLeft: c.loadsAllowed(now),
 	}
 	for _, task := range placement.Plan(input) {
--- a/internal/controlplane/coordinator/replica_loop.go
+++ b/internal/controlplane/coordinator/replica_loop.go
@@ -61,9 +61,9 @@
 func (l *replicaLoop) handleMessage(m *message.Message, reply func(*message.Message)) {
 	switch {
 	case m.PollRequest != nil:
-		l.hub.HandlePull(string(m.From), *m.PollRequest, reply)
+		l.hub.HandlePoll(string(m.From), *m.PollRequest, reply)
 	case m.LoadReport != nil:
-		l.hub.HandleLoads(string(m.From), m.LoadReport, reply)
+		l.hub.HandleLoadReport(string(m.From), m.LoadReport, reply)
 	default:
 		l.deliver(m)
 	}
@@ -150,7 +150,7 @@
 		l.hub.SetConfig(message.ConfigUpdate{Sequence: served.Sequence, Document: served.Document})
 	}
 	l.snapshot.Store(s)
-	l.hub.SetStatus(distribution.Status{Until: s.servingUntil, Members: s.view.Members})
+	l.hub.SetStatus(distribution.Status{ServesUntil: s.servingUntil, Members: s.view.Members})
 	l.logNewView(s)
 }
 
--- /dev/null
+++ b/internal/controlplane/distribution/backend_history.go
@@ -0,0 +1,50 @@
+package distribution
+
+import (
+	"pumiceline/internal/controlplane/discovery"
+	"pumiceline/internal/message"
+)
+
+// maxTableHistory is how many earlier lists of backends the hub keeps to make updates from. A subscriber that is further
+// behind gets the full list.
+const maxTableHistory = 24
+
+// backendHistory is the hub's: the newest list of backends and those before it.
+type backendHistory struct {
+	newest  *discovery.Table
+	earlier []*discovery.Table                // the latest last
+	updates map[uint64]*message.BackendUpdate // to the newest, by the digest that they build on
+}
+
+// set sets the newest list and reports whether it differs from the one before. A list observed earlier is ignored.
+func (h *backendHistory) set(table *discovery.Table) bool {
+	if h.newest.IsKnown() && !table.Observed.After(h.newest.Observed) {
+		return false
+	}
+	isChanged := !h.newest.IsKnown() || h.newest.Digest != table.Digest
+	if isChanged && h.newest.IsKnown() {
+		h.earlier = append(h.earlier, h.newest)
+		h.earlier = h.earlier[max(0, len(h.earlier)-maxTableHistory):]
+	}
+	if isChanged {
+		h.updates = map[uint64]*message.BackendUpdate{}
+	}
+	h.newest = table
+	return isChanged
+}
+
+// updateFrom returns the update for a subscriber that has the list of that digest: the full list where that list is not
+// kept any more. It is made once for all subscribers.
+func (h *backendHistory) updateFrom(digest uint64) *message.BackendUpdate {
+	if cached := h.updates[digest]; cached != nil {
+		return cached
+	}
+	update := h.newest.Whole()
+	for _, earlier := range h.earlier {
+		if earlier.Digest == digest {
+			update = h.newest.Since(earlier)
+		}
+	}
+	h.updates[digest] = update
+	return update
+}
--- /dev/null
+++ b/internal/controlplane/distribution/hub_test.go
@@ -0,0 +1,141 @@
+package distribution
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"pumiceline/internal/controlplane/discovery"
+	"pumiceline/internal/controlplane/distribution/inflight"
+	"pumiceline/internal/message"
+)
+
+func newTestHub(t *testing.T, available bool) *Hub {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	hub := NewHub()
+	status := Status{Members: []message.Member{{Address: "m"}}}
+	if available {
+		status.ServesUntil = time.Now().Add(time.Hour)
+	}
+	hub.SetStatus(status)
+	go hub.Run(ctx)
+	return hub
+}
+
+func poll(t *testing.T, hub *Hub, from string, request message.PollRequest) *message.PollResponse {
+	t.Helper()
+	response := make(chan *message.Message, 1)
+	hub.HandlePoll(from, request, func(m *message.Message) { response <- m })
+	return (<-response).PollResponse
+}
+
+func backendTable(id message.BackendID, observed time.Time) *discovery.Table {
+	t := &discovery.Table{Observed: observed, Backends: []message.Backend{{ID: id, Service: "s", Address: "a"}}}
+	t.SetDigest()
+	return t
+}
+
+func TestHub_SendsOnlyNewerVersions(t *testing.T) {
+	hub := newTestHub(t, true)
+	hub.SetConfig(message.ConfigUpdate{Sequence: 3, Document: []byte("c")})
+	hub.SetTable(backendTable("b", time.Now()))
+	first := poll(t, hub, "p", message.PollRequest{})
+	require.NotNil(t, first.Config)
+	require.NotNil(t, first.Backends)
+	second := poll(t, hub, "p", message.PollRequest{ConfigSequence: 3, BackendDigest: first.Backends.Digest})
+	assert.Nil(t, second.Config)
+	assert.Nil(t, second.Backends)
+	assert.True(t, second.BackendsKnown)
+}
+
+func TestHub_AnswersPendingPollOnNewConfig(t *testing.T) {
+	hub := newTestHub(t, true)
+	response := make(chan *message.Message, 1)
+	hub.HandlePoll("p", message.PollRequest{MaxWaitMs: 60_000}, func(m *message.Message) { response <- m })
+	hub.SetConfig(message.ConfigUpdate{Sequence: 1})
+	assert.Equal(t, uint64(1), (<-response).PollResponse.Config.Sequence)
+}
+
+func TestHub_RejectsPollsWhileNotServing(t *testing.T) {
+	response := poll(t, newTestHub(t, false), "p", message.PollRequest{MaxWaitMs: 60_000})
+	assert.True(t, response.Unavailable)
+	assert.Equal(t, "m", response.Members[0].Address)
+}
+
+// A process that was paused or partitioned finds by the clock that its time to serve is over, whatever its last status.
+func TestHub_StopsServingAtServesUntil(t *testing.T) {
+	hub := newTestHub(t, true)
+	hub.SetConfig(message.ConfigUpdate{Sequence: 1})
+	assert.NotNil(t, poll(t, hub, "p", message.PollRequest{}).Config)
+	hub.SetStatus(Status{ServesUntil: time.Now().Add(-time.Millisecond)})
+	response := poll(t, hub, "p", message.PollRequest{})
+	assert.True(t, response.Unavailable)
+	assert.Nil(t, response.Config)
+}
+
+func TestHub_IgnoresOlderConfigAndBackends(t *testing.T) {
+	hub := newTestHub(t, true)
+	now := time.Now()
+	hub.SetConfig(message.ConfigUpdate{Sequence: 5})
+	hub.SetConfig(message.ConfigUpdate{Sequence: 4})
+	hub.SetTable(backendTable("new", now))
+	hub.SetTable(backendTable("old", now.Add(-time.Second)))
+	response := poll(t, hub, "p", message.PollRequest{})
+	assert.Equal(t, uint64(5), response.Config.Sequence)
+	assert.Equal(t, message.BackendID("new"), response.Backends.Backends[0].ID)
+}
+
+func TestHub_CollectDemandSumsOverSubscribers(t *testing.T) {
+	hub := newTestHub(t, true)
+	for _, from := range []string{"p", "q"} {
+		poll(t, hub, from, message.PollRequest{
+			Proxies: 1, Demand: []message.ModelDemand{{Service: "s", Model: "m", Arrivals: 2, Waiting: 1}},
+			Loads: []message.BackendLoad{{Backend: "b", Running: 3}},
+		})
+	}
+	reported := hub.CollectDemand()
+	assert.Equal(t, []message.ModelDemand{{Service: "s", Model: "m", Arrivals: 4, Waiting: 2}}, reported.Models)
+	assert.Equal(t, []message.BackendLoad{{Backend: "b", Running: 6}}, reported.Loads)
+	assert.Equal(t, 2, reported.Proxies)
+	reported = hub.CollectDemand()
+	assert.Equal(t, []message.ModelDemand{{Service: "s", Model: "m", Waiting: 2}}, reported.Models, "arrivals are counted once")
+}
+
+func TestHub_SendsTotalLoadsAsDeltas(t *testing.T) {
+	hub := newTestHub(t, true)
+	report := func(running ...int) {
+		var loads []message.BackendLoad
+		for i, count := range running {
+			if count > 0 {
+				loads = append(loads, message.BackendLoad{Backend: message.BackendID(rune('a' + i)), Running: count})
+			}
+		}
+		poll(t, hub, "other", message.PollRequest{Loads: loads})
+	}
+	var copied inflight.DeltaDecoder
+	pollFrom := func(version uint64) (sent int, running map[message.BackendID]int) {
+		response := poll(t, hub, "me", message.PollRequest{LoadVersion: version})
+		running = map[message.BackendID]int{}
+		for _, load := range copied.Apply(inflight.DeltaOf(response)) {
+			running[load.Backend] = load.Running
+		}
+		return len(response.TotalLoads), running
+	}
+	report(10, 20, 30)
+	sent, running := pollFrom(0)
+	assert.Equal(t, 3, sent)
+	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 20, "c": 30}, running)
+	report(10, 21, 0)
+	sent, running = pollFrom(copied.Version())
+	assert.Equal(t, 1, sent, "a small change is not sent, the end of a load is")
+	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 20}, running)
+	report(10, 30, 5)
+	sent, running = pollFrom(7)
+	assert.Equal(t, 3, sent, "a subscriber that missed a response gets all")
+	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 30, "c": 5}, running)
+}
--- /dev/null
+++ b/internal/controlplane/distribution/inflight/delta.go
@@ -0,0 +1,103 @@
+package inflight
+
+import (
+	"math/rand/v2"
+
+	"pumiceline/internal/message"
+)
+
+// A backend's load is sent again only when it differs by at least this from what the receiver has. Smaller changes are
+// frequent, and hardly ever change which backend is chosen.
+const (
+	minRunningChange      = 2    // requests, and
+	minRunningChangeShare = 0.15 // as a share of the running requests that were sent last
+	minQueuedChangeMs     = 60   // milliseconds of prompts
+)
+
+// Delta is what a receiver needs to bring its copy of the total loads up to date.
+type Delta struct {
+	Loads    []message.BackendLoad // present values; both counts 0: nothing is in flight there any more
+	Complete bool                  // Loads is everything: the receiver drops what it has
+	Version  uint64                // of the totals after this delta; never 0
+}
+
+// DeltaOf returns the delta that a poll response carries.
+func DeltaOf(response *message.PollResponse) Delta {
+	return Delta{Loads: response.TotalLoads, Complete: response.LoadsComplete, Version: response.LoadVersion}
+}
+
+// DeltaEncoder makes the deltas for one receiver, of which it remembers what was sent last. The zero value is ready.
+type DeltaEncoder struct {
+	version uint64
+	sent    map[message.BackendID]message.BackendLoad
+}
+
+// Next returns the delta from the receiver's version to totals. A receiver whose version is not the one sent last (it
+// missed a response, or was served by another hub) gets all of them.
+func (e *DeltaEncoder) Next(receiverVersion uint64, totals []message.BackendLoad) Delta {
+	delta := Delta{}
+	if e.version == 0 || receiverVersion != e.version {
+		e.sent = map[message.BackendID]message.BackendLoad{}
+		delta.Complete = true
+	}
+	present := map[message.BackendID]bool{}
+	for _, load := range totals {
+		present[load.Backend] = true
+		if last, ok := e.sent[load.Backend]; !ok || isSignificantChange(last, load) {
+			e.sent[load.Backend] = load
+			delta.Loads = append(delta.Loads, load)
+		}
+	}
+	for backend := range e.sent {
+		if !present[backend] {
+			delete(e.sent, backend)
+			delta.Loads = append(delta.Loads, message.BackendLoad{Backend: backend})
+		}
+	}
+	if delta.Complete || len(delta.Loads) > 0 {
+		e.version = rand.Uint64() | 1 // random, so that no two hubs give the same; never 0
+	}
+	delta.Version = e.version
+	return delta
+}
+
+func isSignificantChange(last, current message.BackendLoad) bool {
+	if current.Running == 0 && last.Running > 0 {
+		return true
+	}
+	running := abs(last.Running - current.Running)
+	if running >= minRunningChange && float64(running) >= minRunningChangeShare*float64(last.Running) {
+		return true
+	}
+	return abs(last.Queued-current.Queued) >= minQueuedChangeMs
+}
+
+func abs(x int) int { return max(x, -x) }
+
+// DeltaDecoder is a receiver's copy of the total loads. The zero value is ready.
+type DeltaDecoder struct {
+	version uint64
+	loads   map[message.BackendID]message.BackendLoad
+}
+
+// Version returns the version of the copy, to be sent with the next request; 0 before the first delta.
+func (d *DeltaDecoder) Version() uint64 { return d.version }
+
+// Apply applies a delta and returns the loads of all backends, in no particular order.
+func (d *DeltaDecoder) Apply(delta Delta) []message.BackendLoad {
+	if delta.Complete || d.loads == nil {
+		d.loads = map[message.BackendID]message.BackendLoad{}
+	}
+	for _, load := range delta.Loads {
+		d.loads[load.Backend] = load
+		if load.Running == 0 && load.Queued == 0 {
+			delete(d.loads, load.Backend)
+		}
+	}
+	d.version = delta.Version
+	loads := make([]message.BackendLoad, 0, len(d.loads))
+	for _, load := range d.loads {
+		loads = append(loads, load)
+	}
+	return loads
+}
--- /dev/null
+++ b/internal/controlplane/distribution/inflight/table.go
@@ -0,0 +1,76 @@
+// Package inflight keeps and transfers the load of backends: how many requests the proxies have in flight at each, and
+// how many milliseconds of prompts wait there to be read (the queued prefill).
+//
+// It is pure: it takes the time from its caller and knows no network. Nothing in it is safe for concurrent use; the hub's
+// goroutine, or the mutex of whoever decodes, owns it.
+package inflight
+
+import (
+	"time"
+
+	"pumiceline/internal/message"
+)
+
+// entryLifetime is how long a load counts after its reporter was last heard. It is longer than most streams last, so that
+// a long request is still counted, and short enough that a proxy that died soon stops distorting the choice of backends.
+const entryLifetime = 4 * time.Second
+
+// Table holds what each reporter (a proxy) has in flight at each backend, by its latest report. It is soft state: it may
+// be lost at any time and fills again as proxies report. Entries are present values, not differences, so a report that
+// arrives twice counts once.
+type Table struct {
+	entries map[message.BackendID]map[string]entry // by backend, then by reporter
+}
+
+type entry struct {
+	running    int
+	queuedMs   int
+	reportedAt time.Time
+}
+
+// NewTable makes an empty table.
+func NewTable() *Table { return &Table{entries: map[message.BackendID]map[string]entry{}} }
+
+// Report records what a reporter has in flight now; complete says that it has nothing at any backend that is not named.
+func (t *Table) Report(reporter string, loads []message.BackendLoad, complete bool, now time.Time) {
+	if complete {
+		for backend := range t.entries {
+			t.remove(backend, reporter)
+		}
+	}
+	for _, load := range loads {
+		if load.Running <= 0 && load.Queued <= 0 {
+			t.remove(load.Backend, reporter)
+			continue
+		}
+		reporters := t.entries[load.Backend]
+		if reporters == nil {
+			reporters = map[string]entry{}
+			t.entries[load.Backend] = reporters
+		}
+		reporters[reporter] = entry{running: load.Running, queuedMs: load.Queued, reportedAt: now}
+	}
+}
+
+func (t *Table) remove(backend message.BackendID, reporter string) {
+	reporters := t.entries[backend]
+	delete(reporters, reporter)
+	if len(reporters) == 0 {
+		delete(t.entries, backend)
+	}
+}
+
+// SumOthers returns what all reporters but the named one have in flight at a backend. Expired entries are removed.
+func (t *Table) SumOthers(backend message.BackendID, reporter string, now time.Time) message.BackendLoad {
+	sum := message.BackendLoad{Backend: backend}
+	for other, entry := range t.entries[backend] {
+		switch {
+		case now.Sub(entry.reportedAt) > entryLifetime:
+			t.remove(backend, other)
+		case other != reporter:
+			sum.Running += entry.running
+			sum.Queued += entry.queuedMs
+		}
+	}
+	return sum
+}
--- /dev/null
+++ b/internal/controlplane/distribution/load_query.go
@@ -0,0 +1,66 @@
+package distribution
+
+import (
+	"time"
+
+	"pumiceline/internal/controlplane/discovery"
+	"pumiceline/internal/message"
+)
+
+// HandleLoadReport records what a proxy has in flight and answers its load query where the report has one (its ID is not
+// 0); reply is then called once, on a goroutine of its own. A member answers whether or not it serves: loads are hints,
+// and nothing that must be consistent is decided by them.
+func (h *Hub) HandleLoadReport(proxy string, report *message.LoadReport, reply func(*message.Message)) {
+	h.commands <- func(s *state) {
+		now := time.Now()
+		s.inFlight.Report(proxy, report.Loads, report.Complete, now)
+		if report.ID == 0 {
+			return
+		}
+		go reply(&message.Message{LoadResponse: s.loadResponse(proxy, report, now)})
+	}
+}
+
+// loadResponse carries what the other proxies have in flight at the backends that hold the model asked for.
+func (s *state) loadResponse(proxy string, report *message.LoadReport, now time.Time) *message.LoadResponse {
+	response := &message.LoadResponse{ID: report.ID}
+	if !s.backends.newest.IsKnown() {
+		response.Unknown = true
+		return response
+	}
+	for _, backend := range s.holders.holdersOf(s.backends.newest, modelKey{report.Service, report.Model}) {
+		if load := s.inFlight.SumOthers(backend, proxy, now); load.Running > 0 || load.Queued > 0 {
+			response.Loads = append(response.Loads, load)
+		}
+	}
+	return response
+}
+
+// holderIndex finds the backends that hold a model or an adapter. It is rebuilt for each list of backends.
+type holderIndex struct {
+	table   *discovery.Table // that the index was built from
+	holders map[modelKey][]message.BackendID
+}
+
+func (x *holderIndex) holdersOf(table *discovery.Table, key modelKey) []message.BackendID {
+	if x.table != table {
+		x.table, x.holders = table, map[modelKey][]message.BackendID{}
+		for i := range table.Backends {
+			x.addBackend(&table.Backends[i])
+		}
+	}
+	return x.holders[key]
+}
+
+func (x *holderIndex) addBackend(backend *message.Backend) {
+	for _, model := range backend.Models {
+		x.add(modelKey{backend.Service, model.Name}, backend.ID)
+		for _, adapter := range model.Adapters {
+			x.add(modelKey{backend.Service, model.Name.WithAdapter(adapter)}, backend.ID)
+		}
+	}
+}
+
+func (x *holderIndex) add(key modelKey, backend message.BackendID) {
+	x.holders[key] = append(x.holders[key], backend)
+}
--- /dev/null
+++ b/internal/controlplane/distribution/load_query_test.go
@@ -0,0 +1,47 @@
+package distribution
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"pumiceline/internal/controlplane/discovery"
+	"pumiceline/internal/message"
+)
+
+func load(backend message.BackendID, running, queued int) message.BackendLoad {
+	return message.BackendLoad{Backend: backend, Running: running, Queued: queued}
+}
+
+// It queries a model, an adapter and a model that no backend holds.
+func TestHub_AnswersLoadQueriesForHolders(t *testing.T) {
+	hub := NewHub()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	go hub.Run(ctx)
+	query := func(proxy string, report message.LoadReport) *message.LoadResponse {
+		answer := make(chan *message.Message, 1)
+		report.ID = 7
+		hub.HandleLoadReport(proxy, &report, func(m *message.Message) { answer <- m })
+		response := (<-answer).LoadResponse
+		assert.Equal(t, uint64(7), response.ID)
+		return response
+	}
+	assert.True(t, query("p1", message.LoadReport{Service: "s", Model: "m"}).Unknown, "without a list nothing is known")
+	table := &discovery.Table{Observed: time.Now(), Backends: []message.Backend{
+		{ID: "b1", Service: "s", Models: []message.LoadedModel{{Name: "m", Adapters: []string{"a1"}}}},
+		{ID: "b2", Service: "s", Models: []message.LoadedModel{{Name: "m"}}},
+		{ID: "b3", Service: "s", Models: []message.LoadedModel{{Name: "n"}}},
+	}}
+	table.SetDigest()
+	hub.SetTable(table)
+	hub.HandleLoadReport("p2", &message.LoadReport{Loads: []message.BackendLoad{load("b1", 1, 20), load("b3", 5, 0)}}, nil)
+	own := message.LoadReport{Service: "s", Model: "m", Loads: []message.BackendLoad{load("b2", 9, 0)}}
+	assert.Equal(t, []message.BackendLoad{load("b1", 1, 20)}, query("p1", own).Loads, "the asking proxy's own load is left out")
+	both := []message.BackendLoad{load("b1", 1, 20), load("b2", 9, 0)}
+	assert.Equal(t, both, query("p3", message.LoadReport{Service: "s", Model: "m"}).Loads)
+	assert.Equal(t, []message.BackendLoad{load("b1", 1, 20)}, query("p3", message.LoadReport{Service: "s", Model: "m/a1"}).Loads)
+	assert.Empty(t, query("p3", message.LoadReport{Service: "other", Model: "m"}).Loads)
+}
--- /dev/null
+++ b/internal/controlplane/distribution/poll.go
@@ -0,0 +1,126 @@
+package distribution
+
+import (
+	"slices"
+	"time"
+
+	"pumiceline/internal/message"
+)
+
+// unavailableWait is how long a poll is held while the member does not serve. After a change of the view the member is
+// confirmed within this time, so that most subscribers need not fail over to another.
+const unavailableWait = 200 * time.Millisecond
+
+// pendingPoll is a poll that has not been answered.
+type pendingPoll struct {
+	request    message.PollRequest
+	subscriber string
+	receivedAt time.Time
+	reply      func(*message.Message)
+}
+
+// maxWait is how long the subscriber lets the hub wait while there is nothing newer.
+func (p *pendingPoll) maxWait() time.Duration {
+	return time.Duration(p.request.MaxWaitMs) * time.Millisecond
+}
+
+// send answers the poll. Writing to the network may block, so it does not happen in the hub's goroutine.
+func (p *pendingPoll) send(response *message.PollResponse) {
+	response.ID = p.request.ID
+	go p.reply(&message.Message{PollResponse: response})
+}
+
+// HandlePoll takes a poll. reply is called once, on a goroutine of its own: at once where there is something newer than
+// the request's versions, else when there is, at the latest after the request's MaxWaitMs.
+func (h *Hub) HandlePoll(subscriber string, request message.PollRequest, reply func(*message.Message)) {
+	receivedAt := time.Now()
+	h.commands <- func(s *state) {
+		s.subscriptions.record(subscriber, &request, receivedAt)
+		if notify := h.onUnmetDemand.Load(); notify != nil && hasUnmetDemand(&request) {
+			(*notify)()
+		}
+		poll := pendingPoll{request: request, subscriber: subscriber, receivedAt: receivedAt, reply: reply}
+		if !h.tryAnswer(s, &poll, time.Now()) {
+			s.pending = append(s.pending, poll)
+		}
+	}
+}
+
+func hasUnmetDemand(request *message.PollRequest) bool {
+	return slices.ContainsFunc(request.Demand, func(d message.ModelDemand) bool { return d.Waiting > 0 || d.Unserved > 0 })
+}
+
+// answerPending answers the pending polls that can be answered now.
+func (h *Hub) answerPending(s *state, now time.Time) {
+	remaining := s.pending[:0]
+	for i := range s.pending {
+		if !h.tryAnswer(s, &s.pending[i], now) {
+			remaining = append(remaining, s.pending[i])
+		}
+	}
+	clear(s.pending[len(remaining):])
+	s.pending = remaining
+}
+
+// tryAnswer answers a poll when there is something newer, or when it has waited for long enough.
+func (h *Hub) tryAnswer(s *state, poll *pendingPoll, now time.Time) bool {
+	status := h.status.Load()
+	waited := now.Sub(poll.receivedAt)
+	if !now.Before(status.ServesUntil) {
+		if waited < unavailableWait && waited < poll.maxWait() {
+			return false
+		}
+		poll.send(&message.PollResponse{Unavailable: true, Members: status.Members})
+		return true
+	}
+	if !s.hasNewerThan(&poll.request) && waited < poll.maxWait() {
+		return false
+	}
+	response := s.response(poll, now)
+	response.Members, response.WaitedMs = status.Members, waited.Milliseconds()
+	poll.send(response)
+	return true
+}
+
+func (s *state) hasNewerThan(request *message.PollRequest) bool {
+	return s.hasNewerConfig(request) || s.hasOtherBackends(request)
+}
+
+func (s *state) hasNewerConfig(request *message.PollRequest) bool {
+	return s.config.newestSequence() > request.ConfigSequence
+}
+
+func (s *state) hasOtherBackends(request *message.PollRequest) bool {
+	return s.backends.newest.IsKnown() && s.backends.newest.Digest != request.BackendDigest
+}
+
+// response carries what is newer than the request's versions, and the totals over all proxies.
+func (s *state) response(poll *pendingPoll, now time.Time) *message.PollResponse {
+	response := &message.PollResponse{}
+	if s.hasNewerConfig(&poll.request) {
+		response.Config = s.config.updateFrom(poll.request.ConfigSequence)
+	}
+	if newest := s.backends.newest; newest.IsKnown() {
+		response.BackendsKnown = true
+		response.BackendsAgeMs = now.Sub(newest.Observed).Milliseconds()
+	}
+	if s.hasOtherBackends(&poll.request) {
+		response.Backends = s.backends.updateFrom(poll.request.BackendDigest)
+	}
+	response.Proxies = s.countProxies(now)
+	s.addTotalLoads(response, poll, now)
+	response.PendingLoads = s.totals.remainingPendingLoads(now)
+	return response
+}
+
+// addTotalLoads adds the total loads, as a delta where the subscriber has the version that was sent to it last.
+func (s *state) addTotalLoads(response *message.PollResponse, poll *pendingPoll, now time.Time) {
+	totals := s.totalLoads(now)
+	known := s.subscriptions.bySubscriber[poll.subscriber]
+	if known == nil { // it has expired while its poll was pending
+		response.TotalLoads, response.LoadsComplete = totals, true
+		return
+	}
+	delta := known.totals.Next(poll.request.LoadVersion, totals)
+	response.TotalLoads, response.LoadsComplete, response.LoadVersion = delta.Loads, delta.Complete, delta.Version
+}
--- /dev/null
+++ b/internal/controlplane/distribution/poller.go
@@ -0,0 +1,119 @@
+package distribution
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"pumiceline/internal/message"
+	"pumiceline/internal/transport"
+)
+
+const (
+	// responseMargin is how much longer than a poll's own wait its response may take; then the server counts as lost.
+	responseMargin = 800 * time.Millisecond
+	// failoverDelay is the pause before the next server is polled after one has failed.
+	failoverDelay = 80 * time.Millisecond
+	// preferredRetryInterval is how long after a failover the preferred server is polled again.
+	preferredRetryInterval = 4 * time.Second
+	// noServerDelay is the pause while no server is known.
+	noServerDelay = 250 * time.Millisecond
+)
+
+// Subscriber is what a Poller polls for. Its methods may be called from several goroutines.
+type Subscriber interface {
+	// PollRequest returns the versions that the subscriber has, and its demand and loads.
+	PollRequest() message.PollRequest
+	// Apply takes a response; sent is when its request was sent.
+	Apply(response *message.PollResponse, sent time.Time)
+	// Addresses returns the servers to poll, the preferred first. It may return none.
+	Addresses() []string
+	// SetMembers takes the coordinators as a server knows them.
+	SetMembers(members []message.Member)
+}
+
+// Poller is the long-poll client: it keeps one poll pending at the preferred server that answers, and fails over to the
+// next where that does not.
+type Poller struct {
+	identity     string
+	subscriber   Subscriber
+	client       *transport.Client
+	maxWait      time.Duration
+	current      atomic.Pointer[string] // address of the server that answered last
+	serverIndex  int                    // in the subscriber's addresses; 0: the preferred
+	failedOverAt time.Time
+}
+
+// NewPoller makes a poller that polls under an identity; a server waits for at most maxWait while there is nothing newer.
+func NewPoller(identity string, subscriber Subscriber, maxWait time.Duration) *Poller {
+	return &Poller{identity: identity, subscriber: subscriber, client: transport.NewClient(), maxWait: maxWait}
+}
+
+// Run polls until ctx ends.
+func (p *Poller) Run(ctx context.Context) {
+	for ctx.Err() == nil {
+		addresses := p.subscriber.Addresses()
+		if len(addresses) == 0 {
+			sleep(ctx, noServerDelay)
+			continue
+		}
+		if !p.pollServer(ctx, addresses[p.serverIndex%len(addresses)]) {
+			p.serverIndex++
+			p.failedOverAt = time.Now()
+			sleep(ctx, failoverDelay)
+			continue
+		}
+		if p.serverIndex > 0 && time.Since(p.failedOverAt) > preferredRetryInterval {
+			p.serverIndex = 0
+		}
+	}
+}
+
+// pollServer makes one long poll and reports whether the server could answer it.
+func (p *Poller) pollServer(ctx context.Context, address string) bool {
+	request := p.subscriber.PollRequest()
+	request.MaxWaitMs = int(p.maxWait.Milliseconds())
+	ctx, cancel := context.WithTimeout(ctx, p.maxWait+responseMargin)
+	defer cancel()
+	sent := time.Now()
+	response, err := p.client.Pull(ctx, address, p.identity, request)
+	if err != nil {
+		return false
+	}
+	if len(response.Members) > 0 {
+		p.subscriber.SetMembers(response.Members)
+	}
+	if response.Unavailable {
+		return false
+	}
+	p.current.Store(&address)
+	p.subscriber.Apply(response, sent)
+	return true
+}
+
+// PollNow makes a poll without a wait at the server that answered last, beside the one that is pending there: it brings
+// the subscriber's demand and loads to the server at once. It does nothing before any server has answered. A failure is
+// ignored, as Run finds it too.
+func (p *Poller) PollNow(ctx context.Context) {
+	address := p.current.Load()
+	if address == nil {
+		return
+	}
+	request := p.subscriber.PollRequest()
+	ctx, cancel := context.WithTimeout(ctx, responseMargin)
+	defer cancel()
+	sent := time.Now()
+	response, err := p.client.Pull(ctx, *address, p.identity, request)
+	if err == nil && !response.Unavailable {
+		p.subscriber.Apply(response, sent)
+	}
+}
+
+func sleep(ctx context.Context, duration time.Duration) {
+	timer := time.NewTimer(duration)
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+	case <-timer.C:
+	}
+}
--- /dev/null
+++ b/internal/controlplane/distribution/subscriptions.go
@@ -0,0 +1,126 @@
+package distribution
+
+import (
+	"maps"
+	"slices"
+	"time"
+
+	"pumiceline/internal/controlplane/distribution/inflight"
+	"pumiceline/internal/message"
+)
+
+const (
+	// subscriptionLifetime is how long after its last poll a subscriber's proxies are counted.
+	subscriptionLifetime = 5 * time.Second
+	// reportLifetime is how long its loads and its waiting and running requests count.
+	reportLifetime = 2 * time.Second
+)
+
+// ReportedDemand is what subscribers reported, summed up.
+type ReportedDemand struct {
+	Models  []message.ModelDemand
+	Loads   []message.BackendLoad
+	Proxies int
+}
+
+// subscriptionTable holds what each subscriber reported with its latest poll, and the demand not yet collected.
+type subscriptionTable struct {
+	bySubscriber map[string]*subscription
+	demand       map[modelKey]*message.ModelDemand // arrivals and rejections since the last collection
+}
+
+type subscription struct {
+	proxies  int
+	lastPoll time.Time
+	loads    []message.BackendLoad
+	demand   []message.ModelDemand
+	totals   inflight.DeltaEncoder // of the totals sent to it
+}
+
+type modelKey struct {
+	service string
+	model   message.ModelName
+}
+
+func newSubscriptionTable() *subscriptionTable {
+	return &subscriptionTable{bySubscriber: map[string]*subscription{}, demand: map[modelKey]*message.ModelDemand{}}
+}
+
+// record keeps what a subscriber reports with a poll.
+func (t *subscriptionTable) record(subscriber string, request *message.PollRequest, now time.Time) {
+	known := t.bySubscriber[subscriber]
+	if known == nil {
+		known = &subscription{}
+		t.bySubscriber[subscriber] = known
+	}
+	known.proxies, known.lastPoll = request.Proxies, now
+	known.loads, known.demand = request.Loads, request.Demand
+	for _, demand := range request.Demand {
+		sum := t.demandOf(demand.Service, demand.Model)
+		sum.Arrivals += demand.Arrivals
+		sum.Unserved += demand.Unserved
+	}
+}
+
+// demandOf returns the sum for a model, which it makes where there is none.
+func (t *subscriptionTable) demandOf(service string, model message.ModelName) *message.ModelDemand {
+	key := modelKey{service, model}
+	sum := t.demand[key]
+	if sum == nil {
+		sum = &message.ModelDemand{Service: service, Model: model}
+		t.demand[key] = sum
+	}
+	return sum
+}
+
+// countProxies returns how many proxies the subscribers speak for. It removes subscriptions that have expired.
+func (t *subscriptionTable) countProxies(now time.Time) int {
+	count := 0
+	for subscriber, known := range t.bySubscriber {
+		if now.Sub(known.lastPoll) > subscriptionLifetime {
+			delete(t.bySubscriber, subscriber)
+			continue
+		}
+		count += known.proxies
+	}
+	return count
+}
+
+// sumLoads returns the loads of all subscribers by backend.
+func (t *subscriptionTable) sumLoads(now time.Time) []message.BackendLoad {
+	sums := map[message.BackendID]message.BackendLoad{}
+	for _, known := range t.bySubscriber {
+		if now.Sub(known.lastPoll) > reportLifetime {
+			continue
+		}
+		for _, load := range known.loads {
+			sum := sums[load.Backend]
+			sum.Backend = load.Backend
+			sum.Running += load.Running
+			sum.Queued += load.Queued
+			sums[load.Backend] = sum
+		}
+	}
+	return slices.Collect(maps.Values(sums))
+}
+
+// drainDemand returns the demand by model: arrivals and rejections since the last call, and the requests that wait and
+// run now.
+func (t *subscriptionTable) drainDemand(now time.Time) []message.ModelDemand {
+	for _, known := range t.bySubscriber {
+		if now.Sub(known.lastPoll) > reportLifetime {
+			continue
+		}
+		for _, demand := range known.demand {
+			sum := t.demandOf(demand.Service, demand.Model)
+			sum.Waiting += demand.Waiting
+			sum.Running += demand.Running
+		}
+	}
+	drained := make([]message.ModelDemand, 0, len(t.demand))
+	for _, demand := range t.demand {
+		drained = append(drained, *demand)
+	}
+	t.demand = map[modelKey]*message.ModelDemand{}
+	return drained
+}
--- a/internal/dataplane/proxy/feed.go
+++ b/internal/dataplane/proxy/feed.go
@@ -15,6 +15,7 @@
 	"pumiceline/internal/controlplane/configuration"
 	"pumiceline/internal/controlplane/discovery"
 	"pumiceline/internal/controlplane/distribution"
+	"pumiceline/internal/controlplane/distribution/inflight"
 	"pumiceline/internal/dataplane/backend"
 	"pumiceline/internal/dataplane/balancer"
 	"pumiceline/internal/dataplane/ingress"
@@ -43,7 +44,7 @@
 	members  []string
 	config   distribution.ConfigCopy
 	digest   uint64
-	totals   distribution.Loads
+	totals   inflight.DeltaDecoder
 	table    *discovery.Table // as pulled last
 	observed time.Time
 	proxies  int
@@ -87,12 +88,12 @@
 	return len(a) == len(b) && len(lo.Without(a, b...)) == 0
 }
 
-// Versions tells what the proxy has, and its demand and loads.
-func (f *feed) Versions() message.PollRequest {
+// PollRequest tells what the proxy has, and its demand and loads.
+func (f *feed) PollRequest() message.PollRequest {
 	demand, loads := f.dispatcher.Report()
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return message.PollRequest{ConfigSequence: f.config.Known(), BackendDigest: f.digest, Demand: demand, Loads: loads, Proxies: 1, LoadVersion: f.totals.Version()}
+	return message.PollRequest{ConfigSequence: f.config.KnownSequence(), BackendDigest: f.digest, Demand: demand, Loads: loads, Proxies: 1, LoadVersion: f.totals.Version()}
 }
 
 // Apply takes an answer of a coordinator. Nothing ever goes backward within the life of the process.
@@ -115,7 +116,8 @@
 	}
 	f.proxies = max(1, reply.Proxies)
 	f.dispatcher.Update(balancer.Update{
-		Config: config, Backends: backends, HasBackends: newer, Response: reply, TotalLoads: f.totals.Take(reply), OnRemoved: f.forget,
+		Config: config, Backends: backends, HasBackends: newer, Response: reply, OnRemoved: f.forget,
+		TotalLoads: f.totals.Apply(inflight.DeltaOf(reply)),
 	})
 	if config != nil {
 		f.handler.SetConfig(config)
@@ -138,7 +140,7 @@
 }
 
 func (f *feed) newConfig(update *message.ConfigUpdate) *configuration.Config {
-	document, newer := f.config.Take(update)
+	document, newer := f.config.Apply(update)
 	if !newer {
 		return nil
 	}
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -57,10 +57,10 @@
 	handler := ingress.New(dispatcher, pool)
 	feed := newFeed(settings, dispatcher, handler, pool, exchange, coordinator.SeedAddresses(settings))
 	p := &Proxy{settings: settings, handler: handler, feed: feed}
-	puller := distribution.NewPuller(settings.Node+"/"+settings.IP, feed, pullHold)
-	go puller.Run(running)
+	poller := distribution.NewPoller(settings.Node+"/"+settings.IP, feed, pullHold)
+	go poller.Run(running)
 	go exchange.Run(running)
-	go urgent.run(running, puller)
+	go urgent.run(running, poller)
 	go feed.watch(running)
 	go p.sweep(running, pool)
 	ready := &http.Server{Handler: http.HandlerFunc(p.serveReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
--- a/internal/dataplane/proxy/urgency.go
+++ b/internal/dataplane/proxy/urgency.go
@@ -22,13 +22,13 @@
 	}
 }
 
-func (u *urgency) run(ctx context.Context, puller *distribution.Puller) {
+func (u *urgency) run(ctx context.Context, poller *distribution.Poller) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-u.signal:
-			puller.Report(ctx)
+			poller.PollNow(ctx)
 		}
 		timer := time.NewTimer(urgentPause)
 		select {
