--- a/cmd/pumiceline/owner.go
+++ b/cmd/pumiceline/owner.go
@@ -21,6 +21,7 @@
 	"time"
 
 	"pumiceline/internal/fake/fakestandalone"
+	"pumiceline/internal/singleton"
 	"pumiceline/internal/singleton/leaseclient"
 	"pumiceline/internal/singleton/raftmember"
 	"pumiceline/internal/standalone/deployfile"
@@ -101,7 +102,7 @@
 	}
 	stop, cancel := untilTold()
 	defer cancel()
-	opts := leaseclient.Options{Fleet: fleet.Name, Name: c.Name, Life: rand.Uint64(), Zone: c.Zone, Build: c.Build, Settings: fleet.Settings, Log: log, Rate: c.ClockRate,
+	opts := leaseclient.Options{Fleet: fleet.Name, Name: c.Name, Life: singleton.Incarnation(rand.Uint64()), Zone: c.Zone, Build: c.Build, Settings: fleet.Settings, Log: log, Rate: c.ClockRate,
 		Members: fleet.Members, Works: map[string]leaseclient.Step{}}
 	told := io.Discard
 	if c.History != "" {
@@ -133,8 +134,11 @@
 		agent.Run(stop)
 		return nil
 	}
-	here = discoverycache.New(discoverycache.Options{Discovery: fleet.Discovery, Spread: time.Duration(fleet.Settings.Lease) * time.Microsecond, Log: log,
-		Owner: func() (string, uint64, bool) { return agent.Owner(fleet.Roster) }}, time.Now())
+	here = discoverycache.New(discoverycache.Options{Discovery: fleet.Discovery, Spread: time.Duration(fleet.Settings.LeaseDuration) * time.Microsecond, Log: log,
+		Owner: func() (string, uint64, bool) {
+			addr, token, here := agent.Owner(fleet.Roster)
+			return addr, uint64(token), here
+		}}, time.Now())
 	ln, err := net.Listen("tcp", c.Mirror)
 	if err != nil {
 		return fmt.Errorf("owner: %w", err)
@@ -190,11 +194,11 @@
 			if ms, there := latest.AgeMs[work]; there {
 				age = fmt.Sprintf("%d ms ago", ms)
 			}
-			owner := w.Owner
+			owner := w.Holder
 			if owner == "" {
 				owner, age = "nobody", "-"
 			}
-			fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\n", work, owner, w.Token, age, w.Want)
+			fmt.Fprintf(t, "%s\t%s\t%d\t%s\t%s\n", work, owner, w.Token, age, w.DesiredHolder)
 		}
 		if err := t.Flush(); err != nil {
 			return fmt.Errorf("owner: %w", err)
--- a/internal/fake/fakestandalone/recorder.go
+++ b/internal/fake/fakestandalone/recorder.go
@@ -22,7 +22,7 @@
 
 	mu      sync.Mutex
 	file    *os.File
-	fence   singleton.Fence
+	fence   singleton.FencingGuard
 	taken   []Taken
 	refused []string
 }
@@ -87,7 +87,7 @@
 // ServeHTTP implements http.Handler.
 func (r *Recorder) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	var e singleton.Effect
-	if req.Method != http.MethodPost || json.NewDecoder(http.MaxBytesReader(w, req.Body, 4<<10)).Decode(&e) != nil || e.Work == "" {
+	if req.Method != http.MethodPost || json.NewDecoder(http.MaxBytesReader(w, req.Body, 4<<10)).Decode(&e) != nil || e.Role == "" {
 		http.Error(w, "no effect", http.StatusBadRequest)
 		return
 	}
@@ -95,7 +95,7 @@
 	defer r.mu.Unlock()
 	if err := r.fence.Admit(e); err != nil && !r.Unfenced {
 		r.refused = append(r.refused, err.Error())
-		var older *singleton.Older
+		var older *singleton.StaleEffectError
 		if errors.As(err, &older) {
 			http.Error(w, err.Error(), http.StatusConflict)
 			return
@@ -123,15 +123,15 @@
 func Interleaved(taken []Taken) (harms int, first string) {
 	latest := map[string]Taken{}
 	for _, t := range taken {
-		was, there := latest[t.Work]
+		was, there := latest[t.Role]
 		if there && (t.Token < was.Token || t.Token == was.Token && (t.From != was.From || t.Serial <= was.Serial)) {
 			if harms++; first == "" {
-				first = fmt.Sprintf("%s: token %d, serial %d of %s counts after token %d, serial %d of %s", t.Work, t.Token, t.Serial, t.From, was.Token,
+				first = fmt.Sprintf("%s: token %d, serial %d of %s counts after token %d, serial %d of %s", t.Role, t.Token, t.Serial, t.From, was.Token,
 					was.Serial, was.From)
 			}
 		}
 		if !there || t.Token >= was.Token {
-			latest[t.Work] = t
+			latest[t.Role] = t
 		}
 	}
 	return harms, first
--- a/internal/fake/fakestandalone/standin_test.go
+++ b/internal/fake/fakestandalone/standin_test.go
@@ -178,7 +178,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a, b := send(first, singleton.Effect{Work: "w", Token: 2, Serial: 1}), send(first, singleton.Effect{Work: "w", Token: 1, Serial: 9}); a != 200 || b != 409 {
+	if a, b := send(first, singleton.Effect{Role: "w", Token: 2, Serial: 1}), send(first, singleton.Effect{Role: "w", Token: 1, Serial: 9}); a != 200 || b != 409 {
 		t.Errorf("%d, then %d", a, b)
 	}
 	first.Close()
@@ -194,7 +194,7 @@
 		t.Fatal(err)
 	}
 	defer again.Close()
-	if late, next := send(again, singleton.Effect{Work: "w", Token: 1, Serial: 10}), send(again, singleton.Effect{Work: "w", Token: 2, Serial: 2}); late != 409 || next != 200 {
+	if late, next := send(again, singleton.Effect{Role: "w", Token: 1, Serial: 10}), send(again, singleton.Effect{Role: "w", Token: 2, Serial: 2}); late != 409 || next != 200 {
 		t.Errorf("%d, then %d", late, next)
 	}
 	if n := len(again.Taken()); n != 2 {
--- a/internal/fake/fakestandalone/stored_test.go
+++ b/internal/fake/fakestandalone/stored_test.go
@@ -31,9 +31,9 @@
 	}
 	defer r.Close()
 	want := []Taken{
-		{Effect: singleton.Effect{Work: "export", Token: 3, Serial: 1}, From: "instance 1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)},
-		{Effect: singleton.Effect{Work: "export", Token: 5, Serial: 2}, From: "instance 2", At: time.Date(2026, 1, 2, 3, 4, 6, 7, time.UTC)},
-		{Effect: singleton.Effect{Work: "billing", Token: 4, Serial: 9}, From: "instance 3", At: time.Date(2026, 1, 2, 3, 4, 7, 8, time.UTC)},
+		{Effect: singleton.Effect{Role: "export", Token: 3, Serial: 1}, From: "instance 1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)},
+		{Effect: singleton.Effect{Role: "export", Token: 5, Serial: 2}, From: "instance 2", At: time.Date(2026, 1, 2, 3, 4, 6, 7, time.UTC)},
+		{Effect: singleton.Effect{Role: "billing", Token: 4, Serial: 9}, From: "instance 3", At: time.Date(2026, 1, 2, 3, 4, 7, 8, time.UTC)},
 	}
 	if got := r.Taken(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
--- a/internal/faulttest/clustertest/guild.go
+++ b/internal/faulttest/clustertest/guild.go
@@ -200,7 +200,7 @@
 		for _, work := range g.works {
 			call := time.Now().UnixNano()
 			last := g.last(work).Effect
-			seen = append(seen, porcupine.Operation{Input: singleton.Effect{Work: work}, Call: call, Output: last, Return: time.Now().UnixNano()})
+			seen = append(seen, porcupine.Operation{Input: singleton.Effect{Role: work}, Call: call, Output: last, Return: time.Now().UnixNano()})
 		}
 	}
 }
@@ -235,7 +235,7 @@
 		Partition: func(all []porcupine.Operation) (out [][]porcupine.Operation) {
 			by := map[string][]porcupine.Operation{}
 			for _, o := range all {
-				work := o.Input.(singleton.Effect).Work
+				work := o.Input.(singleton.Effect).Role
 				by[work] = append(by[work], o)
 			}
 			return slices.Collect(maps.Values(by))
@@ -288,7 +288,7 @@
 // last is the latest effect that counted of a work.
 func (g *guild) last(work string) (last fakestandalone.Taken) {
 	for _, t := range g.recorder.Taken() {
-		if t.Work == work {
+		if t.Role == work {
 			last = t
 		}
 	}
@@ -394,13 +394,13 @@
 	taken := g.recorder.Taken()
 	latest := map[string]fakestandalone.Taken{}
 	for _, t := range taken {
-		if was, there := latest[t.Work]; there {
-			v.Gaps[t.Work] = max(v.Gaps[t.Work], t.At.Sub(was.At).Seconds())
+		if was, there := latest[t.Role]; there {
+			v.Gaps[t.Role] = max(v.Gaps[t.Role], t.At.Sub(was.At).Seconds())
 			if t.Token != was.Token {
 				v.HandOvers++
 			}
 		}
-		latest[t.Work] = t
+		latest[t.Role] = t
 	}
 	v.Taken, v.Refused = len(taken), len(g.recorder.Refused())
 	if v.Harms, v.First = fakestandalone.Interleaved(taken); v.Harms > 0 {
--- a/internal/faulttest/clustertest/guild_test.go
+++ b/internal/faulttest/clustertest/guild_test.go
@@ -140,7 +140,7 @@
 	soon(t, g, "the wish is done", func() bool { return g.last("export").From == to })
 
 	s, _, err := g.status()
-	if err != nil || !s.Quorum || s.Latest().Works["export"].Owner != to {
+	if err != nil || !s.Quorum || s.Latest().Works["export"].Holder != to {
 		t.Errorf("status: %+v, %v", s, err)
 	}
 	leader := int(s.Latest().Leader) - 1
--- /dev/null
+++ b/internal/singleton/choose.go
@@ -0,0 +1,78 @@
+package singleton
+
+import (
+	"cmp"
+	"maps"
+	"slices"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// candidateFilter narrows the choice of a holder.
+type candidateFilter struct {
+	exclude string         // instance that is not to be chosen
+	granted map[string]int // by instance, roles granted on top of what the state shows
+}
+
+// chooseHolder returns the instance that should hold a role next; empty: none is eligible. It is the one that an operator
+// wants; else the one that holds the fewest roles, then the one in the zone that holds the fewest, then the newest build,
+// then the first by rendezvous hashing, which differs from role to role.
+func (m *LeaseManager) chooseHolder(now Time, role string, s *State, filter candidateFilter) string {
+	if desired := s.Assignments[role].DesiredHolder; desired != "" {
+		if desired != filter.exclude && m.isEligible(now, desired, role) {
+			return desired
+		}
+		return ""
+	}
+	held := m.countHeldRoles(s, filter.granted)
+	compare := func(x, y string) int {
+		bx, by := m.instances[x].heartbeat, m.instances[y].heartbeat
+		return cmp.Or(
+			cmp.Compare(held.byInstance[x], held.byInstance[y]),
+			cmp.Compare(held.byZone[bx.Zone], held.byZone[by.Zone]),
+			cmp.Compare(by.Build, bx.Build), // the newer one first
+			cmp.Compare(rendezvousHash(role, x), rendezvousHash(role, y)),
+			cmp.Compare(x, y))
+	}
+	best := ""
+	for name := range m.instances {
+		if name != filter.exclude && m.isEligible(now, name, role) && (best == "" || compare(name, best) < 0) {
+			best = name
+		}
+	}
+	return best
+}
+
+// isEligible says whether an instance may be granted a role at now.
+func (m *LeaseManager) isEligible(now Time, name, role string) bool {
+	i := m.instances[name]
+	return i != nil && (len(i.heartbeat.Roles) == 0 || slices.Contains(i.heartbeat.Roles, role)) && !i.heartbeat.Leaving &&
+		now-i.receivedAt < m.settings.LeaseDuration/2 && now >= m.penalizedUntil[name]
+}
+
+// heldRoles counts the roles that are held.
+type heldRoles struct {
+	byInstance map[string]int
+	byZone     map[string]int // of the instances that the lease manager knows
+}
+
+func (m *LeaseManager) countHeldRoles(s *State, granted map[string]int) heldRoles {
+	held := heldRoles{byInstance: map[string]int{}, byZone: map[string]int{}}
+	maps.Copy(held.byInstance, granted)
+	for _, a := range s.Assignments {
+		if a.Holder != "" {
+			held.byInstance[a.Holder]++
+		}
+	}
+	for name, n := range held.byInstance {
+		if i := m.instances[name]; i != nil {
+			held.byZone[i.heartbeat.Zone] += n
+		}
+	}
+	return held
+}
+
+// rendezvousHash orders instances differently for each role.
+func rendezvousHash(role, instance string) uint64 {
+	return xxhash.Sum64String(role + "\x00" + instance)
+}
--- /dev/null
+++ b/internal/singleton/doc.go
@@ -0,0 +1,17 @@
+// Package singleton assigns each singleton role of a fleet to at most one instance at a time, with leases and fencing
+// tokens. It is a pure state machine: events go in, commands and responses come out; it has no clock, no network, no
+// disk and no goroutines. Its parts run in three places:
+//
+//   - State is what a quorum of members agrees on, one Command of the replicated log after the other. It is the same at
+//     every member that has applied as many.
+//   - LeaseManager runs at the member that leads. It decides who is granted which role and whose lease has expired.
+//   - Holder runs at each instance. It stops acting on a role before any other instance may be granted it.
+//   - FencingGuard runs where effects arrive. It rejects what a former holder sends when the lease did not stop it.
+//
+// A value of any type of this package belongs to one goroutine, or is guarded by its owner's lock.
+package singleton
+
+// Time is a moment, or a span, of one process's monotonic clock, in microseconds. Moments are never compared between
+// processes: at the holder a lease runs from when it sent the heartbeat that renewed it, at the lease manager from when
+// that heartbeat came, which is later.
+type Time int64
--- a/internal/singleton/leaseclient/owner.go
+++ b/internal/singleton/leaseclient/owner.go
@@ -33,8 +33,8 @@
 type Options struct {
 	Fleet    string
 	Name     string
-	Life     uint64 // never used by another process of this name
-	Addr     string // where others reach this instance; empty: they need not
+	Life     singleton.Incarnation // never used by another process of this name
+	Addr     string                // where others reach this instance; empty: they need not
 	Zone     string
 	Build    uint64
 	Members  map[uint64]string // addresses by number
@@ -66,13 +66,13 @@
 	order  []uint64 // the members' numbers
 	at     int      // in order, the one that is taken to lead
 	why    string
-	owners map[string]singleton.Owner
+	owners map[string]singleton.HolderEndpoint
 }
 
 // New returns an agent that owns nothing yet.
 func New(opts Options) (*Agent, error) {
-	if key, why := opts.Settings.Check(); key != "" {
-		return nil, fmt.Errorf("owner: %s: %s", key, why)
+	if err := opts.Settings.Validate(); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if len(opts.Members) == 0 || opts.Name == "" {
 		return nil, errors.New("owner: members and a name must be given")
@@ -80,9 +80,9 @@
 	if opts.Rate == 0 {
 		opts.Rate = 1
 	}
-	return &Agent{opts: opts, begun: time.Now(), lease: time.Duration(opts.Settings.Lease) * time.Microsecond, kick: make(chan struct{}, 1),
+	return &Agent{opts: opts, begun: time.Now(), lease: time.Duration(opts.Settings.LeaseDuration) * time.Microsecond, kick: make(chan struct{}, 1),
 		order:  slices.Sorted(maps.Keys(opts.Members)),
-		holder: singleton.NewHolder(opts.Settings, opts.Name, opts.Life, opts.Zone, opts.Build),
+		holder: singleton.NewHolder(singleton.HolderOptions{Settings: opts.Settings, Name: opts.Name, Incarnation: opts.Life, Zone: opts.Zone, Build: opts.Build}),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}}}, nil
 }
 
@@ -91,18 +91,18 @@
 	return singleton.Time(float64(time.Since(a.begun).Microseconds()) * a.opts.Rate)
 }
 
-// Owned are the works that may be acted on now, with their tokens.
-func (a *Agent) Owned() map[string]uint64 {
+// ActiveLeases are the works that may be acted on now, with their tokens.
+func (a *Agent) Owned() map[string]singleton.FencingToken {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.holder.Owned(a.now())
+	return a.holder.ActiveLeases(a.now())
 }
 
-// Owner is where the owner of a work is reached and its token, as far as is known, and whether that is this instance, which may act on it now.
-func (a *Agent) Owner(work string) (addr string, token uint64, here bool) {
+// HolderEndpoint is where the owner of a work is reached and its token, as far as is known, and whether that is this instance, which may act on it now.
+func (a *Agent) Owner(work string) (addr string, token singleton.FencingToken, here bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if token, here = a.holder.Owned(a.now())[work]; here {
+	if token, here = a.holder.ActiveLeases(a.now())[work]; here {
 		return a.opts.Addr, token, true
 	}
 	if o := a.owners[work]; o.Addr != a.opts.Addr { // its own, which is over: there is none yet
@@ -121,7 +121,7 @@
 	}
 	leaving := context.AfterFunc(stop, func() {
 		a.mu.Lock()
-		a.holder.Leave()
+		a.holder.StartLeaving()
 		a.mu.Unlock()
 		a.beatNow()
 	})
@@ -131,7 +131,7 @@
 	var last time.Time // by when this ends, once it is to stop
 	for turn := 0; ; turn++ {
 		a.mu.Lock()
-		idle := a.holder.Empty()
+		idle := a.holder.IsEmpty()
 		a.mu.Unlock()
 		if !idle || stop.Err() != nil || turn%2 == 0 { // hundreds own nothing, and the member that leads answers all
 			a.beat(running)
@@ -141,7 +141,7 @@
 				last = time.Now().Add(leaveLeases * a.lease)
 			}
 			a.mu.Lock()
-			gone := a.holder.Empty() // it is not enough to have stopped: until the quorum knows, nobody else may start
+			gone := a.holder.IsEmpty() // it is not enough to have stopped: until the quorum knows, nobody else may start
 			a.mu.Unlock()
 			if gone || time.Now().After(last) {
 				break
@@ -169,8 +169,8 @@
 func (a *Agent) beat(ctx context.Context) {
 	a.mu.Lock()
 	sent := a.now()
-	b := a.holder.Beat()
-	b.Addr, b.Does = a.opts.Addr, slices.Sorted(maps.Keys(a.opts.Works))
+	b := a.holder.Heartbeat()
+	b.Addr, b.Roles = a.opts.Addr, slices.Sorted(maps.Keys(a.opts.Works))
 	text, err := json.Marshal(b)
 	at, member := a.at, a.opts.Members[a.order[a.at]]
 	a.mu.Unlock()
@@ -188,13 +188,13 @@
 		}
 		return
 	}
-	if answer.Why != a.why && answer.Why != "" {
-		a.opts.Log.Warn("this instance gets no work", "name", a.opts.Name, "why", answer.Why)
+	if answer.Reason != a.why && answer.Reason != "" {
+		a.opts.Log.Warn("this instance gets no work", "name", a.opts.Name, "why", answer.Reason)
 	}
-	a.why, a.owners = answer.Why, answer.Owners
-	before := a.holder.Owned(sent)
-	a.holder.Answer(sent, answer)
-	for work, token := range a.holder.Owned(a.now()) {
+	a.why, a.owners = answer.Reason, answer.Holders
+	before := a.holder.ActiveLeases(sent)
+	a.holder.HandleResponse(sent, answer)
+	for work, token := range a.holder.ActiveLeases(a.now()) {
 		if before[work] != token {
 			a.opts.Log.Info("this instance owns a work", "name", a.opts.Name, "work", work, "token", token)
 		}
@@ -202,7 +202,7 @@
 }
 
 // call makes a beat, which is over by a moment. leader is the one to ask, where the member named it.
-func (a *Agent) call(ctx context.Context, by time.Time, member string, beat []byte) (answer singleton.Answer, leader uint64, err error) {
+func (a *Agent) call(ctx context.Context, by time.Time, member string, beat []byte) (answer singleton.HeartbeatResponse, leader uint64, err error) {
 	ctx, cancel := context.WithDeadline(ctx, by)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member+"/v1/beat", bytes.NewReader(beat))
@@ -230,7 +230,7 @@
 func (a *Agent) work(ctx context.Context, work string, step Step) {
 	act := func(do func(singleton.Effect) error) error {
 		a.mu.Lock()
-		e, ok := a.holder.Effect(a.now(), work)
+		e, ok := a.holder.NextEffect(a.now(), work)
 		a.mu.Unlock()
 		if !ok {
 			return ErrOver
@@ -246,7 +246,7 @@
 		case <-rest.C:
 		}
 		a.mu.Lock()
-		begun := a.holder.Begin(a.now(), work)
+		begun := a.holder.BeginStep(a.now(), work)
 		a.mu.Unlock()
 		if !begun {
 			continue
@@ -256,8 +256,8 @@
 		err := step(within, act)
 		cancel()
 		a.mu.Lock()
-		a.holder.End(work, err == nil)
-		_, still := a.holder.Owned(a.now())[work]
+		a.holder.EndStep(work, err == nil)
+		_, still := a.holder.ActiveLeases(a.now())[work]
 		a.mu.Unlock()
 		if err != nil {
 			a.opts.Log.Warn("a step is not done", "name", a.opts.Name, "work", work, "error", err)
--- a/internal/singleton/leaseclient/stored_test.go
+++ b/internal/singleton/leaseclient/stored_test.go
@@ -16,9 +16,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	first := singleton.Effect{Work: "prices", Token: 2, Serial: 1}
-	second := singleton.Effect{Work: "prices", Token: 2, Serial: 2}
-	third := singleton.Effect{Work: "prices", Token: 3, Serial: 3}
+	first := singleton.Effect{Role: "prices", Token: 2, Serial: 1}
+	second := singleton.Effect{Role: "prices", Token: 2, Serial: 2}
+	third := singleton.Effect{Role: "prices", Token: 3, Serial: 3}
 	want := []Told{
 		{first, 1796225663287318982, "sent"}, {first, 1796225663288391508, "taken"},
 		{second, 1796225663288420095, "sent"}, {second, 1796225663288637564, "refused"},
--- /dev/null
+++ b/internal/singleton/messages.go
@@ -0,0 +1,45 @@
+package singleton
+
+// Heartbeat is what an instance sends to the lease manager.
+type Heartbeat struct {
+	Name        string        `json:"name"`
+	Incarnation Incarnation   `json:"life"`
+	Addr        string        `json:"addr,omitempty"` // where other instances reach it, if they are to
+	Zone        string        `json:"zone,omitempty"`
+	Build       uint64        `json:"build,omitempty"`   // a newer one is preferred
+	Leaving     bool          `json:"leaving,omitempty"` // hands over what it holds and is granted nothing more
+	Roles       []string      `json:"does,omitempty"`    // those that it can carry out; empty: all
+	Leases      []LeaseReport `json:"held,omitempty"`
+}
+
+// LeaseReport is a lease in a heartbeat, as its holder sees it.
+type LeaseReport struct {
+	Role     string       `json:"work"`
+	Token    FencingToken `json:"token"`
+	Steps    uint64       `json:"steps"`          // completed with this token; a lease is renewed only when this grows
+	Released bool         `json:"over,omitempty"` // the instance does nothing more with this token
+}
+
+// HeartbeatResponse is the lease manager's response. It may be sent only once a quorum has confirmed, after the heartbeat
+// came, that the member still leads.
+type HeartbeatResponse struct {
+	Leases []LeaseRenewal `json:"yours,omitempty"` // all leases of the incarnation that sent the heartbeat
+	Reason string         `json:"why,omitempty"`   // why the instance is granted nothing
+	// Holders are the holders that other instances may reach, by role. What a holder sends them carries its token, as an
+	// effect does.
+	Holders map[string]HolderEndpoint `json:"owners,omitempty"`
+}
+
+// LeaseRenewal is a lease in a response.
+type LeaseRenewal struct {
+	Role      string       `json:"work"`
+	Token     FencingToken `json:"token"`
+	Remaining Time         `json:"left"`          // of the lease, by the lease manager's clock when the heartbeat came
+	Release   bool         `json:"end,omitempty"` // complete the step in progress and release the lease
+}
+
+// HolderEndpoint is where the holder of a role is reached.
+type HolderEndpoint struct {
+	Addr  string       `json:"addr"`
+	Token FencingToken `json:"token"`
+}
--- a/internal/singleton/raftmember/member.go
+++ b/internal/singleton/raftmember/member.go
@@ -53,14 +53,14 @@
 
 // Status is what a member knows.
 type Status struct {
-	ID        uint64                    `json:"id"`
-	Leader    uint64                    `json:"leader"` // 0: none is known
-	Term      uint64                    `json:"term"`
-	Applied   uint64                    `json:"applied"`
-	Works     map[string]singleton.Work `json:"works"`
-	AgeMs     map[string]int64          `json:"age_ms,omitempty"` // since each owner's latest progress; of the leader alone
-	Instances []string                  `json:"instances,omitempty"`
-	Changes   uint64                    `json:"changes"` // of owners, since this member started
+	ID        uint64                          `json:"id"`
+	Leader    uint64                          `json:"leader"` // 0: none is known
+	Term      uint64                          `json:"term"`
+	Applied   uint64                          `json:"applied"`
+	Works     map[string]singleton.Assignment `json:"works"`
+	AgeMs     map[string]int64                `json:"age_ms,omitempty"` // since each owner's latest progress; of the leader alone
+	Instances []string                        `json:"instances,omitempty"`
+	Changes   uint64                          `json:"changes"` // of owners, since this member started
 }
 
 // Hello is what a member says of its disk when it starts.
@@ -104,8 +104,8 @@
 	snapAt    uint64
 	term      uint64
 	leader    uint64
-	arbiter   *singleton.Arbiter // nil: this member does not lead, or has not applied all that was agreed on before
-	asking    []func(led bool)   // wait for the next confirmation
+	arbiter   *singleton.LeaseManager // nil: this member does not lead, or has not applied all that was agreed on before
+	asking    []func(led bool)        // wait for the next confirmation
 	confirm   map[uint64][]func(led bool)
 	confirmAt map[uint64]uint64 // which index has to be applied
 	readCount uint64
@@ -119,8 +119,8 @@
 
 // Open opens a member's disk. Errors name the folder.
 func Open(opts Options) (*Member, error) {
-	if key, why := opts.Settings.Check(); key != "" {
-		return nil, fmt.Errorf("quorum: %s: %s", key, why)
+	if err := opts.Settings.Validate(); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
 	}
 	if _, there := opts.Members[opts.ID]; !there {
 		return nil, fmt.Errorf("quorum: member %d is not among the members", opts.ID)
@@ -135,7 +135,7 @@
 	m := &Member{opts: opts, store: s, nonce: rand.Uint64(), begun: time.Now(), inbox: make(chan *pb.Message, mostInbox), calls: make(chan func()), failed: make(chan error, 1),
 		peers: map[uint64]*peer{}, state: singleton.NewState(), confirm: map[uint64][]func(bool){}, confirmAt: map[uint64]uint64{},
 		// Ten ticks without a word from the leader bring an election, which has to be over well within a lease.
-		tick:   max(5*time.Millisecond, min(100*time.Millisecond, time.Duration(opts.Settings.Lease)*time.Microsecond/50)),
+		tick:   max(5*time.Millisecond, min(100*time.Millisecond, time.Duration(opts.Settings.LeaseDuration)*time.Microsecond/50)),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}}}
 	if m.marks, err = s.known(); err != nil {
 		s.db.Close()
@@ -148,7 +148,7 @@
 	}
 	snap, _ := s.mem.Snapshot() // of a MemoryStorage it never fails
 	if !raft.IsEmptySnap(snap) {
-		if m.state, err = singleton.ReadState(snap.GetData()); err != nil {
+		if m.state, err = singleton.DecodeState(snap.GetData()); err != nil {
 			s.db.Close()
 			return nil, err
 		}
@@ -351,7 +351,7 @@
 		m.pass(msg)
 	}
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		state, err := singleton.ReadState(rd.Snapshot.GetData())
+		state, err := singleton.DecodeState(rd.Snapshot.GetData())
 		if err != nil {
 			return err
 		}
@@ -412,19 +412,19 @@
 			m.opts.Log.Error("an entry can't be read", "index", e.GetIndex(), "error", err)
 			break
 		}
-		before := m.state.Works[c.Work]
+		before := m.state.Assignments[c.Role]
 		if err := m.state.Apply(c); err != nil {
 			m.opts.Log.Debug("a command changes nothing", "command", c, "error", err)
 			break
 		}
-		if now := m.state.Works[c.Work]; now.Owner != before.Owner || now.Token != before.Token {
+		if now := m.state.Assignments[c.Role]; now.Holder != before.Holder || now.Token != before.Token {
 			m.changes++
-			m.opts.Log.Info("ownership", "work", c.Work, "did", c.Kind, "owner", now.Owner, "token", now.Token, "before", before.Owner, "why", c.Why)
+			m.opts.Log.Info("ownership", "work", c.Role, "did", c.Kind, "owner", now.Holder, "token", now.Token, "before", before.Holder, "why", c.Reason)
 		}
 	}
 	// Its own term's first entry: all that was agreed on before is applied. Until now nobody can have been told anything by this member.
 	if m.arbiter == nil && m.node.BasicStatus().RaftState == raft.StateLeader && e.GetTerm() == m.node.BasicStatus().GetTerm() {
-		m.arbiter = singleton.NewArbiter(m.opts.Settings, m.state, m.now())
+		m.arbiter = singleton.NewLeaseManager(m.opts.Settings, m.state, m.now())
 		m.opts.Log.Info("this member decides who owns what", "member", m.opts.ID, "term", e.GetTerm())
 	}
 	return nil
--- a/internal/singleton/raftmember/metrics.go
+++ b/internal/singleton/raftmember/metrics.go
@@ -38,7 +38,7 @@
 	for work, w := range f.Works {
 		gauge(tokenFigure, float64(w.Token), work)
 		owned := 0.0
-		if w.Owner != "" {
+		if w.Holder != "" {
 			owned = 1
 		}
 		gauge(ownedFigure, owned, work)
--- a/internal/singleton/raftmember/quorum_test.go
+++ b/internal/singleton/raftmember/quorum_test.go
@@ -60,7 +60,7 @@
 func (f *few) startOn(id uint64, dir, listen string) (context.CancelFunc, chan error) {
 	f.t.Helper()
 	m, err := Open(Options{Fleet: "f", ID: id, Members: f.addrs, Dir: dir, CompactFrom: f.compact, Log: slog.New(slog.DiscardHandler),
-		Settings: singleton.Settings{Works: []string{"w"}, Lease: 1e6, Drift: 0.2}})
+		Settings: singleton.Settings{Roles: []string{"w"}, LeaseDuration: 1e6, MaxClockDrift: 0.2}})
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -119,18 +119,18 @@
 	f.t.Cleanup(func() { stop(); <-over })
 	go func() {
 		defer close(over)
-		b := singleton.Beat{Name: "a", Life: 1}
+		b := singleton.Heartbeat{Name: "a", Incarnation: 1}
 		for steps := uint64(1); ctx.Err() == nil; steps++ {
 			for _, addr := range f.addrs {
-				var a singleton.Answer
+				var a singleton.HeartbeatResponse
 				if !f.ask("POST", addr, "/v1/beat", b, &a) {
 					continue
 				}
-				b.Held = nil
-				for _, y := range a.Yours {
-					b.Held = append(b.Held, singleton.Held{Work: y.Work, Token: y.Token, Steps: steps})
+				b.Leases = nil
+				for _, y := range a.Leases {
+					b.Leases = append(b.Leases, singleton.LeaseReport{Role: y.Role, Token: y.Token, Steps: steps})
 				}
-				if len(a.Yours) > 0 {
+				if len(a.Leases) > 0 {
 					select {
 					case <-owned:
 					default:
@@ -158,13 +158,13 @@
 }
 
 // agree waits till all that run have carried out as much, and the state holds the wish; it returns it.
-func (f *few) agree(wish string) (work singleton.Work) {
+func (f *few) agree(wish string) (work singleton.Assignment) {
 	f.t.Helper()
 	f.soon("all agree", func() bool {
 		var first Status
 		for id := range f.stop {
 			var s Status
-			if !f.ask("GET", f.addrs[id], "/v1/status", nil, &s) || s.Works["w"].Want != wish || s.Leader == 0 || first.ID != 0 && s.Applied != first.Applied {
+			if !f.ask("GET", f.addrs[id], "/v1/status", nil, &s) || s.Works["w"].DesiredHolder != wish || s.Leader == 0 || first.ID != 0 && s.Applied != first.Applied {
 				return false
 			}
 			first = s
@@ -190,7 +190,7 @@
 	f.start(3)
 	f.wish("last")
 	work := f.agree("last")
-	if work.Token == 0 || work.Owner != "a" {
+	if work.Token == 0 || work.Holder != "a" {
 		t.Errorf("%+v", work)
 	}
 	for id := range uint64(3) {
@@ -283,7 +283,7 @@
 	f.own()
 	f.wish("ours")
 	stranger, err := Open(Options{Fleet: "g", ID: 3, Members: map[uint64]string{1: f.addrs[1], 2: f.addrs[2], 3: "127.0.6.8:1"}, Dir: t.TempDir(),
-		Log: slog.New(slog.DiscardHandler), Settings: singleton.Settings{Works: []string{"w"}, Lease: 1e6}})
+		Log: slog.New(slog.DiscardHandler), Settings: singleton.Settings{Roles: []string{"w"}, LeaseDuration: 1e6}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/singleton/raftmember/serve.go
+++ b/internal/singleton/raftmember/serve.go
@@ -24,16 +24,16 @@
 	mux.HandleFunc("GET /v1/status", m.tellStatus)
 	mux.HandleFunc("GET /v1/metrics", m.tellMetrics)
 	mux.HandleFunc("POST /v1/works/{work}/want", func(w http.ResponseWriter, r *http.Request) {
-		m.operator(w, r, func(work string, _ singleton.Work) (singleton.Command, error) {
-			return singleton.Command{Kind: singleton.Want, Work: work, Who: r.URL.Query().Get("who"), Why: "an operator wants it"}, nil
+		m.operator(w, r, func(work string, _ singleton.Assignment) (singleton.Command, error) {
+			return singleton.Command{Kind: singleton.CommandSetDesiredHolder, Role: work, Instance: r.URL.Query().Get("who"), Reason: "an operator wants it"}, nil
 		})
 	})
 	mux.HandleFunc("POST /v1/works/{work}/free", func(w http.ResponseWriter, r *http.Request) {
-		m.operator(w, r, func(work string, now singleton.Work) (singleton.Command, error) {
-			if now.Owner == "" {
+		m.operator(w, r, func(work string, now singleton.Assignment) (singleton.Command, error) {
+			if now.Holder == "" {
 				return singleton.Command{}, errors.New("nobody owns it")
 			}
-			return singleton.Command{Kind: singleton.Free, Work: work, Token: now.Token, Why: "taken away by an operator"}, nil
+			return singleton.Command{Kind: singleton.CommandRelease, Role: work, Token: now.Token, Reason: "taken away by an operator"}, nil
 		})
 	})
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -116,13 +116,13 @@
 }
 
 func (m *Member) takeBeat(w http.ResponseWriter, r *http.Request) {
-	var b singleton.Beat
+	var b singleton.Heartbeat
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, mostBody)).Decode(&b); err != nil || b.Name == "" || len(b.Name) > 64 ||
-		len(b.Held) > singleton.MostWorks {
+		len(b.Leases) > singleton.MaxRoles {
 		http.Error(w, "no beat of an instance", http.StatusBadRequest)
 		return
 	}
-	var answer singleton.Answer
+	var answer singleton.HeartbeatResponse
 	var leader uint64
 	confirmed := make(chan bool, 1)
 	if !m.do(r, func() {
@@ -132,7 +132,7 @@
 			return
 		}
 		var commands []singleton.Command
-		commands, answer = m.arbiter.Beat(m.now(), b, m.state)
+		commands, answer = m.arbiter.HandleHeartbeat(m.now(), b, m.state)
 		m.propose(commands...)
 		m.asking = append(m.asking, func(led bool) { confirmed <- led })
 	}) {
@@ -152,17 +152,17 @@
 
 // status is what this member knows; false: the caller has gone, or the loop is over.
 func (m *Member) status(r *http.Request) (Status, bool) {
-	s := Status{ID: m.opts.ID, Works: map[string]singleton.Work{}}
+	s := Status{ID: m.opts.ID, Works: map[string]singleton.Assignment{}}
 	ok := m.do(r, func() {
 		s.Leader, s.Term, s.Applied, s.Changes = m.leader, m.term, m.applied, m.changes
-		for _, name := range m.opts.Settings.Works {
-			s.Works[name] = m.state.Works[name]
+		for _, name := range m.opts.Settings.Roles {
+			s.Works[name] = m.state.Assignments[name]
 		}
 		if m.arbiter != nil {
 			s.Instances, s.AgeMs = m.arbiter.Instances(), map[string]int64{}
 			for name, w := range s.Works {
-				if w.Owner != "" {
-					s.AgeMs[name] = int64(m.arbiter.Age(m.now(), name)) / 1000
+				if w.Holder != "" {
+					s.AgeMs[name] = int64(m.arbiter.TimeSinceProgress(m.now(), name)) / 1000
 				}
 			}
 		}
@@ -179,21 +179,21 @@
 	_ = json.NewEncoder(w).Encode(s)
 }
 
-func (m *Member) operator(w http.ResponseWriter, r *http.Request, make func(string, singleton.Work) (singleton.Command, error)) {
+func (m *Member) operator(w http.ResponseWriter, r *http.Request, make func(string, singleton.Assignment) (singleton.Command, error)) {
 	work := r.PathValue("work")
 	var leads, known bool
 	var leader uint64
 	var err error
 	if !m.do(r, func() {
 		leader, leads = m.leader, m.arbiter != nil
-		for _, name := range m.opts.Settings.Works {
+		for _, name := range m.opts.Settings.Roles {
 			known = known || name == work
 		}
 		if !leads || !known {
 			return
 		}
 		var c singleton.Command
-		if c, err = make(work, m.state.Works[work]); err == nil {
+		if c, err = make(work, m.state.Assignments[work]); err == nil {
 			m.propose(c)
 		}
 	}) {
--- a/internal/singleton/raftmember/stored_test.go
+++ b/internal/singleton/raftmember/stored_test.go
@@ -23,15 +23,15 @@
 
 // storedCommands are the commands in both logs, from index 4 on.
 var storedCommands = []singleton.Command{
-	{Kind: "term", Lease: 2_000_000, Why: "its lease differs"},
-	{Kind: "want", Work: "roster", Who: "instance-b", Why: "an operator wants it"},
-	{Kind: "grant", Work: "roster", Who: "instance-a", Life: 18446744073709551615, Why: "it has none"},
-	{Kind: "grant", Work: "prices", Who: "instance-c", Life: 7, Why: "it has none"},
-	{Kind: "expire", Work: "prices", Token: 1, Why: "no progress for a lease"},
-	{Kind: "free", Work: "roster", Token: 1, Why: "it was given back"},
-	{Kind: "grant", Work: "prices", Who: "instance-a", Life: 18446744073709551615, Token: 1, Why: "it has the least"},
-	{Kind: "spare", Who: "instance-c", Why: "none for long"},
-	{Kind: "grant", Work: "roster", Who: "instance-b", Life: 9, Token: 1, Why: "an operator wants it"},
+	{Kind: "term", LeaseDuration: 2_000_000, Reason: "its lease differs"},
+	{Kind: "want", Role: "roster", Instance: "instance-b", Reason: "an operator wants it"},
+	{Kind: "grant", Role: "roster", Instance: "instance-a", Incarnation: 18446744073709551615, Reason: "it has none"},
+	{Kind: "grant", Role: "prices", Instance: "instance-c", Incarnation: 7, Reason: "it has none"},
+	{Kind: "expire", Role: "prices", Token: 1, Reason: "no progress for a lease"},
+	{Kind: "free", Role: "roster", Token: 1, Reason: "it was given back"},
+	{Kind: "grant", Role: "prices", Instance: "instance-a", Incarnation: 18446744073709551615, Token: 1, Reason: "it has the least"},
+	{Kind: "spare", Instance: "instance-c", Reason: "none for long"},
+	{Kind: "grant", Role: "roster", Instance: "instance-b", Incarnation: 9, Token: 1, Reason: "an operator wants it"},
 }
 
 // Indexes in the stores.
@@ -42,23 +42,23 @@
 
 func storedStateAtSnapshot() *singleton.State {
 	return &singleton.State{
-		Works: map[string]singleton.Work{
-			"roster": {Token: 1, Want: "instance-b"},
-			"prices": {Token: 2, Owner: "instance-a", Life: 18446744073709551615},
+		Assignments: map[string]singleton.Assignment{
+			"roster": {Token: 1, DesiredHolder: "instance-b"},
+			"prices": {Token: 2, Holder: "instance-a", Incarnation: 18446744073709551615},
 		},
-		Lapses: map[string]int{"instance-c": 1},
-		Lease:  2_000_000,
+		Expirations:   map[string]int{"instance-c": 1},
+		LeaseDuration: 2_000_000,
 	}
 }
 
 func storedStateAtEnd() *singleton.State {
 	return &singleton.State{
-		Works: map[string]singleton.Work{
-			"roster": {Token: 2, Owner: "instance-b", Life: 9},
-			"prices": {Token: 2, Owner: "instance-a", Life: 18446744073709551615},
+		Assignments: map[string]singleton.Assignment{
+			"roster": {Token: 2, Holder: "instance-b", Incarnation: 9},
+			"prices": {Token: 2, Holder: "instance-a", Incarnation: 18446744073709551615},
 		},
-		Lapses: map[string]int{},
-		Lease:  2_000_000,
+		Expirations:   map[string]int{},
+		LeaseDuration: 2_000_000,
 	}
 }
 
@@ -95,7 +95,7 @@
 	t.Helper()
 	m, err := Open(Options{
 		Fleet: "fleet", ID: 2, Members: map[uint64]string{1: "127.0.0.1:1", 2: "127.0.0.1:2", 3: "127.0.0.1:3"}, Dir: unpackStore(t, name),
-		Settings: singleton.Settings{Works: []string{"roster", "prices"}, Lease: 2_000_000, Drift: 0.1},
+		Settings: singleton.Settings{Roles: []string{"roster", "prices"}, LeaseDuration: 2_000_000, MaxClockDrift: 0.1},
 		Log:      slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
@@ -246,7 +246,7 @@
 // brought to a new version one after the other.
 func TestWritesAsEarlierVersion(t *testing.T) {
 	status := Status{
-		ID: 2, Leader: 3, Term: 5, Applied: 12, Works: map[string]singleton.Work{"roster": {Token: 2, Owner: "instance-b", Life: 9, Want: "instance-c"}},
+		ID: 2, Leader: 3, Term: 5, Applied: 12, Works: map[string]singleton.Assignment{"roster": {Token: 2, Holder: "instance-b", Incarnation: 9, DesiredHolder: "instance-c"}},
 		AgeMs: map[string]int64{"roster": 40}, Instances: []string{"instance-b"}, Changes: 6,
 	}
 	for _, c := range []struct {
--- /dev/null
+++ b/internal/singleton/settings.go
@@ -0,0 +1,73 @@
+package singleton
+
+import (
+	"fmt"
+	"slices"
+)
+
+// Settings are the same at all members and instances of a fleet.
+type Settings struct {
+	Roles          []string // the roles that exist, in the order in which they are assigned
+	LeaseDuration  Time     // a holder that makes no progress for as long loses its role
+	MaxClockDrift  float64  // share of its speed by which a clock may be wrong, in either direction
+	PenaltyBackoff Time     // an instance whose lease expired is granted nothing for as long; doubled with each expiration
+}
+
+// Bounds of what is kept.
+const (
+	MaxRoles     = 64
+	MaxInstances = 4096 // known to a lease manager; further ones are granted nothing
+
+	maxRoleNameBytes      = 64
+	maxTrackedExpirations = 1024  // instances whose expirations are counted
+	maxPenaltyDoublings   = 5     // the longest penalty is the backoff times 2 to the power of this
+	silentLeaseLimit      = 1     // an instance that was silent for as many leases is forgotten
+	expirationMemory      = 600e6 // expirations are forgotten after as long without another, and two penalties at least
+)
+
+const (
+	minLeaseDuration = 100_000
+	maxSpan          = 3600e6 // of a lease and of a penalty
+	maxDrift         = 0.4
+)
+
+// SettingError is a setting that can't be used.
+type SettingError struct {
+	Key    string // as in deploy/fleet.toml
+	Reason string
+}
+
+func (e *SettingError) Error() string { return e.Key + ": " + e.Reason }
+
+// Validate returns the first setting that can't be used as a *SettingError.
+func (s *Settings) Validate() error {
+	switch {
+	case len(s.Roles) == 0 || len(s.Roles) > MaxRoles:
+		return &SettingError{"works", fmt.Sprintf("there are %d, not 1 to %d", len(s.Roles), MaxRoles)}
+	case s.LeaseDuration < minLeaseDuration || s.LeaseDuration > maxSpan:
+		return &SettingError{"lease", "it is not within 100ms and 1h"}
+	case !(s.MaxClockDrift >= 0 && s.MaxClockDrift <= maxDrift): // NaN fails too
+		return &SettingError{"drift", fmt.Sprintf("%v is not within 0 and 0.4", s.MaxClockDrift)}
+	case s.PenaltyBackoff < 0 || s.PenaltyBackoff > maxSpan:
+		return &SettingError{"damp", "it is not within 0 and 1h"}
+	}
+	for i, role := range s.Roles {
+		if role == "" || len(role) > maxRoleNameBytes || slices.Contains(s.Roles[:i], role) {
+			reason := fmt.Sprintf("%q is empty, longer than %d bytes or there twice", role, maxRoleNameBytes)
+			return &SettingError{fmt.Sprintf("works.%d", i), reason}
+		}
+	}
+	return nil
+}
+
+// HoldTime is for how long after it sent a heartbeat an instance may act, where remaining of the lease was left when the
+// heartbeat came. With a clock that is slow by MaxClockDrift this ends before the lease does by a clock that is fast by
+// as much: HoldTime/(1-MaxClockDrift) = remaining/(1+MaxClockDrift).
+func (s *Settings) HoldTime(remaining Time) Time {
+	return Time(float64(remaining) * (1 - s.MaxClockDrift) / (1 + s.MaxClockDrift))
+}
+
+// penalty is for how long an instance with as many expirations is granted nothing.
+func (s *Settings) penalty(expirations int) Time {
+	return s.PenaltyBackoff << min(expirations, maxPenaltyDoublings) >> 1
+}
--- a/internal/singleton/stored_test.go
+++ b/internal/singleton/stored_test.go
@@ -22,17 +22,17 @@
 }
 
 var storedSnapshot = &State{
-	Works: map[string]Work{
-		"prices": {Token: 2, Owner: "instance-a", Life: 18446744073709551615, Want: "instance-b"},
+	Assignments: map[string]Assignment{
+		"prices": {Token: 2, Holder: "instance-a", Incarnation: 18446744073709551615, DesiredHolder: "instance-b"},
 		"roster": {Token: 7},
 	},
-	Lapses: map[string]int{"instance-c": 5},
-	Lease:  2_000_000,
+	Expirations:   map[string]int{"instance-c": 5},
+	LeaseDuration: 2_000_000,
 }
 
 func TestReadsSnapshotStoredByEarlierVersion(t *testing.T) {
 	text := readSample(t, "snapshot.json")
-	s, err := ReadState(text)
+	s, err := DecodeState(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,16 +49,16 @@
 	s := NewState()
 	lines := bytes.Split(readSample(t, "commands.jsonl"), []byte("\n"))
 	steps := []struct {
-		command Command
-		work    Work // of the command's work afterwards
+		command    Command
+		assignment Assignment // of the role afterwards
 	}{
-		{Command{Kind: Term, Lease: 2_000_000, Why: "its lease differs"}, Work{}},
-		{Command{Kind: Want, Work: "w", Who: "b", Why: "an operator wants it"}, Work{Want: "b"}},
-		{Command{Kind: Grant, Work: "w", Who: "a", Life: 18446744073709551615, Why: "it has none"}, Work{Token: 1, Owner: "a", Life: 18446744073709551615, Want: "b"}},
-		{Command{Kind: Expire, Work: "w", Token: 1, Why: "no progress"}, Work{Token: 1, Want: "b"}},
-		{Command{Kind: Grant, Work: "w", Who: "b", Life: 9, Token: 1, Why: "an operator wants it"}, Work{Token: 2, Owner: "b", Life: 9}},
-		{Command{Kind: Free, Work: "w", Token: 2, Why: "given back"}, Work{Token: 2}},
-		{Command{Kind: Spare, Who: "z", Why: "none for long"}, Work{}},
+		{Command{Kind: CommandSetLeaseDuration, LeaseDuration: 2_000_000, Reason: "its lease differs"}, Assignment{}},
+		{Command{Kind: CommandSetDesiredHolder, Role: "w", Instance: "b", Reason: "an operator wants it"}, Assignment{DesiredHolder: "b"}},
+		{Command{Kind: CommandGrant, Role: "w", Instance: "a", Incarnation: 18446744073709551615, Reason: "it has none"}, Assignment{Token: 1, Holder: "a", Incarnation: 18446744073709551615, DesiredHolder: "b"}},
+		{Command{Kind: CommandExpire, Role: "w", Token: 1, Reason: "no progress"}, Assignment{Token: 1, DesiredHolder: "b"}},
+		{Command{Kind: CommandGrant, Role: "w", Instance: "b", Incarnation: 9, Token: 1, Reason: "an operator wants it"}, Assignment{Token: 2, Holder: "b", Incarnation: 9}},
+		{Command{Kind: CommandRelease, Role: "w", Token: 2, Reason: "given back"}, Assignment{Token: 2}},
+		{Command{Kind: CommandForgetExpirations, Instance: "z", Reason: "none for long"}, Assignment{}},
 	}
 	if len(lines) != len(steps) {
 		t.Fatalf("%d lines", len(lines))
@@ -74,14 +74,14 @@
 		if err := s.Apply(c); err != nil {
 			t.Errorf("line %d: %v", i+1, err)
 		}
-		if got := s.Works[c.Work]; got != steps[i].work {
-			t.Errorf("line %d: %+v, not %+v", i+1, got, steps[i].work)
+		if got := s.Assignments[c.Role]; got != steps[i].assignment {
+			t.Errorf("line %d: %+v, not %+v", i+1, got, steps[i].assignment)
 		}
 		if again, err := json.Marshal(c); err != nil || !bytes.Equal(again, line) {
 			t.Errorf("line %d: written as %s, %v", i+1, again, err)
 		}
 	}
-	if want := (&State{Works: map[string]Work{"w": {Token: 2}}, Lapses: map[string]int{"a": 1}, Lease: 2_000_000}); !reflect.DeepEqual(s, want) {
+	if want := (&State{Assignments: map[string]Assignment{"w": {Token: 2}}, Expirations: map[string]int{"a": 1}, LeaseDuration: 2_000_000}); !reflect.DeepEqual(s, want) {
 		t.Errorf("%+v, not %+v", s, want)
 	}
 }
@@ -92,15 +92,15 @@
 		file string
 		want any
 	}{
-		{"beat.json", Beat{
-			Name: "instance-a", Life: 18446744073709551615, Addr: "10.0.0.1:7400", Zone: "z1", Build: 41, Leaving: true, Does: []string{"prices", "roster"},
-			Held: []Held{{Work: "prices", Token: 2, Steps: 300, Over: true}, {Work: "roster", Token: 7, Steps: 1}},
+		{"beat.json", Heartbeat{
+			Name: "instance-a", Incarnation: 18446744073709551615, Addr: "10.0.0.1:7400", Zone: "z1", Build: 41, Leaving: true, Roles: []string{"prices", "roster"},
+			Leases: []LeaseReport{{Role: "prices", Token: 2, Steps: 300, Released: true}, {Role: "roster", Token: 7, Steps: 1}},
 		}},
-		{"answer.json", Answer{
-			Yours: []Yours{{Work: "prices", Token: 2, Left: 1_500_000, End: true}, {Work: "roster", Token: 7, Left: 2_000_000}},
-			Why:   "it is leaving", Owners: map[string]Owner{"roster": {Addr: "10.0.0.1:7400", Token: 7}},
+		{"answer.json", HeartbeatResponse{
+			Leases: []LeaseRenewal{{Role: "prices", Token: 2, Remaining: 1_500_000, Release: true}, {Role: "roster", Token: 7, Remaining: 2_000_000}},
+			Reason: "it is leaving", Holders: map[string]HolderEndpoint{"roster": {Addr: "10.0.0.1:7400", Token: 7}},
 		}},
-		{"effect.json", Effect{Work: "prices", Token: 2, Serial: 41}},
+		{"effect.json", Effect{Role: "prices", Token: 2, Serial: 41}},
 	} {
 		t.Run(c.file, func(t *testing.T) {
 			text := readSample(t, c.file)
--- a/internal/standalone/deployfile/fleet.go
+++ b/internal/standalone/deployfile/fleet.go
@@ -1,6 +1,7 @@
 package deployfile
 
 import (
+	"errors"
 	"fmt"
 	"maps"
 	"net"
@@ -55,7 +56,7 @@
 			return nil, fault(key, `is a time and has no unit: write it as "250ms"`)
 		}
 	}
-	out := &Fleet{Settings: singleton.Settings{Lease: singleton.Time(f.Lease), Drift: f.Drift, Damp: singleton.Time(f.Damp)}, Members: map[uint64]string{},
+	out := &Fleet{Settings: singleton.Settings{LeaseDuration: singleton.Time(f.Lease), MaxClockDrift: f.Drift, PenaltyBackoff: singleton.Time(f.Damp)}, Members: map[uint64]string{},
 		Receivers: map[string]string{}}
 	if out.Name = f.Name; f.Name == "" || len(f.Name) > 64 {
 		return nil, fault("name", "a fleet needs a name of 64 bytes at most")
@@ -88,16 +89,17 @@
 			if w.Receiver != "" || out.Roster != "" {
 				return nil, fault("works."+work+".discovery", "a work has either a receiver or discovery, and one work alone has discovery")
 			}
-			out.Settings.Works, out.Roster, out.Discovery = append(out.Settings.Works, work), work, w.Discovery
+			out.Settings.Roles, out.Roster, out.Discovery = append(out.Settings.Roles, work), work, w.Discovery
 			continue
 		}
 		if u, err := url.Parse(w.Receiver); err != nil || u.Scheme != "http" || u.Host == "" {
 			return nil, fault("works."+work+".receiver", fmt.Sprintf("%q is no http address", w.Receiver))
 		}
-		out.Settings.Works, out.Receivers[work] = append(out.Settings.Works, work), w.Receiver
+		out.Settings.Roles, out.Receivers[work] = append(out.Settings.Roles, work), w.Receiver
 	}
-	if key, why := out.Settings.Check(); key != "" {
-		return nil, fault(key, why)
+	var invalid *singleton.SettingError
+	if errors.As(out.Settings.Validate(), &invalid) {
+		return nil, fault(invalid.Key, invalid.Reason)
 	}
 	return out, nil
 }
--- a/internal/standalone/deployfile/fleet_test.go
+++ b/internal/standalone/deployfile/fleet_test.go
@@ -13,7 +13,7 @@
 // The file under deploy/ is usable, and what is not usable is told with file, line and key.
 func TestFleetFile(t *testing.T) {
 	f, err := ReadFleet("../../../deploy/fleet.toml")
-	if err != nil || f.Settings.Lease != 2e6 || f.Settings.Drift != 0.2 || len(f.Members) != 3 || f.Receivers["export"] == "" {
+	if err != nil || f.Settings.LeaseDuration != 2e6 || f.Settings.MaxClockDrift != 0.2 || len(f.Members) != 3 || f.Receivers["export"] == "" {
 		t.Errorf("%+v, %v", f, err)
 	}
 	const members = "[members]\n1 = \"h:1\"\n2 = \"h:2\"\n3 = \"h:3\"\n"
