--- a/internal/controlplane/replica/agreement.go
+++ b/internal/controlplane/replica/agreement.go
@@ -43,13 +43,6 @@
 // undecidedAfter is how long an accepted value may stay undecided before another member takes it up.
 const undecidedAfter = 500 * time.Millisecond
 
-func ballotLess(a, b message.ProposalNumber) bool {
-	if a.Counter != b.Counter {
-		return a.Counter < b.Counter
-	}
-	return a.Proposer < b.Proposer
-}
-
 // isProposer reports whether the member is the first of those that may propose.
 func (r *Replica) isProposer() bool { return r.proposerRank() == 0 }
 
@@ -133,7 +126,7 @@
 		return
 	}
 	promise := &message.PrepareResponse{Proposal: m.Prepare.Proposal}
-	if ballotLess(m.Prepare.Proposal, r.control.HighestProposal) {
+	if m.Prepare.Proposal.Less(r.control.HighestProposal) {
 		promise.Rejected, promise.HighestProposal = true, r.control.HighestProposal
 	} else {
 		r.control.HighestProposal = m.Prepare.Proposal
@@ -153,7 +146,7 @@
 		return
 	}
 	p.promises[m.From] = true
-	if m.PrepareResponse.AcceptedView.Number != 0 && !ballotLess(m.PrepareResponse.AcceptedProposal, p.best) {
+	if m.PrepareResponse.AcceptedView.Number != 0 && !m.PrepareResponse.AcceptedProposal.Less(p.best) {
 		p.best, p.value = m.PrepareResponse.AcceptedProposal, m.PrepareResponse.AcceptedView
 	}
 	if len(p.promises) < r.majority() {
@@ -180,7 +173,7 @@
 		return
 	}
 	accepted := &message.AcceptResponse{Proposal: m.Accept.Proposal}
-	if ballotLess(m.Accept.Proposal, r.control.HighestProposal) {
+	if m.Accept.Proposal.Less(r.control.HighestProposal) {
 		accepted.Rejected, accepted.HighestProposal = true, r.control.HighestProposal
 	} else {
 		r.control.HighestProposal, r.control.AcceptedProposal, r.control.AcceptedView = m.Accept.Proposal, m.Accept.Proposal, m.Accept.Value
--- a/internal/controlplane/replica/agreement_test.go
+++ b/internal/controlplane/replica/agreement_test.go
@@ -22,7 +22,7 @@
 	assert.Equal(t, out.AfterSync[0].Prepare.Proposal, out.Control.HighestProposal)
 	restarted := New(head.options, accept, g.now, *out.Control, head.chain)
 	restarted.beginRound(message.View{Number: 2})
-	assert.True(t, ballotLess(out.Control.HighestProposal, restarted.proposal.ballot))
+	assert.True(t, out.Control.HighestProposal.Less(restarted.proposal.ballot))
 }
 
 // Only voters count, whoever else answers.
--- /dev/null
+++ b/internal/message/distribution.go
@@ -0,0 +1,110 @@
+package message
+
+// PollRequest asks a coordinator for what is newer than the versions that the sender has (long poll). It also reports
+// the sender's demand and load.
+type PollRequest struct {
+	ID             uint64        `msg:"i"`
+	ConfigSequence uint64        `msg:"c"` // of the configuration that the sender has; 0: none
+	BackendDigest  uint64        `msg:"b"` // of the backend list that the sender has; 0: none
+	MaxWaitMs      int           `msg:"h"` // how long the coordinator may hold the poll while nothing is newer
+	Demand         []ModelDemand `msg:"d"` // since the last poll
+	Loads          []BackendLoad `msg:"l"` // current values, not differences
+	Proxies        int           `msg:"p"` // how many proxies the sender speaks for
+	LoadVersion    uint64        `msg:"v"` // of the total loads that the sender has; 0: none
+}
+
+// PollResponse carries what is newer than the versions in PollRequest.
+type PollResponse struct {
+	ID            uint64         `msg:"i"`
+	Unavailable   bool           `msg:"u"` // no majority of the voters confirms the coordinator's view: poll another one
+	Members       []Member       `msg:"m"` // the coordinators
+	Config        *ConfigUpdate  `msg:"c,omitempty"`
+	Backends      *BackendUpdate `msg:"b,omitempty"`
+	BackendsKnown bool           `msg:"k"` // the coordinator has a backend list
+	BackendsAgeMs int64          `msg:"a"` // time since that list was read from the platform
+	WaitedMs      int64          `msg:"h"` // how long the poll was held
+	Proxies       int            `msg:"p"` // number of proxies in the system
+	TotalLoads    []BackendLoad  `msg:"l"` // loads of all proxies together: all of them, or those that have changed
+	LoadsComplete bool           `msg:"w"` // TotalLoads has all backends with a load
+	LoadVersion   uint64         `msg:"lv"`
+	PendingLoads  []PendingLoad  `msg:"o"`
+}
+
+// ConfigUpdate is an acknowledged configuration: complete, or as a delta.
+type ConfigUpdate struct {
+	Sequence uint64 `msg:"s"`
+	Document []byte `msg:"d"` // empty where Delta is set
+	Base     uint64 `msg:"b"` // sequence of the configuration that Delta builds on
+	Delta    []byte `msg:"x"`
+	Digest   []byte `msg:"g"` // of the document that Delta makes
+}
+
+// BackendUpdate is the list of backends, or its changes since the list that the receiver has.
+type BackendUpdate struct {
+	Digest   uint64      `msg:"d"` // of the complete list
+	Base     uint64      `msg:"s"` // digest of the list that this builds on; 0: this is the complete list
+	Backends []Backend   `msg:"b"` // all, or those that are new or changed
+	Removed  []BackendID `msg:"g"` // no longer on the list
+}
+
+// Backend is an entry of the platform's list.
+type Backend struct {
+	ID           BackendID     `msg:"i"`
+	Service      string        `msg:"s"`
+	Address      string        `msg:"a"` // host:port
+	Zone         string        `msg:"z"`
+	Capacity     int           `msg:"c"` // requests that it runs at one time
+	Draining     bool          `msg:"d"` // it takes no new requests
+	WarmUpLeftMs int           `msg:"-"`
+	TimeLeftMs   int           `msg:"t"` // time until the platform takes it away; 0: not announced
+	Models       []LoadedModel `msg:"m"`
+}
+
+// LoadedModel is a model that a backend holds, with its adapters.
+type LoadedModel struct {
+	Name     ModelName `msg:"n"`
+	Adapters []string  `msg:"a"`
+}
+
+// PendingLoad is a load of a model or an adapter that is in progress.
+type PendingLoad struct {
+	Service   string    `msg:"s"`
+	Model     ModelName `msg:"m"`
+	Backend   BackendID `msg:"b"`
+	ReadyInMs int64     `msg:"d"` // expected time until it is ready
+}
+
+// ModelDemand is the demand for one model since the last report.
+type ModelDemand struct {
+	Service  string    `msg:"s"`
+	Model    ModelName `msg:"m"`
+	Arrivals float64   `msg:"a"` // requests
+	Waiting  int       `msg:"w"` // requests queued for it now
+	Unserved float64   `msg:"x"` // requests rejected because no backend held it
+	Running  int       `msg:"r"` // requests in flight now
+}
+
+// BackendLoad is the load that proxies have put on one backend.
+type BackendLoad struct {
+	Backend BackendID `msg:"b"`
+	Running int       `msg:"r"` // requests in flight
+	Queued  int       `msg:"q"` // milliseconds of prefill of the requests that have sent no event yet
+}
+
+// LoadReport reports loads that have just changed. It may also ask for the loads that the other proxies have put on the
+// backends that hold a model.
+type LoadReport struct {
+	ID       uint64        `msg:"i"` // of the question; 0: nothing is asked
+	Service  string        `msg:"s"` // of Model
+	Model    ModelName     `msg:"m"` // the model that is asked about
+	Loads    []BackendLoad `msg:"l"` // current values, not differences
+	Complete bool          `msg:"w"` // the sender has no load at any other backend
+}
+
+// LoadResponse answers the question of a LoadReport: the loads of all proxies but the asking one. Backends without a
+// load are left out.
+type LoadResponse struct {
+	ID      uint64        `msg:"i"`
+	Unknown bool          `msg:"u"` // the coordinator has no backend list
+	Loads   []BackendLoad `msg:"l"`
+}
