--- /dev/null
+++ b/cmd/pumiceline/cli_test.go
@@ -0,0 +1,63 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+)
+
+// Scripts of operators call the program with these names, so every command and flag that there ever was still parses.
+func TestCLI_KeepsCommandsAndFlags(t *testing.T) {
+	dir := t.TempDir()
+	file := filepath.Join(dir, "file.toml")
+	if err := os.WriteFile(file, nil, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct{ command, args string }{
+		{"serve", "--config F --door F --level DEBUG"},
+		{"check", "--config F"},
+		{"version", ""},
+		{"try", "--for 5s --rate 10 --nodes 3 --level INFO"},
+		{"stage roster", "--members 3 --instances 4 --lease 1s --calm 2s --proxies 2"},
+		{"stage owners", "--seed 2 --members 3 --instances 4 --works 2 --lease 1s --length 5s --unfenced --out F"},
+		{"stage run", "F --seed 2 --out F"},
+		{"owner member", "--fleet F --level WARN --id 1 --dir D --listen 127.0.0.1:1"},
+		{"owner run", "--fleet F --level WARN --name a --zone z --build 3 --mirror 127.0.0.1:1 --history F --clock-rate 1.01"},
+		{"owner status", "--fleet F --level WARN --json"},
+		{"owner release", "--fleet F --level WARN work"},
+		{"owner move", "--fleet F --level WARN work instance"},
+		{"owner receive", "--listen 127.0.0.1:1 --file F --unfenced"},
+		{"lab check", "F"},
+		{"lab run", "F --out F --jobs 2 --set world.servers=50 --seeds 2 --plots D --keep"},
+		{"lab sweep", "F --out F --jobs 2 --set world.servers=50 --seeds 2 --plots D --keep --measures good"},
+		{"lab compare", "F --out F --jobs 2 --set world.servers=50 --seeds 2 --plots D --keep --measures good"},
+		{"lab plot", "F --dir D --measures good"},
+		{"lab replay", "F --policy none --seed 2 --set world.servers=50 --line 3 --trace F --of 4"},
+	} {
+		t.Run(c.command, func(t *testing.T) {
+			parser, err := kong.New(&cli{}, kong.Name("pumiceline"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			args := strings.Fields(c.command + " " + c.args)
+			for i, arg := range args {
+				switch arg {
+				case "F":
+					args[i] = file
+				case "D":
+					args[i] = dir
+				}
+			}
+			parsed, err := parser.Parse(args)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := parsed.Command(); got != c.command && !strings.HasPrefix(got, c.command+" <") {
+				t.Errorf("parsed as command %q", got)
+			}
+		})
+	}
+}
--- a/cmd/pumiceline/process_test.go
+++ b/cmd/pumiceline/process_test.go
@@ -22,6 +22,7 @@
 
 	"pumiceline/internal/fake/fakestandalone"
 	"pumiceline/internal/faulttest"
+	"pumiceline/internal/standalone/hotrestart"
 )
 
 // TestMain lets the test's own binary be the program: a process that is killed has to be a real one.
@@ -364,7 +365,7 @@
 		first.Process.Kill()
 		first.Wait()
 		dead.Store(time.Now().UnixNano())
-		time.Sleep(4 * shareEvery) // the old process sees that it is alone
+		time.Sleep(4 * hotrestart.PollInterval) // the old process sees that it is alone
 		next := s.begin(s.discovery)
 		s.ready(next)
 		if err := old.Process.Signal(syscall.SIGTERM); err != nil {
--- /dev/null
+++ b/cmd/pumiceline/serve.go
@@ -0,0 +1,51 @@
+package main
+
+import (
+	"context"
+	"log/slog"
+	"math"
+	"os"
+	"os/signal"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+
+	"pumiceline/internal/standalone/config"
+	"pumiceline/internal/standalone/hotrestart"
+	"pumiceline/internal/standalone/server"
+)
+
+// gcPercent is how far the heap may grow, in percent of the live heap, before it is collected. The live heap is a few MB, so
+// that at Go's default of 100 the collector ran several times a second and took a fifth of a busy proxy's CPU. The memory
+// limit bounds it.
+const gcPercent = 400
+
+// serveCmd is `pumiceline serve`.
+type serveCmd struct {
+	Config        string     `help:"Configuration file, in place of the one that ROUTER_CONFIG names." type:"path"`
+	AdmissionFile string     `name:"door" help:"Fair queues of admission control, set by this file (deploy/door.toml); none if it is not given." type:"path"`
+	Level         slog.Level `help:"Least level of the log lines that are written." default:"INFO"`
+}
+
+// Run serves until SIGTERM or SIGINT, and reloads the configuration on SIGHUP.
+func (s *serveCmd) Run() error {
+	// Signals first of all: until Notify, a SIGHUP ends the program.
+	reloads := make(chan os.Signal, 1)
+	signal.Notify(reloads, syscall.SIGHUP)
+	defer signal.Stop(reloads)
+	stop, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+	defer cancel()
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: s.Level}))
+	cfg, err := config.Load(s.Config, os.Getenv)
+	if err != nil {
+		return err
+	}
+	runtime.GOMAXPROCS(int(math.Ceil(cfg.Limits.Cores)))
+	debug.SetGCPercent(gcPercent)
+	hotrestart.SetMemoryLimit(cfg.Limits.MemoryMB, 1)
+	opts := server.Options{ReloadSignals: reloads, AdmissionFile: s.AdmissionFile,
+		ReadConfig: func(current *config.Config) (*config.Config, error) {
+			return config.Reload(s.Config, os.Getenv, current)
+		}}
+	return server.Run(stop, cfg, opts, log.With("proxy", cfg.Name))
+}
--- a/cmd/pumiceline/try.go
+++ b/cmd/pumiceline/try.go
@@ -17,6 +17,7 @@
 
 	"pumiceline/internal/fake/fakestandalone"
 	"pumiceline/internal/standalone/config"
+	"pumiceline/internal/standalone/server"
 )
 
 type tryCmd struct {
@@ -74,7 +75,7 @@
 	proxyDone := make(chan struct{})
 	running.Go(func() {
 		defer close(proxyDone)
-		if err := serve(proxyCtx, cfg, parts{}, log); err != nil {
+		if err := server.Run(proxyCtx, cfg, server.Options{}, log); err != nil {
 			failed <- err
 		}
 	})
--- a/internal/standalone/discovery/hands.go
+++ b/internal/standalone/discovery/hands.go
@@ -82,7 +82,7 @@
 }
 
 // Keep has the watcher keep what operators say in folder, and take up what is there. It is to be called before Start.
-func (w *Watcher) Keep(folder *hotrestart.Folder) {
+func (w *Watcher) Keep(folder *hotrestart.SharedFolder) {
 	w.folder = folder
 	w.look()
 }
@@ -91,7 +91,7 @@
 func (w *Watcher) look() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	stamp := w.folder.Stamp(bansFile)
+	stamp := w.folder.Version(bansFile)
 	if stamp == w.stamp {
 		return
 	}
--- a/internal/standalone/discovery/hands_test.go
+++ b/internal/standalone/discovery/hands_test.go
@@ -41,7 +41,7 @@
 	l := &last{modes: map[uint32]policy.Member{}, ready: map[uint32]bool{}}
 	w := NewWatcher("127.0.0.1:1", table(), l, slog.New(slog.DiscardHandler))
 	if dir != "" {
-		w.Keep(hotrestart.NewFolder(dir, "n0"))
+		w.Keep(hotrestart.NewSharedFolder(dir, "n0"))
 	}
 	w.Start(l, []byte(update(1, true, host("s-1", "SERVING"), host("s-2", "SERVING"))))
 	return w, l
--- a/internal/standalone/discovery/watch.go
+++ b/internal/standalone/discovery/watch.go
@@ -50,16 +50,16 @@
 	moved  chan struct{}
 	next   atomic.Pointer[move] // what Move said last
 	held   atomic.Bool
-	heard  atomic.Bool        // from discovery, since the start
-	fresh  atomic.Bool        // discovery has moved, and no watch there has brought anything or ended by itself yet
-	size   atomic.Int64       // hosts listed
-	seq    uint64             // the version held, of the discovery at addr; 0: none of it
-	folder *hotrestart.Folder // nil: what operators say is kept in memory alone
+	heard  atomic.Bool              // from discovery, since the start
+	fresh  atomic.Bool              // discovery has moved, and no watch there has brought anything or ended by itself yet
+	size   atomic.Int64             // hosts listed
+	seq    uint64                   // the version held, of the discovery at addr; 0: none of it
+	folder *hotrestart.SharedFolder // nil: what operators say is kept in memory alone
 
 	mu     sync.Mutex // guards the table's names and what follows
 	listed map[uint32]entry
 	bans   maintenance.Set
-	stamp  hotrestart.Stamp
+	stamp  hotrestart.FileVersion
 }
 
 // NewWatcher returns a watcher of discovery at addr, which it reaches over TCP.
--- a/internal/standalone/hotrestart/presence.go
+++ b/internal/standalone/hotrestart/presence.go
@@ -5,173 +5,120 @@
 	"errors"
 	"fmt"
 	"math/rand/v2"
-	"net"
 	"os"
 	"path/filepath"
-	"sync/atomic"
 	"syscall"
 )
 
-// Stage is how far a process has come.
+// Stage is how far a process has come. Its values are bytes of the presence file.
 type Stage byte
 
-// Stages of a process's life.
+// Stages of a process, in order.
 const (
 	Starting Stage = 's'
-	Serving  Stage = 'r' // it takes connections
-	Ending   Stage = 'e' // it finishes what it has taken
+	Serving  Stage = 'r' // accepts connections
+	Draining Stage = 'e' // accepts none, completes the requests in flight
 )
 
-// Presence tells other processes of the proxy that this one is there. It ends with the process, however that dies: the kernel
-// frees the lock by which the others tell a living process's file from a dead one's.
+// ProcessState is what a process publishes in its presence file.
+type ProcessState struct {
+	Stage              Stage
+	ClientSockets      uint32
+	BackendConnections uint32
+}
+
+// stateBytes is the size of an encoded ProcessState.
+const stateBytes = 9
+
+// encode returns the stage's byte, then both numbers, big-endian.
+func (s ProcessState) encode() []byte {
+	b := binary.BigEndian.AppendUint32([]byte{byte(s.Stage)}, s.ClientSockets)
+	return binary.BigEndian.AppendUint32(b, s.BackendConnections)
+}
+
+func decodeProcessState(b [stateBytes]byte) ProcessState {
+	return ProcessState{Stage: Stage(b[0]), ClientSockets: binary.BigEndian.Uint32(b[1:]),
+		BackendConnections: binary.BigEndian.Uint32(b[5:])}
+}
+
+// Presence is this process's file in the shared folder. The process holds an exclusive lock on it: the kernel releases the
+// lock when the process dies, however it dies, which tells other processes that the file is stale.
 type Presence struct {
-	folder *Folder
+	folder *SharedFolder
 	file   *os.File
 	path   string
 }
 
-// Join makes this process known, as one that is starting.
-func (d *Folder) Join() (*Presence, error) {
-	mark := fmt.Sprintf("%d-%08x", os.Getpid(), rand.Uint32())
-	path, joining := d.prefix+"process-"+mark, d.prefix+"joining-"+mark
-	f, err := os.OpenFile(joining, os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
+// Join creates this process's presence file, with stage Starting.
+func (d *SharedFolder) Join() (*Presence, error) {
+	suffix := fmt.Sprintf("%d-%08x", os.Getpid(), rand.Uint32())
+	path, temporary := d.prefix+"process-"+suffix, d.prefix+"joining-"+suffix
+	file, err := os.OpenFile(temporary, os.O_CREATE|os.O_EXCL|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("handover: %w", err)
+		return nil, fmt.Errorf("create presence file: %w", err)
 	}
-	p := &Presence{folder: d, file: f, path: path}
-	if err := syscall.Flock(int(f.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
-		f.Close()
-		return nil, fmt.Errorf("handover: %w", err)
+	p := &Presence{folder: d, file: file, path: path}
+	if err := syscall.Flock(int(file.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
+		file.Close()
+		return nil, fmt.Errorf("lock presence file: %w", err)
 	}
-	if err := p.Set(State{Stage: Starting}); err != nil {
-		f.Close()
+	if err := p.Set(ProcessState{Stage: Starting}); err != nil {
+		file.Close()
 		return nil, err
 	}
-	// Under its name only once it is locked, or another would take it for a dead one's.
-	if err := os.Rename(joining, path); err != nil {
-		f.Close()
-		return nil, fmt.Errorf("handover: %w", err)
+	// It gets its final name only once it is locked: another process would remove an unlocked file as stale.
+	if err := os.Rename(temporary, path); err != nil {
+		file.Close()
+		return nil, fmt.Errorf("rename presence file: %w", err)
 	}
 	return p, nil
 }
 
-// State is what a process tells of itself.
-type State struct {
-	Stage       Stage
-	Fronts      uint32 // front sockets that it holds
-	Connections uint32 // to destinations
-}
-
-// stateSize is that of a State in its file: the stage's byte, then both numbers, big-endian.
-const stateSize = 9
-
-// Set tells how far this process has come and what it holds.
-func (p *Presence) Set(s State) error {
-	b := binary.BigEndian.AppendUint32([]byte{byte(s.Stage)}, s.Fronts)
-	if _, err := p.file.WriteAt(binary.BigEndian.AppendUint32(b, s.Connections), 0); err != nil {
-		return fmt.Errorf("handover: %w", err)
+// Set publishes the state of this process.
+func (p *Presence) Set(s ProcessState) error {
+	if _, err := p.file.WriteAt(s.encode(), 0); err != nil {
+		return fmt.Errorf("write presence file: %w", err)
 	}
 	return nil
 }
 
-// Leave makes this process unknown again.
+// Leave removes the presence file.
 func (p *Presence) Leave() {
 	os.Remove(p.path)
 	p.file.Close()
 }
 
-// Others are the states of the other living processes of the proxy. Files of dead ones are removed.
-func (p *Presence) Others() (states []State) {
+// Peers returns the states of the other live processes of the proxy and removes the files of dead ones.
+func (p *Presence) Peers() []ProcessState {
+	var states []ProcessState
 	paths, _ := filepath.Glob(p.folder.prefix + "process-*") // its only error is a bad pattern
 	for _, path := range paths {
 		if path == p.path {
 			continue
 		}
-		f, err := os.Open(path)
-		if err != nil {
-			continue // it has just left
+		if state, ok := readPeer(path); ok {
+			states = append(states, state)
 		}
-		if err := syscall.Flock(int(f.Fd()), syscall.LOCK_SH|syscall.LOCK_NB); errors.Is(err, syscall.EWOULDBLOCK) {
-			var b [stateSize]byte
-			if n, _ := f.ReadAt(b[:], 0); n == stateSize {
-				states = append(states, State{Stage(b[0]), binary.BigEndian.Uint32(b[1:]), binary.BigEndian.Uint32(b[5:])})
-			}
-		} else if err == nil {
-			os.Remove(path)
-		}
-		f.Close()
 	}
 	return states
 }
 
-// Listen takes up the listening socket that was inherited as a descriptor. The descriptor's socket stays open and listening for
-// whoever else holds it, also when the listener is closed.
-func Listen(fd int) (net.Listener, error) {
-	if err := syscall.SetNonblock(fd, true); err != nil { // else the file would not know how to wait
-		return nil, fmt.Errorf("ROUTER_FD: %d is no descriptor: %w", fd, err)
-	}
-	f := os.NewFile(uintptr(fd), "listener")
-	if f == nil {
-		return nil, fmt.Errorf("ROUTER_FD: %d is no descriptor", fd)
-	}
-	ln, err := net.FileListener(f)
+// readPeer returns the state in a presence file; false if its process is dead, in which case the file is removed, or has
+// just left.
+func readPeer(path string) (state ProcessState, ok bool) {
+	file, err := os.Open(path)
 	if err != nil {
-		f.Close()
-		return nil, fmt.Errorf("ROUTER_FD: %d is no listening socket: %w", fd, err)
+		return ProcessState{}, false // it has just left
 	}
-	defer ln.Close() // it was asked for what it knows
-	raw, err := f.SyscallConn()
-	if err != nil {
-		f.Close()
-		return nil, fmt.Errorf("ROUTER_FD: %d: %w", fd, err)
-	}
-	return &lent{file: f, raw: raw, addr: ln.Addr()}, nil
-}
-
-// lent is a listening socket that other processes hold too. Whether it blocks is one flag for all of them, and whoever hands it to a further process
-// may make it block: Go's os.File.Fd does. An accept that then finds that another process has taken the connection would sleep in the kernel
-// till the next one comes, and Close would wait for it: a process told to stop would not end. So the flag is set anew before each accept.
-type lent struct {
-	file   *os.File
-	raw    syscall.RawConn
-	addr   net.Addr
-	closed atomic.Bool
-}
-
-// Accept implements net.Listener.
-func (l *lent) Accept() (net.Conn, error) {
-	var fd int
-	var failed error
-	if err := l.raw.Read(func(own uintptr) bool {
-		for {
-			if failed = syscall.SetNonblock(int(own), true); failed != nil {
-				return true
-			}
-			fd, _, failed = syscall.Accept4(int(own), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
-			if failed != syscall.EINTR && failed != syscall.ECONNABORTED {
-				return failed != syscall.EAGAIN // if so: wait for the next
-			}
-		}
-	}); err != nil {
-		if l.closed.Load() { // the file's own error for that is no public one
-			err = net.ErrClosed
-		}
-		return nil, &net.OpError{Op: "accept", Net: l.addr.Network(), Addr: l.addr, Err: err}
+	defer file.Close()
+	err = syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
+	if errors.Is(err, syscall.EWOULDBLOCK) { // locked by its live process
+		var b [stateBytes]byte
+		n, _ := file.ReadAt(b[:], 0) // a short file is judged by its length
+		return decodeProcessState(b), n == stateBytes
 	}
-	if failed != nil {
-		return nil, &net.OpError{Op: "accept", Net: l.addr.Network(), Addr: l.addr, Err: os.NewSyscallError("accept4", failed)}
+	if err == nil {
+		os.Remove(path)
 	}
-	// The connection gets a descriptor of its own. Where there is none left for that moment it is closed unread, and its client may send again.
-	f := os.NewFile(uintptr(fd), "client")
-	defer f.Close()
-	return net.FileConn(f)
+	return ProcessState{}, false
 }
-
-// Close ends Accept here. The socket goes on listening for others.
-func (l *lent) Close() error {
-	l.closed.Store(true)
-	return l.file.Close()
-}
-
-// Addr implements net.Listener.
-func (l *lent) Addr() net.Addr { return l.addr }
--- a/internal/standalone/hotrestart/handover_test.go
+++ b/internal/standalone/hotrestart/presence_test.go
@@ -16,7 +16,7 @@
 func TestPresence(t *testing.T) {
 	dir := t.TempDir()
 	join := func(identity string) *Presence {
-		p, err := NewFolder(dir, identity).Join()
+		p, err := NewSharedFolder(dir, identity).Join()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -24,24 +24,24 @@
 	}
 	a, b, stranger := join("n0"), join("n0"), join("n1")
 	defer stranger.Leave()
-	if err := b.Set(State{Serving, 7, 300}); err != nil {
+	if err := b.Set(ProcessState{Serving, 7, 300}); err != nil {
 		t.Fatal(err)
 	}
-	if got := a.Others(); !slices.Equal(got, []State{{Serving, 7, 300}}) {
+	if got := a.Peers(); !slices.Equal(got, []ProcessState{{Serving, 7, 300}}) {
 		t.Errorf("a sees %v", got)
 	}
-	if got := b.Others(); !slices.Equal(got, []State{{Stage: Starting}}) {
+	if got := b.Peers(); !slices.Equal(got, []ProcessState{{Stage: Starting}}) {
 		t.Errorf("b sees %v", got)
 	}
 	b.file.Close() // as its death does: the file stays, the lock goes
-	if got := a.Others(); len(got) != 0 {
+	if got := a.Peers(); len(got) != 0 {
 		t.Errorf("a sees %v, but the other is dead", got)
 	}
 	if _, err := os.Stat(b.path); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("the dead one's file: %v", err)
 	}
 	a.Leave()
-	if got := stranger.Others(); len(got) != 0 {
+	if got := stranger.Peers(); len(got) != 0 {
 		t.Errorf("another proxy sees %v", got)
 	}
 }
@@ -53,21 +53,21 @@
 	var all sync.WaitGroup
 	for range writers {
 		all.Go(func() {
-			d := NewFolder(dir, "n0")
+			d := NewSharedFolder(dir, "n0")
 			for range each {
-				before := d.Stamp("count")
+				before := d.Version("count")
 				err := d.Update("count", func(old []byte) ([]byte, error) {
 					n, err := strconv.Atoi(string(old) + map[bool]string{true: "0"}[len(old) == 0])
 					return []byte(strconv.Itoa(n + 1)), err
 				})
-				if err != nil || d.Stamp("count") == before {
+				if err != nil || d.Version("count") == before {
 					t.Errorf("%v, or the stamp is the same", err)
 				}
 			}
 		})
 	}
 	all.Wait()
-	d := NewFolder(dir, "n0")
+	d := NewSharedFolder(dir, "n0")
 	if text, err := d.Read("count"); err != nil || string(text) != strconv.Itoa(writers*each) {
 		t.Errorf("%s, %v", text, err)
 	}
@@ -96,7 +96,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ln, err := Listen(fd)
+		ln, err := InheritListener(fd)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -128,7 +128,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Listen(fd); err == nil {
+	if _, err := InheritListener(fd); err == nil {
 		t.Error("a pipe was taken for a listening socket")
 	}
 }
--- /dev/null
+++ b/internal/standalone/hotrestart/process.go
@@ -0,0 +1,192 @@
+// Package hotrestart coordinates the processes of one proxy while a new version takes over from an old one. Both accept
+// connections from one listening socket, which the platform passes to each of them. They find each other by presence files in
+// a shared folder, divide the limits of the machine and the quotas of the proxy between them, and the old process publishes
+// what its policy has learned, so that the new one need not start from nothing.
+//
+// Old and new versions of the program run side by side: names and formats of the files may not change.
+package hotrestart
+
+import (
+	"context"
+	"log/slog"
+	"runtime/debug"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// PollInterval is how often a process looks for others.
+const PollInterval = 50 * time.Millisecond
+
+// memoryLimitFraction of a process's memory is the collector's limit; the rest is for what the collector does not see.
+const memoryLimitFraction = 0.7
+
+// SocketUsage is how many sockets processes hold.
+type SocketUsage struct{ Clients, Backends int }
+
+// Hooks connect a Process to the rest of the program. They are called while the Process is locked and must not call Poll.
+type Hooks struct {
+	SocketUsage func() SocketUsage // of this process
+	// ShareQuotas is called at each poll with the number of processes that have requests, this one included.
+	ShareQuotas func(processes int) error
+	Policy      LearnedState
+}
+
+// Process is this process as one of those of a proxy. While there are several, each gets an equal part of the memory; of
+// sockets each may use what the others do not, since they move from one to the other as clients do.
+type Process struct {
+	folder   *SharedFolder
+	presence *Presence // nil: not joined, other processes are not seen
+	memoryMB int       // limit of all processes together
+	hooks    Hooks
+	log      *slog.Logger
+
+	stage       atomic.Int32 // a Stage
+	peerSockets atomic.Uint64
+
+	mu        sync.Mutex // serializes Poll, which the start calls beside Run
+	processes int        // at the last poll
+}
+
+// NewProcess returns a process that is Starting and has not joined. Folder may be nil: then it stays alone.
+func NewProcess(folder *SharedFolder, memoryMB int, log *slog.Logger) *Process {
+	p := &Process{folder: folder, memoryMB: memoryMB, log: log}
+	p.SetStage(Starting)
+	return p
+}
+
+// Join makes this process visible to others and the others to it. It is to be called before Connect; without a folder it
+// does nothing.
+func (p *Process) Join() error {
+	if p.folder == nil {
+		return nil
+	}
+	presence, err := p.folder.Join()
+	if err != nil {
+		return err
+	}
+	p.presence = presence
+	return nil
+}
+
+// Leave undoes Join.
+func (p *Process) Leave() {
+	if p.presence != nil {
+		p.presence.Leave()
+	}
+}
+
+// Connect sets the hooks. It is to be called once, before the first Poll.
+func (p *Process) Connect(hooks Hooks) { p.hooks = hooks }
+
+// SetStage sets the stage that the next poll publishes.
+func (p *Process) SetStage(stage Stage) { p.stage.Store(int32(stage)) }
+
+// PeerSockets returns how many sockets the other processes held at the last poll.
+func (p *Process) PeerSockets() SocketUsage {
+	packed := p.peerSockets.Load()
+	return SocketUsage{Clients: int(packed >> 32), Backends: int(uint32(packed))}
+}
+
+// HasServingPeer reports whether another process accepts connections now.
+func (p *Process) HasServingPeer() bool {
+	if p.presence == nil {
+		return false
+	}
+	for _, peer := range p.presence.Peers() {
+		if peer.Stage == Serving {
+			return true
+		}
+	}
+	return false
+}
+
+// Run polls until ctx ends. It returns at once if this process has not joined.
+func (p *Process) Run(ctx context.Context) {
+	if p.presence == nil {
+		return
+	}
+	ticker := time.NewTicker(PollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			p.Poll()
+		}
+	}
+}
+
+// Poll publishes the state of this process, reads those of the others, and adapts limits and quotas to them.
+func (p *Process) Poll() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if err := p.poll(); err != nil {
+		p.log.Error("poll of the other processes failed", "error", err)
+	}
+}
+
+func (p *Process) poll() error {
+	peers, err := p.exchangeStates()
+	if err != nil {
+		return err
+	}
+	p.peerSockets.Store(peers.packedSockets)
+	if peers.starting && Stage(p.stage.Load()) == Serving {
+		if err := p.publishLearnedState(); err != nil {
+			return err
+		}
+	}
+	p.shareMemory(1 + peers.processes)
+	return p.hooks.ShareQuotas(1 + peers.withRequests)
+}
+
+// peerSummary is what a poll finds out about the other processes.
+type peerSummary struct {
+	processes     int
+	withRequests  int    // that are past Starting
+	starting      bool   // whether one is Starting
+	packedSockets uint64 // client sockets in the upper half, backend connections in the lower
+}
+
+func (p *Process) exchangeStates() (peerSummary, error) {
+	var peers peerSummary
+	if p.presence == nil {
+		return peers, nil
+	}
+	own := p.hooks.SocketUsage()
+	err := p.presence.Set(ProcessState{Stage: Stage(p.stage.Load()), ClientSockets: uint32(own.Clients),
+		BackendConnections: uint32(own.Backends)})
+	if err != nil {
+		return peers, err
+	}
+	for _, peer := range p.presence.Peers() {
+		peers.processes++
+		peers.packedSockets += uint64(peer.ClientSockets)<<32 + uint64(peer.BackendConnections)
+		if peer.Stage == Starting {
+			peers.starting = true
+		} else {
+			peers.withRequests++
+		}
+	}
+	return peers, nil
+}
+
+// shareMemory sets this process's memory limit when the number of processes has changed, and returns unused memory to the
+// system when it has grown.
+func (p *Process) shareMemory(processes int) {
+	if processes == p.processes {
+		return
+	}
+	SetMemoryLimit(p.memoryMB, processes)
+	if processes > p.processes {
+		debug.FreeOSMemory()
+	}
+	p.processes = processes
+}
+
+// SetMemoryLimit sets the collector's limit for one of several processes that share memoryMB.
+func SetMemoryLimit(memoryMB, processes int) {
+	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(memoryMB) * (1 << 20) / float64(processes)))
+}
--- a/internal/standalone/hotrestart/stored_test.go
+++ b/internal/standalone/hotrestart/stored_test.go
@@ -43,21 +43,21 @@
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
 		name, file string
-		want       State
+		want       ProcessState
 	}{
-		{"starting", "process-4711-00c0ffee", State{Stage: Starting, Fronts: 0x01020304, Connections: 0x05060708}},
-		{"serving", "process-4712-0badcafe", State{Stage: Serving, Fronts: 7, Connections: 300}},
-		{"ending", "process-4713-deadbeef", State{Stage: Ending, Fronts: 70_000, Connections: 12}},
+		{"starting", "process-4711-00c0ffee", ProcessState{Stage: Starting, ClientSockets: 0x01020304, BackendConnections: 0x05060708}},
+		{"serving", "process-4712-0badcafe", ProcessState{Stage: Serving, ClientSockets: 7, BackendConnections: 300}},
+		{"ending", "process-4713-deadbeef", ProcessState{Stage: Draining, ClientSockets: 70_000, BackendConnections: 12}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := storedFolder(t)
 			hold(t, filepath.Join(dir, storedPrefix+c.file))
-			p, err := NewFolder(dir, storedIdentity).Join()
+			p, err := NewSharedFolder(dir, storedIdentity).Join()
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer p.Leave()
-			if got := p.Others(); len(got) != 1 || got[0] != c.want {
+			if got := p.Peers(); len(got) != 1 || got[0] != c.want {
 				t.Errorf("others are %+v, want %+v", got, c.want)
 			}
 			left, err := filepath.Glob(filepath.Join(dir, storedPrefix+"process-*"))
@@ -83,15 +83,15 @@
 
 // The bytes that stand for the stages are part of the form in which an earlier version stored them.
 func TestStagesAreThoseStoredByEarlierVersion(t *testing.T) {
-	if Starting != 's' || Serving != 'r' || Ending != 'e' {
-		t.Errorf("%q, %q, %q", Starting, Serving, Ending)
+	if Starting != 's' || Serving != 'r' || Draining != 'e' {
+		t.Errorf("%q, %q, %q", Starting, Serving, Draining)
 	}
 }
 
 // A file that an earlier version stored is read and replaced under its name.
 func TestReadsFileStoredByEarlierVersion(t *testing.T) {
 	dir := storedFolder(t)
-	d := NewFolder(dir, storedIdentity)
+	d := NewSharedFolder(dir, storedIdentity)
 	const want = `{"version":1,"banned":["quote-01"],"back":{"quote-03":1700000000000001}}`
 	if text, err := d.Read("bans.json"); err != nil || string(text) != want {
 		t.Errorf("%s, %v", text, err)
--- /dev/null
+++ b/internal/standalone/server/operations.go
@@ -0,0 +1,85 @@
+package server
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"pumiceline/internal/standalone/admin"
+	"pumiceline/internal/standalone/metrics"
+)
+
+// Reasons why the proxy is not ready, as the admin API shows them.
+var (
+	errStopping     = errors.New("stopping")
+	errNoEndpoints  = errors.New("no pool config yet")
+	errNotAccepting = errors.New("not taking connections yet")
+)
+
+// startAdmin serves the admin API until running ends, where the configuration has an address for it.
+func (s *server) startAdmin(running, stop context.Context) error {
+	if s.cfg.Operator == "" {
+		return nil
+	}
+	ln, err := s.opts.Network.Listen(s.cfg.Operator)
+	if err != nil {
+		return fmt.Errorf("config: operator: %w", err)
+	}
+	api := admin.New(admin.Options{Log: s.log, Most: s.sockets.adminShare(), Metrics: s.metrics.Handler(),
+		Suspend: s.watcher.Suspend, Resume: s.watcher.Resume, Ready: func() error { return s.ready(stop) }})
+	s.background.Go(func() {
+		if err := api.Serve(running, ln); err != nil {
+			s.log.Error("admin API stopped", "error", err)
+		}
+	})
+	return nil
+}
+
+// ready returns nil when this process can serve, else the reason why not.
+func (s *server) ready(stop context.Context) error {
+	switch {
+	case stop.Err() != nil:
+		return errStopping
+	case !s.watcher.Held():
+		return errNoEndpoints
+	case !s.accepting.Load():
+		return errNotAccepting
+	}
+	return nil
+}
+
+func (s *server) registerGauges() {
+	s.metrics.Watch(metrics.Gauges{Current: s.clients.InFlight, Size: s.watcher.Size,
+		Unhealthy: func() int { return s.engine.AvoidedBackends() + s.watcher.TakenOut() },
+		Kept:      s.tableSizes})
+}
+
+// tableSizes returns how many entries are held in memory by ID, host, address or class: the series of svc_kept. Each of these
+// comes down again with its owner, or has a bound of its own; docs/runbook-standalone.md says which.
+func (s *server) tableSizes() map[string]int {
+	calls, timers, module := s.engine.TableSizes()
+	destinations, idle := s.backends.TableSizes()
+	listed, names, disabled := s.watcher.Kept()
+	ids, classes, waiting := s.clients.TableSizes()
+	return map[string]int{
+		"calls":            calls,
+		"timers":           timers,
+		"module_requests":  module.OpenRequests,
+		"module_held":      module.QueuedRequests,
+		"module_spare":     module.FreeRequests,
+		"module_servers":   module.Servers,
+		"module_kinds":     module.InstanceTypes,
+		"destinations":     destinations,
+		"connections":      s.backends.OpenConnections(),
+		"idle_connections": idle,
+		"hosts":            listed,
+		"host_names":       names,
+		"suspension_names": disabled,
+		"front_sockets":    s.clients.OpenSockets(),
+		"correlation_ids":  ids,
+		"class_numbers":    classes,
+		"class_series":     s.metrics.Shown(),
+		"gate_waiting":     waiting,
+		"probes":           s.probes.InFlight(),
+	}
+}
--- /dev/null
+++ b/internal/standalone/server/reload.go
@@ -0,0 +1,157 @@
+package server
+
+import (
+	"fmt"
+	"log/slog"
+	"sync"
+
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/config"
+	"pumiceline/internal/standalone/deployfile"
+	"pumiceline/internal/standalone/discovery"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/forwarder"
+	"pumiceline/internal/standalone/listener"
+	"pumiceline/internal/standalone/metrics"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/settings"
+)
+
+// reloader applies a new configuration to the running parts.
+type reloader struct {
+	admissionFile string
+	gate          *listener.Gate // nil: no admission control
+	engine        *engine.Engine
+	backends      *backend.Pool
+	transport     *forwarder.Transport
+	clients       *listener.Server
+	watcher       *discovery.Watcher
+	metrics       *metrics.Metrics
+	log           *slog.Logger
+
+	mu        sync.Mutex
+	processes int            // of this proxy that share its quotas
+	cfg       *config.Config // in force; replaced by reload alone
+}
+
+// reload reads the configuration and applies it completely or not at all. The file of admission control is read with it, and
+// on its own where the configuration is not usable.
+func (r *reloader) reload(read ReadConfig) {
+	// Read without the lock, since a file that blocks its reader must hold up nobody else; only reload replaces cfg.
+	next, err := read(r.cfg)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if err == nil {
+		err = r.apply(next)
+	}
+	r.metrics.Loaded(err == nil)
+	if err == nil {
+		return
+	}
+	// A half-written or wrong file must not stop a proxy that serves.
+	r.log.Error("configuration not reloaded, previous one stays", "error", err)
+	if r.gate == nil {
+		return
+	}
+	if err := r.clients.ApplySettings(&r.cfg.Settings, r.applyAdmissionFile); err != nil {
+		r.log.Error("admission file not reloaded, previous one stays", "error", err)
+	}
+}
+
+// apply checks everything that can be wrong with a configuration before it changes anything.
+func (r *reloader) apply(next *config.Config) error {
+	err := r.clients.ApplySettings(&next.Settings, func(numbered *settings.Settings) error {
+		set, err := r.policySettings(numbered)
+		if err != nil {
+			return err
+		}
+		if _, err := policy.New(set, 0); err != nil {
+			return fmt.Errorf("config: settings: %w", err)
+		}
+		if err := r.applyAdmissionFile(numbered); err != nil {
+			return err
+		}
+		return r.engine.ApplySettings(set)
+	})
+	if err != nil {
+		return err
+	}
+	limits := &next.Settings.Limits
+	r.backends.ApplySettings(settingsDuration(limits.DialTimeout), settingsDuration(limits.IdleClose),
+		config.Columns(&next.Settings, &next.Module))
+	r.transport.MaxRetryAfter.Store(settings.Micros(limits.MaxRetryAfter))
+	r.metrics.Classes(classNames(&next.Settings))
+	for _, key := range changedStartupKeys(r.cfg, next) {
+		r.log.Warn("changed key takes effect at the next start", "key", key)
+	}
+	r.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", classNames(&next.Settings),
+		"attempts", limits.TryLimit)
+	r.cfg = next
+	r.watcher.Move(next.Discovery, next.Settings.Zones, next.Settings.InstanceTypes)
+	return nil
+}
+
+// policySettings converts settings to those of the policy. Where several processes serve, each counts as a proxy of its own in
+// the group: together they give cold backends and tenants' shares what one would.
+func (r *reloader) policySettings(s *settings.Settings) (policy.Settings, error) {
+	set, err := config.Module(s)
+	set.GroupSize = max(1, set.GroupSize) * max(1, r.processes)
+	return set, err
+}
+
+// shareQuotas applies the number of processes that serve to the policy.
+func (r *reloader) shareQuotas(processes int) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if processes == r.processes {
+		return nil
+	}
+	r.processes = processes
+	r.log.Info("number of serving processes changed", "processes", processes)
+	return r.clients.ApplySettings(&r.cfg.Settings, func(numbered *settings.Settings) error {
+		set, err := r.policySettings(numbered)
+		if err != nil {
+			return err
+		}
+		return r.engine.ApplySettings(set)
+	})
+}
+
+// applyAdmissionFile reads the file of admission control for the given settings and applies it.
+func (r *reloader) applyAdmissionFile(s *settings.Settings) error {
+	if r.gate == nil {
+		return nil
+	}
+	set, err := deployfile.ReadAdmission(r.admissionFile, s, r.cfg.Seed)
+	if err != nil {
+		return err
+	}
+	return r.gate.ApplySettings(set)
+}
+
+func classNames(s *settings.Settings) []string {
+	var names []string
+	for _, c := range s.Classes {
+		names = append(names, c.Name)
+	}
+	return names
+}
+
+// changedStartupKeys returns the keys that differ and are read at the start only.
+func changedStartupKeys(old, next *config.Config) []string {
+	var keys []string
+	for _, k := range []struct {
+		key  string
+		same bool
+	}{
+		{"name", old.Name == next.Name},
+		{"listen", old.Listen == next.Listen},
+		{"limits", old.Limits == next.Limits},
+		{"operator", old.Operator == next.Operator},
+	} {
+		if !k.same {
+			keys = append(keys, k.key)
+		}
+	}
+	return keys
+}
--- a/cmd/pumiceline/upgrade_test.go
+++ b/internal/standalone/server/restart_test.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"context"
@@ -54,7 +54,7 @@
 		free.Close()
 		var ctx context.Context
 		ctx, p.stop = context.WithCancel(context.Background())
-		go func() { p.ended <- serve(ctx, cfg, parts{}, slog.New(slog.DiscardHandler)) }()
+		go func() { p.ended <- Run(ctx, cfg, Options{}, slog.New(slog.DiscardHandler)) }()
 		return p
 	}
 	say := func(method, url string) (int, string) {
--- /dev/null
+++ b/internal/standalone/server/server.go
@@ -0,0 +1,269 @@
+// Package server is the standalone proxy as a whole: it creates the parts from a configuration, connects them, and runs them
+// until it is stopped.
+package server
+
+import (
+	"context"
+	"fmt"
+	"log/slog"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/config"
+	"pumiceline/internal/standalone/deployfile"
+	"pumiceline/internal/standalone/discovery"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/forwarder"
+	"pumiceline/internal/standalone/hotrestart"
+	"pumiceline/internal/standalone/listener"
+	"pumiceline/internal/standalone/metrics"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/settings"
+)
+
+const (
+	// discoveryTimeout is how long a process that takes over from another waits for the endpoint list.
+	discoveryTimeout = 3500 * time.Millisecond
+	// discoveryPollInterval is how often it looks whether the list has come.
+	discoveryPollInterval = 10 * time.Millisecond
+)
+
+// Options are what Run takes besides the configuration. Each may be absent.
+type Options struct {
+	ReloadSignals <-chan os.Signal // at each of them the configuration is reloaded
+	ReadConfig    ReadConfig       // reads it; needed with ReloadSignals
+	AdmissionFile string           // settings of admission control; empty: there is none
+	Network       Network          // nil: TCP
+}
+
+// ReadConfig reads the configuration again, beside the one in use.
+type ReadConfig func(current *config.Config) (*config.Config, error)
+
+// Network is where the proxy listens and dials.
+type Network interface {
+	Listen(addr string) (net.Listener, error)
+	Dial(ctx context.Context, addr string, deadline time.Time) (net.Conn, error)
+}
+
+// tcp is the network of the machine.
+type tcp struct{}
+
+// Listen implements Network.
+func (tcp) Listen(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
+
+// Dial implements Network.
+func (tcp) Dial(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
+	return backend.DialTCP(ctx, addr, deadline)
+}
+
+// server is one running proxy.
+type server struct {
+	cfg     *config.Config // that it was started with
+	opts    Options
+	log     *slog.Logger
+	sockets socketBudget
+
+	gate      *listener.Gate // nil: no admission control
+	metrics   *metrics.Metrics
+	backends  *backend.Pool
+	watcher   *discovery.Watcher
+	process   *hotrestart.Process
+	probes    *forwarder.Probes
+	engine    *engine.Engine
+	transport *forwarder.Transport
+	clients   *listener.Server
+	reloader  *reloader
+
+	accepting  atomic.Bool    // whether clients' connections are accepted
+	background sync.WaitGroup // of goroutines that end with the running context
+}
+
+// Run serves clients until stop ends and all requests in flight have ended. It returns an error if the configuration cannot
+// work or if the listener fails.
+func Run(stop context.Context, cfg *config.Config, opts Options, log *slog.Logger) error {
+	if opts.Network == nil {
+		opts.Network = tcp{}
+	}
+	s := &server{cfg: cfg, opts: opts, log: log, sockets: socketBudget(cfg.Limits.Sockets)}
+	balancer, err := policy.New(cfg.Module, cfg.Seed)
+	if err != nil {
+		return fmt.Errorf("config: settings: %w", err)
+	}
+	if err := s.createGate(); err != nil {
+		return err
+	}
+	s.createBackends()
+	s.joinProcesses()
+	defer s.process.Leave()
+	s.createRequestPath(balancer)
+	defer s.probes.Close()
+	s.registerGauges()
+	ln, err := s.listen()
+	if err != nil {
+		return fmt.Errorf("config: listen: %w", err)
+	}
+	return s.run(stop, ln)
+}
+
+// createGate creates admission control where there is a file for it.
+func (s *server) createGate() error {
+	if s.opts.AdmissionFile == "" {
+		return nil
+	}
+	set, err := deployfile.ReadAdmission(s.opts.AdmissionFile, &s.cfg.Settings, s.cfg.Seed)
+	if err != nil {
+		return err
+	}
+	s.gate, err = listener.NewGate(set, s.log)
+	return err
+}
+
+// createBackends creates the connection pool and the watcher of discovery that fills it.
+func (s *server) createBackends() {
+	set := &s.cfg.Settings
+	s.metrics = metrics.New()
+	s.metrics.Classes(classNames(set))
+	s.backends = backend.NewPool(backend.Options{
+		DialTimeout:      settingsDuration(set.Limits.DialTimeout),
+		IdleTimeout:      settingsDuration(set.Limits.IdleClose),
+		MaxConnections:   s.sockets.backendShare(),
+		ReportColumns:    config.Columns(set, &s.cfg.Module),
+		OnRequestWritten: s.metrics.Sent,
+		Dial:             s.opts.Network.Dial,
+	}, s.log)
+	s.watcher = discovery.NewWatcher(s.cfg.Discovery, discovery.NewTable(set.Zones, set.InstanceTypes), s.backends, s.log)
+	s.watcher.Over(s.opts.Network.Dial)
+}
+
+// joinProcesses makes this process known to the others of this proxy, where there is a folder that all of them see.
+func (s *server) joinProcesses() {
+	var folder *hotrestart.SharedFolder
+	if s.cfg.Shared != "" {
+		folder = hotrestart.NewSharedFolder(s.cfg.Shared, s.cfg.Name+" "+s.cfg.Listen)
+		s.watcher.Keep(folder)
+	}
+	s.process = hotrestart.NewProcess(folder, s.cfg.Limits.MemoryMB, s.log)
+	if err := s.process.Join(); err != nil { // an unusable folder must not stop a proxy: it runs as if alone
+		s.log.Error("join of the other processes failed", "error", err)
+	}
+}
+
+// createRequestPath creates what a request passes through: the listener, the transport and the engine of the policy.
+func (s *server) createRequestPath(balancer *policy.Balancer) {
+	s.probes = forwarder.NewProbes(s.backends, s.log)
+	hooks := engine.Hooks{Subscribe: s.watcher.Ask, CloseUnused: s.backends.CloseIdle, Probe: s.probes.Start}
+	s.engine = engine.New(balancer, hooks, s.log)
+	s.probes.SetEngine(s.engine)
+	s.transport = &forwarder.Transport{Engine: s.engine, Backends: s.backends, Log: s.log}
+	s.transport.MaxRetryAfter.Store(settings.Micros(s.cfg.Settings.Limits.MaxRetryAfter))
+	s.clients = listener.New(listener.Options{
+		Settings:          &s.cfg.Settings,
+		Transport:         s.transport,
+		Ready:             s.watcher.Held,
+		GuaranteedSockets: s.sockets.clientShare(),
+		SocketLimit: func() int {
+			return s.sockets.clientLimit(s.backends.OpenConnections(), s.process.PeerSockets())
+		},
+		HasSuccessor: s.process.HasServingPeer,
+		Gate:         s.gate,
+		Metrics:      s.metrics,
+		Log:          s.log,
+	})
+	s.reloader = &reloader{cfg: s.cfg, admissionFile: s.opts.AdmissionFile, gate: s.gate, engine: s.engine, backends: s.backends,
+		transport: s.transport, clients: s.clients, watcher: s.watcher, metrics: s.metrics, log: s.log}
+	s.process.Connect(hotrestart.Hooks{SocketUsage: s.socketUsage, ShareQuotas: s.shareQuotas, Policy: s.engine})
+}
+
+// listen opens the clients' listening socket, or takes the one that was passed on to this process.
+func (s *server) listen() (net.Listener, error) {
+	if s.cfg.ListenFD != 0 {
+		return hotrestart.InheritListener(s.cfg.ListenFD)
+	}
+	return s.opts.Network.Listen(s.cfg.Listen)
+}
+
+// run starts the goroutines and serves clients from ln until stop ends.
+func (s *server) run(stop context.Context, ln net.Listener) error {
+	// Discovery and timers are needed until the last request has ended.
+	running, cancel := context.WithCancel(context.WithoutCancel(stop))
+	defer cancel()
+	s.watcher.Start(s.engine, s.cfg.Known)
+	if err := s.startAdmin(running, stop); err != nil {
+		return err
+	}
+	s.startBackground(running)
+	s.process.Poll()
+	s.background.Go(func() { s.process.Run(running) })
+	err := s.serveClients(stop, ln)
+	cancel()
+	s.background.Wait()
+	s.log.Info("ended", "error", err)
+	return err
+}
+
+// startBackground starts the goroutines that end with running.
+func (s *server) startBackground(running context.Context) {
+	s.background.Go(func() { s.engine.Run(running) })
+	s.background.Go(func() { s.watcher.Run(running) })
+	s.background.Go(func() { s.watcher.Look(running) })
+	if s.gate != nil {
+		s.background.Go(func() { s.gate.Run(running) })
+	}
+	// Not waited for: a configuration file that blocks its reader (a pipe) must not delay the end.
+	go s.reloadOnSignals(running)
+}
+
+func (s *server) reloadOnSignals(running context.Context) {
+	for {
+		select {
+		case <-running.Done():
+			return
+		case <-s.opts.ReloadSignals:
+			s.reloader.reload(s.opts.ReadConfig)
+		}
+	}
+}
+
+// serveClients accepts connections until stop ends and completes the requests in flight. A process that takes over waits for
+// the endpoint list first, and accepts nothing if stop ends before that.
+func (s *server) serveClients(stop context.Context, ln net.Listener) error {
+	if s.cfg.ListenFD != 0 && !awaitEndpoints(stop, s.watcher) {
+		return nil
+	}
+	s.log.Info("serving", "listen", s.cfg.Listen, "discovery", s.cfg.Discovery)
+	s.process.AdoptLearnedState()
+	s.process.SetStage(hotrestart.Serving)
+	s.process.Poll()
+	s.accepting.Store(true)
+	context.AfterFunc(stop, func() { s.process.SetStage(hotrestart.Draining) })
+	return s.clients.Serve(stop, ln)
+}
+
+// awaitEndpoints waits until discovery has sent the endpoint list; false if stop ended before. Beside a process that serves, one
+// with an older list would send requests to backends that the other knows to be draining. If discovery is down, the list of
+// the configuration is used after discoveryTimeout; without any list it waits on.
+func awaitEndpoints(stop context.Context, watcher *discovery.Watcher) bool {
+	timeout, ticker := time.NewTimer(discoveryTimeout), time.NewTicker(discoveryPollInterval)
+	defer timeout.Stop()
+	defer ticker.Stop()
+	timedOut := false
+	for !watcher.Held() || !watcher.Heard() && !timedOut {
+		select {
+		case <-stop.Done():
+			return false
+		case <-timeout.C:
+			timedOut = true
+		case <-ticker.C:
+		}
+	}
+	return true
+}
+
+// settingsDuration converts a time of the settings, in microseconds.
+func settingsDuration(micros float64) time.Duration {
+	return time.Duration(settings.Micros(micros)) * time.Microsecond
+}
--- a/cmd/pumiceline/soak_test.go
+++ b/internal/standalone/server/soak_test.go
@@ -1,4 +1,4 @@
-package main
+package server
 
 import (
 	"context"
@@ -73,10 +73,10 @@
 			t.Fatal(err)
 		}
 		cfg.Operator, cfg.Seed = "10.0.0.2:7071", 1
-		hangups := make(chan os.Signal)
+		reloads := make(chan os.Signal)
 		var turn, asked, served atomic.Int64
-		reload := func(now *config.Config) (*config.Config, error) { // one class more, with a name that was never there
-			next := *now
+		readConfig := func(current *config.Config) (*config.Config, error) { // one class more, with a name that was never there
+			next := *current
 			class := next.Settings.Classes[0]
 			class.Name = fmt.Sprintf("season-%d", turn.Add(1))
 			next.Settings.Classes = append(slices.Clone(cfg.Settings.Classes[:len(fakestandalone.Classes)]), class)
@@ -87,7 +87,7 @@
 		stop, tellStop := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
-			ended <- serve(stop, cfg, parts{network: mem, hangups: hangups, reload: reload}, slog.New(slog.DiscardHandler))
+			ended <- Run(stop, cfg, Options{Network: mem, ReloadSignals: reloads, ReadConfig: readConfig}, slog.New(slog.DiscardHandler))
 		}()
 		time.Sleep(5 * time.Second)
 
@@ -188,7 +188,7 @@
 				}()
 			}
 			if n%10 == 0 {
-				hangups <- os.Interrupt // whichever signal
+				reloads <- os.Interrupt // whichever signal
 			}
 			time.Sleep(time.Duration(rng.Int64N(int64(time.Second))))
 			if early == nil && time.Since(begin) > hour/10 {
