--- a/internal/dataplane/backend/exchange.go
+++ b/internal/dataplane/backend/exchange.go
@@ -24,7 +24,7 @@
 // whatever becomes of it. When ctx ends, the connection is closed, also while the body is read. Errors are of type
 // *Error.
 func (p *Pool) Do(ctx context.Context, request *Request) (*Response, error) {
-	c, err := p.acquire(ctx, request.Backend, request.Address, request.ID)
+	c, err := p.acquire(ctx, request)
 	if err != nil {
 		return nil, &Error{Phase: NotSent, cause: err}
 	}
--- a/internal/dataplane/backend/exchange_test.go
+++ b/internal/dataplane/backend/exchange_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeServer hands each connection to the test, which answers byte by byte.
+// fakeServer hands each connection to the test, which writes the responses byte by byte.
 type fakeServer struct {
 	address string
 	mutex   sync.Mutex
@@ -62,12 +62,12 @@
 	}
 }
 
-func answer(conn net.Conn, status int, id, extra, body string) {
+func respond(conn net.Conn, status int, id, extra, body string) {
 	fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nRequest-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, extra, len(body), body)
 }
 
-// read makes an exchange and returns status and body.
-func read(t *testing.T, pool *Pool, request *Request) (int, string) {
+// exchange sends a request and returns the status and body of its response.
+func exchange(t *testing.T, pool *Pool, request *Request) (int, string) {
 	t.Helper()
 	got, err := pool.Do(context.Background(), request)
 	require.NoError(t, err)
@@ -77,9 +77,9 @@
 	return got.Status, string(body)
 }
 
-// A backend declined a request, and says so once more when the request comes again: the second word is about the first
-// attempt, and bears the right id. Taken for an answer to the second attempt it would promise that a request that runs
-// has not.
+// A backend rejected a request, and sends a second rejection when the request is retried: it belongs to the first
+// attempt and bears the same request ID. Taken as the response to the second attempt it would promise that a request that
+// runs has not.
 func TestDo_SkipsSecondResponseToEarlierAttempt(t *testing.T) {
 	server := newFakeServer(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 		for attempt := 1; ; attempt++ {
@@ -89,26 +89,26 @@
 			}
 			id := request.Header.Get(HeaderRequestID)
 			if number == 1 {
-				answer(conn, http.StatusServiceUnavailable, id, "Not-Run: 1\r\n", "")
+				respond(conn, http.StatusServiceUnavailable, id, "Not-Run: 1\r\n", "")
 				continue
 			}
-			answer(conn, http.StatusOK, id, "", "ran")
+			respond(conn, http.StatusOK, id, "", "ran")
 		}
 	})
 	pool := NewPool()
-	status, _ := read(t, pool, server.request("r1", nil))
+	status, _ := exchange(t, pool, server.request("r1", nil))
 	require.Equal(t, http.StatusServiceUnavailable, status)
-	status, body := read(t, pool, server.request("r1", nil))
+	status, body := exchange(t, pool, server.request("r1", nil))
 	assert.Equal(t, http.StatusOK, status)
 	assert.Equal(t, "ran", body)
 	assert.Equal(t, 2, server.connections())
-	status, _ = read(t, pool, server.request("r2", nil))
-	assert.Equal(t, http.StatusOK, status, "another request goes on a connection that rests")
+	status, _ = exchange(t, pool, server.request("r2", nil))
+	assert.Equal(t, http.StatusOK, status, "another request uses the idle connection")
 	assert.Equal(t, 2, server.connections())
 }
 
-// A backend answers before it has read a long request, and reads on only then: the answer is not waited for until the
-// whole request is written, and the connection, on which the rest is due, carries no other request.
+// A backend responds before it has read a long request. The response is returned before the whole request is written, and
+// the connection, on which the rest is still to be sent, is not used again.
 func TestDo_ResponseBeforeLongRequestIsWritten(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
@@ -119,12 +119,12 @@
 		}
 		id := request.Header.Get(HeaderRequestID)
 		if number == 1 {
-			answer(conn, http.StatusServiceUnavailable, id, "Not-Run: 1\r\n", "")
+			respond(conn, http.StatusServiceUnavailable, id, "Not-Run: 1\r\n", "")
 			<-done // the rest is left unread
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
-		answer(conn, http.StatusOK, id, "", "ran")
+		respond(conn, http.StatusOK, id, "", "ran")
 	})
 	pool := NewPool()
 	long := []byte(strings.Repeat("x", 32<<20)) // more than the sockets hold
@@ -133,13 +133,13 @@
 	assert.Equal(t, http.StatusServiceUnavailable, got.Status)
 	assert.True(t, got.IsRejected())
 	got.Close()
-	status, body := read(t, pool, server.request("r2", []byte("short")))
+	status, body := exchange(t, pool, server.request("r2", []byte("short")))
 	assert.Equal(t, http.StatusOK, status)
 	assert.Equal(t, "ran", body)
 	assert.Equal(t, 2, server.connections())
 }
 
-// After silence, a close or a reset nothing is sent again by itself, and what was written may have run.
+// After a reset the request is not sent again, and its error says that it may have run.
 func TestDo_NeverRetries(t *testing.T) {
 	var mutex sync.Mutex
 	var seen []string
@@ -157,11 +157,11 @@
 				_ = conn.(*net.TCPConn).SetLinger(0)
 				return
 			}
-			answer(conn, http.StatusOK, id, "", "ran")
+			respond(conn, http.StatusOK, id, "", "ran")
 		}
 	})
 	pool := NewPool()
-	read(t, pool, server.request("first", nil)) // its connection is kept
+	exchange(t, pool, server.request("first", nil)) // its connection becomes idle
 	_, err := pool.Do(context.Background(), server.request("reset", nil))
 	var failure *Error
 	require.True(t, errors.As(err, &failure))
@@ -172,7 +172,7 @@
 	assert.Equal(t, 1, server.connections())
 }
 
-// Informational answers are no answers, and bytes after a whole answer end its connection.
+// Informational responses are skipped, and a connection with bytes after a complete response is not used again.
 func TestDo_SkipsInformationalResponsesAndSurplusBytes(t *testing.T) {
 	server := newFakeServer(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 		request, err := http.ReadRequest(reader)
@@ -182,30 +182,16 @@
 		id := request.Header.Get(HeaderRequestID)
 		if number == 1 {
 			fmt.Fprint(conn, "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early\r\nLink: x\r\n\r\n")
-			answer(conn, http.StatusOK, id, "", "one")
+			respond(conn, http.StatusOK, id, "", "one")
 			fmt.Fprint(conn, "HTTP/1.1 200 OK\r\nRequest-Id: r2\r\nContent-Length: 5\r\n\r\nwrong")
 			_, _ = io.Copy(io.Discard, conn)
 			return
 		}
-		answer(conn, http.StatusOK, id, "", "two")
+		respond(conn, http.StatusOK, id, "", "two")
 	})
 	pool := NewPool()
-	_, body := read(t, pool, server.request("r1", nil))
+	_, body := exchange(t, pool, server.request("r1", nil))
 	assert.Equal(t, "one", body)
-	_, body = read(t, pool, server.request("r2", nil))
+	_, body = exchange(t, pool, server.request("r2", nil))
 	assert.Equal(t, "two", body)
 }
-
-func TestPool_HasIdleUntilExpiration(t *testing.T) {
-	pool := NewPool()
-	assert.False(t, pool.HasIdle("b"))
-	client, server := net.Pipe()
-	defer server.Close()
-	pool.release("b", &conn{Conn: client}, time.Hour)
-	assert.True(t, pool.HasIdle("b"))
-	assert.False(t, pool.HasIdle("c"))
-	pool.release("b", &conn{Conn: client}, -time.Second)
-	assert.False(t, pool.HasIdle("b"), "the newest has expired, so all have")
-	pool.Forget("b")
-	assert.False(t, pool.HasIdle("b"))
-}
--- a/internal/dataplane/backend/pool.go
+++ b/internal/dataplane/backend/pool.go
@@ -73,15 +73,15 @@
 	return expired
 }
 
-// acquire returns an idle connection to the backend, or a new one. It does not return one that carried an earlier attempt
-// of the same request: a late second response to that attempt would bear the right request ID.
-func (p *Pool) acquire(ctx context.Context, id message.BackendID, address, requestID string) (*conn, error) {
+// acquire returns an idle connection to the request's backend, or a new one. It does not return one that carried an
+// earlier attempt of the same request: a late second response to that attempt would bear the right request ID.
+func (p *Pool) acquire(ctx context.Context, request *Request) (*conn, error) {
 	for {
-		c := p.takeIdle(id)
+		c := p.takeIdle(request.Backend)
 		if c == nil {
-			return dial(ctx, address)
+			return dial(ctx, request.Address)
 		}
-		if c.lastRequest != requestID && c.isAlive() {
+		if c.lastRequest != request.ID && c.isAlive() {
 			return c, nil
 		}
 		c.Close()
--- /dev/null
+++ b/internal/dataplane/backend/pool_test.go
@@ -0,0 +1,23 @@
+package backend
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+)
+
+func TestPool_HasIdleUntilExpiration(t *testing.T) {
+	pool := NewPool()
+	assert.False(t, pool.HasIdle("b"))
+	client, server := net.Pipe()
+	defer server.Close()
+	pool.release("b", &conn{Conn: client}, time.Hour)
+	assert.True(t, pool.HasIdle("b"))
+	assert.False(t, pool.HasIdle("c"))
+	pool.release("b", &conn{Conn: client}, -time.Second)
+	assert.False(t, pool.HasIdle("b"), "the newest has expired, so all have")
+	pool.Forget("b")
+	assert.False(t, pool.HasIdle("b"))
+}
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -1,5 +1,6 @@
-// Package balancer decides for each request which backend gets it, whether it waits, or whether it is rejected. It is a
-// state machine: its inputs are requests, outcomes, the list of backends and the time; it knows no network and no clock.
+// Package balancer decides for each request which backend gets it, whether it waits, or whether it is rejected. It is
+// a state machine: its inputs are requests, outcomes, the list of backends and the time; it knows no network and no
+// clock.
 //
 // Picking is weighted round robin by an earliest-deadline-first schedule: each backend that has loaded the requested
 // model is due once in 1/weight of the service's virtual time. The weights follow gRFC A58 and rise by gRFC A100 (slow
@@ -39,8 +40,8 @@
 	}
 }
 
-// SetIdleConnectionCheck sets the function that reports whether an idle connection to a backend is kept. It is called by
-// the owner alone and must not wait.
+// SetIdleConnectionCheck sets the function that reports whether an idle connection to a backend is kept. It is called
+// by the owner alone and must not wait.
 func (b *Balancer) SetIdleConnectionCheck(hasIdle func(backend message.BackendID) bool) {
 	b.hasIdleConnection = hasIdle
 }
--- a/internal/dataplane/balancer/completion.go
+++ b/internal/dataplane/balancer/completion.go
@@ -49,15 +49,15 @@
 }
 
 // markUnreachable ejects a backend that could not be connected to, by exponential backoff.
-func (backend *Backend) markUnreachable(now time.Time) {
-	backend.connectBackoff = min(maxConnectBackoff, max(initialConnectBackoff, backend.connectBackoff*2))
-	backend.isUnreachable, backend.probeAt = true, now.Add(backend.connectBackoff)
+func (b *Backend) markUnreachable(now time.Time) {
+	b.connectBackoff = min(maxConnectBackoff, max(initialConnectBackoff, b.connectBackoff*2))
+	b.isUnreachable, b.probeAt = true, now.Add(b.connectBackoff)
 }
 
 // markReachable ends the ejection of an unreachable backend after a probe that came through; it begins in slow start.
-func (backend *Backend) markReachable(now time.Time) {
-	if backend.isUnreachable {
-		backend.isUnreachable, backend.connectBackoff = false, 0
-		backend.stats.readySince = now
+func (b *Backend) markReachable(now time.Time) {
+	if b.isUnreachable {
+		b.isUnreachable, b.connectBackoff = false, 0
+		b.stats.readySince = now
 	}
 }
--- a/internal/dataplane/balancer/dispatcher.go
+++ b/internal/dataplane/balancer/dispatcher.go
@@ -13,7 +13,8 @@
 	tickInterval     = 50 * time.Millisecond
 )
 
-// Dispatcher owns a balancer: one goroutine carries out commands in order. Its methods may be called from any goroutine.
+// Dispatcher owns a balancer: one goroutine carries out commands in order. Its methods may be called from any
+// goroutine.
 type Dispatcher struct {
 	commands       chan func(*Balancer)
 	onUrgentDemand func()
@@ -69,8 +70,8 @@
 	}
 }
 
-// refreshQueued queries the peers' loads anew for the first request that waits for capacity. The goroutine ends with the
-// query.
+// refreshQueued queries the peers' loads anew for the first request that waits for capacity. The goroutine ends with
+// the query.
 func (d *Dispatcher) refreshQueued(ctx context.Context, b *Balancer) {
 	key, ok := b.FirstQueuedForCapacity()
 	if !ok || d.peerLoads == nil {
@@ -108,7 +109,8 @@
 	}
 }
 
-// cancel takes a request out of the queue. A backend that was picked in the same moment is returned: it must be finished.
+// cancel takes a request out of the queue. A backend that was picked in the same moment is returned: the attempt must
+// be finished.
 func (d *Dispatcher) cancel(ctx context.Context, request *Request) (PickResult, error) {
 	canceled := make(chan bool, 1)
 	d.commands <- func(b *Balancer) { canceled <- b.Cancel(request) }
@@ -144,7 +146,7 @@
 	Response    *message.PollResponse // number of proxies and pending loads
 	TotalLoads  []message.BackendLoad // of all proxies, taken with Response
 	// OnRemoved receives the backends that the list no longer has. It is called by the balancer's owner and must not
-	// wait; nil: nobody wants them.
+	// wait. It may be nil.
 	OnRemoved func([]*Backend)
 }
 
--- a/internal/dataplane/balancer/endpoints.go
+++ b/internal/dataplane/balancer/endpoints.go
@@ -10,9 +10,10 @@
 type Backend struct {
 	message.Backend
 	MaxConnections int // this proxy's share of the connections that the backend accepts
+	isListed       bool
 
-	readySince map[message.ModelName]time.Time // models and adapters that are loaded; zero: since before this proxy started
-	isListed   bool
+	// readySince has the models and adapters that are loaded. The zero time is before this proxy started.
+	readySince map[message.ModelName]time.Time
 
 	// The schedule.
 	stats    endpointStats
@@ -104,10 +105,10 @@
 }
 
 // setModels replaces the loaded models and adapters; since is the ready time of those that were not loaded before.
-func (backend *Backend) setModels(models []message.LoadedModel, since time.Time) {
+func (b *Backend) setModels(models []message.LoadedModel, since time.Time) {
 	loaded := map[message.ModelName]time.Time{}
 	add := func(name message.ModelName) {
-		if earlier, ok := backend.readySince[name]; ok {
+		if earlier, ok := b.readySince[name]; ok {
 			loaded[name] = earlier
 		} else {
 			loaded[name] = since
@@ -119,29 +120,29 @@
 			add(model.Name.WithAdapter(adapter))
 		}
 	}
-	backend.readySince = loaded
+	b.readySince = loaded
 }
 
 // hasModel reports whether the backend has loaded a model, and its adapter where one is named. An empty model is had by
 // all.
-func (backend *Backend) hasModel(model message.ModelName, now time.Time) bool {
+func (b *Backend) hasModel(model message.ModelName, now time.Time) bool {
 	if model == "" {
 		return true
 	}
-	if until, ok := backend.missingUntil[model]; ok {
+	if until, ok := b.missingUntil[model]; ok {
 		if now.Before(until) {
 			return false
 		}
-		delete(backend.missingUntil, model)
+		delete(b.missingUntil, model)
 	}
-	_, ok := backend.readySince[model]
+	_, ok := b.readySince[model]
 	return ok
 }
 
 // isEjected reports whether the backend is out of the schedule. An unreachable one takes a single probe at a time.
-func (backend *Backend) isEjected(now time.Time) bool {
-	if now.Before(backend.ejectedUntil) {
+func (b *Backend) isEjected(now time.Time) bool {
+	if now.Before(b.ejectedUntil) {
 		return true
 	}
-	return backend.isUnreachable && (backend.probeInFlight || now.Before(backend.probeAt))
+	return b.isUnreachable && (b.probeInFlight || now.Before(b.probeAt))
 }
--- a/internal/dataplane/balancer/loads.go
+++ b/internal/dataplane/balancer/loads.go
@@ -20,7 +20,8 @@
 	}
 	b.pendingLoads = b.pendingLoads[:0]
 	for _, load := range pending {
-		b.pendingLoads = append(b.pendingLoads, pendingLoad{load, now.Add(time.Duration(load.ReadyInMs) * time.Millisecond)})
+		readyAt := now.Add(time.Duration(load.ReadyInMs) * time.Millisecond)
+		b.pendingLoads = append(b.pendingLoads, pendingLoad{load, readyAt})
 	}
 	b.pickQueued(now)
 }
@@ -38,7 +39,8 @@
 			continue
 		}
 		load := others[backend.ID]
-		backend.othersInFlight, backend.othersQueuedPrefillMs, backend.othersUpdatedAt = load.Running, float64(load.Queued), now
+		backend.othersInFlight, backend.othersQueuedPrefillMs = load.Running, float64(load.Queued)
+		backend.othersUpdatedAt = now
 	}
 	b.pickQueued(now)
 }
@@ -74,6 +76,6 @@
 }
 
 // load is what this proxy has in flight at the backend.
-func (backend *Backend) load() message.BackendLoad {
-	return message.BackendLoad{Backend: backend.ID, Running: backend.inFlight, Queued: int(backend.queuedPrefillMs)}
+func (b *Backend) load() message.BackendLoad {
+	return message.BackendLoad{Backend: b.ID, Running: b.inFlight, Queued: int(b.queuedPrefillMs)}
 }
--- a/internal/dataplane/balancer/picker.go
+++ b/internal/dataplane/balancer/picker.go
@@ -95,11 +95,11 @@
 	return costMs / backend.weightFor(request, now)
 }
 
-// weightFor is the backend's weight for a request, in slow start also where the request's model or adapter is new there.
-func (backend *Backend) weightFor(request *Request, now time.Time) float64 {
-	model, adapter := backend.readySince[message.ModelOf(request.Model)], backend.readySince[request.Model]
+// weightFor is the backend's weight for a request. Slow start counts from the load of the model or adapter, too.
+func (b *Backend) weightFor(request *Request, now time.Time) float64 {
+	model, adapter := b.readySince[message.ModelOf(request.Model)], b.readySince[request.Model]
 	factor := min(slowStartFactor(model, now), slowStartFactor(adapter, now))
-	return max(minWeight, backend.weight*factor)
+	return max(minWeight, b.weight*factor)
 }
 
 // assign sends the request to the backend: its load counts from now on, until Finish.
--- a/internal/dataplane/balancer/rejection_test.go
+++ b/internal/dataplane/balancer/rejection_test.go
@@ -25,7 +25,8 @@
 	assert.Nil(t, result.Backend)
 	assert.Positive(t, result.RetryAfter)
 	b.SetBackends([]message.Backend{backendWith("a", "n", "m")}, start.Add(3*time.Second))
-	assert.Equal(t, message.BackendID("a"), (<-patient.result).Backend.ID, "queued requests get it as soon as it is loaded")
+	result = <-patient.result
+	assert.Equal(t, message.BackendID("a"), result.Backend.ID, "queued requests get it as soon as it is loaded")
 }
 
 func TestNoCapacity_RejectedAfterQuarterOfLatencyTarget(t *testing.T) {
--- a/internal/dataplane/balancer/weight_test.go
+++ b/internal/dataplane/balancer/weight_test.go
@@ -52,7 +52,8 @@
 func TestSlowStartFactor_FollowsA100(t *testing.T) {
 	assert.InDelta(t, math.Max(slowStartFloor, 1/slowStartWindow.Seconds()), slowStartFactor(start, start), 1e-9)
 	half := slowStartWindow / 2
-	assert.InDelta(t, math.Pow(half.Seconds()/slowStartWindow.Seconds(), 1/slowStartAggression), slowStartFactor(start, start.Add(half)), 1e-9)
+	risen := math.Pow(half.Seconds()/slowStartWindow.Seconds(), 1/slowStartAggression)
+	assert.InDelta(t, risen, slowStartFactor(start, start.Add(half)), 1e-9)
 	assert.Equal(t, 1.0, slowStartFactor(start, start.Add(slowStartWindow)))
 	assert.Equal(t, 1.0, slowStartFactor(time.Time{}, start), "ready since before the proxy started")
 }
--- a/internal/dataplane/ingress/attempt.go
+++ b/internal/dataplane/ingress/attempt.go
@@ -78,7 +78,9 @@
 }
 
 // handleError ends an attempt that brought no response.
-func (x *exchange) handleError(ctx context.Context, target *balancer.Backend, began time.Time, err error) attemptResult {
+func (x *exchange) handleError(
+	ctx context.Context, target *balancer.Backend, began time.Time, err error,
+) attemptResult {
 	var failure *backend.Error
 	wasSent := !errors.As(err, &failure) || failure.Phase == backend.Sent
 	outcome := balancer.Failed
--- a/internal/dataplane/ingress/exchange_test.go
+++ b/internal/dataplane/ingress/exchange_test.go
@@ -61,7 +61,8 @@
 func TestExchange_GatewayTimeoutAtRouteTimeout(t *testing.T) {
 	mute := newFakeBackend(t, func(conn net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, conn) })
 	p := newProxy(t, mute)
-	config, err := configuration.Parse([]byte(strings.ReplaceAll(routes, `"timeoutMs":60000,"targetMs":40000`, `"timeoutMs":150,"targetMs":100`)))
+	short := strings.ReplaceAll(routes, `"timeoutMs":60000,"targetMs":40000`, `"timeoutMs":150,"targetMs":100`)
+	config, err := configuration.Parse([]byte(short))
 	require.NoError(t, err)
 	p.handler.SetConfig(config)
 	began := time.Now()
--- a/internal/dataplane/ingress/fakebackend_test.go
+++ b/internal/dataplane/ingress/fakebackend_test.go
@@ -86,6 +86,7 @@
 	return b.seen
 }
 
+// respond writes a response in which ID stands for the request's ID.
 func respond(text string) script {
 	return func(conn net.Conn, request *http.Request) {
 		id := request.Header.Get(backend.HeaderRequestID)
@@ -94,7 +95,8 @@
 }
 
 func okResponse(body string) script {
-	return respond(fmt.Sprintf("HTTP/1.1 200 OK\nRequest-Id: ID\nServer-Seal: x\nContent-Length: %d\n\n%s", len(body), body))
+	head := "HTTP/1.1 200 OK\nRequest-Id: ID\nServer-Seal: x\n"
+	return respond(fmt.Sprintf("%sContent-Length: %d\n\n%s", head, len(body), body))
 }
 
 var rejection = respond("HTTP/1.1 503 No\nRequest-Id: ID\nNot-Run: 1\nContent-Length: 0\n\n")
@@ -102,7 +104,8 @@
 // stream responds with a stream of events, which ends properly or breaks off after them.
 func stream(isComplete bool, ids ...int) script {
 	return func(conn net.Conn, request *http.Request) {
-		respond("HTTP/1.1 200 OK\nRequest-Id: ID\nServer-Seal: x\nContent-Type: text/event-stream\nTransfer-Encoding: chunked\n\n")(conn, request)
+		respond("HTTP/1.1 200 OK\nRequest-Id: ID\nServer-Seal: x\n"+
+			"Content-Type: text/event-stream\nTransfer-Encoding: chunked\n\n")(conn, request)
 		for _, id := range ids {
 			event := fmt.Sprintf("id: %d\ndata: e%d\n\n", id, id)
 			fmt.Fprintf(conn, "%x\r\n%s\r\n", len(event), event)
--- a/internal/dataplane/ingress/handler.go
+++ b/internal/dataplane/ingress/handler.go
@@ -1,5 +1,5 @@
-// Package ingress serves clients' requests: it matches each to a route, has a backend picked for each attempt, and copies
-// the backend's response to the client.
+// Package ingress serves clients' requests: it matches each to a route, has a backend picked for each attempt, and
+// copies the backend's response to the client.
 //
 // Three rules stand above all others. A response 503 with Retry-After promises that the request has not run, so it is
 // sent only where no backend can have processed it. A request that may have run is retried only where its route allows
@@ -37,7 +37,7 @@
 	dispatcher *balancer.Dispatcher
 	pool       *backend.Pool
 	config     atomic.Pointer[configuration.Config] // nil: not known yet
-	confirmed  atomic.Int64                         // when the configuration was confirmed last, in nanoseconds since started
+	confirmed  atomic.Int64                         // nanoseconds from started to the last Confirm
 	started    time.Time
 	drain      drain
 	active     atomic.Int64
@@ -58,7 +58,8 @@
 // Confirm notes that the configuration in force is the newest. Without it the configuration becomes stale.
 func (h *Handler) Confirm() { h.confirmed.Store(int64(time.Since(h.started))) }
 
-// IdleTimeout is how long a client's connection may be idle by the configuration in force; 0: no configuration is known.
+// IdleTimeout is how long a client's connection may be idle by the configuration in force; 0: no configuration is
+// known.
 func (h *Handler) IdleTimeout() time.Duration {
 	if config := h.config.Load(); config != nil {
 		return config.Limits.IdleTimeout
@@ -125,7 +126,9 @@
 }
 
 // forward sends a request to backends, until its deadline.
-func (h *Handler) forward(w http.ResponseWriter, r *http.Request, route *configuration.Route, body []byte, arrived time.Time) {
+func (h *Handler) forward(
+	w http.ResponseWriter, r *http.Request, route *configuration.Route, body []byte, arrived time.Time,
+) {
 	deadline := arrived.Add(min(route.Timeout, timeLeft(r)))
 	ctx, cancel := context.WithDeadline(r.Context(), deadline.Add(-responseMargin))
 	defer cancel()
--- /dev/null
+++ b/internal/dataplane/loads/coordinators.go
@@ -0,0 +1,79 @@
+package loads
+
+import (
+	"cmp"
+	"hash/fnv"
+	"slices"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"pumiceline/internal/message"
+)
+
+// coordinators are the members of the control plane, in an order that is the same at all proxies: they have to meet at
+// the same coordinator.
+type coordinators struct {
+	members          []message.Member
+	unavailableUntil map[string]time.Time // by address
+}
+
+func (c *coordinators) set(members []message.Member) {
+	c.members = slices.Clone(members)
+	slices.SortFunc(c.members, func(a, b message.Member) int { return cmp.Compare(rank(a.Address), rank(b.Address)) })
+}
+
+func rank(address string) uint64 {
+	hash := fnv.New64a()
+	_, _ = hash.Write([]byte(address)) // writing to a hash does not fail
+	return hash.Sum64()
+}
+
+// preferred returns the address of the first coordinator that is not known to be unavailable; empty: there is none.
+func (c *coordinators) preferred(now time.Time) string {
+	for _, member := range c.members {
+		if now.After(c.unavailableUntil[member.Address]) {
+			return member.Address
+		}
+	}
+	return ""
+}
+
+func (c *coordinators) setUnavailable(address string, now time.Time) {
+	c.unavailableUntil[address] = now.Add(unavailableTime)
+}
+
+// isConnected reports whether the target can be written to now. Where it cannot, a connection is opened in the
+// background. The mutex must be held.
+func (e *Exchange) isConnected(target string) bool {
+	if target == "" {
+		return false
+	}
+	if e.client.IsConnected(target) {
+		return true
+	}
+	e.syncedWith = ""
+	if !e.isConnecting {
+		e.isConnecting = true
+		go e.connect(target) // it ends with the dial's time-out
+	}
+	return false
+}
+
+func (e *Exchange) connect(target string) {
+	err := e.client.Connect(target)
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.isConnecting = false
+	if err != nil {
+		e.coordinators.setUnavailable(target, time.Now())
+	}
+}
+
+// failOver leaves the preferred coordinator for the next one. The mutex must be held.
+func (e *Exchange) failOver(now time.Time) {
+	target := e.coordinators.preferred(now)
+	logrus.WithField("coordinator", target).Debug("load queries fail over to another coordinator")
+	e.coordinators.setUnavailable(target, now)
+	e.client.Disconnect()
+}
--- a/internal/dataplane/loads/exchange_test.go
+++ b/internal/dataplane/loads/exchange_test.go
@@ -13,7 +13,7 @@
 	"pumiceline/internal/transport"
 )
 
-// coordinator is a fake one: it hands out what it was told and answers by a function.
+// coordinator is a fake coordinator. It hands out the reports that it receives, and answers queries by a function.
 type coordinator struct {
 	member  message.Member
 	reports chan *message.LoadReport
@@ -24,7 +24,8 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
-	c := &coordinator{member: message.Member{Address: listener.Addr().String()}, reports: make(chan *message.LoadReport, 64)}
+	member := message.Member{Address: listener.Addr().String()}
+	c := &coordinator{member: member, reports: make(chan *message.LoadReport, 64)}
 	go transport.Serve(listener, func(m *message.Message, reply func(*message.Message)) {
 		c.reports <- m.LoadReport
 		if m.LoadReport.ID != 0 && answer != nil {
@@ -34,12 +35,12 @@
 	return c
 }
 
-func connected(t *testing.T, members ...message.Member) *Exchange {
+func newConnectedExchange(t *testing.T, members ...message.Member) *Exchange {
 	t.Helper()
 	e := New("p1")
-	e.timeout = time.Minute // a machine under load answers late
+	e.queryTimeout = time.Minute // a machine under load answers late
 	e.SetMembers(members)
-	require.NoError(t, e.client.Connect(e.members[0].Address))
+	require.NoError(t, e.client.Connect(e.coordinators.members[0].Address))
 	return e
 }
 
@@ -47,11 +48,11 @@
 	return message.BackendLoad{Backend: backend, Running: running, Queued: queued}
 }
 
-func TestTheFirstReportTellsEverythingAndTheNextWhatChanged(t *testing.T) {
+func TestExchange_FirstReportIsCompleteThenChanges(t *testing.T) {
 	c := newCoordinator(t, func(r *message.LoadReport) *message.LoadResponse {
 		return &message.LoadResponse{ID: r.ID, Loads: []message.BackendLoad{load("b9", 3, 4)}}
 	})
-	e := connected(t, c.member)
+	e := newConnectedExchange(t, c.member)
 	e.Publish([]message.BackendLoad{load("b1", 1, 50)})
 	loads, ok := e.Query(context.Background(), "s", "m")
 	require.True(t, ok)
@@ -61,46 +62,47 @@
 	assert.Equal(t, []message.BackendLoad{load("b1", 1, 50)}, first.Loads)
 	assert.Equal(t, message.ModelName("m"), first.Model)
 	e.Publish([]message.BackendLoad{load("b1", 0, 0)})
-	e.flush(false)
+	e.reportChanges()
 	second := <-c.reports
 	assert.False(t, second.Complete)
-	assert.Zero(t, second.ID, "it asks nothing")
+	assert.Zero(t, second.ID, "it is no query")
 	assert.Equal(t, []message.BackendLoad{load("b1", 0, 0)}, second.Loads)
-	e.flush(true)
+	e.reportAll()
 	third := <-c.reports
 	assert.True(t, third.Complete)
 	assert.Empty(t, third.Loads)
 }
 
-func TestWithoutAConnectionNothingIsWaitedFor(t *testing.T) {
+func TestQuery_FailsAtOnceWithoutConnection(t *testing.T) {
 	e := New("p1")
 	_, ok := e.Query(context.Background(), "s", "m")
 	assert.False(t, ok, "no coordinator is known")
 	e.SetMembers([]message.Member{{Address: "127.0.0.1:1"}})
 	_, ok = e.Query(context.Background(), "s", "m")
-	assert.False(t, ok, "none is reached")
+	assert.False(t, ok, "no coordinator is reached")
 }
 
-// TestASilentCoordinatorIsPassedOver has one that takes questions and answers none.
-func TestASilentCoordinatorIsPassedOver(t *testing.T) {
+// The coordinator receives queries and answers none.
+func TestQuery_FailsOverFromSilentCoordinator(t *testing.T) {
 	silent, other := newCoordinator(t, nil), newCoordinator(t, nil)
-	e := connected(t, silent.member, other.member)
-	e.timeout = time.Millisecond
-	first := e.members[0].Address
-	for range failuresMost {
+	e := newConnectedExchange(t, silent.member, other.member)
+	e.queryTimeout = time.Millisecond
+	first := e.coordinators.members[0].Address
+	for range maxFailures {
 		_, ok := e.Query(context.Background(), "s", "m")
 		assert.False(t, ok)
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	assert.Equal(t, e.members[1].Address, e.target(e.passedOver[first]))
-	assert.Equal(t, first, e.target(e.passedOver[first].Add(1)), "after a while it is asked again")
+	until := e.coordinators.unavailableUntil[first]
+	assert.Equal(t, e.coordinators.members[1].Address, e.coordinators.preferred(until))
+	assert.Equal(t, first, e.coordinators.preferred(until.Add(1)), "it is queried again when that time is over")
 }
 
-func TestAllProxiesAskTheSame(t *testing.T) {
+func TestSetMembers_SameOrderAtAllProxies(t *testing.T) {
 	a, b, c := message.Member{Address: "x:1"}, message.Member{Address: "y:1"}, message.Member{Address: "z:1"}
 	one, two := New("p1"), New("p2")
 	one.SetMembers([]message.Member{a, b, c})
 	two.SetMembers([]message.Member{c, a, b})
-	assert.Equal(t, one.members, two.members)
+	assert.Equal(t, one.coordinators.members, two.coordinators.members)
 }
