--- /dev/null
+++ b/internal/dataplane/proxy/demandnotifier.go
@@ -0,0 +1,43 @@
+package proxy
+
+import (
+	"context"
+	"time"
+
+	"pumiceline/internal/controlplane/distribution"
+)
+
+// minNotifyInterval is the least time between two polls for urgent demand.
+const minNotifyInterval = 60 * time.Millisecond
+
+// demandNotifier reports demand to the coordinators at once when a request waits for a model that no backend has
+// loaded.
+type demandNotifier struct{ pending chan struct{} } // holds one signal
+
+func newDemandNotifier() *demandNotifier { return &demandNotifier{pending: make(chan struct{}, 1)} }
+
+// notify asks for a report. It does not wait; several calls before the report are one.
+func (n *demandNotifier) notify() {
+	select {
+	case n.pending <- struct{}{}:
+	default:
+	}
+}
+
+// run reports until ctx ends.
+func (n *demandNotifier) run(ctx context.Context, poller *distribution.Poller) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-n.pending:
+			poller.PollNow(ctx)
+		}
+		timer := time.NewTimer(minNotifyInterval)
+		select {
+		case <-ctx.Done():
+		case <-timer.C:
+		}
+		timer.Stop()
+	}
+}
--- /dev/null
+++ b/internal/dataplane/proxy/discoveryfallback.go
@@ -0,0 +1,60 @@
+package proxy
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"pumiceline/internal/dataplane/balancer"
+)
+
+const (
+	// staleAfter is the age of the list of backends from which a proxy reads it from the platform itself.
+	staleAfter = 2 * time.Second
+	// fallbackInterval is the least time between two such reads; up to as much is added at random.
+	fallbackInterval = 500 * time.Millisecond
+	// fallbackRateShare is the share of the platform's rate limit that all proxies together use for these reads.
+	fallbackRateShare = 0.3
+)
+
+// runDiscoveryFallback reads the list of backends from the platform while no coordinator brings a fresh one, until ctx
+// ends.
+func (s *subscription) runDiscoveryFallback(ctx context.Context) {
+	for ctx.Err() == nil {
+		timer := time.NewTimer(fallbackInterval + rand.N(fallbackInterval))
+		select {
+		case <-ctx.Done():
+		case <-timer.C:
+			s.readIfStale(ctx)
+		}
+		timer.Stop()
+	}
+}
+
+// readIfStale reads the list where it is stale. To keep to the rate limit, each proxy reads with a probability by which
+// all together stay below it. A failed read is ignored: another one follows.
+func (s *subscription) readIfStale(ctx context.Context) {
+	isStale, probability := s.fallbackState()
+	if !isStale || rand.Float64() > probability {
+		return
+	}
+	table, err := s.reader.Read(ctx)
+	if err != nil {
+		return
+	}
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if !table.Observed.After(s.observedAt) {
+		return
+	}
+	s.observedAt, s.table = table.Observed, table
+	s.dispatcher.Update(balancer.Update{Backends: table.Backends, HasBackends: true, OnRemoved: s.closeConnections})
+}
+
+func (s *subscription) fallbackState() (isStale bool, probability float64) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	isStale = time.Since(s.observedAt) > staleAfter
+	probability = s.settings.Platform.RatePerS * fallbackRateShare * fallbackInterval.Seconds() / float64(s.proxies)
+	return isStale, probability
+}
--- a/internal/dataplane/proxy/idle_test.go
+++ b/internal/dataplane/proxy/idleconnections_test.go
@@ -13,26 +13,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestConnectionsRestNoLongerThanTheLimit lets a real server's connection rest, and the clock of the sweep go on.
-func TestConnectionsRestNoLongerThanTheLimit(t *testing.T) {
+// A real server's connection is idle, while the clock of the sweep is moved on.
+func TestIdleConnections_ClosedBeyondLimit(t *testing.T) {
 	idle := &idleConnections{}
-	resting := make(chan struct{}, 8)
+	idled := make(chan struct{}, 8)
 	server := &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "a") }),
 		ConnState: func(conn net.Conn, state http.ConnState) {
 			idle.track(conn, state)
 			if state == http.StateIdle {
-				resting <- struct{}{}
+				idled <- struct{}{}
 			}
 		},
 	}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	defer server.Close()
+	t.Cleanup(func() { server.Close() })
 	go func() { _ = server.Serve(listener) }()
 	conn, err := net.Dial("tcp", listener.Addr().String())
 	require.NoError(t, err)
-	defer conn.Close()
+	t.Cleanup(func() { conn.Close() })
 	reader := bufio.NewReader(conn)
 	const limit = 10 * time.Second
 	ask := func() error {
@@ -42,7 +42,7 @@
 			return err
 		}
 		_, err = io.ReadAll(response.Body)
-		<-resting
+		<-idled
 		return err
 	}
 	require.NoError(t, ask())
@@ -51,5 +51,5 @@
 	require.NoError(t, ask(), "within the limit, or without one, it stays")
 	idle.closeExpired(time.Now().Add(limit+2*idleGrace), limit)
 	_, err = reader.ReadByte()
-	assert.Error(t, err, "beyond it the server closes it")
+	assert.Error(t, err, "beyond the limit the server closes it")
 }
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy assembles a machine's part in the data plane: the clients' listener, readiness, and what it pulls
-// from the coordinators.
+// Package proxy assembles the data plane's process: the listener for clients, the readiness check, and the subscription
+// to the coordinators.
 package proxy
 
 import (
@@ -19,113 +19,157 @@
 	"pumiceline/internal/dataplane/balancer"
 	"pumiceline/internal/dataplane/ingress"
 	"pumiceline/internal/dataplane/loads"
+	"pumiceline/internal/logkey"
 )
 
-// Times of a proxy.
 const (
-	pullHold       = 400 * time.Millisecond
-	idleTimeout    = 3 * time.Minute // the operator's limit ends most connections before
+	// maxPollWait is how long a coordinator holds a poll while there is nothing new.
+	maxPollWait = 400 * time.Millisecond
+	// sweepInterval is how often idle connections are checked for expiration.
+	sweepInterval = 1 * time.Second
+
+	// Limits of the listeners. The operator's limit closes most idle connections before idleTimeout does.
+	idleTimeout    = 3 * time.Minute
 	headerTimeout  = 10 * time.Second
-	noticeTime     = 2500 * time.Millisecond // the platform needs two missed checks to send no more connections
-	noticeShare    = 0.4                     // of the grace time, at the most
-	stopMargin     = 300 * time.Millisecond  // before the end of the grace time; an exit takes some milliseconds
-	drainPoll      = 50 * time.Millisecond
-	poolSweep      = 1 * time.Second
 	maxHeaderBytes = 64 << 10
+
+	// noticeTime is how long a draining proxy goes on accepting connections: the platform needs two failed readiness
+	// checks to send no more. It is at most noticeShare of the grace time.
+	noticeTime  = 2500 * time.Millisecond
+	noticeShare = 0.4
+	// stopMargin is kept of the grace time for the exit itself.
+	stopMargin = 300 * time.Millisecond
 )
 
 // Proxy is the data plane's process.
 type Proxy struct {
-	settings *bootstrap.Settings
-	handler  *ingress.Handler
-	feed     *feed
-	leaving  atomic.Bool
-	idle     idleConnections
+	settings     *bootstrap.Settings
+	pool         *backend.Pool
+	loads        *loads.Exchange
+	notifier     *demandNotifier
+	handler      *ingress.Handler
+	subscription *subscription
+	poller       *distribution.Poller
+	idle         idleConnections
+	isDraining   atomic.Bool
 }
 
-// Run serves until ctx ends, then stops in order.
+// Run serves until ctx ends, then drains within the grace time. An error is one of a listener. The process is expected
+// to exit afterwards: background goroutines are stopped but not waited for, as that could outlast the grace time.
 func Run(ctx context.Context, settings *bootstrap.Settings) error {
-	running, stop := context.WithCancel(context.Background())
+	background, stop := context.WithCancel(context.Background())
 	defer stop()
-	budget := balancer.NewRetryBudget(settings.Bounds.RetryWindow, settings.Bounds.RetryRatio, settings.Bounds.RetryExtra, time.Now())
-	urgent := newUrgency()
-	exchange := loads.New(settings.Node + "/" + settings.IP)
-	pool := backend.NewPool()
-	chooser := balancer.New(budget)
-	chooser.SetIdleConnectionCheck(pool.HasIdle)
-	dispatcher := balancer.NewDispatcher(running, chooser, balancer.DispatcherOptions{OnUrgentDemand: urgent.raise, PeerLoads: exchange})
-	handler := ingress.New(dispatcher, pool)
-	feed := newFeed(settings, dispatcher, handler, pool, exchange, coordinator.SeedAddresses(settings))
-	p := &Proxy{settings: settings, handler: handler, feed: feed}
-	poller := distribution.NewPoller(settings.Node+"/"+settings.IP, feed, pullHold)
-	go poller.Run(running)
-	go exchange.Run(running)
-	go urgent.run(running, poller)
-	go feed.watch(running)
-	go p.sweep(running, pool)
-	ready := &http.Server{Handler: http.HandlerFunc(p.serveReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout}
-	front := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
+	p := newProxy(background, settings)
+	p.start(background)
+	front, err := p.listen()
+	if err != nil {
+		return err
+	}
+	<-ctx.Done()
+	return p.drain(front)
+}
+
+// newProxy assembles a proxy. Its dispatcher ends with ctx.
+func newProxy(ctx context.Context, settings *bootstrap.Settings) *Proxy {
+	identity := settings.Node + "/" + settings.IP
+	p := &Proxy{
+		settings: settings, pool: backend.NewPool(), loads: loads.New(identity), notifier: newDemandNotifier(),
+	}
+	bounds := settings.Bounds
+	budget := balancer.NewRetryBudget(bounds.RetryWindow, bounds.RetryRatio, bounds.RetryExtra, time.Now())
+	picker := balancer.New(budget)
+	picker.SetIdleConnectionCheck(p.pool.HasIdle)
+	dispatcher := balancer.NewDispatcher(ctx, picker, balancer.DispatcherOptions{
+		OnUrgentDemand: p.notifier.notify, PeerLoads: p.loads,
+	})
+	p.handler = ingress.New(dispatcher, p.pool)
+	p.subscription = newSubscription(subscriptionOptions{
+		settings: settings, seeds: coordinator.SeedAddresses(settings),
+		dispatcher: dispatcher, handler: p.handler, pool: p.pool, loads: p.loads,
+	})
+	p.poller = distribution.NewPoller(identity, p.subscription, maxPollWait)
+	return p
+}
+
+// start starts the background goroutines, which end with ctx.
+func (p *Proxy) start(ctx context.Context) {
+	go p.poller.Run(ctx)
+	go p.loads.Run(ctx)
+	go p.notifier.run(ctx, p.poller)
+	go p.subscription.runDiscoveryFallback(ctx)
+	go p.sweepConnections(ctx)
+}
+
+// listen starts the listeners, for readiness checks and for clients, and returns the clients' server.
+func (p *Proxy) listen() (front *http.Server, err error) {
+	ready := &http.Server{
+		Handler: http.HandlerFunc(p.serveReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
+	}
+	front = &http.Server{
+		Handler: p.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: p.idle.track,
 	}
-	if err := serve(ready, settings.ReadyAddress); err != nil {
-		return err
+	if err := serve(ready, p.settings.ReadyAddress); err != nil {
+		return nil, err
 	}
-	if err := serve(front, settings.FrontAddress); err != nil {
-		return err
+	if err := serve(front, p.settings.FrontAddress); err != nil {
+		return nil, err
 	}
-	<-ctx.Done()
-	return p.stop(front)
+	return front, nil
 }
 
+// serve opens a listener and serves it in the background, until the server is shut down.
 func serve(server *http.Server, address string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return errors.Wrap(err, "listening")
+		return errors.Wrapf(err, "listen on %s", address)
 	}
 	go func() {
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			logrus.WithError(err).WithField("address", address).Error("a listener stopped")
+			logrus.WithError(err).WithField(logkey.Address, address).Error("listener failed")
 		}
 	}()
 	return nil
 }
 
+// serveReady answers a readiness check.
 func (p *Proxy) serveReady(w http.ResponseWriter, _ *http.Request) {
-	if p.leaving.Load() || !p.feed.isReady() {
+	if p.isDraining.Load() || !p.subscription.isReady.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// stop goes on serving until no new connections come, and then until all that was taken is answered.
-func (p *Proxy) stop(front *http.Server) error {
-	ends := time.Now().Add(p.settings.Bounds.Grace - stopMargin)
-	p.leaving.Store(true)
+// drain goes on serving until the platform sends no new connections, and then until all requests are finished, within
+// the grace time.
+func (p *Proxy) drain(front *http.Server) error {
+	grace := p.settings.Bounds.Grace
+	ends := time.Now().Add(grace - stopMargin)
+	p.isDraining.Store(true)
 	p.handler.StartDraining(ends)
-	logrus.Info("stopping")
-	time.Sleep(min(noticeTime, time.Duration(noticeShare*float64(p.settings.Bounds.Grace))))
+	logrus.Info("draining")
+	time.Sleep(min(noticeTime, time.Duration(noticeShare*float64(grace))))
 	ctx, cancel := context.WithDeadline(context.Background(), ends)
 	defer cancel()
 	err := front.Shutdown(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
-		logrus.WithField("requests", p.handler.Active()).Warn("the grace time is over with requests under way")
+		logrus.WithField(logkey.Requests, p.handler.Active()).Warn("grace time over with requests in flight")
 		return nil
 	}
-	return errors.Wrap(err, "stopping")
+	return errors.Wrap(err, "shut down the listener")
 }
 
-// sweep closes connections that have rested for too long: to backends, and of clients.
-func (p *Proxy) sweep(ctx context.Context, pool *backend.Pool) {
-	ticker := time.NewTicker(poolSweep)
+// sweepConnections closes connections that have been idle for too long, to backends and of clients, until ctx ends.
+func (p *Proxy) sweepConnections(ctx context.Context) {
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			pool.CloseExpired()
+			p.pool.CloseExpired()
 			p.idle.closeExpired(now, p.handler.IdleTimeout())
 		}
 	}
