--- a/internal/controlplane/configuration/judge.go
+++ b/internal/controlplane/configuration/judge.go
@@ -17,18 +17,18 @@
 
 // Judge decides an operator's change on top of a state: it was taken before, it is to be applied, or it is refused
 // with 412 (another version is current) or 400 (invalid; the body names the places).
-func Judge(state *message.ChainState, call *message.ConfigRequest) replica.Decision {
+func Judge(state *message.ChainState, call *message.ConfigRequest) replica.ValidationResult {
 	digest := Digest(call)
 	taken := func(change message.Change) bool { return bytes.Equal(change.Digest, digest) }
 	if slices.ContainsFunc(state.History, taken) {
-		return replica.Decision{Status: http.StatusOK}
+		return replica.ValidationResult{Status: http.StatusOK}
 	}
 	base, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(call.IfMatch), `"`), 10, 64)
 	if err != nil {
 		return refuse(http.StatusBadRequest, errors.New("If-Match: a version is wanted"))
 	}
 	if base < state.Horizon {
-		return replica.Decision{} // it may have been taken so long ago that nothing is known of it
+		return replica.ValidationResult{} // it may have been taken so long ago that nothing is known of it
 	}
 	if base > state.Version {
 		return judgeAhead(call)
@@ -42,8 +42,8 @@
 			return refuse(http.StatusBadRequest, err)
 		}
 	}
-	if len(document) > replica.MaxDocument {
-		return refuse(http.StatusRequestEntityTooLarge, errors.Errorf("%d bytes; at most %d are kept", len(document), replica.MaxDocument))
+	if len(document) > replica.MaxDocumentBytes {
+		return refuse(http.StatusRequestEntityTooLarge, errors.Errorf("%d bytes; at most %d are kept", len(document), replica.MaxDocumentBytes))
 	}
 	config, err := Parse(document)
 	if err != nil {
@@ -53,27 +53,27 @@
 		return refuse(http.StatusBadRequest, errors.Errorf("version: %d is not above %d", config.Version, state.Version))
 	}
 	change := message.Change{Version: config.Version, Base: base, Digest: digest}
-	return replica.Decision{Status: http.StatusOK, Apply: true, Change: change, Document: document}
+	return replica.ValidationResult{Status: http.StatusOK, Apply: true, Change: change, Document: document}
 }
 
 // judgeAhead decides a change on top of a version that is not in force yet. The change that brings that version may be
 // under way, and a copy of this one may be judged again after it, so it must not be refused; what no state makes valid
 // may be.
-func judgeAhead(call *message.ConfigRequest) replica.Decision {
+func judgeAhead(call *message.ConfigRequest) replica.ValidationResult {
 	if call.Method == http.MethodPut {
 		if _, err := Parse(call.Body); err != nil {
 			return refuse(http.StatusBadRequest, err)
 		}
 	}
-	return replica.Decision{}
+	return replica.ValidationResult{}
 }
 
-func refuse(status int, err error) replica.Decision {
+func refuse(status int, err error) replica.ValidationResult {
 	body, marshalErr := json.Marshal(map[string]string{"error": err.Error()})
 	if marshalErr != nil {
 		body = nil
 	}
-	return replica.Decision{Status: status, Body: body}
+	return replica.ValidationResult{Status: status, Body: body}
 }
 
 // Digest tells calls apart: a call that is sent again has the same one.
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -81,8 +81,8 @@
 // newReplicaLoop makes the replica from what was found on disk, together with the parts that carry out its outputs.
 func newReplicaLoop(self message.Member, settings *bootstrap.Settings, stored *storedState) *replicaLoop {
 	options := replica.Options{
-		Self: self, Seeds: SeedAddresses(settings), Tolerance: settings.Tolerance, Lease: LeaseDuration,
-		FirstStart: settings.FirstStart, Volatile: stored.ring == nil, Incarnation: newIncarnation(),
+		Self: self, Seeds: SeedAddresses(settings), Tolerance: settings.Tolerance, LeaseDuration: LeaseDuration,
+		FirstStart: settings.FirstStart, Diskless: stored.ring == nil, Incarnation: newIncarnation(),
 	}
 	l := &replicaLoop{
 		started: time.Now(), inbox: make(chan *message.Message, inboxLength), leaving: make(chan struct{}),
--- a/internal/controlplane/coordinator/replica_loop.go
+++ b/internal/controlplane/coordinator/replica_loop.go
@@ -145,7 +145,7 @@
 // publish brings the snapshot and the hub up to date with the replica.
 func (l *replicaLoop) publish() {
 	s := l.takeSnapshot()
-	if served := l.replica.Served(); served.Sequence > l.publishedSequence {
+	if served := l.replica.CommittedState(); served.Sequence > l.publishedSequence {
 		l.publishedSequence = served.Sequence
 		l.hub.SetConfig(message.ConfigUpdate{Sequence: served.Sequence, Document: served.Document})
 	}
@@ -155,22 +155,22 @@
 }
 
 func (l *replicaLoop) takeSnapshot() *membershipSnapshot {
-	served := l.replica.Served()
+	served := l.replica.CommittedState()
 	s := &membershipSnapshot{
 		view:         l.replica.View(),
 		isMember:     l.replica.IsMember(),
-		canStop:      l.replica.MayStop(),
+		canStop:      l.replica.CanStop(),
 		sequence:     served.Sequence,
 		version:      served.Version,
 		hasMajority:  l.replica.HasMajority(),
-		servingUntil: l.started.Add(l.replica.ServesUntil()),
-		waitingFor:   l.replica.WaitsFor(),
+		servingUntil: l.started.Add(l.replica.ServingUntil()),
+		waitingFor:   l.replica.WaitingFor(),
 	}
-	if address, ok := l.replica.LeaseHolder(); ok {
+	if address, ok := l.replica.LeaseHolderAddress(); ok {
 		s.leaseHolder = address
 	}
-	if token, since, until, ok := l.replica.Lease(l.now()); ok {
-		s.leaseToken, s.leaseStart, s.leaseUntil = token, l.started.Add(since), l.started.Add(until)
+	if lease, ok := l.replica.Lease(l.now()); ok {
+		s.leaseToken, s.leaseStart, s.leaseUntil = lease.Token, l.started.Add(lease.HeldSince), l.started.Add(lease.ExpiresAt)
 	}
 	return s
 }
--- a/internal/controlplane/coordinator/state.go
+++ b/internal/controlplane/coordinator/state.go
@@ -62,7 +62,7 @@
 		if _, err := change.UnmarshalMsg(record); err != nil {
 			return errors.Wrapf(err, "decode change %d after the configuration on disk", i+1)
 		}
-		next, err := replica.Extend(&s.chain, &change)
+		next, err := replica.ApplyChange(&s.chain, &change)
 		if err != nil {
 			return errors.Wrapf(err, "apply change %d after the configuration on disk", i+1)
 		}
--- a/internal/controlplane/coordinator/state_writer.go
+++ b/internal/controlplane/coordinator/state_writer.go
@@ -117,8 +117,8 @@
 		}
 		if out.Chain != nil {
 			w.chain = out.Chain
-			batch.changes = append(batch.changes, out.Additions...)
-			batch.replacesChain = batch.replacesChain || len(out.Additions) == 0
+			batch.changes = append(batch.changes, out.AppendedRecords...)
+			batch.replacesChain = batch.replacesChain || len(out.AppendedRecords) == 0
 		}
 	}
 	return batch
--- a/internal/controlplane/coordinator/state_writer_test.go
+++ b/internal/controlplane/coordinator/state_writer_test.go
@@ -67,7 +67,7 @@
 		Previous: state.Digest, Change: decision.Change, Delta: delta.Make(state.Document, decision.Document),
 		DocumentDigest: replica.DocumentDigest(decision.Document),
 	}
-	next, err := replica.Extend(state, &record)
+	next, err := replica.ApplyChange(state, &record)
 	require.NoError(t, err)
 	return next, record
 }
@@ -82,10 +82,10 @@
 		next, record := extend(t, &state)
 		state = next
 		written := state
-		out := replica.Output{Chain: &written, Additions: []message.ChangeRecord{record}}
+		out := replica.Output{Chain: &written, AppendedRecords: []message.ChangeRecord{record}}
 		switch i % 97 {
 		case 0:
-			out.Additions = nil // replaced, as by a snapshot
+			out.AppendedRecords = nil // replaced, as by a snapshot
 		case 1:
 			out.Control = &message.ControlState{Identity: message.MemberID(fmt.Sprint(i))}
 		}
@@ -129,7 +129,7 @@
 	w := newStateWriter(stored.ring, &stored.chain, func([]message.Message) {})
 	state, record := extend(t, &stored.chain)
 	w.write([]replica.Output{{Chain: &stored.chain}})
-	w.write([]replica.Output{{Chain: &state, Additions: []message.ChangeRecord{record}}})
+	w.write([]replica.Output{{Chain: &state, AppendedRecords: []message.ChangeRecord{record}}})
 	require.NoError(t, stored.ring.Append(chainRecord, [][]byte{[]byte("no change")}, nil))
 	_, err := openState(dir)
 	assert.ErrorContains(t, err, "change 2 after the configuration on disk")
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -194,12 +194,12 @@
 	require.NoError(t, err)
 	options := replica.Options{
 		Self:      message.Member{Identity: "another-identity", Address: "10.0.0.1:7000", Zone: "z1"},
-		Tolerance: 1, Lease: LeaseDuration, Incarnation: 1,
+		Tolerance: 1, LeaseDuration: LeaseDuration, Incarnation: 1,
 	}
 	started := replica.New(options, configuration.Judge, 0, stored.control, stored.chain)
 	assert.Equal(t, message.MemberID("node-a-00112233"), started.Identity())
 	assert.Equal(t, storedControl.View, started.View())
 	assert.True(t, started.IsMember())
 	assert.True(t, started.IsComplete())
-	assert.Equal(t, "the decision on view 13", started.WaitsFor())
+	assert.Equal(t, "the decision on view 13", started.WaitingFor())
 }
--- a/internal/controlplane/replica/agreement_model_test.go
+++ b/internal/controlplane/replica/agreement_model_test.go
@@ -35,7 +35,7 @@
 		seeds = append(seeds, address(i))
 	}
 	for i := range count {
-		options := Options{Self: message.Member{Address: address(i)}, Seeds: seeds, Tolerance: 1, Lease: time.Second, FirstStart: true}
+		options := Options{Self: message.Member{Address: address(i)}, Seeds: seeds, Tolerance: 1, LeaseDuration: time.Second, FirstStart: true}
 		member := New(options, accept, 0, message.ControlState{}, message.ChainState{})
 		m.members = append(m.members, member)
 		m.disks = append(m.disks, *member.takeOutput().Control)
@@ -45,7 +45,7 @@
 
 // value is the view that a member proposes: the present one with a name of its own.
 func (m *agreementModel) value(proposer int) message.View {
-	view := FirstView([]string{address(0), address(1), address(2)})
+	view := InitialView([]string{address(0), address(1), address(2)})
 	view.Number = 2
 	view.Members[0].Zone = fmt.Sprintf("%d-%d", proposer, m.random.IntN(1000))
 	return view
@@ -77,7 +77,7 @@
 	if len(m.flight) == 0 || m.random.IntN(12) == 0 {
 		index := m.random.IntN(len(m.members))
 		if member := m.members[index]; member.View().Number == 1 {
-			member.beginRound(m.value(index))
+			member.prepare(m.value(index))
 			m.carryOut(index, member.takeOutput())
 		}
 		return
--- a/internal/controlplane/replica/agreement_test.go
+++ b/internal/controlplane/replica/agreement_test.go
@@ -15,14 +15,14 @@
 	g := newGroup(t, 3)
 	g.tick(2 * time.Second)
 	head := g.members[0]
-	head.beginRound(message.View{Number: 2})
+	head.prepare(message.View{Number: 2})
 	out := head.takeOutput()
 	require.NotNil(t, out.Control)
 	require.NotEmpty(t, out.AfterSync, "Prepare waits for the disk")
 	assert.Equal(t, out.AfterSync[0].Prepare.Proposal, out.Control.HighestProposal)
 	restarted := New(head.options, accept, g.now, *out.Control, head.chain)
-	restarted.beginRound(message.View{Number: 2})
-	assert.True(t, out.Control.HighestProposal.Less(restarted.proposal.ballot))
+	restarted.prepare(message.View{Number: 2})
+	assert.True(t, out.Control.HighestProposal.Less(restarted.proposal.number))
 }
 
 // Only voters count, whoever else answers.
@@ -30,10 +30,10 @@
 	g := newGroup(t, 3)
 	g.tick(2 * time.Second)
 	head := g.members[0]
-	head.beginRound(message.View{Number: 2, Members: head.View().Members})
+	head.prepare(message.View{Number: 2, Members: head.View().Members})
 	head.takeOutput()
 	for _, stranger := range []message.MemberID{"a", "b", "c"} {
-		m := message.Message{From: stranger, To: head.Identity(), View: 1, PrepareResponse: &message.PrepareResponse{Proposal: head.proposal.ballot}}
+		m := message.Message{From: stranger, To: head.Identity(), View: 1, PrepareResponse: &message.PrepareResponse{Proposal: head.proposal.number}}
 		head.Step(g.now, &m)
 	}
 	assert.False(t, head.proposal.accepting)
--- a/internal/controlplane/replica/calls.go
+++ b/internal/controlplane/replica/calls.go
@@ -6,10 +6,10 @@
 	"pumiceline/internal/message"
 )
 
-// onConfigCall takes an operator's call: the member that the operator reached passes it on, the head decides changes
+// onConfigRequest takes an operator's call: the member that the operator reached passes it on, the head decides changes
 // and the tail answers reads.
-func (r *Replica) onConfigCall(m *message.Message) {
-	target, ok := r.responsibleFor(m.ConfigRequest)
+func (r *Replica) onConfigRequest(m *message.Message) {
+	target, ok := r.responderFor(m.ConfigRequest)
 	if !ok {
 		return
 	}
@@ -19,19 +19,19 @@
 		}
 		return
 	}
-	if len(r.link.calls) >= maxWaitingCalls {
+	if len(r.link.pending) >= maxPendingRequests {
 		return
 	}
-	for _, waiting := range r.link.calls {
-		if waiting.from.Identity == m.From && waiting.call.ID == m.ConfigRequest.ID {
+	for _, waiting := range r.link.pending {
+		if waiting.from.Identity == m.From && waiting.request.ID == m.ConfigRequest.ID {
 			return
 		}
 	}
-	r.link.calls = append(r.link.calls, waitingCall{from: r.sender(m), call: *m.ConfigRequest, arrived: r.now})
-	r.serveCalls()
+	r.link.pending = append(r.link.pending, pendingRequest{from: r.sender(m), request: *m.ConfigRequest, receivedAt: r.now})
+	r.dispatchPendingRequests()
 }
 
-func (r *Replica) responsibleFor(call *message.ConfigRequest) (message.Member, bool) {
+func (r *Replica) responderFor(call *message.ConfigRequest) (message.Member, bool) {
 	members := r.control.View.Members
 	if len(members) == 0 {
 		return message.Member{}, false
@@ -42,69 +42,69 @@
 	return members[0], true
 }
 
-// serveCalls decides the waiting calls as far as it can now.
-func (r *Replica) serveCalls() {
-	for len(r.link.calls) > 0 && r.link.synced && r.link.settled && r.link.deciding == nil {
-		next := r.link.calls[0]
-		r.link.calls = r.link.calls[1:]
-		if r.now-next.arrived > callLifetime {
+// dispatchPendingRequests decides the waiting calls as far as it can now.
+func (r *Replica) dispatchPendingRequests() {
+	for len(r.link.pending) > 0 && r.link.synced && r.link.committed && r.link.inFlight == nil {
+		next := r.link.pending[0]
+		r.link.pending = r.link.pending[1:]
+		if r.now-next.receivedAt > requestTimeout {
 			continue
 		}
-		if next.call.Method == http.MethodGet {
-			r.read(next)
+		if next.request.Method == http.MethodGet {
+			r.answerRead(next)
 		} else {
-			r.decide(next)
+			r.processChange(next)
 		}
 	}
 }
 
-// read answers with the state of the tail once a majority has confirmed that the view is the newest.
-func (r *Replica) read(call waitingCall) {
+// answerRead answers with the state of the tail once a majority has confirmed that the view is the newest.
+func (r *Replica) answerRead(call pendingRequest) {
 	if !r.isTail() {
 		return
 	}
-	r.confirm(func() {
-		if r.link.settled {
-			r.answer(call, http.StatusOK, r.chain.Document)
+	r.whenViewConfirmed(func() {
+		if r.link.committed {
+			r.respond(call, http.StatusOK, r.chain.Document)
 		}
 	})
 }
 
-func (r *Replica) decide(call waitingCall) {
-	if !r.isHead() || !r.hasDurability() {
+func (r *Replica) processChange(call pendingRequest) {
+	if !r.isHead() || !r.isDurable() {
 		return // its relay asks again
 	}
-	decision := r.judge(&r.chain, &call.call)
+	decision := r.validate(&r.chain, &call.request)
 	switch {
 	case decision.Apply:
 		record := newRecord(&r.chain, decision.Change, decision.Document, r.control.View.Number)
-		if r.apply(record) != nil {
+		if r.applyChange(record) != nil {
 			return // it is larger than it may be, which the judge refuses
 		}
-		r.link.deciding = &call
-		r.passDown(&message.Replicate{Change: record, Sequence: r.chain.Sequence, Digest: r.chain.Digest})
+		r.link.inFlight = &call
+		r.forwardToSuccessor(&message.Replicate{Change: record, Sequence: r.chain.Sequence, Digest: r.chain.Digest})
 	case decision.Status == 0: // its relay asks again
 	case decision.Status == http.StatusOK:
 		// What is settled in this view is held by every complete member, so it is there in every later view too: no
 		// majority has to be asked.
-		r.answer(call, decision.Status, decision.Body)
+		r.respond(call, decision.Status, decision.Body)
 	default:
 		// A head that was replaced without knowing it must refuse nothing.
-		r.confirm(func() { r.answer(call, decision.Status, decision.Body) })
+		r.whenViewConfirmed(func() { r.respond(call, decision.Status, decision.Body) })
 	}
 }
 
-// finishCurrent acknowledges the change that has settled.
-func (r *Replica) finishCurrent() {
-	if r.link.deciding == nil {
+// acknowledgeChange acknowledges the change that has settled.
+func (r *Replica) acknowledgeChange() {
+	if r.link.inFlight == nil {
 		return
 	}
-	call := *r.link.deciding
-	r.link.deciding = nil
-	r.answer(call, http.StatusOK, nil)
+	call := *r.link.inFlight
+	r.link.inFlight = nil
+	r.respond(call, http.StatusOK, nil)
 }
 
-func (r *Replica) answer(call waitingCall, status int, body []byte) {
-	result := &message.ConfigResponse{ID: call.call.ID, Status: status, Body: body}
+func (r *Replica) respond(call pendingRequest, status int, body []byte) {
+	result := &message.ConfigResponse{ID: call.request.ID, Status: status, Body: body}
 	r.send(call.from, message.Message{ConfigResponse: result})
 }
--- a/internal/controlplane/replica/catchup.go
+++ b/internal/controlplane/replica/catchup.go
@@ -10,14 +10,14 @@
 // its predecessor in the chain is lost. It is synced with its predecessor, and counts for acknowledgements, only when
 // the state has come down the chain.
 
-// askToCatchUp asks one member after the other, the head first, as long as this one is not complete.
-func (r *Replica) askToCatchUp() {
+// requestCatchUp asks one member after the other, the head first, as long as this one is not complete.
+func (r *Replica) requestCatchUp() {
 	if r.control.Complete {
 		return
 	}
 	members := r.control.View.Members
-	target := members[r.link.asked%len(members)]
-	r.link.asked++
+	target := members[r.link.catchUpAttempts%len(members)]
+	r.link.catchUpAttempts++
 	if target.Identity != r.control.Identity {
 		r.send(target, message.Message{CatchUpRequest: &message.CatchUpRequest{Digest: r.chain.Digest}})
 	}
@@ -42,7 +42,7 @@
 		return
 	}
 	if m.CatchUp.State != nil {
-		r.adopt(*m.CatchUp.State)
+		r.installSnapshot(*m.CatchUp.State)
 	}
 	if !bytes.Equal(m.CatchUp.Digest, r.chain.Digest) {
 		return // an answer to an earlier question
--- a/internal/controlplane/replica/chain.go
+++ b/internal/controlplane/replica/chain.go
@@ -7,34 +7,34 @@
 	"pumiceline/internal/message"
 )
 
-// chainLink is the member's part in passing the state down the chain of its view.
-type chainLink struct {
-	synced   bool // the state agrees with what the predecessor has in this view
-	settled  bool // every member of the view has synced the state
-	current  bool // the state was settled in this view before
-	served   message.ChainState
-	sentAt   time.Duration
-	askedAt  time.Duration
-	asked    int // requests to catch up; each goes to another member
-	calls    []waitingCall
-	deciding *waitingCall // the call whose change is on its way down the chain
+// replicationLink is the member's part in passing the state down the chain of its view.
+type replicationLink struct {
+	synced              bool // the state agrees with what the predecessor has in this view
+	committed           bool // every member of the view has synced the state
+	committedInView     bool // the state was settled in this view before
+	committedState      message.ChainState
+	forwardedAt         time.Duration
+	snapshotRequestedAt time.Duration
+	catchUpAttempts     int // requests to catch up; each goes to another member
+	pending             []pendingRequest
+	inFlight            *pendingRequest // the call whose change is on its way down the chain
 }
 
-// waitingCall is an operator's call that waits at the head or the tail.
-type waitingCall struct {
-	from    message.Member
-	call    message.ConfigRequest
-	arrived time.Duration
+// pendingRequest is an operator's call that waits at the head or the tail.
+type pendingRequest struct {
+	from       message.Member
+	request    message.ConfigRequest
+	receivedAt time.Duration
 }
 
-// enterRole starts the member's part in a view, or anew after a start.
-func (r *Replica) enterRole() {
-	calls := r.link.calls
-	r.link = chainLink{served: r.link.served, calls: calls}
+// resetReplication starts the member's part in a view, or anew after a start.
+func (r *Replica) resetReplication() {
+	calls := r.link.pending
+	r.link = replicationLink{committedState: r.link.committedState, pending: calls}
 	if r.isHead() && r.control.Complete {
 		r.link.synced = true
-		r.markView()
-		r.passDown(nil)
+		r.recordView()
+		r.forwardToSuccessor(nil)
 	}
 }
 
@@ -54,11 +54,11 @@
 	return r.control.View.Members[position-1], true
 }
 
-// passDown sends the state to the successor once it is synced here: change where the successor lacks only that, else
+// forwardToSuccessor sends the state to the successor once it is synced here: change where the successor lacks only that, else
 // the digest. At the tail it tells the predecessor that the state is settled.
-func (r *Replica) passDown(replicate *message.Replicate) {
-	r.link.sentAt = r.now
-	r.link.settled = false
+func (r *Replica) forwardToSuccessor(replicate *message.Replicate) {
+	r.link.forwardedAt = r.now
+	r.link.committed = false
 	next, ok := r.successor()
 	if !ok {
 		self := message.Member{Identity: r.control.Identity, Address: r.options.Self.Address}
@@ -83,33 +83,33 @@
 	}
 	switch {
 	case replicate.Snapshot != nil:
-		r.adopt(*replicate.Snapshot)
-	case r.link.synced && r.link.settled && bytes.Equal(r.chain.Digest, replicate.Digest):
-		r.tellPredecessor()
+		r.installSnapshot(*replicate.Snapshot)
+	case r.link.synced && r.link.committed && bytes.Equal(r.chain.Digest, replicate.Digest):
+		r.acknowledgeToPredecessor()
 		return
 	case bytes.Equal(r.chain.Digest, replicate.Digest) && r.chain.Sequence == replicate.Sequence:
-	case replicate.Change != nil && r.apply(replicate.Change) == nil:
+	case replicate.Change != nil && r.applyChange(replicate.Change) == nil:
 	default:
 		r.send(predecessor, message.Message{SnapshotRequest: &message.SnapshotRequest{Full: true}})
 		return
 	}
 	first := !r.link.synced
 	r.link.synced = true
-	r.markView()
+	r.recordView()
 	if !r.control.Complete {
 		r.control.Complete = true
 		r.controlDirty = true
 	}
-	if first || replicate.Change != nil || replicate.Snapshot != nil || r.now-r.link.sentAt >= resendAfter {
+	if first || replicate.Change != nil || replicate.Snapshot != nil || r.now-r.link.forwardedAt >= replicateRetryInterval {
 		if replicate.Snapshot != nil {
 			replicate = nil
 		}
-		r.passDown(replicate)
+		r.forwardToSuccessor(replicate)
 	}
 }
 
-// markView notes that the state is that of this view, so that nothing older is taken for it after a restart.
-func (r *Replica) markView() {
+// recordView notes that the state is that of this view, so that nothing older is taken for it after a restart.
+func (r *Replica) recordView() {
 	if r.chain.View != r.control.View.Number {
 		r.chain.View = r.control.View.Number
 		r.replaceChain()
@@ -118,12 +118,12 @@
 
 // replaceChain notes that the state has to be written whole.
 func (r *Replica) replaceChain() {
-	r.chainDirty, r.additions = true, nil
+	r.chainDirty, r.appendedRecords = true, nil
 	r.chainReplaced = true
 }
 
-// adopt replaces the whole state by the predecessor's.
-func (r *Replica) adopt(state message.ChainState) {
+// installSnapshot replaces the whole state by the predecessor's.
+func (r *Replica) installSnapshot(state message.ChainState) {
 	if bytes.Equal(r.chain.Digest, state.Digest) && r.chain.Sequence == state.Sequence {
 		return
 	}
@@ -131,16 +131,16 @@
 	r.replaceChain()
 }
 
-// apply puts one change on top of the state; an error says that it does not fit, and leaves the state as it is.
-func (r *Replica) apply(record *message.ChangeRecord) error {
-	next, err := Extend(&r.chain, record)
+// applyChange puts one change on top of the state; an error says that it does not fit, and leaves the state as it is.
+func (r *Replica) applyChange(record *message.ChangeRecord) error {
+	next, err := ApplyChange(&r.chain, record)
 	if err != nil {
 		return err
 	}
 	next.View = r.control.View.Number
 	r.chain = next
 	r.chainDirty = true
-	r.additions = append(r.additions, *record)
+	r.appendedRecords = append(r.appendedRecords, *record)
 	return nil
 }
 
@@ -155,16 +155,16 @@
 	if m.Committed.Sequence != r.chain.Sequence || !bytes.Equal(m.Committed.Digest, r.chain.Digest) {
 		return
 	}
-	r.link.settled, r.link.current = true, true
-	r.link.served = r.chain
-	r.tellPredecessor()
+	r.link.committed, r.link.committedInView = true, true
+	r.link.committedState = r.chain
+	r.acknowledgeToPredecessor()
 	if r.isHead() {
-		r.finishCurrent()
-		r.serveCalls()
+		r.acknowledgeChange()
+		r.dispatchPendingRequests()
 	}
 }
 
-func (r *Replica) tellPredecessor() {
+func (r *Replica) acknowledgeToPredecessor() {
 	if predecessor, ok := r.predecessor(); ok {
 		committed := &message.Committed{Sequence: r.chain.Sequence, Digest: r.chain.Digest}
 		r.sendAfterSync(predecessor, message.Message{Committed: committed})
@@ -189,15 +189,15 @@
 	if !r.IsMember() {
 		return
 	}
-	if r.link.synced && !r.link.settled && r.now-r.link.sentAt >= resendAfter {
-		r.passDown(nil)
+	if r.link.synced && !r.link.committed && r.now-r.link.forwardedAt >= replicateRetryInterval {
+		r.forwardToSuccessor(nil)
 	}
-	if !r.link.synced && r.now-r.link.askedAt >= resendAfter {
+	if !r.link.synced && r.now-r.link.snapshotRequestedAt >= replicateRetryInterval {
 		if predecessor, ok := r.predecessor(); ok {
-			r.link.askedAt = r.now
+			r.link.snapshotRequestedAt = r.now
 			r.send(predecessor, message.Message{SnapshotRequest: &message.SnapshotRequest{}})
 		}
-		r.askToCatchUp()
+		r.requestCatchUp()
 	}
-	r.serveCalls()
+	r.dispatchPendingRequests()
 }
--- a/internal/controlplane/replica/confirm.go
+++ b/internal/controlplane/replica/confirm.go
@@ -6,59 +6,59 @@
 	"pumiceline/internal/message"
 )
 
-// confirmations lets effects wait until a majority has said that the view is the newest. One round serves all that
+// viewConfirmation lets effects wait until a majority has said that the view is the newest. One round serves all that
 // waited when it began.
-type confirmations struct {
-	round   uint64
-	running []func()
-	waiting []func()
-	votes   map[message.MemberID]bool
-	sentAt  time.Duration
-	began   time.Duration
+type viewConfirmation struct {
+	requestID   uint64
+	running     []func()
+	waiting     []func()
+	confirmedBy map[message.MemberID]bool
+	sentAt      time.Duration
+	startedAt   time.Duration
 
-	confirmed bool          // in this view
-	contact   time.Duration // when the last round that a majority answered was begun
+	confirmed   bool          // in this view
+	confirmedAt time.Duration // when the last round that a majority answered was begun
 }
 
 // confirmTimeout ends a round that no majority answers: the callers' relays ask again.
 const confirmTimeout = 1500 * time.Millisecond
 
 // abandon drops all that waits; its round number is never used again.
-func (c *confirmations) abandon() {
-	c.running, c.waiting, c.votes = nil, nil, nil
+func (c *viewConfirmation) abandon() {
+	c.running, c.waiting, c.confirmedBy = nil, nil, nil
 	c.confirmed = false
 }
 
-// confirm runs effect when a majority has confirmed the view.
-func (r *Replica) confirm(effect func()) {
-	r.confirms.waiting = append(r.confirms.waiting, effect)
-	if r.confirms.running == nil {
-		r.beginConfirm()
+// whenViewConfirmed runs effect when a majority has confirmed the view.
+func (r *Replica) whenViewConfirmed(effect func()) {
+	r.confirmation.waiting = append(r.confirmation.waiting, effect)
+	if r.confirmation.running == nil {
+		r.startConfirmation()
 	}
 }
 
-func (r *Replica) beginConfirm() {
-	c := &r.confirms
+func (r *Replica) startConfirmation() {
+	c := &r.confirmation
 	if len(c.waiting) == 0 {
 		return
 	}
-	c.round++
+	c.requestID++
 	c.running, c.waiting = c.waiting, nil
-	c.votes = map[message.MemberID]bool{}
-	c.began = r.now
-	r.sendConfirms()
+	c.confirmedBy = map[message.MemberID]bool{}
+	c.startedAt = r.now
+	r.sendConfirmRequests()
 }
 
-func (r *Replica) sendConfirms() {
-	r.confirms.sentAt = r.now
+func (r *Replica) sendConfirmRequests() {
+	r.confirmation.sentAt = r.now
 	for _, member := range r.control.View.EffectiveVoters() {
-		if !r.confirms.votes[member.Identity] {
-			r.send(member, message.Message{ConfirmRequest: &message.ConfirmRequest{RequestID: r.confirms.round}})
+		if !r.confirmation.confirmedBy[member.Identity] {
+			r.send(member, message.Message{ConfirmRequest: &message.ConfirmRequest{RequestID: r.confirmation.requestID}})
 		}
 	}
 }
 
-func (r *Replica) onConfirm(m *message.Message) {
+func (r *Replica) onConfirmRequest(m *message.Message) {
 	if m.View != r.control.View.Number || !r.isVoter() {
 		return
 	}
@@ -67,41 +67,41 @@
 	r.send(r.sender(m), message.Message{ConfirmResponse: confirmed})
 }
 
-func (r *Replica) onConfirmed(m *message.Message) {
-	c := &r.confirms
-	if m.View != r.control.View.Number || c.running == nil || m.ConfirmResponse.RequestID != c.round || m.ConfirmResponse.Rejected {
+func (r *Replica) onConfirmResponse(m *message.Message) {
+	c := &r.confirmation
+	if m.View != r.control.View.Number || c.running == nil || m.ConfirmResponse.RequestID != c.requestID || m.ConfirmResponse.Rejected {
 		return
 	}
-	if !r.isVoterOf(m.From) {
+	if !r.hasVote(m.From) {
 		return
 	}
-	c.votes[m.From] = true
-	if len(c.votes) < r.majority() {
+	c.confirmedBy[m.From] = true
+	if len(c.confirmedBy) < r.quorumSize() {
 		return
 	}
-	c.confirmed, c.contact = true, c.began
+	c.confirmed, c.confirmedAt = true, c.startedAt
 	effects := c.running
 	c.running = nil
 	for _, effect := range effects {
 		effect()
 	}
-	r.beginConfirm()
+	r.startConfirmation()
 }
 
-func (r *Replica) tickConfirms() {
-	c := &r.confirms
+func (r *Replica) tickConfirmation() {
+	c := &r.confirmation
 	if c.running == nil {
-		if r.IsMember() && r.now-c.began >= contactInterval {
-			r.confirm(func() {})
+		if r.IsMember() && r.now-c.startedAt >= confirmInterval {
+			r.whenViewConfirmed(func() {})
 		}
 		return
 	}
-	if r.now-c.began > confirmTimeout {
+	if r.now-c.startedAt > confirmTimeout {
 		c.running = nil
-		r.beginConfirm()
+		r.startConfirmation()
 		return
 	}
-	if r.now-c.sentAt >= confirmResend {
-		r.sendConfirms()
+	if r.now-c.sentAt >= confirmRetryInterval {
+		r.sendConfirmRequests()
 	}
 }
--- a/internal/controlplane/replica/detector.go
+++ b/internal/controlplane/replica/detector.go
@@ -11,73 +11,73 @@
 	"pumiceline/internal/message"
 )
 
-// detector keeps who was heard when, and what the monitors report. It proposes who to take out and who to take in; it
+// failureDetector keeps who was heard when, and what the monitors report. It proposes who to take out and who to take in; it
 // decides nothing.
-type detector struct {
-	heard        map[message.MemberID]time.Duration      // from when a member's silence counts
-	spoke        map[message.MemberID]time.Duration      // when a message of it came last
-	complete     map[message.MemberID]message.ViewNumber // the view in which a member said that it is complete
-	disk         map[message.MemberID]bool               // whether a member has one, as it said
-	zone         map[message.MemberID]string
-	condition    map[message.MemberID]condition
-	reports      map[report]time.Duration
-	joiners      map[message.MemberID]joiner
-	veterans     map[message.MemberID]bool          // identities that have been members
-	arrived      map[message.MemberID]time.Duration // when an identity that was no member before asked for the first time
-	departing    map[message.MemberID]time.Duration // when members said last that they were asked to stop, unless they came back since
-	cameBack     map[message.MemberID]time.Duration // when a member asked to join last
-	superseded   map[message.MemberID]time.Duration // when a member's vote went to a newcomer of its zone
-	stoodStill   time.Duration                      // when this process went on after it had stood still for long
-	monitors     []message.Member                   // to whom this member sends its heartbeats
-	monitored    []message.Member                   // whose heartbeats it awaits
-	lastBeat     time.Duration
-	beaten       bool
-	toldAbsent   time.Duration
-	silentSince  time.Duration // since when some member is silent, 0: none is
-	wantedSince  time.Duration
-	wantsAnother bool
-}
-
-// condition is what a member said of itself last.
-type condition struct {
-	unfit   bool // its disk stalls, or it hears no majority
-	leaving bool
-}
-
-// finding is what a monitor reports of a member.
-type finding int
+type failureDetector struct {
+	heard                 map[message.MemberID]time.Duration      // from when a member's silence counts
+	spoke                 map[message.MemberID]time.Duration      // when a message of it came last
+	complete              map[message.MemberID]message.ViewNumber // the view in which a member said that it is complete
+	disk                  map[message.MemberID]bool               // whether a member has one, as it said
+	zone                  map[message.MemberID]string
+	condition             map[message.MemberID]health
+	reports               map[suspicionReport]time.Duration
+	joinRequests          map[message.MemberID]joinRequest
+	veterans              map[message.MemberID]bool          // identities that have been members
+	arrived               map[message.MemberID]time.Duration // when an identity that was no member before asked for the first time
+	departing             map[message.MemberID]time.Duration // when members said last that they were asked to stop, unless they came back since
+	cameBack              map[message.MemberID]time.Duration // when a member asked to join last
+	superseded            map[message.MemberID]time.Duration // when a member's vote went to a newcomer of its zone
+	resumedAt             time.Duration                      // when this process went on after it had stood still for long
+	monitors              []message.Member                   // to whom this member sends its heartbeats
+	monitored             []message.Member                   // whose heartbeats it awaits
+	lastHeartbeat         time.Duration
+	hasSentHeartbeat      bool
+	viewAnnouncedAt       time.Duration
+	suspectedSince        time.Duration // since when some member is silent, 0: none is
+	viewChangeWantedSince time.Duration
+	wantsViewChange       bool
+}
+
+// health is what a member said of itself last.
+type health struct {
+	unhealthy bool // its disk stalls, or it hears no majority
+	leaving   bool
+}
+
+// suspicion is what a monitor reports of a member.
+type suspicion int
 
 const (
-	isSilent finding = iota
-	isLeaving
-	isDoubted
+	suspected suspicion = iota
+	leaving
+	late
 )
 
-type report struct {
-	finding  finding
-	member   message.MemberID
-	reporter message.MemberID
+type suspicionReport struct {
+	suspicion suspicion
+	member    message.MemberID
+	reporter  message.MemberID
 }
 
-type joiner struct {
-	member message.Member
-	view   message.ViewNumber // that it knew when it asked last
-	at     time.Duration
-	first  time.Duration // since when it has asked without a gap
+type joinRequest struct {
+	member         message.Member
+	view           message.ViewNumber // that it knew when it asked last
+	lastRequestAt  time.Duration
+	firstRequestAt time.Duration // since when it has asked without a gap
 }
 
-// disklessPatience is how long the first view waits for members with disks.
-const disklessPatience = 3 * time.Second
+// durableMemberTimeout is how long the first view waits for members with disks.
+const durableMemberTimeout = 3 * time.Second
 
-func (d *detector) init() {
+func (d *failureDetector) init() {
 	d.heard = map[message.MemberID]time.Duration{}
 	d.spoke = map[message.MemberID]time.Duration{}
 	d.complete = map[message.MemberID]message.ViewNumber{}
 	d.disk = map[message.MemberID]bool{}
 	d.zone = map[message.MemberID]string{}
-	d.condition = map[message.MemberID]condition{}
-	d.reports = map[report]time.Duration{}
-	d.joiners = map[message.MemberID]joiner{}
+	d.condition = map[message.MemberID]health{}
+	d.reports = map[suspicionReport]time.Duration{}
+	d.joinRequests = map[message.MemberID]joinRequest{}
 	d.veterans = map[message.MemberID]bool{}
 	d.arrived = map[message.MemberID]time.Duration{}
 	d.departing = map[message.MemberID]time.Duration{}
@@ -85,95 +85,95 @@
 	d.cameBack = map[message.MemberID]time.Duration{}
 }
 
-// departureTime is how long a member that was asked to stop takes at the most until it has ended.
-const departureTime = 5 * time.Second
+// leavingPeriod is how long a member that was asked to stop takes at the most until it has ended.
+const leavingPeriod = 5 * time.Second
 
-// noteDeparture keeps that a member said that it was asked to stop. What comes just after it has been started again was
+// recordLeaving keeps that a member said that it was asked to stop. What comes just after it has been started again was
 // said before.
-func (d *detector) noteDeparture(identity message.MemberID, now time.Duration) {
+func (d *failureDetector) recordLeaving(identity message.MemberID, now time.Duration) {
 	at, known := d.cameBack[identity]
-	if !known || now-at > joinPatience {
+	if !known || now-at > newcomerTimeout {
 		d.departing[identity] = now
 	}
 }
 
-// noteReturn keeps that a member asks to join: it has been started again, or was taken out.
-func (d *detector) noteReturn(identity message.MemberID, now time.Duration) {
+// recordRejoin keeps that a member asks to join: it has been started again, or was taken out.
+func (d *failureDetector) recordRejoin(identity message.MemberID, now time.Duration) {
 	delete(d.departing, identity)
 	delete(d.condition, identity)
 	d.cameBack[identity] = now
 }
 
-// hear notes that a message of a member came to self, which so takes back that it is silent.
-func (d *detector) hear(identity, self message.MemberID, now time.Duration) {
+// recordMessage notes that a message of a member came to self, which so takes back that it is silent.
+func (d *failureDetector) recordMessage(identity, self message.MemberID, now time.Duration) {
 	d.heard[identity], d.spoke[identity] = now, now
-	if len(d.reports) > 0 && !d.condition[identity].unfit {
-		delete(d.reports, report{isSilent, identity, self})
-		delete(d.reports, report{isDoubted, identity, self})
+	if len(d.reports) > 0 && !d.condition[identity].unhealthy {
+		delete(d.reports, suspicionReport{suspected, identity, self})
+		delete(d.reports, suspicionReport{late, identity, self})
 	}
 }
 
-// forgive starts all silences anew: the process stood still for a span, so it cannot tell who was silent.
-func (d *detector) forgive(now, span time.Duration) {
-	if span > suspectAfter {
-		d.stoodStill = now
+// reset starts all silences anew: the process stood still for a span, so it cannot tell who was silent.
+func (d *failureDetector) reset(now, span time.Duration) {
+	if span > suspicionTimeout {
+		d.resumedAt = now
 	}
 	for identity := range d.heard {
 		d.heard[identity] = now
 	}
 	clear(d.reports)
-	clear(d.joiners)
-	d.wantsAnother = false
+	clear(d.joinRequests)
+	d.wantsViewChange = false
 }
 
 // enterView starts the silences of those anew that self did not monitor before: a member that was silent in the old
 // view stays so.
-func (d *detector) enterView(old, view message.View, self message.MemberID, now time.Duration) {
+func (d *failureDetector) enterView(old, view message.View, self message.MemberID, now time.Duration) {
 	for _, member := range view.Members {
-		if !includes(monitorsOf(old, member.Identity), self) {
+		if !containsMember(monitorsOf(old, member.Identity), self) {
 			d.heard[member.Identity] = now
 		}
-		delete(d.joiners, member.Identity)
-		if !includes(old.Members, member.Identity) {
+		delete(d.joinRequests, member.Identity)
+		if !containsMember(old.Members, member.Identity) {
 			delete(d.condition, member.Identity) // what it said of itself before it came back
 		}
 	}
-	d.noteSuccessions(old, view, now)
-	for _, member := range everyone(old) {
+	d.recordLostVotes(old, view, now)
+	for _, member := range membersAndVoters(old) {
 		d.veterans[member.Identity] = true
 	}
-	d.setRing(view, self)
+	d.assignMonitors(view, self)
 	clear(d.reports)
-	d.wantsAnother = false
-	d.beaten = false
+	d.wantsViewChange = false
+	d.hasSentHeartbeat = false
 }
 
-// noteSuccessions keeps whose vote went to a newcomer of its zone: they will probably be told to stop.
-func (d *detector) noteSuccessions(old, view message.View, now time.Duration) {
-	isNewcomer := func(m message.Member) bool { return !includes(everyone(old), m.Identity) }
+// recordLostVotes keeps whose vote went to a newcomer of its zone: they will probably be told to stop.
+func (d *failureDetector) recordLostVotes(old, view message.View, now time.Duration) {
+	isNewcomer := func(m message.Member) bool { return !containsMember(membersAndVoters(old), m.Identity) }
 	for _, voter := range old.EffectiveVoters() {
 		isOfZone := func(m message.Member) bool { return isNewcomer(m) && m.Zone == voter.Zone }
-		if !includes(view.EffectiveVoters(), voter.Identity) && lo.ContainsBy(view.EffectiveVoters(), isOfZone) {
+		if !containsMember(view.EffectiveVoters(), voter.Identity) && lo.ContainsBy(view.EffectiveVoters(), isOfZone) {
 			d.superseded[voter.Identity] = now
 		}
 	}
 }
 
-// setRing works out who monitors whom.
-func (d *detector) setRing(view message.View, self message.MemberID) {
+// assignMonitors works out who monitors whom.
+func (d *failureDetector) assignMonitors(view message.View, self message.MemberID) {
 	d.monitors = monitorsOf(view, self)
 	d.monitored = lo.Filter(view.Members, func(m message.Member, _ int) bool {
-		return includes(monitorsOf(view, m.Identity), self)
+		return containsMember(monitorsOf(view, m.Identity), self)
 	})
 }
 
-// identityMemory is how long it is kept what is known of an identity that has fallen silent.
-const identityMemory = 5 * time.Minute
+// identityRetention is how long it is kept what is known of an identity that has fallen silent.
+const identityRetention = 5 * time.Minute
 
-// forget drops the reports and arrivals that do not count any more.
-func (d *detector) forget(now time.Duration) {
+// expire drops the reports and arrivals that do not count any more.
+func (d *failureDetector) expire(now time.Duration) {
 	for identity, at := range d.spoke {
-		if now-at > identityMemory {
+		if now-at > identityRetention {
 			delete(d.spoke, identity)
 			delete(d.veterans, identity)
 			delete(d.arrived, identity)
@@ -182,7 +182,7 @@
 			delete(d.cameBack, identity)
 		}
 	}
-	maps.DeleteFunc(d.reports, func(_ report, at time.Duration) bool { return now-at > reportLifetime })
+	maps.DeleteFunc(d.reports, func(_ suspicionReport, at time.Duration) bool { return now-at > reportTimeout })
 }
 
 // monitorsOf returns the members to which identity sends its heartbeats: the next ones on the ring of identities.
@@ -208,24 +208,24 @@
 	return r.detector.complete[member.Identity] == r.control.View.Number
 }
 
-// isDiskless reports whether no member of the view has a disk, and none has come for the first seconds of the system.
+// isDisklessSystem reports whether no member of the view has a disk, and none has come for the first seconds of the system.
 // Then machines without a disk are members like others; one that restarts comes back as another.
-func (r *Replica) isDiskless() bool {
+func (r *Replica) isDisklessSystem() bool {
 	view := r.control.View
-	if len(view.Members) == 0 || view.Number == 1 && r.now-r.lease.viewEntered < disklessPatience {
+	if len(view.Members) == 0 || view.Number == 1 && r.now-r.lease.viewEntered < durableMemberTimeout {
 		return false
 	}
-	return lo.EveryBy(everyone(view), r.isVolatile)
+	return lo.EveryBy(membersAndVoters(view), r.isDiskless)
 }
 
-// givesWay reports whether a member has no disk though others have one: only the first view can have it.
-func (r *Replica) givesWay(member message.Member) bool {
-	return r.isVolatile(member) && !r.isDiskless()
+// yieldsToDurableMembers reports whether a member has no disk though others have one: only the first view can have it.
+func (r *Replica) yieldsToDurableMembers(member message.Member) bool {
+	return r.isDiskless(member) && !r.isDisklessSystem()
 }
 
-func (r *Replica) isVolatile(member message.Member) bool {
+func (r *Replica) isDiskless(member message.Member) bool {
 	if member.Identity == r.control.Identity {
-		return r.options.Volatile
+		return r.options.Diskless
 	}
 	hasDisk, told := r.detector.disk[member.Identity]
 	return member.Diskless || told && !hasDisk
--- a/internal/controlplane/replica/electorate_test.go
+++ b/internal/controlplane/replica/electorate_test.go
@@ -34,22 +34,22 @@
 	return lo.Map(names, func(name string, _ int) message.Member { return namedMember(name) })
 }
 
-func (s succession) electorate() *electorate {
-	e := &electorate{
-		least: s.least, voters: namedMembers(s.voters), present: namedMembers(s.present), mayGrow: s.mayGrow,
-		leaves:  func(m message.Member) bool { return lo.Contains(s.leaving, string(m.Identity)) },
-		silence: func(m message.Member) time.Duration { return s.silences[string(m.Identity)] },
-		newcomer: func(m message.Member) (time.Duration, bool) {
+func (s succession) electorate() *voterSelection {
+	e := &voterSelection{
+		minVoters: s.least, voters: namedMembers(s.voters), present: namedMembers(s.present), canGrow: s.mayGrow,
+		isLeaving:        func(m message.Member) bool { return lo.Contains(s.leaving, string(m.Identity)) },
+		timeSinceMessage: func(m message.Member) time.Duration { return s.silences[string(m.Identity)] },
+		newcomerAge: func(m message.Member) (time.Duration, bool) {
 			asked, ok := s.newcomers[string(m.Identity)]
 			return asked, ok
 		},
-		mayVote: func(m message.Member) bool {
+		canReceiveVote: func(m message.Member) bool {
 			asked, ok := s.newcomers[string(m.Identity)]
-			return !ok || asked >= joinPatience
+			return !ok || asked >= newcomerTimeout
 		},
 	}
 	for member, by := range s.displaced {
-		e.displaced = append(e.displaced, message.ReplacedVoter{Member: namedMember(member), ReplacedBy: message.MemberID(by)})
+		e.replaced = append(e.replaced, message.ReplacedVoter{Member: namedMember(member), ReplacedBy: message.MemberID(by)})
 	}
 	return e
 }
@@ -86,7 +86,7 @@
 	}, {
 		name:   "a newcomer that came for a member that leaves does not take a cut one's vote",
 		voters: []string{"a1", "b1", "c1"}, present: []string{"a1", "b1", "a2"}, least: 3, leaving: []string{"a1"},
-		newcomers: map[string]time.Duration{"a2": joinPatience},
+		newcomers: map[string]time.Duration{"a2": newcomerTimeout},
 		want:      []string{"a2", "b1", "c1"},
 	}, {
 		name:   "one that has asked for long came for a silent member, not for one that is restarted now",
@@ -130,7 +130,7 @@
 		voters: []string{"a1"}, present: []string{"a1", "b1", "c1"}, least: 3,
 		want: []string{"a1", "b1", "c1"},
 	}} {
-		got := lo.Map(s.electorate().next(), func(m message.Member, _ int) string { return string(m.Identity) })
+		got := lo.Map(s.electorate().nextVoters(), func(m message.Member, _ int) string { return string(m.Identity) })
 		assert.Equal(t, s.want, got, s.name)
 	}
 }
@@ -153,8 +153,8 @@
 	e := succession{voters: []string{"a1", "b1", "c1"}, present: []string{"a1", "b1"}, least: 3}.electorate()
 	wiped := message.Member{Identity: "c1 anew", Address: "at-c1", Zone: "c"}
 	e.present = append(e.present, wiped)
-	assert.Contains(t, e.next(), wiped)
-	assert.Empty(t, e.stillDisplaced(func(message.Member) bool { return false }), "nobody waits for the old one")
+	assert.Contains(t, e.nextVoters(), wiped)
+	assert.Empty(t, e.remainingReplaced(func(message.Member) bool { return false }), "nobody waits for the old one")
 }
 
 // Four voters bear one loss, as three do; with the fourth member as a spare a second loss after the first leaves a majority.
@@ -184,7 +184,7 @@
 	g.members[2].SetLeaving()
 	g.tick(3*time.Second, 0)
 	require.True(t, g.members[fresh].IsSynced())
-	require.True(t, includes(g.members[fresh].View().EffectiveVoters(), "seed-m0"), "it came for m2, so m0 has its vote")
+	require.True(t, containsMember(g.members[fresh].View().EffectiveVoters(), "seed-m0"), "it came for m2, so m0 has its vote")
 	g.absent = []int{1, 2} // m2 has left and the head is lost; m0 is back
 	g.tick(6*time.Second, 1, 2)
 	assert.True(t, g.members[0].IsSynced())
@@ -198,13 +198,13 @@
 	fresh := g.add(0, 1, 2)
 	g.tick(200 * time.Millisecond)
 	g.members[fresh].SetLeaving()
-	assert.False(t, g.members[fresh].MayStop())
+	assert.False(t, g.members[fresh].CanStop())
 	g.lost = func(m *message.Message) bool { return m.JoinRequest != nil && m.JoinRequest.Withdrawn } // it is not heard that it goes
-	g.tick(joinLifetime)
-	assert.False(t, g.members[fresh].MayStop())
-	g.tick(withdrawalTime)
-	assert.True(t, g.members[fresh].MayStop())
-	assert.False(t, includes(everyone(g.members[0].View()), g.members[fresh].Identity()))
+	g.tick(joinRequestTimeout)
+	assert.False(t, g.members[fresh].CanStop())
+	g.tick(withdrawalTimeout)
+	assert.True(t, g.members[fresh].CanStop())
+	assert.False(t, containsMember(membersAndVoters(g.members[0].View()), g.members[fresh].Identity()))
 }
 
 // What it has asked for is void as soon as it is heard that it goes.
@@ -212,11 +212,11 @@
 	g := newGroup(t, 3)
 	g.tick(2 * time.Second)
 	fresh := g.add(0, 1, 2)
-	g.tick(joinPatience - 400*time.Millisecond)
-	require.NotEmpty(t, g.members[0].detector.joiners)
+	g.tick(newcomerTimeout - 400*time.Millisecond)
+	require.NotEmpty(t, g.members[0].detector.joinRequests)
 	g.members[fresh].SetLeaving()
 	g.tick(2 * heartbeatInterval)
-	assert.Empty(t, g.members[0].detector.joiners)
+	assert.Empty(t, g.members[0].detector.joinRequests)
 }
 
 // A process that stood still found every machine alive, the lost ones too, and moved votes to them at once.
@@ -224,13 +224,13 @@
 	g := newGroup(t, 3)
 	g.tick(2 * time.Second)
 	head := g.members[0]
-	require.True(t, head.mayPropose())
+	require.True(t, head.canPropose())
 	head.Tick(g.now + 3*time.Second)
-	assert.False(t, head.mayPropose())
-	for at := time.Duration(0); at <= suspectAfter; at += 50 * time.Millisecond {
+	assert.False(t, head.canPropose())
+	for at := time.Duration(0); at <= suspicionTimeout; at += 50 * time.Millisecond {
 		head.Tick(g.now + 3*time.Second + at)
 	}
-	assert.True(t, head.mayPropose())
+	assert.True(t, head.canPropose())
 }
 
 // A member without a vote heard of no renewals, stood for the lease that another held, and took a grantor from it.
@@ -244,8 +244,8 @@
 	require.NotEqual(t, from, spare)
 	g.tick(3*time.Second, 3) // the spare, the last of them, would stand now
 	spare.Step(g.now, &message.Message{From: from.Identity(), To: spare.Identity(), View: spare.View().Number, LeaseRequest: renewal})
-	assert.False(t, spare.mayStandForLease())
-	assert.Equal(t, g.now, spare.lease.renewalSeen)
+	assert.False(t, spare.canRequestLease())
+	assert.Equal(t, g.now, spare.lease.renewalSeenAt)
 }
 
 // What a member had said before it was started again took it out once more: the monitors went on reporting that it leaves.
--- a/internal/controlplane/replica/heartbeat.go
+++ b/internal/controlplane/replica/heartbeat.go
@@ -9,42 +9,42 @@
 	"pumiceline/internal/message"
 )
 
-// observeInterval is how often a coordinator that only wants to know the view asks, and the head tells those outside it.
-const observeInterval = 1 * time.Second
+// observerInterval is how often a coordinator that only wants to know the view asks, and the head tells those outside it.
+const observerInterval = 1 * time.Second
 
 // tickMembership sends what is due to the other members, or asks to become one.
 func (r *Replica) tickMembership() {
 	interval := heartbeatInterval
-	if r.options.Volatile && !r.IsMember() && !r.isDiskless() {
-		interval = observeInterval
+	if r.options.Diskless && !r.IsMember() && !r.isDisklessSystem() {
+		interval = observerInterval
 	}
-	if r.detector.beaten && r.now-r.detector.lastBeat < interval {
+	if r.detector.hasSentHeartbeat && r.now-r.detector.lastHeartbeat < interval {
 		return
 	}
-	r.detector.lastBeat, r.detector.beaten = r.now, true
-	r.detector.forget(r.now)
+	r.detector.lastHeartbeat, r.detector.hasSentHeartbeat = r.now, true
+	r.detector.expire(r.now)
 	if !r.IsMember() {
-		r.askToJoin()
+		r.requestToJoin()
 		return
 	}
 	r.sendHeartbeats()
-	r.reportFindings()
-	r.tellAbsent()
+	r.reportSuspicions()
+	r.announceToOutsiders()
 	if r.isIsolated() {
-		r.ask(&message.JoinRequest{Observer: true}) // its view may be an old one
+		r.sendJoinRequest(&message.JoinRequest{Observer: true}) // its view may be an old one
 	}
 }
 
-// tellAbsent lets the head, or whoever comes first after it when it is silent, tell the view to those that are outside
+// announceToOutsiders lets the head, or whoever comes first after it when it is silent, tell the view to those that are outside
 // it: voters and displaced members that may have been cut off when it was decided and know nobody else any more, and the
 // seeds, as whoever comes back with nothing but the seeds' addresses asks them.
-func (r *Replica) tellAbsent() {
-	if !r.isProposer() || r.now-r.detector.toldAbsent < observeInterval {
+func (r *Replica) announceToOutsiders() {
+	if !r.isFirstProposer() || r.now-r.detector.viewAnnouncedAt < observerInterval {
 		return
 	}
-	r.detector.toldAbsent = r.now
+	r.detector.viewAnnouncedAt = r.now
 	view := r.control.View
-	absent := append(everyone(view), displacedMembers(view)...)
+	absent := append(membersAndVoters(view), replacedMembers(view)...)
 	for _, seed := range r.options.Seeds {
 		absent = append(absent, message.Member{Address: seed})
 	}
@@ -58,7 +58,7 @@
 
 func (r *Replica) sendHeartbeats() {
 	beat := &message.Heartbeat{
-		Complete: r.control.Complete, DiskStalled: r.stalled, Leaving: r.leaving, Diskless: r.options.Volatile,
+		Complete: r.control.Complete, DiskStalled: r.diskStalled, Leaving: r.leaving, Diskless: r.options.Diskless,
 		Isolated: r.isIsolated(),
 	}
 	for _, monitor := range r.detector.monitors {
@@ -68,14 +68,14 @@
 
 // isIsolated reports whether no majority of the voters was heard lately. Others may still hear this member.
 func (r *Replica) isIsolated() bool {
-	if r.now-r.lease.viewEntered < suspectAfter {
+	if r.now-r.lease.viewEntered < suspicionTimeout {
 		return false
 	}
 	near := lo.CountBy(r.control.View.EffectiveVoters(), func(m message.Member) bool {
 		heard, known := r.detector.heard[m.Identity]
-		return m.Identity == r.control.Identity || known && r.now-heard <= suspectAfter
+		return m.Identity == r.control.Identity || known && r.now-heard <= suspicionTimeout
 	})
-	return near < r.majority()
+	return near < r.quorumSize()
 }
 
 func (r *Replica) onHeartbeat(m *message.Message) {
@@ -85,8 +85,8 @@
 	}
 	r.detector.disk[m.From] = !beat.Diskless
 	r.detector.zone[m.From] = m.FromZone
-	r.detector.condition[m.From] = condition{unfit: beat.DiskStalled || beat.Isolated, leaving: beat.Leaving}
-	if at, said := r.detector.departing[m.From]; said && !beat.Leaving && r.now-at > joinPatience { // else it is a late one
+	r.detector.condition[m.From] = health{unhealthy: beat.DiskStalled || beat.Isolated, leaving: beat.Leaving}
+	if at, said := r.detector.departing[m.From]; said && !beat.Leaving && r.now-at > newcomerTimeout { // else it is a late one
 		delete(r.detector.departing, m.From)
 	}
 }
--- a/internal/controlplane/replica/history.go
+++ b/internal/controlplane/replica/history.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// keptChanges is how many changes are known by their digests, so that one that is sent again is acknowledged again:
+	// maxHistory is how many changes are known by their digests, so that one that is sent again is acknowledged again:
 	// two days of the target of 1,800 a day. They take some 120 KB.
-	keptChanges = 4096
-	// MaxDocument bounds a configuration in bytes: a file of the ring holds it with all that is kept beside it.
-	MaxDocument = 3 << 20
-	digestBytes = 16
+	maxHistory = 4096
+	// MaxDocumentBytes bounds a configuration in bytes: a file of the ring holds it with all that is kept beside it.
+	MaxDocumentBytes = 3 << 20
+	digestBytes      = 16
 )
 
-// ErrDoesNotFit says that a change was made on top of another state.
-var ErrDoesNotFit = errors.New("a change on top of another state")
+// ErrBaseMismatch says that a change was made on top of another state.
+var ErrBaseMismatch = errors.New("a change on top of another state")
 
 // ChainDigest extends a digest over all earlier changes by one change.
 func ChainDigest(previous []byte, change *message.Change) []byte {
@@ -44,20 +44,20 @@
 	}
 }
 
-// Extend returns the state after a change. The state that it is given is not changed. Changes beyond the newest ones
+// ApplyChange returns the state after a change. The state that it is given is not changed. Changes beyond the newest ones
 // that are kept are forgotten, and the horizon moves up to the last of them.
-func Extend(state *message.ChainState, record *message.ChangeRecord) (message.ChainState, error) {
+func ApplyChange(state *message.ChainState, record *message.ChangeRecord) (message.ChainState, error) {
 	if !bytes.Equal(state.Digest, record.Previous) {
-		return message.ChainState{}, ErrDoesNotFit
+		return message.ChainState{}, ErrBaseMismatch
 	}
-	document, err := delta.Apply(state.Document, record.Delta, MaxDocument)
+	document, err := delta.Apply(state.Document, record.Delta, MaxDocumentBytes)
 	if err != nil {
 		return message.ChainState{}, err
 	}
 	if !bytes.Equal(DocumentDigest(document), record.DocumentDigest) {
 		return message.ChainState{}, errors.New("a change that makes another document than it says")
 	}
-	forgotten := max(0, len(state.History)+1-keptChanges)
+	forgotten := max(0, len(state.History)+1-maxHistory)
 	horizon := state.Horizon
 	if forgotten > 0 {
 		horizon = state.History[forgotten-1].Version
--- a/internal/controlplane/replica/history_test.go
+++ b/internal/controlplane/replica/history_test.go
@@ -23,19 +23,19 @@
 		for i := range count {
 			document := fmt.Appendf(nil, `{"version":%d}`, i+1)
 			change := message.Change{Version: uint64(i + 1), Base: uint64(i), Digest: fmt.Appendf(nil, "%016d", i)}
-			require.NoError(t, head.apply(newRecord(&head.chain, change, document, head.View().Number)))
+			require.NoError(t, head.applyChange(newRecord(&head.chain, change, document, head.View().Number)))
 			g.members[1].chain = head.chain
 		}
 		head.takeOutput()
-		head.passDown(nil)
+		head.forwardToSuccessor(nil)
 		g.take(head.takeOutput())
 		g.deliver(2)
 		restarted := New(g.members[2].options, accept, g.now, g.members[2].control, g.members[2].chain)
 		g.members[2], g.absent = restarted, nil
 		g.lines = nil
 		g.tick(2 * time.Second)
-		assert.Equal(t, uint64(count), restarted.Served().Version)
-		assert.LessOrEqual(t, len(restarted.chain.History), keptChanges)
+		assert.Equal(t, uint64(count), restarted.CommittedState().Version)
+		assert.LessOrEqual(t, len(restarted.chain.History), maxHistory)
 		assert.True(t, restarted.IsSynced())
 		g.call(2, http.MethodGet, "", "")
 		require.Len(t, g.results, 1)
@@ -49,17 +49,17 @@
 	record := newRecord(&state, message.Change{Version: 2, Digest: []byte("x")}, []byte("new document"), 1)
 	broken := *record
 	broken.Delta = []byte{0, 200, 1, 0}
-	_, err := Extend(&state, &broken)
+	_, err := ApplyChange(&state, &broken)
 	assert.Error(t, err)
 	broken = *record
 	broken.DocumentDigest = []byte("other")
-	_, err = Extend(&state, &broken)
+	_, err = ApplyChange(&state, &broken)
 	assert.Error(t, err)
 	broken = *record
 	broken.Previous = []byte("e")
-	_, err = Extend(&state, &broken)
-	assert.ErrorIs(t, err, ErrDoesNotFit)
-	next, err := Extend(&state, record)
+	_, err = ApplyChange(&state, &broken)
+	assert.ErrorIs(t, err, ErrBaseMismatch)
+	next, err := ApplyChange(&state, record)
 	require.NoError(t, err)
 	assert.Equal(t, "new document", string(next.Document))
 	assert.Equal(t, "old document", string(state.Document))
--- a/internal/controlplane/replica/joining.go
+++ b/internal/controlplane/replica/joining.go
@@ -10,21 +10,21 @@
 	"pumiceline/internal/message"
 )
 
-// askToJoin asks everyone known for membership, and so learns of the newest view too. A member that was told to stop
+// requestToJoin asks everyone known for membership, and so learns of the newest view too. A member that was told to stop
 // takes back what it has asked for.
-func (r *Replica) askToJoin() {
+func (r *Replica) requestToJoin() {
 	if r.leaving {
-		r.ask(&message.JoinRequest{Withdrawn: true})
+		r.sendJoinRequest(&message.JoinRequest{Withdrawn: true})
 		return
 	}
-	r.lastJoin = r.now
-	r.ask(&message.JoinRequest{DiskStalled: r.stalled, Diskless: r.options.Volatile})
+	r.lastJoinRequest = r.now
+	r.sendJoinRequest(&message.JoinRequest{DiskStalled: r.diskStalled, Diskless: r.options.Diskless})
 }
 
-// ask sends a request to join to all whose address is known.
-func (r *Replica) ask(join *message.JoinRequest) {
+// sendJoinRequest sends a request to join to all whose address is known.
+func (r *Replica) sendJoinRequest(join *message.JoinRequest) {
 	addresses := slices.Clone(r.options.Seeds)
-	for _, member := range everyone(r.control.View) {
+	for _, member := range membersAndVoters(r.control.View) {
 		addresses = append(addresses, member.Address)
 	}
 	for _, address := range lo.Uniq(addresses) {
@@ -34,64 +34,64 @@
 	}
 }
 
-func (r *Replica) onJoin(m *message.Message) {
+func (r *Replica) onJoinRequest(m *message.Message) {
 	if m.View < r.control.View.Number { // also from one that is no member: the sender may know of no other
 		r.send(r.sender(m), message.Message{ViewAnnouncement: &message.ViewAnnouncement{View: r.control.View}})
 	}
 	if m.JoinRequest.Withdrawn {
-		delete(r.detector.joiners, m.From)
+		delete(r.detector.joinRequests, m.From)
 		return
 	}
 	if !m.JoinRequest.Observer {
-		r.noteArrival(m.From)
+		r.recordFirstRequest(m.From)
 	}
-	if !r.mayAdmit(m) {
+	if !r.canAdmit(m) {
 		return
 	}
-	r.detector.noteReturn(m.From, r.now)
-	known, ok := r.detector.joiners[m.From]
-	if !ok || !r.isFresh(known) {
-		known.first = r.now
+	r.detector.recordRejoin(m.From, r.now)
+	known, ok := r.detector.joinRequests[m.From]
+	if !ok || !r.isCurrent(known) {
+		known.firstRequestAt = r.now
 	}
-	known.member, known.view, known.at = r.sender(m), m.View, r.now
+	known.member, known.view, known.lastRequestAt = r.sender(m), m.View, r.now
 	known.member.Diskless = m.JoinRequest.Diskless
-	r.detector.joiners[m.From] = known
+	r.detector.joinRequests[m.From] = known
 }
 
-// mayAdmit reports whether the sender of a request could become a member of the view.
-func (r *Replica) mayAdmit(m *message.Message) bool {
-	if m.JoinRequest.Observer || m.JoinRequest.DiskStalled || m.JoinRequest.Diskless && !r.isDiskless() {
+// canAdmit reports whether the sender of a request could become a member of the view.
+func (r *Replica) canAdmit(m *message.Message) bool {
+	if m.JoinRequest.Observer || m.JoinRequest.DiskStalled || m.JoinRequest.Diskless && !r.isDisklessSystem() {
 		return false
 	}
-	return r.IsMember() && positionOf(r.control.View, m.From) < 0
+	return r.IsMember() && chainPosition(r.control.View, m.From) < 0
 }
 
-// noteArrival keeps when a machine came that was no member before.
-func (r *Replica) noteArrival(identity message.MemberID) {
+// recordFirstRequest keeps when a machine came that was no member before.
+func (r *Replica) recordFirstRequest(identity message.MemberID) {
 	view := r.control.View
 	_, known := r.detector.arrived[identity]
-	if !known && !r.detector.veterans[identity] && !includes(append(everyone(view), displacedMembers(view)...), identity) {
+	if !known && !r.detector.veterans[identity] && !containsMember(append(membersAndVoters(view), replacedMembers(view)...), identity) {
 		r.detector.arrived[identity] = r.now
 	}
 }
 
-func (r *Replica) isFresh(j joiner) bool { return r.now-j.at <= joinLifetime }
+func (r *Replica) isCurrent(j joinRequest) bool { return r.now-j.lastRequestAt <= joinRequestTimeout }
 
-// firstsPatience is how long the others leave it to the first proposer to admit a joiner: one that it does not hear would
+// admissionFallbackTimeout is how long the others leave it to the first proposer to admit a joiner: one that it does not hear would
 // be taken out again at once.
-const firstsPatience = 5 * time.Second
+const admissionFallbackTimeout = 5 * time.Second
 
-// freshJoiners are those that asked a moment ago and know the present view: they hear the members too. One that comes
+// joiningMembers are those that asked a moment ago and know the present view: they hear the members too. One that comes
 // with the address of a member that is still heard is not taken in beside it, as only one process can have the address.
-func (r *Replica) freshJoiners(suspects []message.MemberID) []message.Member {
+func (r *Replica) joiningMembers(suspects []message.MemberID) []message.Member {
 	var out []message.Member
-	isFirst := r.isProposer()
-	for identity, j := range r.detector.joiners {
-		if !r.isFresh(j) {
-			delete(r.detector.joiners, identity)
+	isFirst := r.isFirstProposer()
+	for identity, j := range r.detector.joinRequests {
+		if !r.isCurrent(j) {
+			delete(r.detector.joinRequests, identity)
 			continue
 		}
-		if j.view < r.control.View.Number || !isFirst && r.now-j.first < firstsPatience {
+		if j.view < r.control.View.Number || !isFirst && r.now-j.firstRequestAt < admissionFallbackTimeout {
 			continue
 		}
 		holder, taken := lo.Find(r.control.View.Members, func(m message.Member) bool { return m.Address == j.member.Address })
--- a/internal/controlplane/replica/lease.go
+++ b/internal/controlplane/replica/lease.go
@@ -8,101 +8,107 @@
 
 // leaseState is the member's part in the lease on the controller role: as grantor, as holder and as one that wants it.
 type leaseState struct {
-	length      time.Duration
+	duration    time.Duration
 	startedAt   time.Duration
 	viewEntered time.Duration
 
 	// as grantor
-	holder      message.MemberID
-	holderAt    string // address
-	expires     time.Duration
-	heardOf     time.Duration // when the holder last renewed
-	renewalSeen time.Duration // when another member asked to renew; 0: never
+	holder         message.MemberID
+	holderAddress  string // address
+	grantExpiresAt time.Duration
+	heardOf        time.Duration // when the holder last renewed
+	renewalSeenAt  time.Duration // when another member asked to renew; 0: never
 
 	// as holder
-	token      message.FencingToken
-	validUntil time.Duration
-	heldSince  time.Duration
-	round      uint64
-	asked      time.Duration // when the running round began
-	grants     map[message.MemberID]bool
-	wantToken  message.FencingToken
-	everAsked  bool
-	refusedFor message.FencingToken // highest token told in refusals
+	token                message.FencingToken
+	expiresAt            time.Duration
+	heldSince            time.Duration
+	requestID            uint64
+	requestedAt          time.Duration // when the running round began
+	grantedBy            map[message.MemberID]bool
+	requestedToken       message.FencingToken
+	hasRequested         bool
+	highestRejectedToken message.FencingToken // highest token told in refusals
 }
 
 const (
-	renewInterval = 400 * time.Millisecond
-	tokenViewBits = 24 // tokens carry the view's number above so many bits, so that they rise from view to view
-	leaseGuard    = 100 * time.Millisecond
+	leaseRenewalInterval = 400 * time.Millisecond
+	tokenViewShift       = 24 // tokens carry the view's number above so many bits, so that they rise from view to view
+	leaseSafetyMargin    = 100 * time.Millisecond
 )
 
 func (l *leaseState) init(now, length time.Duration, incarnation uint64) {
-	l.length, l.startedAt, l.viewEntered, l.round = length, now, now, incarnation
+	l.duration, l.startedAt, l.viewEntered, l.requestID = length, now, now, incarnation
 }
 
-// Lease returns the fencing token of the lease, since when it is held without a gap and until when; ok is false where
-// it is not held now.
-func (r *Replica) Lease(now time.Duration) (token message.FencingToken, since, until time.Duration, ok bool) {
-	if r.lease.token == 0 || now >= r.lease.validUntil {
-		return 0, 0, 0, false
+// Lease is a lease that this member holds on the controller role.
+type Lease struct {
+	Token     message.FencingToken
+	HeldSince time.Duration // held from then on without a gap, over all renewals
+	ExpiresAt time.Duration
+}
+
+// Lease returns the lease that this member holds at now; ok is false where it holds none.
+func (r *Replica) Lease(now time.Duration) (lease Lease, ok bool) {
+	if r.lease.token == 0 || now >= r.lease.expiresAt {
+		return Lease{}, false
 	}
-	return r.lease.token, r.lease.heldSince, r.lease.validUntil, true
+	return Lease{Token: r.lease.token, HeldSince: r.lease.heldSince, ExpiresAt: r.lease.expiresAt}, true
 }
 
-// LeaseHolder returns the address of the holder that this member knows of.
-func (r *Replica) LeaseHolder() (address string, ok bool) {
-	if _, _, _, held := r.Lease(r.now); held {
+// LeaseHolderAddress returns the address of the holder that this member knows of.
+func (r *Replica) LeaseHolderAddress() (address string, ok bool) {
+	if _, held := r.Lease(r.now); held {
 		return r.options.Self.Address, true
 	}
-	return r.lease.holderAt, r.lease.holder != "" && r.now < r.lease.expires && r.lease.holder != r.control.Identity
+	return r.lease.holderAddress, r.lease.holder != "" && r.now < r.lease.grantExpiresAt && r.lease.holder != r.control.Identity
 }
 
 func (r *Replica) tickLease() {
 	l := &r.lease
-	if l.token != 0 && r.now >= l.validUntil {
+	if l.token != 0 && r.now >= l.expiresAt {
 		l.token = 0
 	}
-	if !r.IsMember() || !r.control.Complete || r.leaving || r.stalled || r.options.Volatile && !r.isDiskless() {
+	if !r.IsMember() || !r.control.Complete || r.leaving || r.diskStalled || r.options.Diskless && !r.isDisklessSystem() {
 		r.releaseLease()
 		return
 	}
 	if !r.link.synced {
 		return
 	}
-	if l.token == 0 && !r.mayStandForLease() {
+	if l.token == 0 && !r.canRequestLease() {
 		return
 	}
-	if l.everAsked && r.now-l.asked < renewInterval {
+	if l.hasRequested && r.now-l.requestedAt < leaseRenewalInterval {
 		return
 	}
-	l.everAsked, l.asked = true, r.now
-	l.round++
-	l.grants = map[message.MemberID]bool{}
-	l.wantToken = l.token
+	l.hasRequested, l.requestedAt = true, r.now
+	l.requestID++
+	l.grantedBy = map[message.MemberID]bool{}
+	l.requestedToken = l.token
 	if l.token == 0 {
-		lowest := message.FencingToken(r.control.View.Number << tokenViewBits)
-		l.wantToken = max(lowest, r.control.LeaseToken, l.refusedFor) + 1
+		lowest := message.FencingToken(r.control.View.Number << tokenViewShift)
+		l.requestedToken = max(lowest, r.control.LeaseToken, l.highestRejectedToken) + 1
 	}
-	request := &message.LeaseRequest{Token: l.wantToken, RequestID: l.round, Renewal: l.token != 0}
-	for _, member := range everyone(r.control.View) { // who has no vote hears of the holder by it, and does not stand
+	request := &message.LeaseRequest{Token: l.requestedToken, RequestID: l.requestID, Renewal: l.token != 0}
+	for _, member := range membersAndVoters(r.control.View) { // who has no vote hears of the holder by it, and does not stand
 		r.send(member, message.Message{LeaseRequest: request})
 	}
 }
 
-// standDelay spreads the candidates: each waits so long for every one behind it in the chain.
-const standDelay = 300 * time.Millisecond
+// candidateDelay spreads the candidates: each waits so long for every one behind it in the chain.
+const candidateDelay = 300 * time.Millisecond
 
-// mayStandForLease reports whether the role has been vacant for long enough. The members stand in the order from the
+// canRequestLease reports whether the role has been vacant for long enough. The members stand in the order from the
 // tail: the head has other work.
-func (r *Replica) mayStandForLease() bool {
+func (r *Replica) canRequestLease() bool {
 	l := &r.lease
-	vacantSince := max(l.expires, max(l.startedAt, l.viewEntered)+l.length) // nobody grants anything new before
-	if l.renewalSeen != 0 {
-		vacantSince = max(vacantSince, l.renewalSeen+l.length)
+	vacantSince := max(l.grantExpiresAt, max(l.startedAt, l.viewEntered)+l.duration) // nobody grants anything new before
+	if l.renewalSeenAt != 0 {
+		vacantSince = max(vacantSince, l.renewalSeenAt+l.duration)
 	}
 	behind := len(r.control.View.Members) - 1 - r.position()
-	return r.now >= vacantSince+time.Duration(behind)*standDelay
+	return r.now >= vacantSince+time.Duration(behind)*candidateDelay
 }
 
 // releaseLease gives the lease back, so that a successor need not wait for its end.
@@ -112,8 +118,8 @@
 	}
 	release := &message.LeaseRelease{Token: r.lease.token}
 	r.lease.token = 0
-	r.lease.round++ // grants that are still on their way count for nothing
-	for _, member := range everyone(r.control.View) {
+	r.lease.requestID++ // grants that are still on their way count for nothing
+	for _, member := range membersAndVoters(r.control.View) {
 		r.send(member, message.Message{LeaseRelease: release})
 	}
 }
@@ -129,22 +135,22 @@
 	l := &r.lease
 	request := m.LeaseRequest
 	if request.Renewal && m.From != r.control.Identity {
-		l.renewalSeen = r.now // who was away, or has no vote, knows of the holder by this before it would stand itself
+		l.renewalSeenAt = r.now // who was away, or has no vote, knows of the holder by this before it would stand itself
 	}
 	if !r.isVoter() || r.control.AcceptedView.Number != 0 {
 		return
 	}
 	grant := &message.LeaseGrant{RequestID: request.RequestID}
-	held := r.now < l.expires
+	held := r.now < l.grantExpiresAt
 	renewal := request.Renewal && held && l.holder == m.From && request.Token == r.control.LeaseToken
 	// A holder that restarted has no lease any more, but only one process can have its identity.
-	vacant := !held && r.now >= max(l.startedAt, l.viewEntered)+l.length || held && l.holder == m.From
+	vacant := !held && r.now >= max(l.startedAt, l.viewEntered)+l.duration || held && l.holder == m.From
 	// A grantor that was away renews too, once it has granted nothing for a lease: the token shows that none of later
 	// date was granted by a majority with it.
 	returned := request.Renewal && vacant && request.Token >= r.control.LeaseToken
 	if renewal || returned || !request.Renewal && vacant && request.Token > r.control.LeaseToken {
 		grant.Granted = true
-		l.holder, l.holderAt, l.expires, l.heardOf = m.From, m.FromAddress, r.now+l.length, r.now
+		l.holder, l.holderAddress, l.grantExpiresAt, l.heardOf = m.From, m.FromAddress, r.now+l.duration, r.now
 	}
 	if grant.Granted && request.Token > r.control.LeaseToken {
 		r.control.LeaseToken = request.Token
@@ -156,30 +162,30 @@
 
 func (r *Replica) onLeaseGrant(m *message.Message) {
 	l := &r.lease
-	if m.View != r.control.View.Number || m.LeaseGrant.RequestID != l.round || !r.isVoterOf(m.From) {
+	if m.View != r.control.View.Number || m.LeaseGrant.RequestID != l.requestID || !r.hasVote(m.From) {
 		return
 	}
 	if !m.LeaseGrant.Granted {
-		l.refusedFor = max(l.refusedFor, m.LeaseGrant.Token)
+		l.highestRejectedToken = max(l.highestRejectedToken, m.LeaseGrant.Token)
 		return
 	}
-	l.grants[m.From] = true
-	if len(l.grants) < r.majority() {
+	l.grantedBy[m.From] = true
+	if len(l.grantedBy) < r.quorumSize() {
 		return
 	}
 	if l.token == 0 {
 		l.heldSince = r.now
 	}
-	l.token = l.wantToken
-	l.validUntil = l.asked + l.length - leaseGuard
+	l.token = l.requestedToken
+	l.expiresAt = l.requestedAt + l.duration - leaseSafetyMargin
 }
 
 func (r *Replica) onLeaseRelease(m *message.Message) {
 	if !r.isVoter() {
-		r.lease.renewalSeen = 0
+		r.lease.renewalSeenAt = 0
 		return
 	}
 	if r.lease.holder == m.From && m.LeaseRelease.Token == r.control.LeaseToken {
-		r.lease.expires, r.lease.renewalSeen = r.now, 0
+		r.lease.grantExpiresAt, r.lease.renewalSeenAt = r.now, 0
 	}
 }
--- a/internal/controlplane/replica/lease_test.go
+++ b/internal/controlplane/replica/lease_test.go
@@ -14,7 +14,7 @@
 // holders are all members that believe to hold the lease now.
 func holders(g *group) []int {
 	return lo.FilterMap(g.members, func(m *Replica, i int) (int, bool) {
-		_, _, _, ok := m.Lease(g.now)
+		_, ok := m.Lease(g.now)
 		return i, ok
 	})
 }
@@ -51,7 +51,7 @@
 	g.tick(5 * time.Second)
 	index := holder(g)
 	old := g.members[index]
-	round := old.lease.round
+	round := old.lease.requestID
 	options := old.options
 	options.Incarnation = 1 << 40
 	started := New(options, accept, 0, old.control, old.chain)
@@ -65,7 +65,7 @@
 			started.Step(0, &from)
 		}
 	}
-	_, _, _, holds := started.Lease(0)
+	_, holds := started.Lease(0)
 	assert.False(t, holds)
 	assert.False(t, started.HasMajority())
 }
@@ -76,7 +76,7 @@
 	g := newTolerantGroup(t, 4, 1)
 	g.tick(5 * time.Second)
 	index := holder(g)
-	token, since, _, _ := g.members[index].Lease(g.now)
+	before, _ := g.members[index].Lease(g.now)
 	for i := range g.members {
 		if i == index {
 			continue
@@ -88,7 +88,7 @@
 		g.tick(6 * time.Second)
 		require.Equal(t, []int{index}, holders(g), "after member %d", i)
 	}
-	sameToken, sameSince, _, _ := g.members[index].Lease(g.now)
-	assert.Equal(t, token, sameToken)
-	assert.Equal(t, since, sameSince, "it was held without a gap")
+	after, _ := g.members[index].Lease(g.now)
+	assert.Equal(t, before.Token, after.Token)
+	assert.Equal(t, before.HeldSince, after.HeldSince, "it was held without a gap")
 }
--- a/internal/controlplane/replica/membership.go
+++ b/internal/controlplane/replica/membership.go
@@ -10,73 +10,73 @@
 	"pumiceline/internal/message"
 )
 
-// wantedView is the view that the reports and requests speak for; ok is false where it is the present one.
+// nextView is the view that the reports and requests speak for; ok is false where it is the present one.
 //
 // Three decisions are made apart from one another: who is in the chain, which joiners come in, and who votes. A member
 // that is silent leaves the chain at once, as the chain acknowledges nothing without it, but goes on voting: it may
 // come back with its disk while one of the others loses its own. A vote is taken from a silent member only when a live
 // one gets it, or when there are more voters than the tolerance needs.
-func (r *Replica) wantedView() (view message.View, ok bool) {
+func (r *Replica) nextView() (view message.View, ok bool) {
 	current := r.control.View
-	if !r.hasGroundForChange() {
+	if !r.hasReasonForChange() {
 		return view, false
 	}
-	suspects := r.suspects()
+	suspects := r.suspectedMembers()
 	alive := lo.Reject(current.Members, func(m message.Member, _ int) bool { return slices.Contains(suspects, m.Identity) })
-	joiners := r.freshJoiners(suspects)
-	stay := r.withoutLeavers(alive)
-	if !r.mayDropSilent(alive, len(suspects)) || len(stay)+len(joiners) < r.leastChain() {
+	joiners := r.joiningMembers(suspects)
+	stay := r.removeLeaving(alive)
+	if !r.canRemoveSuspected(alive, len(suspects)) || len(stay)+len(joiners) < r.minChainLength() {
 		stay = lo.Filter(current.Members, func(m message.Member, _ int) bool {
-			return includes(stay, m.Identity) || slices.Contains(suspects, m.Identity) && !r.isDisplaced(m)
+			return containsMember(stay, m.Identity) || slices.Contains(suspects, m.Identity) && !r.isAddressTaken(m)
 		})
 	}
 	sort.SliceStable(stay, func(i, j int) bool { return r.isComplete(stay[i]) && !r.isComplete(stay[j]) })
-	next := r.admit(stay, alive, joiners)
-	if len(next.Members) < r.leastChain() {
+	next := r.composeView(stay, alive, joiners)
+	if len(next.Members) < r.minChainLength() {
 		return view, false // nothing may be acknowledged on so few disks
 	}
-	if sameMembers(next.Members, current.Members) && sameMembers(next.Voters, current.EffectiveVoters()) && !r.tellsZones(next) {
+	if sameMembers(next.Members, current.Members) && sameMembers(next.Voters, current.EffectiveVoters()) && !r.addsSeedZones(next) {
 		return view, false
 	}
 	return next, true
 }
 
-// tellsZones reports whether a view would be the first that tells the zones of the seeds: who comes to replace one of
+// addsSeedZones reports whether a view would be the first that tells the zones of the seeds: who comes to replace one of
 // them is told by its zone, also by members that never heard the lost one.
-func (r *Replica) tellsZones(next message.View) bool {
+func (r *Replica) addsSeedZones(next message.View) bool {
 	isUnknown := func(m message.Member) bool { return m.Zone == "" }
 	return r.control.View.Number == 1 && lo.EveryBy(r.control.View.Members, isUnknown) && lo.NoneBy(next.Members, isUnknown)
 }
 
-// mayDropSilent reports whether the silent members may be taken out of the chain: when one more of the others than the
+// canRemoveSuspected reports whether the silent members may be taken out of the chain: when one more of the others than the
 // tolerance holds all that was acknowledged. Members that are still being brought up to date are waited for, though not
 // for long, as nothing is acknowledged meanwhile.
-func (r *Replica) mayDropSilent(alive []message.Member, silent int) bool {
+func (r *Replica) canRemoveSuspected(alive []message.Member, silent int) bool {
 	if silent == 0 {
-		r.detector.silentSince = 0
+		r.detector.suspectedSince = 0
 		return true
 	}
-	if r.detector.silentSince == 0 {
-		r.detector.silentSince = r.now
+	if r.detector.suspectedSince == 0 {
+		r.detector.suspectedSince = r.now
 	}
 	holding := lo.CountBy(alive, r.isComplete)
-	return holding > r.options.Tolerance || r.now-r.detector.silentSince >= dropPatience
+	return holding > r.options.Tolerance || r.now-r.detector.suspectedSince >= incompleteChainTimeout
 }
 
-// hasGroundForChange reports whether anything speaks for another view; mostly nothing does.
-func (r *Replica) hasGroundForChange() bool {
+// hasReasonForChange reports whether anything speaks for another view; mostly nothing does.
+func (r *Replica) hasReasonForChange() bool {
 	current := r.control.View
-	speaks := func(m message.Member) bool { return r.givesWay(m) || !r.hasHeard(m) }
-	if len(r.detector.reports)+len(r.detector.joiners) > 0 || lo.ContainsBy(current.Members, speaks) {
+	speaks := func(m message.Member) bool { return r.yieldsToDurableMembers(m) || !r.hasHeardFrom(m) }
+	if len(r.detector.reports)+len(r.detector.joinRequests) > 0 || lo.ContainsBy(current.Members, speaks) {
 		return true
 	}
-	return current.Number == 1 || r.electorateIsUnsettled()
+	return current.Number == 1 || r.needsVoteTransfer()
 }
 
-// withoutLeavers lets go of the members that were asked to stop, and of those without a disk, which only the first view
+// removeLeaving lets go of the members that were asked to stop, and of those without a disk, which only the first view
 // can have: as soon as one more of the others than the tolerance holds all that was acknowledged.
-func (r *Replica) withoutLeavers(present []message.Member) []message.Member {
-	staying := lo.Reject(present, func(m message.Member, _ int) bool { return r.isGoing(m) })
+func (r *Replica) removeLeaving(present []message.Member) []message.Member {
+	staying := lo.Reject(present, func(m message.Member, _ int) bool { return r.isLeaving(m) })
 	holding := lo.CountBy(staying, r.isComplete)
 	if holding > r.options.Tolerance {
 		return staying
@@ -84,49 +84,49 @@
 	return present
 }
 
-// isGoing reports whether a member that is still there is to be let go.
-func (r *Replica) isGoing(member message.Member) bool {
-	return r.givesWay(member) || r.isLeaver(member)
+// isLeaving reports whether a member that is still there is to be let go.
+func (r *Replica) isLeaving(member message.Member) bool {
+	return r.yieldsToDurableMembers(member) || r.isReportedLeaving(member)
 }
 
-// admit adds the joiners to those that stay and settles who votes.
-func (r *Replica) admit(stay, alive, joiners []message.Member) message.View {
+// composeView adds the joiners to those that stay and settles who votes.
+func (r *Replica) composeView(stay, alive, joiners []message.Member) message.View {
 	next := message.View{Number: r.control.View.Number + 1, Members: stay}
 	active := lo.Filter(stay, func(m message.Member, _ int) bool {
-		return includes(alive, m.Identity) && r.hasHeard(m) && !r.givesWay(m)
+		return containsMember(alive, m.Identity) && r.hasHeardFrom(m) && !r.yieldsToDurableMembers(m)
 	})
-	admitted := r.admissible(joiners, len(stay), r.electorateWith(active))
+	admitted := r.admissibleMembers(joiners, len(stay), r.newVoterSelection(active))
 	next.Members = append(next.Members, admitted...)
-	r.describe(next.Members)
-	electorate := r.electorateWith(append(active, admitted...))
-	electorate.mayGrow = !r.someoneIsInDoubt(stay)
-	next.Voters = electorate.next()
-	next.ReplacedVoters = electorate.stillDisplaced(r.givesWay)
-	r.describe(next.Voters)
+	r.fillInDetails(next.Members)
+	electorate := r.newVoterSelection(append(active, admitted...))
+	electorate.canGrow = !r.hasLateMember(stay)
+	next.Voters = electorate.nextVoters()
+	next.ReplacedVoters = electorate.remainingReplaced(r.yieldsToDurableMembers)
+	r.fillInDetails(next.Voters)
 	return next
 }
 
-// electorateWith starts from the present voters, of whom some members are there.
-func (r *Replica) electorateWith(present []message.Member) *electorate {
+// newVoterSelection starts from the present voters, of whom some members are there.
+func (r *Replica) newVoterSelection(present []message.Member) *voterSelection {
 	view := r.control.View
-	return &electorate{
-		least: r.leastVoters(), voters: slices.Clone(view.EffectiveVoters()), present: present, displaced: slices.Clone(view.ReplacedVoters),
-		leaves: r.isDeparting, silence: r.silenceOf, newcomer: r.asksAsNewcomer, mayVote: r.mayVote,
+	return &voterSelection{
+		minVoters: r.minVoters(), voters: slices.Clone(view.EffectiveVoters()), present: present, replaced: slices.Clone(view.ReplacedVoters),
+		isLeaving: r.hasAnnouncedLeaving, timeSinceMessage: r.timeSinceMessage, newcomerAge: r.newcomerAge, canReceiveVote: r.canReceiveVote,
 	}
 }
 
-// admissible are the joiners that come in now. One whose place is clear comes at once: a voter that is back, a machine
+// admissibleMembers are the joiners that come in now. One whose place is clear comes at once: a voter that is back, a machine
 // whose disk was lost, one that comes for a member of its zone. Any other has to ask for a while: the member that it
 // came to replace would have been found silent by then, or have been told to stop.
-func (r *Replica) admissible(joiners []message.Member, staying int, places *electorate) []message.Member {
+func (r *Replica) admissibleMembers(joiners []message.Member, staying int, places *voterSelection) []message.Member {
 	var admitted []message.Member
 	for _, joiner := range joiners {
-		isKnown := lo.ContainsBy(everyone(r.control.View), func(m message.Member) bool { return m.Address == joiner.Address })
-		predecessor, hasPlace := places.clearPredecessor(joiner)
+		isKnown := lo.ContainsBy(membersAndVoters(r.control.View), func(m message.Member) bool { return m.Address == joiner.Address })
+		predecessor, hasPlace := places.certainPredecessor(joiner)
 		switch {
-		case isKnown || r.isPatient(joiner) || staying+len(admitted) < r.leastChain():
+		case isKnown || r.isEstablished(joiner) || staying+len(admitted) < r.minChainLength():
 		case hasPlace:
-			places.succeed(predecessor, joiner)
+			places.transferVote(predecessor, joiner)
 		default:
 			continue
 		}
@@ -135,96 +135,96 @@
 	return admitted
 }
 
-// isLeaver reports whether a member was asked to stop.
-func (r *Replica) isLeaver(member message.Member) bool {
-	return r.isReported(isLeaving, member.Identity, nil)
+// isReportedLeaving reports whether a member was asked to stop.
+func (r *Replica) isReportedLeaving(member message.Member) bool {
+	return r.isReported(leaving, member.Identity, nil)
 }
 
-// newcomerTime is how long a machine counts as one that has just come.
-const newcomerTime = 10 * time.Second
+// newcomerPeriod is how long a machine counts as one that has just come.
+const newcomerPeriod = 10 * time.Second
 
-// asksAsNewcomer returns how long ago a machine asked for the first time; ok is false for one that was a member before.
-func (r *Replica) asksAsNewcomer(member message.Member) (asked time.Duration, ok bool) {
+// newcomerAge returns how long ago a machine asked for the first time; ok is false for one that was a member before.
+func (r *Replica) newcomerAge(member message.Member) (asked time.Duration, ok bool) {
 	arrived, known := r.detector.arrived[member.Identity]
-	return r.now - arrived, known && r.now-arrived <= newcomerTime
+	return r.now - arrived, known && r.now-arrived <= newcomerPeriod
 }
 
-// isDeparting reports whether a member said a moment ago that it was asked to stop, and has not come back since.
-func (r *Replica) isDeparting(member message.Member) bool {
+// hasAnnouncedLeaving reports whether a member said a moment ago that it was asked to stop, and has not come back since.
+func (r *Replica) hasAnnouncedLeaving(member message.Member) bool {
 	at, said := r.detector.departing[member.Identity]
-	return said && r.now-at <= departureTime
+	return said && r.now-at <= leavingPeriod
 }
 
-// isPatient reports whether a member without a vote has been known for long enough that its coming says nothing of any
+// isEstablished reports whether a member without a vote has been known for long enough that its coming says nothing of any
 // other. While the system starts for the first time it comes to replace nobody.
-func (r *Replica) isPatient(member message.Member) bool {
-	asked, isNew := r.asksAsNewcomer(member)
-	isFounding := r.options.FirstStart && r.now <= foundingTime
-	return !isNew || isFounding || asked >= joinPatience
+func (r *Replica) isEstablished(member message.Member) bool {
+	asked, isNew := r.newcomerAge(member)
+	isFounding := r.options.FirstStart && r.now <= initialStartPeriod
+	return !isNew || isFounding || asked >= newcomerTimeout
 }
 
-// mayVote reports whether a member without a vote may get that of a silent one: it is there, and nobody came for it a
+// canReceiveVote reports whether a member without a vote may get that of a silent one: it is there, and nobody came for it a
 // moment ago.
-func (r *Replica) mayVote(member message.Member) bool {
+func (r *Replica) canReceiveVote(member message.Member) bool {
 	at, superseded := r.detector.superseded[member.Identity]
-	if superseded && r.now-at <= newcomerTime {
+	if superseded && r.now-at <= newcomerPeriod {
 		return false
 	}
 	spoke, known := r.detector.spoke[member.Identity]
-	isThere := member.Identity == r.control.Identity || known && r.now-spoke <= longSilence
-	return isThere && r.isPatient(member)
+	isThere := member.Identity == r.control.Identity || known && r.now-spoke <= unmonitoredSuspicionTimeout
+	return isThere && r.isEstablished(member)
 }
 
-// silenceOf is how long nothing came from a voter.
-func (r *Replica) silenceOf(voter message.Member) time.Duration {
+// timeSinceMessage is how long nothing came from a voter.
+func (r *Replica) timeSinceMessage(voter message.Member) time.Duration {
 	return r.now - r.detector.spoke[voter.Identity]
 }
 
-// describe fills in what is known of the seeds, of which the first view has only the addresses.
-func (r *Replica) describe(members []message.Member) {
+// fillInDetails fills in what is known of the seeds, of which the first view has only the addresses.
+func (r *Replica) fillInDetails(members []message.Member) {
 	for i := range members {
 		if members[i].Zone == "" {
 			members[i].Zone = r.detector.zone[members[i].Identity]
 		}
-		members[i].Diskless = members[i].Diskless || r.isVolatile(members[i])
+		members[i].Diskless = members[i].Diskless || r.isDiskless(members[i])
 	}
 }
 
-// someoneIsInDoubt reports whether a member was not heard for a moment, or never.
-func (r *Replica) someoneIsInDoubt(members []message.Member) bool {
+// hasLateMember reports whether a member was not heard for a moment, or never.
+func (r *Replica) hasLateMember(members []message.Member) bool {
 	return lo.ContainsBy(members, func(m message.Member) bool {
 		if m.Identity == r.control.Identity {
 			return false
 		}
 		_, known := r.detector.heard[m.Identity]
-		return !known || r.isReported(isDoubted, m.Identity, nil) || r.isReported(isSilent, m.Identity, nil)
+		return !known || r.isReported(late, m.Identity, nil) || r.isReported(suspected, m.Identity, nil)
 	})
 }
 
-// hasDurability reports whether a change may be acknowledged: the voters and copies that are on disks bear the loss of
+// isDurable reports whether a change may be acknowledged: the voters and copies that are on disks bear the loss of
 // all power, and of as many disks as the tolerance says. Where no machine has a disk, and where there may be fewer
 // machines than that takes, the first seconds of a view are waited for.
-func (r *Replica) hasDurability() bool {
+func (r *Replica) isDurable() bool {
 	voters := r.control.View.EffectiveVoters()
-	waited := r.now-r.lease.viewEntered >= disklessPatience
-	if r.control.View.Number == 1 && len(voters) < r.leastVoters() && !waited {
+	waited := r.now-r.lease.viewEntered >= durableMemberTimeout
+	if r.control.View.Number == 1 && len(voters) < r.minVoters() && !waited {
 		return false
 	}
-	onDisk := lo.Reject(voters, func(m message.Member, _ int) bool { return r.mayBeVolatile(m) })
+	onDisk := lo.Reject(voters, func(m message.Member, _ int) bool { return r.mayBeDiskless(m) })
 	switch len(onDisk) {
 	case len(voters):
 		return true
 	case 0:
-		return waited || r.isDiskless()
+		return waited || r.isDisklessSystem()
 	}
-	copies := lo.CountBy(r.control.View.Members, func(m message.Member) bool { return !r.mayBeVolatile(m) })
-	return len(onDisk)-r.options.Tolerance >= r.majority() && copies > r.options.Tolerance
+	copies := lo.CountBy(r.control.View.Members, func(m message.Member) bool { return !r.mayBeDiskless(m) })
+	return len(onDisk)-r.options.Tolerance >= r.quorumSize() && copies > r.options.Tolerance
 }
 
-// mayBeVolatile reports whether a member has no disk, or is a seed that has not told yet.
-func (r *Replica) mayBeVolatile(member message.Member) bool {
+// mayBeDiskless reports whether a member has no disk, or is a seed that has not told yet.
+func (r *Replica) mayBeDiskless(member message.Member) bool {
 	if member.Identity == r.control.Identity {
-		return r.options.Volatile
+		return r.options.Diskless
 	}
 	hasDisk, told := r.detector.disk[member.Identity]
 	return member.Diskless || told && !hasDisk || !told && r.control.View.Number == 1
--- a/internal/controlplane/replica/membership_test.go
+++ b/internal/controlplane/replica/membership_test.go
@@ -183,11 +183,11 @@
 func TestACutMemberServesNoProxies(t *testing.T) {
 	g := newGroup(t, 3)
 	g.tick(2 * time.Second)
-	require.Greater(t, g.members[2].ServesUntil(), g.now)
+	require.Greater(t, g.members[2].ServingUntil(), g.now)
 	g.lost = func(m *message.Message) bool { return (m.ToAddress == "m2") != (m.FromAddress == "m2") }
-	g.tick(contactLifetime + contactInterval)
-	assert.LessOrEqual(t, g.members[2].ServesUntil(), g.now)
-	assert.Greater(t, g.members[0].ServesUntil(), g.now)
+	g.tick(confirmLifetime + confirmInterval)
+	assert.LessOrEqual(t, g.members[2].ServingUntil(), g.now)
+	assert.Greater(t, g.members[0].ServingUntil(), g.now)
 }
 
 // Found by the simulated cluster: where the address of a lost member was taken by a joiner that could not be admitted
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -15,42 +15,42 @@
 
 // Intervals and limits of the protocol.
 const (
-	heartbeatInterval = 200 * time.Millisecond
-	suspectAfter      = 900 * time.Millisecond  // silence after which a member is suspected
-	longSilence       = 1600 * time.Millisecond // the same, where its monitors say nothing
-	doubtAfter        = 450 * time.Millisecond  // silence after which a member is in doubt
-	reportLifetime    = 600 * time.Millisecond  // how long another member's suspicion counts
-	joinLifetime      = 700 * time.Millisecond  // how long a request to join counts
-	joinPatience      = 2 * suspectAfter        // a joiner whose place is not clear asks so long
-	foundingTime      = 2 * time.Second         // after the first start of the whole system
-	roundTimeout      = 400 * time.Millisecond  // an agreement round that takes longer is begun anew
-	dropPatience      = 2 * time.Second         // so long silent members stay for others that are not complete yet
-	resendAfter       = 150 * time.Millisecond  // unacknowledged replication is sent again
-	confirmResend     = 100 * time.Millisecond
-	callLifetime      = 1500 * time.Millisecond       // a waiting call that is older was given up by its relay
-	ownStallAfter     = 300 * time.Millisecond        // ticks further apart mean that this process stood still
-	withdrawalTime    = joinLifetime + 2*roundTimeout // a request to join leads to admission so much later at the most
-	monitorsPerMember = 3
-	maxWaitingCalls   = 64
-	contactInterval   = 350 * time.Millisecond // a member asks a majority so often whether its view is the newest
-	contactLifetime   = 800 * time.Millisecond // so long after it asked, a member serves proxies
+	heartbeatInterval           = 200 * time.Millisecond
+	suspicionTimeout            = 900 * time.Millisecond  // silence after which a member is suspected
+	unmonitoredSuspicionTimeout = 1600 * time.Millisecond // the same, where its monitors say nothing
+	lateTimeout                 = 450 * time.Millisecond  // silence after which a member is in doubt
+	reportTimeout               = 600 * time.Millisecond  // how long another member's suspicion counts
+	joinRequestTimeout          = 700 * time.Millisecond  // how long a request to join counts
+	newcomerTimeout             = 2 * suspicionTimeout    // a joiner whose place is not clear asks so long
+	initialStartPeriod          = 2 * time.Second         // after the first start of the whole system
+	proposalTimeout             = 400 * time.Millisecond  // an agreement round that takes longer is begun anew
+	incompleteChainTimeout      = 2 * time.Second         // so long silent members stay for others that are not complete yet
+	replicateRetryInterval      = 150 * time.Millisecond  // unacknowledged replication is sent again
+	confirmRetryInterval        = 100 * time.Millisecond
+	requestTimeout              = 1500 * time.Millisecond                // a waiting call that is older was given up by its relay
+	pauseThreshold              = 300 * time.Millisecond                 // ticks further apart mean that this process stood still
+	withdrawalTimeout           = joinRequestTimeout + 2*proposalTimeout // a request to join leads to admission so much later at the most
+	monitorsPerMember           = 3
+	maxPendingRequests          = 64
+	confirmInterval             = 350 * time.Millisecond // a member asks a majority so often whether its view is the newest
+	confirmLifetime             = 800 * time.Millisecond // so long after it asked, a member serves proxies
 )
 
 // Options are fixed for the life of a process.
 type Options struct {
-	Self       message.Member
-	Seeds      []string // internal addresses
-	Tolerance  int      // members that may be lost at one time
-	Lease      time.Duration
-	FirstStart bool
-	Volatile   bool // the machine has no disk: it never asks for membership
+	Self          message.Member
+	Seeds         []string // internal addresses
+	Tolerance     int      // members that may be lost at one time
+	LeaseDuration time.Duration
+	FirstStart    bool
+	Diskless      bool // the machine has no disk: it never asks for membership
 	// Incarnation is drawn at random for each life of the process. Rounds are numbered from it, so that no answer to an
 	// earlier life is taken for one to this.
 	Incarnation uint64
 }
 
-// Decision is what a change amounts to on top of a state.
-type Decision struct {
+// ValidationResult is what a change amounts to on top of a state.
+type ValidationResult struct {
 	Status   int // 200: taken before or to be applied; 0: undecided, no answer is given; otherwise refused
 	Body     []byte
 	Apply    bool
@@ -58,8 +58,8 @@
 	Document []byte
 }
 
-// Judge decides a call on top of a state. It must be a pure function.
-type Judge func(state *message.ChainState, call *message.ConfigRequest) Decision
+// Validator decides a call on top of a state. It must be a pure function.
+type Validator func(state *message.ChainState, call *message.ConfigRequest) ValidationResult
 
 // Output is what a step asks the caller to do, in this order: send Immediate; write Control and Chain where they are
 // set and sync them; then send AfterSync. Outputs are carried out in the order in which they were returned.
@@ -67,63 +67,63 @@
 	Immediate []message.Message
 	Control   *message.ControlState
 	Chain     *message.ChainState
-	// Additions are what has to be added to the state of the output before to make Chain; none: it is written whole.
-	Additions []message.ChangeRecord
-	AfterSync []message.Message
+	// AppendedRecords are what has to be added to the state of the output before to make Chain; none: it is written whole.
+	AppendedRecords []message.ChangeRecord
+	AfterSync       []message.Message
 }
 
 // Replica is the state machine. It has one owner and no locks.
 type Replica struct {
-	options Options
-	judge   Judge
-	now     time.Duration
-	ticked  bool
+	options  Options
+	validate Validator
+	now      time.Duration
+	ticked   bool
 
 	control message.ControlState
 	chain   message.ChainState
 
-	out          Output
+	output       Output
 	controlDirty bool
 	chainDirty   bool
 
-	chainReplaced bool // since the last output
-	additions     []message.ChangeRecord
-
-	detector detector
-	proposal proposal
-	link     chainLink
-	confirms confirmations
-	lease    leaseState
-	leaving  bool
-	lastJoin time.Duration // when it asked for membership last
-	stalled  bool
+	chainReplaced   bool // since the last output
+	appendedRecords []message.ChangeRecord
+
+	detector        failureDetector
+	proposal        proposal
+	link            replicationLink
+	confirmation    viewConfirmation
+	lease           leaseState
+	leaving         bool
+	lastJoinRequest time.Duration // when it asked for membership last
+	diskStalled     bool
 }
 
 // New makes a replica from what was found on disk; the zero states stand for an empty disk.
-func New(options Options, judge Judge, now time.Duration, control message.ControlState, chain message.ChainState) *Replica {
-	r := &Replica{options: options, judge: judge, now: now, control: control, chain: chain}
+func New(options Options, judge Validator, now time.Duration, control message.ControlState, chain message.ChainState) *Replica {
+	r := &Replica{options: options, validate: judge, now: now, control: control, chain: chain}
 	if control.Identity == "" {
-		r.control = firstControlState(options)
+		r.control = initialControlState(options)
 		r.controlDirty = true
 	}
 	r.options.Self.Identity = r.control.Identity
 	r.detector.init()
 	r.detector.zone[r.control.Identity] = options.Self.Zone
-	r.detector.setRing(r.control.View, r.control.Identity)
-	r.lease.init(now, options.Lease, options.Incarnation)
-	r.confirms.round = options.Incarnation
-	r.enterRole()
+	r.detector.assignMonitors(r.control.View, r.control.Identity)
+	r.lease.init(now, options.LeaseDuration, options.Incarnation)
+	r.confirmation.requestID = options.Incarnation
+	r.resetReplication()
 	return r
 }
 
-// firstControlState is that of a member with an empty disk. On the first start of the system the seeds are the first
+// initialControlState is that of a member with an empty disk. On the first start of the system the seeds are the first
 // view, under identities that everyone can derive from their addresses.
-func firstControlState(options Options) message.ControlState {
+func initialControlState(options Options) message.ControlState {
 	state := message.ControlState{Identity: options.Self.Identity}
 	if !options.FirstStart {
 		return state
 	}
-	state.View = FirstView(options.Seeds)
+	state.View = InitialView(options.Seeds)
 	for _, member := range state.View.Members {
 		if member.Address == options.Self.Address {
 			state.Identity = member.Identity
@@ -139,8 +139,8 @@
 // View returns the newest view known.
 func (r *Replica) View() message.View { return r.control.View }
 
-// Served returns the newest state known to be acknowledged; its sequence is 0 where none is.
-func (r *Replica) Served() message.ChainState { return r.link.served }
+// CommittedState returns the newest state known to be acknowledged; its sequence is 0 where none is.
+func (r *Replica) CommittedState() message.ChainState { return r.link.committedState }
 
 // IsMember reports whether the replica belongs to the newest view it knows.
 func (r *Replica) IsMember() bool { return r.position() >= 0 }
@@ -151,23 +151,23 @@
 // IsSynced reports whether the replica holds the state of its view.
 func (r *Replica) IsSynced() bool { return r.IsMember() && r.link.synced }
 
-// ServesUntil returns until when the member may hand out its state: for a while after it asked a majority of the voters
+// ServingUntil returns until when the member may hand out its state: for a while after it asked a majority of the voters
 // whether its view is the newest, and they said so. What it hands out then is no older than what had been acknowledged
 // when it asked. It is 0 where the member may hand out nothing.
-func (r *Replica) ServesUntil() time.Duration {
-	if !r.IsSynced() || !r.link.current || !r.confirms.confirmed {
+func (r *Replica) ServingUntil() time.Duration {
+	if !r.IsSynced() || !r.link.committedInView || !r.confirmation.confirmed {
 		return 0
 	}
-	return r.confirms.contact + contactLifetime
+	return r.confirmation.confirmedAt + confirmLifetime
 }
 
 // HasMajority reports whether a majority of the voters confirmed the view a moment ago.
 func (r *Replica) HasMajority() bool {
-	return r.IsMember() && r.confirms.confirmed && r.now < r.confirms.contact+contactLifetime
+	return r.IsMember() && r.confirmation.confirmed && r.now < r.confirmation.confirmedAt+confirmLifetime
 }
 
-// WaitsFor tells what keeps the member from going on, for people who look for a fault: empty where nothing does.
-func (r *Replica) WaitsFor() string {
+// WaitingFor tells what keeps the member from going on, for people who look for a fault: empty where nothing does.
+func (r *Replica) WaitingFor() string {
 	switch {
 	case r.control.AcceptedView.Number != 0:
 		return "the decision on view " + strconv.FormatUint(uint64(r.control.AcceptedView.Number), 10)
@@ -175,9 +175,9 @@
 		return "admission to the chain"
 	case !r.control.Complete:
 		return "the state of its predecessor"
-	case !r.confirms.confirmed:
+	case !r.confirmation.confirmed:
 		return "a majority of the voters"
-	case !r.link.settled:
+	case !r.link.committed:
 		return "the rest of the chain"
 	}
 	return ""
@@ -186,41 +186,41 @@
 // SetLeaving says that the process was asked to stop: the others take it out of the chain, and its lease goes back.
 func (r *Replica) SetLeaving() { r.leaving = true }
 
-// MayStop reports whether a member that was asked to stop is needed no more: it is outside the chain, and no request of
+// CanStop reports whether a member that was asked to stop is needed no more: it is outside the chain, and no request of
 // its own by which it could be admitted again is still under way.
-func (r *Replica) MayStop() bool {
-	return r.leaving && !r.IsMember() && r.now-r.lastJoin >= withdrawalTime
+func (r *Replica) CanStop() bool {
+	return r.leaving && !r.IsMember() && r.now-r.lastJoinRequest >= withdrawalTimeout
 }
 
 // SetDiskStalled says whether a write has been under way for too long.
-func (r *Replica) SetDiskStalled(stalled bool) { r.stalled = stalled }
+func (r *Replica) SetDiskStalled(stalled bool) { r.diskStalled = stalled }
 
 // Tick does what is due at now.
 func (r *Replica) Tick(now time.Duration) Output {
-	if r.ticked && now-r.now > ownStallAfter {
-		r.detector.forgive(now, now-r.now)
+	if r.ticked && now-r.now > pauseThreshold {
+		r.detector.reset(now, now-r.now)
 	}
 	r.now, r.ticked = now, true
 	r.tickMembership()
 	r.tickProposal()
 	r.tickChain()
-	r.tickConfirms()
+	r.tickConfirmation()
 	r.tickLease()
 	return r.takeOutput()
 }
 
 // Step takes a message.
 func (r *Replica) Step(now time.Duration, m *message.Message) Output {
-	if r.ticked && now-r.now > ownStallAfter {
-		r.detector.forgive(now, now-r.now)
+	if r.ticked && now-r.now > pauseThreshold {
+		r.detector.reset(now, now-r.now)
 	}
 	r.now = max(r.now, now)
 	if m.To != "" && m.To != r.control.Identity { // meant for whoever had this address before
-		r.learnOfView(m)
+		r.announceNewerView(m)
 		return r.takeOutput()
 	}
-	r.detector.hear(m.From, r.control.Identity, r.now)
-	r.learnOfView(m)
+	r.detector.recordMessage(m.From, r.control.Identity, r.now)
+	r.announceNewerView(m)
 	r.dispatch(m)
 	return r.takeOutput()
 }
@@ -230,19 +230,19 @@
 	case m.Heartbeat != nil:
 		r.onHeartbeat(m)
 	case m.SuspicionReport != nil:
-		r.onSuspicion(m)
+		r.onSuspicionReport(m)
 	case m.JoinRequest != nil:
-		r.onJoin(m)
+		r.onJoinRequest(m)
 	case m.ViewAnnouncement != nil:
 		r.enterView(m.ViewAnnouncement.View)
 	case m.Prepare != nil:
 		r.onPrepare(m)
 	case m.PrepareResponse != nil:
-		r.onPromise(m)
+		r.onPrepareResponse(m)
 	case m.Accept != nil:
 		r.onAccept(m)
 	case m.AcceptResponse != nil:
-		r.onAccepted(m)
+		r.onAcceptResponse(m)
 	case m.Replicate != nil:
 		r.onReplicate(m)
 	case m.Committed != nil:
@@ -254,9 +254,9 @@
 	case m.CatchUp != nil:
 		r.onCatchUp(m)
 	case m.ConfirmRequest != nil:
-		r.onConfirm(m)
+		r.onConfirmRequest(m)
 	case m.ConfirmResponse != nil:
-		r.onConfirmed(m)
+		r.onConfirmResponse(m)
 	case m.LeaseRequest != nil:
 		r.onLeaseRequest(m)
 	case m.LeaseGrant != nil:
@@ -264,14 +264,14 @@
 	case m.LeaseRelease != nil:
 		r.onLeaseRelease(m)
 	case m.ConfigRequest != nil:
-		r.onConfigCall(m)
+		r.onConfigRequest(m)
 	}
 }
 
 // takeOutput hands out what has gathered.
 func (r *Replica) takeOutput() Output {
-	out := r.out
-	r.out = Output{}
+	out := r.output
+	r.output = Output{}
 	if r.controlDirty {
 		state := r.control
 		out.Control = &state
@@ -281,21 +281,21 @@
 		state := r.chain
 		out.Chain = &state
 		if !r.chainReplaced {
-			out.Additions = r.additions
+			out.AppendedRecords = r.appendedRecords
 		}
-		r.chainDirty, r.chainReplaced, r.additions = false, false, nil
+		r.chainDirty, r.chainReplaced, r.appendedRecords = false, false, nil
 	}
 	return out
 }
 
 // send lets a message out at once.
 func (r *Replica) send(to message.Member, m message.Message) {
-	r.out.Immediate = append(r.out.Immediate, r.addressed(to, m))
+	r.output.Immediate = append(r.output.Immediate, r.addressed(to, m))
 }
 
 // sendAfterSync lets a message out when all that was changed so far is on disk.
 func (r *Replica) sendAfterSync(to message.Member, m message.Message) {
-	r.out.AfterSync = append(r.out.AfterSync, r.addressed(to, m))
+	r.output.AfterSync = append(r.output.AfterSync, r.addressed(to, m))
 }
 
 func (r *Replica) addressed(to message.Member, m message.Message) message.Message {
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -14,17 +14,17 @@
 )
 
 // accept takes every change: its version is its body's first byte.
-func accept(state *message.ChainState, call *message.ConfigRequest) Decision {
+func accept(state *message.ChainState, call *message.ConfigRequest) ValidationResult {
 	for _, change := range state.History {
 		if string(change.Digest) == string(call.Body) {
-			return Decision{Status: http.StatusOK}
+			return ValidationResult{Status: http.StatusOK}
 		}
 	}
 	if call.IfMatch != fmt.Sprint(state.Version) {
-		return Decision{Status: http.StatusPreconditionFailed}
+		return ValidationResult{Status: http.StatusPreconditionFailed}
 	}
 	change := message.Change{Version: uint64(call.Body[0]), Base: state.Version, Digest: call.Body}
-	return Decision{Status: http.StatusOK, Apply: true, Change: change, Document: call.Body}
+	return ValidationResult{Status: http.StatusOK, Apply: true, Change: change, Document: call.Body}
 }
 
 // group is a few replicas whose messages the test passes on.
@@ -49,7 +49,7 @@
 		seeds = append(seeds, address(i))
 	}
 	for i := range count {
-		options := Options{Self: message.Member{Address: address(i)}, Seeds: seeds, Tolerance: tolerance, Lease: 2 * time.Second, FirstStart: true}
+		options := Options{Self: message.Member{Address: address(i)}, Seeds: seeds, Tolerance: tolerance, LeaseDuration: 2 * time.Second, FirstStart: true}
 		g.members = append(g.members, New(options, accept, 0, message.ControlState{}, message.ChainState{}))
 	}
 	return g
@@ -143,7 +143,7 @@
 		"m0 -> m1: change 1", "m1 -> m2: change 1", "m2 -> m1: committed 1", "m1 -> m0: committed 1",
 	}, g.lines)
 	for _, member := range g.members {
-		assert.Equal(t, uint64(5), member.Served().Version)
+		assert.Equal(t, uint64(5), member.CommittedState().Version)
 	}
 }
 
@@ -172,7 +172,7 @@
 	require.Len(t, g.results, 1, "the rest can still take changes")
 	g.tick(2 * time.Second)
 	require.Len(t, g.members[0].View().Members, 3)
-	assert.Equal(t, uint64(5), g.members[1].Served().Version, "it got what it missed")
+	assert.Equal(t, uint64(5), g.members[1].CommittedState().Version, "it got what it missed")
 	view := g.members[0].View()
 	assert.Equal(t, message.MemberID("seed-m1"), view.Members[2].Identity, "a member that returns stands at the tail")
 }
@@ -200,8 +200,8 @@
 	assert.False(t, g.members[1].IsMember(), "an empty disk makes a new member")
 	g.tick(3 * time.Second)
 	assert.True(t, g.members[1].IsSynced())
-	assert.Equal(t, uint64(5), g.members[1].Served().Version)
-	assert.Equal(t, -1, positionOf(g.members[0].View(), "seed-m1"), "the old identity is out")
+	assert.Equal(t, uint64(5), g.members[1].CommittedState().Version)
+	assert.Equal(t, -1, chainPosition(g.members[0].View(), "seed-m1"), "the old identity is out")
 }
 
 // Found by the simulated cluster: a snapshot that was overtaken by a change put the tail back.
@@ -209,7 +209,7 @@
 	g := newGroup(t, 3)
 	g.tick(time.Second)
 	g.call(0, http.MethodPut, "0", "\x05x")
-	old := g.members[1].Served()
+	old := g.members[1].CommittedState()
 	g.call(0, http.MethodPut, "5", "\x06y")
 	tail := g.members[2]
 	late := &message.Message{
@@ -217,7 +217,7 @@
 		Replicate: &message.Replicate{Sequence: old.Sequence, Digest: old.Digest, Snapshot: &old},
 	}
 	tail.Step(g.now, late)
-	assert.Equal(t, uint64(6), tail.Served().Version)
+	assert.Equal(t, uint64(6), tail.CommittedState().Version)
 	assert.Equal(t, uint64(6), tail.chain.Version)
 	restarted := New(tail.options, accept, 0, tail.control, tail.chain)
 	restarted.Step(g.now, late)
@@ -226,7 +226,7 @@
 
 func holder(g *group) int {
 	for i, member := range g.members {
-		if _, _, _, ok := member.Lease(g.now); ok {
+		if _, ok := member.Lease(g.now); ok {
 			return i
 		}
 	}
@@ -238,14 +238,14 @@
 	g.tick(5 * time.Second)
 	first := holder(g)
 	require.GreaterOrEqual(t, first, 0)
-	token, _, _, _ := g.members[first].Lease(g.now)
+	lease, _ := g.members[first].Lease(g.now)
 	g.tick(8*time.Second, first)
-	_, _, _, ok := g.members[first].Lease(g.now)
+	_, ok := g.members[first].Lease(g.now)
 	assert.False(t, ok, "a holder that stood still finds its lease over by the steady clock")
 	second := holder(g)
 	require.GreaterOrEqual(t, second, 0)
-	next, _, _, _ := g.members[second].Lease(g.now)
-	assert.Greater(t, next, token)
+	next, _ := g.members[second].Lease(g.now)
+	assert.Greater(t, next.Token, lease.Token)
 }
 
 // Found by the simulated cluster: grants that were still on their way revived a lease after its release.
@@ -254,7 +254,7 @@
 	g.tick(5 * time.Second)
 	index := holder(g)
 	member := g.members[index]
-	round := member.lease.round
+	round := member.lease.requestID
 	member.SetDiskStalled(true)
 	g.now += 50 * time.Millisecond
 	member.Tick(g.now)
@@ -264,7 +264,7 @@
 			LeaseGrant: &message.LeaseGrant{RequestID: round, Granted: true},
 		})
 	}
-	_, _, _, ok := member.Lease(g.now)
+	_, ok := member.Lease(g.now)
 	assert.False(t, ok)
 }
 
@@ -273,11 +273,11 @@
 	g := newGroup(t, 3)
 	g.tick(5 * time.Second)
 	index := holder(g)
-	token, _, _, _ := g.members[index].Lease(g.now)
+	lease, _ := g.members[index].Lease(g.now)
 	grantor := g.members[(index+1)%3]
 	request := &message.Message{
 		From: g.members[index].Identity(), FromAddress: address(index), To: grantor.Identity(), View: grantor.View().Number,
-		LeaseRequest: &message.LeaseRequest{Token: token, RequestID: 999},
+		LeaseRequest: &message.LeaseRequest{Token: lease.Token, RequestID: 999},
 	}
 	out := grantor.Step(g.now, request)
 	require.Len(t, out.AfterSync, 1)
--- a/internal/controlplane/replica/suspicion.go
+++ b/internal/controlplane/replica/suspicion.go
@@ -6,45 +6,45 @@
 	"pumiceline/internal/message"
 )
 
-func (r *Replica) onSuspicion(m *message.Message) {
-	if m.View != r.control.View.Number || positionOf(r.control.View, m.From) < 0 {
+func (r *Replica) onSuspicionReport(m *message.Message) {
+	if m.View != r.control.View.Number || chainPosition(r.control.View, m.From) < 0 {
 		return
 	}
-	r.noteFindings(m.SuspicionReport, m.From)
+	r.recordSuspicions(m.SuspicionReport, m.From)
 }
 
-func (r *Replica) noteFindings(s *message.SuspicionReport, reporter message.MemberID) {
+func (r *Replica) recordSuspicions(s *message.SuspicionReport, reporter message.MemberID) {
 	for _, identity := range s.Suspected {
-		r.detector.reports[report{isSilent, identity, reporter}] = r.now
+		r.detector.reports[suspicionReport{suspected, identity, reporter}] = r.now
 	}
 	for _, identity := range s.Leaving {
-		r.detector.reports[report{isLeaving, identity, reporter}] = r.now
-		r.detector.noteDeparture(identity, r.now)
+		r.detector.reports[suspicionReport{leaving, identity, reporter}] = r.now
+		r.detector.recordLeaving(identity, r.now)
 	}
 	for _, identity := range s.Late {
-		r.detector.reports[report{isDoubted, identity, reporter}] = r.now
+		r.detector.reports[suspicionReport{late, identity, reporter}] = r.now
 	}
 }
 
-// reportFindings tells the other members who of those that this one monitors is silent, leaves or is in doubt.
-func (r *Replica) reportFindings() {
+// reportSuspicions tells the other members who of those that this one monitors is silent, leaves or is in doubt.
+func (r *Replica) reportSuspicions() {
 	found := &message.SuspicionReport{}
 	for _, member := range r.detector.monitored {
 		silence := r.now - r.detector.heard[member.Identity]
 		said := r.detector.condition[member.Identity]
 		switch {
-		case said.unfit || silence > suspectAfter:
+		case said.unhealthy || silence > suspicionTimeout:
 			found.Suspected = append(found.Suspected, member.Identity)
 		case said.leaving:
 			found.Leaving = append(found.Leaving, member.Identity)
-		case silence > doubtAfter:
+		case silence > lateTimeout:
 			found.Late = append(found.Late, member.Identity)
 		}
 	}
 	if len(found.Suspected)+len(found.Leaving)+len(found.Late) == 0 {
 		return
 	}
-	r.noteFindings(found, r.control.Identity)
+	r.recordSuspicions(found, r.control.Identity)
 	for _, member := range r.control.View.Members {
 		if member.Identity != r.control.Identity && !slices.Contains(found.Suspected, member.Identity) {
 			r.send(member, message.Message{SuspicionReport: found})
@@ -52,14 +52,14 @@
 	}
 }
 
-// suspects returns who is silent, by the reports that are fresh and by what this member hears itself. Where two suspect
+// suspectedMembers returns who is silent, by the reports that are fresh and by what this member hears itself. Where two suspect
 // one another, the one nearer to the head stays. A member whose address another process has now is gone.
-func (r *Replica) suspects() []message.MemberID {
+func (r *Replica) suspectedMembers() []message.MemberID {
 	var out []message.MemberID
 	members := r.control.View.Members
 	for i := len(members) - 1; i >= 0; i-- {
 		identity := members[i].Identity
-		if r.isReported(isSilent, identity, out) || r.isDisplaced(members[i]) || !r.hasHeard(members[i]) {
+		if r.isReported(suspected, identity, out) || r.isAddressTaken(members[i]) || !r.hasHeardFrom(members[i]) {
 			out = append(out, identity)
 		}
 	}
@@ -67,24 +67,24 @@
 }
 
 // isReported reports whether someone who is not excluded has found something of a member.
-func (r *Replica) isReported(what finding, identity message.MemberID, excluded []message.MemberID) bool {
+func (r *Replica) isReported(what suspicion, identity message.MemberID, excluded []message.MemberID) bool {
 	for entry, at := range r.detector.reports {
-		if entry.finding == what && entry.member == identity && r.now-at <= reportLifetime && !slices.Contains(excluded, entry.reporter) {
+		if entry.suspicion == what && entry.member == identity && r.now-at <= reportTimeout && !slices.Contains(excluded, entry.reporter) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasHeard reports whether this member itself has heard another one lately. All members ask all voters whether their view
+// hasHeardFrom reports whether this member itself has heard another one lately. All members ask all voters whether their view
 // is the newest, so each hears each, also where the monitors of a silent member are lost with it.
-func (r *Replica) hasHeard(member message.Member) bool {
-	return member.Identity == r.control.Identity || r.now-r.detector.heard[member.Identity] <= longSilence
+func (r *Replica) hasHeardFrom(member message.Member) bool {
+	return member.Identity == r.control.Identity || r.now-r.detector.heard[member.Identity] <= unmonitoredSuspicionTimeout
 }
 
-// isDisplaced reports whether another process has the member's address: a later member, or one that asks to join more
+// isAddressTaken reports whether another process has the member's address: a later member, or one that asks to join more
 // than once.
-func (r *Replica) isDisplaced(member message.Member) bool {
+func (r *Replica) isAddressTaken(member message.Member) bool {
 	if member.Identity == r.control.Identity {
 		return false
 	}
@@ -93,8 +93,8 @@
 			return true
 		}
 	}
-	for identity, j := range r.detector.joiners {
-		if identity != member.Identity && j.member.Address == member.Address && r.isFresh(j) && j.at > j.first {
+	for identity, j := range r.detector.joinRequests {
+		if identity != member.Identity && j.member.Address == member.Address && r.isCurrent(j) && j.lastRequestAt > j.firstRequestAt {
 			return true
 		}
 	}
--- a/internal/controlplane/replica/view.go
+++ b/internal/controlplane/replica/view.go
@@ -8,8 +8,8 @@
 	"pumiceline/internal/message"
 )
 
-// FirstView is the view that a system starts with.
-func FirstView(seeds []string) message.View {
+// InitialView is the view that a system starts with.
+func InitialView(seeds []string) message.View {
 	view := message.View{Number: 1}
 	for _, address := range seeds {
 		view.Members = append(view.Members, message.Member{Identity: message.MemberID("seed-" + address), Address: address, SinceView: 1})
@@ -18,32 +18,32 @@
 	return view
 }
 
-// majority is how many voters decide.
-func (r *Replica) majority() int { return len(r.control.View.EffectiveVoters())/2 + 1 }
+// quorumSize is how many voters decide.
+func (r *Replica) quorumSize() int { return len(r.control.View.EffectiveVoters())/2 + 1 }
 
-// leastVoters is how many voters there are at least: the tolerance may be lost for good, and a majority is left.
-func (r *Replica) leastVoters() int { return 2*r.options.Tolerance + 1 }
+// minVoters is how many voters there are at least: the tolerance may be lost for good, and a majority is left.
+func (r *Replica) minVoters() int { return 2*r.options.Tolerance + 1 }
 
-// leastChain is how many members the chain has at least: each change is on one disk more than may be lost.
-func (r *Replica) leastChain() int {
+// minChainLength is how many members the chain has at least: each change is on one disk more than may be lost.
+func (r *Replica) minChainLength() int {
 	return min(r.options.Tolerance+1, len(r.control.View.Members))
 }
 
 // isVoter reports whether the replica may vote on the next view.
-func (r *Replica) isVoter() bool { return r.isVoterOf(r.control.Identity) }
+func (r *Replica) isVoter() bool { return r.hasVote(r.control.Identity) }
 
-func (r *Replica) isVoterOf(identity message.MemberID) bool {
-	return includes(r.control.View.EffectiveVoters(), identity)
+func (r *Replica) hasVote(identity message.MemberID) bool {
+	return containsMember(r.control.View.EffectiveVoters(), identity)
 }
 
 // position is the replica's place in the chain, -1 where it is no member.
-func (r *Replica) position() int { return positionOf(r.control.View, r.control.Identity) }
+func (r *Replica) position() int { return chainPosition(r.control.View, r.control.Identity) }
 
-func positionOf(view message.View, identity message.MemberID) int {
+func chainPosition(view message.View, identity message.MemberID) int {
 	return slices.IndexFunc(view.Members, func(m message.Member) bool { return m.Identity == identity })
 }
 
-func includes(members []message.Member, identity message.MemberID) bool {
+func containsMember(members []message.Member, identity message.MemberID) bool {
 	return lo.ContainsBy(members, func(m message.Member) bool { return m.Identity == identity })
 }
 
@@ -54,8 +54,8 @@
 	return position >= 0 && position == len(r.control.View.Members)-1
 }
 
-// everyone lists the members of the chain and the voters of some views, each once.
-func everyone(views ...message.View) []message.Member {
+// membersAndVoters lists the members of the chain and the voters of some views, each once.
+func membersAndVoters(views ...message.View) []message.Member {
 	var all []message.Member
 	for _, view := range views {
 		all = append(append(all, view.Members...), view.Voters...)
@@ -77,7 +77,7 @@
 		return
 	}
 	old := r.control.View
-	at := positionOf(view, r.control.Identity)
+	at := chainPosition(view, r.control.Identity)
 	complete := at >= 0 && r.control.Complete && view.Members[at].SinceView <= old.Number
 	r.control.View, r.control.Complete = view, complete
 	r.control.HighestProposal, r.control.AcceptedProposal, r.control.AcceptedView = message.ProposalNumber{}, message.ProposalNumber{}, message.View{}
@@ -85,12 +85,12 @@
 	r.proposal = proposal{}
 	r.detector.enterView(old, view, r.control.Identity, r.now)
 	r.lease.viewEntered = r.now
-	r.confirms.abandon()
-	r.enterRole()
+	r.confirmation.abandon()
+	r.resetReplication()
 }
 
-// learnOfView passes on the newest view where the sender has an older one.
-func (r *Replica) learnOfView(m *message.Message) {
+// announceNewerView passes on the newest view where the sender has an older one.
+func (r *Replica) announceNewerView(m *message.Message) {
 	if m.View < r.control.View.Number && m.ViewAnnouncement == nil && m.JoinRequest == nil && m.FromAddress != "" {
 		r.send(r.sender(m), message.Message{ViewAnnouncement: &message.ViewAnnouncement{View: r.control.View}})
 	}
--- a/internal/controlplane/simulation/checks.go
+++ b/internal/controlplane/simulation/checks.go
@@ -141,7 +141,7 @@
 		if n.replica == nil || !n.replica.IsSynced() {
 			continue
 		}
-		if served := n.replica.Served(); !found || served.Sequence > newest.Sequence {
+		if served := n.replica.CommittedState(); !found || served.Sequence > newest.Sequence {
 			newest, found = served, true
 		}
 	}
@@ -193,5 +193,5 @@
 	}
 	view := n.replica.View()
 	return fmt.Sprintf("place %d: node %d %s in view %d, serves %d, waits for %s", n.slot, n.index, state, view.Number,
-		n.replica.Served().Version, n.replica.WaitsFor())
+		n.replica.CommittedState().Version, n.replica.WaitingFor())
 }
--- a/internal/controlplane/simulation/defects.go
+++ b/internal/controlplane/simulation/defects.go
@@ -162,10 +162,10 @@
 }
 
 // judge puts a defective judge in the place of the real one.
-func (n *node) judge(real replica.Judge) replica.Judge {
+func (n *node) judge(real replica.Validator) replica.Validator {
 	switch n.cluster.options.Defect {
 	case IgnoreBase:
-		return func(state *message.ChainState, call *message.ConfigRequest) replica.Decision {
+		return func(state *message.ChainState, call *message.ConfigRequest) replica.ValidationResult {
 			rebased := *call
 			rebased.IfMatch = strconv.FormatUint(state.Version, 10)
 			decision := real(state, &rebased)
@@ -173,13 +173,13 @@
 			return decision
 		}
 	case ForgetChanges:
-		return func(state *message.ChainState, call *message.ConfigRequest) replica.Decision {
+		return func(state *message.ChainState, call *message.ConfigRequest) replica.ValidationResult {
 			forgetful := *state
 			forgetful.History = nil
 			return real(&forgetful, call)
 		}
 	case RefuseAhead:
-		return func(state *message.ChainState, call *message.ConfigRequest) replica.Decision {
+		return func(state *message.ChainState, call *message.ConfigRequest) replica.ValidationResult {
 			decision := real(state, call)
 			if decision.Status == 0 {
 				decision.Status = http.StatusPreconditionFailed
--- a/internal/controlplane/simulation/faults.go
+++ b/internal/controlplane/simulation/faults.go
@@ -158,7 +158,7 @@
 		if n.life != life {
 			return
 		}
-		if n.replica.MayStop() && !n.frozen || c.now >= deadline {
+		if n.replica.CanStop() && !n.frozen || c.now >= deadline {
 			gone()
 			return
 		}
--- a/internal/controlplane/simulation/leases.go
+++ b/internal/controlplane/simulation/leases.go
@@ -26,7 +26,8 @@
 func (n *node) watchLease() {
 	n.noteView()
 	c := n.cluster
-	token, _, until, ok := n.replica.Lease(n.clock())
+	lease, ok := n.replica.Lease(n.clock())
+	token, until := lease.Token, lease.ExpiresAt
 	if c.options.Defect == IgnoreLeaseEnd && !ok && n.lastLease.token != 0 {
 		token, until, ok = n.lastLease.token, n.clock()+time.Millisecond, true
 	}
@@ -61,6 +62,6 @@
 	if n.cluster.options.Defect == IgnoreLeaseEnd {
 		return true
 	}
-	token, _, _, ok := n.replica.Lease(n.clock())
-	return ok && token == l.token
+	lease, ok := n.replica.Lease(n.clock())
+	return ok && lease.Token == l.token
 }
--- a/internal/controlplane/simulation/node.go
+++ b/internal/controlplane/simulation/node.go
@@ -84,8 +84,8 @@
 	}
 	options := replica.Options{
 		Self:  message.Member{Address: n.address, Identity: message.MemberID(fmt.Sprintf("node-%d-%d", n.index, n.identities)), Zone: n.zone()},
-		Seeds: n.cluster.seeds(), Tolerance: n.cluster.options.Tolerance, Lease: leaseLength, FirstStart: first,
-		Volatile: n.isVolatile(), Incarnation: n.incarnation,
+		Seeds: n.cluster.seeds(), Tolerance: n.cluster.options.Tolerance, LeaseDuration: leaseLength, FirstStart: first,
+		Diskless: n.isVolatile(), Incarnation: n.incarnation,
 	}
 	var control message.ControlState
 	var chain message.ChainState
--- a/internal/controlplane/simulation/proxies.go
+++ b/internal/controlplane/simulation/proxies.go
@@ -39,7 +39,7 @@
 		p.source = (p.source + 1) % len(c.slots)
 		return
 	}
-	served := n.replica.Served()
+	served := n.replica.CommittedState()
 	if served.Sequence == 0 {
 		return // there is nothing to hand out
 	}
@@ -54,5 +54,5 @@
 	if n.cluster.options.Defect == ServeWithoutContact {
 		return n.replica.IsMember()
 	}
-	return n.replica.ServesUntil() > n.clock()
+	return n.replica.ServingUntil() > n.clock()
 }
