--- a/internal/fleetsim/withadmission/withadmission.go
+++ b/internal/fleetsim/withadmission/withadmission.go
@@ -146,7 +146,7 @@
 		ev.ClientTimeout = max(1, r.deadline-now)
 		out = n.hand(now, &ev, out)
 	}
-	if _, _, waits := n.door.State(); waits > 0 && !n.ticking {
+	if n.door.State().Queued > 0 && !n.ticking {
 		n.ticking = true
 		out = append(out, policy.Action{Kind: policy.SetTimer, ID: tickTag, After: tickEvery})
 	}
--- a/internal/standalone/admission/door.go
+++ b/internal/standalone/admission/door.go
@@ -481,8 +481,17 @@
 	return s
 }
 
-// State is the door's limit, what is inside and what waits.
-func (d *Controller) State() (limit float64, inside, waits int) { return d.limit, d.inFlight, d.queued }
+// State is what a Controller limits.
+type State struct {
+	Limit    float64 // on the work in flight, in requests of mean work
+	InFlight int     // requests that are admitted and not finished
+	Queued   int     // requests that wait
+}
+
+// State returns the limit, and how much is in flight and queued now.
+func (d *Controller) State() State {
+	return State{Limit: d.limit, InFlight: d.inFlight, Queued: d.queued}
+}
 
 // Next is when Tick is due at the latest; 0: not at all while nothing happens.
 func (d *Controller) Next() Time {
--- a/internal/standalone/admission/door_test.go
+++ b/internal/standalone/admission/door_test.go
@@ -197,8 +197,8 @@
 	if a := w.decided[ticket]; a.Kind != Admit {
 		t.Errorf("a policy was refused: %v", a.Reason)
 	}
-	if _, _, waits := w.d.State(); waits > 50 {
-		t.Errorf("%d wait in 50 places", waits)
+	if queued := w.d.State().Queued; queued > 50 {
+		t.Errorf("%d queued where 50 may be", queued)
 	}
 }
 
@@ -286,8 +286,8 @@
 		t.Error("the abandoned one was decided, or the last was not")
 	}
 	w.take(w.d.Finish(w.now, all[0], true, nil)) // a second end of one that left
-	if _, inside, waits := w.d.State(); inside != 4 && inside != len(w.inside) || waits != 0 {
-		t.Errorf("%d inside, %d wait", inside, waits)
+	if state := w.d.State(); state.InFlight != 4 && state.InFlight != len(w.inside) || state.Queued != 0 {
+		t.Errorf("%d in flight, %d queued", state.InFlight, state.Queued)
 	}
 }
 
@@ -327,7 +327,7 @@
 	if out, err := w.d.ApplySettings(w.now, bad, nil); err == nil || len(out) > 0 {
 		t.Errorf("a wrong file: %v, %v", out, err)
 	}
-	_, inside, waits := w.d.State()
+	before := w.d.State()
 	next := settings(5, 1)
 	next.MaxQueued, next.InitialLimit, next.MinLimit, next.MaxLimit = 15, 6, 6, 6
 	out, err := w.d.ApplySettings(w.now, next, nil)
@@ -335,9 +335,10 @@
 		t.Fatal(err)
 	}
 	w.take(out)
-	_, nowInside, nowWaits := w.d.State()
-	if nowInside != inside+2 || nowWaits > 15 || nowInside+nowWaits+len(out)-2 != inside+waits {
-		t.Errorf("%d inside and %d wait, before %d and %d", nowInside, nowWaits, inside, waits)
+	after := w.d.State()
+	if after.InFlight != before.InFlight+2 || after.Queued > 15 ||
+		after.InFlight+after.Queued+len(out)-2 != before.InFlight+before.Queued {
+		t.Errorf("%d in flight and %d queued, before %d and %d", after.InFlight, after.Queued, before.InFlight, before.Queued)
 	}
 	for len(w.inside) > 0 {
 		w.now += ms
@@ -382,7 +383,7 @@
 			jobs = kept
 			w.take(w.d.Tick(w.now, nil))
 		}
-		if limit, _, _ := w.d.State(); limit < 18 || limit > 70 {
+		if limit := w.d.State().Limit; limit < 18 || limit > 70 {
 			t.Errorf("from %v the limit settles at %.1f where 20 go at once", start, limit)
 		}
 		if got := w.d.Stats(0).AdmittedWork / 118e6 / 20; got < 0.85 {
--- a/internal/standalone/backend/fleet.go
+++ b/internal/standalone/backend/fleet.go
@@ -153,14 +153,21 @@
 	f.lastWarning, f.suppressedWarnings = time.Now(), 0
 }
 
-// TableSizes is how many destinations are kept by their ids, and how many of their connections stand idle.
-func (f *Pool) TableSizes() (destinations, idle int) {
+// TableSizes are the numbers of entries in a Pool's tables, for the admin API.
+type TableSizes struct {
+	Backends        int
+	IdleConnections int
+}
+
+// TableSizes returns how many entries the tables hold now.
+func (f *Pool) TableSizes() TableSizes {
 	f.mu.Lock()
 	defer f.mu.Unlock()
+	sizes := TableSizes{Backends: len(f.byID)}
 	for _, d := range f.byID {
-		idle += len(d.idle)
+		sizes.IdleConnections += len(d.idle)
 	}
-	return len(f.byID), idle
+	return sizes
 }
 
 // OpenConnections is how many connections there are.
--- a/internal/standalone/engine/planner.go
+++ b/internal/standalone/engine/planner.go
@@ -30,6 +30,35 @@
 	Handle(now policy.Time, ev *policy.Event, out []policy.Action) []policy.Action
 }
 
+// What a Policy may do beside Handle. A policy without one of these methods goes without.
+type (
+	reconfigurable interface {
+		ApplySettings(policy.Settings) error
+	}
+	snapshotter interface {
+		Snapshot() *policy.Snapshot
+	}
+	restorer interface {
+		Restore(policy.Time, *policy.Snapshot) bool
+	}
+	sizeReporter interface {
+		TableSizes() policy.TableSizes
+	}
+	ejectionReporter interface {
+		EjectedServers() int
+	}
+)
+
+// The policy in service has all of them.
+var _ interface {
+	Policy
+	reconfigurable
+	snapshotter
+	restorer
+	sizeReporter
+	ejectionReporter
+} = (*policy.Balancer)(nil)
+
 // Engine serialises what happens to one Balancer. Its methods may be called from any goroutine.
 type Engine struct {
 	hooks Hooks
@@ -179,7 +208,7 @@
 func (p *Engine) ApplySettings(set policy.Settings) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.policy.(interface{ ApplySettings(policy.Settings) error })
+	m, ok := p.policy.(reconfigurable)
 	if !ok {
 		return errors.New("planner: this module keeps the settings that it began with")
 	}
@@ -190,7 +219,7 @@
 func (p *Engine) Snapshot() ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.policy.(interface{ Snapshot() *policy.Snapshot })
+	m, ok := p.policy.(snapshotter)
 	if !ok {
 		return nil, nil
 	}
@@ -209,9 +238,7 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	m, ok := p.policy.(interface {
-		Restore(policy.Time, *policy.Snapshot) bool
-	})
+	m, ok := p.policy.(restorer)
 	switch {
 	case !ok:
 		return errors.New("planner: this module learns for itself")
@@ -223,21 +250,29 @@
 	return nil
 }
 
-// TableSizes is what is held in memory for calls: calls and timers here, and what the module says of itself.
-func (p *Engine) TableSizes() (calls, timers int, module policy.TableSizes) {
+// TableSizes are the numbers of entries in the engine's tables, for the admin API.
+type TableSizes struct {
+	Calls  int
+	Timers int
+	Policy policy.TableSizes // zero where the policy does not say
+}
+
+// TableSizes returns how many entries the tables hold now.
+func (p *Engine) TableSizes() TableSizes {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, ok := p.policy.(interface{ TableSizes() policy.TableSizes }); ok {
-		module = m.TableSizes()
+	sizes := TableSizes{Calls: len(p.calls), Timers: len(p.timers)}
+	if m, ok := p.policy.(sizeReporter); ok {
+		sizes.Policy = m.TableSizes()
 	}
-	return len(p.calls), len(p.timers), module
+	return sizes
 }
 
 // AvoidedBackends is how many listed servers the module gives no turns by its own choice; 0 where the module does not say.
 func (p *Engine) AvoidedBackends() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if m, ok := p.policy.(interface{ EjectedServers() int }); ok {
+	if m, ok := p.policy.(ejectionReporter); ok {
 		return m.EjectedServers()
 	}
 	return 0
--- a/internal/standalone/listener/close_test.go
+++ b/internal/standalone/listener/conn_test.go
@@ -8,15 +8,16 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"strconv"
+	"os"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"pumiceline/internal/socket"
 )
 
 // heldConn is a real connection that stops where a test says so: a read that has brought something, before anybody hears of that,
@@ -40,7 +41,8 @@
 }
 
 func (h *heldConn) CloseWrite() error { err := h.TCPConn.CloseWrite(); h.told(); return err }
-func (h *heldConn) Close() error      { err := h.TCPConn.Close(); h.told(); return err }
+
+func (h *heldConn) Close() error { err := h.TCPConn.Close(); h.told(); return err }
 
 func (h *heldConn) told() {
 	if h.once.CompareAndSwap(false, true) {
@@ -133,19 +135,6 @@
 	}
 }
 
-// idleNow is how many sockets are idle, and muteNow how many have brought nothing yet.
-func (s *socketBudget) idleNow() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.idle
-}
-
-func (s *socketBudget) muteNow() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.unused
-}
-
 // An answer that its client has not taken yet when the proxy closes the connection is not lost to bytes that lie there unread. What
 // the client sent behind its request has the kernel reset the connection otherwise, and drop what it still holds.
 func TestACloseTakesNoAnswerBack(t *testing.T) {
@@ -213,67 +202,6 @@
 	}
 }
 
-// A client that was sending a head when the stop came is answered if the head becomes whole in time, and is no reason to stay for
-// ever if it does not.
-func TestHeadsThatComeAcrossAStop(t *testing.T) {
-	for name, c := range map[string]struct {
-		kept bool // the connection had a request before
-		rest bool // the rest comes
-	}{"on a new connection": {false, true}, "on a kept one": {true, true}, "never whole": {true, false}} {
-		synctest.Test(t, func(t *testing.T) {
-			f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
-				HasSuccessor: func() bool { return true }, Transport: transport(answer)})
-			ln, stop := start(t, f)
-			client, r := ln.dial()
-			defer client.Close()
-			if c.kept {
-				if resp, _, err := request(client, r, quote); err != nil || resp.StatusCode != 200 {
-					t.Errorf("%s: %v, %v", name, resp, err)
-				}
-			}
-			if _, err := io.WriteString(client, quote[:30]); err != nil {
-				t.Error(err)
-			}
-			synctest.Wait()
-			begin, ended := time.Now(), stop()
-			time.Sleep(2 * time.Second)
-			if c.rest {
-				if resp, body, err := request(client, r, quote[30:]); err != nil || body != "42" || !resp.Close {
-					t.Errorf("%s: %v, %q, %v", name, resp, body, err)
-				}
-			} else if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
-				t.Errorf("%s: %v", name, err)
-			}
-			if err := <-ended; err != nil || time.Since(begin) > maxCountedDeadline+killDelay {
-				t.Errorf("%s: %v after %v", name, err, time.Since(begin))
-			}
-		})
-	}
-}
-
-// A class may be called as the readiness check is: what comes with a class is a request, and what comes without is the check, which
-// counts among the messages of its connection.
-func TestAClassMayBeCalledReady(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		set := site()
-		set.Classes[0].Name = "ready"
-		f := New(Options{Settings: set, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler), Transport: transport(answer)})
-		ln, stop := start(t, f)
-		c, r := ln.dial()
-		for _, x := range [][2]string{
-			{"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", "ready\n"},
-			{strings.NewReplacer("/quote", "/ready", "Class: quote", "Class: ready").Replace(quote), "42"},
-			{"POST /issue HTTP/1.1\r\n" + headers + "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", "42"},
-		} {
-			if resp, body, err := request(c, r, x[0]); err != nil || resp.StatusCode != 200 || body != x[1] {
-				t.Errorf("%q: %v, %q, %v", x[0], resp, body, err)
-			}
-		}
-		c.Close()
-		<-stop()
-	})
-}
-
 // quietOut says whether all that was written has reached the other side's system.
 func quietOut(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
@@ -287,58 +215,89 @@
 	return left == 0
 }
 
-// lateListener takes no connection before it may, as one of a proxy that is short of CPU, and tells when it is to take no more.
-type lateListener struct {
-	*net.TCPListener
-	goOn chan struct{}
-	told chan struct{}
-	once sync.Once
+// A later request on a connection may be slow where a first one may not: its client is a usual one, and cut off when its
+// last byte is on the way it would be lost. It must not take for ever either.
+func TestLaterHeadsMayTakeLonger(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFront(answer, 10)
+		ln, stop := start(t, f)
+		c, r := ln.dial()
+		for i := range 3 {
+			io.WriteString(c, quote[:30])
+			if i > 0 {
+				time.Sleep(headTimeout + time.Second)
+			}
+			if resp, _, err := request(c, r, quote[30:]); err != nil || resp.StatusCode != 200 {
+				t.Fatalf("request %d: %v, %v", i, resp, err)
+			}
+		}
+		begin := time.Now()
+		io.WriteString(c, quote[:30])
+		if _, err := io.ReadAll(r); err != nil {
+			t.Error(err)
+		}
+		if took := time.Since(begin); took != headTimeout+laterHeadExtension {
+			t.Errorf("half a later head held its socket for %v", took)
+		}
+		c.Close()
+		<-stop()
+	})
 }
 
-func (l *lateListener) Accept() (net.Conn, error) { <-l.goOn; return l.TCPListener.Accept() }
-
-func (l *lateListener) SetDeadline(t time.Time) error {
-	defer l.once.Do(func() { close(l.told) })
-	return l.TCPListener.SetDeadline(t)
+// lateReader is a connection whose reads notice their deadline before what has come, as those of a proxy that is short
+// of CPU do.
+type lateReader struct {
+	*net.TCPConn
+	late bool
 }
 
-func (l *lateListener) Close() error {
-	defer l.once.Do(func() { close(l.told) })
-	return l.TCPListener.Close()
+func (l *lateReader) Read(b []byte) (int, error) {
+	if l.late {
+		l.late = false
+		return 0, os.ErrDeadlineExceeded
+	}
+	return l.TCPConn.Read(b)
 }
 
-// Requests on connections that the system has accepted, but the proxy not when its time to accept is over, are taken all the same.
-func TestNoConnectionIsLeftInTheQueue(t *testing.T) {
-	tcp, err := net.Listen("tcp", "127.0.0.1:0")
+// What has come is taken even if its time was up before the proxy came to read it. A read that net/http itself has
+// stopped does not go on.
+func TestWhatHasComeIsReadPastItsTime(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := &lateListener{TCPListener: tcp.(*net.TCPListener), goOn: make(chan struct{}), told: make(chan struct{})}
-	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan error, 1)
-	f := newFront(answer, 9)
-	go func() { ended <- f.Serve(ctx, late) }()
-	var clients []net.Conn
-	for i := range 5 {
-		client, err := net.Dial("tcp", tcp.Addr().String())
-		if err != nil {
-			t.Fatal(err)
-		}
-		defer client.Close()
-		if _, err := io.WriteString(client, strings.Replace(quote, "Id: 1", "Id: "+strconv.Itoa(i), 1)); err != nil {
-			t.Fatal(err)
-		}
-		clients = append(clients, client)
+	defer ln.Close()
+	client, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
 	}
-	stop()
-	<-late.told
-	close(late.goOn)
-	for i, client := range clients {
-		if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != 200 {
-			t.Errorf("client %d: %v, %v", i, resp, err)
-		}
+	defer client.Close()
+	nc, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
 	}
-	if err := <-ended; err != nil {
-		t.Error(err)
+	late := &lateReader{TCPConn: nc.(*net.TCPConn)}
+	c := &clientConn{Conn: late}
+	defer c.Close()
+	if _, err := io.WriteString(client, "GET"); err != nil {
+		t.Fatal(err)
+	}
+	for socket.IsOpenAndEmpty(nc) { // until it has come
+		time.Sleep(time.Millisecond)
+	}
+	var b [8]byte
+	late.late = true
+	c.SetReadDeadline(time.Unix(1, 0)) // as net/http does to stop its own read
+	if n, err := c.Read(b[:]); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("a read that was stopped: %d, %v", n, err)
+	}
+	late.late = true
+	c.SetReadDeadline(time.Now().Add(time.Hour))
+	if n, err := c.Read(b[:]); n != 3 || err != nil {
+		t.Errorf("what has come: %d, %v", n, err)
+	}
+	late.late = true
+	if n, err := c.Read(b[:]); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
+		t.Errorf("nothing has come: %d, %v", n, err)
 	}
 }
--- /dev/null
+++ b/internal/standalone/listener/correlation.go
@@ -0,0 +1,36 @@
+package listener
+
+import "sync"
+
+// openIDSet holds the correlation ids of the requests in flight. Another request with one of them would be taken for the
+// same request by a backend and in every log.
+type openIDSet struct {
+	mu  sync.Mutex
+	ids map[string]struct{}
+}
+
+func newOpenIDSet() *openIDSet { return &openIDSet{ids: map[string]struct{}{}} }
+
+// reserve adds id and reports whether it was free.
+func (s *openIDSet) reserve(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if _, isOpen := s.ids[id]; isOpen {
+		return false
+	}
+	s.ids[id] = struct{}{}
+	return true
+}
+
+// release removes an id that was reserved.
+func (s *openIDSet) release(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.ids, id)
+}
+
+func (s *openIDSet) size() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.ids)
+}
--- a/internal/standalone/listener/leave_test.go
+++ b/internal/standalone/listener/disconnect_test.go
@@ -190,7 +190,7 @@
 
 // settled waits until nothing is left of the requests that the module was told of.
 func (c *crossing) settled() {
-	c.until("requests and attempts all end", func() bool { calls, _, _ := c.planner.TableSizes(); return calls == 0 && c.front.InFlight() == 0 })
+	c.until("requests and attempts all end", func() bool { return c.planner.TableSizes().Calls == 0 && c.front.InFlight() == 0 })
 }
 
 // leaving is the ways in which a client goes. Behind bytes that nobody reads, net/http does not hear of it.
@@ -282,7 +282,7 @@
 			go gate.Run(running)
 			room, _ := gate.admit(t.Context(), &http.Request{RemoteAddr: "127.0.0.9:1"}, &forwarder.RequestInfo{}, time.Now().Add(time.Hour))
 			client, n := c.ask("body")
-			c.until("it waits behind the door", func() bool { _, _, waiting := c.front.TableSizes(); return waiting == 1 })
+			c.until("it waits behind the door", func() bool { return c.front.TableSizes().GateQueue == 1 })
 			leave(c, client, n)
 			c.seen()
 			room(true)
--- a/internal/standalone/listener/gate.go
+++ b/internal/standalone/listener/gate.go
@@ -15,41 +15,50 @@
 	"pumiceline/internal/standalone/forwarder"
 )
 
-// gateTickInterval is how often the door is told of the time while requests wait.
-const gateTickInterval = 10 * time.Millisecond
-
-// gateRejectMargin is how long before its deadline a request is refused at the latest, so that its client still hears of it.
-const gateRejectMargin = 2 * gateTickInterval
-
-// statsInterval is how often the door's state is logged while it has had to refuse or hold anything.
-const statsInterval = 10 * time.Second
+const (
+	// gateTickInterval is how often the admission controller is given the time.
+	gateTickInterval = 10 * time.Millisecond
+	// gateRejectMargin is how long before its deadline a queued request is rejected at the latest, so that the response
+	// still reaches its client.
+	gateRejectMargin = 2 * gateTickInterval
+	// gateStatsInterval is how often the controller's statistics are logged, if it has rejected or queued anything.
+	gateStatsInterval = 10 * time.Second
+)
 
-// Gate runs the door for the front sockets: it owns it, keeps its clock, and lets each request wait for its decision.
+// Gate is admission control for a Server: it owns an admission.Controller, keeps its clock, and has each request wait
+// for the controller's decision. It is safe for concurrent use; Run must run while requests come.
 type Gate struct {
-	log    *slog.Logger
-	seed   maphash.Seed // clients are told apart by their address's hash, which nobody outside can steer
-	origin time.Time
+	log        *slog.Logger
+	clientSeed maphash.Seed // clients are distinguished by a hash of their address, which nobody outside can predict
+	origin     time.Time    // of the controller's clock
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards what follows
 	controller  *admission.Controller
-	tenantNames []string
-	actions     []admission.Action
-	pending     map[admission.Ticket]chan admission.Action
-	loggedStats []admission.TenantStats // as last logged
+	tenantNames []string                                   // by the tenant's place in the settings
+	actions     []admission.Action                         // a buffer for the controller's decisions
+	pending     map[admission.Ticket]chan admission.Action // the requests that wait for a decision
+	loggedStats []admission.TenantStats                    // at the last log record, by tenant
 }
 
-// NewGate returns a gate for a door with these settings.
+// NewGate returns a gate with these settings. An error means that they are invalid.
 func NewGate(set admission.Settings, log *slog.Logger) (*Gate, error) {
-	d, err := admission.New(set)
+	controller, err := admission.New(set)
 	if err != nil {
 		return nil, err
 	}
-	g := &Gate{log: log, seed: maphash.MakeSeed(), origin: time.Now(), controller: d, pending: map[admission.Ticket]chan admission.Action{}}
-	g.useSettings(set)
+	g := &Gate{
+		log:        log,
+		clientSeed: maphash.MakeSeed(),
+		origin:     time.Now(),
+		controller: controller,
+		pending:    map[admission.Ticket]chan admission.Action{},
+	}
+	g.useTenants(set)
 	return g, nil
 }
 
-func (g *Gate) useSettings(set admission.Settings) {
+// useTenants starts the statistics of the tenants in set. Called with mu held.
+func (g *Gate) useTenants(set admission.Settings) {
 	g.tenantNames = g.tenantNames[:0]
 	for _, t := range set.Tenants {
 		g.tenantNames = append(g.tenantNames, t.Name)
@@ -57,27 +66,27 @@
 	g.loggedStats = make([]admission.TenantStats, len(g.tenantNames))
 }
 
-// now is the door's clock, by the monotonic one.
+// now is the controller's clock, driven by the monotonic one. It is never 0.
 func (g *Gate) now() admission.Time { return time.Since(g.origin).Microseconds() + 1 }
 
-// ApplySettings takes over other settings as one whole, or none of them.
-func (g *Gate) ApplySettings(set admission.Settings) error {
+// ApplySettings replaces the settings as a whole, or returns an error and keeps those in force.
+func (g *Gate) ApplySettings(next admission.Settings) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out, err := g.controller.ApplySettings(g.now(), set, g.actions[:0])
+	decisions, err := g.controller.ApplySettings(g.now(), next, g.actions[:0])
 	if err != nil {
 		return err
 	}
-	g.useSettings(set)
-	g.deliver(out)
+	g.useTenants(next)
+	g.deliver(decisions)
 	return nil
 }
 
-// Run lets the door's time pass until ctx ends.
+// Run gives the controller the time until ctx ends.
 func (g *Gate) Run(ctx context.Context) {
-	tick, report := time.NewTicker(gateTickInterval), time.NewTicker(statsInterval)
+	tick, stats := time.NewTicker(gateTickInterval), time.NewTicker(gateStatsInterval)
 	defer tick.Stop()
-	defer report.Stop()
+	defer stats.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -86,92 +95,125 @@
 			g.mu.Lock()
 			g.deliver(g.controller.Tick(g.now(), g.actions[:0]))
 			g.mu.Unlock()
-		case <-report.C:
+		case <-stats.C:
 			g.logStats()
 		}
 	}
 }
 
-// deliver hands decisions to those that wait for them. Called with the lock held.
-func (g *Gate) deliver(out []admission.Action) {
-	for _, a := range out {
-		if c := g.pending[a.Ticket]; c != nil {
-			c <- a // it has room for the one decision that there is
+// deliver passes decisions on to the requests that wait for them. Called with mu held.
+func (g *Gate) deliver(decisions []admission.Action) {
+	for _, a := range decisions {
+		if decided := g.pending[a.Ticket]; decided != nil {
+			decided <- a // never blocks: a request has one decision, and the channel room for it
 			delete(g.pending, a.Ticket)
 		}
 	}
-	g.actions = out[:0]
+	g.actions = decisions[:0]
 }
 
-// admit takes a request through the door. It returns once the request may go on, is refused, or ctx has ended; leave is to be
-// called at the request's end if it may go on, and is nil otherwise.
-func (g *Gate) admit(ctx context.Context, r *http.Request, in *forwarder.RequestInfo, deadline time.Time) (leave func(served bool), refused admission.Action) {
+// admit waits until a request is admitted or rejected, or ctx ends. Once the request has ended, finish must be called if
+// it was admitted; it is nil otherwise.
+func (g *Gate) admit(ctx context.Context, r *http.Request, info *forwarder.RequestInfo, deadline time.Time) (
+	finish func(answered bool), rejection admission.Action) {
+	ticket, decided := g.submit(r, info, deadline)
+	var decision admission.Action
+	select {
+	case decision = <-decided:
+	case <-ctx.Done():
+		g.withdraw(ticket, decided)
+		return nil, admission.Action{Kind: admission.Reject, Reason: admission.TooLate}
+	}
+	if decision.Kind != admission.Admit {
+		return nil, decision
+	}
+	return func(answered bool) {
+		g.mu.Lock()
+		defer g.mu.Unlock()
+		g.deliver(g.controller.Finish(g.now(), ticket, answered, g.actions[:0]))
+	}, decision
+}
+
+// submit gives a request to the controller. Its decision comes on the channel.
+func (g *Gate) submit(r *http.Request, info *forwarder.RequestInfo, deadline time.Time) (admission.Ticket, <-chan admission.Action) {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		host = r.RemoteAddr
 	}
-	ask := admission.Request{Tenant: int(in.Tenant), Class: int(in.Class), Client: maphash.String(g.seed, host), Work: in.WorkHint,
-		IsRetry: singleValue(r.Header, repeatHeader) == "1"}
-	g.mu.Lock()
-	ask.Deadline = g.now() + time.Until(deadline.Add(-gateRejectMargin)).Microseconds()
+	request := admission.Request{
+		Tenant:  int(info.Tenant),
+		Class:   int(info.Class),
+		Client:  maphash.String(g.clientSeed, host),
+		Work:    info.WorkHint,
+		IsRetry: singleValue(r.Header, repeatHeader) == "1",
+	}
 	decided := make(chan admission.Action, 1)
-	ticket, out := g.controller.Submit(g.now(), ask, g.actions[:0])
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	request.Deadline = g.now() + time.Until(deadline.Add(-gateRejectMargin)).Microseconds()
+	ticket, decisions := g.controller.Submit(g.now(), request, g.actions[:0])
 	g.pending[ticket] = decided
-	g.deliver(out)
-	g.mu.Unlock()
-	var a admission.Action
+	g.deliver(decisions)
+	return ticket, decided
+}
+
+// withdraw takes back a request whose context has ended. It may have been admitted in the same moment.
+func (g *Gate) withdraw(ticket admission.Ticket, decided <-chan admission.Action) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
 	select {
-	case a = <-decided:
-	case <-ctx.Done():
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		select {
-		case a = <-decided: // just before
-			if a.Kind == admission.Admit {
-				g.deliver(g.controller.Finish(g.now(), ticket, false, g.actions[:0]))
-			}
-		default:
-			delete(g.pending, ticket)
-			g.deliver(g.controller.Cancel(g.now(), ticket, g.actions[:0]))
+	case decision := <-decided:
+		if decision.Kind == admission.Admit {
+			g.deliver(g.controller.Finish(g.now(), ticket, false, g.actions[:0]))
 		}
-		return nil, admission.Action{Kind: admission.Reject, Reason: admission.TooLate}
+	default:
+		delete(g.pending, ticket)
+		g.deliver(g.controller.Cancel(g.now(), ticket, g.actions[:0]))
 	}
-	if a.Kind != admission.Admit {
-		return nil, a
-	}
-	return func(served bool) {
-		g.mu.Lock()
-		defer g.mu.Unlock()
-		g.deliver(g.controller.Finish(g.now(), ticket, served, g.actions[:0]))
-	}, a
 }
 
-// logStats logs what each tenant has come to since the last time, where anything had to wait or was refused.
+// queueLength returns how many requests wait for a decision.
+func (g *Gate) queueLength() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return len(g.pending)
+}
+
+// logStats logs, for each tenant of which a request was rejected or is queued, what has happened since the last call.
 func (g *Gate) logStats() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	limit, inside, waits := g.controller.State()
+	state := g.controller.State()
 	for i, name := range g.tenantNames {
-		s, last := g.controller.Stats(i), g.loggedStats[i]
-		g.loggedStats[i] = s
-		refused := 0
-		args := []any{"tenant", name, "came", s.Arrived - last.Arrived, "entered", s.Admitted - last.Admitted, "waits", s.Queued,
-			"work_s", (s.AdmittedWork - last.AdmittedWork) / 1e6, "returns", s.Returned - last.Returned, "returns_in", s.ReturnsAdmitted - last.ReturnsAdmitted}
-		for k := range s.Rejected {
-			n := s.Rejected[k] - last.Rejected[k]
-			refused += int(n)
-			args = append(args, "refused_"+strings.ReplaceAll(admission.Reason(k).String(), " ", "_"), n)
+		now, last := g.controller.Stats(i), g.loggedStats[i]
+		g.loggedStats[i] = now
+		fields := []any{
+			"tenant", name,
+			"arrived", now.Arrived - last.Arrived,
+			"admitted", now.Admitted - last.Admitted,
+			"queued", now.Queued,
+			"admitted_work_s", (now.AdmittedWork - last.AdmittedWork) / 1e6,
+			"returned", now.Returned - last.Returned,
+			"returned_admitted", now.ReturnsAdmitted - last.ReturnsAdmitted,
+		}
+		rejected := uint64(0)
+		for reason := range now.Rejected {
+			count := now.Rejected[reason] - last.Rejected[reason]
+			rejected += count
+			key := "rejected_" + strings.ReplaceAll(admission.Reason(reason).String(), " ", "_")
+			fields = append(fields, key, count)
 		}
-		if refused > 0 || s.Queued > 0 {
-			g.log.Info("door", append(args, "limit", int(limit), "inside", inside, "waits_in_all", waits)...)
+		if rejected > 0 || now.Queued > 0 {
+			fields = append(fields, "limit", int(state.Limit), "in_flight", state.InFlight, "queued_in_all", state.Queued)
+			g.log.Info("admission control", fields...)
 		}
 	}
 }
 
-// writeRejection answers a refusal of the door's: nothing was sent, so trying again is harmless.
-func writeRejection(w http.ResponseWriter, a admission.Action) {
-	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(float64(a.RetryAfter)/1e6, 'f', 3, 64))
+// writeRejection answers a rejected request. No backend has seen it, so to send it again is harmless.
+func writeRejection(w http.ResponseWriter, rejection admission.Action) {
+	if rejection.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(float64(rejection.RetryAfter)/1e6, 'f', 3, 64))
 	}
-	http.Error(w, "busy: "+a.Reason.String(), http.StatusServiceUnavailable)
+	http.Error(w, "busy: "+rejection.Reason.String(), http.StatusServiceUnavailable)
 }
--- a/internal/standalone/listener/gate_test.go
+++ b/internal/standalone/listener/gate_test.go
@@ -168,8 +168,8 @@
 		if n := status[200] + status[503]; n != 100-14 || status[200] < 10 || status[503] < 20 {
 			t.Errorf("answers: %v", status)
 		}
-		if _, inside, waits := g.controller.State(); inside != 0 || waits != 0 || len(g.pending) != 0 {
-			t.Errorf("%d inside, %d wait, %d are waited for", inside, waits, len(g.pending))
+		if state := g.controller.State(); state.InFlight != 0 || state.Queued != 0 || len(g.pending) != 0 {
+			t.Errorf("%d in flight, %d queued, %d pending", state.InFlight, state.Queued, len(g.pending))
 		}
 	})
 }
--- /dev/null
+++ b/internal/standalone/listener/handler.go
@@ -0,0 +1,186 @@
+package listener
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"runtime/debug"
+	"time"
+
+	"pumiceline/internal/standalone/forwarder"
+	"pumiceline/internal/standalone/metrics"
+)
+
+// readyPath is the path of the readiness check.
+const readyPath = "/ready"
+
+// ServeHTTP answers one request: it checks the request, then serves it until the client's deadline.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	rw := &responseWriter{
+		ResponseWriter:     w,
+		conn:               http.NewResponseController(w),
+		closeAfterResponse: &s.closeAfterResponse,
+	}
+	defer rw.clearWriteDeadline()
+	defer s.recoverPanic(rw)
+	if s.closeAfterResponse.Load() || s.budget.shouldShedKeepAlive() {
+		rw.Header().Set("Connection", "close")
+	}
+	receivedAt := time.Now()
+	framing := recordRequest(r)
+	if isReadinessCheck(r) {
+		s.serveReady(rw)
+		return
+	}
+	if framing.hasTransferEncoding { // from here it is unknown where the connection's next request begins
+		rw.Header().Set("Connection", "close")
+	}
+	info, deadline, err := s.requests.read(rw, r, receivedAt, framing)
+	if err != nil {
+		s.rejectMalformed(rw, r, err)
+		return
+	}
+	defer s.requests.end(info)
+	id := r.Header.Get(correlationIDHeader)
+	if !s.openIDs.reserve(id) {
+		s.rejectMalformed(rw, r, badRequestf("%s is that of a request still open", correlationIDHeader))
+		return
+	}
+	defer s.openIDs.release(id)
+	s.serveRequest(rw, r, info, s.capDeadline(deadline))
+}
+
+// recoverPanic answers a request whose handler panicked; net/http would only close the connection. It must be deferred
+// directly.
+func (s *Server) recoverPanic(rw *responseWriter) {
+	p := recover()
+	if p == nil {
+		return
+	}
+	if err, ok := p.(error); ok && errors.Is(err, http.ErrAbortHandler) {
+		panic(p) // the client has disconnected: net/http closes the connection
+	}
+	s.opts.Log.Error("request handler panicked", "panic", p, "stack", string(debug.Stack()))
+	if rw.headSent { // an error text would pass for a part of the response
+		panic(http.ErrAbortHandler)
+	}
+	http.Error(rw, "internal error", http.StatusInternalServerError)
+}
+
+// isReadinessCheck reports whether r asks for readiness. A request with a service class belongs to a class that happens
+// to be called "ready".
+func isReadinessCheck(r *http.Request) bool {
+	return r.URL.Path == readyPath && len(r.Header[classHeader]) == 0
+}
+
+func (s *Server) serveReady(w http.ResponseWriter) {
+	if !s.opts.Ready() {
+		http.Error(w, "no pool config yet", http.StatusServiceUnavailable)
+		return
+	}
+	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
+	fmt.Fprintln(w, "ready")
+}
+
+// rejectMalformed answers a request that did not pass the checks, with the status of a requestError.
+func (s *Server) rejectMalformed(w http.ResponseWriter, r *http.Request, err error) {
+	s.opts.Log.Debug("request rejected as malformed", "error", err)
+	status := http.StatusBadRequest
+	var malformed *requestError
+	if errors.As(err, &malformed) {
+		status = malformed.status
+	}
+	if r.ContentLength != 0 {
+		// The body may still be on its way, or never complete; net/http would wait for its end before it sends the
+		// response.
+		w.Header().Set("Connection", "close")
+	}
+	http.Error(w, err.Error(), status)
+}
+
+// serveRequest serves a request that has passed the checks, and counts how it ended.
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, info *forwarder.RequestInfo, deadline time.Time) {
+	client, disconnect := context.WithCancel(r.Context())
+	defer disconnect()
+	info.ClientDisconnected = func() bool {
+		if client.Err() == nil && clientDisconnected(r) {
+			disconnect()
+		}
+		return client.Err() != nil
+	}
+	s.inFlight.Add(1)
+	outcome := metrics.Errored // stays if the handler panics
+	defer func() {
+		s.inFlight.Add(-1)
+		if client.Err() != nil {
+			outcome = metrics.Left
+		}
+		s.opts.Metrics.End(singleValue(r.Header, classHeader), outcome)
+	}()
+	ctx, cancel := s.requestContext(client, info, deadline)
+	defer cancel()
+	if info.Stream != nil {
+		defer s.abortIncompleteBody(w, info, &outcome)
+	}
+	outcome = s.admitAndForward(ctx, w, r, info, deadline)
+}
+
+// admitAndForward passes a request through the gate and to the transport, and returns how it ended.
+func (s *Server) admitAndForward(ctx context.Context, w http.ResponseWriter, r *http.Request, info *forwarder.RequestInfo,
+	deadline time.Time) metrics.Ended {
+	if s.opts.Gate != nil {
+		finish, rejection := s.opts.Gate.admit(ctx, r, info, deadline)
+		if finish == nil {
+			writeRejection(w, rejection)
+			return metrics.Deferred
+		}
+		defer func() { finish(info.Answered) }()
+	}
+	if info.Stream != nil {
+		w.Header().Set("Connection", "close") // the response may end before the request's body does
+	}
+	s.proxy.ServeHTTP(w, r.WithContext(ctx))
+	switch {
+	case info.Answered:
+		return metrics.Answered
+	case info.Rejected:
+		return metrics.Deferred
+	}
+	return metrics.Errored
+}
+
+// errShutdown is the cause with which requests end that a stopping proxy has not answered when its last response is due.
+// It counts as an expired deadline: the client's own may be long after SIGKILL.
+var errShutdown = fmt.Errorf("the proxy ends: %w", context.DeadlineExceeded)
+
+// requestContext returns a request's context. It ends at the client's deadline, which for a body that is still coming
+// counts from its last byte; with the client's disconnect; and when the last response of a shutdown is due.
+func (s *Server) requestContext(client context.Context, info *forwarder.RequestInfo, deadline time.Time) (context.Context,
+	context.CancelFunc) {
+	ctx, cancelDeadline := forwarder.WithRequestInfo(client, info), func() {}
+	if info.Stream == nil {
+		ctx, cancelDeadline = context.WithDeadline(ctx, deadline)
+	}
+	ctx, cancel := context.WithCancelCause(ctx)
+	if info.Stream != nil {
+		go info.Stream.WatchDeadline(ctx.Done(), 0,
+			func() { cancel(context.DeadlineExceeded) },
+			func(err error) { cancel(err) })
+	}
+	stopWatching := context.AfterFunc(s.ended, func() { cancel(errShutdown) })
+	return ctx, func() { stopWatching(); cancel(nil); cancelDeadline() }
+}
+
+// abortIncompleteBody ends the reading of a streamed body when its request ends: an attempt that still reads it has to
+// stop, and the connection is not used again. A body that broke off makes the outcome a disconnect.
+func (s *Server) abortIncompleteBody(w http.ResponseWriter, info *forwarder.RequestInfo, outcome *metrics.Ended) {
+	select {
+	case <-info.Stream.Ended():
+		if _, err := info.Stream.End(); err != nil {
+			*outcome = metrics.Left
+		}
+	default:
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now()) // fails only on a connection that is over
+	}
+}
--- /dev/null
+++ b/internal/standalone/listener/proxy.go
@@ -0,0 +1,60 @@
+package listener
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"net/http/httputil"
+	"net/url"
+	"strings"
+	"sync"
+)
+
+// rewriteRequest keeps the request's target as the client wrote it: parsing and writing it again would change unusual
+// queries, and ReverseProxy drops parameters that it cannot parse.
+func rewriteRequest(pr *httputil.ProxyRequest) {
+	target := &url.URL{Opaque: pr.In.RequestURI}
+	if !strings.HasPrefix(pr.In.RequestURI, "/") || strings.HasPrefix(pr.In.RequestURI, "//") {
+		// A form that an opaque URL is not written in.
+		target = &url.URL{
+			Path:       pr.In.URL.Path,
+			RawPath:    pr.In.URL.RawPath,
+			RawQuery:   pr.In.URL.RawQuery,
+			ForceQuery: pr.In.URL.ForceQuery,
+		}
+	}
+	pr.Out.URL, pr.Out.Host = target, pr.In.Host
+	pr.Out.Header.Del("Upgrade") // a backend must not be asked for another protocol
+	pr.Out.Header.Del("Connection")
+	pr.Out.Header.Del("Expect") // the body has been read, or is being read
+	// A client that names these in Connection would have ReverseProxy drop them, and a request without its idempotency
+	// key could be carried out twice.
+	for _, name := range []string{correlationIDHeader, idempotencyKeyHeader, sessionKeyHeader} {
+		if v, ok := pr.In.Header[name]; ok {
+			pr.Out.Header[name] = v
+		}
+	}
+}
+
+// handleProxyError answers a request for which the transport returned an error in place of a response.
+func (s *Server) handleProxyError(w http.ResponseWriter, _ *http.Request, err error) {
+	if !errors.Is(err, context.Canceled) {
+		s.opts.Log.Error("request failed without a response", "error", err)
+	}
+	w.WriteHeader(http.StatusBadGateway)
+}
+
+// bufferPool holds the buffers through which responses are copied to clients. Without a pool ReverseProxy allocates
+// 32 KiB for each response, which at a thousand a second keeps the garbage collector busy.
+type bufferPool struct{ pool sync.Pool }
+
+// copyBufferBytes is enough to copy nearly every response in one piece.
+const copyBufferBytes = 16 << 10
+
+func newBufferPool() *bufferPool {
+	return &bufferPool{sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}}
+}
+
+// Get and Put implement httputil.BufferPool.
+func (b *bufferPool) Get() []byte    { return b.pool.Get().(*[copyBufferBytes]byte)[:] }
+func (b *bufferPool) Put(old []byte) { b.pool.Put((*[copyBufferBytes]byte)(old)) }
--- /dev/null
+++ b/internal/standalone/listener/request.go
@@ -0,0 +1,219 @@
+package listener
+
+import (
+	"fmt"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/forwarder"
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/requestclass"
+	"pumiceline/internal/standalone/settings"
+)
+
+// Headers of a request.
+const (
+	correlationIDHeader  = "X-Correlation-Id"
+	classHeader          = "X-Service-Class"
+	tenantHeader         = "X-Account"
+	timeLeftHeader       = "X-Time-Left-Ms" // the client's time-out, in milliseconds
+	workHintHeader       = "X-Weight-Hint"  // the expected work, in microseconds; optional
+	idempotencyKeyHeader = "Idempotency-Key"
+	sessionKeyHeader     = "X-Session-Key" // optional
+	repeatHeader         = "X-Repeat"      // "1": the client sends a request again that was rejected; optional
+)
+
+// What a class's settings say of its semantics, which decide its method and whether it needs an idempotency key. Of any
+// other semantics a request may not be repeated, and it needs no key.
+const (
+	semanticsPure  = "pure"  // has no effect
+	semanticsToken = "token" // is idempotent by its key
+)
+
+// maxWorkHintMicros is the largest work hint that is accepted: an hour.
+const maxWorkHintMicros = 3_600_000_000
+
+// requestError is a client's mistake and the HTTP status that answers it. To send the same request again would not help.
+type requestError struct {
+	status int
+	text   string // for the client
+}
+
+func (e *requestError) Error() string { return e.text }
+
+// badRequestf returns a requestError with status 400.
+func badRequestf(format string, args ...any) error {
+	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+}
+
+// requestReader reads and checks requests by the settings in force.
+type requestReader struct {
+	mu      sync.Mutex // guards what follows
+	classes requestclass.Book
+	tenants map[string]uint32 // their places in the settings, by name; empty: the deployment has no tenants
+}
+
+// applySettings replaces the settings unless apply, which is given them with the classes in the order of their numbers,
+// returns an error. Requests carry the new numbers only after apply has returned.
+func (rr *requestReader) applySettings(next *settings.Settings, apply func(numbered *settings.Settings) error) error {
+	rr.mu.Lock()
+	defer rr.mu.Unlock()
+	plan, err := rr.classes.Plan(next.Classes)
+	if err != nil {
+		return err
+	}
+	numbered := *next
+	numbered.Classes = plan
+	if err := apply(&numbered); err != nil {
+		return err
+	}
+	rr.classes.Change(plan, next.Classes)
+	rr.tenants = map[string]uint32{}
+	for i, p := range next.Tenants {
+		rr.tenants[p.Name] = uint32(i)
+	}
+	return nil
+}
+
+// classNumbers returns how many class numbers are given out.
+func (rr *requestReader) classNumbers() int {
+	rr.mu.Lock()
+	defer rr.mu.Unlock()
+	return rr.classes.Numbers()
+}
+
+// begin counts a request of a class and tenant as in flight; end must follow. An error means that it is not counted.
+func (rr *requestReader) begin(className, tenantName string) (*forwarder.RequestInfo, settings.Class, error) {
+	rr.mu.Lock()
+	defer rr.mu.Unlock()
+	info := &forwarder.RequestInfo{}
+	isKnownTenant := true
+	if len(rr.tenants) > 0 {
+		info.Tenant, isKnownTenant = rr.tenants[tenantName]
+	}
+	number, class, ok := rr.classes.Take(className)
+	if !ok {
+		return nil, settings.Class{}, badRequestf("%s names no class", classHeader)
+	}
+	info.Class = number
+	if !isKnownTenant {
+		rr.classes.Leave(number)
+		return nil, settings.Class{}, badRequestf("%s names no tenant", tenantHeader)
+	}
+	return info, class, nil
+}
+
+// end ends a request that begin or read returned.
+func (rr *requestReader) end(info *forwarder.RequestInfo) {
+	rr.mu.Lock()
+	defer rr.mu.Unlock()
+	rr.classes.Leave(info.Class)
+}
+
+// read checks a request's head and reads its body, as far as it is buffered. It returns the client's deadline, as
+// readBody does. Unless it returns an error, end must follow.
+func (rr *requestReader) read(w http.ResponseWriter, r *http.Request, receivedAt time.Time, framing bodyFraming) (
+	*forwarder.RequestInfo, time.Time, error) {
+	info, timeLeft, err := rr.readHead(r.Method, r.Header)
+	if err != nil {
+		return nil, time.Time{}, err
+	}
+	var deadline time.Time
+	if err = checkFraming(r, framing); err == nil {
+		deadline, err = readBody(w, r, info, receivedAt, timeLeft)
+	}
+	if err != nil {
+		rr.end(info)
+		return nil, time.Time{}, err
+	}
+	return info, deadline, nil
+}
+
+// readHead checks a request's method and headers, and returns how long the client waits. Unless it returns an error, end
+// must follow.
+func (rr *requestReader) readHead(method string, h http.Header) (*forwarder.RequestInfo, time.Duration, error) {
+	if singleValue(h, correlationIDHeader) == "" {
+		return nil, 0, badRequestf("%s is missing or stands twice", correlationIDHeader)
+	}
+	timeLeftMs, err := strconv.ParseUint(singleValue(h, timeLeftHeader), 10, 32)
+	if err != nil {
+		return nil, 0, badRequestf("%s is no time in whole milliseconds", timeLeftHeader)
+	}
+	workHint, err := parseWorkHint(h)
+	if err != nil {
+		return nil, 0, err
+	}
+	info, class, err := rr.begin(singleValue(h, classHeader), singleValue(h, tenantHeader))
+	if err != nil {
+		return nil, 0, err
+	}
+	if err := checkSemantics(class, method, h); err != nil {
+		rr.end(info)
+		return nil, 0, err
+	}
+	info.WorkHint, info.SessionKey = workHint, hashSessionKey(singleValue(h, sessionKeyHeader))
+	classTimeout := time.Duration(settings.Micros(class.ClientTimeout)) * time.Microsecond
+	return info, min(time.Duration(timeLeftMs)*time.Millisecond, classTimeout), nil
+}
+
+// parseWorkHint returns a request's work hint in microseconds; 0: it has none.
+func parseWorkHint(h http.Header) (policy.Time, error) {
+	if len(h[workHintHeader]) == 0 {
+		return 0, nil
+	}
+	hint, err := strconv.ParseUint(singleValue(h, workHintHeader), 10, 64)
+	if err != nil || hint > maxWorkHintMicros {
+		return 0, badRequestf("%s is no work in microseconds", workHintHeader)
+	}
+	return policy.Time(hint), nil
+}
+
+// checkSemantics checks that a request has the method, and the idempotency key, that its class asks for.
+func checkSemantics(class settings.Class, method string, h http.Header) error {
+	required := http.MethodPost
+	if class.Semantics == semanticsPure {
+		required = http.MethodGet
+	}
+	if class.Semantics == semanticsToken && singleValue(h, idempotencyKeyHeader) == "" {
+		return badRequestf("%s is missing or stands twice", idempotencyKeyHeader)
+	}
+	if method != required {
+		return &requestError{http.StatusMethodNotAllowed, "this class goes by " + required}
+	}
+	return nil
+}
+
+// checkFraming rejects a body whose end the proxy and a backend could read differently, and one that is too large.
+func checkFraming(r *http.Request, framing bodyFraming) error {
+	if framing.hasContentLengthToo {
+		return badRequestf("Content-Length and Transfer-Encoding do not go together")
+	}
+	if framing.hasTransferEncoding && len(r.TransferEncoding) == 0 { // net/http reads no such body in HTTP/1.0
+		return badRequestf("Transfer-Encoding has no meaning here")
+	}
+	if r.ContentLength > backend.MaxStreamedBody {
+		return &requestError{http.StatusRequestEntityTooLarge, backend.ErrBodyTooLarge.Error()}
+	}
+	return nil
+}
+
+// hashSessionKey returns a session key as a number, the same at every proxy; 0 for none.
+func hashSessionKey(key string) uint64 {
+	if key == "" {
+		return 0
+	}
+	return max(1, xxhash.Sum64String(key))
+}
+
+// singleValue returns a header's only value, or nothing if there are several: to choose among them would be wrong.
+func singleValue(h http.Header, name string) string {
+	if values := h[name]; len(values) == 1 {
+		return values[0]
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/standalone/listener/server_test.go
@@ -0,0 +1,233 @@
+package listener
+
+import (
+	"bufio"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"pumiceline/internal/standalone/settings"
+)
+
+type transport func(*http.Request) (*http.Response, error)
+
+func (t transport) RoundTrip(r *http.Request) (*http.Response, error) { return t(r) }
+
+func site() *settings.Settings {
+	return &settings.Settings{Classes: []settings.Class{{Name: "quote", Semantics: "pure", ClientTimeout: 1.5e6},
+		{Name: "issue", Semantics: "token", ClientTimeout: 3e6}}, Tenants: []settings.Tenant{{Name: "acme"}, {Name: "zenith"}}}
+}
+
+func newFront(t transport, most int) *Server {
+	return New(Options{Settings: site(), Transport: t, Ready: func() bool { return true }, GuaranteedSockets: most,
+		Log: slog.New(slog.DiscardHandler)})
+}
+
+func answer(r *http.Request) (*http.Response, error) {
+	return &http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("42")), Request: r}, nil
+}
+
+// pipes hands out the server's ends of pipes.
+type pipes struct {
+	conns chan net.Conn
+	done  chan struct{}
+}
+
+func (l *pipes) Accept() (net.Conn, error) {
+	select {
+	case c := <-l.conns:
+		return c, nil
+	case <-l.done:
+		return nil, net.ErrClosed
+	}
+}
+
+func (l *pipes) Close() error { close(l.done); return nil }
+
+func (l *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+
+func (l *pipes) dial() (net.Conn, *bufio.Reader) {
+	here, there := net.Pipe()
+	l.conns <- there
+	return here, bufio.NewReader(here)
+}
+
+func listen() *pipes { return &pipes{make(chan net.Conn), make(chan struct{})} }
+
+// start serves until stop is called, which returns Serve's error once it has ended.
+func start(t *testing.T, f *Server) (ln *pipes, stop func() chan error) {
+	ln = listen()
+	ctx, cancel := context.WithCancel(t.Context())
+	ended := make(chan error, 1)
+	go func() { ended <- f.Serve(ctx, ln) }()
+	return ln, func() chan error { cancel(); return ended }
+}
+
+const headers = "Host: api.internal\r\nX-Correlation-Id: 9b1f\r\nX-Service-Class: issue\r\nX-Account: zenith\r\n" +
+	"X-Time-Left-Ms: 480\r\nX-Weight-Hint: 900\r\nIdempotency-Key: 5c0f\r\nX-Session-Key: 7f3a\r\nX-Forwarded-For: 1.2.3.4\r\n"
+
+const quote = "GET /quote HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: 1\r\nX-Service-Class: quote\r\n" +
+	"X-Account: acme\r\nX-Time-Left-Ms: 400\r\n\r\n"
+
+func request(c net.Conn, r *bufio.Reader, text string) (*http.Response, string, error) {
+	go io.WriteString(c, text) // a pipe has no buffer, and an answer may come before the last byte
+	resp, err := http.ReadResponse(r, nil)
+	if err != nil {
+		return nil, "", err
+	}
+	body, err := io.ReadAll(resp.Body)
+	return resp, string(body), err
+}
+
+// A panic must not cost the client its answer.
+func TestPanicIsAnswered(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ln, stop := start(t, newFront(func(*http.Request) (*http.Response, error) { panic("a fault") }, 9))
+		c, r := ln.dial()
+		if resp, _, err := request(c, r, quote); err != nil || resp.StatusCode != 500 {
+			t.Errorf("%v, %v", resp, err)
+		}
+		c.Close()
+		<-stop()
+	})
+}
+
+func TestReady(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFront(answer, 9)
+		held := false
+		f.opts.Ready = func() bool { return held }
+		ln, stop := start(t, f)
+		for _, want := range []int{503, 200} {
+			c, r := ln.dial()
+			if resp, _, err := request(c, r, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil || resp.StatusCode != want {
+				t.Errorf("%v, %v, want %d", resp, err, want)
+			}
+			c.Close()
+			held = true
+		}
+		<-stop()
+	})
+}
+
+// A class may be called as the readiness check is: what comes with a class is a request, and what comes without is the check, which
+// counts among the messages of its connection.
+func TestAClassMayBeCalledReady(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		set := site()
+		set.Classes[0].Name = "ready"
+		f := New(Options{Settings: set, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler), Transport: transport(answer)})
+		ln, stop := start(t, f)
+		c, r := ln.dial()
+		for _, x := range [][2]string{
+			{"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", "ready\n"},
+			{strings.NewReplacer("/quote", "/ready", "Class: quote", "Class: ready").Replace(quote), "42"},
+			{"POST /issue HTTP/1.1\r\n" + headers + "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", "42"},
+		} {
+			if resp, body, err := request(c, r, x[0]); err != nil || resp.StatusCode != 200 || body != x[1] {
+				t.Errorf("%q: %v, %q, %v", x[0], resp, body, err)
+			}
+		}
+		c.Close()
+		<-stop()
+	})
+}
+
+// An id is taken while its request is open, and free afterwards.
+func TestOpenIDs(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		ln, stop := start(t, newFront(func(r *http.Request) (*http.Response, error) {
+			time.Sleep(100 * time.Millisecond)
+			return answer(r)
+		}, 9))
+		first, firstReader := ln.dial()
+		statuses := make(chan int)
+		go func() {
+			resp, _, err := request(first, firstReader, quote)
+			if err != nil {
+				t.Error(err)
+			}
+			statuses <- resp.StatusCode
+		}()
+		time.Sleep(time.Millisecond)
+		for _, want := range []int{400, 200} {
+			c, r := ln.dial()
+			if resp, _, err := request(c, r, quote); err != nil || resp.StatusCode != want {
+				t.Errorf("%v, %v, want %d", resp, err, want)
+			}
+			c.Close()
+			if want == 400 {
+				if got := <-statuses; got != 200 {
+					t.Errorf("the first got %d", got)
+				}
+			}
+		}
+		first.Close()
+		<-stop()
+	})
+}
+
+// New settings bind requests that come from then on: a class that appears is served, with no key where it may never be
+// repeated; one that vanishes is a 400; a change that another part turns down changes nothing.
+func TestSettingsChangeUnderWay(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		inside, goOn := make(chan struct{}, 9), make(chan struct{})
+		f := newFront(func(r *http.Request) (*http.Response, error) {
+			inside <- struct{}{}
+			<-goOn
+			return answer(r)
+		}, 9)
+		ln, stop := start(t, f)
+		ask := func(class, method, id string) int {
+			c, r := ln.dial()
+			defer c.Close()
+			resp, _, err := request(c, r, method+" /"+class+" HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "+id+"\r\nX-Service-Class: "+class+
+				"\r\nX-Account: acme\r\nX-Time-Left-Ms: 900\r\nContent-Length: 0\r\n\r\n")
+			if err != nil {
+				t.Error(err)
+				return 0
+			}
+			return resp.StatusCode
+		}
+		old := make(chan int, 1)
+		go func() { old <- ask("quote", "GET", "1") }()
+		<-inside
+		next := site()
+		next.Classes = []settings.Class{{Name: "bind", Semantics: "side_effect", ClientTimeout: 1e6}, next.Classes[1]}
+		if err := f.ApplySettings(next, func(*settings.Settings) error { return errors.New("no") }); err == nil {
+			t.Error("a change that another part turned down was taken")
+		}
+		if got := ask("bind", "POST", "2"); got != 400 {
+			t.Errorf("a class of settings that were turned down: %d", got)
+		}
+		var numbered []settings.Class
+		if err := f.ApplySettings(next, func(s *settings.Settings) error { numbered = s.Classes; return nil }); err != nil {
+			t.Error(err)
+		}
+		if len(numbered) != 3 || numbered[0].Name != "quote" {
+			t.Errorf("the number of a request under way went to another class: %+v", numbered)
+		}
+		if f.InFlight() != 1 {
+			t.Errorf("%d requests are under way", f.InFlight())
+		}
+		close(goOn)
+		if got := <-old; got != 200 {
+			t.Errorf("the request under way got %d", got)
+		}
+		for class, want := range map[string]int{"bind": 200, "quote": 400} {
+			if got := ask(class, "POST", class); got != want {
+				t.Errorf("%s: %d, want %d", class, got, want)
+			}
+		}
+		if err := <-stop(); err != nil {
+			t.Error(err)
+		}
+	})
+}
--- a/internal/standalone/listener/stop_test.go
+++ b/internal/standalone/listener/shutdown_test.go
@@ -1,10 +1,13 @@
 package listener
 
 import (
+	"bufio"
 	"context"
 	"errors"
 	"fmt"
+	"io"
 	"log/slog"
+	"net"
 	"net/http"
 	"strings"
 	"testing"
@@ -19,12 +22,53 @@
 		{9 * time.Second, 2450 * time.Millisecond, 3450 * time.Millisecond}, // SIGKILL waits for 3 s at most
 		{200 * time.Millisecond, 0, 650 * time.Millisecond},                 // no time to keep anything: close at once
 	} {
-		if closeFrom, last := shutdownTimes(stop, c[0]); closeFrom.Sub(stop) != c[1] || last.Sub(stop) != c[2] {
-			t.Errorf("longest %v: closing after %v, last answer after %v", c[0], closeFrom.Sub(stop), last.Sub(stop))
+		got := shutdownTimes(stop, c[0])
+		if got.closeFrom.Sub(stop) != c[1] || got.lastResponse.Sub(stop) != c[2] {
+			t.Errorf("longest %v: closing after %v, last response after %v", c[0], got.closeFrom.Sub(stop), got.lastResponse.Sub(stop))
 		}
 	}
 }
 
+// After the request to stop: new connections are taken for a while, answers close their connections, what was
+// taken is finished, and connections that never brought a request hold nothing up.
+func TestStop(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFront(func(r *http.Request) (*http.Response, error) {
+			time.Sleep(time.Second)
+			return answer(r)
+		}, 9)
+		ln, stop := start(t, f)
+		early, earlyReader := ln.dial()
+		idle, idleReader := ln.dial()
+		time.Sleep(time.Second)
+		answered := make(chan string, 2)
+		ask := func(c net.Conn, r *bufio.Reader) {
+			resp, body, err := request(c, r, strings.Replace(quote, "Id: 1", fmt.Sprintf("Id: %p", c), 1))
+			answered <- fmt.Sprint(resp != nil && resp.Close, body, err)
+		}
+		go ask(early, earlyReader)
+		time.Sleep(100 * time.Millisecond)
+		ended := stop()
+		time.Sleep(500 * time.Millisecond)
+		go ask(ln.dial())
+		late, _ := ln.dial() // taken just before the end, and never used
+		defer late.Close()
+		begun := time.Now()
+		for range 2 {
+			if got := <-answered; !strings.Contains(got, "42") || !strings.Contains(got, "<nil>") {
+				t.Errorf("answer: %s", got)
+			}
+		}
+		if _, err := idleReader.ReadByte(); err != io.EOF {
+			t.Errorf("the unused connection: %v", err)
+		}
+		if err := <-ended; err != nil || time.Since(begun) > 2*time.Second {
+			t.Errorf("%v, ended after %v", err, time.Since(begun))
+		}
+		idle.Close()
+	})
+}
+
 // A proxy that stops with nobody to take over goes on serving its kept connections, which the front layer does not move, until
 // shortly before SIGKILL could come, and cuts deadlines to that; with a successor each answer closes.
 func TestStopKeepsConnections(t *testing.T) {
@@ -98,3 +142,41 @@
 		})
 	}
 }
+
+// A client that was sending a head when the stop came is answered if the head becomes whole in time, and is no reason to stay for
+// ever if it does not.
+func TestHeadsThatComeAcrossAStop(t *testing.T) {
+	for name, c := range map[string]struct {
+		kept bool // the connection had a request before
+		rest bool // the rest comes
+	}{"on a new connection": {false, true}, "on a kept one": {true, true}, "never whole": {true, false}} {
+		synctest.Test(t, func(t *testing.T) {
+			f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
+				HasSuccessor: func() bool { return true }, Transport: transport(answer)})
+			ln, stop := start(t, f)
+			client, r := ln.dial()
+			defer client.Close()
+			if c.kept {
+				if resp, _, err := request(client, r, quote); err != nil || resp.StatusCode != 200 {
+					t.Errorf("%s: %v, %v", name, resp, err)
+				}
+			}
+			if _, err := io.WriteString(client, quote[:30]); err != nil {
+				t.Error(err)
+			}
+			synctest.Wait()
+			begin, ended := time.Now(), stop()
+			time.Sleep(2 * time.Second)
+			if c.rest {
+				if resp, body, err := request(client, r, quote[30:]); err != nil || body != "42" || !resp.Close {
+					t.Errorf("%s: %v, %q, %v", name, resp, body, err)
+				}
+			} else if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
+				t.Errorf("%s: %v", name, err)
+			}
+			if err := <-ended; err != nil || time.Since(begin) > maxCountedDeadline+killDelay {
+				t.Errorf("%s: %v after %v", name, err, time.Since(begin))
+			}
+		})
+	}
+}
--- a/internal/standalone/server/operations.go
+++ b/internal/standalone/server/operations.go
@@ -57,29 +57,27 @@
 // tableSizes returns how many entries are held in memory by ID, host, address or class: the series of svc_kept. Each of these
 // comes down again with its owner, or has a bound of its own; docs/runbook-standalone.md says which.
 func (s *server) tableSizes() map[string]int {
-	calls, timers, module := s.engine.TableSizes()
-	destinations, idle := s.backends.TableSizes()
+	engine, backends, clients := s.engine.TableSizes(), s.backends.TableSizes(), s.clients.TableSizes()
 	listed, names, disabled := s.watcher.Kept()
-	ids, classes, waiting := s.clients.TableSizes()
 	return map[string]int{
-		"calls":            calls,
-		"timers":           timers,
-		"module_requests":  module.OpenRequests,
-		"module_held":      module.QueuedRequests,
-		"module_spare":     module.FreeRequests,
-		"module_servers":   module.Servers,
-		"module_kinds":     module.InstanceTypes,
-		"destinations":     destinations,
+		"calls":            engine.Calls,
+		"timers":           engine.Timers,
+		"module_requests":  engine.Policy.OpenRequests,
+		"module_held":      engine.Policy.QueuedRequests,
+		"module_spare":     engine.Policy.FreeRequests,
+		"module_servers":   engine.Policy.Servers,
+		"module_kinds":     engine.Policy.InstanceTypes,
+		"destinations":     backends.Backends,
 		"connections":      s.backends.OpenConnections(),
-		"idle_connections": idle,
+		"idle_connections": backends.IdleConnections,
 		"hosts":            listed,
 		"host_names":       names,
 		"suspension_names": disabled,
 		"front_sockets":    s.clients.OpenSockets(),
-		"correlation_ids":  ids,
-		"class_numbers":    classes,
+		"correlation_ids":  clients.CorrelationIDs,
+		"class_numbers":    clients.ClassNumbers,
 		"class_series":     s.metrics.Shown(),
-		"gate_waiting":     waiting,
+		"gate_waiting":     clients.GateQueue,
 		"probes":           s.probes.InFlight(),
 	}
 }
