--- a/cmd/pumiceline/owner.go
+++ b/cmd/pumiceline/owner.go
@@ -11,7 +11,6 @@
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"net/url"
 	"os"
 	"os/signal"
 	"slices"
@@ -49,6 +48,15 @@
 	return fleet, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: f.Level})).With("who", who), err
 }
 
+const (
+	statusTimeout  = time.Second     // for all members' status
+	requestTimeout = 2 * time.Second // for a request to the leader, which has to be found first
+)
+
+func membersOf(fleet *deployfile.Fleet) *raftmember.Client {
+	return &raftmember.Client{Fleet: fleet.Name, Members: fleet.Members}
+}
+
 // untilTold ends at SIGTERM or SIGINT.
 func untilTold() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -170,7 +178,9 @@
 	if err != nil {
 		return err
 	}
-	s := raftmember.Ask(time.Now().Add(time.Second), fleet.Members)
+	ctx, cancel := context.WithTimeout(context.Background(), statusTimeout)
+	defer cancel()
+	s := membersOf(fleet).Status(ctx)
 	if c.JSON {
 		text, err := json.MarshalIndent(s, "", " ")
 		if err != nil {
@@ -182,16 +192,16 @@
 		fmt.Fprintln(t, "MEMBER\tADDRESS\tLEADER\tTERM\tAPPLIED\tCHANGES")
 		for _, id := range slices.Sorted(maps.Keys(fleet.Members)) {
 			if m, there := s.Members[id]; there {
-				fmt.Fprintf(t, "%d\t%s\t%d\t%d\t%d\t%d\n", id, fleet.Members[id], m.Leader, m.Term, m.Applied, m.Changes)
+				fmt.Fprintf(t, "%d\t%s\t%d\t%d\t%d\t%d\n", id, fleet.Members[id], m.Leader, m.Term, m.Applied, m.HolderChanges)
 			} else {
-				fmt.Fprintf(t, "%d\t%s\tsilent: %s\n", id, fleet.Members[id], s.Silent[id])
+				fmt.Fprintf(t, "%d\t%s\tsilent: %s\n", id, fleet.Members[id], s.Unreachable[id])
 			}
 		}
-		latest := s.Latest()
+		latest := s.MostCurrent()
 		fmt.Fprintln(t, "\nWORK\tOWNER\tTOKEN\tPROGRESS\tWANTED")
-		for _, work := range slices.Sorted(maps.Keys(latest.Works)) {
-			w, age := latest.Works[work], "unknown"
-			if ms, there := latest.AgeMs[work]; there {
+		for _, work := range slices.Sorted(maps.Keys(latest.Assignments)) {
+			w, age := latest.Assignments[work], "unknown"
+			if ms, there := latest.ProgressAgeMs[work]; there {
 				age = fmt.Sprintf("%d ms ago", ms)
 			}
 			owner := w.Holder
@@ -204,7 +214,7 @@
 			return fmt.Errorf("owner: %w", err)
 		}
 	}
-	if !s.Quorum {
+	if !s.HasQuorum {
 		return errors.New("owner: no majority of the members follows one leader: nothing new is owned until one does")
 	}
 	return nil
@@ -221,7 +231,9 @@
 	if err != nil {
 		return err
 	}
-	return raftmember.Tell(time.Now().Add(2*time.Second), fleet.Name, fleet.Members, "/v1/works/"+url.PathEscape(c.Work)+"/free")
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+	defer cancel()
+	return membersOf(fleet).Release(ctx, c.Work)
 }
 
 type ownerMoveCmd struct {
@@ -236,7 +248,9 @@
 	if err != nil {
 		return err
 	}
-	return raftmember.Tell(time.Now().Add(2*time.Second), fleet.Name, fleet.Members, "/v1/works/"+url.PathEscape(c.Work)+"/want?who="+url.QueryEscape(c.To))
+	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
+	defer cancel()
+	return membersOf(fleet).SetDesiredHolder(ctx, c.Work, c.To)
 }
 
 type ownerReceiveCmd struct {
--- a/internal/faulttest/clustertest/guild.go
+++ b/internal/faulttest/clustertest/guild.go
@@ -266,7 +266,7 @@
 }
 
 // status is what an operator sees.
-func (g *guild) status() (s raftmember.Fleet, text string, err error) {
+func (g *guild) status() (s raftmember.FleetStatus, text string, err error) {
 	out, err := g.command("owner", "status", "--json", "--fleet", g.path("operator")).Output()
 	if json.Unmarshal(out, &s) != nil && err == nil {
 		err = fmt.Errorf("stage: status: %s", out)
--- a/internal/faulttest/clustertest/guild_test.go
+++ b/internal/faulttest/clustertest/guild_test.go
@@ -140,10 +140,10 @@
 	soon(t, g, "the wish is done", func() bool { return g.last("export").From == to })
 
 	s, _, err := g.status()
-	if err != nil || !s.Quorum || s.Latest().Works["export"].Holder != to {
+	if err != nil || !s.HasQuorum || s.MostCurrent().Assignments["export"].Holder != to {
 		t.Errorf("status: %+v, %v", s, err)
 	}
-	leader := int(s.Latest().Leader) - 1
+	leader := int(s.MostCurrent().Leader) - 1
 	resp, err := http.Get("http://" + g.real[leader] + "/v1/metrics")
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 	if err := g.startMember(leader); err != nil {
 		t.Fatal(err)
 	}
-	soon(t, g, "the old leader takes part again", func() bool { s, _, err := g.status(); return err == nil && len(s.Silent) == 0 })
+	soon(t, g, "the old leader takes part again", func() bool { s, _, err := g.status(); return err == nil && len(s.Unreachable) == 0 })
 	g.processes[member(leader)].Kill()
 	os.RemoveAll(g.disk(leader))
 	os.Rename(copied, g.disk(leader))
--- a/internal/faulttest/clustertest/roster.go
+++ b/internal/faulttest/clustertest/roster.go
@@ -282,7 +282,7 @@
 	if err != nil {
 		return v, err
 	}
-	owner := slices.Index(instances, s.Latest().Works["roster"].Holder)
+	owner := slices.Index(instances, s.MostCurrent().Assignments["roster"].Holder)
 	if owner < 0 {
 		return v, errors.New("stage: nobody owns the roster's work")
 	}
--- /dev/null
+++ b/internal/singleton/raftmember/apply.go
@@ -0,0 +1,94 @@
+package raftmember
+
+import (
+	"encoding/json"
+	"fmt"
+
+	"go.etcd.io/raft/v3"
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"pumiceline/internal/singleton"
+)
+
+// applyEntry applies a committed entry.
+func (m *Member) applyEntry(e *pb.Entry) error {
+	m.applied = e.GetIndex()
+	switch {
+	case e.GetType() == pb.EntryType_EntryConfChange:
+		change := &pb.ConfChange{}
+		if err := proto.Unmarshal(e.GetData(), change); err != nil {
+			return fmt.Errorf("decode entry %d: %w", e.GetIndex(), err)
+		}
+		m.confState = m.node.ApplyConfChange(change)
+	case e.GetType() == pb.EntryType_EntryConfChangeV2:
+		change := &pb.ConfChangeV2{}
+		if err := proto.Unmarshal(e.GetData(), change); err != nil {
+			return fmt.Errorf("decode entry %d: %w", e.GetIndex(), err)
+		}
+		m.confState = m.node.ApplyConfChange(change)
+	case len(e.GetData()) > 0:
+		m.applyCommand(e)
+	}
+	m.leadFrom(e)
+	return nil
+}
+
+// applyCommand applies the command of an entry. One that can't be read is of a newer build: like one of an unknown kind,
+// it changes nothing at any member of this build.
+func (m *Member) applyCommand(e *pb.Entry) {
+	var c singleton.Command
+	if err := json.Unmarshal(e.GetData(), &c); err != nil {
+		m.opts.Log.Error("log entry is not readable", "index", e.GetIndex(), "error", err)
+		return
+	}
+	before := m.state.Assignments[c.Role]
+	if err := m.state.Apply(c); err != nil {
+		m.opts.Log.Debug("command ignored", "command", c, "error", err)
+		return
+	}
+	if now := m.state.Assignments[c.Role]; now.Holder != before.Holder || now.Token != before.Token {
+		m.holderChanges++
+		m.opts.Log.Info("role assignment changed", "role", c.Role, "command", c.Kind, "holder", now.Holder, "token", now.Token,
+			"previous_holder", before.Holder, "reason", c.Reason)
+	}
+}
+
+// leadFrom starts the lease manager where this member leads and e is the first entry of its own term: all that was agreed
+// on under earlier leaders is applied then. Before it nobody can have got a response from this member.
+func (m *Member) leadFrom(e *pb.Entry) {
+	status := m.node.BasicStatus()
+	if m.leaseManager != nil || status.RaftState != raft.StateLeader || e.GetTerm() != status.GetTerm() {
+		return
+	}
+	m.leaseManager = singleton.NewLeaseManager(m.opts.Settings, m.state, m.now())
+	m.opts.Log.Info("lease manager started", "member", m.opts.ID, "term", e.GetTerm())
+}
+
+// restoreSnapshot replaces the state by that of a snapshot.
+func (m *Member) restoreSnapshot(snapshot *pb.Snapshot) error {
+	state, err := singleton.DecodeState(snapshot.GetData())
+	if err != nil {
+		return err
+	}
+	meta := snapshot.GetMetadata()
+	m.state, m.confState = state, meta.GetConfState()
+	m.applied, m.snapshotIndex = meta.GetIndex(), meta.GetIndex()
+	return nil
+}
+
+// snapshotIfDue replaces the applied log by a snapshot every SnapshotInterval entries.
+func (m *Member) snapshotIfDue() error {
+	if m.applied-m.snapshotIndex < m.opts.SnapshotInterval {
+		return nil
+	}
+	text, err := json.Marshal(m.state)
+	if err != nil {
+		return fmt.Errorf("encode snapshot: %w", err)
+	}
+	if err := m.store.compact(m.applied, m.opts.SnapshotInterval/4, m.confState, text); err != nil {
+		return err
+	}
+	m.snapshotIndex = m.applied
+	return nil
+}
--- a/internal/singleton/raftmember/client.go
+++ b/internal/singleton/raftmember/client.go
@@ -8,59 +8,81 @@
 	"fmt"
 	"io"
 	"net/http"
-	"time"
+	"net/url"
 )
 
-// Fleet is what the members say.
-type Fleet struct {
-	Quorum  bool              `json:"quorum"` // a majority follows one leader
-	Members map[uint64]Status `json:"members"`
-	Silent  map[uint64]string `json:"silent,omitempty"` // by member, why nothing is known of it
+// Client is an operator's access to the members of a fleet.
+type Client struct {
+	Fleet   string            // the fleet's name
+	Members map[uint64]string // addresses by ID
 }
 
-// Ask asks all members, by number at their addresses, how they are. It is over by a moment.
-func Ask(by time.Time, members map[uint64]string) Fleet {
-	ctx, cancel := context.WithDeadline(context.Background(), by)
-	defer cancel()
-	type said struct {
-		id  uint64
-		s   Status
-		err error
+// ErrNoLeader is the error of a request where no member leads.
+var ErrNoLeader = errors.New("no member leads")
+
+// FleetStatus is the status of all members.
+type FleetStatus struct {
+	HasQuorum   bool              `json:"quorum"` // a majority follows one leader
+	Members     map[uint64]Status `json:"members"`
+	Unreachable map[uint64]string `json:"silent,omitempty"` // by member, why it has no Status
+}
+
+// Status asks all members. It returns at the end of ctx at the latest; members that have not answered by then are
+// unreachable.
+func (c *Client) Status(ctx context.Context) FleetStatus {
+	type result struct {
+		id     uint64
+		status Status
+		err    error
 	}
-	all := make(chan said, len(members))
-	for id, addr := range members {
-		go func() {
-			one := said{id: id}
-			var resp *http.Response
-			req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/status", nil)
-			if err == nil {
-				resp, err = http.DefaultClient.Do(req)
-			}
-			if err == nil {
-				err = json.NewDecoder(resp.Body).Decode(&one.s)
-				resp.Body.Close()
-			}
-			one.err = err
-			all <- one
+	results := make(chan result, len(c.Members))
+	for id, addr := range c.Members {
+		go func() { // ends by ctx; its result has a place in the channel
+			status, err := memberStatus(ctx, addr)
+			results <- result{id, status, err}
 		}()
 	}
-	out, follow := Fleet{Members: map[uint64]Status{}, Silent: map[uint64]string{}}, map[uint64]int{}
-	for range members {
-		if one := <-all; one.err != nil {
-			out.Silent[one.id] = one.err.Error()
+	fleet := FleetStatus{Members: map[uint64]Status{}, Unreachable: map[uint64]string{}}
+	for range c.Members {
+		if r := <-results; r.err != nil {
+			fleet.Unreachable[r.id] = r.err.Error()
 		} else {
-			out.Members[one.id] = one.s
-			follow[one.s.Leader]++
+			fleet.Members[r.id] = r.status
 		}
 	}
-	for leader, n := range follow {
-		out.Quorum = out.Quorum || leader != 0 && n > len(members)/2
+	fleet.HasQuorum = fleet.hasQuorum(len(c.Members))
+	return fleet
+}
+
+func memberStatus(ctx context.Context, addr string) (s Status, err error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/status", nil)
+	if err != nil {
+		return s, err
+	}
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return s, err
+	}
+	defer resp.Body.Close()
+	err = json.NewDecoder(resp.Body).Decode(&s)
+	return s, err
+}
+
+func (f *FleetStatus) hasQuorum(members int) bool {
+	followers := map[uint64]int{} // by leader
+	for _, s := range f.Members {
+		followers[s.Leader]++
+	}
+	for leader, n := range followers {
+		if leader != 0 && n > members/2 {
+			return true
+		}
 	}
-	return out
+	return false
 }
 
-// Latest is the status of the member that knows most: the leader's, or that of who has applied most.
-func (f *Fleet) Latest() (best Status) {
+// MostCurrent is the status of the member that knows most: the leader's, or that of the one that has applied most.
+func (f *FleetStatus) MostCurrent() (best Status) {
 	for id, s := range f.Members {
 		if s.Leader == id || best.Leader != best.ID && s.Applied >= best.Applied || best.ID == 0 {
 			best = s
@@ -69,26 +91,35 @@
 	return best
 }
 
-// Tell asks the leader of a fleet to do something: POST to a path of its. It is over by a moment.
-func Tell(by time.Time, fleet string, members map[uint64]string, path string) error {
-	ctx, cancel := context.WithDeadline(context.Background(), by)
-	defer cancel()
-	s := Ask(by, members)
-	if leader := s.Latest(); s.Quorum && leader.ID == leader.Leader {
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+members[leader.ID]+path, nil)
-		if err != nil {
-			return fmt.Errorf("quorum: %w", err)
-		}
-		req.Header.Set("X-Fleet", fleet)
-		resp, err := http.DefaultClient.Do(req)
-		if err != nil {
-			return fmt.Errorf("quorum: %w", err)
-		}
-		defer resp.Body.Close()
-		if why, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10)); resp.StatusCode != http.StatusAccepted {
-			return fmt.Errorf("quorum: %s: %s", resp.Status, bytes.TrimSpace(why))
-		}
-		return nil
+// Release ends the lease of a role's holder.
+func (c *Client) Release(ctx context.Context, role string) error {
+	return c.postToLeader(ctx, "/v1/works/"+url.PathEscape(role)+"/free")
+}
+
+// SetDesiredHolder has a role go to an instance; to any if instance is empty.
+func (c *Client) SetDesiredHolder(ctx context.Context, role, instance string) error {
+	return c.postToLeader(ctx, "/v1/works/"+url.PathEscape(role)+"/want?who="+url.QueryEscape(instance))
+}
+
+// postToLeader sends a request to the leader. It returns ErrNoLeader where there is none.
+func (c *Client) postToLeader(ctx context.Context, path string) error {
+	fleet := c.Status(ctx)
+	leader := fleet.MostCurrent()
+	if !fleet.HasQuorum || leader.ID != leader.Leader {
+		return ErrNoLeader
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Members[leader.ID]+path, nil)
+	if err != nil {
+		return fmt.Errorf("request to the leader: %w", err)
+	}
+	req.Header.Set(fleetHeader, c.Fleet)
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return fmt.Errorf("request to the leader: %w", err)
+	}
+	defer resp.Body.Close()
+	if reason, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10)); resp.StatusCode != http.StatusAccepted {
+		return fmt.Errorf("request to the leader: %s: %s", resp.Status, bytes.TrimSpace(reason))
 	}
-	return errors.New("quorum: no member leads")
+	return nil
 }
--- /dev/null
+++ b/internal/singleton/raftmember/cluster_test.go
@@ -0,0 +1,216 @@
+package raftmember
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"os/exec"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"pumiceline/internal/singleton"
+)
+
+const (
+	clusterSize = 3
+	testFleet   = "f"
+	testRole    = "w"
+)
+
+// cluster is three members in this process. Their disks stay while they stop and start.
+type cluster struct {
+	t                *testing.T
+	snapshotInterval uint64
+	addrs            map[uint64]string
+	dirs             map[uint64]string
+	running          map[uint64]runningMember
+}
+
+// runningMember is a member whose Run was called.
+type runningMember struct {
+	cancel context.CancelFunc
+	result chan error // of Run
+}
+
+func newCluster(t *testing.T, snapshotInterval uint64) *cluster {
+	t.Helper()
+	c := &cluster{t: t, snapshotInterval: snapshotInterval, addrs: map[uint64]string{}, dirs: map[uint64]string{},
+		running: map[uint64]runningMember{}}
+	for id := uint64(1); id <= clusterSize; id++ {
+		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.6.%d:0", id)) // an address of its own: no other connection takes the port
+		if err != nil {
+			t.Fatal(err)
+		}
+		c.addrs[id], c.dirs[id] = ln.Addr().String(), t.TempDir()
+		ln.Close()
+	}
+	t.Cleanup(func() {
+		for id := range c.running {
+			c.stop(id)
+		}
+	})
+	return c
+}
+
+// start starts a member on its disk.
+func (c *cluster) start(id uint64) {
+	c.t.Helper()
+	c.running[id] = c.startOn(id, c.dirs[id], c.addrs[id])
+}
+
+func (c *cluster) startAll() {
+	c.t.Helper()
+	for id := uint64(1); id <= clusterSize; id++ {
+		c.start(id)
+	}
+}
+
+func (c *cluster) startOn(id uint64, dir, listen string) runningMember {
+	c.t.Helper()
+	return startMember(c.t, listen, Options{Fleet: testFleet, ID: id, Members: c.addrs, Dir: dir,
+		SnapshotInterval: c.snapshotInterval})
+}
+
+// startMember opens a member with the settings of the tests and runs it.
+func startMember(t *testing.T, listen string, opts Options) runningMember {
+	t.Helper()
+	opts.Log = slog.New(slog.DiscardHandler)
+	opts.Settings = singleton.Settings{Roles: []string{testRole}, LeaseDuration: 1e6, MaxClockDrift: 0.2}
+	m, err := Open(opts)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ln, err := net.Listen("tcp", listen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	result := make(chan error, 1)
+	go func() { result <- m.Run(ctx, ln) }()
+	return runningMember{cancel, result}
+}
+
+// stop stops a member and returns the result of its Run.
+func (c *cluster) stop(id uint64) error {
+	m := c.running[id]
+	delete(c.running, id)
+	m.cancel()
+	return <-m.result
+}
+
+// copyDisk copies a member's store to a folder of its own.
+func (c *cluster) copyDisk(id uint64) (dir string) {
+	c.t.Helper()
+	dir = c.t.TempDir()
+	if out, err := exec.Command("cp", filepath.Join(c.dirs[id], storeFile), dir).CombinedOutput(); err != nil {
+		c.t.Fatalf("%v: %s", err, out)
+	}
+	return dir
+}
+
+// request sends a request to a member and decodes the response. It is false where that fails or takes 2 s.
+func (c *cluster) request(method, addr, path string, body, into any) bool {
+	text, err := json.Marshal(body)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+path, bytes.NewReader(text))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	req.Header.Set(fleetHeader, testFleet)
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return false
+	}
+	defer resp.Body.Close()
+	return resp.StatusCode/100 == 2 && (into == nil || json.NewDecoder(resp.Body).Decode(into) == nil)
+}
+
+// eventually waits for a condition; the bound is for a slow machine.
+func (c *cluster) eventually(what string, condition func() bool) {
+	c.t.Helper()
+	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			c.t.Fatalf("in vain: %s", what)
+		}
+	}
+}
+
+// runInstance has the instance a hold the role from now on: the desired holder is dropped where nobody holds the role and
+// the desired holder does not run.
+func (c *cluster) runInstance() {
+	c.t.Helper()
+	held, ended := make(chan struct{}), make(chan struct{})
+	ctx, cancel := context.WithCancel(context.Background())
+	c.t.Cleanup(func() { cancel(); <-ended })
+	go func() {
+		defer close(ended)
+		heartbeat := singleton.Heartbeat{Name: "a", Incarnation: 1}
+		for steps := uint64(1); ctx.Err() == nil; steps++ {
+			for _, addr := range c.addrs {
+				var response singleton.HeartbeatResponse
+				if !c.request("POST", addr, "/v1/beat", heartbeat, &response) {
+					continue
+				}
+				heartbeat.Leases = nil
+				for _, l := range response.Leases {
+					heartbeat.Leases = append(heartbeat.Leases, singleton.LeaseReport{Role: l.Role, Token: l.Token, Steps: steps})
+				}
+				if len(response.Leases) > 0 && !isClosed(held) {
+					close(held)
+				}
+			}
+			time.Sleep(20 * time.Millisecond)
+		}
+	}()
+	<-held
+}
+
+func isClosed(c chan struct{}) bool {
+	select {
+	case <-c:
+		return true
+	default:
+		return false
+	}
+}
+
+// setDesiredHolder has a member propose a desired holder.
+func (c *cluster) setDesiredHolder(instance string) {
+	c.t.Helper()
+	c.eventually("a desired holder is proposed", func() bool {
+		for id := range c.running {
+			if c.request("POST", c.addrs[id], "/v1/works/"+testRole+"/want?who="+instance, nil, nil) {
+				return true
+			}
+		}
+		return false
+	})
+}
+
+// awaitAgreement waits until all running members have applied as much and the role has the desired holder.
+func (c *cluster) awaitAgreement(desiredHolder string) (a singleton.Assignment) {
+	c.t.Helper()
+	c.eventually("all members agree", func() bool {
+		var first Status
+		for id := range c.running {
+			var s Status
+			if !c.request("GET", c.addrs[id], "/v1/status", nil, &s) || s.Assignments[testRole].DesiredHolder != desiredHolder ||
+				s.Leader == 0 || first.ID != 0 && s.Applied != first.Applied {
+				return false
+			}
+			first = s
+		}
+		a = first.Assignments[testRole]
+		return true
+	})
+	return a
+}
--- /dev/null
+++ b/internal/singleton/raftmember/handshake.go
@@ -0,0 +1,151 @@
+package raftmember
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"maps"
+	"net/http"
+	"slices"
+	"time"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+)
+
+// Raft is safe only while no member forgets its vote or an entry that it acknowledged. A disk that was restored from a
+// backup, or lost, has forgotten both. Each member therefore remembers how far its peers' disks have come, and a member
+// that starts takes part only once a quorum has checked its disk.
+
+// diskProgress is how far a member's disk has come. One that is behind what was seen earlier is an older copy.
+type diskProgress struct {
+	StartCount uint64 `json:"boot"`  // how often the member has started
+	Nonce      uint64 `json:"nonce"` // of the process of that start
+	Term       uint64 `json:"term"`
+	Index      uint64 `json:"index"` // acknowledged in Term
+}
+
+// Hello is what a member says of its disk when it starts.
+type Hello struct {
+	ID uint64 `json:"id"`
+	diskProgress
+}
+
+var (
+	// ErrStaleDisk is the refusal of a disk that lacks what its member acknowledged.
+	ErrStaleDisk = errors.New("the member's disk is older than what it acknowledged, or another process uses its name")
+	// ErrRefused is the error of a member that ends because a peer refused its Hello.
+	ErrRefused = errors.New("refused by a peer")
+)
+
+// validateStart returns ErrStaleDisk where a member whose disk is at started must not take part, as its disk was at seen
+// earlier.
+func (seen diskProgress) validateStart(started diskProgress) error {
+	isTwin := started.StartCount == seen.StartCount && seen.Nonce != 0 && started.Nonce != seen.Nonce
+	if started.StartCount < seen.StartCount || isTwin || started.Term < seen.Term ||
+		started.Term == seen.Term && started.Index < seen.Index {
+		return fmt.Errorf("start %d, term %d, index %d, where start %d, term %d, index %d is known: %w", started.StartCount,
+			started.Term, started.Index, seen.StartCount, seen.Term, seen.Index, ErrStaleDisk)
+	}
+	return nil
+}
+
+// announce sends Hello to the peers until so many have accepted it that, with this member, they are a quorum: whatever its
+// disk once acknowledged, one of them knows. A single refusal is an ErrRefused. Where ctx ends first it returns nil.
+func (m *Member) announce(ctx context.Context) error {
+	hello, err := json.Marshal(Hello{ID: m.opts.ID, diskProgress: m.store.progress(m.nonce)})
+	if err != nil {
+		return fmt.Errorf("encode hello: %w", err)
+	}
+	accepted := map[uint64]bool{}
+	ticker := time.NewTicker(requestTicks * m.tickInterval)
+	defer ticker.Stop()
+	for {
+		if err := m.sendHello(ctx, hello, accepted); err != nil {
+			return err
+		}
+		acceptedBy := slices.Sorted(maps.Keys(accepted))
+		if 1+len(accepted) > len(m.opts.Members)/2 {
+			m.opts.Log.Info("member takes part", "member", m.opts.ID, "start", m.store.startCount, "accepted_by", acceptedBy)
+			return nil
+		}
+		m.opts.Log.Warn("member waits for a quorum to accept its disk", "member", m.opts.ID, "accepted_by", acceptedBy)
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-ticker.C:
+		}
+	}
+}
+
+// sendHello sends Hello once to each peer that has not accepted it yet.
+func (m *Member) sendHello(ctx context.Context, hello []byte, accepted map[uint64]bool) error {
+	for id, p := range m.peers {
+		if accepted[id] {
+			continue
+		}
+		reply, err := m.post(ctx, p.addr, "/v1/hello", hello)
+		switch {
+		case err == nil && reply.status == http.StatusOK:
+			accepted[id] = true
+		case err == nil && reply.status == http.StatusConflict:
+			return fmt.Errorf("member %d, by member %d: %w: %s", m.opts.ID, id, ErrRefused, reply.text)
+		}
+	}
+	return nil
+}
+
+// acceptHello checks a peer's disk and remembers how far it has come.
+func (m *Member) acceptHello(h Hello) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if err := m.peerProgress[h.ID].validateStart(h.diskProgress); err != nil {
+		return err
+	}
+	m.peerProgress[h.ID], m.progressDirty = h.diskProgress, true
+	return nil
+}
+
+// observeMessage learns from a raft message how far its sender's disk has come. It returns ErrStaleDisk where a later start
+// of the sender is known: two processes with one ID must not both vote.
+func (m *Member) observeMessage(msg *pb.Message, startCount, nonce uint64) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	seen := m.peerProgress[msg.GetFrom()]
+	if startCount < seen.StartCount || startCount == seen.StartCount && seen.Nonce != nonce {
+		return fmt.Errorf("start %d, where start %d is known: %w", startCount, seen.StartCount, ErrStaleDisk)
+	}
+	next := seen
+	next.StartCount, next.Nonce = startCount, nonce // a quorum may have accepted its Hello without this member
+	next.advance(msg)
+	if next != seen {
+		m.peerProgress[msg.GetFrom()] = next
+		m.progressDirty = m.progressDirty || next.Term != seen.Term || next.StartCount != seen.StartCount
+	}
+	return nil
+}
+
+// advance takes in a message's term and what it acknowledges.
+func (p *diskProgress) advance(msg *pb.Message) {
+	if msg.GetType() == pb.MessageType_MsgPreVote || msg.GetType() == pb.MessageType_MsgPreVoteResp {
+		return // these name a term that nobody has entered
+	}
+	if msg.GetTerm() > p.Term {
+		p.Term, p.Index = msg.GetTerm(), 0
+	}
+	if msg.GetType() == pb.MessageType_MsgAppResp && !msg.GetReject() && msg.GetTerm() == p.Term {
+		p.Index = max(p.Index, msg.GetIndex())
+	}
+}
+
+// persistProgress stores what was learnt of the peers' disks.
+func (m *Member) persistProgress() error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if !m.progressDirty {
+		return nil
+	}
+	err := m.store.savePeerProgress(m.peerProgress)
+	m.progressDirty = err != nil
+	return err
+}
--- /dev/null
+++ b/internal/singleton/raftmember/leadershipcheck.go
@@ -0,0 +1,69 @@
+package raftmember
+
+import (
+	"encoding/binary"
+
+	"go.etcd.io/raft/v3"
+)
+
+// leadershipChecks batch the question whether this member still leads, which a quorum has to confirm before a response to
+// a heartbeat is sent (ReadIndex, section 6.4 of the raft thesis). One check is in flight at a time; who asks meanwhile
+// waits for the next. They belong to the raft loop.
+type leadershipChecks struct {
+	waiting  []func(isLeader bool) // for the next check
+	inFlight *leadershipCheck      // nil: none
+	lastID   uint64
+}
+
+type leadershipCheck struct {
+	id        uint64
+	callbacks []func(isLeader bool)
+	confirmed bool
+	index     uint64 // once confirmed: what has to be applied before the callbacks are called
+}
+
+// add has callback called, by the raft loop, with the result of a check that starts from now on.
+func (c *leadershipChecks) add(callback func(isLeader bool)) { c.waiting = append(c.waiting, callback) }
+
+// start starts a check for all who wait, unless one is in flight.
+func (c *leadershipChecks) start(node *raft.RawNode) {
+	if len(c.waiting) == 0 || c.inFlight != nil {
+		return
+	}
+	c.lastID++
+	c.inFlight = &leadershipCheck{id: c.lastID, callbacks: c.waiting}
+	c.waiting = nil
+	node.ReadIndex(indexKey(c.lastID))
+}
+
+// confirm takes in raft's confirmations, and ends the check in flight once its index is applied.
+func (c *leadershipChecks) confirm(confirmations []raft.ReadState, applied uint64) {
+	if c.inFlight == nil {
+		return
+	}
+	for _, r := range confirmations {
+		if binary.BigEndian.Uint64(r.RequestCtx) == c.inFlight.id {
+			c.inFlight.confirmed, c.inFlight.index = true, r.Index
+		}
+	}
+	if !c.inFlight.confirmed || applied < c.inFlight.index {
+		return
+	}
+	for _, callback := range c.inFlight.callbacks {
+		callback(true)
+	}
+	c.inFlight = nil
+}
+
+// fail ends all checks: this member may not lead any more.
+func (c *leadershipChecks) fail() {
+	if c.inFlight != nil {
+		for _, callback := range c.inFlight.callbacks {
+			callback(false)
+		}
+	}
+	for _, callback := range c.waiting {
+		callback(false)
+	}
+	c.inFlight, c.waiting = nil, nil
+}
--- a/internal/singleton/raftmember/metrics.go
+++ b/internal/singleton/raftmember/metrics.go
@@ -7,54 +7,62 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// What a member's figures mean.
 var (
-	leaderFigure   = prometheus.NewDesc("owner_member_leader", "Number of the member that leads, as this one knows it; 0: none.", nil, nil)
-	termFigure     = prometheus.NewDesc("owner_member_term", "Term of the agreement.", nil, nil)
-	appliedFigure  = prometheus.NewDesc("owner_member_applied", "Entry of the log that was carried out last.", nil, nil)
-	changesFigure  = prometheus.NewDesc("owner_changes_total", "Changes of owners since this member started.", nil, nil)
-	instanceFigure = prometheus.NewDesc("owner_instances", "Instances heard within a lease; of the leader alone.", nil, nil)
-	tokenFigure    = prometheus.NewDesc("owner_work_token", "Token of the work's last owner.", []string{"work"}, nil)
-	ownedFigure    = prometheus.NewDesc("owner_work_owned", "1 while somebody owns the work.", []string{"work"}, nil)
-	ageFigure      = prometheus.NewDesc("owner_work_progress_age_seconds", "Since the owner's latest progress; of the leader alone.", []string{"work"}, nil)
+	leaderDesc = prometheus.NewDesc("owner_member_leader",
+		"ID of the member that leads, as this one knows it; 0: none.", nil, nil)
+	termDesc = prometheus.NewDesc("owner_member_term",
+		"Raft term.", nil, nil)
+	appliedDesc = prometheus.NewDesc("owner_member_applied",
+		"Index of the last applied log entry.", nil, nil)
+	holderChangesDesc = prometheus.NewDesc("owner_changes_total",
+		"Changes of lease holders since this member started.", nil, nil)
+	instancesDesc = prometheus.NewDesc("owner_instances",
+		"Instances that sent a heartbeat within a lease; at the leader only.", nil, nil)
+	tokenDesc = prometheus.NewDesc("owner_work_token",
+		"Fencing token of the role's last lease.", []string{"work"}, nil)
+	heldDesc = prometheus.NewDesc("owner_work_owned",
+		"1 while an instance holds the role's lease.", []string{"work"}, nil)
+	progressAgeDesc = prometheus.NewDesc("owner_work_progress_age_seconds",
+		"Time since the holder's latest progress; at the leader only.", []string{"work"}, nil)
 )
 
-// figures is a Status as prometheus wants it.
-type figures Status
+// statusCollector is a Status as metrics. It implements prometheus.Collector.
+type statusCollector Status
 
-// Describe and Collect are prometheus.Collector's.
-func (f figures) Describe(to chan<- *prometheus.Desc) { prometheus.DescribeByCollect(f, to) }
-func (f figures) Collect(to chan<- prometheus.Metric) {
+// Describe implements prometheus.Collector.
+func (s statusCollector) Describe(to chan<- *prometheus.Desc) { prometheus.DescribeByCollect(s, to) }
+
+// Collect implements prometheus.Collector.
+func (s statusCollector) Collect(to chan<- prometheus.Metric) {
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		to <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	gauge(leaderFigure, float64(f.Leader))
-	gauge(termFigure, float64(f.Term))
-	gauge(appliedFigure, float64(f.Applied))
-	to <- prometheus.MustNewConstMetric(changesFigure, prometheus.CounterValue, float64(f.Changes))
-	if f.Leader == f.ID {
-		gauge(instanceFigure, float64(len(f.Instances)))
+	gauge(leaderDesc, float64(s.Leader))
+	gauge(termDesc, float64(s.Term))
+	gauge(appliedDesc, float64(s.Applied))
+	to <- prometheus.MustNewConstMetric(holderChangesDesc, prometheus.CounterValue, float64(s.HolderChanges))
+	if s.Leader == s.ID {
+		gauge(instancesDesc, float64(len(s.Instances)))
 	}
-	for work, w := range f.Works {
-		gauge(tokenFigure, float64(w.Token), work)
-		owned := 0.0
-		if w.Holder != "" {
-			owned = 1
+	for role, a := range s.Assignments {
+		gauge(tokenDesc, float64(a.Token), role)
+		held := 0.0
+		if a.Holder != "" {
+			held = 1
 		}
-		gauge(ownedFigure, owned, work)
-		if ms, there := f.AgeMs[work]; there {
-			gauge(ageFigure, float64(ms)/1000, work)
+		gauge(heldDesc, held, role)
+		if ms, known := s.ProgressAgeMs[role]; known {
+			gauge(progressAgeDesc, float64(ms)/1000, role)
 		}
 	}
 }
 
-// tellMetrics answers with the member's figures as text.
-func (m *Member) tellMetrics(w http.ResponseWriter, r *http.Request) {
-	s, ok := m.status(r)
+func (m *Member) handleMetrics(w http.ResponseWriter, r *http.Request) {
+	s, ok := m.status(r.Context())
 	if !ok {
 		return
 	}
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(figures(s))
+	registry.MustRegister(statusCollector(s))
 	promhttp.HandlerFor(registry, promhttp.HandlerOpts{DisableCompression: true}).ServeHTTP(w, r)
 }
--- a/internal/singleton/raftmember/store_test.go
+++ b/internal/singleton/raftmember/storage_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Whichever write a failing disk meets first, its error says that something can't be kept: operators look for these words.
-func TestEveryWriteThatFailsSaysSo(t *testing.T) {
+// Whichever write a failing disk meets first, its error has the words that operators look for.
+func TestStore_FailedWritesSayWhatIsLost(t *testing.T) {
 	s, err := openStore(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
@@ -23,7 +23,7 @@
 	}
 	writes := map[string]func() error{
 		"log":      func() error { return s.save(&pb.HardState{Term: proto.Uint64(2)}, nil, nil) },
-		"marks":    func() error { return s.remember(map[uint64]mark{2: {Boot: 1}}) },
+		"peers":    func() error { return s.savePeerProgress(map[uint64]diskProgress{2: {StartCount: 1}}) },
 		"snapshot": func() error { return s.compact(1, 0, &pb.ConfState{}, nil) },
 	}
 	for name, write := range writes {
--- a/internal/singleton/raftmember/stored_test.go
+++ b/internal/singleton/raftmember/stored_test.go
@@ -62,9 +62,9 @@
 	}
 }
 
-var storedMarks = map[uint64]mark{
-	1: {Boot: 4, Nonce: 18446744073709551615, Term: 5, Index: 12},
-	3: {Boot: 2, Nonce: 11, Term: 4, Index: 9},
+var storedPeerProgress = map[uint64]diskProgress{
+	1: {StartCount: 4, Nonce: 18446744073709551615, Term: 5, Index: 12},
+	3: {StartCount: 2, Nonce: 11, Term: 4, Index: 9},
 }
 
 // unpackStore unpacks a store from testdata into a member's folder.
@@ -115,10 +115,10 @@
 	if hard.GetTerm() != 5 || hard.GetVote() != 3 || hard.GetCommit() != 12 {
 		t.Errorf("term %d, vote %d, commit %d", hard.GetTerm(), hard.GetVote(), hard.GetCommit())
 	}
-	if m.store.boot != 2 {
-		t.Errorf("start %d", m.store.boot)
+	if m.store.startCount != 2 {
+		t.Errorf("start %d", m.store.startCount)
 	}
-	if at, want := m.store.at(8), (mark{Boot: 2, Nonce: 8, Term: 5, Index: 12}); at != want {
+	if at, want := m.store.progress(8), (diskProgress{StartCount: 2, Nonce: 8, Term: 5, Index: 12}); at != want {
 		t.Errorf("the disk is at %+v, not %+v", at, want)
 	}
 }
@@ -165,21 +165,21 @@
 	}
 }
 
-// apply carries out entries at a member, and checks what they come to.
-func apply(t *testing.T, m *Member, entries []*pb.Entry) {
+// applyEntry carries out entries at a member, and checks what they come to.
+func applyEntries(t *testing.T, m *Member, entries []*pb.Entry) {
 	t.Helper()
-	if err := m.join(); err != nil {
+	if err := m.startNode(); err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range entries {
-		if err := m.apply(e); err != nil {
+		if err := m.applyEntry(e); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if want := storedStateAtEnd(); !reflect.DeepEqual(m.state, want) {
 		t.Errorf("state %+v, not %+v", m.state, want)
 	}
-	checkConfiguration(t, m.conf)
+	checkConfiguration(t, m.confState)
 	if m.applied != 12 {
 		t.Errorf("applied %d", m.applied)
 	}
@@ -195,11 +195,11 @@
 func TestReadsLogStoredByEarlierVersion(t *testing.T) {
 	m := openStored(t, "log.db")
 	checkHardState(t, m)
-	if snap, err := m.store.mem.Snapshot(); err != nil || !raft.IsEmptySnap(snap) || m.applied != 0 || m.snapAt != 0 {
-		t.Errorf("snapshot %v, %v; applied %d, snapshot at %d", snap, err, m.applied, m.snapAt)
+	if snap, err := m.store.mem.Snapshot(); err != nil || !raft.IsEmptySnap(snap) || m.applied != 0 || m.snapshotIndex != 0 {
+		t.Errorf("snapshot %v, %v; applied %d, snapshot at %d", snap, err, m.applied, m.snapshotIndex)
 	}
-	if len(m.marks) != 0 {
-		t.Errorf("marks %v", m.marks)
+	if len(m.peerProgress) != 0 {
+		t.Errorf("peers' progress %v", m.peerProgress)
 	}
 	entries := storedEntries(t, m, 1)
 	for i, e := range entries[:storedMembers] {
@@ -213,7 +213,7 @@
 		}
 	}
 	checkCommands(t, entries[storedMembers:], 0)
-	apply(t, m, entries)
+	applyEntries(t, m, entries)
 }
 
 func TestReadsSnapshotStoredByEarlierVersion(t *testing.T) {
@@ -227,36 +227,36 @@
 		t.Errorf("snapshot at index %d, term %d", meta.GetIndex(), meta.GetTerm())
 	}
 	checkConfiguration(t, snap.GetMetadata().GetConfState())
-	checkConfiguration(t, m.conf)
+	checkConfiguration(t, m.confState)
 	if want := storedStateAtSnapshot(); !reflect.DeepEqual(m.state, want) {
 		t.Errorf("state %+v, not %+v", m.state, want)
 	}
-	if m.applied != storedSnapshot || m.snapAt != storedSnapshot {
-		t.Errorf("applied %d, snapshot at %d", m.applied, m.snapAt)
+	if m.applied != storedSnapshot || m.snapshotIndex != storedSnapshot {
+		t.Errorf("applied %d, snapshot at %d", m.applied, m.snapshotIndex)
 	}
-	if !reflect.DeepEqual(m.marks, storedMarks) {
-		t.Errorf("marks %+v, not %+v", m.marks, storedMarks)
+	if !reflect.DeepEqual(m.peerProgress, storedPeerProgress) {
+		t.Errorf("peers' progress %+v, not %+v", m.peerProgress, storedPeerProgress)
 	}
 	entries := storedEntries(t, m, storedSnapshot+1)
 	checkCommands(t, entries, storedSnapshot-storedMembers)
-	apply(t, m, entries)
+	applyEntries(t, m, entries)
 }
 
 // What members say to each other and to operators has the form that an earlier version has: the members of a fleet are
 // brought to a new version one after the other.
 func TestWritesAsEarlierVersion(t *testing.T) {
 	status := Status{
-		ID: 2, Leader: 3, Term: 5, Applied: 12, Works: map[string]singleton.Assignment{"roster": {Token: 2, Holder: "instance-b", Incarnation: 9, DesiredHolder: "instance-c"}},
-		AgeMs: map[string]int64{"roster": 40}, Instances: []string{"instance-b"}, Changes: 6,
+		ID: 2, Leader: 3, Term: 5, Applied: 12, Assignments: map[string]singleton.Assignment{"roster": {Token: 2, Holder: "instance-b", Incarnation: 9, DesiredHolder: "instance-c"}},
+		ProgressAgeMs: map[string]int64{"roster": 40}, Instances: []string{"instance-b"}, HolderChanges: 6,
 	}
 	for _, c := range []struct {
 		name  string
 		value any
 		text  string
 	}{
-		{"hello", Hello{ID: 2, mark: mark{Boot: 3, Nonce: 4, Term: 5, Index: 6}}, `{"id":2,"boot":3,"nonce":4,"term":5,"index":6}`},
-		{"marks", storedMarks, `{"1":{"boot":4,"nonce":18446744073709551615,"term":5,"index":12},"3":{"boot":2,"nonce":11,"term":4,"index":9}}`},
-		{"fleet", Fleet{Quorum: true, Members: map[uint64]Status{2: status}, Silent: map[uint64]string{1: "refused"}},
+		{"hello", Hello{ID: 2, diskProgress: diskProgress{StartCount: 3, Nonce: 4, Term: 5, Index: 6}}, `{"id":2,"boot":3,"nonce":4,"term":5,"index":6}`},
+		{"peers' progress", storedPeerProgress, `{"1":{"boot":4,"nonce":18446744073709551615,"term":5,"index":12},"3":{"boot":2,"nonce":11,"term":4,"index":9}}`},
+		{"fleet", FleetStatus{HasQuorum: true, Members: map[uint64]Status{2: status}, Unreachable: map[uint64]string{1: "refused"}},
 			`{"quorum":true,"members":{"2":{"id":2,"leader":3,"term":5,"applied":12,"works":{"roster":{"token":2,"owner":"instance-b","life":9,` +
 				`"want":"instance-c"}},"age_ms":{"roster":40},"instances":["instance-b"],"changes":6}},"silent":{"1":"refused"}}`},
 	} {
--- a/internal/singleton/stored_test.go
+++ b/internal/singleton/stored_test.go
@@ -87,7 +87,7 @@
 }
 
 // An instance and a member of different versions understand each other.
-func TestReadsBeatAndAnswerOfEarlierVersion(t *testing.T) {
+func TestReadsHeartbeatAndResponseOfEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
 		file string
 		want any
