--- a/cmd/pumicectl/config.go
+++ b/cmd/pumicectl/config.go
@@ -18,6 +18,7 @@
 
 	"pumiceline/internal/bootstrap"
 	"pumiceline/internal/controlplane/configuration"
+	"pumiceline/internal/docreader"
 )
 
 const (
@@ -166,9 +167,15 @@
 	}
 }
 
+// printFindings prints the faults of a file, one a line.
 func printFindings(file string, err error) {
-	for _, line := range strings.Split(err.Error(), "; ") {
-		fmt.Fprintf(os.Stderr, "%s: %s\n", file, line)
+	var found *docreader.Error
+	if !errors.As(err, &found) {
+		fmt.Fprintf(os.Stderr, "%s: %v\n", file, err)
+		return
+	}
+	for _, finding := range found.Findings {
+		fmt.Fprintf(os.Stderr, "%s: %v\n", file, finding)
 	}
 }
 
--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -94,51 +94,51 @@
 
 func read(root docreader.Node) *Settings {
 	s := &Settings{
-		Node:            root.Get("node").RequiredText(),
-		Role:            root.Get("role").Text(""),
-		Zone:            root.Get("zone").RequiredText(),
-		Region:          root.Get("region").Text(""),
+		Node:            root.Field("node").RequiredText(),
+		Role:            root.Field("role").Text(""),
+		Zone:            root.Field("zone").RequiredText(),
+		Region:          root.Field("region").Text(""),
 		Zones:           map[string]string{},
-		IP:              root.Get("ip").RequiredText(),
-		FrontAddress:    root.Get("listen").Get("front").Text(""),
-		ReadyAddress:    root.Get("listen").Get("ready").Text(""),
-		ControlAddress:  root.Get("listen").Get("control").Text(""),
-		FirstStart:      root.Get("firstStart").Bool(false),
-		CountsForQuorum: root.Get("countsForQuorum").Bool(false),
-		StateDir:        root.Get("stateDir").Text(""),
-		Tolerance:       int(root.Get("tolerance").Get("machines").Number(0)),
+		IP:              root.Field("ip").RequiredText(),
+		FrontAddress:    root.Field("listen").Field("front").Text(""),
+		ReadyAddress:    root.Field("listen").Field("ready").Text(""),
+		ControlAddress:  root.Field("listen").Field("control").Text(""),
+		FirstStart:      root.Field("firstStart").Bool(false),
+		CountsForQuorum: root.Field("countsForQuorum").Bool(false),
+		StateDir:        root.Field("stateDir").Text(""),
+		Tolerance:       int(root.Field("tolerance").Field("machines").Number(0)),
 	}
-	for _, zone := range root.Get("zones").Keys() {
-		s.Zones[zone] = root.Get("zones").Get(zone).Text("")
+	for _, zone := range root.Field("zones").Keys() {
+		s.Zones[zone] = root.Field("zones").Field(zone).Text("")
 	}
-	for _, seed := range root.Get("seedNodes").List() {
+	for _, seed := range root.Field("seedNodes").Items() {
 		s.Seeds = append(s.Seeds, seed.RequiredText())
 	}
-	readPorts(root.Get("portRange"), s)
-	readLimits(root.Get("limits"), s)
-	readBounds(root.Get("bounds"), s)
-	readPlatform(root.Get("cloud"), s)
+	readPorts(root.Field("portRange"), s)
+	readLimits(root.Field("limits"), s)
+	readBounds(root.Field("bounds"), s)
+	readPlatform(root.Field("cloud"), s)
 	return s
 }
 
 func readPorts(node docreader.Node, s *Settings) {
-	ports := node.List()
+	ports := node.Items()
 	if len(ports) != 2 {
-		node.Fault("the first and the last port are wanted")
+		node.AddFault("the first and the last port are wanted")
 		return
 	}
 	s.FirstPort, s.LastPort = int(ports[0].Number(0)), int(ports[1].Number(0))
 	if s.FirstPort <= 0 || s.LastPort <= s.FirstPort {
-		node.Fault("two ports in rising order are wanted")
+		node.AddFault("two ports in rising order are wanted")
 	}
 }
 
 func readLimits(node docreader.Node, s *Settings) {
 	s.Limits = Limits{
-		CPUShare:  node.Get("cpuShare").Number(1),
-		MemoryMB:  int(node.Get("memoryMb").Number(256)),
-		FileLimit: int(node.Get("fileLimit").Number(1024)),
-		DiskMB:    int(node.Get("diskMb").Number(0)),
+		CPUShare:  node.Field("cpuShare").Number(1),
+		MemoryMB:  int(node.Field("memoryMb").Number(256)),
+		FileLimit: int(node.Field("fileLimit").Number(1024)),
+		DiskMB:    int(node.Field("diskMb").Number(0)),
 	}
 }
 
@@ -157,29 +157,29 @@
 
 func readBounds(node docreader.Node, s *Settings) {
 	s.Bounds = Bounds{
-		Ack:         milliseconds(node.Get("ackMs"), defaultAck),
-		Apply:       milliseconds(node.Get("applyMs"), defaultApply),
-		Drain:       milliseconds(node.Get("drainMs"), defaultDrain),
-		Grace:       seconds(node.Get("graceS"), defaultGrace),
-		Lease:       milliseconds(node.Get("leaseMs"), defaultLease),
-		Thaw:        milliseconds(node.Get("thawMs"), defaultThaw),
-		RetryWindow: seconds(node.Get("retryWindowS"), defaultRetryWindow),
-		RetryRatio:  node.Get("retryRatio").Number(0),
-		RetryExtra:  node.Get("retryExtra").Number(0),
-		CapWindow:   seconds(node.Get("capWindowS"), defaultCapWindow),
-		CapExcess:   node.Get("capExcess").Number(1),
-		ChecksFence: node.Get("checksFence").Bool(false),
-		Quiet:       milliseconds(node.Get("quietMs"), defaultDrain),
-		ReuseAfter:  seconds(node.Get("reuseAfterS"), 2*time.Second),
+		Ack:         milliseconds(node.Field("ackMs"), defaultAck),
+		Apply:       milliseconds(node.Field("applyMs"), defaultApply),
+		Drain:       milliseconds(node.Field("drainMs"), defaultDrain),
+		Grace:       seconds(node.Field("graceS"), defaultGrace),
+		Lease:       milliseconds(node.Field("leaseMs"), defaultLease),
+		Thaw:        milliseconds(node.Field("thawMs"), defaultThaw),
+		RetryWindow: seconds(node.Field("retryWindowS"), defaultRetryWindow),
+		RetryRatio:  node.Field("retryRatio").Number(0),
+		RetryExtra:  node.Field("retryExtra").Number(0),
+		CapWindow:   seconds(node.Field("capWindowS"), defaultCapWindow),
+		CapExcess:   node.Field("capExcess").Number(1),
+		ChecksFence: node.Field("checksFence").Bool(false),
+		Quiet:       milliseconds(node.Field("quietMs"), defaultDrain),
+		ReuseAfter:  seconds(node.Field("reuseAfterS"), 2*time.Second),
 	}
 }
 
 func readPlatform(node docreader.Node, s *Settings) {
 	s.Platform = Platform{
-		Address:   node.Get("address").Text(""),
-		RatePerS:  node.Get("ratePerS").Number(10),
-		MaxLag:    milliseconds(node.Get("maxLagMs"), defaultMaxLag),
-		IsPresent: node.Get("address").Present(),
+		Address:   node.Field("address").Text(""),
+		RatePerS:  node.Field("ratePerS").Number(10),
+		MaxLag:    milliseconds(node.Field("maxLagMs"), defaultMaxLag),
+		IsPresent: node.Field("address").IsPresent(),
 	}
 }
 
--- a/internal/controlplane/configuration/configuration_test.go
+++ b/internal/controlplane/configuration/configuration_test.go
@@ -21,8 +21,8 @@
 	return fmt.Sprintf(`{"name":%q,"host":"h.example","pathStart":%q,"kind":"changing",%s}`, name, prefix, rest)
 }
 
-// Each faulty document is answered with all of its faults and their places.
-func TestFindingsNameTheirPlaces(t *testing.T) {
+// An error names all faults of a document with their paths.
+func TestParse_NamesEveryFault(t *testing.T) {
 	good := `"timeoutMs":100,"service":"s"`
 	cases := []struct{ name, document, want string }{
 		{"cut short", `{"version":1,"routes":[`, "not a whole JSON object: unexpected EOF"},
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestTheLongestPrefixWins(t *testing.T) {
+func TestConfig_MatchLongestPrefix(t *testing.T) {
 	good := `"timeoutMs":100,"service":"s"`
 	config, err := Parse([]byte(document(1, route("short", "/a/", good)+","+route("long", "/a/b/", good))))
 	require.NoError(t, err)
@@ -57,21 +57,22 @@
 	assert.Nil(t, config.Match("other.example", "/a/"))
 }
 
-// transcript plays calls one after the other against one state.
-type transcript struct{ state message.ChainState }
+// stateMachine applies requests one after the other to one state.
+type stateMachine struct{ state message.ChainState }
 
-func (p *transcript) call(method, ifMatch, body string) int {
-	decision := Judge(&p.state, &message.ConfigRequest{Method: method, IfMatch: ifMatch, Body: []byte(body)})
+// apply returns the status of the response.
+func (m *stateMachine) apply(method, ifMatch, body string) int {
+	decision := Validate(&m.state, &message.ConfigRequest{Method: method, IfMatch: ifMatch, Body: []byte(body)})
 	if decision.Apply {
-		p.state.Version, p.state.Document = decision.Change.Version, decision.Document
-		p.state.History = append(p.state.History, decision.Change)
+		m.state.Version, m.state.Document = decision.Change.Version, decision.Document
+		m.state.History = append(m.state.History, decision.Change)
 	}
 	return decision.Status
 }
 
-func TestChangesAreTakenOnceAndKnownForGood(t *testing.T) {
+func TestValidate_AppliesEachChangeOnce(t *testing.T) {
 	good := `"timeoutMs":100,"service":"s"`
-	p := &transcript{}
+	m := &stateMachine{}
 	first := document(5, route("r", "/a/", good))
 	second := document(9, route("r", "/b/", good))
 	steps := []struct {
@@ -95,10 +96,10 @@
 		{http.MethodPut, "", second, 400, 15},
 	}
 	for i, step := range steps {
-		require.Equal(t, step.status, p.call(step.method, step.ifMatch, step.body), "step %d", i)
-		require.Equal(t, step.version, p.state.Version, "step %d", i)
+		require.Equal(t, step.status, m.apply(step.method, step.ifMatch, step.body), "step %d", i)
+		require.Equal(t, step.version, m.state.Version, "step %d", i)
 	}
-	config, err := Parse(p.state.Document)
+	config, err := Parse(m.state.Document)
 	require.NoError(t, err)
 	require.Len(t, config.Routes, 1)
 	assert.Equal(t, "/z/", config.Routes[0].Prefix, "an item with the same name is replaced")
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -88,7 +88,7 @@
 		started: time.Now(), inbox: make(chan *message.Message, inboxLength), leaving: make(chan struct{}),
 		hub: distribution.NewHub(), pending: newPendingResults(newIncarnation()),
 	}
-	l.replica = replica.New(options, configuration.Judge, 0, stored.control, stored.chain)
+	l.replica = replica.New(options, configuration.Validate, 0, stored.control, stored.chain)
 	self.Identity = l.replica.Identity()
 	l.self = self
 	l.writer = newStateWriter(stored.ring, &stored.chain, l.onSynced)
--- a/internal/controlplane/coordinator/placement_tasks.go
+++ b/internal/controlplane/coordinator/placement_tasks.go
@@ -89,7 +89,7 @@
 			return t.task.Service == name && t.task.Load != "" && !t.task.Warm && !t.loadStarted
 		})
 		bounds := c.settings.Bounds
-		allowed[name] = c.allowance(name).Left(now, service.Runtime.LoadsPerS, bounds.CapExcess, bounds.CapWindow, pending)
+		allowed[name] = c.allowance(name).Left(now, service.Runtime.LoadsPerSecond, bounds.CapExcess, bounds.CapWindow, pending)
 	}
 	return allowed
 }
--- a/internal/controlplane/coordinator/replica_loop.go
+++ b/internal/controlplane/coordinator/replica_loop.go
@@ -8,6 +8,7 @@
 	"github.com/samber/lo"
 	"github.com/sirupsen/logrus"
 
+	"pumiceline/internal/controlplane/configuration"
 	"pumiceline/internal/controlplane/distribution"
 	"pumiceline/internal/controlplane/replica"
 	"pumiceline/internal/logkey"
@@ -48,8 +49,8 @@
 	leaseToken   message.FencingToken // fencing token of the lease where this member holds it, else 0
 	leaseStart   time.Time
 	leaseUntil   time.Time
-	sequence     uint64 // of the newest acknowledged change
-	version      uint64 // the operator's version after that change
+	sequence     uint64                // of the newest acknowledged change
+	version      configuration.Version // the operator's, after that change
 	hasMajority  bool
 	servingUntil time.Time
 	waitingFor   string // what keeps the member from taking part, for operators; empty: nothing
@@ -145,9 +146,9 @@
 // publish brings the snapshot and the hub up to date with the replica.
 func (l *replicaLoop) publish() {
 	s := l.takeSnapshot()
-	if served := l.replica.CommittedState(); served.Sequence > l.publishedSequence {
-		l.publishedSequence = served.Sequence
-		l.hub.SetConfig(message.ConfigUpdate{Sequence: served.Sequence, Document: served.Document})
+	if committed := l.replica.CommittedState(); committed.Sequence > l.publishedSequence {
+		l.publishedSequence = committed.Sequence
+		l.hub.SetConfig(message.ConfigUpdate{Sequence: committed.Sequence, Document: committed.Document})
 	}
 	l.snapshot.Store(s)
 	l.hub.SetStatus(distribution.Status{ServesUntil: s.servingUntil, Members: s.view.Members})
@@ -155,13 +156,13 @@
 }
 
 func (l *replicaLoop) takeSnapshot() *membershipSnapshot {
-	served := l.replica.CommittedState()
+	committed := l.replica.CommittedState()
 	s := &membershipSnapshot{
 		view:         l.replica.View(),
 		isMember:     l.replica.IsMember(),
 		canStop:      l.replica.CanStop(),
-		sequence:     served.Sequence,
-		version:      served.Version,
+		sequence:     committed.Sequence,
+		version:      configuration.Version(committed.Version),
 		hasMajority:  l.replica.HasMajority(),
 		servingUntil: l.started.Add(l.replica.ServingUntil()),
 		waitingFor:   l.replica.WaitingFor(),
--- a/internal/controlplane/coordinator/state_writer_test.go
+++ b/internal/controlplane/coordinator/state_writer_test.go
@@ -61,7 +61,7 @@
 	}
 	document = document[:len(document)-1] + fmt.Sprintf(`],"version":%d}`, version)
 	request := &message.ConfigRequest{Method: "PUT", IfMatch: fmt.Sprint(state.Version), Body: []byte(document)}
-	decision := configuration.Judge(state, request)
+	decision := configuration.Validate(state, request)
 	require.True(t, decision.Apply, string(decision.Body))
 	record := message.ChangeRecord{
 		Previous: state.Digest, Change: decision.Change, Delta: delta.Make(state.Document, decision.Document),
@@ -120,7 +120,7 @@
 	assert.Less(t, records[9000], 600)
 	assert.Equal(t, state.History[0].Base, state.Horizon)
 	first := &message.ConfigRequest{Method: "PUT", IfMatch: "0", Body: []byte(`{"version":1,"routes":[],"services":[]}`)}
-	assert.Zero(t, configuration.Judge(&state, first).Status, "it may have been taken before the horizon")
+	assert.Zero(t, configuration.Validate(&state, first).Status, "it may have been taken before the horizon")
 }
 
 func TestOpenState_NamesMalformedChange(t *testing.T) {
--- a/internal/controlplane/coordinator/status.go
+++ b/internal/controlplane/coordinator/status.go
@@ -8,27 +8,28 @@
 
 	"github.com/samber/lo"
 
+	"pumiceline/internal/controlplane/configuration"
 	"pumiceline/internal/message"
 )
 
 // Status is how a coordinator sees the system. It is the body of GET /status.
 type Status struct {
-	Node        string               `json:"node"`
-	Identity    message.MemberID     `json:"identity"`
-	View        message.ViewNumber   `json:"view"`
-	Members     []string             `json:"members"` // "identity address" each, in the order of the chain
-	Voters      []string             `json:"voters"`  // a majority of them decides on the next view
-	IsMember    bool                 `json:"member"`
-	HasMajority bool                 `json:"hasMajority"` // a majority confirmed its view within the last 0.8 s
-	IsServing   bool                 `json:"serves"`      // it hands out configurations to proxies
-	WaitingFor  string               `json:"waitsFor"`    // what keeps it from taking part; empty: nothing
-	Sequence    uint64               `json:"sequence"`    // number of changes acknowledged
-	Version     uint64               `json:"version"`     // the operator's version in force
-	LeaseHolder string               `json:"leaseHolder"` // internal address; empty: not known
-	LeaseToken  message.FencingToken `json:"leaseToken"`  // 0 where another member holds it
-	Proxies     int                  `json:"proxies"`
-	Backends    int                  `json:"backends"`
-	Tasks       []Task               `json:"tasks"` // of placement, at the lease holder
+	Node        string                `json:"node"`
+	Identity    message.MemberID      `json:"identity"`
+	View        message.ViewNumber    `json:"view"`
+	Members     []string              `json:"members"` // "identity address" each, in the order of the chain
+	Voters      []string              `json:"voters"`  // a majority of them decides on the next view
+	IsMember    bool                  `json:"member"`
+	HasMajority bool                  `json:"hasMajority"` // a majority confirmed its view within the last 0.8 s
+	IsServing   bool                  `json:"serves"`      // it hands out configurations to proxies
+	WaitingFor  string                `json:"waitsFor"`    // what keeps it from taking part; empty: nothing
+	Sequence    uint64                `json:"sequence"`    // number of changes acknowledged
+	Version     configuration.Version `json:"version"`     // the operator's, in force
+	LeaseHolder string                `json:"leaseHolder"` // internal address; empty: not known
+	LeaseToken  message.FencingToken  `json:"leaseToken"`  // 0 where another member holds it
+	Proxies     int                   `json:"proxies"`
+	Backends    int                   `json:"backends"`
+	Tasks       []Task                `json:"tasks"` // of placement, at the lease holder
 }
 
 // Task is a placement task that runs at a backend, and why.
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -182,7 +182,7 @@
 	require.NoError(t, err)
 	chain := stored.chain
 	for _, call := range storedCalls() {
-		decision := configuration.Judge(&chain, call)
+		decision := configuration.Validate(&chain, call)
 		assert.Equal(t, http.StatusOK, decision.Status, string(decision.Body))
 		assert.False(t, decision.Apply)
 	}
@@ -196,7 +196,7 @@
 		Self:      message.Member{Identity: "another-identity", Address: "10.0.0.1:7000", Zone: "z1"},
 		Tolerance: 1, LeaseDuration: LeaseDuration, Incarnation: 1,
 	}
-	started := replica.New(options, configuration.Judge, 0, stored.control, stored.chain)
+	started := replica.New(options, configuration.Validate, 0, stored.control, stored.chain)
 	assert.Equal(t, message.MemberID("node-a-00112233"), started.Identity())
 	assert.Equal(t, storedControl.View, started.View())
 	assert.True(t, started.IsMember())
--- a/internal/controlplane/placement/planner.go
+++ b/internal/controlplane/placement/planner.go
@@ -261,9 +261,9 @@
 
 func (p *plan) loadTime(backend *Backend, model configuration.Model) time.Duration {
 	if backend.Warm[model.Name] {
-		return time.Duration(warmShare * float64(model.Load))
+		return time.Duration(warmShare * float64(model.LoadTime))
 	}
-	return model.Load
+	return model.LoadTime
 }
 
 func holds(backend *Backend, model message.ModelName) bool {
--- a/internal/controlplane/placement/planner_test.go
+++ b/internal/controlplane/placement/planner_test.go
@@ -23,11 +23,11 @@
 
 func newFleet(holdings ...[]message.ModelName) *fleet {
 	f := &fleet{demand: NewDemandTable(), now: start, runtime: &configuration.Runtime{
-		Capacity: 8, WeightsMB: 210, AdapterSlots: 3, LoadsPerS: 2,
+		Capacity: 8, WeightsMB: 210, AdapterSlots: 3, LoadsPerSecond: 2,
 	}}
 	for i := range 10 {
 		f.runtime.Models = append(f.runtime.Models, configuration.Model{
-			Name: message.ModelName(fmt.Sprintf("m%d", i)), WeightsMB: 100, Load: 5 * time.Second, AdapterMB: 1,
+			Name: message.ModelName(fmt.Sprintf("m%d", i)), WeightsMB: 100, LoadTime: 5 * time.Second, AdapterMB: 1,
 		})
 	}
 	for i, names := range holdings {
--- a/internal/controlplane/simulation/checks.go
+++ b/internal/controlplane/simulation/checks.go
@@ -45,7 +45,7 @@
 // checkCopies counts the disks that hold a change in the moment of its acknowledgement: one more than the tolerance.
 func (c *Cluster) checkCopies(acknowledged *call) {
 	want := min(c.options.Tolerance+1, c.options.Members-c.options.Volatile)
-	digest := configuration.Digest(&acknowledged.ConfigRequest)
+	digest := configuration.RequestDigest(&acknowledged.ConfigRequest)
 	copies := 0
 	for _, n := range c.nodes {
 		recent := n.wiped >= acknowledged.began // it may have held the change
@@ -131,7 +131,7 @@
 }
 
 func digestOf(call *message.ConfigRequest) string {
-	return hex.EncodeToString(configuration.Digest(call))
+	return hex.EncodeToString(configuration.RequestDigest(call))
 }
 
 func (c *Cluster) newestState() (message.ChainState, bool) {
--- a/internal/controlplane/simulation/defects.go
+++ b/internal/controlplane/simulation/defects.go
@@ -169,7 +169,7 @@
 			rebased := *call
 			rebased.IfMatch = strconv.FormatUint(state.Version, 10)
 			decision := real(state, &rebased)
-			decision.Change.Digest = configuration.Digest(call)
+			decision.Change.Digest = configuration.RequestDigest(call)
 			return decision
 		}
 	case ForgetChanges:
--- a/internal/controlplane/simulation/node.go
+++ b/internal/controlplane/simulation/node.go
@@ -96,7 +96,7 @@
 		chain = n.chain.chain
 	}
 	n.plantOnDisk(&control)
-	n.replica = replica.New(options, n.judge(configuration.Judge), 0, control, chain)
+	n.replica = replica.New(options, n.judge(configuration.Validate), 0, control, chain)
 	n.tick(n.life)
 }
 
--- a/internal/dataplane/balancer/rejection.go
+++ b/internal/dataplane/balancer/rejection.go
@@ -74,7 +74,7 @@
 			if b.isLoadedAnywhere(request.Service, model.Name, now) {
 				return now.Add(adapterLoadTime) // only the adapter is missing
 			}
-			return now.Add(model.Load + loadPropagation)
+			return now.Add(model.LoadTime + loadPropagation)
 		}
 	}
 	return now.Add(unknownLoadTime)
--- a/internal/dataplane/ingress/exchange.go
+++ b/internal/dataplane/ingress/exchange.go
@@ -59,7 +59,7 @@
 			return
 		case attemptRetryable:
 		case attemptInterrupted:
-			if !x.route.Resumable || x.runs >= x.route.Tries {
+			if !x.route.Resumable || x.runs >= x.route.MaxAttempts {
 				abort()
 			}
 		}
@@ -68,7 +68,7 @@
 }
 
 // canRetry reports whether a request that may have run may run once more.
-func (x *exchange) canRetry() bool { return x.route.IsIdempotent() && x.runs < x.route.Tries }
+func (x *exchange) canRetry() bool { return x.route.IsIdempotent() && x.runs < x.route.MaxAttempts }
 
 // isTooLateToBegin reports whether the proxy is draining and ends before a response could be complete. Where a backend
 // may have processed the request it is too late for that question.
--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/request.go
@@ -39,7 +39,7 @@
 	request := &balancer.Request{
 		Service: service, Model: message.ModelName(r.Header.Get(headerModel)), Priority: route.Priority,
 		Arrived: arrived, Deadline: deadline, ClientTimeoutAt: clientTimeoutAt(route, arrived, deadline),
-		LatencyTarget: route.Aim,
+		LatencyTarget: route.LatencyTarget,
 	}
 	if request.Model != "" {
 		request.PromptTokens, request.OutputTokens = tokenCount(r)
@@ -85,7 +85,7 @@
 	if route.Kind != configuration.Streaming {
 		return deadline
 	}
-	timeout := max(minStreamTimeout, streamTimeoutPerTarget*route.Aim, streamTimeoutPerPause*route.MaxPause)
+	timeout := max(minStreamTimeout, streamTimeoutPerTarget*route.LatencyTarget, streamTimeoutPerPause*route.MaxEventGap)
 	if at := arrived.Add(timeout); at.Before(deadline) {
 		return at
 	}
--- a/internal/dataplane/ingress/timing.go
+++ b/internal/dataplane/ingress/timing.go
@@ -49,7 +49,7 @@
 	logrus.WithFields(logrus.Fields{
 		"request": x.outgoing.ID, "route": x.route.Name, "priority": x.route.Priority, "model": x.request.Model,
 		"prompt_tokens": x.request.PromptTokens, "output_tokens": x.request.OutputTokens,
-		"latency_target_ms": x.route.Aim.Milliseconds(), "max_pause_ms": x.route.MaxPause.Milliseconds(),
+		"latency_target_ms": x.route.LatencyTarget.Milliseconds(), "max_pause_ms": x.route.MaxEventGap.Milliseconds(),
 		"queued_ms": t.queued.Milliseconds(), "wait_reason": t.decision.WaitReason, "sent_ms": t.sent.Milliseconds(),
 		"first_event_ms": t.firstEvent.Milliseconds(), "longest_pause_ms": t.longestPause.Milliseconds(),
 		"total_ms": time.Since(x.request.Arrived).Milliseconds(),
--- a/internal/dataplane/ingress/trafficsplit.go
+++ b/internal/dataplane/ingress/trafficsplit.go
@@ -23,14 +23,14 @@
 
 // pick returns the service that gets the next request of the route.
 func (s *trafficSplit) pick(route *configuration.Route) string {
-	if len(route.Shares) == 1 {
-		return route.Shares[0].Service
+	if len(route.Split) == 1 {
+		return route.Split[0].Service
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	credit := s.creditOf(route.Name)
 	total, best := 0.0, ""
-	for _, share := range route.Shares {
+	for _, share := range route.Split {
 		if share.Weight <= 0 {
 			continue
 		}
--- /dev/null
+++ b/internal/docreader/docreader.go
@@ -0,0 +1,175 @@
+// Package docreader reads decoded JSON or YAML documents by path. It collects every fault together with the path of the
+// value, so that a document with several faults is reported at once.
+//
+// A reader walks from Root through Field and Items to the values. A value of the wrong type is a fault and reads as its
+// fallback, so readers need not check for errors before the end, when Findings.Err has them all.
+package docreader
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+	"strings"
+)
+
+// Finding is one fault of a document.
+type Finding struct {
+	Path    string // of the value, such as "routes[3].timeoutMs"
+	Message string
+}
+
+// String returns the finding as one line.
+func (f Finding) String() string { return f.Path + ": " + f.Message }
+
+// Findings collects the faults of one document.
+type Findings struct{ all []Finding }
+
+// Add records a fault at a path.
+func (f *Findings) Add(path, format string, args ...any) {
+	f.all = append(f.all, Finding{Path: path, Message: fmt.Sprintf(format, args...)})
+}
+
+// Err returns nil where nothing was found, else an *Error.
+func (f *Findings) Err() error {
+	if len(f.all) == 0 {
+		return nil
+	}
+	return &Error{Findings: f.all}
+}
+
+// Error reports all faults of a document, in the order in which they were found.
+type Error struct{ Findings []Finding }
+
+// Error returns the findings in one line.
+func (e *Error) Error() string {
+	lines := make([]string, 0, len(e.Findings))
+	for _, finding := range e.Findings {
+		lines = append(lines, finding.String())
+	}
+	return strings.Join(lines, "; ")
+}
+
+// Node is a value of a document together with its path. It may be missing: IsPresent says so, and reading it gives the
+// fallback.
+type Node struct {
+	value     any
+	isPresent bool
+	path      string
+	findings  *Findings
+}
+
+// Root returns the node of a document whose faults are added to findings. The value consists of map[string]any, []any,
+// string, bool, nil and numbers, as encoding/json and YAML decode it.
+func Root(value any, findings *Findings) Node {
+	return Node{value: value, isPresent: true, findings: findings}
+}
+
+// Path returns where the node stands in the document.
+func (n Node) Path() string { return n.path }
+
+// IsPresent reports whether the document has the node at all, be it null.
+func (n Node) IsPresent() bool { return n.isPresent }
+
+// AddFault records a fault at the node.
+func (n Node) AddFault(format string, args ...any) { n.findings.Add(n.path, format, args...) }
+
+// Field returns a member of an object; a missing one is a node that is not present.
+func (n Node) Field(name string) Node {
+	path := name
+	if n.path != "" {
+		path = n.path + "." + name
+	}
+	field := Node{path: path, findings: n.findings}
+	if object, ok := n.value.(map[string]any); ok {
+		field.value, field.isPresent = object[name]
+	}
+	return field
+}
+
+// Keys returns the names of an object's members, in no order.
+func (n Node) Keys() []string {
+	object, _ := n.value.(map[string]any)
+	keys := make([]string, 0, len(object))
+	for key := range object {
+		keys = append(keys, key)
+	}
+	return keys
+}
+
+// Items returns the elements of a list; anything else that is present and not null is a fault.
+func (n Node) Items() []Node {
+	if n.isMissing() {
+		return nil
+	}
+	list, ok := n.value.([]any)
+	if !ok {
+		n.AddFault("a list is wanted")
+		return nil
+	}
+	nodes := make([]Node, len(list))
+	for i, value := range list {
+		nodes[i] = Node{value: value, isPresent: true, path: fmt.Sprintf("%s[%d]", n.path, i), findings: n.findings}
+	}
+	return nodes
+}
+
+// Text returns a string, or fallback where the node is missing.
+func (n Node) Text(fallback string) string { return read[string](n, fallback, "a text is wanted") }
+
+// RequiredText returns a string that must be there and must not be empty.
+func (n Node) RequiredText() string {
+	text := n.Text("")
+	if text == "" {
+		n.AddFault("must be given")
+	}
+	return text
+}
+
+// Bool returns a truth value, or fallback where the node is missing.
+func (n Node) Bool(fallback bool) bool { return read[bool](n, fallback, "true or false is wanted") }
+
+// Number returns a finite number, or fallback where the node is missing.
+func (n Node) Number(fallback float64) float64 {
+	if n.isMissing() {
+		return fallback
+	}
+	number, ok := toFloat(n.value)
+	if !ok || math.IsNaN(number) || math.IsInf(number, 0) {
+		n.AddFault("a number is wanted")
+		return fallback
+	}
+	return number
+}
+
+// isMissing reports whether the node is absent or null.
+func (n Node) isMissing() bool { return !n.isPresent || n.value == nil }
+
+// read returns the node's value, or fallback where it is missing or, with a fault, of another type.
+func read[T any](n Node, fallback T, fault string) T {
+	if n.isMissing() {
+		return fallback
+	}
+	value, ok := n.value.(T)
+	if !ok {
+		n.AddFault("%s", fault)
+		return fallback
+	}
+	return value
+}
+
+func toFloat(value any) (float64, bool) {
+	switch v := value.(type) {
+	case float64:
+		return v, true
+	case int:
+		return float64(v), true
+	case int64:
+		return float64(v), true
+	case uint64:
+		return float64(v), true
+	case json.Number:
+		number, err := v.Float64()
+		return number, err == nil
+	}
+	return 0, false
+}
