--- a/internal/controlplane/coordinator/backends.go
+++ b/internal/controlplane/coordinator/backends.go
@@ -7,7 +7,7 @@
 	"github.com/sirupsen/logrus"
 
 	"pumiceline/internal/controlplane/discovery"
-	"pumiceline/internal/controlplane/placement"
+	"pumiceline/internal/controlplane/placement/planner"
 	"pumiceline/internal/message"
 )
 
@@ -72,15 +72,15 @@
 }
 
 // placementBackends returns the backends as the planner needs them.
-func (c *controller) placementBackends(now time.Time) []placement.Backend {
-	backends := make([]placement.Backend, 0, len(c.table.Backends))
+func (c *controller) placementBackends(now time.Time) []planner.Backend {
+	backends := make([]planner.Backend, 0, len(c.table.Backends))
 	for _, entry := range c.table.Backends {
 		if seen, ok := c.observed[entry.ID]; ok {
 			entry.Models = seen.models
 		}
 		_, busy := c.running[entry.ID]
-		backends = append(backends, placement.Backend{
-			Backend: entry, Busy: busy || now.Before(c.backoffUntil[entry.ID]), Warm: c.residency.modelsOf(entry),
+		backends = append(backends, planner.Backend{
+			Backend: entry, Busy: busy || now.Before(c.backoffUntil[entry.ID]), Cached: c.residency.modelsOf(entry),
 		})
 	}
 	return backends
--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -10,7 +10,8 @@
 	"pumiceline/internal/controlplane/configuration"
 	"pumiceline/internal/controlplane/discovery"
 	"pumiceline/internal/controlplane/distribution"
-	"pumiceline/internal/controlplane/placement"
+	"pumiceline/internal/controlplane/placement/executor"
+	"pumiceline/internal/controlplane/placement/planner"
 	"pumiceline/internal/logkey"
 	"pumiceline/internal/message"
 )
@@ -46,10 +47,10 @@
 	config         *configuration.Config
 	configSequence uint64
 	residency      residencyHistory
-	demand         *placement.DemandTable
-	allowances     map[string]*placement.LoadAllowance // by service
+	demand         *planner.DemandTable
+	loadLimiters   map[string]*planner.LoadRateLimiter // by service
 
-	caller       *placement.Caller
+	client       *executor.BackendClient
 	running      map[message.BackendID]*runningTask
 	backoffUntil map[message.BackendID]time.Time // of backends whose task failed
 }
@@ -58,8 +59,8 @@
 	return &controller{
 		loop: loop, settings: settings, events: make(chan func(time.Time), eventQueueLength),
 		reader: discovery.NewReader(settings.Platform.Address), observed: map[message.BackendID]observedModels{},
-		demand: placement.NewDemandTable(), allowances: map[string]*placement.LoadAllowance{},
-		caller: placement.NewCaller(), running: map[message.BackendID]*runningTask{}, backoffUntil: map[message.BackendID]time.Time{},
+		demand: planner.NewDemandTable(), loadLimiters: map[string]*planner.LoadRateLimiter{},
+		client: executor.NewBackendClient(), running: map[message.BackendID]*runningTask{}, backoffUntil: map[message.BackendID]time.Time{},
 	}
 }
 
@@ -140,7 +141,7 @@
 // that the deployment names (Bounds.Lease).
 func (c *controller) handoverDelay() time.Duration {
 	if c.settings.Bounds.ChecksFence {
-		return placement.OrderTimeout + c.settings.Bounds.Thaw
+		return executor.CommandTimeout + c.settings.Bounds.Thaw
 	}
 	return c.settings.Bounds.Lease + c.settings.Bounds.Thaw
 }
@@ -158,22 +159,22 @@
 	logrus.Info("controller lease lost")
 }
 
-// onLeaseAcquired starts with empty tables. The new allowances take the predecessor to have begun all the loads that it
-// was allowed.
+// onLeaseAcquired starts with empty tables. The new rate limiters take the predecessor to have started all the loads
+// that it was allowed.
 func (c *controller) onLeaseAcquired(s *membershipSnapshot) {
 	c.leaseToken, c.leaseStart = s.leaseToken, s.leaseStart
-	c.demand = placement.NewDemandTable()
+	c.demand = planner.NewDemandTable()
 	clear(c.observed)
 	clear(c.backoffUntil)
-	clear(c.allowances)
+	clear(c.loadLimiters)
 	logrus.WithField(logkey.Token, s.leaseToken).Info("controller lease acquired")
 }
 
 // commandFence allows a placement command only while the lease of token lasts beyond the command's own timeout.
-func (c *controller) commandFence(token message.FencingToken) placement.Fence {
+func (c *controller) commandFence(token message.FencingToken) executor.TokenFunc {
 	return func() (message.FencingToken, bool) {
 		now := time.Now()
 		s, holds := c.lease(now)
-		return token, holds && s.leaseToken == token && s.leaseUntil.Sub(now) > placement.OrderTimeout
+		return token, holds && s.leaseToken == token && s.leaseUntil.Sub(now) > executor.CommandTimeout
 	}
 }
--- a/internal/controlplane/coordinator/controller_test.go
+++ b/internal/controlplane/coordinator/controller_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 
 	"pumiceline/internal/bootstrap"
-	"pumiceline/internal/controlplane/placement"
+	"pumiceline/internal/controlplane/placement/executor"
 )
 
 // A new lease holder waits for the span that the rule on lease holders names, and for less where backends check fencing
@@ -18,5 +18,5 @@
 	assert.Equal(t, bounds.Lease+bounds.Thaw, unchecked.handoverDelay())
 	bounds.ChecksFence = true
 	checked := &controller{settings: &bootstrap.Settings{Bounds: bounds}}
-	assert.Equal(t, placement.OrderTimeout+bounds.Thaw, checked.handoverDelay(), "the predecessor's last command has ended")
+	assert.Equal(t, executor.CommandTimeout+bounds.Thaw, checked.handoverDelay(), "the predecessor's last command has ended")
 }
--- a/internal/controlplane/coordinator/placement_tasks.go
+++ b/internal/controlplane/coordinator/placement_tasks.go
@@ -8,14 +8,15 @@
 	"github.com/sirupsen/logrus"
 
 	"pumiceline/internal/controlplane/configuration"
-	"pumiceline/internal/controlplane/placement"
+	"pumiceline/internal/controlplane/placement/executor"
+	"pumiceline/internal/controlplane/placement/planner"
 	"pumiceline/internal/logkey"
 	"pumiceline/internal/message"
 )
 
 // runningTask is a placement task that an executor carries out at a backend. A backend has at most one.
 type runningTask struct {
-	task         placement.Task
+	task         planner.Task
 	expectedDone time.Time // when its load should be complete
 	cancel       context.CancelFunc
 	loadStarted  bool // the backend has taken the load command
@@ -32,14 +33,14 @@
 	if c.table == nil || !c.refreshConfig() {
 		return
 	}
-	input := &placement.Input{
+	input := &planner.Input{
 		Now: now, Services: c.config.Services, Backends: c.placementBackends(now), Demand: c.demand,
 		Running: lo.SliceToMap(reported.Loads, func(l message.BackendLoad) (message.BackendID, int) {
 			return l.Backend, l.Running
 		}),
-		Loading: c.loadsInFlight(), LoadsLeft: c.loadsAllowed(now),
+		Loading: c.loadsInFlight(), LoadsAllowed: c.loadsAllowed(now),
 	}
-	for _, task := range placement.Plan(input) {
+	for _, task := range planner.Plan(input) {
 		c.startTask(ctx, task, now)
 	}
 }
@@ -86,45 +87,47 @@
 			continue
 		}
 		pending := lo.CountBy(lo.Values(c.running), func(t *runningTask) bool {
-			return t.task.Service == name && t.task.Load != "" && !t.task.Warm && !t.loadStarted
+			return t.task.Service == name && t.task.Load != "" && !t.task.FromCache && !t.loadStarted
 		})
-		bounds := c.settings.Bounds
-		allowed[name] = c.allowance(name).Left(now, service.Runtime.LoadsPerSecond, bounds.CapExcess, bounds.CapWindow, pending)
+		limit := planner.LoadRateLimit{
+			PerSecond: service.Runtime.LoadsPerSecond, ExcessFactor: c.settings.Bounds.CapExcess, Window: c.settings.Bounds.CapWindow,
+		}
+		allowed[name] = c.loadLimiter(name).Available(now, limit, pending)
 	}
 	return allowed
 }
 
-func (c *controller) allowance(service string) *placement.LoadAllowance {
-	if c.allowances[service] == nil {
-		c.allowances[service] = placement.NewLoadAllowance(c.leaseStart)
+func (c *controller) loadLimiter(service string) *planner.LoadRateLimiter {
+	if c.loadLimiters[service] == nil {
+		c.loadLimiters[service] = planner.NewLoadRateLimiter(c.leaseStart)
 	}
-	return c.allowances[service]
+	return c.loadLimiters[service]
 }
 
 // startTask carries a task out in the background. It ends by itself, with ctx, or when the lease is lost.
-func (c *controller) startTask(ctx context.Context, task placement.Task, now time.Time) {
+func (c *controller) startTask(ctx context.Context, task planner.Task, now time.Time) {
 	id := task.Backend.ID
 	taskCtx, cancel := context.WithCancel(ctx)
 	c.running[id] = &runningTask{task: task, expectedDone: now.Add(task.LoadTime), cancel: cancel}
-	executor := &placement.Executor{
-		Caller: c.caller, Owner: string(c.loop.self.Identity), Fence: c.commandFence(c.leaseToken),
-		Publish: func(backend message.BackendID, models []message.LoadedModel) {
+	runner := &executor.Executor{
+		Client: c.client, Owner: string(c.loop.self.Identity), LeaseToken: c.commandFence(c.leaseToken),
+		OnModelsChanged: func(backend message.BackendID, models []message.LoadedModel) {
 			c.events <- func(now time.Time) { c.onModelsObserved(backend, models, now) }
 		},
-		Started: func(backend message.BackendID) { c.events <- func(now time.Time) { c.onLoadStarted(backend, now) } },
+		OnLoadStarted: func(backend message.BackendID) { c.events <- func(now time.Time) { c.onLoadStarted(backend, now) } },
 	}
 	logrus.WithFields(logrus.Fields{
 		logkey.Backend: id, logkey.Load: task.Load, logkey.Unload: task.Unload,
-		logkey.Adapters: task.Adapters, logkey.DropAdapters: task.Drop, logkey.Reason: task.Reason,
+		logkey.Adapters: task.LoadAdapters, logkey.DropAdapters: task.UnloadAdapters, logkey.Reason: task.Reason,
 	}).Debug("placement task started")
 	go func() {
-		models, known, err := executor.Run(taskCtx, &task)
+		models, err := runner.Run(taskCtx, &task)
 		cancel()
-		c.events <- func(now time.Time) { c.onTaskDone(id, models, known, err, now) }
+		c.events <- func(now time.Time) { c.onTaskDone(id, models, err, now) }
 	}()
 }
 
-// onLoadStarted counts a load against the service's allowance. Loads from the backend's own disk are free.
+// onLoadStarted counts a load against the service's rate limit. Loads from the backend's own disk are free.
 func (c *controller) onLoadStarted(backend message.BackendID, now time.Time) {
 	running := c.running[backend]
 	if running == nil {
@@ -132,20 +135,19 @@
 	}
 	running.loadStarted = true
 	running.expectedDone = now.Add(running.task.LoadTime)
-	if !running.task.Warm {
-		c.allowance(running.task.Service).Start(now)
+	if !running.task.FromCache {
+		c.loadLimiter(running.task.Service).RecordStart(now)
 	}
 }
 
-func (c *controller) onTaskDone(id message.BackendID, models []message.LoadedModel, known bool, err error, now time.Time) {
+func (c *controller) onTaskDone(id message.BackendID, models []message.LoadedModel, err error, now time.Time) {
 	delete(c.running, id)
 	if err != nil {
 		logrus.WithError(err).WithField(logkey.Backend, id).Info("placement task failed")
 		c.backoffUntil[id] = now.Add(failedTaskBackoff)
+		return
 	}
-	if known {
-		c.onModelsObserved(id, models, now)
-	}
+	c.onModelsObserved(id, models, now)
 }
 
 // pendingLoads returns the loads under way, for proxies that have requests waiting for them.
--- a/internal/controlplane/coordinator/status.go
+++ b/internal/controlplane/coordinator/status.go
@@ -46,7 +46,7 @@
 
 func (t *taskList) set(running map[message.BackendID]*runningTask) {
 	tasks := lo.MapToSlice(running, func(id message.BackendID, r *runningTask) Task {
-		return Task{Backend: id, Load: r.task.Load, Unload: r.task.Unload, Adapters: r.task.Adapters, Reason: r.task.Reason}
+		return Task{Backend: id, Load: r.task.Load, Unload: r.task.Unload, Adapters: r.task.LoadAdapters, Reason: r.task.Reason}
 	})
 	t.tasks.Store(&tasks)
 }
--- /dev/null
+++ b/internal/controlplane/placement/executor/backend_client.go
@@ -0,0 +1,189 @@
+package executor
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"pumiceline/internal/message"
+)
+
+const (
+	// CommandTimeout bounds one command. The lease under which it is sent must last beyond it.
+	CommandTimeout   = 500 * time.Millisecond
+	reportTimeout    = 700 * time.Millisecond
+	reportIdleTime   = 3 * time.Second // a connection for reports is kept for so long
+	maxResponseBytes = 4 << 20
+)
+
+// The paths and the header of a backend's control interface.
+const (
+	reportPath    = "/report"
+	commandPath   = "/order"
+	backendHeader = "Target-Backend"
+)
+
+// Report is a backend's own report. It may be some hundred milliseconds old.
+type Report struct {
+	Models       []message.LoadedModel
+	IsExecuting  bool   // a command is under way
+	CommandCount uint64 // commands accepted since the backend started
+}
+
+// Operation is what a command does.
+type Operation string
+
+// The operations, as they are on the wire.
+const (
+	LoadModel   Operation = "model_load"
+	UnloadModel Operation = "model_unload"
+)
+
+// Command asks a backend to load or unload a model, or an adapter of one.
+type Command struct {
+	Operation Operation         `json:"operation"`
+	Model     message.ModelName `json:"model"`
+	Adapter   string            `json:"adapter,omitempty"`
+	// IfRevision is the command count for which the command is meant: at any other the backend answers Conflict.
+	IfRevision   *uint64              `json:"ifRevision,omitempty"`
+	Owner        string               `json:"owner"`
+	FencingToken message.FencingToken `json:"fenceNo"`
+}
+
+// Answer is how a backend answered a command.
+type Answer int
+
+// The answers to commands.
+const (
+	Accepted   Answer = iota // it has begun
+	AlreadyMet               // the backend is already as the command asks
+	Conflict                 // another command is under way, or the command count differs
+	Rejected                 // it will not be carried out
+	Unknown                  // there was no answer: it may have been accepted
+)
+
+// String names the answer as logs have it.
+func (a Answer) String() string {
+	switch a {
+	case Accepted:
+		return "accepted"
+	case AlreadyMet:
+		return "already met"
+	case Conflict:
+		return "conflict"
+	case Rejected:
+		return "rejected"
+	case Unknown:
+		return "unknown"
+	}
+	return strconv.Itoa(int(a))
+}
+
+// BackendClient calls the control interface of backends. It may be used by several goroutines.
+//
+// Reports share one connection a backend, which is kept for a moment. Each command has a connection of its own: its
+// response carries no ID, so that a late response to an earlier request on the same connection would be taken for it.
+type BackendClient struct{ reports, commands *http.Client }
+
+// NewBackendClient makes a client without connections.
+func NewBackendClient() *BackendClient {
+	return &BackendClient{
+		reports: &http.Client{Transport: &http.Transport{
+			MaxIdleConnsPerHost: 1, IdleConnTimeout: reportIdleTime, DisableCompression: true,
+		}},
+		commands: &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}},
+	}
+}
+
+// FetchReport asks a backend what it holds.
+func (c *BackendClient) FetchReport(ctx context.Context, backend message.Backend) (*Report, error) {
+	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
+	defer cancel()
+	request, err := newRequest(ctx, http.MethodGet, backend, reportPath, nil)
+	if err != nil {
+		return nil, errors.Wrap(err, "request report")
+	}
+	response, err := c.reports.Do(request)
+	if err != nil {
+		return nil, errors.Wrap(err, "request report")
+	}
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	if err != nil {
+		return nil, errors.Wrap(err, "read report")
+	}
+	if response.StatusCode != http.StatusOK {
+		return nil, errors.Errorf("report with status %d", response.StatusCode)
+	}
+	return parseReport(text)
+}
+
+func parseReport(text []byte) (*Report, error) {
+	var document struct {
+		Models *[]struct {
+			Name     message.ModelName `json:"name"`
+			Adapters []string          `json:"adapters"`
+		} `json:"models"`
+		InUse     bool   `json:"inUse"`
+		CallCount uint64 `json:"callCount"`
+	}
+	if err := json.Unmarshal(text, &document); err != nil {
+		return nil, errors.Wrap(err, "report is not valid JSON")
+	}
+	if document.Models == nil {
+		return nil, errors.New("report without models")
+	}
+	report := &Report{IsExecuting: document.InUse, CommandCount: document.CallCount}
+	for _, model := range *document.Models {
+		report.Models = append(report.Models, message.LoadedModel{Name: model.Name, Adapters: model.Adapters})
+	}
+	return report, nil
+}
+
+// SendCommand sends a command once: neither it nor the HTTP library repeats it.
+func (c *BackendClient) SendCommand(ctx context.Context, backend message.Backend, command Command) Answer {
+	ctx, cancel := context.WithTimeout(ctx, CommandTimeout)
+	defer cancel()
+	text, err := json.Marshal(command)
+	if err != nil {
+		return Rejected
+	}
+	request, err := newRequest(ctx, http.MethodPost, backend, commandPath, bytes.NewReader(text))
+	if err != nil {
+		return Rejected
+	}
+	request.GetBody = nil // without it the transport cannot send the request again
+	request.Header.Set("Content-Type", "application/json")
+	response, err := c.commands.Do(request)
+	if err != nil {
+		return Unknown
+	}
+	defer response.Body.Close()
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxResponseBytes)) // only the status counts
+	switch response.StatusCode {
+	case http.StatusAccepted:
+		return Accepted
+	case http.StatusOK:
+		return AlreadyMet
+	case http.StatusConflict:
+		return Conflict
+	}
+	return Rejected
+}
+
+func newRequest(
+	ctx context.Context, method string, backend message.Backend, path string, body io.Reader,
+) (*http.Request, error) {
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+backend.Address+path, body)
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set(backendHeader, string(backend.ID))
+	return request, nil
+}
--- /dev/null
+++ b/internal/controlplane/placement/executor/execution.go
@@ -0,0 +1,256 @@
+package executor
+
+import (
+	"context"
+	"slices"
+	"time"
+
+	"github.com/pkg/errors"
+	"github.com/sirupsen/logrus"
+
+	"pumiceline/internal/controlplane/placement/planner"
+	"pumiceline/internal/logkey"
+	"pumiceline/internal/message"
+)
+
+const (
+	// removalNoticeTime is the time from the notice that a model goes until it is unloaded. In it the proxies learn of it.
+	removalNoticeTime = 80 * time.Millisecond
+	// conflictBackoff is the pause after a conflict: another command is under way, or the last report was outdated.
+	conflictBackoff = 300 * time.Millisecond
+	// maxAttempts bounds the attempts to send one command.
+	maxAttempts = 8
+	// adapterCommandTime is the pause after a command for an adapter: it is carried out within some milliseconds.
+	adapterCommandTime = 50 * time.Millisecond
+	// adapterRetryDelay is the pause before an adapter's command is sent again.
+	adapterRetryDelay = 40 * time.Millisecond
+)
+
+// Polling of a backend's report, for the end of a command.
+const (
+	idlePollInterval   = 200 * time.Millisecond
+	idleTimeout        = 20 * time.Second
+	unloadPollInterval = 70 * time.Millisecond
+	unloadTimeout      = 20 * time.Second // the requests that run have to end first
+	loadPollInterval   = 150 * time.Millisecond
+	loadTimeout        = 15 * time.Second // beyond the expected time
+	firstLoadPollShare = 0.9              // of the expected time has passed before the first poll
+)
+
+// errNotIdle ends the wait for a backend that carries out a command, or whose report lacks one, for too long.
+var errNotIdle = errors.New("backend is not idle in time")
+
+// execution is one run of an executor.
+type execution struct {
+	*Executor
+	task         *planner.Task
+	models       []message.LoadedModel // that the backend holds, as far as is known
+	commandCount uint64                // that the backend should have: each command names it as its revision
+}
+
+func (x *execution) backendID() message.BackendID { return x.task.Backend.ID }
+
+func (x *execution) holds(name message.ModelName) bool {
+	backend := message.Backend{Models: x.models}
+	return backend.Holds(name)
+}
+
+// poll is how a report is polled for.
+type poll struct {
+	minCommands uint64 // the report must know of
+	interval    time.Duration
+	timeout     time.Duration
+}
+
+// awaitIdle polls until no command is under way and the report knows of that many commands.
+func (x *execution) awaitIdle(ctx context.Context, minCommands uint64) error {
+	return x.pollIdle(ctx, poll{minCommands: minCommands, interval: idlePollInterval, timeout: idleTimeout})
+}
+
+// pollIdle polls until the backend is idle and takes over what it reports, or returns errNotIdle.
+func (x *execution) pollIdle(ctx context.Context, p poll) error {
+	deadline := time.Now().Add(p.timeout)
+	for time.Now().Before(deadline) {
+		report, err := x.Client.FetchReport(ctx, x.task.Backend)
+		if err != nil {
+			return err
+		}
+		if !report.IsExecuting && report.CommandCount >= p.minCommands {
+			x.models, x.commandCount = report.Models, report.CommandCount
+			return nil
+		}
+		if err := x.sleep(ctx, p.interval); err != nil {
+			return err
+		}
+	}
+	return errNotIdle
+}
+
+// send sends a command for the state that is known.
+func (x *execution) send(ctx context.Context, operation Operation, name message.ModelName) (Answer, error) {
+	token, ok := x.LeaseToken()
+	if !ok {
+		return Rejected, ErrFenced
+	}
+	if operation == LoadModel && !x.task.Capacity.Fits(x.models, name) {
+		return Rejected, errors.Errorf("no capacity for %s", name)
+	}
+	revision := x.commandCount
+	answer := x.Client.SendCommand(ctx, x.task.Backend, Command{
+		Operation: operation, Model: message.ModelOf(name), Adapter: message.AdapterOf(name),
+		IfRevision: &revision, Owner: x.Owner, FencingToken: token,
+	})
+	if answer == Accepted {
+		x.commandCount++
+	}
+	if operation == LoadModel && name == x.task.Load && (answer == Accepted || answer == Unknown) {
+		x.OnLoadStarted(x.backendID())
+	}
+	logrus.WithFields(logrus.Fields{
+		logkey.Backend: x.backendID(), logkey.Operation: operation, logkey.Name: name, logkey.Answer: answer.String(),
+	}).Debug("placement command sent")
+	return answer, nil
+}
+
+// sendWithRetry sends a command until it is accepted or already met. After a conflict, and where there was no answer, the
+// backend's state is read again first.
+func (x *execution) sendWithRetry(ctx context.Context, operation Operation, name message.ModelName) (Answer, error) {
+	for range maxAttempts {
+		answer, err := x.send(ctx, operation, name)
+		if err != nil {
+			return answer, err
+		}
+		switch answer {
+		case Accepted, AlreadyMet:
+			return answer, nil
+		case Rejected:
+			return answer, errors.Errorf("%s of %s rejected", operation, name)
+		}
+		if err := x.sleep(ctx, conflictBackoff); err != nil {
+			return answer, err
+		}
+		if err := x.awaitIdle(ctx, 0); err != nil {
+			return answer, err
+		}
+	}
+	return Conflict, errors.Errorf("%s of %s: no attempt of %d was accepted", operation, name, maxAttempts)
+}
+
+func (x *execution) unload(ctx context.Context, model message.ModelName) error {
+	if !x.holds(model) {
+		return nil
+	}
+	isModel := func(held message.LoadedModel) bool { return held.Name == model }
+	x.models = slices.DeleteFunc(slices.Clone(x.models), isModel)
+	x.OnModelsChanged(x.backendID(), x.models)
+	if err := x.sleep(ctx, removalNoticeTime); err != nil {
+		return err
+	}
+	if _, err := x.sendWithRetry(ctx, UnloadModel, model); err != nil {
+		return err
+	}
+	return x.awaitUnload(ctx, model)
+}
+
+func (x *execution) awaitUnload(ctx context.Context, model message.ModelName) error {
+	if err := x.sleep(ctx, unloadPollInterval); err != nil {
+		return err
+	}
+	p := poll{minCommands: x.commandCount, interval: unloadPollInterval, timeout: unloadTimeout}
+	if err := x.pollIdle(ctx, p); err != nil {
+		return errors.Wrapf(err, "unload %s", model)
+	}
+	if x.holds(model) {
+		return errors.Errorf("%s is still loaded after its unload", model)
+	}
+	return nil
+}
+
+func (x *execution) load(ctx context.Context, model message.ModelName) error {
+	if x.holds(model) {
+		return nil
+	}
+	answer, err := x.sendWithRetry(ctx, LoadModel, model)
+	if err != nil {
+		return err
+	}
+	if answer == Accepted {
+		if err := x.sleep(ctx, time.Duration(firstLoadPollShare*float64(x.task.LoadTime))); err != nil {
+			return err
+		}
+	}
+	p := poll{minCommands: x.commandCount, interval: loadPollInterval, timeout: loadTimeout + x.task.LoadTime}
+	if err := x.pollIdle(ctx, p); err != nil {
+		return errors.Wrapf(err, "load %s", model)
+	}
+	x.OnModelsChanged(x.backendID(), x.models)
+	if !x.holds(model) {
+		return errors.Errorf("%s is not loaded after its load", model)
+	}
+	return nil
+}
+
+func (x *execution) unloadAdapter(ctx context.Context, adapter message.ModelName) error {
+	if !x.holds(adapter) {
+		return nil
+	}
+	if _, err := x.sendWithRetry(ctx, UnloadModel, adapter); err != nil {
+		return err
+	}
+	if err := x.sleep(ctx, adapterCommandTime); err != nil {
+		return err
+	}
+	return x.awaitIdle(ctx, x.commandCount)
+}
+
+// loadAdapter loads an adapter beside its model. It gives up without an error after maxAttempts: the next plan has it
+// again where it is still wanted.
+func (x *execution) loadAdapter(ctx context.Context, adapter message.ModelName) error {
+	if !x.holds(message.ModelOf(adapter)) || x.holds(adapter) {
+		return nil
+	}
+	for range maxAttempts {
+		answer, err := x.send(ctx, LoadModel, adapter)
+		if err != nil {
+			return err
+		}
+		switch answer {
+		case Accepted, AlreadyMet:
+			return x.onAdapterLoaded(ctx, adapter)
+		case Rejected:
+			return errors.Errorf("%s of %s rejected", LoadModel, adapter)
+		case Unknown:
+			if err := x.awaitIdle(ctx, 0); err != nil {
+				return err
+			}
+			if x.holds(adapter) {
+				return nil
+			}
+		}
+		if err := x.sleep(ctx, adapterRetryDelay); err != nil {
+			return err
+		}
+	}
+	return x.awaitIdle(ctx, 0)
+}
+
+func (x *execution) onAdapterLoaded(ctx context.Context, adapter message.ModelName) error {
+	x.models = withAdapter(x.models, adapter)
+	if err := x.sleep(ctx, adapterCommandTime); err != nil {
+		return err
+	}
+	x.OnModelsChanged(x.backendID(), x.models)
+	return nil
+}
+
+// withAdapter returns the models with one more adapter. It shares nothing that it changes with its argument, as that was
+// handed to OnModelsChanged.
+func withAdapter(models []message.LoadedModel, adapter message.ModelName) []message.LoadedModel {
+	changed := slices.Clone(models)
+	for i := range changed {
+		if changed[i].Name == message.ModelOf(adapter) {
+			changed[i].Adapters = append(slices.Clone(changed[i].Adapters), message.AdapterOf(adapter))
+		}
+	}
+	return changed
+}
--- /dev/null
+++ b/internal/controlplane/placement/planner/capacity.go
@@ -0,0 +1,66 @@
+package planner
+
+import (
+	"pumiceline/internal/controlplane/configuration"
+	"pumiceline/internal/message"
+)
+
+// Capacity tells what fits into a backend of a service: the weights of models and adapters together, and the number of
+// adapters. Sizes are in MB.
+type Capacity struct{ Runtime *configuration.Runtime }
+
+// UsedMB returns the size of loaded models with their adapters.
+func (c Capacity) UsedMB(models []message.LoadedModel) float64 {
+	used := 0.0
+	for _, model := range models {
+		used += c.loadedMB(model)
+	}
+	return used
+}
+
+// loadedMB is the size of a loaded model with its adapters. A model that the configuration does not have is taken to fill
+// the backend.
+func (c Capacity) loadedMB(loaded message.LoadedModel) float64 {
+	model, ok := c.model(loaded.Name)
+	if !ok {
+		return c.Runtime.WeightsMB
+	}
+	return model.WeightsMB + float64(len(loaded.Adapters))*model.AdapterMB
+}
+
+// sizeMB is the size of a model or an adapter by name.
+func (c Capacity) sizeMB(name message.ModelName) float64 {
+	model, ok := c.model(message.ModelOf(name))
+	switch {
+	case !ok:
+		return c.Runtime.WeightsMB
+	case message.AdapterOf(name) != "":
+		return model.AdapterMB
+	}
+	return model.WeightsMB
+}
+
+func (c Capacity) model(name message.ModelName) (configuration.Model, bool) {
+	for _, model := range c.Runtime.Models {
+		if model.Name == name {
+			return model, true
+		}
+	}
+	return configuration.Model{}, false
+}
+
+// Fits reports whether a model or an adapter may be loaded beside the loaded models.
+func (c Capacity) Fits(models []message.LoadedModel, name message.ModelName) bool {
+	if message.AdapterOf(name) != "" && countAdapters(models) >= c.Runtime.AdapterSlots {
+		return false
+	}
+	return c.UsedMB(models)+c.sizeMB(name) <= c.Runtime.WeightsMB
+}
+
+func countAdapters(models []message.LoadedModel) int {
+	count := 0
+	for _, model := range models {
+		count += len(model.Adapters)
+	}
+	return count
+}
--- /dev/null
+++ b/internal/controlplane/placement/planner/model_placement.go
@@ -0,0 +1,140 @@
+package planner
+
+import (
+	"slices"
+	"sort"
+	"time"
+
+	"pumiceline/internal/controlplane/configuration"
+	"pumiceline/internal/message"
+)
+
+const (
+	// evictionHysteresis is how many times the loss at its backend a new replica must be worth. Rates over some seconds vary
+	// by a third; with a lower factor replicas of similar value would evict each other again and again.
+	evictionHysteresis = 2.0
+	// storeLoadLoss is the loss of a load from the weight store, in requests a second. It takes several times as long as
+	// one from the backend's own disk and counts against the service's rate limit.
+	storeLoadLoss = 0.25
+	// runningLoss is the loss of a load beside one running request, which it slows down, in requests a second.
+	runningLoss = 0.004
+	// neighbourLoss is the loss of a load beside another model, as a share of that model's rate: meanwhile its backend
+	// takes no commands, so that no adapter is loaded there.
+	neighbourLoss = 0.01
+	// cachedLoadShare is the share of the time of a load from the weight store that one from the backend's own disk takes
+	// at most.
+	cachedLoadShare = 0.25
+)
+
+// replicaDemand is a model that has fewer replicas than its target.
+type replicaDemand struct {
+	model configuration.Model
+	value float64 // of one more replica
+}
+
+// replicaDemands returns the models below their target, the most valuable first.
+func (p *servicePlan) replicaDemands() []replicaDemand {
+	var demands []replicaDemand
+	for _, model := range p.service.Runtime.Models {
+		if p.replicas[model.Name] < p.targets[model.Name] {
+			demands = append(demands, replicaDemand{model: model, value: p.marginalValue(model.Name)})
+		}
+	}
+	sort.SliceStable(demands, func(i, j int) bool { return demands[i].value > demands[j].value })
+	return demands
+}
+
+// placeModels places one replica of each model that is below its target. Before any demand was reported it places none:
+// the platform's own placement is the best guess then.
+func (p *servicePlan) placeModels() {
+	if p.in.Demand.IsEmpty(p.service.Name) {
+		return
+	}
+	for _, demand := range p.replicaDemands() {
+		best := p.bestSite(demand.model)
+		if best == nil || demand.value <= evictionHysteresis*best.loss-storeLoadLoss {
+			continue
+		}
+		p.tasks = append(p.tasks, p.placeAt(best, demand.model))
+	}
+}
+
+// site is a backend that could take a model, and what has to be evicted for it.
+type site struct {
+	backend   *Backend
+	evictions []message.ModelName
+	loss      float64 // in requests a second
+}
+
+// bestSite returns the site with the least loss, nil where there is none.
+func (p *servicePlan) bestSite(model configuration.Model) *site {
+	var best *site
+	for _, backend := range p.backends {
+		if backend.Busy || backend.hasModel(model.Name) {
+			continue
+		}
+		if !backend.Cached[model.Name] && p.in.LoadsAllowed[p.service.Name] <= 0 {
+			continue
+		}
+		candidate, ok := p.siteAt(backend, model)
+		if ok && (best == nil || candidate.loss < best.loss) {
+			best = &candidate
+		}
+	}
+	return best
+}
+
+// siteAt chooses what has to be evicted from a backend so that a model fits, the least valuable first. ok is false where
+// it would not fit into the empty backend.
+func (p *servicePlan) siteAt(backend *Backend, model configuration.Model) (_ site, ok bool) {
+	freeMB := p.service.Runtime.WeightsMB - p.capacity.UsedMB(backend.Models)
+	held := slices.Clone(backend.Models)
+	sort.SliceStable(held, func(i, j int) bool { return p.evictionLoss(held[i].Name) < p.evictionLoss(held[j].Name) })
+	s := site{backend: backend}
+	for _, candidate := range held {
+		if freeMB >= model.WeightsMB {
+			break
+		}
+		s.evictions = append(s.evictions, candidate.Name)
+		s.loss += p.evictionLoss(candidate.Name)
+		freeMB += p.capacity.loadedMB(candidate)
+	}
+	if freeMB < model.WeightsMB {
+		return site{}, false
+	}
+	if !backend.Cached[model.Name] {
+		s.loss += storeLoadLoss
+	}
+	s.loss += runningLoss * float64(p.in.Running[backend.ID])
+	for _, kept := range backend.Models {
+		if !slices.Contains(s.evictions, kept.Name) {
+			s.loss += neighbourLoss * p.expectedRate(kept.Name)
+		}
+	}
+	return s, true
+}
+
+// placeAt makes the task and accounts for it.
+func (p *servicePlan) placeAt(s *site, model configuration.Model) Task {
+	s.backend.Busy = true
+	for _, evicted := range s.evictions {
+		p.replicas[evicted]--
+	}
+	p.replicas[model.Name]++
+	fromCache := s.backend.Cached[model.Name]
+	if !fromCache {
+		p.in.LoadsAllowed[p.service.Name]--
+	}
+	return Task{
+		Backend: s.backend.Backend, Service: p.service.Name, Unload: s.evictions, Load: model.Name,
+		LoadTime: loadTime(model, fromCache), FromCache: fromCache, LoadAdapters: p.adaptersFor(model, s),
+		Capacity: p.capacity, Reason: reasonReplica,
+	}
+}
+
+func loadTime(model configuration.Model, fromCache bool) time.Duration {
+	if fromCache {
+		return time.Duration(cachedLoadShare * float64(model.LoadTime))
+	}
+	return model.LoadTime
+}
--- /dev/null
+++ b/internal/controlplane/placement/planner/planner.go
@@ -0,0 +1,121 @@
+// Package planner decides which backend holds which models and adapters. It is pure: it takes what the backends hold, what
+// is requested and the time, and returns the tasks that should start now. Package executor carries them out.
+//
+// A plan is made for each service by itself, greedily: every model has a target number of replicas (target.go); the
+// missing replicas are placed in the order of their marginal value, each at the backend where it costs least, if its
+// value outweighs what has to be evicted there (value.go, model_placement.go). Adapters are placed beside their models
+// (adapter_placement.go). All values and losses are in requests a second.
+package planner
+
+import (
+	"slices"
+	"time"
+
+	"pumiceline/internal/controlplane/configuration"
+	"pumiceline/internal/message"
+)
+
+// Reasons of tasks. Operators see them in the status of the lease holder.
+const (
+	reasonReplica = "a copy is wanted"
+	reasonAdapter = "adapters are wanted"
+)
+
+// Backend is a backend as the planner sees it.
+type Backend struct {
+	message.Backend
+	Busy   bool                       // it carries out a task or a command, or is to be left alone
+	Cached map[message.ModelName]bool // models on its own disk, as it has held them before: they load faster from there
+}
+
+// hasModel reports whether the backend holds a model.
+func (b *Backend) hasModel(model message.ModelName) bool {
+	return slices.ContainsFunc(b.Models, func(held message.LoadedModel) bool { return held.Name == model })
+}
+
+// Task is what one backend has to do, in the order of the fields: unload models, load one, unload and load adapters.
+type Task struct {
+	Backend        message.Backend
+	Service        string
+	Unload         []message.ModelName
+	Load           message.ModelName // empty: none
+	LoadTime       time.Duration     // how long the load should take
+	FromCache      bool              // the load is read from the backend's own disk, not from the weight store
+	UnloadAdapters []message.ModelName
+	LoadAdapters   []message.ModelName
+	Capacity       Capacity // by which each load is checked again before it is commanded
+	Reason         string
+}
+
+// Input is what a plan is made from. Plan modifies it: it marks the backends that get a task as busy and counts down the
+// loads allowed.
+type Input struct {
+	Now          time.Time
+	Services     map[string]*configuration.Service
+	Backends     []Backend
+	Loading      map[string]map[message.ModelName]int // replicas that tasks under way will bring, by service
+	Demand       *DemandTable
+	Running      map[message.BackendID]int // requests in flight
+	LoadsAllowed map[string]int            // loads from the weight store that may start now, by service
+}
+
+// servicePlan is one run of the planner for one service.
+type servicePlan struct {
+	in         *Input
+	service    *configuration.Service
+	capacity   Capacity
+	backends   []*Backend // those of the service that stay
+	replicas   map[message.ModelName]int
+	targets    map[message.ModelName]int     // how many replicas there should be
+	shiftRates map[message.ModelName]float64 // the highest rate that may shift to a model from those before it
+	tasks      []Task
+}
+
+// Plan returns the tasks that should start now, for each service the most valuable first.
+func Plan(in *Input) []Task {
+	var tasks []Task
+	names := make([]string, 0, len(in.Services))
+	for name, service := range in.Services {
+		if service.Runtime != nil {
+			names = append(names, name)
+		}
+	}
+	slices.Sort(names) // the same input gives the same plan
+	for _, name := range names {
+		p := newServicePlan(in, in.Services[name])
+		// Adapters first: they load within milliseconds, while a model's load keeps its backend busy for seconds.
+		p.placeAdapters()
+		p.placeModels()
+		tasks = append(tasks, p.tasks...)
+	}
+	return tasks
+}
+
+// newServicePlan counts the replicas and sets the targets. Replicas at backends that leave are not counted, so that their
+// models are placed elsewhere in time.
+func newServicePlan(in *Input, service *configuration.Service) *servicePlan {
+	p := &servicePlan{
+		in: in, service: service, capacity: Capacity{service.Runtime}, replicas: map[message.ModelName]int{},
+		targets: map[message.ModelName]int{}, shiftRates: map[message.ModelName]float64{},
+	}
+	for i := range in.Backends {
+		backend := &in.Backends[i]
+		if backend.Service != service.Name || backend.Draining || backend.TimeLeftMs > 0 {
+			continue
+		}
+		p.backends = append(p.backends, backend)
+		for _, model := range backend.Models {
+			p.replicas[model.Name]++
+		}
+	}
+	for model, count := range in.Loading[service.Name] {
+		p.replicas[model] += count
+	}
+	p.setTargets()
+	return p
+}
+
+// demandFor returns the demand for a model or an adapter of the service.
+func (p *servicePlan) demandFor(name message.ModelName) Demand {
+	return p.in.Demand.Of(p.service.Name, name)
+}
--- /dev/null
+++ b/internal/controlplane/placement/planner/target.go
@@ -0,0 +1,74 @@
+package planner
+
+import (
+	"math"
+	"time"
+
+	"pumiceline/internal/message"
+)
+
+const (
+	// recentDemand is how long after its last request a model should still have a replica.
+	recentDemand = 20 * time.Second
+	// busyRate is the rate, in requests a second, from which a model gets more than one replica.
+	busyRate = 0.8
+	// minBusyReplicas is how many a busy model gets at least, so that the loss of one backend does not take it away.
+	minBusyReplicas = 2
+	// runningPerReplica is how many requests in flight one replica should carry.
+	runningPerReplica = 2.0
+	// shiftDistance is how many models ahead in the configured list demand is expected to shift.
+	shiftDistance = 2
+	// maxReplicaShare is the share of a service's backends that one model may have replicas at.
+	maxReplicaShare = 0.6
+)
+
+// setTargets sets how many replicas each model should have: enough for its own rate, and for the rates of the models
+// before it in the configured list, as demand shifts along that list from time to time and a load takes seconds.
+//
+//	target = min(ceil(maxReplicaShare * backends), max(isRecent, replicasFor(rate), replicasFor(rates before it)))
+func (p *servicePlan) setTargets() {
+	models := p.service.Runtime.Models
+	limit := int(math.Ceil(maxReplicaShare * float64(len(p.backends))))
+	for i, model := range models {
+		target := 0
+		if lastRequest := p.demandFor(model.Name).LastRequest; isWithin(recentDemand, lastRequest, p.in.Now) {
+			target = 1
+		}
+		target = max(target, p.replicasFor(model.Name, p.rateOf(model.Name)))
+		for distance := 1; distance <= shiftDistance; distance++ {
+			before := models[(i-distance+len(models))%len(models)].Name
+			rate := p.rateOf(before)
+			target = max(target, p.replicasFor(model.Name, rate))
+			p.shiftRates[model.Name] = max(p.shiftRates[model.Name], rate)
+		}
+		p.targets[model.Name] = min(target, limit)
+	}
+}
+
+// isWithin reports whether an event happened less than span ago. A zero time means that it never did.
+func isWithin(span time.Duration, event, now time.Time) bool {
+	return !event.IsZero() && now.Sub(event) < span
+}
+
+// rateOf returns the rate of requests for a model, in requests a second. Before any demand was reported, a model that has
+// more than one replica is taken to be busy: the platform has placed it so.
+func (p *servicePlan) rateOf(model message.ModelName) float64 {
+	if !p.in.Demand.IsEmpty(p.service.Name) {
+		demand := p.demandFor(model)
+		return demand.Rate()
+	}
+	if p.replicas[model] > 1 {
+		return busyRate
+	}
+	return 0
+}
+
+// replicasFor returns how many replicas a model needs at a rate, 0 where that is not busy. By Little's law the requests in
+// flight are rate * mean duration.
+func (p *servicePlan) replicasFor(model message.ModelName, rate float64) int {
+	if rate < busyRate {
+		return 0
+	}
+	running := rate * p.in.Demand.MeanSeconds(p.service.Name, model)
+	return max(minBusyReplicas, int(math.Ceil(running/runningPerReplica)))
+}
--- /dev/null
+++ b/internal/controlplane/placement/planner/value.go
@@ -0,0 +1,65 @@
+package planner
+
+import (
+	"time"
+
+	"pumiceline/internal/message"
+)
+
+// Weights of values and losses, in requests a second.
+const (
+	// shiftDiscount is the share of the rate of the models before it that a model is expected to get.
+	shiftDiscount = 0.3
+	// unservedValue is that of one request that waits for a model or was rejected for lack of it.
+	unservedValue = 2.0
+	// firstReplicaValue is that of a model's only replica beyond its rate: without it each request waits for a load.
+	firstReplicaValue = 0.03
+	// recentRequestValue is that of an only replica whose model was requested within recentRequest: more will follow.
+	recentRequestValue = 0.5
+	recentRequest      = 3 * time.Second
+	// surplusDiscount is the share of its value that a replica above the target keeps.
+	surplusDiscount = 0.1
+)
+
+// expectedRate returns the rate of requests for a model, or a share of the rate that may shift to it.
+func (p *servicePlan) expectedRate(model message.ModelName) float64 {
+	return max(p.rateOf(model), shiftDiscount*p.shiftRates[model])
+}
+
+// marginalValue is the value of one more replica of a model, in requests a second. The first is worth the whole rate and
+// the requests that wait for it; each further one takes an equal share of the rate:
+//
+//	replicas = 0: expectedRate + unservedValue*(waiting + unserved) + firstReplicaValue
+//	replicas > 0: expectedRate / (replicas + 1)
+func (p *servicePlan) marginalValue(model message.ModelName) float64 {
+	demand := p.demandFor(model)
+	if p.replicas[model] == 0 {
+		return p.expectedRate(model) + unservedValue*(float64(demand.Waiting)+demand.Unserved) + firstReplicaValue
+	}
+	return p.expectedRate(model) / float64(p.replicas[model]+1)
+}
+
+// evictionLoss is what is lost, in requests a second, when one of a model's replicas is evicted:
+//
+//	above the target:  surplusDiscount * expectedRate / replicas
+//	one of several:    expectedRate / replicas
+//	the only one:      expectedRate + unservedValue*(waiting + running + unserved) + firstReplicaValue
+//	                   + recentRequestValue, if requested within recentRequest
+//
+// Running requests count for an only replica, as those that were sent to the backend a moment ago and have not begun
+// would be rejected there.
+func (p *servicePlan) evictionLoss(model message.ModelName) float64 {
+	demand := p.demandFor(model)
+	replicas := p.replicas[model]
+	if replicas > p.targets[model] && replicas > 1 {
+		return surplusDiscount * p.expectedRate(model) / float64(replicas)
+	}
+	if replicas > 1 {
+		return p.expectedRate(model) / float64(replicas)
+	}
+	loss := p.expectedRate(model) + unservedValue*(float64(demand.Waiting+demand.Running)+demand.Unserved) + firstReplicaValue
+	if isWithin(recentRequest, demand.LastRequest, p.in.Now) {
+		loss += recentRequestValue
+	}
+	return loss
+}
