--- a/internal/controlplane/coordinator/backends.go
+++ b/internal/controlplane/coordinator/backends.go
@@ -46,12 +46,12 @@
 		return
 	}
 	discoveryLag := c.settings.Platform.MaxLag + holderPollInterval
-	merged := &discovery.Table{Observed: c.table.Observed}
+	merged := &discovery.Table{ObservedAt: c.table.ObservedAt}
 	for _, backend := range c.table.Backends {
 		seen, ok := c.observed[backend.ID]
 		_, busy := c.running[backend.ID]
 		switch {
-		case ok && !busy && c.table.Observed.Sub(seen.at) > discoveryLag:
+		case ok && !busy && c.table.ObservedAt.Sub(seen.at) > discoveryLag:
 			delete(c.observed, backend.ID)
 		case ok:
 			backend.Models = seen.models
--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -130,7 +130,7 @@
 	if !s.isMember {
 		return
 	}
-	if !table.IsKnown() || now.Sub(table.Observed) >= backendsStaleAfter {
+	if !table.IsKnown() || now.Sub(table.ObservedAt) >= backendsStaleAfter {
 		c.pollBackends(ctx, now, memberPollInterval)
 	}
 }
--- a/internal/controlplane/coordinator/lease_holder_subscriber.go
+++ b/internal/controlplane/coordinator/lease_holder_subscriber.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Apply takes the lease holder's response to a request that was sent at sent.
+// ApplyUpdate takes the lease holder's response to a request that was sent at sent.
 func (s *leaseHolderSubscriber) Apply(response *message.PollResponse, sent time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -59,7 +59,7 @@
 		return
 	}
 	if response.Backends != nil {
-		table, ok := discovery.Apply(s.table, response.Backends)
+		table, ok := discovery.ApplyUpdate(s.table, response.Backends)
 		if !ok { // the next poll asks for the complete table
 			s.table, s.digest = nil, 0
 			return
@@ -70,7 +70,7 @@
 		return
 	}
 	current := *s.table
-	current.Observed = observedAt(response, sent)
+	current.ObservedAt = observedAt(response, sent)
 	s.loop.hub.SetTable(&current)
 }
 
--- a/internal/controlplane/coordinator/residency.go
+++ b/internal/controlplane/coordinator/residency.go
@@ -20,10 +20,10 @@
 
 // record adds the models of a table; one that is not newer than the last is skipped.
 func (h *residencyHistory) record(table *discovery.Table) {
-	if !table.IsKnown() || !table.Observed.After(h.lastSeen) {
+	if !table.IsKnown() || !table.ObservedAt.After(h.lastSeen) {
 		return
 	}
-	h.lastSeen = table.Observed
+	h.lastSeen = table.ObservedAt
 	if h.models == nil {
 		h.models = map[machine]map[message.ModelName]bool{}
 	}
--- /dev/null
+++ b/internal/controlplane/discovery/reader.go
@@ -0,0 +1,137 @@
+package discovery
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"net/url"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"pumiceline/internal/message"
+)
+
+// Limits of a reading.
+const (
+	readTimeout  = 900 * time.Millisecond // for all pages together
+	maxPageBytes = 8 << 20
+	maxPages     = 200
+)
+
+const idleConnTimeout = 30 * time.Second
+
+// stateDraining is the state of a backend that takes no new requests.
+const stateDraining = "draining"
+
+// Reader reads the list from the platform. Several goroutines may use it.
+type Reader struct {
+	address string
+	client  *http.Client
+}
+
+// NewReader makes a reader of the list at a host and port.
+func NewReader(address string) *Reader {
+	transport := &http.Transport{MaxIdleConnsPerHost: 1, IdleConnTimeout: idleConnTimeout, DisableCompression: true}
+	return &Reader{address: address, client: &http.Client{Transport: transport}}
+}
+
+// page is one page of the list. The pointers tell a missing key from an empty one.
+type page struct {
+	Backends *[]pageEntry `json:"backends"`
+	NextPage *string      `json:"nextPage"` // null: this is the last
+}
+
+type pageEntry struct {
+	ID           string  `json:"id"`
+	Service      string  `json:"service"`
+	Address      string  `json:"address"`
+	Zone         string  `json:"zone"`
+	Capacity     int     `json:"capacity"`
+	State        string  `json:"state"`
+	WarmUpLeftMs float64 `json:"coldLeftMs"`
+	TimeLeftMs   float64 `json:"timeLeftMs"`
+	Models       []struct {
+		Name     string   `json:"name"`
+		Adapters []string `json:"adapters"`
+	} `json:"models"`
+}
+
+// Read reads all pages. A list that breaks off or is malformed is an error: the caller keeps the table that it has.
+func (r *Reader) Read(ctx context.Context) (*Table, error) {
+	ctx, cancel := context.WithTimeout(ctx, readTimeout)
+	defer cancel()
+	table := &Table{ObservedAt: time.Now()}
+	token := ""
+	for range maxPages {
+		next, err := r.readPage(ctx, token)
+		if err != nil {
+			return nil, err
+		}
+		for _, entry := range *next.Backends {
+			table.Backends = append(table.Backends, entry.backend())
+		}
+		if next.NextPage == nil || *next.NextPage == "" {
+			table.SetDigest()
+			return table, nil
+		}
+		token = *next.NextPage
+	}
+	return nil, errors.Errorf("the list has more than %d pages", maxPages)
+}
+
+// readPage requests the page of a token, which the page before it gave. The first page has none.
+func (r *Reader) readPage(ctx context.Context, token string) (*page, error) {
+	address := "http://" + r.address + "/backends"
+	if token != "" {
+		address += "?page=" + url.QueryEscape(token)
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
+	if err != nil {
+		return nil, errors.Wrap(err, "request a page of the list")
+	}
+	response, err := r.client.Do(request)
+	if err != nil {
+		return nil, errors.Wrap(err, "request a page of the list")
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxPageBytes))
+	if err != nil {
+		return nil, errors.Wrap(err, "read a page of the list")
+	}
+	if response.StatusCode != http.StatusOK {
+		return nil, errors.Errorf("request a page of the list: status %d", response.StatusCode)
+	}
+	return parsePage(body)
+}
+
+// parsePage decodes a page. The error names the first entry that lacks what every entry must have.
+func parsePage(body []byte) (*page, error) {
+	var decoded page
+	if err := json.Unmarshal(body, &decoded); err != nil {
+		return nil, errors.Wrap(err, "the list is no whole JSON")
+	}
+	if decoded.Backends == nil {
+		return nil, errors.New("the list has no backends")
+	}
+	for i, entry := range *decoded.Backends {
+		if entry.ID == "" || entry.Service == "" || entry.Address == "" {
+			return nil, errors.Errorf("backends[%d]: id, service and address must be given", i)
+		}
+	}
+	return &decoded, nil
+}
+
+func (e *pageEntry) backend() message.Backend {
+	backend := message.Backend{
+		ID: message.BackendID(e.ID), Service: e.Service, Address: e.Address, Zone: e.Zone, Capacity: e.Capacity,
+		Draining: e.State == stateDraining, WarmUpLeftMs: int(e.WarmUpLeftMs), TimeLeftMs: int(e.TimeLeftMs),
+	}
+	for _, model := range e.Models {
+		backend.Models = append(backend.Models, message.LoadedModel{
+			Name: message.ModelName(model.Name), Adapters: model.Adapters,
+		})
+	}
+	return backend
+}
--- /dev/null
+++ b/internal/controlplane/discovery/reader_test.go
@@ -0,0 +1,69 @@
+package discovery
+
+import (
+	"context"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+// read reads the list from a server that answers with handler.
+func read(t *testing.T, handler http.HandlerFunc) (*Table, error) {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return NewReader(strings.TrimPrefix(server.URL, "http://")).Read(context.Background())
+}
+
+func TestReader_ReadsAllPages(t *testing.T) {
+	table, err := read(t, func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Query().Get("page") == "" {
+			fmt.Fprint(w, `{"backends":[{"id":"a","service":"s","address":"1:1","state":"draining","timeLeftMs":5,"extra":{}}],"nextPage":"p/2 x"}`)
+			return
+		}
+		assert.Equal(t, "p/2 x", r.URL.Query().Get("page"))
+		fmt.Fprint(w, `{"backends":[{"id":"b","service":"s","address":"2:2","state":"ready","models":[{"name":"m","adapters":["a1"]}]}],"nextPage":null}`)
+	})
+	require.NoError(t, err)
+	require.Len(t, table.Backends, 2)
+	assert.True(t, table.Backends[0].Draining)
+	assert.True(t, table.Backends[1].Holds("m/a1"))
+	assert.NotZero(t, table.Digest)
+}
+
+func TestReader_RejectsMalformedList(t *testing.T) {
+	cases := []struct {
+		name, body, want string
+		status           int
+	}{
+		{"cut short", `{"backends":[{"id":"a"`, "no whole JSON", http.StatusOK},
+		{"no backends", `{"nextPage":null}`, "has no backends", http.StatusOK},
+		{"no address", `{"backends":[{"id":"a","service":"s"}],"nextPage":null}`,
+			"backends[0]: id, service and address must be given", http.StatusOK},
+		{"rate limited", "", "status 429", http.StatusTooManyRequests},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			table, err := read(t, func(w http.ResponseWriter, _ *http.Request) {
+				w.WriteHeader(c.status)
+				fmt.Fprint(w, c.body)
+			})
+			assert.Nil(t, table)
+			assert.ErrorContains(t, err, c.want)
+		})
+	}
+}
+
+func FuzzParsePage(f *testing.F) {
+	f.Add([]byte(`{"backends":[{"id":"a","service":"s","address":"1:1"}],"nextPage":null}`))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		if parsed, err := parsePage(text); (parsed == nil) == (err == nil) {
+			t.Fatal("a page or an error, not both")
+		}
+	})
+}
--- a/internal/controlplane/discovery/digest.go
+++ b/internal/controlplane/discovery/update.go
@@ -10,25 +10,26 @@
 	"pumiceline/internal/message"
 )
 
-// SetDigest puts the backends in the order of their ids and brings the digest up to date.
+// SetDigest sorts the backends by ID and sets the digest of their encoding, which tells tables apart. It is never 0,
+// which stands for no table. Whoever fills a table calls it before handing the table on.
 func (t *Table) SetDigest() {
 	slices.SortFunc(t.Backends, func(a, b message.Backend) int { return cmp.Compare(a.ID, b.ID) })
 	update := message.BackendUpdate{Backends: t.Backends}
-	text, err := update.MarshalMsg(nil)
+	encoded, err := update.MarshalMsg(nil)
 	if err != nil {
 		t.Digest = 0
 		return
 	}
-	t.Digest = xxhash.Sum64(text) | 1 // never 0, which stands for no list
+	t.Digest = xxhash.Sum64(encoded) | 1
 }
 
-// Whole makes an update of the whole table.
-func (t *Table) Whole() *message.BackendUpdate {
+// FullUpdate returns an update that brings a receiver without a table to this one.
+func (t *Table) FullUpdate() *message.BackendUpdate {
 	return &message.BackendUpdate{Digest: t.Digest, Backends: t.Backends}
 }
 
-// Since makes an update for who has the older table base.
-func (t *Table) Since(base *Table) *message.BackendUpdate {
+// UpdateSince returns an update that brings a receiver from the older table base to this one.
+func (t *Table) UpdateSince(base *Table) *message.BackendUpdate {
 	update := &message.BackendUpdate{Digest: t.Digest, Base: base.Digest}
 	before := map[message.BackendID]*message.Backend{}
 	for i := range base.Backends {
@@ -36,7 +37,7 @@
 	}
 	for i := range t.Backends {
 		backend := &t.Backends[i]
-		if old, ok := before[backend.ID]; !ok || !same(old, backend) {
+		if old, ok := before[backend.ID]; !ok || !isEqual(old, backend) {
 			update.Backends = append(update.Backends, *backend)
 		}
 		delete(before, backend.ID)
@@ -47,15 +48,17 @@
 	return update
 }
 
-func same(a, b *message.Backend) bool {
-	x, errX := a.MarshalMsg(nil)
-	y, errY := b.MarshalMsg(nil)
-	return errX == nil && errY == nil && bytes.Equal(x, y)
+// isEqual compares what is sent to receivers, so a change of the warm-up time alone is none.
+func isEqual(a, b *message.Backend) bool {
+	encodedA, errA := a.MarshalMsg(nil)
+	encodedB, errB := b.MarshalMsg(nil)
+	return errA == nil && errB == nil && bytes.Equal(encodedA, encodedB)
 }
 
-// Apply makes the table that an update tells of; base is the table at hand, and may be nil. ok is false where the
-// update builds on another table, or does not lead to the one that it names: the whole list must be asked for.
-func Apply(base *Table, update *message.BackendUpdate) (table *Table, ok bool) {
+// ApplyUpdate returns the table that an update leads to from base, which may be nil. ok is false where the update builds
+// on another table, or does not lead to the one whose digest it names: then the receiver must request a full update. The
+// result has no ObservedAt yet.
+func ApplyUpdate(base *Table, update *message.BackendUpdate) (table *Table, ok bool) {
 	if update.Base == 0 {
 		return &Table{Backends: update.Backends, Digest: update.Digest}, true
 	}
--- /dev/null
+++ b/internal/controlplane/discovery/update_test.go
@@ -0,0 +1,39 @@
+package discovery
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"pumiceline/internal/message"
+)
+
+func tableOf(entries ...message.Backend) *Table {
+	t := &Table{Backends: entries}
+	t.SetDigest()
+	return t
+}
+
+func TestApplyUpdate_LeadsToSameTable(t *testing.T) {
+	a, b, c := message.Backend{ID: "a"}, message.Backend{ID: "b"}, message.Backend{ID: "c"}
+	loaded := b
+	loaded.Models = []message.LoadedModel{{Name: "m"}}
+	before, after := tableOf(c, a, b), tableOf(loaded, a, message.Backend{ID: "d"})
+	update := after.UpdateSince(before)
+	assert.Len(t, update.Backends, 2, "only what changed")
+	assert.Equal(t, []message.BackendID{"c"}, update.Removed)
+	next, ok := ApplyUpdate(before, update)
+	require.True(t, ok)
+	assert.Equal(t, after.Backends, next.Backends)
+	_, ok = ApplyUpdate(tableOf(a), update)
+	assert.False(t, ok, "another base")
+	_, ok = ApplyUpdate(nil, update)
+	assert.False(t, ok, "no base")
+	full, ok := ApplyUpdate(nil, after.FullUpdate())
+	require.True(t, ok)
+	assert.Equal(t, after.Digest, full.Digest)
+	update.Removed = nil
+	_, ok = ApplyUpdate(before, update)
+	assert.False(t, ok, "an update that leads to another table")
+}
--- a/internal/controlplane/distribution/backend_history.go
+++ b/internal/controlplane/distribution/backend_history.go
@@ -18,7 +18,7 @@
 
 // set sets the newest list and reports whether it differs from the one before. A list observed earlier is ignored.
 func (h *backendHistory) set(table *discovery.Table) bool {
-	if h.newest.IsKnown() && !table.Observed.After(h.newest.Observed) {
+	if h.newest.IsKnown() && !table.ObservedAt.After(h.newest.ObservedAt) {
 		return false
 	}
 	isChanged := !h.newest.IsKnown() || h.newest.Digest != table.Digest
@@ -39,10 +39,10 @@
 	if cached := h.updates[digest]; cached != nil {
 		return cached
 	}
-	update := h.newest.Whole()
+	update := h.newest.FullUpdate()
 	for _, earlier := range h.earlier {
 		if earlier.Digest == digest {
-			update = h.newest.Since(earlier)
+			update = h.newest.UpdateSince(earlier)
 		}
 	}
 	h.updates[digest] = update
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -35,7 +35,7 @@
 }
 
 func backendTable(id message.BackendID, observed time.Time) *discovery.Table {
-	t := &discovery.Table{Observed: observed, Backends: []message.Backend{{ID: id, Service: "s", Address: "a"}}}
+	t := &discovery.Table{ObservedAt: observed, Backends: []message.Backend{{ID: id, Service: "s", Address: "a"}}}
 	t.SetDigest()
 	return t
 }
--- a/internal/controlplane/distribution/load_query_test.go
+++ b/internal/controlplane/distribution/load_query_test.go
@@ -30,7 +30,7 @@
 		return response
 	}
 	assert.True(t, query("p1", message.LoadReport{Service: "s", Model: "m"}).Unknown, "without a list nothing is known")
-	table := &discovery.Table{Observed: time.Now(), Backends: []message.Backend{
+	table := &discovery.Table{ObservedAt: time.Now(), Backends: []message.Backend{
 		{ID: "b1", Service: "s", Models: []message.LoadedModel{{Name: "m", Adapters: []string{"a1"}}}},
 		{ID: "b2", Service: "s", Models: []message.LoadedModel{{Name: "m"}}},
 		{ID: "b3", Service: "s", Models: []message.LoadedModel{{Name: "n"}}},
--- a/internal/controlplane/distribution/poll.go
+++ b/internal/controlplane/distribution/poll.go
@@ -102,7 +102,7 @@
 	}
 	if newest := s.backends.newest; newest.IsKnown() {
 		response.BackendsKnown = true
-		response.BackendsAgeMs = now.Sub(newest.Observed).Milliseconds()
+		response.BackendsAgeMs = now.Sub(newest.ObservedAt).Milliseconds()
 	}
 	if s.hasOtherBackends(&poll.request) {
 		response.Backends = s.backends.updateFrom(poll.request.BackendDigest)
--- a/internal/dataplane/proxy/discoveryfallback.go
+++ b/internal/dataplane/proxy/discoveryfallback.go
@@ -44,10 +44,10 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !table.Observed.After(s.observedAt) {
+	if !table.ObservedAt.After(s.observedAt) {
 		return
 	}
-	s.observedAt, s.table = table.Observed, table
+	s.observedAt, s.table = table.ObservedAt, table
 	s.dispatcher.Update(balancer.Update{Backends: table.Backends, HasBackends: true, OnRemoved: s.closeConnections})
 }
 
--- a/internal/dataplane/proxy/subscription.go
+++ b/internal/dataplane/proxy/subscription.go
@@ -98,7 +98,7 @@
 	}
 }
 
-// Apply puts a response of a coordinator in force. sent is when its request was sent.
+// ApplyUpdate puts a response of a coordinator in force. sent is when its request was sent.
 func (s *subscription) Apply(response *message.PollResponse, sent time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -154,7 +154,7 @@
 // applyBackendUpdate applies an update to the table. One that does not fit is dropped, and the next request asks for
 // all backends.
 func (s *subscription) applyBackendUpdate(update *message.BackendUpdate) (backends []message.Backend, ok bool) {
-	table, ok := discovery.Apply(s.table, update)
+	table, ok := discovery.ApplyUpdate(s.table, update)
 	if !ok {
 		s.table = nil
 		return nil, false
