--- /dev/null
+++ b/internal/standalone/policy/actions.go
@@ -0,0 +1,27 @@
+package policy
+
+// ActionKind determines which fields of an Action are set.
+type ActionKind uint8
+
+const (
+	SendAttempt        ActionKind = iota + 1 // ID, Server, SendBefore, After: the attempt's time-out (0: the client's)
+	RejectRequest                            // ID, After: the Retry-After (0: none)
+	FailRequest                              // ID
+	CancelAttempt                            // ID, Attempt
+	SetTimer                                 // ID: handed back by TimerFired, After
+	PollLoad                                 // Server
+	SubscribeDiscovery                       // to membership changes, missed ones first
+	LogMessage                               // Text
+	CloseIdleConns                           // Server
+)
+
+// Action is something that the caller is to do. Attempts of a request count from 0 in the order of its SendAttempts.
+type Action struct {
+	Kind       ActionKind
+	Attempt    uint8
+	Server     uint32
+	ID         uint64
+	After      Time
+	SendBefore Time // of a SendAttempt: nothing may be written from then on, it could execute twice; 0: no limit
+	Text       string
+}
--- a/internal/standalone/policy/ask_test.go
+++ b/internal/standalone/policy/ask_test.go
@@ -26,7 +26,7 @@
 		give := func(n int, now Time, ev Event) {
 			for _, a := range herd[n].Handle(now, &ev, nil) {
 				switch {
-				case a.Kind == SetTimer && a.ID == tagAsk:
+				case a.Kind == SetTimer && a.ID == timerSubscribe:
 					queue = append(queue, due{now + a.After, n, Event{Kind: TimerFired, ID: a.ID}})
 				case a.Kind == SubscribeDiscovery:
 					perSecond[now/1e6]++
@@ -39,7 +39,7 @@
 				}
 			}
 		}
-		set := settings()
+		set := testSettings()
 		set.SubscribeDiscovery, set.GroupSize, set.Rules.SubscribeWithin = true, c.group, 10e6
 		for n := range herd {
 			var err error
--- /dev/null
+++ b/internal/standalone/policy/balancer.go
@@ -0,0 +1,194 @@
+// Package policy makes the decisions of one HTTP load balancer in a group of them: which server gets a request, when
+// to retry, when to reject, and when to subscribe to discovery.
+//
+// A Balancer is a state machine. Create one with New, then call Handle with each event in the order it happened;
+// Handle appends the actions that follow to the caller's buffer. The package has no clock and no goroutines and does
+// no I/O: the caller's `now` is the only time it knows, in microseconds from any fixed origin, never going back.
+// Timers are actions too (SetTimer), answered by TimerFired events.
+//
+// A Balancer is not safe for concurrent use. Balancers share nothing; run as many as you like. Equal settings, seeds
+// and events give equal actions: iteration is over slices in the order of listing, never over maps.
+//
+// The files, by concern: request (life of a request), queue (waiting requests), dispatch (attempts), retry (when a
+// further attempt is safe and affordable), schedule (weighted round robin and the choice of a server), weights (gRFC
+// A58), slowstart (gRFC A100), locality (zones), outlier (ejection), admission (concurrency limit), membership and
+// subscription (discovery), snapshot (state for a successor process).
+package policy
+
+import (
+	"math"
+	"math/rand/v2"
+
+	"pumiceline/internal/edf"
+	"pumiceline/internal/standalone/affinity"
+	"pumiceline/internal/standalone/concurrency"
+	"pumiceline/internal/standalone/latencybaseline"
+	"pumiceline/internal/standalone/loadpolling"
+)
+
+// Balancer decides for one load balancer. See the package comment.
+type Balancer struct {
+	settings Settings
+	rng      *rand.Rand
+	now      Time
+	actions  []Action // of the event being handled
+
+	started     bool
+	refreshedAt Time
+
+	// Servers.
+	servers         map[uint32]*server
+	members         []*server // the same in the order of listing, for iteration
+	affinity        affinity.Table
+	connectFailures [256]int // by zone, since the last success
+	ejected         int      // servers that are ejected or stalled
+	remoteZoneShare float64  // fraction of their weight that servers of other zones keep
+	instanceTypes   []capacityStats
+	overall         capacityStats // over all instance types
+	discovery       subscription
+
+	// Schedule: each server gets a turn every 1/weight of virtual time, the earliest deadline first.
+	schedule    edf.Queue[server]
+	virtualTime float64   // deadline of the latest turn
+	skipped     []*server // scratch buffer of pick
+
+	// Admission.
+	concurrencyLimit  float64 // the most attempts in flight
+	inFlight          int     // attempts in flight at servers that are not stalled
+	congestion        float64 // moving average: share of recent responses that signalled congestion
+	lastAttemptEnd    Time
+	limitHeldUntil    Time // until then the limit does not follow the attempts in flight
+	medianAttemptTime float64
+	unloadedLatency   []latencybaseline.Estimator // by class
+
+	// Requests.
+	requests      map[uint64]*request
+	freeRequests  []*request // for reuse
+	queue         []*request // in the order of arrival
+	queueTimerSet bool
+	arrivals      float64 // since the last refresh
+	arrivalRate   float64 // moving average, requests per second
+	meanWork      float64 // moving average over the requests whose work is known
+	retryTokens   float64
+	tenantTokens  []float64 // quota left, by tenant
+}
+
+// New returns a balancer for the given settings. The seed determines all its random choices.
+func New(settings Settings, seed uint64) (*Balancer, error) {
+	b := &Balancer{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), servers: map[uint32]*server{},
+		requests: map[uint64]*request{}, retryTokens: retryBurst, concurrencyLimit: math.Inf(1)}
+	if err := b.ApplySettings(settings); err != nil {
+		return nil, err
+	}
+	return b, nil
+}
+
+// ApplySettings replaces the settings, or none with an error. Open requests keep their class and number of attempts.
+func (b *Balancer) ApplySettings(settings Settings) error {
+	if err := settings.validate(); err != nil {
+		return err
+	}
+	settings.applyDefaults()
+	tenantTokens := make([]float64, len(settings.Tenants))
+	copy(tenantTokens, b.tenantTokens)
+	unloadedLatency := make([]latencybaseline.Estimator, len(settings.Classes))
+	copy(unloadedLatency, b.unloadedLatency)
+	b.settings, b.tenantTokens, b.unloadedLatency = settings, tenantTokens, unloadedLatency
+	return nil
+}
+
+// Handle processes the next event, which happens at now, and appends the actions that follow to actions.
+func (b *Balancer) Handle(now Time, ev *Event, actions []Action) []Action {
+	b.now, b.actions = max(now, b.now), actions
+	if !b.started {
+		b.started, b.refreshedAt = true, b.now
+		b.setTimer(timerRefresh, b.jitter(refreshPeriod))
+		b.scheduleSubscribe()
+	}
+	switch ev.Kind {
+	case RequestArrived:
+		b.onRequestArrived(ev)
+	case AttemptEnded:
+		b.onAttemptEnded(ev)
+	case ResponseStarted:
+		b.onResponseStarted(ev)
+	case BodySent:
+		b.onBodySent(ev)
+	case RequestAbandoned:
+		b.onRequestAbandoned(ev)
+	case TimerFired:
+		b.onTimer(ev.ID)
+	case LoadPolled:
+		if s := b.servers[ev.Server]; s != nil {
+			b.addReport(s, ev.Report)
+		}
+	case MembershipFull, MembershipCached, MembershipDelta:
+		b.onMembership(ev)
+	case DiscoveryFailed, DiscoverySilent:
+		b.onDiscoveryFailed(ev)
+	}
+	actions, b.actions = b.actions, nil
+	return actions
+}
+
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
+
+// Timers carry their purpose in the low bits of their ID.
+const (
+	timerRefresh   = 0
+	timerQueue     = 1
+	timerSubscribe = 2
+	timerKindBits  = 2
+)
+
+// setTimer asks for a TimerFired event with this ID.
+func (b *Balancer) setTimer(id uint64, after Time) {
+	b.emit(Action{Kind: SetTimer, ID: id, After: max(1, after)})
+}
+
+func (b *Balancer) onTimer(id uint64) {
+	switch id & (1<<timerKindBits - 1) {
+	case timerRefresh:
+		b.refresh()
+		b.setTimer(timerRefresh, refreshPeriod)
+	case timerQueue:
+		b.queueTimerSet = false
+		b.expireQueued()
+	case timerSubscribe:
+		b.subscribe()
+	}
+}
+
+// jitter returns a random duration from t/2 to 3t/2.
+func (b *Balancer) jitter(t Time) Time { return t/2 + Time(b.rng.Float64()*float64(t)) }
+
+const (
+	refreshPeriod   = 100_000 // between two calls of refresh
+	arrivalRateFade = 2       // time constant of arrivalRate in seconds
+)
+
+// refresh brings weights, budgets and the concurrency limit up to date. It runs on a period, never for a request.
+func (b *Balancer) refresh() {
+	elapsed := float64(b.now-b.refreshedAt) / 1e6 // seconds
+	b.refreshedAt = b.now
+	if elapsed > 0 {
+		b.arrivalRate += (1 - math.Exp(-elapsed/arrivalRateFade)) * (b.arrivals/elapsed - b.arrivalRate)
+		b.arrivals = 0
+	}
+	b.refillTenantTokens(elapsed)
+	b.removeGoneServers()
+	b.updateMeans()
+	b.updateRemoteZoneShare(elapsed)
+	if b.now >= b.limitHeldUntil {
+		b.concurrencyLimit = concurrency.LimitToUsage(b.concurrencyLimit, b.inFlight, len(b.members), b.settings.GroupSize)
+	}
+	pollInterval := loadpolling.Interval(len(b.members), b.settings.GroupSize, b.arrivalRate)
+	for _, s := range b.members {
+		if b.settings.pollsLoad() && s.Waits() && s.polling.Due(b.now, pollInterval, b.rng.Float64()) {
+			b.emit(Action{Kind: PollLoad, Server: s.id})
+		}
+		b.refreshSlowStart(s, elapsed)
+		b.examineServer(s)
+		b.refreshWeight(s)
+	}
+}
--- a/internal/standalone/policy/change_test.go
+++ b/internal/standalone/policy/change_test.go
@@ -17,14 +17,14 @@
 		b.Handle(2, &Event{Kind: RequestArrived, ID: id, Work: 1000, ClientTimeout: 4e6}, nil)
 	}
 	fail := func(id uint64, attempt uint8) (sent bool) {
-		at := b.open[id].tries[attempt].id
+		at := b.requests[id].attempts[attempt].serverID
 		for _, a := range b.Handle(3, &Event{Kind: AttemptEnded, ID: id, Attempt: attempt, Server: at, Outcome: ErrorResponse, Elapsed: 1000}, nil) {
 			sent = sent || a.Kind == SendAttempt
 		}
 		return sent
 	}
 	arrive(1)
-	faults := b.servers[b.open[1].tries[0].id].faults
+	faults := b.servers[b.requests[1].attempts[0].serverID].failureRate
 	next := set
 	next.Classes = []Class{{Semantics: NonIdempotent, LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}, {Semantics: Idempotent, LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}}
 	next.Limits.MaxAttempts, next.Tenants = 1, []Tenant{{QuotaPerS: 10}, {QuotaPerS: 20}}
@@ -36,7 +36,7 @@
 	}
 	arrive(2)
 	b.Handle(2, &Event{Kind: RequestArrived, ID: 3, Class: 1, Tenant: 1, Work: 1000, ClientTimeout: 4e6}, nil)
-	if len(b.servers) != 3 || b.servers[1].faults != faults {
+	if len(b.servers) != 3 || b.servers[1].failureRate != faults {
 		t.Error("what was learnt of servers is lost")
 	}
 	if !fail(1, 0) || !fail(1, 1) || fail(1, 2) {
@@ -45,7 +45,7 @@
 	if fail(2, 0) {
 		t.Error("a request of a class that must not run twice was sent again")
 	}
-	if b.open[3] == nil || fail(3, 0) {
+	if b.requests[3] == nil || fail(3, 0) {
 		t.Error("the new class has not the one attempt that the new settings allow")
 	}
 }
--- /dev/null
+++ b/internal/standalone/policy/dispatch.go
@@ -0,0 +1,66 @@
+package policy
+
+import "math"
+
+// dispatch sends r to a server. Without one it queues r; a request that may not be sent any more is rejected or failed.
+// It reports whether r was sent.
+func (b *Balancer) dispatch(r *request) bool {
+	if !b.mayAttempt(r) || r.inFlight == 0 && b.lacksTime(r) {
+		b.rejectOrFail(r)
+		return false
+	}
+	if s := b.pick(r); s != nil {
+		b.send(r, s)
+		return true
+	}
+	b.enqueue(r)
+	return false
+}
+
+// minTimeShare is the fraction of an attempt's expected time that must be left for it to be worth sending.
+const minTimeShare = 0.8
+
+// lacksTime reports whether r has less time left than an attempt will most likely take. Clients that give up before
+// their response retry, and a few of them can make the servers work twice for each request, in vain. Half of an
+// attempt's time is taken to be fixed and half to grow with its cost, as in observeLatency.
+func (b *Balancer) lacksTime(r *request) bool {
+	return float64(r.deadline-b.now) < minTimeShare*b.medianAttemptTime*(1+r.cost)/2
+}
+
+// send starts an attempt of r on s.
+func (b *Balancer) send(r *request, s *server) {
+	sendBefore := r.retryDeadline()
+	if sendBefore == math.MaxInt64 {
+		sendBefore = 0
+	}
+	r.attempts = append(r.attempts, attempt{server: s, serverID: s.id, zone: s.zone, cell: s.cell, inFlight: true,
+		mayHaveExecuted: true, bodyPending: true, sentAt: b.now, cost: r.cost})
+	r.inFlight++
+	s.uploading++
+	b.chargeSlowStart(s, r.cost)
+	if b.now-s.lastSentAt >= b.settings.Limits.ConnIdleTimeout {
+		s.openConns = s.inFlight // the others have been closed
+	}
+	s.lastSentAt = b.now
+	if !r.bodyPending {
+		b.countInFlight(&r.attempts[len(r.attempts)-1])
+	}
+	b.updateSchedule(s)
+	b.emit(Action{Kind: SendAttempt, ID: r.id, Server: s.id, SendBefore: sendBefore})
+}
+
+// countInFlight counts an attempt as one that its server has completely.
+func (b *Balancer) countInFlight(a *attempt) {
+	s := a.server
+	a.bodyPending = false
+	s.uploading--
+	if s.inFlight == 0 {
+		s.waitingSince = b.now
+	}
+	s.inFlight++
+	s.openConns = max(s.openConns, s.inFlight)
+	if !s.stalled { // the attempts of a stalled server are counted when it stops being stalled
+		b.inFlight++
+	}
+	b.updateSchedule(s)
+}
--- /dev/null
+++ b/internal/standalone/policy/events.go
@@ -0,0 +1,89 @@
+package policy
+
+// EventKind determines which fields of an Event are set.
+type EventKind uint8
+
+const (
+	RequestArrived   EventKind = iota + 1 // ID, Class, Tenant, AffinityKey, Work, ClientTimeout, BodyPending, ClientRetry
+	AttemptEnded                          // ID, Attempt, Server, Outcome, Elapsed, Final, Report
+	ResponseStarted                       // ID: the response is streaming to the client, no deadline applies any more
+	BodySent                              // ID, Attempt: the last byte of a request with BodyPending was sent
+	RequestAbandoned                      // ID: the client left, or its response is overdue
+	TimerFired                            // ID: as given with SetTimer
+	LoadPolled                            // Server, Outcome, Elapsed, Report
+	MembershipFull                        // Members: the complete membership
+	MembershipCached                      // Members: a complete membership that may be outdated
+	MembershipDelta                       // Members: changed entries only
+	DiscoveryFailed                       // a call to discovery failed or the subscription broke
+	DiscoverySilent                       // like DiscoveryFailed, but changes may have been missed: subscribe again soon
+)
+
+// Event is something that happened. Report and Members need to stay valid only during the call of Handle.
+type Event struct {
+	Kind          EventKind
+	Outcome       Outcome
+	Final         bool // the request has its response
+	BodyPending   bool // the client is still sending the body; BodySent follows when a server has it
+	ClientRetry   bool // the client marked the request as a retry; for admission control in front, not used here
+	Attempt       uint8
+	Class         uint8 // index into Settings.Classes
+	Tenant        uint32
+	Server        uint32
+	ID            uint64
+	AffinityKey   uint64 // what the request is about; 0: unknown
+	Work          Time   // expected work on a standard core; 0: unknown
+	ClientTimeout Time   // how long the client still waits
+	Elapsed       Time
+	Report        []float32 // values in the order of Settings.ReportColumns; empty: none
+	Members       []Member
+}
+
+// Outcome is how an attempt or a load poll ended. The simulator's link sends the numbers.
+type Outcome uint8
+
+const (
+	OK              Outcome = iota // served
+	ErrorResponse                  // the server responded with an error
+	Rejected                       // the server rejected the attempt before processing
+	TimedOut                       // no response within the time-out
+	ConnectFailed                  // no connection within the time-out
+	ConnectionReset                // the connection broke
+	Cancelled                      // by this side
+	NotSent                        // nothing was written
+)
+
+// provesNotExecuted reports whether o proves that the server did not execute the request.
+func (o Outcome) provesNotExecuted() bool {
+	return o == Rejected || o == ConnectFailed || o == NotSent
+}
+
+// Mode is a server's state in the membership. The simulator's link sends the numbers.
+type Mode uint8
+
+const (
+	ModeGone Mode = iota
+	ModeReady
+	ModeDraining
+)
+
+// Member is a server as discovery lists it.
+type Member struct {
+	Server       uint32  `json:"Server"`
+	Zone         uint8   `json:"Zone"`
+	Cell         uint16  `json:"Cell"`
+	InstanceType uint16  `json:"Kind"` // servers of one type have equal capacity
+	Mode         Mode    `json:"Mode"`
+	Size         float64 `json:"Size"`    // compares capacities, see Settings.SizesKnown
+	StartedAt    Time    `json:"UpSince"` // the latest start; 0: long ago
+}
+
+// maxSize is more than the size of any real server.
+const maxSize = 1e9
+
+// relativeSize is Size where that is plausible, else 1.
+func (m *Member) relativeSize() float64 {
+	if m.Size > 0 && m.Size < maxSize {
+		return m.Size
+	}
+	return 1
+}
--- a/internal/standalone/policy/jam_test.go
+++ b/internal/standalone/policy/jam_test.go
@@ -10,13 +10,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b.window = 20
-		s := &server{pace: 1, cold: c.cold}
+		b.concurrencyLimit = 20
+		s := &server{relativeLatency: 1, warmingUp: c.cold}
 		for _, o := range []Outcome{OK, Rejected, TimedOut} {
-			before := b.window
-			b.pace(&request{class: &b.set.Classes[0]}, &attempt{server: s}, &Event{Outcome: o, Elapsed: 900_000})
-			if (b.window < before) != c.narrows {
-				t.Errorf("cold %v, outcome %d: the window went from %v to %v", c.cold, o, before, b.window)
+			before := b.concurrencyLimit
+			b.adjustLimit(&request{class: &b.settings.Classes[0]}, &attempt{server: s}, &Event{Outcome: o, Elapsed: 900_000})
+			if (b.concurrencyLimit < before) != c.narrows {
+				t.Errorf("cold %v, outcome %d: the window went from %v to %v", c.cold, o, before, b.concurrencyLimit)
 			}
 		}
 	}
--- a/internal/standalone/policy/keys_test.go
+++ b/internal/standalone/policy/keys_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-// placing returns a balancer with room for all, whose servers' connections are there, so that none is spared, and what sends it a
+// newAffinityBalancer returns a balancer with room for all, whose servers' connections are there, so that none is spared, and what sends it a
 // request, which stays out unless back, and tells where it went.
-func placing(t *testing.T, set Settings, members []Member) (b *Balancer, to func(key uint64, back bool) uint32) {
+func newAffinityBalancer(t *testing.T, set Settings, members []Member) (b *Balancer, to func(key uint64, back bool) uint32) {
 	b = newBalancer(t, set, members)
-	b.later(refreshEvery)
-	b.window = 1e6
-	for _, s := range b.order {
-		s.conns, s.lastSend = 1000, b.now
+	b.advance(refreshPeriod)
+	b.concurrencyLimit = 1e6
+	for _, s := range b.members {
+		s.openConns, s.lastSentAt = 1000, b.now
 	}
 	id := uint64(0)
 	return b, func(key uint64, back bool) uint32 {
@@ -31,11 +31,11 @@
 // servers met all of 300 keys there, and 60% to 70% of the work was done again. A server that drains, hangs or is left out has its keys
 // served at their second homes, all of a key at one, and has them back; no other key moves.
 func TestOneKeyGoesToOneServer(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.KeyAffinity = true
-	b, to := placing(t, set, fleet(12))
-	_, other := placing(t, set, fleet(12))
-	_, cold := placing(t, settings(), fleet(12))
+	b, to := newAffinityBalancer(t, set, testMembers(12))
+	_, other := newAffinityBalancer(t, set, testMembers(12))
+	_, cold := newAffinityBalancer(t, testSettings(), testMembers(12))
 	round := func(to func(uint64, bool) uint32) (homes [299]uint32) {
 		for k := range homes {
 			homes[k] = to(uint64(k+1), true)
@@ -52,8 +52,8 @@
 	}
 	for name, away := range map[string]func(is bool){
 		"draining": func(is bool) { mode(map[bool]Mode{true: ModeDraining, false: ModeReady}[is]) },
-		"hanging":  func(is bool) { s.stalled = is; b.place(s) },
-		"left out": func(is bool) { s.suspended = is; b.place(s) },
+		"hanging":  func(is bool) { s.stalled = is; b.updateSchedule(s) },
+		"left out": func(is bool) { s.ejected = is; b.updateSchedule(s) },
 	} {
 		away(true)
 		first, second := round(to), round(to)
@@ -71,14 +71,14 @@
 // What is out spreads by listed size, also where nothing is reported; a key that is asked for by far the most makes no server hot,
 // as what its home can't take goes to its second home and then to all.
 func TestNoServerIsHot(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.ReportDelivery, set.SizesKnown, set.ReportColumns, set.KeyAffinity = ReportsNone, true, nil, true
-	members := fleet(12)
+	members := testMembers(12)
 	for i := range members {
 		members[i].Size = float64(1 + 2*(i%2))
 	}
 	for name, hot := range map[string]uint64{"a hot key": 7, "no keys": 0} {
-		_, to := placing(t, set, members)
+		_, to := newAffinityBalancer(t, set, members)
 		out := map[uint32]int{}
 		for id := range uint64(240) {
 			key := hot
--- a/internal/standalone/policy/learnt_test.go
+++ b/internal/standalone/policy/learnt_test.go
@@ -26,7 +26,7 @@
 	now := Time(start)
 	for id := range uint64(400) {
 		now += 10_000
-		old.Handle(now, &Event{Kind: TimerFired, ID: tagRefresh}, nil)
+		old.Handle(now, &Event{Kind: TimerFired, ID: timerRefresh}, nil)
 		for _, a := range old.Handle(now, &Event{Kind: RequestArrived, ID: id + 1, Work: 1000, ClientTimeout: 4e6}, nil) {
 			if a.Kind == SendAttempt {
 				old.Handle(now+5000, &Event{Kind: AttemptEnded, ID: a.ID, Server: a.Server, Outcome: OK, Elapsed: 50_000,
@@ -46,15 +46,15 @@
 	if !b.Restore(now+5000, &l) {
 		t.Fatal("not taken over")
 	}
-	b.Handle(now+6000, &Event{Kind: TimerFired, ID: tagRefresh}, nil)
-	calm, known := b.calm[0].Baseline()
-	if was, _ := old.calm[0].Baseline(); !known || calm != was || b.window != old.window || b.usual != old.usual || b.servers[1].qps != old.servers[1].qps || !b.servers[3].cold ||
-		b.mean.mean == 0 || b.servers[3].readySince != old.servers[3].readySince {
+	b.Handle(now+6000, &Event{Kind: TimerFired, ID: timerRefresh}, nil)
+	calm, known := b.unloadedLatency[0].Baseline()
+	if was, _ := old.unloadedLatency[0].Baseline(); !known || calm != was || b.concurrencyLimit != old.concurrencyLimit || b.medianAttemptTime != old.medianAttemptTime || b.servers[1].qpsSum != old.servers[1].qpsSum || !b.servers[3].warmingUp ||
+		b.overall.meanWeight == 0 || b.servers[3].readySince != old.servers[3].readySince {
 		t.Errorf("%+v became %+v", l, b.Snapshot())
 	}
 	again := begin(start + 1) // server 3 has been started since
 	again.Restore(now+5000, &l)
-	if again.servers[3].readySince != start+1 || again.servers[3].mass != 0 {
+	if again.servers[3].readySince != start+1 || again.servers[3].reportWeight != 0 {
 		t.Error("believed what was learnt of a process that is gone")
 	}
 	for name, spoil := range map[string]func(*Snapshot){
--- /dev/null
+++ b/internal/standalone/policy/locality.go
@@ -0,0 +1,70 @@
+package policy
+
+import "math"
+
+const (
+	// homeZoneUtilization is the utilization of the home zone from which requests leave it, if crossing were free.
+	homeZoneUtilization    = 0.5
+	maxHomeZoneUtilization = 0.8 // and with any price
+	homeZoneRange          = 0.3 // utilization over that at which the remote share is full
+	remoteZoneAdvantage    = 0.1 // difference of utilization at which the remote share is full
+
+	// maxZoneConnectFailures is the number of failures to connect in a row in one zone that point to the zone and not
+	// to its servers. Beyond it the zone loses weight, so that its servers need not be found unreachable one by one.
+	maxZoneConnectFailures = 3
+)
+
+// zoneLoad is the utilization of several servers, weighted by their weight.
+type zoneLoad struct{ utilization, weight float64 }
+
+func (l zoneLoad) mean() float64 { return l.utilization / l.weight }
+
+// updateRemoteZoneShare moves the fraction of their weight that servers of other zones keep: 0 while the home zone has
+// headroom, since crossing zones has a price, and more the less headroom it has, as long as the others are less
+// utilized. It moves in small steps: reports are old and every balancer reacts to the same ones. elapsed is in seconds.
+func (b *Balancer) updateRemoteZoneShare(elapsed float64) {
+	home, remote := b.zoneLoads()
+	target := 0.0
+	if home.weight > 0 {
+		homeMean, remoteMean := home.mean(), 0.0
+		if remote.weight > 0 {
+			remoteMean = remote.mean()
+		}
+		start := min(maxHomeZoneUtilization, homeZoneUtilization+b.settings.Prices.CrossZone)
+		target = clampToUnit((homeMean-start)/homeZoneRange) * clampToUnit((homeMean-remoteMean)/remoteZoneAdvantage)
+	}
+	b.remoteZoneShare += (target - b.remoteZoneShare) * (1 - math.Exp(-elapsed))
+	if b.connectFailures[uint8(b.settings.Zone)] > maxZoneConnectFailures {
+		b.remoteZoneShare = 1
+	}
+}
+
+// zoneLoads returns the load of the scheduled servers in the home zone and in all others.
+func (b *Balancer) zoneLoads() (home, remote zoneLoad) {
+	for _, s := range b.members {
+		if !s.Waits() || s.reportWeight == 0 {
+			continue
+		}
+		load := &home
+		if !b.isHomeZone(s) {
+			load = &remote
+		}
+		weight := b.baseWeight(s)
+		load.utilization += weight * s.utilizationSum / s.reportWeight
+		load.weight += weight
+	}
+	return home, remote
+}
+
+func (b *Balancer) isHomeZone(s *server) bool { return int(s.zone) == b.settings.Zone }
+
+// zoneFactor scales the weight of s by its zone.
+func (b *Balancer) zoneFactor(s *server) float64 {
+	factor := 1 / (1 + float64(max(0, b.connectFailures[s.zone]-maxZoneConnectFailures)))
+	if !b.isHomeZone(s) {
+		factor *= b.remoteZoneShare
+	}
+	return factor
+}
+
+func clampToUnit(x float64) float64 { return max(0, min(1, x)) }
--- a/internal/standalone/policy/narrow_test.go
+++ b/internal/standalone/policy/narrow_test.go
@@ -5,7 +5,7 @@
 // One of 400 balancers with 90 servers of a few places each: one attempt out of each balancer would be more than the servers bear
 // together. While every answer speaks of a queue it has far less than one out on the mean, and once none does it takes all that comes.
 func TestOneOfHundredsHasLessThanOneOut(t *testing.T) {
-	set := settings()
+	set := testSettings()
 	set.GroupSize = 400
 	b, err := New(set, 1)
 	if err != nil {
@@ -36,7 +36,7 @@
 			}
 		}
 	}
-	give(Event{Kind: MembershipFull, Members: fleet(90)})
+	give(Event{Kind: MembershipFull, Members: testMembers(90)})
 	for now = begin; now < begin+80e6; now += 5000 {
 		for i := 0; i < len(timers); {
 			if tm := timers[i]; tm.at <= now {
--- /dev/null
+++ b/internal/standalone/policy/outlier.go
@@ -0,0 +1,199 @@
+package policy
+
+import "pumiceline/internal/standalone/latencybaseline"
+
+const (
+	// maxConnectFailures is the number of attempts in a row that must fail to connect before a server is ejected.
+	maxConnectFailures = 2
+	// maxTimeouts is the number of attempts in a row that must time out before a server is ejected.
+	maxTimeouts = 4
+	// timeoutFactor is how many times the median an attempt must have taken for its time-out to count: a client with
+	// little time says nothing about the server.
+	timeoutFactor = 2
+	// slowFactor is how many times the median a server's recent attempts must have taken for it to count as slow.
+	// Instance types differ by less, and single requests by more only now and then.
+	slowFactor = 4
+	// minRestartTime is how long a server must not have responded to be taken for restarted. No process is back
+	// sooner, and after a network that resets connections all servers would be taken for warming up.
+	minRestartTime = 1_000_000
+	// idleConnTimeout is how long an unused connection is kept. Servers accept only so many, and those of a balancer
+	// that does not need them keep others out.
+	idleConnTimeout = 2_000_000
+)
+
+// The first ejection of a server, and the most that it grows to as ejections follow each other.
+const (
+	unreachableEjection    = 500_000
+	maxUnreachableEjection = 8_000_000
+	rejectingEjection      = 250_000
+	maxRejectingEjection   = 2_000_000
+	timeoutEjection        = 500_000
+	maxTimeoutEjection     = 4_000_000
+)
+
+const (
+	failureGain      = 0.15 // weight of the latest outcome in server.failureRate
+	relativeGain     = 0.5  // weight of the latest attempt in server.relativeLatency
+	maxRelativeTime  = 10   // the most that one attempt counts there
+	medianQuantile   = 0.5
+	medianStep       = 0.06 // of the median, by which it follows one attempt
+	minAttemptMedian = 1    // microseconds
+)
+
+// EjectedServers is the number of servers listed as ready that get no turns, because this balancer has ejected them or
+// found them stalled.
+func (b *Balancer) EjectedServers() (count int) {
+	for _, s := range b.members {
+		if s.isReady() && (s.ejected || s.stalled) {
+			count++
+		}
+	}
+	return count
+}
+
+// mayEject reports whether less than half of the servers are ejected. Else the cause is a common one, and fewer servers
+// would make it worse.
+func (b *Balancer) mayEject() bool { return 2*b.ejected < len(b.members) }
+
+// eject takes s out of the schedule until a probation attempt, for a time that doubles from first to longest while
+// ejections follow each other.
+func (b *Balancer) eject(s *server, first, longest Time) {
+	if s.ejected {
+		return
+	}
+	b.ejected++
+	s.ejectionTime = min(max(first, 2*s.ejectionTime), longest)
+	s.ejected, s.onProbation = true, false
+	s.ejectedUntil = b.now + b.jitter(s.ejectionTime)
+}
+
+// endProbation notes that s has responded. After failures to connect it is ready since now, as in gRFC A100 when a
+// connection becomes ready.
+func (b *Balancer) endProbation(s *server) {
+	if s.onProbation && s.unreachable && b.now-s.answeredAt >= minRestartTime {
+		b.beginSlowStart(s, b.now)
+	}
+	s.onProbation, s.unreachable = false, s.unreachable && s.ejected
+	s.timeouts, s.connectFailures, s.answeredAt = 0, 0, b.now
+}
+
+// observeOutcome updates what is known about s from the outcome of attempt a.
+func (b *Balancer) observeOutcome(s *server, a *attempt, ev *Event) {
+	b.countEnded(s)
+	if b.settings.ReportDelivery == ReportsInResponses {
+		b.addReport(s, ev.Report)
+	}
+	switch ev.Outcome {
+	case OK:
+		b.connectFailures[s.zone] = 0
+		b.observeLatency(s, a.cost, float64(ev.Elapsed), false)
+		b.endProbation(s)
+		s.ejectionTime = 0
+		s.failureRate -= s.failureRate * failureGain
+	case ErrorResponse:
+		b.endProbation(s)
+		s.failureRate += (1 - s.failureRate) * failureGain
+	case ConnectionReset:
+		s.failureRate += (1 - s.failureRate) * failureGain
+	case Rejected:
+		b.observeRejection(s)
+	case TimedOut:
+		b.observeTimeout(s, a, ev)
+	case ConnectFailed:
+		b.observeConnectFailure(s)
+	}
+	b.updateSchedule(s)
+}
+
+// countEnded takes an ended attempt out of the counts. Those of a server that was stalled count again.
+func (b *Balancer) countEnded(s *server) {
+	s.inFlight--
+	b.inFlight--
+	s.waitingSince = b.now
+	if s.stalled {
+		s.stalled = false
+		b.ejected--
+		b.inFlight += s.inFlight + 1
+	}
+}
+
+// observeRejection ejects a server that is draining without notice or whose queue is full: more requests would only be
+// rejected as well.
+func (b *Balancer) observeRejection(s *server) {
+	b.endProbation(s)
+	if b.mayEject() {
+		b.eject(s, rejectingEjection, maxRejectingEjection)
+	}
+}
+
+// observeTimeout ejects a server after several time-outs. Attempts that time out make room at a server that does not
+// respond: without ejection it would get turns as an idle one.
+func (b *Balancer) observeTimeout(s *server, a *attempt, ev *Event) {
+	if b.observeLatency(s, a.cost, float64(ev.Elapsed), true) >= timeoutFactor {
+		s.timeouts++
+	}
+	if (s.onProbation && s.timeouts > 0 || s.timeouts >= maxTimeouts) && b.mayEject() {
+		b.eject(s, timeoutEjection, maxTimeoutEjection)
+	}
+}
+
+// observeConnectFailure ejects a server that cannot be reached. A single failure is not enough: a server that responds
+// on other connections has not restarted, and would be taken for warming up.
+func (b *Balancer) observeConnectFailure(s *server) {
+	b.connectFailures[s.zone]++
+	s.openConns = min(s.openConns, s.inFlight)
+	if s.connectFailures++; s.connectFailures >= maxConnectFailures || s.onProbation {
+		s.unreachable = true
+		b.eject(s, unreachableEjection, maxUnreachableEjection)
+	}
+}
+
+// observeLatency compares the time of an attempt with the median of all servers, which single slow servers do not move
+// and which grows when all are slow, and returns the ratio. Half of an attempt's time is taken to be fixed and half to
+// grow with its cost. Of an attempt that timed out only a lower bound is known: if that is below the median, nothing
+// follows.
+func (b *Balancer) observeLatency(s *server, cost, elapsed float64, timedOut bool) (ratio float64) {
+	if b.medianAttemptTime == 0 {
+		b.medianAttemptTime = max(minAttemptMedian, elapsed)
+	}
+	ratio = elapsed / (b.medianAttemptTime * (1 + cost) / 2)
+	if timedOut && ratio < 1 {
+		return ratio
+	}
+	if !timedOut || ratio > s.relativeLatency {
+		s.relativeLatency += (min(ratio, maxRelativeTime) - s.relativeLatency) * relativeGain
+	}
+	b.medianAttemptTime = latencybaseline.StepQuantile(b.medianAttemptTime, b.medianAttemptTime*ratio,
+		medianQuantile, medianStep)
+	return ratio
+}
+
+// healthFactor scales the weight of a server that this balancer finds slow or failing, which load reports show late, as
+// they come with good responses only. The penalty for failures is that of the A58 weight.
+func (s *server) healthFactor() float64 {
+	factor := 1 / (1 + errorUtilizationPenalty*s.failureRate*s.failureRate)
+	if s.relativeLatency < slowFactor {
+		return factor
+	}
+	return factor / s.relativeLatency
+}
+
+// examineServer is called for each server on the period: it ends ejections, finds stalled servers and closes unused
+// connections. A stalled server gets no turn until an attempt ends: a hung process keeps its connections, so nothing
+// but the missing responses shows it.
+func (b *Balancer) examineServer(s *server) {
+	if !s.stalled && s.inFlight > 0 && b.medianAttemptTime > 0 && b.mayEject() &&
+		float64(b.now-s.waitingSince) > slowFactor*b.medianAttemptTime {
+		s.stalled = true
+		b.ejected++
+		b.inFlight -= s.inFlight // its attempts must not fill the concurrency limit
+	}
+	if s.openConns > s.inFlight && b.now-s.lastSentAt > idleConnTimeout {
+		s.openConns = s.inFlight
+		b.emit(Action{Kind: CloseIdleConns, Server: s.id})
+	}
+	if s.ejected && b.now >= s.ejectedUntil {
+		s.ejected, s.onProbation = false, true
+		b.ejected--
+	}
+}
--- a/internal/standalone/policy/probe_test.go
+++ b/internal/standalone/policy/probe_test.go
@@ -14,16 +14,16 @@
 		"allowed": {true, ReportsByPolling, 2, 16, 23}, "forbidden": {false, ReportsByPolling, 2, 0, 0},
 		"in answers": {true, ReportsInResponses, 2, 0, 0}, "300 proxies": {true, ReportsByPolling, 300, 0, 1},
 	} {
-		set := settings()
+		set := testSettings()
 		set.Limits.AllowLoadPolls, set.ReportDelivery, set.GroupSize = c.allowed, c.via, c.group
 		set.ReportColumns = []ReportColumn{ColumnUtilization, ColumnQPS, ColumnEPS}
-		members := fleet(3)
+		members := testMembers(3)
 		members[2].Mode = ModeDraining
 		b := newBalancer(t, set, members)
 		probed := map[uint32]int{}
 		for i := range 200 {
 			b.arrivals = 100
-			for _, a := range b.Handle(b.now+refreshEvery, &Event{Kind: TimerFired, ID: tagRefresh}, nil) {
+			for _, a := range b.Handle(b.now+refreshPeriod, &Event{Kind: TimerFired, ID: timerRefresh}, nil) {
 				if a.Kind == PollLoad {
 					probed[a.Server]++
 					rate := map[uint32]float32{100: 30, 101: 10}[a.Server] + float32(i%2)
--- /dev/null
+++ b/internal/standalone/policy/request.go
@@ -0,0 +1,210 @@
+package policy
+
+// request is one that this balancer has accepted. It is kept until it is answered and all its attempts have ended.
+type request struct {
+	id              uint64
+	class           *Class
+	classIndex      uint8
+	affinityKey     uint64
+	homes           [2]uint32 // servers preferred for affinityKey, see pickHome
+	affinityPenalty float64   // load score added for any other server
+	cost            float64   // work, in mean requests
+	priority        float64   // value per unit of work
+	arrivedAt       Time
+	deadline        Time
+	queuedUntil     Time
+	done            bool // answered, or abandoned by its client
+	queued          bool
+	streaming       bool // its response is streaming to the client
+	bodyPending     bool // its client is still sending the body
+	inFlight        int
+	maxAttempts     int
+	attempts        []attempt
+}
+
+// attempt is one send of a request to a server.
+type attempt struct {
+	server          *server
+	serverID        uint32
+	zone            uint8
+	cell            uint16
+	inFlight        bool
+	mayHaveExecuted bool // until an outcome proves the opposite, so also while it is in flight
+	bodyPending     bool // its client is still sending: it counts in no load or limit yet
+	sentAt          Time
+	cost            float64
+}
+
+// onRequestArrived accepts a request, which is sent, queued or rejected.
+func (b *Balancer) onRequestArrived(ev *Event) {
+	if b.requests[ev.ID] != nil || int(ev.Class) >= len(b.settings.Classes) {
+		return // a repeated ID or an unknown class: there is no sensible action
+	}
+	b.arrivals++
+	b.retryTokens = min(retryBurst, b.retryTokens+retryRatio)
+	r := b.newRequest(ev)
+	b.requests[r.id] = r
+	if len(b.queue) > 0 || !b.hasCapacity() {
+		b.enqueue(r)
+		b.dispatchQueued()
+		return
+	}
+	b.dispatch(r)
+}
+
+func (b *Balancer) newRequest(ev *Event) *request {
+	if len(b.freeRequests) == 0 {
+		b.freeRequests = append(b.freeRequests, &request{})
+	}
+	r := b.freeRequests[len(b.freeRequests)-1]
+	b.freeRequests = b.freeRequests[:len(b.freeRequests)-1]
+	*r = request{id: ev.ID, class: &b.settings.Classes[ev.Class], classIndex: ev.Class, affinityKey: ev.AffinityKey,
+		cost: b.relativeCost(ev.Work), arrivedAt: b.now, deadline: b.now + ev.ClientTimeout,
+		maxAttempts: b.settings.Limits.MaxAttempts, attempts: r.attempts[:0], bodyPending: ev.BodyPending}
+	r.priority = b.priorityOf(r, ev.Tenant)
+	return r
+}
+
+// meanWorkSamples is the number of requests that meanWork averages over.
+const meanWorkSamples = 256
+
+// relativeCost returns work in mean requests, 1 where it is unknown.
+func (b *Balancer) relativeCost(work Time) float64 {
+	if work <= 0 {
+		return 1
+	}
+	w := float64(work)
+	if b.meanWork == 0 {
+		b.meanWork = w
+	}
+	b.meanWork += (w - b.meanWork) / meanWorkSamples
+	return w / b.meanWork
+}
+
+// priorityOf returns the value of r per unit of work. What a tenant sends beyond its quota has a low value: it must
+// not displace what others send within theirs when there is no capacity for all.
+func (b *Balancer) priorityOf(r *request, tenant uint32) float64 {
+	priority := r.class.Value
+	if !b.settings.ValuePerWork {
+		priority /= r.cost
+	}
+	if int(tenant) < len(b.tenantTokens) && !b.takeTenantToken(tenant) {
+		priority *= b.settings.OverQuotaValue
+	}
+	return priority
+}
+
+// takeTenantToken reports whether the tenant is within its quota, and counts a request against it.
+func (b *Balancer) takeTenantToken(tenant uint32) bool {
+	if b.tenantTokens[tenant] < 1 {
+		return false
+	}
+	b.tenantTokens[tenant]--
+	return true
+}
+
+// refillTenantTokens adds this balancer's part of each tenant's quota for elapsed seconds, up to one second's worth.
+func (b *Balancer) refillTenantTokens(elapsed float64) {
+	for i, tenant := range b.settings.Tenants {
+		rate := tenant.QuotaPerS / float64(b.settings.GroupSize)
+		b.tenantTokens[i] = min(max(1, rate), b.tenantTokens[i]+rate*elapsed)
+	}
+}
+
+// onResponseStarted notes that the response streams to the client: from here no deadline applies and no other
+// attempt can answer.
+func (b *Balancer) onResponseStarted(ev *Event) {
+	if r := b.requests[ev.ID]; r != nil {
+		r.streaming = true
+	}
+}
+
+// onBodySent notes that a server has all of a request with BodyPending.
+func (b *Balancer) onBodySent(ev *Event) {
+	r := b.requests[ev.ID]
+	if r == nil || int(ev.Attempt) >= len(r.attempts) || !r.attempts[ev.Attempt].bodyPending {
+		return
+	}
+	r.bodyPending = false
+	b.countInFlight(&r.attempts[ev.Attempt])
+}
+
+func (b *Balancer) onRequestAbandoned(ev *Event) {
+	if r := b.requests[ev.ID]; r != nil {
+		b.finish(r)
+	}
+}
+
+// onAttemptEnded processes the outcome of an attempt. Repeated and mismatched outcomes are ignored.
+func (b *Balancer) onAttemptEnded(ev *Event) {
+	r := b.requests[ev.ID]
+	if r == nil || int(ev.Attempt) >= len(r.attempts) {
+		return
+	}
+	a := &r.attempts[ev.Attempt]
+	if !a.inFlight || a.serverID != ev.Server {
+		return
+	}
+	if a.inFlight = false; a.bodyPending {
+		b.countInFlight(a)
+	}
+	r.inFlight--
+	b.lastAttemptEnd = b.now
+	a.mayHaveExecuted = a.mayHaveExecuted && !ev.Outcome.provesNotExecuted()
+	b.observeOutcome(a.server, a, ev)
+	b.adjustLimit(r, a, ev)
+	b.afterAttempt(r, a, ev)
+	b.dispatchQueued()
+}
+
+// afterAttempt finishes r after an attempt has ended, or retries it.
+func (b *Balancer) afterAttempt(r *request, a *attempt, ev *Event) {
+	switch {
+	case r.done:
+		b.recycle(r)
+	case ev.Final || ev.Outcome == OK:
+		b.finish(r)
+	case r.inFlight > 0 || r.queued: // another attempt may still answer
+	case b.mayAttempt(r) && b.takeRetryToken(a):
+		b.dispatch(r)
+	default:
+		b.rejectOrFail(r)
+	}
+}
+
+// rejectOrFail gives r its final response when no attempt is left that could: a rejection where that is safe to retry
+// for the client, else a failure.
+func (b *Balancer) rejectOrFail(r *request) {
+	if r.done || r.inFlight > 0 {
+		return
+	}
+	if r.mayReject() {
+		b.emit(Action{Kind: RejectRequest, ID: r.id, After: b.retryAfter()})
+	} else {
+		b.emit(Action{Kind: FailRequest, ID: r.id})
+	}
+	b.finish(r)
+}
+
+// finish marks r as answered and cancels its attempts in flight.
+func (b *Balancer) finish(r *request) {
+	r.done = true
+	if b.settings.Limits.AllowCancel && r.inFlight > 0 && !r.streaming {
+		for i := range r.attempts {
+			if r.attempts[i].inFlight {
+				b.emit(Action{Kind: CancelAttempt, ID: r.id, Attempt: uint8(i)})
+			}
+		}
+	}
+	b.recycle(r)
+}
+
+// recycle forgets r once nothing refers to it any more.
+func (b *Balancer) recycle(r *request) {
+	if !r.done || r.inFlight > 0 || r.queued || b.requests[r.id] != r {
+		return
+	}
+	delete(b.requests, r.id)
+	clear(r.attempts)
+	b.freeRequests = append(b.freeRequests, r)
+}
--- a/internal/standalone/policy/schedule.go
+++ b/internal/standalone/policy/schedule.go
@@ -2,114 +2,144 @@
 
 import "math"
 
-// place puts s into the schedule or takes it out, as its state asks.
-func (b *Balancer) place(s *server) {
-	in := b.schedulable(s)
+// The choice of a server looks at the next few turns, then further ahead for an idle connection: among many servers the
+// next turn of a server comes after its connection was closed.
+const (
+	maxCandidates         = 16  // turns that a request may use
+	maxIdleConnCandidates = 128 // about so many turns, for warm servers with an idle connection
+)
+
+// A server that executed a request of the same affinity key recently needs less than half of the work, so a request
+// goes elsewhere only if far more is in flight at its home. In units of the load score:
+const (
+	minAffinityPenalty     = 10.0
+	affinityPenaltyPerLoad = 1.0 // times the mean load score; half of the penalty for the second home
+)
+
+const (
+	newConnPenalty    = 1    // load score: a new connection costs time, and servers accept only so many
+	sameServerPenalty = 1000 // load score of a server that had an attempt of the request already; better than none
+)
+
+// isSchedulable reports whether s may get turns.
+func (b *Balancer) isSchedulable(s *server) bool {
+	if !s.isReady() || s.ejected || s.stalled || s.onProbation && s.inFlight > 0 {
+		return false
+	}
+	return !s.warmingUp || s.slowStartTokens >= 1
+}
+
+// updateSchedule adds s to the schedule or removes it, as its state demands. A server that was away gets its next turn
+// at a random time within its own interval: it has no backlog of turns.
+func (b *Balancer) updateSchedule(s *server) {
+	isSchedulable := b.isSchedulable(s)
 	switch {
-	case in && !s.Waits():
-		if s.Due < b.turn { // it was away: a place at random within its own interval, not a backlog
-			s.Due = b.turn + b.rng.Float64()/s.weight
+	case isSchedulable && !s.Waits():
+		if s.Due < b.virtualTime {
+			s.Due = b.virtualTime + b.rng.Float64()/s.weight
 		}
-		b.turns.Add(&s.Turn)
-	case !in && s.Waits():
-		b.turns.Remove(&s.Turn)
+		b.schedule.Add(&s.Turn)
+	case !isSchedulable && s.Waits():
+		b.schedule.Remove(&s.Turn)
 	}
 }
 
-// reweigh changes the weight of s. The wait that remains is rescaled, so a change makes no lump.
-func (b *Balancer) reweigh(s *server, w float64) {
-	if w == s.weight {
+// setWeight changes the weight of s. Its remaining wait is rescaled, so that a change causes no burst.
+func (b *Balancer) setWeight(s *server, weight float64) {
+	if weight == s.weight {
 		return
 	}
-	if s.Due > b.turn && w > 0 && s.weight > 0 {
-		s.Due = b.turn + (s.Due-b.turn)*s.weight/w
+	if s.Due > b.virtualTime && weight > 0 && s.weight > 0 {
+		s.Due = b.virtualTime + (s.Due-b.virtualTime)*s.weight/weight
 	}
-	s.weight = w
+	s.weight = weight
 	if s.Waits() {
-		b.turns.Fix(&s.Turn)
+		b.schedule.Fix(&s.Turn)
 	}
-	b.place(s)
+	b.updateSchedule(s)
 }
 
-// pick gives r a turn of its key's home, or one of the next few due turns that it may use: the one whose
-// server has the fewest of this balancer's attempts out, then one with an idle connection, then the earliest
-// due. Turns that are passed keep their place, so that long-run shares stay those of the weights.
+// pick returns the server for r and uses up a turn of it, or nil if there is none: a home of the affinity key, else the
+// server with the least load score among the next turns that r may use, of equals the earliest due. Turns that are
+// skipped keep their deadline, so that in the long run the shares are those of the weights.
 func (b *Balancer) pick(r *request) *server {
-	passed := b.passed[:0]
-	found, best := b.atHome(r)
-	for looked := 0; best > r.miss && b.turns.Len() > 0 && looked < lookAhead; {
-		s := b.turns.First()
-		if b.permits(r, s) && !b.tooHeavy(s, r.cost) {
-			looked++
-			if load := b.load(r, s); load < best {
-				found, best = s, load
+	best, bestScore := b.pickHome(r)
+	skipped := b.skipped[:0]
+	for candidates := 0; bestScore > r.affinityPenalty && b.schedule.Len() > 0 && candidates < maxCandidates; {
+		s := b.schedule.First()
+		if b.mayAttemptOn(r, s) && !b.exceedsSlowStartBudget(s, r.cost) {
+			candidates++
+			if score := b.loadScore(r, s); score < bestScore {
+				best, bestScore = s, score
 			}
 		}
-		passed = append(passed, b.turns.Pop())
-	}
-	for _, t := range b.turns.Soon(lookFar) {
-		s := t.Of
-		if load := b.load(r, s); load < best && !s.cold && s.conns > s.inflight && b.permits(r, s) {
-			found, best = s, load
-		}
+		skipped = append(skipped, b.schedule.Pop())
 	}
-	for _, s := range passed {
-		b.turns.Add(&s.Turn)
+	best = b.pickIdleConn(r, best, bestScore)
+	for _, s := range skipped {
+		b.schedule.Add(&s.Turn)
 	}
-	if b.passed = passed; found == nil {
+	if b.skipped = skipped; best == nil {
 		return nil
 	}
-	b.turn = max(b.turn, b.turns.First().Due)
-	found.Due = max(found.Due, b.turn) + 1/found.weight
-	b.turns.Fix(&found.Turn)
-	return found
+	b.virtualTime = max(b.virtualTime, b.schedule.First().Due)
+	best.Due = max(best.Due, b.virtualTime) + 1/best.weight
+	b.schedule.Fix(&best.Turn)
+	return best
 }
 
-// atHome returns the better of the servers that r's key belongs to, as far as r may use them, and its load.
-// Its turn counts as any other: what a server is given for its keys, it is not given of the rest.
-func (b *Balancer) atHome(r *request) (found *server, best float64) {
-	r.miss, best = 0, math.Inf(1)
-	if r.key == 0 || !b.set.KeyAffinity {
-		return nil, best
+// pickIdleConn returns the warm server with an idle connection whose load score is the least and below bestScore, or
+// best if there is none. Servers that warm up keep to their turns.
+func (b *Balancer) pickIdleConn(r *request, best *server, bestScore float64) *server {
+	for _, turn := range b.schedule.Soon(maxIdleConnCandidates) {
+		s := turn.Of
+		score := b.loadScore(r, s)
+		if score < bestScore && !s.warmingUp && s.openConns > s.inFlight && b.mayAttemptOn(r, s) {
+			best, bestScore = s, score
+		}
+	}
+	return best
+}
+
+// pickHome returns the better of the two home servers of r's affinity key that r may use, and its load score. It also
+// sets r.homes and r.affinityPenalty. A turn that a server gets for its keys counts like any other.
+func (b *Balancer) pickHome(r *request) (best *server, bestScore float64) {
+	r.affinityPenalty, bestScore = 0, math.Inf(1)
+	if r.affinityKey == 0 || !b.settings.KeyAffinity {
+		return nil, bestScore
 	}
-	r.homes, _ = b.keys.Homes(r.key)
-	r.miss = missLeast + missPart*2*float64(b.inflight)/float64(max(1, len(b.order)))
+	r.homes, _ = b.affinity.Homes(r.affinityKey)
+	r.affinityPenalty = minAffinityPenalty + affinityPenaltyPerLoad*2*float64(b.inFlight)/float64(max(1, len(b.members)))
 	for _, id := range r.homes {
-		if s := b.servers[id]; s != nil && s.Waits() && b.permits(r, s) && !b.tooHeavy(s, r.cost) {
-			if load := b.load(r, s); load < best {
-				found, best = s, load
-			}
+		s := b.servers[id]
+		if s == nil || !s.Waits() || !b.mayAttemptOn(r, s) || b.exceedsSlowStartBudget(s, r.cost) {
+			continue
+		}
+		if score := b.loadScore(r, s); score < bestScore {
+			best, bestScore = s, score
 		}
 	}
-	return found, best
+	return best, bestScore
 }
 
-// A server that met a key does less than half of the work for it, so a request goes elsewhere only if much
-// more is out at its home: in the measure of load, missLeast and missPart times the mean; half to the second.
-const missLeast, missPart = 10.0, 1.0
-
-// A request looks at lookAhead due turns, then at about lookFar for a warm server whose connection is idle.
-// In a large bank a server's next turn comes after its connection closed. Cold ones keep to their weights.
-const lookAhead, lookFar = 16, 128
-
-// load ranks s for r within the look-ahead: 0 is as good as it gets. What is out counts for more at a server
-// that can do less.
-func (b *Balancer) load(r *request, s *server) float64 {
-	load := 2 * float64(s.inflight) * s.toil
-	if s.inflight >= s.conns {
-		load++ // a new connection costs time, and servers take only so many
+// loadScore ranks s for r; the least is the best, 0 an idle server with an open connection. Attempts in flight count
+// for more at a server that needs more time for them.
+func (b *Balancer) loadScore(r *request, s *server) float64 {
+	score := 2 * float64(s.inFlight) * s.relativeWorkTime
+	if s.inFlight >= s.openConns {
+		score += newConnPenalty
 	}
 	switch {
-	case r.miss == 0 || s.id == r.homes[0]:
+	case r.affinityPenalty == 0 || s.id == r.homes[0]:
 	case s.id == r.homes[1]:
-		load += r.miss / 2
+		score += r.affinityPenalty / 2
 	default:
-		load += r.miss
+		score += r.affinityPenalty
 	}
-	for i := range r.tries {
-		if r.tries[i].server == s {
-			load += 1000 // it had an attempt of r already; better than none
+	for i := range r.attempts {
+		if r.attempts[i].server == s {
+			score += sameServerPenalty
 		}
 	}
-	return load
+	return score
 }
--- /dev/null
+++ b/internal/standalone/policy/server.go
@@ -0,0 +1,61 @@
+package policy
+
+import (
+	"pumiceline/internal/edf"
+	"pumiceline/internal/standalone/loadpolling"
+)
+
+// server is what this balancer knows about one server. It is scheduled while it may get turns.
+type server struct {
+	edf.Turn[server]
+
+	// From discovery.
+	id           uint32
+	zone         uint8
+	cell         uint16
+	instanceType int // index into Balancer.instanceTypes
+	mode         Mode
+	listed       bool
+	size         float64
+	startedAt    Time
+
+	// Load reports, as exponentially fading sums.
+	qpsSum, utilizationSum, epsSum float64
+	reportWeight                   float64 // sum of the reports' weights
+	lastReport                     reportValues
+	lastReportAt                   Time
+	nonEmptySince                  Time // A58: since when reports are valid; 0: none yet, or they expired
+	polling                        loadpolling.Schedule
+
+	// Slow start.
+	readySince      Time // A100
+	warmingUp       bool
+	slowStartTokens float64 // budget in mean requests
+
+	// Weight.
+	weight           float64 // in use
+	relativeWorkTime float64 // time for a piece of work, relative to a mean server
+
+	// Attempts.
+	inFlight     int
+	uploading    int // attempts whose clients are still sending the body
+	openConns    int // connections that should be open
+	lastSentAt   Time
+	waitingSince Time // since when attempts are in flight with none ending
+
+	// Outlier detection.
+	relativeLatency float64 // moving average of attempt times, relative to the median of all servers
+	failureRate     float64 // moving average of attempts that failed
+	timeouts        int     // attempts that timed out since the last response
+	connectFailures int     // attempts that could not connect since the last response
+	answeredAt      Time    // last response
+	stalled         bool    // no attempt has ended for long, with attempts in flight
+	ejected         bool
+	ejectedUntil    Time
+	ejectionTime    Time // grows with each ejection in a row
+	unreachable     bool // ejected because of failures to connect
+	onProbation     bool // back from ejection for a single attempt, whose outcome decides
+}
+
+// isReady reports whether discovery lists s as ready.
+func (s *server) isReady() bool { return s.listed && s.mode == ModeReady }
--- /dev/null
+++ b/internal/standalone/policy/settings.go
@@ -0,0 +1,185 @@
+package policy
+
+import (
+	"errors"
+	"fmt"
+	"math"
+)
+
+// Time is a moment or a duration in microseconds. Moments count from any fixed origin that the caller chooses.
+type Time = int64
+
+// Semantics is what executing a request more than once may do.
+type Semantics uint8
+
+const (
+	Idempotent    Semantics = iota // may be executed any number of times
+	Deduplicated                   // carries an idempotency key: servers of one DedupScope execute it once within a window
+	NonIdempotent                  // must never be executed twice
+)
+
+// DedupScope is the set of servers that recognize each other's executions of a Deduplicated request.
+type DedupScope uint8
+
+const (
+	DedupEverywhere DedupScope = iota // all servers
+	DedupPerZone                      // the servers of one zone
+	DedupPerCell                      // the servers of one cell
+)
+
+// Class describes one class of requests.
+type Class struct {
+	Semantics     Semantics
+	DedupScope    DedupScope // for Deduplicated
+	DedupWindow   Time       // for Deduplicated: how long the scope remembers a key
+	LatencyTarget Time       // a response within this time earns the full value
+	ClientTimeout Time       // the longest that a client waits
+	Value         float64    // of one request, or of one unit of work where Settings.ValuePerWork is set
+}
+
+// ReportColumn names one value of a load report.
+type ReportColumn uint8
+
+const (
+	ColumnOther       ReportColumn = iota // not used
+	ColumnQPS                             // requests per second
+	ColumnUtilization                     // fraction of the cores in use
+	ColumnEPS                             // errors per second
+)
+
+// reportColumns is the number of columns that are used, ColumnQPS to ColumnEPS.
+const reportColumns = 3
+
+// reportValues are the used columns of one load report, in the order of the constants.
+type reportValues [reportColumns]float64
+
+func (v *reportValues) qps() float64         { return v[ColumnQPS-ColumnQPS] }
+func (v *reportValues) utilization() float64 { return v[ColumnUtilization-ColumnQPS] }
+func (v *reportValues) eps() float64         { return v[ColumnEPS-ColumnQPS] }
+
+// ReportDelivery is how load reports reach the balancer.
+type ReportDelivery uint8
+
+const (
+	ReportsNone        ReportDelivery = iota
+	ReportsInResponses                // each response carries one
+	ReportsByPolling                  // servers answer load polls, see PollLoad
+)
+
+// Rules are the service rules of the deployment: what every balancer must keep, and what is guaranteed about servers.
+type Rules struct {
+	ResponseGrace   Time    // a final response may come this long after the client's time-out
+	SubscribeWithin Time    // the longest time without a subscription until the next call to discovery; 0: 10 s
+	WarmupTime      Time    // a started server has its full capacity after this time at the latest
+	InitialCapacity float64 // and at least this fraction of it from the start
+	OverloadFactor  float64 // sent more than this multiple of its present capacity (0: no limit)
+	OverloadTime    Time    // for this long, a warming-up server becomes overloaded
+}
+
+// Limits are what the deployment allows.
+type Limits struct {
+	MaxAttempts     int  // of one request, at most attemptLimit; 0: attemptLimit
+	MaxOpenRequests int  // requests open at once; 0: no limit
+	AllowCancel     bool // attempts may be cancelled
+	AllowLoadPolls  bool
+	AllowHedging    bool // an attempt may start while another one of the request is in flight
+	ConnIdleTimeout Time // servers close connections that are idle for this long
+	MaxRetryAfter   Time // the longest Retry-After that clients respect; 0: they are given none
+}
+
+// Prices are deductions from the result, as fractions of the value of all requests.
+type Prices struct {
+	CrossZone float64 // if all first attempts went to another zone
+}
+
+// Tenant is a customer with a quota of the service.
+type Tenant struct {
+	QuotaPerS float64 // requests per second within the quota, over all balancers
+}
+
+// Settings is the configuration of a balancer.
+type Settings struct {
+	Classes            []Class
+	Tenants            []Tenant
+	ReportColumns      []ReportColumn // of a load report, in order
+	ReportDelivery     ReportDelivery
+	SubscribeDiscovery bool    // discovery sends the membership only to subscribers
+	SizesKnown         bool    // Member.Size compares the capacities of servers
+	ValuePerWork       bool    // Class.Value is for one unit of work
+	KeyAffinity        bool    // a server that executed a request of the same AffinityKey recently needs less work for it
+	OverQuotaValue     float64 // factor on the value of a tenant's requests beyond its quota
+	GroupSize          int     // balancers that share the servers, this one included; 0: 1
+	Ordinal            int     // of this balancer among them, from 0
+	Zone               int     // of this balancer
+	Zones              int     // number of zones
+	BatchPeriod        Time    // events closer together than this may be handed over together
+	Rules              Rules
+	Limits             Limits
+	Prices             Prices
+}
+
+// validate checks whether a balancer can work with s.
+func (s *Settings) validate() error {
+	r := &s.Rules
+	switch {
+	case len(s.Classes) == 0:
+		return errors.New("policy settings: no classes")
+	case r.InitialCapacity < 0 || r.InitialCapacity > 1 || math.IsNaN(r.InitialCapacity):
+		return fmt.Errorf("policy settings: initial capacity %v is not a fraction", r.InitialCapacity)
+	case r.WarmupTime < 0 || r.OverloadTime < 0 || r.SubscribeWithin < 0 || s.BatchPeriod < 0 || r.ResponseGrace < 0:
+		return errors.New("policy settings: a duration is negative")
+	case r.OverloadFactor < 0 || math.IsNaN(r.OverloadFactor) || math.IsInf(r.OverloadFactor, 0):
+		return fmt.Errorf("policy settings: overload factor %v is out of range", r.OverloadFactor)
+	case s.GroupSize < 0 || s.Limits.MaxAttempts < 0 || s.Limits.MaxOpenRequests < 0:
+		return errors.New("policy settings: a count is negative")
+	}
+	for i, c := range s.Classes {
+		if c.LatencyTarget < 0 || c.ClientTimeout < 0 || c.DedupWindow < 0 || c.Semantics > NonIdempotent ||
+			c.DedupScope > DedupPerCell {
+			return fmt.Errorf("policy settings: class %d is out of range", i)
+		}
+	}
+	return nil
+}
+
+const (
+	defaultSubscribeWithin = 10_000_000
+	noOverloadFactor       = 1e6 // no server becomes overloaded; maxWarmupLoad still bounds what it is sent
+)
+
+// applyDefaults replaces what is not set.
+func (s *Settings) applyDefaults() {
+	s.GroupSize = max(1, s.GroupSize)
+	if s.Rules.SubscribeWithin == 0 {
+		s.Rules.SubscribeWithin = defaultSubscribeWithin
+	}
+	if s.Rules.OverloadFactor == 0 {
+		s.Rules.OverloadFactor = noOverloadFactor
+	}
+	if s.Limits.MaxAttempts == 0 || s.Limits.MaxAttempts > attemptLimit {
+		s.Limits.MaxAttempts = attemptLimit
+	}
+}
+
+// parseReport returns the used columns of a load report, or false if it is incomplete or has impossible values.
+func (s *Settings) parseReport(values []float32) (parsed reportValues, ok bool) {
+	if len(values) < len(s.ReportColumns) || len(values) == 0 {
+		return parsed, false
+	}
+	for i, column := range s.ReportColumns {
+		value := float64(values[i])
+		if column == ColumnOther {
+			continue
+		}
+		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
+			return parsed, false
+		}
+		parsed[column-ColumnQPS] = value
+	}
+	return parsed, true
+}
+
+// pollsLoad reports whether servers are to be polled for their load.
+func (s *Settings) pollsLoad() bool {
+	return s.Limits.AllowLoadPolls && s.ReportDelivery == ReportsByPolling
+}
--- a/internal/standalone/policy/slow_test.go
+++ b/internal/standalone/policy/slow_test.go
@@ -5,8 +5,8 @@
 // Requests whose clients are still sending are with no server: they leave the window to others, make no server seem silent, and count
 // from their last byte on. Their servers are kept until they have ended.
 func TestSlowRequestsLeaveTheWindow(t *testing.T) {
-	b := newBalancer(t, settings(), fleet(3))
-	b.usual, b.window = 100_000, 5
+	b := newBalancer(t, testSettings(), testMembers(3))
+	b.medianAttemptTime, b.concurrencyLimit = 100_000, 5
 	arrive := func(id uint64, slow bool) Action {
 		for _, a := range b.Handle(b.now, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 4e6, BodyPending: slow}, nil) {
 			if a.Kind == SendAttempt || a.Kind == RejectRequest {
@@ -23,10 +23,10 @@
 		}
 		sent[id+1] = a.Server
 	}
-	if b.inflight != 0 {
-		t.Fatalf("%d slow requests fill the window", b.inflight)
+	if b.inFlight != 0 {
+		t.Fatalf("%d slow requests fill the window", b.inFlight)
 	}
-	b.now += slowFrom*100_000 + 1_000_000
+	b.now += slowFactor*100_000 + 1_000_000
 	b.refresh()
 	if n := b.EjectedServers(); n != 0 {
 		t.Errorf("%d servers are taken for silent while clients send", n)
@@ -38,14 +38,14 @@
 		b.Handle(b.now, &Event{Kind: BodySent, ID: id + 1}, nil)
 		b.Handle(b.now, &Event{Kind: BodySent, ID: id + 1}, nil) // told twice it counts once
 	}
-	if b.inflight != 5 {
-		t.Errorf("%d out, want 5", b.inflight)
+	if b.inFlight != 5 {
+		t.Errorf("%d out, want 5", b.inFlight)
 	}
 	if a := arrive(101, false); a.Kind == SendAttempt {
 		t.Error("a request past the window was sent")
 	}
 	b.Handle(b.now, &Event{Kind: RequestAbandoned, ID: 101}, nil)
-	for _, s := range b.order { // all go while clients still send
+	for _, s := range b.members { // all go while clients still send
 		b.Handle(b.now, &Event{Kind: MembershipDelta, Members: []Member{{Server: s.id, Mode: ModeGone}}}, nil)
 	}
 	b.refresh()
@@ -54,13 +54,13 @@
 		b.Handle(b.now, &Event{Kind: BodySent, ID: id}, nil)
 	}
 	b.Handle(b.now, &Event{Kind: RequestAbandoned, ID: 100}, nil)
-	for _, s := range b.order {
-		if s.inflight == 1 && s.slow == 0 { // request 100's, which was called off and has not ended
-			b.observe(s, &attempt{server: s, cost: 1}, &Event{Outcome: Cancelled})
+	for _, s := range b.members {
+		if s.inFlight == 1 && s.uploading == 0 { // request 100's, which was called off and has not ended
+			b.observeOutcome(s, &attempt{server: s, cost: 1}, &Event{Outcome: Cancelled})
 		}
 	}
 	b.refresh()
-	if b.inflight != 0 || b.benched != 0 || len(b.order) != 0 {
-		t.Errorf("left over: %d out, %d left out, %d servers", b.inflight, b.benched, len(b.order))
+	if b.inFlight != 0 || b.ejected != 0 || len(b.members) != 0 {
+		t.Errorf("left over: %d out, %d left out, %d servers", b.inFlight, b.ejected, len(b.members))
 	}
 }
--- a/internal/standalone/policy/stored_test.go
+++ b/internal/standalone/policy/stored_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// learntSample is the content of testdata/learnt.json.
-func learntSample() Snapshot {
+// snapshotSample is the content of testdata/learnt.json.
+func snapshotSample() Snapshot {
 	return Snapshot{
 		At: 1_700_000_000_000_000, ArrivalRate: 120.5, MeanWork: 2500.25, MedianAttemptTime: 52_000.5, ConcurrencyLimit: 64.5, RemoteZoneShare: 0.125,
 		Overall:         CapacitySnapshot{InstanceType: 3, QPS: 11.5, Utilization: 0.375, MeanSize: 1.25, MeanWeight: 30.5},
@@ -36,7 +36,7 @@
 	if err := json.Unmarshal(text, &got); err != nil {
 		t.Fatal(err)
 	}
-	if want := learntSample(); !reflect.DeepEqual(got, want) {
+	if want := snapshotSample(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read  %+v\nwant %+v", got, want)
 	}
 	written, err := json.Marshal(got)
@@ -50,7 +50,7 @@
 
 // A balancer that adopts what an earlier version stored has each of its values.
 func TestAdoptsStateStoredByEarlierVersion(t *testing.T) {
-	stored := learntSample()
+	stored := snapshotSample()
 	set := Settings{Classes: []Class{{ClientTimeout: 4e6, Value: 1}, {ClientTimeout: 2e6, Value: 1}}, ReportColumns: []ReportColumn{ColumnQPS, ColumnUtilization},
 		ReportDelivery: ReportsInResponses, Tenants: []Tenant{{QuotaPerS: 50}, {QuotaPerS: 20}}, Rules: Rules{WarmupTime: 24e6, InitialCapacity: 0.1}}
 	b, err := New(set, 3)
@@ -59,13 +59,13 @@
 	}
 	members := []Member{{Server: 7, InstanceType: 1, Mode: ModeReady, Size: 1, StartedAt: stored.Servers[0].StartedAt}, {Server: 8, InstanceType: 2, Mode: ModeReady, Size: 1, StartedAt: stored.Servers[1].StartedAt}}
 	b.Handle(stored.At, &Event{Kind: MembershipFull, Members: members}, nil)
-	if len(b.shares) != len(stored.TenantTokens) {
-		t.Fatalf("%d shares, the sample has %d", len(b.shares), len(stored.TenantTokens))
+	if len(b.tenantTokens) != len(stored.TenantTokens) {
+		t.Fatalf("%d shares, the sample has %d", len(b.tenantTokens), len(stored.TenantTokens))
 	}
 	if !b.Restore(stored.At, &stored) {
 		t.Fatal("not adopted")
 	}
-	want := learntSample()
+	want := snapshotSample()
 	want.Overall.InstanceType, want.Overall.QPS, want.Overall.Utilization = 0, 0, 0 // the mean over all kinds has no kind and no load
 	if got := b.Snapshot(); !reflect.DeepEqual(*got, want) {
 		t.Errorf("adopted %+v\nwant    %+v", *got, want)
--- a/tools/simrank/main.go
+++ b/tools/simrank/main.go
@@ -43,24 +43,27 @@
 
 var variants = []variant{
 	{"as it is", "", "", ""},
-	{"look-ahead 1", "internal/standalone/policy/schedule.go", "const lookAhead, lookFar = 16,", "const lookAhead, lookFar = 1,"},
-	{"look-ahead 3", "internal/standalone/policy/schedule.go", "const lookAhead, lookFar = 16,", "const lookAhead, lookFar = 3,"},
-	{"aggression 4", "internal/standalone/policy/weights.go", "aggression              = 1.0 ", "aggression              = 4.0 "},
-	{"blackout 20 s", "internal/standalone/policy/weights.go", "blackoutPeriod          = 2_000_000 ", "blackoutPeriod          = 20_000_000 "},
-	{"cold load 0.7", "internal/standalone/policy/weights.go", "coldLoad = 2.4", "coldLoad = 0.7"},
-	{"roam from 0.05", "internal/standalone/policy/weights.go", "const roamFrom = 0.5", "const roamFrom = 0.05"},
-	{"crowded at 0.2 of the aim", "internal/standalone/policy/health.go", "crowdedFrom = 0.5 ", "crowdedFrom = 0.2 "},
-	{"crowded borne 0.1", "internal/standalone/policy/health.go", "crowdedMost = 0.25", "crowdedMost = 0.1"},
-	{"slow from 1.5", "internal/standalone/policy/health.go", "const slowFrom = 4", "const slowFrom = 1.5"},
-	{"crowded at 1.2 times calm", "internal/standalone/policy/health.go", "crowdedCalm = 2 ", "crowdedCalm = 1.2 "},
+	{"look-ahead 1", policyFolder + "schedule.go", "maxCandidates         = 16 ", "maxCandidates         = 1 "},
+	{"look-ahead 3", policyFolder + "schedule.go", "maxCandidates         = 16 ", "maxCandidates         = 3 "},
+	{"aggression 4", policyFolder + "slowstart.go", "const aggression = 1.0", "const aggression = 4.0"},
+	{"blackout 20 s", policyFolder + "weights.go", "blackoutPeriod          = 2_000_000 ", "blackoutPeriod          = 20_000_000 "},
+	{"cold load 0.7", policyFolder + "slowstart.go", "maxWarmupLoad = 2.4", "maxWarmupLoad = 0.7"},
+	{"roam from 0.05", policyFolder + "locality.go", "homeZoneUtilization    = 0.5", "homeZoneUtilization    = 0.05"},
+	{"crowded at 0.2 of the aim", policyFolder + "admission.go", "congestedTargetShare = 0.5", "congestedTargetShare = 0.2"},
+	{"crowded borne 0.1", "internal/standalone/concurrency/limit.go", "ToleratedCongestion = 0.25", "ToleratedCongestion = 0.1"},
+	{"slow from 1.5", policyFolder + "outlier.go", "slowFactor = 4", "slowFactor = 1.5"},
+	{"crowded at 1.2 times calm", policyFolder + "admission.go", "congestedUnloadedFactor = 2", "congestedUnloadedFactor = 1.2"},
 }
 
 // keyed are those that matter only where servers are warm for keys.
 var keyed = []variant{
-	{"a cold key for 1", "internal/standalone/policy/schedule.go", "missLeast, missPart = 10.0, 1.0", "missLeast, missPart = 1.0, 0.0"},
-	{"no keys", "internal/standalone/policy/schedule.go", "r.key == 0 || !b.set.KeyAffinity", "true"},
+	{"a cold key for 1", policyFolder + "schedule.go", "minAffinityPenalty     = 10.0\n\taffinityPenaltyPerLoad = 1.0",
+		"minAffinityPenalty     = 1.0\n\taffinityPenaltyPerLoad = 0.0"},
+	{"no keys", policyFolder + "schedule.go", "r.affinityKey == 0 || !b.settings.KeyAffinity", "true"},
 }
 
+const policyFolder = "internal/standalone/policy/"
+
 // world pairs one of the simulator's kinds of day with an experiment of ours, and what is changed in it.
 type world struct {
 	kind, file string
