--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/request.go
@@ -30,7 +30,7 @@
 	// A client gives up a stream that has been silent for the longest of these.
 	minStreamTimeout       = 2 * time.Second
 	streamTimeoutPerTarget = 4 // times the route's latency target
-	streamTimeoutPerPause  = 8 // times the route's longest pause between events
+	streamTimeoutPerGap    = 8 // times the route's longest gap between events
 )
 
 func newBalancerRequest(
@@ -85,7 +85,7 @@
 	if route.Kind != configuration.Streaming {
 		return deadline
 	}
-	timeout := max(minStreamTimeout, streamTimeoutPerTarget*route.LatencyTarget, streamTimeoutPerPause*route.MaxEventGap)
+	timeout := max(minStreamTimeout, streamTimeoutPerTarget*route.LatencyTarget, streamTimeoutPerGap*route.MaxEventGap)
 	if at := arrived.Add(timeout); at.Before(deadline) {
 		return at
 	}
--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -13,34 +13,76 @@
 	Answer = "answer"
 	// Attempt counts the tries of one operation, from 1.
 	Attempt = "attempt"
+	// Attempts is how many attempts a client request took.
+	Attempts = "attempts"
 	// Backend is the id of a backend on the platform's list.
 	Backend = "backend"
+	// Candidates is how many backends could have taken a request.
+	Candidates = "candidates"
+	// Complete says whether the client was sent a complete response.
+	Complete = "complete"
 	// Coordinator is the internal address of a coordinator.
 	Coordinator = "coordinator"
 	// DropAdapters is a list of adapters that a placement task unloads.
 	DropAdapters = "drop"
-	// Load is the model that a placement task loads.
-	Load = "load"
+	// FirstEventMs is the time from the arrival of a request to the first event of its response.
+	FirstEventMs = "first_event_ms"
+	// HasEvents says whether the response was a stream of events.
+	HasEvents = "has_events"
+	// InFlight is the number of requests of all proxies in flight at a backend.
+	InFlight = "in_flight"
 	// IsMember says whether the process belongs to the view.
 	IsMember = "member"
+	// LatencyTargetMs is the latency target of a route.
+	LatencyTargetMs = "latency_target_ms"
+	// Load is the model that a placement task loads.
+	Load = "load"
+	// LongestEventGapMs is the longest time between two events of a stream.
+	LongestEventGapMs = "longest_event_gap_ms"
+	// MaxEventGapMs is the longest time between two events that a route allows.
+	MaxEventGapMs = "max_event_gap_ms"
 	// Members are the internal addresses of a view's members, the head of the chain first.
 	Members = "members"
+	// Model is a model, with its adapter after a slash.
+	Model = "model"
 	// Name is a model, with its adapter after a slash.
 	Name = "name"
 	// Operation is what a placement command asks of a backend.
 	Operation = "operation"
+	// OutputTokens is the number of tokens that a request asks for at most.
+	OutputTokens = "output_tokens"
+	// Priority is the priority of a route, 0 the highest.
+	Priority = "priority"
+	// PromptTokens is the number of tokens of a prompt.
+	PromptTokens = "prompt_tokens"
+	// QueuedMs is the time from the arrival of a request until its first backend was picked.
+	QueuedMs = "queued_ms"
+	// QueuedPrefillMs is the estimated prefill time of the requests queued at a backend.
+	QueuedPrefillMs = "queued_prefill_ms"
 	// Reason is why the planner wants a placement task.
 	Reason = "reason"
+	// Rejection is why a request was rejected; empty: it was not.
+	Rejection = "rejection"
+	// Request is the ID of a client request.
+	Request = "request"
 	// Requests is a number of client requests in flight.
 	Requests = "requests"
+	// Route is the name of a route.
+	Route = "route"
 	// Seed is a control address from the settings' seedNodes.
 	Seed = "seed"
+	// SentMs is the time from the arrival of a request until its last attempt began.
+	SentMs = "sent_ms"
 	// Token is the fencing token of the controller lease.
 	Token = "token"
+	// TotalMs is the time from the arrival of a request to its end.
+	TotalMs = "total_ms"
 	// Unload is a list of models that a placement task unloads.
 	Unload = "unload"
 	// Version is the operator's version of a configuration.
 	Version = "version"
 	// View is the number of a membership view.
 	View = "view"
+	// WaitReason is what a request waited for: none, model or capacity.
+	WaitReason = "wait_reason"
 )
--- a/tools/lossreport/account.go
+++ b/tools/lossreport/account.go
@@ -10,6 +10,8 @@
 	"strings"
 
 	"github.com/pkg/errors"
+
+	"pumiceline/internal/logkey"
 )
 
 // lateLoss is the part of its worth that a late answer loses.
@@ -20,11 +22,19 @@
 
 // earlierKeys are the keys under which earlier versions of the proxy logged the fields of today. Both are read.
 var earlierKeys = map[string]string{
-	"latency_target_ms": "aim", "max_pause_ms": "pause", "queued_ms": "waited", "wait_reason": "for",
-	"first_event_ms": "first", "longest_pause_ms": "longest", "total_ms": "total",
-	"has_events": "events", "complete": "whole", "rejection": "refusal",
+	logkey.LatencyTargetMs: "aim", logkey.MaxEventGapMs: "pause", logkey.QueuedMs: "waited", logkey.WaitReason: "for",
+	logkey.FirstEventMs: "first", logkey.LongestEventGapMs: "longest", logkey.TotalMs: "total",
+	logkey.HasEvents: "events", logkey.Complete: "whole", logkey.Rejection: "refusal",
 }
 
+// Messages of the records that are read. Some had other words in earlier versions.
+const (
+	requestDone        = `msg="request done"`
+	placementCommand   = "msg=order "
+	taskStarted        = `msg="placement task started"`
+	taskStartedEarlier = `msg="task begins"`
+)
+
 // fields are the fields of a log line by key; quotes are taken off.
 type fields map[string]string
 
@@ -96,34 +106,37 @@
 // take takes a line of the log; lines that are of no interest are passed over.
 func (a *account) take(line string) error {
 	switch {
-	case strings.Contains(line, `msg="request done"`):
+	case strings.Contains(line, requestDone):
 		return a.takeRequest(parseFields(line))
-	case strings.Contains(line, "msg=order "):
+	case strings.Contains(line, placementCommand):
 		f := parseFields(line)
 		kind := "model"
-		if strings.Contains(f["name"], "/") {
+		if strings.Contains(f[logkey.Name], "/") {
 			kind = "adapter"
 		}
-		a.orders[f["operation"]+", "+kind+", answer "+f["answer"]]++
-	case strings.Contains(line, `msg="task begins"`):
-		a.reasons[parseFields(line)["reason"]]++
+		a.orders[f[logkey.Operation]+", "+kind+", answer "+f[logkey.Answer]]++
+	case strings.Contains(line, taskStarted), strings.Contains(line, taskStartedEarlier):
+		a.reasons[parseFields(line)[logkey.Reason]]++
 	}
 	return nil
 }
 
 func (a *account) takeRequest(f fields) error {
 	a.requests++
-	route := a.routes[f["route"]]
+	route := a.routes[f[logkey.Route]]
 	if route == nil {
-		route = &routeAccount{priority: f["priority"], aim: f.value("latency_target_ms"), late: map[string]int{}, lost: map[string]int{}}
-		a.routes[f["route"]] = route
+		route = &routeAccount{
+			priority: f[logkey.Priority], aim: f.value(logkey.LatencyTargetMs),
+			late: map[string]int{}, lost: map[string]int{},
+		}
+		a.routes[f[logkey.Route]] = route
 	}
 	route.total++
-	if f.value("rejection") != "" {
-		route.lost["refused, "+f.value("rejection")+", waited for "+f.value("wait_reason")]++
+	if f.value(logkey.Rejection) != "" {
+		route.lost["refused, "+f.value(logkey.Rejection)+", waited for "+f.value(logkey.WaitReason)]++
 		return nil
 	}
-	if f.value("complete") != "true" {
+	if f.value(logkey.Complete) != "true" {
 		route.lost["broken off or failed"]++
 		return nil
 	}
@@ -143,7 +156,8 @@
 func lateness(f fields) (string, error) {
 	var values [6]int
 	for i, name := range []string{
-		"latency_target_ms", "max_pause_ms", "first_event_ms", "longest_pause_ms", "queued_ms", "total_ms",
+		logkey.LatencyTargetMs, logkey.MaxEventGapMs, logkey.FirstEventMs, logkey.LongestEventGapMs, logkey.QueuedMs,
+		logkey.TotalMs,
 	} {
 		value, err := f.number(name)
 		if err != nil {
@@ -153,13 +167,13 @@
 	}
 	aim, pause, first, longest, waited, total := values[0], values[1], values[2], values[3], values[4], values[5]
 	begun := first
-	if f.value("has_events") != "true" {
+	if f.value(logkey.HasEvents) != "true" {
 		begun = total
 	}
 	switch {
 	case begun > aim && waited > aim/2:
-		return "first event, waited for " + f.value("wait_reason"), nil
-	case begun > aim && f["attempts"] != "1":
+		return "first event, waited for " + f.value(logkey.WaitReason), nil
+	case begun > aim && f[logkey.Attempts] != "1":
 		return "first event, more than one attempt", nil
 	case begun > aim:
 		return "first event, at the backend", nil
--- a/tools/lossreport/account_test.go
+++ b/tools/lossreport/account_test.go
@@ -52,11 +52,12 @@
 
 // Today's proxies log the same fields under other keys than earlier ones, and "capacity" as a reason to wait.
 func TestLossReport_ReadsTodaysKeys(t *testing.T) {
-	today := strings.NewReplacer(" aim=", " latency_target_ms=", " pause=", " max_pause_ms=", " waited=", " queued_ms=",
+	today := strings.NewReplacer(" aim=", " latency_target_ms=", " pause=", " max_event_gap_ms=", " waited=", " queued_ms=",
 		" for=place", " wait_reason=capacity", " for=", " wait_reason=", " first=", " first_event_ms=",
-		" longest=", " longest_pause_ms=", " total=", " total_ms=", " events=", " has_events=", " whole=", " complete=",
-		" refusal=", " rejection=").Replace(played)
+		" longest=", " longest_event_gap_ms=", " total=", " total_ms=", " events=", " has_events=", " whole=", " complete=",
+		" refusal=", " rejection=", `"task begins"`, `"placement task started"`).Replace(played)
 	require.NotContains(t, today, "aim=")
+	require.NotContains(t, today, "task begins")
 	want := strings.Replace(accounted, "waited for place", "waited for capacity", 1)
 	path := filepath.Join(t.TempDir(), "report.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"classes":[{"name":"tagging","n":50,"worth":0.9}]}`), 0o600))
