--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -67,7 +67,7 @@
 
 func (b *Balancer) updateConnectionLimits() {
 	for _, backend := range b.backends {
-		backend.MaxConnections = b.connectionLimit(backend.Service)
+		backend.maxConnections = b.connectionLimit(backend.Service)
 	}
 }
 
--- a/internal/dataplane/balancer/endpoints.go
+++ b/internal/dataplane/balancer/endpoints.go
@@ -9,7 +9,7 @@
 // Backend is a backend as this proxy sees it. It is read and changed by the balancer's owner alone.
 type Backend struct {
 	message.Backend
-	MaxConnections int // this proxy's share of the connections that the backend accepts
+	maxConnections int // this proxy's share of the connections that the backend accepts
 	isListed       bool
 
 	// readySince has the models and adapters that are loaded. The zero time is before this proxy started.
@@ -90,7 +90,7 @@
 		backend = &Backend{
 			readySince: map[message.ModelName]time.Time{}, missingUntil: map[message.ModelName]time.Time{}, weight: 1,
 		}
-		backend.MaxConnections = b.connectionLimit(entry.Service)
+		backend.maxConnections = b.connectionLimit(entry.Service)
 		if !isFirst {
 			backend.stats.readySince = now
 		}
--- a/internal/dataplane/balancer/picker.go
+++ b/internal/dataplane/balancer/picker.go
@@ -23,7 +23,7 @@
 		if slices.Contains(request.triedBackends, backend.ID) || backend.isEjected(now) {
 			continue
 		}
-		if backend.inFlight >= backend.MaxConnections || !b.hasCapacity(backend, request) {
+		if backend.inFlight >= backend.maxConnections || !b.hasCapacity(backend, request) {
 			continue
 		}
 		eligible = append(eligible, backend)
