--- a/internal/standalone/listener/accept_test.go
+++ b/internal/standalone/listener/accept_test.go
@@ -13,37 +13,38 @@
 	"time"
 )
 
-// lateListener takes no connection before it may, as one of a proxy that is short of CPU, and tells when it is to take no more.
-type lateListener struct {
+// slowListener accepts no connection before proceed is closed, as in a proxy that is short of CPU, and notifies when it is
+// asked to drain or close.
+type slowListener struct {
 	*net.TCPListener
-	goOn chan struct{}
-	told chan struct{}
-	once sync.Once
+	proceed      chan struct{}
+	drainStarted chan struct{}
+	once         sync.Once
 }
 
-func (l *lateListener) Accept() (net.Conn, error) { <-l.goOn; return l.TCPListener.Accept() }
+func (l *slowListener) Accept() (net.Conn, error) { <-l.proceed; return l.TCPListener.Accept() }
 
-func (l *lateListener) SetDeadline(t time.Time) error {
-	defer l.once.Do(func() { close(l.told) })
+func (l *slowListener) SetDeadline(t time.Time) error {
+	defer l.once.Do(func() { close(l.drainStarted) })
 	return l.TCPListener.SetDeadline(t)
 }
 
-func (l *lateListener) Close() error {
-	defer l.once.Do(func() { close(l.told) })
+func (l *slowListener) Close() error {
+	defer l.once.Do(func() { close(l.drainStarted) })
 	return l.TCPListener.Close()
 }
 
-// Requests on connections that the system has accepted, but the proxy not when its time to accept is over, are taken all the same.
-func TestNoConnectionIsLeftInTheQueue(t *testing.T) {
+// Connections that are still queued in the kernel at the end of the accept grace are served all the same.
+func TestServer_ShutdownAcceptsQueuedConnections(t *testing.T) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := &lateListener{TCPListener: tcp.(*net.TCPListener), goOn: make(chan struct{}), told: make(chan struct{})}
+	late := &slowListener{TCPListener: tcp.(*net.TCPListener), proceed: make(chan struct{}), drainStarted: make(chan struct{})}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	f := newFront(answer, 9)
-	go func() { ended <- f.Serve(ctx, late) }()
+	server := newTestServer(respondOK, 9)
+	go func() { ended <- server.Serve(ctx, late) }()
 	var clients []net.Conn
 	for i := range 5 {
 		client, err := net.Dial("tcp", tcp.Addr().String())
@@ -51,14 +52,14 @@
 			t.Fatal(err)
 		}
 		defer client.Close()
-		if _, err := io.WriteString(client, strings.Replace(quote, "Id: 1", "Id: "+strconv.Itoa(i), 1)); err != nil {
+		if _, err := io.WriteString(client, strings.Replace(quoteRequest, "Id: 1", "Id: "+strconv.Itoa(i), 1)); err != nil {
 			t.Fatal(err)
 		}
 		clients = append(clients, client)
 	}
 	stop()
-	<-late.told
-	close(late.goOn)
+	<-late.drainStarted
+	close(late.proceed)
 	for i, client := range clients {
 		if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != 200 {
 			t.Errorf("client %d: %v, %v", i, resp, err)
--- a/internal/standalone/listener/bench_test.go
+++ b/internal/standalone/listener/bench_test.go
@@ -9,21 +9,21 @@
 	"pumiceline/internal/standalone/metrics"
 )
 
-// BenchmarkFigures shows what the figures cost: a request through the front alone, without sockets, and the counts that it makes.
-// Their ratio holds in one run, whatever the machine.
-func BenchmarkFigures(b *testing.B) {
-	f := newFront(answer, 9)
+// BenchmarkMetrics compares the cost of a request through the server, without sockets, with that of the metrics that it counts.
+// The ratio within one run does not depend on the machine.
+func BenchmarkMetrics(b *testing.B) {
+	server := newTestServer(respondOK, 9)
 	b.Run("request", func(b *testing.B) {
 		for i := range b.N {
 			r := httptest.NewRequest(http.MethodGet, "/quote", nil)
 			r.Header = http.Header{correlationIDHeader: {fmt.Sprint(i)}, classHeader: {"quote"}, tenantHeader: {"acme"}, timeLeftHeader: {"900"}}
-			f.ServeHTTP(httptest.NewRecorder(), r)
+			server.ServeHTTP(httptest.NewRecorder(), r)
 		}
 	})
 	b.Run("counts", func(b *testing.B) {
 		for range b.N {
-			f.opts.Metrics.Sent()
-			f.opts.Metrics.End("quote", metrics.Answered)
+			server.opts.Metrics.Sent()
+			server.opts.Metrics.End("quote", metrics.Answered)
 		}
 	})
 }
--- a/internal/standalone/listener/body_test.go
+++ b/internal/standalone/listener/body_test.go
@@ -15,8 +15,8 @@
 	"pumiceline/internal/standalone/forwarder"
 )
 
-// takesRest is a transport that reads what of a body is still coming, as an attempt would, and counts it.
-func takesRest(got *int, ended *error) transport {
+// readsWholeBody returns a transport that reads a streamed body, as an attempt would, and counts its bytes.
+func readsWholeBody(got *int, ended *error) roundTripperFunc {
 	return func(r *http.Request) (*http.Response, error) {
 		in := forwarder.RequestInfoFrom(r.Context())
 		*got = len(in.Body)
@@ -28,21 +28,21 @@
 				return nil, context.Cause(r.Context())
 			}
 		}
-		return answer(r)
+		return respondOK(r)
 	}
 }
 
-// A body is served however long and slow it is, while it keeps coming: 32 kB/s on the whole are enough after its first 2 s. One
-// that stalls, ends early or has no end makes way. Times are those of a fake clock.
-func TestBodiesThatKeepComing(t *testing.T) {
+// A body is served however long it takes while it averages minBodyBytesPerSecond after firstBytesTimeout. A request whose body
+// stalls, breaks off or is too large is ended. The clock is fake.
+func TestRequestBody_PaceLimits(t *testing.T) {
 	for name, c := range map[string]struct {
-		size   int // in all
+		size   int // of the whole body
 		coded  bool
 		piece  int
 		pause  time.Duration
 		sent   int  // before it stops; 0: all
-		leaves bool // there, rather than stall
-		status int  // 0: an end without an answer
+		leaves bool // disconnects there, rather than stalls
+		status int  // 0: the connection ends without a response
 		most   time.Duration
 	}{
 		"short, slow":        {size: 60_000, piece: 16_000, pause: 250 * time.Millisecond, status: 200, most: 2 * time.Second},
@@ -60,8 +60,8 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				got, ended := 0, error(nil)
-				f := newFront(takesRest(&got, &ended), 9)
-				ln, stop := start(t, f)
+				server := newTestServer(readsWholeBody(&got, &ended), 9)
+				ln, stop := serveOnPipes(t, server)
 				conn, r := ln.dial()
 				begun := time.Now()
 				gone := make(chan struct{})
@@ -71,7 +71,7 @@
 					if c.coded {
 						head = "Transfer-Encoding: chunked\r\n\r\n"
 					}
-					if _, err := io.WriteString(conn, "POST /issue HTTP/1.1\r\n"+headers+head); err != nil {
+					if _, err := io.WriteString(conn, "POST /issue HTTP/1.1\r\n"+issueHeaders+head); err != nil {
 						return
 					}
 					for sent := 0; sent < c.size; {
@@ -112,26 +112,26 @@
 				if err := <-stop(); err != nil {
 					t.Error(err)
 				}
-				if f.InFlight() != 0 || len(f.openIDs.ids) != 0 || f.OpenSockets() != 0 {
-					t.Error("something is kept of it")
+				if server.InFlight() != 0 || len(server.openIDs.ids) != 0 || server.OpenSockets() != 0 {
+					t.Error("the request has left something behind")
 				}
-				if c.leaves && (ended == nil || got != c.sent) { // the step that reads must learn of it
-					t.Errorf("the step read %d bytes, %v", got, ended)
+				if c.leaves && (ended == nil || got != c.sent) { // the attempt that reads must see the error
+					t.Errorf("the attempt read %d bytes, %v", got, ended)
 				}
 			})
 		})
 	}
 }
 
-// The client's time counts from the last byte of a body that takes its time, and from the head where all came at once.
-func TestTimeCountsFromTheLastByte(t *testing.T) {
+// The client's time-out counts from the last byte of a body, or from the head if the body arrived with it.
+func TestRequestBody_ClientTimeoutCountsFromLastByte(t *testing.T) {
 	for _, c := range []struct {
 		size int
 		wait time.Duration
 	}{{10, 0}, {10, time.Second}, {100_000, time.Second}} {
 		synctest.Test(t, func(t *testing.T) {
 			var over time.Time
-			f := newFront(func(r *http.Request) (*http.Response, error) {
+			server := newTestServer(func(r *http.Request) (*http.Response, error) {
 				if in := forwarder.RequestInfoFrom(r.Context()); in.Stream != nil {
 					go io.Copy(io.Discard, in.Stream)
 				}
@@ -139,13 +139,13 @@
 				if over = time.Now(); !errors.Is(context.Cause(r.Context()), context.DeadlineExceeded) {
 					t.Errorf("ended by %v", context.Cause(r.Context()))
 				}
-				return answer(r)
+				return respondOK(r)
 			}, 9)
-			ln, stop := start(t, f)
+			ln, stop := serveOnPipes(t, server)
 			conn, r := ln.dial()
 			begun := time.Now()
 			go func() {
-				fmt.Fprintf(conn, "POST /issue HTTP/1.1\r\n%sContent-Length: %d\r\n\r\n%s", headers, c.size, strings.Repeat("x", c.size-1))
+				fmt.Fprintf(conn, "POST /issue HTTP/1.1\r\n%sContent-Length: %d\r\n\r\n%s", issueHeaders, c.size, strings.Repeat("x", c.size-1))
 				time.Sleep(c.wait)
 				io.WriteString(conn, "x")
 			}()
--- a/internal/standalone/listener/conn_test.go
+++ b/internal/standalone/listener/conn_test.go
@@ -20,47 +20,51 @@
 	"pumiceline/internal/socket"
 )
 
-// heldConn is a real connection that stops where a test says so: a read that has brought something, before anybody hears of that,
-// and the end of writing, after it has gone out.
-type heldConn struct {
+// pausingConn is a TCP connection that pauses where a test asks for it: in a read that has brought bytes, before it returns.
+// It notifies of the end of writing.
+type pausingConn struct {
 	*net.TCPConn
-	holding atomic.Bool
-	brought chan struct{} // a value for each read that is held
-	goOn    chan struct{} // lets one go on
-	ended   chan struct{} // closed with the end of writing, or of all
-	once    atomic.Bool
+	isPausing     atomic.Bool
+	paused        chan struct{} // a value for each read that pauses
+	proceed       chan struct{} // lets one of them return
+	writeClosed   chan struct{} // closed with CloseWrite or Close
+	isWriteClosed atomic.Bool
 }
 
-func (h *heldConn) Read(b []byte) (int, error) {
+func (h *pausingConn) Read(b []byte) (int, error) {
 	n, err := h.TCPConn.Read(b)
-	if n > 0 && h.holding.Load() {
-		h.brought <- struct{}{}
-		<-h.goOn
+	if n > 0 && h.isPausing.Load() {
+		h.paused <- struct{}{}
+		<-h.proceed
 	}
 	return n, err
 }
 
-func (h *heldConn) CloseWrite() error { err := h.TCPConn.CloseWrite(); h.told(); return err }
+func (h *pausingConn) CloseWrite() error {
+	err := h.TCPConn.CloseWrite()
+	h.notifyWriteClosed()
+	return err
+}
 
-func (h *heldConn) Close() error { err := h.TCPConn.Close(); h.told(); return err }
+func (h *pausingConn) Close() error { err := h.TCPConn.Close(); h.notifyWriteClosed(); return err }
 
-func (h *heldConn) told() {
-	if h.once.CompareAndSwap(false, true) {
-		close(h.ended)
+func (h *pausingConn) notifyWriteClosed() {
+	if h.isWriteClosed.CompareAndSwap(false, true) {
+		close(h.writeClosed)
 	}
 }
 
-type heldListener struct {
+type pausingListener struct {
 	net.Listener
-	conns chan *heldConn
+	conns chan *pausingConn
 }
 
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *pausingListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	h := &heldConn{TCPConn: nc.(*net.TCPConn), brought: make(chan struct{}, 1), goOn: make(chan struct{}, 1), ended: make(chan struct{})}
+	h := &pausingConn{TCPConn: nc.(*net.TCPConn), paused: make(chan struct{}, 1), proceed: make(chan struct{}, 1), writeClosed: make(chan struct{})}
 	if err := h.SetWriteBuffer(1 << 18); err != nil {
 		return nil, err
 	}
@@ -68,16 +72,16 @@
 	return h, nil
 }
 
-// serveHeld serves on a real socket, and connects one client to it.
-func serveHeld(t *testing.T, f *Server) (client *net.TCPConn, held *heldConn, stop func() chan error) {
+// servePausing serves on a TCP socket and connects one client to it.
+func servePausing(t *testing.T, server *Server) (client *net.TCPConn, serverConn *pausingConn, stop func() chan error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	hl := &heldListener{ln, make(chan *heldConn, 8)}
-	go func() { ended <- f.Serve(ctx, hl) }()
+	hl := &pausingListener{ln, make(chan *pausingConn, 8)}
+	go func() { ended <- server.Serve(ctx, hl) }()
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -86,12 +90,13 @@
 	return nc.(*net.TCPConn), <-hl.conns, func() chan error { cancel(); return ended }
 }
 
-// A request that is read in the moment in which the proxy ends its connection is not sent on: its answer would find no connection,
-// and its client sends it again. Without the lock between the two it was read, as the read had taken its bytes when the proxy looked.
-func TestARequestThatCrossesTheEndIsNotRead(t *testing.T) {
-	for name, end := range map[string]func(f *Server, stop func() chan error){
-		"making room": func(f *Server, _ func() chan error) {
-			if !f.budget.evict() {
+// A request that is read at the moment in which the proxy ends its connection is not forwarded: its response would find no
+// connection, and its client sends it again. This is a regression test for a race between the read, which had the bytes,
+// and the check for an idle connection.
+func TestClientConn_DiscardsRequestCrossingTheClose(t *testing.T) {
+	for name, end := range map[string]func(server *Server, stop func() chan error){
+		"making room": func(server *Server, _ func() chan error) {
+			if !server.budget.evict() {
 				t.Error("no room was made")
 			}
 		},
@@ -99,59 +104,59 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int32
-			f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
-				HasSuccessor: func() bool { return true }, Transport: transport(func(r *http.Request) (*http.Response, error) {
+			server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
+				HasSuccessor: func() bool { return true }, Transport: roundTripperFunc(func(r *http.Request) (*http.Response, error) {
 					requests.Add(1)
-					return answer(r)
+					return respondOK(r)
 				})})
-			client, held, stop := serveHeld(t, f)
+			client, serverConn, stop := servePausing(t, server)
 			br := bufio.NewReader(client)
-			if resp, _, err := request(client, br, quote); err != nil || resp.StatusCode != 200 {
+			if resp, _, err := exchange(client, br, quoteRequest); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("%v, %v", resp, err)
 			}
-			for f.budget.idleNow() == 0 { // the state changes just after the answer
+			for server.budget.idleNow() == 0 { // the state changes just after the response
 				time.Sleep(time.Millisecond)
 			}
-			held.holding.Store(true)
-			if _, err := io.WriteString(client, quote); err != nil {
+			serverConn.isPausing.Store(true)
+			if _, err := io.WriteString(client, quoteRequest); err != nil {
 				t.Fatal(err)
 			}
-			<-held.brought // it has left the kernel, and nobody knows yet
-			end(f, stop)
-			<-held.ended
-			held.holding.Store(false)
-			held.goOn <- struct{}{}
+			<-serverConn.paused // the bytes have left the kernel, and Read has not returned
+			end(server, stop)
+			<-serverConn.writeClosed
+			serverConn.isPausing.Store(false)
+			serverConn.proceed <- struct{}{}
 			if _, err := br.ReadByte(); err == nil {
-				t.Error("the request that crossed the end was answered")
+				t.Error("the request that crossed the close was answered")
 			}
 			client.Close()
 			if err := <-stop(); err != nil {
 				t.Error(err)
 			}
 			if n := requests.Load(); n != 1 {
-				t.Errorf("%d requests were sent on, want the first alone", n)
+				t.Errorf("%d requests were forwarded, want the first alone", n)
 			}
 		})
 	}
 }
 
-// An answer that its client has not taken yet when the proxy closes the connection is not lost to bytes that lie there unread. What
-// the client sent behind its request has the kernel reset the connection otherwise, and drop what it still holds.
-func TestACloseTakesNoAnswerBack(t *testing.T) {
+// A response that the client has not read yet is not lost when the proxy closes the connection with unread bytes in it: those
+// would have the kernel reset the connection and drop the rest of the response.
+func TestClientConn_CloseKeepsUnreadResponse(t *testing.T) {
 	const size = 60_000
 	taken, more := make(chan struct{}), make(chan struct{})
-	f := newFront(func(r *http.Request) (*http.Response, error) {
+	server := newTestServer(func(r *http.Request) (*http.Response, error) {
 		close(taken)
 		<-more
 		return &http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(strings.Repeat("x", size))),
 			ContentLength: size, Request: r}, nil
 	}, 9)
-	client, held, stop := serveHeld(t, f)
+	client, serverConn, stop := servePausing(t, server)
 	if err := client.SetReadBuffer(4096); err != nil {
 		t.Fatal(err)
 	}
 	// A chunked request is its connection's last.
-	if _, err := io.WriteString(client, "POST /issue HTTP/1.1\r\n"+headers+"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"); err != nil {
+	if _, err := io.WriteString(client, "POST /issue HTTP/1.1\r\n"+issueHeaders+"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	<-taken
@@ -159,7 +164,7 @@
 		t.Fatal(err)
 	}
 	close(more)
-	<-held.ended // the proxy has closed, and the client has taken next to nothing
+	<-serverConn.writeClosed // the proxy has closed, and the client has read next to nothing
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -173,24 +178,25 @@
 	}
 }
 
-// A connection that is ended while it rests hears an end and no reset, also when a request crosses it, and does not hold the stop up.
-func TestARestingConnectionIsEndedInOrder(t *testing.T) {
-	f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
-		HasSuccessor: func() bool { return true }, Transport: transport(answer)})
-	client, held, stop := serveHeld(t, f)
+// A client whose idle connection is closed at shutdown sees an end and no reset, also when a request crosses the close, and
+// does not delay the shutdown.
+func TestClientConn_IdleConnectionClosesGracefully(t *testing.T) {
+	server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
+		HasSuccessor: func() bool { return true }, Transport: roundTripperFunc(respondOK)})
+	client, serverConn, stop := servePausing(t, server)
 	br := bufio.NewReader(client)
-	if resp, _, err := request(client, br, quote); err != nil || resp.StatusCode != 200 {
+	if resp, _, err := exchange(client, br, quoteRequest); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("%v, %v", resp, err)
 	}
 	begin, ended := time.Now(), stop()
-	<-held.ended
-	for range 3 { // over a connection that was closed outright, the second write would fail
-		if _, err := io.WriteString(client, quote); err != nil {
-			t.Errorf("sending across the end: %v", err)
+	<-serverConn.writeClosed
+	for range 3 { // on a connection that was closed outright, the second write would fail
+		if _, err := io.WriteString(client, quoteRequest); err != nil {
+			t.Errorf("sending across the close: %v", err)
 		}
-		for wait := time.Now().Add(10 * time.Second); !quietOut(client); time.Sleep(time.Millisecond) {
+		for wait := time.Now().Add(10 * time.Second); !isSendBufferEmpty(client); time.Sleep(time.Millisecond) {
 			if time.Now().After(wait) {
-				t.Fatal("what crosses the end is never taken")
+				t.Fatal("what crosses the close is never read")
 			}
 		}
 	}
@@ -202,8 +208,8 @@
 	}
 }
 
-// quietOut says whether all that was written has reached the other side's system.
-func quietOut(c *net.TCPConn) bool {
+// isSendBufferEmpty reports whether the peer's kernel has acknowledged all that was written.
+func isSendBufferEmpty(c *net.TCPConn) bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
@@ -215,24 +221,24 @@
 	return left == 0
 }
 
-// A later request on a connection may be slow where a first one may not: its client is a usual one, and cut off when its
-// last byte is on the way it would be lost. It must not take for ever either.
-func TestLaterHeadsMayTakeLonger(t *testing.T) {
+// The head of a later request may take laterHeadExtension longer than the first: if the connection were closed with the last
+// byte on its way, the request would be lost.
+func TestClientConn_LaterHeadsHaveLongerTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(answer, 10)
-		ln, stop := start(t, f)
+		server := newTestServer(respondOK, 10)
+		ln, stop := serveOnPipes(t, server)
 		c, r := ln.dial()
 		for i := range 3 {
-			io.WriteString(c, quote[:30])
+			io.WriteString(c, quoteRequest[:30])
 			if i > 0 {
 				time.Sleep(headTimeout + time.Second)
 			}
-			if resp, _, err := request(c, r, quote[30:]); err != nil || resp.StatusCode != 200 {
+			if resp, _, err := exchange(c, r, quoteRequest[30:]); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("request %d: %v, %v", i, resp, err)
 			}
 		}
 		begin := time.Now()
-		io.WriteString(c, quote[:30])
+		io.WriteString(c, quoteRequest[:30])
 		if _, err := io.ReadAll(r); err != nil {
 			t.Error(err)
 		}
@@ -244,14 +250,14 @@
 	})
 }
 
-// lateReader is a connection whose reads notice their deadline before what has come, as those of a proxy that is short
-// of CPU do.
-type lateReader struct {
+// lateConn is a connection whose reads notice an expired deadline before the bytes that have arrived, as in a proxy that is
+// short of CPU.
+type lateConn struct {
 	*net.TCPConn
 	late bool
 }
 
-func (l *lateReader) Read(b []byte) (int, error) {
+func (l *lateConn) Read(b []byte) (int, error) {
 	if l.late {
 		l.late = false
 		return 0, os.ErrDeadlineExceeded
@@ -259,9 +265,9 @@
 	return l.TCPConn.Read(b)
 }
 
-// What has come is taken even if its time was up before the proxy came to read it. A read that net/http itself has
-// stopped does not go on.
-func TestWhatHasComeIsReadPastItsTime(t *testing.T) {
+// Bytes that have arrived are read even if the deadline passed before the proxy came to read them. A read that net/http itself
+// has stopped is not extended.
+func TestClientConn_ReadsArrivedBytesPastDeadline(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -276,13 +282,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := &lateReader{TCPConn: nc.(*net.TCPConn)}
+	late := &lateConn{TCPConn: nc.(*net.TCPConn)}
 	c := &clientConn{Conn: late}
 	defer c.Close()
 	if _, err := io.WriteString(client, "GET"); err != nil {
 		t.Fatal(err)
 	}
-	for socket.IsOpenAndEmpty(nc) { // until it has come
+	for socket.IsOpenAndEmpty(nc) { // until it has arrived
 		time.Sleep(time.Millisecond)
 	}
 	var b [8]byte
--- a/internal/standalone/listener/disconnect_test.go
+++ b/internal/standalone/listener/disconnect_test.go
@@ -21,65 +21,66 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// crossing is a proxy between real sockets whose module, listener and connections to the backend wait where a test says so.
-type crossing struct {
-	t       *testing.T
-	base    string
-	planner *engine.Engine
-	fleet   *backend.Pool
-	front   *Server
-	arrived chan struct{}                    // a value for each request that the module is told of
-	accept  chan struct{}                    // nil: the listener takes connections at once; else a value for each
-	taken   atomic.Pointer[clientSide]       // the connection accepted last
-	dialing chan struct{}                    // a value for each connection that is being made to the backend
-	dial    func(net.Conn) (net.Conn, error) // what becomes of one
-	written atomic.Int64                     // bytes written to the backend
-	heard   atomic.Int64                     // attempts that have ended
-	outcome atomic.Uint32                    // of the last one
-	atOnce  bool                             // the module sends what arrives; else only what it is asked to
-	last    atomic.Uint64                    // the request that came last
+// disconnectTest is a proxy between TCP sockets whose policy, listener and connections to the backend wait where a test asks
+// for it.
+type disconnectTest struct {
+	t             *testing.T
+	addr          string
+	engine        *engine.Engine
+	backends      *backend.Pool
+	server        *Server
+	arrived       chan struct{}                      // a value for each request that the policy is given
+	accept        chan struct{}                      // nil: connections are accepted at once; else one for each value
+	lastConn      atomic.Pointer[countingClientConn] // the connection accepted last
+	dialing       chan struct{}                      // a value for each connection that is being made to the backend
+	dial          func(net.Conn) (net.Conn, error)   // wraps or fails such a connection
+	written       atomic.Int64                       // bytes written to the backend
+	attemptsEnded atomic.Int64                       // attempts that have ended
+	lastOutcome   atomic.Uint32                      // of the last one
+	sendsAtOnce   bool                               // the policy sends each request; else only by sendLastRequest
+	lastRequest   atomic.Uint64                      // the request that arrived last
 }
 
-// Handle is planner.Module's. Nothing is ever called off, as where the settings allow no cancelling, and a list makes it send the
-// last request once more.
-func (c *crossing) Handle(_ policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
+// Handle implements engine.Policy. No attempt is ever cancelled, as where the settings forbid it, and a full membership event
+// has it send the last request once more.
+func (c *disconnectTest) Handle(_ policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
 	case policy.RequestArrived:
-		c.last.Store(ev.ID)
+		c.lastRequest.Store(ev.ID)
 		defer func() { c.arrived <- struct{}{} }()
-		if c.atOnce {
+		if c.sendsAtOnce {
 			return append(out, policy.Action{Kind: policy.SendAttempt, ID: ev.ID, Server: 1})
 		}
 	case policy.AttemptEnded:
-		c.outcome.Store(uint32(ev.Outcome))
-		c.heard.Add(1)
+		c.lastOutcome.Store(uint32(ev.Outcome))
+		c.attemptsEnded.Add(1)
 	case policy.MembershipFull:
-		return append(out, policy.Action{Kind: policy.SendAttempt, ID: c.last.Load(), Server: 1})
+		return append(out, policy.Action{Kind: policy.SendAttempt, ID: c.lastRequest.Load(), Server: 1})
 	}
 	return out
 }
 
-// sendOn has the module send the last request.
-func (c *crossing) sendOn() { c.planner.UpdateMembers(policy.MembershipFull, nil) }
+// sendLastRequest has the policy send the last request.
+func (c *disconnectTest) sendLastRequest() { c.engine.UpdateMembers(policy.MembershipFull, nil) }
 
-// clientSide is a connection that a listener took, and how many bytes the proxy has read from it.
-type clientSide struct {
+// countingClientConn is an accepted connection that counts the bytes that the proxy has read from it.
+type countingClientConn struct {
 	*net.TCPConn
-	read atomic.Int64
+	readBytes atomic.Int64
 }
 
-func (c *clientSide) Read(b []byte) (int, error) {
+func (c *countingClientConn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	c.read.Add(int64(n))
+	c.readBytes.Add(int64(n))
 	return n, err
 }
 
-type crossingListener struct {
+type countingListener struct {
 	net.Listener
-	c *crossing
+	c *disconnectTest
 }
 
-func (l *crossingListener) Accept() (net.Conn, error) {
+func (l *countingListener) Accept() (net.Conn, error) {
 	if l.c.accept != nil {
 		<-l.c.accept
 	}
@@ -87,29 +88,29 @@
 	if err != nil {
 		return nil, err
 	}
-	side := &clientSide{TCPConn: nc.(*net.TCPConn)}
-	l.c.taken.Store(side)
+	side := &countingClientConn{TCPConn: nc.(*net.TCPConn)}
+	l.c.lastConn.Store(side)
 	return side, nil
 }
 
-// backendSide counts what is written to a backend.
-type backendSide struct {
+// countingBackendConn counts the bytes written to a backend.
+type countingBackendConn struct {
 	net.Conn
 	written *atomic.Int64
 }
 
-func (b *backendSide) Write(p []byte) (int, error) {
+func (b *countingBackendConn) Write(p []byte) (int, error) {
 	n, err := b.Conn.Write(p)
 	b.written.Add(int64(n))
 	return n, err
 }
 
-func newCrossing(t *testing.T, set func(c *crossing, o *Options)) *crossing {
+func newDisconnectTest(t *testing.T, set func(c *disconnectTest, o *Options)) *disconnectTest {
 	t.Parallel()
-	c := &crossing{t: t, arrived: make(chan struct{}, 16), dialing: make(chan struct{}, 16)}
+	c := &disconnectTest{t: t, arrived: make(chan struct{}, 16), dialing: make(chan struct{}, 16)}
 	log := slog.New(slog.DiscardHandler)
 	c.dial = func(nc net.Conn) (net.Conn, error) { return nc, nil }
-	c.planner = engine.New(c, engine.Hooks{}, log)
+	c.engine = engine.New(c, engine.Hooks{}, log)
 	upstream, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -118,34 +119,34 @@
 	go func() {
 		_ = http.Serve(upstream, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "42") }))
 	}()
-	c.fleet = backend.NewPool(backend.Options{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConnections: 9,
+	c.backends = backend.NewPool(backend.Options{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConnections: 9,
 		Dial: func(_ context.Context, addr string, by time.Time) (net.Conn, error) {
 			c.dialing <- struct{}{}
-			nc, err := backend.DialTCP(context.Background(), addr, by) // as one that comes up in the moment of a cancel
+			nc, err := backend.DialTCP(context.Background(), addr, by) // as a connection that is made at the moment of a cancel
 			if err != nil {
 				return nil, err
 			}
 			if nc, err = c.dial(nc); err != nil {
 				return nil, err
 			}
-			return &backendSide{nc, &c.written}, nil
+			return &countingBackendConn{nc, &c.written}, nil
 		}}, log)
-	c.fleet.SetBackend(1, upstream.Addr().String(), true)
-	transport := &forwarder.Transport{Engine: c.planner, Backends: c.fleet, Log: log}
-	opts := Options{Settings: site(), Transport: transport, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: log,
-		HasSuccessor: func() bool { return true }} // it ends sooner then
+	c.backends.SetBackend(1, upstream.Addr().String(), true)
+	transport := &forwarder.Transport{Engine: c.engine, Backends: c.backends, Log: log}
+	opts := Options{Settings: testSettings(), Transport: transport, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: log,
+		HasSuccessor: func() bool { return true }} // for a shorter shutdown
 	if set != nil {
 		set(c, &opts)
 	}
-	c.front = New(opts)
+	c.server = New(opts)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.base = ln.Addr().String()
+	c.addr = ln.Addr().String()
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	go func() { ended <- c.front.Serve(ctx, &crossingListener{ln, c}) }()
+	go func() { ended <- c.server.Serve(ctx, &countingListener{ln, c}) }()
 	t.Cleanup(func() {
 		stop()
 		if c.accept != nil {
@@ -158,14 +159,14 @@
 	return c
 }
 
-// ask connects and sends a request with three seconds to live and this body.
-func (c *crossing) ask(body string) (client *net.TCPConn, length int64) {
-	nc, err := net.Dial("tcp", c.base)
+// send connects and sends a request with a time-out of three seconds and this body.
+func (c *disconnectTest) send(body string) (client *net.TCPConn, length int64) {
+	nc, err := net.Dial("tcp", c.addr)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	c.t.Cleanup(func() { nc.Close() })
-	text := "POST /issue HTTP/1.1\r\n" + strings.Replace(headers, "Left-Ms: 480", "Left-Ms: 3000", 1) +
+	text := "POST /issue HTTP/1.1\r\n" + strings.Replace(issueHeaders, "Left-Ms: 480", "Left-Ms: 3000", 1) +
 		"Content-Length: " + strconv.Itoa(len(body)) + "\r\n\r\n" + body
 	if _, err := io.WriteString(nc, text); err != nil {
 		c.t.Fatal(err)
@@ -173,8 +174,8 @@
 	return nc.(*net.TCPConn), int64(len(text))
 }
 
-// until waits for what is certain to come.
-func (c *crossing) until(what string, holds func() bool) {
+// waitUntil waits until holds returns true; what names the event in the failure.
+func (c *disconnectTest) waitUntil(what string, holds func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !holds(); runtime.Gosched() {
 		if time.Now().After(end) {
@@ -183,90 +184,90 @@
 	}
 }
 
-// seen waits until the proxy's socket knows of the leave.
-func (c *crossing) seen() {
-	c.until("the proxy's socket hears of the leave", func() bool { side := c.taken.Load(); return side != nil && socket.HasPeerClosed(side.TCPConn) })
+// waitForDisconnect waits until the proxy's kernel knows that the client has disconnected.
+func (c *disconnectTest) waitForDisconnect() {
+	c.waitUntil("the disconnect reaches the proxy's socket", func() bool { side := c.lastConn.Load(); return side != nil && socket.HasPeerClosed(side.TCPConn) })
 }
 
-// settled waits until nothing is left of the requests that the module was told of.
-func (c *crossing) settled() {
-	c.until("requests and attempts all end", func() bool { return c.planner.TableSizes().Calls == 0 && c.front.InFlight() == 0 })
+// waitForEnd waits until no request is left in the engine or the server.
+func (c *disconnectTest) waitForEnd() {
+	c.waitUntil("requests and attempts all end", func() bool { return c.engine.TableSizes().Calls == 0 && c.server.InFlight() == 0 })
 }
 
-// leaving is the ways in which a client goes. Behind bytes that nobody reads, net/http does not hear of it.
-var leaving = map[string]func(c *crossing, client *net.TCPConn, length int64){
-	"closed":      func(_ *crossing, client *net.TCPConn, _ int64) { client.Close() },
-	"half closed": func(_ *crossing, client *net.TCPConn, _ int64) { _ = client.CloseWrite() },
-	"reset":       func(_ *crossing, client *net.TCPConn, _ int64) { _ = client.SetLinger(0); client.Close() },
-	"closed behind bytes": func(_ *crossing, client *net.TCPConn, _ int64) {
+// disconnectKinds are the ways in which a client may disconnect. Behind bytes that nobody reads, net/http does not notice it.
+var disconnectKinds = map[string]func(c *disconnectTest, client *net.TCPConn, length int64){
+	"closed":      func(_ *disconnectTest, client *net.TCPConn, _ int64) { client.Close() },
+	"half closed": func(_ *disconnectTest, client *net.TCPConn, _ int64) { _ = client.CloseWrite() },
+	"reset":       func(_ *disconnectTest, client *net.TCPConn, _ int64) { _ = client.SetLinger(0); client.Close() },
+	"closed behind bytes": func(_ *disconnectTest, client *net.TCPConn, _ int64) {
 		_, _ = io.WriteString(client, "GET /next")
 		client.Close()
 	},
-	"reset behind bytes": func(c *crossing, client *net.TCPConn, length int64) {
+	"reset behind bytes": func(c *disconnectTest, client *net.TCPConn, length int64) {
 		_, _ = io.WriteString(client, "GET /next")
-		c.until("a byte behind the request is read", func() bool { side := c.taken.Load(); return side != nil && side.read.Load() > length })
+		c.waitUntil("a byte behind the request is read", func() bool { side := c.lastConn.Load(); return side != nil && side.readBytes.Load() > length })
 		_ = client.SetLinger(0)
 		client.Close()
 	},
 }
 
-// TestNothingIsSentOnForAClientThatLeft: wherever a request waits, and however its client goes, no byte of it reaches a backend
-// afterwards, where nothing may be cancelled either.
-func TestNothingIsSentOnForAClientThatLeft(t *testing.T) {
-	for way, leave := range leaving {
-		t.Run("held by the module, "+way, func(t *testing.T) {
-			c := newCrossing(t, nil)
-			client, n := c.ask("body")
+// Wherever a request waits, and however its client disconnects, no byte of it reaches a backend afterwards, even where no
+// attempt may be cancelled.
+func TestServer_ForwardsNothingAfterDisconnect(t *testing.T) {
+	for way, leave := range disconnectKinds {
+		t.Run("queued in the policy, "+way, func(t *testing.T) {
+			c := newDisconnectTest(t, nil)
+			client, n := c.send("body")
 			<-c.arrived
 			leave(c, client, n)
-			c.seen()
-			c.sendOn()
-			c.settled()
-			c.nothingWritten()
+			c.waitForDisconnect()
+			c.sendLastRequest()
+			c.waitForEnd()
+			c.checkNothingWritten()
 		})
-		t.Run("while its connection is made, "+way, func(t *testing.T) {
+		t.Run("while the backend connection is made, "+way, func(t *testing.T) {
 			goOn := make(chan struct{})
-			c := newCrossing(t, func(c *crossing, _ *Options) {
-				c.atOnce = true
+			c := newDisconnectTest(t, func(c *disconnectTest, _ *Options) {
+				c.sendsAtOnce = true
 				c.dial = func(nc net.Conn) (net.Conn, error) { <-goOn; return nc, nil }
 			})
-			client, n := c.ask("body")
+			client, n := c.send("body")
 			<-c.dialing
 			leave(c, client, n)
-			c.seen()
+			c.waitForDisconnect()
 			close(goOn)
-			c.settled()
-			c.nothingWritten()
+			c.waitForEnd()
+			c.checkNothingWritten()
 		})
 		t.Run("between two attempts, "+way, func(t *testing.T) {
-			c := newCrossing(t, func(c *crossing, _ *Options) {
-				c.atOnce = true
+			c := newDisconnectTest(t, func(c *disconnectTest, _ *Options) {
+				c.sendsAtOnce = true
 				c.dial = func(nc net.Conn) (net.Conn, error) { nc.Close(); return nil, net.ErrClosed }
 			})
-			client, n := c.ask("body")
-			c.until("the first attempt fails", func() bool { return c.heard.Load() == 1 })
+			client, n := c.send("body")
+			c.waitUntil("the first attempt fails", func() bool { return c.attemptsEnded.Load() == 1 })
 			c.dial = func(nc net.Conn) (net.Conn, error) { return nc, nil }
 			leave(c, client, n)
-			c.seen()
-			c.sendOn()
-			c.settled()
-			c.nothingWritten()
+			c.waitForDisconnect()
+			c.sendLastRequest()
+			c.waitForEnd()
+			c.checkNothingWritten()
 		})
-		t.Run("with no socket left for the backend, "+way, func(t *testing.T) {
-			c := newCrossing(t, func(c *crossing, _ *Options) { c.atOnce = true; c.fleet.SetMaxConnections(0) })
-			client, n := c.ask("body")
-			c.until("the first attempt finds no socket", func() bool { return c.heard.Load() == 1 })
+		t.Run("at the connection limit, "+way, func(t *testing.T) {
+			c := newDisconnectTest(t, func(c *disconnectTest, _ *Options) { c.sendsAtOnce = true; c.backends.SetMaxConnections(0) })
+			client, n := c.send("body")
+			c.waitUntil("the first attempt finds no free connection", func() bool { return c.attemptsEnded.Load() == 1 })
 			leave(c, client, n)
-			c.seen()
-			c.fleet.SetMaxConnections(9)
-			c.sendOn()
-			c.settled()
-			c.nothingWritten()
+			c.waitForDisconnect()
+			c.backends.SetMaxConnections(9)
+			c.sendLastRequest()
+			c.waitForEnd()
+			c.checkNothingWritten()
 		})
-		t.Run("behind the door, "+way, func(t *testing.T) {
+		t.Run("queued at the gate, "+way, func(t *testing.T) {
 			var gate *Gate
-			c := newCrossing(t, func(c *crossing, o *Options) {
-				c.atOnce = true
+			c := newDisconnectTest(t, func(c *disconnectTest, o *Options) {
+				c.sendsAtOnce = true
 				s := admission.Defaults()
 				s.Tenants = []admission.Tenant{{Name: "acme", Share: 1}, {Name: "zenith", Share: 1}}
 				s.Classes = []admission.Class{{Name: "quote", Value: 1, Work: 100_000}, {Name: "issue", Value: 5, Work: 100_000}}
@@ -281,55 +282,55 @@
 			defer end()
 			go gate.Run(running)
 			room, _ := gate.admit(t.Context(), &http.Request{RemoteAddr: "127.0.0.9:1"}, &forwarder.RequestInfo{}, time.Now().Add(time.Hour))
-			client, n := c.ask("body")
-			c.until("it waits behind the door", func() bool { return c.front.TableSizes().GateQueue == 1 })
+			client, n := c.send("body")
+			c.waitUntil("it is queued at the gate", func() bool { return c.server.TableSizes().GateQueue == 1 })
 			leave(c, client, n)
-			c.seen()
+			c.waitForDisconnect()
 			room(true)
-			c.settled()
-			c.nothingWritten()
+			c.waitForEnd()
+			c.checkNothingWritten()
 		})
 		if way == "reset behind bytes" {
-			continue // it waits for a byte to be read, which nobody does before
+			continue // it waits for a byte to be read, which does not happen before Accept
 		}
 		t.Run("before it is accepted, "+way, func(t *testing.T) {
-			c := newCrossing(t, func(c *crossing, _ *Options) { c.atOnce = true; c.accept = make(chan struct{}) })
-			client, n := c.ask("body")
+			c := newDisconnectTest(t, func(c *disconnectTest, _ *Options) { c.sendsAtOnce = true; c.accept = make(chan struct{}) })
+			client, n := c.send("body")
 			leave(c, client, n)
 			c.accept <- struct{}{}
-			c.seen()
-			c.until("the connection is given up", func() bool { return c.front.OpenSockets() == 0 })
-			c.settled()
-			c.nothingWritten()
+			c.waitForDisconnect()
+			c.waitUntil("the connection is given up", func() bool { return c.server.OpenSockets() == 0 })
+			c.waitForEnd()
+			c.checkNothingWritten()
 		})
 	}
 }
 
-func (c *crossing) nothingWritten() {
+func (c *disconnectTest) checkNothingWritten() {
 	c.t.Helper()
 	if n := c.written.Load(); n > 0 {
-		c.t.Errorf("%d bytes went to the backend after the client had left", n)
+		c.t.Errorf("%d bytes were written to the backend after the client had disconnected", n)
 	}
 }
 
-// A client that leaves while its request is being written to a backend that does not read: no more of it goes out, and the backend
-// is not blamed. One whose request has gone out whole is no concern of ours.
-func TestALeaveStopsARequestHalfWritten(t *testing.T) {
+// After a client disconnects while its request is being written to a backend that does not read, no more of it is written, and
+// the outcome does not count against the backend.
+func TestServer_DisconnectStopsPartialWrite(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
-	c := newCrossing(t, func(c *crossing, _ *Options) {
-		c.atOnce = true
+	c := newDisconnectTest(t, func(c *disconnectTest, _ *Options) {
+		c.sendsAtOnce = true
 		c.dial = func(nc net.Conn) (net.Conn, error) { nc.Close(); return here, nil }
 	})
-	client, _ := c.ask(strings.Repeat("x", 60_000))
+	client, _ := c.send(strings.Repeat("x", 60_000))
 	if _, err := io.ReadFull(there, make([]byte, 100)); err != nil {
 		t.Fatal(err)
 	}
 	client.Close()
-	c.seen()
-	c.settled()
-	// Without the leave it would be the attempt's own time that ends it.
-	if n, outcome := c.written.Load(), policy.Outcome(c.outcome.Load()); n != 100 || outcome != policy.NotSent {
-		t.Errorf("%d bytes written, of which 100 before the client left; outcome %d", n, outcome)
+	c.waitForDisconnect()
+	c.waitForEnd()
+	// Without the disconnect the attempt would end by its own time-out.
+	if n, outcome := c.written.Load(), policy.Outcome(c.lastOutcome.Load()); n != 100 || outcome != policy.NotSent {
+		t.Errorf("%d bytes written, of which 100 before the client disconnected; outcome %d", n, outcome)
 	}
 }
--- a/internal/standalone/listener/gate_test.go
+++ b/internal/standalone/listener/gate_test.go
@@ -18,8 +18,8 @@
 	"pumiceline/internal/standalone/admission"
 )
 
-// gated is a front behind a door that lets four in at once, before a transport that takes 100 ms.
-func gated(t *testing.T, change func(s *admission.Settings)) (*Server, *Gate) {
+// newGatedServer returns a server with a gate that admits four requests at once, and a transport that takes 100 ms.
+func newGatedServer(t *testing.T, change func(s *admission.Settings)) (*Server, *Gate) {
 	t.Helper()
 	s := admission.Defaults()
 	s.Tenants = []admission.Tenant{{Name: "acme", Share: 1}, {Name: "zenith", Share: 1}}
@@ -32,42 +32,42 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 10_000, Gate: g, Log: slog.New(slog.DiscardHandler),
-		Transport: transport(func(r *http.Request) (*http.Response, error) {
-			select { // as a route does
+	server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, GuaranteedSockets: 10_000, Gate: g, Log: slog.New(slog.DiscardHandler),
+		Transport: roundTripperFunc(func(r *http.Request) (*http.Response, error) {
+			select { // as forwarder.Transport does
 			case <-time.After(100 * time.Millisecond):
-				return answer(r)
+				return respondOK(r)
 			case <-r.Context().Done():
 				return &http.Response{StatusCode: http.StatusGatewayTimeout, Header: http.Header{}, Body: http.NoBody, Request: r}, nil
 			}
 		})})
-	return f, g
+	return server, g
 }
 
-func quoteOf(id int, tenant string, leftMs int) string {
-	text := strings.Replace(quote, "Id: 1", fmt.Sprint("Id: ", id), 1)
+func quoteRequestOf(id int, tenant string, leftMs int) string {
+	text := strings.Replace(quoteRequest, "Id: 1", fmt.Sprint("Id: ", id), 1)
 	text = strings.Replace(text, "X-Account: acme", "X-Account: "+tenant, 1)
 	return strings.Replace(text, "Left-Ms: 400", fmt.Sprint("Left-Ms: ", leftMs), 1)
 }
 
-// TestAFloodCostsTheOtherTenantNothing sends twenty times what goes through from one tenant and little from another: the
-// other's times must be within 1.5 of those that it has alone, and all of it must be served.
-func TestAFloodCostsTheOtherTenantNothing(t *testing.T) {
+// One tenant sends twenty times the capacity, another little: the 99th percentile of the other must be within 1.5 times of
+// that without the flood, and all of its requests must be served.
+func TestGate_FloodOfOneTenantDoesNotDelayAnother(t *testing.T) {
 	times := func(flood bool) (took []time.Duration, refused int) {
 		late := 0
 		synctest.Test(t, func(t *testing.T) {
-			f, g := gated(t, nil)
-			ln, stop := start(t, f)
+			server, gate := newGatedServer(t, nil)
+			ln, stop := serveOnPipes(t, server)
 			running, end := context.WithCancel(context.Background())
 			var all sync.WaitGroup
-			all.Go(func() { g.Run(running) })
+			all.Go(func() { gate.Run(running) })
 			var mu sync.Mutex
 			ask := func(id int, tenant string) {
 				all.Go(func() {
 					c, r := ln.dial()
 					defer c.Close()
 					begin := time.Now()
-					resp, _, err := request(c, r, quoteOf(id, tenant, 1400))
+					resp, _, err := exchange(c, r, quoteRequestOf(id, tenant, 1400))
 					mu.Lock()
 					defer mu.Unlock()
 					switch {
@@ -78,12 +78,12 @@
 					case tenant == "zenith":
 						refused++
 					case resp.StatusCode == http.StatusGatewayTimeout:
-						late++ // let in on what is usual, and took longer
+						late++ // admitted by the expected latency, and took longer
 					case resp.StatusCode != http.StatusOK:
 						said := resp.Header.Get("Retry-After")
 						after, err := strconv.ParseFloat(said, 64)
 						if resp.StatusCode != http.StatusServiceUnavailable || said != "" && (err != nil || after <= 0 || after > 2.5) {
-							t.Errorf("refused with %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+							t.Errorf("rejected with %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 						}
 					}
 				})
@@ -94,7 +94,7 @@
 					id++
 					ask(id, "acme")
 				}
-				if step%10 == 5 { // a fourth of what goes through, half of its share
+				if step%10 == 5 { // a quarter of the capacity, half of its share
 					id++
 					ask(id, "zenith")
 				}
@@ -105,7 +105,7 @@
 			all.Wait()
 			<-stop()
 			if late > id/100 {
-				t.Errorf("%d of %d requests were let in too late", late, id)
+				t.Errorf("%d of %d requests were admitted too late", late, id)
 			}
 		})
 		return took, refused
@@ -118,27 +118,27 @@
 	}
 }
 
-// TestTheGateLosesNobody has clients leave while they wait, changes the settings while the queue is full and stops the
-// front: each client that stays gets one whole answer, and the door is empty at the end.
-func TestTheGateLosesNobody(t *testing.T) {
+// Clients disconnect while they are queued, the settings change while the queue is full, and the server shuts down: each client
+// that stays gets one complete response, and the gate is empty at the end.
+func TestGate_AnswersEveryRequestOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, g := gated(t, func(s *admission.Settings) { s.MaxQueued = 40 })
-		ln, stop := start(t, f)
+		server, gate := newGatedServer(t, func(s *admission.Settings) { s.MaxQueued = 40 })
+		ln, stop := serveOnPipes(t, server)
 		running, end := context.WithCancel(context.Background())
 		var all sync.WaitGroup
-		all.Go(func() { g.Run(running) })
+		all.Go(func() { gate.Run(running) })
 		var mu sync.Mutex
 		status := map[int]int{}
 		for id := range 100 {
 			c, r := ln.dial()
-			if id%7 == 3 { // leaves
-				io.WriteString(c, quoteOf(id, "acme", 1400))
+			if id%7 == 3 { // disconnects
+				io.WriteString(c, quoteRequestOf(id, "acme", 1400))
 				time.AfterFunc(50*time.Millisecond, func() { c.Close() })
 				continue
 			}
 			all.Go(func() {
 				defer c.Close()
-				resp, _, err := request(c, r, quoteOf(id, []string{"acme", "zenith"}[id%2], 1400))
+				resp, _, err := exchange(c, r, quoteRequestOf(id, []string{"acme", "zenith"}[id%2], 1400))
 				mu.Lock()
 				defer mu.Unlock()
 				if err != nil {
@@ -154,10 +154,10 @@
 		less.MinLimit, less.InitialLimit, less.MaxLimit, less.MaxQueued = 2, 2, 2, 10
 		bad := less
 		bad.QueuesPerClass = 0
-		if err := g.ApplySettings(bad); err == nil || !strings.Contains(err.Error(), "buckets") {
-			t.Errorf("a wrong file passes: %v", err)
+		if err := gate.ApplySettings(bad); err == nil || !strings.Contains(err.Error(), "buckets") {
+			t.Errorf("invalid settings are accepted: %v", err)
 		}
-		if err := g.ApplySettings(less); err != nil {
+		if err := gate.ApplySettings(less); err != nil {
 			t.Error(err)
 		}
 		stopped := stop()
@@ -168,27 +168,27 @@
 		if n := status[200] + status[503]; n != 100-14 || status[200] < 10 || status[503] < 20 {
 			t.Errorf("answers: %v", status)
 		}
-		if state := g.controller.State(); state.InFlight != 0 || state.Queued != 0 || len(g.pending) != 0 {
-			t.Errorf("%d in flight, %d queued, %d pending", state.InFlight, state.Queued, len(g.pending))
+		if state := gate.controller.State(); state.InFlight != 0 || state.Queued != 0 || len(gate.pending) != 0 {
+			t.Errorf("%d in flight, %d queued, %d pending", state.InFlight, state.Queued, len(gate.pending))
 		}
 	})
 }
 
-// TestWaitingClientsAreToldInTime: one whose turn does not come is refused while it is still there.
-func TestWaitingClientsAreToldInTime(t *testing.T) {
+// A request that is not admitted in time is rejected before its client's deadline.
+func TestGate_RejectsQueuedRequestsBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f, g := gated(t, func(s *admission.Settings) { s.MinLimit, s.InitialLimit, s.MaxLimit = 1, 1, 1 })
-		ln, stop := start(t, f)
+		server, gate := newGatedServer(t, func(s *admission.Settings) { s.MinLimit, s.InitialLimit, s.MaxLimit = 1, 1, 1 })
+		ln, stop := serveOnPipes(t, server)
 		running, end := context.WithCancel(context.Background())
 		var all sync.WaitGroup
-		all.Go(func() { g.Run(running) })
+		all.Go(func() { gate.Run(running) })
 		var conns []net.Conn
 		for id := range 6 {
 			c, r := ln.dial()
 			conns = append(conns, c)
 			all.Go(func() {
 				begin := time.Now()
-				resp, _, err := request(c, r, quoteOf(id, "acme", 250))
+				resp, _, err := exchange(c, r, quoteRequestOf(id, "acme", 250))
 				if took := time.Since(begin); err != nil || took > 260*time.Millisecond {
 					t.Errorf("answered after %v: %v, %v", took, resp, err)
 				}
--- a/internal/standalone/listener/request_test.go
+++ b/internal/standalone/listener/request_test.go
@@ -13,11 +13,11 @@
 	"pumiceline/internal/standalone/forwarder"
 )
 
-// What a destination is sent is what the client wrote, odd queries and paths too, and nothing about the client.
-func TestRequestsPassUnchanged(t *testing.T) {
+// A backend receives what the client wrote, unusual queries and paths included, and nothing about the client.
+func TestServer_ForwardsRequestsUnchanged(t *testing.T) {
 	for _, target := range []string{"/issue", "/issue?a=1;b=%zz&&c", "/issue/%2F/x%20y?", "/issue//a/../b?q=%", "//issue?x"} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFront(func(r *http.Request) (*http.Response, error) {
+			server := newTestServer(func(r *http.Request) (*http.Response, error) {
 				if got := r.URL.RequestURI(); got != target {
 					t.Errorf("target %q became %q", target, got)
 				}
@@ -33,11 +33,11 @@
 				if left := time.Until(deadline); left != 480*time.Millisecond {
 					t.Errorf("%v left", left)
 				}
-				return answer(r)
+				return respondOK(r)
 			}, 9)
-			ln, stop := start(t, f)
+			ln, stop := serveOnPipes(t, server)
 			c, r := ln.dial()
-			resp, body, err := request(c, r, "POST "+target+" HTTP/1.1\r\n"+headers+
+			resp, body, err := exchange(c, r, "POST "+target+" HTTP/1.1\r\n"+issueHeaders+
 				"Connection: Upgrade, Idempotency-Key, X-Session-Key\r\nUpgrade: h2c\r\nContent-Length: 4\r\n\r\nbody")
 			if err != nil || resp.StatusCode != 200 || body != "42" {
 				t.Errorf("%s: %v %q %v", target, resp, body, err)
@@ -50,12 +50,12 @@
 	}
 }
 
-// Bad input gets a plain answer that is no busy reply and goes no further.
-func TestBadRequests(t *testing.T) {
+// A malformed request gets a plain 4xx response and is not forwarded.
+func TestServer_RejectsMalformedRequests(t *testing.T) {
 	post := func(h string) string { return "POST /issue HTTP/1.1\r\n" + h + "Content-Length: 0\r\n\r\n" }
 	without := func(name string) string {
-		i := strings.Index(headers, name)
-		return headers[:i] + headers[i+strings.Index(headers[i:], "\r\n")+2:]
+		i := strings.Index(issueHeaders, name)
+		return issueHeaders[:i] + issueHeaders[i+strings.Index(issueHeaders[i:], "\r\n")+2:]
 	}
 	for name, c := range map[string]struct {
 		text   string
@@ -66,29 +66,29 @@
 		"no tenant":      {post(without("X-Account")), 400},
 		"no time":        {post(without("X-Time-Left-Ms")), 400},
 		"no key":         {post(without("Idempotency-Key")), 400},
-		"two ids":        {post(headers + "X-Correlation-Id: 9b20\r\n"), 400},
-		"unknown class":  {post(strings.Replace(headers, "issue", "other", 1)), 400},
-		"unknown tenant": {post(strings.Replace(headers, "zenith", "other", 1)), 400},
-		"odd time":       {post(strings.Replace(headers, "480", "-480", 1)), 400},
-		"odd hint":       {post(strings.Replace(headers, "900", "much", 1)), 400},
-		"wrong method":   {"GET /issue HTTP/1.1\r\n" + headers + "\r\n", 405},
-		"long body":      {"POST /issue HTTP/1.1\r\n" + headers + "Content-Length: 33554433\r\n\r\n", 413},
+		"two ids":        {post(issueHeaders + "X-Correlation-Id: 9b20\r\n"), 400},
+		"unknown class":  {post(strings.Replace(issueHeaders, "issue", "other", 1)), 400},
+		"unknown tenant": {post(strings.Replace(issueHeaders, "zenith", "other", 1)), 400},
+		"odd time":       {post(strings.Replace(issueHeaders, "480", "-480", 1)), 400},
+		"odd hint":       {post(strings.Replace(issueHeaders, "900", "much", 1)), 400},
+		"wrong method":   {"GET /issue HTTP/1.1\r\n" + issueHeaders + "\r\n", 405},
+		"long body":      {"POST /issue HTTP/1.1\r\n" + issueHeaders + "Content-Length: 33554433\r\n\r\n", 413},
 		"garbage":        {"\x00\x01\r\n\r\n", 400},
-		"length and coding": {"POST /issue HTTP/1.1\r\n" + headers + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" +
-			"0\r\n\r\nPOST /issue HTTP/1.1\r\n" + headers + "Content-Length: 0\r\n\r\n", 400},
-		"coding in 1.0": {"POST /issue HTTP/1.0\r\n" + headers + "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		"length and coding": {"POST /issue HTTP/1.1\r\n" + issueHeaders + "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" +
+			"0\r\n\r\nPOST /issue HTTP/1.1\r\n" + issueHeaders + "Content-Length: 0\r\n\r\n", 400},
+		"coding in 1.0": {"POST /issue HTTP/1.0\r\n" + issueHeaders + "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			"0\r\n\r\n", 400},
-		"half a body": {"POST /issue HTTP/1.1\r\n" + strings.Replace(headers, "480", "3000", 1) + "Content-Length: 4\r\n\r\nbo", 400},
+		"half a body": {"POST /issue HTTP/1.1\r\n" + strings.Replace(issueHeaders, "480", "3000", 1) + "Content-Length: 4\r\n\r\nbo", 400},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFront(func(*http.Request) (*http.Response, error) {
+			server := newTestServer(func(*http.Request) (*http.Response, error) {
 				t.Errorf("%s: it went on", name)
 				return nil, io.EOF
 			}, 9)
-			ln, stop := start(t, f)
+			ln, stop := serveOnPipes(t, server)
 			conn, r := ln.dial()
 			begun := time.Now()
-			resp, _, err := request(conn, r, c.text)
+			resp, _, err := exchange(conn, r, c.text)
 			if err != nil || resp.StatusCode != c.status {
 				t.Errorf("%s: %v, %v, want status %d", name, resp, err, c.status)
 			}
@@ -106,8 +106,8 @@
 	}
 }
 
-// A session key is the same number at every proxy and in every version, and none, or one that stands twice, is no key.
-func TestSessionKeys(t *testing.T) {
+// A session key has the same hash at every proxy and in every version; a header without a value, or with two, is no key.
+func TestHashSessionKey(t *testing.T) {
 	for want, values := range map[uint64][]string{0: {"a", "b"}, 0x580fd9631c029177: {"7f3a9c21e0b4d655"}} {
 		if got := hashSessionKey(singleValue(http.Header{sessionKeyHeader: values}, sessionKeyHeader)); got != want {
 			t.Errorf("%q: %#x, want %#x", values, got, want)
@@ -115,17 +115,17 @@
 	}
 }
 
-// A chunked request is served, and is the last on its connection: what stands behind it is not looked at.
-func TestChunkedIsServedAndCloses(t *testing.T) {
+// A chunked request is served and is the last on its connection: what follows it is not read.
+func TestServer_ChunkedRequestIsLastOnConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		served := 0
-		ln, stop := start(t, newFront(func(r *http.Request) (*http.Response, error) { served++; return answer(r) }, 9))
+		ln, stop := serveOnPipes(t, newTestServer(func(r *http.Request) (*http.Response, error) { served++; return respondOK(r) }, 9))
 		c, r := ln.dial()
-		plain := "POST /issue HTTP/1.1\r\n" + headers + "Content-Length: 4\r\n\r\nbody"
-		if resp, _, err := request(c, r, plain); err != nil || resp.StatusCode != 200 || resp.Close {
+		plain := "POST /issue HTTP/1.1\r\n" + issueHeaders + "Content-Length: 4\r\n\r\nbody"
+		if resp, _, err := exchange(c, r, plain); err != nil || resp.StatusCode != 200 || resp.Close {
 			t.Errorf("%v, %v", resp, err)
 		}
-		resp, body, err := request(c, r, "POST /issue HTTP/1.1\r\n"+headers+
+		resp, body, err := exchange(c, r, "POST /issue HTTP/1.1\r\n"+issueHeaders+
 			"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"+plain)
 		if err != nil || resp.StatusCode != 200 || body != "42" || !resp.Close || served != 2 {
 			t.Errorf("%v, %q, %v, %d served", resp, body, err, served)
@@ -135,12 +135,12 @@
 	})
 }
 
-// FuzzHead feeds garbled headers: what passes must be within the settings.
-func FuzzHead(f *testing.F) {
+// FuzzReadHead reads garbled headers: a request that is accepted must be within the settings.
+func FuzzReadHead(f *testing.F) {
 	f.Add("POST", "9b1f", "issue", "zenith", "480", "900", "5c0f")
 	f.Add("GET", "9b1f", "quote", "acme", "4294967296", "-1", "")
 	f.Add("\x00", "", "iss", "\xff", "1e3", "0x9", "k")
-	rd := newFront(nil, 1).requests
+	rd := newTestServer(nil, 1).requests
 	f.Fuzz(func(t *testing.T, method, id, class, tenant, left, hint, key string) {
 		h := http.Header{correlationIDHeader: {id}, classHeader: {class}, tenantHeader: {tenant}, timeLeftHeader: {left},
 			workHintHeader: {hint}, idempotencyKeyHeader: {key}}
--- a/internal/standalone/listener/response_test.go
+++ b/internal/standalone/listener/response_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// An answer that breaks off, or whose handler panics half-way, is one that the client can tell from a whole one.
-func TestBrokenAnswersShow(t *testing.T) {
+// A client can distinguish a response that breaks off, or whose handler panics half-way, from a complete one.
+func TestServer_BrokenResponseIsVisible(t *testing.T) {
 	long := strings.Repeat("x", 300_000)
 	for _, breaks := range []string{"", "breaks off", "panics"} {
 		for _, length := range []string{"300000", ""} {
-			f := newFront(func(r *http.Request) (*http.Response, error) {
-				body := io.MultiReader(strings.NewReader(long[:100_000]), broken{breaks == "panics"})
+			server := newTestServer(func(r *http.Request) (*http.Response, error) {
+				body := io.MultiReader(strings.NewReader(long[:100_000]), brokenBody{breaks == "panics"})
 				if breaks == "" {
 					body = strings.NewReader(long)
 				}
@@ -27,9 +27,9 @@
 				}
 				return &http.Response{StatusCode: 200, Header: h, ContentLength: -1, Body: io.NopCloser(body), Request: r}, nil
 			}, 9)
-			ln, stop := start(t, f)
+			ln, stop := serveOnPipes(t, server)
 			conn, r := ln.dial()
-			go io.WriteString(conn, "POST /issue HTTP/1.1\r\n"+headers+"Content-Length: 0\r\n\r\n")
+			go io.WriteString(conn, "POST /issue HTTP/1.1\r\n"+issueHeaders+"Content-Length: 0\r\n\r\n")
 			resp, err := http.ReadResponse(r, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -46,30 +46,30 @@
 	}
 }
 
-// stalled is a client that takes the first piece of an answer and then nothing until a deadline ends the write.
-type stalled struct {
+// stalledWriter is a client that accepts the first write of a response and then nothing until a deadline ends the write.
+type stalledWriter struct {
 	http.ResponseWriter
-	wrote    int
+	writes   int
 	deadline time.Time
 }
 
-func (s *stalled) SetWriteDeadline(t time.Time) error { s.deadline = t; return nil }
+func (s *stalledWriter) SetWriteDeadline(t time.Time) error { s.deadline = t; return nil }
 
-func (s *stalled) Write(b []byte) (int, error) {
-	if s.wrote++; s.wrote == 1 {
+func (s *stalledWriter) Write(b []byte) (int, error) {
+	if s.writes++; s.writes == 1 {
 		return len(b), nil
 	}
 	time.Sleep(time.Until(s.deadline))
 	return 0, os.ErrDeadlineExceeded
 }
 
-// A client that takes nothing of a long answer any more makes way; short answers have no watch, and the next one has none left.
-func TestClientsThatTakeNothing(t *testing.T) {
+// A client that stalls in a long response is disconnected; a short response sets no deadline, and none is left for the next.
+func TestResponseWriter_StalledClientTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &stalled{}
+		s := &stalledWriter{}
 		a := &responseWriter{ResponseWriter: s, conn: http.NewResponseController(s)}
 		if _, err := a.Write([]byte("x")); err != nil || !s.deadline.IsZero() {
-			t.Errorf("the first piece: %v, deadline %v", err, s.deadline)
+			t.Errorf("the first write: %v, deadline %v", err, s.deadline)
 		}
 		begun := time.Now()
 		if _, err := a.Write([]byte("x")); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(begun) != writeStallTimeout {
@@ -81,11 +81,11 @@
 	})
 }
 
-type broken struct{ panics bool }
+type brokenBody struct{ panics bool }
 
-func (b broken) Read([]byte) (int, error) {
+func (b brokenBody) Read([]byte) (int, error) {
 	if b.panics {
 		panic("a fault")
 	}
-	return 0, errors.New("the destination is gone")
+	return 0, errors.New("the backend is gone")
 }
--- a/internal/standalone/listener/server_test.go
+++ b/internal/standalone/listener/server_test.go
@@ -16,31 +16,31 @@
 	"pumiceline/internal/standalone/settings"
 )
 
-type transport func(*http.Request) (*http.Response, error)
+type roundTripperFunc func(*http.Request) (*http.Response, error)
 
-func (t transport) RoundTrip(r *http.Request) (*http.Response, error) { return t(r) }
+func (t roundTripperFunc) RoundTrip(r *http.Request) (*http.Response, error) { return t(r) }
 
-func site() *settings.Settings {
+func testSettings() *settings.Settings {
 	return &settings.Settings{Classes: []settings.Class{{Name: "quote", Semantics: "pure", ClientTimeout: 1.5e6},
 		{Name: "issue", Semantics: "token", ClientTimeout: 3e6}}, Tenants: []settings.Tenant{{Name: "acme"}, {Name: "zenith"}}}
 }
 
-func newFront(t transport, most int) *Server {
-	return New(Options{Settings: site(), Transport: t, Ready: func() bool { return true }, GuaranteedSockets: most,
+func newTestServer(t roundTripperFunc, most int) *Server {
+	return New(Options{Settings: testSettings(), Transport: t, Ready: func() bool { return true }, GuaranteedSockets: most,
 		Log: slog.New(slog.DiscardHandler)})
 }
 
-func answer(r *http.Request) (*http.Response, error) {
+func respondOK(r *http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("42")), Request: r}, nil
 }
 
-// pipes hands out the server's ends of pipes.
-type pipes struct {
+// pipeListener is a listener whose connections are pipes.
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func (l *pipes) Accept() (net.Conn, error) {
+func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
 		return c, nil
@@ -49,35 +49,35 @@
 	}
 }
 
-func (l *pipes) Close() error { close(l.done); return nil }
+func (l *pipeListener) Close() error { close(l.done); return nil }
 
-func (l *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func (l *pipes) dial() (net.Conn, *bufio.Reader) {
+func (l *pipeListener) dial() (net.Conn, *bufio.Reader) {
 	here, there := net.Pipe()
 	l.conns <- there
 	return here, bufio.NewReader(here)
 }
 
-func listen() *pipes { return &pipes{make(chan net.Conn), make(chan struct{})} }
+func newPipeListener() *pipeListener { return &pipeListener{make(chan net.Conn), make(chan struct{})} }
 
-// start serves until stop is called, which returns Serve's error once it has ended.
-func start(t *testing.T, f *Server) (ln *pipes, stop func() chan error) {
-	ln = listen()
+// serveOnPipes serves until stop is called; the channel that stop returns brings the error of Serve.
+func serveOnPipes(t *testing.T, server *Server) (ln *pipeListener, stop func() chan error) {
+	ln = newPipeListener()
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
-	go func() { ended <- f.Serve(ctx, ln) }()
+	go func() { ended <- server.Serve(ctx, ln) }()
 	return ln, func() chan error { cancel(); return ended }
 }
 
-const headers = "Host: api.internal\r\nX-Correlation-Id: 9b1f\r\nX-Service-Class: issue\r\nX-Account: zenith\r\n" +
+const issueHeaders = "Host: api.internal\r\nX-Correlation-Id: 9b1f\r\nX-Service-Class: issue\r\nX-Account: zenith\r\n" +
 	"X-Time-Left-Ms: 480\r\nX-Weight-Hint: 900\r\nIdempotency-Key: 5c0f\r\nX-Session-Key: 7f3a\r\nX-Forwarded-For: 1.2.3.4\r\n"
 
-const quote = "GET /quote HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: 1\r\nX-Service-Class: quote\r\n" +
+const quoteRequest = "GET /quote HTTP/1.1\r\nHost: api.internal\r\nX-Correlation-Id: 1\r\nX-Service-Class: quote\r\n" +
 	"X-Account: acme\r\nX-Time-Left-Ms: 400\r\n\r\n"
 
-func request(c net.Conn, r *bufio.Reader, text string) (*http.Response, string, error) {
-	go io.WriteString(c, text) // a pipe has no buffer, and an answer may come before the last byte
+func exchange(c net.Conn, r *bufio.Reader, text string) (*http.Response, string, error) {
+	go io.WriteString(c, text) // a pipe has no buffer, and a response may come before the last byte is written
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return nil, "", err
@@ -86,12 +86,12 @@
 	return resp, string(body), err
 }
 
-// A panic must not cost the client its answer.
-func TestPanicIsAnswered(t *testing.T) {
+// A panic in the transport must not cost the client its response.
+func TestServer_AnswersAfterPanic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ln, stop := start(t, newFront(func(*http.Request) (*http.Response, error) { panic("a fault") }, 9))
+		ln, stop := serveOnPipes(t, newTestServer(func(*http.Request) (*http.Response, error) { panic("a fault") }, 9))
 		c, r := ln.dial()
-		if resp, _, err := request(c, r, quote); err != nil || resp.StatusCode != 500 {
+		if resp, _, err := exchange(c, r, quoteRequest); err != nil || resp.StatusCode != 500 {
 			t.Errorf("%v, %v", resp, err)
 		}
 		c.Close()
@@ -99,39 +99,39 @@
 	})
 }
 
-func TestReady(t *testing.T) {
+func TestServer_ReadinessCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(answer, 9)
-		held := false
-		f.opts.Ready = func() bool { return held }
-		ln, stop := start(t, f)
+		server := newTestServer(respondOK, 9)
+		isReady := false
+		server.opts.Ready = func() bool { return isReady }
+		ln, stop := serveOnPipes(t, server)
 		for _, want := range []int{503, 200} {
 			c, r := ln.dial()
-			if resp, _, err := request(c, r, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil || resp.StatusCode != want {
+			if resp, _, err := exchange(c, r, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil || resp.StatusCode != want {
 				t.Errorf("%v, %v, want %d", resp, err, want)
 			}
 			c.Close()
-			held = true
+			isReady = true
 		}
 		<-stop()
 	})
 }
 
-// A class may be called as the readiness check is: what comes with a class is a request, and what comes without is the check, which
-// counts among the messages of its connection.
-func TestAClassMayBeCalledReady(t *testing.T) {
+// A class may be called "ready": a request with that class is forwarded, and one without a class is the readiness check, which
+// counts among the requests of its connection.
+func TestServer_ClassNamedReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		set := site()
+		set := testSettings()
 		set.Classes[0].Name = "ready"
-		f := New(Options{Settings: set, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler), Transport: transport(answer)})
-		ln, stop := start(t, f)
+		server := New(Options{Settings: set, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler), Transport: roundTripperFunc(respondOK)})
+		ln, stop := serveOnPipes(t, server)
 		c, r := ln.dial()
 		for _, x := range [][2]string{
 			{"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", "ready\n"},
-			{strings.NewReplacer("/quote", "/ready", "Class: quote", "Class: ready").Replace(quote), "42"},
-			{"POST /issue HTTP/1.1\r\n" + headers + "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", "42"},
+			{strings.NewReplacer("/quote", "/ready", "Class: quote", "Class: ready").Replace(quoteRequest), "42"},
+			{"POST /issue HTTP/1.1\r\n" + issueHeaders + "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n", "42"},
 		} {
-			if resp, body, err := request(c, r, x[0]); err != nil || resp.StatusCode != 200 || body != x[1] {
+			if resp, body, err := exchange(c, r, x[0]); err != nil || resp.StatusCode != 200 || body != x[1] {
 				t.Errorf("%q: %v, %q, %v", x[0], resp, body, err)
 			}
 		}
@@ -140,17 +140,17 @@
 	})
 }
 
-// An id is taken while its request is open, and free afterwards.
-func TestOpenIDs(t *testing.T) {
+// A correlation id is reserved while its request is in flight, and free afterwards.
+func TestServer_CorrelationIDIsUniqueWhileOpen(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ln, stop := start(t, newFront(func(r *http.Request) (*http.Response, error) {
+		ln, stop := serveOnPipes(t, newTestServer(func(r *http.Request) (*http.Response, error) {
 			time.Sleep(100 * time.Millisecond)
-			return answer(r)
+			return respondOK(r)
 		}, 9))
 		first, firstReader := ln.dial()
 		statuses := make(chan int)
 		go func() {
-			resp, _, err := request(first, firstReader, quote)
+			resp, _, err := exchange(first, firstReader, quoteRequest)
 			if err != nil {
 				t.Error(err)
 			}
@@ -159,7 +159,7 @@
 		time.Sleep(time.Millisecond)
 		for _, want := range []int{400, 200} {
 			c, r := ln.dial()
-			if resp, _, err := request(c, r, quote); err != nil || resp.StatusCode != want {
+			if resp, _, err := exchange(c, r, quoteRequest); err != nil || resp.StatusCode != want {
 				t.Errorf("%v, %v, want %d", resp, err, want)
 			}
 			c.Close()
@@ -174,21 +174,21 @@
 	})
 }
 
-// New settings bind requests that come from then on: a class that appears is served, with no key where it may never be
-// repeated; one that vanishes is a 400; a change that another part turns down changes nothing.
-func TestSettingsChangeUnderWay(t *testing.T) {
+// New settings hold for requests that arrive from then on: a new class is served, without a key where it may never be repeated;
+// a class that is gone gets 400; settings that another part rejects change nothing.
+func TestServer_ApplySettingsWithRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inside, goOn := make(chan struct{}, 9), make(chan struct{})
-		f := newFront(func(r *http.Request) (*http.Response, error) {
+		server := newTestServer(func(r *http.Request) (*http.Response, error) {
 			inside <- struct{}{}
 			<-goOn
-			return answer(r)
+			return respondOK(r)
 		}, 9)
-		ln, stop := start(t, f)
+		ln, stop := serveOnPipes(t, server)
 		ask := func(class, method, id string) int {
 			c, r := ln.dial()
 			defer c.Close()
-			resp, _, err := request(c, r, method+" /"+class+" HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "+id+"\r\nX-Service-Class: "+class+
+			resp, _, err := exchange(c, r, method+" /"+class+" HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "+id+"\r\nX-Service-Class: "+class+
 				"\r\nX-Account: acme\r\nX-Time-Left-Ms: 900\r\nContent-Length: 0\r\n\r\n")
 			if err != nil {
 				t.Error(err)
@@ -199,23 +199,23 @@
 		old := make(chan int, 1)
 		go func() { old <- ask("quote", "GET", "1") }()
 		<-inside
-		next := site()
+		next := testSettings()
 		next.Classes = []settings.Class{{Name: "bind", Semantics: "side_effect", ClientTimeout: 1e6}, next.Classes[1]}
-		if err := f.ApplySettings(next, func(*settings.Settings) error { return errors.New("no") }); err == nil {
+		if err := server.ApplySettings(next, func(*settings.Settings) error { return errors.New("no") }); err == nil {
 			t.Error("a change that another part turned down was taken")
 		}
 		if got := ask("bind", "POST", "2"); got != 400 {
 			t.Errorf("a class of settings that were turned down: %d", got)
 		}
 		var numbered []settings.Class
-		if err := f.ApplySettings(next, func(s *settings.Settings) error { numbered = s.Classes; return nil }); err != nil {
+		if err := server.ApplySettings(next, func(s *settings.Settings) error { numbered = s.Classes; return nil }); err != nil {
 			t.Error(err)
 		}
 		if len(numbered) != 3 || numbered[0].Name != "quote" {
 			t.Errorf("the number of a request under way went to another class: %+v", numbered)
 		}
-		if f.InFlight() != 1 {
-			t.Errorf("%d requests are under way", f.InFlight())
+		if server.InFlight() != 1 {
+			t.Errorf("%d requests are under way", server.InFlight())
 		}
 		close(goOn)
 		if got := <-old; got != 200 {
--- a/internal/standalone/listener/shutdown_test.go
+++ b/internal/standalone/listener/shutdown_test.go
@@ -15,12 +15,12 @@
 	"time"
 )
 
-func TestStopTimes(t *testing.T) {
+func TestShutdownTimes(t *testing.T) {
 	stop := time.Unix(1000, 0)
-	for _, c := range [][3]time.Duration{ // longest deadline; closing, last answer after the stop
+	for _, c := range [][3]time.Duration{ // longest deadline; closeFrom and lastResponse after the stop
 		{3 * time.Second, 2450 * time.Millisecond, 3450 * time.Millisecond},
-		{9 * time.Second, 2450 * time.Millisecond, 3450 * time.Millisecond}, // SIGKILL waits for 3 s at most
-		{200 * time.Millisecond, 0, 650 * time.Millisecond},                 // no time to keep anything: close at once
+		{9 * time.Second, 2450 * time.Millisecond, 3450 * time.Millisecond}, // at most 3 s count
+		{200 * time.Millisecond, 0, 650 * time.Millisecond},                 // no time for keep-alive: close at once
 	} {
 		got := shutdownTimes(stop, c[0])
 		if got.closeFrom.Sub(stop) != c[1] || got.lastResponse.Sub(stop) != c[2] {
@@ -29,21 +29,21 @@
 	}
 }
 
-// After the request to stop: new connections are taken for a while, answers close their connections, what was
-// taken is finished, and connections that never brought a request hold nothing up.
-func TestStop(t *testing.T) {
+// At shutdown new connections are accepted for a while, responses close their connections, accepted requests are finished, and
+// connections without a request delay nothing.
+func TestServer_ShutdownFinishesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(func(r *http.Request) (*http.Response, error) {
+		server := newTestServer(func(r *http.Request) (*http.Response, error) {
 			time.Sleep(time.Second)
-			return answer(r)
+			return respondOK(r)
 		}, 9)
-		ln, stop := start(t, f)
+		ln, stop := serveOnPipes(t, server)
 		early, earlyReader := ln.dial()
 		idle, idleReader := ln.dial()
 		time.Sleep(time.Second)
 		answered := make(chan string, 2)
 		ask := func(c net.Conn, r *bufio.Reader) {
-			resp, body, err := request(c, r, strings.Replace(quote, "Id: 1", fmt.Sprintf("Id: %p", c), 1))
+			resp, body, err := exchange(c, r, strings.Replace(quoteRequest, "Id: 1", fmt.Sprintf("Id: %p", c), 1))
 			answered <- fmt.Sprint(resp != nil && resp.Close, body, err)
 		}
 		go ask(early, earlyReader)
@@ -51,7 +51,7 @@
 		ended := stop()
 		time.Sleep(500 * time.Millisecond)
 		go ask(ln.dial())
-		late, _ := ln.dial() // taken just before the end, and never used
+		late, _ := ln.dial() // accepted just before the end, and never used
 		defer late.Close()
 		begun := time.Now()
 		for range 2 {
@@ -69,26 +69,26 @@
 	})
 }
 
-// A proxy that stops with nobody to take over goes on serving its kept connections, which the front layer does not move, until
-// shortly before SIGKILL could come, and cuts deadlines to that; with a successor each answer closes.
-func TestStopKeepsConnections(t *testing.T) {
+// Without a successor, keep-alive connections, which the load balancer in front does not move, are served until shortly before
+// SIGKILL could come, and deadlines are capped to that; with a successor each response closes its connection.
+func TestServer_ShutdownKeepsConnectionsUntilCloseFrom(t *testing.T) {
 	for _, successor := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			var stopped time.Time
-			f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
-				HasSuccessor: func() bool { return successor }, Transport: transport(func(r *http.Request) (*http.Response, error) {
+			server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
+				HasSuccessor: func() bool { return successor }, Transport: roundTripperFunc(func(r *http.Request) (*http.Response, error) {
 					if d, _ := r.Context().Deadline(); !stopped.IsZero() && d.Sub(stopped) > 3450*time.Millisecond {
-						t.Errorf("a deadline %v after the stop", d.Sub(stopped)) // SIGKILL may come 3.7 s after it
+						t.Errorf("deadline %v after the stop", d.Sub(stopped)) // SIGKILL may come 3.7 s after it
 					}
 					time.Sleep(300 * time.Millisecond)
-					return answer(r)
+					return respondOK(r)
 				})})
-			ln, stop := start(t, f)
+			ln, stop := serveOnPipes(t, server)
 			c, r := ln.dial()
 			defer c.Close()
 			closes := func(n int) bool {
-				text := strings.Replace(strings.Replace(headers, "9b1f", fmt.Sprint("id-", n), 1), "480", "3000", 1)
-				resp, body, err := request(c, r, "POST /issue HTTP/1.1\r\nContent-Length: 2\r\n"+text+"\r\n{}")
+				text := strings.Replace(strings.Replace(issueHeaders, "9b1f", fmt.Sprint("id-", n), 1), "480", "3000", 1)
+				resp, body, err := exchange(c, r, "POST /issue HTTP/1.1\r\nContent-Length: 2\r\n"+text+"\r\n{}")
 				if err != nil || body != "42" {
 					t.Fatalf("request %d: %q, %v", n, body, err)
 				}
@@ -98,7 +98,7 @@
 			stopped = time.Now()
 			ended := stop()
 			if successor && !closes(1) {
-				t.Error("with a successor, an answer after the stop keeps its connection")
+				t.Error("with a successor, a response after the stop keeps its connection")
 			}
 			if !successor {
 				time.Sleep(1900 * time.Millisecond) // well past the 0.6 s of new connections
@@ -113,27 +113,27 @@
 	}
 }
 
-// What a proxy has taken and not answered when SIGKILL comes is lost, and that does not wait for deadlines over 3 s: it is answered by
-// the last answer, whenever it was taken. So is a request whose body is still coming then.
-func TestLongDeadlinesEndWithTheProxy(t *testing.T) {
+// A request that is not answered when SIGKILL comes is lost, and SIGKILL does not wait for deadlines over 3 s: each request,
+// also one whose body is still coming, is answered by lastResponse.
+func TestServer_ShutdownCapsDeadlines(t *testing.T) {
 	for name, body := range map[string]string{"whole": "Content-Length: 2\r\n\r\n{}", "still coming": "Content-Length: 99999\r\n\r\n" + strings.Repeat("x", 70_000)} {
 		synctest.Test(t, func(t *testing.T) {
-			set := site()
+			set := testSettings()
 			set.Classes[1].ClientTimeout = 12e6
-			f := New(Options{Settings: set, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
-				Transport: transport(func(r *http.Request) (*http.Response, error) {
-					<-r.Context().Done() // as a route whose module has not settled it
+			server := New(Options{Settings: set, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
+				Transport: roundTripperFunc(func(r *http.Request) (*http.Response, error) {
+					<-r.Context().Done() // as forwarder.Transport, where the policy has not decided
 					if !errors.Is(context.Cause(r.Context()), context.DeadlineExceeded) {
 						t.Errorf("%s: it ends with %v", name, context.Cause(r.Context()))
 					}
 					return &http.Response{StatusCode: http.StatusGatewayTimeout, Header: http.Header{}, Body: http.NoBody, Request: r}, nil
 				})})
-			ln, stop := start(t, f)
+			ln, stop := serveOnPipes(t, server)
 			c, r := ln.dial()
 			defer c.Close()
 			time.AfterFunc(100*time.Millisecond, func() { stop() })
 			begin := time.Now()
-			resp, _, err := request(c, r, "POST /issue HTTP/1.1\r\n"+strings.Replace(headers, "Left-Ms: 480", "Left-Ms: 12000", 1)+body)
+			resp, _, err := exchange(c, r, "POST /issue HTTP/1.1\r\n"+strings.Replace(issueHeaders, "Left-Ms: 480", "Left-Ms: 12000", 1)+body)
 			if took := time.Since(begin) - 100*time.Millisecond; err != nil || resp.StatusCode != 504 || took > maxCountedDeadline+killDelay-killMargin {
 				t.Errorf("%s: %v, %v, %v after the stop", name, resp, err, took)
 			}
@@ -143,32 +143,32 @@
 	}
 }
 
-// A client that was sending a head when the stop came is answered if the head becomes whole in time, and is no reason to stay for
-// ever if it does not.
-func TestHeadsThatComeAcrossAStop(t *testing.T) {
+// A client that was sending a head at the stop is answered if the head is complete in time, and does not delay the shutdown for
+// ever if it is not.
+func TestServer_ShutdownWaitsForIncompleteHeads(t *testing.T) {
 	for name, c := range map[string]struct {
 		kept bool // the connection had a request before
-		rest bool // the rest comes
-	}{"on a new connection": {false, true}, "on a kept one": {true, true}, "never whole": {true, false}} {
+		rest bool // the rest of the head comes
+	}{"on a new connection": {false, true}, "on a kept one": {true, true}, "never complete": {true, false}} {
 		synctest.Test(t, func(t *testing.T) {
-			f := New(Options{Settings: site(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
-				HasSuccessor: func() bool { return true }, Transport: transport(answer)})
-			ln, stop := start(t, f)
+			server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
+				HasSuccessor: func() bool { return true }, Transport: roundTripperFunc(respondOK)})
+			ln, stop := serveOnPipes(t, server)
 			client, r := ln.dial()
 			defer client.Close()
 			if c.kept {
-				if resp, _, err := request(client, r, quote); err != nil || resp.StatusCode != 200 {
+				if resp, _, err := exchange(client, r, quoteRequest); err != nil || resp.StatusCode != 200 {
 					t.Errorf("%s: %v, %v", name, resp, err)
 				}
 			}
-			if _, err := io.WriteString(client, quote[:30]); err != nil {
+			if _, err := io.WriteString(client, quoteRequest[:30]); err != nil {
 				t.Error(err)
 			}
 			synctest.Wait()
 			begin, ended := time.Now(), stop()
 			time.Sleep(2 * time.Second)
 			if c.rest {
-				if resp, body, err := request(client, r, quote[30:]); err != nil || body != "42" || !resp.Close {
+				if resp, body, err := exchange(client, r, quoteRequest[30:]); err != nil || body != "42" || !resp.Close {
 					t.Errorf("%s: %v, %q, %v", name, resp, body, err)
 				}
 			} else if _, err := r.ReadByte(); !errors.Is(err, io.EOF) {
--- a/internal/standalone/listener/socketbudget_test.go
+++ b/internal/standalone/listener/socketbudget_test.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// Over the budget the socket that is idle for longest makes way, and the new one is served.
-func TestSocketBudget(t *testing.T) {
+// Over the budget the longest idle socket is evicted, and the new one is served.
+func TestSocketBudget_EvictsLongestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(answer, 2)
-		ln, stop := start(t, f)
+		server := newTestServer(respondOK, 2)
+		ln, stop := serveOnPipes(t, server)
 		var conns []net.Conn
 		var readers []*bufio.Reader
 		for i := range 3 {
 			c, r := ln.dial()
-			if resp, _, err := request(c, r, quote); err != nil || resp.StatusCode != 200 {
+			if resp, _, err := exchange(c, r, quoteRequest); err != nil || resp.StatusCode != 200 {
 				t.Errorf("connection %d: %v, %v", i, resp, err)
 			}
 			conns, readers = append(conns, c), append(readers, r)
@@ -31,10 +31,10 @@
 		if _, err := readers[0].ReadByte(); err != io.EOF {
 			t.Errorf("the oldest: %v", err)
 		}
-		if resp, _, err := request(conns[1], readers[1], quote); err != nil || resp.StatusCode != 200 {
+		if resp, _, err := exchange(conns[1], readers[1], quoteRequest); err != nil || resp.StatusCode != 200 {
 			t.Errorf("the second: %v, %v", resp, err)
 		}
-		if n := f.budget.count(); n != 2 {
+		if n := server.budget.count(); n != 2 {
 			t.Errorf("%d sockets, want 2", n)
 		}
 		for _, c := range conns {
@@ -44,28 +44,28 @@
 	})
 }
 
-// SocketLimit that say nothing, or only half of something, are closed in time; silent ones by the hundred push out no client
-// that has been served, and one that says something is served in between.
-func TestSilentSocketsMakeWay(t *testing.T) {
+// Sockets that bring nothing, or half a head, are closed in time; hundreds of unused ones do not displace a client that has been
+// served, and a client that sends a request in between is served.
+func TestSocketBudget_EvictsUnusedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(answer, 10)
-		ln, stop := start(t, f)
+		server := newTestServer(respondOK, 10)
+		ln, stop := serveOnPipes(t, server)
 		usual, usualReader := ln.dial()
-		if resp, _, err := request(usual, usualReader, quote); err != nil || resp.StatusCode != 200 {
+		if resp, _, err := exchange(usual, usualReader, quoteRequest); err != nil || resp.StatusCode != 200 {
 			t.Errorf("%v, %v", resp, err)
 		}
 		half, halfReader := ln.dial()
-		io.WriteString(half, quote[:30])
+		io.WriteString(half, quoteRequest[:30])
 		var silent []net.Conn
 		for i := range 300 {
 			c, _ := ln.dial()
 			silent = append(silent, c)
 			time.Sleep(3 * time.Millisecond)
-			if n := f.budget.count(); n > 10 {
+			if n := server.budget.count(); n > 10 {
 				t.Fatalf("%d sockets with a budget of 10", n)
 			}
 			if i%50 == 49 {
-				if resp, _, err := request(usual, usualReader, quote); err != nil || resp.StatusCode != 200 {
+				if resp, _, err := exchange(usual, usualReader, quoteRequest); err != nil || resp.StatusCode != 200 {
 					t.Errorf("after %d: %v, %v", i, resp, err)
 				}
 			}
@@ -75,12 +75,12 @@
 		}
 		time.Sleep(headTimeout + time.Millisecond)
 		synctest.Wait()
-		if n := f.budget.count(); n != 1 {
+		if n := server.budget.count(); n != 1 {
 			t.Errorf("%d sockets, want the usual one", n)
 		}
 		time.Sleep(idleTimeout)
 		synctest.Wait()
-		if n := f.budget.count(); n != 0 {
+		if n := server.budget.count(); n != 0 {
 			t.Errorf("%d sockets that have been idle for long", n)
 		}
 		for _, c := range append(silent, usual, half) {
@@ -90,12 +90,12 @@
 	})
 }
 
-// Where sockets that have had a request come near what clients may hold, as clients that ask once leave them, answers close
-// theirs. Sockets that have brought nothing are no reason to.
-func TestManyIdleSocketsClose(t *testing.T) {
+// When sockets that have had a request come near the budget, as clients that send one request leave them, responses close their
+// connections. Unused sockets do not count.
+func TestSocketBudget_ShedsKeepAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(answer, 20) // nine may be kept
-		ln, stop := start(t, f)
+		server := newTestServer(respondOK, 20) // nine may be kept alive
+		ln, stop := serveOnPipes(t, server)
 		closed := 0
 		var conns []net.Conn
 		for range 5 {
@@ -104,7 +104,7 @@
 		}
 		for range 12 {
 			c, r := ln.dial()
-			resp, _, err := request(c, r, quote)
+			resp, _, err := exchange(c, r, quoteRequest)
 			if err != nil || resp.StatusCode != 200 {
 				t.Fatalf("%v, %v", resp, err)
 			}
@@ -114,13 +114,13 @@
 			conns = append(conns, c)
 			synctest.Wait()
 		}
-		if n := f.budget.count(); closed != 3 || n != 14 || f.budget.idleNow() != 9 || f.budget.muteNow() != 5 {
-			t.Errorf("%d closed, %d open, %d idle, %d mute", closed, n, f.budget.idleNow(), f.budget.muteNow())
+		if n := server.budget.count(); closed != 3 || n != 14 || server.budget.idleNow() != 9 || server.budget.unusedNow() != 5 {
+			t.Errorf("%d closed, %d open, %d idle, %d unused", closed, n, server.budget.idleNow(), server.budget.unusedNow())
 		}
 		time.Sleep(idleTimeout + time.Second)
 		synctest.Wait()
-		if f.budget.idleNow() != 0 {
-			t.Errorf("%d idle with no socket open", f.budget.idleNow())
+		if server.budget.idleNow() != 0 {
+			t.Errorf("%d idle with no socket open", server.budget.idleNow())
 		}
 		for _, c := range conns {
 			c.Close()
@@ -129,21 +129,21 @@
 	})
 }
 
-// Server sockets may use what destinations have no use for, and no more.
-func TestSocketsMayGrow(t *testing.T) {
+// The budget follows SocketLimit, up and down.
+func TestSocketBudget_FollowsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := 3
-		f := New(Options{Settings: site(), Ready: func() bool { return true }, Log: slog.New(slog.DiscardHandler), GuaranteedSockets: 2,
-			SocketLimit: func() int { return now }, Transport: transport(func(r *http.Request) (*http.Response, error) {
+		server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, Log: slog.New(slog.DiscardHandler), GuaranteedSockets: 2,
+			SocketLimit: func() int { return now }, Transport: roundTripperFunc(func(r *http.Request) (*http.Response, error) {
 				time.Sleep(time.Second)
-				return answer(r)
+				return respondOK(r)
 			})})
-		ln, stop := start(t, f)
+		ln, stop := serveOnPipes(t, server)
 		var conns []net.Conn
-		ask := func() bool { // whether it was taken
+		ask := func() bool { // whether it was accepted
 			c, r := ln.dial()
 			conns = append(conns, c)
-			io.WriteString(c, strings.Replace(quote, "Id: 1", fmt.Sprint("Id: 1", len(conns)), 1))
+			io.WriteString(c, strings.Replace(quoteRequest, "Id: 1", fmt.Sprint("Id: 1", len(conns)), 1))
 			taken := make(chan bool, 1)
 			go func() {
 				_, err := r.ReadByte()
@@ -173,11 +173,11 @@
 	})
 }
 
-// With no socket to spare a new one is closed, and none of those with a request is.
-func TestNoRoom(t *testing.T) {
+// Where no socket can be evicted the new one is closed, and none with a request is.
+func TestSocketBudget_ClosesNewConnectionWhenFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFront(func(r *http.Request) (*http.Response, error) { time.Sleep(time.Second); return answer(r) }, 1)
-		ln, stop := start(t, f)
+		server := newTestServer(func(r *http.Request) (*http.Response, error) { time.Sleep(time.Second); return respondOK(r) }, 1)
+		ln, stop := serveOnPipes(t, server)
 		c, r := ln.dial()
 		time.AfterFunc(100*time.Millisecond, func() {
 			_, r := ln.dial()
@@ -185,7 +185,7 @@
 				t.Errorf("the second: %v", err)
 			}
 		})
-		if resp, _, err := request(c, r, quote); err != nil || resp.StatusCode != 200 {
+		if resp, _, err := exchange(c, r, quoteRequest); err != nil || resp.StatusCode != 200 {
 			t.Errorf("%v, %v", resp, err)
 		}
 		c.Close()
@@ -193,14 +193,14 @@
 	})
 }
 
-// idleNow is how many sockets are idle, and muteNow how many have brought nothing yet.
+// idleNow returns how many sockets are idle, and unusedNow how many have brought nothing yet.
 func (s *socketBudget) idleNow() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.idle
 }
 
-func (s *socketBudget) muteNow() int {
+func (s *socketBudget) unusedNow() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.unused
