--- a/cmd/pumiceline/stage.go
+++ b/cmd/pumiceline/stage.go
@@ -188,7 +188,7 @@
 	late, cancel := context.WithDeadline(ctx, time.Now().Add(20*time.Second))
 	defer cancel()
 	for i, front := range t.fronts {
-		if err := ready(late, "http://"+front, nil); err != nil {
+		if err := awaitReady(late, "http://"+front, nil); err != nil {
 			return t, fmt.Errorf("stage: proxy %d is not ready: %w; its log:\n%s", i, err, t.processes[i].Log())
 		}
 	}
--- /dev/null
+++ b/cmd/pumiceline/try_monitor.go
@@ -0,0 +1,134 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"time"
+
+	"golang.org/x/term"
+
+	"pumiceline/internal/fake/fakestandalone"
+)
+
+// tryPhase is the state of the one backend that drains and comes back.
+type tryPhase int
+
+const (
+	allServing tryPhase = iota
+	backendDraining
+	backendReturned
+)
+
+const (
+	// tryDrainDelay is how long after it is listed as draining a backend begins to refuse requests.
+	tryDrainDelay = time.Second
+	// maxTryBar is the length of the longest bar that stands for a backend's requests.
+	maxTryBar = 40
+)
+
+// tryMonitor drains and restores one backend and shows a table each second: redrawn in place on a terminal, a line a second
+// elsewhere.
+type tryMonitor struct {
+	duration time.Duration
+	world    *fakestandalone.World
+	clients  *fakestandalone.Clients
+	out      io.Writer
+	terminal bool
+
+	started time.Time
+	phase   tryPhase
+	status  string // the phase as it is shown
+	total   fakestandalone.Tally
+	served  []int64 // by each backend, when the last table was drawn
+	drawn   int     // lines of the last table
+}
+
+func newTryMonitor(duration time.Duration, world *fakestandalone.World, clients *fakestandalone.Clients, out output) *tryMonitor {
+	file, _ := out.Writer.(*os.File)
+	return &tryMonitor{duration: duration, world: world, clients: clients, out: out,
+		terminal: file != nil && term.IsTerminal(int(file.Fd())),
+		started:  time.Now(), status: "all serve", served: make([]int64, len(world.Destinations))}
+}
+
+// run draws until ctx ends, then the totals; an error of the goroutines that it watches over ends it at once.
+func (m *tryMonitor) run(ctx context.Context, failed <-chan error) error {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	for {
+		select {
+		case err := <-failed:
+			return err
+		case <-ctx.Done():
+			_, err := fmt.Fprintf(m.out, "%d requests: %d served, %d refused, %d failed\n", m.total.Asked, m.total.Served,
+				m.total.Refused, m.total.Failed)
+			return err
+		case <-ticker.C:
+		}
+		m.advancePhase()
+		if err := m.draw(); err != nil {
+			return err
+		}
+	}
+}
+
+// advancePhase drains the first backend after a third of the time and restores it after two thirds.
+func (m *tryMonitor) advancePhase() {
+	backend, entry := m.world.Destinations[0], m.world.Entries[0]
+	elapsed := time.Since(m.started)
+	switch {
+	case m.phase == allServing && elapsed > m.duration/3:
+		m.phase, m.status = backendDraining, entry.Host+" drains"
+		entry.Health = "DRAINING"
+		m.world.Roster.Put(entry)
+		time.AfterFunc(tryDrainDelay, func() { backend.Drain(true) })
+	case m.phase == backendDraining && elapsed > 2*m.duration/3:
+		m.phase, m.status = backendReturned, entry.Host+" is back, cold"
+		backend.Drain(false)
+		entry.BornMs = float64(time.Now().UnixMilli())
+		m.world.Roster.Put(entry)
+	}
+}
+
+// draw shows what clients and backends counted since the last table.
+func (m *tryMonitor) draw() error {
+	var table strings.Builder
+	m.writeClients(&table)
+	m.writeBackends(&table)
+	if m.terminal && m.drawn > 0 {
+		fmt.Fprintf(m.out, "\x1b[%dA\x1b[J", m.drawn) // cursor up, erase to the end
+	}
+	if !m.terminal {
+		table.WriteByte('\n')
+	}
+	m.drawn = strings.Count(table.String(), "\n")
+	_, err := io.WriteString(m.out, table.String())
+	return err
+}
+
+func (m *tryMonitor) writeClients(table *strings.Builder) {
+	t := m.clients.Take()
+	m.total.Asked += t.Asked
+	m.total.Served += t.Served
+	m.total.Refused += t.Refused
+	m.total.Failed += t.Failed
+	quantileMs := func(percent float64) float64 { return float64(t.Times.ValueAtQuantile(percent)) / 1e3 }
+	fmt.Fprintf(table, "%3.0f s  %4d asked %4d served %3d refused %3d failed  median %5.1f ms  99%% %6.1f ms  %s\n",
+		time.Since(m.started).Seconds(), t.Asked, t.Served, t.Refused, t.Failed, quantileMs(50), quantileMs(99), m.status)
+}
+
+func (m *tryMonitor) writeBackends(table *strings.Builder) {
+	for i, d := range m.world.Destinations {
+		served := d.Served()
+		rate := served - m.served[i]
+		m.served[i] = served
+		if m.terminal {
+			bar := strings.Repeat("#", int(min(maxTryBar, rate)))
+			fmt.Fprintf(table, "  %-8s %4d/s  holds %2d  %s\n", d.Name, rate, d.Held(), bar)
+		} else {
+			fmt.Fprintf(table, "  %s %d/s", d.Name, rate)
+		}
+	}
+}
