--- a/cmd/pumiceline/cli_test.go
+++ b/cmd/pumiceline/cli_test.go
@@ -17,6 +17,12 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ command, args string }{
+		{"singleton member", "--fleet F --level WARN --id 1 --dir D --listen 127.0.0.1:1"},
+		{"singleton run", "--fleet F --level WARN --name a --zone z --build 3 --mirror 127.0.0.1:1 --history F --clock-rate 1.01"},
+		{"singleton status", "--fleet F --level WARN --json"},
+		{"singleton release", "--fleet F --level WARN role"},
+		{"singleton move", "--fleet F --level WARN role instance"},
+		{"singleton receive", "--listen 127.0.0.1:1 --file F --unfenced"},
 		{"serve", "--config F --door F --level DEBUG"},
 		{"check", "--config F"},
 		{"version", ""},
@@ -55,9 +61,22 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if got := parsed.Command(); got != c.command && !strings.HasPrefix(got, c.command+" <") {
-				t.Errorf("parsed as command %q", got)
+			want := currentName(c.command)
+			if got := parsed.Command(); got != want && !strings.HasPrefix(got, want+" <") {
+				t.Errorf("parsed as command %q, not %q", got, want)
 			}
 		})
 	}
 }
+
+// currentName is the name that the help shows of a command that may be given by its earlier name.
+func currentName(command string) string {
+	for _, renamed := range []struct{ from, to string }{
+		{"owner ", "singleton "},
+	} {
+		if rest, found := strings.CutPrefix(command, renamed.from); found {
+			return renamed.to + rest
+		}
+	}
+	return command
+}
--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -16,13 +16,13 @@
 
 // cli is the command line. Kong derives the names of commands and flags from those of fields.
 type cli struct {
-	Serve   serveCmd   `cmd:"" help:"Serve clients until told to stop."`
-	Check   checkCmd   `cmd:"" help:"Check a configuration and say what it amounts to."`
-	Version versionCmd `cmd:"" help:"Say which version this is."`
-	Try     tryCmd     `cmd:"" help:"Run the proxy with stand-ins and a gentle load in one process, and show what happens."`
-	Stage   stageCmd   `cmd:"" help:"Run real proxies and stand-ins with faults between them."`
-	Owner   ownerCmd   `cmd:"" help:"One owner at a time for the work that is done once for a fleet."`
-	Lab     labCmd     `cmd:"" help:"Try designs in the laboratory: a model of the whole fleet, without sockets."`
+	Serve     serveCmd     `cmd:"" help:"Serve clients until told to stop."`
+	Check     checkCmd     `cmd:"" help:"Check a configuration and say what it amounts to."`
+	Version   versionCmd   `cmd:"" help:"Say which version this is."`
+	Try       tryCmd       `cmd:"" help:"Run the proxy with stand-ins and a gentle load in one process, and show what happens."`
+	Stage     stageCmd     `cmd:"" help:"Run real proxies and stand-ins with faults between them."`
+	Singleton singletonCmd `cmd:"" aliases:"owner" help:"Singleton roles: tasks that one instance of a fleet at a time carries out."`
+	Lab       labCmd       `cmd:"" help:"Try designs in the laboratory: a model of the whole fleet, without sockets."`
 }
 
 // output is where commands print; kong passes it to their Run methods.
--- /dev/null
+++ b/cmd/pumiceline/singleton.go
@@ -0,0 +1,101 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"pumiceline/internal/fake/fakestandalone"
+	"pumiceline/internal/singleton/raftmember"
+	"pumiceline/internal/standalone/deployfile"
+)
+
+// singletonCmd is `pumiceline singleton`: the members that agree on who holds which role, the instances that carry the
+// roles out, and what operators may ask. Its alias is the name that it had first.
+type singletonCmd struct {
+	Member  singletonMemberCmd  `cmd:"" help:"Run one of the members that agree on who holds which role."`
+	Run     singletonRunCmd     `cmd:"" help:"Run an instance that carries out the roles that it holds, until it is stopped."`
+	Status  singletonStatusCmd  `cmd:"" help:"Show the members, and who holds which role."`
+	Release singletonReleaseCmd `cmd:"" help:"End the lease of a role's holder; another instance may get it."`
+	Move    singletonMoveCmd    `cmd:"" help:"Have a role go to an instance."`
+	Receive singletonReceiveCmd `cmd:"" help:"Run a fake of an outside system that records effects with their fencing tokens."`
+}
+
+// fleetFlags are the flags of all commands that need the fleet's file.
+type fleetFlags struct {
+	Fleet string     `help:"The fleet's file (deploy/fleet.toml)." type:"existingfile" required:""`
+	Level slog.Level `help:"Least level of the log lines that are written." default:"INFO"`
+}
+
+// open reads the fleet's file and returns a logger whose lines bear the name of the process.
+func (f *fleetFlags) open(process string) (*deployfile.Fleet, *slog.Logger, error) {
+	fleet, err := deployfile.ReadFleet(f.Fleet)
+	return fleet, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: f.Level})).With("who", process), err
+}
+
+// untilSignal returns a context that ends at SIGTERM or SIGINT.
+func untilSignal() (context.Context, context.CancelFunc) {
+	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
+}
+
+type singletonMemberCmd struct {
+	fleetFlags
+	ID     uint64 `help:"This member's number in the file." required:""`
+	Dir    string `help:"Folder of its store: vote, log and snapshots." type:"existingdir" required:""`
+	Listen string `help:"Where to listen, where that is not the address in the file."`
+}
+
+// Run takes part until it is stopped. It fails where the member's disk fails or is older than what it acknowledged.
+func (c *singletonMemberCmd) Run() error {
+	fleet, log, err := c.open(fmt.Sprint("member ", c.ID))
+	if err != nil {
+		return err
+	}
+	ctx, cancel := untilSignal()
+	defer cancel()
+	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is then a write error, and no crash
+	member, err := raftmember.Open(raftmember.Options{Fleet: fleet.Name, ID: c.ID, Members: fleet.Members, Dir: c.Dir,
+		Settings: fleet.Settings, Log: log})
+	if err != nil {
+		return err
+	}
+	if c.Listen == "" {
+		c.Listen = fleet.Members[c.ID]
+	}
+	ln, err := net.Listen("tcp", c.Listen)
+	if err != nil {
+		return fmt.Errorf("member %d: %w", c.ID, err)
+	}
+	return member.Run(ctx, ln)
+}
+
+type singletonReceiveCmd struct {
+	Listen   string `help:"Where to listen." default:"127.0.0.1:7310"`
+	File     string `help:"Where effects are recorded, a line each." type:"path" required:""`
+	Unfenced bool   `help:"Accept whatever comes, as a system that can't compare tokens would."`
+}
+
+// Run records effects until it is stopped.
+func (c *singletonReceiveCmd) Run() error {
+	r, err := fakestandalone.NewRecorder(c.File)
+	if err != nil {
+		return err
+	}
+	defer r.Close()
+	r.Unfenced = c.Unfenced
+	ctx, cancel := untilSignal()
+	defer cancel()
+	server := &http.Server{Addr: c.Listen, Handler: r, ReadHeaderTimeout: 5 * time.Second}
+	context.AfterFunc(ctx, func() { server.Close() })
+	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
+		return fmt.Errorf("recorder of effects: %w", err)
+	}
+	return nil
+}
--- /dev/null
+++ b/cmd/pumiceline/singletonrun.go
@@ -0,0 +1,135 @@
+package main
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"sync"
+	"time"
+
+	"pumiceline/internal/singleton"
+	"pumiceline/internal/singleton/leaseclient"
+	"pumiceline/internal/standalone/deployfile"
+	"pumiceline/internal/standalone/discoverycache"
+)
+
+type singletonRunCmd struct {
+	fleetFlags
+	Name      string  `help:"This instance's name." required:""`
+	Zone      string  `help:"Its failure domain: of two that hold as many roles, the one whose zone holds fewer gets the next."`
+	Build     uint64  `help:"Newer builds are preferred."`
+	Mirror    string  `help:"Where to serve the copy of discovery's list, for proxies here and caches elsewhere; empty: nowhere."`
+	History   string  `help:"File for when each effect was sent and its outcome, a JSON object a line." type:"path"`
+	ClockRate float64 `hidden:"" help:"Speed of this process's clock, for tests." default:"1"`
+}
+
+// Run carries out the roles that this instance holds, until it is stopped: a role with a receiver sends it an effect a
+// step, the role with discovery follows it for the whole fleet.
+func (c *singletonRunCmd) Run() error {
+	fleet, log, err := c.open(c.Name)
+	if err != nil {
+		return err
+	}
+	ctx, cancel := untilSignal()
+	defer cancel()
+	history, closeHistory, err := c.openHistory()
+	if err != nil {
+		return err
+	}
+	defer closeHistory()
+	opts := c.clientOptions(fleet, log, history)
+	var cache *discoverycache.Mirror // set before the client runs
+	servesCache := fleet.Roster != "" && c.Mirror != ""
+	if servesCache {
+		opts.Addr = c.Mirror
+		opts.Steps[fleet.Roster] = func(context.Context, leaseclient.Perform) error {
+			if !cache.Direct() {
+				return errors.New("discovery is not reachable from here")
+			}
+			return nil
+		}
+	}
+	client, err := leaseclient.New(opts)
+	if err != nil {
+		return err
+	}
+	if !servesCache {
+		client.Run(ctx)
+		return nil
+	}
+	cache = newDiscoveryCache(fleet, client, log)
+	return runWithCache(ctx, client, cache, c.Mirror, log)
+}
+
+func (c *singletonRunCmd) clientOptions(fleet *deployfile.Fleet, log *slog.Logger, history io.Writer) leaseclient.Options {
+	opts := leaseclient.Options{
+		Fleet:       fleet.Name,
+		Name:        c.Name,
+		Incarnation: singleton.Incarnation(rand.Uint64()),
+		Zone:        c.Zone,
+		Build:       c.Build,
+		Settings:    fleet.Settings,
+		Log:         log,
+		ClockRate:   c.ClockRate,
+		Members:     fleet.Members,
+		Steps:       map[string]leaseclient.Step{},
+	}
+	for role, receiver := range fleet.Receivers {
+		opts.Steps[role] = leaseclient.EffectSender(receiver, c.Name, history)
+	}
+	return opts
+}
+
+// openHistory opens the file of the history for appending; without one, the history is discarded.
+func (c *singletonRunCmd) openHistory() (history io.Writer, closeFile func() error, err error) {
+	if c.History == "" {
+		return io.Discard, func() error { return nil }, nil
+	}
+	file, err := os.OpenFile(c.History, os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o600)
+	if err != nil {
+		return nil, nil, fmt.Errorf("open history: %w", err)
+	}
+	return file, file.Close, nil
+}
+
+// newDiscoveryCache returns the copy of discovery's list that follows the holder of the role, or discovery itself where
+// that is this instance.
+func newDiscoveryCache(fleet *deployfile.Fleet, client *leaseclient.Client, log *slog.Logger) *discoverycache.Mirror {
+	return discoverycache.New(discoverycache.Options{
+		Discovery: fleet.Discovery,
+		Spread:    time.Duration(fleet.Settings.LeaseDuration) * time.Microsecond,
+		Log:       log,
+		Owner: func() (addr string, token uint64, here bool) {
+			holder := client.LocateHolder(fleet.Roster)
+			return holder.Addr, uint64(holder.Token), holder.IsLocal
+		},
+	}, time.Now())
+}
+
+// runWithCache serves the cache at addr while the client runs. It waits for all that it started.
+func runWithCache(ctx context.Context, client *leaseclient.Client, cache *discoverycache.Mirror, addr string, log *slog.Logger) error {
+	ln, err := net.Listen("tcp", addr)
+	if err != nil {
+		return fmt.Errorf("discovery cache: %w", err)
+	}
+	running, cancel := context.WithCancel(context.Background())
+	server := &http.Server{Handler: cache, ReadHeaderTimeout: 5 * time.Second}
+	var all sync.WaitGroup
+	all.Go(func() {
+		if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
+			log.Error("discovery cache stopped", "error", err)
+		}
+	})
+	all.Go(func() { cache.Run(running) })
+	client.Run(ctx)
+	cancel()
+	server.Close()
+	all.Wait()
+	return nil
+}
--- a/internal/faulttest/clustertest/guild.go
+++ b/internal/faulttest/clustertest/guild.go
@@ -219,15 +219,15 @@
 		}
 		open := map[singleton.Effect]int{}
 		for line := range bytes.Lines(text) {
-			var e leaseclient.Told
+			var e leaseclient.HistoryRecord
 			if json.Unmarshal(line, &e) != nil {
 				break // killed in the middle of it
 			}
-			if e.Did == "sent" {
+			if e.Outcome == "sent" {
 				open[e.Effect] = len(all)
 				all = append(all, porcupine.Operation{ClientId: 1 + client, Input: e.Effect, Call: e.At, Output: "unknown", Return: math.MaxInt64})
-			} else if at, there := open[e.Effect]; there && e.Did != "unknown" {
-				all[at].Output, all[at].Return = e.Did, e.At
+			} else if at, there := open[e.Effect]; there && e.Outcome != "unknown" {
+				all[at].Output, all[at].Return = e.Outcome, e.At
 			}
 		}
 	}
--- a/internal/singleton/fencing.go
+++ b/internal/singleton/fencing.go
@@ -26,6 +26,7 @@
 	Latest Effect
 }
 
+// Error implements error. It names both tokens.
 func (e *StaleEffectError) Error() string {
 	return fmt.Sprintf("%s: token %d, serial %d comes after token %d, serial %d", e.Effect.Role, e.Effect.Token, e.Effect.Serial,
 		e.Latest.Token, e.Latest.Serial)
--- /dev/null
+++ b/internal/singleton/leaseclient/client.go
@@ -0,0 +1,154 @@
+// Package leaseclient is an instance's side of the singleton roles: it sends heartbeats to the members, keeps the leases
+// that they grant, and runs the steps of the roles that this instance holds.
+package leaseclient
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"maps"
+	"net/http"
+	"slices"
+	"sync"
+	"time"
+
+	"pumiceline/internal/singleton"
+)
+
+// Perform carries out an effect of a step: it calls do with the effect's identity if the lease is still held, else it
+// returns ErrLeaseLost without a call.
+type Perform func(do func(singleton.Effect) error) error
+
+// Step is one step of a role. It has to return, and to do nothing more, soon after ctx ends. An error is a step that made
+// no progress: after a lease without progress the role goes to another instance. A step that found nothing to do has
+// made progress.
+type Step func(ctx context.Context, perform Perform) error
+
+// ErrLeaseLost is what Perform returns once the role is no longer held.
+var ErrLeaseLost = errors.New("the lease is over")
+
+// Options are the configuration of a Client.
+type Options struct {
+	Fleet       string
+	Name        string                // of this instance
+	Incarnation singleton.Incarnation // not used by any other process of this name
+	Addr        string                // where other instances reach this one; empty: nowhere
+	Zone        string                // failure domain
+	Build       uint64                // a newer one is preferred
+	Members     map[uint64]string     // addresses by ID
+	Settings    singleton.Settings
+	Steps       map[string]Step // by role that this instance can carry out
+	Log         *slog.Logger
+	ClockRate   float64 // speed of this instance's clock, for tests; 0: 1
+}
+
+// Fractions of a lease.
+const (
+	heartbeatsPerLease  = 10 // that is how often a holder sends one; who holds nothing sends half as many
+	heartbeatTimeoutDiv = 4  // a heartbeat's time-out is a lease divided by this
+	stepsPerLease       = 10 // at most
+	drainLeases         = 3  // for how many leases an instance that stops waits for others to take over
+)
+
+// Client holds an instance's leases. Create it with New and call Run once; the other methods are safe for concurrent use.
+type Client struct {
+	opts      Options
+	startedAt time.Time
+	lease     time.Duration
+	http      *http.Client
+	wake      chan struct{} // a heartbeat is due at once
+
+	mu        sync.Mutex
+	holder    *singleton.Holder
+	memberIDs []uint64
+	leader    int    // index in memberIDs of the member that is assumed to lead
+	reason    string // of the latest response: why this instance is granted nothing
+	holders   map[string]singleton.HolderEndpoint
+}
+
+// New returns a client that holds nothing yet.
+func New(opts Options) (*Client, error) {
+	if err := opts.Settings.Validate(); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	if len(opts.Members) == 0 || opts.Name == "" {
+		return nil, errors.New("members and a name of the instance must be given")
+	}
+	if opts.ClockRate == 0 {
+		opts.ClockRate = 1
+	}
+	return &Client{
+		opts:      opts,
+		startedAt: time.Now(),
+		lease:     time.Duration(opts.Settings.LeaseDuration) * time.Microsecond,
+		http:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}},
+		wake:      make(chan struct{}, 1),
+		memberIDs: slices.Sorted(maps.Keys(opts.Members)),
+		holder: singleton.NewHolder(singleton.HolderOptions{Settings: opts.Settings, Name: opts.Name, Incarnation: opts.Incarnation,
+			Zone: opts.Zone, Build: opts.Build}),
+	}, nil
+}
+
+// now is the instance's clock. It is monotonic, and goes on while the process is frozen.
+func (c *Client) now() singleton.Time {
+	return singleton.Time(float64(time.Since(c.startedAt).Microseconds()) * c.opts.ClockRate)
+}
+
+// ActiveLeases returns the tokens, by role, of the leases that may be acted on now.
+func (c *Client) ActiveLeases() map[string]singleton.FencingToken {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.holder.ActiveLeases(c.now())
+}
+
+// HolderLocation is where a role's holder is reached. It is zero where none is known.
+type HolderLocation struct {
+	Addr    string
+	Token   singleton.FencingToken
+	IsLocal bool // this instance is the holder and may act on the lease now
+}
+
+// LocateHolder returns where the holder of a role is reached, as far as is known.
+func (c *Client) LocateHolder(role string) HolderLocation {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if token, held := c.holder.ActiveLeases(c.now())[role]; held {
+		return HolderLocation{Addr: c.opts.Addr, Token: token, IsLocal: true}
+	}
+	endpoint := c.holders[role]
+	if endpoint.Addr == c.opts.Addr { // this instance's own lease, which is over: there is no holder yet
+		return HolderLocation{}
+	}
+	return HolderLocation{Addr: endpoint.Addr, Token: endpoint.Token}
+}
+
+// Run sends heartbeats and runs steps until ctx ends; then until other instances have taken over, for three leases at most.
+func (c *Client) Run(ctx context.Context) {
+	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	defer cancel()
+	var roles sync.WaitGroup
+	for role, step := range c.opts.Steps {
+		roles.Go(func() { c.runRole(running, role, step) })
+	}
+	stopWatching := context.AfterFunc(ctx, func() {
+		c.mu.Lock()
+		c.holder.StartLeaving()
+		c.mu.Unlock()
+		c.requestHeartbeat()
+	})
+	defer stopWatching()
+	c.sendHeartbeats(ctx, running)
+	c.opts.Log.Info("instance stopped", "instance", c.opts.Name, "held_roles", c.ActiveLeases())
+	cancel()
+	roles.Wait()
+	c.http.CloseIdleConnections()
+}
+
+// holdsNothing says whether the members know that this instance holds no lease. It is not enough to have stopped: until
+// they know, no other instance may start.
+func (c *Client) holdsNothing() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.holder.IsEmpty()
+}
--- /dev/null
+++ b/internal/singleton/leaseclient/effectsender.go
@@ -0,0 +1,77 @@
+package leaseclient
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"pumiceline/internal/singleton"
+)
+
+// Outcome is what came of an effect. The values are stored.
+type Outcome string
+
+// The outcomes of an effect.
+const (
+	OutcomeSent     Outcome = "sent"    // the request is in flight
+	OutcomeAccepted Outcome = "taken"   // the receiver carried it out
+	OutcomeRejected Outcome = "refused" // the receiver knows a newer one
+	OutcomeUnknown  Outcome = "unknown" // it may have arrived or not
+)
+
+// HistoryRecord is a line of a history of effects. Its JSON form is stored.
+type HistoryRecord struct {
+	singleton.Effect
+	At      int64   `json:"at"` // Unix time in nanoseconds
+	Outcome Outcome `json:"did"`
+}
+
+// EffectSender returns a step that sends one effect to a receiver, the address of an HTTP endpoint, in the name of the
+// instance from. It writes each effect to history twice, a HistoryRecord a line: before it is sent, and with its outcome.
+func EffectSender(receiver, from string, history io.Writer) Step {
+	record := func(e singleton.Effect, outcome Outcome) error {
+		return json.NewEncoder(history).Encode(HistoryRecord{e, time.Now().UnixNano(), outcome})
+	}
+	return func(ctx context.Context, perform Perform) error {
+		return perform(func(e singleton.Effect) error {
+			if err := record(e, OutcomeSent); err != nil {
+				return fmt.Errorf("write history: %w", err)
+			}
+			outcome, err := sendEffect(ctx, receiver, from, e)
+			return errors.Join(err, record(e, outcome))
+		})
+	}
+}
+
+// sendEffect sends an effect to its receiver. The error of an outcome other than OutcomeAccepted says why.
+func sendEffect(ctx context.Context, receiver, from string, e singleton.Effect) (Outcome, error) {
+	text, err := json.Marshal(e)
+	if err != nil {
+		return OutcomeUnknown, fmt.Errorf("encode effect: %w", err)
+	}
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, receiver, bytes.NewReader(text))
+	if err != nil {
+		return OutcomeUnknown, fmt.Errorf("send effect: %w", err)
+	}
+	req.GetBody = nil // not sent again by the transport: a second copy would be rejected and look like a fault of the holder
+	req.Header.Set("X-From", from)
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return OutcomeUnknown, fmt.Errorf("send effect: %w", err)
+	}
+	defer resp.Body.Close()
+	reason, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
+	outcome := OutcomeUnknown
+	switch resp.StatusCode {
+	case http.StatusOK:
+		return OutcomeAccepted, nil
+	case http.StatusConflict:
+		outcome = OutcomeRejected
+	}
+	return outcome, fmt.Errorf("effect %d of token %d: %s: %s", e.Serial, e.Token, resp.Status, bytes.TrimSpace(reason))
+}
--- /dev/null
+++ b/internal/singleton/leaseclient/heartbeat.go
@@ -0,0 +1,123 @@
+package leaseclient
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"net/http"
+	"slices"
+	"strconv"
+	"time"
+
+	"pumiceline/internal/singleton"
+)
+
+// sendHeartbeats sends heartbeats until stop ends and then until this instance holds nothing, for three leases at most.
+// Heartbeats themselves end with running.
+func (c *Client) sendHeartbeats(stop, running context.Context) {
+	ticker := time.NewTicker(c.lease / heartbeatsPerLease)
+	defer ticker.Stop()
+	var deadline time.Time // once stop has ended
+	for i := 0; ; i++ {
+		// Hundreds of instances hold nothing and the leader answers all: these skip every other heartbeat.
+		if !c.holdsNothing() || stop.Err() != nil || i%2 == 0 {
+			c.sendHeartbeat(running)
+		}
+		if stop.Err() != nil {
+			if deadline.IsZero() {
+				deadline = time.Now().Add(drainLeases * c.lease)
+			}
+			if c.holdsNothing() || time.Now().After(deadline) {
+				return
+			}
+		}
+		select {
+		case <-ticker.C:
+		case <-c.wake:
+		}
+	}
+}
+
+// requestHeartbeat has the next heartbeat sent at once.
+func (c *Client) requestHeartbeat() {
+	select {
+	case c.wake <- struct{}{}:
+	default:
+	}
+}
+
+// sendHeartbeat sends a heartbeat to the member that is assumed to lead and takes in its response. After a failure the next
+// goes to the leader that the member named, or to the next member.
+func (c *Client) sendHeartbeat(ctx context.Context) {
+	c.mu.Lock()
+	sentAt := c.now()
+	heartbeat := c.holder.Heartbeat()
+	heartbeat.Addr, heartbeat.Roles = c.opts.Addr, slices.Sorted(maps.Keys(c.opts.Steps))
+	index, member := c.leader, c.opts.Members[c.memberIDs[c.leader]]
+	c.mu.Unlock()
+	text, err := json.Marshal(heartbeat)
+	if err != nil {
+		c.opts.Log.Error("heartbeat not encoded", "error", err)
+		return
+	}
+	reply, err := c.postHeartbeat(ctx, member, text)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if err != nil {
+		c.opts.Log.Debug("heartbeat failed", "member", member, "error", err)
+		if c.leader = slices.Index(c.memberIDs, reply.leader); c.leader < 0 {
+			c.leader = (index + 1) % len(c.memberIDs)
+		}
+		return
+	}
+	c.handleResponse(sentAt, reply.response)
+}
+
+// handleResponse takes in the response to the heartbeat that was sent at sentAt. The caller holds c.mu.
+func (c *Client) handleResponse(sentAt singleton.Time, response singleton.HeartbeatResponse) {
+	if response.Reason != c.reason && response.Reason != "" {
+		c.opts.Log.Warn("instance is granted nothing", "instance", c.opts.Name, "reason", response.Reason)
+	}
+	c.reason, c.holders = response.Reason, response.Holders
+	before := c.holder.ActiveLeases(sentAt)
+	c.holder.HandleResponse(sentAt, response)
+	for role, token := range c.holder.ActiveLeases(c.now()) {
+		if before[role] != token {
+			c.opts.Log.Info("lease acquired", "instance", c.opts.Name, "role", role, "token", token)
+		}
+	}
+}
+
+// heartbeatReply is what a member replied.
+type heartbeatReply struct {
+	response singleton.HeartbeatResponse
+	leader   uint64 // where the member does not lead: its leader's ID; 0: it knows none
+}
+
+// postHeartbeat sends an encoded heartbeat to a member.
+func (c *Client) postHeartbeat(ctx context.Context, member string, text []byte) (reply heartbeatReply, err error) {
+	ctx, cancel := context.WithTimeout(ctx, c.lease/heartbeatTimeoutDiv)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member+"/v1/beat", bytes.NewReader(text))
+	if err != nil {
+		return reply, fmt.Errorf("heartbeat to %s: %w", member, err)
+	}
+	req.Header.Set("Content-Type", "application/json")
+	req.Header.Set("X-Fleet", c.opts.Fleet)
+	resp, err := c.http.Do(req)
+	if err != nil {
+		return reply, fmt.Errorf("heartbeat to %s: %w", member, err)
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		reply.leader, _ = strconv.ParseUint(resp.Header.Get("X-Leader"), 10, 64) // no number: none is known
+		return reply, fmt.Errorf("heartbeat to %s: status %s", member, resp.Status)
+	}
+	if err := json.NewDecoder(io.LimitReader(resp.Body, 1<<20)).Decode(&reply.response); err != nil {
+		return reply, fmt.Errorf("response of %s: %w", member, err)
+	}
+	return reply, nil
+}
--- a/internal/singleton/leaseclient/stored_test.go
+++ b/internal/singleton/leaseclient/stored_test.go
@@ -19,22 +19,22 @@
 	first := singleton.Effect{Role: "prices", Token: 2, Serial: 1}
 	second := singleton.Effect{Role: "prices", Token: 2, Serial: 2}
 	third := singleton.Effect{Role: "prices", Token: 3, Serial: 3}
-	want := []Told{
-		{first, 1796225663287318982, "sent"}, {first, 1796225663288391508, "taken"},
-		{second, 1796225663288420095, "sent"}, {second, 1796225663288637564, "refused"},
-		{third, 1796225663288647425, "sent"}, {third, 1796225663288717355, "unknown"},
+	want := []HistoryRecord{
+		{first, 1796225663287318982, OutcomeSent}, {first, 1796225663288391508, OutcomeAccepted},
+		{second, 1796225663288420095, OutcomeSent}, {second, 1796225663288637564, OutcomeRejected},
+		{third, 1796225663288647425, OutcomeSent}, {third, 1796225663288717355, OutcomeUnknown},
 	}
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
 	if len(lines) != len(want) {
 		t.Fatalf("%d lines", len(lines))
 	}
 	for i, line := range lines {
-		var told Told
-		if err := json.Unmarshal(line, &told); err != nil {
+		var record HistoryRecord
+		if err := json.Unmarshal(line, &record); err != nil {
 			t.Fatal(err)
 		}
-		if told != want[i] {
-			t.Errorf("line %d: %+v, not %+v", i+1, told, want[i])
+		if record != want[i] {
+			t.Errorf("line %d: %+v, not %+v", i+1, record, want[i])
 		}
 		if again, err := json.Marshal(want[i]); err != nil || !bytes.Equal(again, line) {
 			t.Errorf("line %d: written as %s, %v", i+1, again, err)
--- a/internal/singleton/settings.go
+++ b/internal/singleton/settings.go
@@ -37,6 +37,7 @@
 	Reason string
 }
 
+// Error implements error.
 func (e *SettingError) Error() string { return e.Key + ": " + e.Reason }
 
 // Validate returns the first setting that can't be used as a *SettingError.
