--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -66,7 +66,7 @@
 
 // run works until ctx ends.
 func (c *controller) run(ctx context.Context) {
-	poller := distribution.NewPoller(string(c.loop.self.Identity), &leaseHolderSubscriber{loop: c.loop}, holderPollWait)
+	poller := distribution.NewPoller(c.loop.self.Identity, &leaseHolderSubscriber{loop: c.loop}, holderPollWait)
 	go poller.Run(ctx)
 	urgent := make(chan struct{}, 1)
 	c.loop.hub.SetOnUnmetDemand(func() {
--- a/internal/controlplane/distribution/poller.go
+++ b/internal/controlplane/distribution/poller.go
@@ -35,7 +35,7 @@
 // Poller is the long-poll client: it keeps one poll pending at the preferred server that answers, and fails over to the
 // next where that does not.
 type Poller struct {
-	identity     string
+	identity     message.MemberID
 	subscriber   Subscriber
 	client       *transport.Client
 	maxWait      time.Duration
@@ -45,7 +45,7 @@
 }
 
 // NewPoller makes a poller that polls under an identity; a server waits for at most maxWait while there is nothing newer.
-func NewPoller(identity string, subscriber Subscriber, maxWait time.Duration) *Poller {
+func NewPoller(identity message.MemberID, subscriber Subscriber, maxWait time.Duration) *Poller {
 	return &Poller{identity: identity, subscriber: subscriber, client: transport.NewClient(), maxWait: maxWait}
 }
 
@@ -76,7 +76,7 @@
 	ctx, cancel := context.WithTimeout(ctx, p.maxWait+responseMargin)
 	defer cancel()
 	sent := time.Now()
-	response, err := p.client.Pull(ctx, address, p.identity, request)
+	response, err := p.client.Poll(ctx, address, p.identity, request)
 	if err != nil {
 		return false
 	}
@@ -103,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(ctx, responseMargin)
 	defer cancel()
 	sent := time.Now()
-	response, err := p.client.Pull(ctx, *address, p.identity, request)
+	response, err := p.client.Poll(ctx, *address, p.identity, request)
 	if err == nil && !response.Unavailable {
 		p.subscriber.Apply(response, sent)
 	}
--- a/internal/dataplane/loads/exchange.go
+++ b/internal/dataplane/loads/exchange.go
@@ -29,7 +29,7 @@
 // Exchange reports to, and queries, the coordinator that all proxies with the same membership view choose. All methods
 // may be called from any goroutine.
 type Exchange struct {
-	identity     string
+	identity     message.MemberID
 	client       *transport.Client
 	hasChanges   chan struct{} // holds one signal
 	queryTimeout time.Duration
@@ -45,7 +45,7 @@
 }
 
 // New makes an exchange for the proxy of that identity. Run must be called once.
-func New(identity string) *Exchange {
+func New(identity message.MemberID) *Exchange {
 	return &Exchange{
 		identity: identity, client: transport.NewClient(), hasChanges: make(chan struct{}, 1), queryTimeout: queryTimeout,
 		coordinators: coordinators{unavailableUntil: map[string]time.Time{}},
@@ -119,7 +119,7 @@
 }
 
 // sendQuery reports the changes together with a query; nil: it could not be sent.
-func (e *Exchange) sendQuery(service string, model message.ModelName) *transport.Question {
+func (e *Exchange) sendQuery(service string, model message.ModelName) *transport.LoadQuery {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	target := e.coordinators.preferred(time.Now())
@@ -128,7 +128,7 @@
 	}
 	report := e.nextReport(target)
 	report.Service, report.Model = service, model
-	question, err := e.client.AskLoads(target, e.identity, report)
+	question, err := e.client.QueryLoads(target, e.identity, report)
 	if err != nil {
 		return nil
 	}
@@ -176,7 +176,7 @@
 
 // sendReport sends the next report without a query. Where the connection breaks, the report after it is complete.
 func (e *Exchange) sendReport(target string) {
-	_ = e.client.TellLoads(target, e.identity, e.nextReport(target))
+	_ = e.client.SendLoads(target, e.identity, e.nextReport(target))
 }
 
 // nextReport makes a report for the target: of all loads where it has not received them, else of the changes.
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -20,6 +20,7 @@
 	"pumiceline/internal/dataplane/ingress"
 	"pumiceline/internal/dataplane/loads"
 	"pumiceline/internal/logkey"
+	"pumiceline/internal/message"
 )
 
 const (
@@ -71,7 +72,7 @@
 
 // newProxy assembles a proxy. Its dispatcher ends with ctx.
 func newProxy(ctx context.Context, settings *bootstrap.Settings) *Proxy {
-	identity := settings.Node + "/" + settings.IP
+	identity := message.MemberID(settings.Node + "/" + settings.IP)
 	p := &Proxy{
 		settings: settings, pool: backend.NewPool(), loads: loads.New(identity), notifier: newDemandNotifier(),
 	}
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -5,64 +5,66 @@
 	"context"
 	"net"
 	"sync"
-	"time"
 
 	"github.com/pkg/errors"
 
 	"pumiceline/internal/message"
 )
 
-// Client makes calls to one peer at a time over a connection that is kept open.
+// ErrDisconnected is returned for a request whose connection broke or was never open. The peer may have handled it.
+var ErrDisconnected = errors.New("the connection broke")
+
+// Client sends requests to one peer at a time over a connection that is kept open. Several goroutines may use it: their
+// requests share the connection, and each response goes to its request by ID.
 type Client struct {
-	mutex   sync.Mutex
+	mutex   sync.Mutex // also held while a frame is written
 	address string
-	conn    net.Conn
-	next    uint64
-	waiting map[uint64]chan *message.Message
+	conn    net.Conn // to address; nil: none is open
+	lastID  uint64
+	pending map[uint64]chan *message.Message // closed when the connection breaks
 }
 
 // NewClient makes a client without a connection.
-func NewClient() *Client { return &Client{waiting: map[uint64]chan *message.Message{}} }
-
-// ErrDisconnected ends the calls on a connection that broke.
-var ErrDisconnected = errors.New("the connection broke")
+func NewClient() *Client { return &Client{pending: map[uint64]chan *message.Message{}} }
 
-// PollRequest asks the peer at address and waits for its answer until ctx ends, which ends the connection, too.
-func (c *Client) Pull(ctx context.Context, address string, from string, pull message.PollRequest) (*message.PollResponse, error) {
-	conn, err := c.connect(address)
+// Poll sends a request to the peer at an address, to which it opens a connection where needed, and waits for the
+// response. When ctx ends before that, it also closes the connection: the peer is taken to be unreachable.
+func (c *Client) Poll(
+	ctx context.Context, address string, from message.MemberID, request message.PollRequest,
+) (*message.PollResponse, error) {
+	conn, err := c.connectTo(address)
 	if err != nil {
 		return nil, err
 	}
-	id, answer := c.register()
-	defer c.forget(id)
-	pull.ID = id
-	m, err := c.call(ctx, conn, &message.Message{From: message.MemberID(from), PollRequest: &pull}, answer)
+	id, responses := c.register()
+	defer c.unregister(id)
+	request.ID = id
+	response, err := c.roundTrip(ctx, conn, &message.Message{From: from, PollRequest: &request}, responses)
 	switch {
 	case ctx.Err() != nil:
 		c.drop(conn)
 		return nil, ctx.Err()
 	case err != nil:
 		return nil, err
-	case m.PollResponse == nil:
+	case response.PollResponse == nil:
 		return nil, ErrDisconnected
 	}
-	return m.PollResponse, nil
+	return response.PollResponse, nil
 }
 
-// IsConnected reports whether a connection to the peer at address is open.
+// IsConnected reports whether a connection to the peer at an address is open.
 func (c *Client) IsConnected(address string) bool {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	return c.conn != nil && c.address == address
+	_, err := c.openConn(address)
+	return err == nil
 }
 
-// Connect opens a connection to the peer at address, in place of one to another.
+// Connect opens a connection to the peer at an address, in place of one to another.
 func (c *Client) Connect(address string) error {
-	_, err := c.connect(address)
+	_, err := c.connectTo(address)
 	return err
 }
 
-// Disconnect closes the connection; calls under way end.
+// Disconnect closes the connection. Its pending requests end with ErrDisconnected.
 func (c *Client) Disconnect() {
 	c.mutex.Lock()
 	conn := c.conn
@@ -72,60 +74,50 @@
 	}
 }
 
-// current returns the open connection to the peer at address.
-func (c *Client) current(address string) (net.Conn, error) {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
-	if c.conn == nil || c.address != address {
-		return nil, ErrDisconnected
-	}
-	return c.conn, nil
-}
-
-// TellLoads writes a report that asks nothing. It opens no connection.
-func (c *Client) TellLoads(address string, from string, report message.LoadReport) error {
-	conn, err := c.current(address)
+// SendLoads sends a report without a query. It opens no connection: without one the error is ErrDisconnected.
+func (c *Client) SendLoads(address string, from message.MemberID, report message.LoadReport) error {
+	conn, err := c.openConn(address)
 	if err != nil {
 		return err
 	}
-	frame, err := Encode(&message.Message{From: message.MemberID(from), LoadReport: &report})
+	frame, err := Encode(&message.Message{From: from, LoadReport: &report})
 	if err != nil {
 		return err
 	}
 	return c.write(conn, frame)
 }
 
-// Question is a report that asks, on its way.
-type Question struct {
-	client *Client
-	id     uint64
-	answer chan *message.Message
+// LoadQuery is a report with a query that was sent and whose response is awaited. Its sender calls Wait.
+type LoadQuery struct {
+	client    *Client
+	id        uint64
+	responses chan *message.Message
 }
 
-// AskLoads writes a report that asks; the answer is waited for apart. It opens no connection.
-func (c *Client) AskLoads(address string, from string, report message.LoadReport) (*Question, error) {
-	conn, err := c.current(address)
+// QueryLoads sends a report with a query. It opens no connection: without one the error is ErrDisconnected.
+func (c *Client) QueryLoads(address string, from message.MemberID, report message.LoadReport) (*LoadQuery, error) {
+	conn, err := c.openConn(address)
 	if err != nil {
 		return nil, err
 	}
-	id, answer := c.register()
+	id, responses := c.register()
 	report.ID = id
-	frame, err := Encode(&message.Message{From: message.MemberID(from), LoadReport: &report})
+	frame, err := Encode(&message.Message{From: from, LoadReport: &report})
 	if err == nil {
 		err = c.write(conn, frame)
 	}
 	if err != nil {
-		c.forget(id)
+		c.unregister(id)
 		return nil, err
 	}
-	return &Question{client: c, id: id, answer: answer}, nil
+	return &LoadQuery{client: c, id: id, responses: responses}, nil
 }
 
-// Wait returns the answer, or an error when ctx ends before it; the connection stays.
-func (q *Question) Wait(ctx context.Context) (*message.LoadResponse, error) {
-	defer q.client.forget(q.id)
+// Wait returns the response, or an error when ctx ends before it comes; the connection stays open then.
+func (q *LoadQuery) Wait(ctx context.Context) (*message.LoadResponse, error) {
+	defer q.client.unregister(q.id)
 	select {
-	case m, ok := <-q.answer:
+	case m, ok := <-q.responses:
 		if !ok || m.LoadResponse == nil {
 			return nil, ErrDisconnected
 		}
@@ -135,9 +127,11 @@
 	}
 }
 
-// call writes a message and waits for the answer to it.
-func (c *Client) call(ctx context.Context, conn net.Conn, m *message.Message, answer <-chan *message.Message) (*message.Message, error) {
-	frame, err := Encode(m)
+// roundTrip sends a request and waits for its response.
+func (c *Client) roundTrip(
+	ctx context.Context, conn net.Conn, request *message.Message, responses <-chan *message.Message,
+) (*message.Message, error) {
+	frame, err := Encode(request)
 	if err != nil {
 		return nil, err
 	}
@@ -145,11 +139,11 @@
 		return nil, err
 	}
 	select {
-	case m, ok := <-answer:
+	case response, ok := <-responses:
 		if !ok {
 			return nil, ErrDisconnected
 		}
-		return m, nil
+		return response, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
@@ -157,21 +151,31 @@
 
 func (c *Client) write(conn net.Conn, frame []byte) error {
 	c.mutex.Lock()
-	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // writing reports what matters
-	_, err := conn.Write(frame)
+	err := writeFrame(conn, frame)
 	c.mutex.Unlock()
 	if err != nil {
 		c.drop(conn)
-		return errors.Wrap(err, "writing a call")
+		return errors.Wrap(err, "write a request")
 	}
 	return nil
 }
 
-func (c *Client) connect(address string) (net.Conn, error) {
+// openConn returns the open connection to the peer at an address, else ErrDisconnected.
+func (c *Client) openConn(address string) (net.Conn, error) {
+	c.mutex.Lock()
+	defer c.mutex.Unlock()
+	if c.conn == nil || c.address != address {
+		return nil, ErrDisconnected
+	}
+	return c.conn, nil
+}
+
+// connectTo returns the connection to the peer at an address, which it opens where needed. It closes one to another.
+func (c *Client) connectTo(address string) (net.Conn, error) {
 	c.mutex.Lock()
-	conn, same := c.conn, c.address == address
+	conn, isSame := c.conn, c.address == address
 	c.mutex.Unlock()
-	if conn != nil && same {
+	if conn != nil && isSame {
 		return conn, nil
 	}
 	if conn != nil {
@@ -179,7 +183,7 @@
 	}
 	conn, err := dialer.Dial("tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "connecting")
+		return nil, errors.Wrap(err, "connect")
 	}
 	c.mutex.Lock()
 	c.conn, c.address = conn, address
@@ -188,22 +192,23 @@
 	return conn, nil
 }
 
+// register returns the ID of a new request, and the channel on which its response comes.
 func (c *Client) register() (uint64, chan *message.Message) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.next++
-	answer := make(chan *message.Message, 1)
-	c.waiting[c.next] = answer
-	return c.next, answer
+	c.lastID++
+	responses := make(chan *message.Message, 1)
+	c.pending[c.lastID] = responses
+	return c.lastID, responses
 }
 
-func (c *Client) forget(id uint64) {
+func (c *Client) unregister(id uint64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 }
 
-// drop ends a connection and all calls on it.
+// drop closes a connection. Where it is the present one, all pending requests end.
 func (c *Client) drop(conn net.Conn) {
 	conn.Close()
 	c.mutex.Lock()
@@ -212,35 +217,37 @@
 		return
 	}
 	c.conn = nil
-	for id, answer := range c.waiting {
-		close(answer)
-		delete(c.waiting, id)
+	for id, responses := range c.pending {
+		close(responses)
+		delete(c.pending, id)
 	}
 }
 
+// receive hands responses to their requests until the connection breaks. Those of requests that wait no more are
+// dropped.
 func (c *Client) receive(conn net.Conn) {
-	reader := bufio.NewReaderSize(conn, 4<<10)
+	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	for {
 		m, err := Decode(reader)
 		if err != nil {
 			c.drop(conn)
 			return
 		}
-		id, ok := answerTo(m)
+		id, ok := responseID(m)
 		if !ok {
 			continue
 		}
 		c.mutex.Lock()
-		if answer, ok := c.waiting[id]; ok {
-			answer <- m
-			delete(c.waiting, id)
+		if responses, ok := c.pending[id]; ok {
+			responses <- m // has room: the request is removed with its first response
+			delete(c.pending, id)
 		}
 		c.mutex.Unlock()
 	}
 }
 
-// answerTo is the number of the call that a message answers.
-func answerTo(m *message.Message) (id uint64, ok bool) {
+// responseID returns the ID of the request that a message responds to.
+func responseID(m *message.Message) (id uint64, ok bool) {
 	switch {
 	case m.PollResponse != nil:
 		return m.PollResponse.ID, true
--- /dev/null
+++ b/internal/transport/sender.go
@@ -0,0 +1,110 @@
+package transport
+
+import (
+	"bufio"
+	"net"
+	"sync"
+	"time"
+
+	"pumiceline/internal/message"
+)
+
+// sendQueueLength is how many messages may wait for a peer.
+const sendQueueLength = 256
+
+// Sender sends messages to peers, each over one connection that is kept open. It has a goroutine per peer, which lives
+// as long as the process. Several goroutines may use it.
+type Sender struct {
+	handle Handler
+	mutex  sync.Mutex
+	queues map[string]chan []byte // frames, by the peer's address
+}
+
+// NewSender makes a sender. The handler takes what peers send back on their connections, and may be nil; its replies go
+// nowhere.
+func NewSender(handle Handler) *Sender {
+	return &Sender{handle: handle, queues: map[string]chan []byte{}}
+}
+
+// Send queues a message for the peer at an address. It never blocks: where the queue is full the message is lost.
+func (s *Sender) Send(address string, m *message.Message) {
+	frame, err := Encode(m)
+	if err != nil {
+		return
+	}
+	select {
+	case s.queueFor(address) <- frame:
+	default:
+	}
+}
+
+func (s *Sender) queueFor(address string) chan []byte {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	queue, ok := s.queues[address]
+	if !ok {
+		queue = make(chan []byte, sendQueueLength)
+		s.queues[address] = queue
+		go s.sendLoop(address, queue)
+	}
+	return queue
+}
+
+// sendLoop opens a connection whenever there is a frame to send. What was queued for an unreachable peer is discarded:
+// it would be out of date when the peer is back.
+func (s *Sender) sendLoop(address string, queue chan []byte) {
+	for frame := range queue {
+		conn, err := dialer.Dial("tcp", address)
+		if err != nil {
+			time.Sleep(retryDelay)
+			discardQueued(queue)
+			continue
+		}
+		s.writeFrames(conn, frame, queue)
+	}
+}
+
+// writeFrames writes first and then what is queued until the connection breaks. The frame that fails is lost.
+func (s *Sender) writeFrames(conn net.Conn, first []byte, queue chan []byte) {
+	closed := make(chan struct{})
+	go func() {
+		defer close(closed)
+		s.receive(conn)
+	}()
+	defer conn.Close() // ends receive
+	frame := first
+	for {
+		if err := writeFrame(conn, frame); err != nil {
+			return
+		}
+		select {
+		case frame = <-queue:
+		case <-closed:
+			return
+		}
+	}
+}
+
+func (s *Sender) receive(conn net.Conn) {
+	defer conn.Close()
+	reader := bufio.NewReaderSize(conn, readBufferBytes)
+	for {
+		m, err := Decode(reader)
+		if err != nil {
+			return
+		}
+		if s.handle != nil {
+			s.handle(m, func(*message.Message) {})
+		}
+	}
+}
+
+func discardQueued(queue chan []byte) {
+	for {
+		select {
+		case <-queue:
+		default:
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/transport/server.go
@@ -0,0 +1,56 @@
+package transport
+
+import (
+	"bufio"
+	"net"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"pumiceline/internal/message"
+)
+
+// Handler takes a message. It may call reply, now or later and from any goroutine, to send one back on the connection
+// that the message came on; a reply on a connection that broke meanwhile is lost. Messages of one connection are handled
+// one after the other.
+type Handler func(m *message.Message, reply func(*message.Message))
+
+// Serve accepts connections until the listener is closed. Open connections stay until the peer closes them.
+func Serve(listener net.Listener, handle Handler) {
+	for {
+		conn, err := listener.Accept()
+		if errors.Is(err, net.ErrClosed) {
+			return
+		}
+		if err != nil { // such as too many open files
+			time.Sleep(retryDelay)
+			continue
+		}
+		go serveConn(conn, handle)
+	}
+}
+
+func serveConn(conn net.Conn, handle Handler) {
+	defer conn.Close()
+	var writing sync.Mutex
+	reply := func(m *message.Message) {
+		frame, err := Encode(m)
+		if err != nil {
+			return
+		}
+		writing.Lock()
+		defer writing.Unlock()
+		if err := writeFrame(conn, frame); err != nil {
+			conn.Close()
+		}
+	}
+	reader := bufio.NewReaderSize(conn, readBufferBytes)
+	for {
+		m, err := Decode(reader)
+		if err != nil {
+			return
+		}
+		handle(m, reply)
+	}
+}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -12,7 +12,16 @@
 	"pumiceline/internal/message"
 )
 
-func TestAFrameIsReadBackAndNothingElseIs(t *testing.T) {
+// listen opens a listener on loopback until the test ends.
+func listen(t *testing.T) net.Listener {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	t.Cleanup(func() { listener.Close() })
+	return listener
+}
+
+func TestDecode_RejectsIncompleteFrames(t *testing.T) {
 	frame, err := Encode(&message.Message{From: "a", ConfirmRequest: &message.ConfirmRequest{RequestID: 7}})
 	require.NoError(t, err)
 	m, err := Decode(bytes.NewReader(frame))
@@ -25,6 +34,7 @@
 	}
 	_, err = Decode(bytes.NewReader([]byte{255, 255, 255, 255}))
 	assert.ErrorContains(t, err, "a frame of")
+	assert.ErrorIs(t, err, ErrFrameTooLarge)
 }
 
 func FuzzDecode(f *testing.F) {
@@ -38,20 +48,16 @@
 	})
 }
 
-func TestSenderAndServer(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer listener.Close()
-	got := make(chan *message.Message, 1)
-	go Serve(listener, func(m *message.Message, _ func(*message.Message)) { got <- m })
+func TestSender_DeliversToServer(t *testing.T) {
+	listener := listen(t)
+	received := make(chan *message.Message, 1)
+	go Serve(listener, func(m *message.Message, _ func(*message.Message)) { received <- m })
 	NewSender(nil).Send(listener.Addr().String(), &message.Message{From: "a", JoinRequest: &message.JoinRequest{}})
-	assert.NotNil(t, (<-got).JoinRequest)
+	assert.NotNil(t, (<-received).JoinRequest)
 }
 
-func TestABrokenConnectionEndsItsCalls(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer listener.Close()
+func TestClient_PollEndsWithConnection(t *testing.T) {
+	listener := listen(t)
 	go func() {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -61,15 +67,13 @@
 			conn.Close()
 		}
 	}()
-	_, err = NewClient().Pull(context.Background(), listener.Addr().String(), "p", message.PollRequest{})
+	_, err := NewClient().Poll(context.Background(), listener.Addr().String(), "p", message.PollRequest{})
 	assert.ErrorIs(t, err, ErrDisconnected)
 }
 
-// TestALateAnswerToAQuestionReachesNobody has a peer that answers the first question only when it has read the second.
-func TestALateAnswerToAQuestionReachesNobody(t *testing.T) {
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	require.NoError(t, err)
-	defer listener.Close()
+// A peer responds to the first query only when it has read the second: the first response reaches neither query.
+func TestLoadQuery_LateResponseIsDropped(t *testing.T) {
+	listener := listen(t)
 	var first *message.LoadReport
 	go Serve(listener, func(m *message.Message, reply func(*message.Message)) {
 		if first == nil {
@@ -77,25 +81,27 @@
 			return
 		}
 		for _, report := range []*message.LoadReport{first, m.LoadReport} {
-			reply(&message.Message{LoadResponse: &message.LoadResponse{ID: report.ID, Loads: []message.BackendLoad{{Backend: message.BackendID(report.Model)}}}})
+			loads := []message.BackendLoad{{Backend: message.BackendID(report.Model)}}
+			reply(&message.Message{LoadResponse: &message.LoadResponse{ID: report.ID, Loads: loads}})
 		}
 	})
 	address := listener.Addr().String()
 	client := NewClient()
-	_, err = client.AskLoads(address, "p", message.LoadReport{})
+	_, err := client.QueryLoads(address, "p", message.LoadReport{})
 	require.ErrorIs(t, err, ErrDisconnected, "it opens no connection")
 	require.NoError(t, client.Connect(address))
-	early, err := client.AskLoads(address, "p", message.LoadReport{Model: "m1"})
+	early, err := client.QueryLoads(address, "p", message.LoadReport{Model: "m1"})
 	require.NoError(t, err)
-	given, cancel := context.WithCancel(context.Background())
+	canceled, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = early.Wait(given)
+	_, err = early.Wait(canceled)
 	require.ErrorIs(t, err, context.Canceled)
-	later, err := client.AskLoads(address, "p", message.LoadReport{Model: "m2"})
+	later, err := client.QueryLoads(address, "p", message.LoadReport{Model: "m2"})
 	require.NoError(t, err)
-	reply, err := later.Wait(context.Background())
+	response, err := later.Wait(context.Background())
 	require.NoError(t, err)
-	assert.Equal(t, message.BackendID("m2"), reply.Loads[0].Backend)
+	require.Len(t, response.Loads, 1)
+	assert.Equal(t, message.BackendID("m2"), response.Loads[0].Backend)
 	assert.True(t, client.IsConnected(address))
 	client.Disconnect()
 	assert.False(t, client.IsConnected(address))
