--- a/internal/standalone/backend/probe.go
+++ b/internal/standalone/backend/probe.go
@@ -12,20 +12,20 @@
 // loadReportPath is where a destination tells its load.
 const loadReportPath = "/status/load"
 
-// Probe asks a destination for its load, until ctx ends. It goes over a connection like a request, but is none: it has no id, is
+// PollLoad asks a destination for its load, until ctx ends. It goes over a connection like a request, but is none: it has no id, is
 // counted nowhere, and its answer is of use only as a report. An error goes with every outcome but OK.
-func (f *Pool) Probe(ctx context.Context, id uint32) (policy.Outcome, []float32, error) {
+func (f *Pool) PollLoad(ctx context.Context, id uint32) (policy.Outcome, []float32, error) {
 	c, outcome, err := f.acquire(ctx, id)
 	if err != nil {
 		return outcome, nil, err
 	}
 	stop := context.AfterFunc(ctx, func() { c.nc.Close() })
-	outcome, report, reusable, err := f.probe(ctx, c)
+	outcome, report, reusable, err := f.pollLoad(ctx, c)
 	f.release(c, stop() && reusable)
 	return outcome, report, err
 }
 
-func (f *Pool) probe(ctx context.Context, c *conn) (outcome policy.Outcome, report []float32, reusable bool, err error) {
+func (f *Pool) pollLoad(ctx context.Context, c *conn) (outcome policy.Outcome, report []float32, reusable bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.addr+loadReportPath, nil)
 	if err != nil {
 		return policy.NotSent, nil, true, fmt.Errorf("a probe: %w", err)
--- a/internal/standalone/backend/probe_test.go
+++ b/internal/standalone/backend/probe_test.go
@@ -48,7 +48,7 @@
 		f := fleet(addr, 9)
 		f.SetBackend(1, addr, name != "draining")
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
-		outcome, report, err := f.Probe(ctx, 1)
+		outcome, report, err := f.PollLoad(ctx, 1)
 		cancel()
 		if outcome != c.outcome || !slices.Equal(report, c.report) || (err == nil) != (outcome == policy.OK) || name == "draining" && requests.Load() > 0 {
 			t.Errorf("%s: outcome %d, %v, %v", name, outcome, report, err)
--- a/internal/standalone/discovery/silence_test.go
+++ b/internal/standalone/discovery/silence_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := engine.New(module, engine.Hooks{Subscribe: w.Ask, CloseUnused: func(uint32) {}}, slog.New(slog.DiscardHandler))
+	p := engine.New(module, engine.Hooks{SubscribeDiscovery: w.Ask, CloseIdleConns: func(uint32) {}}, slog.New(slog.DiscardHandler))
 	go p.Run(t.Context())
 	return p
 }
--- a/internal/standalone/engine/planner.go
+++ b/internal/standalone/engine/planner.go
@@ -20,9 +20,9 @@
 // Hooks take the actions that belong to no call. They are called while the planner is locked: they must
 // return at once and must not call the planner.
 type Hooks struct {
-	Subscribe   func()
-	CloseUnused func(server uint32)
-	Probe       func(server uint32) // asks a server for its load; Probed tells what came of it
+	SubscribeDiscovery func()
+	CloseIdleConns     func(server uint32)
+	PollLoad           func(server uint32) // asks a server for its load; Probed tells what came of it
 }
 
 // Policy makes the decisions: a *decide.Balancer, save in tests.
@@ -97,7 +97,7 @@
 type Request struct {
 	Class       uint8
 	Tenant      uint32
-	SessionKey  uint64
+	AffinityKey uint64
 	WorkHint    policy.Time
 	Deadline    time.Time // when the last attempt has to have ended
 	BodyPending bool      // the body is still coming; Handed tells when a destination has it
@@ -132,7 +132,7 @@
 	p.nextID++
 	c := &Call{engine: p, id: p.nextID, actions: make(chan policy.Action, maxActions)}
 	p.calls[c.id] = c
-	p.dispatch(&policy.Event{Kind: policy.RequestArrived, ID: c.id, Class: a.Class, Tenant: a.Tenant, AffinityKey: a.SessionKey,
+	p.dispatch(&policy.Event{Kind: policy.RequestArrived, ID: c.id, Class: a.Class, Tenant: a.Tenant, AffinityKey: a.AffinityKey,
 		Work: a.WorkHint, ClientTimeout: time.Until(a.Deadline).Microseconds(), BodyPending: a.BodyPending})
 	return c
 }
@@ -171,8 +171,8 @@
 	return answers
 }
 
-// Cancel tells the module that the client is gone or has waited too long; a call that is over stays as it is.
-func (c *Call) Cancel() {
+// Abandon tells the module that the client is gone or has waited too long; a call that is over stays as it is.
+func (c *Call) Abandon() {
 	p := c.engine
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,8 +190,8 @@
 	}
 }
 
-// ProbeDone tells the module how a probe ended that Hooks.Probe was called for.
-func (p *Engine) ProbeDone(server uint32, outcome policy.Outcome, took time.Duration, report []float32) {
+// LoadPolled tells the module how a probe ended that Hooks.Probe was called for.
+func (p *Engine) LoadPolled(server uint32, outcome policy.Outcome, took time.Duration, report []float32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.dispatch(&policy.Event{Kind: policy.LoadPolled, Server: server, Outcome: outcome, Elapsed: took.Microseconds(), Report: report})
@@ -268,8 +268,8 @@
 	return sizes
 }
 
-// AvoidedBackends is how many listed servers the module gives no turns by its own choice; 0 where the module does not say.
-func (p *Engine) AvoidedBackends() int {
+// EjectedServers is how many listed servers the module gives no turns by its own choice; 0 where the module does not say.
+func (p *Engine) EjectedServers() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if m, ok := p.policy.(ejectionReporter); ok {
@@ -305,12 +305,12 @@
 			}
 		}
 	case policy.SubscribeDiscovery:
-		p.hooks.Subscribe()
+		p.hooks.SubscribeDiscovery()
 	case policy.CloseIdleConns:
-		p.hooks.CloseUnused(a.Server)
+		p.hooks.CloseIdleConns(a.Server)
 	case policy.PollLoad:
-		if p.hooks.Probe != nil {
-			p.hooks.Probe(a.Server)
+		if p.hooks.PollLoad != nil {
+			p.hooks.PollLoad(a.Server)
 		}
 	case policy.LogMessage:
 		p.log.Info("module", "text", a.Text)
--- a/internal/standalone/engine/planner_test.go
+++ b/internal/standalone/engine/planner_test.go
@@ -11,20 +11,20 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// script is a module that answers each event as a test wants and remembers what it was told.
-type script struct {
-	told  []policy.Event
-	times []policy.Time
-	act   func(ev *policy.Event) []policy.Action
+// scriptedPolicy is a module that answers each event as a test wants and remembers what it was told.
+type scriptedPolicy struct {
+	events  []policy.Event
+	times   []policy.Time
+	respond func(ev *policy.Event) []policy.Action
 }
 
-func (s *script) Handle(now policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
-	s.told, s.times = append(s.told, *ev), append(s.times, now)
-	return append(out, s.act(ev)...)
+func (s *scriptedPolicy) Handle(now policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
+	s.events, s.times = append(s.events, *ev), append(s.times, now)
+	return append(out, s.respond(ev)...)
 }
 
-func start(s *script) *Engine {
-	return New(s, Hooks{Subscribe: func() {}, CloseUnused: func(uint32) {}}, slog.New(slog.DiscardHandler))
+func newTestEngine(s *scriptedPolicy) *Engine {
+	return New(s, Hooks{SubscribeDiscovery: func() {}, CloseIdleConns: func(uint32) {}}, slog.New(slog.DiscardHandler))
 }
 
 func sendTwice(ev *policy.Event) []policy.Action {
@@ -35,9 +35,9 @@
 }
 
 // Each attempt's outcome reaches the module once, and only the first OK is the answer.
-func TestOutcomesAreToldOnce(t *testing.T) {
-	s := &script{act: sendTwice}
-	c := start(s).Start(Request{Deadline: time.Now().Add(time.Second)})
+func TestCall_ReportsEachOutcomeOnce(t *testing.T) {
+	s := &scriptedPolicy{respond: sendTwice}
+	c := newTestEngine(s).Start(Request{Deadline: time.Now().Add(time.Second)})
 	if a, b := <-c.Actions(), <-c.Actions(); a.Attempt != 0 || b.Attempt != 1 {
 		t.Fatalf("attempts are numbered %d and %d", a.Attempt, b.Attempt)
 	}
@@ -46,9 +46,9 @@
 	if want := []bool{true, false, false, false}; !slices.Equal(got, want) {
 		t.Errorf("answers: %v, want %v", got, want)
 	}
-	c.Cancel()
-	if len(s.told) != 3 || !s.told[1].Final || s.told[1].Server != 8 || !s.told[2].Final {
-		t.Errorf("the module was told %+v", s.told)
+	c.Abandon()
+	if len(s.events) != 3 || !s.events[1].Final || s.events[1].Server != 8 || !s.events[2].Final {
+		t.Errorf("the module was told %+v", s.events)
 	}
 	if len(c.engine.calls) != 0 {
 		t.Error("the call is not forgotten")
@@ -56,17 +56,17 @@
 }
 
 // A client that leaves is told to the module, and what it calls off comes before Depart returns.
-func TestDepartureBringsItsCancels(t *testing.T) {
-	s := &script{act: func(ev *policy.Event) []policy.Action {
+func TestCall_AbandonDeliversCancels(t *testing.T) {
+	s := &scriptedPolicy{respond: func(ev *policy.Event) []policy.Action {
 		if ev.Kind == policy.RequestAbandoned {
 			return []policy.Action{{Kind: policy.CancelAttempt, ID: ev.ID, Attempt: 1}}
 		}
 		return sendTwice(ev)
 	}}
-	c := start(s).Start(Request{})
+	c := newTestEngine(s).Start(Request{})
 	<-c.Actions()
 	<-c.Actions()
-	c.Cancel()
+	c.Abandon()
 	select {
 	case a := <-c.Actions():
 		if a.Kind != policy.CancelAttempt || a.Attempt != 1 {
@@ -77,16 +77,16 @@
 	}
 }
 
-func TestTimersFireInOrderAndTheClockNeverGoesBack(t *testing.T) {
+func TestEngine_TimersFireInOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := &script{act: func(ev *policy.Event) []policy.Action {
+		s := &scriptedPolicy{respond: func(ev *policy.Event) []policy.Action {
 			if ev.Kind != policy.MembershipFull {
 				return nil
 			}
 			return []policy.Action{{Kind: policy.SetTimer, ID: 3, After: 30_000}, {Kind: policy.SetTimer, ID: 1, After: 10_000},
 				{Kind: policy.SetTimer, ID: 2, After: 10_000}}
 		}}
-		p := start(s)
+		p := newTestEngine(s)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go p.Run(ctx)
@@ -95,7 +95,7 @@
 		time.Sleep(time.Second)
 		synctest.Wait()
 		var tags []uint64
-		for _, ev := range s.told[1:] {
+		for _, ev := range s.events[1:] {
 			tags = append(tags, ev.ID)
 		}
 		if !slices.Equal(tags, []uint64{1, 2, 3}) || !slices.IsSorted(s.times) {
@@ -108,14 +108,14 @@
 }
 
 // A panic in the module must cost one decision, not every request in flight.
-func TestModulePanicIsSurvived(t *testing.T) {
-	s := &script{act: func(ev *policy.Event) []policy.Action {
+func TestEngine_SurvivesPolicyPanic(t *testing.T) {
+	s := &scriptedPolicy{respond: func(ev *policy.Event) []policy.Action {
 		if ev.Kind == policy.DiscoveryFailed {
 			panic("a fault")
 		}
 		return sendTwice(ev)
 	}}
-	p := start(s)
+	p := newTestEngine(s)
 	p.UpdateMembers(policy.DiscoveryFailed, nil)
 	if c := p.Start(Request{}); len(c.actions) != 2 {
 		t.Errorf("%d actions after the panic", len(c.actions))
--- /dev/null
+++ b/internal/standalone/forwarder/loadpoller.go
@@ -0,0 +1,87 @@
+package forwarder
+
+import (
+	"context"
+	"log/slog"
+	"sync"
+	"time"
+
+	"pumiceline/internal/logkey"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/policy"
+)
+
+// LoadReporter asks a backend for its load: a *backend.Pool, except in tests.
+type LoadReporter interface {
+	PollLoad(ctx context.Context, id uint32) (policy.Outcome, []float32, error)
+}
+
+const (
+	// pollTimeout bounds a poll. The policy polls a backend again after a second at the earliest, and a report that is
+	// half a second late is not worth a file descriptor.
+	pollTimeout = 500 * time.Millisecond
+	// maxPolls may be in flight, and one of them at a backend: polls that hang must not use up what requests need.
+	maxPolls = 16
+)
+
+// LoadPoller carries out the load polls that the policy asks for. It is safe for concurrent use. Close ends its
+// goroutines.
+type LoadPoller struct {
+	backends LoadReporter
+	engine   *engine.Engine
+	log      *slog.Logger
+	ctx      context.Context // ends with Close
+	cancel   context.CancelFunc
+	running  sync.WaitGroup
+
+	mu      sync.Mutex
+	pending map[uint32]struct{} // backends that are being polled
+}
+
+// NewLoadPoller returns a LoadPoller that asks backends. SetEngine must be called before the first Poll.
+func NewLoadPoller(backends LoadReporter, log *slog.Logger) *LoadPoller {
+	ctx, cancel := context.WithCancel(context.Background())
+	return &LoadPoller{backends: backends, log: log, ctx: ctx, cancel: cancel, pending: map[uint32]struct{}{}}
+}
+
+// SetEngine sets the engine that gets the reports.
+func (p *LoadPoller) SetEngine(e *engine.Engine) { p.engine = e }
+
+// Poll begins a poll of a backend and returns at once. If the backend is being polled already, or maxPolls are in flight,
+// there is no poll: the policy asks again.
+func (p *LoadPoller) Poll(backend uint32) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if _, isPending := p.pending[backend]; isPending || len(p.pending) >= maxPolls || p.ctx.Err() != nil {
+		return
+	}
+	p.pending[backend] = struct{}{}
+	p.running.Go(func() { p.poll(backend) })
+}
+
+func (p *LoadPoller) poll(backend uint32) {
+	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
+	defer cancel()
+	start := time.Now()
+	outcome, report, err := p.backends.PollLoad(ctx, backend)
+	if err != nil {
+		p.log.Debug("load poll failed", logkey.Backend, backend, "outcome", outcome, "error", err)
+	}
+	p.mu.Lock()
+	delete(p.pending, backend)
+	p.mu.Unlock()
+	p.engine.LoadPolled(backend, outcome, time.Since(start), report)
+}
+
+// InFlight returns how many polls are in flight.
+func (p *LoadPoller) InFlight() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.pending)
+}
+
+// Close cancels the polls in flight and waits for their end. Poll has no effect afterwards.
+func (p *LoadPoller) Close() {
+	p.cancel()
+	p.running.Wait()
+}
--- /dev/null
+++ b/internal/standalone/forwarder/requestinfo.go
@@ -0,0 +1,40 @@
+package forwarder
+
+import (
+	"context"
+
+	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/requestbody"
+)
+
+// RequestInfo is what a listener has read and checked of a request. The context that carries it ends at the client's
+// deadline.
+type RequestInfo struct {
+	Class      uint8       // the class's number in the settings
+	Tenant     uint32      // the tenant's place in the settings
+	WorkHint   policy.Time // expected work, in microseconds on a standard core; 0: unknown
+	SessionKey uint64      // a hash of what the request is about, for affinity; 0: none
+	Body       []byte      // the whole body, or its start if there is a Stream
+	// Stream is the rest of a body too large to be buffered; nil: there is none. The context has no deadline then, but
+	// ends by itself.
+	Stream *requestbody.Stream
+	// ClientDisconnected reports whether the client has disconnected, and ends the context if so. nil: only the context
+	// knows.
+	ClientDisconnected func() bool
+
+	Answered bool // set by RoundTrip if a backend has answered
+	Rejected bool // set by RoundTrip if the policy has rejected the request
+}
+
+type requestInfoKey struct{}
+
+// WithRequestInfo returns a context that carries info.
+func WithRequestInfo(ctx context.Context, info *RequestInfo) context.Context {
+	return context.WithValue(ctx, requestInfoKey{}, info)
+}
+
+// RequestInfoFrom returns what WithRequestInfo put into a context, or nil.
+func RequestInfoFrom(ctx context.Context) *RequestInfo {
+	info, _ := ctx.Value(requestInfoKey{}).(*RequestInfo)
+	return info
+}
--- /dev/null
+++ b/internal/standalone/forwarder/transport.go
@@ -0,0 +1,155 @@
+// Package forwarder carries a request to backends: it reports the request to the engine, makes the attempts that the
+// policy decides on, and returns the one response.
+//
+// transport.go has the Transport and the life of a request, attempts.go its attempts, requestinfo.go what a listener
+// passes on with a request, response.go the responses, loadpoller.go the load polls between requests.
+package forwarder
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/policy"
+)
+
+// Exchanger makes one exchange with a backend: a *backend.Pool, except in tests.
+type Exchanger interface {
+	Exchange(ctx context.Context, id uint32, a backend.Attempt) backend.Result
+}
+
+// responseMargin is how long before the client's deadline attempts end, so that the policy's final decision still reaches
+// a client that is about to time out.
+const responseMargin = 15 * time.Millisecond
+
+// Transport is an http.RoundTripper whose every attempt is decided by the policy. The context of a request must carry a
+// RequestInfo. It is safe for concurrent use.
+type Transport struct {
+	Engine   *engine.Engine
+	Backends Exchanger
+	// MaxRetryAfter is the longest Retry-After of a rejection, in microseconds.
+	MaxRetryAfter atomic.Int64
+	Log           *slog.Logger
+}
+
+var errNoRequestInfo = errors.New("the request has no deadline or no RequestInfo")
+
+// RoundTrip returns the response to a request: a backend's, or a rejection (503) or failure (502) by the policy. An error
+// means that the client has disconnected.
+func (t *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
+	ctx := req.Context()
+	info := RequestInfoFrom(ctx)
+	if _, hasDeadline := ctx.Deadline(); info == nil || !hasDeadline && info.Stream == nil {
+		return nil, errNoRequestInfo
+	}
+	if errors.Is(context.Cause(ctx), context.Canceled) { // the client disconnected while its request was queued
+		return nil, ctx.Err()
+	}
+	deadline := attemptDeadline(ctx, info)
+	attemptCtx, release := newAttemptContext(ctx, info, deadline)
+	call := t.Engine.Start(engine.Request{
+		Class:       info.Class,
+		Tenant:      info.Tenant,
+		WorkHint:    info.WorkHint,
+		AffinityKey: info.SessionKey,
+		Deadline:    deadline,
+		BodyPending: info.Stream != nil,
+	})
+	a := newAttempts(t, call, req, info)
+	defer a.releaseAfter(release)
+	defer a.cancelPending() // after Abandon, which may bring cancels
+	defer call.Abandon()    // has no effect on a call that has ended; otherwise the client left, or this function panicked
+
+	for {
+		select {
+		case action := <-call.Actions():
+			if resp := t.execute(attemptCtx, req, a, action); resp != nil {
+				return resp, nil
+			}
+		case response := <-a.responses:
+			info.Answered = true
+			return backendResponse(req, response), nil
+		case <-ctx.Done():
+			// A decision that is there already goes first, as for a request that arrived with no time left.
+			hasDecision := len(call.Actions())+len(a.responses) > 0
+			if hasDecision && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
+				continue
+			}
+			return t.endWithoutResponse(req, info)
+		}
+	}
+}
+
+// attemptDeadline returns when the last attempt has to have ended. For a request whose body is still coming it is
+// provisional: the policy reckons as if the body were here, and what it plans for later, the attempts' context ends.
+func attemptDeadline(ctx context.Context, info *RequestInfo) time.Time {
+	if info.Stream != nil {
+		return time.Now().Add(info.Stream.ClientTimeout - responseMargin)
+	}
+	clientDeadline, _ := ctx.Deadline()
+	return clientDeadline.Add(-responseMargin)
+}
+
+// newAttemptContext returns the context of a request's attempts. It does not end with the client's: only the policy
+// cancels attempts. For a request whose body is still coming it ends when the body breaks off, or the client's time-out
+// less responseMargin after the last byte.
+func newAttemptContext(ctx context.Context, info *RequestInfo, deadline time.Time) (context.Context, context.CancelFunc) {
+	if info.Stream == nil {
+		return context.WithDeadline(context.WithoutCancel(ctx), deadline)
+	}
+	attemptCtx, cancel := context.WithCancelCause(context.WithoutCancel(ctx))
+	go info.Stream.WatchDeadline(attemptCtx.Done(), responseMargin,
+		func() { cancel(context.DeadlineExceeded) },
+		func(error) { cancel(nil) })
+	return attemptCtx, func() { cancel(nil) }
+}
+
+// execute carries out one action of the policy. It returns the client's response if the action is one, else nil.
+func (t *Transport) execute(attemptCtx context.Context, req *http.Request, a *attempts, action policy.Action) *http.Response {
+	switch action.Kind {
+	case policy.SendAttempt:
+		if hasDisconnected(req.Context()) {
+			// The client left in the same moment: the attempt is not made, and no other comes in its place.
+			a.call.Abandon()
+			a.call.Finish(action.Attempt, policy.NotSent, nil, time.Time{})
+			return nil
+		}
+		a.start(attemptCtx, action)
+	case policy.CancelAttempt:
+		a.cancel(action.Attempt)
+	case policy.RejectRequest:
+		RequestInfoFrom(req.Context()).Rejected = true
+		return rejectedResponse(req, min(action.After, t.MaxRetryAfter.Load()))
+	case policy.FailRequest:
+		return textResponse(req, http.StatusBadGateway, "no destination could answer\n")
+	}
+	return nil
+}
+
+// hasDisconnected reports whether a request's context has ended otherwise than by its deadline.
+func hasDisconnected(ctx context.Context) bool {
+	return ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded)
+}
+
+// endWithoutResponse ends a request whose context has ended before the policy decided.
+func (t *Transport) endWithoutResponse(req *http.Request, info *RequestInfo) (*http.Response, error) {
+	cause := context.Cause(req.Context())
+	isTimeout := errors.Is(cause, context.DeadlineExceeded)
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.As(cause, &tooLarge):
+		return textResponse(req, http.StatusRequestEntityTooLarge, backend.ErrBodyTooLarge.Error()+"\n"), nil
+	case info.Stream != nil && !errors.Is(cause, context.Canceled) && !isTimeout:
+		return textResponse(req, http.StatusBadRequest, "the body did not come whole\n"), nil
+	case isTimeout:
+		// The policy should have decided by now. The client must get a response all the same.
+		t.Log.Error("request still open at its deadline", "error", cause)
+		return textResponse(req, http.StatusGatewayTimeout, "out of time\n"), nil
+	}
+	return nil, req.Context().Err() // the client has disconnected
+}
--- a/internal/standalone/hotrestart/learned_state_test.go
+++ b/internal/standalone/hotrestart/learned_state_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	logger := slog.New(slog.DiscardHandler)
-	e := engine.New(balancer, engine.Hooks{Subscribe: func() {}, CloseUnused: func(uint32) {}, Probe: func(uint32) {}}, logger)
+	e := engine.New(balancer, engine.Hooks{SubscribeDiscovery: func() {}, CloseIdleConns: func(uint32) {}, PollLoad: func(uint32) {}}, logger)
 	p := NewProcess(NewSharedFolder(folder, "try 127.0.0.1:7070"), 64, logger)
 	if err := p.Join(); err != nil {
 		t.Fatal(err)
--- a/internal/standalone/server/operations.go
+++ b/internal/standalone/server/operations.go
@@ -50,7 +50,7 @@
 
 func (s *server) registerGauges() {
 	s.metrics.Watch(metrics.Gauges{Current: s.clients.InFlight, Size: s.watcher.Size,
-		Unhealthy: func() int { return s.engine.AvoidedBackends() + s.watcher.TakenOut() },
+		Unhealthy: func() int { return s.engine.EjectedServers() + s.watcher.TakenOut() },
 		Kept:      s.tableSizes})
 }
 
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -72,7 +72,7 @@
 	backends  *backend.Pool
 	watcher   *discovery.Watcher
 	process   *hotrestart.Process
-	probes    *forwarder.Probes
+	probes    *forwarder.LoadPoller
 	engine    *engine.Engine
 	transport *forwarder.Transport
 	clients   *listener.Server
@@ -154,8 +154,8 @@
 
 // createRequestPath creates what a request passes through: the listener, the transport and the engine of the policy.
 func (s *server) createRequestPath(balancer *policy.Balancer) {
-	s.probes = forwarder.NewProbes(s.backends, s.log)
-	hooks := engine.Hooks{Subscribe: s.watcher.Ask, CloseUnused: s.backends.CloseIdle, Probe: s.probes.Start}
+	s.probes = forwarder.NewLoadPoller(s.backends, s.log)
+	hooks := engine.Hooks{SubscribeDiscovery: s.watcher.Ask, CloseIdleConns: s.backends.CloseIdle, PollLoad: s.probes.Poll}
 	s.engine = engine.New(balancer, hooks, s.log)
 	s.probes.SetEngine(s.engine)
 	s.transport = &forwarder.Transport{Engine: s.engine, Backends: s.backends, Log: s.log}
