--- a/internal/controlplane/replica/catchup.go
+++ b/internal/controlplane/replica/catch_up.go
@@ -6,9 +6,9 @@
 	"pumiceline/internal/message"
 )
 
-// A member that is not complete takes the state from any member that is, so that it may lead a later view even where
-// its predecessor in the chain is lost. It is synced with its predecessor, and counts for acknowledgements, only when
-// the state has come down the chain.
+// A member that is not complete takes the state from any member that is, so that it may propose and lead a later view
+// even where its predecessor in the chain is lost. It is synced with its predecessor, and counts for acknowledgements,
+// only when the state has come down the chain.
 
 // requestCatchUp asks one member after the other, the head first, as long as this one is not complete.
 func (r *Replica) requestCatchUp() {
@@ -18,11 +18,12 @@
 	members := r.control.View.Members
 	target := members[r.link.catchUpAttempts%len(members)]
 	r.link.catchUpAttempts++
-	if target.Identity != r.control.Identity {
+	if !r.isSelf(target) {
 		r.send(target, message.Message{CatchUpRequest: &message.CatchUpRequest{Digest: r.chain.Digest}})
 	}
 }
 
+// onCatchUpRequest sends the state of this member, if it is complete, to one that is not.
 func (r *Replica) onCatchUpRequest(m *message.Message) {
 	if m.View != r.control.View.Number || !r.IsMember() || !r.control.Complete {
 		return
@@ -32,11 +33,11 @@
 		state := r.chain
 		catchUp.State = &state
 	}
-	r.send(r.sender(m), message.Message{CatchUp: catchUp})
+	r.send(senderOf(m), message.Message{CatchUp: catchUp})
 }
 
-// onCatchUp takes a complete member's state: it has all that was acknowledged in earlier views, and so has this one
-// then. What it has beyond that is settled when the chain reaches this member.
+// onCatchUp takes the state of a complete member: that one has all that was acknowledged in earlier views, and so has
+// this one then. What it has beyond that is committed when the chain reaches this member.
 func (r *Replica) onCatchUp(m *message.Message) {
 	if m.View != r.control.View.Number || !r.IsMember() || r.control.Complete || r.link.synced {
 		return
@@ -45,8 +46,8 @@
 		r.installSnapshot(*m.CatchUp.State)
 	}
 	if !bytes.Equal(m.CatchUp.Digest, r.chain.Digest) {
-		return // an answer to an earlier question
+		return // the response to an earlier request
 	}
 	r.control.Complete = true
-	r.controlDirty = true
+	r.output.controlDirty = true
 }
--- a/internal/controlplane/replica/chain.go
+++ b/internal/controlplane/replica/chain_replication.go
@@ -7,30 +7,23 @@
 	"pumiceline/internal/message"
 )
 
-// replicationLink is the member's part in passing the state down the chain of its view.
+// replicationLink is the member's part in replicating the state along the chain of its view.
 type replicationLink struct {
-	synced              bool // the state agrees with what the predecessor has in this view
-	committed           bool // every member of the view has synced the state
-	committedInView     bool // the state was settled in this view before
-	committedState      message.ChainState
+	synced              bool               // the state agrees with the predecessor's in this view
+	committed           bool               // every member of the view has synced the state
+	committedInView     bool               // some state was committed in this view
+	committedState      message.ChainState // the newest state known to be committed, in whatever view
 	forwardedAt         time.Duration
 	snapshotRequestedAt time.Duration
-	catchUpAttempts     int // requests to catch up; each goes to another member
-	pending             []pendingRequest
-	inFlight            *pendingRequest // the call whose change is on its way down the chain
+	catchUpAttempts     int              // each asks another member
+	pending             []pendingRequest // at the head or the tail
+	inFlight            *pendingRequest  // the request whose change is being replicated, at the head
 }
 
-// pendingRequest is an operator's call that waits at the head or the tail.
-type pendingRequest struct {
-	from       message.Member
-	request    message.ConfigRequest
-	receivedAt time.Duration
-}
-
-// resetReplication starts the member's part in a view, or anew after a start.
+// resetReplication starts the member's part in a view, or anew after a restart. A complete head has all that was
+// acknowledged, so its state is the one that the chain agrees on.
 func (r *Replica) resetReplication() {
-	calls := r.link.pending
-	r.link = replicationLink{committedState: r.link.committedState, pending: calls}
+	r.link = replicationLink{committedState: r.link.committedState, pending: r.link.pending}
 	if r.isHead() && r.control.Complete {
 		r.link.synced = true
 		r.recordView()
@@ -54,24 +47,25 @@
 	return r.control.View.Members[position-1], true
 }
 
-// forwardToSuccessor sends the state to the successor once it is synced here: change where the successor lacks only that, else
-// the digest. At the tail it tells the predecessor that the state is settled.
+// forwardToSuccessor sends the state to the successor once it is synced here: as replicate, where the successor lacks
+// only its change, else (nil) as the digest. The tail has no successor: it commits the state once it is synced.
 func (r *Replica) forwardToSuccessor(replicate *message.Replicate) {
 	r.link.forwardedAt = r.now
 	r.link.committed = false
-	next, ok := r.successor()
+	successor, ok := r.successor()
 	if !ok {
 		self := message.Member{Identity: r.control.Identity, Address: r.options.Self.Address}
-		committed := &message.Committed{Sequence: r.chain.Sequence, Digest: r.chain.Digest}
-		r.sendAfterSync(self, message.Message{Committed: committed})
+		r.sendAfterSync(self, message.Message{Committed: r.committedMessage()})
 		return
 	}
 	if replicate == nil {
 		replicate = &message.Replicate{Sequence: r.chain.Sequence, Digest: r.chain.Digest}
 	}
-	r.sendAfterSync(next, message.Message{Replicate: replicate})
+	r.sendAfterSync(successor, message.Message{Replicate: replicate})
 }
 
+// onReplicate takes the predecessor's state, forwards it where it is new to this member, and asks for a snapshot where
+// it does not fit.
 func (r *Replica) onReplicate(m *message.Message) {
 	predecessor, ok := r.predecessor()
 	if !ok || m.View != r.control.View.Number || m.From != predecessor.Identity {
@@ -81,34 +75,44 @@
 	if r.chain.View == m.View && replicate.Sequence < r.chain.Sequence {
 		return // overtaken by a later one: within a view the state only grows
 	}
+	isSame := bytes.Equal(r.chain.Digest, replicate.Digest)
+	if replicate.Snapshot == nil && isSame && r.link.synced && r.link.committed {
+		r.acknowledgeToPredecessor() // the last acknowledgement was lost
+		return
+	}
 	switch {
 	case replicate.Snapshot != nil:
 		r.installSnapshot(*replicate.Snapshot)
-	case r.link.synced && r.link.committed && bytes.Equal(r.chain.Digest, replicate.Digest):
-		r.acknowledgeToPredecessor()
-		return
-	case bytes.Equal(r.chain.Digest, replicate.Digest) && r.chain.Sequence == replicate.Sequence:
+	case isSame && r.chain.Sequence == replicate.Sequence:
 	case replicate.Change != nil && r.applyChange(replicate.Change) == nil:
 	default:
 		r.send(predecessor, message.Message{SnapshotRequest: &message.SnapshotRequest{Full: true}})
 		return
 	}
-	first := !r.link.synced
+	isFirst := !r.link.synced
+	r.markSynced()
+	isNew := isFirst || replicate.Change != nil || replicate.Snapshot != nil
+	if !isNew && r.now-r.link.forwardedAt < replicateRetryInterval {
+		return
+	}
+	if replicate.Snapshot != nil {
+		replicate = nil // the successor asks for a snapshot if it needs one
+	}
+	r.forwardToSuccessor(replicate)
+}
+
+// markSynced notes that the state agrees with the predecessor's, which makes this member complete.
+func (r *Replica) markSynced() {
 	r.link.synced = true
 	r.recordView()
 	if !r.control.Complete {
 		r.control.Complete = true
-		r.controlDirty = true
-	}
-	if first || replicate.Change != nil || replicate.Snapshot != nil || r.now-r.link.forwardedAt >= replicateRetryInterval {
-		if replicate.Snapshot != nil {
-			replicate = nil
-		}
-		r.forwardToSuccessor(replicate)
+		r.output.controlDirty = true
 	}
 }
 
-// recordView notes that the state is that of this view, so that nothing older is taken for it after a restart.
+// recordView stores that the state belongs to the current view, so that no older message of that view replaces it after
+// a restart.
 func (r *Replica) recordView() {
 	if r.chain.View != r.control.View.Number {
 		r.chain.View = r.control.View.Number
@@ -116,13 +120,13 @@
 	}
 }
 
-// replaceChain notes that the state has to be written whole.
+// replaceChain notes that the chain state has to be written completely.
 func (r *Replica) replaceChain() {
-	r.chainDirty, r.appendedRecords = true, nil
-	r.chainReplaced = true
+	r.output.chainDirty, r.output.chainReplaced = true, true
+	r.output.appendedRecords = nil
 }
 
-// installSnapshot replaces the whole state by the predecessor's.
+// installSnapshot replaces the chain state by another member's.
 func (r *Replica) installSnapshot(state message.ChainState) {
 	if bytes.Equal(r.chain.Digest, state.Digest) && r.chain.Sequence == state.Sequence {
 		return
@@ -131,7 +135,8 @@
 	r.replaceChain()
 }
 
-// applyChange puts one change on top of the state; an error says that it does not fit, and leaves the state as it is.
+// applyChange applies one change to the chain state. Where it does not fit, it returns an error and leaves the state as
+// it is.
 func (r *Replica) applyChange(record *message.ChangeRecord) error {
 	next, err := ApplyChange(&r.chain, record)
 	if err != nil {
@@ -139,17 +144,21 @@
 	}
 	next.View = r.control.View.Number
 	r.chain = next
-	r.chainDirty = true
-	r.appendedRecords = append(r.appendedRecords, *record)
+	r.output.chainDirty = true
+	r.output.appendedRecords = append(r.output.appendedRecords, *record)
 	return nil
 }
 
+// onCommitted takes the successor's acknowledgement of the state, or, at the tail, its own.
 func (r *Replica) onCommitted(m *message.Message) {
 	if m.View != r.control.View.Number || !r.link.synced {
 		return
 	}
-	next, ok := r.successor()
-	if ok && m.From != next.Identity || !ok && m.From != r.control.Identity {
+	expectedSender := r.control.Identity
+	if successor, ok := r.successor(); ok {
+		expectedSender = successor.Identity
+	}
+	if m.From != expectedSender {
 		return
 	}
 	if m.Committed.Sequence != r.chain.Sequence || !bytes.Equal(m.Committed.Digest, r.chain.Digest) {
@@ -164,16 +173,21 @@
 	}
 }
 
+// acknowledgeToPredecessor says that every member from this one to the tail has synced the state.
 func (r *Replica) acknowledgeToPredecessor() {
 	if predecessor, ok := r.predecessor(); ok {
-		committed := &message.Committed{Sequence: r.chain.Sequence, Digest: r.chain.Digest}
-		r.sendAfterSync(predecessor, message.Message{Committed: committed})
+		r.sendAfterSync(predecessor, message.Message{Committed: r.committedMessage()})
 	}
 }
 
+func (r *Replica) committedMessage() *message.Committed {
+	return &message.Committed{Sequence: r.chain.Sequence, Digest: r.chain.Digest}
+}
+
+// onSnapshotRequest sends the state, or its digest, to the successor.
 func (r *Replica) onSnapshotRequest(m *message.Message) {
-	next, ok := r.successor()
-	if !ok || m.View != r.control.View.Number || m.From != next.Identity || !r.link.synced {
+	successor, ok := r.successor()
+	if !ok || m.View != r.control.View.Number || m.From != successor.Identity || !r.link.synced {
 		return
 	}
 	replicate := &message.Replicate{Sequence: r.chain.Sequence, Digest: r.chain.Digest}
@@ -181,11 +195,11 @@
 		state := r.chain
 		replicate.Snapshot = &state
 	}
-	r.sendAfterSync(next, message.Message{Replicate: replicate})
+	r.sendAfterSync(successor, message.Message{Replicate: replicate})
 }
 
-// tickChain repeats what got no answer.
-func (r *Replica) tickChain() {
+// tickReplication repeats what got no answer.
+func (r *Replica) tickReplication() {
 	if !r.IsMember() {
 		return
 	}
--- /dev/null
+++ b/internal/controlplane/replica/change_history.go
@@ -0,0 +1,82 @@
+package replica
+
+import (
+	"bytes"
+	"crypto/sha256"
+
+	"github.com/pkg/errors"
+
+	"pumiceline/internal/delta"
+	"pumiceline/internal/message"
+)
+
+const (
+	// maxHistory is how many changes are kept by their digests, so that a repeated one is acknowledged again: two days of
+	// the target of 1,800 changes a day. They take some 120 KB.
+	maxHistory = 4096
+	// MaxDocumentBytes bounds a configuration: a file of the ring holds it with all that is stored beside it.
+	MaxDocumentBytes = 3 << 20
+	digestBytes      = 16
+)
+
+// ErrBaseMismatch is returned for a change that builds on another state.
+var ErrBaseMismatch = errors.New("a change on top of another state")
+
+// errDocumentMismatch is returned for a change whose delta makes another document than its digest says.
+var errDocumentMismatch = errors.New("a change that makes another document than it says")
+
+// ChainDigest extends the digest of all earlier changes by one change.
+func ChainDigest(previous []byte, change *message.Change) []byte {
+	hash := sha256.New()
+	hash.Write(previous)
+	hash.Write(change.Digest)
+	return hash.Sum(nil)[:digestBytes]
+}
+
+// DocumentDigest returns the digest of a configuration document.
+func DocumentDigest(document []byte) []byte {
+	sum := sha256.Sum256(document)
+	return sum[:digestBytes]
+}
+
+// newChangeRecord returns the record of a change that turns the document of a state into another.
+func newChangeRecord(
+	state *message.ChainState, change message.Change, document []byte, view message.ViewNumber,
+) *message.ChangeRecord {
+	return &message.ChangeRecord{
+		View: view, Previous: state.Digest, Change: change,
+		Delta: delta.Make(state.Document, document), DocumentDigest: DocumentDigest(document),
+	}
+}
+
+// ApplyChange returns the state after a change; the given state is not modified. It returns ErrBaseMismatch where the
+// change builds on another state, and another error where its delta does not make the document that it says.
+func ApplyChange(state *message.ChainState, record *message.ChangeRecord) (message.ChainState, error) {
+	if !bytes.Equal(state.Digest, record.Previous) {
+		return message.ChainState{}, ErrBaseMismatch
+	}
+	document, err := delta.Apply(state.Document, record.Delta, MaxDocumentBytes)
+	if err != nil {
+		return message.ChainState{}, err
+	}
+	if !bytes.Equal(DocumentDigest(document), record.DocumentDigest) {
+		return message.ChainState{}, errDocumentMismatch
+	}
+	history, horizon := appendToHistory(state, record.Change)
+	return message.ChainState{
+		View: record.View, Sequence: state.Sequence + 1, Digest: ChainDigest(state.Digest, &record.Change),
+		Version: record.Change.Version, Document: document, History: history, Horizon: horizon,
+	}, nil
+}
+
+// appendToHistory returns the history with one more change. The oldest ones beyond maxHistory are dropped, and the
+// horizon moves up to the version of the last of them.
+func appendToHistory(state *message.ChainState, change message.Change) (history []message.Change, horizon uint64) {
+	dropped := max(0, len(state.History)+1-maxHistory)
+	horizon = state.Horizon
+	if dropped > 0 {
+		horizon = state.History[dropped-1].Version
+	}
+	history = make([]message.Change, 0, len(state.History)-dropped+1)
+	return append(append(history, state.History[dropped:]...), change), horizon
+}
--- a/internal/controlplane/replica/history_test.go
+++ b/internal/controlplane/replica/change_history_test.go
@@ -23,7 +23,7 @@
 		for i := range count {
 			document := fmt.Appendf(nil, `{"version":%d}`, i+1)
 			change := message.Change{Version: uint64(i + 1), Base: uint64(i), Digest: fmt.Appendf(nil, "%016d", i)}
-			require.NoError(t, head.applyChange(newRecord(&head.chain, change, document, head.View().Number)))
+			require.NoError(t, head.applyChange(newChangeRecord(&head.chain, change, document, head.View().Number)))
 			g.members[1].chain = head.chain
 		}
 		head.takeOutput()
@@ -46,7 +46,7 @@
 // A change that does not make the document that it says leaves the state as it is.
 func TestAChangeThatDoesNotFitChangesNothing(t *testing.T) {
 	state := message.ChainState{Digest: []byte("d"), Document: []byte("old document")}
-	record := newRecord(&state, message.Change{Version: 2, Digest: []byte("x")}, []byte("new document"), 1)
+	record := newChangeRecord(&state, message.Change{Version: 2, Digest: []byte("x")}, []byte("new document"), 1)
 	broken := *record
 	broken.Delta = []byte{0, 200, 1, 0}
 	_, err := ApplyChange(&state, &broken)
--- /dev/null
+++ b/internal/controlplane/replica/failure_detector.go
@@ -0,0 +1,143 @@
+package replica
+
+import (
+	"maps"
+	"slices"
+	"sort"
+	"time"
+
+	"github.com/samber/lo"
+
+	"pumiceline/internal/message"
+)
+
+// failureDetector records when each member was heard, what it said of itself, and what its monitors report of it. The
+// monitors of a member are the next ones on a ring of all identities. The detector decides nothing: nextView draws the
+// conclusions.
+type failureDetector struct {
+	members      map[message.MemberID]*memberRecord
+	reports      map[suspicionReport]time.Duration // when each was made last
+	joinRequests map[message.MemberID]joinRequest
+	monitors     []message.Member // to whom this member sends its heartbeats
+	monitored    []message.Member // whose heartbeats it awaits
+	resumedAt    instant          // when this process went on after a pause longer than suspicionTimeout
+}
+
+func newFailureDetector() failureDetector {
+	return failureDetector{
+		members:      map[message.MemberID]*memberRecord{},
+		reports:      map[suspicionReport]time.Duration{},
+		joinRequests: map[message.MemberID]joinRequest{},
+	}
+}
+
+// record returns the record of an identity, to be changed.
+func (d *failureDetector) record(identity message.MemberID) *memberRecord {
+	record, ok := d.members[identity]
+	if !ok {
+		record = &memberRecord{}
+		d.members[identity] = record
+	}
+	return record
+}
+
+// lookup returns what is known of an identity: the zero record where nothing is.
+func (d *failureDetector) lookup(identity message.MemberID) memberRecord {
+	if record, ok := d.members[identity]; ok {
+		return *record
+	}
+	return memberRecord{}
+}
+
+// recordMessage notes that a message of a member arrived. It takes back this member's own reports that the other is
+// suspected or late, unless they rest on what that one says of itself.
+func (d *failureDetector) recordMessage(identity, self message.MemberID, now time.Duration) {
+	record := d.record(identity)
+	record.lastHeard, record.lastMessage = instantAt(now), instantAt(now)
+	if !record.health.unhealthy {
+		delete(d.reports, suspicionReport{reportSuspected, identity, self})
+		delete(d.reports, suspicionReport{reportLate, identity, self})
+	}
+}
+
+// reset restarts all time-outs after this process was paused for a while: it cannot tell who was silent meanwhile.
+func (d *failureDetector) reset(now, pause time.Duration) {
+	if pause > suspicionTimeout {
+		d.resumedAt = instantAt(now)
+	}
+	for _, record := range d.members {
+		if record.lastHeard.known {
+			record.lastHeard.at = now
+		}
+	}
+	clear(d.reports)
+	clear(d.joinRequests)
+}
+
+// enterView prepares for a new view. It restarts the time-outs of those members that self did not monitor before: one
+// that was silent in the old view stays so.
+func (d *failureDetector) enterView(old, view message.View, self message.MemberID, now time.Duration) {
+	for _, member := range view.Members {
+		record := d.record(member.Identity)
+		if !containsMember(monitorsOf(old, member.Identity), self) {
+			record.lastHeard = instantAt(now)
+		}
+		if !containsMember(old.Members, member.Identity) {
+			record.health = health{} // what it said of itself before it rejoined
+		}
+		delete(d.joinRequests, member.Identity)
+	}
+	d.recordLostVotes(old, view, now)
+	for _, member := range membersAndVoters(old) {
+		d.record(member.Identity).wasMember = true
+	}
+	d.assignMonitors(view, self)
+	clear(d.reports)
+}
+
+// recordLostVotes notes whose vote went to a newcomer of the same zone: those were probably replaced on purpose, and
+// will be stopped.
+func (d *failureDetector) recordLostVotes(old, view message.View, now time.Duration) {
+	isNewcomer := func(m message.Member) bool { return !containsMember(membersAndVoters(old), m.Identity) }
+	voters := view.EffectiveVoters()
+	for _, voter := range old.EffectiveVoters() {
+		isReplacement := func(m message.Member) bool { return isNewcomer(m) && m.Zone == voter.Zone }
+		if !containsMember(voters, voter.Identity) && lo.ContainsBy(voters, isReplacement) {
+			d.record(voter.Identity).lostVoteToNewcomer = instantAt(now)
+		}
+	}
+}
+
+// assignMonitors works out who monitors whom in a view.
+func (d *failureDetector) assignMonitors(view message.View, self message.MemberID) {
+	d.monitors = monitorsOf(view, self)
+	d.monitored = lo.Filter(view.Members, func(m message.Member, _ int) bool {
+		return containsMember(monitorsOf(view, m.Identity), self)
+	})
+}
+
+// expire drops the reports and histories that do not count any more.
+func (d *failureDetector) expire(now time.Duration) {
+	for _, record := range d.members {
+		if record.lastMessage.known && now-record.lastMessage.at > identityRetention {
+			record.memberHistory = memberHistory{}
+		}
+	}
+	maps.DeleteFunc(d.reports, func(_ suspicionReport, at time.Duration) bool { return now-at > reportTimeout })
+}
+
+// monitorsOf returns the members to which identity sends its heartbeats: the next ones on the ring of identities.
+func monitorsOf(view message.View, identity message.MemberID) []message.Member {
+	ring := slices.Clone(view.Members)
+	sort.Slice(ring, func(i, j int) bool { return ring[i].Identity < ring[j].Identity })
+	at := indexOfMember(ring, identity)
+	if at < 0 {
+		return nil
+	}
+	count := min(monitorsPerMember, len(ring)-1)
+	monitors := make([]message.Member, 0, count)
+	for i := 1; i <= count; i++ {
+		monitors = append(monitors, ring[(at+i)%len(ring)])
+	}
+	return monitors
+}
--- a/internal/controlplane/replica/heartbeat.go
+++ b/internal/controlplane/replica/heartbeat.go
@@ -9,19 +9,24 @@
 	"pumiceline/internal/message"
 )
 
-// observerInterval is how often a coordinator that only wants to know the view asks, and the head tells those outside it.
-const observerInterval = 1 * time.Second
+// membershipTimers are when a member did, or began to want, what it repeats or delays.
+type membershipTimers struct {
+	lastHeartbeat         instant // or the last join request, outside the chain
+	announcedToOutsiders  time.Duration
+	suspectedSince        instant // since when some member of the chain has been suspected without a gap
+	viewChangeWantedSince instant
+}
 
-// tickMembership sends what is due to the other members, or asks to become one.
+// tickMembership sends heartbeats and reports as a member, and join requests outside the chain.
 func (r *Replica) tickMembership() {
 	interval := heartbeatInterval
 	if r.options.Diskless && !r.IsMember() && !r.isDisklessSystem() {
-		interval = observerInterval
+		interval = observerInterval // it has no prospect of joining
 	}
-	if r.detector.hasSentHeartbeat && r.now-r.detector.lastHeartbeat < interval {
+	if r.timers.lastHeartbeat.known && r.now-r.timers.lastHeartbeat.at < interval {
 		return
 	}
-	r.detector.lastHeartbeat, r.detector.hasSentHeartbeat = r.now, true
+	r.timers.lastHeartbeat = instantAt(r.now)
 	r.detector.expire(r.now)
 	if !r.IsMember() {
 		r.requestToJoin()
@@ -35,58 +40,48 @@
 	}
 }
 
-// announceToOutsiders lets the head, or whoever comes first after it when it is silent, tell the view to those that are outside
-// it: voters and displaced members that may have been cut off when it was decided and know nobody else any more, and the
-// seeds, as whoever comes back with nothing but the seeds' addresses asks them.
-func (r *Replica) announceToOutsiders() {
-	if !r.isFirstProposer() || r.now-r.detector.viewAnnouncedAt < observerInterval {
-		return
-	}
-	r.detector.viewAnnouncedAt = r.now
-	view := r.control.View
-	absent := append(membersAndVoters(view), replacedMembers(view)...)
-	for _, seed := range r.options.Seeds {
-		absent = append(absent, message.Member{Address: seed})
-	}
-	inChain := lo.Map(view.Members, func(m message.Member, _ int) string { return m.Address })
-	for _, member := range lo.UniqBy(absent, func(m message.Member) string { return m.Address }) {
-		if !slices.Contains(inChain, member.Address) {
-			r.send(message.Member{Address: member.Address}, message.Message{ViewAnnouncement: &message.ViewAnnouncement{View: view}})
-		}
-	}
-}
-
 func (r *Replica) sendHeartbeats() {
-	beat := &message.Heartbeat{
+	heartbeat := &message.Heartbeat{
 		Complete: r.control.Complete, DiskStalled: r.diskStalled, Leaving: r.leaving, Diskless: r.options.Diskless,
 		Isolated: r.isIsolated(),
 	}
 	for _, monitor := range r.detector.monitors {
-		r.send(monitor, message.Message{Heartbeat: beat})
+		r.send(monitor, message.Message{Heartbeat: heartbeat})
 	}
 }
 
-// isIsolated reports whether no majority of the voters was heard lately. Others may still hear this member.
+func (r *Replica) onHeartbeat(m *message.Message) {
+	r.detector.record(m.From).recordHeartbeat(m.Heartbeat, m.View, m.FromZone, r.now)
+}
+
+// isIsolated reports whether this member has not heard a majority of the voters for too long. Others may still hear it.
 func (r *Replica) isIsolated() bool {
-	if r.now-r.lease.viewEntered < suspicionTimeout {
+	if r.now-r.viewEnteredAt < suspicionTimeout {
 		return false
 	}
-	near := lo.CountBy(r.control.View.EffectiveVoters(), func(m message.Member) bool {
-		heard, known := r.detector.heard[m.Identity]
-		return m.Identity == r.control.Identity || known && r.now-heard <= suspicionTimeout
+	heard := lo.CountBy(r.control.View.EffectiveVoters(), func(m message.Member) bool {
+		return r.isSelf(m) || r.detector.lookup(m.Identity).lastHeard.isWithin(suspicionTimeout, r.now)
 	})
-	return near < r.quorumSize()
+	return heard < r.quorumSize()
 }
 
-func (r *Replica) onHeartbeat(m *message.Message) {
-	beat := m.Heartbeat
-	if beat.Complete {
-		r.detector.complete[m.From] = m.View
+// announceToOutsiders lets the first proposer announce the view to those outside the chain: to voters and replaced
+// voters, which may have been partitioned when it was decided and know nobody else any more, and to the seeds, as a
+// machine that comes back with nothing but the seeds' addresses asks them.
+func (r *Replica) announceToOutsiders() {
+	if !r.isFirstProposer() || r.now-r.timers.announcedToOutsiders < observerInterval {
+		return
 	}
-	r.detector.disk[m.From] = !beat.Diskless
-	r.detector.zone[m.From] = m.FromZone
-	r.detector.condition[m.From] = health{unhealthy: beat.DiskStalled || beat.Isolated, leaving: beat.Leaving}
-	if at, said := r.detector.departing[m.From]; said && !beat.Leaving && r.now-at > newcomerTimeout { // else it is a late one
-		delete(r.detector.departing, m.From)
+	r.timers.announcedToOutsiders = r.now
+	view := r.control.View
+	recipients := append(membersAndVoters(view), replacedMembers(view)...)
+	for _, seed := range r.options.Seeds {
+		recipients = append(recipients, message.Member{Address: seed})
+	}
+	chainAddresses := lo.Map(view.Members, func(m message.Member, _ int) string { return m.Address })
+	for _, recipient := range lo.UniqBy(recipients, func(m message.Member) string { return m.Address }) {
+		if !slices.Contains(chainAddresses, recipient.Address) {
+			r.announceView(message.Member{Address: recipient.Address}) // whichever process listens there now
+		}
 	}
 }
--- a/internal/controlplane/replica/lease.go
+++ b/internal/controlplane/replica/lease.go
@@ -6,39 +6,36 @@
 	"pumiceline/internal/message"
 )
 
-// leaseState is the member's part in the lease on the controller role: as grantor, as holder and as one that wants it.
+// tokenViewShift is how many bits a fencing token has below the number of its view. With the view above them, the tokens
+// rise from view to view.
+const tokenViewShift = 24
+
+// leaseState is the member's part in the lease on the controller role. The voters grant it, each to one member at a
+// time and for LeaseDuration; whoever has the grants of a majority holds it.
 type leaseState struct {
-	duration    time.Duration
-	startedAt   time.Duration
-	viewEntered time.Duration
+	duration  time.Duration
+	startedAt time.Duration // of this process
 
-	// as grantor
-	holder         message.MemberID
-	holderAddress  string // address
+	// As a grantor.
+	grantedTo      message.MemberID
+	grantedAddress string // of grantedTo
 	grantExpiresAt time.Duration
-	heardOf        time.Duration // when the holder last renewed
-	renewalSeenAt  time.Duration // when another member asked to renew; 0: never
+	renewalSeenAt  time.Duration // when another member asked to renew; 0: never, or released since
 
-	// as holder
-	token                message.FencingToken
+	// As a candidate and holder.
+	token                message.FencingToken // of the lease held; 0: none
 	expiresAt            time.Duration
 	heldSince            time.Duration
 	requestID            uint64
-	requestedAt          time.Duration // when the running round began
-	grantedBy            map[message.MemberID]bool
 	requestedToken       message.FencingToken
+	requestedAt          time.Duration
 	hasRequested         bool
-	highestRejectedToken message.FencingToken // highest token told in refusals
+	grantedBy            map[message.MemberID]bool // who has granted the newest request
+	highestRejectedToken message.FencingToken      // the highest token that rejections reported
 }
 
-const (
-	leaseRenewalInterval = 400 * time.Millisecond
-	tokenViewShift       = 24 // tokens carry the view's number above so many bits, so that they rise from view to view
-	leaseSafetyMargin    = 100 * time.Millisecond
-)
-
-func (l *leaseState) init(now, length time.Duration, incarnation uint64) {
-	l.duration, l.startedAt, l.viewEntered, l.requestID = length, now, now, incarnation
+func newLeaseState(now time.Duration, options Options) leaseState {
+	return leaseState{duration: options.LeaseDuration, startedAt: now, requestID: options.Incarnation}
 }
 
 // Lease is a lease that this member holds on the controller role.
@@ -56,32 +53,61 @@
 	return Lease{Token: r.lease.token, HeldSince: r.lease.heldSince, ExpiresAt: r.lease.expiresAt}, true
 }
 
-// LeaseHolderAddress returns the address of the holder that this member knows of.
+// LeaseHolderAddress returns the internal address of the lease holder; ok is false where this member knows of none.
 func (r *Replica) LeaseHolderAddress() (address string, ok bool) {
 	if _, held := r.Lease(r.now); held {
 		return r.options.Self.Address, true
 	}
-	return r.lease.holderAddress, r.lease.holder != "" && r.now < r.lease.grantExpiresAt && r.lease.holder != r.control.Identity
+	l := &r.lease
+	return l.grantedAddress, l.grantedTo != "" && r.now < l.grantExpiresAt && l.grantedTo != r.control.Identity
 }
 
+// tickLease renews the lease, requests it where it is vacant, or releases it where this member may not hold it.
 func (r *Replica) tickLease() {
 	l := &r.lease
 	if l.token != 0 && r.now >= l.expiresAt {
 		l.token = 0
 	}
-	if !r.IsMember() || !r.control.Complete || r.leaving || r.diskStalled || r.options.Diskless && !r.isDisklessSystem() {
+	if !r.canHoldLease() {
 		r.releaseLease()
 		return
 	}
-	if !r.link.synced {
-		return
-	}
-	if l.token == 0 && !r.canRequestLease() {
+	if !r.link.synced || l.token == 0 && !r.canRequestLease() {
 		return
 	}
 	if l.hasRequested && r.now-l.requestedAt < leaseRenewalInterval {
 		return
 	}
+	r.requestLease()
+}
+
+// canHoldLease reports whether this member may be the controller: a healthy and complete member that does not leave.
+func (r *Replica) canHoldLease() bool {
+	isOutsider := r.options.Diskless && !r.isDisklessSystem()
+	return r.IsMember() && r.control.Complete && !r.leaving && !r.diskStalled && !isOutsider
+}
+
+// canRequestLease reports whether the lease has been vacant for long enough. The members are candidates in the order
+// from the tail, as the head has other work.
+func (r *Replica) canRequestLease() bool {
+	l := &r.lease
+	vacantSince := max(l.grantExpiresAt, r.noGrantBefore())
+	if l.renewalSeenAt != 0 {
+		vacantSince = max(vacantSince, l.renewalSeenAt+l.duration)
+	}
+	membersBehind := len(r.control.View.Members) - 1 - r.position()
+	return r.now >= vacantSince+time.Duration(membersBehind)*candidateDelay
+}
+
+// noGrantBefore returns the time before which this member grants no new lease: after its start and after entering a
+// view a lease of which it does not know may last for LeaseDuration.
+func (r *Replica) noGrantBefore() time.Duration {
+	return max(r.lease.startedAt, r.viewEnteredAt) + r.lease.duration
+}
+
+// requestLease asks for the lease held once more, or for a new one with a token above all that this member knows of.
+func (r *Replica) requestLease() {
+	l := &r.lease
 	l.hasRequested, l.requestedAt = true, r.now
 	l.requestID++
 	l.grantedBy = map[message.MemberID]bool{}
@@ -91,82 +117,79 @@
 		l.requestedToken = max(lowest, r.control.LeaseToken, l.highestRejectedToken) + 1
 	}
 	request := &message.LeaseRequest{Token: l.requestedToken, RequestID: l.requestID, Renewal: l.token != 0}
-	for _, member := range membersAndVoters(r.control.View) { // who has no vote hears of the holder by it, and does not stand
+	// Members without a vote get it too: a renewal shows them that the lease is not vacant.
+	for _, member := range membersAndVoters(r.control.View) {
 		r.send(member, message.Message{LeaseRequest: request})
 	}
 }
 
-// candidateDelay spreads the candidates: each waits so long for every one behind it in the chain.
-const candidateDelay = 300 * time.Millisecond
-
-// canRequestLease reports whether the role has been vacant for long enough. The members stand in the order from the
-// tail: the head has other work.
-func (r *Replica) canRequestLease() bool {
-	l := &r.lease
-	vacantSince := max(l.grantExpiresAt, max(l.startedAt, l.viewEntered)+l.duration) // nobody grants anything new before
-	if l.renewalSeenAt != 0 {
-		vacantSince = max(vacantSince, l.renewalSeenAt+l.duration)
-	}
-	behind := len(r.control.View.Members) - 1 - r.position()
-	return r.now >= vacantSince+time.Duration(behind)*candidateDelay
-}
-
-// releaseLease gives the lease back, so that a successor need not wait for its end.
+// releaseLease gives the lease back, so that a successor need not wait until it expires.
 func (r *Replica) releaseLease() {
 	if r.lease.token == 0 {
 		return
 	}
 	release := &message.LeaseRelease{Token: r.lease.token}
 	r.lease.token = 0
-	r.lease.requestID++ // grants that are still on their way count for nothing
+	r.lease.requestID++ // grants in flight must not revive the lease
 	for _, member := range membersAndVoters(r.control.View) {
 		r.send(member, message.Message{LeaseRelease: release})
 	}
 }
 
-// onLeaseRequest grants or refuses. Nothing is granted, nor renewed, once a next view is accepted: when that view is
-// decided, a majority of this one's voters has accepted it, so no lease of this view is granted from then on; and the
-// voters of the next view enter it later than that, and grant nothing new for the length of a lease. A lease counts
-// from before it was asked for, so it has ended by then.
+// onLeaseRequest grants the lease, renews it, or rejects the request.
+//
+// Nothing is granted or renewed once a next view is accepted. When that view is decided, a majority of this one's voters
+// has accepted it, so no lease of this view is granted from then on; and the voters of the next view enter it later than
+// that, and grant nothing new for LeaseDuration. A lease counts from before it was requested, so it has expired by then,
+// and no two members hold leases of two views at a time.
 func (r *Replica) onLeaseRequest(m *message.Message) {
 	if m.View != r.control.View.Number {
 		return
 	}
-	l := &r.lease
-	request := m.LeaseRequest
+	l, request := &r.lease, m.LeaseRequest
 	if request.Renewal && m.From != r.control.Identity {
-		l.renewalSeenAt = r.now // who was away, or has no vote, knows of the holder by this before it would stand itself
+		l.renewalSeenAt = r.now // a member that was away, or has no vote, learns by it that the lease is not vacant
 	}
 	if !r.isVoter() || r.control.AcceptedView.Number != 0 {
 		return
 	}
-	grant := &message.LeaseGrant{RequestID: request.RequestID}
-	held := r.now < l.grantExpiresAt
-	renewal := request.Renewal && held && l.holder == m.From && request.Token == r.control.LeaseToken
-	// A holder that restarted has no lease any more, but only one process can have its identity.
-	vacant := !held && r.now >= max(l.startedAt, l.viewEntered)+l.duration || held && l.holder == m.From
-	// A grantor that was away renews too, once it has granted nothing for a lease: the token shows that none of later
-	// date was granted by a majority with it.
-	returned := request.Renewal && vacant && request.Token >= r.control.LeaseToken
-	if renewal || returned || !request.Renewal && vacant && request.Token > r.control.LeaseToken {
-		grant.Granted = true
-		l.holder, l.holderAddress, l.grantExpiresAt, l.heardOf = m.From, m.FromAddress, r.now+l.duration, r.now
-	}
-	if grant.Granted && request.Token > r.control.LeaseToken {
-		r.control.LeaseToken = request.Token
-		r.controlDirty = true
+	grant := &message.LeaseGrant{RequestID: request.RequestID, Granted: r.canGrant(m.From, request)}
+	if grant.Granted {
+		l.grantedTo, l.grantedAddress, l.grantExpiresAt = m.From, m.FromAddress, r.now+l.duration
+		if request.Token > r.control.LeaseToken {
+			r.control.LeaseToken = request.Token
+			r.output.controlDirty = true
+		}
 	}
 	grant.Token = r.control.LeaseToken
-	r.sendAfterSync(r.sender(m), message.Message{LeaseGrant: grant})
+	r.sendAfterSync(senderOf(m), message.Message{LeaseGrant: grant})
 }
 
-func (r *Replica) onLeaseGrant(m *message.Message) {
+// canGrant reports whether this voter may grant a request.
+func (r *Replica) canGrant(candidate message.MemberID, request *message.LeaseRequest) bool {
 	l := &r.lease
-	if m.View != r.control.View.Number || m.LeaseGrant.RequestID != l.requestID || !r.hasVote(m.From) {
+	isGranted := r.now < l.grantExpiresAt
+	isHolder := isGranted && l.grantedTo == candidate
+	// A holder that restarted has lost its lease, but only one process can have its identity: it may get a new one.
+	isVacant := isHolder || !isGranted && r.now >= r.noGrantBefore()
+	if !request.Renewal {
+		return isVacant && request.Token > r.control.LeaseToken
+	}
+	// A grantor that was away renews a lease that it did not grant, once it has granted nothing for LeaseDuration: the
+	// token shows that no majority with it granted a later one. Otherwise a holder would lose its lease though a majority
+	// is alive, when enough grantors had been away one after the other.
+	return isVacant && request.Token >= r.control.LeaseToken
+}
+
+// onLeaseGrant counts the grants of the newest request; a majority of them makes this member the holder. The lease
+// counts from the request, so it expires for the holder before it does for any grantor.
+func (r *Replica) onLeaseGrant(m *message.Message) {
+	l, grant := &r.lease, m.LeaseGrant
+	if m.View != r.control.View.Number || grant.RequestID != l.requestID || !r.hasVote(m.From) {
 		return
 	}
-	if !m.LeaseGrant.Granted {
-		l.highestRejectedToken = max(l.highestRejectedToken, m.LeaseGrant.Token)
+	if !grant.Granted {
+		l.highestRejectedToken = max(l.highestRejectedToken, grant.Token)
 		return
 	}
 	l.grantedBy[m.From] = true
@@ -180,12 +203,14 @@
 	l.expiresAt = l.requestedAt + l.duration - leaseSafetyMargin
 }
 
+// onLeaseRelease ends the grant for a lease that its holder gave back.
 func (r *Replica) onLeaseRelease(m *message.Message) {
+	l := &r.lease
 	if !r.isVoter() {
-		r.lease.renewalSeenAt = 0
+		l.renewalSeenAt = 0
 		return
 	}
-	if r.lease.holder == m.From && m.LeaseRelease.Token == r.control.LeaseToken {
-		r.lease.grantExpiresAt, r.lease.renewalSeenAt = r.now, 0
+	if l.grantedTo == m.From && m.LeaseRelease.Token == r.control.LeaseToken {
+		l.grantExpiresAt, l.renewalSeenAt = r.now, 0
 	}
 }
--- /dev/null
+++ b/internal/controlplane/replica/output.go
@@ -0,0 +1,67 @@
+package replica
+
+import "pumiceline/internal/message"
+
+// Output is what a step asks the caller to do, in this order: send Immediate; write Control and Chain where they are
+// set and sync them; then send AfterSync. Outputs are carried out in the order in which they were returned.
+type Output struct {
+	Immediate []message.Message
+	Control   *message.ControlState
+	Chain     *message.ChainState
+	// AppendedRecords lead from the chain state of the output before to Chain. Without any, Chain has to be written
+	// completely.
+	AppendedRecords []message.ChangeRecord
+	AfterSync       []message.Message
+}
+
+// pendingOutput collects the output of a step.
+type pendingOutput struct {
+	immediate       []message.Message
+	afterSync       []message.Message
+	controlDirty    bool
+	chainDirty      bool
+	chainReplaced   bool // by a snapshot or under another view, so that no records lead to it
+	appendedRecords []message.ChangeRecord
+}
+
+// takeOutput returns what was collected since the last call.
+func (r *Replica) takeOutput() Output {
+	pending := r.output
+	r.output = pendingOutput{}
+	out := Output{Immediate: pending.immediate, AfterSync: pending.afterSync}
+	if pending.controlDirty {
+		state := r.control
+		out.Control = &state
+	}
+	if pending.chainDirty {
+		state := r.chain
+		out.Chain = &state
+		if !pending.chainReplaced {
+			out.AppendedRecords = pending.appendedRecords
+		}
+	}
+	return out
+}
+
+// send sends a message at once.
+func (r *Replica) send(to message.Member, m message.Message) {
+	r.output.immediate = append(r.output.immediate, r.addressed(to, m))
+}
+
+// sendAfterSync sends a message once all that was changed so far is on disk.
+func (r *Replica) sendAfterSync(to message.Member, m message.Message) {
+	r.output.afterSync = append(r.output.afterSync, r.addressed(to, m))
+}
+
+// addressed returns m with its sender, receiver and view filled in.
+func (r *Replica) addressed(to message.Member, m message.Message) message.Message {
+	m.From, m.FromAddress, m.FromZone = r.control.Identity, r.options.Self.Address, r.options.Self.Zone
+	m.View = r.control.View.Number
+	m.To, m.ToAddress = to.Identity, to.Address
+	return m
+}
+
+// senderOf returns the sender of a message, as far as the message describes it.
+func senderOf(m *message.Message) message.Member {
+	return message.Member{Identity: m.From, Address: m.FromAddress, Zone: m.FromZone}
+}
--- a/internal/controlplane/replica/replica_test.go
+++ b/internal/controlplane/replica/replica_test.go
@@ -201,7 +201,7 @@
 	g.tick(3 * time.Second)
 	assert.True(t, g.members[1].IsSynced())
 	assert.Equal(t, uint64(5), g.members[1].CommittedState().Version)
-	assert.Equal(t, -1, chainPosition(g.members[0].View(), "seed-m1"), "the old identity is out")
+	assert.Equal(t, -1, indexOfMember(g.members[0].View().Members, "seed-m1"), "the old identity is out")
 }
 
 // Found by the simulated cluster: a snapshot that was overtaken by a change put the tail back.
--- a/internal/controlplane/replica/suspicion.go
+++ b/internal/controlplane/replica/suspicion.go
@@ -6,86 +6,110 @@
 	"pumiceline/internal/message"
 )
 
+// reportKind is what a monitor reports of a member.
+type reportKind int
+
+const (
+	reportSuspected reportKind = iota
+	reportLeaving
+	reportLate
+)
+
+// suspicionReport identifies a report; the failure detector keeps when it was made last.
+type suspicionReport struct {
+	kind     reportKind
+	member   message.MemberID
+	reporter message.MemberID
+}
+
 func (r *Replica) onSuspicionReport(m *message.Message) {
-	if m.View != r.control.View.Number || chainPosition(r.control.View, m.From) < 0 {
-		return
+	if m.View == r.control.View.Number && r.isInChain(m.From) {
+		r.recordSuspicions(m.SuspicionReport, m.From)
 	}
-	r.recordSuspicions(m.SuspicionReport, m.From)
 }
 
-func (r *Replica) recordSuspicions(s *message.SuspicionReport, reporter message.MemberID) {
-	for _, identity := range s.Suspected {
-		r.detector.reports[suspicionReport{suspected, identity, reporter}] = r.now
-	}
-	for _, identity := range s.Leaving {
-		r.detector.reports[suspicionReport{leaving, identity, reporter}] = r.now
-		r.detector.recordLeaving(identity, r.now)
+func (r *Replica) recordSuspicions(report *message.SuspicionReport, reporter message.MemberID) {
+	record := func(kind reportKind, members []message.MemberID) {
+		for _, member := range members {
+			r.detector.reports[suspicionReport{kind, member, reporter}] = r.now
+		}
 	}
-	for _, identity := range s.Late {
-		r.detector.reports[suspicionReport{late, identity, reporter}] = r.now
+	record(reportSuspected, report.Suspected)
+	record(reportLeaving, report.Leaving)
+	record(reportLate, report.Late)
+	for _, member := range report.Leaving {
+		r.detector.record(member).recordLeaving(r.now)
 	}
 }
 
-// reportSuspicions tells the other members who of those that this one monitors is silent, leaves or is in doubt.
+// reportSuspicions tells the other members who of those that this one monitors is suspected, leaving or late.
 func (r *Replica) reportSuspicions() {
-	found := &message.SuspicionReport{}
-	for _, member := range r.detector.monitored {
-		silence := r.now - r.detector.heard[member.Identity]
-		said := r.detector.condition[member.Identity]
-		switch {
-		case said.unhealthy || silence > suspicionTimeout:
-			found.Suspected = append(found.Suspected, member.Identity)
-		case said.leaving:
-			found.Leaving = append(found.Leaving, member.Identity)
-		case silence > lateTimeout:
-			found.Late = append(found.Late, member.Identity)
-		}
-	}
-	if len(found.Suspected)+len(found.Leaving)+len(found.Late) == 0 {
+	report := r.suspicions()
+	if len(report.Suspected)+len(report.Leaving)+len(report.Late) == 0 {
 		return
 	}
-	r.recordSuspicions(found, r.control.Identity)
+	r.recordSuspicions(report, r.control.Identity)
 	for _, member := range r.control.View.Members {
-		if member.Identity != r.control.Identity && !slices.Contains(found.Suspected, member.Identity) {
-			r.send(member, message.Message{SuspicionReport: found})
+		if !r.isSelf(member) && !slices.Contains(report.Suspected, member.Identity) {
+			r.send(member, message.Message{SuspicionReport: report})
+		}
+	}
+}
+
+// suspicions returns who of those that this member monitors is suspected, leaving or late.
+func (r *Replica) suspicions() *message.SuspicionReport {
+	report := &message.SuspicionReport{}
+	for _, member := range r.detector.monitored {
+		record := r.detector.lookup(member.Identity)
+		timeSinceHeard := r.now - record.lastHeard.at
+		switch {
+		case record.health.unhealthy || timeSinceHeard > suspicionTimeout:
+			report.Suspected = append(report.Suspected, member.Identity)
+		case record.health.leaving:
+			report.Leaving = append(report.Leaving, member.Identity)
+		case timeSinceHeard > lateTimeout:
+			report.Late = append(report.Late, member.Identity)
 		}
 	}
+	return report
 }
 
-// suspectedMembers returns who is silent, by the reports that are fresh and by what this member hears itself. Where two suspect
-// one another, the one nearer to the head stays. A member whose address another process has now is gone.
+// suspectedMembers returns the members of the chain that are suspected, from the tail to the head: by a current report,
+// because this member has not heard them, or because another process has their address. Reports of members that are
+// suspected themselves do not count, so where two suspect one another the one nearer to the head stays.
 func (r *Replica) suspectedMembers() []message.MemberID {
-	var out []message.MemberID
-	members := r.control.View.Members
-	for i := len(members) - 1; i >= 0; i-- {
-		identity := members[i].Identity
-		if r.isReported(suspected, identity, out) || r.isAddressTaken(members[i]) || !r.hasHeardFrom(members[i]) {
-			out = append(out, identity)
+	var suspected []message.MemberID
+	for _, member := range slices.Backward(r.control.View.Members) {
+		isReported := r.isReported(reportSuspected, member.Identity, suspected)
+		if isReported || r.isAddressTaken(member) || !r.hasHeardFrom(member) {
+			suspected = append(suspected, member.Identity)
 		}
 	}
-	return out
+	return suspected
 }
 
-// isReported reports whether someone who is not excluded has found something of a member.
-func (r *Replica) isReported(what suspicion, identity message.MemberID, excluded []message.MemberID) bool {
-	for entry, at := range r.detector.reports {
-		if entry.suspicion == what && entry.member == identity && r.now-at <= reportTimeout && !slices.Contains(excluded, entry.reporter) {
+// isReported reports whether some reporter that is not excluded has a current report of a member.
+func (r *Replica) isReported(kind reportKind, member message.MemberID, excluded []message.MemberID) bool {
+	for report, at := range r.detector.reports {
+		isMatch := report.kind == kind && report.member == member
+		if isMatch && r.now-at <= reportTimeout && !slices.Contains(excluded, report.reporter) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasHeardFrom reports whether this member itself has heard another one lately. All members ask all voters whether their view
-// is the newest, so each hears each, also where the monitors of a silent member are lost with it.
+// hasHeardFrom reports whether this member itself has heard another one within unmonitoredSuspicionTimeout. All members
+// ask all voters to confirm the view, so each hears each, also where the monitors of a failed member have failed with it.
 func (r *Replica) hasHeardFrom(member message.Member) bool {
-	return member.Identity == r.control.Identity || r.now-r.detector.heard[member.Identity] <= unmonitoredSuspicionTimeout
+	lastHeard := r.detector.lookup(member.Identity).lastHeard
+	return r.isSelf(member) || r.now-lastHeard.at <= unmonitoredSuspicionTimeout
 }
 
-// isAddressTaken reports whether another process has the member's address: a later member, or one that asks to join more
-// than once.
+// isAddressTaken reports whether another process has the member's address: a later member, or one that has asked to join
+// more than once (a single request may be an old one). Only one process can have an address, so the member is gone.
 func (r *Replica) isAddressTaken(member message.Member) bool {
-	if member.Identity == r.control.Identity {
+	if r.isSelf(member) {
 		return false
 	}
 	for _, other := range r.control.View.Members {
@@ -93,8 +117,9 @@
 			return true
 		}
 	}
-	for identity, j := range r.detector.joinRequests {
-		if identity != member.Identity && j.member.Address == member.Address && r.isCurrent(j) && j.lastRequestAt > j.firstRequestAt {
+	for identity, request := range r.detector.joinRequests {
+		isOther := identity != member.Identity && request.member.Address == member.Address
+		if isOther && r.isCurrent(request) && request.lastAt > request.firstAt {
 			return true
 		}
 	}
--- a/internal/controlplane/replica/electorate_test.go
+++ b/internal/controlplane/replica/voters_test.go
@@ -140,7 +140,7 @@
 	g := newGroup(t, 3)
 	for i, member := range g.members {
 		member.options.Self.Zone = string(rune('a' + i))
-		member.detector.zone[member.Identity()] = member.options.Self.Zone
+		member.detector.record(member.Identity()).zone = member.options.Self.Zone
 	}
 	g.tick(2 * time.Second)
 	zones := lo.Map(g.members[0].View().Members, func(m message.Member, _ int) string { return m.Zone })
