--- /dev/null
+++ b/internal/standalone/engine/engine.go
@@ -0,0 +1,146 @@
+// Package engine runs the policy of one proxy. It owns a policy.Balancer, which has no clock, no goroutine and no I/O: it
+// gives it one event at a time, keeps its clock and its timers, and passes each action on to the call that it belongs to
+// or to a hook. It knows nothing of HTTP, so that any protocol can use it.
+//
+// engine.go has the Engine, call.go the calls, timer.go the timers, state.go the settings, snapshots and sizes.
+package engine
+
+import (
+	"log/slog"
+	"runtime/debug"
+	"sync"
+	"time"
+
+	"pumiceline/internal/standalone/policy"
+)
+
+// Policy makes the decisions: a *policy.Balancer, except in tests. Handle appends to actions what follows from event.
+type Policy interface {
+	Handle(now policy.Time, event *policy.Event, actions []policy.Action) []policy.Action
+}
+
+// Hooks carry out the actions that belong to no call. They are called with the engine locked: they must return at once
+// and must not call the engine.
+type Hooks struct {
+	SubscribeDiscovery func()              // asks discovery for the membership
+	CloseIdleConns     func(server uint32) // closes the idle connections to a server
+	PollLoad           func(server uint32) // asks a server for its load; LoadPolled must follow. nil: no load polls
+}
+
+// Engine serialises the events of one Policy. Its methods are safe for concurrent use. Run must run for timers to fire.
+type Engine struct {
+	hooks Hooks
+	log   *slog.Logger
+
+	mu       sync.Mutex // guards what follows
+	policy   Policy
+	actions  []policy.Action // a buffer for the policy's actions
+	calls    map[uint64]*Call
+	lastID   uint64
+	timers   timerQueue
+	timerSeq uint64
+	wake     chan struct{} // has a value when Run must look at the timers again
+
+	origin       time.Time // with its monotonic reading
+	originMicros policy.Time
+}
+
+// New returns an engine for a policy.
+func New(p Policy, hooks Hooks, log *slog.Logger) *Engine {
+	now := time.Now()
+	return &Engine{
+		hooks:        hooks,
+		log:          log,
+		policy:       p,
+		calls:        map[uint64]*Call{},
+		wake:         make(chan struct{}, 1),
+		origin:       now,
+		originMicros: now.UnixMicro(),
+	}
+}
+
+// now returns the policy's time: Unix time in microseconds, read once and carried on by the monotonic clock. A step of
+// the system's clock must not shift the policy's ramps and windows.
+func (e *Engine) now() policy.Time { return e.originMicros + time.Since(e.origin).Microseconds() }
+
+// TimeOf converts the policy's time.
+func (e *Engine) TimeOf(t policy.Time) time.Time {
+	return e.origin.Add(time.Duration(t-e.originMicros) * time.Microsecond)
+}
+
+// LoadPolled reports the result of a load poll that Hooks.PollLoad was called for.
+func (e *Engine) LoadPolled(server uint32, outcome policy.Outcome, elapsed time.Duration, report []float32) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.dispatch(&policy.Event{
+		Kind:    policy.LoadPolled,
+		Server:  server,
+		Outcome: outcome,
+		Elapsed: elapsed.Microseconds(),
+		Report:  report,
+	})
+}
+
+// UpdateMembers reports what discovery said. kind is one of the policy's membership events.
+func (e *Engine) UpdateMembers(kind policy.EventKind, members []policy.Member) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.dispatch(&policy.Event{Kind: kind, Members: members})
+}
+
+// dispatch gives the policy one event and executes the actions. A panic in the policy costs the decision and not the
+// process, which would end every request in flight: calls without a decision end at their deadline. Called with mu held.
+func (e *Engine) dispatch(event *policy.Event) {
+	defer func() {
+		if p := recover(); p != nil {
+			e.log.Error("policy panicked", "panic", p, "event", event.Kind, "stack", string(debug.Stack()))
+		}
+	}()
+	e.actions = e.policy.Handle(e.now(), event, e.actions[:0])
+	for i := range e.actions {
+		e.execute(&e.actions[i])
+	}
+}
+
+// execute carries out one action of the policy. Called with mu held.
+func (e *Engine) execute(action *policy.Action) {
+	switch action.Kind {
+	case policy.SetTimer:
+		e.setTimer(action.ID, time.Duration(action.After)*time.Microsecond)
+	case policy.SubscribeDiscovery:
+		e.hooks.SubscribeDiscovery()
+	case policy.CloseIdleConns:
+		e.hooks.CloseIdleConns(action.Server)
+	case policy.PollLoad:
+		if e.hooks.PollLoad != nil {
+			e.hooks.PollLoad(action.Server)
+		}
+	case policy.LogMessage:
+		e.log.Info("policy", "text", action.Text)
+	case policy.SendAttempt, policy.RejectRequest, policy.FailRequest, policy.CancelAttempt:
+		e.executeForCall(action)
+	default:
+		e.log.Error("unknown action", "kind", action.Kind)
+	}
+}
+
+// executeForCall passes an action on to its call. Called with mu held.
+func (e *Engine) executeForCall(action *policy.Action) {
+	c := e.calls[action.ID]
+	if c == nil || c.ended && action.Kind != policy.CancelAttempt {
+		e.log.Warn("action for a call that has ended", "kind", action.Kind)
+		return
+	}
+	switch action.Kind {
+	case policy.SendAttempt:
+		action.Attempt = c.addAttempt(action.Server)
+	case policy.RejectRequest, policy.FailRequest:
+		c.ended = true
+		c.removeIfEnded()
+	}
+	select {
+	case c.actions <- *action:
+	default:
+		e.log.Error("too many actions for a call", "kind", action.Kind)
+	}
+}
--- a/internal/standalone/engine/planner_test.go
+++ b/internal/standalone/engine/engine_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// scriptedPolicy is a module that answers each event as a test wants and remembers what it was told.
+// scriptedPolicy responds to each event as a test asks, and records the events and their times.
 type scriptedPolicy struct {
 	events  []policy.Event
 	times   []policy.Time
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// Each attempt's outcome reaches the module once, and only the first OK is the answer.
+// The outcome of each attempt reaches the policy once, and only the first OK is the response.
 func TestCall_ReportsEachOutcomeOnce(t *testing.T) {
 	s := &scriptedPolicy{respond: sendTwice}
 	c := newTestEngine(s).Start(Request{Deadline: time.Now().Add(time.Second)})
@@ -48,14 +48,14 @@
 	}
 	c.Abandon()
 	if len(s.events) != 3 || !s.events[1].Final || s.events[1].Server != 8 || !s.events[2].Final {
-		t.Errorf("the module was told %+v", s.events)
+		t.Errorf("the policy was given %+v", s.events)
 	}
 	if len(c.engine.calls) != 0 {
-		t.Error("the call is not forgotten")
+		t.Error("the call is not removed")
 	}
 }
 
-// A client that leaves is told to the module, and what it calls off comes before Depart returns.
+// Abandon is reported to the policy, and the cancels that follow are there when it returns.
 func TestCall_AbandonDeliversCancels(t *testing.T) {
 	s := &scriptedPolicy{respond: func(ev *policy.Event) []policy.Action {
 		if ev.Kind == policy.RequestAbandoned {
@@ -86,20 +86,20 @@
 			return []policy.Action{{Kind: policy.SetTimer, ID: 3, After: 30_000}, {Kind: policy.SetTimer, ID: 1, After: 10_000},
 				{Kind: policy.SetTimer, ID: 2, After: 10_000}}
 		}}
-		p := newTestEngine(s)
+		e := newTestEngine(s)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go p.Run(ctx)
+		go e.Run(ctx)
 		synctest.Wait()
-		p.UpdateMembers(policy.MembershipFull, nil)
+		e.UpdateMembers(policy.MembershipFull, nil)
 		time.Sleep(time.Second)
 		synctest.Wait()
-		var tags []uint64
+		var ids []uint64
 		for _, ev := range s.events[1:] {
-			tags = append(tags, ev.ID)
+			ids = append(ids, ev.ID)
 		}
-		if !slices.Equal(tags, []uint64{1, 2, 3}) || !slices.IsSorted(s.times) {
-			t.Errorf("timers %v at %v", tags, s.times)
+		if !slices.Equal(ids, []uint64{1, 2, 3}) || !slices.IsSorted(s.times) {
+			t.Errorf("timers %v at %v", ids, s.times)
 		}
 		if since := s.times[3] - s.times[0]; since != 30_000 {
 			t.Errorf("the last timer fired after %d", since)
@@ -107,7 +107,7 @@
 	})
 }
 
-// A panic in the module must cost one decision, not every request in flight.
+// A panic in the policy must cost one decision, not every request in flight.
 func TestEngine_SurvivesPolicyPanic(t *testing.T) {
 	s := &scriptedPolicy{respond: func(ev *policy.Event) []policy.Action {
 		if ev.Kind == policy.DiscoveryFailed {
@@ -115,9 +115,9 @@
 		}
 		return sendTwice(ev)
 	}}
-	p := newTestEngine(s)
-	p.UpdateMembers(policy.DiscoveryFailed, nil)
-	if c := p.Start(Request{}); len(c.actions) != 2 {
+	e := newTestEngine(s)
+	e.UpdateMembers(policy.DiscoveryFailed, nil)
+	if c := e.Start(Request{}); len(c.actions) != 2 {
 		t.Errorf("%d actions after the panic", len(c.actions))
 	}
 }
