--- a/cmd/pumiceline/bench_test.go
+++ b/cmd/pumiceline/bench_test.go
@@ -108,7 +108,7 @@
 			e.Health = "DELETED"
 			c.world.Roster.Put(e)
 		}
-		c.world.Roster.Put(discovery.Entry{Host: "long", Dial: ln.Addr().String(), Site: "ub-east", Class: "std-8", Health: "SERVING", Share: 1})
+		c.world.Roster.Put(discovery.Entry{Host: "long", Address: ln.Addr().String(), Zone: "ub-east", InstanceType: "std-8", Health: "SERVING", Size: 1})
 		p := c.start(c.discovery)
 		c.awaitReady(p)
 		time.Sleep(3 * time.Second) // its list is there
--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -58,7 +58,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := policy.New(cfg.Module, cfg.Seed); err != nil {
+	if _, err := policy.New(cfg.Policy, cfg.Seed); err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
 	_, err = fmt.Fprintf(out, "%s listens on %s and asks %s; %d classes, %d tenants, %d zones\n", cfg.Name, cfg.Listen,
--- a/cmd/pumiceline/singletonrun.go
+++ b/cmd/pumiceline/singletonrun.go
@@ -44,12 +44,12 @@
 	}
 	defer closeHistory()
 	opts := c.clientOptions(fleet, log, history)
-	var cache *discoverycache.Mirror // set before the client runs
+	var cache *discoverycache.Cache // set before the client runs
 	servesCache := fleet.Roster != "" && c.Mirror != ""
 	if servesCache {
 		opts.Addr = c.Mirror
 		opts.Steps[fleet.Roster] = func(context.Context, leaseclient.Perform) error {
-			if !cache.Direct() {
+			if !cache.FollowsDiscovery() {
 				return errors.New("discovery is not reachable from here")
 			}
 			return nil
@@ -100,11 +100,11 @@
 
 // newDiscoveryCache returns the copy of discovery's list that follows the holder of the role, or discovery itself where
 // that is this instance.
-func newDiscoveryCache(fleet *deployfile.Fleet, client *leaseclient.Client, log *slog.Logger) *discoverycache.Mirror {
+func newDiscoveryCache(fleet *deployfile.Fleet, client *leaseclient.Client, log *slog.Logger) *discoverycache.Cache {
 	return discoverycache.New(discoverycache.Options{
-		Discovery: fleet.Discovery,
-		Spread:    time.Duration(fleet.Settings.LeaseDuration) * time.Microsecond,
-		Log:       log,
+		Discovery:      fleet.Discovery,
+		FallbackSpread: time.Duration(fleet.Settings.LeaseDuration) * time.Microsecond,
+		Log:            log,
 		Owner: func() (addr string, token uint64, here bool) {
 			holder := client.LocateHolder(fleet.Roster)
 			return holder.Addr, uint64(holder.Token), holder.IsLocal
@@ -113,7 +113,7 @@
 }
 
 // runWithCache serves the cache at addr while the client runs. It waits for all that it started.
-func runWithCache(ctx context.Context, client *leaseclient.Client, cache *discoverycache.Mirror, addr string, log *slog.Logger) error {
+func runWithCache(ctx context.Context, client *leaseclient.Client, cache *discoverycache.Cache, addr string, log *slog.Logger) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("discovery cache: %w", err)
--- a/cmd/pumiceline/stage.go
+++ b/cmd/pumiceline/stage.go
@@ -159,11 +159,11 @@
 	t.world = fakestandalone.NewWorld(listeners[0], listeners[1:], sites, fakestandalone.Sleep(20*time.Millisecond))
 	go t.world.Serve(ctx) // its end is the play's
 	for i, e := range t.world.Entries {
-		way, err := t.Relay(fmt.Sprint("destination ", i), e.Dial)
+		way, err := t.Relay(fmt.Sprint("destination ", i), e.Address)
 		if err != nil {
 			return t, err
 		}
-		e.Dial = way.Addr()
+		e.Address = way.Addr()
 		t.world.Roster.Put(e)
 		t.ways = append(t.ways, way)
 	}
--- a/cmd/pumiceline/try.go
+++ b/cmd/pumiceline/try.go
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg.Operator = a.admin
+	cfg.AdminListen = a.admin
 	return cfg, nil
 }
 
--- a/cmd/pumiceline/try_monitor.go
+++ b/cmd/pumiceline/try_monitor.go
@@ -87,7 +87,7 @@
 	case m.phase == backendDraining && elapsed > 2*m.duration/3:
 		m.phase, m.status = backendReturned, entry.Host+" is back, cold"
 		backend.Drain(false)
-		entry.BornMs = float64(time.Now().UnixMilli())
+		entry.StartedAtMs = float64(time.Now().UnixMilli())
 		m.world.Roster.Put(entry)
 	}
 }
--- a/internal/fake/fakestandalone/standin_test.go
+++ b/internal/fake/fakestandalone/standin_test.go
@@ -20,7 +20,7 @@
 )
 
 func entry(host, health string) discovery.Entry {
-	return discovery.Entry{Host: host, Dial: "127.0.0.1:9", Site: "a", Class: "k", Health: health, Share: 1}
+	return discovery.Entry{Host: host, Address: "127.0.0.1:9", Zone: "a", InstanceType: "k", Health: health, Size: 1}
 }
 
 // TestRosterWatch follows a watch: the whole list, then each change once and in order, also those that come between two
@@ -156,7 +156,7 @@
 		t.Fatal(err)
 	}
 	cfg, err := config.Parse(text, func(string) string { return "" })
-	if err != nil || len(cfg.Module.Classes) != len(Classes) {
+	if err != nil || len(cfg.Policy.Classes) != len(Classes) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/fake/fakestandalone/world.go
+++ b/internal/fake/fakestandalone/world.go
@@ -28,7 +28,7 @@
 	w := &World{Roster: NewRoster(), discoveryListener: discoveryListener, listeners: destinations}
 	for i, ln := range destinations {
 		name := fmt.Sprintf("toy-%d", i+1)
-		e := discovery.Entry{Host: name, Dial: ln.Addr().String(), Site: sites[i%len(sites)], Class: "std-8", Block: 1, Health: "SERVING", Share: 1}
+		e := discovery.Entry{Host: name, Address: ln.Addr().String(), Zone: sites[i%len(sites)], InstanceType: "std-8", Cell: 1, Health: "SERVING", Size: 1}
 		w.Roster.Put(e)
 		w.Entries = append(w.Entries, e)
 		w.Destinations = append(w.Destinations, &Destination{Name: name, Cores: 8, Work: work})
--- a/internal/faulttest/clustertest/roster.go
+++ b/internal/faulttest/clustertest/roster.go
@@ -146,7 +146,7 @@
 	defer cancel()
 	sites := []string{"east", "west"}
 	host := func(name string) discovery.Entry { // a line to wait for: no proxy sends anything there
-		return discovery.Entry{Host: name, Dial: "127.0.0.1:1", Site: sites[0], Class: "std-8", Block: 1, Health: "DRAINING", Share: 1}
+		return discovery.Entry{Host: name, Address: "127.0.0.1:1", Zone: sites[0], InstanceType: "std-8", Cell: 1, Health: "DRAINING", Size: 1}
 	}
 	var listeners []net.Listener
 	for range 1 + 4 { // discovery for those who ask it themselves, and destinations
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -51,14 +51,14 @@
 	if err := tomlfile.Decode(path, text, s); err != nil {
 		return nil, err
 	}
-	keys := tomlfile.Index(text)
-	for _, key := range keys.Numbers {
+	keys := tomlfile.IndexKeys(text)
+	for _, key := range keys.BareNumbers {
 		if last := key[strings.LastIndexByte(key, '.')+1:]; slices.Contains([]string{"length", "at", "for", "delay"}, last) {
-			return nil, &tomlfile.Error{File: path, Line: keys.Line(key), Key: key, Why: `is a time and has no unit: write it as "250ms"`}
+			return nil, &tomlfile.Error{File: path, Line: keys.Line(key), Key: key, Reason: `is a time and has no unit: write it as "250ms"`}
 		}
 	}
 	if key, why := s.check(); why != "" {
-		return nil, &tomlfile.Error{File: path, Line: keys.Line(key), Key: key, Why: why}
+		return nil, &tomlfile.Error{File: path, Line: keys.Line(key), Key: key, Reason: why}
 	}
 	return s, nil
 }
--- a/internal/fleetsim/experiment/file.go
+++ b/internal/fleetsim/experiment/file.go
@@ -33,7 +33,7 @@
 
 	File    string    `toml:"-"`
 	Changed []Setting `toml:"-"` // what the command line changed, for replays
-	keys    *tomlfile.Keys
+	keys    *tomlfile.KeyIndex
 }
 
 // Sweep is an axis: a key of the experiment and the values that it takes. The keys of With change along with it. Several
@@ -85,7 +85,7 @@
 func Parse(path string, text []byte) (*Experiment, error) {
 	e := &Experiment{File: path, Policies: []string{"decide"}, Seeds: []uint64{1}, World: model.Quotes()}
 	e.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-	e.keys = tomlfile.Index(text)
+	e.keys = tomlfile.IndexKeys(text)
 	// A list that is written stands in place of the usual one, not on top of it.
 	for key, forget := range map[string]func(){"world.kinds": func() { e.World.Kinds = nil }, "world.classes": func() { e.World.Classes = nil },
 		"world.tenants": func() { e.World.Tenants = nil }, "policies": func() { e.Policies = nil }, "seeds": func() { e.Seeds = nil }} {
@@ -100,11 +100,11 @@
 }
 
 func (e *Experiment) fault(key, why string, args ...any) error {
-	return &tomlfile.Error{File: e.File, Line: e.keys.Line(key), Key: key, Why: fmt.Sprintf(why, args...)}
+	return &tomlfile.Error{File: e.File, Line: e.keys.Line(key), Key: key, Reason: fmt.Sprintf(why, args...)}
 }
 
 func (e *Experiment) check() error {
-	for _, key := range e.keys.Numbers { // a time without its unit would be taken for microseconds
+	for _, key := range e.keys.BareNumbers { // a time without its unit would be taken for microseconds
 		if rest, ok := strings.CutPrefix(key, "world."); ok {
 			if v, err := resolve(&e.World, rest); err == nil && v.Type() == reflect.TypeFor[model.Span]() {
 				return e.fault(key, "is a time and has no unit: write it as \"250ms\"")
--- a/internal/standalone/admin/admin.go
+++ b/internal/standalone/admin/admin.go
@@ -19,66 +19,66 @@
 )
 
 const (
-	// callWithin is what a caller has for its whole call, from the connection's coming.
-	callWithin = time.Second
-	// answerWithin is what it has to take the answer in, from there.
-	answerWithin = 3 * time.Second
-	mostBody     = 4 << 10
-	mostHead     = 8 << 10
+	// requestTimeout is what a caller has for its whole call, from the connection's coming.
+	requestTimeout = time.Second
+	// responseTimeout is what it has to take the answer in, from there.
+	responseTimeout = 3 * time.Second
+	maxBodyBytes    = 4 << 10
+	maxHeaderBytes  = 8 << 10
 )
 
 // Options are what the door needs to know.
 type Options struct {
-	Ready   func() error            // nil when this process can serve, else the reason why not
-	Suspend func(host string) error // nil once the host is out; suspension.ErrUnknown for one that was never listed
-	Resume  func(host string) error // nil once it is back
-	Metrics http.Handler
-	Most    int // connections that there may be at once, 1 at least
-	Log     *slog.Logger
+	Ready          func() error            // nil when this process can serve, else the reason why not
+	Disable        func(host string) error // nil once the host is out; suspension.ErrUnknownBackend for one that was never listed
+	Enable         func(host string) error // nil once it is back
+	Metrics        http.Handler
+	MaxConnections int // connections that there may be at once, 1 at least
+	Log            *slog.Logger
 }
 
-// Door answers operators.
-type Door struct {
+// API answers operators.
+type API struct {
 	opts   Options
 	server *http.Server
 
 	mu    sync.Mutex
-	order []*caller // by their coming
+	conns []*conn // by their coming
 }
 
-// caller is one connection. It may make way until its call is whole.
-type caller struct {
+// conn is one connection. It may make way until its call is whole.
+type conn struct {
 	net.Conn
-	door  *Door
-	whole bool
+	api             *API
+	requestComplete bool
 }
 
 // Close gives the place free.
-func (c *caller) Close() error {
-	c.door.drop(c)
+func (c *conn) Close() error {
+	c.api.remove(c)
 	return c.Conn.Close()
 }
 
-type callerKey struct{}
+type connKey struct{}
 
 // New returns a door that does not listen yet.
-func New(opts Options) *Door {
-	d := &Door{opts: opts}
+func New(opts Options) *API {
+	d := &API{opts: opts}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/readyz", d.readyz)
 	mux.Handle("GET /v1/metrics", opts.Metrics)
-	mux.HandleFunc("POST /v1/backends/{id}/suspend", d.hand("suspended", opts.Suspend))
-	mux.HandleFunc("POST /v1/backends/{id}/resume", d.hand("resumed", opts.Resume))
-	d.server = &http.Server{Handler: d.whole(mux), ReadHeaderTimeout: callWithin, ReadTimeout: callWithin,
-		WriteTimeout: callWithin + answerWithin, MaxHeaderBytes: mostHead,
+	mux.HandleFunc("POST /v1/backends/{id}/suspend", d.maintenanceHandler("suspended", opts.Disable))
+	mux.HandleFunc("POST /v1/backends/{id}/resume", d.maintenanceHandler("resumed", opts.Enable))
+	d.server = &http.Server{Handler: d.requireCompleteRequest(mux), ReadHeaderTimeout: requestTimeout, ReadTimeout: requestTimeout,
+		WriteTimeout: requestTimeout + responseTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog:    slog.NewLogLogger(opts.Log.Handler(), slog.LevelDebug),
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, callerKey{}, c) }}
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
 	d.server.SetKeepAlivesEnabled(false)
 	return d
 }
 
 // Serve answers callers on ln until ctx ends.
-func (d *Door) Serve(ctx context.Context, ln net.Listener) error {
+func (d *API) Serve(ctx context.Context, ln net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { d.server.Close() })
 	defer stop()
 	if err := d.server.Serve(&listener{ln, d}); ctx.Err() == nil {
@@ -90,7 +90,7 @@
 // listener lets the one that has waited longest make way where all places are taken.
 type listener struct {
 	net.Listener
-	door *Door
+	api *API
 }
 
 // Accept returns the next caller.
@@ -100,8 +100,8 @@
 		if err != nil {
 			return nil, err
 		}
-		c := &caller{Conn: nc, door: l.door}
-		if l.door.admit(c) {
+		c := &conn{Conn: nc, api: l.api}
+		if l.api.admit(c) {
 			return c, nil
 		}
 		nc.Close()
@@ -109,13 +109,13 @@
 }
 
 // admit takes in a caller. With all places taken by whole calls there is no room: they are answered within moments.
-func (d *Door) admit(c *caller) bool {
+func (d *API) admit(c *conn) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.order) >= max(1, d.opts.Most) {
+	if len(d.conns) >= max(1, d.opts.MaxConnections) {
 		at := -1
-		for i, o := range d.order {
-			if !o.whole {
+		for i, o := range d.conns {
+			if !o.requestComplete {
 				at = i
 				break
 			}
@@ -123,28 +123,28 @@
 		if at < 0 {
 			return false
 		}
-		d.order[at].Conn.Close() // the descriptor is free once this returns; its server goroutine ends by itself
-		d.order = append(d.order[:at], d.order[at+1:]...)
+		d.conns[at].Conn.Close() // the descriptor is free once this returns; its server goroutine ends by itself
+		d.conns = append(d.conns[:at], d.conns[at+1:]...)
 	}
-	d.order = append(d.order, c)
+	d.conns = append(d.conns, c)
 	return true
 }
 
-func (d *Door) drop(c *caller) {
+func (d *API) remove(c *conn) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	for i, o := range d.order {
+	for i, o := range d.conns {
 		if o == c {
-			d.order = append(d.order[:i], d.order[i+1:]...)
+			d.conns = append(d.conns[:i], d.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-// whole lets only whole calls on: half of one must have no effect.
-func (d *Door) whole(next http.Handler) http.Handler {
+// requireCompleteRequest lets only whole calls on: half of one must have no effect.
+func (d *API) requireCompleteRequest(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, mostBody)); err != nil {
+		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 			http.Error(w, "the body is too long or did not come whole", http.StatusBadRequest)
 			return
 		}
@@ -152,24 +152,24 @@
 			http.NotFound(w, r)
 			return
 		}
-		if c, ok := r.Context().Value(callerKey{}).(*caller); ok {
+		if c, ok := r.Context().Value(connKey{}).(*conn); ok {
 			d.mu.Lock()
-			c.whole = true
+			c.requestComplete = true
 			d.mu.Unlock()
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-// hand carries out a call that names a host.
-func (d *Door) hand(done string, do func(host string) error) http.HandlerFunc {
+// maintenanceHandler carries out a call that names a host.
+func (d *API) maintenanceHandler(done string, do func(host string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		host := r.PathValue("id")
 		err := do(host)
 		switch {
-		case errors.Is(err, maintenance.ErrUnknown):
+		case errors.Is(err, maintenance.ErrUnknownBackend):
 			http.Error(w, err.Error(), http.StatusNotFound)
-		case errors.Is(err, maintenance.ErrFull):
+		case errors.Is(err, maintenance.ErrTooManyDisabled):
 			http.Error(w, err.Error(), http.StatusConflict)
 		case err != nil: // in force, but a process that comes later would not know of it
 			d.opts.Log.Error("an operator's call could not be written down", "host", host, "error", err)
@@ -182,7 +182,7 @@
 	}
 }
 
-func (d *Door) readyz(w http.ResponseWriter, _ *http.Request) {
+func (d *API) readyz(w http.ResponseWriter, _ *http.Request) {
 	if err := d.opts.Ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		return
--- a/internal/standalone/admin/admin_test.go
+++ b/internal/standalone/admin/admin_test.go
@@ -64,9 +64,9 @@
 func TestCalls(t *testing.T) {
 	var ready atomic.Bool
 	figures := metrics.New()
-	figures.Classes([]string{"quote"})
-	figures.End("quote", metrics.Deferred)
-	addr := open(t, Options{Most: 3, Metrics: figures.Handler(), Ready: func() error {
+	figures.SetClasses([]string{"quote"})
+	figures.RequestEnded("quote", metrics.Rejected)
+	addr := open(t, Options{MaxConnections: 3, Metrics: figures.Handler(), Ready: func() error {
 		if !ready.Load() {
 			return errors.New("no pool config yet")
 		}
@@ -99,7 +99,7 @@
 
 // Callers that send nothing, or half a call, cost no other its answer, however many they are.
 func TestHalfCallsMakeWay(t *testing.T) {
-	addr := open(t, Options{Most: 4, Ready: func() error { return nil }})
+	addr := open(t, Options{MaxConnections: 4, Ready: func() error { return nil }})
 	for i := range 50 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -116,7 +116,7 @@
 			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
-	if took := time.Since(begin); took > callWithin {
+	if took := time.Since(begin); took > requestTimeout {
 		t.Errorf("20 calls took %v: they waited for the silent ones", took)
 	}
 }
@@ -136,10 +136,10 @@
 			case "full":
 				return errors.New("no room on the disk")
 			}
-			return maintenance.ErrUnknown
+			return maintenance.ErrUnknownBackend
 		}
 	}
-	addr := open(t, Options{Most: 4, Ready: func() error { return nil }, Suspend: say(true), Resume: say(false)})
+	addr := open(t, Options{MaxConnections: 4, Ready: func() error { return nil }, Disable: say(true), Enable: say(false)})
 	for _, c := range []struct {
 		call   string
 		status int
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -20,19 +20,19 @@
 
 // Config is a checked configuration.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Shared    string // a folder that all processes of this proxy see (TMPDIR); empty: there is none
-	ListenFD  int    // a listening socket that was inherited as this descriptor (ROUTER_FD); 0: none, listen at Listen
-	Operator  string // address of the operators' door; empty: there is none
-	Seed      uint64
-	Limits    Limits
-	Known     json.RawMessage // in discovery's form; package pool judges it
-	Settings  settings.Settings
-	Module    policy.Settings
+	Name           string
+	Listen         string
+	Discovery      string
+	SharedFolder   string // a folder that all processes of this proxy see (TMPDIR); empty: there is none
+	ListenFD       int    // a listening socket that was inherited as this descriptor (ROUTER_FD); 0: none, listen at Listen
+	AdminListen    string // address of the operators' door; empty: there is none
+	Seed           uint64
+	Limits         Limits
+	KnownEndpoints json.RawMessage // in discovery's form; package pool judges it
+	Settings       settings.Settings
+	Policy         policy.Settings
 
-	text any // of the file, as JSON
+	document any // of the file, as JSON
 }
 
 // Limits are those of the machine.
@@ -51,8 +51,8 @@
 	defaultDialTimeout = 250_000
 	defaultIdleClose   = 10_000_000
 	defaultRetryAfter  = 2_500_000
-	leastMemoryMB      = 32
-	leastSockets       = 64
+	minMemoryMB        = 32
+	minSockets         = 64
 )
 
 type file struct {
@@ -76,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if key := lacks(now.text, next.text, ""); key != "" {
+	if key := missingKey(now.document, next.document, ""); key != "" {
 		return nil, fmt.Errorf("config: %s: missing", key)
 	}
 	if tries := next.Settings.Limits.TryLimit; tries < 0 || tries == 0 && now.Settings.Limits.TryLimit > 0 {
@@ -85,12 +85,12 @@
 	return next, nil
 }
 
-// mayLack are keys that a configuration may have at one time and not at another.
-var mayLack = map[string]bool{"seed": true, "known": true, "operator": true, "peers": true, "peers_all": true, "peer_listen": true,
+// optionalKeys are keys that a configuration may have at one time and not at another.
+var optionalKeys = map[string]bool{"seed": true, "known": true, "operator": true, "peers": true, "peers_all": true, "peer_listen": true,
 	"AimStretch": true, "PassesDeadline": true, "WarmKeys": true}
 
-// lacks returns a key that old has and next has not; the elements of lists in next need the keys that all those of old have.
-func lacks(old, next any, at string) string {
+// missingKey returns a key that old has and next has not; the elements of lists in next need the keys that all those of old have.
+func missingKey(old, next any, at string) string {
 	switch old := old.(type) {
 	case map[string]any:
 		next, ok := next.(map[string]any)
@@ -98,14 +98,14 @@
 			return at
 		}
 		for _, key := range slices.Sorted(maps.Keys(old)) {
-			if mayLack[key] {
+			if optionalKeys[key] {
 				continue
 			}
 			here := strings.TrimPrefix(at+"."+key, ".")
 			if next[key] == nil && old[key] != nil {
 				return here
 			}
-			if missing := lacks(old[key], next[key], here); missing != "" {
+			if missing := missingKey(old[key], next[key], here); missing != "" {
 				return missing
 			}
 		}
@@ -115,7 +115,7 @@
 			return at
 		}
 		for i, element := range list {
-			if missing := lacks(common(old), element, fmt.Sprintf("%s[%d]", at, i)); missing != "" {
+			if missing := missingKey(commonKeys(old), element, fmt.Sprintf("%s[%d]", at, i)); missing != "" {
 				return missing
 			}
 		}
@@ -123,8 +123,8 @@
 	return ""
 }
 
-// common is an object with the keys that all objects of a list have; nil where they are none.
-func common(list []any) any {
+// commonKeys is an object with the keys that all objects of a list have; nil where they are none.
+func commonKeys(list []any) any {
 	var all map[string]any
 	for i, element := range list {
 		object, ok := element.(map[string]any)
@@ -171,7 +171,7 @@
 func parse(text []byte, env func(string) string, again bool) (*Config, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, fmt.Errorf("config: %w", named(err))
+		return nil, fmt.Errorf("config: %w", describeTypeError(err))
 	}
 	discovery := f.Discovery
 	for _, v := range []struct {
@@ -190,18 +190,18 @@
 	if err := json.Unmarshal(text, &whole); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c := &Config{text: whole, Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Operator: f.Operator, Shared: env("TMPDIR"), Limits: f.Limits, Known: f.Known}
+	c := &Config{document: whole, Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminListen: f.Operator, SharedFolder: env("TMPDIR"), Limits: f.Limits, KnownEndpoints: f.Known}
 	if c.Name == "" {
 		c.Name = defaultName
 	}
-	if err := address("listen", c.Listen); err != nil {
+	if err := checkAddress("listen", c.Listen); err != nil {
 		return nil, err
 	}
-	if err := address("discovery", c.Discovery); err != nil {
+	if err := checkAddress("discovery", c.Discovery); err != nil {
 		return nil, err
 	}
-	if c.Operator != "" {
-		if err := address("operator", c.Operator); err != nil {
+	if c.AdminListen != "" {
+		if err := checkAddress("operator", c.AdminListen); err != nil {
 			return nil, err
 		}
 	}
@@ -216,8 +216,8 @@
 	if err := c.Limits.check(); err != nil {
 		return nil, err
 	}
-	if string(c.Known) == "null" {
-		c.Known = nil
+	if string(c.KnownEndpoints) == "null" {
+		c.KnownEndpoints = nil
 	}
 	if fd := env("ROUTER_FD"); fd != "" {
 		var err error
@@ -233,7 +233,7 @@
 		return errors.New("config: settings: missing")
 	}
 	if err := json.Unmarshal(text, &c.Settings); err != nil {
-		return fmt.Errorf("config: settings: %w", named(err))
+		return fmt.Errorf("config: settings: %w", describeTypeError(err))
 	}
 	s := &c.Settings
 	l := &s.Limits
@@ -271,12 +271,12 @@
 		return fmt.Errorf("config: settings.Locality: %d is none of the %d Zones", s.Zone, len(s.Zones))
 	}
 	var err error
-	c.Module, err = Module(s)
+	c.Policy, err = PolicySettings(s)
 	return err
 }
 
 // Policy is the module's form of settings. Destinations are probed where it allows that, and nowhere else.
-func Module(s *settings.Settings) (policy.Settings, error) {
+func PolicySettings(s *settings.Settings) (policy.Settings, error) {
 	m, err := s.Policy()
 	if err != nil {
 		return m, fmt.Errorf("config: %w", err)
@@ -284,8 +284,8 @@
 	return m, nil
 }
 
-// Columns are the names of the columns of load reports that the module of these settings makes use of.
-func Columns(s *settings.Settings, m *policy.Settings) []string {
+// ReportColumns are the names of the columns of load reports that the module of these settings makes use of.
+func ReportColumns(s *settings.Settings, m *policy.Settings) []string {
 	if m.ReportDelivery == policy.ReportsNone || m.ReportDelivery == policy.ReportsByPolling && !m.Limits.AllowLoadPolls {
 		return nil
 	}
@@ -305,15 +305,15 @@
 	switch {
 	case !(l.Cores > 0 && l.Cores <= 1024):
 		return fmt.Errorf("config: limits.cores: %v is out of range", l.Cores)
-	case l.MemoryMB < leastMemoryMB:
-		return fmt.Errorf("config: limits.memory_mb: %d is under %d", l.MemoryMB, leastMemoryMB)
-	case l.Sockets < leastSockets:
-		return fmt.Errorf("config: limits.sockets: %d is under %d", l.Sockets, leastSockets)
+	case l.MemoryMB < minMemoryMB:
+		return fmt.Errorf("config: limits.memory_mb: %d is under %d", l.MemoryMB, minMemoryMB)
+	case l.Sockets < minSockets:
+		return fmt.Errorf("config: limits.sockets: %d is under %d", l.Sockets, minSockets)
 	}
 	return nil
 }
 
-func address(key, value string) error {
+func checkAddress(key, value string) error {
 	if value == "" {
 		return fmt.Errorf("config: %s: missing", key)
 	}
@@ -323,8 +323,8 @@
 	return nil
 }
 
-// named puts the key before a complaint about its type.
-func named(err error) error {
+// describeTypeError puts the key before a complaint about its type.
+func describeTypeError(err error) error {
 	var wrong *json.UnmarshalTypeError
 	if errors.As(err, &wrong) && wrong.Field != "" {
 		return fmt.Errorf("%s: a %s is not what belongs here", wrong.Field, wrong.Value)
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -26,8 +26,8 @@
 		c.Settings.Limits.DialTimeout != 100_000 || c.Settings.Limits.IdleClose != defaultIdleClose {
 		t.Errorf("%+v", c)
 	}
-	if !c.Module.Limits.AllowLoadPolls || c.Module.Zone != 1 || len(c.Module.Classes) != 1 {
-		t.Errorf("module settings %+v", c.Module)
+	if !c.Policy.Limits.AllowLoadPolls || c.Policy.Zone != 1 || len(c.Policy.Classes) != 1 {
+		t.Errorf("module settings %+v", c.Policy)
 	}
 	c, err = Parse([]byte(strings.Replace(valid, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1)), nothing)
 	if err != nil || c.Limits != (Limits{defaultCores, defaultMemoryMB, defaultSockets}) {
@@ -146,7 +146,7 @@
 	f.Add([]byte(`{"settings":null,"limits":[]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := Parse(text, nothing)
-		if err == nil && (c.Listen == "" || c.Discovery == "" || len(c.Module.Classes) == 0 || c.Limits.Sockets < leastSockets) {
+		if err == nil && (c.Listen == "" || c.Discovery == "" || len(c.Policy.Classes) == 0 || c.Limits.Sockets < minSockets) {
 			t.Errorf("passed: %+v", c)
 		}
 	})
--- a/internal/standalone/config/stored_test.go
+++ b/internal/standalone/config/stored_test.go
@@ -19,15 +19,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Config{Name: "try", Listen: "127.0.0.1:7070", Discovery: "127.0.0.1:8500", Operator: "127.0.0.1:7071", Seed: 0x8c1f30d27a5be964,
-		Limits: Limits{Cores: 2.5, MemoryMB: 160, Sockets: 512}, Known: json.RawMessage(`{"seq": 3, "whole": true, "hosts": []}`)}
+	want := &Config{Name: "try", Listen: "127.0.0.1:7070", Discovery: "127.0.0.1:8500", AdminListen: "127.0.0.1:7071", Seed: 0x8c1f30d27a5be964,
+		Limits: Limits{Cores: 2.5, MemoryMB: 160, Sockets: 512}, KnownEndpoints: json.RawMessage(`{"seq": 3, "whole": true, "hosts": []}`)}
 	if err := json.Unmarshal(text, &want.Settings); err != nil {
 		t.Fatal(err)
 	}
-	if want.Module, err = settings.ParsePolicy(text); err != nil {
+	if want.Policy, err = settings.ParsePolicy(text); err != nil {
 		t.Fatal(err)
 	}
-	got.text = nil // the file as a whole, with which a later one is compared
+	got.document = nil // the file as a whole, with which a later one is compared
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
 	}
@@ -41,8 +41,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got.Name != "other" || got.Listen != "127.0.0.2:7070" || got.Discovery != "127.0.0.2:8500" || got.Operator != "127.0.0.2:7071" ||
-		got.ListenFD != 9 || got.Shared != "/shared" {
+	if got.Name != "other" || got.Listen != "127.0.0.2:7070" || got.Discovery != "127.0.0.2:8500" || got.AdminListen != "127.0.0.2:7071" ||
+		got.ListenFD != 9 || got.SharedFolder != "/shared" {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/standalone/deployfile/door.go
+++ b/internal/standalone/deployfile/door.go
@@ -53,11 +53,11 @@
 	if err := tomlfile.Decode(path, text, &f); err != nil {
 		return set, err
 	}
-	keys := tomlfile.Index(text)
+	keys := tomlfile.IndexKeys(text)
 	fault := func(key, why string) error {
-		return &tomlfile.Error{File: path, Line: keys.Line(key), Key: key, Why: why}
+		return &tomlfile.Error{File: path, Line: keys.Line(key), Key: key, Reason: why}
 	}
-	for _, key := range keys.Numbers {
+	for _, key := range keys.BareNumbers {
 		if key == "max_come_back" || key == "rotate" || strings.HasPrefix(key, "work.") {
 			return set, fault(key, "is a time and has no unit: write it as \"250ms\"")
 		}
--- a/internal/standalone/deployfile/fleet.go
+++ b/internal/standalone/deployfile/fleet.go
@@ -47,11 +47,11 @@
 	if err := tomlfile.Decode(path, text, &f); err != nil {
 		return nil, err
 	}
-	keys := tomlfile.Index(text)
+	keys := tomlfile.IndexKeys(text)
 	fault := func(key, why string) error {
-		return &tomlfile.Error{File: path, Line: keys.Line(key), Key: key, Why: why}
+		return &tomlfile.Error{File: path, Line: keys.Line(key), Key: key, Reason: why}
 	}
-	for _, key := range keys.Numbers {
+	for _, key := range keys.BareNumbers {
 		if key == "lease" || key == "damp" {
 			return nil, fault(key, `is a time and has no unit: write it as "250ms"`)
 		}
--- a/internal/standalone/discovery/hands.go
+++ b/internal/standalone/discovery/hands.go
@@ -10,60 +10,60 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// bansFile is where what operators said is kept, and lookEvery how often another process's word is looked for: well within
+// maintenanceFile is where what operators said is kept, and maintenancePollInterval how often another process's word is looked for: well within
 // the grace that a drain has.
 const (
-	bansFile  = "bans.json"
-	lookEvery = 50 * time.Millisecond
+	maintenanceFile         = "bans.json"
+	maintenancePollInterval = 50 * time.Millisecond
 )
 
-// Suspend takes a host out. Without an error the ban is in force, and written down where there is a folder.
-func (w *Watcher) Suspend(name string) error {
-	return w.say(func(s *maintenance.Set) error { return s.Suspend(name) })
+// Disable takes a host out. Without an error the ban is in force, and written down where there is a folder.
+func (w *Watcher) Disable(name string) error {
+	return w.changeMaintenance(func(s *maintenance.State) error { return s.Disable(name) })
 }
 
-// Resume brings a host back, cold.
-func (w *Watcher) Resume(name string) error {
+// Enable brings a host back, cold.
+func (w *Watcher) Enable(name string) error {
 	now := time.Now().UnixMicro()
-	return w.say(func(s *maintenance.Set) error { return s.Resume(name, now) })
+	return w.changeMaintenance(func(s *maintenance.State) error { return s.Enable(name, now) })
 }
 
-// TakenOut is how many listed hosts are kept from work by hand.
-func (w *Watcher) TakenOut() (n int) {
+// DisabledCount is how many listed hosts are kept from work by hand.
+func (w *Watcher) DisabledCount() (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, h := range w.listed {
-		if h.told.Mode != h.Member.Mode {
+	for _, h := range w.endpoints {
+		if h.published.Mode != h.Member.Mode {
 			n++
 		}
 	}
 	return n
 }
 
-// say changes the set, here and in the folder, and tells of it.
-func (w *Watcher) say(change func(*maintenance.Set) error) error {
+// changeMaintenance changes the set, here and in the folder, and tells of it.
+func (w *Watcher) changeMaintenance(change func(*maintenance.State) error) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.folder == nil {
-		if err := change(&w.bans); err != nil {
+		if err := change(&w.maintenance); err != nil {
 			return err
 		}
-		w.retell()
+		w.applyMaintenance()
 		return nil
 	}
 	var refused error
 	said := false
-	err := w.folder.Update(bansFile, func(old []byte) ([]byte, error) {
-		w.adopt(old) // another process may have spoken since the last look
-		if said, refused = true, change(&w.bans); refused != nil {
+	err := w.folder.Update(maintenanceFile, func(old []byte) ([]byte, error) {
+		w.restoreMaintenance(old) // another process may have spoken since the last look
+		if said, refused = true, change(&w.maintenance); refused != nil {
 			return nil, refused
 		}
-		w.retell()
-		return w.bans.Text(), nil
+		w.applyMaintenance()
+		return w.maintenance.Encode(), nil
 	})
 	if !said { // in force even where it can't be written down
-		if refused = change(&w.bans); refused == nil {
-			w.retell()
+		if refused = change(&w.maintenance); refused == nil {
+			w.applyMaintenance()
 		}
 	}
 	if refused != nil {
@@ -72,71 +72,71 @@
 	return err
 }
 
-func (w *Watcher) adopt(text []byte) {
+func (w *Watcher) restoreMaintenance(text []byte) {
 	if len(text) == 0 {
 		return
 	}
-	if err := w.bans.Adopt(text); err != nil {
+	if err := w.maintenance.Restore(text); err != nil {
 		w.log.Error("what is kept of hosts taken out is not usable", "error", err)
 	}
 }
 
-// Keep has the watcher keep what operators say in folder, and take up what is there. It is to be called before Start.
-func (w *Watcher) Keep(folder *hotrestart.SharedFolder) {
+// ShareMaintenance has the watcher keep what operators say in folder, and take up what is there. It is to be called before Start.
+func (w *Watcher) ShareMaintenance(folder *hotrestart.SharedFolder) {
 	w.folder = folder
-	w.look()
+	w.pollMaintenance()
 }
 
-// look takes up what another process has written since the last look.
-func (w *Watcher) look() {
+// pollMaintenance takes up what another process has written since the last look.
+func (w *Watcher) pollMaintenance() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	stamp := w.folder.Version(bansFile)
-	if stamp == w.stamp {
+	stamp := w.folder.Version(maintenanceFile)
+	if stamp == w.maintenanceVersion {
 		return
 	}
-	text, err := w.folder.Read(bansFile)
+	text, err := w.folder.Read(maintenanceFile)
 	if err != nil {
 		w.log.Error("what is kept of hosts taken out can't be read", "error", err)
 		return
 	}
-	w.stamp = stamp
-	w.adopt(text)
-	w.retell()
+	w.maintenanceVersion = stamp
+	w.restoreMaintenance(text)
+	w.applyMaintenance()
 }
 
-// Look takes up what other processes say of hosts until ctx ends.
-func (w *Watcher) Look(ctx context.Context) {
+// RunMaintenance takes up what other processes say of hosts until ctx ends.
+func (w *Watcher) RunMaintenance(ctx context.Context) {
 	if w.folder == nil {
 		return
 	}
-	again := time.NewTicker(lookEvery)
+	again := time.NewTicker(maintenancePollInterval)
 	defer again.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-again.C:
-			w.look()
+			w.pollMaintenance()
 		}
 	}
 }
 
-// retell tells of the listed hosts that are to be taken for something else than they were told as last. Called with the lock held.
-func (w *Watcher) retell() {
+// applyMaintenance tells of the listed hosts that are to be taken for something else than they were told as last. Called with the lock held.
+func (w *Watcher) applyMaintenance() {
 	var changed []policy.Member
-	for id, h := range w.listed {
-		m := w.bans.Member(h.Name, h.Member)
-		if m == h.told {
+	for id, h := range w.endpoints {
+		m := w.maintenance.Apply(h.Name, h.Member)
+		if m == h.published {
 			continue
 		}
 		w.log.Info("a host is taken out or brought back by hand", "host", h.Name, "out", m.Mode != h.Member.Mode, slog.Int64("up_since", m.StartedAt))
-		h.told = m
-		w.listed[id] = h
-		w.fleet.SetBackend(id, h.Dial, m.Mode == policy.ModeReady)
+		h.published = m
+		w.endpoints[id] = h
+		w.backends.SetBackend(id, h.Address, m.Mode == policy.ModeReady)
 		changed = append(changed, m)
 	}
 	if len(changed) > 0 {
-		w.module.UpdateMembers(policy.MembershipDelta, changed)
+		w.policy.UpdateMembers(policy.MembershipDelta, changed)
 	}
 }
--- a/internal/standalone/discovery/hands_test.go
+++ b/internal/standalone/discovery/hands_test.go
@@ -41,7 +41,7 @@
 	l := &last{modes: map[uint32]policy.Member{}, ready: map[uint32]bool{}}
 	w := NewWatcher("127.0.0.1:1", table(), l, slog.New(slog.DiscardHandler))
 	if dir != "" {
-		w.Keep(hotrestart.NewSharedFolder(dir, "n0"))
+		w.ShareMaintenance(hotrestart.NewSharedFolder(dir, "n0"))
 	}
 	w.Start(l, []byte(update(1, true, host("s-1", "SERVING"), host("s-2", "SERVING"))))
 	return w, l
@@ -52,7 +52,7 @@
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	id := w.table.id(name)
+	id := w.decoder.id(name)
 	out := l.modes[id].Mode == policy.ModeDraining
 	if l.ready[id] == out {
 		t.Errorf("%s: the module is told %v, destinations that it is ready: %v", name, l.modes[id].Mode, l.ready[id])
@@ -63,13 +63,13 @@
 // A ban is in force when Suspend returns and holds whatever the list says, when the host leaves and comes back too.
 func TestBanStandsAgainstTheList(t *testing.T) {
 	w, l := hands(t, "")
-	if err := w.Suspend("nobody"); !errors.Is(err, maintenance.ErrUnknown) {
+	if err := w.Disable("nobody"); !errors.Is(err, maintenance.ErrUnknownBackend) {
 		t.Errorf("a host that was never listed: %v", err)
 	}
 	var callers sync.WaitGroup
 	for range 10 {
 		callers.Go(func() {
-			if err := w.Suspend("s-1"); err != nil || !l.out(t, w, "s-1") {
+			if err := w.Disable("s-1"); err != nil || !l.out(t, w, "s-1") {
 				t.Errorf("suspended: %v", err)
 			}
 		})
@@ -81,24 +81,24 @@
 			t.Fatal(err)
 		}
 	}
-	if !l.out(t, w, "s-1") || l.out(t, w, "s-2") || w.TakenOut() != 1 {
-		t.Errorf("%d are out", w.TakenOut())
+	if !l.out(t, w, "s-1") || l.out(t, w, "s-2") || w.DisabledCount() != 1 {
+		t.Errorf("%d are out", w.DisabledCount())
 	}
-	if err := w.Resume("s-1"); err != nil || l.out(t, w, "s-1") || w.TakenOut() != 0 {
+	if err := w.Enable("s-1"); err != nil || l.out(t, w, "s-1") || w.DisabledCount() != 0 {
 		t.Errorf("resumed: %v", err)
 	}
-	back := l.modes[w.table.id("s-1")].StartedAt
+	back := l.modes[w.decoder.id("s-1")].StartedAt
 	if back <= 1700000009999000 {
 		t.Error("it came back as if it had never stopped")
 	}
 	// Discovery may tell of it again with the old start: that must not make it warm.
-	if err := w.apply([]byte(update(5, false, host("s-1", "SERVING"))), false); err != nil || l.modes[w.table.id("s-1")].StartedAt != back {
+	if err := w.apply([]byte(update(5, false, host("s-1", "SERVING"))), false); err != nil || l.modes[w.decoder.id("s-1")].StartedAt != back {
 		t.Error("the list made it warm")
 	}
-	if err := w.Suspend("s-1"); err != nil {
+	if err := w.Disable("s-1"); err != nil {
 		t.Error(err)
 	}
-	if err := w.Suspend("s-2"); err != nil || w.TakenOut() != 2 {
+	if err := w.Disable("s-2"); err != nil || w.DisabledCount() != 2 {
 		t.Errorf("all out: %v", err)
 	}
 }
@@ -108,14 +108,14 @@
 	dir := t.TempDir()
 	a, heardA := hands(t, dir)
 	b, heardB := hands(t, dir)
-	if err := a.Suspend("s-1"); err != nil {
+	if err := a.Disable("s-1"); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Suspend("s-2"); err != nil { // before b has looked: it must not undo what a said
+	if err := b.Disable("s-2"); err != nil { // before b has looked: it must not undo what a said
 		t.Fatal(err)
 	}
-	a.look()
-	b.look()
+	a.pollMaintenance()
+	b.pollMaintenance()
 	for _, name := range []string{"s-1", "s-2"} {
 		if !heardA.out(t, a, name) || !heardB.out(t, b, name) {
 			t.Errorf("%s is not out at both", name)
@@ -125,10 +125,10 @@
 	if !heardC.out(t, c, "s-1") || !heardC.out(t, c, "s-2") {
 		t.Error("a process that starts later does not know")
 	}
-	if err := c.Resume("s-1"); err != nil {
+	if err := c.Enable("s-1"); err != nil {
 		t.Fatal(err)
 	}
-	a.look()
+	a.pollMaintenance()
 	if heardA.out(t, a, "s-1") || !heardA.out(t, a, "s-2") {
 		t.Error("one call back did not end the ban at the other process")
 	}
@@ -138,18 +138,18 @@
 func TestSpoiltFolder(t *testing.T) {
 	dir := t.TempDir()
 	a, _ := hands(t, dir)
-	if err := a.Suspend("s-1"); err != nil {
+	if err := a.Disable("s-1"); err != nil {
 		t.Fatal(err)
 	}
-	files, err := filepath.Glob(filepath.Join(dir, "*"+bansFile))
+	files, err := filepath.Glob(filepath.Join(dir, "*"+maintenanceFile))
 	if err != nil || len(files) != 1 {
 		t.Fatal(files, err)
 	}
 	if err := os.WriteFile(files[0], []byte(`{"version":1,"ban`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	a.look()
-	if a.TakenOut() != 1 {
+	a.pollMaintenance()
+	if a.DisabledCount() != 1 {
 		t.Error("a spoilt file ended a ban")
 	}
 	b, heard := hands(t, dir)
@@ -159,7 +159,7 @@
 	if err := os.RemoveAll(dir); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Suspend("s-2"); err == nil || !heard.out(t, b, "s-2") {
+	if err := b.Disable("s-2"); err == nil || !heard.out(t, b, "s-2") {
 		t.Errorf("without a folder: %v", err)
 	}
 }
--- a/internal/standalone/discovery/message.go
+++ b/internal/standalone/discovery/message.go
@@ -6,24 +6,24 @@
 	"io"
 )
 
-// mostMessage is the longest message of a watch that is read.
-const mostMessage = 8 << 20
+// maxMessageBytes is the longest message of a watch that is read.
+const maxMessageBytes = 8 << 20
 
-var errLongMessage = errors.New("a message is too long")
+var errMessageTooLong = errors.New("a message is too long")
 
-// messages takes a watch's stream apart: JSON objects, each on a line or, where lists come indented, on many, and empty lines
+// messageReader takes a watch's stream apart: JSON objects, each on a line or, where lists come indented, on many, and empty lines
 // between them that say that the watch lives. A json.Decoder would not tell of these.
-type messages struct {
+type messageReader struct {
 	br    *bufio.Reader
 	text  []byte
 	ended bool // a message has just ended, and what is left of its line is no empty line
 }
 
-func newMessages(r io.Reader) *messages { return &messages{br: bufio.NewReader(r)} }
+func newMessageReader(r io.Reader) *messageReader { return &messageReader{br: bufio.NewReader(r)} }
 
 // next returns the next message, which is valid until the next call, or nothing for an empty line. What is no JSON object comes
 // as its line, for whoever reads it to complain of.
-func (m *messages) next() ([]byte, error) {
+func (m *messageReader) next() ([]byte, error) {
 	m.text = m.text[:0]
 	depth, quoted, escaped := 0, false, false
 	for {
@@ -41,8 +41,8 @@
 			continue
 		case len(m.text) == 0 && (b == ' ' || b == '\t' || b == '\r'):
 			continue
-		case len(m.text) == mostMessage:
-			return nil, errLongMessage
+		case len(m.text) == maxMessageBytes:
+			return nil, errMessageTooLong
 		}
 		m.text, m.ended = append(m.text, b), false
 		switch {
--- a/internal/standalone/discovery/pool_test.go
+++ b/internal/standalone/discovery/pool_test.go
@@ -29,18 +29,18 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(hosts, ","))
 }
 
-func table() *Table { return NewTable([]string{"b", "a"}, []string{"m1", "m2"}) }
+func table() *Decoder { return NewDecoder([]string{"b", "a"}, []string{"m1", "m2"}) }
 
 func TestHostsBecomeMembers(t *testing.T) {
-	u, hosts, bad, err := table().Read([]byte(update(41, true, host("s-1", "SERVING"), host("s-2", "DRAINING"),
+	u, hosts, bad, err := table().Decode([]byte(update(41, true, host("s-1", "SERVING"), host("s-2", "DRAINING"),
 		host("s-3", "DELETED"))))
-	if err != nil || len(bad) != 0 || len(hosts) != 3 || u.Seq != 41 || !u.Whole {
+	if err != nil || len(bad) != 0 || len(hosts) != 3 || u.Version != 41 || !u.Complete {
 		t.Fatalf("%+v, %v, %v, %v", u, hosts, bad, err)
 	}
 	want := policy.Member{Server: hosts[0].Member.Server, Zone: 1, Cell: 3, InstanceType: 1, Mode: policy.ModeReady, Size: 1.5,
 		StartedAt: 1700000000123000}
 	if hosts[0].Member != want || hosts[1].Member.Mode != policy.ModeDraining ||
-		hosts[2].Member.Mode != policy.ModeGone || hosts[2].Dial != "" {
+		hosts[2].Member.Mode != policy.ModeGone || hosts[2].Address != "" {
 		t.Errorf("%+v", hosts)
 	}
 }
@@ -51,7 +51,7 @@
 	for _, bad := range []string{`7`, `{}`, host("", "SERVING"), host("s-2", "ODD"),
 		strings.Replace(good, `"site":"a"`, `"site":"elsewhere"`, 1), strings.Replace(good, "7070", "x", 1),
 		strings.Replace(good, `"block":3`, `"block":-1`, 1), strings.Replace(good, "1700000000123", "-5", 1)} {
-		_, hosts, errs, err := table().Read([]byte(update(1, true, bad, good)))
+		_, hosts, errs, err := table().Decode([]byte(update(1, true, bad, good)))
 		if err != nil || len(hosts) != 1 || len(errs) != 1 {
 			t.Errorf("%s: %d hosts, %v, %v", bad, len(hosts), errs, err)
 		}
@@ -65,7 +65,7 @@
 		for _, n := range names {
 			hosts = append(hosts, host(n, "SERVING"))
 		}
-		_, read, _, err := table().Read([]byte(update(1, true, hosts...)))
+		_, read, _, err := table().Decode([]byte(update(1, true, hosts...)))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -122,11 +122,11 @@
 
 // watching starts a watcher whose calls go to serve, which gets the call's target.
 func watching(t *testing.T, h *heard, known string, serve func(target string, c net.Conn)) *Watcher {
-	return watchingFor(t, h, func(*Watcher) Module { return h }, known, serve)
+	return watchingFor(t, h, func(*Watcher) Policy { return h }, known, serve)
 }
 
 // watchingFor is watching with another module than what keeps what it is told.
-func watchingFor(t *testing.T, h *heard, module func(*Watcher) Module, known string, serve func(target string, c net.Conn)) *Watcher {
+func watchingFor(t *testing.T, h *heard, module func(*Watcher) Policy, known string, serve func(target string, c net.Conn)) *Watcher {
 	w := NewWatcher("127.0.0.1:1", table(), h, slog.New(slog.DiscardHandler))
 	w.dial = func(_ context.Context, addr string, _ time.Time) (net.Conn, error) {
 		if serve == nil {
@@ -176,10 +176,10 @@
 			})
 		const here = `"127.1.0.1:7070" `
 		h.expect(t, here+"true", here+"true", "cached 2")
-		if !w.Held() {
+		if !w.HasEndpoints() {
 			t.Error("the known list is not held")
 		}
-		w.Ask()
+		w.RestartWatch()
 		lines <- ""
 		h.expect(t, "delta 0") // the call is answered, though nothing changed
 		lines <- update(42, false, host("s-1", "DRAINING"))
@@ -188,12 +188,12 @@
 		h.expect(t, here+"true", `"" false`, `"" false`, "full 1") // s-1 and s-2 are dropped
 		lines <- update(44, false, host("s-3", "DELETED"), host("s-4", "SERVING"))
 		h.expect(t, `"" false`, here+"true", "delta 2")
-		if len(w.listed) != 1 || len(w.table.ids) != 1 || len(w.table.taken) != 1 {
-			t.Errorf("hosts that are gone are remembered: %v %v", w.listed, w.table.ids)
+		if len(w.endpoints) != 1 || len(w.decoder.ids) != 1 || len(w.decoder.names) != 1 {
+			t.Errorf("hosts that are gone are remembered: %v %v", w.endpoints, w.decoder.ids)
 		}
-		time.Sleep(silence - time.Second)
+		time.Sleep(silenceTimeout - time.Second)
 		lines <- ""
-		time.Sleep(silence - time.Second)
+		time.Sleep(silenceTimeout - time.Second)
 		h.expect(t)
 		time.Sleep(2 * time.Second) // silent past its heartbeats
 		h.expect(t, "silent 0")
@@ -216,12 +216,12 @@
 			}
 			io.Copy(io.Discard, c)
 		})
-		w.Ask()
+		w.RestartWatch()
 		const here = `"127.1.0.1:7070" `
 		h.expect(t, here+"true", "cached 1", "delta 0")
-		w.Move("127.0.0.1:1", w.table.zones, w.table.kinds) // where it is already
+		w.SetSource("127.0.0.1:1", w.decoder.zones, w.decoder.instanceTypes) // where it is already
 		h.expect(t)
-		w.Move("127.0.0.2:1", w.table.zones, w.table.kinds)
+		w.SetSource("127.0.0.2:1", w.decoder.zones, w.decoder.instanceTypes)
 		h.expect(t, here+"true", `"" false`, "full 1")
 		if first, second := <-calls, <-calls; first != "/v1/endpoints?stream=1&index=41" ||
 			second != "127.0.0.2:1/v1/endpoints?stream=1&index=0" || len(calls) != 0 {
@@ -251,7 +251,7 @@
 				if _, err := fmt.Fprintf(c, "1\r\n%c\r\n", b); err != nil {
 					return
 				}
-				time.Sleep(silence / 4)
+				time.Sleep(silenceTimeout / 4)
 			}
 		}, "silent 0"},
 	} {
@@ -259,11 +259,11 @@
 			var h heard
 			w := watching(t, &h, "", c.serve)
 			h.expect(t, "cached 0")
-			if w.Held() {
+			if w.HasEndpoints() {
 				t.Errorf("%s: an empty list counts as held", name)
 			}
-			w.Ask()
-			time.Sleep(2 * silence)
+			w.RestartWatch()
+			time.Sleep(2 * silenceTimeout)
 			t.Log(name)
 			h.expect(t, c.want)
 		})
@@ -293,7 +293,7 @@
 			}
 			io.Copy(io.Discard, c)
 		})
-		w.Ask()
+		w.RestartWatch()
 		const here = `"127.1.0.1:7070" `
 		h.expect(t, "cached 0", here+"true", here+"true", "full 2", `"" false`, "delta 1", here+"false", "delta 1")
 	})
@@ -314,9 +314,9 @@
 				line(c, update(43, false, host("s-2", "SERVING")))
 				io.Copy(io.Discard, c)
 			})
-			w.Ask()
+			w.RestartWatch()
 			h.expect(t, `"127.1.0.1:7070" true`, "cached 1", "delta 0", "failed 0")
-			w.Ask()
+			w.RestartWatch()
 			synctest.Wait()
 			if first, second := <-targets, <-targets; first != "/v1/endpoints?stream=1&index=41" || second != "/v1/endpoints?stream=1&index=0" {
 				t.Errorf("%s: asked for %s, then %s", bad, first, second)
@@ -341,7 +341,7 @@
 				line(c, update(43, false, host("s-1", "SERVING")))
 				io.Copy(io.Discard, c)
 			})
-			w.Ask()
+			w.RestartWatch()
 			const here = `"127.1.0.1:7070" `
 			h.expect(t, here+"true", here+"true", "cached 2", here+"false", "delta 1", here+"true", "delta 1")
 		})
@@ -357,11 +357,11 @@
 	f.Add([]byte(whole))
 	f.Add([]byte("\x00[{]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		_, hosts, _, err := table().Read(text)
+		_, hosts, _, err := table().Decode(text)
 		seen := map[uint32]string{}
 		for _, h := range hosts {
 			m := h.Member
-			if err != nil || h.Name == "" || m.Zone > 1 || m.InstanceType > 2 || m.StartedAt < 0 || m.Mode != policy.ModeGone && h.Dial == "" {
+			if err != nil || h.Name == "" || m.Zone > 1 || m.InstanceType > 2 || m.StartedAt < 0 || m.Mode != policy.ModeGone && h.Address == "" {
 				t.Errorf("%+v, %v", h, err)
 			}
 			if other, ok := seen[m.Server]; ok && other != h.Name {
--- a/internal/standalone/discovery/silence_test.go
+++ b/internal/standalone/discovery/silence_test.go
@@ -15,14 +15,14 @@
 )
 
 // asking is a module that decides when discovery is asked, as one of a group, and that runs until the test's end.
-func asking(t *testing.T, w *Watcher, group int, seed uint64) Module {
+func asking(t *testing.T, w *Watcher, group int, seed uint64) Policy {
 	set := policy.Settings{Classes: []policy.Class{{ClientTimeout: 1e6, LatencyTarget: 1e6, Value: 1}}, SubscribeDiscovery: true, GroupSize: group}
 	set.Rules.SubscribeWithin = 10e6
 	module, err := policy.New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := engine.New(module, engine.Hooks{SubscribeDiscovery: w.Ask, CloseIdleConns: func(uint32) {}}, slog.New(slog.DiscardHandler))
+	p := engine.New(module, engine.Hooks{SubscribeDiscovery: w.RestartWatch, CloseIdleConns: func(uint32) {}}, slog.New(slog.DiscardHandler))
 	go p.Run(t.Context())
 	return p
 }
@@ -38,7 +38,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				var last, again time.Time
 				calls := 0
-				watchingFor(t, &heard{}, func(w *Watcher) Module { return asking(t, w, group, seed) }, "", func(_ string, c net.Conn) {
+				watchingFor(t, &heard{}, func(w *Watcher) Policy { return asking(t, w, group, seed) }, "", func(_ string, c net.Conn) {
 					if calls++; calls == 2 {
 						again = time.Now()
 					}
@@ -71,7 +71,7 @@
 			var moved, again time.Time
 			var calls atomic.Int32
 			cutOff := int32(seed % 2)
-			w := watchingFor(t, &heard{}, func(w *Watcher) Module { return asking(t, w, 300, seed) }, "", func(target string, c net.Conn) {
+			w := watchingFor(t, &heard{}, func(w *Watcher) Policy { return asking(t, w, 300, seed) }, "", func(target string, c net.Conn) {
 				if !strings.HasPrefix(target, "127.0.0.2") {
 					io.WriteString(c, begin)
 					line(c, "")
@@ -97,9 +97,9 @@
 			})
 			time.Sleep(10 * time.Second)
 			moved = time.Now()
-			w.Move("127.0.0.2:1", w.table.zones, w.table.kinds)
+			w.SetSource("127.0.0.2:1", w.decoder.zones, w.decoder.instanceTypes)
 			if synctest.Wait(); cutOff > 0 {
-				w.Ask()
+				w.RestartWatch()
 			}
 			time.Sleep(20 * time.Second)
 			synctest.Wait()
--- a/internal/standalone/discovery/stored_test.go
+++ b/internal/standalone/discovery/stored_test.go
@@ -24,14 +24,14 @@
 		}
 	}
 	l.mu.Lock()
-	if got := l.modes[w.table.id("s-2")].StartedAt; got != 1_800_000_000_000_001 {
+	if got := l.modes[w.decoder.id("s-2")].StartedAt; got != 1_800_000_000_000_001 {
 		t.Errorf("s-2 is taken for one that started at %d", got)
 	}
 	l.mu.Unlock()
-	if got := w.TakenOut(); got != 1 {
+	if got := w.DisabledCount(); got != 1 {
 		t.Errorf("%d listed hosts are out", got)
 	}
-	if err := w.Suspend("s-2"); err != nil {
+	if err := w.Disable("s-2"); err != nil {
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(filepath.Join(dir, storedName))
@@ -53,27 +53,27 @@
 	if err := json.Unmarshal(text, &u); err != nil {
 		t.Fatal(err)
 	}
-	if u.Seq != 41 || !u.Whole || len(u.Hosts) != 4 {
+	if u.Version != 41 || !u.Complete || len(u.Entries) != 4 {
 		t.Errorf("read %+v", u)
 	}
 	want := []Entry{
-		{Host: "quote-01", Dial: "10.0.0.1:80", Site: "a", Class: "std-8", Block: 5, Health: "SERVING", Share: 1.5, BornMs: 1.7e12},
-		{Host: "quote-02", Dial: "10.0.0.2:80", Site: "b", Class: "small-6", Block: 6, Health: "DRAINING", Share: 0.75, BornMs: 1.6e12},
-		{Host: "quote-03", Dial: "10.0.0.3:80", Site: "a", Class: "std-8", Block: 7, Health: "DELETED", Share: 1.25, BornMs: 1.5e12},
-		{Host: "quote-04", Dial: "10.0.0.4:80", Site: "elsewhere", Class: "std-8", Block: 8, Health: "SERVING", Share: 1, BornMs: 1.4e12},
+		{Host: "quote-01", Address: "10.0.0.1:80", Zone: "a", InstanceType: "std-8", Cell: 5, Health: "SERVING", Size: 1.5, StartedAtMs: 1.7e12},
+		{Host: "quote-02", Address: "10.0.0.2:80", Zone: "b", InstanceType: "small-6", Cell: 6, Health: "DRAINING", Size: 0.75, StartedAtMs: 1.6e12},
+		{Host: "quote-03", Address: "10.0.0.3:80", Zone: "a", InstanceType: "std-8", Cell: 7, Health: "DELETED", Size: 1.25, StartedAtMs: 1.5e12},
+		{Host: "quote-04", Address: "10.0.0.4:80", Zone: "elsewhere", InstanceType: "std-8", Cell: 8, Health: "SERVING", Size: 1, StartedAtMs: 1.4e12},
 	}
-	for i, raw := range u.Hosts {
+	for i, raw := range u.Entries {
 		var e Entry
 		if err := json.Unmarshal(raw, &e); err != nil || e != want[i] {
 			t.Errorf("host %d read as %+v, %v, want %+v", i, e, err, want[i])
 		}
 	}
-	table := NewTable([]string{"a", "b"}, []string{"small-6", "std-8"})
-	_, hosts, bad, err := table.Read(text)
+	table := NewDecoder([]string{"a", "b"}, []string{"small-6", "std-8"})
+	_, hosts, bad, err := table.Decode(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	members := []Host{
+	members := []Endpoint{
 		{"quote-01", "10.0.0.1:80", policy.Member{Server: 0xdcbf2eb1, Zone: 0, Cell: 5, InstanceType: 1, Mode: policy.ModeReady, Size: 1.5, StartedAt: 1.7e15}},
 		{"quote-02", "10.0.0.2:80", policy.Member{Server: 0xd9bf29f8, Zone: 1, Cell: 6, InstanceType: 0, Mode: policy.ModeDraining, Size: 0.75, StartedAt: 1.6e15}},
 		{"quote-03", "", policy.Member{Server: 0xdabf2b8b, Mode: policy.ModeGone}},
@@ -84,12 +84,12 @@
 	if len(bad) != 1 || bad[0].Name != "quote-04" {
 		t.Errorf("unusable are %v", bad)
 	}
-	written, err := json.Marshal(Update{Seq: 41, Whole: true, Hosts: u.Hosts[:1]})
+	written, err := json.Marshal(Update{Version: 41, Complete: true, Entries: u.Entries[:1]})
 	if want := `{"seq":41,"whole":true,"hosts":[{"host":"quote-01","dial":"10.0.0.1:80","site":"a","class":"std-8","block":5,"health":"SERVING",` +
 		`"share":1.5,"born_ms":1700000000000}]}`; err != nil || string(written) != want {
 		t.Errorf("written %s, %v, want %s", written, err, want)
 	}
-	if entry, err := json.Marshal(want[0]); err != nil || string(entry) != string(u.Hosts[0]) {
-		t.Errorf("written %s, %v, want %s", entry, err, u.Hosts[0])
+	if entry, err := json.Marshal(want[0]); err != nil || string(entry) != string(u.Entries[0]) {
+		t.Errorf("written %s, %v, want %s", entry, err, u.Entries[0])
 	}
 }
--- a/internal/standalone/discoverycache/mirror_test.go
+++ b/internal/standalone/discoverycache/mirror_test.go
@@ -19,20 +19,20 @@
 	"pumiceline/internal/standalone/discovery"
 )
 
-func entry(n int, health string) discovery.Entry {
-	return discovery.Entry{Host: fmt.Sprint("s-", n), Dial: fmt.Sprintf("10.0.0.%d:1", n), Site: "a", Class: "m", Block: 1, Health: health, Share: 1}
+func entryJSON(n int, health string) discovery.Entry {
+	return discovery.Entry{Host: fmt.Sprint("s-", n), Address: fmt.Sprintf("10.0.0.%d:1", n), Zone: "a", InstanceType: "m", Cell: 1, Health: health, Size: 1}
 }
 
 // Whatever a source says, whole or in parts, whoever follows the copy from whichever version of it holds the same list in the end.
 func TestCopyTellsAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c, truth, seq := NewCopy(100), map[string]string{}, uint64(0)
+		c, truth, seq := NewList(100), map[string]string{}, uint64(0)
 		follower, at := map[string]string{}, uint64(0)
 		apply := func(u discovery.Update, to map[string]string) {
-			if u.Whole {
+			if u.Complete {
 				clear(to)
 			}
-			for _, text := range u.Hosts {
+			for _, text := range u.Entries {
 				var e discovery.Entry
 				if err := json.Unmarshal(text, &e); err != nil {
 					t.Fatal(err)
@@ -44,29 +44,29 @@
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			seq++
-			u := discovery.Update{Seq: seq, Whole: seq == 1 || rapid.Bool().Draw(t, "whole")}
+			u := discovery.Update{Version: seq, Complete: seq == 1 || rapid.Bool().Draw(t, "whole")}
 			seen := map[int]bool{}
 			for range rapid.IntRange(0, 4).Draw(t, "hosts") {
 				n := rapid.IntRange(0, 5).Draw(t, "host")
 				health := rapid.SampledFrom([]string{"SERVING", "DRAINING", "DELETED"}).Draw(t, "health")
-				if u.Whole && (health == "DELETED" || seen[n]) {
+				if u.Complete && (health == "DELETED" || seen[n]) {
 					continue
 				}
 				seen[n] = true
-				text, err := json.Marshal(entry(n, health))
+				text, err := json.Marshal(entryJSON(n, health))
 				if err != nil {
 					t.Fatal(err)
 				}
-				u.Hosts = append(u.Hosts, text)
+				u.Entries = append(u.Entries, text)
 			}
 			apply(u, truth)
-			if _, err := c.Take(u, rapid.Bool().Draw(t, "first")); err != nil {
+			if _, err := c.Apply(u, rapid.Bool().Draw(t, "first")); err != nil {
 				t.Fatal(err)
 			}
 			if rapid.Bool().Draw(t, "looks") {
 				news := c.Since(at)
 				apply(news, follower)
-				at = news.Seq
+				at = news.Version
 			}
 		}
 		apply(c.Since(at), follower)
@@ -75,10 +75,10 @@
 		if fmt.Sprint(follower) != fmt.Sprint(truth) || fmt.Sprint(fresh) != fmt.Sprint(truth) {
 			t.Fatalf("the source says %v, a follower holds %v, a new one %v", truth, follower, fresh)
 		}
-		if old := c.Since(99); !old.Whole {
+		if old := c.Since(99); !old.Complete {
 			t.Fatal("a version of an earlier life brings a part")
 		}
-		if _, err := c.Take(discovery.Update{Seq: seq - 1, Whole: true}, true); !errors.Is(err, ErrBehind) {
+		if _, err := c.Apply(discovery.Update{Version: seq - 1, Complete: true}, true); !errors.Is(err, ErrStale) {
 			t.Fatalf("an older list is taken: %v", err)
 		}
 	})
@@ -87,7 +87,7 @@
 // Of twenty mirrors one calls discovery; a drain is at all of them soon; without an owner each calls for itself, not all at once; a new owner has
 // them back; and the old one, which still believes, is not followed.
 func TestMirrorsFollowOneOwner(t *testing.T) {
-	roster := fakestandalone.NewRoster(entry(1, "SERVING"), entry(2, "SERVING"))
+	roster := fakestandalone.NewRoster(entryJSON(1, "SERVING"), entryJSON(2, "SERVING"))
 	var mu sync.Mutex
 	var calls []time.Time
 	serve := func(h http.Handler) (addr string) {
@@ -107,11 +107,11 @@
 		roster.ServeHTTP(w, r)
 	}))
 	const n, spread = 20, time.Second
-	addrs, mirrors := make([]string, n), make([]*Mirror, n)
+	addrs, mirrors := make([]string, n), make([]*Cache, n)
 	owner, token := 0, uint64(1)
 	believes := map[int]uint64{} // who takes itself for the owner, whatever is so
 	for i := range n {
-		mirrors[i] = New(Options{Discovery: discoveryAddress, Spread: spread, Log: slog.New(slog.DiscardHandler), Owner: func() (string, uint64, bool) {
+		mirrors[i] = New(Options{Discovery: discoveryAddress, FallbackSpread: spread, Log: slog.New(slog.DiscardHandler), Owner: func() (string, uint64, bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			if old := believes[i]; old > 0 {
@@ -168,15 +168,15 @@
 		t.Errorf("%d calls to discovery for %d mirrors", len(calls), n)
 	}
 	mu.Unlock()
-	roster.Put(entry(1, "DRAINING"))
+	roster.Put(entryJSON(1, "DRAINING"))
 	t.Logf("a drain is at all %d mirrors after %v", n, all("the drain", holds("s-1", "DRAINING")))
 
 	mu.Lock()
 	owner, calls = -1, nil
 	lost := time.Now()
 	mu.Unlock()
-	all("alone", func(i int) bool { return mirrors[i].Direct() })
-	roster.Put(entry(2, "DELETED"))
+	all("alone", func(i int) bool { return mirrors[i].FollowsDiscovery() })
+	roster.Put(entryJSON(2, "DELETED"))
 	all("a change while alone", holds("s-2", "DELETED"))
 	mu.Lock()
 	latest := calls[len(calls)-1].Sub(lost)
@@ -186,8 +186,8 @@
 	}
 	owner, token, believes[0], calls = 7, 2, 1, nil // the first owner wakes up and still believes
 	mu.Unlock()
-	all("a new owner", func(i int) bool { return i == 7 || i == 0 || !mirrors[i].Direct() })
-	roster.Put(entry(3, "SERVING"))
+	all("a new owner", func(i int) bool { return i == 7 || i == 0 || !mirrors[i].FollowsDiscovery() })
+	roster.Put(entryJSON(3, "SERVING"))
 	all("a change through the new owner", holds("s-3", "SERVING"))
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/standalone/discoverycache/stored_test.go
+++ b/internal/standalone/discoverycache/stored_test.go
@@ -25,16 +25,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := []line{
-		{Update: discovery.Update{Seq: 1_700_000_000_000_002, Whole: true, Hosts: []json.RawMessage{json.RawMessage(hostServing)}}, Origin: 41},
-		{Update: discovery.Update{Seq: 1_700_000_000_000_003, Hosts: []json.RawMessage{json.RawMessage(hostDeleted)}}, Origin: 42},
+	want := []ownerUpdate{
+		{Update: discovery.Update{Version: 1_700_000_000_000_002, Complete: true, Entries: []json.RawMessage{json.RawMessage(hostServing)}}, DiscoveryVersion: 41},
+		{Update: discovery.Update{Version: 1_700_000_000_000_003, Entries: []json.RawMessage{json.RawMessage(hostDeleted)}}, DiscoveryVersion: 42},
 	}
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
 	if len(lines) != len(want) {
 		t.Fatalf("%d lines", len(lines))
 	}
 	for i, sent := range lines {
-		var got line
+		var got ownerUpdate
 		if err := json.Unmarshal(sent, &got); err != nil || !reflect.DeepEqual(got, want[i]) {
 			t.Errorf("read %+v, %v, want %+v", got, err, want[i])
 		}
@@ -57,8 +57,8 @@
 		want discovery.Update
 		at   uint64
 	}{
-		{"the whole list", append(first, '\n'), discovery.Update{Whole: true, Hosts: []json.RawMessage{json.RawMessage(hostServing)}}, 41},
-		{"and a change", append(append(first, '\n'), second...), discovery.Update{Whole: true, Hosts: []json.RawMessage{}}, 42},
+		{"the whole list", append(first, '\n'), discovery.Update{Complete: true, Entries: []json.RawMessage{json.RawMessage(hostServing)}}, 41},
+		{"and a change", append(append(first, '\n'), second...), discovery.Update{Complete: true, Entries: []json.RawMessage{}}, 42},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			owner := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -71,11 +71,11 @@
 			defer owner.Close()
 			addr := owner.Listener.Addr().String()
 			m := New(Options{Owner: func() (string, uint64, bool) { return addr, 7, false }}, time.UnixMicro(1))
-			if err := m.follow(t.Context(), m.pick()); err == nil {
+			if err := m.follow(t.Context(), m.chooseSource()); err == nil {
 				t.Fatal("the end of the watch is no error")
 			}
 			got, origin, _ := m.since(0)
-			if got.Seq = 0; !reflect.DeepEqual(got, c.want) || origin != c.at {
+			if got.Version = 0; !reflect.DeepEqual(got, c.want) || origin != c.at {
 				t.Errorf("holds %+v of version %d, want %+v of %d", got, origin, c.want, c.at)
 			}
 		})
--- a/internal/standalone/listener/bench_test.go
+++ b/internal/standalone/listener/bench_test.go
@@ -22,8 +22,8 @@
 	})
 	b.Run("counts", func(b *testing.B) {
 		for range b.N {
-			server.opts.Metrics.Sent()
-			server.opts.Metrics.End("quote", metrics.Answered)
+			server.opts.Metrics.AttemptSent()
+			server.opts.Metrics.RequestEnded("quote", metrics.Served)
 		}
 	})
 }
--- a/internal/standalone/listener/handler.go
+++ b/internal/standalone/listener/handler.go
@@ -110,13 +110,13 @@
 		return client.Err() != nil
 	}
 	s.inFlight.Add(1)
-	outcome := metrics.Errored // stays if the handler panics
+	outcome := metrics.Failed // stays if the handler panics
 	defer func() {
 		s.inFlight.Add(-1)
 		if client.Err() != nil {
-			outcome = metrics.Left
+			outcome = metrics.Cancelled
 		}
-		s.opts.Metrics.End(singleValue(r.Header, classHeader), outcome)
+		s.opts.Metrics.RequestEnded(singleValue(r.Header, classHeader), outcome)
 	}()
 	ctx, cancel := s.requestContext(client, info, deadline)
 	defer cancel()
@@ -128,12 +128,12 @@
 
 // admitAndForward passes a request through the gate and to the transport, and returns how it ended.
 func (s *Server) admitAndForward(ctx context.Context, w http.ResponseWriter, r *http.Request, info *forwarder.RequestInfo,
-	deadline time.Time) metrics.Ended {
+	deadline time.Time) metrics.Outcome {
 	if s.opts.Gate != nil {
 		finish, rejection := s.opts.Gate.admit(ctx, r, info, deadline)
 		if finish == nil {
 			writeRejection(w, rejection)
-			return metrics.Deferred
+			return metrics.Rejected
 		}
 		defer func() { finish(info.Answered) }()
 	}
@@ -143,11 +143,11 @@
 	s.proxy.ServeHTTP(w, r.WithContext(ctx))
 	switch {
 	case info.Answered:
-		return metrics.Answered
+		return metrics.Served
 	case info.Rejected:
-		return metrics.Deferred
+		return metrics.Rejected
 	}
-	return metrics.Errored
+	return metrics.Failed
 }
 
 // errShutdown is the cause with which requests end that a stopping proxy has not answered when its last response is due.
@@ -174,11 +174,11 @@
 
 // abortIncompleteBody ends the reading of a streamed body when its request ends: an attempt that still reads it has to
 // stop, and the connection is not used again. A body that broke off makes the outcome a disconnect.
-func (s *Server) abortIncompleteBody(w http.ResponseWriter, info *forwarder.RequestInfo, outcome *metrics.Ended) {
+func (s *Server) abortIncompleteBody(w http.ResponseWriter, info *forwarder.RequestInfo, outcome *metrics.Outcome) {
 	select {
 	case <-info.Stream.Ended():
 		if _, err := info.Stream.End(); err != nil {
-			*outcome = metrics.Left
+			*outcome = metrics.Cancelled
 		}
 	default:
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now()) // fails only on a connection that is over
--- a/internal/standalone/listener/request.go
+++ b/internal/standalone/listener/request.go
@@ -54,7 +54,7 @@
 // requestReader reads and checks requests by the settings in force.
 type requestReader struct {
 	mu      sync.Mutex // guards what follows
-	classes requestclass.Book
+	classes requestclass.Table
 	tenants map[string]uint32 // their places in the settings, by name; empty: the deployment has no tenants
 }
 
@@ -72,7 +72,7 @@
 	if err := apply(&numbered); err != nil {
 		return err
 	}
-	rr.classes.Change(plan, next.Classes)
+	rr.classes.Apply(plan, next.Classes)
 	rr.tenants = map[string]uint32{}
 	for i, p := range next.Tenants {
 		rr.tenants[p.Name] = uint32(i)
@@ -84,7 +84,7 @@
 func (rr *requestReader) classNumbers() int {
 	rr.mu.Lock()
 	defer rr.mu.Unlock()
-	return rr.classes.Numbers()
+	return rr.classes.Len()
 }
 
 // begin counts a request of a class and tenant as in flight; end must follow. An error means that it is not counted.
@@ -96,13 +96,13 @@
 	if len(rr.tenants) > 0 {
 		info.Tenant, isKnownTenant = rr.tenants[tenantName]
 	}
-	number, class, ok := rr.classes.Take(className)
+	number, class, ok := rr.classes.Acquire(className)
 	if !ok {
 		return nil, settings.Class{}, badRequestf("%s names no class", classHeader)
 	}
 	info.Class = number
 	if !isKnownTenant {
-		rr.classes.Leave(number)
+		rr.classes.Release(number)
 		return nil, settings.Class{}, badRequestf("%s names no tenant", tenantHeader)
 	}
 	return info, class, nil
@@ -112,7 +112,7 @@
 func (rr *requestReader) end(info *forwarder.RequestInfo) {
 	rr.mu.Lock()
 	defer rr.mu.Unlock()
-	rr.classes.Leave(info.Class)
+	rr.classes.Release(info.Class)
 }
 
 // read checks a request's head and reads its body, as far as it is buffered. It returns the client's deadline, as
--- a/internal/standalone/maintenance/stored_test.go
+++ b/internal/standalone/maintenance/stored_test.go
@@ -16,17 +16,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var got kept
+	var got storedState
 	if err := json.Unmarshal(text, &got); err != nil {
 		t.Fatal(err)
 	}
-	want := kept{Version: 1, Banned: []string{"quote-01", "quote-02"},
-		Back: map[string]policy.Time{"quote-03": 1_700_000_000_000_001, "quote-04": 1_700_000_000_000_002}}
+	want := storedState{Version: 1, Disabled: []string{"quote-01", "quote-02"},
+		EnabledAt: map[string]policy.Time{"quote-03": 1_700_000_000_000_001, "quote-04": 1_700_000_000_000_002}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
-	var s Set
-	if err := s.Adopt(text); err != nil {
+	var s State
+	if err := s.Restore(text); err != nil {
 		t.Fatal(err)
 	}
 	ready := policy.Member{Server: 9, Mode: policy.ModeReady, StartedAt: 5}
@@ -37,11 +37,11 @@
 		"quote-04": {Server: 9, Mode: policy.ModeReady, StartedAt: 1_700_000_000_000_002},
 		"quote-05": ready,
 	} {
-		if got := s.Member(name, ready); got != want {
+		if got := s.Apply(name, ready); got != want {
 			t.Errorf("%s is taken for %+v, want %+v", name, got, want)
 		}
 	}
-	if written := s.Text(); !bytes.Equal(written, bytes.TrimSpace(text)) {
+	if written := s.Encode(); !bytes.Equal(written, bytes.TrimSpace(text)) {
 		t.Errorf("written %s, want %s", written, text)
 	}
 }
--- a/internal/standalone/maintenance/suspension.go
+++ b/internal/standalone/maintenance/suspension.go
@@ -12,128 +12,128 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// Most bounds the names that are remembered: of hosts that were listed once, and of those that are taken out. A ban outlives its
+// MaxBackends bounds the names that are remembered: of hosts that were listed once, and of those that are taken out. A ban outlives its
 // host's removal from the list; a name without one is forgotten when Most others have been listed since.
-const Most = 4096
+const MaxBackends = 4096
 
-// version is that of the form in which a set is kept.
-const version = 1
+// formatVersion is that of the form in which a set is kept.
+const formatVersion = 1
 
 // Errors of Suspend and Resume.
 var (
-	ErrUnknown = errors.New("no host of this name was ever listed")
-	ErrFull    = errors.New("too many hosts are taken out")
+	ErrUnknownBackend  = errors.New("no host of this name was ever listed")
+	ErrTooManyDisabled = errors.New("too many hosts are taken out")
 )
 
-// Set is what operators have said. The zero value is ready for use.
-type Set struct {
-	names  map[string]*host
-	listed uint64 // hosts listed so far: the age of a name
+// State is what operators have said. The zero value is ready for use.
+type State struct {
+	backends     map[string]*backendState
+	observations uint64 // hosts listed so far: the age of a name
 }
 
-type host struct {
-	seen   uint64 // when it was listed last
-	banned bool
-	back   policy.Time // when it was resumed, in Unix microseconds; 0: never, or it has been started since
+type backendState struct {
+	lastObserved uint64 // when it was listed last
+	disabled     bool
+	enabledAt    policy.Time // when it was resumed, in Unix microseconds; 0: never, or it has been started since
 }
 
-// Listed tells that a host is in the list, with its start as listed.
-func (s *Set) Listed(name string, upSince policy.Time) {
-	h := s.names[name]
+// Observe tells that a host is in the list, with its start as listed.
+func (s *State) Observe(name string, upSince policy.Time) {
+	h := s.backends[name]
 	if h == nil {
-		if s.names == nil {
-			s.names = map[string]*host{}
+		if s.backends == nil {
+			s.backends = map[string]*backendState{}
 		}
-		s.room()
-		h = &host{}
-		s.names[name] = h
+		s.evictOldest()
+		h = &backendState{}
+		s.backends[name] = h
 	}
-	s.listed++
-	h.seen = s.listed
-	if upSince >= h.back {
-		h.back = 0
+	s.observations++
+	h.lastObserved = s.observations
+	if upSince >= h.enabledAt {
+		h.enabledAt = 0
 	}
 }
 
-// Kept is how many names are remembered, Most at the most.
-func (s *Set) Kept() int { return len(s.names) }
+// Len is how many names are remembered, Most at the most.
+func (s *State) Len() int { return len(s.backends) }
 
-// room forgets the name that was listed longest ago, of those that are not taken out, where there are too many.
-func (s *Set) room() {
-	if len(s.names) < Most {
+// evictOldest forgets the name that was listed longest ago, of those that are not taken out, where there are too many.
+func (s *State) evictOldest() {
+	if len(s.backends) < MaxBackends {
 		return
 	}
 	oldest := ""
-	for name, h := range s.names {
-		if !h.banned && (oldest == "" || h.seen < s.names[oldest].seen) {
+	for name, h := range s.backends {
+		if !h.disabled && (oldest == "" || h.lastObserved < s.backends[oldest].lastObserved) {
 			oldest = name
 		}
 	}
-	delete(s.names, oldest)
+	delete(s.backends, oldest)
 }
 
-// Suspend takes a host out, until one Resume. Again is harmless.
-func (s *Set) Suspend(name string) error {
-	h := s.names[name]
+// Disable takes a host out, until one Resume. Again is harmless.
+func (s *State) Disable(name string) error {
+	h := s.backends[name]
 	switch {
 	case h == nil:
-		return ErrUnknown
-	case !h.banned && s.banned() >= Most/2:
-		return ErrFull
+		return ErrUnknownBackend
+	case !h.disabled && s.disabledCount() >= MaxBackends/2:
+		return ErrTooManyDisabled
 	}
-	h.banned = true
+	h.disabled = true
 	return nil
 }
 
-// Resume brings a host back, as one that has just started. Of a host that is not taken out nothing changes.
-func (s *Set) Resume(name string, now policy.Time) error {
-	h := s.names[name]
+// Enable brings a host back, as one that has just started. Of a host that is not taken out nothing changes.
+func (s *State) Enable(name string, now policy.Time) error {
+	h := s.backends[name]
 	if h == nil {
-		return ErrUnknown
+		return ErrUnknownBackend
 	}
-	if h.banned {
-		h.banned, h.back = false, now
+	if h.disabled {
+		h.disabled, h.enabledAt = false, now
 	}
 	return nil
 }
 
-func (s *Set) banned() (n int) {
-	for _, h := range s.names {
-		if h.banned {
+func (s *State) disabledCount() (n int) {
+	for _, h := range s.backends {
+		if h.disabled {
 			n++
 		}
 	}
 	return n
 }
 
-// Member is what a host that is listed as m is to be taken for.
-func (s *Set) Member(name string, m policy.Member) policy.Member {
-	h := s.names[name]
+// Apply is what a host that is listed as m is to be taken for.
+func (s *State) Apply(name string, m policy.Member) policy.Member {
+	h := s.backends[name]
 	if h == nil || m.Mode == policy.ModeGone {
 		return m
 	}
-	if h.banned && m.Mode == policy.ModeReady {
+	if h.disabled && m.Mode == policy.ModeReady {
 		m.Mode = policy.ModeDraining
 	}
-	m.StartedAt = max(m.StartedAt, h.back)
+	m.StartedAt = max(m.StartedAt, h.enabledAt)
 	return m
 }
 
-// kept is the form in which a set is kept. It holds what operators said and no more than that.
-type kept struct {
-	Version int                    `json:"version"`
-	Banned  []string               `json:"banned"`
-	Back    map[string]policy.Time `json:"back"`
+// storedState is the form in which a set is kept. It holds what operators said and no more than that.
+type storedState struct {
+	Version   int                    `json:"version"`
+	Disabled  []string               `json:"banned"`
+	EnabledAt map[string]policy.Time `json:"back"`
 }
 
-// Text is what is to be kept of the set.
-func (s *Set) Text() []byte {
-	k := kept{Version: version, Banned: []string{}, Back: map[string]policy.Time{}}
-	for _, name := range slices.Sorted(maps.Keys(s.names)) {
-		if h := s.names[name]; h.banned {
-			k.Banned = append(k.Banned, name)
-		} else if h.back > 0 {
-			k.Back[name] = h.back
+// Encode is what is to be kept of the set.
+func (s *State) Encode() []byte {
+	k := storedState{Version: formatVersion, Disabled: []string{}, EnabledAt: map[string]policy.Time{}}
+	for _, name := range slices.Sorted(maps.Keys(s.backends)) {
+		if h := s.backends[name]; h.disabled {
+			k.Disabled = append(k.Disabled, name)
+		} else if h.enabledAt > 0 {
+			k.EnabledAt[name] = h.enabledAt
 		}
 	}
 	text, err := json.Marshal(k)
@@ -143,30 +143,30 @@
 	return text
 }
 
-// Adopt takes over what Text wrote, here or in another process, in place of what operators said so far. A text that is not
+// Restore takes over what Text wrote, here or in another process, in place of what operators said so far. A text that is not
 // whole, or of another version, is an error and changes nothing.
-func (s *Set) Adopt(text []byte) error {
-	var k kept
+func (s *State) Restore(text []byte) error {
+	var k storedState
 	if err := json.Unmarshal(text, &k); err != nil {
 		return fmt.Errorf("suspension: %w", err)
 	}
-	if k.Version != version || len(k.Banned) > Most/2 || len(k.Back) > Most {
-		return fmt.Errorf("suspension: version %d with %d and %d hosts is not one of ours", k.Version, len(k.Banned), len(k.Back))
+	if k.Version != formatVersion || len(k.Disabled) > MaxBackends/2 || len(k.EnabledAt) > MaxBackends {
+		return fmt.Errorf("suspension: version %d with %d and %d hosts is not one of ours", k.Version, len(k.Disabled), len(k.EnabledAt))
 	}
-	for _, h := range s.names {
-		h.banned, h.back = false, 0
+	for _, h := range s.backends {
+		h.disabled, h.enabledAt = false, 0
 	}
-	at := func(name string) *host {
-		if s.names[name] == nil {
-			s.Listed(name, 0)
+	at := func(name string) *backendState {
+		if s.backends[name] == nil {
+			s.Observe(name, 0)
 		}
-		return s.names[name]
+		return s.backends[name]
 	}
-	for _, name := range k.Banned {
-		at(name).banned = true
+	for _, name := range k.Disabled {
+		at(name).disabled = true
 	}
-	for name, since := range k.Back {
-		at(name).back = since
+	for name, since := range k.EnabledAt {
+		at(name).enabledAt = since
 	}
 	return nil
 }
--- a/internal/standalone/metrics/metrics_test.go
+++ b/internal/standalone/metrics/metrics_test.go
@@ -16,17 +16,17 @@
 // Series begin at 0 with their class, outlast it, go on when it comes back, and are bounded.
 func TestClassesComeAndGo(t *testing.T) {
 	m := New()
-	m.Watch(Gauges{func() int { return 7 }, func() int { return 12 }, func() int { return 2 },
+	m.RegisterGauges(Gauges{func() int { return 7 }, func() int { return 12 }, func() int { return 2 },
 		func() map[string]int { return map[string]int{"hosts": 3} }})
-	m.Classes([]string{"a", "b"})
-	m.End("a", Answered)
-	m.End("a", Left)
-	m.Classes([]string{"b", "c"})
-	m.End("a", Errored) // under way while it vanished
-	m.Classes([]string{"a", "b"})
-	m.Sent()
-	m.Loaded(true)
-	m.Loaded(false)
+	m.SetClasses([]string{"a", "b"})
+	m.RequestEnded("a", Served)
+	m.RequestEnded("a", Cancelled)
+	m.SetClasses([]string{"b", "c"})
+	m.RequestEnded("a", Failed) // under way while it vanished
+	m.SetClasses([]string{"a", "b"})
+	m.AttemptSent()
+	m.ConfigReloaded(true)
+	m.ConfigReloaded(false)
 	text := scrape(m)
 	for _, line := range []string{`svc_answered_total{group="a"} 1`, `svc_errored_total{group="a"} 1`, `svc_deferred_total{group="c"} 0`,
 		"svc_sends_total 1", "svc_conf_loaded_total 1", "svc_conf_invalid_total 1", "svc_current 7", "svc_cluster_size 12",
@@ -35,10 +35,10 @@
 			t.Errorf("%s is not in\n%s", line, text)
 		}
 	}
-	for i := range 3 * mostGone {
-		m.Classes([]string{fmt.Sprint(i)})
+	for i := range 3 * maxRemovedClasses {
+		m.SetClasses([]string{fmt.Sprint(i)})
 	}
-	if n := strings.Count(scrape(m), "svc_answered_total{"); n > mostGone+1 {
+	if n := strings.Count(scrape(m), "svc_answered_total{"); n > maxRemovedClasses+1 {
 		t.Errorf("%d classes are kept", n)
 	}
 }
--- a/internal/standalone/server/operations.go
+++ b/internal/standalone/server/operations.go
@@ -18,15 +18,15 @@
 
 // startAdmin serves the admin API until running ends, where the configuration has an address for it.
 func (s *server) startAdmin(running, stop context.Context) error {
-	if s.cfg.Operator == "" {
+	if s.cfg.AdminListen == "" {
 		return nil
 	}
-	ln, err := s.opts.Network.Listen(s.cfg.Operator)
+	ln, err := s.opts.Network.Listen(s.cfg.AdminListen)
 	if err != nil {
 		return fmt.Errorf("config: operator: %w", err)
 	}
-	api := admin.New(admin.Options{Log: s.log, Most: s.sockets.adminShare(), Metrics: s.metrics.Handler(),
-		Suspend: s.watcher.Suspend, Resume: s.watcher.Resume, Ready: func() error { return s.ready(stop) }})
+	api := admin.New(admin.Options{Log: s.log, MaxConnections: s.sockets.adminShare(), Metrics: s.metrics.Handler(),
+		Disable: s.watcher.Disable, Enable: s.watcher.Enable, Ready: func() error { return s.ready(stop) }})
 	s.background.Go(func() {
 		if err := api.Serve(running, ln); err != nil {
 			s.log.Error("admin API stopped", "error", err)
@@ -40,7 +40,7 @@
 	switch {
 	case stop.Err() != nil:
 		return errStopping
-	case !s.watcher.Held():
+	case !s.watcher.HasEndpoints():
 		return errNoEndpoints
 	case !s.accepting.Load():
 		return errNotAccepting
@@ -49,16 +49,16 @@
 }
 
 func (s *server) registerGauges() {
-	s.metrics.Watch(metrics.Gauges{Current: s.clients.InFlight, Size: s.watcher.Size,
-		Unhealthy: func() int { return s.engine.EjectedServers() + s.watcher.TakenOut() },
-		Kept:      s.tableSizes})
+	s.metrics.RegisterGauges(metrics.Gauges{InFlight: s.clients.InFlight, Backends: s.watcher.EndpointCount,
+		Unhealthy:  func() int { return s.engine.EjectedServers() + s.watcher.DisabledCount() },
+		TableSizes: s.tableSizes})
 }
 
 // tableSizes returns how many entries are held in memory by ID, host, address or class: the series of svc_kept. Each of these
 // comes down again with its owner, or has a bound of its own; docs/runbook-standalone.md says which.
 func (s *server) tableSizes() map[string]int {
 	engine, backends, clients := s.engine.TableSizes(), s.backends.TableSizes(), s.clients.TableSizes()
-	listed, names, disabled := s.watcher.Kept()
+	listed, names, disabled := s.watcher.TableSizes()
 	return map[string]int{
 		"calls":            engine.Calls,
 		"timers":           engine.Timers,
@@ -76,7 +76,7 @@
 		"front_sockets":    s.clients.OpenSockets(),
 		"correlation_ids":  clients.CorrelationIDs,
 		"class_numbers":    clients.ClassNumbers,
-		"class_series":     s.metrics.Shown(),
+		"class_series":     s.metrics.ClassCount(),
 		"gate_waiting":     clients.GateQueue,
 		"probes":           s.probes.InFlight(),
 	}
--- a/internal/standalone/server/reload.go
+++ b/internal/standalone/server/reload.go
@@ -44,7 +44,7 @@
 	if err == nil {
 		err = r.apply(next)
 	}
-	r.metrics.Loaded(err == nil)
+	r.metrics.ConfigReloaded(err == nil)
 	if err == nil {
 		return
 	}
@@ -78,23 +78,23 @@
 	}
 	limits := &next.Settings.Limits
 	r.backends.ApplySettings(settingsDuration(limits.DialTimeout), settingsDuration(limits.IdleClose),
-		config.Columns(&next.Settings, &next.Module))
+		config.ReportColumns(&next.Settings, &next.Policy))
 	r.transport.MaxRetryAfter.Store(settings.Micros(limits.MaxRetryAfter))
-	r.metrics.Classes(classNames(&next.Settings))
+	r.metrics.SetClasses(classNames(&next.Settings))
 	for _, key := range changedStartupKeys(r.cfg, next) {
 		r.log.Warn("changed key takes effect at the next start", "key", key)
 	}
 	r.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", classNames(&next.Settings),
 		"attempts", limits.TryLimit)
 	r.cfg = next
-	r.watcher.Move(next.Discovery, next.Settings.Zones, next.Settings.InstanceTypes)
+	r.watcher.SetSource(next.Discovery, next.Settings.Zones, next.Settings.InstanceTypes)
 	return nil
 }
 
 // policySettings converts settings to those of the policy. Where several processes serve, each counts as a proxy of its own in
 // the group: together they give cold backends and tenants' shares what one would.
 func (r *reloader) policySettings(s *settings.Settings) (policy.Settings, error) {
-	set, err := config.Module(s)
+	set, err := config.PolicySettings(s)
 	set.GroupSize = max(1, set.GroupSize) * max(1, r.processes)
 	return set, err
 }
@@ -147,7 +147,7 @@
 		{"name", old.Name == next.Name},
 		{"listen", old.Listen == next.Listen},
 		{"limits", old.Limits == next.Limits},
-		{"operator", old.Operator == next.Operator},
+		{"operator", old.AdminListen == next.AdminListen},
 	} {
 		if !k.same {
 			keys = append(keys, k.key)
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -89,7 +89,7 @@
 		opts.Network = tcp{}
 	}
 	s := &server{cfg: cfg, opts: opts, log: log, sockets: socketBudget(cfg.Limits.Sockets)}
-	balancer, err := policy.New(cfg.Module, cfg.Seed)
+	balancer, err := policy.New(cfg.Policy, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("config: settings: %w", err)
 	}
@@ -126,25 +126,25 @@
 func (s *server) createBackends() {
 	set := &s.cfg.Settings
 	s.metrics = metrics.New()
-	s.metrics.Classes(classNames(set))
+	s.metrics.SetClasses(classNames(set))
 	s.backends = backend.NewPool(backend.Options{
 		DialTimeout:      settingsDuration(set.Limits.DialTimeout),
 		IdleTimeout:      settingsDuration(set.Limits.IdleClose),
 		MaxConnections:   s.sockets.backendShare(),
-		ReportColumns:    config.Columns(set, &s.cfg.Module),
-		OnRequestWritten: s.metrics.Sent,
+		ReportColumns:    config.ReportColumns(set, &s.cfg.Policy),
+		OnRequestWritten: s.metrics.AttemptSent,
 		Dial:             s.opts.Network.Dial,
 	}, s.log)
-	s.watcher = discovery.NewWatcher(s.cfg.Discovery, discovery.NewTable(set.Zones, set.InstanceTypes), s.backends, s.log)
-	s.watcher.Over(s.opts.Network.Dial)
+	s.watcher = discovery.NewWatcher(s.cfg.Discovery, discovery.NewDecoder(set.Zones, set.InstanceTypes), s.backends, s.log)
+	s.watcher.SetDial(s.opts.Network.Dial)
 }
 
 // joinProcesses makes this process known to the others of this proxy, where there is a folder that all of them see.
 func (s *server) joinProcesses() {
 	var folder *hotrestart.SharedFolder
-	if s.cfg.Shared != "" {
-		folder = hotrestart.NewSharedFolder(s.cfg.Shared, s.cfg.Name+" "+s.cfg.Listen)
-		s.watcher.Keep(folder)
+	if s.cfg.SharedFolder != "" {
+		folder = hotrestart.NewSharedFolder(s.cfg.SharedFolder, s.cfg.Name+" "+s.cfg.Listen)
+		s.watcher.ShareMaintenance(folder)
 	}
 	s.process = hotrestart.NewProcess(folder, s.cfg.Limits.MemoryMB, s.log)
 	if err := s.process.Join(); err != nil { // an unusable folder must not stop a proxy: it runs as if alone
@@ -155,7 +155,7 @@
 // createRequestPath creates what a request passes through: the listener, the transport and the engine of the policy.
 func (s *server) createRequestPath(balancer *policy.Balancer) {
 	s.probes = forwarder.NewLoadPoller(s.backends, s.log)
-	hooks := engine.Hooks{SubscribeDiscovery: s.watcher.Ask, CloseIdleConns: s.backends.CloseIdle, PollLoad: s.probes.Poll}
+	hooks := engine.Hooks{SubscribeDiscovery: s.watcher.RestartWatch, CloseIdleConns: s.backends.CloseIdle, PollLoad: s.probes.Poll}
 	s.engine = engine.New(balancer, hooks, s.log)
 	s.probes.SetEngine(s.engine)
 	s.transport = &forwarder.Transport{Engine: s.engine, Backends: s.backends, Log: s.log}
@@ -163,7 +163,7 @@
 	s.clients = listener.New(listener.Options{
 		Settings:          &s.cfg.Settings,
 		Transport:         s.transport,
-		Ready:             s.watcher.Held,
+		Ready:             s.watcher.HasEndpoints,
 		GuaranteedSockets: s.sockets.clientShare(),
 		SocketLimit: func() int {
 			return s.sockets.clientLimit(s.backends.OpenConnections(), s.process.PeerSockets())
@@ -191,7 +191,7 @@
 	// Discovery and timers are needed until the last request has ended.
 	running, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
-	s.watcher.Start(s.engine, s.cfg.Known)
+	s.watcher.Start(s.engine, s.cfg.KnownEndpoints)
 	if err := s.startAdmin(running, stop); err != nil {
 		return err
 	}
@@ -209,7 +209,7 @@
 func (s *server) startBackground(running context.Context) {
 	s.background.Go(func() { s.engine.Run(running) })
 	s.background.Go(func() { s.watcher.Run(running) })
-	s.background.Go(func() { s.watcher.Look(running) })
+	s.background.Go(func() { s.watcher.RunMaintenance(running) })
 	if s.gate != nil {
 		s.background.Go(func() { s.gate.Run(running) })
 	}
@@ -251,7 +251,7 @@
 	defer timeout.Stop()
 	defer ticker.Stop()
 	timedOut := false
-	for !watcher.Held() || !watcher.Heard() && !timedOut {
+	for !watcher.HasEndpoints() || !watcher.HasSynced() && !timedOut {
 		select {
 		case <-stop.Done():
 			return false
--- a/internal/standalone/server/server_test.go
+++ b/internal/standalone/server/server_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Operator = "" // a fixed port, which another run may hold
+	cfg.AdminListen = "" // a fixed port, which another run may hold
 	free.Close()
 	received, proceed := make(chan struct{}, 9), make(chan struct{})
 	fakes, endFakes := context.WithCancel(context.Background())
@@ -140,7 +140,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Operator = "" // a fixed port, which another run may hold
+	cfg.AdminListen = "" // a fixed port, which another run may hold
 	free.Close()
 	stop, requestStop := context.WithCancel(context.Background())
 	ended, reloads := make(chan error, 1), make(chan os.Signal)
--- a/internal/standalone/server/soak_test.go
+++ b/internal/standalone/server/soak_test.go
@@ -47,11 +47,11 @@
 		rng := rand.New(rand.NewPCG(1, 2))
 		stopHost := map[string]context.CancelFunc{}
 		start := func(n int) discovery.Entry {
-			e := discovery.Entry{Host: fmt.Sprintf("s-%d", n), Dial: fmt.Sprintf("10.1.%d.%d:7070", n/250, n%250+1), Site: "ub-east", Class: "std-8",
-				Block: 1, Health: "SERVING", Share: 1, BornMs: float64(time.Now().UnixMilli())}
+			e := discovery.Entry{Host: fmt.Sprintf("s-%d", n), Address: fmt.Sprintf("10.1.%d.%d:7070", n/250, n%250+1), Zone: "ub-east", InstanceType: "std-8",
+				Cell: 1, Health: "SERVING", Size: 1, StartedAtMs: float64(time.Now().UnixMilli())}
 			d := &fakestandalone.Destination{Name: e.Host, Cores: 8, Work: func() { time.Sleep(20 * time.Millisecond) }}
 			d.Fail(0.02)
-			stopHost[e.Host] = serveOn(d, e.Dial)
+			stopHost[e.Host] = serveOn(d, e.Address)
 			roster.Put(e)
 			return e
 		}
@@ -72,7 +72,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		cfg.Operator, cfg.Seed = "10.0.0.2:7071", 1
+		cfg.AdminListen, cfg.Seed = "10.0.0.2:7071", 1
 		reloads := make(chan os.Signal)
 		var reloadCount, asked, served atomic.Int64
 		readConfig := func(current *config.Config) (*config.Config, error) { // one class more, with a name that was never there
@@ -81,7 +81,7 @@
 			class.Name = fmt.Sprintf("season-%d", reloadCount.Add(1))
 			next.Settings.Classes = append(slices.Clone(cfg.Settings.Classes[:len(fakestandalone.Classes)]), class)
 			var err error
-			next.Module, err = config.Module(&next.Settings)
+			next.Policy, err = config.PolicySettings(&next.Settings)
 			return &next, err
 		}
 		stop, requestStop := context.WithCancel(t.Context())
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -14,10 +14,10 @@
 
 // Error is a fault of an operator's file, with its place. Line is 0 where the key is not in the file.
 type Error struct {
-	File string
-	Line int
-	Key  string
-	Why  string
+	File   string
+	Line   int
+	Key    string
+	Reason string
 }
 
 func (e *Error) Error() string {
@@ -28,7 +28,7 @@
 	if e.Key != "" {
 		at += ": " + e.Key
 	}
-	return at + ": " + e.Why
+	return at + ": " + e.Reason
 }
 
 // Decode reads text into v, which holds the defaults. A key that v does not know and a value that does not fit are an
@@ -51,18 +51,18 @@
 		line, _ := wrong.Position()
 		return &Error{path, line, strings.Join(wrong.Key(), "."), strings.TrimPrefix(wrong.Error(), "toml: ")}
 	}
-	return &Error{File: path, Why: err.Error()}
+	return &Error{File: path, Reason: err.Error()}
 }
 
-// Keys are the keys of a file with the lines on which they stand: "world.kinds.0.cores", with places of lists from 0.
-type Keys struct {
+// KeyIndex are the keys of a file with the lines on which they stand: "world.kinds.0.cores", with places of lists from 0.
+type KeyIndex struct {
 	at map[string]int
-	// Numbers are the keys whose values are bare numbers: where a time belongs, its unit is missing.
-	Numbers []string
+	// BareNumbers are the keys whose values are bare numbers: where a time belongs, its unit is missing.
+	BareNumbers []string
 }
 
 // Has says whether a key, or one below it, is in the file.
-func (l *Keys) Has(key string) bool {
+func (l *KeyIndex) Has(key string) bool {
 	for k := range l.at {
 		if k == key || strings.HasPrefix(k, key+".") {
 			return true
@@ -72,7 +72,7 @@
 }
 
 // Line is that of a key, or of the nearest one round it that is in the file; 0: none is.
-func (l *Keys) Line(key string) int {
+func (l *KeyIndex) Line(key string) int {
 	for key != "" {
 		if n := l.at[key]; n > 0 {
 			return n
@@ -82,9 +82,9 @@
 	return 0
 }
 
-// Index finds where the keys of a file stand. A text that is no TOML gives what comes before the fault.
-func Index(text []byte) *Keys {
-	found, counts, prefix := &Keys{at: map[string]int{}}, map[string]int{}, ""
+// IndexKeys finds where the keys of a file stand. A text that is no TOML gives what comes before the fault.
+func IndexKeys(text []byte) *KeyIndex {
+	found, counts, prefix := &KeyIndex{at: map[string]int{}}, map[string]int{}, ""
 	var p unstable.Parser
 	p.Reset(text)
 	for p.NextExpression() {
@@ -118,11 +118,11 @@
 }
 
 // add notes a key and those inside its value.
-func (l *Keys) add(p *unstable.Parser, key string, line int, v *unstable.Node) {
+func (l *KeyIndex) add(p *unstable.Parser, key string, line int, v *unstable.Node) {
 	l.at[key] = line
 	switch v.Kind {
 	case unstable.Integer, unstable.Float:
-		l.Numbers = append(l.Numbers, key)
+		l.BareNumbers = append(l.BareNumbers, key)
 	case unstable.Array:
 		n := 0
 		for it := v.Children(); it.Next(); n++ {
