--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -1,5 +1,9 @@
-// Package delta makes and applies differences between two documents that mostly hold the same items, such as two
-// versions of a configuration. A difference is a row of steps: copy a part of the old document, then insert text.
+// Package delta encodes the difference between two documents that mostly hold the same items, such as two versions of a
+// configuration in JSON. Like VCDIFF (RFC 3284) a delta is a sequence of instructions: copy a range of the old document,
+// then insert text.
+//
+// Deltas are stored and sent between versions of the program, so the encoding must not change. Each instruction is three
+// unsigned varints and a text: the offset and length of the range to copy, and the length of the text to insert.
 package delta
 
 import (
@@ -10,109 +14,119 @@
 	"github.com/pkg/errors"
 )
 
-// leastCopy is the shortest part that is worth a copy step.
-const leastCopy = 16
+const (
+	// minCopyBytes is the shortest range that is worth an instruction of its own.
+	minCopyBytes = 16
+	// maxCandidates bounds how many occurrences of an item are compared for the longest match.
+	maxCandidates = 8
+)
+
+// ErrMalformed is returned by Apply for a delta that cannot be decoded or does not fit the old document.
+var ErrMalformed = errors.New("malformed delta")
+
+// instruction copies old[offset:offset+length] and then inserts text.
+type instruction struct {
+	offset, length int
+	text           []byte
+}
 
-// ErrMalformed says that a difference cannot be read, or does not fit the document that it is applied to.
-var ErrMalformed = errors.New("a difference that does not fit")
+func (i *instruction) end() int { return i.offset + i.length }
 
-// Make returns the difference that turns old into new.
-func Make(old, new []byte) []byte {
+func (i *instruction) appendTo(delta []byte) []byte {
+	delta = binary.AppendUvarint(delta, uint64(i.offset))
+	delta = binary.AppendUvarint(delta, uint64(i.length))
+	delta = binary.AppendUvarint(delta, uint64(len(i.text)))
+	return append(delta, i.text...)
+}
+
+// Make returns the delta that turns one document into another. It compares documents item by item, so what it finds
+// equal begins at an item.
+func Make(old, target []byte) []byte {
 	index := indexItems(old)
-	var steps, inserted []byte
-	from, length := 0, 0 // the copy that stands before inserted
-	flush := func() {
-		steps = binary.AppendUvarint(steps, uint64(from))
-		steps = binary.AppendUvarint(steps, uint64(length))
-		steps = binary.AppendUvarint(steps, uint64(len(inserted)))
-		steps = append(steps, inserted...)
-		inserted = inserted[:0]
-	}
-	length = commonPrefix(old, new)
-	for at := length; at < len(new); {
-		item := new[at : at+itemEnd(new[at:])]
-		place, common := bestPlace(index[string(item)], old, new[at:], from+length)
-		if common < leastCopy {
-			inserted = append(inserted, item...)
-			at += len(item)
+	var delta []byte
+	current := instruction{length: commonPrefix(old, target)}
+	for position := current.length; position < len(target); {
+		rest := target[position:]
+		item := rest[:itemLength(rest)]
+		offset, length := longestMatch(index[string(item)], old, rest, current.end())
+		if length < minCopyBytes {
+			current.text = append(current.text, item...)
+			position += len(item)
 			continue
 		}
-		flush()
-		from, length = place, common
-		at += length
+		delta = current.appendTo(delta)
+		current = instruction{offset: offset, length: length}
+		position += length
 	}
-	flush()
-	return steps
+	return current.appendTo(delta)
 }
 
-// triedPlaces bounds how many places of an item are compared.
-const triedPlaces = 8
-
-// bestPlace returns the place in old from which most of text can be copied, of those that come next after the end of
-// the last copy.
-func bestPlace(places []int, old, text []byte, end int) (place, common int) {
-	next, _ := slices.BinarySearch(places, end)
-	for i := range min(triedPlaces, len(places)) {
-		candidate := places[(next+i)%len(places)]
-		if n := commonPrefix(old[candidate:], text); n > common {
-			place, common = candidate, n
+// longestMatch returns the offset in old, of some candidates, from which most of text can be copied. It tries the
+// candidates in order from the end of the last copy, as documents mostly hold their items in the same order.
+func longestMatch(candidates []int, old, text []byte, lastEnd int) (offset, length int) {
+	next, _ := slices.BinarySearch(candidates, lastEnd)
+	for i := range min(maxCandidates, len(candidates)) {
+		candidate := candidates[(next+i)%len(candidates)]
+		if n := commonPrefix(old[candidate:], text); n > length {
+			offset, length = candidate, n
 		}
 	}
-	return place, common
+	return offset, length
 }
 
-// indexItems returns the places of the items of a document, in rising order.
+// indexItems returns the offsets of each item of a document, in rising order.
 func indexItems(document []byte) map[string][]int {
 	index := map[string][]int{}
-	for at := 0; at < len(document); {
-		end := at + itemEnd(document[at:])
-		item := string(document[at:end])
-		index[item] = append(index[item], at)
-		at = end
+	for offset := 0; offset < len(document); {
+		end := offset + itemLength(document[offset:])
+		item := string(document[offset:end])
+		index[item] = append(index[item], offset)
+		offset = end
 	}
 	return index
 }
 
-// itemEnd returns the length of the first item of text: up to a bracket or comma that ends one in JSON.
-func itemEnd(text []byte) int {
-	if at := bytes.IndexAny(text, "},]"); at >= 0 {
-		return at + 1
+// itemLength returns the length of the first item of a text: up to a bracket or comma that ends one in JSON.
+func itemLength(text []byte) int {
+	if end := bytes.IndexAny(text, "},]"); end >= 0 {
+		return end + 1
 	}
 	return len(text)
 }
 
 func commonPrefix(a, b []byte) int {
-	most := min(len(a), len(b))
-	for i := range most {
+	shorter := min(len(a), len(b))
+	for i := range shorter {
 		if a[i] != b[i] {
 			return i
 		}
 	}
-	return most
+	return shorter
 }
 
-// Apply returns the document that a difference makes of old; most bounds its size in bytes.
-func Apply(old, difference []byte, most int) ([]byte, error) {
-	var out []byte
-	for len(difference) > 0 {
-		var step [3]uint64
-		for i := range step {
-			value, n := binary.Uvarint(difference)
+// Apply returns the document that a delta makes of an old one. One of more than maxBytes is ErrMalformed, as is a delta
+// made for another document where that shows; compare a digest of the result to be sure.
+func Apply(old, delta []byte, maxBytes int) ([]byte, error) {
+	var document []byte
+	for len(delta) > 0 {
+		var numbers [3]uint64
+		for i := range numbers {
+			value, n := binary.Uvarint(delta)
 			if n <= 0 {
 				return nil, ErrMalformed
 			}
-			step[i], difference = value, difference[n:]
+			numbers[i], delta = value, delta[n:]
 		}
-		from, length, inserted := step[0], step[1], step[2]
-		if from > uint64(len(old)) || length > uint64(len(old))-from || inserted > uint64(len(difference)) {
+		offset, length, inserted := numbers[0], numbers[1], numbers[2]
+		if offset > uint64(len(old)) || length > uint64(len(old))-offset || inserted > uint64(len(delta)) {
 			return nil, ErrMalformed
 		}
-		if uint64(len(out))+length+inserted > uint64(most) {
+		if uint64(len(document))+length+inserted > uint64(maxBytes) {
 			return nil, ErrMalformed
 		}
-		out = append(out, old[from:from+length]...)
-		out = append(out, difference[:inserted]...)
-		difference = difference[inserted:]
+		document = append(document, old[offset:offset+length]...)
+		document = append(document, delta[:inserted]...)
+		delta = delta[inserted:]
 	}
-	return out, nil
+	return document, nil
 }
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-const most = 1 << 20
+const maxBytes = 1 << 20
 
+// document is a configuration of some routes, of which the one with the index changed has another time-out.
 func document(version, routes int, changed int) string {
 	var items []string
 	for i := range routes {
@@ -24,43 +25,48 @@
 	return fmt.Sprintf(`{"version":%d,"routes":[%s],"services":[]}`, version, strings.Join(items, ","))
 }
 
-func TestADifferenceMakesTheDocument(t *testing.T) {
-	cases := []struct{ old, new string }{
-		{"", ""}, {"", "a"}, {"a", ""}, {"abc", "abc"},
-		{document(1, 50, -1), document(2, 50, 20)},
-		{document(1, 50, -1), document(2, 51, 0)},
-		{document(7, 51, 3), document(9, 20, -1)},
+func TestApply_RestoresDocument(t *testing.T) {
+	cases := []struct{ name, old, target string }{
+		{"both empty", "", ""},
+		{"from empty", "", "a"},
+		{"to empty", "a", ""},
+		{"equal", "abc", "abc"},
+		{"changed item", document(1, 50, -1), document(2, 50, 20)},
+		{"added item", document(1, 50, -1), document(2, 51, 0)},
+		{"removed items", document(7, 51, 3), document(9, 20, -1)},
 	}
 	for _, c := range cases {
-		difference := Make([]byte(c.old), []byte(c.new))
-		made, err := Apply([]byte(c.old), difference, most)
-		require.NoError(t, err)
-		assert.Equal(t, c.new, string(made))
+		t.Run(c.name, func(t *testing.T) {
+			encoded := Make([]byte(c.old), []byte(c.target))
+			restored, err := Apply([]byte(c.old), encoded, maxBytes)
+			require.NoError(t, err)
+			assert.Equal(t, c.target, string(restored))
+		})
 	}
 }
 
-// One changed route of 300 costs about as much as itself.
-func TestADifferenceIsSmall(t *testing.T) {
-	old, new := document(1, 300, -1), document(2, 300, 150)
-	assert.Less(t, len(Make([]byte(old), []byte(new)))*50, len(new))
+// The delta for one changed route of 300 is about as large as that route.
+func TestMake_SizeFollowsChange(t *testing.T) {
+	old, target := document(1, 300, -1), document(2, 300, 150)
+	assert.Less(t, len(Make([]byte(old), []byte(target)))*50, len(target))
 }
 
-func TestWhatDoesNotFitIsRefused(t *testing.T) {
+func TestApply_RejectsMalformedDelta(t *testing.T) {
 	old := []byte(document(1, 5, -1))
-	difference := Make(old, []byte(document(2, 5, 3)))
-	for cut := 1; cut < len(difference); cut++ {
-		made, err := Apply(old, difference[:cut], most)
-		if err == nil { // cut between two steps: a digest of the document tells
-			assert.NotEqual(t, document(2, 5, 3), string(made))
+	encoded := Make(old, []byte(document(2, 5, 3)))
+	for cut := 1; cut < len(encoded); cut++ {
+		restored, err := Apply(old, encoded[:cut], maxBytes)
+		if err == nil { // cut between two instructions: only a digest of the document shows it
+			assert.NotEqual(t, document(2, 5, 3), string(restored))
 		}
 	}
-	_, err := Apply(old[:10], difference, most)
+	_, err := Apply(old[:10], encoded, maxBytes)
 	assert.ErrorIs(t, err, ErrMalformed)
-	_, err = Apply(old, difference, 20)
-	assert.ErrorIs(t, err, ErrMalformed, "larger than it may be")
+	_, err = Apply(old, encoded, 20)
+	assert.ErrorIs(t, err, ErrMalformed, "over the limit")
 }
 
-func TestRandomDocuments(t *testing.T) {
+func TestApply_RestoresRandomDocuments(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	text := func() []byte {
 		out := make([]byte, random.IntN(400))
@@ -70,19 +76,19 @@
 		return out
 	}
 	for range 3000 {
-		old, new := text(), text()
-		made, err := Apply(old, Make(old, new), most)
+		old, target := text(), text()
+		restored, err := Apply(old, Make(old, target), maxBytes)
 		require.NoError(t, err)
-		require.Equal(t, string(new), string(made))
+		require.Equal(t, string(target), string(restored))
 	}
 }
 
 func FuzzApply(f *testing.F) {
 	f.Add([]byte("old"), Make([]byte("old"), []byte("new")))
-	f.Fuzz(func(t *testing.T, old, difference []byte) {
-		made, err := Apply(old, difference, 1000)
-		if err == nil && len(made) > 1000 {
-			t.Fatal("larger than it may be")
+	f.Fuzz(func(t *testing.T, old, encoded []byte) {
+		restored, err := Apply(old, encoded, 1000)
+		if err == nil && len(restored) > 1000 {
+			t.Fatal("over the limit")
 		}
 	})
 }
