--- a/cmd/pumiceline-coordinator/main.go
+++ b/cmd/pumiceline-coordinator/main.go
@@ -1,5 +1,5 @@
-// Command pumiceline-coordinator runs a machine's part in the control plane of the system: the agreed configuration,
-// the list of backends and the placement of models.
+// Command pumiceline-coordinator runs a machine's part in the control plane: the replicated configuration, the list of
+// backends and, at the lease holder, the placement of models. It is configured by a settings file (package bootstrap).
 package main
 
 import (
--- a/cmd/pumiceline-proxy/main.go
+++ b/cmd/pumiceline-proxy/main.go
@@ -1,5 +1,5 @@
-// Command pumiceline-proxy runs a machine's part in the data plane of the system: it takes clients' requests and passes
-// each to a backend that holds the requested model.
+// Command pumiceline-proxy runs a machine's part in the data plane: it accepts clients' requests and forwards each to a
+// backend that holds the requested model. It is configured by a settings file (package bootstrap).
 package main
 
 import (
--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -1,5 +1,5 @@
-// Package bootstrap reads and checks the settings file of a process of the system. The path of the file stands in
-// the environment variable PUMICELINE_BOOT.
+// Package bootstrap reads and checks the settings file of a process of the system. The platform writes the file; the
+// environment variable PUMICELINE_BOOT names it. Settings hold for the life of the process.
 package bootstrap
 
 import (
@@ -12,73 +12,86 @@
 	"pumiceline/internal/docreader"
 )
 
-// Variable names the environment variable that holds the path of the settings file.
-const Variable = "PUMICELINE_BOOT"
+// EnvironmentVariable names the variable that holds the path of the settings file.
+const EnvironmentVariable = "PUMICELINE_BOOT"
 
-// Settings are what a process is told when it starts.
+// ErrNoFile is returned by Load when the environment names no settings file.
+var ErrNoFile = errors.New(EnvironmentVariable + " names no settings file")
+
+// Settings are what a process knows of its machine and of the system when it starts.
 type Settings struct {
-	Node, Role, Zone, Region string
-	Zones                    map[string]string // region by zone
-	IP                       string
-	FrontAddress             string // listen address for clients; empty where not served
-	ReadyAddress             string // listen address for readiness checks
-	ControlAddress           string // listen address for the operator
-	FirstPort, LastPort      int    // ports for traffic inside the system
-	Seeds                    []string
-	FirstStart               bool
-	CountsForQuorum          bool
-	Limits                   Limits
-	StateDir                 string
-	Tolerance                int // machines that may be lost at one time
-	Bounds                   Bounds
-	Platform                 Platform
+	Node             string // name of the machine
+	Role             string
+	Zone             string // failure domain
+	Region           string
+	Zones            map[string]string // region by zone
+	IP               string            // on which the process listens for others of the system
+	ClientAddress    string            // listen address for clients; empty: none are served
+	ReadinessAddress string            // listen address for readiness checks
+	ControlAddress   string            // listen address for the operator
+	FirstPort        int               // of the ports for traffic inside the system
+	LastPort         int
+	Seeds            []string // control addresses of the first coordinators
+	FirstStart       bool     // the system starts for the first time: the seeds found it
+	CountsForQuorum  bool
+	Limits           Limits
+	StateDir         string // empty: the machine has no disk
+	Tolerance        int    // machines that may be lost at one time
+	Bounds           Bounds
+	Platform         Platform
 }
 
 // Limits are the machine's limits for this process.
 type Limits struct {
-	CPUShare  float64
+	CPUShare  float64 // of one core
 	MemoryMB  int
-	FileLimit int
+	FileLimit int // open files
 	DiskMB    int
 }
 
-// Bounds are the figures of the rules in force.
+// Bounds are the figures of the deployment's rules. Not all of them are used: those that are not are kept so that their
+// keys are checked.
 type Bounds struct {
-	Ack, Apply, Drain, Grace time.Duration
-	Lease, Thaw              time.Duration
-	RetryWindow              time.Duration
-	RetryRatio               float64
-	RetryExtra               float64
-	CapWindow                time.Duration // window of the rule on loads
-	CapExcess                float64
-	ChecksFence              bool // backends refuse orders with a lower fencing token than they have seen
-	Quiet                    time.Duration
-	ReuseAfter               time.Duration
+	Ack         time.Duration // within which a change is acknowledged
+	Apply       time.Duration // within which an acknowledged change is in force at every proxy that is in touch
+	Drain       time.Duration // between the announcement that a backend leaves and its end
+	GracePeriod time.Duration // between SIGTERM and SIGKILL
+	Lease       time.Duration // within which two lease holders must not both command backends
+	Thaw        time.Duration // for which what a process does after it was frozen is not held against it
+	RetryWindow time.Duration // over which retries are counted
+	RetryRatio  float64       // retries that are allowed, as a part of the requests in the window
+	RetryExtra  float64       // retries that are allowed beside, by all proxies together
+	LoadWindow  time.Duration // over which loads from the weight store are counted
+	LoadExcess  float64       // factor by which they may exceed the allowed rate over the window
+	// ChecksFencingTokens says that backends refuse commands with a lower fencing token than they have seen.
+	ChecksFencingTokens bool
+	Quiet               time.Duration
+	ReuseAfter          time.Duration
 }
 
-// Platform tells where the list of backends is kept.
+// Platform says where and how the list of backends is read.
 type Platform struct {
-	Address   string
-	RatePerS  float64 // calls a second that all processes may make together
-	MaxLag    time.Duration
-	IsPresent bool
+	Address           string
+	MaxCallsPerSecond float64       // of all processes together
+	MaxLag            time.Duration // by which the list may be behind the backends
+	IsPresent         bool          // the file names an address
 }
 
-// Load reads the file that the environment names.
+// Load reads the file that the environment names. The error is ErrNoFile, or names the file and its faults.
 func Load() (*Settings, error) {
-	path := os.Getenv(Variable)
+	path := os.Getenv(EnvironmentVariable)
 	if path == "" {
-		return nil, errors.Errorf("%s names no settings file", Variable)
+		return nil, ErrNoFile
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "reading the settings file")
+		return nil, errors.Wrap(err, "read the settings file")
 	}
 	settings, err := Parse(text)
 	return settings, errors.Wrap(err, path)
 }
 
-// Parse reads settings from YAML. The error names every faulty key.
+// Parse reads settings from YAML. Where it is YAML, the error is a *docreader.Error with every faulty key.
 func Parse(text []byte) (*Settings, error) {
 	var document map[string]any
 	if err := yaml.Unmarshal(text, &document); err != nil {
@@ -92,21 +105,38 @@
 	return settings, nil
 }
 
+// Defaults of what a file does not give. Those of bounds are the figures of the smallest deployments known.
+const (
+	defaultMemoryMB          = 256
+	defaultFileLimit         = 1024
+	defaultAck               = 4 * time.Second
+	defaultApply             = 2 * time.Second
+	defaultDrain             = 3 * time.Second
+	defaultGracePeriod       = 8 * time.Second
+	defaultLease             = 3 * time.Second
+	defaultThaw              = 300 * time.Millisecond
+	defaultRetryWindow       = 10 * time.Second
+	defaultLoadWindow        = 5 * time.Second
+	defaultReuseAfter        = 2 * time.Second
+	defaultMaxCallsPerSecond = 10
+	defaultMaxLag            = 800 * time.Millisecond
+)
+
 func read(root docreader.Node) *Settings {
 	s := &Settings{
-		Node:            root.Field("node").RequiredText(),
-		Role:            root.Field("role").Text(""),
-		Zone:            root.Field("zone").RequiredText(),
-		Region:          root.Field("region").Text(""),
-		Zones:           map[string]string{},
-		IP:              root.Field("ip").RequiredText(),
-		FrontAddress:    root.Field("listen").Field("front").Text(""),
-		ReadyAddress:    root.Field("listen").Field("ready").Text(""),
-		ControlAddress:  root.Field("listen").Field("control").Text(""),
-		FirstStart:      root.Field("firstStart").Bool(false),
-		CountsForQuorum: root.Field("countsForQuorum").Bool(false),
-		StateDir:        root.Field("stateDir").Text(""),
-		Tolerance:       int(root.Field("tolerance").Field("machines").Number(0)),
+		Node:             root.Field("node").RequiredText(),
+		Role:             root.Field("role").Text(""),
+		Zone:             root.Field("zone").RequiredText(),
+		Region:           root.Field("region").Text(""),
+		Zones:            map[string]string{},
+		IP:               root.Field("ip").RequiredText(),
+		ClientAddress:    root.Field("listen").Field("front").Text(""),
+		ReadinessAddress: root.Field("listen").Field("ready").Text(""),
+		ControlAddress:   root.Field("listen").Field("control").Text(""),
+		FirstStart:       root.Field("firstStart").Bool(false),
+		CountsForQuorum:  root.Field("countsForQuorum").Bool(false),
+		StateDir:         root.Field("stateDir").Text(""),
+		Tolerance:        int(root.Field("tolerance").Field("machines").Number(0)),
 	}
 	for _, zone := range root.Field("zones").Keys() {
 		s.Zones[zone] = root.Field("zones").Field(zone).Text("")
@@ -114,72 +144,60 @@
 	for _, seed := range root.Field("seedNodes").Items() {
 		s.Seeds = append(s.Seeds, seed.RequiredText())
 	}
-	readPorts(root.Field("portRange"), s)
-	readLimits(root.Field("limits"), s)
-	readBounds(root.Field("bounds"), s)
-	readPlatform(root.Field("cloud"), s)
+	s.FirstPort, s.LastPort = readPorts(root.Field("portRange"))
+	s.Limits = readLimits(root.Field("limits"))
+	s.Bounds = readBounds(root.Field("bounds"))
+	s.Platform = readPlatform(root.Field("cloud"))
 	return s
 }
 
-func readPorts(node docreader.Node, s *Settings) {
+func readPorts(node docreader.Node) (first, last int) {
 	ports := node.Items()
 	if len(ports) != 2 {
 		node.AddFault("the first and the last port are wanted")
-		return
+		return 0, 0
 	}
-	s.FirstPort, s.LastPort = int(ports[0].Number(0)), int(ports[1].Number(0))
-	if s.FirstPort <= 0 || s.LastPort <= s.FirstPort {
+	first, last = int(ports[0].Number(0)), int(ports[1].Number(0))
+	if first <= 0 || last <= first {
 		node.AddFault("two ports in rising order are wanted")
 	}
+	return first, last
 }
 
-func readLimits(node docreader.Node, s *Settings) {
-	s.Limits = Limits{
+func readLimits(node docreader.Node) Limits {
+	return Limits{
 		CPUShare:  node.Field("cpuShare").Number(1),
-		MemoryMB:  int(node.Field("memoryMb").Number(256)),
-		FileLimit: int(node.Field("fileLimit").Number(1024)),
+		MemoryMB:  int(node.Field("memoryMb").Number(defaultMemoryMB)),
+		FileLimit: int(node.Field("fileLimit").Number(defaultFileLimit)),
 		DiskMB:    int(node.Field("diskMb").Number(0)),
 	}
 }
 
-// Defaults for bounds that the file does not give: those of the smallest deployments known.
-const (
-	defaultAck         = 4 * time.Second
-	defaultApply       = 2 * time.Second
-	defaultDrain       = 3 * time.Second
-	defaultGrace       = 8 * time.Second
-	defaultLease       = 3 * time.Second
-	defaultThaw        = 300 * time.Millisecond
-	defaultRetryWindow = 10 * time.Second
-	defaultCapWindow   = 5 * time.Second
-	defaultMaxLag      = 800 * time.Millisecond
-)
-
-func readBounds(node docreader.Node, s *Settings) {
-	s.Bounds = Bounds{
-		Ack:         milliseconds(node.Field("ackMs"), defaultAck),
-		Apply:       milliseconds(node.Field("applyMs"), defaultApply),
-		Drain:       milliseconds(node.Field("drainMs"), defaultDrain),
-		Grace:       seconds(node.Field("graceS"), defaultGrace),
-		Lease:       milliseconds(node.Field("leaseMs"), defaultLease),
-		Thaw:        milliseconds(node.Field("thawMs"), defaultThaw),
-		RetryWindow: seconds(node.Field("retryWindowS"), defaultRetryWindow),
-		RetryRatio:  node.Field("retryRatio").Number(0),
-		RetryExtra:  node.Field("retryExtra").Number(0),
-		CapWindow:   seconds(node.Field("capWindowS"), defaultCapWindow),
-		CapExcess:   node.Field("capExcess").Number(1),
-		ChecksFence: node.Field("checksFence").Bool(false),
-		Quiet:       milliseconds(node.Field("quietMs"), defaultDrain),
-		ReuseAfter:  seconds(node.Field("reuseAfterS"), 2*time.Second),
+func readBounds(node docreader.Node) Bounds {
+	return Bounds{
+		Ack:                 milliseconds(node.Field("ackMs"), defaultAck),
+		Apply:               milliseconds(node.Field("applyMs"), defaultApply),
+		Drain:               milliseconds(node.Field("drainMs"), defaultDrain),
+		GracePeriod:         seconds(node.Field("graceS"), defaultGracePeriod),
+		Lease:               milliseconds(node.Field("leaseMs"), defaultLease),
+		Thaw:                milliseconds(node.Field("thawMs"), defaultThaw),
+		RetryWindow:         seconds(node.Field("retryWindowS"), defaultRetryWindow),
+		RetryRatio:          node.Field("retryRatio").Number(0),
+		RetryExtra:          node.Field("retryExtra").Number(0),
+		LoadWindow:          seconds(node.Field("capWindowS"), defaultLoadWindow),
+		LoadExcess:          node.Field("capExcess").Number(1),
+		ChecksFencingTokens: node.Field("checksFence").Bool(false),
+		Quiet:               milliseconds(node.Field("quietMs"), defaultDrain),
+		ReuseAfter:          seconds(node.Field("reuseAfterS"), defaultReuseAfter),
 	}
 }
 
-func readPlatform(node docreader.Node, s *Settings) {
-	s.Platform = Platform{
-		Address:   node.Field("address").Text(""),
-		RatePerS:  node.Field("ratePerS").Number(10),
-		MaxLag:    milliseconds(node.Field("maxLagMs"), defaultMaxLag),
-		IsPresent: node.Field("address").IsPresent(),
+func readPlatform(node docreader.Node) Platform {
+	return Platform{
+		Address:           node.Field("address").Text(""),
+		MaxCallsPerSecond: node.Field("ratePerS").Number(defaultMaxCallsPerSecond),
+		MaxLag:            milliseconds(node.Field("maxLagMs"), defaultMaxLag),
+		IsPresent:         node.Field("address").IsPresent(),
 	}
 }
 
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-const whole = `
+// sampleFile has an unknown key, and leaves out much.
+const sampleFile = `
 node: "a-1"
 zone: "a"
 ip: "10.1.0.1"
@@ -22,19 +23,19 @@
 unknown: {x: 1}
 `
 
-func TestSettingsAreRead(t *testing.T) {
-	settings, err := Parse([]byte(whole))
+func TestParse_ReadsSettings(t *testing.T) {
+	settings, err := Parse([]byte(sampleFile))
 	require.NoError(t, err)
 	assert.Equal(t, 7000, settings.FirstPort)
 	assert.Equal(t, 2500*time.Millisecond, settings.Bounds.Drain)
 	assert.Equal(t, 0.25, settings.Bounds.RetryRatio)
-	assert.True(t, settings.Bounds.ChecksFence)
-	assert.Equal(t, 3.5, settings.Platform.RatePerS)
+	assert.True(t, settings.Bounds.ChecksFencingTokens)
+	assert.Equal(t, 3.5, settings.Platform.MaxCallsPerSecond)
 	assert.Empty(t, settings.StateDir, "a machine without a disk has null there")
-	assert.Equal(t, defaultGrace, settings.Bounds.Grace)
+	assert.Equal(t, defaultGracePeriod, settings.Bounds.GracePeriod)
 }
 
-func TestFaultySettingsNameTheirPlaces(t *testing.T) {
+func TestParse_NamesEveryFault(t *testing.T) {
 	_, err := Parse([]byte("ip: 3\nportRange: [9, 2]\nseedNodes: \"x\"\n"))
 	require.Error(t, err)
 	assert.Equal(t, "node: must be given; zone: must be given; ip: a text is wanted; ip: must be given; "+
--- a/internal/bootstrap/runtime.go
+++ b/internal/bootstrap/runtime.go
@@ -5,11 +5,12 @@
 	"runtime/debug"
 )
 
-// memoryShare is the part of the machine's limit that the collector may fill before it works harder.
+// memoryShare is the part of the machine's memory limit that becomes the Go runtime's soft limit, beyond which the
+// garbage collector works harder. The rest is a reserve for what the runtime does not count, such as socket buffers.
 const memoryShare = 0.6
 
-// ApplyRuntime fits the Go runtime to the machine's limits.
-func (s *Settings) ApplyRuntime() {
+// ApplyRuntimeLimits fits the Go runtime to the machine: one thread runs Go code, and the heap has a soft limit.
+func (s *Settings) ApplyRuntimeLimits() {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(int64(float64(s.Limits.MemoryMB) * memoryShare * (1 << 20)))
 }
--- a/internal/bootstrap/stored_test.go
+++ b/internal/bootstrap/stored_test.go
@@ -10,18 +10,18 @@
 
 // A settings file that was stored for an earlier version is read, with every key.
 func TestReadsSettingsStoredByEarlierVersion(t *testing.T) {
-	assert.Equal(t, "PUMICELINE_BOOT", Variable)
-	t.Setenv(Variable, "testdata/settings.yaml")
+	assert.Equal(t, "PUMICELINE_BOOT", EnvironmentVariable)
+	t.Setenv(EnvironmentVariable, "testdata/settings.yaml")
 	settings, err := Load()
 	require.NoError(t, err)
 	assert.Equal(t, &Settings{
 		Node: "a-1", Role: "edge", Zone: "a", Region: "north", Zones: map[string]string{"a": "north", "b": "south"}, IP: "10.1.0.1",
-		FrontAddress: "10.1.0.1:80", ReadyAddress: "10.1.0.1:81", ControlAddress: "10.1.0.1:82", FirstPort: 7000, LastPort: 7015,
+		ClientAddress: "10.1.0.1:80", ReadinessAddress: "10.1.0.1:81", ControlAddress: "10.1.0.1:82", FirstPort: 7000, LastPort: 7015,
 		Seeds: []string{"10.1.0.1:90", "10.1.0.2:90"}, FirstStart: true, CountsForQuorum: true,
 		Limits: Limits{CPUShare: 0.5, MemoryMB: 128, FileLimit: 512, DiskMB: 64}, StateDir: "/state", Tolerance: 2,
-		Bounds: Bounds{Ack: 4100 * time.Millisecond, Apply: 2100 * time.Millisecond, Drain: 3100 * time.Millisecond, Grace: 9 * time.Second,
+		Bounds: Bounds{Ack: 4100 * time.Millisecond, Apply: 2100 * time.Millisecond, Drain: 3100 * time.Millisecond, GracePeriod: 9 * time.Second,
 			Lease: 3200 * time.Millisecond, Thaw: 310 * time.Millisecond, RetryWindow: 11 * time.Second, RetryRatio: 0.25, RetryExtra: 60,
-			CapWindow: 6 * time.Second, CapExcess: 1.5, ChecksFence: true, Quiet: 3300 * time.Millisecond, ReuseAfter: 3 * time.Second},
-		Platform: Platform{Address: "10.9.0.1:80", RatePerS: 3.5, MaxLag: 810 * time.Millisecond, IsPresent: true},
+			LoadWindow: 6 * time.Second, LoadExcess: 1.5, ChecksFencingTokens: true, Quiet: 3300 * time.Millisecond, ReuseAfter: 3 * time.Second},
+		Platform: Platform{Address: "10.9.0.1:80", MaxCallsPerSecond: 3.5, MaxLag: 810 * time.Millisecond, IsPresent: true},
 	}, settings)
 }
--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -140,7 +140,7 @@
 // was frozen and resumes has had its time (Bounds.Thaw). Elsewhere two lease holders must not both act within the span
 // that the deployment names (Bounds.Lease).
 func (c *controller) handoverDelay() time.Duration {
-	if c.settings.Bounds.ChecksFence {
+	if c.settings.Bounds.ChecksFencingTokens {
 		return executor.CommandTimeout + c.settings.Bounds.Thaw
 	}
 	return c.settings.Bounds.Lease + c.settings.Bounds.Thaw
--- a/internal/controlplane/coordinator/controller_test.go
+++ b/internal/controlplane/coordinator/controller_test.go
@@ -16,7 +16,7 @@
 	bounds := bootstrap.Bounds{Lease: 3 * time.Second, Thaw: 300 * time.Millisecond}
 	unchecked := &controller{settings: &bootstrap.Settings{Bounds: bounds}}
 	assert.Equal(t, bounds.Lease+bounds.Thaw, unchecked.handoverDelay())
-	bounds.ChecksFence = true
+	bounds.ChecksFencingTokens = true
 	checked := &controller{settings: &bootstrap.Settings{Bounds: bounds}}
 	assert.Equal(t, executor.CommandTimeout+bounds.Thaw, checked.handoverDelay(), "the predecessor's last command has ended")
 }
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -71,7 +71,7 @@
 		return err
 	}
 	<-ctx.Done()
-	awaitRemoval(loop, settings.Bounds.Grace)
+	awaitRemoval(loop, settings.Bounds.GracePeriod)
 	shutdown, cancel := context.WithTimeout(context.Background(), httpShutdownTimeout)
 	defer cancel()
 	_ = server.Shutdown(shutdown) // connections that are still open then are cut
--- a/internal/controlplane/coordinator/placement_tasks.go
+++ b/internal/controlplane/coordinator/placement_tasks.go
@@ -90,7 +90,7 @@
 			return t.task.Service == name && t.task.Load != "" && !t.task.FromCache && !t.loadStarted
 		})
 		limit := planner.LoadRateLimit{
-			PerSecond: service.Runtime.LoadsPerSecond, ExcessFactor: c.settings.Bounds.CapExcess, Window: c.settings.Bounds.CapWindow,
+			PerSecond: service.Runtime.LoadsPerSecond, ExcessFactor: c.settings.Bounds.LoadExcess, Window: c.settings.Bounds.LoadWindow,
 		}
 		allowed[name] = c.loadLimiter(name).Available(now, limit, pending)
 	}
--- a/internal/dataplane/proxy/discoveryfallback.go
+++ b/internal/dataplane/proxy/discoveryfallback.go
@@ -55,6 +55,6 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	isStale = time.Since(s.observedAt) > staleAfter
-	probability = s.settings.Platform.RatePerS * fallbackRateShare * fallbackInterval.Seconds() / float64(s.proxies)
+	probability = s.settings.Platform.MaxCallsPerSecond * fallbackRateShare * fallbackInterval.Seconds() / float64(s.proxies)
 	return isStale, probability
 }
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -110,10 +110,10 @@
 		Handler: p.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: p.idle.track,
 	}
-	if err := serve(ready, p.settings.ReadyAddress); err != nil {
+	if err := serve(ready, p.settings.ReadinessAddress); err != nil {
 		return nil, err
 	}
-	if err := serve(front, p.settings.FrontAddress); err != nil {
+	if err := serve(front, p.settings.ClientAddress); err != nil {
 		return nil, err
 	}
 	return front, nil
@@ -145,7 +145,7 @@
 // drain goes on serving until the platform sends no new connections, and then until all requests are finished, within
 // the grace time.
 func (p *Proxy) drain(front *http.Server) error {
-	grace := p.settings.Bounds.Grace
+	grace := p.settings.Bounds.GracePeriod
 	ends := time.Now().Add(grace - stopMargin)
 	p.isDraining.Store(true)
 	p.handler.StartDraining(ends)
--- a/internal/demo/processes.go
+++ b/internal/demo/processes.go
@@ -25,7 +25,7 @@
 // launch starts a program of the folder with a settings file.
 func launch(folder, program, settings string, log io.Writer) (*process, error) {
 	command := exec.Command(filepath.Join(folder, program))
-	command.Env = append(os.Environ(), bootstrap.Variable+"="+settings)
+	command.Env = append(os.Environ(), bootstrap.EnvironmentVariable+"="+settings)
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
 		return nil, errors.Wrapf(err, "starting %s", program)
--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -59,6 +59,8 @@
 	QueuedMs = "queued_ms"
 	// QueuedPrefillMs is the estimated prefill time of the requests queued at a backend.
 	QueuedPrefillMs = "queued_prefill_ms"
+	// Program is the name of a process's command.
+	Program = "program"
 	// Reason is why the planner wants a placement task.
 	Reason = "reason"
 	// Rejection is why a request was rejected; empty: it was not.
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process is what the system's processes share from their start to their end: flags, logs, the settings file and
-// the signals of the platform.
+// Package process is what the commands of the system share from their start to their end: flags, logging, the settings
+// file and the signals of the platform.
 package process
 
 import (
@@ -14,6 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"pumiceline/internal/bootstrap"
+	"pumiceline/internal/logkey"
 )
 
 // Exit codes.
@@ -22,34 +23,38 @@
 	exitUsage   = 2
 )
 
-// Run is the part of a process that differs; it serves until ctx ends and then stops in order.
+// environmentPrefix begins the variables that stand for flags, such as PUMICELINE_LOG_LEVEL.
+const environmentPrefix = "PUMICELINE"
+
+// Run is what a command does: it serves until ctx ends, then shuts down gracefully and returns.
 type Run func(ctx context.Context, settings *bootstrap.Settings) error
 
-// Main runs a process called name to its end and exits.
+// Main runs a command to its end and exits. ctx of run ends with SIGTERM or an interrupt.
 func Main(name string, run Run) {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
-	level := flags.String("log-level", "info", "least level that is logged: debug, info, warning or error")
-	if err := ff.Parse(flags, os.Args[1:], ff.WithEnvVarPrefix("PUMICELINE")); err != nil {
+	level := flags.String("log-level", "info", "lowest level that is logged: debug, info, warning or error")
+	if err := ff.Parse(flags, os.Args[1:], ff.WithEnvVarPrefix(environmentPrefix)); err != nil {
 		os.Exit(exitUsage)
 	}
 	if err := start(*level, run); err != nil {
-		logrus.WithError(err).Error(name + " ends")
+		logrus.WithError(err).WithField(logkey.Program, name).Error("process failed")
 		os.Exit(exitFailure)
 	}
 }
 
-func start(level string, run Run) error {
-	parsed, err := logrus.ParseLevel(level)
+func start(logLevel string, run Run) error {
+	level, err := logrus.ParseLevel(logLevel)
 	if err != nil {
 		return errors.Wrap(err, "--log-level")
 	}
-	logrus.SetLevel(parsed)
+	logrus.SetLevel(level)
 	settings, err := bootstrap.Load()
 	if err != nil {
 		return err
 	}
-	settings.ApplyRuntime()
-	// The settings that change during a process's life are read by none of them: a new file counts from the next start.
+	settings.ApplyRuntimeLimits()
+	// The platform sends SIGHUP when it has changed the settings file. None of what may change is read by the system's
+	// processes: a new file counts from the next start.
 	signal.Ignore(syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
