--- a/internal/demo/trial_test.go
+++ b/internal/demo/trial_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, "n", settings.Node)
 	config, err := configuration.Parse([]byte(configurationFor(3)))
 	assert.NoError(t, err)
-	assert.Equal(t, uint64(3), config.Version)
+	assert.Equal(t, configuration.Version(3), config.Version)
 }
 
 func TestAMissingProgramIsNamed(t *testing.T) {
