--- a/internal/dataplane/ingress/exchange.go
+++ b/internal/dataplane/ingress/exchange.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// maxAttempts bounds the attempts for one request, those included that no backend has processed.
-	maxAttempts = 6
+	// maxPicks bounds the backends that are picked for one request, those included that did not process it.
+	maxPicks = 6
 	// noBackendRetryAfter is the Retry-After where no backend took the request.
 	noBackendRetryAfter = 300 * time.Millisecond
 )
@@ -37,7 +37,7 @@
 		x.reject(drainingRetryAfter, string(balancer.RejectDraining))
 		return
 	}
-	for range maxAttempts {
+	for range maxPicks {
 		picked, err := x.handler.dispatcher.Pick(ctx, x.request)
 		if err != nil {
 			x.timeOut()
--- a/internal/dataplane/ingress/trafficsplit.go
+++ b/internal/dataplane/ingress/trafficsplit.go
@@ -30,14 +30,14 @@
 	defer s.mutex.Unlock()
 	credit := s.creditOf(route.Name)
 	total, best := 0.0, ""
-	for _, share := range route.Split {
-		if share.Weight <= 0 {
+	for _, service := range route.Split {
+		if service.Weight <= 0 {
 			continue
 		}
-		total += share.Weight
-		credit[share.Service] += share.Weight
-		if best == "" || credit[share.Service] > credit[best] {
-			best = share.Service
+		total += service.Weight
+		credit[service.Service] += service.Weight
+		if best == "" || credit[service.Service] > credit[best] {
+			best = service.Service
 		}
 	}
 	credit[best] -= total
