--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -50,7 +50,7 @@
 func (b *Balancer) SetConfig(config *configuration.Config, now time.Time) {
 	b.config = config
 	b.updateConnectionLimits()
-	b.pickQueued(now)
+	b.answerQueued(now)
 }
 
 // SetProxies sets the number of proxies that share connections and the retry allowance.
@@ -62,7 +62,7 @@
 // StartDraining rejects requests that wait for a model, now and later: the process may end before it is loaded.
 func (b *Balancer) StartDraining(now time.Time) {
 	b.isDraining = true
-	b.pickQueued(now)
+	b.answerQueued(now)
 }
 
 func (b *Balancer) updateConnectionLimits() {
--- a/internal/dataplane/balancer/completion.go
+++ b/internal/dataplane/balancer/completion.go
@@ -37,7 +37,7 @@
 	case Canceled: // it says nothing of the backend
 	}
 	b.updateWeights(backend.Service, now)
-	b.pickQueued(now)
+	b.answerQueued(now)
 }
 
 func (b *Balancer) endPrefill(request *Request, backend *Backend) {
--- a/internal/dataplane/balancer/endpoints.go
+++ b/internal/dataplane/balancer/endpoints.go
@@ -69,7 +69,7 @@
 		s := b.service(list[i].Service)
 		s.backends = append(s.backends, b.backends[list[i].ID])
 	}
-	b.pickQueued(now)
+	b.answerQueued(now)
 	return removed
 }
 
--- a/internal/dataplane/balancer/loads.go
+++ b/internal/dataplane/balancer/loads.go
@@ -23,7 +23,7 @@
 		readyAt := now.Add(time.Duration(load.ReadyInMs) * time.Millisecond)
 		b.pendingLoads = append(b.pendingLoads, pendingLoad{load, readyAt})
 	}
-	b.pickQueued(now)
+	b.answerQueued(now)
 }
 
 // SetPeerLoads takes what the other proxies have in flight at this moment at the backends that have loaded a model;
@@ -42,7 +42,7 @@
 		backend.othersInFlight, backend.othersQueuedPrefillMs = load.Running, float64(load.Queued)
 		backend.othersUpdatedAt = now
 	}
-	b.pickQueued(now)
+	b.answerQueued(now)
 }
 
 func loadsByBackend(loads []message.BackendLoad) map[message.BackendID]message.BackendLoad {
--- a/internal/dataplane/balancer/queue.go
+++ b/internal/dataplane/balancer/queue.go
@@ -39,8 +39,8 @@
 	return true
 }
 
-// Tick answers the queued requests for which the time has come. It is to be called every few milliseconds.
-func (b *Balancer) Tick(now time.Time) { b.pickQueued(now) }
+// Tick answers the queued requests for which the time has come. It is to be called periodically.
+func (b *Balancer) Tick(now time.Time) { b.answerQueued(now) }
 
 // FirstQueuedForCapacity returns the model of the first request that waits for capacity; ok is false where none does.
 func (b *Balancer) FirstQueuedForCapacity() (key ModelKey, ok bool) {
@@ -52,8 +52,8 @@
 	return ModelKey{}, false
 }
 
-// pickQueued answers the queued requests that can be answered now, in the order of the queue.
-func (b *Balancer) pickQueued(now time.Time) {
+// answerQueued answers the queued requests that can be answered now, in the order of the queue.
+func (b *Balancer) answerQueued(now time.Time) {
 	if len(b.queue) == 0 {
 		return
 	}
--- a/internal/dataplane/loads/coordinators.go
+++ b/internal/dataplane/loads/coordinators.go
@@ -43,9 +43,9 @@
 	c.unavailableUntil[address] = now.Add(unavailableTime)
 }
 
-// isConnected reports whether the target can be written to now. Where it cannot, a connection is opened in the
+// ensureConnected reports whether the target can be written to now. Where it cannot, it opens a connection in the
 // background. The mutex must be held.
-func (e *Exchange) isConnected(target string) bool {
+func (e *Exchange) ensureConnected(target string) bool {
 	if target == "" {
 		return false
 	}
--- a/internal/dataplane/loads/exchange.go
+++ b/internal/dataplane/loads/exchange.go
@@ -123,7 +123,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	target := e.coordinators.preferred(time.Now())
-	if !e.isConnected(target) {
+	if !e.ensureConnected(target) {
 		return nil
 	}
 	report := e.nextReport(target)
@@ -156,7 +156,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	target := e.coordinators.preferred(time.Now())
-	if !e.isConnected(target) || len(e.changed) == 0 && e.syncedWith == target {
+	if !e.ensureConnected(target) || len(e.changed) == 0 && e.syncedWith == target {
 		return
 	}
 	e.sendReport(target)
@@ -167,7 +167,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	target := e.coordinators.preferred(time.Now())
-	if !e.isConnected(target) {
+	if !e.ensureConnected(target) {
 		return
 	}
 	e.syncedWith = ""
