--- a/internal/standalone/discovery/pool_test.go
+++ b/internal/standalone/discovery/pool_test.go
@@ -97,7 +97,7 @@
 
 func (h *heard) UpdateMembers(kind policy.EventKind, members []policy.Member) {
 	names := map[policy.EventKind]string{policy.MembershipFull: "full", policy.MembershipCached: "cached",
-		policy.MembershipDelta: "delta", policy.DiscoveryFailed: "failed", policy.DiscoverySilent: "silent"}
+		policy.MembershipDelta: "delta", policy.DiscoveryFailed: "failed", policy.DiscoveryTimedOut: "silent"}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lines = append(h.lines, fmt.Sprintf("%s %d", names[kind], len(members)))
--- a/internal/standalone/discovery/watch.go
+++ b/internal/standalone/discovery/watch.go
@@ -172,7 +172,7 @@
 			w.log.Warn("the watch of the pool config ended", "error", err)
 			// Nobody knows what a watch missed that fell silent, and what a new discovery has to tell counts soon too.
 			if fresh := w.sourceUnconfirmed.Swap(false); fresh || errors.Is(err, os.ErrDeadlineExceeded) {
-				w.policy.UpdateMembers(policy.DiscoverySilent, nil)
+				w.policy.UpdateMembers(policy.DiscoveryTimedOut, nil)
 			} else {
 				w.policy.UpdateMembers(policy.DiscoveryFailed, nil)
 			}
--- /dev/null
+++ b/internal/standalone/policy/admission_test.go
@@ -0,0 +1,291 @@
+package policy
+
+import "testing"
+
+// A queue shows before its responses are late: the limit decreases when three in ten take over half of the latency
+// target, and holds when one in ten does.
+func TestLimitDecreasesBeforeResponsesAreLate(t *testing.T) {
+	for _, c := range []struct {
+		slow      int // of ten responses
+		decreases bool
+	}{{1, false}, {3, true}} {
+		b := newBalancer(t, testSettings(), testMembers(1))
+		s := b.members[0]
+		for i := range 300 { // the first hundred give the unloaded latency
+			if i == 100 {
+				b.concurrencyLimit = 50
+			}
+			ev := Event{Outcome: OK, Elapsed: 10_000}
+			if i >= 100 && i%10 < c.slow {
+				ev.Elapsed = 270_000 // of 500_000
+			}
+			b.inFlight = int(b.concurrencyLimit)
+			b.adjustLimit(&request{class: &b.settings.Classes[0]}, &attempt{server: s}, &ev)
+		}
+		if decreases := b.concurrencyLimit < 50; decreases != c.decreases {
+			t.Errorf("%d of 10 slow: limit %v", c.slow, b.concurrencyLimit)
+		}
+	}
+}
+
+// Where responses take most of the latency target without any queue, because of work or of waits for other services,
+// that is no congestion: taken for it, it decreased the limit until 94% was rejected by idle servers. The same scenario
+// at any scale is judged alike, a queue on top of it shows, and what is late is congestion in any case. Without any,
+// the limit follows the load within 200 responses, from 10 as after a start: it took six seconds, in which half was
+// rejected.
+func TestUnloadedLatencyIsNoCongestion(t *testing.T) {
+	for _, scale := range []float64{0.25, 1, 4} {
+		for _, c := range []struct {
+			unloaded, queueing float64 // in latency targets
+			decreases          bool
+		}{{0.1, 0, false}, {0.55, 0, false}, {0.7, 0, false}, {0.1, 0.5, true}, {0.45, 0.6, true}, {1.1, 0, true}} {
+			set := testSettings()
+			set.Classes[0].LatencyTarget = Time(500_000 * scale)
+			b := newBalancer(t, set, testMembers(1))
+			for i := range 400 {
+				took := c.unloaded * (0.8 + 0.2*float64(i%4)/3)
+				if i == 200 {
+					b.concurrencyLimit = 10
+				} else if i > 200 {
+					took += c.queueing
+				}
+				b.now += 10_000
+				b.inFlight = int(b.concurrencyLimit)
+				b.adjustLimit(&request{class: &b.settings.Classes[0]}, &attempt{server: b.members[0], cost: 1},
+					&Event{Outcome: OK, Elapsed: Time(took * float64(set.Classes[0].LatencyTarget))})
+			}
+			if c.decreases && b.concurrencyLimit >= 10 || !c.decreases && b.concurrencyLimit < 100 {
+				t.Errorf("scale %v, unloaded %v and queueing %v of the target: limit %.0f", scale, c.unloaded, c.queueing,
+					b.concurrencyLimit)
+			}
+		}
+	}
+}
+
+// A warming-up server is slow by itself: its responses are no sign of congestion. Taken for one, they decreased the
+// limit during a release until more was rejected than sent, and clients that retried kept it so.
+func TestWarmingUpServersDoNotDecreaseLimit(t *testing.T) {
+	for _, c := range []struct{ warmingUp, decreases bool }{{true, false}, {false, true}} {
+		b, err := New(Settings{Classes: []Class{{LatencyTarget: 1e6, ClientTimeout: 4e6}}}, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.concurrencyLimit = 20
+		s := &server{relativeLatency: 1, warmingUp: c.warmingUp}
+		for _, o := range []Outcome{OK, Rejected, TimedOut} {
+			before := b.concurrencyLimit
+			ended := Event{Outcome: o, Elapsed: 900_000}
+			b.adjustLimit(&request{class: &b.settings.Classes[0]}, &attempt{server: s}, &ended)
+			if (b.concurrencyLimit < before) != c.decreases {
+				t.Errorf("warming up %v, outcome %d: the limit went from %v to %v", c.warmingUp, o, before, b.concurrencyLimit)
+			}
+		}
+	}
+}
+
+// Attempts that time out early because their clients had little time are no sign of congestion, and say nothing about a
+// server; ones that took long are a sign.
+func TestTimeoutsOfImpatientClientsAreNoSignal(t *testing.T) {
+	for _, c := range []struct {
+		elapsed  Time
+		isSignal bool
+	}{{40_000, false}, {450_000, true}} {
+		b := newBalancer(t, testSettings(), testMembers(10))
+		b.medianAttemptTime, b.concurrencyLimit = 100_000, 50
+		for id := range uint64(30) {
+			out := b.Handle(b.now+1_000, &Event{Kind: RequestArrived, ID: id, ClientTimeout: c.elapsed}, nil)
+			b.Handle(b.now+c.elapsed, &Event{Kind: AttemptEnded, ID: id, Server: out[0].Server, Outcome: TimedOut,
+				Elapsed: c.elapsed}, nil)
+		}
+		slow := 0
+		for _, s := range b.members {
+			if s.relativeLatency > 1 {
+				slow++
+			}
+		}
+		if (b.concurrencyLimit < 50) != c.isSignal || (b.medianAttemptTime != 100_000) != c.isSignal ||
+			(slow > 0) != c.isSignal {
+			t.Errorf("after timeouts of %d: limit %v, median %v, %d slow servers", c.elapsed, b.concurrencyLimit,
+				b.medianAttemptTime, slow)
+		}
+	}
+}
+
+// One of 400 balancers with 90 servers of a few places each: one attempt of each balancer would be more than the
+// servers can take. While every response is a sign of congestion it has far less than one in flight on average, and
+// once none is it sends all that arrives.
+func TestLimitFallsBelowOneAttempt(t *testing.T) {
+	set := testSettings()
+	set.GroupSize = 400
+	b, err := New(set, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	type attemptEnd struct {
+		at, elapsed Time
+		id          uint64
+		server      uint32
+	}
+	var inFlight []attemptEnd
+	var timers []checkedTimer
+	id, inFlightSum, served := uint64(0), 0, 0
+	const start = Time(1_000_000_000)
+	now := start
+	handle := func(ev Event) {
+		for _, a := range b.Handle(now, &ev, nil) {
+			switch a.Kind {
+			case SendAttempt:
+				elapsed := Time(600_000) // the latency target is 500,000
+				if now-start >= 40e6 {
+					elapsed = 20_000
+				}
+				inFlight = append(inFlight, attemptEnd{now + elapsed, elapsed, a.ID, a.Server})
+			case SetTimer:
+				timers = append(timers, checkedTimer{a.ID, now + a.After})
+			}
+		}
+	}
+	handle(Event{Kind: MembershipFull, Members: testMembers(90)})
+	for now = start; now < start+80e6; now += 5000 {
+		for i := 0; i < len(timers); {
+			if tm := timers[i]; tm.at <= now {
+				timers = append(timers[:i], timers[i+1:]...)
+				handle(Event{Kind: TimerFired, ID: tm.id})
+				continue
+			}
+			i++
+		}
+		for i := 0; i < len(inFlight); {
+			if end := inFlight[i]; end.at <= now {
+				inFlight = append(inFlight[:i], inFlight[i+1:]...)
+				if now-start >= 60e6 {
+					served++
+				}
+				handle(Event{Kind: AttemptEnded, ID: end.id, Server: end.server, Outcome: OK, Elapsed: end.elapsed, Final: true})
+				continue
+			}
+			i++
+		}
+		if now%50_000 == 0 { // 20 per second
+			id++
+			handle(Event{Kind: RequestArrived, ID: id, ClientTimeout: 2_000_000})
+		}
+		if now-start >= 20e6 && now-start < 40e6 {
+			inFlightSum += len(inFlight)
+		}
+	}
+	if mean := float64(inFlightSum) / (20e6 / 5000); mean > 0.5 {
+		t.Errorf("%.2f attempts in flight on average while all responses are signs of congestion", mean)
+	}
+	if served < 300 {
+		t.Errorf("%d of 400 served without congestion", served)
+	}
+}
+
+// Requests whose clients are still sending are with no server: they do not count against the limit, make no server look
+// stalled, and count from their last byte on. Their servers are kept until they have ended.
+func TestPendingBodiesDoNotCountAgainstLimit(t *testing.T) {
+	b := newBalancer(t, testSettings(), testMembers(3))
+	b.medianAttemptTime, b.concurrencyLimit = 100_000, 5
+	arrive := func(id uint64, bodyPending bool) Action {
+		arrived := Event{Kind: RequestArrived, ID: id, ClientTimeout: 4e6, BodyPending: bodyPending}
+		for _, a := range b.Handle(b.now, &arrived, nil) {
+			if a.Kind == SendAttempt || a.Kind == RejectRequest {
+				return a
+			}
+		}
+		return Action{}
+	}
+	sent := map[uint64]uint32{}
+	for id := range uint64(20) {
+		a := arrive(id+1, true)
+		if a.Kind != SendAttempt {
+			t.Fatalf("request %d with a pending body: %+v", id+1, a)
+		}
+		sent[id+1] = a.Server
+	}
+	if b.inFlight != 0 {
+		t.Fatalf("%d requests with pending bodies count against the limit", b.inFlight)
+	}
+	b.now += slowFactor*100_000 + 1_000_000
+	b.refresh()
+	if n := b.EjectedServers(); n != 0 {
+		t.Errorf("%d servers are taken for stalled while clients send", n)
+	}
+	if a := arrive(100, false); a.Kind != SendAttempt {
+		t.Errorf("a request beside ones with pending bodies: %+v", a)
+	}
+	for id := range uint64(4) {
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id + 1}, nil)
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id + 1}, nil) // a repeated event counts once
+	}
+	if b.inFlight != 5 {
+		t.Errorf("%d in flight, want 5", b.inFlight)
+	}
+	if a := arrive(101, false); a.Kind == SendAttempt {
+		t.Error("a request over the limit was sent")
+	}
+	b.Handle(b.now, &Event{Kind: RequestAbandoned, ID: 101}, nil)
+	for _, s := range b.members { // all are gone while clients still send
+		b.Handle(b.now, &Event{Kind: MembershipDelta, Members: []Member{{Server: s.id, Mode: ModeGone}}}, nil)
+	}
+	b.refresh()
+	for id, server := range sent {
+		b.Handle(b.now, &Event{Kind: AttemptEnded, ID: id, Server: server, Outcome: ConnectFailed, Final: true}, nil)
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id}, nil)
+	}
+	b.Handle(b.now, &Event{Kind: RequestAbandoned, ID: 100}, nil)
+	for _, s := range b.members {
+		if s.inFlight == 1 && s.uploading == 0 { // request 100's, which was cancelled and has not ended
+			b.observeOutcome(s, &attempt{server: s, cost: 1}, &Event{Outcome: Cancelled})
+		}
+	}
+	b.refresh()
+	if b.inFlight != 0 || b.ejected != 0 || len(b.members) != 0 {
+		t.Errorf("left over: %d in flight, %d ejected, %d servers", b.inFlight, b.ejected, len(b.members))
+	}
+}
+
+// An attempt that is in flight for longer than any response without a queue takes is a sign of congestion then, not
+// when its response comes. Noticed only by its responses, a queue that grows to seconds is noticed seconds late, and
+// the limit is as high as before for as long.
+func TestOverdueAttemptsDecreaseLimit(t *testing.T) {
+	b := newBalancer(t, testSettings(), testMembers(4))
+	// No server is stalled, and the limit does not follow the attempts in flight.
+	b.medianAttemptTime, b.limitHeldUntil = 1e6, b.now+60e6
+	b.concurrencyLimit = 40
+	for id := range uint64(40) {
+		b.Handle(b.now, &Event{Kind: RequestArrived, ID: id + 1, ClientTimeout: 60e6}, nil)
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id + 1}, nil)
+	}
+	b.Handle(b.now+3*b.settings.Classes[0].LatencyTarget, &Event{Kind: TimerFired, ID: timerRefresh}, nil)
+	if b.concurrencyLimit >= 40 {
+		t.Errorf("40 attempts are in flight for three times the latency target, and the limit is %v", b.concurrencyLimit)
+	}
+}
+
+// Balancers that start together, before any of them knows the latency, send no server more than it can do in time. A
+// flood drives servers that slow down under load to where they stay slow, and is taken for the unloaded latency.
+func TestSimultaneousStartsOverloadNoServer(t *testing.T) {
+	const balancers, servers, each = 60, 20, 10
+	sent := 0
+	for seed := range uint64(balancers) {
+		set := testSettings()
+		set.GroupSize = balancers
+		b, err := New(set, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		b.Handle(1e9, &Event{Kind: MembershipFull, Members: testMembers(servers)}, nil)
+		for id := range uint64(20) {
+			for _, a := range b.Handle(1e9, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e6}, nil) {
+				if a.Kind == SendAttempt {
+					sent++
+				}
+			}
+		}
+	}
+	if sent > each*servers {
+		t.Errorf("%d attempts are in flight at %d servers before the first response", sent, servers)
+	}
+}
--- a/internal/standalone/policy/balancer.go
+++ b/internal/standalone/policy/balancer.go
@@ -124,7 +124,7 @@
 		}
 	case MembershipFull, MembershipCached, MembershipDelta:
 		b.onMembership(ev)
-	case DiscoveryFailed, DiscoverySilent:
+	case DiscoveryFailed, DiscoveryTimedOut:
 		b.onDiscoveryFailed(ev)
 	}
 	actions, b.actions = b.actions, nil
--- a/internal/standalone/policy/events.go
+++ b/internal/standalone/policy/events.go
@@ -4,18 +4,18 @@
 type EventKind uint8
 
 const (
-	RequestArrived   EventKind = iota + 1 // ID, Class, Tenant, AffinityKey, Work, ClientTimeout, BodyPending, ClientRetry
-	AttemptEnded                          // ID, Attempt, Server, Outcome, Elapsed, Final, Report
-	ResponseStarted                       // ID: the response is streaming to the client, no deadline applies any more
-	BodySent                              // ID, Attempt: the last byte of a request with BodyPending was sent
-	RequestAbandoned                      // ID: the client left, or its response is overdue
-	TimerFired                            // ID: as given with SetTimer
-	LoadPolled                            // Server, Outcome, Elapsed, Report
-	MembershipFull                        // Members: the complete membership
-	MembershipCached                      // Members: a complete membership that may be outdated
-	MembershipDelta                       // Members: changed entries only
-	DiscoveryFailed                       // a call to discovery failed or the subscription broke
-	DiscoverySilent                       // like DiscoveryFailed, but changes may have been missed: subscribe again soon
+	RequestArrived    EventKind = iota + 1 // ID, Class, Tenant, AffinityKey, Work, ClientTimeout, BodyPending, ClientRetry
+	AttemptEnded                           // ID, Attempt, Server, Outcome, Elapsed, Final, Report
+	ResponseStarted                        // ID: the response is streaming to the client, no deadline applies any more
+	BodySent                               // ID, Attempt: the last byte of a request with BodyPending was sent
+	RequestAbandoned                       // ID: the client left, or its response is overdue
+	TimerFired                             // ID: as given with SetTimer
+	LoadPolled                             // Server, Outcome, Elapsed, Report
+	MembershipFull                         // Members: the complete membership
+	MembershipCached                       // Members: a complete membership that may be outdated
+	MembershipDelta                        // Members: changed entries only
+	DiscoveryFailed                        // a call to discovery failed or the subscription broke
+	DiscoveryTimedOut                      // like DiscoveryFailed, but changes may have been missed: subscribe again soon
 )
 
 // Event is something that happened. Report and Members need to stay valid only during the call of Handle.
--- a/internal/standalone/policy/example_test.go
+++ b/internal/standalone/policy/example_test.go
@@ -6,15 +6,18 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// One balancer learns of two servers, takes a request and is told how its attempt ended.
+// A balancer is given two servers, a request and the outcome of its attempt.
 func Example() {
 	b, err := policy.New(policy.Settings{
-		Classes:        []policy.Class{{Semantics: policy.Idempotent, LatencyTarget: 300_000, ClientTimeout: 2_000_000, Value: 1}},
+		Classes: []policy.Class{
+			{Semantics: policy.Idempotent, LatencyTarget: 300_000, ClientTimeout: 2_000_000, Value: 1},
+		},
 		ReportColumns:  []policy.ReportColumn{policy.ColumnQPS, policy.ColumnUtilization, policy.ColumnEPS},
 		ReportDelivery: policy.ReportsInResponses,
 		GroupSize:      4,
-		Rules:          policy.Rules{WarmupTime: 20_000_000, InitialCapacity: 0.1, OverloadFactor: 3, OverloadTime: 2_000_000},
-		Limits:         policy.Limits{MaxAttempts: 3},
+		Rules: policy.Rules{WarmupTime: 20_000_000, InitialCapacity: 0.1, OverloadFactor: 3,
+			OverloadTime: 2_000_000},
+		Limits: policy.Limits{MaxAttempts: 3},
 	}, 42)
 	if err != nil {
 		fmt.Println(err)
--- /dev/null
+++ b/internal/standalone/policy/locality_test.go
@@ -0,0 +1,55 @@
+package policy
+
+import "testing"
+
+func TestRemoteZonesAreUsedOnlyWithoutHeadroom(t *testing.T) {
+	members := testMembers(4)
+	members[2].Zone, members[3].Zone = 1, 1
+	b := newBalancer(t, testSettings(), members)
+	shareAt := func(home, remote float64) float64 { // utilization
+		for i, s := range b.members {
+			s.utilizationSum, s.qpsSum, s.reportWeight = home, 10, 1
+			if i >= 2 {
+				s.utilizationSum = remote
+			}
+		}
+		for range 200 {
+			b.updateRemoteZoneShare(0.1)
+		}
+		return b.remoteZoneShare
+	}
+	assertNear(t, "remote share with headroom at home", shareAt(0.3, 0.1), 0, 1e-3)
+	assertNear(t, "remote share when home is full", shareAt(0.95, 0.4), 1, 1e-3)
+	assertNear(t, "remote share when all are full", shareAt(0.95, 0.95), 0, 1e-3)
+}
+
+// A lost zone shows first as failures to connect: its servers must not be found unreachable one by one.
+func TestUnreachableZoneLosesWeight(t *testing.T) {
+	members := testMembers(20)
+	for i := range members {
+		members[i].Zone = uint8(i % 2)
+	}
+	b := newBalancer(t, testSettings(), members)
+	wasted := 0
+	for id := range uint64(40) {
+		actions := b.Handle(b.now+20_000, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e6}, nil)
+		for len(actions) > 0 {
+			a := actions[0]
+			actions = actions[1:]
+			if a.Kind != SendAttempt {
+				continue
+			}
+			ev := Event{Kind: AttemptEnded, ID: id, Server: a.Server, Elapsed: 1000, Final: true}
+			ev.Attempt = uint8(len(b.requests[id].attempts) - 1)
+			if a.Server%2 == 0 { // the home zone is unreachable
+				wasted++
+				ev.Outcome, ev.Final = ConnectFailed, false
+			}
+			actions = append(actions, b.Handle(b.now, &ev, nil)...)
+		}
+		b.advance(30_000)
+	}
+	if wasted > 9 {
+		t.Errorf("%d attempts were spent on an unreachable zone of 10 servers", wasted)
+	}
+}
--- /dev/null
+++ b/internal/standalone/policy/membership_test.go
@@ -0,0 +1,16 @@
+package policy
+
+import "testing"
+
+// Servers that drain or are gone get nothing from the moment that discovery says so.
+func TestDrainingServersGetNothing(t *testing.T) {
+	b := newBalancer(t, testSettings(), testMembers(3))
+	b.Handle(b.now, &Event{Kind: MembershipDelta, Members: []Member{{Server: 100, Mode: ModeDraining},
+		{Server: 101, Mode: ModeGone}}}, nil)
+	for id := range uint64(20) {
+		actions := b.Handle(b.now, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e6}, nil)
+		if len(actions) == 0 || actions[0].Kind != SendAttempt || actions[0].Server != 102 {
+			t.Fatalf("request %d: %v", id, actions)
+		}
+	}
+}
--- /dev/null
+++ b/internal/standalone/policy/outlier_test.go
@@ -0,0 +1,151 @@
+package policy
+
+import "testing"
+
+// Slowness of all servers must not eject most of them.
+func TestCommonSlownessEjectsFew(t *testing.T) {
+	b := newBalancer(t, testSettings(), testMembers(40))
+	b.medianAttemptTime = 10_000
+	for id := range uint64(200) {
+		b.Handle(b.now+1000, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 5e6}, nil)
+	}
+	b.advance(2_000_000)
+	if n := b.schedule.Len(); n < 20 {
+		t.Errorf("%d of 40 servers are left in the schedule", n)
+	}
+}
+
+// A hung server keeps its connections; only its missing responses show it.
+func TestHungServerGetsFewAttempts(t *testing.T) {
+	b := newBalancer(t, testSettings(), testMembers(10))
+	for id := range uint64(500) {
+		out := b.Handle(b.now+10_000, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e9}, nil)
+		for _, a := range out {
+			if a.Kind == SendAttempt && a.Server != 100 {
+				b.Handle(b.now, &Event{Kind: AttemptEnded, ID: id, Server: a.Server, Elapsed: 20_000, Final: true}, nil)
+			}
+		}
+		if id%10 == 0 {
+			b.advance(1000)
+		}
+	}
+	if n := b.servers[100].inFlight; n > 3 {
+		t.Errorf("the hung server has %d attempts", n)
+	}
+}
+
+// A server that was unreachable for a moment has not restarted: taken for warming up, a network that resets some of all
+// connections would hold back all servers.
+func TestBriefUnreachabilityIsNoRestart(t *testing.T) {
+	for _, c := range []struct {
+		unreachable Time
+		warmingUp   bool
+	}{{300_000, false}, {1_500_000, true}} {
+		b := newBalancer(t, testSettings(), testMembers(1))
+		s := b.members[0]
+		for _, o := range []Outcome{OK, ConnectFailed, ConnectFailed, OK} {
+			if s.ejected {
+				s.ejectedUntil = b.now + c.unreachable
+				b.advance(c.unreachable)
+			}
+			s.inFlight++
+			b.inFlight++
+			b.observeOutcome(s, &attempt{cost: 1}, &Event{Outcome: o, Elapsed: 1000})
+		}
+		if s.warmingUp != c.warmingUp || s.ejected || s.onProbation {
+			t.Errorf("unreachable for %d: warming up %v, ejected %v", c.unreachable, s.warmingUp, s.ejected)
+		}
+	}
+}
+
+// A server whose attempts all time out is ejected after a few, although each of them makes room there; a response in
+// between clears it. When it goes, it is no longer counted as ejected.
+func TestServerIsEjectedAfterTimeouts(t *testing.T) {
+	for _, responds := range []bool{false, true} {
+		b := newBalancer(t, testSettings(), testMembers(10))
+		b.medianAttemptTime = 100_000
+		s := b.members[0]
+		for i := range 2 * maxTimeouts {
+			o := TimedOut
+			if responds && i%2 == 1 {
+				o = OK
+			}
+			b.inFlight++
+			s.inFlight++
+			b.observeOutcome(s, &attempt{cost: 1}, &Event{Outcome: o, Elapsed: 600_000})
+		}
+		if s.ejected == responds {
+			t.Errorf("responses in between %v: ejected %v", responds, s.ejected)
+		}
+		if s.ejected {
+			s.mode, s.listed = ModeGone, false
+			b.removeGoneServers()
+			if b.ejected != 0 || len(b.members) != 9 {
+				t.Errorf("%d ejected of %d", b.ejected, len(b.members))
+			}
+		}
+	}
+}
+
+// A server whose attempts fail or break, without a report that would show it, loses weight, and has it back once it
+// serves.
+func TestFailuresReduceWeight(t *testing.T) {
+	for _, outcome := range []Outcome{ErrorResponse, ConnectionReset} {
+		b := newBalancer(t, testSettings(), testMembers(1))
+		b.advance(refreshPeriod)
+		s := b.members[0]
+		end := func(o Outcome) {
+			for range 20 {
+				b.inFlight++
+				s.inFlight++
+				b.observeOutcome(s, &attempt{cost: 1}, &Event{Outcome: o, Elapsed: 1000})
+			}
+			b.advance(refreshPeriod)
+		}
+		before := s.weight
+		end(outcome)
+		if s.weight > before/5 {
+			t.Errorf("outcome %d: weight %v became %v", outcome, before, s.weight)
+		}
+		end(OK)
+		assertNear(t, "weight after it has served", s.weight/before, 1, 0.1)
+	}
+}
+
+// A server is ejected after failures to connect, gets a single attempt on probation, and starts slowly when that
+// succeeds.
+func TestUnreachableServerReturnsWithSlowStart(t *testing.T) {
+	b := newBalancer(t, testSettings(), testMembers(1))
+	s := b.members[0]
+	// A response in between shows that the server is there: a connection that fails now and then is no restart.
+	for _, o := range []Outcome{ConnectFailed, OK, ConnectFailed, ErrorResponse} {
+		s.inFlight++
+		b.inFlight++
+		b.observeOutcome(s, &attempt{cost: 1}, &Event{Outcome: o, Elapsed: 1000})
+	}
+	if b.advance(refreshPeriod); !s.Waits() || s.warmingUp {
+		t.Fatal("a server that responds is ejected or warming up")
+	}
+	out := b.Handle(b.now, &Event{Kind: RequestArrived, ID: 1, ClientTimeout: 1e7}, nil)
+	for i := range maxConnectFailures {
+		if !s.Waits() || len(out) == 0 || out[0].Kind != SendAttempt {
+			t.Fatalf("after %d failures: %v", i, out)
+		}
+		out = b.Handle(b.now, &Event{Kind: AttemptEnded, ID: 1, Server: s.id, Attempt: uint8(i), Outcome: ConnectFailed}, nil)
+	}
+	if s.Waits() {
+		t.Fatal("still in the schedule after failures to connect")
+	}
+	b.advance(2_000_000)
+	if !s.onProbation || !s.Waits() {
+		t.Fatal("not on probation after the ejection")
+	}
+	out = b.Handle(b.now, &Event{Kind: RequestArrived, ID: 2, ClientTimeout: 1e7}, nil)
+	if out[0].Kind != SendAttempt || s.Waits() {
+		t.Fatalf("the probation is not a single attempt: %v", out)
+	}
+	b.Handle(b.now, &Event{Kind: AttemptEnded, ID: 2, Server: s.id, Elapsed: 1000, Final: true}, nil)
+	if s.readySince != b.now || !s.warmingUp {
+		t.Error("no slow start after the successful probation")
+	}
+}
--- a/internal/standalone/policy/schedule_test.go
+++ b/internal/standalone/policy/schedule_test.go
@@ -7,13 +7,17 @@
 	"testing"
 )
 
-// pickServers hands out n turns and returns who got them.
-func pickServers(b *Balancer, n int) []uint32 {
-	var got []uint32
+// pickServers picks n times and returns the servers.
+func pickServers(b *Balancer, n int) (servers []uint32) {
 	for range n {
-		got = append(got, b.pick(&request{class: &b.settings.Classes[0], deadline: math.MaxInt64, cost: 1, maxAttempts: 9}).id)
+		servers = append(servers, b.pick(unboundedRequest(b)).id)
 	}
-	return got
+	return servers
+}
+
+// unboundedRequest returns a request that no deadline or number of attempts limits.
+func unboundedRequest(b *Balancer) *request {
+	return &request{class: &b.settings.Classes[0], deadline: math.MaxInt64, cost: 1, maxAttempts: 9}
 }
 
 func TestSharesFollowWeights(t *testing.T) {
@@ -33,7 +37,7 @@
 	}
 }
 
-func TestTurnsAreEven(t *testing.T) {
+func TestEqualWeightsAlternate(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(10))
 	for _, s := range b.members {
 		b.setWeight(s, 3)
@@ -47,14 +51,14 @@
 	}
 }
 
-func TestWeightChangeMakesNoLump(t *testing.T) {
+func TestWeightChangeCausesNoBurst(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(10))
 	for _, s := range b.members {
 		b.setWeight(s, 1)
 	}
 	pickServers(b, 95)
 	s := b.members[3]
-	b.setWeight(s, 1e-3) // falls to nothing, then comes back to twice the others
+	b.setWeight(s, 1e-3) // falls to almost nothing, then returns at twice the others
 	pickServers(b, 200)
 	b.setWeight(s, 2)
 	run, longest, count := 0, 0, 0
@@ -67,11 +71,11 @@
 		longest = max(longest, run)
 	}
 	if longest > 2 || count < 15 || count > 25 {
-		t.Errorf("after its weight came back the server got %d of 110 turns, %d in a row", count, longest)
+		t.Errorf("after its weight returned the server got %d of 110 turns, %d in a row", count, longest)
 	}
 }
 
-func TestLookAheadKeepsShares(t *testing.T) {
+func TestSkippedServerKeepsItsShare(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(6))
 	for _, s := range b.members {
 		b.setWeight(s, 1)
@@ -90,53 +94,40 @@
 			count++
 		}
 	}
-	if count < 4 { // its own three or four, and the turn it was passed over for
-		t.Errorf("the server that was passed over got %d of 20 turns", count)
+	if count < 4 { // its own three or four, and the turn that was skipped
+		t.Errorf("the skipped server got %d of 20 turns", count)
 	}
 }
 
-// Two attempts out at a server that does twice as much are no more of a queue than one elsewhere.
-func TestAttemptsOutWeighByWhatAServerCanDo(t *testing.T) {
+// Two attempts in flight at a server with twice the capacity are no more of a queue than one elsewhere.
+func TestLoadScoreIsRelativeToCapacity(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(2))
 	b.now += 60_000_000
 	slow, fast := b.members[0], b.members[1]
 	for i, qps := range []float32{10, 40} {
-		b.addReport(b.members[i], report(qps, 0.5, 0))
+		b.addReport(b.members[i], loadReport(qps, 0.5, 0))
 		b.members[i].nonEmptySince = 1
 	}
 	b.advance(refreshPeriod)
 	slow.inFlight, slow.openConns, fast.inFlight, fast.openConns = 2, 9, 3, 9
-	if r := (&request{}); b.loadScore(r, fast) >= b.loadScore(r, slow) {
-		t.Errorf("load %v with 3 attempts at the fast server, %v with 2 at the slow one", b.loadScore(r, fast), b.loadScore(r, slow))
-	}
-}
-
-func TestSteadyStateDoesNotAllocate(t *testing.T) {
-	b := newBalancer(t, testSettings(), testMembers(100))
-	out := make([]Action, 0, 64)
-	id := uint64(1)
-	rep := report(10, 0.5, 0)
-	round := func() {
-		id++
-		out = b.Handle(b.now+1000, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e6}, out[:0])
-		sent := out[0]
-		out = b.Handle(b.now+1000, &Event{Kind: AttemptEnded, ID: id, Server: sent.Server, Elapsed: 1000,
-			Final: true, Report: rep}, out[:0])
-	}
-	for range 2000 {
-		round()
-	}
-	if n := testing.AllocsPerRun(2000, round); n > 0.1 {
-		t.Errorf("%v allocations a request", n)
+	r := &request{}
+	if fastScore, slowScore := b.loadScore(r, fast), b.loadScore(r, slow); fastScore >= slowScore {
+		t.Errorf("score %v with 3 attempts at the fast server, %v with 2 at the slow one", fastScore, slowScore)
 	}
 }
 
-// Beyond the first turns only a warm server's idle connection is worth a turn out of order: not a server without one, nor a cold one.
-func TestFarTurnsAreForIdleConnections(t *testing.T) {
+// Beyond the first turns only a warm server's idle connection is worth a turn out of order: not a server without one,
+// nor a warming-up one.
+func TestLaterTurnsAreForIdleConnections(t *testing.T) {
 	for name, c := range map[string]struct {
-		conns, inflight int
-		cold, taken     bool
-	}{"idle connection": {1, 0, false, true}, "none": {0, 0, false, false}, "busy": {1, 1, false, false}, "cold": {1, 0, true, false}} {
+		openConns, inFlight int
+		warmingUp, picked   bool
+	}{
+		"idle connection": {1, 0, false, true},
+		"no connection":   {0, 0, false, false},
+		"busy connection": {1, 1, false, false},
+		"warming up":      {1, 0, true, false},
+	} {
 		b := newBalancer(t, testSettings(), testMembers(100))
 		for i, s := range b.members { // due in the order of their listing
 			s.Due = float64(i) / 100
@@ -144,10 +135,10 @@
 			b.setWeight(s, 1)
 		}
 		far := b.members[60]
-		far.openConns, far.inFlight, far.warmingUp, far.slowStartTokens = c.conns, c.inflight, c.cold, 5
+		far.openConns, far.inFlight, far.warmingUp, far.slowStartTokens = c.openConns, c.inFlight, c.warmingUp, 5
 		got := b.pick(&request{class: &b.settings.Classes[0], deadline: b.now + 1e6, maxAttempts: 3, cost: 1})
-		if (got == far) != c.taken {
-			t.Errorf("%s: server %d of 100 was picked, want the 61st: %v", name, slices.Index(b.members, got), c.taken)
+		if (got == far) != c.picked {
+			t.Errorf("%s: server %d of 100 was picked, want the 61st: %v", name, slices.Index(b.members, got), c.picked)
 		}
 		if b.schedule.Len() != 100 {
 			t.Errorf("%s: %d servers are left in the schedule", name, b.schedule.Len())
@@ -155,18 +146,39 @@
 	}
 }
 
-// BenchmarkPick shows what a choice costs where no connection stands idle, which is the dearest: all turns are looked at.
+func TestSteadyStateDoesNotAllocate(t *testing.T) {
+	b := newBalancer(t, testSettings(), testMembers(100))
+	actions := make([]Action, 0, 64)
+	id := uint64(1)
+	report := loadReport(10, 0.5, 0)
+	serveOne := func() {
+		id++
+		actions = b.Handle(b.now+1000, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e6}, actions[:0])
+		sent := actions[0]
+		actions = b.Handle(b.now+1000, &Event{Kind: AttemptEnded, ID: id, Server: sent.Server, Elapsed: 1000,
+			Final: true, Report: report}, actions[:0])
+	}
+	for range 2000 {
+		serveOne()
+	}
+	if n := testing.AllocsPerRun(2000, serveOne); n > 0.1 {
+		t.Errorf("%v allocations per request", n)
+	}
+}
+
+// BenchmarkPick shows what a pick costs where no connection is idle, which is the worst case: all candidates are looked
+// at.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 200, 10_000} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
-			m, err := New(testSettings(), 1)
+			balancer, err := New(testSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			m.Handle(1, &Event{Kind: MembershipFull, Members: testMembers(n)}, nil)
-			r := &request{class: &m.settings.Classes[0], deadline: math.MaxInt64, cost: 1, maxAttempts: 9}
+			balancer.Handle(1, &Event{Kind: MembershipFull, Members: testMembers(n)}, nil)
+			r := unboundedRequest(balancer)
 			for range b.N {
-				m.pick(r)
+				balancer.pick(r)
 			}
 		})
 	}
--- a/internal/standalone/policy/snapshot.go
+++ b/internal/standalone/policy/snapshot.go
@@ -96,7 +96,8 @@
 func (s *server) snapshot() ServerSnapshot {
 	return ServerSnapshot{Server: s.id, StartedAt: s.startedAt, LastReportAt: s.lastReportAt,
 		NonEmptySince: s.nonEmptySince, ReadySince: s.readySince, WarmingUp: s.warmingUp,
-		QPSSum: s.qpsSum, UtilizationSum: s.utilizationSum, EPSSum: s.epsSum, ReportWeight: s.reportWeight, SlowStartTokens: s.slowStartTokens,
+		QPSSum: s.qpsSum, UtilizationSum: s.utilizationSum, EPSSum: s.epsSum, ReportWeight: s.reportWeight,
+		SlowStartTokens: s.slowStartTokens,
 		RelativeLatency: s.relativeLatency, FailureRate: s.failureRate}
 }
 
--- a/internal/standalone/policy/subscription.go
+++ b/internal/standalone/policy/subscription.go
@@ -7,18 +7,18 @@
 	pending       bool // a call is in flight
 	nextCallAt    Time // timers that fire before are left over from earlier plans
 	active        bool
-	changesMissed bool // by a subscription that fell silent
+	changesMissed bool // by a subscription that timed out
 	failures      int  // calls that failed in a row
 }
 
 // Calls to discovery are delayed at random so that they do not come together after a start or a failure common to all
 // balancers.
 const (
-	firstCallDivisor            = 8           // the first call is spread over this part of the allowed time,
-	baseGroupSize               = 100         // in a group of this size
-	maxGroupSpread              = 2           // and up to this many times longer in larger ones
-	maxCallSpread               = 2           // times the allowed time; after failures the rules allow four times as long
-	subscribeWithinAfterSilence = 2_000_000.0 // microseconds
+	firstCallDivisor      = 8           // the first call is spread over this part of the allowed time,
+	baseGroupSize         = 100         // in a group of this size
+	maxGroupSpread        = 2           // and up to this many times longer in larger ones
+	maxCallSpread         = 2           // times the allowed time; after failures the rules allow four times as long
+	maxSpreadAfterTimeout = 2_000_000.0 // microseconds
 )
 
 // scheduleSubscribe plans a call to discovery within a random time that grows with failures and with the group, as
@@ -32,7 +32,7 @@
 	spread := allowed / firstCallDivisor * max(1, min(maxGroupSpread, float64(b.settings.GroupSize)/baseGroupSize))
 	spread = min(spread*math.Exp2(float64(max(1, b.discovery.failures))), maxCallSpread*allowed)
 	if b.discovery.changesMissed {
-		spread = min(spread, subscribeWithinAfterSilence)
+		spread = min(spread, maxSpreadAfterTimeout)
 	}
 	b.subscribeAfter(Time(b.rng.Float64() * spread))
 }
@@ -66,7 +66,7 @@
 	if !b.discovery.pending && !b.discovery.active {
 		return
 	}
-	b.discovery.active, b.discovery.pending, b.discovery.changesMissed = false, false, ev.Kind == DiscoverySilent
+	b.discovery.active, b.discovery.pending, b.discovery.changesMissed = false, false, ev.Kind == DiscoveryTimedOut
 	b.discovery.failures++
 	b.scheduleSubscribe()
 }
