--- a/cmd/pumicectl/try.go
+++ b/cmd/pumicectl/demo.go
@@ -16,47 +16,56 @@
 	"pumiceline/internal/demo"
 )
 
-// tryCommand runs the whole system on loopback.
-func tryCommand() *ffcli.Command {
+const (
+	defaultDemoLength = 12 * time.Second
+	minDemoLength     = time.Second
+)
+
+// demoCommand runs the system on loopback. Its name is "try".
+func demoCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("pumicectl try", flag.ContinueOnError)
 	programs := flags.String("programs", "", "folder of pumiceline-proxy and pumiceline-coordinator; by default the one of this program")
-	length := flags.Duration("for", 12*time.Second, "how long to send requests")
-	logs := flags.Bool("logs", false, "show what the processes write")
+	length := flags.Duration("for", defaultDemoLength, "how long to send requests")
+	showLogs := flags.Bool("logs", false, "show the logs of the processes")
 	return &ffcli.Command{
 		Name: "try", ShortUsage: "pumicectl try [flags]", FlagSet: flags,
 		ShortHelp: "run three coordinators and three proxies on loopback with fake backends, and kill a coordinator under way",
 		Exec: func(ctx context.Context, _ []string) error {
-			if *length < time.Second {
+			if *length < minDemoLength {
 				return errors.New("--for: at least 1s")
 			}
 			options := demo.Options{Programs: *programs, Length: *length, Progress: os.Stdout}
 			if options.Programs == "" {
 				own, err := os.Executable()
 				if err != nil {
-					return errors.Wrap(err, "looking for the programs")
+					return errors.Wrap(err, "locate the programs")
 				}
 				options.Programs = filepath.Dir(own)
 			}
-			if *logs {
+			if *showLogs {
 				options.Log = os.Stderr
 			}
-			result, err := demo.Run(ctx, options)
-			if err != nil {
-				return err
-			}
-			printTrial(os.Stdout, result)
-			if err := result.Fault(); err != nil {
-				fmt.Fprintln(os.Stderr, "fault:", err)
-				return errFound
-			}
-			return nil
+			return runDemo(ctx, options)
 		},
 	}
 }
 
-func printTrial(out io.Writer, r *demo.Result) {
+func runDemo(ctx context.Context, options demo.Options) error {
+	result, err := demo.Run(ctx, options)
+	if err != nil {
+		return err
+	}
+	printDemoResult(os.Stdout, result)
+	if err := result.Fault(); err != nil {
+		fmt.Fprintln(os.Stderr, "fault:", err)
+		return errFaultsFound
+	}
+	return nil
+}
+
+func printDemoResult(out io.Writer, r *demo.Result) {
 	table := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, "REQUESTS\tSERVED\tREFUSED\tFAILED\tRUN TWICE\tNOT WHOLE")
+	fmt.Fprintln(table, "REQUESTS\tSERVED\tREFUSED\tFAILED\tRUN TWICE\tINCOMPLETE")
 	for _, row := range []struct {
 		name  string
 		count demo.Count
--- /dev/null
+++ b/cmd/pumicectl/diff.go
@@ -0,0 +1,73 @@
+package main
+
+import (
+	"encoding/json"
+	"fmt"
+	"slices"
+
+	"github.com/pkg/errors"
+)
+
+// comparedLists are the lists of a configuration whose items have names.
+var comparedLists = []string{"routes", "services"}
+
+// diff returns a line for each item that was added (+), removed (-) or changed (~) between two configurations.
+func diff(current, target []byte) ([]string, error) {
+	var lines []string
+	for _, list := range comparedLists {
+		before, err := itemsByName(current, list)
+		if err != nil {
+			return nil, errors.Wrap(err, "the configuration in force")
+		}
+		after, err := itemsByName(target, list)
+		if err != nil {
+			return nil, errors.Wrap(err, "the file")
+		}
+		lines = append(lines, diffItems(list, before, after)...)
+	}
+	slices.Sort(lines)
+	return lines, nil
+}
+
+func diffItems(list string, before, after map[string]string) []string {
+	var lines []string
+	for name, item := range after {
+		old, ok := before[name]
+		switch {
+		case !ok:
+			lines = append(lines, fmt.Sprintf("+ %s %s", list, name))
+		case old != item:
+			lines = append(lines, fmt.Sprintf("~ %s %s", list, name))
+		}
+	}
+	for name := range before {
+		if _, ok := after[name]; !ok {
+			lines = append(lines, fmt.Sprintf("- %s %s", list, name))
+		}
+	}
+	return lines
+}
+
+// itemsByName returns a list's items in a form in which equal items are equal strings.
+func itemsByName(document []byte, list string) (map[string]string, error) {
+	var members map[string]json.RawMessage
+	if err := json.Unmarshal(document, &members); err != nil {
+		return nil, err
+	}
+	var items []map[string]any
+	if len(members[list]) > 0 {
+		if err := json.Unmarshal(members[list], &items); err != nil {
+			return nil, errors.Wrap(err, list)
+		}
+	}
+	byName := map[string]string{}
+	for _, item := range items {
+		name, _ := item["name"].(string)
+		encoded, err := json.Marshal(item) // with its keys in order
+		if err != nil {
+			return nil, err
+		}
+		byName[name] = string(encoded)
+	}
+	return byName, nil
+}
--- a/cmd/pumicectl/main.go
+++ b/cmd/pumicectl/main.go
@@ -1,5 +1,7 @@
-// Command pumicectl is the operator's tool: it reads, checks and changes the configuration, shows how the system
-// stands, and plays simulated clusters.
+// Command pumicectl is the operator's tool: it reads, checks and changes the configuration, shows the state of each
+// coordinator, simulates clusters of coordinators, and runs the system on loopback as a demonstration.
+//
+// Exit codes: 0 done; 1 a fault was found, a change was rejected, or the command failed; 2 wrong usage.
 package main
 
 import (
@@ -15,24 +17,24 @@
 
 // Exit codes.
 const (
-	exitFailure = 1 // the command was carried out and found a fault
+	exitFailure = 1
 	exitUsage   = 2
 )
 
-// errFound says that a command found faults, which it has printed.
-var errFound = errors.New("faults were found")
+// errFaultsFound is returned by a command that was carried out and has printed the faults that it found.
+var errFaultsFound = errors.New("faults were found")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	root := &ffcli.Command{
 		Name: "pumicectl", ShortUsage: "pumicectl <command> [flags]", ShortHelp: "operate the system",
-		Subcommands: []*ffcli.Command{configCommand(), statusCommand(), simulateCommand(), checkSettingsCommand(), tryCommand()},
-		Exec:        func(context.Context, []string) error { return flag.ErrHelp },
+		Subcommands: []*ffcli.Command{configCommand(), statusCommand(), simulateCommand(), checkSettingsCommand(), demoCommand()},
+		Exec:        showHelp,
 	}
 	if err := root.Parse(os.Args[1:]); err != nil {
 		if !errors.Is(err, flag.ErrHelp) {
-			fmt.Fprintln(os.Stderr, "pumicectl:", err)
+			printError(err)
 		}
 		os.Exit(exitUsage)
 	}
@@ -41,10 +43,15 @@
 	case err == nil:
 	case errors.Is(err, flag.ErrHelp):
 		os.Exit(exitUsage)
-	case errors.Is(err, errFound):
+	case errors.Is(err, errFaultsFound):
 		os.Exit(exitFailure)
 	default:
-		fmt.Fprintln(os.Stderr, "pumicectl:", err)
+		printError(err)
 		os.Exit(exitFailure)
 	}
 }
+
+func printError(err error) { fmt.Fprintln(os.Stderr, "pumicectl:", err) }
+
+// showHelp is what a command does that only has subcommands.
+func showHelp(context.Context, []string) error { return flag.ErrHelp }
--- a/cmd/pumicectl/simulate.go
+++ b/cmd/pumicectl/simulate.go
@@ -16,31 +16,31 @@
 	"pumiceline/internal/controlplane/simulation"
 )
 
-// simulateCommand plays simulated clusters of coordinators.
+// simulateCommand runs simulated clusters of coordinators.
 func simulateCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("pumicectl simulate", flag.ContinueOnError)
 	seed := flags.Uint64("seed", 1, "first seed")
 	seeds := flags.Uint64("seeds", 1, "number of seeds")
 	members := flags.Int("members", 4, "coordinators")
 	tolerance := flags.Int("tolerance", 1, "machines that may be lost at one time")
-	volatile := flags.Int("volatile", 0, "so many of the members, the first seeds among them, have no disk")
-	length := flags.Duration("length", 20*time.Second, "simulated time with faults")
-	wild := flags.Bool("wild", false, "losses overlap beyond the tolerance; never more lost disks than it allows")
-	drawn := flags.Bool("drawn", false, "draw members, tolerance, disks and overlaps from each seed")
-	shrink := flags.Bool("shrink", false, "leave out of each failing run what it does not need, and print its story")
-	jobs := flags.Int("jobs", max(1, runtime.NumCPU()/2), "seeds at a time")
-	pauses := flags.Bool("pauses", false, "measure how long nothing is acknowledged after each kind of loss, over the seeds")
-	asJSON := flags.Bool("json", false, "print one JSON object a seed")
+	volatile := flags.Int("volatile", 0, "number of members without a disk, the first seeds among them")
+	length := flags.Duration("length", 20*time.Second, "simulated time during which faults are injected")
+	wild := flags.Bool("wild", false, "let faults overlap beyond the tolerance; never more lost disks than it allows")
+	drawn := flags.Bool("drawn", false, "draw members, tolerance, disks and overlaps at random from each seed")
+	shrink := flags.Bool("shrink", false, "reduce each failing run to the faults that it needs, and print its trace")
+	jobs := flags.Int("jobs", max(1, runtime.NumCPU()/2), "seeds that run in parallel")
+	pauses := flags.Bool("pauses", false, "measure how long nothing is acknowledged after each kind of fault, over the seeds")
+	asJSON := flags.Bool("json", false, "print one JSON object per seed")
 	return &ffcli.Command{
 		Name: "simulate", ShortUsage: "pumicectl simulate [flags]", FlagSet: flags,
-		ShortHelp: "play coordinators over a simulated network, disks and clocks, and check every rule",
+		ShortHelp: "run coordinators over a simulated network, disks and clocks, and check the invariants",
 		Exec: func(ctx context.Context, _ []string) error {
 			if *pauses {
 				return printPauses(simulation.MeasurePauses(*members, *tolerance, *seeds))
 			}
 			shape := simulation.Options{Members: *members, Tolerance: *tolerance, Volatile: *volatile, Length: *length, Wild: *wild}
-			series := series{first: *seed, count: *seeds, jobs: *jobs, asJSON: *asJSON, shrink: *shrink}
-			series.options = func(seed uint64) simulation.Options {
+			runner := seedRunner{first: *seed, count: *seeds, jobs: *jobs, asJSON: *asJSON, shrink: *shrink}
+			runner.options = func(seed uint64) simulation.Options {
 				if *drawn {
 					return simulation.Drawn(seed)
 				}
@@ -48,11 +48,12 @@
 				options.Seed = seed
 				return options
 			}
-			return series.play(ctx)
+			return runner.run(ctx)
 		},
 	}
 }
 
+// printPauses prints how long each kind of fault interrupts acknowledgements.
 func printPauses(pauses []simulation.Pause) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "LOSS\tPAUSE MEDIAN\tLONGEST\tPUT TO ACKNOWLEDGEMENT P50\tP99")
@@ -63,70 +64,74 @@
 	return table.Flush()
 }
 
-// series is a row of seeds to play.
-type series struct {
-	first, count   uint64
-	jobs           int
-	asJSON, shrink bool
-	options        func(seed uint64) simulation.Options
+// seedRunner simulates a range of seeds, several in parallel.
+type seedRunner struct {
+	first, count uint64
+	jobs         int
+	asJSON       bool
+	shrink       bool // failing runs
+	options      func(seed uint64) simulation.Options
 }
 
-type playedSeed struct {
+// seedResult is what is printed of a seed as JSON.
+type seedResult struct {
 	Seed   uint64             `json:"Seed"`
 	Result *simulation.Result `json:"Result"`
-	Story  string             `json:"Story,omitempty"`
+	Trace  string             `json:"Story,omitempty"` // of the reduced run, where it failed
 }
 
-// playOne plays a seed; a failing one is shrunk where that is wanted.
-func (s *series) playOne(seed uint64) playedSeed {
-	options := s.options(seed)
-	played := playedSeed{Seed: seed, Result: simulation.Run(options)}
-	if s.shrink && len(played.Result.Violations) > 0 {
-		played.Story = simulation.Story(simulation.Shrink(options))
+func (r *seedRunner) runSeed(seed uint64) seedResult {
+	options := r.options(seed)
+	found := seedResult{Seed: seed, Result: simulation.Run(options)}
+	if r.shrink && len(found.Result.Violations) > 0 {
+		found.Trace = simulation.Story(simulation.Shrink(options))
 	}
-	return played
+	return found
 }
 
-func (s *series) play(ctx context.Context) error {
-	seeds, played := make(chan uint64), make(chan playedSeed)
+// run simulates and prints all seeds, until ctx ends.
+func (r *seedRunner) run(ctx context.Context) error {
+	started := time.Now()
+	failed, total := 0, 0
+	for result := range r.start(ctx) {
+		total++
+		r.print(result)
+		if len(result.Result.Violations) > 0 {
+			failed++
+		}
+	}
+	fmt.Printf("%d seeds, %d broke a rule, %.0f seeds a minute\n", total, failed, float64(total)/time.Since(started).Minutes())
+	return faultsFoundIf(failed > 0)
+}
+
+// start starts the workers. The channel is closed when they have ended; the caller must receive until then.
+func (r *seedRunner) start(ctx context.Context) <-chan seedResult {
+	seeds, results := make(chan uint64), make(chan seedResult)
 	var workers sync.WaitGroup
-	for range max(1, s.jobs) {
+	for range max(1, r.jobs) {
 		workers.Go(func() {
 			for seed := range seeds {
-				played <- s.playOne(seed)
+				results <- r.runSeed(seed)
 			}
 		})
 	}
 	go func() {
-		defer close(played)
+		defer close(results)
 		defer workers.Wait()
 		defer close(seeds)
-		for seed := s.first; seed < s.first+s.count && ctx.Err() == nil; seed++ {
+		for seed := r.first; seed < r.first+r.count && ctx.Err() == nil; seed++ {
 			seeds <- seed
 		}
 	}()
-	began := time.Now()
-	broken, total := 0, 0
-	for p := range played {
-		total++
-		s.print(p)
-		if len(p.Result.Violations) > 0 {
-			broken++
-		}
-	}
-	fmt.Printf("%d seeds, %d broke a rule, %.0f seeds a minute\n", total, broken, float64(total)/time.Since(began).Minutes())
-	if broken > 0 {
-		return errFound
-	}
-	return nil
+	return results
 }
 
-func (s *series) print(p playedSeed) {
-	if s.asJSON {
-		_ = json.NewEncoder(os.Stdout).Encode(p) // a closed pipe ends the program
+func (r *seedRunner) print(result seedResult) {
+	if r.asJSON {
+		_ = json.NewEncoder(os.Stdout).Encode(result) // a closed pipe ends the program
 	}
-	for _, violation := range p.Result.Violations {
-		fmt.Fprintf(os.Stderr, "seed %d: %v\n", p.Seed, violation)
+	for _, violation := range result.Result.Violations {
+		fmt.Fprintf(os.Stderr, "seed %d: %v\n", result.Seed, violation)
 	}
-	fmt.Fprint(os.Stderr, p.Story)
+	fmt.Fprint(os.Stderr, result.Trace)
 }
--- a/cmd/pumicectl/status.go
+++ b/cmd/pumicectl/status.go
@@ -8,7 +8,6 @@
 	"io"
 	"net/http"
 	"os"
-	"strings"
 	"text/tabwriter"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
@@ -21,64 +20,76 @@
 // statusCommand shows how each coordinator sees the system.
 func statusCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("pumicectl status", flag.ContinueOnError)
-	e := &endpoints{}
-	e.register(flags)
-	asJSON := flags.Bool("json", false, "print one JSON object a coordinator")
+	c := &coordinators{}
+	c.register(flags)
+	asJSON := flags.Bool("json", false, "print one JSON object per coordinator")
 	return &ffcli.Command{
 		Name: "status", ShortUsage: "pumicectl status --control ADDRESS,...", FlagSet: flags,
-		ShortHelp: "show view, chain, lease, proxies and placement as each coordinator sees them",
+		ShortHelp: "show membership view, chain, lease, proxies and placement as each coordinator sees them",
 		Exec: func(ctx context.Context, _ []string) error {
-			return e.printStatus(ctx, *asJSON)
+			if *asJSON {
+				return c.printStatusJSON(ctx)
+			}
+			return c.printStatusTable(ctx)
 		},
 	}
 }
 
-func (e *endpoints) printStatus(ctx context.Context, asJSON bool) error {
+const statusHeader = "COORDINATOR\tVIEW\tCHAIN\tVOTERS\tMEMBER\tMAJORITY\tSERVES\tVERSION\tLEASE HOLDER\tPROXIES\tBACKENDS\tLOADS\tWAITS FOR"
+
+// printStatusTable prints a row per coordinator, and a line per placement task below.
+func (c *coordinators) printStatusTable(ctx context.Context) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(table, "COORDINATOR\tVIEW\tCHAIN\tVOTERS\tMEMBER\tMAJORITY\tSERVES\tVERSION\tLEASE HOLDER\tPROXIES\tBACKENDS\tLOADS\tWAITS FOR")
-	silent := false
-	var placements []string
-	for _, address := range strings.FieldsFunc(e.list, func(r rune) bool { return r == ',' }) {
-		status, body, err := askStatus(ctx, address)
-		switch {
-		case err != nil:
+	fmt.Fprintln(table, statusHeader)
+	var tasks []string
+	unreachable := 0
+	for _, address := range c.addresses() {
+		status, _, err := requestStatus(ctx, address)
+		if err != nil {
 			fmt.Fprintf(table, "%s\tno answer: %v\n", address, err)
-			silent = true
-		case asJSON:
-			fmt.Println(string(body))
-		default:
-			printRow(table, address, status)
-			placements = append(placements, describeTasks(status.Tasks)...)
+			unreachable++
+			continue
 		}
+		printStatusRow(table, address, status)
+		tasks = append(tasks, describeTasks(status.Tasks)...)
 	}
-	if !asJSON {
-		if err := table.Flush(); err != nil {
-			return err
-		}
+	if err := table.Flush(); err != nil {
+		return err
 	}
-	for _, line := range placements {
+	for _, line := range tasks {
 		fmt.Println(line)
 	}
-	if silent {
-		return errFound
+	return faultsFoundIf(unreachable > 0)
+}
+
+// printStatusJSON prints each coordinator's response as it came, one a line.
+func (c *coordinators) printStatusJSON(ctx context.Context) error {
+	unreachable := 0
+	for _, address := range c.addresses() {
+		_, body, err := requestStatus(ctx, address)
+		if err != nil {
+			unreachable++
+			continue
+		}
+		fmt.Println(string(body))
 	}
-	return nil
+	return faultsFoundIf(unreachable > 0)
 }
 
-// askStatus returns how a coordinator sees the system.
-func askStatus(ctx context.Context, address string) (status *coordinator.Status, body []byte, err error) {
-	code, body, err := callOnce(ctx, http.MethodGet, "http://"+address+"/status", "", nil)
+// requestStatus returns a coordinator's status, and the JSON that it was read from.
+func requestStatus(ctx context.Context, address string) (*coordinator.Status, []byte, error) {
+	r, err := sendTo(ctx, address, request{method: http.MethodGet, path: "/status"})
 	if err != nil {
 		return nil, nil, err
 	}
-	if code != http.StatusOK {
-		return nil, nil, errors.Errorf("status %d", code)
+	if r.status != http.StatusOK {
+		return nil, nil, errors.Errorf("status %d", r.status)
 	}
-	status = &coordinator.Status{}
-	return status, body, errors.Wrap(json.Unmarshal(body, status), "its answer")
+	status := &coordinator.Status{}
+	return status, r.body, errors.Wrap(json.Unmarshal(r.body, status), "its answer")
 }
 
-func printRow(table io.Writer, address string, s *coordinator.Status) {
+func printStatusRow(table io.Writer, address string, s *coordinator.Status) {
 	fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%v\t%v\t%v\t%d\t%s\t%d\t%d\t%d\t%s\n", address, s.View, len(s.Members), len(s.Voters),
 		s.IsMember, s.HasMajority, s.IsServing, s.Version, s.LeaseHolder, s.Proxies, s.Backends, len(s.Tasks), s.WaitingFor)
 }
@@ -88,3 +99,10 @@
 		return fmt.Sprintf("%s: load %q, unload %v, adapters %v: %s", t.Backend, t.Load, t.Unload, t.Adapters, t.Reason)
 	})
 }
+
+func faultsFoundIf(found bool) error {
+	if found {
+		return errFaultsFound
+	}
+	return nil
+}
--- a/cmd/pumicectl/stored_test.go
+++ b/cmd/pumicectl/stored_test.go
@@ -21,7 +21,7 @@
 		file string
 		want any
 	}{
-		{"simulate.json", playedSeed{
+		{"simulate.json", seedResult{
 			Seed: 18446744073709551615,
 			Result: &simulation.Result{
 				Violations:   []simulation.Violation{{At: 1500 * time.Millisecond, Rule: "one lease holder", Text: "two hold it"}},
@@ -33,7 +33,7 @@
 				Moves: []string{"view 2"}, Ends: []string{"node 1: member"}, Waits: []time.Duration{20 * time.Millisecond, 30 * time.Millisecond},
 				Pause: 700 * time.Millisecond,
 			},
-			Story: "1. a loss\n",
+			Trace: "1. a loss\n",
 		}},
 		{"status.json", coordinator.Status{
 			Node: "node-a", Identity: "node-a-00112233", View: 12, Members: []string{"node-a-00112233 10.0.0.1:7000"},
