--- a/internal/dataplane/balancer/weight.go
+++ b/internal/dataplane/balancer/weight.go
@@ -1,7 +1,6 @@
 package balancer
 
 import (
-	"math"
 	"time"
 
 	"pumiceline/internal/wrr"
@@ -44,7 +43,7 @@
 
 func (e *endpointStats) decay(now time.Time) {
 	if !e.decayedAt.IsZero() {
-		keep := math.Exp(-now.Sub(e.decayedAt).Seconds() / statsTimeConstant.Seconds())
+		keep := wrr.Decay(now.Sub(e.decayedAt).Seconds(), statsTimeConstant.Seconds())
 		e.completions *= keep
 		e.busySeconds *= keep
 		e.errors *= keep
@@ -69,7 +68,12 @@
 	}
 	utilization := e.busySeconds / statsTimeConstant.Seconds() / float64(max(1, slots))
 	rate := e.completions / statsTimeConstant.Seconds()
-	return wrr.A58(rate, utilization, e.errors/e.completions, errorUtilizationPenalty), true
+	return wrr.Weight(rate, utilization, e.errors/e.completions, errorUtilizationPenalty), true
+}
+
+// slowStart has its times in seconds.
+var slowStart = wrr.SlowStart{
+	Window: slowStartWindow.Seconds(), MinAge: 1, Floor: slowStartFloor, Aggression: slowStartAggression,
 }
 
 // slowStartFactor is the A100 factor of a backend, or of a model there, that has been ready since readySince. The zero
@@ -79,7 +83,7 @@
 		return 1
 	}
 	age := now.Sub(readySince)
-	return wrr.SlowStart(age.Seconds(), 1, slowStartWindow.Seconds(), slowStartFloor, slowStartAggression)
+	return slowStart.Factor(age.Seconds())
 }
 
 // updateWeights brings the weights of a service's backends up to date. They are relative to the mean, which stands for
--- a/internal/standalone/policy/balancer.go
+++ b/internal/standalone/policy/balancer.go
@@ -184,7 +184,7 @@
 	}
 	pollInterval := loadpolling.Interval(len(b.members), b.settings.GroupSize, b.arrivalRate)
 	for _, s := range b.members {
-		if b.settings.pollsLoad() && s.Waits() && s.polling.Due(b.now, pollInterval, b.rng.Float64()) {
+		if b.settings.pollsLoad() && s.IsQueued() && s.polling.Due(b.now, pollInterval, b.rng.Float64()) {
 			b.emit(Action{Kind: PollLoad, Server: s.id})
 		}
 		b.refreshSlowStart(s, elapsed)
--- a/internal/standalone/policy/locality.go
+++ b/internal/standalone/policy/locality.go
@@ -42,7 +42,7 @@
 // zoneLoads returns the load of the scheduled servers in the home zone and in all others.
 func (b *Balancer) zoneLoads() (home, remote zoneLoad) {
 	for _, s := range b.members {
-		if !s.Waits() || s.reportWeight == 0 {
+		if !s.IsQueued() || s.reportWeight == 0 {
 			continue
 		}
 		load := &home
--- a/internal/standalone/policy/membership.go
+++ b/internal/standalone/policy/membership.go
@@ -45,7 +45,7 @@
 	}
 	if isNew {
 		s.weight = max(minWeight, b.expectedWeight(s)*b.slowStartFactor(s)*b.zoneFactor(s))
-		s.Due = b.virtualTime + b.rng.Float64()/s.weight
+		s.Deadline = b.virtualTime + b.rng.Float64()/s.weight
 	}
 	b.updateSchedule(s)
 }
@@ -53,7 +53,7 @@
 // addServer returns a new server that is taken to be warm and like the others.
 func (b *Balancer) addServer(id uint32) *server {
 	s := &server{id: id, relativeLatency: 1, readySince: -b.settings.Rules.WarmupTime, weight: 1, relativeWorkTime: 1}
-	s.Tie, s.Of = s.id, s
+	s.TieBreaker, s.Value = s.id, s
 	b.servers[id] = s
 	b.members = append(b.members, s)
 	return s
--- a/internal/standalone/policy/outlier_test.go
+++ b/internal/standalone/policy/outlier_test.go
@@ -123,25 +123,25 @@
 		b.inFlight++
 		b.observeOutcome(s, &attempt{cost: 1}, &Event{Outcome: o, Elapsed: 1000})
 	}
-	if b.advance(refreshPeriod); !s.Waits() || s.warmingUp {
+	if b.advance(refreshPeriod); !s.IsQueued() || s.warmingUp {
 		t.Fatal("a server that responds is ejected or warming up")
 	}
 	out := b.Handle(b.now, &Event{Kind: RequestArrived, ID: 1, ClientTimeout: 1e7}, nil)
 	for i := range maxConnectFailures {
-		if !s.Waits() || len(out) == 0 || out[0].Kind != SendAttempt {
+		if !s.IsQueued() || len(out) == 0 || out[0].Kind != SendAttempt {
 			t.Fatalf("after %d failures: %v", i, out)
 		}
 		out = b.Handle(b.now, &Event{Kind: AttemptEnded, ID: 1, Server: s.id, Attempt: uint8(i), Outcome: ConnectFailed}, nil)
 	}
-	if s.Waits() {
+	if s.IsQueued() {
 		t.Fatal("still in the schedule after failures to connect")
 	}
 	b.advance(2_000_000)
-	if !s.onProbation || !s.Waits() {
+	if !s.onProbation || !s.IsQueued() {
 		t.Fatal("not on probation after the ejection")
 	}
 	out = b.Handle(b.now, &Event{Kind: RequestArrived, ID: 2, ClientTimeout: 1e7}, nil)
-	if out[0].Kind != SendAttempt || s.Waits() {
+	if out[0].Kind != SendAttempt || s.IsQueued() {
 		t.Fatalf("the probation is not a single attempt: %v", out)
 	}
 	b.Handle(b.now, &Event{Kind: AttemptEnded, ID: 2, Server: s.id, Elapsed: 1000, Final: true}, nil)
--- a/internal/standalone/policy/schedule.go
+++ b/internal/standalone/policy/schedule.go
@@ -34,13 +34,13 @@
 func (b *Balancer) updateSchedule(s *server) {
 	isSchedulable := b.isSchedulable(s)
 	switch {
-	case isSchedulable && !s.Waits():
-		if s.Due < b.virtualTime {
-			s.Due = b.virtualTime + b.rng.Float64()/s.weight
+	case isSchedulable && !s.IsQueued():
+		if s.Deadline < b.virtualTime {
+			s.Deadline = b.virtualTime + b.rng.Float64()/s.weight
 		}
-		b.schedule.Add(&s.Turn)
-	case !isSchedulable && s.Waits():
-		b.schedule.Remove(&s.Turn)
+		b.schedule.Push(&s.Item)
+	case !isSchedulable && s.IsQueued():
+		b.schedule.Remove(&s.Item)
 	}
 }
 
@@ -49,12 +49,12 @@
 	if weight == s.weight {
 		return
 	}
-	if s.Due > b.virtualTime && weight > 0 && s.weight > 0 {
-		s.Due = b.virtualTime + (s.Due-b.virtualTime)*s.weight/weight
+	if s.Deadline > b.virtualTime && weight > 0 && s.weight > 0 {
+		s.Deadline = b.virtualTime + (s.Deadline-b.virtualTime)*s.weight/weight
 	}
 	s.weight = weight
-	if s.Waits() {
-		b.schedule.Fix(&s.Turn)
+	if s.IsQueued() {
+		b.schedule.Fix(&s.Item)
 	}
 	b.updateSchedule(s)
 }
@@ -66,7 +66,7 @@
 	best, bestScore := b.pickHome(r)
 	skipped := b.skipped[:0]
 	for candidates := 0; bestScore > r.affinityPenalty && b.schedule.Len() > 0 && candidates < maxCandidates; {
-		s := b.schedule.First()
+		s := b.schedule.Peek()
 		if b.mayAttemptOn(r, s) && !b.exceedsSlowStartBudget(s, r.cost) {
 			candidates++
 			if score := b.loadScore(r, s); score < bestScore {
@@ -77,22 +77,22 @@
 	}
 	best = b.pickIdleConn(r, best, bestScore)
 	for _, s := range skipped {
-		b.schedule.Add(&s.Turn)
+		b.schedule.Push(&s.Item)
 	}
 	if b.skipped = skipped; best == nil {
 		return nil
 	}
-	b.virtualTime = max(b.virtualTime, b.schedule.First().Due)
-	best.Due = max(best.Due, b.virtualTime) + 1/best.weight
-	b.schedule.Fix(&best.Turn)
+	b.virtualTime = max(b.virtualTime, b.schedule.Peek().Deadline)
+	best.Deadline = max(best.Deadline, b.virtualTime) + 1/best.weight
+	b.schedule.Fix(&best.Item)
 	return best
 }
 
 // pickIdleConn returns the warm server with an idle connection whose load score is the least and below bestScore, or
 // best if there is none. Servers that warm up keep to their turns.
 func (b *Balancer) pickIdleConn(r *request, best *server, bestScore float64) *server {
-	for _, turn := range b.schedule.Soon(maxIdleConnCandidates) {
-		s := turn.Of
+	for _, item := range b.schedule.Front(maxIdleConnCandidates) {
+		s := item.Value
 		score := b.loadScore(r, s)
 		if score < bestScore && !s.warmingUp && s.openConns > s.inFlight && b.mayAttemptOn(r, s) {
 			best, bestScore = s, score
@@ -112,7 +112,7 @@
 	r.affinityPenalty = minAffinityPenalty + affinityPenaltyPerLoad*2*float64(b.inFlight)/float64(max(1, len(b.members)))
 	for _, id := range r.homes {
 		s := b.servers[id]
-		if s == nil || !s.Waits() || !b.mayAttemptOn(r, s) || b.exceedsSlowStartBudget(s, r.cost) {
+		if s == nil || !s.IsQueued() || !b.mayAttemptOn(r, s) || b.exceedsSlowStartBudget(s, r.cost) {
 			continue
 		}
 		if score := b.loadScore(r, s); score < bestScore {
--- a/internal/standalone/policy/schedule_test.go
+++ b/internal/standalone/policy/schedule_test.go
@@ -130,8 +130,8 @@
 	} {
 		b := newBalancer(t, testSettings(), testMembers(100))
 		for i, s := range b.members { // due in the order of their listing
-			s.Due = float64(i) / 100
-			b.schedule.Fix(&s.Turn)
+			s.Deadline = float64(i) / 100
+			b.schedule.Fix(&s.Item)
 			b.setWeight(s, 1)
 		}
 		far := b.members[60]
--- a/internal/standalone/policy/server.go
+++ b/internal/standalone/policy/server.go
@@ -7,7 +7,7 @@
 
 // server is what this balancer knows about one server. It is scheduled while it may get turns.
 type server struct {
-	edf.Turn[server]
+	edf.Item[server]
 
 	// From discovery.
 	id           uint32
--- a/internal/standalone/policy/slowstart.go
+++ b/internal/standalone/policy/slowstart.go
@@ -49,12 +49,14 @@
 
 // slowStartFactor is A100's factor on the weight: max(floor, timeFactor^(1/aggression)) within the window.
 func (b *Balancer) slowStartFactor(s *server) float64 {
-	window := float64(b.settings.Rules.WarmupTime)
-	age := float64(b.now - s.readySince)
-	if !s.warmingUp || age >= window {
+	if !s.warmingUp {
 		return 1
 	}
-	return wrr.SlowStart(age, 1e6, window, b.settings.Rules.InitialCapacity, aggression)
+	rules := &b.settings.Rules
+	slowStart := wrr.SlowStart{
+		Window: float64(rules.WarmupTime), MinAge: 1e6, Floor: rules.InitialCapacity, Aggression: aggression,
+	}
+	return slowStart.Factor(float64(b.now - s.readySince))
 }
 
 // guaranteedCapacity is the fraction of its capacity that s has for sure: it grows linearly from the initial capacity
--- a/internal/standalone/policy/weights.go
+++ b/internal/standalone/policy/weights.go
@@ -1,10 +1,6 @@
 package policy
 
-import (
-	"math"
-
-	"pumiceline/internal/wrr"
-)
+import "pumiceline/internal/wrr"
 
 // Parameters of gRFC A58 (weighted round robin by load reports).
 const (
@@ -50,7 +46,7 @@
 		return // the server has not renewed its figures yet
 	}
 	s.lastReport = report
-	fade := math.Exp(-float64(elapsed) / reportFadeTime)
+	fade := wrr.Decay(float64(elapsed), reportFadeTime)
 	s.qpsSum = s.qpsSum*fade + report.qps()
 	s.utilizationSum = s.utilizationSum*fade + report.utilization()
 	s.epsSum = s.epsSum*fade + report.eps()
@@ -77,7 +73,7 @@
 		return mean
 	}
 	qps, utilization := s.qpsSum/s.reportWeight, s.utilizationSum/s.reportWeight
-	return wrr.A58(qps+meanReportWeight*mean, utilization+meanReportWeight, s.epsSum/s.qpsSum, errorUtilizationPenalty)
+	return wrr.Weight(qps+meanReportWeight*mean, utilization+meanReportWeight, s.epsSum/s.qpsSum, errorUtilizationPenalty)
 }
 
 // expectedWeight is the mean weight of servers like s: of its instance type if that is known, else of all servers,
--- /dev/null
+++ b/internal/wrr/wrr.go
@@ -0,0 +1,39 @@
+// Package wrr holds the formulas of weighted round robin that both proxies share: the weight of gRFC A58, the slow
+// start of gRFC A100, and the decay of what is measured. It is pure: times are numbers, and a formula takes all of its
+// times in one unit, which may be any.
+package wrr
+
+import "math"
+
+// Weight is the weight of an endpoint by gRFC A58:
+//
+//	rate / (utilization + errorRatio*penalty)
+//
+// rate is requests per time, utilization is between 0 and 1 and may be above for an overloaded endpoint, errorRatio is
+// errors over requests, and penalty is A58's error_utilization_penalty.
+func Weight(rate, utilization, errorRatio, penalty float64) float64 {
+	return rate / (utilization + errorRatio*penalty)
+}
+
+// SlowStart are the parameters of gRFC A100.
+type SlowStart struct {
+	Window     float64 // slow_start_window: the time from an endpoint's readiness to its full weight
+	MinAge     float64 // A100's second: a younger endpoint counts as that old
+	Floor      float64 // min_weight_percent, as a share of the full weight
+	Aggression float64 // 1: the weight rises linearly
+}
+
+// Factor is the share of its weight that an endpoint has at an age, the time since it became ready:
+//
+//	max(floor, (max(age, minAge) / window) ^ (1/aggression)), at most 1
+//
+// and 1 from the end of the window.
+func (s SlowStart) Factor(age float64) float64 {
+	if age >= s.Window {
+		return 1
+	}
+	return min(1, max(s.Floor, math.Pow(max(age, s.MinAge)/s.Window, 1/s.Aggression)))
+}
+
+// Decay is the factor by which an exponentially decaying sum shrinks in elapsed.
+func Decay(elapsed, timeConstant float64) float64 { return math.Exp(-elapsed / timeConstant) }
