--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/request.go
@@ -42,22 +42,26 @@
 		LatencyTarget: route.LatencyTarget,
 	}
 	if request.Model != "" {
-		request.PromptTokens, request.OutputTokens = tokenCount(r)
+		tokens := parseTokenCount(r.Header.Get(headerTokenCount))
+		request.PromptTokens, request.OutputTokens = tokens.prompt, tokens.output
 	}
 	return request
 }
 
-// tokenCount returns the tokens of the prompt and of the output.
-func tokenCount(r *http.Request) (prompt, output int) {
-	prompt, output = defaultPromptTokens, defaultOutputTokens
-	promptText, outputText, hasOutput := strings.Cut(r.Header.Get(headerTokenCount), ",")
-	if count, err := strconv.Atoi(strings.TrimSpace(promptText)); err == nil && count >= 0 {
-		prompt = count
+// tokenCount is the number of tokens of a request's prompt and, at most, of its output.
+type tokenCount struct{ prompt, output int }
+
+// parseTokenCount reads the value of headerTokenCount. What is missing or malformed gets its default.
+func parseTokenCount(text string) tokenCount {
+	count := tokenCount{prompt: defaultPromptTokens, output: defaultOutputTokens}
+	promptText, outputText, hasOutput := strings.Cut(text, ",")
+	if prompt, err := strconv.Atoi(strings.TrimSpace(promptText)); err == nil && prompt >= 0 {
+		count.prompt = prompt
 	}
-	if count, err := strconv.Atoi(strings.TrimSpace(outputText)); hasOutput && err == nil && count >= 0 {
-		output = count
+	if output, err := strconv.Atoi(strings.TrimSpace(outputText)); hasOutput && err == nil && output >= 0 {
+		count.output = output
 	}
-	return prompt, output
+	return count
 }
 
 // priorityOf is the priority that the backend gets: the client's, else the route's.
--- /dev/null
+++ b/internal/dataplane/proxy/subscription_test.go
@@ -0,0 +1,77 @@
+package proxy
+
+import (
+	"context"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"pumiceline/internal/bootstrap"
+	"pumiceline/internal/dataplane/backend"
+	"pumiceline/internal/dataplane/balancer"
+	"pumiceline/internal/dataplane/ingress"
+	"pumiceline/internal/dataplane/loads"
+	"pumiceline/internal/message"
+)
+
+func newTestSubscription(t *testing.T, seeds ...string) *subscription {
+	t.Helper()
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	budget := balancer.NewRetryBudget(time.Second, 1, 1, time.Now())
+	dispatcher := balancer.NewDispatcher(ctx, balancer.New(budget), balancer.DispatcherOptions{})
+	pool := backend.NewPool()
+	return newSubscription(subscriptionOptions{
+		settings: &bootstrap.Settings{Zone: "near"}, seeds: seeds,
+		dispatcher: dispatcher, handler: ingress.New(dispatcher, pool), pool: pool, loads: loads.New("p1"),
+	})
+}
+
+func TestSubscription_PrefersCoordinatorsOfItsZone(t *testing.T) {
+	s := newTestSubscription(t, "seed:1", "near:1")
+	assert.Equal(t, []string{"seed:1", "near:1"}, s.Addresses(), "the seeds, until the members are known")
+	s.SetMembers([]message.Member{
+		{Address: "far:1", Zone: "far"}, {Address: "near:1", Zone: "near"}, {Address: "far:2", Zone: "far"},
+	})
+	addresses := s.Addresses()
+	assert.Equal(t, "near:1", addresses[0])
+	assert.ElementsMatch(t, []string{"far:1", "far:2"}, addresses[1:3])
+	assert.Equal(t, []string{"seed:1"}, addresses[3:], "each once")
+}
+
+func TestSubscription_ReadyWithConfigAndBackends(t *testing.T) {
+	s := newTestSubscription(t)
+	now := time.Now()
+	config := &message.ConfigUpdate{Sequence: 7, Document: []byte(`{"version":3,"services":[],"routes":[]}`)}
+	s.Apply(&message.PollResponse{Config: config}, now)
+	assert.False(t, s.isReady.Load(), "no list of backends is known")
+	assert.Equal(t, uint64(7), s.PollRequest().ConfigSequence)
+
+	update := &message.BackendUpdate{Digest: 5, Backends: []message.Backend{{ID: "b1", Service: "s"}}}
+	s.Apply(&message.PollResponse{BackendsKnown: true, Backends: update}, now)
+	assert.True(t, s.isReady.Load())
+	assert.Equal(t, uint64(5), s.PollRequest().BackendDigest)
+}
+
+func TestSubscription_BackendsNeverGoBack(t *testing.T) {
+	s := newTestSubscription(t)
+	now := time.Now()
+	newer := &message.BackendUpdate{Digest: 5, Backends: []message.Backend{{ID: "b1", Service: "s"}}}
+	older := &message.BackendUpdate{Digest: 4}
+	s.Apply(&message.PollResponse{BackendsKnown: true, Backends: newer}, now)
+	s.Apply(&message.PollResponse{BackendsKnown: true, Backends: older, BackendsAgeMs: 1000}, now)
+	assert.Equal(t, uint64(5), s.PollRequest().BackendDigest)
+}
+
+func TestSubscription_RequestsAllBackendsAfterUnfittingUpdate(t *testing.T) {
+	s := newTestSubscription(t)
+	now := time.Now()
+	complete := &message.BackendUpdate{Digest: 5, Backends: []message.Backend{{ID: "b1", Service: "s"}}}
+	unfitting := &message.BackendUpdate{Digest: 9, Base: 8}
+	s.Apply(&message.PollResponse{BackendsKnown: true, Backends: complete}, now)
+	s.Apply(&message.PollResponse{BackendsKnown: true, Backends: unfitting}, now.Add(time.Second))
+	assert.Zero(t, s.PollRequest().BackendDigest)
+	s.Apply(&message.PollResponse{BackendsKnown: true, Backends: complete}, now.Add(2*time.Second))
+	assert.Equal(t, uint64(5), s.PollRequest().BackendDigest)
+}
