--- /dev/null
+++ b/internal/standalone/discovery/decoder.go
@@ -0,0 +1,206 @@
+package discovery
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"math"
+	"net/netip"
+	"slices"
+	"strings"
+
+	"pumiceline/internal/standalone/policy"
+)
+
+// Update is one message of discovery, in its wire form: the complete list, or what changed since the version before.
+// Entries are decoded one by one, so that an invalid one costs only itself.
+type Update struct {
+	Version  uint64            `json:"seq"`
+	Complete bool              `json:"whole"`
+	Entries  []json.RawMessage `json:"hosts"`
+}
+
+// Entry is one backend in its wire form.
+type Entry struct {
+	Host         string  `json:"host"` // its name
+	Address      string  `json:"dial"` // IP address and port
+	Zone         string  `json:"site"`
+	InstanceType string  `json:"class"`
+	Cell         int     `json:"block"`   // failure domain within the zone
+	Health       string  `json:"health"`  // SERVING, DRAINING or DELETED
+	Size         float64 `json:"share"`   // capacity relative to other backends
+	StartedAtMs  float64 `json:"born_ms"` // Unix time in milliseconds
+}
+
+// Values of Entry.Health.
+const (
+	healthServing  = "SERVING"
+	healthDraining = "DRAINING"
+	healthDeleted  = "DELETED"
+)
+
+const (
+	maxNameBytes   = 255
+	maxStartedAtMs = 1e14 // in the year 5138
+)
+
+// Endpoint is one backend of a decoded update.
+type Endpoint struct {
+	Name    string
+	Address string // empty if the backend is deleted
+	Member  policy.Member
+}
+
+// DecodedUpdate is an Update whose entries are decoded.
+type DecodedUpdate struct {
+	Version   uint64
+	Complete  bool
+	Endpoints []Endpoint
+	Invalid   []*EntryError
+}
+
+// EntryError is the error of one entry of an update. Name is empty if it cannot be read.
+type EntryError struct {
+	Name string
+	Err  error
+}
+
+// Error implements error.
+func (e *EntryError) Error() string { return e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *EntryError) Unwrap() error { return e.Err }
+
+var errInvalidName = errors.New("host is empty or too long")
+
+// Decoder decodes updates with the names of zones and instance types of the settings, and assigns server IDs. It is not safe
+// for concurrent use.
+type Decoder struct {
+	zones, instanceTypes []string
+	ids                  map[string]uint32 // by name
+	names                map[uint32]string // by ID
+}
+
+// NewDecoder returns a decoder for the zones and instance types that the settings name.
+func NewDecoder(zones, instanceTypes []string) *Decoder {
+	return &Decoder{zones: zones, instanceTypes: instanceTypes, ids: map[string]uint32{}, names: map[uint32]string{}}
+}
+
+// Decode decodes an update. Only a message that is invalid as a whole is an error.
+func (d *Decoder) Decode(message []byte) (DecodedUpdate, error) {
+	var u Update
+	if err := json.Unmarshal(message, &u); err != nil {
+		return DecodedUpdate{}, fmt.Errorf("decode endpoint list: %w", err)
+	}
+	decoded := DecodedUpdate{Version: u.Version, Complete: u.Complete}
+	for i, raw := range u.Entries {
+		endpoint, err := d.decodeEntry(raw)
+		if err != nil {
+			decoded.Invalid = append(decoded.Invalid, &EntryError{entryName(raw), fmt.Errorf("endpoint %d: %w", i, err)})
+			continue
+		}
+		decoded.Endpoints = append(decoded.Endpoints, endpoint)
+	}
+	d.assignIDs(decoded.Endpoints)
+	return decoded, nil
+}
+
+// entryName returns the name in an invalid entry, empty if that is what cannot be read.
+func entryName(raw []byte) string {
+	var named struct {
+		Host string `json:"host"`
+	}
+	_ = json.Unmarshal(raw, &named) // fields before the faulty one are set even so
+	return named.Host
+}
+
+// assignIDs assigns IDs in the order of names, so that every proxy that reads the same list gives the same IDs to names
+// whose hashes collide.
+func (d *Decoder) assignIDs(endpoints []Endpoint) {
+	byName := slices.Clone(endpoints)
+	slices.SortFunc(byName, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
+	for _, e := range byName {
+		d.id(e.Name)
+	}
+	for i := range endpoints {
+		endpoints[i].Member.Server = d.id(endpoints[i].Name)
+	}
+}
+
+func (d *Decoder) decodeEntry(raw []byte) (Endpoint, error) {
+	var entry Entry
+	if err := json.Unmarshal(raw, &entry); err != nil {
+		return Endpoint{}, err
+	}
+	if entry.Host == "" || len(entry.Host) > maxNameBytes {
+		return Endpoint{}, fmt.Errorf("%w: %.40q", errInvalidName, entry.Host)
+	}
+	if entry.Health == healthDeleted {
+		return Endpoint{Name: entry.Host}, nil
+	}
+	member, err := d.member(&entry)
+	if err != nil {
+		return Endpoint{}, fmt.Errorf("%s: %w", entry.Host, err)
+	}
+	return Endpoint{Name: entry.Host, Address: entry.Address, Member: member}, nil
+}
+
+// member checks an entry that is not deleted and returns it as a member of the policy, without its ID.
+func (d *Decoder) member(entry *Entry) (policy.Member, error) {
+	var m policy.Member
+	switch entry.Health {
+	case healthServing:
+		m.Mode = policy.ModeReady
+	case healthDraining:
+		m.Mode = policy.ModeDraining
+	default:
+		return m, fmt.Errorf("health %.40q is unknown", entry.Health)
+	}
+	if _, err := netip.ParseAddrPort(entry.Address); err != nil {
+		return m, fmt.Errorf("dial: %w", err)
+	}
+	zone := slices.Index(d.zones, entry.Zone)
+	if zone < 0 && len(d.zones) > 0 || zone > math.MaxUint8 {
+		// Not guessed: keyed requests may be repeated within a zone, so a wrong zone could carry one out twice.
+		return m, fmt.Errorf("site %.40q is not in the settings", entry.Zone)
+	}
+	if entry.Cell < 0 || entry.Cell > math.MaxUint16 {
+		return m, fmt.Errorf("block %d is out of range", entry.Cell)
+	}
+	if entry.StartedAtMs < 0 || entry.StartedAtMs > maxStartedAtMs {
+		return m, fmt.Errorf("born_ms %v is out of range", entry.StartedAtMs)
+	}
+	instanceType := slices.Index(d.instanceTypes, entry.InstanceType)
+	if instanceType < 0 { // all unknown ones are one further type
+		instanceType = len(d.instanceTypes)
+	}
+	m.Zone, m.Cell, m.InstanceType = uint8(max(0, zone)), uint16(entry.Cell), uint16(instanceType)
+	m.Size, m.StartedAt = entry.Size, policy.Time(entry.StartedAtMs*1000)
+	return m, nil
+}
+
+// id returns the ID of a name: its FNV-1a hash, so that it is the same at every proxy and after a restart. While the hash is
+// taken by another name, a zero byte is appended to the name.
+func (d *Decoder) id(name string) uint32 {
+	if id, ok := d.ids[name]; ok {
+		return id
+	}
+	hash := fnv.New32a()
+	hash.Write([]byte(name))
+	id := hash.Sum32()
+	for {
+		if _, taken := d.names[id]; !taken {
+			break
+		}
+		hash.Write([]byte{0})
+		id = hash.Sum32()
+	}
+	d.ids[name], d.names[id] = id, name
+	return id
+}
+
+func (d *Decoder) forget(id uint32) {
+	delete(d.ids, d.names[id])
+	delete(d.names, id)
+}
--- /dev/null
+++ b/internal/standalone/discovery/maintenance.go
@@ -0,0 +1,150 @@
+package discovery
+
+import (
+	"context"
+	"log/slog"
+	"time"
+
+	"pumiceline/internal/standalone/hotrestart"
+	"pumiceline/internal/standalone/maintenance"
+	"pumiceline/internal/standalone/policy"
+)
+
+const (
+	// maintenanceFile is the file of the shared folder that holds what operators disabled and enabled.
+	maintenanceFile = "bans.json"
+	// maintenancePollInterval is how often changes by other processes are looked for: well within the time that a drain has.
+	maintenancePollInterval = 50 * time.Millisecond
+)
+
+// ShareMaintenance has the watcher keep what operators disable in folder, and restore what is there. It is to be called
+// before Start.
+func (w *Watcher) ShareMaintenance(folder *hotrestart.SharedFolder) {
+	w.folder = folder
+	w.pollMaintenance()
+}
+
+// Disable keeps new requests from a backend until Enable. Without an error it is in force, and stored where there is a folder.
+// An error that is none of package maintenance means that it is in force but not stored.
+func (w *Watcher) Disable(name string) error {
+	return w.changeMaintenance(func(s *maintenance.State) error { return s.Disable(name) })
+}
+
+// Enable ends Disable; the backend starts cold. Errors are as those of Disable.
+func (w *Watcher) Enable(name string) error {
+	now := time.Now().UnixMicro()
+	return w.changeMaintenance(func(s *maintenance.State) error { return s.Enable(name, now) })
+}
+
+// DisabledCount returns how many listed backends get no new requests because they are disabled.
+func (w *Watcher) DisabledCount() int {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	n := 0
+	for _, e := range w.endpoints {
+		if e.published.Mode != e.Member.Mode {
+			n++
+		}
+	}
+	return n
+}
+
+// RunMaintenance applies what other processes of this proxy store, until ctx ends.
+func (w *Watcher) RunMaintenance(ctx context.Context) {
+	if w.folder == nil {
+		return
+	}
+	ticker := time.NewTicker(maintenancePollInterval)
+	defer ticker.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+			w.pollMaintenance()
+		}
+	}
+}
+
+// changeMaintenance applies a change to the state here and in the folder, and publishes it.
+func (w *Watcher) changeMaintenance(change func(*maintenance.State) error) error {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.folder == nil {
+		return w.changeAndPublish(change)
+	}
+	var changeErr error
+	changed := false
+	storeErr := w.folder.Update(maintenanceFile, func(stored []byte) ([]byte, error) {
+		w.restoreMaintenance(stored) // another process may have changed it since the last poll
+		changed = true
+		if changeErr = w.changeAndPublish(change); changeErr != nil {
+			return nil, changeErr
+		}
+		return w.maintenance.Encode(), nil
+	})
+	if !changed { // the folder failed before the change, which is in force even so
+		changeErr = w.changeAndPublish(change)
+	}
+	if changeErr != nil {
+		return changeErr
+	}
+	return storeErr
+}
+
+// changeAndPublish applies a change in memory. It is called with mu held.
+func (w *Watcher) changeAndPublish(change func(*maintenance.State) error) error {
+	if err := change(&w.maintenance); err != nil {
+		return err
+	}
+	w.publishMaintenance()
+	return nil
+}
+
+// pollMaintenance restores the stored state if another process has changed it since the last poll.
+func (w *Watcher) pollMaintenance() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	version := w.folder.Version(maintenanceFile)
+	if version == w.maintenanceVersion {
+		return
+	}
+	stored, err := w.folder.Read(maintenanceFile)
+	if err != nil {
+		w.log.Error("read of the maintenance state failed", "error", err)
+		return
+	}
+	w.maintenanceVersion = version
+	w.restoreMaintenance(stored)
+	w.publishMaintenance()
+}
+
+func (w *Watcher) restoreMaintenance(stored []byte) {
+	if len(stored) == 0 {
+		return
+	}
+	if err := w.maintenance.Restore(stored); err != nil {
+		w.log.Error("stored maintenance state not usable", "error", err)
+	}
+}
+
+// publishMaintenance publishes the listed endpoints whose state differs from what was published last. It is called with mu
+// held.
+func (w *Watcher) publishMaintenance() {
+	var changed []policy.Member
+	for id, e := range w.endpoints {
+		member := w.maintenance.Apply(e.Name, e.Member)
+		if member == e.published {
+			continue
+		}
+		w.log.Info("backend disabled or enabled by an operator", "backend", e.Name, "disabled", member.Mode != e.Member.Mode,
+			slog.Int64("started_at", member.StartedAt))
+		e.published = member
+		w.endpoints[id] = e
+		w.backends.SetBackend(id, e.Address, member.Mode == policy.ModeReady)
+		changed = append(changed, member)
+	}
+	if len(changed) > 0 {
+		w.policy.UpdateMembers(policy.MembershipDelta, changed)
+	}
+}
--- /dev/null
+++ b/internal/standalone/discovery/message_reader.go
@@ -0,0 +1,65 @@
+package discovery
+
+import (
+	"bufio"
+	"errors"
+	"io"
+)
+
+// maxMessageBytes is the size of the largest message of a watch that is read.
+const maxMessageBytes = 8 << 20
+
+var errMessageTooLong = errors.New("message of the discovery watch is too long")
+
+// messageReader splits the stream of a watch into messages: JSON objects, each on one line or, where lists come indented, on
+// several, and empty lines between them, which are heartbeats. A json.Decoder would not report those.
+type messageReader struct {
+	br      *bufio.Reader
+	message []byte
+	ended   bool // a message has just ended, and the rest of its line is no heartbeat
+}
+
+func newMessageReader(r io.Reader) *messageReader { return &messageReader{br: bufio.NewReader(r)} }
+
+// next returns the next message, which is valid until the next call, or nothing for a heartbeat. What is no JSON object is
+// returned as its line, for the decoder to refuse.
+func (r *messageReader) next() ([]byte, error) {
+	r.message = r.message[:0]
+	depth, quoted, escaped := 0, false, false
+	for {
+		b, err := r.br.ReadByte()
+		switch {
+		case err == io.EOF && len(r.message) > 0:
+			return nil, io.ErrUnexpectedEOF
+		case err != nil:
+			return nil, err
+		case len(r.message) == 0 && b == '\n':
+			if !r.ended {
+				return nil, nil
+			}
+			r.ended = false
+			continue
+		case len(r.message) == 0 && (b == ' ' || b == '\t' || b == '\r'):
+			continue
+		case len(r.message) == maxMessageBytes:
+			return nil, errMessageTooLong
+		}
+		r.message, r.ended = append(r.message, b), false
+		switch {
+		case escaped:
+			escaped = false
+		case quoted:
+			escaped, quoted = b == '\\', b != '"'
+		case b == '"':
+			quoted = true
+		case b == '{' || b == '[':
+			depth++
+		case b == '}' || b == ']':
+			depth--
+			r.ended = depth <= 0
+		}
+		if r.ended || depth == 0 && b == '\n' {
+			return r.message, nil
+		}
+	}
+}
--- /dev/null
+++ b/internal/standalone/discovery/resubscribe_test.go
@@ -0,0 +1,114 @@
+package discovery
+
+import (
+	"io"
+	"log/slog"
+	"net"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/policy"
+)
+
+// startPolicy runs the policy of one of a group of proxies, which decides when to watch, until the test ends.
+func startPolicy(t *testing.T, w *Watcher, groupSize int, seed uint64) Policy {
+	t.Helper()
+	set := policy.Settings{Classes: []policy.Class{{ClientTimeout: 1e6, LatencyTarget: 1e6, Value: 1}}, SubscribeDiscovery: true, GroupSize: groupSize}
+	set.Rules.SubscribeWithin = 10e6
+	balancer, err := policy.New(set, seed)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := engine.New(balancer, engine.Hooks{SubscribeDiscovery: w.RestartWatch, CloseIdleConns: func(uint32) {}}, slog.New(slog.DiscardHandler))
+	go p.Run(t.Context())
+	return p
+}
+
+// policySeeds is how many seeds of the policy each case is run with.
+const policySeeds = 30
+
+// Updates that a silent watch misses have to be known 6 s after its last byte. By then watcher and policy must have the next
+// watch, with a second to spare for its way: whatever the size of the group, and also if the last line was incomplete.
+func TestWatcher_ReplacesSilentWatchInTime(t *testing.T) {
+	for _, group := range []int{1, 100, 300} {
+		for seed := range uint64(policySeeds) {
+			synctest.Test(t, func(t *testing.T) {
+				var last, again time.Time
+				calls := 0
+				startWatcherFor(t, &recorder{}, func(w *Watcher) Policy { return startPolicy(t, w, group, seed) }, "", func(_ string, conn net.Conn) {
+					if calls++; calls == 2 {
+						again = time.Now()
+					}
+					if calls > 1 {
+						return
+					}
+					io.WriteString(conn, responseHead)
+					sendLine(conn, updateJSON(1, true, entryJSON("s-1", "SERVING")))
+					last = time.Now()
+					if seed%2 == 1 {
+						io.WriteString(conn, "9\r\n{\"seq\":2,\r\n")
+					}
+					io.Copy(io.Discard, conn)
+				})
+				time.Sleep(30 * time.Second)
+				synctest.Wait()
+				if took := again.Sub(last); calls < 2 || took > 5*time.Second {
+					t.Errorf("group of %d, seed %d: watched again %v after the last byte, %d calls", group, seed, took, calls)
+				}
+			})
+		}
+	}
+}
+
+// After a reload the updates of the new source have to be known 4 s later, also where it rejects the first watch, and where the
+// policy restarts the first watch before it has brought anything.
+func TestWatcher_RetriesNewSourceSoon(t *testing.T) {
+	for seed := range uint64(policySeeds) {
+		synctest.Test(t, func(t *testing.T) {
+			var moved, again time.Time
+			var calls atomic.Int32
+			cutOff := int32(seed % 2)
+			w := startWatcherFor(t, &recorder{}, func(w *Watcher) Policy { return startPolicy(t, w, 300, seed) }, "", func(target string, conn net.Conn) {
+				if !strings.HasPrefix(target, "127.0.0.2") {
+					io.WriteString(conn, responseHead)
+					sendLine(conn, "")
+					io.Copy(io.Discard, conn)
+					return
+				}
+				call := calls.Add(1)
+				if call <= cutOff {
+					io.Copy(io.Discard, conn)
+					return
+				}
+				if call == cutOff+1 {
+					time.Sleep(time.Second) // rejected after a wait
+					io.WriteString(conn, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
+					return
+				}
+				if call == cutOff+2 {
+					again = time.Now()
+				}
+				io.WriteString(conn, responseHead)
+				sendLine(conn, updateJSON(7, true, entryJSON("s-2", "SERVING")))
+				io.Copy(io.Discard, conn)
+			})
+			time.Sleep(10 * time.Second)
+			moved = time.Now()
+			newSource := testSource
+			newSource.Address = "127.0.0.2:1"
+			w.SetSource(newSource)
+			if synctest.Wait(); cutOff > 0 {
+				w.RestartWatch()
+			}
+			time.Sleep(20 * time.Second)
+			synctest.Wait()
+			if took := again.Sub(moved); calls.Load() < cutOff+2 || took > 3*time.Second+100*time.Millisecond {
+				t.Errorf("seed %d: watched again %v after the change, %d calls", seed, took, calls.Load())
+			}
+		})
+	}
+}
--- a/internal/standalone/discovery/stored_test.go
+++ b/internal/standalone/discovery/stored_test.go
@@ -10,26 +10,26 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// The folder holds what a process of an earlier version, of the proxy "n0", stored of suspended and resumed hosts. Its successor finds the file
-// by its name, acts on it, and writes its own word under the same name and keys.
+// The folder holds what a process of an earlier version, of the proxy "n0", stored of disabled and enabled backends. Its successor
+// finds the file by its name, applies it, and writes its own state under the same name and keys.
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/folder")); err != nil {
 		t.Fatal(err)
 	}
-	w, l := hands(t, dir)
+	w, l := newMaintainedWatcher(t, dir)
 	for name, want := range map[string]bool{"s-1": true, "s-2": false} {
-		if got := l.out(t, w, name); got != want {
-			t.Errorf("%s is out: %v, want %v", name, got, want)
+		if got := l.isDisabled(t, w, name); got != want {
+			t.Errorf("%s is disabled: %v, want %v", name, got, want)
 		}
 	}
 	l.mu.Lock()
-	if got := l.modes[w.decoder.id("s-2")].StartedAt; got != 1_800_000_000_000_001 {
-		t.Errorf("s-2 is taken for one that started at %d", got)
+	if got := l.members[w.decoder.id("s-2")].StartedAt; got != 1_800_000_000_000_001 {
+		t.Errorf("s-2 is published as started at %d", got)
 	}
 	l.mu.Unlock()
 	if got := w.DisabledCount(); got != 1 {
-		t.Errorf("%d listed hosts are out", got)
+		t.Errorf("%d listed backends are disabled", got)
 	}
 	if err := w.Disable("s-2"); err != nil {
 		t.Fatal(err)
@@ -40,10 +40,10 @@
 	}
 }
 
-// storedName is that under which an earlier version stored suspended hosts of the proxy "n0".
+// storedName is the file in which an earlier version stored the disabled backends of the proxy "n0".
 const storedName = "pumiceline-08b37c07b558d673-bans.json"
 
-// Messages of discovery as it sent them to an earlier version: every field is read.
+// A message of discovery as it was sent to an earlier version: every field is read.
 func TestReadsListSentToEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/list.json")
 	if err != nil {
@@ -65,24 +65,23 @@
 	for i, raw := range u.Entries {
 		var e Entry
 		if err := json.Unmarshal(raw, &e); err != nil || e != want[i] {
-			t.Errorf("host %d read as %+v, %v, want %+v", i, e, err, want[i])
+			t.Errorf("entry %d read as %+v, %v, want %+v", i, e, err, want[i])
 		}
 	}
-	table := NewDecoder([]string{"a", "b"}, []string{"small-6", "std-8"})
-	_, hosts, bad, err := table.Decode(text)
+	decoded, err := NewDecoder([]string{"a", "b"}, []string{"small-6", "std-8"}).Decode(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	members := []Endpoint{
+	endpoints := []Endpoint{
 		{"quote-01", "10.0.0.1:80", policy.Member{Server: 0xdcbf2eb1, Zone: 0, Cell: 5, InstanceType: 1, Mode: policy.ModeReady, Size: 1.5, StartedAt: 1.7e15}},
 		{"quote-02", "10.0.0.2:80", policy.Member{Server: 0xd9bf29f8, Zone: 1, Cell: 6, InstanceType: 0, Mode: policy.ModeDraining, Size: 0.75, StartedAt: 1.6e15}},
 		{"quote-03", "", policy.Member{Server: 0xdabf2b8b, Mode: policy.ModeGone}},
 	}
-	if !reflect.DeepEqual(hosts, members) {
-		t.Errorf("read %+v\nwant %+v", hosts, members)
+	if !reflect.DeepEqual(decoded.Endpoints, endpoints) {
+		t.Errorf("read %+v\nwant %+v", decoded.Endpoints, endpoints)
 	}
-	if len(bad) != 1 || bad[0].Name != "quote-04" {
-		t.Errorf("unusable are %v", bad)
+	if len(decoded.Invalid) != 1 || decoded.Invalid[0].Name != "quote-04" {
+		t.Errorf("invalid entries: %v", decoded.Invalid)
 	}
 	written, err := json.Marshal(Update{Version: 41, Complete: true, Entries: u.Entries[:1]})
 	if want := `{"seq":41,"whole":true,"hosts":[{"host":"quote-01","dial":"10.0.0.1:80","site":"a","class":"std-8","block":5,"health":"SERVING",` +
--- a/internal/standalone/discovery/watch.go
+++ b/internal/standalone/discovery/watch.go
@@ -5,299 +5,181 @@
 	"context"
 	"errors"
 	"fmt"
-	"log/slog"
+	"net"
 	"net/http"
-	"os"
-	"slices"
 	"strconv"
-	"sync"
-	"sync/atomic"
 	"time"
 
-	"pumiceline/internal/standalone/backend"
-	"pumiceline/internal/standalone/hotrestart"
-	"pumiceline/internal/standalone/maintenance"
 	"pumiceline/internal/standalone/policy"
 )
 
-// silenceTimeout is how long discovery may say nothing whole: a watch brings a message or an empty line every 2 s at least. A machine
-// that was cut off leaves its connections open, so a longer silence is the only sign of it. What a silent watch misses counts as
-// told 6 s after its last byte: this, the module's wait and a further call have to fit in there, hence no longer.
-const silenceTimeout = 2600 * time.Millisecond
-
-// dialTimeout leaves of that time what one lost SYN takes to be sent again.
-const dialTimeout = 1500 * time.Millisecond
-
-// Policy is told what the list says.
-type Policy interface {
-	UpdateMembers(kind policy.EventKind, members []policy.Member)
-}
-
-// Backends is told where destinations are and which may get work.
-type Backends interface {
-	SetBackend(id uint32, addr string, ready bool)
-}
-
-// Watcher keeps the pool config and asks discovery for it when the module wants it asked.
-type Watcher struct {
-	addr              string
-	dial              backend.Dial
-	decoder           *Decoder
-	policy            Policy
-	backends          Backends
-	log               *slog.Logger
-	restart           chan struct{}
-	sourceChanged     chan struct{}
-	nextSource        atomic.Pointer[source] // what Move said last
-	hasEndpoints      atomic.Bool
-	hasSynced         atomic.Bool              // from discovery, since the start
-	sourceUnconfirmed atomic.Bool              // discovery has moved, and no watch there has brought anything or ended by itself yet
-	endpointCount     atomic.Int64             // hosts listed
-	version           uint64                   // the version held, of the discovery at addr; 0: none of it
-	folder            *hotrestart.SharedFolder // nil: what operators say is kept in memory alone
-
-	mu                 sync.Mutex // guards the table's names and what follows
-	endpoints          map[uint32]listedEndpoint
-	maintenance        maintenance.State
-	maintenanceVersion hotrestart.FileVersion
-}
-
-// NewWatcher returns a watcher of discovery at addr, which it reaches over TCP.
-func NewWatcher(addr string, table *Decoder, fleet Backends, log *slog.Logger) *Watcher {
-	dial := backend.DialTCP
-	return &Watcher{addr: addr, dial: dial, decoder: table, backends: fleet, log: log, restart: make(chan struct{}, 1),
-		sourceChanged: make(chan struct{}, 1), endpoints: map[uint32]listedEndpoint{}}
-}
-
-// SetDial has the watcher reach discovery by dial. It is to be called before Run.
-func (w *Watcher) SetDial(dial backend.Dial) { w.dial = dial }
-
-// Len is how many hosts are kept: as listed, by name, and taken out by hand.
-func (w *Watcher) TableSizes() (listed, names, out int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.endpoints), len(w.decoder.ids), w.maintenance.Len()
-}
-
-// HasEndpoints says whether there is a pool config to work with.
-func (w *Watcher) HasEndpoints() bool { return w.hasEndpoints.Load() }
-
-// HasSynced says whether discovery has told of the list since the start.
-func (w *Watcher) HasSynced() bool { return w.hasSynced.Load() }
-
-// EndpointCount is how many hosts the pool config lists.
-func (w *Watcher) EndpointCount() int { return int(w.endpointCount.Load()) }
-
-// listedEndpoint is a listed host, and what it was last told to the module as.
-type listedEndpoint struct {
-	Endpoint
-	published policy.Member
-}
-
-type source struct {
-	addr                 string
-	zones, instanceTypes []string
-}
-
-// RestartWatch has Run begin a watch, in place of one that is going on. It returns at once.
-func (w *Watcher) RestartWatch() {
-	select {
-	case w.restart <- struct{}{}:
-	default:
-	}
-}
-
-// SetSource has Run watch discovery at another address from now on, without waiting for the module to ask: the module counts
-// on a watch that is going on, and the old discovery may fall silent. It returns at once.
-//
-// Where the names of zones or kinds differ from before, the whole list is asked for again: what is known of hosts' zones
-// does not hold.
-func (w *Watcher) SetSource(addr string, zones, kinds []string) {
-	w.nextSource.Store(&source{addr, zones, kinds})
-	select {
-	case w.sourceChanged <- struct{}{}:
-	default:
-	}
-}
+const (
+	// silenceTimeout is how long a watch may bring no complete message and no heartbeat; there is one every 2 s at least. A
+	// machine that is partitioned leaves its connections open, so silence is the only sign of it. Updates that a silent watch
+	// misses have to be known 6 s after its last byte. This time, the policy's delay and a further call have to fit into that.
+	silenceTimeout = 2600 * time.Millisecond
+	// dialTimeout leaves enough of silenceTimeout for one lost SYN to be sent again.
+	dialTimeout = 1500 * time.Millisecond
+)
 
-// Start tells module of the pool config that this proxy had last, and keeps module for what comes. It is to be called
-// once, before Run.
-func (w *Watcher) Start(module Policy, known []byte) {
-	w.policy = module
-	if len(known) == 0 {
-		w.policy.UpdateMembers(policy.MembershipCached, nil)
-		return
-	}
-	if err := w.apply(known, true); err != nil {
-		w.log.Error("the known pool config is not usable", "error", err)
-		w.policy.UpdateMembers(policy.MembershipCached, nil)
-	}
-}
+var errWatchStopped = errors.New("discovery watch stopped")
 
-// Run watches whenever it is asked to, until ctx ends.
-func (w *Watcher) Run(ctx context.Context) {
-	cancel, done := context.CancelFunc(func() {}), make(chan struct{})
-	close(done)
-	for {
-		var to *source
-		select {
-		case <-ctx.Done():
-			cancel()
-			<-done
-			return
-		case <-w.restart:
-		case <-w.sourceChanged:
-			if to = w.nextSource.Load(); to.addr == w.addr && slices.Equal(to.zones, w.decoder.zones) && slices.Equal(to.instanceTypes, w.decoder.instanceTypes) {
-				continue
-			}
-		}
-		cancel()
-		<-done // only one watch touches the list
-		if to != nil {
-			// The list stays in use until the new discovery has spoken. Its versions are its own: asked for changes
-			// since a version of the old one, it could leave out what it has to tell.
-			w.log.Info("discovery moved", "from", w.addr, "to", to.addr)
-			w.addr, w.version, w.decoder.zones, w.decoder.instanceTypes = to.addr, 0, to.zones, to.instanceTypes
-			w.sourceUnconfirmed.Store(true) // an Ask may cut the first watch there off before it has ended
-		}
-		var watch context.Context
-		watch, cancel = context.WithCancel(ctx)
-		done = make(chan struct{})
-		go func(done chan struct{}) {
-			defer close(done)
-			err := w.watch(watch)
-			if watch.Err() != nil {
-				return
-			}
-			w.log.Warn("the watch of the pool config ended", "error", err)
-			// Nobody knows what a watch missed that fell silent, and what a new discovery has to tell counts soon too.
-			if fresh := w.sourceUnconfirmed.Swap(false); fresh || errors.Is(err, os.ErrDeadlineExceeded) {
-				w.policy.UpdateMembers(policy.DiscoveryTimedOut, nil)
-			} else {
-				w.policy.UpdateMembers(policy.DiscoveryFailed, nil)
-			}
-		}(done)
-	}
-}
-
-// watch calls discovery and takes in what it says. It returns why the watch ended, which it always does.
+// watch runs one watch and returns why it ended, which it always does. An error that wraps os.ErrDeadlineExceeded means that
+// discovery was silent.
 func (w *Watcher) watch(ctx context.Context) error {
-	nc, err := w.dial(ctx, w.addr, time.Now().Add(dialTimeout))
+	conn, err := w.dial(ctx, w.source.Address, time.Now().Add(dialTimeout))
 	if err != nil {
-		return fmt.Errorf("connecting to discovery: %w", err)
+		return fmt.Errorf("connect to discovery: %w", err)
 	}
-	defer nc.Close()
-	defer context.AfterFunc(ctx, func() { nc.Close() })()
+	defer conn.Close()
+	defer context.AfterFunc(ctx, func() { conn.Close() })()
+	resp, err := w.openStream(ctx, conn)
+	if err != nil {
+		return err
+	}
+	// The body is never closed: Close would read to its end, which comes only when discovery ends.
+	return w.readStream(ctx, conn, newMessageReader(resp.Body))
+}
 
-	target := "http://" + w.addr + "/v1/endpoints?stream=1&index=" + strconv.FormatUint(w.version, 10)
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+// openStream asks for changes since the present version. The deadline of conn is that of the response's head.
+func (w *Watcher) openStream(ctx context.Context, conn net.Conn) (*http.Response, error) {
+	url := "http://" + w.source.Address + "/v1/endpoints?stream=1&index=" + strconv.FormatUint(w.version, 10)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return fmt.Errorf("asking discovery: %w", err)
+		return nil, fmt.Errorf("create discovery request: %w", err)
 	}
-	if err := nc.SetDeadline(time.Now().Add(silenceTimeout)); err != nil {
-		return fmt.Errorf("asking discovery: %w", err)
+	if err := conn.SetDeadline(time.Now().Add(silenceTimeout)); err != nil {
+		return nil, fmt.Errorf("set discovery deadline: %w", err)
 	}
-	if err := req.Write(nc); err != nil {
-		return fmt.Errorf("asking discovery: %w", err)
+	if err := req.Write(conn); err != nil {
+		return nil, fmt.Errorf("send discovery request: %w", err)
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(nc), req)
+	resp, err := http.ReadResponse(bufio.NewReader(conn), req)
 	if err != nil {
-		return fmt.Errorf("discovery's answer: %w", err)
+		return nil, fmt.Errorf("read discovery response: %w", err)
 	}
-	// The body is never closed: Close would read on to its end, which is to come only when discovery goes.
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("discovery answered %s", resp.Status)
+		return nil, fmt.Errorf("discovery responded %s", resp.Status)
 	}
-	messages := newMessageReader(resp.Body)
+	return resp, nil
+}
+
+// readStream applies the messages of a watch until it fails.
+func (w *Watcher) readStream(ctx context.Context, conn net.Conn, messages *messageReader) error {
 	for first := true; ; first = false {
-		// Until a whole message or an empty line: one that comes byte by byte, or half of one, is no news.
-		if err := nc.SetReadDeadline(time.Now().Add(silenceTimeout)); err != nil {
-			return fmt.Errorf("watching: %w", err)
+		// The deadline is that of a complete message: one that comes byte by byte, or half of one, is no sign of life.
+		if err := conn.SetReadDeadline(time.Now().Add(silenceTimeout)); err != nil {
+			return fmt.Errorf("set discovery deadline: %w", err)
 		}
-		text, err := messages.next()
+		message, err := messages.next()
 		if err != nil {
-			return fmt.Errorf("watching: %w", err)
+			return fmt.Errorf("read discovery watch: %w", err)
 		}
 		if ctx.Err() != nil {
-			return errors.New("watching: given up")
+			return errWatchStopped
 		}
 		w.sourceUnconfirmed.Store(false)
-		if len(text) == 0 {
-			if first { // nothing has changed: the module still waits for an answer to its call
+		if len(message) == 0 {
+			if first { // nothing has changed, and the policy waits for a response to its call
 				w.policy.UpdateMembers(policy.MembershipDelta, nil)
 				w.hasSynced.Store(true)
 			}
 			continue
 		}
-		if err := w.apply(text, false); err != nil {
-			// What it told, a drain perhaps, would be missed for good, as the next message goes on from it: the watch ends, and
-			// the next one brings the whole list.
+		if err := w.apply(message, false); err != nil {
+			// The next message continues from this one, so that its content, perhaps a drain, would be lost for good. The
+			// watch ends, and the next one asks for the complete list.
 			w.version = 0
-			return fmt.Errorf("a message of the watch is not usable: %w", err)
+			return fmt.Errorf("apply discovery update: %w", err)
 		}
 		w.hasSynced.Store(true)
 	}
 }
 
-// apply takes in an update. The fleet learns of it first, so that a drain holds for steps on their way too.
-func (w *Watcher) apply(text []byte, cached bool) error {
+// apply applies an update to the list and publishes it: to the backends first, so that a drain holds for attempts in progress
+// too. The list is cached if it is not from discovery but what the proxy had last.
+func (w *Watcher) apply(message []byte, cached bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	u, hosts, bad, err := w.decoder.Decode(text)
+	update, err := w.decoder.Decode(message)
 	if err != nil {
 		return err
 	}
-	for _, b := range bad {
-		id, known := w.decoder.ids[b.Name]
-		was, listed := w.endpoints[id]
-		w.log.Warn("host not usable", "error", b, "known", known && listed)
-		if !known || !listed {
-			continue // left out: nothing is sent there
-		}
-		// What it is told to be now can't be read. It may be told as draining, so it gets nothing new until it can.
-		was.Endpoint.Member.Mode = policy.ModeDraining
-		hosts = append(hosts, was.Endpoint)
-	}
-	members := make([]policy.Member, len(hosts))
-	now := make(map[uint32]bool, len(hosts))
-	for i := range hosts {
-		h := &hosts[i]
-		if h.Member.Mode != policy.ModeGone {
-			w.maintenance.Observe(h.Name, h.Member.StartedAt)
-		}
-		m := w.maintenance.Apply(h.Name, h.Member)
-		members[i] = m
-		now[m.Server] = m.Mode != policy.ModeGone
-		w.endpoints[m.Server] = listedEndpoint{*h, m}
-		w.backends.SetBackend(m.Server, hosts[i].Address, m.Mode == policy.ModeReady)
-		if m.Mode == policy.ModeGone {
-			w.remove(m.Server)
-		}
-	}
-	kind := policy.MembershipDelta
-	if u.Complete {
-		kind = policy.MembershipFull
-		for id := range w.endpoints { // a whole list drops what it misses
-			if !now[id] {
-				w.backends.SetBackend(id, "", false)
-				w.remove(id)
-			}
-		}
+	endpoints := append(update.Endpoints, w.drainInvalid(update.Invalid)...)
+	members := make([]policy.Member, len(endpoints))
+	for i := range endpoints {
+		members[i] = w.applyEndpoint(&endpoints[i])
 	}
-	if cached {
-		kind = policy.MembershipCached
+	if update.Complete {
+		w.removeMissing(members)
 	}
-	w.version = u.Version
+	w.version = update.Version
 	w.endpointCount.Store(int64(len(w.endpoints)))
-	w.policy.UpdateMembers(kind, members)
-	if len(w.endpoints) > 0 || u.Complete && !cached {
+	w.policy.UpdateMembers(membershipKind(update.Complete, cached), members)
+	if len(w.endpoints) > 0 || update.Complete && !cached {
 		w.hasEndpoints.Store(true)
 	}
 	return nil
 }
 
-// remove drops a host that is gone. Each deploy brings new names, so keeping the old ones would fill the memory; one
-// that comes back gets the same id again.
+func membershipKind(complete, cached bool) policy.EventKind {
+	switch {
+	case cached:
+		return policy.MembershipCached
+	case complete:
+		return policy.MembershipFull
+	default:
+		return policy.MembershipDelta
+	}
+}
+
+// drainInvalid returns the listed endpoints among invalid entries as draining: their entries may say so, and they get nothing
+// new until they are valid again. Those that are not listed are left out.
+func (w *Watcher) drainInvalid(invalid []*EntryError) []Endpoint {
+	var draining []Endpoint
+	for _, entryErr := range invalid {
+		id, known := w.decoder.ids[entryErr.Name]
+		listed, isListed := w.endpoints[id]
+		w.log.Warn("endpoint entry invalid", "error", entryErr, "known", known && isListed)
+		if !known || !isListed {
+			continue
+		}
+		listed.Endpoint.Member.Mode = policy.ModeDraining
+		draining = append(draining, listed.Endpoint)
+	}
+	return draining
+}
+
+// applyEndpoint puts one endpoint on the list and returns what is to be published of it.
+func (w *Watcher) applyEndpoint(e *Endpoint) policy.Member {
+	if e.Member.Mode != policy.ModeGone {
+		w.maintenance.Observe(e.Name, e.Member.StartedAt)
+	}
+	member := w.maintenance.Apply(e.Name, e.Member)
+	w.endpoints[member.Server] = listedEndpoint{Endpoint: *e, published: member}
+	w.backends.SetBackend(member.Server, e.Address, member.Mode == policy.ModeReady)
+	if member.Mode == policy.ModeGone {
+		w.remove(member.Server)
+	}
+	return member
+}
+
+// removeMissing removes the endpoints that a complete list does not have.
+func (w *Watcher) removeMissing(members []policy.Member) {
+	present := make(map[uint32]bool, len(members))
+	for _, m := range members {
+		present[m.Server] = m.Mode != policy.ModeGone
+	}
+	for id := range w.endpoints {
+		if !present[id] {
+			w.backends.SetBackend(id, "", false)
+			w.remove(id)
+		}
+	}
+}
+
+// remove forgets an endpoint. Each deploy brings new names, so keeping the old ones would fill the memory; one that comes back
+// gets the same ID again.
 func (w *Watcher) remove(id uint32) {
 	delete(w.endpoints, id)
 	w.decoder.forget(id)
--- a/internal/standalone/server/operations.go
+++ b/internal/standalone/server/operations.go
@@ -58,7 +58,7 @@
 // comes down again with its owner, or has a bound of its own; docs/runbook-standalone.md says which.
 func (s *server) tableSizes() map[string]int {
 	engine, backends, clients := s.engine.TableSizes(), s.backends.TableSizes(), s.clients.TableSizes()
-	listed, names, disabled := s.watcher.TableSizes()
+	discovery := s.watcher.TableSizes()
 	return map[string]int{
 		"calls":            engine.Calls,
 		"timers":           engine.Timers,
@@ -70,9 +70,9 @@
 		"destinations":     backends.Backends,
 		"connections":      s.backends.OpenConnections(),
 		"idle_connections": backends.IdleConnections,
-		"hosts":            listed,
-		"host_names":       names,
-		"suspension_names": disabled,
+		"hosts":            discovery.Endpoints,
+		"host_names":       discovery.IDs,
+		"suspension_names": discovery.Maintenance,
 		"front_sockets":    s.clients.OpenSockets(),
 		"correlation_ids":  clients.CorrelationIDs,
 		"class_numbers":    clients.ClassNumbers,
--- a/internal/standalone/server/reload.go
+++ b/internal/standalone/server/reload.go
@@ -87,7 +87,7 @@
 	r.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", classNames(&next.Settings),
 		"attempts", limits.TryLimit)
 	r.cfg = next
-	r.watcher.SetSource(next.Discovery, next.Settings.Zones, next.Settings.InstanceTypes)
+	r.watcher.SetSource(discoverySource(next))
 	return nil
 }
 
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -135,8 +135,8 @@
 		OnRequestWritten: s.metrics.AttemptSent,
 		Dial:             s.opts.Network.Dial,
 	}, s.log)
-	s.watcher = discovery.NewWatcher(s.cfg.Discovery, discovery.NewDecoder(set.Zones, set.InstanceTypes), s.backends, s.log)
-	s.watcher.SetDial(s.opts.Network.Dial)
+	s.watcher = discovery.NewWatcher(discovery.Options{Source: discoverySource(s.cfg), Dial: s.opts.Network.Dial,
+		Backends: s.backends, Log: s.log})
 }
 
 // joinProcesses makes this process known to the others of this proxy, where there is a folder that all of them see.
@@ -263,6 +263,11 @@
 	return true
 }
 
+// discoverySource returns the source of the endpoint list that a configuration names.
+func discoverySource(cfg *config.Config) discovery.Source {
+	return discovery.Source{Address: cfg.Discovery, Zones: cfg.Settings.Zones, InstanceTypes: cfg.Settings.InstanceTypes}
+}
+
 // settingsDuration converts a time of the settings, in microseconds.
 func settingsDuration(micros float64) time.Duration {
 	return time.Duration(settings.Micros(micros)) * time.Microsecond
