--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,10 +1,9 @@
-// Command benchlink runs balancers on the bench's wire: batches of events on standard input, replies on
-// standard output, one decide.Balancer for each instance.
+// Command benchlink runs balancers for the operators' simulator: it reads batches of events from standard input and
+// writes replies to standard output. Each instance has a policy.Balancer of its own.
 package main
 
 import (
 	"bufio"
-	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
@@ -14,6 +13,8 @@
 	"pumiceline/internal/standalone/policy"
 )
 
+const readBufferSize = 1 << 16
+
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
@@ -23,82 +24,118 @@
 
 // serve answers batches until the input ends between two of them. A malformed batch is not answered at all.
 func serve(in io.Reader, out io.Writer) error {
-	r := bufio.NewReaderSize(in, 1<<16)
-	var (
-		head      [simlink.BatchHeaderSize]byte
-		body      []byte
-		reply     []byte
-		actions   []policy.Action
-		dec       simlink.Decoder
-		rec       simlink.Record
-		instances = map[uint16]*policy.Balancer{}
-	)
+	h := host{in: bufio.NewReaderSize(in, readBufferSize), instances: map[uint16]*policy.Balancer{}}
 	for batch := 0; ; batch++ {
-		if _, err := io.ReadFull(r, head[:]); err == io.EOF {
+		reply, err := h.handleBatch()
+		if errors.Is(err, errInputEnded) {
 			return nil
-		} else if err != nil {
-			return fmt.Errorf("batch %d: header truncated: %w", batch, err)
 		}
-		size, count, now, err := simlink.ParseBatchHeader(head[:])
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
-		if body, err = readBody(r, body, int(size)); err != nil {
-			return fmt.Errorf("batch %d: body truncated: %w", batch, err)
+		if _, err := out.Write(reply); err != nil {
+			return fmt.Errorf("write reply: %w", err)
 		}
-		dec.Reset(body)
-		reply = append(reply[:0], make([]byte, simlink.ReplyHeaderSize)...)
-		replies := uint32(0)
-		for i := uint32(0); i < count; i++ {
-			if err := dec.Next(&rec); err != nil {
-				return fmt.Errorf("batch %d: record %d: %w", batch, i, err)
-			}
-			switch rec.Kind {
-			case simlink.SpawnInstance:
-				b, err := policy.New(rec.Settings, rec.Seed)
-				if err != nil {
-					return fmt.Errorf("batch %d: record %d: instance %d: %w", batch, i, rec.Instance, err)
-				}
-				instances[rec.Instance] = b
-			case simlink.RemoveInstance:
-				delete(instances, rec.Instance)
-			case simlink.DeliverEvent:
-				b := instances[rec.Instance]
-				if b == nil {
-					return fmt.Errorf("batch %d: record %d: instance %d was not started", batch, i, rec.Instance)
-				}
-				actions = b.Handle(now, &rec.Event, actions[:0])
-				for k := range actions {
-					reply = simlink.AppendAction(reply, rec.Instance, &actions[k])
-				}
-				replies += uint32(len(actions))
-			}
+	}
+}
+
+// errInputEnded tells that no further batch follows.
+var errInputEnded = errors.New("input ended")
+
+// host runs the instances. Its buffers are used again for each batch.
+type host struct {
+	in        *bufio.Reader
+	instances map[uint16]*policy.Balancer
+	decoder   simlink.Decoder
+	record    simlink.Record
+	body      []byte
+	reply     []byte
+	replies   uint32 // records in reply
+	actions   []policy.Action
+}
+
+// handleBatch reads a batch, hands its events to the instances and returns the reply, which is valid until the next
+// call.
+func (h *host) handleBatch() ([]byte, error) {
+	header, err := h.readBatch()
+	if err != nil {
+		return nil, err
+	}
+	h.decoder.Reset(h.body)
+	h.reply, h.replies = append(h.reply[:0], make([]byte, simlink.ReplyHeaderSize)...), 0
+	for i := range header.RecordCount {
+		if err := h.handleRecord(header.Now); err != nil {
+			return nil, fmt.Errorf("record %d: %w", i, err)
+		}
+	}
+	if n := h.decoder.Remaining(); n != 0 {
+		return nil, fmt.Errorf("%d bytes follow the last record", n)
+	}
+	simlink.PutReplyHeader(h.reply, h.replies)
+	return h.reply, nil
+}
+
+// readBatch reads the next batch, its body into h.body.
+func (h *host) readBatch() (simlink.BatchHeader, error) {
+	var text [simlink.BatchHeaderSize]byte
+	if _, err := io.ReadFull(h.in, text[:]); err == io.EOF {
+		return simlink.BatchHeader{}, errInputEnded
+	} else if err != nil {
+		return simlink.BatchHeader{}, fmt.Errorf("header truncated: %w", err)
+	}
+	header, err := simlink.ParseBatchHeader(text[:])
+	if err != nil {
+		return simlink.BatchHeader{}, err
+	}
+	if h.body, err = readBody(h.in, h.body, int(header.BodySize)); err != nil {
+		return simlink.BatchHeader{}, fmt.Errorf("body truncated: %w", err)
+	}
+	return header, nil
+}
+
+// handleRecord decodes the next record and appends what follows from it to the reply.
+func (h *host) handleRecord(now policy.Time) error {
+	r := &h.record
+	if err := h.decoder.Next(r); err != nil {
+		return err
+	}
+	switch r.Kind {
+	case simlink.SpawnInstance:
+		balancer, err := policy.New(r.Settings, r.Seed)
+		if err != nil {
+			return fmt.Errorf("instance %d: %w", r.Instance, err)
 		}
-		if dec.Remaining() != 0 {
-			return fmt.Errorf("batch %d: %d bytes follow the last record", batch, dec.Remaining())
+		h.instances[r.Instance] = balancer
+	case simlink.RemoveInstance:
+		delete(h.instances, r.Instance)
+	case simlink.DeliverEvent:
+		balancer := h.instances[r.Instance]
+		if balancer == nil {
+			return fmt.Errorf("instance %d was not started", r.Instance)
 		}
-		binary.BigEndian.PutUint32(reply, uint32(len(reply)-simlink.ReplyHeaderSize))
-		binary.BigEndian.PutUint32(reply[4:], replies)
-		if _, err := out.Write(reply); err != nil {
-			return err
+		h.actions = balancer.Handle(now, &r.Event, h.actions[:0])
+		for i := range h.actions {
+			h.reply = simlink.AppendAction(h.reply, r.Instance, &h.actions[i])
 		}
+		h.replies += uint32(len(h.actions))
 	}
+	return nil
 }
 
-// readBody reads size bytes, growing the buffer only as bytes really arrive.
+// readBody reads size bytes into body, which grows only as bytes arrive: the size of a batch is not to be trusted.
 func readBody(r io.Reader, body []byte, size int) ([]byte, error) {
 	const step = 1 << 20
 	body = body[:0]
 	for len(body) < size {
-		n := min(step, size-len(body))
-		at := len(body)
-		if cap(body) < at+n {
-			grown := make([]byte, at, 2*(at+n))
+		offset := len(body)
+		n := min(step, size-offset)
+		if cap(body) < offset+n {
+			grown := make([]byte, offset, 2*(offset+n))
 			copy(grown, body)
 			body = grown
 		}
-		body = body[:at+n]
-		if _, err := io.ReadFull(r, body[at:]); err != nil {
+		body = body[:offset+n]
+		if _, err := io.ReadFull(r, body[offset:]); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
 			}
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -11,7 +11,7 @@
 
 var be = binary.BigEndian
 
-// batch frames records that happen at a time.
+// batch is a batch of records, with its header.
 func batch(now uint64, records ...[]byte) []byte {
 	var body []byte
 	for _, r := range records {
@@ -22,6 +22,7 @@
 	return append(be.AppendUint64(b, now), body...)
 }
 
+// record is a record of an instance. Strings are preceded by their length.
 func record(code, instance uint16, fields ...any) []byte {
 	b := be.AppendUint16(be.AppendUint16(nil, code), instance)
 	for _, f := range fields {
@@ -46,61 +47,62 @@
 	"How": "piggyback"}, "Limits": {"TryLimit": 3, "MostHeld": 1000},
 	"Rules": {"AskWithin": 10000000, "Cold": 20000000, "ColdShare": 0.1, "TipMultiple": 3, "TipAfter": 2000000}}`
 
-// script is a run of several instances, as batches.
+// script returns the batches of a run of several instances.
 func script(instances []uint16) [][]byte {
 	var batches [][]byte
 	now := uint64(1_000_000)
 	first := [][]byte{}
-	list := be.AppendUint32(be.AppendUint16(be.AppendUint16(nil, 1100), 0), 20)
+	catalog := be.AppendUint32(be.AppendUint16(be.AppendUint16(nil, 1100), 0), 20)
 	for i := range uint32(20) {
-		list = be.AppendUint32(list, 500+i)
-		list = append(list, 0, 0, 0, 0, 0, 1)
-		list = be.AppendUint32(list, 0x3f800000)
-		list = be.AppendUint64(list, 0)
+		catalog = be.AppendUint32(catalog, 500+i)
+		catalog = append(catalog, 0, 0, 0, 0, 0, 1)
+		catalog = be.AppendUint32(catalog, 0x3f800000)
+		catalog = be.AppendUint64(catalog, 0)
 	}
-	first = append(first, list)
+	first = append(first, catalog)
 	for _, i := range instances {
 		first = append(first, record(1000, i, uint64(i)*77, settings), record(1010, i, uint8(2), uint16(0), uint64(1)))
 	}
 	batches = append(batches, batch(now), batch(now, first...))
 	for step := range uint64(300) {
 		now += 5000
-		var recs [][]byte
+		var records [][]byte
 		for _, i := range instances {
 			rng := rand.New(rand.NewPCG(step, uint64(i)))
 			if rng.IntN(2) == 0 {
-				recs = append(recs, record(1020, i, step+1, uint32(500_000), uint8(0), uint32(0), rng.Uint64(),
+				records = append(records, record(1020, i, step+1, uint32(500_000), uint8(0), uint32(0), rng.Uint64(),
 					uint32(0), uint8(0)))
 			}
 			if step%20 == 0 {
-				recs = append(recs, record(1060, i, uint64(0)))
+				records = append(records, record(1060, i, uint64(0)))
 			}
 		}
-		batches = append(batches, batch(now, recs...))
+		batches = append(batches, batch(now, records...))
 	}
 	return batches
 }
 
-// replies runs batches and returns each reply's records, by instance.
+// replies runs batches and returns each instance's records, with the number of their reply.
 func replies(t *testing.T, batches [][]byte) map[uint16]string {
+	t.Helper()
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(bytes.Join(batches, nil)), &out); err != nil {
 		t.Fatal(err)
 	}
-	length := map[uint16]int{1000: 20, 1010: 16, 1020: 12, 1030: 13, 1040: 16, 1050: 8, 1060: 8, 1100: 5}
-	got := map[uint16]string{}
+	recordSize := map[uint16]int{1000: 20, 1010: 16, 1020: 12, 1030: 13, 1040: 16, 1050: 8, 1060: 8, 1100: 5}
+	byInstance := map[uint16]string{}
 	frames := 0
 	for b := out.Bytes(); len(b) > 0; frames++ {
 		size, count := be.Uint32(b), be.Uint32(b[4:])
 		body := b[8 : 8+size]
 		b = b[8+size:]
 		for ; count > 0; count-- {
-			n := length[be.Uint16(body)]
+			n := recordSize[be.Uint16(body)]
 			if n == 0 {
 				t.Fatalf("unexpected action code %d", be.Uint16(body))
 			}
-			i := be.Uint16(body[2:])
-			got[i] += fmt.Sprintf("%d:%x ", frames, body[:n])
+			instance := be.Uint16(body[2:])
+			byInstance[instance] += fmt.Sprintf("%d:%x ", frames, body[:n])
 			body = body[n:]
 		}
 		if len(body) != 0 {
@@ -110,38 +112,38 @@
 	if frames != len(batches) {
 		t.Fatalf("%d replies to %d batches", frames, len(batches))
 	}
-	return got
+	return byInstance
 }
 
-// The same events must bring the same actions, whether instances share a process or not.
-func TestInstancesActAlikeTogetherAndAlone(t *testing.T) {
+// The same events lead to the same actions, whether instances share a process or not.
+func TestInstancesAreIndependent(t *testing.T) {
 	together := replies(t, script([]uint16{1, 2, 3}))
 	again := replies(t, script([]uint16{1, 2, 3}))
 	for _, i := range []uint16{1, 2, 3} {
 		alone := replies(t, script([]uint16{i}))
 		if len(together[i]) < 1000 {
-			t.Fatalf("instance %d hardly acted", i)
+			t.Fatalf("instance %d has hardly any actions", i)
 		}
 		if together[i] != alone[i] || together[i] != again[i] {
-			t.Errorf("instance %d acts differently together, alone or again", i)
+			t.Errorf("instance %d acts differently with others, alone or when repeated", i)
 		}
 	}
 }
 
-func TestMalformedInputIsNotAnswered(t *testing.T) {
+func TestServe_DoesNotAnswerMalformedInput(t *testing.T) {
 	good := batch(1, record(1000, 1, uint64(1), settings))
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
 	}{
-		"truncated header":     {good[:10], "batch 0: header truncated"},
-		"truncated body":       {good[:len(good)-3], "batch 0: body truncated"},
-		"length over limit":    {append([]byte{0xff, 0xff, 0xff, 0xff}, good[4:]...), "over the limit"},
-		"count over length":    {be.AppendUint64(be.AppendUint32(be.AppendUint32(nil, 4), 2), 1), "2 records cannot fit"},
-		"bytes left over":      {batch(1, append(record(1090, 1), 0, 0)), "2 bytes follow"},
-		"unknown instance":     {batch(1, record(1060, 9, uint64(0))), "instance 9 was not started"},
-		"settings without use": {batch(1, record(1000, 1, uint64(1), `{}`)), "no classes"},
-		"unknown code":         {batch(1, record(4000, 1)), "unknown event code 4000"},
+		"truncated header":  {good[:10], "batch 0: header truncated"},
+		"truncated body":    {good[:len(good)-3], "batch 0: body truncated"},
+		"length over limit": {append([]byte{0xff, 0xff, 0xff, 0xff}, good[4:]...), "over the limit"},
+		"count over length": {be.AppendUint64(be.AppendUint32(be.AppendUint32(nil, 4), 2), 1), "2 records cannot fit"},
+		"bytes left over":   {batch(1, append(record(1090, 1), 0, 0)), "2 bytes follow"},
+		"unknown instance":  {batch(1, record(1060, 9, uint64(0))), "instance 9 was not started"},
+		"invalid settings":  {batch(1, record(1000, 1, uint64(1), `{}`)), "no classes"},
+		"unknown code":      {batch(1, record(4000, 1)), "unknown event code 4000"},
 	} {
 		var out bytes.Buffer
 		err := serve(bytes.NewReader(c.in), &out)
--- a/internal/simlink/wire_test.go
+++ b/internal/simlink/codec_test.go
@@ -9,7 +9,9 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-func body(t testing.TB, text string) []byte {
+// decodeHex decodes hexadecimal digits with spaces between them.
+func decodeHex(t testing.TB, text string) []byte {
+	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
 		t.Fatal(err)
@@ -17,6 +19,7 @@
 	return b
 }
 
+// Records as the simulator sends them.
 const (
 	arrival  = "03fc 0003 000912295d3a91c4 0003a980 01 00000002 91f03b7c55d20a64 00002ee0 01"
 	finished = "0410 0003 000912295d3a91c4 00 03124a07 0003 00004844 01 02 3f000000 41680000"
@@ -25,51 +28,52 @@
 	update = "03f2 0003 02 0000 0000000000000029"
 )
 
-func decode(t testing.TB, text string) ([]Record, error) {
+// decode decodes records until the first error.
+func decode(t testing.TB, text string) (records []Record, err error) {
+	t.Helper()
 	var d Decoder
-	d.Reset(body(t, text))
-	var all []Record
+	d.Reset(decodeHex(t, text))
 	for d.Remaining() > 0 {
 		var r Record
 		if err := d.Next(&r); err != nil {
-			return all, err
+			return records, err
 		}
-		all = append(all, r)
+		records = append(records, r)
 	}
-	return all, nil
+	return records, nil
 }
 
-func TestEventsAreRead(t *testing.T) {
-	recs, err := decode(t, arrival+finished+catalog+update)
+func TestDecoder_Events(t *testing.T) {
+	records, err := decode(t, arrival+finished+catalog+update)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ev := recs[0].Event
-	if recs[0].Instance != 3 || ev.Kind != policy.RequestArrived || ev.ID != 0x000912295d3a91c4 || ev.Class != 1 ||
+	ev := records[0].Event
+	if records[0].Instance != 3 || ev.Kind != policy.RequestArrived || ev.ID != 0x000912295d3a91c4 || ev.Class != 1 ||
 		ev.ClientTimeout != 0x3a980 || ev.Tenant != 2 || ev.AffinityKey != 0x91f03b7c55d20a64 || ev.Work != 0x2ee0 {
 		t.Errorf("arrival read as %+v", ev)
 	}
-	ev = recs[1].Event
+	ev = records[1].Event
 	if ev.Kind != policy.AttemptEnded || ev.Outcome != policy.TimedOut || ev.Server != 0x03124a07 || !ev.Final ||
 		ev.Elapsed != 0x4844 || len(ev.Report) != 2 || ev.Report[0] != 0.5 || ev.Report[1] != 14.5 {
 		t.Errorf("outcome read as %+v", ev)
 	}
-	ev = recs[3].Event
+	ev = records[3].Event
 	want := policy.Member{Server: 0x2c9011f2, Zone: 1, InstanceType: 1, Cell: 2, Mode: policy.ModeDraining, Size: 1.5,
 		StartedAt: 0x5d1420}
 	if ev.Kind != policy.MembershipCached || len(ev.Members) != 2 || ev.Members[1] != want {
-		t.Errorf("list read as %+v", ev)
+		t.Errorf("membership read as %+v", ev)
 	}
 }
 
-func TestWorkIsReadOnlyWhenMarkedValid(t *testing.T) {
-	recs, err := decode(t, arrival[:len(arrival)-2]+"06")
-	if err != nil || recs[0].Event.Work != 0 {
-		t.Errorf("work %d, error %v", recs[0].Event.Work, err)
+func TestDecoder_ReadsWorkOnlyWhereMarkedValid(t *testing.T) {
+	records, err := decode(t, arrival[:len(arrival)-2]+"06")
+	if err != nil || records[0].Event.Work != 0 {
+		t.Errorf("work %d, error %v", records[0].Event.Work, err)
 	}
 }
 
-func TestMalformedRecordsAreNamed(t *testing.T) {
+func TestDecoder_NamesMalformedRecords(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
 		"unknown code":       {"1234 0003", "unknown event code 4660"},
 		"truncated arrival":  {arrival[:35], "JobIn at byte 0"},
@@ -90,31 +94,36 @@
 	}
 }
 
-func TestActionsAreWritten(t *testing.T) {
-	for want, a := range map[string]policy.Action{
-		"03e8 0003 000912295d3a91c4 03124a07 00013880": {Kind: policy.SendAttempt, ID: 0x000912295d3a91c4,
-			Server: 0x03124a07, After: 80_000},
-		"03f2 0003 000ec3ff0e6f2b19 0003d090":               {Kind: policy.RejectRequest, ID: 0x000ec3ff0e6f2b19, After: 250_000},
-		"03fc 0003 000ec3ff0e6f2b19":                        {Kind: policy.FailRequest, ID: 0x000ec3ff0e6f2b19},
-		"0406 0003 000912295d3a91c4 02":                     {Kind: policy.CancelAttempt, ID: 0x000912295d3a91c4, Attempt: 2},
-		"0410 0003 0007a120 000000000000004d":               {Kind: policy.SetTimer, ID: 0x4d, After: 500_000},
-		"0410 0003 ffffffff 000000000000004d":               {Kind: policy.SetTimer, ID: 0x4d, After: math.MaxInt64},
-		"041a 0003 2c9011f2":                                {Kind: policy.PollLoad, Server: 0x2c9011f2},
-		"044c 0003 01":                                      {Kind: policy.SubscribeDiscovery},
-		"0438 0003 0011 74776f2073657276657273206b6e6f776e": {Kind: policy.LogMessage, Text: "two servers known"},
+func TestAppendAction(t *testing.T) {
+	for _, c := range []struct {
+		action policy.Action
+		want   string
+	}{
+		{policy.Action{Kind: policy.SendAttempt, ID: 0x000912295d3a91c4, Server: 0x03124a07, After: 80_000},
+			"03e8 0003 000912295d3a91c4 03124a07 00013880"},
+		{policy.Action{Kind: policy.RejectRequest, ID: 0x000ec3ff0e6f2b19, After: 250_000},
+			"03f2 0003 000ec3ff0e6f2b19 0003d090"},
+		{policy.Action{Kind: policy.FailRequest, ID: 0x000ec3ff0e6f2b19}, "03fc 0003 000ec3ff0e6f2b19"},
+		{policy.Action{Kind: policy.CancelAttempt, ID: 0x000912295d3a91c4, Attempt: 2}, "0406 0003 000912295d3a91c4 02"},
+		{policy.Action{Kind: policy.SetTimer, ID: 0x4d, After: 500_000}, "0410 0003 0007a120 000000000000004d"},
+		{policy.Action{Kind: policy.SetTimer, ID: 0x4d, After: math.MaxInt64}, "0410 0003 ffffffff 000000000000004d"},
+		{policy.Action{Kind: policy.PollLoad, Server: 0x2c9011f2}, "041a 0003 2c9011f2"},
+		{policy.Action{Kind: policy.SubscribeDiscovery}, "044c 0003 01"},
+		{policy.Action{Kind: policy.LogMessage, Text: "two servers known"},
+			"0438 0003 0011 74776f2073657276657273206b6e6f776e"},
 	} {
-		if got := AppendAction(nil, 3, &a); string(got) != string(body(t, want)) {
-			t.Errorf("%+v written as %x, want %s", a, got, want)
+		if got := AppendAction(nil, 3, &c.action); string(got) != string(decodeHex(t, c.want)) {
+			t.Errorf("%+v written as %x, want %s", c.action, got, c.want)
 		}
 	}
 }
 
-// FuzzDecoder looks for input that makes the decoder panic, read on past its end or stand still.
+// FuzzDecoder looks for input that makes the decoder panic, read past the end or make no progress.
 func FuzzDecoder(f *testing.F) {
 	for _, s := range []string{arrival, finished, catalog + update, "03e8 0003 0000000000000001 00000002 7b7d",
 		"0442 0003", "0424 0003 000000000000004d", "041a 0005 000ec3ff0e6f2b19", "1234",
 		"042e 0003 2c9011f2 0000 00000578 01 3f000000", "0438 0003 00000002 0004 68692037"} {
-		f.Add(body(f, s))
+		f.Add(decodeHex(f, s))
 	}
 	f.Fuzz(func(t *testing.T, b []byte) {
 		var d Decoder
--- a/internal/simlink/stored_test.go
+++ b/internal/simlink/stored_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// records reads a stored sample: one record a line.
+// records returns the records of a stored sample, one a line.
 func records(t *testing.T, path string) (all []string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -26,7 +26,7 @@
 	return all
 }
 
-// Every kind of record is read as an earlier version read it, each of its fields.
+// Every kind of record is read as an earlier version read it, in each field.
 func TestReadsRecordsStoredByEarlierVersion(t *testing.T) {
 	members := []policy.Member{
 		{Server: 0x03124a07, Zone: 2, InstanceType: 4, Cell: 5, Mode: policy.ModeReady, Size: 1, StartedAt: 0x63},
@@ -40,14 +40,18 @@
 		event(policy.Event{Kind: policy.MembershipCached, Members: members}),
 		event(policy.Event{Kind: policy.MembershipFull, Members: members}),
 		event(policy.Event{Kind: policy.DiscoveryFailed}),
-		event(policy.Event{Kind: policy.RequestArrived, ID: 0x000912295d3a91c4, ClientTimeout: 0x3a980, Class: 1, Tenant: 2, AffinityKey: 0x91f03b7c55d20a64, Work: 0x2ee0}),
-		event(policy.Event{Kind: policy.RequestArrived, ID: 0x000912295d3a91c5, ClientTimeout: 0x3a981, Class: 2, Tenant: 3, AffinityKey: 0x91f03b7c55d20a65}),
-		event(policy.Event{Kind: policy.ResponseStarted, ID: 0x000912295d3a91c4, Elapsed: 0x4844, Server: 0x03124a07, Attempt: 2}),
-		event(policy.Event{Kind: policy.AttemptEnded, ID: 0x000912295d3a91c4, Attempt: 1, Server: 0x03124a07, Outcome: policy.TimedOut, Elapsed: 0x4844,
-			Final: true, Report: []float32{0.5, 14.5}}),
+		event(policy.Event{Kind: policy.RequestArrived, ID: 0x000912295d3a91c4, ClientTimeout: 0x3a980,
+			Class: 1, Tenant: 2, AffinityKey: 0x91f03b7c55d20a64, Work: 0x2ee0}),
+		event(policy.Event{Kind: policy.RequestArrived, ID: 0x000912295d3a91c5, ClientTimeout: 0x3a981,
+			Class: 2, Tenant: 3, AffinityKey: 0x91f03b7c55d20a65}),
+		event(policy.Event{Kind: policy.ResponseStarted, ID: 0x000912295d3a91c4, Elapsed: 0x4844,
+			Server: 0x03124a07, Attempt: 2}),
+		event(policy.Event{Kind: policy.AttemptEnded, ID: 0x000912295d3a91c4, Attempt: 1, Server: 0x03124a07,
+			Outcome: policy.TimedOut, Elapsed: 0x4844, Final: true, Report: []float32{0.5, 14.5}}),
 		event(policy.Event{Kind: policy.RequestAbandoned, ID: 0x000912295d3a91c4}),
 		event(policy.Event{Kind: policy.TimerFired, ID: 0x4d}),
-		event(policy.Event{Kind: policy.LoadPolled, Server: 0x2c9011f2, Outcome: policy.Rejected, Elapsed: 0x578, Report: []float32{0.5}}),
+		event(policy.Event{Kind: policy.LoadPolled, Server: 0x2c9011f2, Outcome: policy.Rejected, Elapsed: 0x578,
+			Report: []float32{0.5}}),
 		{Kind: Ignored, Instance: 3},
 		{Kind: RemoveInstance, Instance: 3},
 	}
@@ -58,16 +62,17 @@
 	var d Decoder
 	for i, line := range lines {
 		var got Record
-		d.Reset(body(t, line))
+		d.Reset(decodeHex(t, line))
 		if err := d.Next(&got); err != nil || d.Remaining() != 0 || !reflect.DeepEqual(got, want[i]) {
 			t.Errorf("%s\nread %+v, %v, %d bytes left\nwant %+v", strings.TrimSpace(line), got, err, d.Remaining(), want[i])
 		}
 	}
 }
 
-// Outcomes and the modes of servers have the numbers that the link gives them.
+// Outcomes and modes have the numbers of the link.
 func TestNumbersAreThoseOfEarlierVersion(t *testing.T) {
-	outcomes := []policy.Outcome{policy.OK, policy.ErrorResponse, policy.Rejected, policy.TimedOut, policy.ConnectFailed, policy.ConnectionReset, policy.Cancelled, policy.NotSent}
+	outcomes := []policy.Outcome{policy.OK, policy.ErrorResponse, policy.Rejected, policy.TimedOut,
+		policy.ConnectFailed, policy.ConnectionReset, policy.Cancelled, policy.NotSent}
 	if want := []policy.Outcome{0, 1, 2, 3, 4, 5, 6, 7}; !slices.Equal(outcomes, want) {
 		t.Errorf("outcomes are %v", outcomes)
 	}
@@ -95,7 +100,7 @@
 		t.Fatalf("%d records", len(lines))
 	}
 	for i, line := range lines {
-		if got := AppendAction(nil, 3, &actions[i]); !bytes.Equal(got, body(t, line)) {
+		if got := AppendAction(nil, 3, &actions[i]); !bytes.Equal(got, decodeHex(t, line)) {
 			t.Errorf("%+v written as %x, want %s", actions[i], got, line)
 		}
 	}
@@ -103,8 +108,9 @@
 
 // A batch's header is read field by field.
 func TestReadsHeaderStoredByEarlierVersion(t *testing.T) {
-	size, count, now, err := ParseBatchHeader(body(t, "00010203 00000405 00060708090a0b0c"))
-	if err != nil || size != 0x00010203 || count != 0x0405 || now != 0x00060708090a0b0c {
-		t.Errorf("%x, %x, %x, %v", size, count, now, err)
+	header, err := ParseBatchHeader(decodeHex(t, "00010203 00000405 00060708090a0b0c"))
+	want := BatchHeader{BodySize: 0x00010203, RecordCount: 0x0405, Now: 0x00060708090a0b0c}
+	if err != nil || header != want {
+		t.Errorf("%x, %v", header, err)
 	}
 }
