--- a/internal/fake/fakestandalone/world.go
+++ b/internal/fake/fakestandalone/world.go
@@ -88,11 +88,11 @@
 		s.Tenants = append(s.Tenants, settings.Tenant{Name: t, QuotaPerS: 200})
 	}
 	l := &s.Limits
-	l.Cancelling, l.MayDuplicate, l.DialTimeout, l.IdleClose, l.MaxRetryAfter = true, true, 0.25*us, 10*us, 2.5*us
-	l.MostHeld, l.TryLimit = 20000, 3
-	s.LoadReports.Columns, s.LoadReports.How = []string{"cpu", "rps", "err_rps"}, "piggyback"
+	l.AllowCancel, l.AllowHedging, l.DialTimeout, l.ConnIdleTimeout, l.MaxRetryAfter = true, true, 0.25*us, 10*us, 2.5*us
+	l.MaxOpenRequests, l.MaxAttempts = 20000, 3
+	s.LoadReports.Columns, s.LoadReports.Delivery = []string{"cpu", "rps", "err_rps"}, "piggyback"
 	s.Prices.CrossZone = 0.03
 	r := &s.Rules
-	r.AnswerSlack, r.AskWithin, r.Cold, r.TipAfter, r.ColdShare, r.TipMultiple = 0.02*us, 10*us, 24*us, us, 0.12, 3
+	r.ResponseGrace, r.SubscribeWithin, r.WarmupTime, r.OverloadTime, r.InitialCapacity, r.OverloadFactor = 0.02*us, 10*us, 24*us, us, 0.12, 3
 	return json.Marshal(map[string]any{"name": "try", "listen": listen, "discovery": discovery, "settings": s})
 }
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -79,8 +79,8 @@
 	if key := missingKey(now.document, next.document, ""); key != "" {
 		return nil, fmt.Errorf("config: %s: missing", key)
 	}
-	if tries := next.Settings.Limits.TryLimit; tries < 0 || tries == 0 && now.Settings.Limits.TryLimit > 0 {
-		return nil, fmt.Errorf("config: settings.Limits.TryLimit: %d is no number of attempts", next.Settings.Limits.TryLimit)
+	if tries := next.Settings.Limits.MaxAttempts; tries < 0 || tries == 0 && now.Settings.Limits.MaxAttempts > 0 {
+		return nil, fmt.Errorf("config: settings.Limits.TryLimit: %d is no number of attempts", next.Settings.Limits.MaxAttempts)
 	}
 	return next, nil
 }
@@ -242,7 +242,7 @@
 		value *float64
 		use   float64
 	}{
-		{"DialTimeout", &l.DialTimeout, defaultDialTimeout}, {"IdleClose", &l.IdleClose, defaultIdleClose},
+		{"DialTimeout", &l.DialTimeout, defaultDialTimeout}, {"IdleClose", &l.ConnIdleTimeout, defaultIdleClose},
 		{"MaxRetryAfter", &l.MaxRetryAfter, defaultRetryAfter},
 	} {
 		if *d.value < 0 {
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -23,7 +23,7 @@
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.9:7071" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.MemoryMB != 192 ||
-		c.Settings.Limits.DialTimeout != 100_000 || c.Settings.Limits.IdleClose != defaultIdleClose {
+		c.Settings.Limits.DialTimeout != 100_000 || c.Settings.Limits.ConnIdleTimeout != defaultIdleClose {
 		t.Errorf("%+v", c)
 	}
 	if !c.Policy.Limits.AllowLoadPolls || c.Policy.Zone != 1 || len(c.Policy.Classes) != 1 {
--- a/internal/standalone/server/reload.go
+++ b/internal/standalone/server/reload.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	limits := &next.Settings.Limits
-	r.backends.ApplySettings(settingsDuration(limits.DialTimeout), settingsDuration(limits.IdleClose),
+	r.backends.ApplySettings(settingsDuration(limits.DialTimeout), settingsDuration(limits.ConnIdleTimeout),
 		config.ReportColumns(&next.Settings, &next.Policy))
 	r.transport.MaxRetryAfter.Store(settings.Micros(limits.MaxRetryAfter))
 	r.metrics.SetClasses(classNames(&next.Settings))
@@ -85,7 +85,7 @@
 		r.log.Warn("changed key takes effect at the next start", "key", key)
 	}
 	r.log.Info("configuration reloaded", "discovery", next.Discovery, "classes", classNames(&next.Settings),
-		"attempts", limits.TryLimit)
+		"attempts", limits.MaxAttempts)
 	r.cfg = next
 	r.watcher.SetSource(discoverySource(next))
 	return nil
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -129,7 +129,7 @@
 	s.metrics.SetClasses(classNames(set))
 	s.backends = backend.NewPool(backend.Options{
 		DialTimeout:      settingsDuration(set.Limits.DialTimeout),
-		IdleTimeout:      settingsDuration(set.Limits.IdleClose),
+		IdleTimeout:      settingsDuration(set.Limits.ConnIdleTimeout),
 		MaxConnections:   s.sockets.backendShare(),
 		ReportColumns:    config.ReportColumns(set, &s.cfg.Policy),
 		OnRequestWritten: s.metrics.AttemptSent,
--- a/internal/standalone/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -1,81 +1,98 @@
-// Package settings holds the one JSON form of a deployment's settings. The bench's adapter and the proxy both
-// read it from here, so they cannot come to differ in what they understand by a key.
+// Package settings holds the JSON form of a deployment's settings, and translates it into the settings of package
+// policy. The simulator's link and the proxy both read it here, so that a key means the same to both.
 package settings
 
 import (
 	"encoding/json"
 	"fmt"
-	"math"
 
 	"pumiceline/internal/standalone/policy"
 )
 
-// Settings is the settings object as it is written: its names, and times in microseconds. Unknown keys are
-// ignored, absent ones stay zero. The keys are the platform's and stay as they are, whatever the fields are named.
+// Settings is the settings object as it is written. Times are in microseconds. Unknown keys are ignored, absent ones
+// are zero. The JSON keys are the platform's and must not change with the fields' names.
 type Settings struct {
-	Classes       []Class  `json:"Classes"`
-	Tenants       []Tenant `json:"Projects"`
-	DiscoveryMode string   `json:"RegistryMode"`
-	GroupSize     int      `json:"GroupSize"`
-	Ordinal       int      `json:"Ordinal"`
-	Limits        struct {
-		Cancelling    bool    `json:"Cancelling"`
-		DialTimeout   float64 `json:"DialTimeout"`
-		IdleClose     float64 `json:"IdleClose"`
-		MaxRetryAfter float64 `json:"MaxRetryAfter"`
-		MayDuplicate  bool    `json:"MayDuplicate"`
-		MayProbe      bool    `json:"MayProbe"`
-		MostHeld      int     `json:"MostHeld"`
-		TryLimit      int     `json:"TryLimit"`
-	} `json:"Limits"`
-	LoadReports struct {
-		Columns []string `json:"Columns"`
-		How     string   `json:"How"`
-	} `json:"LoadInfo"`
-	Affinity struct {
-		WarmKeys bool `json:"WarmKeys"`
-	} `json:"FamilyInfo"`
-	InstanceTypes  []string `json:"Flavors"`
-	Zone           int      `json:"Locality"`
-	OverQuotaValue float64  `json:"OverShareWorth"`
-	Prices         struct {
-		CrossZone float64 `json:"CrossZone"`
-	} `json:"Prices"`
-	BatchPeriod float64 `json:"Round"`
-	Rules       struct {
-		AnswerSlack float64 `json:"AnswerSlack"`
-		AskWithin   float64 `json:"AskWithin"`
-		Cold        float64 `json:"Cold"`
-		TipAfter    float64 `json:"TipAfter"`
-		ColdShare   float64 `json:"ColdShare"`
-		TipMultiple float64 `json:"TipMultiple"`
-	} `json:"Rules"`
-	SizeReporting string   `json:"Weights"`
-	ValueBasis    string   `json:"WorthBy"`
-	Zones         []string `json:"Zones"`
+	Classes        []Class     `json:"Classes"`
+	Tenants        []Tenant    `json:"Projects"`
+	DiscoveryMode  string      `json:"RegistryMode"` // "subscribe": discovery sends the membership to subscribers only
+	GroupSize      int         `json:"GroupSize"`    // balancers in the group
+	Ordinal        int         `json:"Ordinal"`      // of this balancer, from 0
+	Limits         Limits      `json:"Limits"`
+	LoadReports    LoadReports `json:"LoadInfo"`
+	Affinity       Affinity    `json:"FamilyInfo"`
+	InstanceTypes  []string    `json:"Flavors"`
+	Zone           int         `json:"Locality"`       // index into Zones
+	OverQuotaValue float64     `json:"OverShareWorth"` // factor on the value of requests beyond a tenant's quota
+	Prices         Prices      `json:"Prices"`
+	BatchPeriod    float64     `json:"Round"` // events closer together than this may be handed over together
+	Rules          Rules       `json:"Rules"`
+	SizeReporting  string      `json:"Weights"` // "silent" or empty: listed sizes do not compare servers
+	ValueBasis     string      `json:"WorthBy"` // "work": values of classes are per unit of work
+	Zones          []string    `json:"Zones"`
 }
 
 // Class is a request class.
 type Class struct {
 	Name          string  `json:"Name"`
-	Semantics     string  `json:"Semantics"`
-	DedupScope    string  `json:"Group"`
+	Semantics     string  `json:"Semantics"` // "pure", "token" or "side_effect"
+	DedupScope    string  `json:"Group"`     // "all" (also if empty), "zone" or "cell"
 	DedupWindow   float64 `json:"Window"`
 	LatencyTarget float64 `json:"OnTime"`
 	ClientTimeout float64 `json:"HardLimit"`
 	Value         float64 `json:"Worth"`
 }
 
-// Tenant is a tenant.
+// Tenant is a customer with a quota.
 type Tenant struct {
 	Name      string  `json:"Name"`
-	QuotaPerS float64 `json:"QuotaPerS"`
+	QuotaPerS float64 `json:"QuotaPerS"` // requests per second
 }
 
-// Micros turns a time as written into the module's unit, within what the module can add up.
-func Micros(v float64) policy.Time { return policy.Time(math.Max(-1, math.Min(v, 1e15))) }
+// Limits are what the deployment allows.
+type Limits struct {
+	AllowCancel     bool    `json:"Cancelling"`
+	DialTimeout     float64 `json:"DialTimeout"`
+	ConnIdleTimeout float64 `json:"IdleClose"`
+	MaxRetryAfter   float64 `json:"MaxRetryAfter"`
+	AllowHedging    bool    `json:"MayDuplicate"`
+	AllowLoadPolls  bool    `json:"MayProbe"`
+	MaxOpenRequests int     `json:"MostHeld"`
+	MaxAttempts     int     `json:"TryLimit"`
+}
+
+// LoadReports is what servers report about their load, and how.
+type LoadReports struct {
+	Columns  []string `json:"Columns"` // "rps", "cpu" and "err_rps" are used
+	Delivery string   `json:"How"`     // "piggyback": in responses; "pull": by polling; else not at all
+}
+
+// Affinity is what the deployment says about affinity keys.
+type Affinity struct {
+	KeyAffinity bool `json:"WarmKeys"` // a server that executed a request of the same key recently needs less work
+}
+
+// Prices are deductions from the result, as fractions of the value of all requests.
+type Prices struct {
+	CrossZone float64 `json:"CrossZone"`
+}
 
-// Policy reads the JSON text of the settings straight into the module's form.
+// Rules are the service rules of the deployment, see policy.Rules.
+type Rules struct {
+	ResponseGrace   float64 `json:"AnswerSlack"`
+	SubscribeWithin float64 `json:"AskWithin"`
+	WarmupTime      float64 `json:"Cold"`
+	OverloadTime    float64 `json:"TipAfter"`
+	InitialCapacity float64 `json:"ColdShare"`
+	OverloadFactor  float64 `json:"TipMultiple"`
+}
+
+// maxMicros is the longest duration that can be added to any moment without overflow.
+const maxMicros = 1e15
+
+// Micros converts a time as written into a policy.Time, within what can be added up; negative ones become -1.
+func Micros(v float64) policy.Time { return policy.Time(max(-1, min(v, maxMicros))) }
+
+// ParsePolicy reads the JSON text of the settings into those of package policy.
 func ParsePolicy(text []byte) (policy.Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -84,66 +101,98 @@
 	return s.Policy()
 }
 
-// Policy returns the settings in the module's form. Package decide judges whether it can act on the result.
-func (t *Settings) Policy() (policy.Settings, error) {
-	s := policy.Settings{
-		SubscribeDiscovery: t.DiscoveryMode == "subscribe", SizesKnown: t.SizeReporting != "silent" && t.SizeReporting != "",
-		ValuePerWork: t.ValueBasis == "work", KeyAffinity: t.Affinity.WarmKeys, OverQuotaValue: t.OverQuotaValue,
-		GroupSize: t.GroupSize, Ordinal: t.Ordinal, Zone: t.Zone, Zones: len(t.Zones),
-		BatchPeriod: Micros(t.BatchPeriod),
-		Rules: policy.Rules{ResponseGrace: Micros(t.Rules.AnswerSlack), SubscribeWithin: Micros(t.Rules.AskWithin),
-			WarmupTime: Micros(t.Rules.Cold), InitialCapacity: t.Rules.ColdShare,
-			OverloadFactor: t.Rules.TipMultiple, OverloadTime: Micros(t.Rules.TipAfter)},
-		Limits: policy.Limits{MaxAttempts: t.Limits.TryLimit, MaxOpenRequests: t.Limits.MostHeld,
-			AllowCancel: t.Limits.Cancelling, AllowLoadPolls: t.Limits.MayProbe, AllowHedging: t.Limits.MayDuplicate,
-			ConnIdleTimeout: Micros(t.Limits.IdleClose), MaxRetryAfter: Micros(t.Limits.MaxRetryAfter)},
-		Prices: policy.Prices{CrossZone: t.Prices.CrossZone},
+// Policy returns the settings of package policy. policy.New validates them; an error here means a word that no key has.
+func (s *Settings) Policy() (policy.Settings, error) {
+	out := policy.Settings{
+		ReportColumns:      s.LoadReports.policyColumns(),
+		ReportDelivery:     s.LoadReports.policyDelivery(),
+		SubscribeDiscovery: s.DiscoveryMode == "subscribe",
+		SizesKnown:         s.SizeReporting != "silent" && s.SizeReporting != "",
+		ValuePerWork:       s.ValueBasis == "work",
+		KeyAffinity:        s.Affinity.KeyAffinity,
+		OverQuotaValue:     s.OverQuotaValue,
+		GroupSize:          s.GroupSize,
+		Ordinal:            s.Ordinal,
+		Zone:               s.Zone,
+		Zones:              len(s.Zones),
+		BatchPeriod:        Micros(s.BatchPeriod),
+		Rules:              s.Rules.policy(),
+		Limits:             s.Limits.policy(),
+		Prices:             policy.Prices{CrossZone: s.Prices.CrossZone},
+	}
+	for _, t := range s.Tenants {
+		out.Tenants = append(out.Tenants, policy.Tenant{QuotaPerS: t.QuotaPerS})
+	}
+	for i := range s.Classes {
+		class, err := s.Classes[i].policy()
+		if err != nil {
+			return out, fmt.Errorf("settings: class %d: %w", i, err)
+		}
+		out.Classes = append(out.Classes, class)
 	}
-	switch t.LoadReports.How {
+	return out, nil
+}
+
+func (r *Rules) policy() policy.Rules {
+	return policy.Rules{ResponseGrace: Micros(r.ResponseGrace), SubscribeWithin: Micros(r.SubscribeWithin),
+		WarmupTime: Micros(r.WarmupTime), InitialCapacity: r.InitialCapacity, OverloadFactor: r.OverloadFactor,
+		OverloadTime: Micros(r.OverloadTime)}
+}
+
+func (l *Limits) policy() policy.Limits {
+	return policy.Limits{MaxAttempts: l.MaxAttempts, MaxOpenRequests: l.MaxOpenRequests, AllowCancel: l.AllowCancel,
+		AllowLoadPolls: l.AllowLoadPolls, AllowHedging: l.AllowHedging, ConnIdleTimeout: Micros(l.ConnIdleTimeout),
+		MaxRetryAfter: Micros(l.MaxRetryAfter)}
+}
+
+func (r *LoadReports) policyDelivery() policy.ReportDelivery {
+	switch r.Delivery {
 	case "piggyback":
-		s.ReportDelivery = policy.ReportsInResponses
+		return policy.ReportsInResponses
 	case "pull":
-		s.ReportDelivery = policy.ReportsByPolling
+		return policy.ReportsByPolling
 	}
-	for _, c := range t.LoadReports.Columns {
-		col := policy.ColumnOther
-		switch c {
+	return policy.ReportsNone
+}
+
+func (r *LoadReports) policyColumns() (columns []policy.ReportColumn) {
+	for _, name := range r.Columns {
+		column := policy.ColumnOther
+		switch name {
 		case "rps":
-			col = policy.ColumnQPS
+			column = policy.ColumnQPS
 		case "cpu":
-			col = policy.ColumnUtilization
+			column = policy.ColumnUtilization
 		case "err_rps":
-			col = policy.ColumnEPS
+			column = policy.ColumnEPS
 		}
-		s.ReportColumns = append(s.ReportColumns, col)
+		columns = append(columns, column)
 	}
-	for _, p := range t.Tenants {
-		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerS: p.QuotaPerS})
+	return columns
+}
+
+func (c *Class) policy() (policy.Class, error) {
+	out := policy.Class{DedupWindow: Micros(c.DedupWindow), LatencyTarget: Micros(c.LatencyTarget),
+		ClientTimeout: Micros(c.ClientTimeout), Value: c.Value}
+	switch c.Semantics {
+	case "pure":
+		out.Semantics = policy.Idempotent
+	case "token":
+		out.Semantics = policy.Deduplicated
+	case "side_effect":
+		out.Semantics = policy.NonIdempotent
+	default:
+		return out, fmt.Errorf("unknown semantics %q", c.Semantics)
 	}
-	for i, c := range t.Classes {
-		k := policy.Class{DedupWindow: Micros(c.DedupWindow), LatencyTarget: Micros(c.LatencyTarget), ClientTimeout: Micros(c.ClientTimeout),
-			Value: c.Value}
-		switch c.Semantics {
-		case "pure":
-			k.Semantics = policy.Idempotent
-		case "token":
-			k.Semantics = policy.Deduplicated
-		case "side_effect":
-			k.Semantics = policy.NonIdempotent
-		default:
-			return s, fmt.Errorf("settings: class %d has unknown semantics %q", i, c.Semantics)
-		}
-		switch c.DedupScope {
-		case "all", "":
-			k.DedupScope = policy.DedupEverywhere
-		case "zone":
-			k.DedupScope = policy.DedupPerZone
-		case "cell":
-			k.DedupScope = policy.DedupPerCell
-		default:
-			return s, fmt.Errorf("settings: class %d has unknown group %q", i, c.DedupScope)
-		}
-		s.Classes = append(s.Classes, k)
+	switch c.DedupScope {
+	case "all", "":
+		out.DedupScope = policy.DedupEverywhere
+	case "zone":
+		out.DedupScope = policy.DedupPerZone
+	case "cell":
+		out.DedupScope = policy.DedupPerCell
+	default:
+		return out, fmt.Errorf("unknown group %q", c.DedupScope)
 	}
-	return s, nil
+	return out, nil
 }
