--- a/tools/lossreport/account.go
+++ b/tools/lossreport/account.go
@@ -30,7 +30,8 @@
 // Messages of the records that are read. Some had other words in earlier versions.
 const (
 	requestDone        = `msg="request done"`
-	placementCommand   = "msg=order "
+	commandSent        = `msg="placement command sent"`
+	commandSentEarlier = "msg=order "
 	taskStarted        = `msg="placement task started"`
 	taskStartedEarlier = `msg="task begins"`
 )
@@ -108,7 +109,7 @@
 	switch {
 	case strings.Contains(line, requestDone):
 		return a.takeRequest(parseFields(line))
-	case strings.Contains(line, placementCommand):
+	case strings.Contains(line, commandSent), strings.Contains(line, commandSentEarlier):
 		f := parseFields(line)
 		kind := "model"
 		if strings.Contains(f[logkey.Name], "/") {
--- a/tools/lossreport/account_test.go
+++ b/tools/lossreport/account_test.go
@@ -50,15 +50,19 @@
 	assert.Equal(t, accounted, out.String())
 }
 
-// Today's proxies log the same fields under other keys than earlier ones, and "capacity" as a reason to wait.
+// Today's processes log the same fields under other keys than earlier ones, and some messages and values by other words.
 func TestLossReport_ReadsTodaysKeys(t *testing.T) {
 	today := strings.NewReplacer(" aim=", " latency_target_ms=", " pause=", " max_event_gap_ms=", " waited=", " queued_ms=",
 		" for=place", " wait_reason=capacity", " for=", " wait_reason=", " first=", " first_event_ms=",
 		" longest=", " longest_event_gap_ms=", " total=", " total_ms=", " events=", " has_events=", " whole=", " complete=",
-		" refusal=", " rejection=", `"task begins"`, `"placement task started"`).Replace(played)
+		" refusal=", " rejection=", `"task begins"`, `"placement task started"`,
+		"msg=order answer=0", `msg="placement command sent" answer=accepted`,
+		"msg=order answer=2", `msg="placement command sent" answer=conflict`).Replace(played)
 	require.NotContains(t, today, "aim=")
 	require.NotContains(t, today, "task begins")
-	want := strings.Replace(accounted, "waited for place", "waited for capacity", 1)
+	require.NotContains(t, today, "msg=order")
+	want := strings.NewReplacer("waited for place", "waited for capacity",
+		"answer 0", "answer accepted", "answer 2", "answer conflict").Replace(accounted)
 	path := filepath.Join(t.TempDir(), "report.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"classes":[{"name":"tagging","n":50,"worth":0.9}]}`), 0o600))
 	var out strings.Builder
