--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -16,15 +16,21 @@
 	"pumiceline/internal/message"
 )
 
-// Times of the controller.
 const (
-	controllerTick     = 100 * time.Millisecond
-	holderPollWait     = 400 * time.Millisecond // how long the lease holder may keep a poll open
-	eventQueueLength   = 64
-	holderPollInterval = 400 * time.Millisecond  // of discovery, at the lease holder
-	backendsStaleAfter = 1300 * time.Millisecond // then a member polls discovery by itself, too
-	memberPollInterval = 1 * time.Second         // of discovery, at such a member
-	failedTaskBackoff  = 1500 * time.Millisecond // before a backend whose task failed gets another one
+	controllerTick   = 100 * time.Millisecond
+	eventQueueLength = 64
+
+	// holderPollInterval is how often the lease holder polls discovery.
+	holderPollInterval = 400 * time.Millisecond
+	// backendsStaleAfter is how old the lease holder's backends may be until another member polls discovery itself, every
+	// memberPollInterval.
+	backendsStaleAfter = 1300 * time.Millisecond
+	memberPollInterval = 1 * time.Second
+
+	// holderPollWait is how long the lease holder may keep a poll of another member open.
+	holderPollWait = 400 * time.Millisecond
+	// failedTaskBackoff is how long a backend whose task failed gets no other one.
+	failedTaskBackoff = 1500 * time.Millisecond
 )
 
 // controller polls discovery and places models while this member holds the controller lease; else it gets both from the
@@ -60,7 +66,8 @@
 		loop: loop, settings: settings, events: make(chan func(time.Time), eventQueueLength),
 		reader: discovery.NewReader(settings.Platform.Address), observed: map[message.BackendID]observedModels{},
 		demand: planner.NewDemandTable(), loadLimiters: map[string]*planner.LoadRateLimiter{},
-		client: executor.NewBackendClient(), running: map[message.BackendID]*runningTask{}, backoffUntil: map[message.BackendID]time.Time{},
+		client: executor.NewBackendClient(), running: map[message.BackendID]*runningTask{},
+		backoffUntil: map[message.BackendID]time.Time{},
 	}
 }
 
@@ -146,7 +153,7 @@
 	return c.settings.Bounds.Lease + c.settings.Bounds.Thaw
 }
 
-// onLeaseLost cancels all tasks, whose commands backends would refuse by their fencing token.
+// onLeaseLost cancels all tasks: commandToken would stop their next commands anyhow.
 func (c *controller) onLeaseLost() {
 	if c.leaseToken == 0 {
 		return
@@ -170,8 +177,9 @@
 	logrus.WithField(logkey.Token, s.leaseToken).Info("controller lease acquired")
 }
 
-// commandFence allows a placement command only while the lease of token lasts beyond the command's own timeout.
-func (c *controller) commandFence(token message.FencingToken) executor.TokenFunc {
+// commandToken returns a function that gives the fencing token to a placement command. It refuses as soon as the lease
+// of that token does not last beyond the command's own timeout, so that no command outlives the lease.
+func (c *controller) commandToken(token message.FencingToken) executor.TokenFunc {
 	return func() (message.FencingToken, bool) {
 		now := time.Now()
 		s, holds := c.lease(now)
--- a/internal/controlplane/coordinator/lease_holder_subscriber.go
+++ b/internal/controlplane/coordinator/lease_holder_subscriber.go
@@ -37,7 +37,8 @@
 // SetMembers does nothing: a coordinator knows the members from its view.
 func (s *leaseHolderSubscriber) SetMembers([]message.Member) {}
 
-// PollRequest returns the versions that are known here, and the demand and loads gathered from proxies since the last poll.
+// PollRequest returns the versions that are known here, the demand gathered from proxies since the last poll, and their
+// present loads.
 func (s *leaseHolderSubscriber) PollRequest() message.PollRequest {
 	reported := s.loop.hub.CollectDemand()
 	s.mutex.Lock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// ApplyUpdate takes the lease holder's response to a request that was sent at sent.
+// Apply takes the lease holder's response to a request that was sent at sent.
 func (s *leaseHolderSubscriber) Apply(response *message.PollResponse, sent time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/controlplane/coordinator/placement_tasks.go
+++ b/internal/controlplane/coordinator/placement_tasks.go
@@ -90,7 +90,9 @@
 			return t.task.Service == name && t.task.Load != "" && !t.task.FromCache && !t.loadStarted
 		})
 		limit := planner.LoadRateLimit{
-			PerSecond: service.Runtime.LoadsPerSecond, ExcessFactor: c.settings.Bounds.LoadExcess, Window: c.settings.Bounds.LoadWindow,
+			PerSecond:    service.Runtime.LoadsPerSecond,
+			ExcessFactor: c.settings.Bounds.LoadExcess,
+			Window:       c.settings.Bounds.LoadWindow,
 		}
 		allowed[name] = c.loadLimiter(name).Available(now, limit, pending)
 	}
@@ -110,11 +112,13 @@
 	taskCtx, cancel := context.WithCancel(ctx)
 	c.running[id] = &runningTask{task: task, expectedDone: now.Add(task.LoadTime), cancel: cancel}
 	runner := &executor.Executor{
-		Client: c.client, Owner: string(c.loop.self.Identity), LeaseToken: c.commandFence(c.leaseToken),
+		Client: c.client, Owner: string(c.loop.self.Identity), LeaseToken: c.commandToken(c.leaseToken),
 		OnModelsChanged: func(backend message.BackendID, models []message.LoadedModel) {
 			c.events <- func(now time.Time) { c.onModelsObserved(backend, models, now) }
 		},
-		OnLoadStarted: func(backend message.BackendID) { c.events <- func(now time.Time) { c.onLoadStarted(backend, now) } },
+		OnLoadStarted: func(backend message.BackendID) {
+			c.events <- func(now time.Time) { c.onLoadStarted(backend, now) }
+		},
 	}
 	logrus.WithFields(logrus.Fields{
 		logkey.Backend: id, logkey.Load: task.Load, logkey.Unload: task.Unload,
--- a/internal/controlplane/coordinator/state_writer_test.go
+++ b/internal/controlplane/coordinator/state_writer_test.go
@@ -57,15 +57,16 @@
 		if uint64(i) == version%routes {
 			timeout = 7000
 		}
-		document += fmt.Sprintf(`{"name":"r-%d","host":"h.example","pathStart":"/p%d/","kind":"changing","timeoutMs":%d,"service":"s"},`, i, i, timeout)
+		document += fmt.Sprintf(`{"name":"r-%d","host":"h.example","pathStart":"/p%d/","kind":"changing","timeoutMs":%d,`+
+			`"service":"s"},`, i, i, timeout)
 	}
 	document = document[:len(document)-1] + fmt.Sprintf(`],"version":%d}`, version)
 	request := &message.ConfigRequest{Method: "PUT", IfMatch: fmt.Sprint(state.Version), Body: []byte(document)}
-	decision := configuration.Validate(state, request)
-	require.True(t, decision.Apply, string(decision.Body))
+	result := configuration.Validate(state, request)
+	require.True(t, result.Apply, string(result.Body))
 	record := message.ChangeRecord{
-		Previous: state.Digest, Change: decision.Change, Delta: delta.Make(state.Document, decision.Document),
-		DocumentDigest: replica.DocumentDigest(decision.Document),
+		Previous: state.Digest, Change: result.Change, Delta: delta.Make(state.Document, result.Document),
+		DocumentDigest: replica.DocumentDigest(result.Document),
 	}
 	next, err := replica.ApplyChange(state, &record)
 	require.NoError(t, err)
@@ -110,9 +111,9 @@
 		if i == 100 || i%4500 == 0 {
 			full, err := state.MarshalMsg(nil)
 			require.NoError(t, err)
-			text, err := record.MarshalMsg(nil)
+			encoded, err := record.MarshalMsg(nil)
 			require.NoError(t, err)
-			sizes[i], records[i] = len(full), len(text)
+			sizes[i], records[i] = len(full), len(encoded)
 		}
 	}
 	t.Logf("chain state: %v bytes; a change: %v bytes", sizes, records)
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -182,9 +182,9 @@
 	require.NoError(t, err)
 	chain := stored.chain
 	for _, call := range storedCalls() {
-		decision := configuration.Validate(&chain, call)
-		assert.Equal(t, http.StatusOK, decision.Status, string(decision.Body))
-		assert.False(t, decision.Apply)
+		result := configuration.Validate(&chain, call)
+		assert.Equal(t, http.StatusOK, result.Status, string(result.Body))
+		assert.False(t, result.Apply)
 	}
 }
 
