--- a/cmd/pumiceline/singletonrun.go
+++ b/cmd/pumiceline/singletonrun.go
@@ -105,9 +105,9 @@
 		Discovery:      fleet.Discovery,
 		FallbackSpread: time.Duration(fleet.Settings.LeaseDuration) * time.Microsecond,
 		Log:            log,
-		Owner: func() (addr string, token uint64, here bool) {
+		Holder: func() discoverycache.Holder {
 			holder := client.LocateHolder(fleet.Roster)
-			return holder.Addr, uint64(holder.Token), holder.IsLocal
+			return discoverycache.Holder{Address: holder.Addr, Token: uint64(holder.Token), IsLocal: holder.IsLocal}
 		},
 	}, time.Now())
 }
--- /dev/null
+++ b/internal/standalone/discoverycache/cache.go
@@ -0,0 +1,206 @@
+// Package discoverycache keeps a copy of the endpoint list at each instance of a fleet, so that one of them watches discovery
+// for all. Proxies watch their cache as they would watch discovery. The holder of the fleet's discovery lease follows discovery,
+// the other caches follow the holder; one that hears nothing from a holder follows discovery itself until there is one again.
+package discoverycache
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"log/slog"
+	"math/rand/v2"
+	"sync"
+	"time"
+
+	"pumiceline/internal/standalone/discovery"
+)
+
+const (
+	// SilenceTimeout is how long a source may send nothing. A watch brings a line every heartbeatInterval at least.
+	SilenceTimeout    = 3 * time.Second
+	heartbeatInterval = 2 * time.Second
+	// holderPollInterval is how often a cache that starts looks whether the lease has a holder.
+	holderPollInterval = 10 * time.Millisecond
+	// failedHolderPenalty is how many times the fallback spread a failed holder is not tried again.
+	failedHolderPenalty = 10
+)
+
+var errSupersededHolder = errors.New("update of a superseded lease holder")
+
+// Holder is the holder of the discovery lease, as far as an instance knows.
+type Holder struct {
+	Address string // of its cache; empty: no holder is known
+	Token   uint64 // fencing token of its lease
+	IsLocal bool   // whether it is this instance
+}
+
+// Options are what a Cache needs.
+type Options struct {
+	Discovery string // address of discovery
+	Holder    func() Holder
+	// FallbackSpread is the time over which caches that lost their holder fall back to discovery, and wait after failures.
+	FallbackSpread time.Duration
+	Log            *slog.Logger
+}
+
+// Cache keeps and serves a copy of the endpoint list; see ServeHTTP.
+type Cache struct {
+	opts Options
+
+	mu               sync.Mutex
+	list             *List
+	changed          chan struct{} // closed and replaced at each change
+	lastHeard        time.Time     // when the source last sent anything
+	followsDiscovery bool          // whether that source was discovery
+	maxToken         uint64        // the highest token of a holder that was followed
+
+	suspected      source    // the holder that failed last
+	suspectedUntil time.Time // it is retried until then
+	lastFailure    time.Time // of suspected
+
+	failed      source // the holder that was given up
+	failedUntil time.Time
+}
+
+// New returns an empty cache. Its versions start at now in microseconds: no earlier process at this address got that far.
+func New(opts Options, now time.Time) *Cache {
+	return &Cache{opts: opts, list: NewList(uint64(now.UnixMicro())), changed: make(chan struct{})}
+}
+
+// IsFresh reports whether there is a list and its source is alive.
+func (c *Cache) IsFresh() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, loaded := c.list.DiscoveryVersion()
+	return loaded && time.Since(c.lastHeard) < SilenceTimeout
+}
+
+// FollowsDiscovery reports whether this cache follows discovery itself, and discovery is alive.
+func (c *Cache) FollowsDiscovery() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.followsDiscovery && time.Since(c.lastHeard) < SilenceTimeout
+}
+
+// Run keeps the copy up to date until ctx ends.
+func (c *Cache) Run(ctx context.Context) {
+	c.awaitHolder(ctx)
+	for ctx.Err() == nil {
+		from := c.chooseSource()
+		maxDelay := c.opts.FallbackSpread / 10
+		switch err := c.follow(ctx, from); {
+		case ctx.Err() != nil:
+			return
+		case err != nil && from.isDiscovery():
+			c.opts.Log.Warn("watch of discovery failed", "error", err)
+			maxDelay = randomUpTo(c.opts.FallbackSpread)
+		case err != nil:
+			c.suspectHolder(from, time.Now(), err)
+		}
+		select {
+		case <-ctx.Done():
+		case <-time.After(randomUpTo(maxDelay)):
+		}
+	}
+}
+
+// awaitHolder waits a random time for the lease to have a holder: instances that start at once, before there is one, must not
+// all watch discovery.
+func (c *Cache) awaitHolder(ctx context.Context) {
+	deadline := time.Now().Add(c.opts.FallbackSpread + randomUpTo(2*c.opts.FallbackSpread))
+	for time.Now().Before(deadline) && ctx.Err() == nil {
+		if h := c.opts.Holder(); h.IsLocal || h.Address != "" {
+			return
+		}
+		time.Sleep(holderPollInterval)
+	}
+}
+
+// randomUpTo returns a random time from 0 to limit.
+func randomUpTo(limit time.Duration) time.Duration {
+	return time.Duration(rand.Int64N(int64(limit) + 1))
+}
+
+// source is what a cache follows.
+type source struct {
+	address, path string
+	token         uint64 // of the holder; 0: discovery itself
+}
+
+func (s source) isDiscovery() bool { return s.token == 0 }
+
+// chooseSource returns what to follow now.
+func (c *Cache) chooseSource() source {
+	holder := c.opts.Holder()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	from := source{holder.Address, holderPath, holder.Token}
+	isSuperseded := holder.Token < c.maxToken
+	hasFailed := from == c.failed && time.Now().Before(c.failedUntil)
+	if holder.IsLocal || holder.Address == "" || isSuperseded || hasFailed {
+		return source{c.opts.Discovery, endpointsPath, 0}
+	}
+	return from
+}
+
+// suspectHolder notes that a holder failed at now. It may just have acquired the lease, so it is retried for a random time: of
+// many caches that lose the same holder each falls back to discovery at a time of its own. The copy is served meanwhile.
+func (c *Cache) suspectHolder(holder source, now time.Time, cause error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.suspected != holder || now.Sub(c.lastFailure) > c.opts.FallbackSpread {
+		// The next holder is there about a lease later, which most wait for. All have given up while the copy is still fresh.
+		minWait := min(c.opts.FallbackSpread, SilenceTimeout/2)
+		wait := minWait + time.Duration(rand.Int64N(int64(SilenceTimeout-minWait)))
+		c.suspected, c.suspectedUntil = holder, now.Add(wait)
+	}
+	c.lastFailure = now
+	if now.After(c.suspectedUntil) {
+		c.failed, c.failedUntil = holder, now.Add(failedHolderPenalty*c.opts.FallbackSpread)
+		c.opts.Log.Warn("lease holder given up", "holder", holder.address, "token", holder.token, "error", cause)
+	}
+}
+
+// noteHeard notes a sign of life of a source.
+func (c *Cache) noteHeard(from source) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.lastHeard, c.maxToken, c.followsDiscovery = time.Now(), max(c.maxToken, from.token), from.isDiscovery()
+}
+
+// apply applies an update of a source and wakes those who watch this cache.
+func (c *Cache) apply(u discovery.Update, from source, mayBeStale bool) error {
+	if err := c.applyToList(u, from, mayBeStale); err != nil {
+		return err
+	}
+	c.noteHeard(from)
+	return nil
+}
+
+func (c *Cache) applyToList(u discovery.Update, from source, mayBeStale bool) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if from.token < c.maxToken && !from.isDiscovery() {
+		return fmt.Errorf("%w: token %d after %d", errSupersededHolder, from.token, c.maxToken)
+	}
+	changed, err := c.list.Apply(u, mayBeStale)
+	if changed {
+		close(c.changed)
+		c.changed = make(chan struct{})
+	}
+	return err
+}
+
+// snapshot is what changed after a version.
+type snapshot struct {
+	update           discovery.Update
+	discoveryVersion uint64
+	changed          <-chan struct{} // closed at the next change
+}
+
+func (c *Cache) since(version uint64) snapshot {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	discoveryVersion, _ := c.list.DiscoveryVersion()
+	return snapshot{update: c.list.Since(version), discoveryVersion: discoveryVersion, changed: c.changed}
+}
--- a/internal/standalone/maintenance/stored_test.go
+++ b/internal/standalone/maintenance/stored_test.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// The file is what an earlier version stored of the hosts that operators suspended and resumed, for its successor.
+// The file is what an earlier version stored of the backends that operators disabled and enabled, for its successor.
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/suspended.json")
 	if err != nil {
@@ -38,7 +38,7 @@
 		"quote-05": ready,
 	} {
 		if got := s.Apply(name, ready); got != want {
-			t.Errorf("%s is taken for %+v, want %+v", name, got, want)
+			t.Errorf("%s is published as %+v, want %+v", name, got, want)
 		}
 	}
 	if written := s.Encode(); !bytes.Equal(written, bytes.TrimSpace(text)) {
