--- a/cmd/pumicectl/simulate.go
+++ b/cmd/pumicectl/simulate.go
@@ -36,13 +36,15 @@
 		ShortHelp: "run coordinators over a simulated network, disks and clocks, and check the invariants",
 		Exec: func(ctx context.Context, _ []string) error {
 			if *pauses {
-				return printPauses(simulation.MeasurePauses(*members, *tolerance, *seeds))
+				return printPauses(simulation.MeasureRecovery(*members, *tolerance, *seeds))
+			}
+			shape := simulation.Options{
+				Members: *members, Tolerance: *tolerance, Diskless: *volatile, FaultPhase: *length, BeyondTolerance: *wild,
 			}
-			shape := simulation.Options{Members: *members, Tolerance: *tolerance, Volatile: *volatile, Length: *length, Wild: *wild}
 			runner := seedRunner{first: *seed, count: *seeds, jobs: *jobs, asJSON: *asJSON, shrink: *shrink}
 			runner.options = func(seed uint64) simulation.Options {
 				if *drawn {
-					return simulation.Drawn(seed)
+					return simulation.DrawOptions(seed)
 				}
 				options := shape
 				options.Seed = seed
@@ -54,12 +56,12 @@
 }
 
 // printPauses prints how long each kind of fault interrupts acknowledgements.
-func printPauses(pauses []simulation.Pause) error {
+func printPauses(pauses []simulation.RecoveryTime) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "LOSS\tPAUSE MEDIAN\tLONGEST\tPUT TO ACKNOWLEDGEMENT P50\tP99")
 	for _, p := range pauses {
 		fmt.Fprintf(table, "%v\t%v\t%v\t%v\t%v\n", p.Kind, p.Median.Round(time.Millisecond), p.Longest.Round(time.Millisecond),
-			p.Wait50.Round(100*time.Microsecond), p.Wait99.Round(100*time.Microsecond))
+			p.AckP50.Round(100*time.Microsecond), p.AckP99.Round(100*time.Microsecond))
 	}
 	return table.Flush()
 }
@@ -84,7 +86,7 @@
 	options := r.options(seed)
 	found := seedResult{Seed: seed, Result: simulation.Run(options)}
 	if r.shrink && len(found.Result.Violations) > 0 {
-		found.Trace = simulation.Story(simulation.Shrink(options))
+		found.Trace = simulation.Trace(simulation.Shrink(options))
 	}
 	return found
 }
--- a/cmd/pumicectl/stored_test.go
+++ b/cmd/pumicectl/stored_test.go
@@ -25,13 +25,13 @@
 			Seed: 18446744073709551615,
 			Result: &simulation.Result{
 				Violations:   []simulation.Violation{{At: 1500 * time.Millisecond, Rule: "one lease holder", Text: "two hold it"}},
-				Acknowledged: 1, Refused: 2, Reads: 3, Views: 4, Leases: 5, Faults: 6, Members: 7,
-				Struck: []simulation.Fault{
-					{Place: 1, At: 2 * time.Second, Kind: simulation.KindLoss, Span: 3 * time.Second, Slots: []int{2, 0, 1}, Count: 2, Draw: 9},
-					{Place: 2, At: 4 * time.Second, Kind: simulation.Kill, Span: time.Second, Slots: []int{1}, Count: 1, Draw: 8},
+				Acknowledged: 1, Rejected: 2, Reads: 3, Views: 4, Leases: 5, Faults: 6, Members: 7,
+				InjectedFaults: []simulation.Fault{
+					{Index: 1, At: 2 * time.Second, Kind: simulation.MessageKindLoss, Duration: 3 * time.Second, Slots: []int{2, 0, 1}, Count: 2, Draw: 9},
+					{Index: 2, At: 4 * time.Second, Kind: simulation.Kill, Duration: time.Second, Slots: []int{1}, Count: 1, Draw: 8},
 				},
-				Moves: []string{"view 2"}, Ends: []string{"node 1: member"}, Waits: []time.Duration{20 * time.Millisecond, 30 * time.Millisecond},
-				Pause: 700 * time.Millisecond,
+				ViewChanges: []string{"view 2"}, FinalStates: []string{"node 1: member"}, AckLatencies: []time.Duration{20 * time.Millisecond, 30 * time.Millisecond},
+				LongestAckGap: 700 * time.Millisecond,
 			},
 			Trace: "1. a loss\n",
 		}},
--- a/internal/controlplane/simulation/cluster.go
+++ b/internal/controlplane/simulation/cluster.go
@@ -1,11 +1,17 @@
-// Package simulation runs coordinators in one process over a network, disks and clocks that a seed drives, and checks
-// what the operators saw. The replicas are the real ones; only what surrounds them is simulated. A run is a function
-// of its options alone, so a seed that breaks a rule replays.
+// Package simulation runs coordinators in one process over a network, disks and clocks that a seed drives, injects faults
+// and checks what clients observe. The replicas are the real ones; only what surrounds them is simulated. A run is a
+// function of its options alone: a seed that violates a rule does so again.
+//
+// A run has three phases. In the fault phase faults are injected while clients send changes and reads. Then all faults
+// end, and the cluster has recoveryBound to commit changes again. At the end the clients stop, and a last read is compared
+// with what the members hold. Rules (result.go) are checked all the time by the files checks.go, lease_checker.go and
+// proxy.go, and at the end by final_checks.go.
+//
+// All random draws of a run come from one generator in the order in which events happen, so a new draw, or another order,
+// changes every run.
 package simulation
 
 import (
-	"container/heap"
-	"fmt"
 	"math/rand/v2"
 	"slices"
 	"time"
@@ -13,145 +19,94 @@
 	"pumiceline/internal/message"
 )
 
-// Options of a run.
-type Options struct {
-	Seed      uint64
-	Members   int
-	Tolerance int
-	Length    time.Duration // of the part with faults
-	Sync      time.Duration // what a sync takes at most; 0: usualSync
-	Defect    Defect
-	Volatile  int     // so many of the members, the first ones, have no disk
-	Wild      bool    // losses overlap beyond the tolerance, but no more disks are lost at a time than it allows
-	Without   []int   // planned faults that are left out, by their place in the plan
-	Script    []Fault // the faults, in place of those drawn from the seed
-	Storm     bool    // operators send one valid change after the other, without a pause
-}
-
-// Violation is a broken rule.
-type Violation struct {
-	At   time.Duration `json:"At"`
-	Rule string        `json:"Rule"`
-	Text string        `json:"Text"`
-}
-
-func (v Violation) String() string { return fmt.Sprintf("%s at %v: %s", v.Rule, v.At, v.Text) }
-
-// Result is what a run came to.
-type Result struct {
-	Violations   []Violation     `json:"Violations"`
-	Acknowledged int             `json:"Acknowledged"`
-	Refused      int             `json:"Refused"`
-	Reads        int             `json:"Reads"`
-	Views        uint64          `json:"Views"`
-	Leases       int             `json:"Leases"`
-	Faults       int             `json:"Faults"`
-	Members      int             `json:"Members"` // of the last view
-	Struck       []Fault         `json:"Struck"`
-	Moves        []string        `json:"Moves"` // view changes, in order
-	Ends         []string        `json:"Ends"`  // how each machine stands at the end
-	Waits        []time.Duration `json:"Waits"` // of each acknowledged change, from its first try
-	Pause        time.Duration   `json:"Pause"` // the longest span between two acknowledgements, while faults strike
-}
-
-// Cluster is one run.
+// Cluster is one run: the machines, the network between them, the clients, and what was observed. It has one goroutine.
 type Cluster struct {
-	options   Options
-	random    *rand.Rand
-	now       time.Duration
-	events    eventQueue
-	sequence  uint64
-	slots     []*node // the machine that stands in each place now
-	nodes     []*node // all machines that ever were, those that are gone too
-	network   network
-	operators []*operator
-	proxies   []*proxy
-	history   *history
-	leases    leaseCheck
-	faults    int
-	struck    []Fault // what struck, in order
-	moves     []string
-	seenView  message.ViewNumber
+	options Options
+	random  *rand.Rand
+	scheduler
+
+	slots   []*node // the machine that is in each slot now
+	nodes   []*node // all machines that ever were
+	network network
+	clients []*client
+	proxies []*proxy
+
+	history        *history
+	leases         leaseChecker
+	injected       []Fault // faults, in order
+	viewChanges    []string
+	newestViewSeen message.ViewNumber
 }
 
 const (
-	tickEvery   = 50 * time.Millisecond
-	settleTime  = 12 * time.Second // the bound on recovery after the last harm
-	lastCalls   = 3 * time.Second  // at the end, for calls that are under way
-	finalReads  = 60 * time.Second
+	tickInterval = 50 * time.Millisecond
+	// startSpread is the longest delay of a machine's start: they do not start all at once.
 	startSpread = 300 * time.Millisecond
-	usualSync   = 2 * time.Millisecond
-	leaseLength = 2 * time.Second
-	seedCount   = 3
-	operatorsIn = 3
-	proxiesIn   = 2
+	// recoveryBound is how long after the last fault the cluster may take to commit changes again.
+	recoveryBound = 12 * time.Second
+	// drainTime is for the requests under way when the clients stop.
+	drainTime = 3 * time.Second
+	// finalReadBound is how long the last read may take.
+	finalReadBound = 60 * time.Second
+
+	clientCount = 3
+	proxyCount  = 2
 )
 
-type event struct {
-	at       time.Duration
-	sequence uint64
-	run      func()
-}
-
-type eventQueue []event
-
-func (q eventQueue) Len() int { return len(q) }
-func (q eventQueue) Less(i, j int) bool {
-	if q[i].at != q[j].at {
-		return q[i].at < q[j].at
-	}
-	return q[i].sequence < q[j].sequence
-}
-func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)   { *q = append(*q, x.(event)) }
-func (q *eventQueue) Pop() any {
-	last := (*q)[len(*q)-1]
-	*q = (*q)[:len(*q)-1]
-	return last
-}
+// The streams of the generators keep the draws of the run apart from those of the fault plan.
+const (
+	runStream  = 0x70756d69
+	planStream = 0x706c616e
+)
 
-// Run plays one run and returns what it came to.
+// Run simulates one run and returns its result.
 func Run(options Options) *Result {
 	c := &Cluster{
-		options: options, random: rand.New(rand.NewPCG(options.Seed, networkStream)),
+		options: options, random: rand.New(rand.NewPCG(options.Seed, runStream)),
 		network: newNetwork(), history: newHistory(),
 	}
-	for slot := range options.Members {
+	c.startMachines()
+	c.startClients()
+	c.scheduleFaults()
+	c.runUntil(options.FaultPhase)
+	c.heal()
+	c.runUntil(options.FaultPhase + recoveryBound)
+	c.checkRecovery()
+	for _, client := range c.clients {
+		client.stop()
+	}
+	c.runUntil(options.FaultPhase + recoveryBound + drainTime)
+	c.checkVoters()
+	c.finalRead()
+	return c.result()
+}
+
+func (c *Cluster) startMachines() {
+	for slot := range c.options.Members {
 		c.slots = append(c.slots, c.addNode(slot))
 	}
 	for _, n := range c.slots {
-		c.after(c.spread(startSpread), func() { n.start(true) })
+		c.after(c.randomDuration(startSpread), func() { n.start(true) })
 	}
-	for i := range operatorsIn {
-		c.operators = append(c.operators, newOperator(c, i))
+}
+
+func (c *Cluster) startClients() {
+	for i := range clientCount {
+		c.clients = append(c.clients, newClient(c, i))
 	}
-	for i := range proxiesIn {
+	for i := range proxyCount {
 		c.proxies = append(c.proxies, newProxy(c, i))
 	}
-	for i, fault := range c.Plan() {
-		if !slices.Contains(options.Without, i) {
-			c.after(fault.At, func() { c.strikeWhenAllowed(fault) })
+}
+
+func (c *Cluster) scheduleFaults() {
+	for i, fault := range c.FaultPlan() {
+		if !slices.Contains(c.options.OmittedFaults, i) {
+			c.after(fault.At, func() { c.injectWhenAllowed(fault) })
 		}
 	}
-	c.runUntil(options.Length)
-	c.heal()
-	c.runUntil(options.Length + settleTime)
-	c.checkRecovery()
-	for _, o := range c.operators {
-		o.stop()
-	}
-	c.runUntil(options.Length + settleTime + lastCalls)
-	c.checkVoters()
-	c.finalRead()
-	return c.result()
 }
 
-// networkStream and planStream keep the draws of the network apart from those of the faults.
-const (
-	networkStream = 0x70756d69
-	planStream    = 0x706c616e
-)
-
 // addNode makes a machine with an empty disk for a slot; it is not started.
 func (c *Cluster) addNode(slot int) *node {
 	n := newNode(c, len(c.nodes), slot)
@@ -159,20 +114,7 @@
 	return n
 }
 
-func (c *Cluster) spread(most time.Duration) time.Duration {
-	return time.Duration(c.random.Int64N(int64(most)))
-}
-
-func (c *Cluster) after(span time.Duration, run func()) {
-	c.sequence++
-	heap.Push(&c.events, event{at: c.now + span, sequence: c.sequence, run: run})
-}
-
-func (c *Cluster) runUntil(end time.Duration) {
-	for len(c.events) > 0 && c.events[0].at <= end {
-		next := heap.Pop(&c.events).(event)
-		c.now = next.at
-		next.run()
-	}
-	c.now = end
+// randomDuration draws a duration below limit.
+func (c *Cluster) randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(c.random.Int64N(int64(limit)))
 }
--- /dev/null
+++ b/internal/controlplane/simulation/fault_plan.go
@@ -0,0 +1,47 @@
+package simulation
+
+import (
+	"math/rand/v2"
+	"time"
+)
+
+const (
+	// firstFaultAt is when the first fault is injected: the first view needs some seconds.
+	firstFaultAt = 4 * time.Second
+	// disklessStartTime is what a cluster without disks needs longer: its coordinators wait for one with a disk first.
+	disklessStartTime = 2 * time.Second
+	maxFaultInterval  = 2500 * time.Millisecond
+	minFaultTime      = 200 * time.Millisecond
+	faultTimeSpread   = 4 * time.Second
+	longFaultTime     = 14 * time.Second // LongPartition lasts so long, and up to twice the spread longer
+)
+
+// FaultPlan draws the faults of the run.
+func (c *Cluster) FaultPlan() []Fault {
+	if c.options.ScriptedFaults != nil {
+		return c.options.ScriptedFaults
+	}
+	random := rand.New(rand.NewPCG(c.options.Seed, planStream))
+	below := func(limit time.Duration) time.Duration { return time.Duration(random.Int64N(int64(limit))) }
+	var plan []Fault
+	first := firstFaultAt
+	if c.hasNoDisks() {
+		first += disklessStartTime
+	}
+	for at := first; at < c.options.FaultPhase; at += below(maxFaultInterval) {
+		kind := FaultKind(random.IntN(int(faultKindCount)))
+		if !c.options.BeyondTolerance && (kind == HalfPartition || kind == ExcessPowerLoss || kind == MessageKindLoss) {
+			kind = Replacement
+		}
+		duration := minFaultTime + below(faultTimeSpread)
+		if kind == LongPartition {
+			duration = longFaultTime + below(2*faultTimeSpread)
+		}
+		count := 1 + random.IntN(max(1, c.options.Tolerance))
+		plan = append(plan, Fault{
+			Index: len(plan), At: at, Kind: kind, Duration: duration, Slots: random.Perm(c.options.Members),
+			Count: min(count, c.options.Members), Draw: random.Uint64(),
+		})
+	}
+	return plan
+}
--- a/internal/controlplane/simulation/history.go
+++ b/internal/controlplane/simulation/history.go
@@ -2,62 +2,67 @@
 
 import "time"
 
-// history is what the operators know.
+// history is what the clients observed.
 type history struct {
-	newest       uint64
-	acknowledged map[string]*call // by body
-	inOrder      []*call          // the acknowledged ones
-	byVersion    map[uint64]*call
-	refused      map[string]*call
-	moments      []moment
-	reads        int
-	unclear      map[uint64]bool // versions on which a change was built that got no clear answer
-	violations   []Violation
-	lastAck      time.Duration
-	waits        []time.Duration
-	pause        time.Duration
+	acknowledged        map[string]*clientRequest // changes by body
+	acknowledgedInOrder []*clientRequest
+	byVersion           map[uint64]*clientRequest // acknowledged changes
+	rejected            map[string]*clientRequest // changes by body
+	reads               int
+	// unresolvedBases are versions on top of which a change was given up: it may have been committed.
+	unresolvedBases map[uint64]bool
+
+	newest         uint64 // version that was acknowledged
+	newestOverTime []versionAt
+	lastAckAt      time.Duration
+	ackLatencies   []time.Duration
+	longestAckGap  time.Duration
+
+	violations []Violation
 }
 
-// moment is when a version had been acknowledged.
-type moment struct {
+// versionAt is the newest acknowledged version from a time on.
+type versionAt struct {
 	at      time.Duration
 	version uint64
 }
 
 func newHistory() *history {
 	return &history{
-		acknowledged: map[string]*call{}, byVersion: map[uint64]*call{}, refused: map[string]*call{},
-		unclear: map[uint64]bool{},
+		acknowledged: map[string]*clientRequest{}, byVersion: map[uint64]*clientRequest{},
+		rejected: map[string]*clientRequest{}, unresolvedBases: map[uint64]bool{},
 	}
 }
 
-func (h *history) acknowledge(c *Cluster, acknowledged *call) {
-	if c.now <= c.options.Length && h.lastAck > 0 {
-		h.pause = max(h.pause, c.now-h.lastAck)
+// recordAcknowledgement records that a change was acknowledged, and checks RuleUniqueVersion.
+func (c *Cluster) recordAcknowledgement(request *clientRequest) {
+	h := c.history
+	if c.now <= c.options.FaultPhase && h.lastAckAt > 0 {
+		h.longestAckGap = max(h.longestAckGap, c.now-h.lastAckAt)
 	}
-	h.lastAck = c.now
-	h.waits = append(h.waits, c.now-acknowledged.began)
-	if h.acknowledged[string(acknowledged.Body)] != nil {
-		return
+	h.lastAckAt = c.now
+	h.ackLatencies = append(h.ackLatencies, c.now-request.startedAt)
+	if h.acknowledged[string(request.Body)] != nil {
+		return // it was sent again
 	}
-	if other := h.byVersion[acknowledged.version]; other != nil {
-		c.violate("NUMBER", "two changes are acknowledged under number "+other.IfMatch)
+	if other := h.byVersion[request.version]; other != nil {
+		c.report(RuleUniqueVersion, "two changes are acknowledged under number "+other.IfMatch)
 	}
-	kept := *acknowledged
+	kept := *request
 	h.acknowledged[string(kept.Body)] = &kept
 	h.byVersion[kept.version] = &kept
-	h.inOrder = append(h.inOrder, &kept)
+	h.acknowledgedInOrder = append(h.acknowledgedInOrder, &kept)
 	h.newest = max(h.newest, kept.version)
-	h.moments = append(h.moments, moment{c.now, h.newest})
+	h.newestOverTime = append(h.newestOverTime, versionAt{c.now, h.newest})
 }
 
-func (h *history) refuse(refused *call) { h.refused[string(refused.Body)] = refused }
+func (h *history) recordRejection(request *clientRequest) { h.rejected[string(request.Body)] = request }
 
-// newestAt is the newest version acknowledged up to a time.
+// newestAt returns the newest version that was acknowledged up to a time.
 func (h *history) newestAt(at time.Duration) uint64 {
-	for i := len(h.moments) - 1; i >= 0; i-- {
-		if h.moments[i].at <= at {
-			return h.moments[i].version
+	for i := len(h.newestOverTime) - 1; i >= 0; i-- {
+		if h.newestOverTime[i].at <= at {
+			return h.newestOverTime[i].version
 		}
 	}
 	return 0
--- /dev/null
+++ b/internal/controlplane/simulation/injection.go
@@ -0,0 +1,200 @@
+package simulation
+
+import (
+	"time"
+
+	"github.com/samber/lo"
+)
+
+const (
+	// injectionRetryDelay is the pause before a fault that would exceed the bounds is tried again.
+	injectionRetryDelay = 200 * time.Millisecond
+	// resyncTime is how long a machine counts as lost after its return: it has to join and to be brought up to date.
+	resyncTime = 4 * time.Second
+	// clusterRecoveryTime is the same after a fault of the whole cluster.
+	clusterRecoveryTime = 12 * time.Second
+	// ackFaultOneIn is how many acknowledgements there are to one fault right after one.
+	ackFaultOneIn = 40
+	// maxAckFaultDelay is how long after the acknowledgement it is injected at the most.
+	maxAckFaultDelay = 2 * time.Millisecond
+	// ackFaultTime is how long it lasts.
+	ackFaultTime = time.Second
+)
+
+// slotsLost returns the slots whose machine counts as lost.
+func (c *Cluster) slotsLost() []int {
+	return lo.FilterMap(c.slots, func(n *node, slot int) (int, bool) { return slot, c.now < n.lostUntil })
+}
+
+// slotsWithoutDisk returns the slots whose disk counts as lost: until its successor has had time to take over the state,
+// and beyond the tolerance until it holds the state in the newest view.
+func (c *Cluster) slotsWithoutDisk() []int {
+	return lo.FilterMap(c.slots, func(n *node, slot int) (int, bool) {
+		lacksState := c.options.BeyondTolerance && n.diskLostAt > 0 && !n.isSyncedInNewestView()
+		return slot, c.now < n.diskLostUntil || lacksState
+	})
+}
+
+func (n *node) isSyncedInNewestView() bool {
+	return n.replica != nil && n.replica.IsSynced() && n.replica.View().Number >= n.cluster.newestViewSeen
+}
+
+// isWithinBounds reports whether a fault may be injected now: never more disks than the tolerance allows may be lost at a
+// time, and, unless the run goes beyond it, never more machines.
+func (c *Cluster) isWithinBounds(f Fault) bool {
+	targets := f.Slots[:f.Count]
+	losesDisk := f.Kind.losesDisk() || c.hasNoDisks() && f.Kind.endsProcess()
+	switch {
+	case c.hasNoDisks() && (f.Kind == ExcessPowerLoss || f.Kind == ClusterPowerLoss || f.Kind == PartitionThenDiskLoss):
+		return false // the state could be lost
+	case f.Kind == MessageKindLoss || f.Kind == HalfPartition || f.Kind == ExcessPowerLoss:
+		return true
+	case f.Kind.isClusterWide():
+		return len(c.slotsLost()) == 0 && len(c.slotsWithoutDisk()) == 0
+	case losesDisk && len(c.slotsWithoutDisk())+len(targets) > c.options.Tolerance:
+		return false
+	case c.options.BeyondTolerance:
+		return true
+	}
+	return len(lo.Union(c.slotsLost(), targets)) <= c.options.Tolerance
+}
+
+// injectWhenAllowed injects a fault as soon as it is within the bounds.
+func (c *Cluster) injectWhenAllowed(f Fault) {
+	if c.now >= c.options.FaultPhase {
+		return
+	}
+	if !c.isWithinBounds(f) {
+		c.after(injectionRetryDelay, func() { c.injectWhenAllowed(f) })
+		return
+	}
+	f.At = c.now
+	c.injected = append(c.injected, f)
+	targets := lo.Map(f.Slots[:f.Count], func(slot int, _ int) *node { return c.slots[slot] })
+	if f.Kind.isClusterWide() {
+		c.injectClusterWide(f)
+		return
+	}
+	for _, n := range targets {
+		c.injectAt(n, f)
+	}
+}
+
+// injectAt injects a fault at one machine.
+func (c *Cluster) injectAt(n *node, f Fault) {
+	n.countLost(c.now + f.Duration)
+	if c.hasNoDisks() && f.Kind == GracefulRestart {
+		n.countDiskLost(c.now + shutdownGrace + f.Duration) // it ends within the grace time
+	}
+	switch f.Kind {
+	case Kill:
+		c.restart(n, restartTime, false)
+	case PowerLoss:
+		c.restart(n, f.Duration, false)
+	case Freeze:
+		c.freeze(n, f.Duration)
+	case DiskStall:
+		n.stalledUntil = max(n.stalledUntil, c.now+f.Duration)
+	case Partition, LongPartition:
+		c.partition([]*node{n}, c.slots, f.Duration)
+	case OneWayPartition:
+		if f.Draw%2 == 0 {
+			c.partitionOneWay([]*node{n}, c.slots, f.Duration)
+		} else {
+			c.partitionOneWay(c.slots, []*node{n}, f.Duration)
+		}
+	case DiskLoss:
+		c.restart(n, f.Duration, true)
+	case Replacement:
+		c.replace(n, f.Duration/4)
+	case PlannedReplacement:
+		c.replaceGracefully(n)
+	case GracefulRestart:
+		c.shutDownGracefully(n, func() { c.restart(n, restartTime+f.Duration/4, false) })
+	}
+}
+
+// injectClusterWide injects a fault of the whole cluster.
+func (c *Cluster) injectClusterWide(f Fault) {
+	ordered := lo.Map(f.Slots, func(slot int, _ int) *node { return c.slots[slot] })
+	switch f.Kind {
+	case ClusterPowerLoss:
+		disksLost := int(f.Draw % uint64(c.options.Tolerance+1))
+		for i, n := range ordered {
+			c.restart(n, f.Duration+c.randomDuration(startSpread), i < disksLost)
+		}
+	case PartitionThenDiskLoss:
+		c.injectPartitionThenDiskLoss(f, ordered)
+	case HalfPartition:
+		c.partition(ordered[:len(ordered)/2], ordered[len(ordered)/2:], 2*f.Duration)
+		c.countAllLost(c.now + 2*f.Duration)
+	case ExcessPowerLoss:
+		for _, n := range ordered[:min(len(ordered), c.options.Tolerance+1+int(f.Draw%3))] {
+			c.restart(n, f.Duration, false)
+		}
+	case MessageKindLoss:
+		kind := messageKind(f.Draw % uint64(messageKindCount))
+		c.network.lostKinds[kind]++
+		c.after(f.Duration, func() { c.network.lostKinds[kind]-- })
+		c.countAllLost(c.now + f.Duration)
+	}
+}
+
+// injectPartitionThenDiskLoss cuts a minority off, so that it misses changes. When the partition heals, all others restart,
+// one of them without its disk: the newest state must be found at the rest of them.
+func (c *Cluster) injectPartitionThenDiskLoss(f Fault, ordered []*node) {
+	minority := ordered[:min(f.Count, (len(ordered)-1)/2)]
+	c.partition(minority, c.slots, 2*f.Duration)
+	c.after(2*f.Duration, func() {
+		mayLoseDisk := len(c.slotsWithoutDisk()) == 0 && c.options.Tolerance > 0
+		for i, slot := range f.Slots[len(minority):] {
+			c.restart(c.slots[slot], f.Duration+c.randomDuration(startSpread), i == 0 && mayLoseDisk)
+		}
+		c.countAllLost(c.now + f.Duration)
+	})
+	c.countAllLost(c.now + 3*f.Duration)
+}
+
+// injectAfterAck injects a fault right after some of the acknowledgements: what was acknowledged must not be lost by it.
+func (c *Cluster) injectAfterAck(relay *node) {
+	if c.now >= c.options.FaultPhase || c.options.ScriptedFaults != nil || c.random.IntN(ackFaultOneIn) > 0 {
+		return
+	}
+	f := Fault{Index: -1, At: c.now, Kind: PowerLoss, Duration: ackFaultTime, Slots: []int{relay.slot}, Count: 1}
+	if c.random.IntN(2) == 0 {
+		f.Kind = DiskLoss
+	}
+	if c.random.IntN(2) == 0 {
+		f.Kind, f.Slots, f.Draw = ClusterPowerLoss, c.random.Perm(len(c.slots)), c.random.Uint64()
+	}
+	if c.isWithinBounds(f) {
+		c.injectWhenAllowed(f)
+	}
+}
+
+// countLost counts the machine as lost until it has been back for as long as it needs.
+func (n *node) countLost(backAt time.Duration) { n.lostUntil = max(n.lostUntil, backAt+resyncTime) }
+
+// countDiskLost counts the machine and its disk as lost.
+func (n *node) countDiskLost(backAt time.Duration) {
+	n.countLost(backAt)
+	n.diskLostUntil = max(n.diskLostUntil, backAt+resyncTime)
+}
+
+func (c *Cluster) countAllLost(backAt time.Duration) {
+	for _, n := range c.slots {
+		n.lostUntil = max(n.lostUntil, backAt+clusterRecoveryTime)
+	}
+}
+
+// heal ends all faults. Machines that are off come back at their time.
+func (c *Cluster) heal() {
+	clear(c.network.blocked)
+	clear(c.network.lostKinds)
+	for _, n := range c.slots {
+		n.stalledUntil = 0
+		if n.frozen {
+			n.resume(n.generation)
+		}
+	}
+}
--- a/internal/controlplane/simulation/network.go
+++ b/internal/controlplane/simulation/network.go
@@ -6,30 +6,41 @@
 	"pumiceline/internal/message"
 )
 
-// Delays and losses of messages.
+// Delays and losses of messages. One in so many messages is lost or delayed.
 const (
-	leastDelay   = 500 * time.Microsecond
-	usualSpread  = 2 * time.Millisecond
-	heldUpSpread = 400 * time.Millisecond
-	lateSpread   = 5 * time.Second
-	localDelay   = 10 * time.Microsecond
-	lostOneIn    = 200
-	heldUpOneIn  = 100
-	lateOneIn    = 1500 // comes seconds late, perhaps to a process that was started meanwhile
-	busyOneIn    = 6    // of operators' calls: held up at a busy relay, so that its next copy is there first
+	minDelay    = 500 * time.Microsecond
+	delaySpread = 2 * time.Millisecond
+	localDelay  = 10 * time.Microsecond // of a message to the sender itself
+
+	lostOneIn = 200 // with its connection
+
+	queuedOneIn = 100
+	// queuedRequestOneIn is the same for clients' requests: one is queued at a busy relay, and its next copy overtakes it.
+	queuedRequestOneIn = 6
+	queuedSpread       = 400 * time.Millisecond
+
+	// staleOneIn messages arrive seconds late, perhaps at a process that was started meanwhile.
+	staleOneIn  = 1500
+	staleSpread = 5 * time.Second
 )
 
-// network knows which ways are cut and which kind of message is lost.
+// link is a direction between two machines, by their indexes.
+type link struct{ from, to int }
+
+// network knows which links are blocked and which kinds of messages are lost.
 type network struct {
-	cut  map[[2]int]int // from, to: how many cuts lie on the way
-	lost map[messageKind]int
+	blocked   map[link]int        // by how many partitions
+	lostKinds map[messageKind]int // by how many faults
 }
 
-func newNetwork() network { return network{cut: map[[2]int]int{}, lost: map[messageKind]int{}} }
+func newNetwork() network {
+	return network{blocked: map[link]int{}, lostKinds: map[messageKind]int{}}
+}
 
-// messageKind names the kinds of messages of which all may be lost for a time.
+// messageKind is a kind of messages that a MessageKindLoss may concern.
 type messageKind int
 
+// The kinds that may be lost.
 const (
 	prepareKind messageKind = iota
 	acceptKind
@@ -39,7 +50,7 @@
 	joinKind
 	leaseGrantKind
 	confirmKind
-	messageKinds
+	messageKindCount // and that of all other messages
 )
 
 func kindOf(m *message.Message) messageKind {
@@ -61,42 +72,44 @@
 	case m.ConfirmRequest != nil:
 		return confirmKind
 	}
-	return messageKinds
+	return messageKindCount
 }
 
+// send sends a message to the machine that has its address, which may lose it or receive it late.
 func (n *node) send(m message.Message) {
 	c := n.cluster
 	if m.LeaseGrant != nil && m.LeaseGrant.Granted {
-		n.lastGrant = grantHold{holder: m.To, token: m.LeaseGrant.Token}
+		n.lastGrant = grant{holder: m.To, token: m.LeaseGrant.Token}
 	}
 	if m.ConfigResponse != nil && m.ToAddress == n.address {
-		c.deliverResult(n, m.ConfigResponse)
+		c.deliverResponse(n, m.ConfigResponse)
 		return
 	}
 	if m.ToAddress == n.address {
-		n.receiveSoon(m, localDelay)
+		n.receiveAfter(m, localDelay)
 		return
 	}
 	target := c.nodeAt(m.ToAddress)
-	if target == nil || c.network.cut[[2]int{n.index, target.index}] > 0 || c.network.lost[kindOf(&m)] > 0 {
+	if target == nil || c.network.blocked[link{n.index, target.index}] > 0 || c.network.lostKinds[kindOf(&m)] > 0 {
 		return
 	}
-	delay := leastDelay + c.spread(usualSpread)
+	delay := minDelay + c.randomDuration(delaySpread)
 	switch {
 	case c.random.IntN(lostOneIn) == 0:
-		return // lost with its connection
-	case m.ConfigRequest != nil && c.random.IntN(busyOneIn) == 0, c.random.IntN(heldUpOneIn) == 0:
-		delay += c.spread(heldUpSpread)
-	case c.random.IntN(lateOneIn) == 0:
-		delay += c.spread(lateSpread)
+		return
+	case m.ConfigRequest != nil && c.random.IntN(queuedRequestOneIn) == 0, c.random.IntN(queuedOneIn) == 0:
+		delay += c.randomDuration(queuedSpread)
+	case c.random.IntN(staleOneIn) == 0:
+		delay += c.randomDuration(staleSpread)
 	}
-	target.receiveSoon(m, delay)
+	target.receiveAfter(m, delay)
 }
 
-func (n *node) receiveSoon(m message.Message, delay time.Duration) {
+func (n *node) receiveAfter(m message.Message, delay time.Duration) {
 	n.cluster.after(delay, func() { n.receive(m) })
 }
 
+// nodeAt returns the machine that has or had an address, nil where none ever did.
 func (c *Cluster) nodeAt(address string) *node {
 	for _, n := range c.nodes {
 		if n.address == address {
@@ -106,27 +119,28 @@
 	return nil
 }
 
-// cutWays cuts the ways from each node of a to each of b for a span.
-func (c *Cluster) cutWays(a, b []*node, span time.Duration) {
-	var ways [][2]int
-	for _, from := range a {
-		for _, to := range b {
-			if from != to {
-				ways = append(ways, [2]int{from.index, to.index})
+// partition blocks the links between each machine of a and each of b, both ways.
+func (c *Cluster) partition(a, b []*node, duration time.Duration) {
+	c.partitionOneWay(a, b, duration)
+	c.partitionOneWay(b, a, duration)
+}
+
+// partitionOneWay blocks the links from each machine of senders to each of receivers.
+func (c *Cluster) partitionOneWay(senders, receivers []*node, duration time.Duration) {
+	var links []link
+	for _, sender := range senders {
+		for _, receiver := range receivers {
+			if sender != receiver {
+				links = append(links, link{sender.index, receiver.index})
 			}
 		}
 	}
-	for _, way := range ways {
-		c.network.cut[way]++
+	for _, l := range links {
+		c.network.blocked[l]++
 	}
-	c.after(span, func() {
-		for _, way := range ways {
-			c.network.cut[way]--
+	c.after(duration, func() {
+		for _, l := range links {
+			c.network.blocked[l]--
 		}
 	})
 }
-
-func (c *Cluster) cutBothWays(a, b []*node, span time.Duration) {
-	c.cutWays(a, b, span)
-	c.cutWays(b, a, span)
-}
