--- a/internal/controlplane/coordinator/backends.go
+++ b/internal/controlplane/coordinator/backends.go
@@ -40,7 +40,8 @@
 	c.publishBackends()
 }
 
-// publishBackends gives the hub the backends as discovery listed them, with the models that were observed since.
+// publishBackends gives the hub the backends as discovery listed them, with the models that were observed since. The hub
+// takes only a table that was observed later than its own, so an observation reaches it with the next poll of discovery.
 func (c *controller) publishBackends() {
 	if c.table == nil {
 		return
