--- a/internal/standalone/affinity/affinity_test.go
+++ b/internal/standalone/affinity/affinity_test.go
@@ -6,9 +6,10 @@
 	"testing"
 )
 
-const keys = 20_000
+const testKeys = 20_000
 
-func homesOf(table *Table, members []Member) (homes [keys][2]uint32) {
+// homesOf returns the homes of all test keys after the table's members are replaced.
+func homesOf(table *Table, members []Member) (homes [testKeys][2]uint32) {
 	table.SetMembers(members)
 	for k := range homes {
 		homes[k], _ = table.Homes(uint64(k))
@@ -16,63 +17,81 @@
 	return homes
 }
 
-func fleet(n int) (members []Member) {
+func testMembers(n int) (members []Member) {
 	for i := range n {
 		members = append(members, Member{ID: uint32(1000 + 17*i), Weight: []float64{3, 4, 1.5}[i%3]})
 	}
 	return members
 }
 
-// Keys are shared out by weight. A server that goes moves only its own keys, to what were their second homes. Balancers that learn of
-// servers in another order agree, and so does one that has known more of them, at any count of changes.
-func TestHomes(t *testing.T) {
+// Keys are divided by weight.
+func TestHomes_FollowWeights(t *testing.T) {
 	for _, n := range []int{3, 12, 200} {
-		members := fleet(n)
-		with, got, all := homesOf(&Table{}, members), map[uint32]float64{}, 0.0
+		members := testMembers(n)
+		counts, totalWeight := map[uint32]float64{}, 0.0
+		for _, h := range homesOf(&Table{}, members) {
+			counts[h[0]]++
+		}
+		for _, m := range members {
+			totalWeight += m.Weight
+		}
 		for _, m := range members {
-			all += m.Weight
+			if want := testKeys * m.Weight / totalWeight; math.Abs(counts[m.ID]/want-1) > 5/math.Sqrt(want) {
+				t.Errorf("%d members: %d has %.2f times its share", n, m.ID, counts[m.ID]/want)
+			}
 		}
-		gone := members[n/2]
+	}
+}
+
+// A server that leaves moves only its own keys, to what were their second homes.
+func TestHomes_MoveOnlyKeysOfLeavingServer(t *testing.T) {
+	for _, n := range []int{3, 12, 200} {
+		members := testMembers(n)
+		left := members[n/2]
+		with := homesOf(&Table{}, members)
 		without := homesOf(&Table{}, slices.Concat(members[:n/2], members[n/2+1:]))
 		for k, h := range with {
-			got[h[0]]++
-			stays := h[0]
-			if stays == gone.ID {
-				stays = h[1]
+			want := h[0]
+			if want == left.ID {
+				want = h[1]
 			}
-			if h[0] == h[1] || without[k][0] != stays {
-				t.Fatalf("%d members: key %d has homes %v, without %d %v", n, k, h, gone.ID, without[k])
+			if h[0] == h[1] || without[k][0] != want {
+				t.Fatalf("%d members: key %d has homes %v, without %d %v", n, k, h, left.ID, without[k])
 			}
 		}
-		for _, m := range members {
-			if want := keys * m.Weight / all; math.Abs(got[m.ID]/want-1) > 5/math.Sqrt(want) {
-				t.Errorf("%d members: %d has %.2f times its part", n, m.ID, got[m.ID]/want)
-			}
-		}
-		turned, lived := slices.Clone(members), &Table{changes: math.MaxUint32 - 2}
-		slices.Reverse(turned)
-		for _, list := range [][]Member{fleet(300), members[:1], nil, turned} {
-			if got := homesOf(lived, list); len(list) == n && got != with {
-				t.Errorf("%d members: another order and other members before make other homes", n)
+	}
+}
+
+// Balancers that learn of servers in another order agree, and so does one that has known other servers, at any number
+// of changes.
+func TestHomes_DependOnlyOnMembers(t *testing.T) {
+	for _, n := range []int{3, 12, 200} {
+		members := testMembers(n)
+		want := homesOf(&Table{}, members)
+		reversed, changed := slices.Clone(members), &Table{version: math.MaxUint32 - 2}
+		slices.Reverse(reversed)
+		for _, list := range [][]Member{testMembers(300), members[:1], nil, reversed} {
+			if got := homesOf(changed, list); len(list) == n && got != want {
+				t.Errorf("%d members: other homes in another order and after other members", n)
 			}
 		}
 	}
 }
 
-func TestOddMembers(t *testing.T) {
+func TestHomes_IgnoreMembersWithImplausibleWeight(t *testing.T) {
 	for weight, want := range map[float64]bool{0: false, math.NaN(): false, math.Inf(1): false, -2: false, 1: true} {
 		var table Table
 		table.SetMembers([]Member{{5, weight}, {6, 0}})
-		if h, ok := table.Homes(7); ok != want || ok && h != [2]uint32{5, 5} {
-			t.Errorf("weight %v: home %v, %v", weight, h, ok)
+		if homes, ok := table.Homes(7); ok != want || ok && homes != [2]uint32{5, 5} {
+			t.Errorf("weight %v: homes %v, %v", weight, homes, ok)
 		}
 	}
 }
 
 func BenchmarkHomes(b *testing.B) {
 	var table Table
-	table.SetMembers(fleet(12))
+	table.SetMembers(testMembers(12))
 	for k := range uint64(b.N) {
-		table.Homes(k % keys)
+		table.Homes(k % testKeys)
 	}
 }
--- a/internal/standalone/concurrency/limit.go
+++ b/internal/standalone/concurrency/limit.go
@@ -1,55 +1,58 @@
-// Package concurrency moves a window: the most attempts that one balancer has out at once, the rest waiting or being refused before
-// they cost anybody anything. All of it is pure arithmetic on the window's size.
+// Package concurrency adapts a concurrency limit: the most attempts that one balancer has in flight, while other
+// requests are queued or rejected before they cost anything. It is pure arithmetic on the limit.
 //
-// A window is no whole number and may be less than one. Where hundreds of balancers share servers that work on a few requests at
-// a time, one attempt of each is more than the servers bear together: in such a window attempts go one by one, with pauses in which
-// none is out, so that on the mean as many are out as its size says.
+// A limit is not a whole number and may be less than one. Where hundreds of balancers share servers that work on a few
+// requests at a time, one attempt of each is more than the servers can take together: under such a limit attempts go
+// one by one, with pauses in which none is in flight, so that on average as many are in flight as the limit says.
 package concurrency
 
-// MinLimit is the narrowest window: an attempt for a tenth of the time still finds out that the crowding is over.
+// MinLimit is the least limit: one attempt for a tenth of the time still finds out that a congestion is over.
 const MinLimit = 0.1
 
-// ToleratedCongestion is the share of answers speaking of a queue that leaves a window of usual size as it is.
+// ToleratedCongestion is the share of congestion signals among responses that leaves a limit of ordinary size as it is.
 const ToleratedCongestion = 0.25
 
 const (
-	narrowBy = 0.4 // a narrow window loses this part of itself at most: a step of one would close it on a single answer
-	widenBy  = 0.5 // and gains this part at most, so that one doubtful answer does not undo several; as Borne where not calm
-	grows    = 5.0 // narrow ones grow faster, so that balancers with the same servers come to share them evenly
-	swift    = 0.5 // the least step while hardly an answer speaks of a queue: after a start, or when others' clients come
+	maxDecrease  = 0.4 // of a small limit, in one step: a step of 1 would bring it to the least on a single response
+	maxIncrease  = 0.5 // of it, in one step, so that one ambiguous response does not undo several
+	baseIncrease = 0.5 // the step of a large limit, in units of ToleratedCongestion
+	smallBonus   = 5.0 // small limits grow faster by this over the limit, so that balancers come to share servers evenly
+	fastIncrease = 0.5 // the least step without congestion: after a start, or when another balancer's clients come
 )
 
-// Admits says whether one more attempt fits in. sinceLast is how long ago an attempt ended last, and usual how long one takes.
-func Admits(window float64, out int, sinceLast, usual float64) bool {
-	if window >= 1 {
-		return float64(out) < window
+// Admits reports whether one more attempt is allowed. sinceLast is the time since an attempt ended last, and
+// attemptTime the time of one, both in one unit.
+func Admits(limit float64, inFlight int, sinceLast, attemptTime float64) bool {
+	if limit >= 1 {
+		return float64(inFlight) < limit
 	}
-	return out == 0 && sinceLast >= usual*(1/window-1)
+	return inFlight == 0 && sinceLast >= attemptTime*(1/limit-1)
 }
 
-// Decrease is the window after an answer that speaks of a queue: one step for each, so that it does not fall on old news.
-func Decrease(window float64) float64 {
-	return max(MinLimit, window-(1-ToleratedCongestion), window*(1-narrowBy))
+// Decrease returns the limit after a congestion signal: one step for each, as several tell of one queue.
+func Decrease(limit float64) float64 {
+	return max(MinLimit, limit-(1-ToleratedCongestion), limit*(1-maxDecrease))
 }
 
-// Increase is a window that is in use after an answer without a queue; calm is whether hardly an answer has spoken of one of late.
-func Increase(window float64, calm bool) float64 {
-	step := ToleratedCongestion * min(0.5+grows/window, window)
-	if calm {
-		step = max(step, min(swift, widenBy*window))
+// Increase returns a limit that is in use after a response without a congestion signal. uncongested means that there
+// have hardly been signals of late.
+func Increase(limit float64, uncongested bool) float64 {
+	step := ToleratedCongestion * min(baseIncrease+smallBonus/limit, limit)
+	if uncongested {
+		step = max(step, min(fastIncrease, maxIncrease*limit))
 	}
-	return window + step
+	return limit + step
 }
 
-// A window is kept near what is in use, so that it bites soon once there is a queue.
+// A limit is kept near the attempts in flight, so that it takes effect soon once there is a queue.
 const (
-	overUse   = 1.5  // times what is out
-	mostSpare = 10.0 // and so much more, for what comes at once
-	perServer = 4.0  // but of each server no more than this for all balancers of the group: what they start with must not flood it
+	usageFactor  = 1.5  // times the attempts in flight
+	maxHeadroom  = 10.0 // more than that, for requests that come at once,
+	maxPerServer = 4.0  // but for each server no more than this over all balancers, which must not flood it at the start
 )
 
-// LimitToUsage is the window when out attempts are out, of one of group balancers with this many servers.
-func LimitToUsage(window float64, out, servers, group int) float64 {
-	spare := min(mostSpare, perServer*float64(servers)/float64(max(1, group)))
-	return min(window, overUse*float64(out)+max(1, spare))
+// LimitToUsage returns the limit with inFlight attempts, of one of groupSize balancers that share servers.
+func LimitToUsage(limit float64, inFlight, servers, groupSize int) float64 {
+	headroom := min(maxHeadroom, maxPerServer*float64(servers)/float64(max(1, groupSize)))
+	return min(limit, usageFactor*float64(inFlight)+max(1, headroom))
 }
--- a/internal/standalone/concurrency/limit_test.go
+++ b/internal/standalone/concurrency/limit_test.go
@@ -5,55 +5,58 @@
 	"testing"
 )
 
-// A window under one leaves one attempt out for that part of the time on the mean.
-func TestANarrowWindowLeavesPauses(t *testing.T) {
-	for _, window := range []float64{0.1, 0.25, 0.5, 1, 3} {
-		const usual, end = 100.0, 1_000_000
-		var ends []float64 // of attempts out
-		last, busy := -1e9, 0.0
+// Under a limit below one, an attempt is in flight for that fraction of the time on average.
+func TestAdmits_LimitBelowOneLeavesPauses(t *testing.T) {
+	for _, limit := range []float64{0.1, 0.25, 0.5, 1, 3} {
+		const attemptTime, end = 100.0, 1_000_000
+		var ends []float64 // of the attempts in flight
+		last, inFlightSum := -1e9, 0.0
 		for now := 0.0; now < end; now++ {
 			for len(ends) > 0 && ends[0] <= now {
 				last, ends = now, ends[1:]
 			}
-			for Admits(window, len(ends), now-last, usual) {
-				ends = append(ends, now+usual)
+			for Admits(limit, len(ends), now-last, attemptTime) {
+				ends = append(ends, now+attemptTime)
 			}
-			busy += float64(len(ends))
+			inFlightSum += float64(len(ends))
 		}
-		if mean := busy / end; math.Abs(mean-window) > 0.05*window+0.01 {
-			t.Errorf("window %v: %.3f out on the mean", window, mean)
+		if mean := inFlightSum / end; math.Abs(mean-limit) > 0.05*limit+0.01 {
+			t.Errorf("limit %v: %.3f in flight on average", limit, mean)
 		}
 	}
 }
 
-// One answer moves no window by more than half, none leaves the bounds, and at the balance no window bears more than half of its
-// answers with a queue: where hundreds of balancers share a few small servers, that is the flood that the window is to stop.
-func TestSteps(t *testing.T) {
-	for w := MinLimit; w < 1000; w *= 1.3 {
-		narrow, wide := Decrease(w), Increase(w, false)
-		if narrow < MinLimit || narrow >= w && w > MinLimit || narrow < 0.59*w && narrow > MinLimit || wide <= w || wide > 1.51*w || Increase(w, true) < wide || Increase(w, true) > 1.51*w {
-			t.Errorf("%v: narrows to %v, widens to %v or %v", w, narrow, wide, Increase(w, true))
+// One response changes no limit by more than half, none leaves the bounds, and in equilibrium no limit tolerates more
+// than half of its responses with congestion: where hundreds of balancers share a few small servers, that is the flood
+// that the limit must stop.
+func TestStepsAreBounded(t *testing.T) {
+	for limit := MinLimit; limit < 1000; limit *= 1.3 {
+		decreased, increased, fast := Decrease(limit), Increase(limit, false), Increase(limit, true)
+		if decreased < MinLimit || decreased >= limit && limit > MinLimit || decreased < 0.59*limit && decreased > MinLimit ||
+			increased <= limit || increased > 1.51*limit || fast < increased || fast > 1.51*limit {
+			t.Errorf("%v: decreases to %v, increases to %v or %v", limit, decreased, increased, fast)
 		}
-		if down, up := w-w*0.6, wide-w; w < 1 && up/(up+down) > 0.5 {
-			t.Errorf("%v: balance at %.2f of the answers with a queue", w, up/(up+down))
+		if down, up := limit-limit*0.6, increased-limit; limit < 1 && up/(up+down) > 0.5 {
+			t.Errorf("%v: equilibrium at %.2f of the responses with congestion", limit, up/(up+down))
 		}
 	}
-	if w := Increase(math.Inf(1), true); !math.IsInf(w, 1) {
-		t.Errorf("a window that nobody bounded yet widens to %v", w)
+	if limit := Increase(math.Inf(1), true); !math.IsInf(limit, 1) {
+		t.Errorf("no limit increases to %v", limit)
 	}
 }
 
-// What a group may have out at the start is bounded by what its servers bear, however many balancers there are.
-func TestAGroupStartsWithWhatItsServersBear(t *testing.T) {
+// What a group may have in flight at the start is bounded by its servers, however many balancers there are.
+func TestLimitToUsage_BoundsStartOfGroup(t *testing.T) {
 	for _, c := range []struct {
-		servers, group int
-		want           float64
-	}{{12, 4, 10}, {200, 300, perServer * 2 / 3}, {25, 79, perServer * 25 / 79}, {70, 375, 1}, {0, 0, 1}, {5, 1, 10}} {
-		if got := LimitToUsage(math.Inf(1), 0, c.servers, c.group); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("%d servers for %d: %v, want %v", c.servers, c.group, got, c.want)
+		servers, groupSize int
+		want               float64
+	}{{12, 4, 10}, {200, 300, maxPerServer * 2 / 3}, {25, 79, maxPerServer * 25 / 79}, {70, 375, 1}, {0, 0, 1},
+		{5, 1, 10}} {
+		if got := LimitToUsage(math.Inf(1), 0, c.servers, c.groupSize); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("%d servers for %d balancers: %v, want %v", c.servers, c.groupSize, got, c.want)
 		}
-		if got := LimitToUsage(math.Inf(1), 20, c.servers, c.group); got != 30+c.want {
-			t.Errorf("%d servers for %d, 20 out: %v", c.servers, c.group, got)
+		if got := LimitToUsage(math.Inf(1), 20, c.servers, c.groupSize); got != 30+c.want {
+			t.Errorf("%d servers for %d balancers, 20 in flight: %v", c.servers, c.groupSize, got)
 		}
 	}
 }
--- a/internal/standalone/latencybaseline/baseline.go
+++ b/internal/standalone/latencybaseline/baseline.go
@@ -1,58 +1,64 @@
-// Package latencybaseline estimates what answers take where nothing queues, from the times of all answers. It is pure: the caller's clock is
-// the only one that it knows.
+// Package latencybaseline estimates the unloaded latency of responses, that is without queueing, from the latencies of
+// all responses. It is pure: the caller's clock is the only one that it knows.
 package latencybaseline
 
-// What stands for "what answers take" is the time that share of them keep within. A running quantile follows it, and the least
-// that this was of late is the time without a queue: queues come and go, and while they last they only add.
+// The unloaded latency is a quantile of the latencies: a running quantile follows them, and its minimum of late is the
+// estimate. Queues come and go, and while they last they only add.
 const (
-	share   = 0.8
-	step    = 0.03      // of its value, by which the running quantile follows one answer
-	warmup  = 20        // answers before anything is told; the first few move the quantile further
-	period  = 1_000_000 // microseconds between two looks at the running quantile
-	forgets = 0.01      // a second, of the least: what takes longer for good comes to be known as calm
+	quantile        = 0.8
+	step            = 0.03      // of its value, by which the running quantile follows one response
+	warmupSamples   = 20        // responses before there is an estimate
+	fastSamples     = 10        // the first ones move the quantile further, fastSamples/n times a step
+	samplePeriod    = 1_000_000 // microseconds between two looks at the running quantile
+	growthPerSecond = 0.01      // of the minimum: a latency that has grown for good is the estimate in the end
 )
 
-// StepQuantile moves quantile, that under which a share of samples lie, by a step (a part of its value) towards where sample says
-// that it is.
-func StepQuantile(quantile, sample, share, step float64) float64 {
-	if sample < quantile {
-		return quantile * (1 - (1-share)*step)
+// StepQuantile moves estimate, the value that a share of samples lie under, by a step (a fraction of it) towards where
+// the sample indicates that it is.
+func StepQuantile(estimate, sample, share, step float64) float64 {
+	if sample < estimate {
+		return estimate * (1 - (1-share)*step)
 	}
-	return quantile * (1 + share*step)
+	return estimate * (1 + share*step)
 }
 
-// Estimator is the estimate for one kind of answers. The zero Time knows nothing.
+// Estimator estimates the unloaded latency of one class of responses. The zero Estimator has no estimate. It is not
+// safe for concurrent use.
 type Estimator struct {
-	seen    int
-	running float64
-	least   float64
-	looked  int64
+	samples   int
+	running   float64 // quantile
+	minimum   float64 // of running
+	sampledAt int64   // when running was looked at last
 }
 
-// Observe takes the time that an answer took, in any unit, at now, in microseconds.
-func (t *Estimator) Observe(now int64, took float64) {
-	if !(took > 0) {
+// Observe takes the latency of a response, in any unit, at now, in microseconds. Values that are not positive are
+// ignored.
+func (e *Estimator) Observe(now int64, latency float64) {
+	if !(latency > 0) {
 		return
 	}
-	if t.seen++; t.seen == 1 {
-		t.running = took
+	if e.samples++; e.samples == 1 {
+		e.running = latency
 	}
-	t.running = StepQuantile(t.running, took, share, step*float64(max(1, warmup/2/t.seen)))
-	switch passed := now - t.looked; {
-	case t.seen == warmup:
-		t.least, t.looked = t.running, now
-	case t.seen > warmup && passed >= period:
-		t.least, t.looked = min(t.least*(1+forgets*float64(passed)/1e6), t.running), now
+	e.running = StepQuantile(e.running, latency, quantile, step*float64(max(1, fastSamples/e.samples)))
+	switch elapsed := now - e.sampledAt; {
+	case e.samples == warmupSamples:
+		e.minimum, e.sampledAt = e.running, now
+	case e.samples > warmupSamples && elapsed >= samplePeriod:
+		e.minimum, e.sampledAt = min(e.minimum*(1+growthPerSecond*float64(elapsed)/1e6), e.running), now
 	}
 }
 
-// Restore is an estimate that another has come to; nothing is known if it is not over 0.
-func Restore(least float64) (t Estimator) {
-	if least > 0 {
-		t = Estimator{seen: warmup, running: least, least: least}
+// Restore returns an Estimator with an estimate that another one has come to, or without one if baseline is not
+// positive.
+func Restore(baseline float64) Estimator {
+	if !(baseline > 0) {
+		return Estimator{}
 	}
-	return t
+	return Estimator{samples: warmupSamples, running: baseline, minimum: baseline}
 }
 
-// Baseline is what most answers take where nothing queues, in the unit of Observe, once enough have come.
-func (t *Estimator) Baseline() (took float64, known bool) { return t.least, t.seen >= warmup }
+// Baseline returns the unloaded latency in the unit of Observe; known is false until enough responses have come.
+func (e *Estimator) Baseline() (latency float64, known bool) {
+	return e.minimum, e.samples >= warmupSamples
+}
--- a/internal/standalone/loadpolling/polling.go
+++ b/internal/standalone/loadpolling/polling.go
@@ -1,38 +1,40 @@
-// Package loadpolling says when a server is asked for its load, where load reports come no other way. It is pure.
+// Package loadpolling schedules the polling of servers for their load, where load reports come no other way. It is
+// pure.
 package loadpolling
 
-// A probe costs its server work, and the deployment a little for each. Servers renew their figures two or three times in a
-// second, and what they say is smoothed over seconds, so that a report a second is as good as more.
+// A poll costs its server work, and the deployment a little each. Servers renew their figures two or three times per
+// second, and the reports are smoothed over seconds, so that one per second is as good as more.
 const (
-	leastEvery = 1_000_000 // microseconds between two probes of one server by one balancer, at least
-	eachEvery  = 500_000   // the same by all balancers together: N of them leave N times as long
-	perRequest = 0.05      // probes that a balancer may send for each request that it has
+	minInterval      = 1_000_000 // microseconds between two polls of one server by one balancer
+	minGroupInterval = 500_000   // the same by all balancers together: each of N leaves N times as long
+	pollsPerRequest  = 0.05      // the most polls that a balancer sends per request that it has
+	jitter           = 0.1       // of the interval, by which polls come early or late
 )
 
-// Interval is how long a balancer leaves between two probes of one server, in microseconds, if it knows of this many servers, shares
-// them with others so that there are balancers of them in all, and has rate requests a second.
+// Interval is the time between two polls of one server by one balancer, in microseconds. servers is how many it knows,
+// balancers how many share them, and rate its requests per second.
 func Interval(servers, balancers int, rate float64) int64 {
-	every := max(leastEvery, eachEvery*float64(balancers))
-	return int64(max(every, 1e6*float64(servers)/(perRequest*max(1, rate))))
+	interval := max(minInterval, minGroupInterval*float64(balancers))
+	return int64(max(interval, 1e6*float64(servers)/(pollsPerRequest*max(1, rate))))
 }
 
-// Schedule is when a server was probed last. The zero Turn was never.
+// Schedule is the schedule of one server's polls. The zero Schedule has none planned.
 type Schedule struct {
-	next int64
-	set  bool
+	next    int64
+	planned bool
 }
 
-// Due says whether the server is to be probed now, at now in microseconds, and takes it that it is. drawn is a random number from 0
-// to 1: the first probe comes within one period, so that balancers that start together do not probe together, and later ones
-// a tenth of it early or late.
-func (t *Schedule) Due(now, every int64, drawn float64) bool {
-	if !t.set {
-		t.next, t.set = now+int64(drawn*float64(min(every, leastEvery))), true
+// Due reports whether the server is to be polled now, at now in microseconds, and plans the next poll if so. random is
+// a random number from 0 to 1: the first poll comes at random within an interval, so that balancers that start together
+// do not poll together, and later ones are jittered.
+func (s *Schedule) Due(now, interval int64, random float64) bool {
+	if !s.planned {
+		s.next, s.planned = now+int64(random*float64(min(interval, minInterval))), true
 		return false
 	}
-	if now < t.next {
+	if now < s.next {
 		return false
 	}
-	t.next = now + int64((0.9+0.2*drawn)*float64(every))
+	s.next = now + int64((1-jitter+2*jitter*random)*float64(interval))
 	return true
 }
