--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -55,8 +55,8 @@
 		LeaseToken: 77,
 	}
 
-	// storedWhole is the newest state that was written whole.
-	storedWhole = message.ChainState{
+	// storedChain is the newest chain state that was written whole.
+	storedChain = message.ChainState{
 		View: 11, Sequence: 41, Digest: []byte("0123456789abcdef"), Version: 41,
 		Document: []byte(storedDocument(41, 5000)),
 		History: []message.Change{
@@ -73,8 +73,8 @@
 		`"kind":"changing","timeoutMs":%d,"service":"s"}],"version":%d}`, timeoutMs, version)
 }
 
-// storedCalls are the operator's calls that made the two changes after storedWhole.
-func storedCalls() []*message.ConfigRequest {
+// storedRequests are the operator's requests that made the two changes after storedChain.
+func storedRequests() []*message.ConfigRequest {
 	return []*message.ConfigRequest{
 		{Method: http.MethodPut, IfMatch: "41", Body: []byte(storedDocument(42, 6000))},
 		{Method: http.MethodPut, IfMatch: "42", Body: []byte(storedDocument(43, 7000))},
@@ -125,18 +125,18 @@
 	ring, chain := stored.ring, stored.chain
 	checkControlState(t, stored.control)
 
-	var whole message.ChainState
-	rest, err := whole.UnmarshalMsg(ring.Newest(chainRecord))
+	var chainState message.ChainState
+	rest, err := chainState.UnmarshalMsg(ring.Newest(chainRecord))
 	require.NoError(t, err)
 	assert.Empty(t, rest)
-	assert.Equal(t, storedWhole, whole)
+	assert.Equal(t, storedChain, chainState)
 
 	previous, between := []byte("0123456789abcdef"), fromHex(t, "68deb83a2077fa229b58212b7a668fbd")
 	changes := []message.Change{
 		{Version: 42, Base: 41, Digest: fromHex(t, "67946a17b3542f9d9062c78f3fd4960f")},
 		{Version: 43, Base: 42, Digest: fromHex(t, "76fb7dbd4a3fc09051302aa1b6c308bc")},
 	}
-	additions := []message.ChangeRecord{
+	appended := []message.ChangeRecord{
 		{
 			View: 12, Previous: previous, Change: changes[0], Delta: []byte("\x00\x82\x01\x056000,\x87\x01\x1b\x022}"),
 			DocumentDigest: fromHex(t, "b86079c0fbc06d63d32d01f3c632f364"),
@@ -146,13 +146,13 @@
 			DocumentDigest: fromHex(t, "ada504f9e147211436bfb4c08e75fb4e"),
 		},
 	}
-	require.Len(t, ring.Appended(chainRecord), len(additions))
+	require.Len(t, ring.Appended(chainRecord), len(appended))
 	for i, text := range ring.Appended(chainRecord) {
-		var addition message.ChangeRecord
-		rest, err := addition.UnmarshalMsg(text)
+		var change message.ChangeRecord
+		rest, err := change.UnmarshalMsg(text)
 		require.NoError(t, err)
 		assert.Empty(t, rest)
-		assert.Equal(t, additions[i], addition)
+		assert.Equal(t, appended[i], change)
 	}
 
 	assert.EqualValues(t, 12, chain.View)
@@ -160,7 +160,7 @@
 	assert.Equal(t, fromHex(t, "97b91264125dafc49c4ef0350434892e"), chain.Digest)
 	assert.EqualValues(t, 43, chain.Version)
 	assert.Equal(t, storedDocument(43, 7000), string(chain.Document))
-	assert.Equal(t, append(append([]message.Change{}, storedWhole.History...), changes...), chain.History)
+	assert.Equal(t, append(append([]message.Change{}, storedChain.History...), changes...), chain.History)
 	assert.EqualValues(t, 39, chain.Horizon)
 }
 
@@ -169,20 +169,20 @@
 	stored, err := openState(unpackState(t))
 	require.NoError(t, err)
 	ring := stored.ring
-	records, err := encodeRecords(&storedControl, &storedWhole)
+	records, err := encodeRecords(&storedControl, &storedChain)
 	require.NoError(t, err)
 	assert.Equal(t, ring.Newest(controlRecord), records[controlRecord])
 	assert.Equal(t, ring.Newest(chainRecord), records[chainRecord])
 }
 
-// An operator who sends a change again that an earlier version took and stored is told that it was taken: the digest of
-// a call is stored, so it must stay what it was.
-func TestRecognizesCallsStoredByEarlierVersion(t *testing.T) {
+// A change that an earlier version applied and stored is recognized when it is sent again: the digest of a request is
+// stored, so it must stay what it was.
+func TestRecognizesRequestsStoredByEarlierVersion(t *testing.T) {
 	stored, err := openState(unpackState(t))
 	require.NoError(t, err)
 	chain := stored.chain
-	for _, call := range storedCalls() {
-		result := configuration.Validate(&chain, call)
+	for _, request := range storedRequests() {
+		result := configuration.Validate(&chain, request)
 		assert.Equal(t, http.StatusOK, result.Status, string(result.Body))
 		assert.False(t, result.Apply)
 	}
--- a/internal/controlplane/storage/stored_test.go
+++ b/internal/controlplane/storage/stored_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unpackRing unpacks the files of a ring from testdata into a folder of the test.
+// unpackRing unpacks the segments of a ring from testdata into a folder of the test.
 func unpackRing(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -31,14 +31,14 @@
 }
 
 // The files in testdata were stored by an earlier version, cef8855, and are never written anew. That version opened the
-// ring three times: file 0 holds an older record of each kind, file 1 what was written after the second start, file 2
-// what was written after the third. There the last record, an addition, is torn.
+// ring three times: segment 0 holds an older record of each kind, segment 1 what was written after the second start,
+// segment 2 what was written after the third. There the last record, an appended one, is torn.
 func TestReadsRingStoredByEarlierVersion(t *testing.T) {
 	dir := unpackRing(t)
 	for i := range SegmentCount {
 		info, err := os.Stat(filepath.Join(dir, fmt.Sprintf("ring-%d", i)))
 		require.NoError(t, err)
-		require.EqualValues(t, SegmentBytes, info.Size(), "a file of another size would be cut or grown at the start")
+		require.EqualValues(t, SegmentBytes, info.Size(), "a segment of another size would be cut or grown at the start")
 	}
 	ring, err := Open(dir)
 	require.NoError(t, err)
