--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -57,7 +57,7 @@
 	Drain       time.Duration // between the announcement that a backend leaves and its end
 	GracePeriod time.Duration // between SIGTERM and SIGKILL
 	Lease       time.Duration // within which two lease holders must not both command backends
-	Thaw        time.Duration // for which what a process does after it was frozen is not held against it
+	Thaw        time.Duration // after a freeze, in which a late effect of a process is tolerated
 	RetryWindow time.Duration // over which retries are counted
 	RetryRatio  float64       // retries that are allowed, as a part of the requests in the window
 	RetryExtra  float64       // retries that are allowed beside, by all proxies together
--- a/internal/controlplane/coordinator/state_writer.go
+++ b/internal/controlplane/coordinator/state_writer.go
@@ -16,7 +16,7 @@
 	writeRetryDelay = 50 * time.Millisecond
 	// writeStallAfter is how long a write may take until the disk counts as stalled and the member leaves the chain.
 	writeStallAfter = 600 * time.Millisecond
-	// maxAppendedChanges is how many changes are appended until the chain state is written whole again. It bounds how
+	// maxAppendedChanges is how many changes are appended until the chain state is written in full again. It bounds how
 	// much a start has to read.
 	maxAppendedChanges = 256
 )
@@ -35,7 +35,7 @@
 	busySince atomic.Int64 // nanoseconds after started; 0: idle
 
 	chain    *message.ChainState // the newest
-	appended int                 // changes since the chain state was written whole
+	appended int                 // changes since the chain state was written in full
 }
 
 // newStateWriter makes a writer for a ring that holds chain. It hands messages to send once their records are synced.
@@ -124,7 +124,7 @@
 	return batch
 }
 
-// tryWrite appends the batch's changes to the chain state on disk where possible, else it writes the chain state whole.
+// tryWrite appends the batch's changes to the chain state on disk where possible, else it writes the chain state in full.
 func (w *stateWriter) tryWrite(batch *writeBatch) error {
 	records, err := encodeRecords(batch.control, nil)
 	if err != nil {
--- a/internal/controlplane/storage/ring.go
+++ b/internal/controlplane/storage/ring.go
@@ -74,7 +74,7 @@
 // on another of the same write must have the lower kind: then it is never kept without that one.
 //
 // Where Write goes on in the next segment it writes the newest record of every kind again, but no appended records.
-// So while CanAppend is false, a kind that has appended records must be written as a whole.
+// So while CanAppend is false, a kind that has appended records must be written with Write, in full.
 func (r *Ring) Write(records map[Kind][]byte) error {
 	for kind, payload := range records {
 		r.newest[kind] = payload
@@ -94,7 +94,7 @@
 
 // Append appends to the newest record of a kind, and replaces the newest records of others. It returns when all is
 // synced. CanAppend must be true, and the newest record of the kind must stand in the current segment. After an error
-// the kind must be written as a whole.
+// the kind must be written with Write, in full.
 func (r *Ring) Append(kind Kind, appended [][]byte, records map[Kind][]byte) error {
 	for other, payload := range records {
 		r.newest[other] = payload
