--- a/internal/standalone/admin/admin_test.go
+++ b/internal/standalone/admin/api_test.go
@@ -18,8 +18,9 @@
 	"pumiceline/internal/standalone/metrics"
 )
 
-// open starts a door on a free address.
-func open(t *testing.T, opts Options) string {
+// startAPI serves an API until the test ends and returns its address.
+func startAPI(t *testing.T, opts Options) string {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -40,66 +41,68 @@
 	return ln.Addr().String()
 }
 
-// call says text on a connection of its own and returns the answer.
-func call(t *testing.T, addr, text string) (*http.Response, string) {
+// send sends a request on a connection of its own and returns the response and its body.
+func send(t *testing.T, addr, request string) (*http.Response, string) {
+	t.Helper()
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	io.WriteString(c, text)
+	io.WriteString(c, request)
 	resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
-		t.Fatalf("%.40q: %v", text, err)
+		t.Fatalf("%.40q: %v", request, err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
-		t.Fatalf("%.40q: %v", text, err)
+		t.Fatalf("%.40q: %v", request, err)
 	}
 	return resp, string(body)
 }
 
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: op\r\n\r\n" }
 
-func TestCalls(t *testing.T) {
+// Readiness, metrics, and requests that are refused.
+func TestAPI_ServesReadinessAndMetrics(t *testing.T) {
 	var ready atomic.Bool
-	figures := metrics.New()
-	figures.SetClasses([]string{"quote"})
-	figures.RequestEnded("quote", metrics.Rejected)
-	addr := open(t, Options{MaxConnections: 3, Metrics: figures.Handler(), Ready: func() error {
+	registry := metrics.New()
+	registry.SetClasses([]string{"quote"})
+	registry.RequestEnded("quote", metrics.Rejected)
+	addr := startAPI(t, Options{MaxConnections: 3, Metrics: registry.Handler(), Ready: func() error {
 		if !ready.Load() {
 			return errors.New("no pool config yet")
 		}
 		return nil
 	}})
-	if resp, body := call(t, addr, get("/v1/readyz")); resp.StatusCode != 503 || !strings.Contains(body, "no pool config yet") {
+	if resp, body := send(t, addr, get("/v1/readyz")); resp.StatusCode != 503 || !strings.Contains(body, "no pool config yet") {
 		t.Errorf("%d %q", resp.StatusCode, body)
 	}
 	ready.Store(true)
-	if resp, _ := call(t, addr, get("/v1/readyz")); resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("%d, close %v: one call to a connection", resp.StatusCode, resp.Close)
+	if resp, _ := send(t, addr, get("/v1/readyz")); resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("%d, close %v: the connection must not be reused", resp.StatusCode, resp.Close)
 	}
-	_, body := call(t, addr, get("/v1/metrics"))
+	_, body := send(t, addr, get("/v1/metrics"))
 	for _, line := range []string{`svc_answered_total{group="quote"} 0`, `svc_deferred_total{group="quote"} 1`, "svc_sends_total 0"} {
 		if !strings.Contains(body, line+"\n") {
 			t.Errorf("%s is not in\n%s", line, body)
 		}
 	}
-	for text, status := range map[string]int{
+	for request, status := range map[string]int{
 		get("/v1/nothing"): 404, get("/ready"): 404,
 		"POST /v1/readyz HTTP/1.1\r\nHost: op\r\nContent-Length: 0\r\n\r\n":     405,
-		"POST /v1/readyz HTTP/1.1\r\nHost: op\r\nContent-Length: 9000\r\n\r\nx": 400, // half a body: no effect, and an answer in time
+		"POST /v1/readyz HTTP/1.1\r\nHost: op\r\nContent-Length: 9000\r\n\r\nx": 400, // incomplete body: no effect, and a response in time
 	} {
-		resp, _ := call(t, addr, text)
+		resp, _ := send(t, addr, request)
 		if resp.StatusCode != status || status == 405 && resp.Header.Get("Allow") == "" {
-			t.Errorf("%.40q: %d %v", text, resp.StatusCode, resp.Header)
+			t.Errorf("%.40q: %d %v", request, resp.StatusCode, resp.Header)
 		}
 	}
 }
 
-// Callers that send nothing, or half a call, cost no other its answer, however many they are.
-func TestHalfCallsMakeWay(t *testing.T) {
-	addr := open(t, Options{MaxConnections: 4, Ready: func() error { return nil }})
+// Connections without a complete request, however many, do not delay others.
+func TestAPI_ClosesIncompleteRequestsForOthers(t *testing.T) {
+	addr := startAPI(t, Options{MaxConnections: 4, Ready: func() error { return nil }})
 	for i := range 50 {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -110,28 +113,28 @@
 			io.WriteString(c, "GET /v1/rea")
 		}
 	}
-	begin := time.Now()
+	start := time.Now()
 	for range 20 {
-		if resp, _ := call(t, addr, get("/v1/readyz")); resp.StatusCode != 200 {
+		if resp, _ := send(t, addr, get("/v1/readyz")); resp.StatusCode != 200 {
 			t.Errorf("status %d", resp.StatusCode)
 		}
 	}
-	if took := time.Since(begin); took > requestTimeout {
-		t.Errorf("20 calls took %v: they waited for the silent ones", took)
+	if took := time.Since(start); took > requestTimeout {
+		t.Errorf("20 requests took %v: they waited for incomplete ones", took)
 	}
 }
 
-// A call names a host by its id, unescaped; what is refused is a 4xx.
-func TestHands(t *testing.T) {
+// A request names a backend by its escaped ID; what is refused is a 4xx.
+func TestAPI_DisablesAndEnablesBackends(t *testing.T) {
 	var mu sync.Mutex
-	out := map[string]bool{}
-	say := func(to bool) func(string) error {
-		return func(host string) error {
+	disabled := map[string]bool{}
+	set := func(to bool) func(string) error {
+		return func(backend string) error {
 			mu.Lock()
 			defer mu.Unlock()
-			switch host {
+			switch backend {
 			case "s/1":
-				out[host] = to
+				disabled[backend] = to
 				return nil
 			case "full":
 				return errors.New("no room on the disk")
@@ -139,20 +142,20 @@
 			return maintenance.ErrUnknownBackend
 		}
 	}
-	addr := open(t, Options{MaxConnections: 4, Ready: func() error { return nil }, Disable: say(true), Enable: say(false)})
+	addr := startAPI(t, Options{MaxConnections: 4, Ready: func() error { return nil }, Disable: set(true), Enable: set(false)})
 	for _, c := range []struct {
-		call   string
-		status int
-		out    bool
+		request  string
+		status   int
+		disabled bool // s/1, afterwards
 	}{
 		{"POST /v1/backends/s%2F1/suspend", 200, true}, {"POST /v1/backends/s%2F1/suspend", 200, true},
 		{"POST /v1/backends/nobody/suspend", 404, true}, {"POST /v1/backends//suspend", 404, true},
 		{"GET /v1/backends/s%2F1/resume", 405, true}, {"POST /v1/backends/s%2F1/drop", 404, true},
 		{"POST /v1/backends/full/resume", 500, true}, {"POST /v1/backends/s%2F1/resume", 200, false},
 	} {
-		resp, body := call(t, addr, c.call+" HTTP/1.1\r\nHost: op\r\nContent-Length: 0\r\n\r\n")
-		if mu.Lock(); resp.StatusCode != c.status || out["s/1"] != c.out {
-			t.Errorf("%s: %d %s, out %v", c.call, resp.StatusCode, body, out)
+		resp, body := send(t, addr, c.request+" HTTP/1.1\r\nHost: op\r\nContent-Length: 0\r\n\r\n")
+		if mu.Lock(); resp.StatusCode != c.status || disabled["s/1"] != c.disabled {
+			t.Errorf("%s: %d %s, disabled %v", c.request, resp.StatusCode, body, disabled)
 		}
 		mu.Unlock()
 	}
--- /dev/null
+++ b/internal/standalone/metrics/gauges.go
@@ -0,0 +1,50 @@
+package metrics
+
+import (
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/collectors"
+)
+
+// Gauges are read at each scrape, by functions that return at once.
+type Gauges struct {
+	InFlight  func() int // requests accepted and not ended
+	Backends  func() int // on the endpoint list
+	Unhealthy func() int // of these, the ones that get no new requests now
+	// TableSizes is how many entries are held in memory, by what they are for. Each has to come down again when its cause is
+	// gone. nil: not exported.
+	TableSizes func() map[string]int
+}
+
+// RegisterGauges adds gauges, and those of every Go process. It is to be called once.
+func (m *Metrics) RegisterGauges(g Gauges) {
+	m.registerGauge("svc_current", "Requests accepted and not ended.", g.InFlight)
+	m.registerGauge("svc_cluster_size", "Backends on the endpoint list.", g.Backends)
+	m.registerGauge("svc_cluster_unhealthy",
+		"Listed backends that get no new requests now, disabled by operators or avoided by the policy.", g.Unhealthy)
+	if g.TableSizes != nil {
+		m.registry.MustRegister(&tableSizes{read: g.TableSizes,
+			desc: prometheus.NewDesc("svc_kept", "Entries held in memory, by what they are held for.", []string{"what"}, nil)})
+	}
+	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+}
+
+func (m *Metrics) registerGauge(name, help string, read func() int) {
+	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: name, Help: help},
+		func() float64 { return float64(read()) }))
+}
+
+// tableSizes collects all series of svc_kept with one call, since the figures come from few locks.
+type tableSizes struct {
+	read func() map[string]int
+	desc *prometheus.Desc
+}
+
+// Describe implements prometheus.Collector.
+func (t *tableSizes) Describe(descs chan<- *prometheus.Desc) { descs <- t.desc }
+
+// Collect implements prometheus.Collector.
+func (t *tableSizes) Collect(metrics chan<- prometheus.Metric) {
+	for what, n := range t.read() {
+		metrics <- prometheus.MustNewConstMetric(t.desc, prometheus.GaugeValue, float64(n), what)
+	}
+}
--- a/internal/standalone/metrics/metrics.go
+++ b/internal/standalone/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds the figures that operators read: one registry for the process, in Prometheus's text format. Counts
-// are made where the thing happens; gauges are read from their owners when somebody asks.
+// Package metrics holds the proxy's metrics: one registry for the process, in Prometheus's text format. Counters are counted
+// where the thing happens; gauges are read from their owners at each scrape.
 package metrics
 
 import (
@@ -7,137 +7,96 @@
 	"sync"
 
 	"github.com/prometheus/client_golang/prometheus"
-	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Outcome is how a request came to its end.
+// Outcome is how a request ended.
 type Outcome uint8
 
-// Nothing is counted of a request that its client left.
+// Outcomes of requests.
 const (
-	Cancelled Outcome = iota // the client was gone first
-	Served                   // with a destination's whole answer
-	Rejected                 // with a busy reply
-	Failed                   // with anything else, or an answer that broke off
-	outcomes
+	Cancelled Outcome = iota // by its client; not counted
+	Served                   // with a backend's complete response
+	Rejected                 // with a busy response of the proxy
+	Failed                   // with anything else, a response that broke off included
+	outcomeCount
 )
 
+// classLabel is the label of a request's class.
+const classLabel = "group"
+
 // maxRemovedClasses is how many classes that have left the settings keep their series.
 const maxRemovedClasses = 64
 
-// Metrics are the figures. Create them with New; they are safe for concurrent use.
+// Metrics are the metrics of a process. Create them with New; they are safe for concurrent use.
 type Metrics struct {
-	registry               *prometheus.Registry
-	requests               [outcomes]*prometheus.CounterVec
-	attempts               prometheus.Counter
-	reloads, failedReloads prometheus.Counter
+	registry      *prometheus.Registry
+	requests      [outcomeCount]*prometheus.CounterVec // nil for Cancelled
+	attempts      prometheus.Counter
+	reloads       prometheus.Counter
+	failedReloads prometheus.Counter
 
 	mu      sync.Mutex
-	classes map[string]bool // classes with series; false: gone from the settings
-	removed []string        // in the order of their going
-}
-
-// Gauges are read at each scrape, by functions that return at once.
-type Gauges struct {
-	InFlight  func() int // requests taken and not ended
-	Backends  func() int // destinations in the pool config
-	Unhealthy func() int // of these, the ones that get no work now
-	// TableSizes is how much is held in memory, by what it is held for. Each figure has to come down again when its cause is gone.
-	TableSizes func() map[string]int
+	classes map[string]bool // that have series; false: removed from the settings
+	removed []string        // in the order of their removal
 }
 
-// New returns figures that begin at 0.
+// New returns metrics whose counters are 0.
 func New() *Metrics {
 	m := &Metrics{registry: prometheus.NewRegistry(), classes: map[string]bool{}}
-	counter := func(name, help string) prometheus.Counter {
-		c := prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
-		m.registry.MustRegister(c)
-		return c
-	}
-	for end, about := range map[Outcome][2]string{
-		Served:   {"svc_answered_total", "Requests served with a destination's whole answer."},
-		Rejected: {"svc_deferred_total", "Requests refused with a busy reply."},
-		Failed:   {"svc_errored_total", "Requests that failed, answers that broke off included."},
-	} {
-		m.requests[end] = prometheus.NewCounterVec(prometheus.CounterOpts{Name: about[0], Help: about[1]}, []string{"group"})
-		m.registry.MustRegister(m.requests[end])
-	}
-	m.attempts = counter("svc_sends_total", "Route steps written whole to destinations.")
-	m.reloads = counter("svc_conf_loaded_total", "Configurations taken over at SIGHUP.")
-	m.failedReloads = counter("svc_conf_invalid_total", "Configurations turned down at SIGHUP.")
+	m.requests[Served] = m.newRequestCounter("svc_answered_total", "Requests served with a backend's complete response.")
+	m.requests[Rejected] = m.newRequestCounter("svc_deferred_total", "Requests rejected with a busy response.")
+	m.requests[Failed] = m.newRequestCounter("svc_errored_total", "Requests that failed, responses that broke off included.")
+	m.attempts = m.newCounter("svc_sends_total", "Attempts sent completely to backends.")
+	m.reloads = m.newCounter("svc_conf_loaded_total", "Configurations applied at SIGHUP.")
+	m.failedReloads = m.newCounter("svc_conf_invalid_total", "Configurations rejected at SIGHUP.")
 	return m
 }
 
-// RegisterGauges adds the gauges. It is to be called once.
-func (m *Metrics) RegisterGauges(g Gauges) {
-	for _, k := range []struct {
-		name, help string
-		read       func() int
-	}{
-		{"svc_current", "Requests taken and not ended.", g.InFlight},
-		{"svc_cluster_size", "Destinations in the pool config.", g.Backends},
-		{"svc_cluster_unhealthy", "Listed destinations that get no work now, taken out by hand or by the module.", g.Unhealthy},
-	} {
-		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: k.name, Help: k.help},
-			func() float64 { return float64(k.read()) }))
-	}
-	if g.TableSizes != nil {
-		m.registry.MustRegister(&tableSizes{read: g.TableSizes,
-			desc: prometheus.NewDesc("svc_kept", "Entries held in memory, by what they are held for.", []string{"what"}, nil)})
-	}
-	// RSS, descriptors, goroutines and the collector's figures, under the names that every Go program has them.
-	m.registry.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+func (m *Metrics) newCounter(name, help string) prometheus.Counter {
+	c := prometheus.NewCounter(prometheus.CounterOpts{Name: name, Help: help})
+	m.registry.MustRegister(c)
+	return c
 }
 
-// tableSizes reads all of svc_kept at once: its figures come from few locks.
-type tableSizes struct {
-	read func() map[string]int
-	desc *prometheus.Desc
+// newRequestCounter returns a counter of requests by class.
+func (m *Metrics) newRequestCounter(name, help string) *prometheus.CounterVec {
+	v := prometheus.NewCounterVec(prometheus.CounterOpts{Name: name, Help: help}, []string{classLabel})
+	m.registry.MustRegister(v)
+	return v
 }
 
-// Describe and Collect are prometheus.Collector's.
-func (k *tableSizes) Describe(to chan<- *prometheus.Desc) { to <- k.desc }
-func (k *tableSizes) Collect(to chan<- prometheus.Metric) {
-	for what, n := range k.read() {
-		to <- prometheus.MustNewConstMetric(k.desc, prometheus.GaugeValue, float64(n), what)
+// RequestEnded counts a request under the class that it came with.
+func (m *Metrics) RequestEnded(class string, outcome Outcome) {
+	if outcome > Cancelled && outcome < outcomeCount {
+		m.requests[outcome].WithLabelValues(class).Inc()
 	}
 }
 
-// ClassCount is how many classes have series, those that are gone from the settings included.
-func (m *Metrics) ClassCount() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return len(m.classes)
+// AttemptSent counts an attempt whose last byte is written.
+func (m *Metrics) AttemptSent() { m.attempts.Inc() }
+
+// ConfigReloaded counts a reload, which was applied or rejected.
+func (m *Metrics) ConfigReloaded(applied bool) {
+	if applied {
+		m.reloads.Inc()
+	} else {
+		m.failedReloads.Inc()
+	}
 }
 
-// SetClasses names the classes that there are now. New ones begin at 0; those that are gone keep their counts, until more than
-// maxRemovedClasses have gone since.
+// SetClasses sets the classes of the settings. The series of new ones start at 0; those of removed ones stay until more than
+// maxRemovedClasses have been removed since.
 func (m *Metrics) SetClasses(names []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	present := map[string]bool{}
+	present := make(map[string]bool, len(names))
 	for _, name := range names {
 		present[name] = true
 	}
-	for name, here := range m.classes {
-		if here && !present[name] {
-			m.classes[name] = false
-			m.removed = append(m.removed, name)
-		}
-	}
-	kept := m.removed[:0]
-	for _, name := range m.removed {
-		if !present[name] {
-			kept = append(kept, name)
-		}
-	}
-	m.removed = kept
+	m.updateRemoved(present)
 	for len(m.removed) > maxRemovedClasses {
-		for _, v := range m.requests[Served:] {
-			v.DeleteLabelValues(m.removed[0])
-		}
-		delete(m.classes, m.removed[0])
+		m.deleteSeries(m.removed[0])
 		m.removed = m.removed[1:]
 	}
 	for name := range present {
@@ -148,26 +107,38 @@
 	}
 }
 
-// RequestEnded counts a request's end under the class that it came with.
-func (m *Metrics) RequestEnded(class string, how Outcome) {
-	if how > Cancelled && how < outcomes {
-		m.requests[how].WithLabelValues(class).Inc()
+// updateRemoved adds the classes that are not present any more, and takes out those that are again. It is called with mu held.
+func (m *Metrics) updateRemoved(present map[string]bool) {
+	for name, inSettings := range m.classes {
+		if inSettings && !present[name] {
+			m.classes[name] = false
+			m.removed = append(m.removed, name)
+		}
+	}
+	stillRemoved := m.removed[:0]
+	for _, name := range m.removed {
+		if !present[name] {
+			stillRemoved = append(stillRemoved, name)
+		}
 	}
+	m.removed = stillRemoved
 }
 
-// AttemptSent counts an attempt whose last byte is written.
-func (m *Metrics) AttemptSent() { m.attempts.Inc() }
-
-// ConfigReloaded counts a configuration that was taken over at a SIGHUP, or turned down.
-func (m *Metrics) ConfigReloaded(taken bool) {
-	if taken {
-		m.reloads.Inc()
-	} else {
-		m.failedReloads.Inc()
+func (m *Metrics) deleteSeries(class string) {
+	for _, v := range m.requests[Served:] {
+		v.DeleteLabelValues(class)
 	}
+	delete(m.classes, class)
+}
+
+// ClassCount returns the number of classes that have series, removed ones included.
+func (m *Metrics) ClassCount() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.classes)
 }
 
-// Handler answers with all figures as text.
+// Handler responds with all metrics as text.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{DisableCompression: true})
 }
--- a/internal/standalone/metrics/metrics_test.go
+++ b/internal/standalone/metrics/metrics_test.go
@@ -7,22 +7,27 @@
 	"testing"
 )
 
+// scrape returns all metrics as text.
 func scrape(m *Metrics) string {
 	w := httptest.NewRecorder()
 	m.Handler().ServeHTTP(w, httptest.NewRequest("GET", "/v1/metrics", nil))
 	return w.Body.String()
 }
 
-// Series begin at 0 with their class, outlast it, go on when it comes back, and are bounded.
-func TestClassesComeAndGo(t *testing.T) {
+// Series start at 0 with their class, outlast it, continue when it is back, and are bounded.
+func TestMetrics_SeriesOfClasses(t *testing.T) {
 	m := New()
-	m.RegisterGauges(Gauges{func() int { return 7 }, func() int { return 12 }, func() int { return 2 },
-		func() map[string]int { return map[string]int{"hosts": 3} }})
+	m.RegisterGauges(Gauges{
+		InFlight:   func() int { return 7 },
+		Backends:   func() int { return 12 },
+		Unhealthy:  func() int { return 2 },
+		TableSizes: func() map[string]int { return map[string]int{"hosts": 3} },
+	})
 	m.SetClasses([]string{"a", "b"})
 	m.RequestEnded("a", Served)
 	m.RequestEnded("a", Cancelled)
 	m.SetClasses([]string{"b", "c"})
-	m.RequestEnded("a", Failed) // under way while it vanished
+	m.RequestEnded("a", Failed) // in flight while its class was removed
 	m.SetClasses([]string{"a", "b"})
 	m.AttemptSent()
 	m.ConfigReloaded(true)
@@ -39,6 +44,6 @@
 		m.SetClasses([]string{fmt.Sprint(i)})
 	}
 	if n := strings.Count(scrape(m), "svc_answered_total{"); n > maxRemovedClasses+1 {
-		t.Errorf("%d classes are kept", n)
+		t.Errorf("%d classes have series", n)
 	}
 }
