--- /dev/null
+++ b/internal/standalone/requestclass/table.go
@@ -0,0 +1,114 @@
+// Package requestclass numbers the classes of requests across reloads of the settings. Policy and admission control know a
+// class by its number, so a number must mean the same class for as long as a request of it is in flight. The package has no I/O,
+// clock or lock: the owner of a Table serializes the calls.
+package requestclass
+
+import (
+	"errors"
+	"fmt"
+
+	"pumiceline/internal/standalone/settings"
+)
+
+// MaxClasses is how many numbers there are.
+const MaxClasses = 256
+
+// ErrTooManyClasses is the error of Plan for settings that need more than MaxClasses numbers.
+var ErrTooManyClasses = errors.New("too many classes, those with requests in flight included")
+
+// Table maps classes to numbers and counts the requests in flight of each. The zero value has no classes.
+type Table struct {
+	slots   []slot         // by number
+	numbers map[string]int // of the classes of the settings, by name
+}
+
+type slot struct {
+	class    settings.Class
+	inFlight int
+}
+
+// Acquire starts a request of the class with a name. ok is false if the settings have no such class now.
+func (t *Table) Acquire(name string) (number uint8, class settings.Class, ok bool) {
+	n, ok := t.numbers[name]
+	if !ok {
+		return 0, settings.Class{}, false
+	}
+	t.slots[n].inFlight++
+	return uint8(n), t.slots[n].class, true
+}
+
+// Release ends a request that Acquire started.
+func (t *Table) Release(number uint8) { t.slots[number].inFlight-- }
+
+// Len returns how many numbers have been assigned, MaxClasses at most.
+func (t *Table) Len() int { return len(t.slots) }
+
+// Plan assigns numbers to the classes of new settings: a name keeps its number, a new one gets the first number that no class
+// of the new settings and no request in flight needs, or the next one. Numbers that are not needed keep their old class. The
+// result, by number, is for Apply; the table stays as it is.
+func (t *Table) Plan(next []settings.Class) ([]settings.Class, error) {
+	plan, needed := t.current()
+	numbers := t.numbersByName()
+	var added []settings.Class
+	for _, class := range next {
+		if n, ok := numbers[class.Name]; ok {
+			plan[n], needed[n] = class, true
+		} else {
+			added = append(added, class)
+		}
+	}
+	free := 0
+	for _, class := range added {
+		for free < len(plan) && needed[free] {
+			free++
+		}
+		if free == MaxClasses {
+			return nil, fmt.Errorf("%w: more than %d", ErrTooManyClasses, MaxClasses)
+		}
+		if free == len(plan) {
+			plan, needed = append(plan, class), append(needed, true)
+			continue
+		}
+		plan[free], needed[free] = class, true
+	}
+	return plan, nil
+}
+
+// current returns the class of each number and whether a request in flight needs it.
+func (t *Table) current() (classes []settings.Class, needed []bool) {
+	classes, needed = make([]settings.Class, len(t.slots)), make([]bool, len(t.slots))
+	for n, s := range t.slots {
+		classes[n], needed[n] = s.class, s.inFlight > 0
+	}
+	return classes, needed
+}
+
+// numbersByName returns the number of each name. Where two numbers have one name, it is that of the class in the settings: the
+// other one has only requests in flight from before.
+func (t *Table) numbersByName() map[string]int {
+	numbers := map[string]int{}
+	for n, s := range t.slots {
+		if current, ok := t.numbers[s.class.Name]; !ok || current == n {
+			numbers[s.class.Name] = n
+		}
+	}
+	return numbers
+}
+
+// Apply applies a plan that Plan made since the last Apply, for the classes of next.
+func (t *Table) Apply(plan, next []settings.Class) {
+	for n, class := range plan {
+		if n == len(t.slots) {
+			t.slots = append(t.slots, slot{})
+		}
+		t.slots[n].class = class
+	}
+	t.numbers = map[string]int{}
+	for _, class := range next {
+		for n := range plan {
+			if plan[n].Name == class.Name {
+				t.numbers[class.Name] = n
+			}
+		}
+	}
+}
