--- a/internal/controlplane/storage/ring.go
+++ b/internal/controlplane/storage/ring.go
@@ -7,7 +7,9 @@
 //
 // What a crash leaves: every write that returned without an error, and of the write that was under way a first part,
 // which may be none or all of its frames. The order of frames within a write is fixed (see Ring.Write), so that a record
-// can rely on another of the same write.
+// can rely on another of the same write. There is a limit: each failed write is followed by one in the next segment, so
+// after SegmentCount failures in a row the next write goes to the segment with the newest synced records, and one that
+// is torn there can lose them.
 //
 // What recovery does: OpenFiles reads each segment up to its first frame that does not count, and of all segments takes
 // the record of each kind with the highest sequence, together with what was appended to it there. Whatever follows such
