--- a/internal/controlplane/replica/join.go
+++ b/internal/controlplane/replica/join.go
@@ -89,24 +89,26 @@
 	return r.now-request.lastAt <= joinRequestTimeout
 }
 
-// joiningMembers returns who asks to join and could be admitted, in the order of their identities. They know the current
-// view, which shows that they hear the members, as they would hold up the chain otherwise. One that has the address of a
-// member that is not suspected has to wait until that one is, as only one process can have the address.
+// joiningMembers returns the machines that ask to join and could be admitted, in the order of their identities. It drops
+// the requests that do not count any more.
 func (r *Replica) joiningMembers(suspected []message.MemberID) []message.Member {
 	var joining []message.Member
 	isFirst := r.isFirstProposer()
 	for identity, request := range r.detector.joinRequests {
-		if !r.isCurrent(request) {
+		switch {
+		case !r.isCurrent(request):
 			delete(r.detector.joinRequests, identity)
-			continue
+		case request.view < r.control.View.Number:
+			// It has not learned of the current view. If it hears no member, it would hold up the chain.
+		case !isFirst && r.now-request.firstAt < admissionFallbackTimeout:
+			// The first proposer admits it, if it hears it.
+		case r.conflictsWithMember(request.member, suspected):
+			// Only one process can have an address, so the member that has it is gone, but not yet suspected.
+		default:
+			member := request.member
+			member.SinceView = r.control.View.Number + 1
+			joining = append(joining, member)
 		}
-		isForFirstProposer := !isFirst && r.now-request.firstAt < admissionFallbackTimeout
-		if request.view < r.control.View.Number || isForFirstProposer || r.conflictsWithMember(request.member, suspected) {
-			continue
-		}
-		member := request.member
-		member.SinceView = r.control.View.Number + 1
-		joining = append(joining, member)
 	}
 	sort.Slice(joining, func(i, j int) bool { return joining[i].Identity < joining[j].Identity })
 	return joining
--- a/internal/controlplane/replica/next_view.go
+++ b/internal/controlplane/replica/next_view.go
@@ -35,10 +35,10 @@
 	// Complete members come first, as only those can be the head; among them the order stays.
 	sort.SliceStable(staying, func(i, j int) bool { return r.isComplete(staying[i]) && !r.isComplete(staying[j]) })
 	next = r.composeView(staying, alive, joining)
-	if len(next.Members) < r.minChainLength() || !r.isChange(next) {
+	if len(next.Members) < r.minChainLength() { // nothing may be acknowledged on so few disks
 		return message.View{}, false
 	}
-	return next, true
+	return next, r.isChange(next)
 }
 
 // hasReasonForChange reports whether anything speaks for another view. It is a cheap check, as mostly nothing does.
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -40,11 +40,13 @@
 	now      time.Duration // latest time passed to Step or Tick
 	ticked   bool
 
+	// The records as they are on disk once the outputs are synced.
 	control message.ControlState
 	chain   message.ChainState
 	output  pendingOutput
 
-	viewEnteredAt time.Duration
+	// What is lost in a restart.
+	viewEnteredAt time.Duration // or started, in the view found on disk
 	detector      failureDetector
 	timers        membershipTimers
 	proposal      proposal
@@ -54,7 +56,7 @@
 
 	leaving         bool
 	lastJoinRequest time.Duration
-	diskStalled     bool
+	diskStalled     bool // as the caller says
 }
 
 // New returns a replica that goes on from the records found on disk; the zero states stand for an empty disk. The time
--- a/internal/controlplane/replica/timeouts.go
+++ b/internal/controlplane/replica/timeouts.go
@@ -11,17 +11,17 @@
 	monitorsPerMember = 3
 
 	heartbeatInterval = 200 * time.Millisecond
-	// lateTimeout bounds the time without a heartbeat after which a member is reported late: two are missing.
+	// lateTimeout is the time without a message after which a monitor reports a member late: two heartbeats are missing.
 	lateTimeout = 450 * time.Millisecond
-	// suspicionTimeout bounds the time without a heartbeat after which a monitor suspects a member: four are missing.
+	// suspicionTimeout is the time without a message after which a monitor suspects a member: four heartbeats are missing.
 	suspicionTimeout = 900 * time.Millisecond
-	// unmonitoredSuspicionTimeout bounds the time without any message after which a member is suspected though no monitor
+	// unmonitoredSuspicionTimeout is the time without a message after which a member is suspected though no monitor
 	// reports it. It is longer than suspicionTimeout and the delivery of a report, so it takes effect only where the
 	// monitors have failed too.
 	unmonitoredSuspicionTimeout = 1600 * time.Millisecond
 	// reportTimeout is how long a suspicion report counts. A monitor repeats it every heartbeatInterval, so two may be lost.
 	reportTimeout = 600 * time.Millisecond
-	// pauseThreshold bounds the time between two ticks beyond which this process itself was paused: six ticks are missing.
+	// pauseThreshold is the time between two ticks beyond which this process itself was paused: six ticks are missing.
 	pauseThreshold = 300 * time.Millisecond
 	// identityRetention is how long the history of a member that sends nothing any more is kept.
 	identityRetention = 5 * time.Minute
@@ -34,8 +34,8 @@
 	// newcomerTimeout is how long a newcomer waits whose predecessor is not certain. If it came to replace a member that
 	// failed, that one is suspected by then.
 	newcomerTimeout = 2 * suspicionTimeout
-	// newcomerPeriod is how long after its first request a machine counts as a newcomer, and how long a voter whose vote
-	// went to a newcomer gets none back.
+	// newcomerPeriod is how long after its first request a machine counts as a newcomer, and how long a member whose vote
+	// went to a newcomer gets no vote of a suspected member.
 	newcomerPeriod = 10 * time.Second
 	// plannedReplacementLead bounds how long before its predecessor is stopped a planned replacement is started.
 	plannedReplacementLead = 3 * time.Second
--- a/internal/message/membership.go
+++ b/internal/message/membership.go
@@ -46,9 +46,9 @@
 
 // SuspicionReport says what a monitor found out about the members that it monitors.
 type SuspicionReport struct {
-	Suspected []MemberID `msg:"m"` // heartbeats overdue by the suspicion time-out, isolated, or with a stalled disk
+	Suspected []MemberID `msg:"m"` // not heard within the suspicion time-out, isolated, or with a stalled disk
 	Leaving   []MemberID `msg:"l"` // shutting down gracefully, and still alive
-	Late      []MemberID `msg:"d"` // heartbeats overdue, though not by the suspicion time-out
+	Late      []MemberID `msg:"d"` // not heard for a shorter while: two heartbeats are missing
 }
 
 // JoinRequest asks for membership, or, of an observer, only for the newest view.
