--- a/internal/controlplane/placement/executor/execution.go
+++ b/internal/controlplane/placement/executor/execution.go
@@ -97,7 +97,7 @@
 	}
 	revision := x.commandCount
 	answer := x.Client.SendCommand(ctx, x.task.Backend, Command{
-		Operation: operation, Model: message.ModelOf(name), Adapter: message.AdapterOf(name),
+		Operation: operation, Model: name.Base(), Adapter: name.Adapter(),
 		IfRevision: &revision, Owner: x.Owner, FencingToken: token,
 	})
 	if answer == Accepted {
@@ -206,7 +206,7 @@
 // loadAdapter loads an adapter beside its model. It gives up without an error after maxAttempts: the next plan has it
 // again where it is still wanted.
 func (x *execution) loadAdapter(ctx context.Context, adapter message.ModelName) error {
-	if !x.holds(message.ModelOf(adapter)) || x.holds(adapter) {
+	if !x.holds(adapter.Base()) || x.holds(adapter) {
 		return nil
 	}
 	for range maxAttempts {
@@ -248,8 +248,8 @@
 func withAdapter(models []message.LoadedModel, adapter message.ModelName) []message.LoadedModel {
 	changed := slices.Clone(models)
 	for i := range changed {
-		if changed[i].Name == message.ModelOf(adapter) {
-			changed[i].Adapters = append(slices.Clone(changed[i].Adapters), message.AdapterOf(adapter))
+		if changed[i].Name == adapter.Base() {
+			changed[i].Adapters = append(slices.Clone(changed[i].Adapters), adapter.Adapter())
 		}
 	}
 	return changed
--- a/internal/controlplane/placement/planner/capacity.go
+++ b/internal/controlplane/placement/planner/capacity.go
@@ -30,11 +30,11 @@
 
 // sizeMB is the size of a model or an adapter by name.
 func (c Capacity) sizeMB(name message.ModelName) float64 {
-	model, ok := c.model(message.ModelOf(name))
+	model, ok := c.model(name.Base())
 	switch {
 	case !ok:
 		return c.Runtime.WeightsMB
-	case message.AdapterOf(name) != "":
+	case name.Adapter() != "":
 		return model.AdapterMB
 	}
 	return model.WeightsMB
@@ -51,7 +51,7 @@
 
 // Fits reports whether a model or an adapter may be loaded beside the loaded models.
 func (c Capacity) Fits(models []message.LoadedModel, name message.ModelName) bool {
-	if message.AdapterOf(name) != "" && countAdapters(models) >= c.Runtime.AdapterSlots {
+	if name.Adapter() != "" && countAdapters(models) >= c.Runtime.AdapterSlots {
 		return false
 	}
 	return c.UsedMB(models)+c.sizeMB(name) <= c.Runtime.WeightsMB
--- a/internal/controlplane/placement/planner/demand.go
+++ b/internal/controlplane/placement/planner/demand.go
@@ -110,7 +110,7 @@
 	sums := map[string]map[message.ModelName]*demandSample{}
 	for _, report := range reports {
 		valueAt(sums, report.Service, report.Model).add(report)
-		if model := message.ModelOf(report.Model); model != report.Model {
+		if model := report.Model.Base(); model != report.Model {
 			valueAt(sums, report.Service, model).add(report)
 		}
 	}
--- a/internal/dataplane/balancer/picker.go
+++ b/internal/dataplane/balancer/picker.go
@@ -4,8 +4,6 @@
 	"cmp"
 	"slices"
 	"time"
-
-	"pumiceline/internal/message"
 )
 
 // candidates returns the backends that may get the request now. hasHolder reports whether any backend has loaded its
@@ -97,7 +95,7 @@
 
 // weightFor is the backend's weight for a request. Slow start counts from the load of the model or adapter, too.
 func (b *Backend) weightFor(request *Request, now time.Time) float64 {
-	model, adapter := b.readySince[message.ModelOf(request.Model)], b.readySince[request.Model]
+	model, adapter := b.readySince[request.Model.Base()], b.readySince[request.Model]
 	factor := min(slowStartFactor(model, now), slowStartFactor(adapter, now))
 	return max(minWeight, b.weight*factor)
 }
--- a/internal/dataplane/balancer/prefill.go
+++ b/internal/dataplane/balancer/prefill.go
@@ -12,7 +12,7 @@
 
 // estimateMs is how long the prefill of the request should take, in milliseconds.
 func (r prefillRates) estimateMs(request *Request) float64 {
-	rate, ok := r[message.ModelOf(request.Model)]
+	rate, ok := r[request.Model.Base()]
 	if !ok {
 		rate = defaultPrefillRate
 	}
@@ -24,7 +24,7 @@
 	if request.PromptTokens < minObservedPrompt {
 		return
 	}
-	model := message.ModelOf(request.Model)
+	model := request.Model.Base()
 	observed := max(minPrefillRate, (milliseconds(elapsed)-firstEventOverheadMs)/float64(request.PromptTokens))
 	rate, ok := r[model]
 	switch {
--- a/internal/dataplane/balancer/rejection.go
+++ b/internal/dataplane/balancer/rejection.go
@@ -15,7 +15,7 @@
 
 // loads reports whether the request's model will be there, or the model of its adapter.
 func (l *pendingLoad) loads(request *Request) bool {
-	return l.Service == request.Service && (l.Model == request.Model || l.Model == message.ModelOf(request.Model))
+	return l.Service == request.Service && (l.Model == request.Model || l.Model == request.Model.Base())
 }
 
 // rejectIfTooLate rejects a request that cannot be served in time by waiting; false means that it waits. hasHolder says
@@ -70,7 +70,7 @@
 		return now.Add(warmLoadTime) // it may still be placed, by a load from a backend's own disk
 	}
 	for _, model := range runtime.Models {
-		if model.Name == message.ModelOf(request.Model) {
+		if model.Name == request.Model.Base() {
 			if b.isLoadedAnywhere(request.Service, model.Name, now) {
 				return now.Add(adapterLoadTime) // only the adapter is missing
 			}
--- a/internal/message/distribution.go
+++ b/internal/message/distribution.go
@@ -1,5 +1,7 @@
 package message
 
+import "slices"
+
 // PollRequest asks a coordinator for what is newer than the versions that the sender has (long poll). It also reports
 // the sender's demand and load.
 type PollRequest struct {
@@ -60,6 +62,14 @@
 	Models       []LoadedModel `msg:"m"`
 }
 
+// Holds reports whether the backend holds a model, and its adapter where the name has one.
+func (b *Backend) Holds(name ModelName) bool {
+	base, adapter := name.Base(), name.Adapter()
+	return slices.ContainsFunc(b.Models, func(loaded LoadedModel) bool {
+		return loaded.Name == base && (adapter == "" || slices.Contains(loaded.Adapters, adapter))
+	})
+}
+
 // LoadedModel is a model that a backend holds, with its adapters.
 type LoadedModel struct {
 	Name     ModelName `msg:"n"`
--- a/internal/message/identities.go
+++ b/internal/message/identities.go
@@ -11,3 +11,7 @@
 // FencingToken numbers the grants of the controller lease: each later lease has a higher one, so whoever executes the
 // controller's commands can refuse those of an earlier holder. 0 stands for no lease.
 type FencingToken uint64
+
+// BackendID identifies one start of a backend process, as the platform's list names it: a backend that restarts at the
+// same address gets another ID.
+type BackendID string
