--- a/cmd/pumiceline/cli_test.go
+++ b/cmd/pumiceline/cli_test.go
@@ -24,6 +24,7 @@
 		{"singleton move", "--fleet F --level WARN role instance"},
 		{"singleton receive", "--listen 127.0.0.1:1 --file F --unfenced"},
 		{"serve", "--config F --door F --level DEBUG"},
+		{"serve", "--config F --admission F --level DEBUG"},
 		{"check", "--config F"},
 		{"version", ""},
 		{"try", "--for 5s --rate 10 --nodes 3 --level INFO"},
@@ -80,3 +81,23 @@
 	}
 	return command
 }
+
+// The flag of admission control was called --door before; both names set the same file.
+func TestServeCmd_AdmissionFileHasTwoNames(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "door.toml")
+	for _, flag := range []string{"--admission", "--door"} {
+		t.Run(flag, func(t *testing.T) {
+			var args cli
+			parser, err := kong.New(&args, kong.Name("pumiceline"))
+			if err != nil {
+				t.Fatal(err)
+			}
+			if _, err := parser.Parse([]string{"serve", flag, file}); err != nil {
+				t.Fatal(err)
+			}
+			if args.Serve.AdmissionFile != file {
+				t.Errorf("the file is %q, want %q", args.Serve.AdmissionFile, file)
+			}
+		})
+	}
+}
--- a/cmd/pumiceline/serve.go
+++ b/cmd/pumiceline/serve.go
@@ -23,7 +23,7 @@
 // serveCmd is `pumiceline serve`.
 type serveCmd struct {
 	Config        string     `help:"Configuration file, in place of the one that ROUTER_CONFIG names." type:"path"`
-	AdmissionFile string     `name:"door" help:"Fair queues of admission control, set by this file (deploy/door.toml); none if it is not given." type:"path"`
+	AdmissionFile string     `name:"admission" aliases:"door" help:"File of admission control (deploy/door.toml); none if it is not given." type:"path"`
 	Level         slog.Level `help:"Least level of the log lines that are written." default:"INFO"`
 }
 
--- /dev/null
+++ b/internal/standalone/admission/fairness_test.go
@@ -0,0 +1,187 @@
+package admission
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+)
+
+// Five tenants are backlogged with requests of very different work: over each stretch of work each gets its share, within the
+// bound of start-time fair queueing.
+func TestController_BackloggedTenantsGetTheirShares(t *testing.T) {
+	shares := []float64{1, 2, 3, 4, 10}
+	s := testSettings(shares...)
+	s.MaxQueued = 1000
+	h := newHarness(t, s)
+	g := rand.New(rand.NewPCG(1, 2))
+	got := make([]float64, len(shares))
+	most := 0.0
+	fill := func() {
+		for i := range shares {
+			for h.controller.tenants[i].queued < 20 {
+				// One tenant has ten thousand clients, the others one each.
+				client := uint64(1)
+				if i == 0 {
+					client = g.Uint64N(10_000)
+				}
+				h.submit(Request{Tenant: i, Class: g.IntN(2), Client: client, Work: Time(20*ms + g.IntN(400*ms))})
+			}
+		}
+	}
+	fill()
+	begin := make([]float64, len(shares))
+	for step := range 20_000 {
+		h.now += 1000
+		h.finishOldest()
+		fill()
+		if step%2000 != 1999 { // some ten seconds of a small proxy
+			continue
+		}
+		sum, total := 0.0, 0.0
+		for i, x := range shares {
+			got[i] = h.controller.tenants[i].stats.AdmittedWork - begin[i]
+			begin[i] += got[i]
+			sum, total = sum+x, total+got[i]
+		}
+		for i, x := range shares {
+			off := math.Abs(got[i]/total/(x/sum) - 1)
+			most = math.Max(most, off)
+			if off > 0.03 {
+				t.Errorf("step %d: tenant %d got %.4f of its share", step, i, got[i]/total/(x/sum))
+			}
+		}
+	}
+	t.Logf("shares are off by %.4f at the most", most)
+}
+
+// One tenant sends twenty times the capacity, and another a tenth of its share: the second must wait no longer than the
+// requests in flight take.
+func TestController_FloodDoesNotDelayOtherTenants(t *testing.T) {
+	h := newHarness(t, testSettings(0.77, 0.23))
+	worst := 0
+	for step := range 5000 {
+		for range 20 {
+			h.submit(Request{Tenant: 0, Client: uint64(step)})
+		}
+		if step%20 == 0 {
+			ticket := h.submit(Request{Tenant: 1, Client: 7})
+			turns := 0
+			for h.queued[ticket] {
+				h.now += 25 * ms
+				h.finishOldest()
+				turns++
+			}
+			if h.decided[ticket].Kind != Admit {
+				t.Fatalf("step %d: rejected: %v", step, h.decided[ticket].Reason)
+			}
+			worst = max(worst, turns)
+		}
+		h.now += 25 * ms
+		h.finishOldest()
+	}
+	if worst > 2 {
+		t.Errorf("the quiet tenant waited for %d other requests", worst)
+	}
+	if s := h.controller.Stats(1); s.Rejected != [reasonCount]uint64{} {
+		t.Errorf("a request of the quiet tenant was rejected: %+v", s)
+	}
+}
+
+// A tenant that was idle while another was served gets its share from its burst on, no more and no less.
+func TestController_IdleTenantSavesNothing(t *testing.T) {
+	h := newHarness(t, testSettings(1, 1))
+	work := func(steps int, both bool) (float64, float64) {
+		a, b := h.controller.tenants[0].stats.AdmittedWork, h.controller.tenants[1].stats.AdmittedWork
+		for range steps {
+			for i := 0; i < 2 && (i == 0 || both); i++ {
+				for h.controller.tenants[i].queued < 10 {
+					h.submit(Request{Tenant: i, Client: uint64(i)})
+				}
+			}
+			h.now += 36 * ms
+			h.finishOldest()
+		}
+		return h.controller.tenants[0].stats.AdmittedWork - a, h.controller.tenants[1].stats.AdmittedWork - b
+	}
+	work(100_000, false)
+	a, b := work(200, true)
+	if math.Abs(a/b-1) > 0.06 {
+		t.Errorf("after the idle time the second got %.0f, the first %.0f", b, a)
+	}
+}
+
+// One tenant fills the queue with requests of a class of little value: one of a valuable class is queued, and admitted soon.
+func TestController_ValuableClassPassesFlood(t *testing.T) {
+	s := testSettings(1, 1)
+	s.MaxQueued = 50
+	h := newHarness(t, s)
+	for i := range 200 {
+		h.submit(Request{Tenant: 0, Class: 0, Client: uint64(i)})
+	}
+	ticket := h.submit(Request{Tenant: 0, Class: 1, Client: 3})
+	for turns := 0; h.queued[ticket]; turns++ {
+		if turns > 3 {
+			t.Fatal("a policy is queued behind quotes")
+		}
+		h.now += ms
+		h.finishOldest()
+	}
+	if a := h.decided[ticket]; a.Kind != Admit {
+		t.Errorf("a policy was rejected: %v", a.Reason)
+	}
+	if queued := h.controller.State().Queued; queued > 50 {
+		t.Errorf("%d queued where 50 may be", queued)
+	}
+}
+
+// A tenant without a share gets what no other wants, and its requests are the first to be evicted.
+func TestController_TenantWithoutShare(t *testing.T) {
+	s := testSettings(0, 1)
+	s.MaxQueued = 10
+	h := newHarness(t, s)
+	for range 14 {
+		h.submit(Request{Tenant: 0})
+	}
+	if got := h.controller.Stats(0).Admitted; got != 4 {
+		t.Errorf("alone, it had %d admitted", got)
+	}
+	for range 10 {
+		h.submit(Request{Tenant: 1})
+	}
+	if a, b := h.controller.tenants[0].queued, h.controller.tenants[1].queued; a != 0 || b != 10 {
+		t.Errorf("%d and %d queued", a, b)
+	}
+	for range 3000 { // tags of a flow without a weight must not spoil the others' in the long run
+		h.submit(Request{Tenant: 0})
+		h.now += ms
+		h.finishOldest()
+	}
+	if s := h.controller.Stats(1); s.Admitted != 10 {
+		t.Errorf("the other had %d admitted", s.Admitted)
+	}
+}
+
+// A tenant sends three times its rate: the requests within the rate are admitted, at the cost of those past it.
+func TestController_OverQuotaComesLast(t *testing.T) {
+	s := testSettings(1)
+	s.Tenants[0].Rate, s.MaxQueued = 20, 30
+	h := newHarness(t, s)
+	within, in := 0, 0
+	for step := range 3000 { // a request each 16 ms, an end each 25 ms: 60 and 40 a second
+		before := h.controller.tenants[0].quotaTokens
+		ticket := h.submit(Request{Client: uint64(step), Deadline: h.now + 2*sec})
+		if within20 := h.controller.tenants[0].quotaTokens < before; within20 || before >= 1 {
+			within++
+			if a := h.decided[ticket]; h.queued[ticket] || a.Kind == Admit {
+				in++
+			}
+		}
+		h.now += 16_667
+		if len(h.inFlight) > 0 && step%3 != 0 {
+			h.finishOldest()
+		}
+	}
+	if within < 900 || in < within*98/100 {
+		t.Errorf("of %d within the rate %d were queued or admitted", within, in)
+	}
+}
--- /dev/null
+++ b/internal/standalone/admission/fairqueue.go
@@ -0,0 +1,131 @@
+package admission
+
+import "container/heap"
+
+// fairQueue is start-time fair queueing over flows (Goyal, Vin, Cheng, "Start-time Fair Queueing", SIGCOMM 1996): the flow
+// whose next request has the least start tag is served next. Over any time in which two flows are both backlogged, what
+// they got, each divided by its weight, differs by at most the largest request of the one over its weight and that of the
+// other over its. A flow that was idle joins at the present virtual time: it has saved nothing, and owes nothing but what
+// its last request took. Fair queues are nested: a flow's next request may be what a fair queue below it serves next.
+type fairQueue struct {
+	flows        []flow
+	heap         []int32 // backlogged flows by start tag, then by number
+	virtualTime  float64 // the start tag of what was served last
+	activeWeight float64 // the sum of the weights of backlogged flows
+	epoch        uint32  // counts the times that nothing was backlogged: tags from before mean nothing
+}
+
+type flow struct {
+	weight    float64
+	start     float64 // tag of the next request
+	finish    float64 // tag of the last request
+	queued    int
+	heapIndex int32
+	epoch     uint32
+}
+
+const (
+	// minWeight lets a flow with no weight have what no other wants.
+	minWeight = 1e-6
+	// rebaseAt is where virtual time begins to lose fractions of a microsecond.
+	rebaseAt = 1e14
+)
+
+// positiveWeight returns a weight of a flow that is not zero.
+func positiveWeight(x float64) float64 { return max(x, minWeight) }
+
+func newFairQueue(flows int) fairQueue {
+	q := fairQueue{flows: make([]flow, flows)}
+	for i := range q.flows {
+		q.flows[i] = flow{weight: 1, heapIndex: noIndex}
+	}
+	return q
+}
+
+// next returns the flow that is served next; there must be a backlogged one.
+func (q *fairQueue) next() int32 { return q.heap[0] }
+
+// push adds a request to flow i.
+func (q *fairQueue) push(i int32) {
+	f := &q.flows[i]
+	f.queued++
+	if f.queued > 1 {
+		return
+	}
+	if f.epoch != q.epoch {
+		f.epoch, f.finish = q.epoch, 0
+	}
+	f.start = max(q.virtualTime, f.finish)
+	q.activeWeight += f.weight
+	f.heapIndex = int32(len(q.heap))
+	q.heap = append(q.heap, i)
+	heap.Fix(q, int(f.heapIndex))
+}
+
+// dequeue removes the next request of flow i, which is served and has this work.
+func (q *fairQueue) dequeue(i int32, work float64) {
+	f := &q.flows[i]
+	q.virtualTime = max(q.virtualTime, f.start)
+	f.finish = f.start + work/f.weight
+	f.queued--
+	if f.queued == 0 {
+		q.deactivate(i)
+	} else {
+		f.start = f.finish
+		heap.Fix(q, int(f.heapIndex))
+	}
+	if q.virtualTime > rebaseAt {
+		q.rebase()
+	}
+}
+
+// discard removes a request of flow i that is not served.
+func (q *fairQueue) discard(i int32) {
+	f := &q.flows[i]
+	f.queued--
+	if f.queued == 0 {
+		q.deactivate(i)
+	}
+}
+
+// deactivate removes a flow with no requests from the heap.
+func (q *fairQueue) deactivate(i int32) {
+	f := &q.flows[i]
+	at, last := int(f.heapIndex), len(q.heap)-1
+	q.Swap(at, last)
+	q.heap = q.heap[:last]
+	f.heapIndex = noIndex
+	q.activeWeight -= f.weight
+	if at < last {
+		heap.Fix(q, at)
+	}
+	if last == 0 {
+		q.virtualTime, q.activeWeight = 0, 0
+		q.epoch++
+	}
+}
+
+// rebase moves all tags back by the virtual time.
+func (q *fairQueue) rebase() {
+	for i := range q.flows {
+		f := &q.flows[i]
+		f.start, f.finish = max(0, f.start-q.virtualTime), max(0, f.finish-q.virtualTime)
+	}
+	q.virtualTime = 0
+}
+
+// The methods of heap.Interface. Of container/heap only Fix is used: its Push and Pop would allocate.
+
+func (q *fairQueue) Len() int { return len(q.heap) }
+func (q *fairQueue) Push(any) {}
+func (q *fairQueue) Pop() any { return nil }
+
+func (q *fairQueue) Less(a, b int) bool {
+	x, y := &q.flows[q.heap[a]], &q.flows[q.heap[b]]
+	return x.start < y.start || x.start == y.start && q.heap[a] < q.heap[b]
+}
+
+func (q *fairQueue) Swap(a, b int) {
+	q.heap[a], q.heap[b] = q.heap[b], q.heap[a]
+	q.flows[q.heap[a]].heapIndex, q.flows[q.heap[b]].heapIndex = int32(a), int32(b)
+}
--- /dev/null
+++ b/internal/standalone/admission/queue.go
@@ -0,0 +1,134 @@
+package admission
+
+import "container/heap"
+
+// list is a queue of entries, linked by next and prev.
+type list struct{ head, tail int32 }
+
+// enqueue puts a request into its tenant's, lane's and client's queue.
+func (c *Controller) enqueue(index int32) {
+	e := &c.entries[index]
+	t := &c.tenants[e.tenant]
+	t.makeQueues(e.lane, c.settings.QueuesPerClass)
+	e.state = stateQueued
+	e.bucket = int32(splitMix64(e.client^c.salt) % uint64(c.settings.QueuesPerClass))
+	c.pushBack(&t.queues[e.lane][e.bucket], index)
+	t.buckets[e.lane].push(e.bucket)
+	t.lanes.push(e.lane)
+	c.tenantOrder.push(e.tenant)
+	t.queued++
+	t.queuedWork += e.work
+	c.queued++
+	e.heapIndex = int32(len(c.admitByHeap))
+	c.admitByHeap = append(c.admitByHeap, index)
+	heap.Fix((*admitByHeap)(c), int(e.heapIndex))
+}
+
+// makeQueues makes the queues of a lane, if it has none yet: most lanes never need them.
+func (t *tenant) makeQueues(lane int32, queues int) {
+	if t.buckets == nil {
+		t.buckets, t.queues = make([]fairQueue, len(t.lanes.flows)), make([][]list, len(t.lanes.flows))
+	}
+	if t.queues[lane] != nil {
+		return
+	}
+	t.buckets[lane] = newFairQueue(queues)
+	t.queues[lane] = make([]list, queues)
+	for i := range t.queues[lane] {
+		t.queues[lane][i] = list{noIndex, noIndex}
+	}
+}
+
+// pushBack adds an entry at the end of a queue.
+func (c *Controller) pushBack(l *list, index int32) {
+	c.entries[index].prev, c.entries[index].next = l.tail, noIndex
+	if l.tail == noIndex {
+		l.head = index
+	} else {
+		c.entries[l.tail].next = index
+	}
+	l.tail = index
+}
+
+// removeFrom removes an entry from its queue.
+func (c *Controller) removeFrom(l *list, index int32) {
+	e := &c.entries[index]
+	if e.prev == noIndex {
+		l.head = e.next
+	} else {
+		c.entries[e.prev].next = e.next
+	}
+	if e.next == noIndex {
+		l.tail = e.prev
+	} else {
+		c.entries[e.next].prev = e.prev
+	}
+	e.prev, e.next = noIndex, noIndex
+}
+
+// dequeue removes a queued request that is admitted: it must be the next in fair order.
+func (c *Controller) dequeue(index int32) {
+	e := &c.entries[index]
+	t := &c.tenants[e.tenant]
+	t.buckets[e.lane].dequeue(e.bucket, e.work)
+	t.lanes.dequeue(e.lane, e.work)
+	c.tenantOrder.dequeue(e.tenant, e.work)
+	c.unlink(index)
+}
+
+// removeQueued removes a queued request that is not admitted.
+func (c *Controller) removeQueued(index int32) {
+	e := &c.entries[index]
+	t := &c.tenants[e.tenant]
+	t.buckets[e.lane].discard(e.bucket)
+	t.lanes.discard(e.lane)
+	c.tenantOrder.discard(e.tenant)
+	c.unlink(index)
+}
+
+// unlink removes a queued request from its queue and from admitByHeap.
+func (c *Controller) unlink(index int32) {
+	e := &c.entries[index]
+	t := &c.tenants[e.tenant]
+	c.removeFrom(&t.queues[e.lane][e.bucket], index)
+	t.queued--
+	t.queuedWork -= e.work
+	if t.queued == 0 {
+		t.queuedWork = 0 // sums of fractions must not drift
+	}
+	c.queued--
+	h := (*admitByHeap)(c)
+	at, last := int(e.heapIndex), len(c.admitByHeap)-1
+	h.Swap(at, last)
+	c.admitByHeap = c.admitByHeap[:last]
+	e.heapIndex = noIndex
+	if at < last {
+		heap.Fix(h, at)
+	}
+}
+
+// admitByHeap is a Controller as the heap.Interface of its queued requests, by the last moment at which they may be
+// admitted. Of container/heap only Fix is used: its Push and Pop would allocate.
+type admitByHeap Controller
+
+func (h *admitByHeap) Len() int { return len(h.admitByHeap) }
+func (h *admitByHeap) Push(any) {}
+func (h *admitByHeap) Pop() any { return nil }
+
+func (h *admitByHeap) Less(a, b int) bool {
+	x, y := &h.entries[h.admitByHeap[a]], &h.entries[h.admitByHeap[b]]
+	return x.admitBy < y.admitBy || x.admitBy == y.admitBy && h.admitByHeap[a] < h.admitByHeap[b]
+}
+
+func (h *admitByHeap) Swap(a, b int) {
+	h.admitByHeap[a], h.admitByHeap[b] = h.admitByHeap[b], h.admitByHeap[a]
+	h.entries[h.admitByHeap[a]].heapIndex, h.entries[h.admitByHeap[b]].heapIndex = int32(a), int32(b)
+}
+
+// splitMix64 hashes a number (the finaliser of SplitMix64; Steele, Lea, Flood, OOPSLA 2014).
+func splitMix64(x uint64) uint64 {
+	x += 0x9e3779b97f4a7c15
+	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
+	x = (x ^ x>>27) * 0x94d049bb133111eb
+	return x ^ x>>31
+}
--- /dev/null
+++ b/internal/standalone/admission/reload.go
@@ -0,0 +1,171 @@
+package admission
+
+import (
+	"cmp"
+	"fmt"
+	"math"
+	"slices"
+)
+
+// returningValueFactor is how many times the value of the most valuable class requests have that return at their
+// Retry-After.
+const returningValueFactor = 8.0
+
+// A tenant's lanes are one for each class, one for requests that return at their Retry-After, and one for each class past
+// the tenant's rate.
+
+func laneCount(classes int) int                      { return 2*classes + 1 }
+func returningLane(classes int) int32                { return int32(classes) }
+func overQuotaLane(classes int, class int32) int32   { return class + int32(classes) + 1 }
+func isOverQuotaLane(classes int, lane int32) bool   { return lane > int32(classes) }
+func classOfOverQuota(classes int, lane int32) int32 { return lane - int32(classes) - 1 }
+
+// useSettings replaces the settings and makes empty queues for them.
+func (c *Controller) useSettings(settings Settings) {
+	c.settings = settings
+	c.tenants = make([]tenant, len(settings.Tenants))
+	c.tenantOrder = newFairQueue(len(settings.Tenants))
+	for i := range c.tenants {
+		c.tenantOrder.flows[i].weight = positiveWeight(settings.Tenants[i].Share)
+		c.tenants[i] = tenant{
+			lanes:           newLanes(&settings),
+			retryTokens:     settings.RetryBurst,
+			quotaTokens:     math.Max(1, settings.Tenants[i].Rate),
+			quotaRefilledAt: c.now,
+			reservedWork:    make([]float64, 1+int(settings.MaxRetryAfter/reservationSlot)),
+		}
+	}
+	sum := 0.0
+	for _, class := range settings.Classes {
+		sum += float64(class.Work)
+	}
+	c.meanWork = sum / float64(len(settings.Classes))
+	c.limit.setBounds(settings.MinLimit, settings.MaxLimit)
+	c.salt = splitMix64(settings.Seed + 1)
+}
+
+// newLanes returns the empty lanes of a tenant.
+func newLanes(settings *Settings) fairQueue {
+	classes := len(settings.Classes)
+	lanes := newFairQueue(laneCount(classes))
+	maxValue := 0.0
+	for i, class := range settings.Classes {
+		lanes.flows[i].weight = positiveWeight(class.Value)
+		lanes.flows[overQuotaLane(classes, int32(i))].weight = positiveWeight(class.Value * settings.OverQuotaFactor)
+		maxValue = math.Max(maxValue, class.Value)
+	}
+	lanes.flows[returningLane(classes)].weight = positiveWeight(maxValue * returningValueFactor)
+	return lanes
+}
+
+// ApplySettings replaces the settings as a whole or not at all. Requests in flight stay; queued ones are queued again in
+// the order of their arrival, or rejected where their tenant is gone or the queue is full.
+func (c *Controller) ApplySettings(now Time, next Settings, out []Action) ([]Action, error) {
+	if err := next.Check(); err != nil {
+		return out, fmt.Errorf("admission settings: %w", err)
+	}
+	out = c.advanceTo(now, out)
+	places := newPlaces(&c.settings, &next)
+	queued, oldTenants := c.queuedByArrival(), c.tenants
+	c.admitByHeap, c.queued = c.admitByHeap[:0], 0
+	c.useSettings(next)
+	for old, place := range places.tenants {
+		if place != noIndex {
+			c.tenants[place].stats = oldTenants[old].stats
+			c.tenants[place].stats.Queued = 0
+		}
+	}
+	c.moveEntries(places)
+	for _, index := range queued {
+		e := &c.entries[index]
+		isTenantGone := e.tenant == noIndex
+		if isTenantGone {
+			e.tenant = 0 // its statistics have to go somewhere
+		}
+		if isTenantGone || c.queued >= c.settings.MaxQueued {
+			out = c.reject(index, QueueFull, out)
+			continue
+		}
+		c.enqueue(index)
+	}
+	return c.admitQueued(out), nil
+}
+
+// queuedByArrival returns the queued entries in the order of their arrival.
+func (c *Controller) queuedByArrival() []int32 {
+	var queued []int32
+	for i := range c.entries {
+		if c.entries[i].state == stateQueued {
+			queued = append(queued, int32(i))
+		}
+	}
+	slices.SortFunc(queued, func(a, b int32) int {
+		return cmp.Or(cmp.Compare(c.entries[a].arrivedAt, c.entries[b].arrivedAt), cmp.Compare(a, b))
+	})
+	return queued
+}
+
+// moveEntries gives the entries their places in new settings. A queued entry whose tenant is gone has tenant noIndex then.
+func (c *Controller) moveEntries(places places) {
+	for i := range c.entries {
+		e := &c.entries[i]
+		if e.state == stateFree {
+			continue
+		}
+		e.tenant, e.lane = places.tenants[e.tenant], places.lane(e.lane)
+		if e.state == stateInFlight && e.tenant == noIndex {
+			e.tenant = 0 // its statistics have to go somewhere
+		}
+	}
+}
+
+// places are the places of the old tenants and classes in new settings, noIndex for those that are gone.
+type places struct {
+	tenants    []int32
+	classes    []int32
+	newClasses int
+}
+
+func newPlaces(old, next *Settings) places {
+	tenantPlace, classPlace := map[string]int32{}, map[string]int32{}
+	for i, t := range next.Tenants {
+		tenantPlace[t.Name] = int32(i)
+	}
+	for i, class := range next.Classes {
+		classPlace[class.Name] = int32(i)
+	}
+	p := places{newClasses: len(next.Classes)}
+	for _, t := range old.Tenants {
+		p.tenants = append(p.tenants, placeOr(tenantPlace, t.Name))
+	}
+	for _, class := range old.Classes {
+		p.classes = append(p.classes, placeOr(classPlace, class.Name))
+	}
+	return p
+}
+
+// placeOr returns the place of a name, or noIndex.
+func placeOr(places map[string]int32, name string) int32 {
+	if place, ok := places[name]; ok {
+		return place
+	}
+	return noIndex
+}
+
+// lane returns the new lane for an old one. Requests of a class that is gone move to the returning lane, so that they are
+// served first.
+func (p *places) lane(old int32) int32 {
+	oldClasses := len(p.classes)
+	isOverQuota := isOverQuotaLane(oldClasses, old)
+	class := old
+	if isOverQuota {
+		class = classOfOverQuota(oldClasses, old)
+	}
+	if int(class) >= oldClasses || p.classes[class] == noIndex {
+		return returningLane(p.newClasses)
+	}
+	if isOverQuota {
+		return overQuotaLane(p.newClasses, p.classes[class])
+	}
+	return p.classes[class]
+}
--- /dev/null
+++ b/internal/standalone/admission/retryafter_test.go
@@ -0,0 +1,95 @@
+package admission
+
+import (
+	"math/rand/v2"
+	"testing"
+)
+
+func TestController_RetryBudget(t *testing.T) {
+	s := testSettings(1, 1)
+	s.RetryBurst, s.RetryRatio = 5, 0.1
+	h := newHarness(t, s)
+	rejected := 0
+	for range 50 {
+		if a, ok := h.decided[h.submit(Request{IsRetry: true})]; ok && a.Kind == Reject {
+			if a.Reason != RetryBudgetExhausted {
+				t.Errorf("%v", a.Reason)
+			}
+			rejected++
+		}
+	}
+	// Five of the burst; retries at the time of a reservation do not count against it.
+	if got := int(h.controller.Stats(0).Rejected[RetryBudgetExhausted]); got != rejected || rejected < 30 {
+		t.Errorf("%d of 50 retries rejected, %d counted", rejected, got)
+	}
+	if a := h.submit(Request{Tenant: 1, IsRetry: true}); !h.queued[a] {
+		t.Error("one tenant's retries use up another's budget")
+	}
+}
+
+// simulateReturns simulates an overload in which rejected clients return once, as retries, at their Retry-After or after a fixed
+// time, and returns the part of them that was then admitted.
+func simulateReturns(t *testing.T, overload float64, fixed Time) float64 {
+	s := testSettings(1)
+	s.MaxQueued, s.RetryRatio = 16, 10
+	h := newHarness(t, s)
+	g := rand.New(rand.NewPCG(5, 6))
+	var due []Time
+	came, in := 0, 0
+	back := map[Ticket]bool{}
+	for range 60_000 { // of 1 ms
+		h.now += ms
+		var now int
+		for i := 0; i < len(due); i++ {
+			if due[i] <= h.now {
+				due[i] = due[len(due)-1]
+				due = due[:len(due)-1]
+				i--
+				now++
+			}
+		}
+		fresh := 0
+		if g.Float64() < 0.04*overload {
+			fresh = 1
+		}
+		for i := range now + fresh {
+			ticket := h.submit(Request{Client: g.Uint64(), Deadline: h.now + sec, IsRetry: i < now})
+			if back[ticket] = i < now; i < now {
+				came++
+			}
+		}
+		if len(h.inFlight) > 0 && h.now%(25*ms) == 0 {
+			h.finishOldest()
+		}
+		h.record(h.controller.Tick(h.now, nil))
+		for ticket, a := range h.decided {
+			switch {
+			case a.Kind == Admit && back[ticket]:
+				in++
+			case a.Kind == Reject && !back[ticket]: // a client that is rejected twice gives up
+				after := a.RetryAfter
+				if fixed > 0 {
+					after = fixed
+				}
+				if after == 0 { // without a Retry-After it does not return
+					break
+				}
+				due = append(due, h.now+after)
+			}
+			delete(back, ticket)
+		}
+		clear(h.decided)
+	}
+	return float64(in) / float64(max(1, came))
+}
+
+// A client that returns at its Retry-After is admitted. The figures are in docs/admission.md.
+func TestController_RetryAfterFindsCapacity(t *testing.T) {
+	for _, overload := range []float64{2, 10} {
+		atRetryAfter, fixed := simulateReturns(t, overload, 0), simulateReturns(t, overload, sec)
+		t.Logf("%v times overload: %.3f admitted at their Retry-After, %.3f after a fixed second", overload, atRetryAfter, fixed)
+		if atRetryAfter < 0.95 || atRetryAfter < fixed {
+			t.Errorf("%v times overload: %.3f admitted at their Retry-After, %.3f after a fixed second", overload, atRetryAfter, fixed)
+		}
+	}
+}
--- a/internal/standalone/deployfile/door_test.go
+++ b/internal/standalone/deployfile/admission_test.go
@@ -15,8 +15,8 @@
 		Classes: []settings.Class{{Name: "quick-quote", Value: 3}, {Name: "issue-policy", Value: 5}}}
 }
 
-func TestDoorFile(t *testing.T) {
-	// The file that stands under deploy/ says what is so without it.
+func TestParseAdmission(t *testing.T) {
+	// The file under deploy/ has the default values.
 	text, err := os.ReadFile("../../../deploy/door.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -34,7 +34,7 @@
 		t.Errorf("deploy/door.toml says %+v, without it %+v", written, empty)
 	}
 	if empty.Tenants[0].Share != 254 || empty.Classes[1].Value != 5 {
-		t.Errorf("the deployment's shares and worth: %+v", empty)
+		t.Errorf("the deployment's shares and values: %+v", empty)
 	}
 	set, err := parseAdmission("door.toml", []byte("[shares]\nkhan-air = 300.0\n[work]\nissue-policy = \"130ms\"\n[worth]\nquick-quote = 0.0"), deployment(), 7)
 	if err != nil || set.Tenants[1].Share != 300 || set.Classes[1].Work != 130_000 || set.Classes[0].Value != 0 || set.Classes[0].Work != defaultWorkMicros {
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestDoorFileFaults(t *testing.T) {
+func TestParseAdmission_Errors(t *testing.T) {
 	for text, want := range map[string]string{
 		"waiting = 0":                     "d.toml:1: waiting: 0 is not within",
 		"\nwating = 3":                    "d.toml:2: wating: there is no such key",
--- a/internal/standalone/deployfile/stored_test.go
+++ b/internal/standalone/deployfile/stored_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// A door's file that operators stored for an earlier version is read, with every key. None has the value that stands in for an absent one.
-func TestReadsDoorStoredByEarlierVersion(t *testing.T) {
+// A file of admission control that operators stored for an earlier version is read, with every key. None has the value that stands in for an absent one.
+func TestReadAdmission_StoredByEarlierVersion(t *testing.T) {
 	deployment := &settings.Settings{GroupSize: 2, OverQuotaValue: 0.2,
 		Tenants: []settings.Tenant{{Name: "steppe-tours", QuotaPerS: 254}, {Name: "khan-air", QuotaPerS: 76}},
 		Classes: []settings.Class{{Name: "quick-quote", Value: 3, LatencyTarget: 600_000}, {Name: "issue-policy", Value: 5, LatencyTarget: 900_000}}}
