--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -103,7 +103,8 @@
 	assert.Equal(t, []message.BackendLoad{{Backend: "b", Running: 6}}, reported.Loads)
 	assert.Equal(t, 2, reported.Proxies)
 	reported = hub.CollectDemand()
-	assert.Equal(t, []message.ModelDemand{{Service: "s", Model: "m", Waiting: 2}}, reported.Models, "arrivals are counted once")
+	waiting := []message.ModelDemand{{Service: "s", Model: "m", Waiting: 2}}
+	assert.Equal(t, waiting, reported.Models, "arrivals are counted once")
 }
 
 func TestHub_SendsTotalLoadsAsDeltas(t *testing.T) {
--- a/internal/controlplane/distribution/load_query_test.go
+++ b/internal/controlplane/distribution/load_query_test.go
@@ -39,9 +39,10 @@
 	hub.SetTable(table)
 	hub.HandleLoadReport("p2", &message.LoadReport{Loads: []message.BackendLoad{load("b1", 1, 20), load("b3", 5, 0)}}, nil)
 	own := message.LoadReport{Service: "s", Model: "m", Loads: []message.BackendLoad{load("b2", 9, 0)}}
-	assert.Equal(t, []message.BackendLoad{load("b1", 1, 20)}, query("p1", own).Loads, "the asking proxy's own load is left out")
+	others := []message.BackendLoad{load("b1", 1, 20)}
+	assert.Equal(t, others, query("p1", own).Loads, "the asking proxy's own load is left out")
 	both := []message.BackendLoad{load("b1", 1, 20), load("b2", 9, 0)}
 	assert.Equal(t, both, query("p3", message.LoadReport{Service: "s", Model: "m"}).Loads)
-	assert.Equal(t, []message.BackendLoad{load("b1", 1, 20)}, query("p3", message.LoadReport{Service: "s", Model: "m/a1"}).Loads)
+	assert.Equal(t, others, query("p3", message.LoadReport{Service: "s", Model: "m/a1"}).Loads)
 	assert.Empty(t, query("p3", message.LoadReport{Service: "other", Model: "m"}).Loads)
 }
--- a/internal/controlplane/distribution/poller_test.go
+++ b/internal/controlplane/distribution/poller_test.go
@@ -58,7 +58,8 @@
 	deadAddress := dead.Addr().String()
 	dead.Close()
 	s := &recordingSubscriber{
-		addresses: []string{deadAddress, serve(t, unavailable), serve(t, serving)}, applied: make(chan *message.PollResponse, 1),
+		addresses: []string{deadAddress, serve(t, unavailable), serve(t, serving)},
+		applied:   make(chan *message.PollResponse, 1),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/controlplane/placement/executor/backend_client_test.go
+++ b/internal/controlplane/placement/executor/backend_client_test.go
@@ -64,8 +64,9 @@
 }
 
 const (
-	fullReport = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 41\r\n\r\n" + `{"models":[],"inUse":false,"callCount":0}`
-	accepted   = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
+	fullReport = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: 41\r\n\r\n" +
+		`{"models":[],"inUse":false,"callCount":0}`
+	accepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 )
 
 // A second response to a report that came while the next call was under way was taken for the command's: 200 means that
@@ -73,7 +74,7 @@
 func TestBackendClient_LateReportIsNoAnswerToCommand(t *testing.T) {
 	_, target := newRawBackend(t, func(connection net.Conn, request *http.Request, earlier int) {
 		switch {
-		case request.URL.Path == reportPath:
+		case request.URL.Path == "/report":
 			_, _ = connection.Write([]byte(fullReport))
 		case earlier > 0: // a second response to the request before
 			_, _ = connection.Write([]byte(fullReport + accepted))
@@ -104,7 +105,7 @@
 		},
 	} {
 		backend, target := newRawBackend(t, func(connection net.Conn, request *http.Request, _ int) {
-			if request.URL.Path == commandPath {
+			if request.URL.Path == "/order" {
 				end(connection)
 				return
 			}
@@ -113,7 +114,8 @@
 		client := NewBackendClient()
 		_, err := client.FetchReport(context.Background(), target) // so that there is an idle connection
 		require.NoError(t, err)
-		assert.Equal(t, Unknown, client.SendCommand(context.Background(), target, Command{Operation: LoadModel, Model: "m"}), name)
-		assert.Equal(t, 1, backend.count(commandPath), name)
+		answer := client.SendCommand(context.Background(), target, Command{Operation: LoadModel, Model: "m"})
+		assert.Equal(t, Unknown, answer, name)
+		assert.Equal(t, 1, backend.count("/order"), name)
 	}
 }
--- a/internal/controlplane/placement/executor/executor_test.go
+++ b/internal/controlplane/placement/executor/executor_test.go
@@ -20,7 +20,7 @@
 	"pumiceline/internal/message"
 )
 
-// fakeBackend carries out commands as backends do, and records them.
+// fakeBackend carries out commands as backends do, and records them in lines.
 type fakeBackend struct {
 	mutex  sync.Mutex
 	models map[message.ModelName][]string
@@ -65,7 +65,8 @@
 	case command.Operation == UnloadModel && command.Adapter == "":
 		delete(b.models, command.Model)
 	case command.Operation == UnloadModel:
-		b.models[command.Model] = slices.DeleteFunc(b.models[command.Model], func(a string) bool { return a == command.Adapter })
+		isNamed := func(adapter string) bool { return adapter == command.Adapter }
+		b.models[command.Model] = slices.DeleteFunc(b.models[command.Model], isNamed)
 	case command.Adapter != "":
 		b.models[command.Model] = append(b.models[command.Model], command.Adapter)
 	default:
@@ -86,27 +87,33 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"models": models, "inUse": b.inUse, "callCount": b.count})
 }
 
-func (b *fakeBackend) run(t *testing.T, task planner.Task, fence TokenFunc) ([]message.LoadedModel, error) {
+// run carries a task out at the backend. token may be nil: then the lease is held.
+func (b *fakeBackend) run(t *testing.T, task planner.Task, token TokenFunc) ([]message.LoadedModel, error) {
 	t.Helper()
 	server := httptest.NewServer(b)
 	defer server.Close()
 	task.Backend.ID, task.Backend.Address = "i", strings.TrimPrefix(server.URL, "http://")
-	task.Capacity = planner.Capacity{Runtime: &configuration.Runtime{WeightsMB: 210, AdapterSlots: 2, Models: []configuration.Model{
-		{Name: "m", WeightsMB: 100, AdapterMB: 1}, {Name: "n", WeightsMB: 100, AdapterMB: 1}, {Name: "o", WeightsMB: 100},
-	}}}
-	if fence == nil {
-		fence = func() (message.FencingToken, bool) { return 7, true }
+	task.Capacity = planner.Capacity{Runtime: &configuration.Runtime{
+		WeightsMB: 210, AdapterSlots: 2, Models: []configuration.Model{
+			{Name: "m", WeightsMB: 100, AdapterMB: 1}, {Name: "n", WeightsMB: 100, AdapterMB: 1}, {Name: "o", WeightsMB: 100},
+		},
+	}}
+	if token == nil {
+		token = func() (message.FencingToken, bool) { return 7, true }
 	}
 	executor := &Executor{
-		Client: NewBackendClient(), Owner: "me", LeaseToken: fence, OnModelsChanged: func(message.BackendID, []message.LoadedModel) {}, OnLoadStarted: func(message.BackendID) {},
-		Sleep: func(context.Context, time.Duration) error { return nil },
+		Client: NewBackendClient(), Owner: "me", LeaseToken: token,
+		OnModelsChanged: func(message.BackendID, []message.LoadedModel) {},
+		OnLoadStarted:   func(message.BackendID) {},
+		Sleep:           func(context.Context, time.Duration) error { return nil },
 	}
 	return executor.Run(context.Background(), &task)
 }
 
 func TestExecutor_CarriesOutTaskInOrder(t *testing.T) {
 	b := &fakeBackend{models: map[message.ModelName][]string{"m": {}, "n": {}}, count: 4}
-	_, err := b.run(t, planner.Task{Unload: []message.ModelName{"n"}, Load: "o", LoadAdapters: []message.ModelName{"m/a1"}}, nil)
+	task := planner.Task{Unload: []message.ModelName{"n"}, Load: "o", LoadAdapters: []message.ModelName{"m/a1"}}
+	_, err := b.run(t, task, nil)
 	require.NoError(t, err)
 	assert.Equal(t, []string{
 		"model_unload n if 4: 202", "model_load o if 5: 202", "model_load m/a1 if 6: 202",
--- a/internal/controlplane/placement/planner/adapter_placement.go
+++ b/internal/controlplane/placement/planner/adapter_placement.go
@@ -170,7 +170,10 @@
 	fewest := 0
 	for _, backend := range p.backends {
 		task := tasks[backend]
-		if backend.Busy || !backend.hasModel(demand.model) || backend.Holds(demand.name()) || willLoad(task, demand.name()) {
+		if backend.Busy || !backend.hasModel(demand.model) {
+			continue
+		}
+		if backend.Holds(demand.name()) || willLoad(task, demand.name()) {
 			continue
 		}
 		count := adapterCount(backend, task)
--- a/internal/controlplane/placement/planner/load_rate_limit_test.go
+++ b/internal/controlplane/placement/planner/load_rate_limit_test.go
@@ -33,7 +33,8 @@
 						count++
 					}
 				}
-				assert.LessOrEqual(t, float64(count), perSecond*window.Seconds()*excess+3, "%v loads a second, handover after %v", perSecond, handover)
+				allowed := perSecond*window.Seconds()*excess + 3
+				assert.LessOrEqual(t, float64(count), allowed, "%v loads a second, handover after %v", perSecond, handover)
 			}
 			assert.GreaterOrEqual(t, float64(len(starts)), math.Floor(perSecond*20*0.8), "the limit is used")
 		}
--- a/internal/controlplane/placement/planner/planner_test.go
+++ b/internal/controlplane/placement/planner/planner_test.go
@@ -50,7 +50,9 @@
 		f.now = f.now.Add(100 * time.Millisecond)
 		var reports []message.ModelDemand
 		for model, rate := range rates {
-			reports = append(reports, message.ModelDemand{Service: "s", Model: model, Arrivals: rate / 10, Running: int(rate / 2)})
+			reports = append(reports, message.ModelDemand{
+				Service: "s", Model: model, Arrivals: rate / 10, Running: int(rate / 2),
+			})
 		}
 		f.demand.Update(f.now, reports)
 	}
@@ -59,7 +61,8 @@
 // reportWaiting reports requests that wait for a model.
 func (f *fleet) reportWaiting(model message.ModelName, waiting int) {
 	f.now = f.now.Add(100 * time.Millisecond)
-	f.demand.Update(f.now, []message.ModelDemand{{Service: "s", Model: model, Arrivals: float64(waiting), Waiting: waiting}})
+	report := message.ModelDemand{Service: "s", Model: model, Arrivals: float64(waiting), Waiting: waiting}
+	f.demand.Update(f.now, []message.ModelDemand{report})
 }
 
 func (f *fleet) plan(loadsAllowed int) []Task {
--- a/internal/controlplane/placement/planner/value.go
+++ b/internal/controlplane/placement/planner/value.go
@@ -57,7 +57,8 @@
 	if replicas > 1 {
 		return p.expectedRate(model) / float64(replicas)
 	}
-	loss := p.expectedRate(model) + unservedValue*(float64(demand.Waiting+demand.Running)+demand.Unserved) + firstReplicaValue
+	needing := float64(demand.Waiting+demand.Running) + demand.Unserved
+	loss := p.expectedRate(model) + unservedValue*needing + firstReplicaValue
 	if isWithin(recentRequest, demand.LastRequest, p.in.Now) {
 		loss += recentRequestValue
 	}
--- a/internal/controlplane/simulation/recovery.go
+++ b/internal/controlplane/simulation/recovery.go
@@ -25,7 +25,8 @@
 
 // measuredKinds are the faults of one machine.
 var measuredKinds = []FaultKind{
-	Kill, PowerLoss, Freeze, DiskStall, Partition, OneWayPartition, DiskLoss, Replacement, PlannedReplacement, GracefulRestart,
+	Kill, PowerLoss, Freeze, DiskStall, Partition, OneWayPartition, DiskLoss,
+	Replacement, PlannedReplacement, GracefulRestart,
 }
 
 // MeasureRecovery measures each kind of fault alone, in a run a seed, at each slot in turn.
--- a/internal/controlplane/simulation/simulation_test.go
+++ b/internal/controlplane/simulation/simulation_test.go
@@ -63,7 +63,8 @@
 		leases := 0
 		for seed := uint64(1); seed <= seedsEach/2; seed++ {
 			options := Options{
-				Seed: seed, Members: shape.members, Diskless: shape.members, Tolerance: shape.tolerance, FaultPhase: faultPhase,
+				Seed: seed, Members: shape.members, Diskless: shape.members, Tolerance: shape.tolerance,
+				FaultPhase: faultPhase,
 			}
 			result := requireNoViolation(t, options)
 			require.Positive(t, result.Acknowledged, "seed %d of %v", seed, shape)
