--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -59,7 +59,7 @@
 		return err
 	}
 	if _, err := policy.New(cfg.Policy, cfg.Seed); err != nil {
-		return fmt.Errorf("config: settings: %w", err)
+		return &config.KeyError{Key: "settings", Err: err}
 	}
 	_, err = fmt.Fprintf(out, "%s listens on %s and asks %s; %d classes, %d tenants, %d zones\n", cfg.Name, cfg.Listen,
 		cfg.Discovery, len(cfg.Settings.Classes), len(cfg.Settings.Tenants), len(cfg.Settings.Zones))
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -1,38 +1,35 @@
-// Package config is the one place that reads the proxy's configuration: the file that ROUTER_CONFIG names and
-// the variables that stand above it. It gives defaults and refuses what cannot work, naming the faulty key.
+// Package config reads the proxy's configuration: the file that ROUTER_CONFIG names, and the environment variables that
+// override it. It applies defaults and refuses what cannot work, naming the key.
 package config
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
-	"maps"
 	"net/netip"
 	"os"
-	"slices"
 	"strconv"
-	"strings"
 	"time"
 
 	"pumiceline/internal/standalone/policy"
 	"pumiceline/internal/standalone/settings"
 )
 
-// Config is a checked configuration.
+// Config is a valid configuration.
 type Config struct {
 	Name           string
-	Listen         string
-	Discovery      string
-	SharedFolder   string // a folder that all processes of this proxy see (TMPDIR); empty: there is none
-	ListenFD       int    // a listening socket that was inherited as this descriptor (ROUTER_FD); 0: none, listen at Listen
-	AdminListen    string // address of the operators' door; empty: there is none
-	Seed           uint64
-	Limits         Limits
-	KnownEndpoints json.RawMessage // in discovery's form; package pool judges it
+	Listen         string          // address for clients
+	Discovery      string          // address
+	AdminListen    string          // address of the admin API; empty: there is none
+	ListenFD       int             // descriptor of an inherited listening socket (ROUTER_FD); 0: none, open one at Listen
+	SharedFolder   string          // that all processes of this proxy see (TMPDIR); empty: there is none
+	Seed           uint64          // of the policy's random numbers
+	Limits         Limits          // of the machine
+	KnownEndpoints json.RawMessage // endpoint list to start with, in the form of discovery; checked by package discovery
 	Settings       settings.Settings
-	Policy         policy.Settings
+	Policy         policy.Settings // made from Settings
 
-	document any // of the file, as JSON
+	document any // the file as JSON, which Reload compares with the next one
 }
 
 // Limits are those of the machine.
@@ -42,7 +39,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Defaults stand in for what neither the file nor the variables tell.
+// Defaults for what neither the file nor the environment has. Times are in microseconds, as in the settings.
 const (
 	defaultName        = "pumiceline"
 	defaultCores       = 1
@@ -51,10 +48,38 @@
 	defaultDialTimeout = 250_000
 	defaultIdleClose   = 10_000_000
 	defaultRetryAfter  = 2_500_000
-	minMemoryMB        = 32
-	minSockets         = 64
 )
 
+// Bounds of what can work.
+const (
+	maxCores    = 1024
+	minMemoryMB = 32
+	minSockets  = 64
+	minListenFD = 3 // the lower ones are the standard streams
+)
+
+// KeyError is the error of one key of the file, or of one environment variable.
+type KeyError struct {
+	Key string // with those of the objects around it: settings.Limits.DialTimeout
+	Err error
+}
+
+// Error implements error.
+func (e *KeyError) Error() string { return "config: " + e.Key + ": " + e.Err.Error() }
+
+// Unwrap returns the cause.
+func (e *KeyError) Unwrap() error { return e.Err }
+
+var (
+	errMissing = errors.New("missing")
+	errNoFile  = errors.New("ROUTER_CONFIG: not set, and no file given")
+)
+
+func keyErrorf(key, format string, args ...any) error {
+	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
+}
+
+// file is the configuration file.
 type file struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -66,233 +91,147 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Reload reads the configuration again while the proxy runs. ROUTER_DISCOVERY was set at the start and cannot be changed
-// since, so what the file says of discovery now stands above it.
-//
-// What the file of now had, the new one must have: a file that was cut off or is being written must not pass for one that leaves
-// things to their defaults. Deadlines and attempts must be positive.
-func Reload(path string, env func(string) string, now *Config) (*Config, error) {
-	next, err := load(path, env, true)
+// Load reads the configuration from the file at path, or, if that is empty, from the one that ROUTER_CONFIG names. The
+// environment is read by env.
+func Load(path string, env func(string) string) (*Config, error) {
+	text, err := readFile(path, env)
 	if err != nil {
 		return nil, err
 	}
-	if key := missingKey(now.document, next.document, ""); key != "" {
-		return nil, fmt.Errorf("config: %s: missing", key)
-	}
-	if tries := next.Settings.Limits.MaxAttempts; tries < 0 || tries == 0 && now.Settings.Limits.MaxAttempts > 0 {
-		return nil, fmt.Errorf("config: settings.Limits.TryLimit: %d is no number of attempts", next.Settings.Limits.MaxAttempts)
-	}
-	return next, nil
+	return Parse(text, env)
 }
 
-// optionalKeys are keys that a configuration may have at one time and not at another.
-var optionalKeys = map[string]bool{"seed": true, "known": true, "operator": true, "peers": true, "peers_all": true, "peer_listen": true,
-	"AimStretch": true, "PassesDeadline": true, "WarmKeys": true}
-
-// missingKey returns a key that old has and next has not; the elements of lists in next need the keys that all those of old have.
-func missingKey(old, next any, at string) string {
-	switch old := old.(type) {
-	case map[string]any:
-		next, ok := next.(map[string]any)
-		if !ok {
-			return at
-		}
-		for _, key := range slices.Sorted(maps.Keys(old)) {
-			if optionalKeys[key] {
-				continue
-			}
-			here := strings.TrimPrefix(at+"."+key, ".")
-			if next[key] == nil && old[key] != nil {
-				return here
-			}
-			if missing := missingKey(old[key], next[key], here); missing != "" {
-				return missing
-			}
-		}
-	case []any:
-		list, ok := next.([]any)
-		if !ok {
-			return at
-		}
-		for i, element := range list {
-			if missing := missingKey(commonKeys(old), element, fmt.Sprintf("%s[%d]", at, i)); missing != "" {
-				return missing
-			}
-		}
-	}
-	return ""
-}
-
-// commonKeys is an object with the keys that all objects of a list have; nil where they are none.
-func commonKeys(list []any) any {
-	var all map[string]any
-	for i, element := range list {
-		object, ok := element.(map[string]any)
-		if !ok {
-			return nil
-		}
-		if i == 0 {
-			all = maps.Clone(object)
-			continue
-		}
-		maps.DeleteFunc(all, func(key string, _ any) bool { return object[key] == nil })
-	}
-	if all == nil {
-		return nil
-	}
-	return all
-}
-
-// Load reads the configuration from the file at path, or if that is empty from the one that ROUTER_CONFIG
-// names, with the environment read through env.
-func Load(path string, env func(string) string) (*Config, error) {
-	return load(path, env, false)
-}
-
-func load(path string, env func(string) string, again bool) (*Config, error) {
+func readFile(path string, env func(string) string) ([]byte, error) {
 	if path == "" {
 		path = env("ROUTER_CONFIG")
 	}
 	if path == "" {
-		return nil, errors.New("ROUTER_CONFIG: not set, and no file given")
+		return nil, errNoFile
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	return parse(text, env, again)
+	return text, nil
 }
 
 // Parse checks the text of a configuration file.
 func Parse(text []byte, env func(string) string) (*Config, error) {
-	return parse(text, env, false)
+	f, err := parseFile(text)
+	if err != nil {
+		return nil, err
+	}
+	f.applyEnvironment(env)
+	return f.check(text, env)
 }
 
-func parse(text []byte, env func(string) string, again bool) (*Config, error) {
+func parseFile(text []byte) (*file, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
-		return nil, fmt.Errorf("config: %w", describeTypeError(err))
+		return nil, fmt.Errorf("config: %w", nameKey(err))
 	}
-	discovery := f.Discovery
+	return &f, nil
+}
+
+// applyEnvironment overrides the file by environment variables.
+func (f *file) applyEnvironment(env func(string) string) {
 	for _, v := range []struct {
-		name string
-		into *string
-	}{{"ROUTER_NAME", &f.Name}, {"ROUTER_LISTEN", &f.Listen}, {"ROUTER_DISCOVERY", &f.Discovery},
-		{"ROUTER_OPERATOR", &f.Operator}} {
-		if got := env(v.name); got != "" {
-			*v.into = got
+		name  string
+		value *string
+	}{
+		{"ROUTER_NAME", &f.Name},
+		{"ROUTER_LISTEN", &f.Listen},
+		{"ROUTER_DISCOVERY", &f.Discovery},
+		{"ROUTER_OPERATOR", &f.Operator},
+	} {
+		if override := env(v.name); override != "" {
+			*v.value = override
 		}
 	}
-	if again && discovery != "" {
-		f.Discovery = discovery
-	}
-	var whole any
-	if err := json.Unmarshal(text, &whole); err != nil {
+}
+
+// check returns the configuration of the file whose text is given.
+func (f *file) check(text []byte, env func(string) string) (*Config, error) {
+	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminListen: f.Operator, SharedFolder: env("TMPDIR"),
+		Limits: f.Limits, KnownEndpoints: f.Known}
+	if err := json.Unmarshal(text, &c.document); err != nil {
 		return nil, fmt.Errorf("config: %w", err)
 	}
-	c := &Config{document: whole, Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminListen: f.Operator, SharedFolder: env("TMPDIR"), Limits: f.Limits, KnownEndpoints: f.Known}
 	if c.Name == "" {
 		c.Name = defaultName
 	}
-	if err := checkAddress("listen", c.Listen); err != nil {
-		return nil, err
+	if string(c.KnownEndpoints) == "null" {
+		c.KnownEndpoints = nil
 	}
-	if err := checkAddress("discovery", c.Discovery); err != nil {
+	if err := c.checkAddresses(); err != nil {
 		return nil, err
 	}
-	if c.AdminListen != "" {
-		if err := checkAddress("operator", c.AdminListen); err != nil {
-			return nil, err
-		}
-	}
-	c.Seed = uint64(time.Now().UnixNano())
-	if f.Seed != "" {
-		seed, err := strconv.ParseUint(f.Seed, 16, 64)
-		if err != nil {
-			return nil, fmt.Errorf("config: seed: %q is no hexadecimal number of 64 bits", f.Seed)
-		}
-		c.Seed = seed
+	if err := c.setSeed(f.Seed); err != nil {
+		return nil, err
 	}
+	c.Limits.setDefaults()
 	if err := c.Limits.check(); err != nil {
 		return nil, err
 	}
-	if string(c.KnownEndpoints) == "null" {
-		c.KnownEndpoints = nil
+	if err := c.setListenFD(env("ROUTER_FD")); err != nil {
+		return nil, err
 	}
-	if fd := env("ROUTER_FD"); fd != "" {
-		var err error
-		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD < 3 {
-			return nil, fmt.Errorf("config: ROUTER_FD: %q is no descriptor that can be inherited", fd)
-		}
+	if err := c.setSettings(f.Settings); err != nil {
+		return nil, err
 	}
-	return c, c.readSettings(f.Settings)
+	return c, nil
 }
 
-func (c *Config) readSettings(text json.RawMessage) error {
-	if len(text) == 0 || string(text) == "null" {
-		return errors.New("config: settings: missing")
-	}
-	if err := json.Unmarshal(text, &c.Settings); err != nil {
-		return fmt.Errorf("config: settings: %w", describeTypeError(err))
+func (c *Config) checkAddresses() error {
+	if err := checkAddress("listen", c.Listen); err != nil {
+		return err
 	}
-	s := &c.Settings
-	l := &s.Limits
-	for _, d := range []struct {
-		key   string
-		value *float64
-		use   float64
-	}{
-		{"DialTimeout", &l.DialTimeout, defaultDialTimeout}, {"IdleClose", &l.ConnIdleTimeout, defaultIdleClose},
-		{"MaxRetryAfter", &l.MaxRetryAfter, defaultRetryAfter},
-	} {
-		if *d.value < 0 {
-			return fmt.Errorf("config: settings.Limits.%s: %v is negative", d.key, *d.value)
-		}
-		if *d.value == 0 {
-			*d.value = d.use
-		}
+	if err := checkAddress("discovery", c.Discovery); err != nil {
+		return err
 	}
-	if len(s.Classes) == 0 {
-		return errors.New("config: settings.Classes: empty")
+	if c.AdminListen == "" {
+		return nil
 	}
-	seen := map[string]bool{}
-	for i, class := range s.Classes {
-		switch {
-		case class.Name == "":
-			return fmt.Errorf("config: settings.Classes[%d].Name: missing", i)
-		case seen[class.Name]:
-			return fmt.Errorf("config: settings.Classes[%d].Name: %q stands twice", i, class.Name)
-		case class.ClientTimeout <= 0:
-			return fmt.Errorf("config: settings.Classes[%d].HardLimit: %v is no time", i, class.ClientTimeout)
-		}
-		seen[class.Name] = true
+	return checkAddress("operator", c.AdminListen)
+}
+
+func checkAddress(key, value string) error {
+	if value == "" {
+		return &KeyError{Key: key, Err: errMissing}
 	}
-	if s.Zone < 0 || s.Zone >= max(1, len(s.Zones)) {
-		return fmt.Errorf("config: settings.Locality: %d is none of the %d Zones", s.Zone, len(s.Zones))
+	if _, err := netip.ParseAddrPort(value); err != nil {
+		return &KeyError{Key: key, Err: err}
 	}
-	var err error
-	c.Policy, err = PolicySettings(s)
-	return err
+	return nil
 }
 
-// Policy is the module's form of settings. Destinations are probed where it allows that, and nowhere else.
-func PolicySettings(s *settings.Settings) (policy.Settings, error) {
-	m, err := s.Policy()
+// setSeed sets the seed from its hexadecimal form, or from the time if that is empty.
+func (c *Config) setSeed(hexadecimal string) error {
+	if hexadecimal == "" {
+		c.Seed = uint64(time.Now().UnixNano())
+		return nil
+	}
+	seed, err := strconv.ParseUint(hexadecimal, 16, 64)
 	if err != nil {
-		return m, fmt.Errorf("config: %w", err)
+		return keyErrorf("seed", "%q is no hexadecimal number of 64 bits", hexadecimal)
 	}
-	return m, nil
+	c.Seed = seed
+	return nil
 }
 
-// ReportColumns are the names of the columns of load reports that the module of these settings makes use of.
-func ReportColumns(s *settings.Settings, m *policy.Settings) []string {
-	if m.ReportDelivery == policy.ReportsNone || m.ReportDelivery == policy.ReportsByPolling && !m.Limits.AllowLoadPolls {
+func (c *Config) setListenFD(descriptor string) error {
+	if descriptor == "" {
 		return nil
 	}
-	return s.LoadReports.Columns
+	fd, err := strconv.Atoi(descriptor)
+	if err != nil || fd < minListenFD {
+		return keyErrorf("ROUTER_FD", "%q is no descriptor that can be inherited", descriptor)
+	}
+	c.ListenFD = fd
+	return nil
 }
 
-func (l *Limits) check() error {
+func (l *Limits) setDefaults() {
 	if l.Cores == 0 {
 		l.Cores = defaultCores
 	}
@@ -302,32 +241,25 @@
 	if l.Sockets == 0 {
 		l.Sockets = defaultSockets
 	}
+}
+
+func (l *Limits) check() error {
 	switch {
-	case !(l.Cores > 0 && l.Cores <= 1024):
-		return fmt.Errorf("config: limits.cores: %v is out of range", l.Cores)
+	case !(l.Cores > 0 && l.Cores <= maxCores):
+		return keyErrorf("limits.cores", "%v is out of range", l.Cores)
 	case l.MemoryMB < minMemoryMB:
-		return fmt.Errorf("config: limits.memory_mb: %d is under %d", l.MemoryMB, minMemoryMB)
+		return keyErrorf("limits.memory_mb", "%d is under %d", l.MemoryMB, minMemoryMB)
 	case l.Sockets < minSockets:
-		return fmt.Errorf("config: limits.sockets: %d is under %d", l.Sockets, minSockets)
-	}
-	return nil
-}
-
-func checkAddress(key, value string) error {
-	if value == "" {
-		return fmt.Errorf("config: %s: missing", key)
-	}
-	if _, err := netip.ParseAddrPort(value); err != nil {
-		return fmt.Errorf("config: %s: %w", key, err)
+		return keyErrorf("limits.sockets", "%d is under %d", l.Sockets, minSockets)
 	}
 	return nil
 }
 
-// describeTypeError puts the key before a complaint about its type.
-func describeTypeError(err error) error {
-	var wrong *json.UnmarshalTypeError
-	if errors.As(err, &wrong) && wrong.Field != "" {
-		return fmt.Errorf("%s: a %s is not what belongs here", wrong.Field, wrong.Value)
+// nameKey puts the key before the error of its type.
+func nameKey(err error) error {
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) && typeErr.Field != "" {
+		return fmt.Errorf("%s: a %s is not what belongs here", typeErr.Field, typeErr.Value)
 	}
 	return err
 }
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -13,9 +13,11 @@
  "settings":{"Classes":[{"Name":"quote","Semantics":"pure","HardLimit":1500000}],"Zones":["a","b"],"Locality":1,
  "Limits":{"MayProbe":true,"DialTimeout":100000}}}`
 
-func nothing(string) string { return "" }
+// emptyEnv is an environment without variables.
+func emptyEnv(string) string { return "" }
 
-func TestValid(t *testing.T) {
+// Values of the file and the environment, and defaults.
+func TestParse_ValidConfiguration(t *testing.T) {
 	c, err := Parse([]byte(valid), func(name string) string {
 		return map[string]string{"ROUTER_LISTEN": "127.0.0.9:7071"}[name]
 	})
@@ -27,48 +29,49 @@
 		t.Errorf("%+v", c)
 	}
 	if !c.Policy.Limits.AllowLoadPolls || c.Policy.Zone != 1 || len(c.Policy.Classes) != 1 {
-		t.Errorf("module settings %+v", c.Policy)
+		t.Errorf("policy settings %+v", c.Policy)
 	}
-	c, err = Parse([]byte(strings.Replace(valid, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1)), nothing)
+	c, err = Parse([]byte(strings.Replace(valid, `"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", 1)), emptyEnv)
 	if err != nil || c.Limits != (Limits{defaultCores, defaultMemoryMB, defaultSockets}) {
-		t.Errorf("limits by default: %+v, %v", c.Limits, err)
+		t.Errorf("default limits: %+v, %v", c.Limits, err)
 	}
 }
 
-// A configuration that is read again brings the discovery of the file, which the variable hides only at the start.
-func TestReloadTakesDiscoveryFromTheFile(t *testing.T) {
+// A reload takes the address of discovery from the file, which the environment overrides at the start only.
+func TestReload_PrefersDiscoveryOfFile(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"ROUTER_DISCOVERY": "127.9.0.1:8500", "ROUTER_LISTEN": "127.0.0.9:7071"}[name]
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	for _, c := range []struct{ text, first, again string }{
+	for _, c := range []struct{ text, loaded, reloaded string }{
 		{valid, "127.9.0.1:8500", "127.2.0.1:8500"},
 		{strings.Replace(valid, `"discovery":"127.2.0.1:8500",`, "", 1), "127.9.0.1:8500", "127.9.0.1:8500"},
 	} {
 		if err := os.WriteFile(path, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		first, err1 := Load(path, env)
-		again, err2 := Reload(path, env, &Config{})
-		if err1 != nil || err2 != nil || first.Discovery != c.first || again.Discovery != c.again || again.Listen != "127.0.0.9:7071" {
-			t.Errorf("%+v, %v; %+v, %v", first, err1, again, err2)
+		loaded, err1 := Load(path, env)
+		reloaded, err2 := Reload(path, env, &Config{})
+		if err1 != nil || err2 != nil || loaded.Discovery != c.loaded || reloaded.Discovery != c.reloaded ||
+			reloaded.Listen != "127.0.0.9:7071" {
+			t.Errorf("%+v, %v; %+v, %v", loaded, err1, reloaded, err2)
 		}
 	}
 }
 
-// A file that is broken in any way is turned down at a SIGHUP with the key's name; a class may come, go and change.
-func TestReloadTakesNothingBroken(t *testing.T) {
+// An invalid or truncated file is refused with the name of the key; classes may be added, removed and changed.
+func TestReload_RefusesInvalidFile(t *testing.T) {
 	full := strings.Replace(valid, `"MayProbe":true`, `"TryLimit":3,"MayProbe":true`, 1)
-	now, err := Parse([]byte(full), nothing)
+	current, err := Parse([]byte(full), emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "config.json")
-	read := func(text string) error {
+	reload := func(text string) error {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		_, err := Reload(path, nothing, now)
+		_, err := Reload(path, emptyEnv, current)
 		return err
 	}
 	for _, c := range []struct{ from, to, want string }{
@@ -90,7 +93,7 @@
 		if !strings.Contains(full, c.from) {
 			t.Fatalf("%s is not there", c.from)
 		}
-		if err := read(strings.Replace(full, c.from, c.to, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if err := reload(strings.Replace(full, c.from, c.to, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%.40s to %.40s: %v", c.from, c.to, err)
 		}
 	}
@@ -98,14 +101,14 @@
 		{`"Classes":[`, `"Classes":[{"Name":"new","Semantics":"token","HardLimit":9},`},
 		{`"quote"`, `"other"`}, {`"pure"`, `"side_effect"`}, {`"TryLimit":3`, `"TryLimit":1`}, {`"known"`, `"unknown"`},
 	} {
-		if err := read(strings.Replace(full, c.from, c.to, 1)); err != nil {
+		if err := reload(strings.Replace(full, c.from, c.to, 1)); err != nil {
 			t.Errorf("%s to %s: %v", c.from, c.to, err)
 		}
 	}
 }
 
-// Each complaint names the key that is at fault.
-func TestFaultsAreNamed(t *testing.T) {
+// Each error names its key.
+func TestParse_NamesInvalidKey(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"127.0.0.4:7070"`, `""`, "listen: missing"},
 		{`127.0.0.4:7070`, `nowhere`, "listen: "},
@@ -128,16 +131,16 @@
 		if text == valid {
 			t.Fatalf("%s is not in the text", c.from)
 		}
-		if _, err := Parse([]byte(text), nothing); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Parse([]byte(text), emptyEnv); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: error %v, want one with %q", c.to, err, c.want)
 		}
 	}
-	if _, err := Load("", nothing); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
+	if _, err := Load("", emptyEnv); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
 		t.Errorf("no file: %v", err)
 	}
 }
 
-// FuzzParse feeds cut and garbled configurations: none may panic or pass without what serving needs.
+// FuzzParse parses truncated and garbled configurations: none may panic, or pass without what serving needs.
 func FuzzParse(f *testing.F) {
 	for cut := 0; cut < len(valid); cut += 31 {
 		f.Add([]byte(valid[:cut]))
@@ -145,7 +148,7 @@
 	f.Add([]byte(valid))
 	f.Add([]byte(`{"settings":null,"limits":[]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		c, err := Parse(text, nothing)
+		c, err := Parse(text, emptyEnv)
 		if err == nil && (c.Listen == "" || c.Discovery == "" || len(c.Policy.Classes) == 0 || c.Limits.Sockets < minSockets) {
 			t.Errorf("passed: %+v", c)
 		}
--- /dev/null
+++ b/internal/standalone/config/reload.go
@@ -0,0 +1,115 @@
+package config
+
+import (
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+)
+
+// Reload reads the configuration again while the proxy runs. Unlike Load, it prefers the discovery address of the file to that
+// of ROUTER_DISCOVERY, which was set at the start and cannot have changed since.
+//
+// The file must have all keys that the current one has, except optionalKeys: a file that was truncated or is being written must
+// not pass for one that leaves keys to their defaults. The number of attempts must be positive.
+func Reload(path string, env func(string) string, current *Config) (*Config, error) {
+	next, err := loadForReload(path, env)
+	if err != nil {
+		return nil, err
+	}
+	if key := missingKey(current.document, next.document, ""); key != "" {
+		return nil, &KeyError{Key: key, Err: errMissing}
+	}
+	attempts := next.Settings.Limits.MaxAttempts
+	if attempts < 0 || attempts == 0 && current.Settings.Limits.MaxAttempts > 0 {
+		return nil, keyErrorf("settings.Limits.TryLimit", "%d is no number of attempts", attempts)
+	}
+	return next, nil
+}
+
+func loadForReload(path string, env func(string) string) (*Config, error) {
+	text, err := readFile(path, env)
+	if err != nil {
+		return nil, err
+	}
+	f, err := parseFile(text)
+	if err != nil {
+		return nil, err
+	}
+	discovery := f.Discovery
+	f.applyEnvironment(env)
+	if discovery != "" {
+		f.Discovery = discovery
+	}
+	return f.check(text, env)
+}
+
+// optionalKeys are the keys, at any depth, that a configuration may have at one time and not at another.
+var optionalKeys = map[string]bool{"seed": true, "known": true, "operator": true, "peers": true, "peers_all": true,
+	"peer_listen": true, "AimStretch": true, "PassesDeadline": true, "WarmKeys": true}
+
+// missingKey returns the path of a key that old has and next has not, empty if there is none. The elements of lists in next
+// need the keys that all those of old have. Path is that of old and next.
+func missingKey(old, next any, path string) string {
+	switch old := old.(type) {
+	case map[string]any:
+		return missingKeyOfObject(old, next, path)
+	case []any:
+		return missingKeyOfList(old, next, path)
+	}
+	return ""
+}
+
+func missingKeyOfObject(old map[string]any, next any, path string) string {
+	object, ok := next.(map[string]any)
+	if !ok {
+		return path
+	}
+	for _, key := range slices.Sorted(maps.Keys(old)) {
+		if optionalKeys[key] {
+			continue
+		}
+		keyPath := strings.TrimPrefix(path+"."+key, ".")
+		if object[key] == nil && old[key] != nil {
+			return keyPath
+		}
+		if missing := missingKey(old[key], object[key], keyPath); missing != "" {
+			return missing
+		}
+	}
+	return ""
+}
+
+func missingKeyOfList(old []any, next any, path string) string {
+	list, ok := next.([]any)
+	if !ok {
+		return path
+	}
+	common := commonKeys(old)
+	if common == nil {
+		return ""
+	}
+	for i, element := range list {
+		if missing := missingKey(common, element, fmt.Sprintf("%s[%d]", path, i)); missing != "" {
+			return missing
+		}
+	}
+	return ""
+}
+
+// commonKeys returns an object with the keys that all objects of a list have, nil if the list has other elements or none.
+func commonKeys(list []any) map[string]any {
+	var common map[string]any
+	for i, element := range list {
+		object, ok := element.(map[string]any)
+		if !ok {
+			return nil
+		}
+		if i == 0 {
+			common = maps.Clone(object)
+			continue
+		}
+		maps.DeleteFunc(common, func(key string, _ any) bool { return object[key] == nil })
+	}
+	return common
+}
--- a/internal/standalone/config/stored_test.go
+++ b/internal/standalone/config/stored_test.go
@@ -11,7 +11,7 @@
 
 // A configuration that was stored for an earlier version is read, with every key.
 func TestReadsConfigurationStoredByEarlierVersion(t *testing.T) {
-	got, err := Load("testdata/config.json", nothing)
+	got, err := Load("testdata/config.json", emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -27,13 +27,13 @@
 	if want.Policy, err = settings.ParsePolicy(text); err != nil {
 		t.Fatal(err)
 	}
-	got.document = nil // the file as a whole, with which a later one is compared
+	got.document = nil // the file itself, for Reload
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
 	}
 }
 
-// The variables that stand above the file have the names that an earlier version reads.
+// The environment variables that override the file have the names that an earlier version reads.
 func TestReadsVariablesOfEarlierVersion(t *testing.T) {
 	env := map[string]string{"ROUTER_CONFIG": "testdata/config.json", "ROUTER_NAME": "other", "ROUTER_LISTEN": "127.0.0.2:7070",
 		"ROUTER_DISCOVERY": "127.0.0.2:8500", "ROUTER_OPERATOR": "127.0.0.2:7071", "ROUTER_FD": "9", "TMPDIR": "/shared"}
--- a/internal/standalone/server/operations.go
+++ b/internal/standalone/server/operations.go
@@ -3,9 +3,9 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 
 	"pumiceline/internal/standalone/admin"
+	"pumiceline/internal/standalone/config"
 	"pumiceline/internal/standalone/metrics"
 )
 
@@ -23,7 +23,7 @@
 	}
 	ln, err := s.opts.Network.Listen(s.cfg.AdminListen)
 	if err != nil {
-		return fmt.Errorf("config: operator: %w", err)
+		return &config.KeyError{Key: "operator", Err: err}
 	}
 	api := admin.New(admin.Options{Log: s.log, MaxConnections: s.sockets.adminShare(), Metrics: s.metrics.Handler(),
 		Disable: s.watcher.Disable, Enable: s.watcher.Enable, Ready: func() error { return s.ready(stop) }})
--- a/internal/standalone/server/reload.go
+++ b/internal/standalone/server/reload.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"fmt"
 	"log/slog"
 	"sync"
 
@@ -66,7 +65,7 @@
 			return err
 		}
 		if _, err := policy.New(set, 0); err != nil {
-			return fmt.Errorf("config: settings: %w", err)
+			return &config.KeyError{Key: "settings", Err: err}
 		}
 		if err := r.applyAdmissionFile(numbered); err != nil {
 			return err
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -4,7 +4,6 @@
 
 import (
 	"context"
-	"fmt"
 	"log/slog"
 	"net"
 	"os"
@@ -91,7 +90,7 @@
 	s := &server{cfg: cfg, opts: opts, log: log, sockets: socketBudget(cfg.Limits.Sockets)}
 	balancer, err := policy.New(cfg.Policy, cfg.Seed)
 	if err != nil {
-		return fmt.Errorf("config: settings: %w", err)
+		return &config.KeyError{Key: "settings", Err: err}
 	}
 	if err := s.createGate(); err != nil {
 		return err
@@ -104,7 +103,7 @@
 	s.registerGauges()
 	ln, err := s.listen()
 	if err != nil {
-		return fmt.Errorf("config: listen: %w", err)
+		return &config.KeyError{Key: "listen", Err: err}
 	}
 	return s.run(stop, ln)
 }
