--- a/cmd/pumiceline/lab.go
+++ b/cmd/pumiceline/lab.go
@@ -19,17 +19,17 @@
 	"pumiceline/internal/fleetsim/progress"
 )
 
-type labCmd struct {
-	Check   labCheckCmd   `cmd:"" help:"Check an experiment and say how many plays it has."`
-	Run     labRunCmd     `cmd:"" help:"Play an experiment as it stands, without its sweeps, and show each verdict."`
-	Sweep   labSweepCmd   `cmd:"" help:"Play all points of an experiment and show them in a table."`
-	Compare labCompareCmd `cmd:"" help:"Show how policies differ, seed by seed, with confidence intervals."`
-	Plot    labPlotCmd    `cmd:"" help:"Draw results as SVG and PNG and write a report in HTML."`
-	Replay  labReplayCmd  `cmd:"" help:"Play one run again: from an experiment, or from a line of a results file."`
+type fleetsimCmd struct {
+	Check   fleetsimCheckCmd   `cmd:"" help:"Check an experiment and say how many plays it has."`
+	Run     fleetsimRunCmd     `cmd:"" help:"Play an experiment as it stands, without its sweeps, and show each verdict."`
+	Sweep   fleetsimSweepCmd   `cmd:"" help:"Play all points of an experiment and show them in a table."`
+	Compare fleetsimCompareCmd `cmd:"" help:"Show how policies differ, seed by seed, with confidence intervals."`
+	Plot    fleetsimPlotCmd    `cmd:"" help:"Draw results as SVG and PNG and write a report in HTML."`
+	Replay  fleetsimReplayCmd  `cmd:"" help:"Play one run again: from an experiment, or from a line of a results file."`
 }
 
-// playing is what run, sweep and compare have in common.
-type playing struct {
+// runFlags is what run, sweep and compare have in common.
+type runFlags struct {
 	File  string   `arg:"" help:"Experiment (TOML)."`
 	Out   string   `help:"Write the results to this file, as JSON lines." type:"path"`
 	Jobs  int      `help:"Plays at a time." default:"0"`
@@ -40,7 +40,7 @@
 }
 
 // load reads the experiment with the command line's changes.
-func (c *playing) load() (*experiment.Experiment, error) {
+func (c *runFlags) load() (*experiment.Experiment, error) {
 	e, err := experiment.Load(c.File)
 	if err != nil {
 		return nil, err
@@ -48,15 +48,15 @@
 	for _, text := range c.Set {
 		s, err := experiment.ParseSetting(text)
 		if err == nil {
-			err = experiment.Set(&e.World, s)
+			err = experiment.Apply(&e.Scenario, s)
 		}
 		if err == nil {
-			err = e.World.Check()
+			err = e.Scenario.Validate()
 		}
 		if err != nil {
 			return nil, fmt.Errorf("--set: %w", err)
 		}
-		e.Changed = append(e.Changed, s)
+		e.Overrides = append(e.Overrides, s)
 	}
 	if c.Seeds > 0 {
 		e.Seeds = nil
@@ -67,8 +67,8 @@
 	return e, nil
 }
 
-// play runs e with progress on standard error, keeps the results and names the command for each run that failed.
-func (c *playing) play(e *experiment.Experiment, out output) ([]*experiment.Result, error) {
+// execute runs e with progress on standard error, keeps the results and names the command for each run that failed.
+func (c *runFlags) execute(e *experiment.Experiment, out output) ([]*experiment.Result, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	var file io.Writer = io.Discard
@@ -84,7 +84,7 @@
 	if jobs <= 0 {
 		jobs = runtime.GOMAXPROCS(0)
 	}
-	progress := progress.NewProgress(os.Stderr, e.Count())
+	progress := progress.NewBar(os.Stderr, e.Count())
 	var results []*experiment.Result
 	var failed []error
 	err := e.Run(ctx, jobs, func(r *experiment.Result) error {
@@ -93,8 +93,8 @@
 		switch {
 		case r.Error != "":
 			failed = append(failed, fmt.Errorf("%s ended early: %s\n  again: %s", r.Policy, r.Error, r.Replay))
-		case c.Keep && r.Policy == e.Policies[0] && !r.Report.Kept():
-			failed = append(failed, fmt.Errorf("%s broke a rule: %v\n  again: %s", r.Policy, r.Report.Breaches[0], r.Replay))
+		case c.Keep && r.Policy == e.Policies[0] && !r.Report.HasNoViolations():
+			failed = append(failed, fmt.Errorf("%s broke a rule: %v\n  again: %s", r.Policy, r.Report.Violations[0], r.Replay))
 		}
 		return r.Write(file)
 	})
@@ -102,19 +102,19 @@
 		return nil, err
 	}
 	if c.Plots != "" {
-		if err := drawAll(out, results, c.Plots, usualMeasures); err != nil {
+		if err := drawFigures(out, results, c.Plots, defaultMeasures); err != nil {
 			return nil, err
 		}
 	}
 	return results, errors.Join(failed...)
 }
 
-type labCheckCmd struct {
+type fleetsimCheckCmd struct {
 	File string `arg:"" help:"Experiment (TOML)."`
 }
 
 // Run checks an experiment without playing it.
-func (c *labCheckCmd) Run(out output) error {
+func (c *fleetsimCheckCmd) Run(out output) error {
 	e, err := experiment.Load(c.File)
 	if err != nil {
 		return err
@@ -123,54 +123,54 @@
 	return err
 }
 
-type labRunCmd struct{ playing }
+type fleetsimRunCmd struct{ runFlags }
 
 // Run plays every policy and seed of the experiment once.
-func (c *labRunCmd) Run(out output) error {
+func (c *fleetsimRunCmd) Run(out output) error {
 	e, err := c.load()
 	if err != nil {
 		return err
 	}
 	e.Sweeps = nil
-	results, failed := c.play(e, out)
+	results, failed := c.execute(e, out)
 	for _, r := range results {
-		progress.Verdict(out, r)
+		progress.PrintResult(out, r)
 	}
 	return failed
 }
 
-type labSweepCmd struct {
-	playing
+type fleetsimSweepCmd struct {
+	runFlags
 	Measures []string `help:"Figures to show." default:"g,worst,broken"`
 }
 
 // Run plays all points and prints a table.
-func (c *labSweepCmd) Run(out output) error {
+func (c *fleetsimSweepCmd) Run(out output) error {
 	e, err := c.load()
 	if err != nil {
 		return err
 	}
-	measures, err := measuresOf(c.Measures)
+	measures, err := parseMeasures(c.Measures)
 	if err != nil {
 		return err
 	}
-	results, failed := c.play(e, out)
+	results, failed := c.execute(e, out)
 	if len(results) > 0 {
-		if err := progress.Table(out, results, measures); err != nil {
+		if err := progress.PrintTable(out, results, measures); err != nil {
 			return err
 		}
 	}
 	return failed
 }
 
-type labCompareCmd struct {
-	playing
+type fleetsimCompareCmd struct {
+	runFlags
 	Measures []string `help:"Figures to compare." default:"g"`
 }
 
 // Run compares policies: of a results file, or of an experiment that it plays first.
-func (c *labCompareCmd) Run(out output) error {
-	measures, err := measuresOf(c.Measures)
+func (c *fleetsimCompareCmd) Run(out output) error {
+	measures, err := parseMeasures(c.Measures)
 	if err != nil {
 		return err
 	}
@@ -181,37 +181,37 @@
 		if err != nil {
 			return err
 		}
-		results, failed = c.play(e, out)
+		results, failed = c.execute(e, out)
 	} else if results, err = readResults(c.File); err != nil {
 		return err
 	}
 	for _, m := range measures {
-		if err := progress.Differences(out, results, m); err != nil {
+		if err := progress.PrintDifferences(out, results, m); err != nil {
 			return err
 		}
 	}
 	return failed
 }
 
-type labPlotCmd struct {
+type fleetsimPlotCmd struct {
 	File     string   `arg:"" help:"Results (JSON lines)."`
 	Dir      string   `help:"Folder for the figures and report.html." default:"found/plots" type:"path"`
 	Measures []string `help:"Figures to draw against a sweep's axis." default:"g,worst"`
 }
 
 // Run draws results.
-func (c *labPlotCmd) Run(out output) error {
+func (c *fleetsimPlotCmd) Run(out output) error {
 	results, err := readResults(c.File)
 	if err != nil {
 		return err
 	}
-	return drawAll(out, results, c.Dir, c.Measures)
+	return drawFigures(out, results, c.Dir, c.Measures)
 }
 
-var usualMeasures = []string{"g", "worst", "overdriven"}
+var defaultMeasures = []string{"g", "worst", "overdriven"}
 
-func drawAll(out output, results []*experiment.Result, dir string, names []string) error {
-	measures, err := measuresOf(names)
+func drawFigures(out output, results []*experiment.Result, dir string, names []string) error {
+	measures, err := parseMeasures(names)
 	if err != nil {
 		return err
 	}
@@ -239,10 +239,10 @@
 	return err
 }
 
-func measuresOf(names []string) ([]experiment.Measure, error) {
+func parseMeasures(names []string) ([]experiment.Measure, error) {
 	var all []experiment.Measure
 	for _, n := range names {
-		m, err := experiment.MeasureOf(n)
+		m, err := experiment.MeasureByName(n)
 		if err != nil {
 			return nil, err
 		}
@@ -264,7 +264,7 @@
 	return results, nil
 }
 
-type labReplayCmd struct {
+type fleetsimReplayCmd struct {
 	File   string   `arg:"" help:"Experiment (TOML) or results (JSON lines)."`
 	Policy string   `help:"Policy to play, of an experiment."`
 	Seed   uint64   `help:"Seed to play, of an experiment." default:"1"`
@@ -275,7 +275,7 @@
 }
 
 // Run plays one run again, and says whether a results file's line came out the same.
-func (c *labReplayCmd) Run(out output) error {
+func (c *fleetsimReplayCmd) Run(out output) error {
 	var r experiment.Result
 	var before []byte
 	if strings.HasSuffix(c.File, ".toml") {
@@ -283,14 +283,14 @@
 		if err != nil {
 			return err
 		}
-		r = experiment.Result{World: e.World, Policy: c.Policy, Seed: c.Seed}
+		r = experiment.Result{Scenario: e.Scenario, Policy: c.Policy, Seed: c.Seed}
 		if r.Policy == "" {
 			r.Policy = e.Policies[0]
 		}
 		for _, text := range c.Set {
 			s, err := experiment.ParseSetting(text)
 			if err == nil {
-				err = experiment.Set(&r.World, s)
+				err = experiment.Apply(&r.Scenario, s)
 			}
 			if err != nil {
 				return fmt.Errorf("--set: %w", err)
@@ -310,17 +310,17 @@
 			return fmt.Errorf("lab: %w", err)
 		}
 	}
-	var trace model.Watcher
+	var trace model.Observer
 	if c.Trace != "" {
 		f, err := os.Create(c.Trace)
 		if err != nil {
 			return fmt.Errorf("lab: trace: %w", err)
 		}
 		defer f.Close()
-		trace = &experiment.Tracer{Out: f, Of: c.Of}
+		trace = &experiment.Tracer{Out: f, RequestID: c.Of}
 	}
-	r.Stats, r.Report, r.Error = experiment.Play(&r.World, r.Policy, r.Seed, trace)
-	progress.Verdict(out, &r)
+	r.Stats, r.Report, r.Error = experiment.Simulate(&r.Scenario, r.Policy, r.Seed, trace)
+	progress.PrintResult(out, &r)
 	if before != nil {
 		now, err := json.Marshal(r)
 		if err != nil {
--- a/cmd/pumiceline/lab_test.go
+++ b/cmd/pumiceline/lab_test.go
@@ -32,7 +32,7 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	sweep := labSweepCmd{playing: playing{File: file, Out: results, Jobs: 2, Plots: filepath.Join(dir, "p")}, Measures: []string{"g", "broken"}}
+	sweep := fleetsimSweepCmd{runFlags: runFlags{File: file, Out: results, Jobs: 2, Plots: filepath.Join(dir, "p")}, Measures: []string{"g", "broken"}}
 	if err := sweep.Run(output{&out}); err != nil {
 		t.Fatal(err)
 	}
@@ -40,14 +40,14 @@
 		t.Errorf("table:\n%s", got)
 	}
 	out.Reset()
-	if err := (&labCompareCmd{playing: playing{File: results}, Measures: []string{"g"}}).Run(output{&out}); err != nil {
+	if err := (&fleetsimCompareCmd{runFlags: runFlags{File: results}, Measures: []string{"g"}}).Run(output{&out}); err != nil {
 		t.Fatal(err)
 	}
 	if !regexp.MustCompile(`world.load=0.6 +random +\S+ ±\S+ +-\S+ ±\S+ +`).MatchString(out.String()) {
 		t.Errorf("differences:\n%s", out.String())
 	}
 	out.Reset()
-	if err := (&labPlotCmd{File: results, Dir: filepath.Join(dir, "q"), Measures: []string{"worst"}}).Run(output{&out}); err != nil {
+	if err := (&fleetsimPlotCmd{File: results, Dir: filepath.Join(dir, "q"), Measures: []string{"worst"}}).Run(output{&out}); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"report.html", "sweep-worst.svg", "sweep-worst.png"} {
@@ -57,7 +57,7 @@
 	}
 	trace := filepath.Join(dir, "trace")
 	out.Reset()
-	if err := (&labReplayCmd{File: results, Line: 8, Trace: trace}).Run(output{&out}); err != nil || !strings.Contains(out.String(), "the same, to the byte") {
+	if err := (&fleetsimReplayCmd{File: results, Line: 8, Trace: trace}).Run(output{&out}); err != nil || !strings.Contains(out.String(), "the same, to the byte") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	if text, err := os.ReadFile(trace); err != nil || !strings.Contains(string(text), `"what":"answered"`) {
@@ -68,10 +68,10 @@
 	if err := os.WriteFile(spoilt, regexp.MustCompile(`"g":0\.\d`).ReplaceAll(text, []byte(`"g":0.7`)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := (&labReplayCmd{File: spoilt, Line: 1}).Run(output{&out}); err == nil {
+	if err := (&fleetsimReplayCmd{File: spoilt, Line: 1}).Run(output{&out}); err == nil {
 		t.Error("results that were changed pass for the run's own")
 	}
-	if err := (&labCheckCmd{File: filepath.Join(dir, "none.toml")}).Run(output{&out}); err == nil {
+	if err := (&fleetsimCheckCmd{File: filepath.Join(dir, "none.toml")}).Run(output{&out}); err == nil {
 		t.Error("a missing experiment passes")
 	}
 }
--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -22,7 +22,7 @@
 	Try       tryCmd       `cmd:"" help:"Run the proxy with stand-ins and a gentle load in one process, and show what happens."`
 	Stage     stageCmd     `cmd:"" help:"Run real proxies and stand-ins with faults between them."`
 	Singleton singletonCmd `cmd:"" aliases:"owner" help:"Singleton roles: tasks that one instance of a fleet at a time carries out."`
-	Lab       labCmd       `cmd:"" help:"Try designs in the laboratory: a model of the whole fleet, without sockets."`
+	Lab       fleetsimCmd  `cmd:"" help:"Try designs in the laboratory: a model of the whole fleet, without sockets."`
 }
 
 // output is where commands print; kong passes it to their Run methods.
--- a/internal/fleetsim/checker/attempts.go
+++ b/internal/fleetsim/checker/attempts.go
@@ -9,55 +9,55 @@
 
 // attempt is what the referee saw of one.
 type attempt struct {
-	server uint32
-	zone   uint8
-	cell   uint16
-	sent   Time
-	out    bool
-	mayRun bool
+	server   uint32
+	zone     uint8
+	cell     uint16
+	sentAt   Time
+	inFlight bool
+	mayRun   bool
 }
 
-type push struct {
+type coldArrival struct {
 	at    Time
 	work  float64
 	proxy int32
 }
 
-// sent judges an attempt by rules 1 to 3.
-func (r *Referee) sent(rec *model.Record) {
+// sentAt judges an attempt by rules 1 to 3.
+func (r *Checker) observeAttemptSent(rec *model.Record) {
 	if rec.Flag {
-		r.crossed++
+		r.crossZoneAttempts++
 	}
 	t := r.open[rec.ID]
 	if t == nil || t.answered {
-		r.breach(rec, RuleAnswer, "sent to server %d after its final answer", rec.Server)
+		r.addViolation(rec, RuleAnswerInTime, "sent to server %d after its final answer", rec.Server)
 		return
 	}
 	c := &r.classes[t.class]
 	for i := range t.attempts {
 		a := &t.attempts[i]
-		if a.out && !r.w.Told.Copies {
-			r.breach(rec, RuleEffect, "two attempts out at once, where copies are not allowed")
+		if a.inFlight && !r.scenario.Published.AllowHedging {
+			r.addViolation(rec, RuleRetrySemantics, "two attempts out at once, where copies are not allowed")
 		}
 		if !a.mayRun || c.Semantics == policy.Idempotent {
 			continue
 		}
 		switch {
 		case c.Semantics == policy.NonIdempotent:
-			r.breach(rec, RuleEffect, "an unsafe request sent again though attempt %d may have run", i)
-		case !same(c.DedupScope, a, rec):
-			r.breach(rec, RuleEffect, "a keyed request sent outside the group of attempt %d, which may have run", i)
-		case rec.At-a.sent > c.DedupWindow:
-			r.breach(rec, RuleEffect, "a keyed request sent again %.3f s after attempt %d, past the window of %.3f s", secs(rec.At-a.sent), i,
-				secs(c.DedupWindow))
+			r.addViolation(rec, RuleRetrySemantics, "an unsafe request sent again though attempt %d may have run", i)
+		case !isSameDedupScope(c.DedupScope, a, rec):
+			r.addViolation(rec, RuleRetrySemantics, "a keyed request sent outside the group of attempt %d, which may have run", i)
+		case rec.At-a.sentAt > c.DedupWindow:
+			r.addViolation(rec, RuleRetrySemantics, "a keyed request sent again %.3f s after attempt %d, past the window of %.3f s", seconds(rec.At-a.sentAt), i,
+				seconds(c.DedupWindow))
 		}
 	}
-	t.attempts = append(t.attempts, attempt{server: rec.Server, zone: rec.Zone, cell: rec.Cell, sent: rec.At, out: true, mayRun: true})
-	t.out++
-	r.drained(rec)
+	t.attempts = append(t.attempts, attempt{server: rec.Server, zone: rec.Zone, cell: rec.Cell, sentAt: rec.At, inFlight: true, mayRun: true})
+	t.inFlight++
+	r.checkDrainRule(rec)
 }
 
-func same(g policy.DedupScope, a *attempt, rec *model.Record) bool {
+func isSameDedupScope(g policy.DedupScope, a *attempt, rec *model.Record) bool {
 	switch g {
 	case policy.DedupPerZone:
 		return a.zone == rec.Zone
@@ -67,91 +67,91 @@
 	return true
 }
 
-// drained judges a send by what its proxy was told of the server, or counts as told of.
-func (r *Referee) drained(rec *model.Record) {
+// checkDrainRule judges a send by what its proxy was told of the server, or counts as told of.
+func (r *Checker) checkDrainRule(rec *model.Record) {
 	p := &r.proxies[rec.Proxy]
-	grace := Time(r.w.Told.DrainGrace)
-	if told, ok := p.gone[rec.Server]; ok && rec.At > told+grace {
-		r.breach(rec, RuleDrain, "sent to server %d, %.3f s after the proxy was told that it drains or is gone", rec.Server,
-			secs(rec.At-told))
+	grace := Time(r.scenario.Published.DrainGrace)
+	if told, ok := p.goneSince[rec.Server]; ok && rec.At > told+grace {
+		r.addViolation(rec, RuleDrainingServers, "sent to server %d, %.3f s after the proxy was told that it drains or is gone", rec.Server,
+			seconds(rec.At-told))
 		return
 	}
-	if span := r.deemed(p, rec.At); span > 0 {
-		if known, ok := r.gone[rec.Server]; ok && rec.At > known+span+grace {
-			r.breach(rec, RuleDrain, "sent to server %d, which had been listed as draining or gone for %.3f s while the proxy did not ask",
-				rec.Server, secs(rec.At-known))
+	if span := r.assumedListAge(p, rec.At); span > 0 {
+		if known, ok := r.goneSince[rec.Server]; ok && rec.At > known+span+grace {
+			r.addViolation(rec, RuleDrainingServers, "sent to server %d, which had been listed as draining or gone for %.3f s while the proxy did not ask",
+				rec.Server, seconds(rec.At-known))
 		}
 	}
 }
 
-// deemed is how old a list a proxy counts as told of though it did not ask; 0: it asked, or hears by itself.
-func (r *Referee) deemed(p *proxy, now Time) Time {
-	span := Time(r.w.Told.AskWithin)
-	if p.failed {
+// assumedListAge is how old a list a proxy counts as told of though it did not ask; 0: it asked, or hears by itself.
+func (r *Checker) assumedListAge(p *proxyState, now Time) Time {
+	span := Time(r.scenario.Published.SubscribeWithin)
+	if p.lastCallFailed {
 		span *= 4
 	}
-	if p.watching || now-p.asked <= span {
+	if p.watching || now-p.lastContact <= span {
 		return 0
 	}
 	return span
 }
 
-func (r *Referee) proven(rec *model.Record) {
+func (r *Checker) observeAttemptEnded(rec *model.Record) {
 	t := r.open[rec.ID]
 	if t == nil || int(rec.Attempt) >= len(t.attempts) {
 		return
 	}
 	a := &t.attempts[rec.Attempt]
-	a.out = false
-	t.out--
+	a.inFlight = false
+	t.inFlight--
 	switch rec.Outcome {
 	case policy.Rejected, policy.ConnectFailed, policy.NotSent:
 		a.mayRun = false
 	}
-	r.drop(rec.ID, t)
+	r.releaseIfDone(rec.ID, t)
 }
 
-// reached adds up what comes to a cold server from all proxies.
-func (r *Referee) reached(rec *model.Record) {
-	c := r.colds[rec.Server]
+// observeColdArrival adds up what comes to a cold server from all proxies.
+func (r *Checker) observeColdArrival(rec *model.Record) {
+	c := r.coldServers[rec.Server]
 	if c == nil {
 		return
 	}
-	over := Time(r.w.Tip.Over)
-	for c.head < len(c.pushes) && c.pushes[c.head].at <= rec.At-over {
-		c.sum -= c.pushes[c.head].work
+	over := Time(r.scenario.Overload.Window)
+	for c.head < len(c.arrivals) && c.arrivals[c.head].at <= rec.At-over {
+		c.work -= c.arrivals[c.head].work
 		c.head++
 	}
-	if c.head > 64 && 2*c.head > len(c.pushes) {
-		c.pushes = append(c.pushes[:0], c.pushes[c.head:]...)
+	if c.head > 64 && 2*c.head > len(c.arrivals) {
+		c.arrivals = append(c.arrivals[:0], c.arrivals[c.head:]...)
 		c.head = 0
 	}
-	c.pushes = append(c.pushes, push{rec.At, float64(rec.Work), rec.Proxy})
-	c.sum += float64(rec.Work)
+	c.arrivals = append(c.arrivals, coldArrival{rec.At, float64(rec.Work), rec.Proxy})
+	c.work += float64(rec.Work)
 	able := rec.Capacity * float64(over)
-	r.rep.ColdPeak = max(r.rep.ColdPeak, c.sum/(able+r.w.Tip.Slack*r.mean/r.w.Told.TipMultiple))
-	past := c.sum > r.w.Told.TipMultiple*able+r.w.Tip.Slack*r.mean
-	if past && !c.over {
-		r.rep.Overdriven++
+	r.report.PeakColdLoad = max(r.report.PeakColdLoad, c.work/(able+r.scenario.Overload.SlackRequests*r.meanWork/r.scenario.Published.OverloadFactor))
+	past := c.work > r.scenario.Published.OverloadFactor*able+r.scenario.Overload.SlackRequests*r.meanWork
+	if past && !c.isOverBound {
+		r.report.ColdBoundExceeded++
 	}
-	c.over = past
+	c.isOverBound = past
 }
 
-// fell judges who pushed a cold server over: the rule is broken if two thirds of the work came from proxies that
+// checkColdRule judges who pushed a cold server over: the rule is broken if two thirds of the work came from proxies that
 // knew of its start or should have.
-func (r *Referee) fell(rec *model.Record) {
-	r.rep.Fallen++
-	c := r.colds[rec.Server]
+func (r *Checker) checkColdRule(rec *model.Record) {
+	r.report.ColdOverloads++
+	c := r.coldServers[rec.Server]
 	if c == nil {
 		return
 	}
 	total, blamed := 0.0, 0.0
 	var last int32
-	for _, p := range c.pushes[c.head:] {
+	for _, p := range c.arrivals[c.head:] {
 		total += p.work
-		told := r.proxies[p.proxy].starts[rec.Server] >= c.started
-		if span := r.deemed(&r.proxies[p.proxy], rec.At); !told && span > 0 {
-			told = r.starts[rec.Server] >= c.started && rec.At > r.heard[rec.Server]+span
+		told := r.proxies[p.proxy].knownStart[rec.Server] >= c.started
+		if span := r.assumedListAge(&r.proxies[p.proxy], rec.At); !told && span > 0 {
+			told = r.listedStart[rec.Server] >= c.started && rec.At > r.startListedAt[rec.Server]+span
 		}
 		if told {
 			blamed += p.work
@@ -160,21 +160,21 @@
 	}
 	if total > 0 && blamed >= 2.0/3*total {
 		rec.Proxy = last
-		r.breach(rec, RuleCold, "cold server %d fell over, %.1f s after its start, under %.2f s of work within %.2f s, %.0f%% of it from proxies that knew",
-			rec.Server, secs(rec.At-c.started), total/1e6, secs(Time(r.w.Tip.Over)), 100*blamed/total)
+		r.addViolation(rec, RuleColdServers, "cold server %d fell over, %.1f s after its start, under %.2f s of work within %.2f s, %.0f%% of it from proxies that knew",
+			rec.Server, seconds(rec.At-c.started), total/1e6, seconds(Time(r.scenario.Overload.Window)), 100*blamed/total)
 	}
-	delete(r.colds, rec.Server)
+	delete(r.coldServers, rec.Server)
 }
 
-func (r *Referee) twice(rec *model.Record) {
-	r.rep.Twice++
-	if len(r.rep.TwiceCauses) >= mostKept {
+func (r *Checker) observeEffectRepeated(rec *model.Record) {
+	r.report.RepeatedEffects++
+	if len(r.report.RepeatedEffectCauses) >= maxViolationsKept {
 		return
 	}
 	cause := "its proxy sent it again"
-	if c := r.calls[rec.Call]; c == nil || c.tries > 1 {
+	if c := r.clientRequests[rec.Request]; c == nil || c.attempts > 1 {
 		cause = "its client asked again while an earlier copy ran or may have run"
 	}
-	r.rep.TwiceCauses = append(r.rep.TwiceCauses, Breach{At: rec.At, Server: rec.Server, ID: rec.ID,
-		Cause: fmt.Sprintf("call %d had its effect again after %.3f s: %s", rec.Call, secs(rec.Span), cause)})
+	r.report.RepeatedEffectCauses = append(r.report.RepeatedEffectCauses, Violation{At: rec.At, Server: rec.Server, ID: rec.ID,
+		Cause: fmt.Sprintf("call %d had its effect again after %.3f s: %s", rec.Request, seconds(rec.Span), cause)})
 }
--- a/internal/fleetsim/checker/calls.go
+++ b/internal/fleetsim/checker/calls.go
@@ -7,17 +7,17 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-type call struct {
-	made   Time
-	aim    Time
-	worth  float64
-	class  uint8
-	tenant uint16
-	within bool // its tenant's share
-	tries  int
+type clientRequest struct {
+	startedAt     Time
+	latencyTarget Time
+	value         float64
+	class         uint8
+	tenant        uint16
+	withinQuota   bool // its tenant's share
+	attempts      int
 }
 
-func (r *Referee) answered(rec *model.Record) {
+func (r *Checker) observeAnswer(rec *model.Record) {
 	t := r.open[rec.ID]
 	if t == nil || t.answered {
 		return // the model lets only the first one through
@@ -25,99 +25,99 @@
 	t.answered = true
 	switch rec.Outcome {
 	case policy.OK:
-		r.rep.Answers.Served++
+		r.report.Answers.Served++
 	case policy.Rejected:
-		r.rep.Answers.Refused++
+		r.report.Answers.Refused++
 		c := &r.classes[t.class]
 		for i := range t.attempts {
 			if a := &t.attempts[i]; a.mayRun && (c.Semantics == policy.NonIdempotent || c.Semantics == policy.Deduplicated && c.DedupScope != policy.DedupEverywhere) {
-				r.breach(rec, RuleEffect, "refused as harmless to repeat though attempt %d may have run", i)
+				r.addViolation(rec, RuleRetrySemantics, "refused as harmless to repeat though attempt %d may have run", i)
 				break
 			}
 		}
 	default:
-		r.rep.Answers.Failed++
+		r.report.Answers.Failed++
 	}
-	r.drop(rec.ID, t)
+	r.releaseIfDone(rec.ID, t)
 }
 
-func (r *Referee) callMade(rec *model.Record) {
-	var c *call
-	if n := len(r.free) - 1; n >= 0 {
-		c = r.free[n]
-		r.free = r.free[:n]
+func (r *Checker) observeRequestStarted(rec *model.Record) {
+	var c *clientRequest
+	if n := len(r.freeClientRequests) - 1; n >= 0 {
+		c = r.freeClientRequests[n]
+		r.freeClientRequests = r.freeClientRequests[:n]
 	} else {
-		c = &call{}
+		c = &clientRequest{}
 	}
-	*c = call{made: rec.At, aim: r.classes[rec.Class].LatencyTarget, worth: rec.Worth, class: rec.Class, tenant: rec.Tenant, within: true}
-	if dt := float64(rec.At - r.tokensAt); dt > 0 && len(r.tokens) > 0 {
-		r.tokensAt = rec.At
+	*c = clientRequest{startedAt: rec.At, latencyTarget: r.classes[rec.Class].LatencyTarget, value: rec.Value, class: rec.Class, tenant: rec.Tenant, withinQuota: true}
+	if dt := float64(rec.At - r.quotaTokensAt); dt > 0 && len(r.quotaTokens) > 0 {
+		r.quotaTokensAt = rec.At
 		for i, q := range r.quota {
-			r.tokens[i] = min(max(1, q*second), r.tokens[i]+q*dt)
+			r.quotaTokens[i] = min(max(1, q*microsPerSecond), r.quotaTokens[i]+q*dt)
 		}
 	}
-	if int(rec.Tenant) < len(r.tokens) {
-		if r.tokens[rec.Tenant] >= 1 {
-			r.tokens[rec.Tenant]--
+	if int(rec.Tenant) < len(r.quotaTokens) {
+		if r.quotaTokens[rec.Tenant] >= 1 {
+			r.quotaTokens[rec.Tenant]--
 		} else {
-			c.within = false
-			c.worth *= r.w.Clients.OverShare
+			c.withinQuota = false
+			c.value *= r.scenario.Clients.OverQuotaValue
 		}
 	}
-	r.calls[rec.Call] = c
-	r.firsts++
-	r.work += float64(rec.Work)
+	r.clientRequests[rec.Request] = c
+	r.requests++
+	r.requestedWork += float64(rec.Work)
 }
 
-func (r *Referee) callOver(rec *model.Record) {
-	c := r.calls[rec.Call]
+func (r *Checker) observeRequestEnded(rec *model.Record) {
+	c := r.clientRequests[rec.Request]
 	if c == nil {
 		return
 	}
-	delete(r.calls, rec.Call)
-	r.free = append(r.free, c)
+	delete(r.clientRequests, rec.Request)
+	r.freeClientRequests = append(r.freeClientRequests, c)
 	worth := 0.0
 	switch {
-	case rec.Flag && rec.Span <= c.aim:
-		worth = c.worth
-		r.rep.InTime++
+	case rec.Flag && rec.Span <= c.latencyTarget:
+		worth = c.value
+		r.report.InTime++
 	case rec.Flag:
-		worth = c.worth * r.w.Classes[c.class].Late
-		r.rep.Late++
+		worth = c.value * r.scenario.Classes[c.class].LateValueShare
+		r.report.Late++
 	default:
-		r.rep.Unserved++
+		r.report.Unserved++
 	}
 	if rec.Flag {
-		r.hist[c.class].RecordValue(max(1, rec.Span)) // an error would say that a call took longer than a minute
+		r.latencies[c.class].RecordValue(max(1, rec.Span)) // an error would say that a call took longer than a minute
 	}
-	if c.made < second {
+	if c.startedAt < microsPerSecond {
 		return
 	}
-	if !rec.Flag && rec.Span > c.aim {
-		r.lateFail += c.worth
+	if !rec.Flag && rec.Span > c.latencyTarget {
+		r.lateFail += c.value
 	}
-	for s := int(c.made / second); s >= len(r.asked); {
-		r.asked, r.got = append(r.asked, 0), append(r.got, 0)
+	for s := int(c.startedAt / microsPerSecond); s >= len(r.valueOffered); {
+		r.valueOffered, r.valueServed = append(r.valueOffered, 0), append(r.valueServed, 0)
 	}
-	r.asked[c.made/second] += c.worth
-	r.got[c.made/second] += worth
-	r.class[c.class][0] += c.worth
-	r.class[c.class][1] += worth
-	if int(c.tenant) < len(r.tenant) && c.within {
-		r.tenant[c.tenant][0] += c.worth
-		r.tenant[c.tenant][1] += worth
+	r.valueOffered[c.startedAt/microsPerSecond] += c.value
+	r.valueServed[c.startedAt/microsPerSecond] += worth
+	r.valueByClass[c.class][0] += c.value
+	r.valueByClass[c.class][1] += worth
+	if int(c.tenant) < len(r.valueByTenant) && c.withinQuota {
+		r.valueByTenant[c.tenant][0] += c.value
+		r.valueByTenant[c.tenant][1] += worth
 	}
 }
 
-// bandsAt are the quantiles of the servers' use that a Sample keeps.
-var bandsAt = []float64{0.05, 0.25, 0.5, 0.75, 0.95, 1}
+// loadQuantiles are the quantiles of the servers' use that a Sample keeps.
+var loadQuantiles = []float64{0.05, 0.25, 0.5, 0.75, 0.95, 1}
 
-func (r *Referee) sample(rec *model.Record) {
-	band := make([]float64, len(bandsAt))
+func (r *Checker) observeLoad(rec *model.Record) {
+	band := make([]float64, len(loadQuantiles))
 	if n := len(rec.Load); n > 0 {
-		for i, q := range bandsAt {
+		for i, q := range loadQuantiles {
 			band[i] = math.Round(rec.Load[min(n-1, int(q*float64(n)))]*1000) / 1000
 		}
 	}
-	r.rep.Bands = append(r.rep.Bands, band)
+	r.report.LoadBands = append(r.report.LoadBands, band)
 }
--- a/internal/fleetsim/checker/checker.go
+++ b/internal/fleetsim/checker/checker.go
@@ -16,227 +16,227 @@
 
 // The four rules, as the wire's page numbers them.
 const (
-	RuleAnswer = 1 // each request taken gets one final answer in time, and nothing is sent for it after
-	RuleEffect = 2 // a request that may have run is sent again, or refused, only as its class allows
-	RuleDrain  = 3 // nothing new to a server DrainGrace after the proxy was told that it drains or is gone
-	RuleCold   = 4 // the sum of all proxies pushes no cold server over
+	RuleAnswerInTime    = 1 // each request taken gets one final answer in time, and nothing is sent for it after
+	RuleRetrySemantics  = 2 // a request that may have run is sent again, or refused, only as its class allows
+	RuleDrainingServers = 3 // nothing new to a server DrainGrace after the proxy was told that it drains or is gone
+	RuleColdServers     = 4 // the sum of all proxies pushes no cold server over
 )
 
-// goal weighs the parts of service, as the operators' brief does: the whole run, the worst ten seconds, the
+// goalWeights weighs the parts of service, as the operators' brief does: the whole run, the worst ten seconds, the
 // worst-served class, the worst-served tenant within its share.
-var goal = struct{ whole, window, class, tenant float64 }{0.25, 0.45, 0.2, 0.1}
+var goalWeights = struct{ whole, window, class, tenant float64 }{0.25, 0.45, 0.2, 0.1}
 
 const (
-	second     = 1_000_000
-	windowSecs = 10
-	soldShare  = 0.8 // of the fleet's capacity, as tenants' shares
+	microsPerSecond    = 1_000_000
+	worstWindowSeconds = 10
+	quotaOfCapacity    = 0.8 // of the fleet's capacity, as tenants' shares
 )
 
-// taken is a request that a proxy has.
-type taken struct {
-	proxy    int32
-	class    uint8
-	call     uint64
-	answered bool
-	out      int
-	attempts []attempt
+// proxyRequest is a request that a proxy has.
+type proxyRequest struct {
+	proxy         int32
+	class         uint8
+	clientRequest uint64
+	answered      bool
+	inFlight      int
+	attempts      []attempt
 }
 
-// proxy is what one proxy has been told.
-type proxy struct {
-	gone     map[uint32]Time // when it was told that the server drains or is gone
-	starts   map[uint32]Time // the latest start of a server that it was told of
-	watching bool
-	asked    Time
-	failed   bool // the last call
-	began    Time
-	had      bool // a watch since then
+// proxyState is what one proxy has been told.
+type proxyState struct {
+	goneSince      map[uint32]Time // when it was told that the server drains or is gone
+	knownStart     map[uint32]Time // the latest start of a server that it was told of
+	watching       bool
+	lastContact    Time
+	lastCallFailed bool // the last call
+	startedAt      Time
+	hasWatched     bool // a watch since then
 }
 
-// cold is a server that has started lately.
-type cold struct {
-	started Time
-	pushes  []push
-	head    int
-	sum     float64
-	over    bool
+// coldServer is a server that has started lately.
+type coldServer struct {
+	started     Time
+	arrivals    []coldArrival
+	head        int
+	work        float64
+	isOverBound bool
 }
 
-// Referee watches one play. Create it with New, hand it to model.Play, then ask for its Report.
-type Referee struct {
-	w        *model.World
-	classes  []policy.Class
-	mean     float64 // work of a request, in microseconds
-	open     map[uint64]*taken
-	spare    []*taken
-	calls    map[uint64]*call
-	free     []*call
-	proxies  []proxy
-	gone     map[uint32]Time // since when discovery has known
-	starts   map[uint32]Time // of which discovery knows, and since when
-	heard    map[uint32]Time
-	colds    map[uint32]*cold
-	tokens   []float64
-	tokensAt Time
-	quota    []float64 // requests a microsecond
+// Checker watches one play. Create it with New, hand it to model.Play, then ask for its Report.
+type Checker struct {
+	scenario           *model.Scenario
+	classes            []policy.Class
+	meanWork           float64 // work of a request, in microseconds
+	open               map[uint64]*proxyRequest
+	freeRequests       []*proxyRequest
+	clientRequests     map[uint64]*clientRequest
+	freeClientRequests []*clientRequest
+	proxies            []proxyState
+	goneSince          map[uint32]Time // since when discovery has known
+	listedStart        map[uint32]Time // of which discovery knows, and since when
+	startListedAt      map[uint32]Time
+	coldServers        map[uint32]*coldServer
+	quotaTokens        []float64
+	quotaTokensAt      Time
+	quota              []float64 // requests a microsecond
 
-	rep            Report
-	beginnings     int       // starts of proxies
-	waits          []Time    // from a start to its first watch
-	askedIn        []int     // calls to discovery, by second
-	asked          []float64 // worth, by second
-	got            []float64
-	class          [][2]float64
-	tenant         [][2]float64
-	lateFail       float64
-	firsts         float64
-	work           float64
-	waste          float64
-	crossed        float64
-	opened, probes float64
-	peer           float64
-	hist           []*hdrhistogram.Histogram
+	report                    Report
+	proxyStarts               int       // starts of proxies
+	subscribeTimes            []Time    // from a start to its first watch
+	discoveryCalls            []int     // calls to discovery, by second
+	valueOffered              []float64 // worth, by second
+	valueServed               []float64
+	valueByClass              [][2]float64
+	valueByTenant             [][2]float64
+	lateFail                  float64
+	requests                  float64
+	requestedWork             float64
+	wastedWork                float64
+	crossZoneAttempts         float64
+	connectionsOpened, probes float64
+	messageBytes              float64
+	latencies                 []*hdrhistogram.Histogram
 }
 
 // New makes the referee of one play of w.
-func New(w *model.World) *Referee {
-	r := &Referee{w: w, open: map[uint64]*taken{}, calls: map[uint64]*call{}, gone: map[uint32]Time{}, starts: map[uint32]Time{},
-		heard: map[uint32]Time{}, colds: map[uint32]*cold{}, proxies: make([]proxy, w.Proxies), classes: w.DecideClasses()}
+func New(w *model.Scenario) *Checker {
+	r := &Checker{scenario: w, open: map[uint64]*proxyRequest{}, clientRequests: map[uint64]*clientRequest{}, goneSince: map[uint32]Time{}, listedStart: map[uint32]Time{},
+		startListedAt: map[uint32]Time{}, coldServers: map[uint32]*coldServer{}, proxies: make([]proxyState, w.Proxies), classes: w.PolicyClasses()}
 	share := 0.0
 	for _, c := range w.Classes {
-		r.mean, share = r.mean+c.Share*float64(c.Work), share+c.Share
-		r.hist = append(r.hist, hdrhistogram.New(1, 60_000_000, 3))
+		r.meanWork, share = r.meanWork+c.Share*float64(c.Work), share+c.Share
+		r.latencies = append(r.latencies, hdrhistogram.New(1, 60_000_000, 3))
 	}
-	r.mean /= math.Max(share, 1e-9)
-	r.class = make([][2]float64, len(w.Classes))
-	r.tenant = make([][2]float64, len(w.Tenants))
-	r.tokens = make([]float64, len(w.Tenants))
+	r.meanWork /= math.Max(share, 1e-9)
+	r.valueByClass = make([][2]float64, len(w.Classes))
+	r.valueByTenant = make([][2]float64, len(w.Tenants))
+	r.quotaTokens = make([]float64, len(w.Tenants))
 	return r
 }
 
 // See takes what passed.
-func (r *Referee) See(rec *model.Record) {
+func (r *Checker) Observe(rec *model.Record) {
 	switch rec.Kind {
-	case model.Opening: // tenants' shares are parts of what the fleet can do
-		for i, t := range r.w.Tenants {
-			r.quota = append(r.quota, t.Share*rec.Capacity*soldShare/1e6)
-			r.tokens[i] = r.quota[i] * second
+	case model.SimulationStarted: // tenants' shares are parts of what the fleet can do
+		for i, t := range r.scenario.Tenants {
+			r.quota = append(r.quota, t.QuotaShare*rec.Capacity*quotaOfCapacity/1e6)
+			r.quotaTokens[i] = r.quota[i] * microsPerSecond
 		}
-	case model.CallMade:
-		r.callMade(rec)
-	case model.CallOver:
-		r.callOver(rec)
-	case model.Taken:
-		t := r.grab()
-		t.proxy, t.class, t.call = rec.Proxy, rec.Class, rec.Call
+	case model.RequestStarted:
+		r.observeRequestStarted(rec)
+	case model.RequestEnded:
+		r.observeRequestEnded(rec)
+	case model.RequestReceived:
+		t := r.newProxyRequest()
+		t.proxy, t.class, t.clientRequest = rec.Proxy, rec.Class, rec.Request
 		r.open[rec.ID] = t
-		if c := r.calls[rec.Call]; c != nil {
-			c.tries++
+		if c := r.clientRequests[rec.Request]; c != nil {
+			c.attempts++
 		}
-	case model.Sent:
-		r.sent(rec)
-	case model.Opened:
-		r.opened++
-	case model.Probed:
+	case model.AttemptSent:
+		r.observeAttemptSent(rec)
+	case model.ConnectionOpened:
+		r.connectionsOpened++
+	case model.ServerProbed:
 		r.probes++
-	case model.Proven:
-		r.proven(rec)
-	case model.Answered:
-		r.answered(rec)
-	case model.Overdue:
-		r.breach(rec, RuleAnswer, "no final answer within the slack after its client's deadline")
+	case model.AttemptEnded:
+		r.observeAttemptEnded(rec)
+	case model.RequestAnswered:
+		r.observeAnswer(rec)
+	case model.ResponseOverdue:
+		r.addViolation(rec, RuleAnswerInTime, "no final answer within the slack after its client's deadline")
 		if t := r.open[rec.ID]; t != nil {
 			t.answered = true
-			r.drop(rec.ID, t)
+			r.releaseIfDone(rec.ID, t)
 		}
-	case model.Ran:
+	case model.AttemptExecuted:
 		if !rec.Flag {
-			r.waste += float64(rec.Work)
+			r.wastedWork += float64(rec.Work)
 		}
-	case model.Reached:
-		r.reached(rec)
-	case model.Started:
-		r.colds[rec.Server] = &cold{started: rec.At}
-		r.rep.ColdStarts++
-	case model.Fell:
-		r.fell(rec)
-	case model.Listed:
+	case model.ColdServerReached:
+		r.observeColdArrival(rec)
+	case model.ServerStarted:
+		r.coldServers[rec.Server] = &coldServer{started: rec.At}
+		r.report.ColdStarts++
+	case model.ServerOverloaded:
+		r.checkColdRule(rec)
+	case model.DiscoveryUpdated:
 		for i := range rec.Members {
 			m := &rec.Members[i]
 			if m.Mode == policy.ModeReady {
-				delete(r.gone, m.Server)
-				r.starts[m.Server], r.heard[m.Server] = m.StartedAt, rec.At
-			} else if _, known := r.gone[m.Server]; !known {
-				r.gone[m.Server] = rec.At
+				delete(r.goneSince, m.Server)
+				r.listedStart[m.Server], r.startListedAt[m.Server] = m.StartedAt, rec.At
+			} else if _, known := r.goneSince[m.Server]; !known {
+				r.goneSince[m.Server] = rec.At
 			}
 		}
-	case model.ProxyUp:
-		r.proxies[rec.Proxy] = proxy{gone: map[uint32]Time{}, starts: map[uint32]Time{}, asked: rec.At, began: rec.At}
-		r.beginnings++
-		r.informed(rec)
-	case model.Informed:
-		r.informed(rec)
-	case model.Asked:
+	case model.ProxyStarted:
+		r.proxies[rec.Proxy] = proxyState{goneSince: map[uint32]Time{}, knownStart: map[uint32]Time{}, lastContact: rec.At, startedAt: rec.At}
+		r.proxyStarts++
+		r.observeMembership(rec)
+	case model.ProxyNotified:
+		r.observeMembership(rec)
+	case model.DiscoveryCalled:
 		p := &r.proxies[rec.Proxy]
-		p.asked = rec.At
+		p.lastContact = rec.At
 		if rec.Flag {
-			if p.watching, p.failed = true, false; !p.had {
-				p.had = true
-				r.waits = append(r.waits, rec.At-p.began)
+			if p.watching, p.lastCallFailed = true, false; !p.hasWatched {
+				p.hasWatched = true
+				r.subscribeTimes = append(r.subscribeTimes, rec.At-p.startedAt)
 			}
 		} else {
-			r.rep.Asks++
-			for int(rec.At/1e6) >= len(r.askedIn) {
-				r.askedIn = append(r.askedIn, 0)
+			r.report.DiscoveryCalls++
+			for int(rec.At/1e6) >= len(r.discoveryCalls) {
+				r.discoveryCalls = append(r.discoveryCalls, 0)
 			}
-			r.askedIn[rec.At/1e6]++
+			r.discoveryCalls[rec.At/1e6]++
 		}
-	case model.Unwatched:
+	case model.WatchLost:
 		p := &r.proxies[rec.Proxy]
 		if p.watching {
-			p.asked = rec.At // till now it heard all
+			p.lastContact = rec.At // till now it heard all
 		}
-		if p.watching, p.failed = false, rec.Flag; rec.Flag {
-			r.rep.AsksFailed++
+		if p.watching, p.lastCallFailed = false, rec.Flag; rec.Flag {
+			r.report.DiscoveryCallsFailed++
 		}
-	case model.ProxyDown:
+	case model.ProxyStopped:
 		for id, t := range r.open {
 			if t.proxy == rec.Proxy { // what dies with its proxy is its client's to repeat
 				delete(r.open, id)
-				r.spare = append(r.spare, t)
+				r.freeRequests = append(r.freeRequests, t)
 			}
 		}
-	case model.PeerSent:
-		r.peer += float64(rec.Span)
-	case model.Twice:
-		r.twice(rec)
-	case model.Sample:
-		r.sample(rec)
+	case model.MessageDelivered:
+		r.messageBytes += float64(rec.Span)
+	case model.EffectRepeated:
+		r.observeEffectRepeated(rec)
+	case model.LoadSampled:
+		r.observeLoad(rec)
 	}
 }
 
-func (r *Referee) grab() *taken {
-	if n := len(r.spare) - 1; n >= 0 {
-		t := r.spare[n]
-		r.spare = r.spare[:n]
-		*t = taken{attempts: t.attempts[:0]}
+func (r *Checker) newProxyRequest() *proxyRequest {
+	if n := len(r.freeRequests) - 1; n >= 0 {
+		t := r.freeRequests[n]
+		r.freeRequests = r.freeRequests[:n]
+		*t = proxyRequest{attempts: t.attempts[:0]}
 		return t
 	}
-	return &taken{}
+	return &proxyRequest{}
 }
 
-// drop forgets a request that is answered and has nothing out: whatever is sent for it then is a breach.
-func (r *Referee) drop(id uint64, t *taken) {
-	if t.answered && t.out == 0 {
+// releaseIfDone forgets a request that is answered and has nothing out: whatever is sent for it then is a breach.
+func (r *Checker) releaseIfDone(id uint64, t *proxyRequest) {
+	if t.answered && t.inFlight == 0 {
 		delete(r.open, id)
-		r.spare = append(r.spare, t)
+		r.freeRequests = append(r.freeRequests, t)
 	}
 }
 
-func secs(t Time) float64 { return float64(t) / 1e6 }
+func seconds(t Time) float64 { return float64(t) / 1e6 }
 
-// informed takes what a proxy is told.
-func (r *Referee) informed(rec *model.Record) {
+// observeMembership takes what a proxy is told.
+func (r *Checker) observeMembership(rec *model.Record) {
 	p := &r.proxies[rec.Proxy]
 	whole := rec.Flag
 	var listed map[uint32]bool
@@ -249,18 +249,18 @@
 			listed[m.Server] = true
 		}
 		if m.Mode == policy.ModeReady {
-			delete(p.gone, m.Server)
+			delete(p.goneSince, m.Server)
 			if m.StartedAt > 0 {
-				p.starts[m.Server] = m.StartedAt
+				p.knownStart[m.Server] = m.StartedAt
 			}
-		} else if _, known := p.gone[m.Server]; !known {
-			p.gone[m.Server] = rec.At
+		} else if _, known := p.goneSince[m.Server]; !known {
+			p.goneSince[m.Server] = rec.At
 		}
 	}
 	if whole { // what a whole list leaves out is gone
-		for s := range r.gone {
-			if _, known := p.gone[s]; !known && !listed[s] {
-				p.gone[s] = rec.At
+		for s := range r.goneSince {
+			if _, known := p.goneSince[s]; !known && !listed[s] {
+				p.goneSince[s] = rec.At
 			}
 		}
 	}
--- a/internal/fleetsim/checker/rules_test.go
+++ b/internal/fleetsim/checker/rules_test.go
@@ -42,23 +42,23 @@
 
 // world is a small and exact one: one proxy, no jitter, no noise, no ticks; four servers of one core in two zones, two
 // cells to a zone; one class, whose requests take 100 ms.
-func world(effect, group string) model.World {
-	w := model.Quotes()
-	w.Length, w.Tick, w.Servers, w.Proxies, w.Zones, w.Cell = 8*sec, 0, 4, 1, 2, 1
-	w.Load, w.Swing, w.Skew, w.Spread, w.Hint = 0.2, 0, 0, 0, 0
-	w.Kinds = []model.Kind{{Name: "one", Share: 1, Cores: 1, Speed: 1, Slots: 1000, ColdFrom: 0.5, ColdFor: 3600 * sec}}
-	w.Classes = []model.Class{{Name: "c", Share: 1, Work: 100 * ms, Aim: 5 * sec, Deadline: 20 * sec, Worth: 1, Effect: effect,
-		Group: group, Window: 3 * sec}}
-	w.Tenants, w.Net.Jitter, w.Clients.Patience, w.Clients.Retries = nil, 0, 1, 0
-	w.Conn.Work, w.Tip.Slack, w.Told.Cold, w.Discovery.Spread = 0, 0, 3600*sec, 0
+func world(effect, group string) model.Scenario {
+	w := model.DefaultScenario()
+	w.Duration, w.Tick, w.Servers, w.Proxies, w.Zones, w.CellSize = 8*sec, 0, 4, 1, 2, 1
+	w.Load, w.WaveAmplitude, w.ZoneSkew, w.Spread, w.WorkHintCV = 0.2, 0, 0, 0, 0
+	w.InstanceTypes = []model.InstanceType{{Name: "one", Share: 1, Cores: 1, Speed: 1, Slots: 1000, InitialCapacity: 0.5, WarmupTime: 3600 * sec}}
+	w.Classes = []model.Class{{Name: "c", Share: 1, Work: 100 * ms, LatencyTarget: 5 * sec, Deadline: 20 * sec, Value: 1, Semantics: effect,
+		DedupScope: group, DedupWindow: 3 * sec}}
+	w.Tenants, w.Network.Jitter, w.Clients.AttemptTimeoutShare, w.Clients.Retries = nil, 0, 1, 0
+	w.Connections.HandshakeWork, w.Overload.SlackRequests, w.Published.WarmupTime, w.Discovery.NotifyJitter = 0, 0, 3600*sec, 0
 	return w
 }
 
 // play plays w with one script and returns the verdict.
-func play(t *testing.T, w model.World, on func(s *scripted, ev *policy.Event)) *checker.Report {
+func play(t *testing.T, w model.Scenario, on func(s *scripted, ev *policy.Event)) *checker.Report {
 	t.Helper()
 	ref := checker.New(&w)
-	if _, err := model.Play(&w, 1, func(policy.Settings, uint64, *model.Truth) (model.Node, error) {
+	if _, err := model.Run(&w, 1, func(policy.Settings, uint64, *model.Oracle) (model.Node, error) {
 		return &scripted{on: on}, nil
 	}, ref); err != nil {
 		t.Fatal(err)
@@ -75,15 +75,15 @@
 func judge(t *testing.T, rep *checker.Report, rule int, at model.Time, cause string) {
 	t.Helper()
 	switch {
-	case rule == 0 && !rep.Kept():
-		t.Errorf("a decider that stays within is blamed: %v", rep.Breaches)
+	case rule == 0 && !rep.HasNoViolations():
+		t.Errorf("a decider that stays within is blamed: %v", rep.Violations)
 	case rule == 0:
-	case len(rep.Breaches) != 1 || rep.Broken[rule-1] != 1:
-		t.Errorf("want one breach of rule %d, have %v", rule, rep.Breaches)
-	case at != 0 && rep.Breaches[0].At != at:
-		t.Errorf("breach at %d, want %d: %v", rep.Breaches[0].At, at, rep.Breaches[0])
-	case !strings.Contains(rep.Breaches[0].Cause, cause):
-		t.Errorf("breach for %q, want %q", rep.Breaches[0].Cause, cause)
+	case len(rep.Violations) != 1 || rep.ViolationCounts[rule-1] != 1:
+		t.Errorf("want one breach of rule %d, have %v", rule, rep.Violations)
+	case at != 0 && rep.Violations[0].At != at:
+		t.Errorf("breach at %d, want %d: %v", rep.Violations[0].At, at, rep.Violations[0])
+	case !strings.Contains(rep.Violations[0].Cause, cause):
+		t.Errorf("breach for %q, want %q", rep.Violations[0].Cause, cause)
 	}
 }
 
@@ -112,14 +112,14 @@
 		rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
 			if ev.Kind == policy.RequestArrived {
 				id := ev.ID
-				due = s.now + ev.ClientTimeout + model.Time(w.Told.AnswerSlack) + late
+				due = s.now + ev.ClientTimeout + model.Time(w.Published.ResponseGrace) + late
 				s.at(due, func() { s.do(policy.Action{Kind: policy.FailRequest, ID: id}) })
 			}
 		}))
 		if late == 0 {
 			judge(t, rep, 0, 0, "")
 		} else {
-			judge(t, rep, checker.RuleAnswer, due, "no final answer")
+			judge(t, rep, checker.RuleAnswerInTime, due, "no final answer")
 		}
 	}
 }
@@ -138,7 +138,7 @@
 			s.at(when, func() { s.send(id, server) })
 		}
 	}))
-	judge(t, rep, checker.RuleAnswer, when, "after its final answer")
+	judge(t, rep, checker.RuleAnswerInTime, when, "after its final answer")
 }
 
 // TestRuleOnEffectsBothSides lets a first attempt be given up, so that it may have run, and sends a second one.
@@ -162,7 +162,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := world(c.effect, c.group)
-			w.Troubles = []model.Trouble{{Kind: "hang", For: 60 * sec, Part: 1}}
+			w.Faults = []model.Fault{{Kind: "hang", Duration: 60 * sec, AffectedShare: 1}}
 			var servers []uint32
 			var when model.Time
 			rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
@@ -203,9 +203,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := world(c.effect, c.group)
 			if c.proves {
-				w.Troubles = []model.Trouble{{Kind: "cut", For: 60 * sec, From: "proxies", To: "servers"}}
+				w.Faults = []model.Fault{{Kind: "cut", Duration: 60 * sec, From: "proxies", To: "servers"}}
 			} else {
-				w.Troubles = []model.Trouble{{Kind: "hang", For: 60 * sec, Part: 1}}
+				w.Faults = []model.Fault{{Kind: "hang", Duration: 60 * sec, AffectedShare: 1}}
 			}
 			var server uint32
 			var when model.Time
@@ -228,7 +228,7 @@
 func TestSecondCopiesBothSides(t *testing.T) {
 	for _, allowed := range []bool{true, false} {
 		w := world("safe", "all")
-		w.Told.Copies = allowed
+		w.Published.AllowHedging = allowed
 		var servers []policy.Member
 		var when model.Time
 		rep := play(t, w, first(func(s *scripted, ev *policy.Event) {
@@ -245,14 +245,14 @@
 		if allowed {
 			judge(t, rep, 0, 0, "")
 		} else {
-			judge(t, rep, checker.RuleEffect, when, "two attempts out")
+			judge(t, rep, checker.RuleRetrySemantics, when, "two attempts out")
 		}
 	}
 }
 
 // TestRuleOnDrainsBothSides sends to a server that drains: told by a watch, or never asked.
 func TestRuleOnDrainsBothSides(t *testing.T) {
-	deploy := model.Trouble{Kind: "deploy", At: 1 * sec, For: 1 * sec, Part: 0.25, Size: 0.25, Every: 100 * sec}
+	deploy := model.Fault{Kind: "deploy", Start: 1 * sec, Duration: 1 * sec, AffectedShare: 0.25, Magnitude: 0.25, Interval: 100 * sec}
 	listed := model.Time(1*sec) + 2900*ms/4 // when discovery knows
 	for _, c := range []struct {
 		name  string
@@ -270,11 +270,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			w := world("safe", "all")
-			w.Told.AskWithin = 2 * sec
-			w.Length = 14 * sec
-			w.Troubles = []model.Trouble{deploy}
+			w.Published.SubscribeWithin = 2 * sec
+			w.Duration = 14 * sec
+			w.Faults = []model.Fault{deploy}
 			if c.asks == 2 {
-				w.Troubles = append(w.Troubles, model.Trouble{Kind: "discovery", For: 60 * sec})
+				w.Faults = append(w.Faults, model.Fault{Kind: "discovery", Duration: 60 * sec})
 			}
 			var due model.Time
 			var server uint32
@@ -291,18 +291,18 @@
 						s.do(policy.Action{Kind: policy.SubscribeDiscovery})
 					}
 					if c.asks != 1 { // the server that drains shows itself by turning away; here the world's draw is known
-						span := model.Time(w.Told.AskWithin)
+						span := model.Time(w.Published.SubscribeWithin)
 						if c.asks == 2 {
 							span *= 4
 						}
 						server = ev.Members[drained(t, w)].Server
-						plan(s, listed+span+model.Time(w.Told.DrainGrace))
+						plan(s, listed+span+model.Time(w.Published.DrainGrace))
 					}
 				case policy.MembershipDelta:
 					for _, m := range ev.Members {
 						if m.Mode == policy.ModeDraining && !planned {
 							server = m.Server
-							plan(s, s.now+model.Time(w.Told.DrainGrace))
+							plan(s, s.now+model.Time(w.Published.DrainGrace))
 						}
 					}
 				case policy.RequestArrived:
@@ -319,12 +319,12 @@
 }
 
 // drained is the place in the first list of the server that the world's deploy drains.
-func drained(t *testing.T, w model.World) int {
+func drained(t *testing.T, w model.Scenario) int {
 	t.Helper()
 	found := -1
 	var list []uint32
-	w.Troubles = w.Troubles[:1]
-	if _, err := model.Play(&w, 1, func(policy.Settings, uint64, *model.Truth) (model.Node, error) {
+	w.Faults = w.Faults[:1]
+	if _, err := model.Run(&w, 1, func(policy.Settings, uint64, *model.Oracle) (model.Node, error) {
 		return &scripted{on: func(s *scripted, ev *policy.Event) {
 			switch ev.Kind {
 			case policy.MembershipCached:
@@ -352,7 +352,7 @@
 
 type quiet struct{}
 
-func (quiet) See(*model.Record) {}
+func (quiet) Observe(*model.Record) {}
 
 // TestRuleOnColdServersBothSides sends a cold server of half a core 15 requests of 100 ms within a second, which is three
 // times what it can do, and then one more; and the same from a proxy that was not told of its start.
@@ -371,10 +371,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			w := world("safe", "all")
 			w.Load = 1 // ten requests a second for each server
-			w.Troubles = []model.Trouble{{Kind: "restart", At: 1 * sec, For: 1 * sec, Part: 0.25, Every: 500 * ms}}
+			w.Faults = []model.Fault{{Kind: "restart", Start: 1 * sec, Duration: 1 * sec, AffectedShare: 0.25, Interval: 500 * ms}}
 			if !c.told {
-				w.Discovery.Add = 600 * sec
-				w.Told.AskWithin = 600 * sec
+				w.Discovery.StartDelay = 600 * sec
+				w.Published.SubscribeWithin = 600 * sec
 			}
 			var ids []uint64
 			var list []uint32
@@ -414,23 +414,23 @@
 					}
 				}
 			})
-			if rep.Fallen != c.fallen {
-				t.Errorf("%d servers fell over, want %d; peak %v", rep.Fallen, c.fallen, rep.ColdPeak)
+			if rep.ColdOverloads != c.fallen {
+				t.Errorf("%d servers fell over, want %d; peak %v", rep.ColdOverloads, c.fallen, rep.PeakColdLoad)
 			}
 			judge(t, rep, c.rule, 0, "fell over")
-			if c.rule != 0 && len(rep.Breaches) == 1 && (rep.Breaches[0].At < when || rep.Breaches[0].At > when+50*ms) {
-				t.Errorf("caught at %d, pushed over from %d", rep.Breaches[0].At, when)
+			if c.rule != 0 && len(rep.Violations) == 1 && (rep.Violations[0].At < when || rep.Violations[0].At > when+50*ms) {
+				t.Errorf("caught at %d, pushed over from %d", rep.Violations[0].At, when)
 			}
 		})
 	}
 }
 
 // struckByRestart finds the place of the server that the world's restart strikes, by what a told proxy would hear.
-func struckByRestart(t *testing.T, w model.World, list []uint32) int {
+func struckByRestart(t *testing.T, w model.Scenario, list []uint32) int {
 	t.Helper()
-	w.Discovery.Add = 1 * sec
+	w.Discovery.StartDelay = 1 * sec
 	found := -1
-	if _, err := model.Play(&w, 1, func(policy.Settings, uint64, *model.Truth) (model.Node, error) {
+	if _, err := model.Run(&w, 1, func(policy.Settings, uint64, *model.Oracle) (model.Node, error) {
 		return &scripted{on: func(s *scripted, ev *policy.Event) {
 			switch ev.Kind {
 			case policy.MembershipCached:
--- a/internal/fleetsim/experiment/compare.go
+++ b/internal/fleetsim/experiment/compare.go
@@ -10,45 +10,45 @@
 
 // Measure is a figure of a play that is compared and plotted.
 type Measure struct {
-	Name string // as on the command line
-	Text string // as in tables and on axes
-	Of   func(r *Result) float64
+	Name  string // as on the command line
+	Text  string // as in tables and on axes
+	Value func(r *Result) float64
 }
 
 // Measures are the figures that can be asked for.
 var Measures = []Measure{
 	{"g", "service less prices (G)", func(r *Result) float64 { return r.Report.G }},
-	{"whole", "service, whole run", func(r *Result) float64 { return r.Report.Whole }},
+	{"whole", "service, whole run", func(r *Result) float64 { return r.Report.Overall }},
 	{"worst", "service, worst 10 s", func(r *Result) float64 { return r.Report.Worst10s }},
 	{"broken", "rules broken, times", func(r *Result) float64 {
 		n := 0
-		for _, b := range r.Report.Broken {
+		for _, b := range r.Report.ViolationCounts {
 			n += b
 		}
 		return float64(n)
 	}},
-	{"cold-peak", "most sent to a cold server, in its capacity", func(r *Result) float64 { return r.Report.ColdPeak }},
+	{"cold-peak", "most sent to a cold server, in its capacity", func(r *Result) float64 { return r.Report.PeakColdLoad }},
 	{"overdriven", "times past a cold server's bound, for each start", func(r *Result) float64 {
-		return float64(r.Report.Overdriven) / math.Max(1, float64(r.Report.ColdStarts))
+		return float64(r.Report.ColdBoundExceeded) / math.Max(1, float64(r.Report.ColdStarts))
 	}},
 	{"fallen", "cold servers that fell over, share", func(r *Result) float64 {
-		return float64(r.Report.Fallen) / math.Max(1, float64(r.Report.ColdStarts))
+		return float64(r.Report.ColdOverloads) / math.Max(1, float64(r.Report.ColdStarts))
 	}},
-	{"crossed", "attempts across zones, for each request", func(r *Result) float64 { return r.Report.Crossed }},
-	{"asks", "calls to discovery", func(r *Result) float64 { return float64(r.Report.Asks) }},
-	{"asks_failed", "calls to discovery that failed", func(r *Result) float64 { return float64(r.Report.AsksFailed) }},
-	{"asks_peak", "calls to discovery in the worst second", func(r *Result) float64 { return float64(r.Report.AsksPeak) }},
-	{"listed_in_95", "seconds until 95% of the proxies' starts had their list", func(r *Result) float64 { return r.Report.ListedIn95 }},
-	{"opened", "connections opened, for each request", func(r *Result) float64 { return r.Report.Opened }},
-	{"wasted", "work for nothing, share of that asked for", func(r *Result) float64 { return r.Report.Wasted }},
+	{"crossed", "attempts across zones, for each request", func(r *Result) float64 { return r.Report.CrossZone }},
+	{"asks", "calls to discovery", func(r *Result) float64 { return float64(r.Report.DiscoveryCalls) }},
+	{"asks_failed", "calls to discovery that failed", func(r *Result) float64 { return float64(r.Report.DiscoveryCallsFailed) }},
+	{"asks_peak", "calls to discovery in the worst second", func(r *Result) float64 { return float64(r.Report.PeakDiscoveryCalls) }},
+	{"listed_in_95", "seconds until 95% of the proxies' starts had their list", func(r *Result) float64 { return r.Report.ListedWithinP95 }},
+	{"opened", "connections opened, for each request", func(r *Result) float64 { return r.Report.ConnectionsOpened }},
+	{"wasted", "work for nothing, share of that asked for", func(r *Result) float64 { return r.Report.WastedWork }},
 	{"refused", "refusals, for each request", func(r *Result) float64 {
-		return float64(r.Report.Answers.Refused) / math.Max(1, float64(r.Report.Calls))
+		return float64(r.Report.Answers.Refused) / math.Max(1, float64(r.Report.Requests))
 	}},
-	{"twice", "requests that had their effect twice", func(r *Result) float64 { return float64(r.Report.Twice) }},
+	{"twice", "requests that had their effect twice", func(r *Result) float64 { return float64(r.Report.RepeatedEffects) }},
 }
 
-// MeasureOf finds a measure by name.
-func MeasureOf(name string) (Measure, error) {
+// MeasureByName finds a measure by name.
+func MeasureByName(name string) (Measure, error) {
 	for _, m := range Measures {
 		if m.Name == name {
 			return m, nil
@@ -60,55 +60,55 @@
 // Estimate is a mean over seeds with the half width of its 95% confidence interval by Student's t; the half width is NaN
 // where there is one seed.
 type Estimate struct {
-	Mean, Half float64
-	N          int
+	Mean, HalfWidth float64
+	N               int
 }
 
 func (e Estimate) String() string {
-	if math.IsNaN(e.Half) {
+	if math.IsNaN(e.HalfWidth) {
 		return fmt.Sprintf("%.3f", e.Mean)
 	}
-	return fmt.Sprintf("%.3f ±%.3f", e.Mean, e.Half)
+	return fmt.Sprintf("%.3f ±%.3f", e.Mean, e.HalfWidth)
 }
 
-// Of is the estimate from independent values.
-func Of(values []float64) Estimate {
-	e := Estimate{N: len(values), Mean: math.NaN(), Half: math.NaN()}
+// NewEstimate is the estimate from independent values.
+func NewEstimate(values []float64) Estimate {
+	e := Estimate{N: len(values), Mean: math.NaN(), HalfWidth: math.NaN()}
 	if e.N == 0 {
 		return e
 	}
 	e.Mean = stat.Mean(values, nil)
 	if e.N > 1 {
 		t := distuv.StudentsT{Sigma: 1, Nu: float64(e.N - 1)}.Quantile(0.975)
-		e.Half = t * stat.StdDev(values, nil) / math.Sqrt(float64(e.N))
+		e.HalfWidth = t * stat.StdDev(values, nil) / math.Sqrt(float64(e.N))
 	}
 	return e
 }
 
-// Cell is what one policy came to at one point.
-type Cell struct {
-	Point  string
-	X      []Setting
-	Policy string
-	Is     Estimate
-	Less   Estimate // less the first policy, seed by seed; N is 0 for the first itself
-	Broken int      // plays in which a rule was broken
-	Failed int      // plays that ended early
-	Plays  int
-	Values []float64
+// Comparison is what one policy came to at one point.
+type Comparison struct {
+	Point              string
+	Axes               []Setting
+	Policy             string
+	Estimate           Estimate
+	Difference         Estimate // less the first policy, seed by seed; N is 0 for the first itself
+	RunsWithViolations int      // plays in which a rule was broken
+	RunsFailed         int      // plays that ended early
+	Runs               int
+	Values             []float64
 }
 
 // Compare sums up results by point and policy, in their order. Differences are paired: the same seed gives all policies
 // the same clients, servers and troubles, so what these have in common drops out.
-func Compare(results []*Result, m Measure) []Cell {
+func Compare(results []*Result, m Measure) []Comparison {
 	type place struct{ point, policy string }
 	type seeded struct {
 		point string
 		seed  uint64
 	}
-	var cells []*Cell
-	at, base, first := map[place]*Cell{}, map[seeded]float64{}, map[string]string{}
-	diffs := map[*Cell][]float64{}
+	var cells []*Comparison
+	at, base, first := map[place]*Comparison{}, map[seeded]float64{}, map[string]string{}
+	diffs := map[*Comparison][]float64{}
 	for _, r := range results {
 		name := r.Name()
 		if _, ok := first[name]; !ok {
@@ -116,19 +116,19 @@
 		}
 		c := at[place{name, r.Policy}]
 		if c == nil {
-			c = &Cell{Point: name, X: r.Point, Policy: r.Policy}
+			c = &Comparison{Point: name, Axes: r.Point, Policy: r.Policy}
 			at[place{name, r.Policy}] = c
 			cells = append(cells, c)
 		}
-		c.Plays++
+		c.Runs++
 		if r.Report == nil {
-			c.Failed++
+			c.RunsFailed++
 			continue
 		}
-		if !r.Report.Kept() {
-			c.Broken++
+		if !r.Report.HasNoViolations() {
+			c.RunsWithViolations++
 		}
-		v := m.Of(r)
+		v := m.Value(r)
 		c.Values = append(c.Values, v)
 		if r.Policy == first[name] {
 			base[seeded{name, r.Seed}] = v
@@ -136,9 +136,9 @@
 			diffs[c] = append(diffs[c], v-b)
 		}
 	}
-	out := make([]Cell, len(cells))
+	out := make([]Comparison, len(cells))
 	for i, c := range cells {
-		c.Is, c.Less = Of(c.Values), Of(diffs[c])
+		c.Estimate, c.Difference = NewEstimate(c.Values), NewEstimate(diffs[c])
 		out[i] = *c
 	}
 	return out
--- a/internal/fleetsim/experiment/experiment_test.go
+++ b/internal/fleetsim/experiment/experiment_test.go
@@ -89,7 +89,7 @@
 	}
 	var again bytes.Buffer
 	for _, r := range all {
-		r.Stats, r.Report, r.Error = Play(&r.World, r.Policy, r.Seed, nil)
+		r.Stats, r.Report, r.Error = Simulate(&r.Scenario, r.Policy, r.Seed, nil)
 		if err := r.Write(&again); err != nil {
 			t.Fatal(err)
 		}
@@ -106,13 +106,13 @@
 	for _, s := range []string{"world.proxies=2", "world.load=0.6"} {
 		set, err := ParseSetting(s)
 		if err == nil {
-			err = Set(&e.World, set)
+			err = Apply(&e.Scenario, set)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	_, rep, _ := Play(&e.World, "two-choices", 2, nil)
+	_, rep, _ := Simulate(&e.Scenario, "two-choices", 2, nil)
 	if rep.G != all[7].Report.G {
 		t.Errorf("the command gives G %v, the results say %v", rep.G, all[7].Report.G)
 	}
@@ -149,12 +149,12 @@
 }
 
 func TestPanicsOfDecidersAreFaultsOfOnePlay(t *testing.T) {
-	w := model.Quotes()
-	_, rep, fault := Play(&w, "nobody", 1, nil)
+	w := model.DefaultScenario()
+	_, rep, fault := Simulate(&w, "nobody", 1, nil)
 	if rep != nil || !strings.Contains(fault, "no policy") {
 		t.Errorf("fault %q", fault)
 	}
-	_, rep, fault = Play(&w, "decide", 1, panics{})
+	_, rep, fault = Simulate(&w, "decide", 1, panics{})
 	if rep != nil || !strings.HasPrefix(fault, "panic: at the first record at pumiceline/") {
 		t.Errorf("fault %q", fault)
 	}
@@ -162,7 +162,7 @@
 
 type panics struct{}
 
-func (panics) See(*model.Record) { panic("at the first record") }
+func (panics) Observe(*model.Record) { panic("at the first record") }
 
 // TestPairedDifferences compares with figures worked out by hand: differences 1, 2 and 3 have the mean 2, the standard
 // deviation 1 and, at two degrees of freedom, Student's t 4.303.
@@ -179,15 +179,15 @@
 	for i, g := range []float64{11, 22, 33} {
 		add("b", uint64(i), g)
 	}
-	g, _ := MeasureOf("g")
+	g, _ := MeasureByName("g")
 	cells := Compare(results, g)
-	if len(cells) != 2 || cells[0].Less.N != 0 {
+	if len(cells) != 2 || cells[0].Difference.N != 0 {
 		t.Fatalf("cells %+v", cells)
 	}
-	if d := cells[1].Less; d.N != 3 || d.Mean != 2 || math.Abs(d.Half-4.3027/math.Sqrt(3)) > 1e-3 {
+	if d := cells[1].Difference; d.N != 3 || d.Mean != 2 || math.Abs(d.HalfWidth-4.3027/math.Sqrt(3)) > 1e-3 {
 		t.Errorf("difference %+v", d)
 	}
-	if one := Of([]float64{5}); !math.IsNaN(one.Half) || one.Mean != 5 {
+	if one := NewEstimate([]float64{5}); !math.IsNaN(one.HalfWidth) || one.Mean != 5 {
 		t.Errorf("one value: %+v", one)
 	}
 }
@@ -204,7 +204,7 @@
 				t.Fatal(err)
 			}
 			for i := range points {
-				if err := points[i].World.Check(); err != nil {
+				if err := points[i].Scenario.Validate(); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/internal/fleetsim/experiment/file.go
+++ b/internal/fleetsim/experiment/file.go
@@ -23,17 +23,17 @@
 
 // Experiment is a file: a world, the policies and seeds to play it with, and what to vary.
 type Experiment struct {
-	Name     string      `toml:"name"`
-	Title    string      `toml:"title"`
-	Text     string      `toml:"text"`
-	Policies []string    `toml:"policies"` // the first is the one that others are compared with
-	Seeds    []uint64    `toml:"seeds"`
-	Sweeps   []Sweep     `toml:"sweep"`
-	World    model.World `toml:"world"` // what is not written is as in model.Quotes
+	Name     string         `toml:"name"`
+	Title    string         `toml:"title"`
+	Text     string         `toml:"text"`
+	Policies []string       `toml:"policies"` // the first is the one that others are compared with
+	Seeds    []uint64       `toml:"seeds"`
+	Sweeps   []Sweep        `toml:"sweep"`
+	Scenario model.Scenario `toml:"world"` // what is not written is as in model.Quotes
 
-	File    string    `toml:"-"`
-	Changed []Setting `toml:"-"` // what the command line changed, for replays
-	keys    *tomlfile.KeyIndex
+	File      string    `toml:"-"`
+	Overrides []Setting `toml:"-"` // what the command line changed, for replays
+	keys      *tomlfile.KeyIndex
 }
 
 // Sweep is an axis: a key of the experiment and the values that it takes. The keys of With change along with it. Several
@@ -46,28 +46,28 @@
 	Label  string           `toml:"label"` // of the axis; empty: the key
 }
 
-// told gives a maker's nodes other settings than the world has.
-func told(maker model.Maker, change func(*policy.Settings)) model.Maker {
-	return func(set policy.Settings, seed uint64, truth *model.Truth) (model.Node, error) {
+// withSettings gives a maker's nodes other settings than the world has.
+func withSettings(maker model.NodeFactory, change func(*policy.Settings)) model.NodeFactory {
+	return func(set policy.Settings, seed uint64, truth *model.Oracle) (model.Node, error) {
 		change(&set)
 		return maker(set, seed, truth)
 	}
 }
 
 // Policies are the names that an experiment may use, with their makers. "decide" is the product's own module.
-func Policies() map[string]model.Maker {
-	makers := map[string]model.Maker{"decide": func(set policy.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
+func Policies() map[string]model.NodeFactory {
+	makers := map[string]model.NodeFactory{"decide": func(set policy.Settings, seed uint64, _ *model.Oracle) (model.Node, error) {
 		return policy.New(set, seed)
 	}}
-	makers["keyless"] = told(makers["decide"], func(set *policy.Settings) { set.KeyAffinity = false }) // the module, not told of keys
-	makers["unprobed"] = told(makers["decide"], func(set *policy.Settings) { set.Limits.AllowLoadPolls = false })
-	makers["door"] = withadmission.Maker(makers["decide"], true) // the module behind the door
-	makers["half"] = withsubset.Maker(makers["decide"], 0.5)     // the module with a part of the fleet
-	makers["quarter"] = withsubset.Maker(makers["decide"], 0.25)
-	makers["eighth"] = withsubset.Maker(makers["decide"], 0.125)
-	makers["door-silent"] = withadmission.Maker(makers["decide"], false) // which names no time to come back
-	for _, name := range []string{baseline.Random, baseline.RoundRobin, baseline.TwoChoices, baseline.Least, baseline.Truth} {
-		makers[name] = baseline.Maker(name)
+	makers["keyless"] = withSettings(makers["decide"], func(set *policy.Settings) { set.KeyAffinity = false }) // the module, not told of keys
+	makers["unprobed"] = withSettings(makers["decide"], func(set *policy.Settings) { set.Limits.AllowLoadPolls = false })
+	makers["door"] = withadmission.NewFactory(makers["decide"], true) // the module behind the door
+	makers["half"] = withsubset.NewFactory(makers["decide"], 0.5)     // the module with a part of the fleet
+	makers["quarter"] = withsubset.NewFactory(makers["decide"], 0.25)
+	makers["eighth"] = withsubset.NewFactory(makers["decide"], 0.125)
+	makers["door-silent"] = withadmission.NewFactory(makers["decide"], false) // which names no time to come back
+	for _, name := range []string{baseline.PolicyRandom, baseline.PolicyRoundRobin, baseline.PolicyTwoChoices, baseline.PolicyLeastRequests, baseline.PolicyOracle} {
+		makers[name] = baseline.NewFactory(name)
 	}
 	return makers
 }
@@ -83,12 +83,12 @@
 
 // Parse reads an experiment from its text; path only names it.
 func Parse(path string, text []byte) (*Experiment, error) {
-	e := &Experiment{File: path, Policies: []string{"decide"}, Seeds: []uint64{1}, World: model.Quotes()}
+	e := &Experiment{File: path, Policies: []string{"decide"}, Seeds: []uint64{1}, Scenario: model.DefaultScenario()}
 	e.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
 	e.keys = tomlfile.IndexKeys(text)
 	// A list that is written stands in place of the usual one, not on top of it.
-	for key, forget := range map[string]func(){"world.kinds": func() { e.World.Kinds = nil }, "world.classes": func() { e.World.Classes = nil },
-		"world.tenants": func() { e.World.Tenants = nil }, "policies": func() { e.Policies = nil }, "seeds": func() { e.Seeds = nil }} {
+	for key, forget := range map[string]func(){"world.kinds": func() { e.Scenario.InstanceTypes = nil }, "world.classes": func() { e.Scenario.Classes = nil },
+		"world.tenants": func() { e.Scenario.Tenants = nil }, "policies": func() { e.Policies = nil }, "seeds": func() { e.Seeds = nil }} {
 		if e.keys.Has(key) {
 			forget()
 		}
@@ -96,18 +96,18 @@
 	if err := tomlfile.Decode(path, text, e); err != nil {
 		return nil, err
 	}
-	return e, e.check()
+	return e, e.validate()
 }
 
-func (e *Experiment) fault(key, why string, args ...any) error {
+func (e *Experiment) errorAt(key, why string, args ...any) error {
 	return &tomlfile.Error{File: e.File, Line: e.keys.Line(key), Key: key, Reason: fmt.Sprintf(why, args...)}
 }
 
-func (e *Experiment) check() error {
+func (e *Experiment) validate() error {
 	for _, key := range e.keys.BareNumbers { // a time without its unit would be taken for microseconds
 		if rest, ok := strings.CutPrefix(key, "world."); ok {
-			if v, err := resolve(&e.World, rest); err == nil && v.Type() == reflect.TypeFor[model.Span]() {
-				return e.fault(key, "is a time and has no unit: write it as \"250ms\"")
+			if v, err := resolve(&e.Scenario, rest); err == nil && v.Type() == reflect.TypeFor[model.Span]() {
+				return e.errorAt(key, "is a time and has no unit: write it as \"250ms\"")
 			}
 		}
 	}
@@ -119,28 +119,28 @@
 				names = append(names, n)
 			}
 			slices.Sort(names)
-			return e.fault("policies", "%q is none of %s", p, strings.Join(names, ", "))
+			return e.errorAt("policies", "%q is none of %s", p, strings.Join(names, ", "))
 		}
 	}
 	switch {
 	case len(e.Policies) == 0:
-		return e.fault("policies", "names none")
+		return e.errorAt("policies", "names none")
 	case len(e.Seeds) == 0:
-		return e.fault("seeds", "names none")
+		return e.errorAt("seeds", "names none")
 	}
 	plays := len(e.Policies) * len(e.Seeds)
 	for i, s := range e.Sweeps {
 		at := fmt.Sprintf("sweep.%d.", i)
 		if s.Key == "" || len(s.Values) == 0 {
-			return e.fault(at+"key", "a sweep needs key and values")
+			return e.errorAt(at+"key", "a sweep needs key and values")
 		}
 		for k, v := range s.With {
 			if len(v) != len(s.Values) {
-				return e.fault(at+"with."+k, "%d values, where %s has %d", len(v), s.Key, len(s.Values))
+				return e.errorAt(at+"with."+k, "%d values, where %s has %d", len(v), s.Key, len(s.Values))
 			}
 		}
-		if plays *= len(s.Values); plays > mostPlays {
-			return e.fault(at+"values", "over %d plays in all", mostPlays)
+		if plays *= len(s.Values); plays > maxRuns {
+			return e.errorAt(at+"values", "over %d plays in all", maxRuns)
 		}
 	}
 	points, err := e.Points()
@@ -148,27 +148,27 @@
 		return err
 	}
 	for _, p := range points {
-		if err := p.World.Check(); err != nil {
+		if err := p.Scenario.Validate(); err != nil {
 			var field *model.FieldError
 			if !errors.As(err, &field) {
 				return err
 			}
 			key := "world." + field.Path
-			for _, s := range p.Set { // a swept value's place is the sweep's
+			for _, s := range p.Settings { // a swept value's place is the sweep's
 				if s.Key == key {
-					return e.fault(e.sweepOf(key), "at %s: %s", p.Name(), field.Why)
+					return e.errorAt(e.sweptKey(key), "at %s: %s", p.Name(), field.Why)
 				}
 			}
-			return e.fault(key, "%s", field.Why)
+			return e.errorAt(key, "%s", field.Why)
 		}
 	}
 	return nil
 }
 
-// mostPlays is how many plays an experiment may have: more is a slip, and would not end.
-const mostPlays = 20_000
+// maxRuns is how many plays an experiment may have: more is a slip, and would not end.
+const maxRuns = 20_000
 
-func (e *Experiment) sweepOf(key string) string {
+func (e *Experiment) sweptKey(key string) string {
 	for i, s := range e.Sweeps {
 		if _, with := s.With[key]; with || s.Key == key {
 			return fmt.Sprintf("sweep.%d.values", i)
@@ -187,15 +187,15 @@
 
 // Point is one combination of the swept values. Set names them, the axes first in their order.
 type Point struct {
-	Set   []Setting
-	X     []Setting // the axes alone
-	World model.World
+	Settings []Setting
+	Axes     []Setting // the axes alone
+	Scenario model.Scenario
 }
 
 // Name is the point in words; "" where nothing is swept.
 func (p *Point) Name() string {
-	words := make([]string, len(p.X))
-	for i, s := range p.X {
+	words := make([]string, len(p.Axes))
+	for i, s := range p.Axes {
 		words[i] = s.String()
 	}
 	return strings.Join(words, " ")
@@ -203,12 +203,12 @@
 
 // Points are all combinations of the swept values: one, if nothing is swept.
 func (e *Experiment) Points() ([]Point, error) {
-	points := []Point{{World: e.World}}
+	points := []Point{{Scenario: e.Scenario}}
 	for i, s := range e.Sweeps {
 		var next []Point
 		for _, p := range points {
 			for k, v := range s.Values {
-				q := Point{Set: slices.Clone(p.Set), X: append(slices.Clone(p.X), Setting{s.Key, v}), World: p.World.Clone()}
+				q := Point{Settings: slices.Clone(p.Settings), Axes: append(slices.Clone(p.Axes), Setting{s.Key, v}), Scenario: p.Scenario.Clone()}
 				all := []Setting{{s.Key, v}}
 				with := make([]string, 0, len(s.With))
 				for key := range s.With {
@@ -219,11 +219,11 @@
 					all = append(all, Setting{key, s.With[key][k]})
 				}
 				for _, set := range all {
-					if err := Set(&q.World, set); err != nil {
-						return nil, e.fault(fmt.Sprintf("sweep.%d.key", i), "%v", err)
+					if err := Apply(&q.Scenario, set); err != nil {
+						return nil, e.errorAt(fmt.Sprintf("sweep.%d.key", i), "%v", err)
 					}
 				}
-				q.Set = append(q.Set, all...)
+				q.Settings = append(q.Settings, all...)
 				next = append(next, q)
 			}
 		}
@@ -232,8 +232,8 @@
 	return points, nil
 }
 
-// Set changes one value of a world; the key is as files write it: "world.kinds.0.cores".
-func Set(w *model.World, s Setting) error {
+// Apply changes one value of a world; the key is as files write it: "world.kinds.0.cores".
+func Apply(w *model.Scenario, s Setting) error {
 	rest, ok := strings.CutPrefix(s.Key, "world.")
 	if !ok {
 		return fmt.Errorf("%s: only keys of world can be varied", s.Key)
@@ -246,7 +246,7 @@
 }
 
 // resolve finds the field that a key names, below world.
-func resolve(w *model.World, key string) (reflect.Value, error) {
+func resolve(w *model.Scenario, key string) (reflect.Value, error) {
 	v := reflect.ValueOf(w).Elem()
 	for _, part := range strings.Split(key, ".") {
 		switch v.Kind() {
--- a/internal/fleetsim/experiment/luck_test.go
+++ b/internal/fleetsim/experiment/luck_test.go
@@ -17,20 +17,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	quotes := model.Quotes()
-	for name, w := range map[string]model.World{"quotes": quotes, "invitations": invitations.World} {
-		w.Length = 16e6
+	quotes := model.DefaultScenario()
+	for name, w := range map[string]model.Scenario{"quotes": quotes, "invitations": invitations.Scenario} {
+		w.Duration = 16e6
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			mean := func(w model.World, policy string) (g float64) {
+			mean := func(w model.Scenario, policy string) (g float64) {
 				const seeds = 3
 				for seed := range uint64(seeds) {
-					_, rep, fault := Play(&w, policy, seed+1, nil)
+					_, rep, fault := Simulate(&w, policy, seed+1, nil)
 					if fault != "" {
 						t.Fatal(fault)
 					}
-					if policy == "decide" && !rep.Kept() {
-						t.Errorf("seed %d: rules broken: %v", seed+1, rep.Broken)
+					if policy == "decide" && !rep.HasNoViolations() {
+						t.Errorf("seed %d: rules broken: %v", seed+1, rep.ViolationCounts)
 					}
 					g += rep.G / seeds
 				}
@@ -41,20 +41,20 @@
 				t.Errorf("%.3f, the truth %.3f", ours, truth)
 			}
 			for _, pace := range []float64{0.25, 0.5, 2, 4} {
-				if got := mean(w.Paced(pace), "decide"); got < ours-luckBound {
+				if got := mean(w.TimeScaled(pace), "decide"); got < ours-luckBound {
 					t.Errorf("on a clock of %v: %.3f, as it stands %.3f", pace, got, ours)
 				}
 			}
-			changed := map[string]model.World{"half waits": w.Waiting(0.5), "nine tenths wait": w.Waiting(0.9)}
+			changed := map[string]model.Scenario{"half waits": w.WithDownstreamWait(0.5), "nine tenths wait": w.WithDownstreamWait(0.9)}
 			for _, via := range []string{"answers", "probe", "none"} {
 				c := w.Clone()
-				c.Reports.Via = via
+				c.Reports.Delivery = via
 				changed["reports: "+via] = c
 			}
 			for _, aims := range []float64{1.1, 8} {
 				c := w.Clone()
 				for i := range c.Classes {
-					c.Classes[i].Deadline = model.Span(float64(c.Classes[i].Aim) * aims)
+					c.Classes[i].Deadline = model.Span(float64(c.Classes[i].LatencyTarget) * aims)
 				}
 				changed[fmt.Sprint("clients wait for aims: ", aims)] = c
 			}
--- a/internal/fleetsim/experiment/run.go
+++ b/internal/fleetsim/experiment/run.go
@@ -31,7 +31,7 @@
 	Point      []Setting       `json:"point,omitempty"` // the axes' values
 	Axes       []Axis          `json:"axes,omitempty"`
 	Replay     string          `json:"replay"` // the command that plays it again
-	World      model.World     `json:"world"`
+	Scenario   model.Scenario  `json:"world"`
 	Stats      model.Stats     `json:"stats"`
 	Report     *checker.Report `json:"report,omitempty"`
 	Error      string          `json:"error,omitempty"` // why the play ended early
@@ -45,25 +45,25 @@
 }
 
 // Name is the result's point in words.
-func (r *Result) Name() string { return (&Point{X: r.Point}).Name() }
+func (r *Result) Name() string { return (&Point{Axes: r.Point}).Name() }
 
-// task is one play that is to be done.
-type task struct {
+// plannedRun is one play that is to be done.
+type plannedRun struct {
 	point  Point
 	policy string
 	seed   uint64
 }
 
-func (e *Experiment) tasks() ([]task, error) {
+func (e *Experiment) plannedRuns() ([]plannedRun, error) {
 	points, err := e.Points()
 	if err != nil {
 		return nil, err
 	}
-	var all []task
+	var all []plannedRun
 	for _, p := range points {
 		for _, policy := range e.Policies {
 			for _, seed := range e.Seeds {
-				all = append(all, task{p, policy, seed})
+				all = append(all, plannedRun{p, policy, seed})
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 
 // Count is how many plays Run makes.
 func (e *Experiment) Count() int {
-	all, _ := e.tasks() // Load has checked it
+	all, _ := e.plannedRuns() // Load has checked it
 	return len(all)
 }
 
@@ -80,7 +80,7 @@
 // order, whichever ended first. A play that fails is a result with an Error; Run itself fails only if done does, or ctx
 // ends.
 func (e *Experiment) Run(ctx context.Context, jobs int, done func(*Result) error) error {
-	all, err := e.tasks()
+	all, err := e.plannedRuns()
 	if err != nil {
 		return err
 	}
@@ -105,7 +105,7 @@
 	for range max(1, jobs) {
 		workers.Go(func() {
 			for i := range next {
-				results[i] <- e.play(&all[i])
+				results[i] <- e.execute(&all[i])
 			}
 		})
 	}
@@ -123,9 +123,9 @@
 	return nil
 }
 
-func (e *Experiment) play(t *task) *Result {
+func (e *Experiment) execute(t *plannedRun) *Result {
 	r := &Result{Format: formatVersion, Experiment: e.Name, Title: e.Title, Text: e.Text, Policy: t.policy, Seed: t.seed,
-		Point: t.point.X, World: t.point.World}
+		Point: t.point.Axes, Scenario: t.point.Scenario}
 	for _, s := range e.Sweeps {
 		label := s.Label
 		if label == "" {
@@ -134,17 +134,17 @@
 		r.Axes = append(r.Axes, Axis{s.Key, label, s.Log})
 	}
 	words := []string{"pumiceline lab replay", e.File, "--policy=" + t.policy, fmt.Sprintf("--seed=%d", t.seed)}
-	for _, s := range append(slices.Clone(e.Changed), t.point.Set...) {
+	for _, s := range append(slices.Clone(e.Overrides), t.point.Settings...) {
 		words = append(words, "--set="+s.String())
 	}
 	r.Replay = strings.Join(words, " ")
-	r.Stats, r.Report, r.Error = Play(&r.World, t.policy, t.seed, nil)
+	r.Stats, r.Report, r.Error = Simulate(&r.Scenario, t.policy, t.seed, nil)
 	return r
 }
 
-// Play plays a world once under the referee's eyes, and shows each record to trace as well, if there is one. fault says
+// Run plays a world once under the referee's eyes, and shows each record to trace as well, if there is one. fault says
 // why the play ended early. A panic of a decider is a fault like another: it must not take the other plays with it.
-func Play(w *model.World, policy string, seed uint64, trace model.Watcher) (stats model.Stats, rep *checker.Report, fault string) {
+func Simulate(w *model.Scenario, policy string, seed uint64, trace model.Observer) (stats model.Stats, rep *checker.Report, fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			rep, fault = nil, fmt.Sprintf("panic: %v at %s", p, panicSite(debug.Stack()))
@@ -155,11 +155,11 @@
 		return stats, nil, fmt.Sprintf("there is no policy %q", policy)
 	}
 	ref := checker.New(w)
-	var watch model.Watcher = ref
+	var watch model.Observer = ref
 	if trace != nil {
-		watch = both{ref, trace}
+		watch = teeObserver{ref, trace}
 	}
-	stats, err := model.Play(w, seed, make, watch)
+	stats, err := model.Run(w, seed, make, watch)
 	if err != nil {
 		return stats, nil, err.Error()
 	}
@@ -187,14 +187,14 @@
 // Tracer writes what passes as JSON lines: the time in seconds, the kind, and the record. Of leaves all but one request
 // out; 0: nothing is left out.
 type Tracer struct {
-	Out io.Writer
-	Of  uint64
-	err error
+	Out       io.Writer
+	RequestID uint64
+	err       error
 }
 
-// See is model.Watcher's.
-func (t *Tracer) See(r *model.Record) {
-	if t.err != nil || t.Of != 0 && r.ID != t.Of {
+// Observe is model.Watcher's.
+func (t *Tracer) Observe(r *model.Record) {
+	if t.err != nil || t.RequestID != 0 && r.ID != t.RequestID {
 		return
 	}
 	text, err := json.Marshal(struct {
@@ -208,11 +208,11 @@
 	t.err = err // the play goes on: a trace that cannot be written must not change a verdict
 }
 
-type both struct{ a, b model.Watcher }
+type teeObserver struct{ a, b model.Observer }
 
-func (w both) See(r *model.Record) {
-	w.a.See(r)
-	w.b.See(r)
+func (w teeObserver) Observe(r *model.Record) {
+	w.a.Observe(r)
+	w.b.Observe(r)
 }
 
 // Write writes one result as a line.
--- a/internal/fleetsim/experiment/stored_test.go
+++ b/internal/fleetsim/experiment/stored_test.go
@@ -55,19 +55,19 @@
 			{Key: "world.proxies", Values: []any{int64(2), int64(3)}, With: map[string][]any{"world.load": {0.3, 0.6}}, Log: true, Label: "proxies"},
 			{Key: "world.kinds.0.cores", Values: []any{int64(4)}, With: map[string][]any{"world.told.cold": {"20s"}}, Log: true, Label: "cores"},
 		},
-		World: worldSample(),
+		Scenario: worldSample(),
 	}
-	requireTold(t, "world", reflect.ValueOf(want.World))
+	requireTold(t, "world", reflect.ValueOf(want.Scenario))
 	read := *got
 	read.File, read.keys = "", nil
 	if !reflect.DeepEqual(read, want) {
 		t.Errorf("read %+v\nwant %+v", read, want)
 	}
 	kinds := map[string]bool{}
-	for _, trouble := range got.World.Troubles {
+	for _, trouble := range got.Scenario.Faults {
 		kinds[trouble.Kind] = true
 	}
-	for kind := range model.Troubles {
+	for kind := range model.FaultKinds {
 		if !kinds[kind] {
 			t.Errorf("the sample has no %s", kind)
 		}
@@ -82,34 +82,34 @@
 		t.Fatalf("%d points, %v", len(points), err)
 	}
 	last := points[1]
-	if last.World.Proxies != 3 || last.World.Load != 0.6 || last.World.Kinds[0].Cores != 4 || last.World.Told.Cold != 20e6 {
-		t.Errorf("the last point is %v", last.Set)
+	if last.Scenario.Proxies != 3 || last.Scenario.Load != 0.6 || last.Scenario.InstanceTypes[0].Cores != 4 || last.Scenario.Published.WarmupTime != 20e6 {
+		t.Errorf("the last point is %v", last.Settings)
 	}
 }
 
 // resultSample is the first line of testdata/results.jsonl: every key, none with its zero value.
 func resultSample() *Result {
-	breach := func(rule int) checker.Breach {
-		return checker.Breach{Rule: rule, At: 1_500_000, Proxy: 2, Server: 7, ID: 99, Cause: "sent after its end"}
+	breach := func(rule int) checker.Violation {
+		return checker.Violation{Rule: rule, At: 1_500_000, Proxy: 2, Server: 7, ID: 99, Cause: "sent after its end"}
 	}
 	r := &Result{
 		Format: 1, Experiment: "whole", Title: "Every key", Text: "A play as an earlier version kept it.", Policy: "decide", Seed: 3,
-		Point:  []Setting{{Key: "world.proxies", Value: 2.0}, {Key: "world.told.cold", Value: "20s"}},
-		Axes:   []Axis{{Key: "world.proxies", Label: "proxies", Log: true}},
-		Replay: "pumiceline lab replay whole.toml --policy=decide --seed=3 --set=world.proxies=2",
-		World:  worldSample(),
-		Stats:  model.Stats{Events: 1001, Handled: 1002, Requests: 1003, End: 46_000_001},
-		Error:  "panic: none at pumiceline/decide.New",
+		Point:    []Setting{{Key: "world.proxies", Value: 2.0}, {Key: "world.told.cold", Value: "20s"}},
+		Axes:     []Axis{{Key: "world.proxies", Label: "proxies", Log: true}},
+		Replay:   "pumiceline lab replay whole.toml --policy=decide --seed=3 --set=world.proxies=2",
+		Scenario: worldSample(),
+		Stats:    model.Stats{Events: 1001, Handled: 1002, Requests: 1003, End: 46_000_001},
+		Error:    "panic: none at pumiceline/decide.New",
 		Report: &checker.Report{
-			G: 0.91, Whole: 0.92, Worst10s: 0.81, WorstAt: 11,
-			Class: map[string]float64{"quick-quote": 0.93, "full-quote": 0.94}, Tenant: map[string]float64{"steppe-tours": 0.95},
-			Prices: map[string]float64{"cross": 0.01, "waste": 0.02},
-			Broken: [4]int{1, 2, 3, 4}, Breaches: []checker.Breach{breach(1), breach(4)}, Twice: 5, TwiceCauses: []checker.Breach{breach(2)},
-			ColdStarts: 6, Fallen: 7, Overdriven: 8, ColdPeak: 2.75,
-			Asks: 9, AsksFailed: 10, AsksPeak: 11, ListedIn95: 1.25,
-			Calls: 12, InTime: 13, Late: 14, Unserved: 15,
-			Crossed: 0.11, Opened: 0.12, Wasted: 0.13,
-			Service: []float64{0.5, -1}, Bands: [][]float64{{0.1, 0.2}, {0.3, 0.4}}, Latency: map[string]string{"quick-quote": "HISTFAAA"},
+			G: 0.91, Overall: 0.92, Worst10s: 0.81, Worst10sStart: 11,
+			ByClass: map[string]float64{"quick-quote": 0.93, "full-quote": 0.94}, ByTenant: map[string]float64{"steppe-tours": 0.95},
+			Prices:          map[string]float64{"cross": 0.01, "waste": 0.02},
+			ViolationCounts: [4]int{1, 2, 3, 4}, Violations: []checker.Violation{breach(1), breach(4)}, RepeatedEffects: 5, RepeatedEffectCauses: []checker.Violation{breach(2)},
+			ColdStarts: 6, ColdOverloads: 7, ColdBoundExceeded: 8, PeakColdLoad: 2.75,
+			DiscoveryCalls: 9, DiscoveryCallsFailed: 10, PeakDiscoveryCalls: 11, ListedWithinP95: 1.25,
+			Requests: 12, InTime: 13, Late: 14, Unserved: 15,
+			CrossZone: 0.11, ConnectionsOpened: 0.12, WastedWork: 0.13,
+			ServiceBySecond: []float64{0.5, -1}, LoadBands: [][]float64{{0.1, 0.2}, {0.3, 0.4}}, Latency: map[string]string{"quick-quote": "HISTFAAA"},
 		},
 	}
 	r.Report.Answers.Served, r.Report.Answers.Refused, r.Report.Answers.Failed = 16, 17, 18
@@ -144,13 +144,13 @@
 		t.Fatal(err)
 	}
 	sample := model.Record{At: 1_250_000, Outcome: policy.TimedOut, Flag: true, Attempt: 2, Class: 3, Tenant: 4, Proxy: 5, Server: 6, Zone: 7, Cell: 8,
-		ID: 9, Call: 10, Work: 11, Worth: 1.5, Span: 12, Capacity: 2.5, Version: 13, Load: []float64{0.25, 0.75},
+		ID: 9, Request: 10, Work: 11, Value: 1.5, Span: 12, Capacity: 2.5, Version: 13, Load: []float64{0.25, 0.75},
 		Members: []policy.Member{{Server: 14, Zone: 15, Cell: 16, InstanceType: 17, Mode: policy.ModeDraining, Size: 3.5, StartedAt: 18}}}
 	var written bytes.Buffer
 	tracer := Tracer{Out: &written}
-	for kind := model.Opening; kind <= model.Sample; kind++ {
+	for kind := model.SimulationStarted; kind <= model.LoadSampled; kind++ {
 		sample.Kind = kind
-		tracer.See(&sample)
+		tracer.Observe(&sample)
 	}
 	requireTold(t, "record", reflect.ValueOf(sample))
 	if !bytes.Equal(written.Bytes(), stored) {
--- a/internal/fleetsim/model/attempts.go
+++ b/internal/fleetsim/model/attempts.go
@@ -4,152 +4,152 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// try is an attempt of a job, as its proxy has it.
-type try struct {
-	task   int32 // -1: nothing is under way on the network
-	server int32
-	out    bool
-	ran    bool
-	sent   Time
+// proxyAttempt is an attempt of a job, as its proxy has it.
+type proxyAttempt struct {
+	serverAttempt int32 // -1: nothing is under way on the network
+	server        int32
+	inFlight      bool
+	ran           bool
+	sentAt        Time
 }
 
-// task is an attempt on its way and at its server, where it outlives what its proxy does about it.
-type task struct {
-	id      uint64 // the job's
-	work    float64
-	finish  float64 // in the server's virtual time
-	sent    Time
-	call    int32
-	job     int32
-	proxy   int32
-	inc     int32
-	server  int32
-	epoch   int32
-	attempt uint8
-	outcome policy.Outcome
-	stage   stage
-	fresh   bool // on a new connection
-	dropped bool // its proxy has given it up and closed the connection
-	report  [3]float32
-	reports bool
+// serverAttempt is an attempt on its way and at its server, where it outlives what its proxy does about it.
+type serverAttempt struct {
+	id            uint64 // the job's
+	work          float64
+	finish        float64 // in the server's virtual time
+	sentAt        Time
+	clientRequest int32
+	proxyRequest  int32
+	proxy         int32
+	incarnation   int32
+	server        int32
+	epoch         int32
+	attempt       uint8
+	outcome       policy.Outcome
+	stage         attemptStage
+	newConnection bool // on a new connection
+	abandoned     bool // its proxy has given it up and closed the connection
+	report        [3]float32
+	hasReport     bool
 }
 
-type stage uint8
+type attemptStage uint8
 
 const (
-	travelling stage = iota // to its server
-	held                    // by its server: in work or waiting
-	returning
+	stageTravelling attemptStage = iota // to its server
+	stageAtServer                       // by its server: in work or waiting
+	stageReturning
 )
 
-func (r *run) freeTask(t int32) {
-	r.unref(r.tasks[t].call)
-	r.tasks[t].id = 0
-	r.freeT = append(r.freeT, t)
+func (r *simulation) releaseServerAttempt(t int32) {
+	r.releaseClientRequest(r.serverAttempts[t].clientRequest)
+	r.serverAttempts[t].id = 0
+	r.freeServerAttempts = append(r.freeServerAttempts, t)
 }
 
-// send starts an attempt.
-func (r *run) send(n int32, a *policy.Action) {
-	s := r.serverOf(a.Server)
+// sendAttempt starts an attempt.
+func (r *simulation) sendAttempt(n int32, a *policy.Action) {
+	s := r.findServer(a.Server)
 	if s == nil {
 		r.fail(n, "sends to server %d, which no list has named", a.Server)
 		return
 	}
 	p := &r.proxies[n]
-	m := r.jobOf(n, a.ID)
-	if r.err != nil {
+	m := r.findProxyRequest(n, a.ID)
+	if r.failure != nil {
 		return
 	}
 	crosses := p.zone != s.zone
-	if m < 0 || r.jobs[m].over { // the referee will have a word
-		r.see(Record{Kind: Sent, Proxy: n, ID: a.ID, Server: a.Server, Zone: s.zone, Cell: s.cell, Flag: crosses})
+	if m < 0 || r.proxyRequests[m].answered { // the referee will have a word
+		r.observe(Record{Kind: AttemptSent, Proxy: n, ID: a.ID, Server: a.Server, Zone: s.zone, Cell: s.cell, Flag: crosses})
 		return
 	}
-	j := &r.jobs[m]
-	if j.n >= maxAttempts || int(j.n) >= r.w.Told.Attempts {
-		r.fail(n, "makes attempt %d of a request that may have %d", j.n+1, r.w.Told.Attempts)
+	j := &r.proxyRequests[m]
+	if j.attemptCount >= maxAttempts || int(j.attemptCount) >= r.scenario.Published.MaxAttempts {
+		r.fail(n, "makes attempt %d of a request that may have %d", j.attemptCount+1, r.scenario.Published.MaxAttempts)
 		return
 	}
-	at := j.n
-	j.n++
-	j.out++
-	c := &r.calls[j.call]
-	t := grab(&r.tasks, &r.freeT)
-	k := &r.tasks[t]
-	*k = task{id: j.id, job: m, call: j.call, proxy: n, inc: p.inc, server: s.n, epoch: s.epoch, attempt: at, sent: r.now}
-	k.work = lognormal(r.net, c.work, r.w.Classes[c.class].Noise)
+	at := j.attemptCount
+	j.attemptCount++
+	j.inFlight++
+	c := &r.clientRequests[j.clientRequest]
+	t := acquire(&r.serverAttempts, &r.freeServerAttempts)
+	k := &r.serverAttempts[t]
+	*k = serverAttempt{id: j.id, proxyRequest: m, clientRequest: j.clientRequest, proxy: n, incarnation: p.incarnation, server: s.index, epoch: s.epoch, attempt: at, sentAt: r.now}
+	k.work = lognormal(r.networkRand, c.work, r.scenario.Classes[c.class].AttemptCV)
 	c.refs++
-	j.tries[at] = try{task: t, server: s.n, out: true, sent: r.now}
-	r.see(Record{Kind: Sent, Proxy: n, ID: j.id, Attempt: at, Server: a.Server, Zone: s.zone, Cell: s.cell, Work: Time(k.work), Flag: crosses})
+	j.attempts[at] = proxyAttempt{serverAttempt: t, server: s.index, inFlight: true, sentAt: r.now}
+	r.observe(Record{Kind: AttemptSent, Proxy: n, ID: j.id, Attempt: at, Server: a.Server, Zone: s.zone, Cell: s.cell, Work: Time(k.work), Flag: crosses})
 	limit := j.deadline
 	if a.After > 0 {
 		limit = min(limit, r.now+a.After)
 	} else if a.After < 0 {
 		limit = r.now
 	}
-	r.at(r.tick(max(limit, r.now+1)), event{kind: evLimit, a: m, n: at, id: j.id})
-	travel := r.delay(p.zone, s.zone)
-	pool := p.conns[s.n]
+	r.schedule(r.nextTick(max(limit, r.now+1)), event{kind: evAttemptTimeout, subject: m, code: at, id: j.id})
+	travel := r.networkDelay(p.zone, s.zone)
+	pool := p.connections[s.index]
 	if pool == nil {
-		pool = &conns{}
-		p.conns[s.n] = pool
+		pool = &connectionPool{}
+		p.connections[s.index] = pool
 	}
 	if pool.epoch != s.epoch { // another process: the old connections are gone
-		*pool = conns{epoch: s.epoch}
+		*pool = connectionPool{epoch: s.epoch}
 	}
-	r.expire(pool, s)
-	if k.fresh = len(pool.idle) == 0; k.fresh {
-		travel += Time(r.w.Conn.Trips * 2 * float64(travel))
+	r.closeExpired(pool, s)
+	if k.newConnection = len(pool.idle) == 0; k.newConnection {
+		travel += Time(r.scenario.Connections.HandshakeRoundTrips * 2 * float64(travel))
 	} else {
 		pool.idle = pool.idle[:len(pool.idle)-1]
 	}
-	if r.parted(n, s) { // nothing passes: a connection does not come up, a request on an old one is never seen
-		if k.fresh {
-			r.failLater(k, policy.ConnectFailed, r.now+Time(r.w.Conn.DialWithin))
+	if r.isServerPartitioned(n, s) { // nothing passes: a connection does not come up, a request on an old one is never seen
+		if k.newConnection {
+			r.scheduleFailure(k, policy.ConnectFailed, r.now+Time(r.scenario.Connections.DialTimeout))
 		} else {
-			s.conns--
-			j.tries[at].task = -1
+			s.connections--
+			j.attempts[at].serverAttempt = -1
 		}
-		r.freeTask(t)
+		r.releaseServerAttempt(t)
 		return
 	}
 	pool.used++
-	s.coming += k.work
-	r.at(r.now+travel, event{kind: evReach, a: t})
+	s.workInTransit += k.work
+	r.schedule(r.now+travel, event{kind: evArriveAtServer, subject: t})
 }
 
-// failLater plans an outcome for an attempt that no server has.
-func (r *run) failLater(k *task, out policy.Outcome, at Time) {
-	r.jobs[k.job].tries[k.attempt].task = -1
-	r.at(r.tick(at), event{kind: evFailed, a: k.job, n: k.attempt, b: int32(out), id: k.id})
+// scheduleFailure plans an outcome for an attempt that no server has.
+func (r *simulation) scheduleFailure(k *serverAttempt, out policy.Outcome, at Time) {
+	r.proxyRequests[k.proxyRequest].attempts[k.attempt].serverAttempt = -1
+	r.schedule(r.nextTick(at), event{kind: evAttemptFailed, subject: k.proxyRequest, code: k.attempt, number: int32(out), id: k.id})
 }
 
-// drop gives up an attempt: its connection is closed, its work goes on.
-func (r *run) drop(t *try) {
-	if t.task < 0 {
+// abandonServerAttempt gives up an attempt: its connection is closed, its work goes on.
+func (r *simulation) abandonServerAttempt(t *proxyAttempt) {
+	if t.serverAttempt < 0 {
 		return
 	}
-	if k := &r.tasks[t.task]; !k.dropped {
-		r.release(k, false)
-		k.dropped = true
+	if k := &r.serverAttempts[t.serverAttempt]; !k.abandoned {
+		r.releaseConnection(k, false)
+		k.abandoned = true
 	}
-	t.task = -1
+	t.serverAttempt = -1
 }
 
-// proven tells a proxy how an attempt ended.
-func (r *run) proven(m int32, at uint8, out policy.Outcome, elapsed Time, report []float32) {
-	j := &r.jobs[m]
-	t := &j.tries[at]
-	t.out, t.task = false, -1
-	j.out--
+// endAttempt tells a proxy how an attempt ended.
+func (r *simulation) endAttempt(m int32, at uint8, out policy.Outcome, elapsed Time, report []float32) {
+	j := &r.proxyRequests[m]
+	t := &j.attempts[at]
+	t.inFlight, t.serverAttempt = false, -1
+	j.inFlight--
 	n, id := j.proxy, j.id
 	server := r.servers[t.server].id
-	r.see(Record{Kind: Proven, Proxy: n, ID: id, Attempt: at, Server: server, Outcome: out, Span: elapsed})
-	if out == policy.OK && !j.over {
-		r.finish(m, policy.OK, 0)
+	r.observe(Record{Kind: AttemptEnded, Proxy: n, ID: id, Attempt: at, Server: server, Outcome: out, Span: elapsed})
+	if out == policy.OK && !j.answered {
+		r.answerClient(m, policy.OK, 0)
 	}
-	r.ev = policy.Event{Kind: policy.AttemptEnded, ID: id, Attempt: at, Server: server, Outcome: out, Elapsed: elapsed, Final: j.over,
+	r.policyEvent = policy.Event{Kind: policy.AttemptEnded, ID: id, Attempt: at, Server: server, Outcome: out, Elapsed: elapsed, Final: j.answered,
 		Report: report}
-	r.tidy(m)
-	r.give(n)
+	r.releaseIfDone(m)
+	r.deliver(n)
 }
--- a/internal/fleetsim/model/connections.go
+++ b/internal/fleetsim/model/connections.go
@@ -1,48 +1,48 @@
 package model
 
-// conns are one proxy's connections to one server.
-type conns struct {
+// connections are one proxy's connections to one server.
+type connectionPool struct {
 	epoch int32
 	used  int32
 	idle  []Time // since when, oldest first
 }
 
-// expire closes connections that have been idle for too long.
-func (r *run) expire(k *conns, s *server) {
+// closeExpired closes connections that have been idle for too long.
+func (r *simulation) closeExpired(k *connectionPool, s *server) {
 	n := 0
-	for n < len(k.idle) && r.now-k.idle[n] >= Time(r.w.Conn.Idle) {
+	for n < len(k.idle) && r.now-k.idle[n] >= Time(r.scenario.Connections.IdleTimeout) {
 		n++
 	}
 	if n > 0 {
-		s.conns -= n
+		s.connections -= n
 		k.idle = append(k.idle[:0], k.idle[n:]...)
 	}
 }
 
-func (r *run) sweep(n, inc int32) {
+func (r *simulation) closeIdleConnections(n, inc int32) {
 	p := &r.proxies[n]
-	if p.inc != inc || !p.up {
+	if p.incarnation != inc || !p.up {
 		return
 	}
-	for s, k := range p.conns { // what is done to one server does not touch another: any order will do
+	for s, k := range p.connections { // what is done to one server does not touch another: any order will do
 		if srv := r.servers[s]; k.epoch == srv.epoch {
-			r.expire(k, srv)
+			r.closeExpired(k, srv)
 		} else {
 			k.idle = k.idle[:0]
 		}
 		if len(k.idle) == 0 && k.used == 0 {
-			delete(p.conns, s)
+			delete(p.connections, s)
 		}
 	}
-	r.at(r.now+1_000_000, event{kind: evSweep, a: n, b: inc})
+	r.schedule(r.now+1_000_000, event{kind: evCloseIdle, subject: n, number: inc})
 }
 
-// release ends an attempt's use of its connection: kept, or closed with it.
-func (r *run) release(k *task, keep bool) {
+// releaseConnection ends an attempt's use of its connection: kept, or closed with it.
+func (r *simulation) releaseConnection(k *serverAttempt, keep bool) {
 	s, p := r.servers[k.server], &r.proxies[k.proxy]
-	counted := s.epoch == k.epoch && (k.stage > travelling || !k.fresh)
-	if p.up && p.inc == k.inc {
-		if pool := p.conns[k.server]; pool != nil && pool.epoch == k.epoch {
+	counted := s.epoch == k.epoch && (k.stage > stageTravelling || !k.newConnection)
+	if p.up && p.incarnation == k.incarnation {
+		if pool := p.connections[k.server]; pool != nil && pool.epoch == k.epoch {
 			pool.used--
 			if keep && counted {
 				pool.idle = append(pool.idle, r.now)
@@ -51,6 +51,6 @@
 		}
 	}
 	if counted {
-		s.conns--
+		s.connections--
 	}
 }
--- a/internal/fleetsim/model/discovery.go
+++ b/internal/fleetsim/model/discovery.go
@@ -8,59 +8,59 @@
 
 func sortFloats(x []float64) { slices.Sort(x) }
 
-// silentWatch is how long a watch may say nothing before its proxy holds it for broken.
-const silentWatch = 5_000_000
+// watchHeartbeatTimeout is how long a watch may say nothing before its proxy holds it for broken.
+const watchHeartbeatTimeout = 5_000_000
 
-// registry is discovery. It holds each list once: proxies are handed slices of one log of changes, so a thousand
+// discoveryService is discovery. It holds each list once: proxies are handed slices of one log of changes, so a thousand
 // of them with ten thousand servers cost no more memory than one.
-type registry struct {
-	first  []policy.Member // the whole list at the start
-	log    []policy.Member // all changes since; a version is a place in it
-	known  []policy.Member // the present state, by server
-	epochs []int32         // of the latest process heard of
-	whole  []policy.Member // the whole list at version wholeAt
-	at     int
-	busy   Time // till when calls wait in turn
-	downs  int
+type discoveryService struct {
+	initial          []policy.Member // the whole list at the start
+	changes          []policy.Member // all changes since; a version is a place in it
+	current          []policy.Member // the present state, by server
+	epochs           []int32         // of the latest process heard of
+	listCache        []policy.Member // the whole list at version wholeAt
+	listCacheVersion int
+	busyUntil        Time // till when calls wait in turn
+	outages          int
 }
 
-func (g *registry) begin(r *run) {
+func (g *discoveryService) init(r *simulation) {
 	for _, s := range r.servers {
-		g.known = append(g.known, policy.Member{Server: s.id, Zone: s.zone, Cell: s.cell, InstanceType: uint16(s.kindNo),
-			Mode: policy.ModeReady, Size: float64(s.kind.Cores)})
+		g.current = append(g.current, policy.Member{Server: s.id, Zone: s.zone, Cell: s.cell, InstanceType: uint16(s.instanceTypeIndex),
+			Mode: policy.ModeReady, Size: float64(s.instanceType.Cores)})
 		g.epochs = append(g.epochs, 0)
 	}
-	g.first = slices.Clone(g.known)
-	g.whole = g.first
+	g.initial = slices.Clone(g.current)
+	g.listCache = g.initial
 }
 
 // list is the whole list as it is now.
-func (g *registry) list() []policy.Member {
-	if g.at != len(g.log) {
-		g.whole, g.at = nil, len(g.log)
-		for i := range g.known {
-			if g.known[i].Mode != policy.ModeGone {
-				g.whole = append(g.whole, g.known[i])
+func (g *discoveryService) list() []policy.Member {
+	if g.listCacheVersion != len(g.changes) {
+		g.listCache, g.listCacheVersion = nil, len(g.changes)
+		for i := range g.current {
+			if g.current[i].Mode != policy.ModeGone {
+				g.listCache = append(g.listCache, g.current[i])
 			}
 		}
 	}
-	return g.whole
+	return g.listCache
 }
 
-// cached is the whole list as it was at a version.
-func (g *registry) cached(version int) []policy.Member {
+// listAt is the whole list as it was at a version.
+func (g *discoveryService) listAt(version int) []policy.Member {
 	if version == 0 {
-		return g.first
+		return g.initial
 	}
-	if version == g.at {
-		return g.whole
+	if version == g.listCacheVersion {
+		return g.listCache
 	}
 	place := map[uint32]int{}
-	list := slices.Clone(g.first)
+	list := slices.Clone(g.initial)
 	for i := range list {
 		place[list[i].Server] = i
 	}
-	for _, m := range g.log[:version] {
+	for _, m := range g.changes[:version] {
 		if i, ok := place[m.Server]; ok {
 			list[i] = m
 		} else {
@@ -71,118 +71,118 @@
 	return slices.DeleteFunc(list, func(m policy.Member) bool { return m.Mode == policy.ModeGone })
 }
 
-// notice lets discovery learn of a server's new state after a while.
-func (r *run) notice(s *server, mode policy.Mode, lag Time) {
-	r.at(r.now+lag, event{kind: evListed, a: s.n, b: s.epoch, n: uint8(mode), id: uint64(s.started)})
+// scheduleDiscoveryUpdate lets discovery learn of a server's new state after a while.
+func (r *simulation) scheduleDiscoveryUpdate(s *server, mode policy.Mode, lag Time) {
+	r.schedule(r.now+lag, event{kind: evDiscoveryUpdate, subject: s.index, number: s.epoch, code: uint8(mode), id: uint64(s.started)})
 }
 
-func (r *run) listed(e *event) {
-	g := &r.reg
-	m := &g.known[e.a]
-	if e.b < g.epochs[e.a] || e.b == g.epochs[e.a] && m.Mode == policy.Mode(e.n) ||
-		e.b == g.epochs[e.a] && m.Mode == policy.ModeGone {
+func (r *simulation) updateDiscovery(e *event) {
+	g := &r.discovery
+	m := &g.current[e.subject]
+	if e.number < g.epochs[e.subject] || e.number == g.epochs[e.subject] && m.Mode == policy.Mode(e.code) ||
+		e.number == g.epochs[e.subject] && m.Mode == policy.ModeGone {
 		return // late news of a process that has a successor, or no news
 	}
-	g.epochs[e.a] = e.b
-	m.Mode, m.StartedAt = policy.Mode(e.n), Time(e.id)
-	g.log = append(g.log, *m)
-	r.see(Record{Kind: Listed, Members: g.log[len(g.log)-1:], Version: len(g.log)})
+	g.epochs[e.subject] = e.number
+	m.Mode, m.StartedAt = policy.Mode(e.code), Time(e.id)
+	g.changes = append(g.changes, *m)
+	r.observe(Record{Kind: DiscoveryUpdated, Members: g.changes[len(g.changes)-1:], Version: len(g.changes)})
 	for i := range r.proxies {
 		if p := &r.proxies[i]; p.up && p.watching {
-			r.informLater(int32(i))
+			r.scheduleNotification(int32(i))
 		}
 	}
 }
 
-func (r *run) informLater(n int32) {
+func (r *simulation) scheduleNotification(n int32) {
 	p := &r.proxies[n]
-	if p.pending {
+	if p.notificationPending {
 		return // what is under way will bring this as well
 	}
-	p.pending = true
-	late := Time(r.net.Float64()*float64(r.w.Discovery.Spread)) + r.delay(p.zone, 0)
-	r.at(r.tick(r.now+late), event{kind: evInform, a: n, b: p.inc})
+	p.notificationPending = true
+	late := Time(r.networkRand.Float64()*float64(r.scenario.Discovery.NotifyJitter)) + r.networkDelay(p.zone, 0)
+	r.schedule(r.nextTick(r.now+late), event{kind: evNotifyProxy, subject: n, number: p.incarnation})
 }
 
-// inform brings a watching proxy what has changed.
-func (r *run) inform(n, inc int32) {
+// notifyProxy brings a watching proxy what has changed.
+func (r *simulation) notifyProxy(n, inc int32) {
 	p := &r.proxies[n]
-	if p.inc != inc || !p.up {
+	if p.incarnation != inc || !p.up {
 		return
 	}
-	p.pending = false
-	if !p.watching || p.version == len(r.reg.log) {
+	p.notificationPending = false
+	if !p.watching || p.version == len(r.discovery.changes) {
 		return
 	}
-	if r.partedDiscovery(n) {
-		p.pending = true
-		r.at(r.tick(r.now+250_000), event{kind: evInform, a: n, b: inc})
+	if r.isDiscoveryPartitioned(n) {
+		p.notificationPending = true
+		r.schedule(r.nextTick(r.now+250_000), event{kind: evNotifyProxy, subject: n, number: inc})
 		return
 	}
-	r.tell(n)
+	r.sendMembership(n)
 }
 
-// tell hands a proxy the changes since its version, or the whole list where they are more than that.
-func (r *run) tell(n int32) {
-	p, g := &r.proxies[n], &r.reg
-	members := g.log[p.version:len(g.log):len(g.log)]
+// sendMembership hands a proxy the changes since its version, or the whole list where they are more than that.
+func (r *simulation) sendMembership(n int32) {
+	p, g := &r.proxies[n], &r.discovery
+	members := g.changes[p.version:len(g.changes):len(g.changes)]
 	kind := policy.MembershipDelta
-	if len(members) > len(g.known) {
+	if len(members) > len(g.current) {
 		members, kind = g.list(), policy.MembershipFull
 	}
-	p.version = len(g.log)
-	r.see(Record{Kind: Informed, Proxy: n, Members: members, Version: p.version, Flag: kind == policy.MembershipFull})
-	r.ev = policy.Event{Kind: kind, Members: members}
-	r.give(n)
+	p.version = len(g.changes)
+	r.observe(Record{Kind: ProxyNotified, Proxy: n, Members: members, Version: p.version, Flag: kind == policy.MembershipFull})
+	r.policyEvent = policy.Event{Kind: kind, Members: members}
+	r.deliver(n)
 }
 
 // subscribe is a proxy's call to discovery, which answers calls in turn and fails those that would wait too long.
-func (r *run) subscribe(n int32) {
-	p, g, d := &r.proxies[n], &r.reg, &r.w.Discovery
-	r.see(Record{Kind: Asked, Proxy: n})
-	e := event{kind: evCalled, a: n, b: p.inc}
-	g.busy = max(g.busy, r.now)
-	switch wait := g.busy - r.now; {
-	case r.partedDiscovery(n):
-		e.n = 1
-		r.at(r.tick(r.now+Time(d.Within)), e)
-	case g.downs > 0:
-		e.n = 1
-		r.at(r.tick(r.now+2*r.delay(p.zone, 0)), e)
-	case wait > Time(d.Within):
-		e.n = 1
-		r.at(r.tick(r.now+Time(d.Within)), e)
+func (r *simulation) subscribe(n int32) {
+	p, g, d := &r.proxies[n], &r.discovery, &r.scenario.Discovery
+	r.observe(Record{Kind: DiscoveryCalled, Proxy: n})
+	e := event{kind: evSubscribeResult, subject: n, number: p.incarnation}
+	g.busyUntil = max(g.busyUntil, r.now)
+	switch wait := g.busyUntil - r.now; {
+	case r.isDiscoveryPartitioned(n):
+		e.code = 1
+		r.schedule(r.nextTick(r.now+Time(d.CallTimeout)), e)
+	case g.outages > 0:
+		e.code = 1
+		r.schedule(r.nextTick(r.now+2*r.networkDelay(p.zone, 0)), e)
+	case wait > Time(d.CallTimeout):
+		e.code = 1
+		r.schedule(r.nextTick(r.now+Time(d.CallTimeout)), e)
 	default:
-		g.busy += Time(1e6 / d.Calls)
-		r.at(r.tick(g.busy+r.delay(p.zone, 0)), e)
+		g.busyUntil += Time(1e6 / d.CallsPerSecond)
+		r.schedule(r.nextTick(g.busyUntil+r.networkDelay(p.zone, 0)), e)
 	}
 }
 
-func (r *run) called(e *event) {
-	p := &r.proxies[e.a]
-	if p.inc != e.b || !p.up {
+func (r *simulation) receiveSubscribeResult(e *event) {
+	p := &r.proxies[e.subject]
+	if p.incarnation != e.number || !p.up {
 		return
 	}
-	if e.n == 1 || r.reg.downs > 0 || r.partedDiscovery(e.a) {
-		r.unwatch(e.a, e.b, true)
+	if e.code == 1 || r.discovery.outages > 0 || r.isDiscoveryPartitioned(e.subject) {
+		r.endWatch(e.subject, e.number, true)
 		return
 	}
 	p.watching = true
-	r.see(Record{Kind: Asked, Proxy: e.a, Flag: true})
-	if every := r.w.Discovery.BreakIn; every > 0 {
-		r.at(r.now+1+Time(r.net.ExpFloat64()*float64(every)), event{kind: evBreak, a: e.a, b: e.b})
+	r.observe(Record{Kind: DiscoveryCalled, Proxy: e.subject, Flag: true})
+	if every := r.scenario.Discovery.WatchLifetime; every > 0 {
+		r.schedule(r.now+1+Time(r.networkRand.ExpFloat64()*float64(every)), event{kind: evWatchBreaks, subject: e.subject, number: e.number})
 	}
-	r.tell(e.a)
+	r.sendMembership(e.subject)
 }
 
-// unwatch tells a proxy that its watch broke or its call failed.
-func (r *run) unwatch(n, inc int32, call bool) {
+// endWatch tells a proxy that its watch broke or its call failed.
+func (r *simulation) endWatch(n, inc int32, call bool) {
 	p := &r.proxies[n]
-	if p.inc != inc || !p.up || !call && !p.watching {
+	if p.incarnation != inc || !p.up || !call && !p.watching {
 		return
 	}
 	p.watching = false
-	r.see(Record{Kind: Unwatched, Proxy: n, Flag: call})
-	r.ev = policy.Event{Kind: policy.DiscoveryFailed}
-	r.give(n)
+	r.observe(Record{Kind: WatchLost, Proxy: n, Flag: call})
+	r.policyEvent = policy.Event{Kind: policy.DiscoveryFailed}
+	r.deliver(n)
 }
--- a/internal/fleetsim/model/faultconfig.go
+++ b/internal/fleetsim/model/faultconfig.go
@@ -4,21 +4,21 @@
 	"math/rand/v2"
 )
 
-// Trouble is something that goes wrong for a while.
-type Trouble struct {
-	Kind  string  `toml:"kind" json:"kind"`
-	At    Span    `toml:"at" json:"at"`
-	For   Span    `toml:"for" json:"for"`
-	Part  float64 `toml:"part" json:"part"`   // of the servers (or proxies) that it strikes
-	Size  float64 `toml:"size" json:"size"`   // how hard; see Troubles
-	Every Span    `toml:"every" json:"every"` // on and off, drain time, or a fault's period; see Troubles
-	From  string  `toml:"from" json:"from"`   // for cut: a party; see ParseParty
-	To    string  `toml:"to" json:"to"`
-	Fresh bool    `toml:"fresh_ids" json:"fresh_ids"` // for deploy: successors come under new ids
+// Fault is something that goes wrong for a while.
+type Fault struct {
+	Kind          string  `toml:"kind" json:"kind"`
+	Start         Span    `toml:"at" json:"at"`
+	Duration      Span    `toml:"for" json:"for"`
+	AffectedShare float64 `toml:"part" json:"part"`   // of the servers (or proxies) that it strikes
+	Magnitude     float64 `toml:"size" json:"size"`   // how hard; see Troubles
+	Interval      Span    `toml:"every" json:"every"` // on and off, drain time, or a fault's period; see Troubles
+	From          string  `toml:"from" json:"from"`   // for cut: a party; see ParseParty
+	To            string  `toml:"to" json:"to"`
+	NewIDs        bool    `toml:"fresh_ids" json:"fresh_ids"` // for deploy: successors come under new ids
 }
 
-// Troubles names the kinds of trouble and what their figures mean.
-var Troubles = map[string]string{
+// FaultKinds names the kinds of trouble and what their figures mean.
+var FaultKinds = map[string]string{
 	"hang":            "part of the servers take work and answer nothing",
 	"fast_errors":     "part of the servers fail a share (size) of their requests at once",
 	"neighbour":       "another program takes a share (size) of part of the servers, on and off (every)",
@@ -39,35 +39,35 @@
 	"flood":           "one tenant (the first) sends size times its traffic",
 }
 
-// drawn draws troubles of the kinds that the operators have recorded, within the figures that they gave, and of those
+// randomFaults draws troubles of the kinds that the operators have recorded, within the figures that they gave, and of those
 // that they may meet; each ends before the play does.
-func (w *World) drawn(g *rand.Rand) []Trouble {
+func (w *Scenario) randomFaults(g *rand.Rand) []Fault {
 	between := func(lo, hi float64) float64 { return lo + (hi-lo)*g.Float64() }
-	length := float64(w.Length)
+	length := float64(w.Duration)
 	kinds := []string{"hang", "fast_errors", "neighbour", "gray", "report_late", "deploy", "restart", "zone_cut", "discovery",
 		"reconnect_storm", "proxy_kill", "retry_storm", "flood"}
-	var out []Trouble
-	for _, i := range g.Perm(len(kinds))[:min(w.Draw, len(kinds))] {
-		t := Trouble{Kind: kinds[i], At: Span(length * between(0.1, 0.5)), For: Span(length * between(0.2, 0.45)), Part: between(0.06, 0.2)}
+	var out []Fault
+	for _, i := range g.Perm(len(kinds))[:min(w.RandomFaults, len(kinds))] {
+		t := Fault{Kind: kinds[i], Start: Span(length * between(0.1, 0.5)), Duration: Span(length * between(0.2, 0.45)), AffectedShare: between(0.06, 0.2)}
 		switch t.Kind {
 		case "fast_errors":
-			t.Size = between(0.4, 0.85)
+			t.Magnitude = between(0.4, 0.85)
 		case "neighbour":
-			t.Part, t.Size, t.Every = between(0.12, 0.38), between(0.37, 0.72), Span(1e6*between(1, 5))
+			t.AffectedShare, t.Magnitude, t.Interval = between(0.12, 0.38), between(0.37, 0.72), Span(1e6*between(1, 5))
 		case "gray":
-			t.Size = between(0.5, 0.9)
+			t.Magnitude = between(0.5, 0.9)
 		case "report_late":
-			t.Part, t.Size = 1, between(1.3, 4.6)
+			t.AffectedShare, t.Magnitude = 1, between(1.3, 4.6)
 		case "deploy":
-			t.Part, t.Size, t.Every = between(0.5, 0.97), between(0.08, 0.19), Span(1e6*between(2.6, 5.9))
+			t.AffectedShare, t.Magnitude, t.Interval = between(0.5, 0.97), between(0.08, 0.19), Span(1e6*between(2.6, 5.9))
 		case "restart", "proxy_kill":
-			t.Every = Span(1e6 * between(0.5, 4))
+			t.Interval = Span(1e6 * between(0.5, 4))
 		case "zone_cut", "discovery":
-			t.For = Span(1e6 * between(2, 8))
+			t.Duration = Span(1e6 * between(2, 8))
 		case "reconnect_storm":
-			t.Part, t.For, t.Every = 1, 4e6, 1e6
+			t.AffectedShare, t.Duration, t.Interval = 1, 4e6, 1e6
 		case "retry_storm", "flood":
-			t.Size = between(1.5, 3)
+			t.Magnitude = between(1.5, 3)
 		}
 		out = append(out, t)
 	}
--- a/internal/fleetsim/model/lifecycle.go
+++ b/internal/fleetsim/model/lifecycle.go
@@ -4,101 +4,101 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// serverDown ends a server's process; what it held breaks, and its connections do.
-func (r *run) serverDown(s *server, known bool) {
-	if s.state == down {
+// stopServer ends a server's process; what it held breaks, and its connections do.
+func (r *simulation) stopServer(s *server, known bool) {
+	if s.state == stateDown {
 		return
 	}
-	r.advance(s)
-	s.state = down
-	lag := r.w.Discovery.Silent
+	r.advanceServer(s)
+	s.state = stateDown
+	lag := r.scenario.Discovery.CrashDelay
 	if known {
-		lag = r.w.Discovery.Notice / 4 // an orderly end is told of soon
+		lag = r.scenario.Discovery.DrainDelay / 4 // an orderly end is told of soon
 	}
-	r.notice(s, policy.ModeGone, Time(lag))
+	r.scheduleDiscoveryUpdate(s, policy.ModeGone, Time(lag))
 	broken := make([]int32, 0, len(s.slots)+len(s.queue)-s.head)
 	for _, e := range s.slots {
 		broken = append(broken, e.task)
 	}
 	broken = append(broken, s.queue[s.head:]...)
-	s.slots, s.queue, s.head, s.owed, s.nextAt = s.slots[:0], s.queue[:0], 0, 0, 0
+	s.slots, s.queue, s.head, s.workQueued, s.nextWakeup = s.slots[:0], s.queue[:0], 0, 0, 0
 	for _, t := range broken {
-		r.returned(t, policy.ConnectionReset, false)
+		r.returnAttempt(t, policy.ConnectionReset, false)
 	}
-	s.conns = 0
+	s.connections = 0
 	s.epoch++
 }
 
-// serverUp starts a process behind a server's id, cold.
-func (r *run) serverUp(s *server) {
-	if s.state != down {
+// startServer starts a process behind a server's id, cold.
+func (r *simulation) startServer(s *server) {
+	if s.state != stateDown {
 		return
 	}
-	s.state, s.started, s.cold, s.warmWork, s.pushed = up, max(1, r.now), true, 0, tally{}
-	s.vAt, s.busy, s.done, s.errors, s.reported, s.reportN = r.now, 0, 0, 0, r.now, 0
-	s.paused, s.replacing, s.met = 0, false, nil
-	r.see(Record{Kind: Started, Server: s.id, Zone: s.zone})
-	r.notice(s, policy.ModeReady, Time(r.w.Discovery.Add))
-	r.pauseLater(s.n)
+	s.state, s.started, s.cold, s.warmWork, s.arrivedWork = stateUp, max(1, r.now), true, 0, workWindow{}
+	s.virtualTimeAt, s.busy, s.completed, s.errors, s.reportedAt, s.reportCount = r.now, 0, 0, 0, r.now, 0
+	s.pauses, s.replacing, s.keyHits = 0, false, nil
+	r.observe(Record{Kind: ServerStarted, Server: s.id, Zone: s.zone})
+	r.scheduleDiscoveryUpdate(s, policy.ModeReady, Time(r.scenario.Discovery.StartDelay))
+	r.schedulePause(s.index)
 }
 
-// fall is the end of a cold server that was sent too much.
-func (r *run) fall(s *server) {
-	r.see(Record{Kind: Fell, Server: s.id})
+// overloadServer is the end of a cold server that was sent too much.
+func (r *simulation) overloadServer(s *server) {
+	r.observe(Record{Kind: ServerOverloaded, Server: s.id})
 	again := s.replacing
-	r.serverDown(s, false)
+	r.stopServer(s, false)
 	if again {
-		r.succeed(s)
-	} else if r.w.Tip.Down > 0 {
-		r.at(r.now+Time(r.w.Tip.Down), event{kind: evServerUp, a: s.n})
+		r.startSuccessor(s)
+	} else if r.scenario.Overload.Downtime > 0 {
+		r.schedule(r.now+Time(r.scenario.Overload.Downtime), event{kind: evServerUp, subject: s.index})
 	}
 }
 
-// drain lets a server finish what it has; its successor follows.
-func (r *run) drain(s *server, within Time, fresh bool) {
-	if s.state != up {
+// drainServer lets a server finish what it has; its successor follows.
+func (r *simulation) drainServer(s *server, within Time, fresh bool) {
+	if s.state != stateUp {
 		return
 	}
-	s.state, s.replacing, s.fresh = draining, true, fresh
-	r.notice(s, policy.ModeDraining, Time(r.w.Discovery.Notice)/4)
-	r.at(r.now+within, event{kind: evServerDown, a: s.n, b: s.epoch, n: 1})
+	s.state, s.replacing, s.successorHasNewID = stateDraining, true, fresh
+	r.scheduleDiscoveryUpdate(s, policy.ModeDraining, Time(r.scenario.Discovery.DrainDelay)/4)
+	r.schedule(r.now+within, event{kind: evServerDown, subject: s.index, number: s.epoch, code: 1})
 }
 
-// succeed starts a server's successor, under its id or a new one, half a second after its end.
-func (r *run) succeed(s *server) {
+// startSuccessor starts a server's successor, under its id or a new one, half a second after its end.
+func (r *simulation) startSuccessor(s *server) {
 	s.replacing = false
-	if s.fresh {
-		next := r.addServer(int32(s.zone), s.kindNo, s.kind, s.speed)
-		next.cell, next.state = s.cell, down
-		r.reg.known = append(r.reg.known, policy.Member{Server: next.id, Zone: next.zone, Cell: next.cell,
-			InstanceType: uint16(next.kindNo), Mode: policy.ModeGone, Size: float64(next.kind.Cores)})
-		r.reg.epochs = append(r.reg.epochs, -1) // nothing of it is known: its first start is news
+	if s.successorHasNewID {
+		next := r.addServer(int32(s.zone), s.instanceTypeIndex, s.instanceType, s.speed)
+		next.cell, next.state = s.cell, stateDown
+		r.discovery.current = append(r.discovery.current, policy.Member{Server: next.id, Zone: next.zone, Cell: next.cell,
+			InstanceType: uint16(next.instanceTypeIndex), Mode: policy.ModeGone, Size: float64(next.instanceType.Cores)})
+		r.discovery.epochs = append(r.discovery.epochs, -1) // nothing of it is known: its first start is news
 		s = next
 	}
-	r.at(r.now+500_000, event{kind: evServerUp, a: s.n})
+	r.schedule(r.now+500_000, event{kind: evServerUp, subject: s.index})
 }
 
-func (r *run) pauseLater(n int32) {
-	if s := r.servers[n]; s.kind.PauseEvery > 0 && s.kind.Pause > 0 {
-		r.at(r.now+1+Time(r.chance.ExpFloat64()*float64(s.kind.PauseEvery)), event{kind: evPause, a: n, b: s.epoch})
+func (r *simulation) schedulePause(n int32) {
+	if s := r.servers[n]; s.instanceType.PauseInterval > 0 && s.instanceType.PauseTime > 0 {
+		r.schedule(r.now+1+Time(r.serverRand.ExpFloat64()*float64(s.instanceType.PauseInterval)), event{kind: evPauseStart, subject: n, number: s.epoch})
 	}
 }
 
-// pause is a stop of the whole server, such as a collector's, or its end. It grows with what is held.
-func (r *run) pause(e *event) {
-	s := r.servers[e.a]
-	if s.epoch != e.b || s.state == down {
+// changePause is a stop of the whole server, such as a collector's, or its end. It grows with what is held.
+func (r *simulation) changePause(e *event) {
+	s := r.servers[e.subject]
+	if s.epoch != e.number || s.state == stateDown {
 		return
 	}
-	r.advance(s)
-	if e.kind == evResume {
-		s.paused--
-		r.work(s)
-		r.pauseLater(s.n)
+	r.advanceServer(s)
+	if e.kind == evPauseEnd {
+		s.pauses--
+		r.processServer(s)
+		r.schedulePause(s.index)
 		return
 	}
-	s.paused++
-	r.settle(s)
-	grow := 1 + float64(len(s.slots)+len(s.queue)-s.head)/float64(2*s.kind.Slots)
-	r.at(r.now+1+Time(float64(s.kind.Pause)*grow*r.chance.ExpFloat64()), event{kind: evResume, a: e.a, b: e.b})
+	s.pauses++
+	r.rescheduleServer(s)
+	grow := 1 + float64(len(s.slots)+len(s.queue)-s.head)/float64(2*s.instanceType.Slots)
+	r.schedule(r.now+1+Time(float64(s.instanceType.PauseTime)*grow*r.serverRand.ExpFloat64()), event{kind: evPauseEnd, subject: e.subject, number: e.number})
 }
--- a/internal/fleetsim/model/model_test.go
+++ b/internal/fleetsim/model/model_test.go
@@ -17,50 +17,50 @@
 
 const ms, sec = 1000, 1_000_000
 
-func decider(set policy.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
+func decider(set policy.Settings, seed uint64, _ *model.Oracle) (model.Node, error) {
 	return policy.New(set, seed)
 }
 
 // hashed is a digest of all records of a play, to the last field.
 type hashed struct{ digest [32]byte }
 
-func (h *hashed) See(r *model.Record) {
+func (h *hashed) Observe(r *model.Record) {
 	text, _ := json.Marshal(r)
 	h.digest = sha256.Sum256(append(h.digest[:], text...))
 }
 
-func rough() model.World {
-	w := model.Quotes()
-	w.Length, w.Discovery.BreakIn, w.Burst, w.BurstOn = 20*sec, 5*sec, 2, 1*sec
-	w.Troubles = []model.Trouble{
-		{Kind: "hang", At: 3 * sec, For: 4 * sec, Part: 0.2},
-		{Kind: "deploy", At: 4 * sec, For: 12 * sec, Part: 0.9, Size: 0.2, Every: 2 * sec, Fresh: true},
-		{Kind: "proxy_kill", At: 8 * sec, For: 1 * sec, Part: 0.5, Every: 2 * sec},
-		{Kind: "restart", At: 9 * sec, For: 1 * sec, Part: 0.2, Every: 1 * sec},
-		{Kind: "zone_cut", At: 10 * sec, For: 3 * sec},
-		{Kind: "reconnect_storm", At: 12 * sec, For: 2 * sec, Part: 1, Every: 500 * ms},
-		{Kind: "discovery_zone", At: 6 * sec, For: 8 * sec},
-		{Kind: "retry_storm", At: 13 * sec, For: 4 * sec, Size: 3},
-		{Kind: "flood", At: 14 * sec, For: 3 * sec, Size: 2},
-		{Kind: "neighbour", At: 2 * sec, For: 16 * sec, Part: 0.3, Size: 0.5, Every: 2 * sec},
-		{Kind: "gray", At: 5 * sec, For: 9 * sec, Part: 0.1, Size: 0.7},
-		{Kind: "fast_errors", At: 7 * sec, For: 9 * sec, Part: 0.1, Size: 0.6},
-		{Kind: "report_late", At: 7 * sec, For: 9 * sec, Part: 1, Size: 2},
-		{Kind: "cut", At: 15 * sec, For: 2 * sec, From: "proxy:0", To: "server:3"},
-		{Kind: "discovery", At: 16 * sec, For: 2 * sec},
+func rough() model.Scenario {
+	w := model.DefaultScenario()
+	w.Duration, w.Discovery.WatchLifetime, w.BurstFactor, w.BurstTime = 20*sec, 5*sec, 2, 1*sec
+	w.Faults = []model.Fault{
+		{Kind: "hang", Start: 3 * sec, Duration: 4 * sec, AffectedShare: 0.2},
+		{Kind: "deploy", Start: 4 * sec, Duration: 12 * sec, AffectedShare: 0.9, Magnitude: 0.2, Interval: 2 * sec, NewIDs: true},
+		{Kind: "proxy_kill", Start: 8 * sec, Duration: 1 * sec, AffectedShare: 0.5, Interval: 2 * sec},
+		{Kind: "restart", Start: 9 * sec, Duration: 1 * sec, AffectedShare: 0.2, Interval: 1 * sec},
+		{Kind: "zone_cut", Start: 10 * sec, Duration: 3 * sec},
+		{Kind: "reconnect_storm", Start: 12 * sec, Duration: 2 * sec, AffectedShare: 1, Interval: 500 * ms},
+		{Kind: "discovery_zone", Start: 6 * sec, Duration: 8 * sec},
+		{Kind: "retry_storm", Start: 13 * sec, Duration: 4 * sec, Magnitude: 3},
+		{Kind: "flood", Start: 14 * sec, Duration: 3 * sec, Magnitude: 2},
+		{Kind: "neighbour", Start: 2 * sec, Duration: 16 * sec, AffectedShare: 0.3, Magnitude: 0.5, Interval: 2 * sec},
+		{Kind: "gray", Start: 5 * sec, Duration: 9 * sec, AffectedShare: 0.1, Magnitude: 0.7},
+		{Kind: "fast_errors", Start: 7 * sec, Duration: 9 * sec, AffectedShare: 0.1, Magnitude: 0.6},
+		{Kind: "report_late", Start: 7 * sec, Duration: 9 * sec, AffectedShare: 1, Magnitude: 2},
+		{Kind: "cut", Start: 15 * sec, Duration: 2 * sec, From: "proxy:0", To: "server:3"},
+		{Kind: "discovery", Start: 16 * sec, Duration: 2 * sec},
 	}
 	return w
 }
 
 // TestSameSeedSameRecords plays everything at once four times side by side and compares all that passed.
 func TestSameSeedSameRecords(t *testing.T) {
-	for name, mk := range map[string]model.Maker{"decide": decider, "least": baseline.Maker(baseline.Least), "truth": baseline.Maker(baseline.Truth)} {
+	for name, mk := range map[string]model.NodeFactory{"decide": decider, "least": baseline.NewFactory(baseline.PolicyLeastRequests), "truth": baseline.NewFactory(baseline.PolicyOracle)} {
 		var plays [4]hashed
 		var wg sync.WaitGroup
 		for i := range plays {
 			wg.Go(func() {
 				w := rough()
-				if _, err := model.Play(&w, uint64(7+i/3), mk, &plays[i]); err != nil {
+				if _, err := model.Run(&w, uint64(7+i/3), mk, &plays[i]); err != nil {
 					t.Error(name, err)
 				}
 			})
@@ -124,7 +124,7 @@
 	w := rough()
 	starts := 0
 	ref := checker.New(&w)
-	_, err := model.Play(&w, 3, func(set policy.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
+	_, err := model.Run(&w, 3, func(set policy.Settings, seed uint64, _ *model.Oracle) (model.Node, error) {
 		starts++
 		b, err := policy.New(set, seed)
 		return &strict{Node: b, t: t, had: map[uint64]bool{}, out: map[string]bool{}, sent: map[uint64]int{}}, err
@@ -139,14 +139,14 @@
 	if starts != w.Proxies+w.Proxies/2 {
 		t.Errorf("%d starts of proxies, want %d", starts, w.Proxies+w.Proxies/2)
 	}
-	if rep.ColdStarts < 10 || rep.Calls < 4000 {
-		t.Errorf("%d cold starts, %d calls: too calm to show anything", rep.ColdStarts, rep.Calls)
+	if rep.ColdStarts < 10 || rep.Requests < 4000 {
+		t.Errorf("%d cold starts, %d calls: too calm to show anything", rep.ColdStarts, rep.Requests)
 	}
-	if got := rep.InTime + rep.Late + rep.Unserved; got != rep.Calls {
-		t.Errorf("%d calls ended of %d", got, rep.Calls)
+	if got := rep.InTime + rep.Late + rep.Unserved; got != rep.Requests {
+		t.Errorf("%d calls ended of %d", got, rep.Requests)
 	}
-	if !rep.Kept() {
-		t.Errorf("decide breaks rules: %v", rep.Breaches)
+	if !rep.HasNoViolations() {
+		t.Errorf("decide breaks rules: %v", rep.Violations)
 	}
 }
 
@@ -154,15 +154,15 @@
 // mean work over 1 - load, whatever the distribution of the work (Kleinrock, Queueing Systems II, 4.4).
 func TestProcessorSharing(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.8} {
-		w := model.Quotes()
-		w.Length, w.Tick, w.Servers, w.Proxies, w.Zones, w.Load, w.Swing, w.Spread = 20_000*sec, 0, 1, 1, 1, load, 0, 0
-		w.Kinds = []model.Kind{{Name: "one", Share: 1, Cores: 1, Speed: 1, Slots: 100_000, ColdFrom: 1}}
-		w.Classes = []model.Class{{Name: "c", Share: 1, Work: 100 * ms, CV: 1.5, Aim: 60 * sec, Deadline: 120 * sec, Worth: 1, Effect: "safe"}}
-		w.Tenants, w.Conn.Work, w.Conn.Tax, w.Clients.Patience = nil, 0, 0, 1
-		w.Net = model.Net{Same: 1, Cross: 1, Client: 1}
+		w := model.DefaultScenario()
+		w.Duration, w.Tick, w.Servers, w.Proxies, w.Zones, w.Load, w.WaveAmplitude, w.Spread = 20_000*sec, 0, 1, 1, 1, load, 0, 0
+		w.InstanceTypes = []model.InstanceType{{Name: "one", Share: 1, Cores: 1, Speed: 1, Slots: 100_000, InitialCapacity: 1}}
+		w.Classes = []model.Class{{Name: "c", Share: 1, Work: 100 * ms, WorkCV: 1.5, LatencyTarget: 60 * sec, Deadline: 120 * sec, Value: 1, Semantics: "safe"}}
+		w.Tenants, w.Connections.HandshakeWork, w.Connections.CapacityTax, w.Clients.AttemptTimeoutShare = nil, 0, 0, 1
+		w.Network = model.Network{SameZone: 1, CrossZone: 1, Client: 1}
 		var sum, n float64
-		if _, err := model.Play(&w, 5, baseline.Maker(baseline.Random), see(func(r *model.Record) {
-			if r.Kind == model.CallOver && r.Flag {
+		if _, err := model.Run(&w, 5, baseline.NewFactory(baseline.PolicyRandom), observerFunc(func(r *model.Record) {
+			if r.Kind == model.RequestEnded && r.Flag {
 				sum, n = sum+float64(r.Span), n+1
 			}
 		})); err != nil {
@@ -175,9 +175,9 @@
 	}
 }
 
-type see func(r *model.Record)
+type observerFunc func(r *model.Record)
 
-func (f see) See(r *model.Record) { f(r) }
+func (f observerFunc) Observe(r *model.Record) { f(r) }
 
 // TestBadDecidersEndTheRun shows that what no proxy could carry out ends the run with a plain error, not with a hang.
 func TestBadDecidersEndTheRun(t *testing.T) {
@@ -212,9 +212,9 @@
 			return out
 		}},
 	} {
-		w := model.Quotes()
-		w.Length, w.Tick = 5*sec, 0
-		_, err := model.Play(&w, 1, func(policy.Settings, uint64, *model.Truth) (model.Node, error) { return acting(c.act), nil }, see(func(*model.Record) {}))
+		w := model.DefaultScenario()
+		w.Duration, w.Tick = 5*sec, 0
+		_, err := model.Run(&w, 1, func(policy.Settings, uint64, *model.Oracle) (model.Node, error) { return acting(c.act), nil }, observerFunc(func(*model.Record) {}))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "at ") {
 			t.Errorf("%s: error %v, want one with %q and its time", c.name, err, c.want)
 		}
@@ -233,21 +233,21 @@
 // first copy hangs: the referee must see the double effect, and whose it was.
 func TestDoubleEffectThroughAnotherProxy(t *testing.T) {
 	for _, reckless := range []float64{0, 1} {
-		w := model.Quotes()
-		w.Length, w.Clients.Reckless, w.Clients.Patience = 20*sec, reckless, 0.3
-		w.Troubles = []model.Trouble{{Kind: "hang", At: 5 * sec, For: 3 * sec, Part: 0.5}}
+		w := model.DefaultScenario()
+		w.Duration, w.Clients.UnsafeRetryShare, w.Clients.AttemptTimeoutShare = 20*sec, reckless, 0.3
+		w.Faults = []model.Fault{{Kind: "hang", Start: 5 * sec, Duration: 3 * sec, AffectedShare: 0.5}}
 		ref := checker.New(&w)
-		if _, err := model.Play(&w, 2, baseline.Maker(baseline.TwoChoices), ref); err != nil {
+		if _, err := model.Run(&w, 2, baseline.NewFactory(baseline.PolicyTwoChoices), ref); err != nil {
 			t.Fatal(err)
 		}
 		rep, _ := ref.Report()
-		if !rep.Kept() {
-			t.Errorf("the proxies kept the rules, the referee says %v", rep.Breaches)
+		if !rep.HasNoViolations() {
+			t.Errorf("the proxies kept the rules, the referee says %v", rep.Violations)
 		}
-		if (rep.Twice > 0) != (reckless > 0) {
-			t.Errorf("reckless %v: %d double effects", reckless, rep.Twice)
+		if (rep.RepeatedEffects > 0) != (reckless > 0) {
+			t.Errorf("reckless %v: %d double effects", reckless, rep.RepeatedEffects)
 		}
-		for _, b := range rep.TwiceCauses {
+		for _, b := range rep.RepeatedEffectCauses {
 			if !strings.Contains(b.Cause, "its client asked again") {
 				t.Errorf("wrong cause: %s", b.Cause)
 			}
@@ -257,20 +257,20 @@
 
 // TestAServerThatFallsWhileItDrainsHasASuccessor pushes servers that drain over, being cold still from an earlier deploy.
 func TestAServerThatFallsWhileItDrainsHasASuccessor(t *testing.T) {
-	w := model.Quotes()
-	w.Length, w.Load = 20*sec, 0.25
-	w.Troubles = []model.Trouble{
-		{Kind: "deploy", At: 2 * sec, For: 1 * sec, Part: 1, Size: 1, Every: 1 * sec},
-		{Kind: "deploy", At: 5 * sec, For: 1 * sec, Part: 1, Size: 1, Every: 8 * sec},
-		{Kind: "flood", At: 6 * sec, For: 4 * sec, Size: 8},
+	w := model.DefaultScenario()
+	w.Duration, w.Load = 20*sec, 0.25
+	w.Faults = []model.Fault{
+		{Kind: "deploy", Start: 2 * sec, Duration: 1 * sec, AffectedShare: 1, Magnitude: 1, Interval: 1 * sec},
+		{Kind: "deploy", Start: 5 * sec, Duration: 1 * sec, AffectedShare: 1, Magnitude: 1, Interval: 8 * sec},
+		{Kind: "flood", Start: 6 * sec, Duration: 4 * sec, Magnitude: 8},
 	}
-	w.Discovery.Notice = 20 * sec // so that they get work while they drain
+	w.Discovery.DrainDelay = 20 * sec // so that they get work while they drain
 	fell, followed := map[uint32]model.Time{}, 0
-	if _, err := model.Play(&w, 4, baseline.Maker(baseline.Random), see(func(r *model.Record) {
+	if _, err := model.Run(&w, 4, baseline.NewFactory(baseline.PolicyRandom), observerFunc(func(r *model.Record) {
 		switch r.Kind {
-		case model.Fell:
+		case model.ServerOverloaded:
 			fell[r.Server] = r.At
-		case model.Started:
+		case model.ServerStarted:
 			if at, ok := fell[r.Server]; ok && r.At == at+500*ms {
 				followed++
 			}
@@ -291,24 +291,24 @@
 		started, up, sent, made map[uint32]int
 		down                    int
 	}
-	play := func(trouble model.Trouble) (c count, rep *checker.Report) {
-		w := model.Quotes()
-		w.Length, w.Servers, w.Proxies, w.Skew, w.Load, w.Discovery.Calls = 20*sec, 16, 20, 0, 0.3, 1000
-		w.Troubles = []model.Trouble{trouble}
+	play := func(trouble model.Fault) (c count, rep *checker.Report) {
+		w := model.DefaultScenario()
+		w.Duration, w.Servers, w.Proxies, w.ZoneSkew, w.Load, w.Discovery.CallsPerSecond = 20*sec, 16, 20, 0, 0.3, 1000
+		w.Faults = []model.Fault{trouble}
 		c = count{map[uint32]int{}, map[uint32]int{}, map[uint32]int{}, map[uint32]int{}, 0}
 		ref := checker.New(&w)
-		if _, err := model.Play(&w, 1, baseline.Maker(baseline.TwoChoices), see(func(r *model.Record) {
-			ref.See(r)
+		if _, err := model.Run(&w, 1, baseline.NewFactory(baseline.PolicyTwoChoices), observerFunc(func(r *model.Record) {
+			ref.Observe(r)
 			switch {
-			case r.Kind == model.Started:
+			case r.Kind == model.ServerStarted:
 				c.started[uint32(r.Zone)]++
-			case r.Kind == model.ProxyUp && r.At > 0:
+			case r.Kind == model.ProxyStarted && r.At > 0:
 				c.up[uint32(r.Proxy)]++
-			case r.Kind == model.ProxyDown:
+			case r.Kind == model.ProxyStopped:
 				c.down++
-			case r.Kind == model.Sent:
+			case r.Kind == model.AttemptSent:
 				c.sent[r.Server]++
-			case r.Kind == model.CallMade && r.At > model.Time(trouble.At) && r.At < model.Time(trouble.At+trouble.For):
+			case r.Kind == model.RequestStarted && r.At > model.Time(trouble.Start) && r.At < model.Time(trouble.Start+trouble.Duration):
 				c.made[uint32(r.Zone)]++
 			}
 		})); err != nil {
@@ -320,19 +320,19 @@
 		}
 		return c, rep
 	}
-	if c, _ := play(model.Trouble{Kind: "zone_lost", At: 5 * sec, Every: 3 * sec, From: "zone:2"}); len(c.started) != 1 || c.started[2] < 4 {
+	if c, _ := play(model.Fault{Kind: "zone_lost", Start: 5 * sec, Interval: 3 * sec, From: "zone:2"}); len(c.started) != 1 || c.started[2] < 4 {
 		t.Errorf("zone_lost: servers started by zone: %v", c.started)
 	}
-	c, rep := play(model.Trouble{Kind: "proxy_roll", At: 2 * sec, For: 10 * sec, Part: 1, Size: 0.2, Every: sec / 2})
-	if len(c.up) != 20 || c.down != 20 || rep.Answers.Failed > rep.Calls/200 || rep.ListedIn95 <= 0 {
+	c, rep := play(model.Fault{Kind: "proxy_roll", Start: 2 * sec, Duration: 10 * sec, AffectedShare: 1, Magnitude: 0.2, Interval: sec / 2})
+	if len(c.up) != 20 || c.down != 20 || rep.Answers.Failed > rep.Requests/200 || rep.ListedWithinP95 <= 0 {
 		t.Errorf("proxy_roll: %d of 20 started anew, %d went, %d of %d requests failed, lists within %v s", len(c.up), c.down,
-			rep.Answers.Failed, rep.Calls, rep.ListedIn95)
+			rep.Answers.Failed, rep.Requests, rep.ListedWithinP95)
 	}
-	c, _ = play(model.Trouble{Kind: "shift", At: 5 * sec, For: 5 * sec, From: "zone:3", Size: 3})
+	c, _ = play(model.Fault{Kind: "shift", Start: 5 * sec, Duration: 5 * sec, From: "zone:3", Magnitude: 3})
 	if others := float64(c.made[0]+c.made[1]+c.made[2]) / 3; float64(c.made[3]) < 2.5*others || float64(c.made[3]) > 3.5*others {
 		t.Errorf("shift: calls by zone: %v", c.made)
 	}
-	c, _ = play(model.Trouble{Kind: "deploy", At: 2 * sec, For: 2 * sec, Part: 1, Size: 1, Every: sec, Fresh: true})
+	c, _ = play(model.Fault{Kind: "deploy", Start: 2 * sec, Duration: 2 * sec, AffectedShare: 1, Magnitude: 1, Interval: sec, NewIDs: true})
 	if len(c.sent) != 32 {
 		t.Errorf("deploy under new names: %d servers got work, want 16 and their successors", len(c.sent))
 	}
@@ -343,12 +343,12 @@
 	model.Node
 	ordinal int
 	got     *[2]int // messages, messages from itself
-	post    []model.Letter
+	post    []model.PeerMessage
 }
 
 func (g *gossip) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	if ev.Kind == policy.RequestArrived {
-		g.post = append(g.post, model.Letter{To: -1, Text: []byte{byte(g.ordinal)}})
+		g.post = append(g.post, model.PeerMessage{To: -1, Text: []byte{byte(g.ordinal)}})
 	}
 	return g.Node.Handle(now, ev, out)
 }
@@ -361,22 +361,22 @@
 	return out
 }
 
-func (g *gossip) Post() []model.Letter {
+func (g *gossip) TakeMessages() []model.PeerMessage {
 	post := g.post
 	g.post = g.post[:0]
 	return post
 }
 
 func TestMessagesBetweenProxiesAreLostAndLate(t *testing.T) {
-	w := model.Quotes()
-	w.Length, w.Net.Loss = 5*sec, 0.25
+	w := model.DefaultScenario()
+	w.Duration, w.Network.PeerLoss = 5*sec, 0.25
 	var got [2]int
 	taken := 0
-	if _, err := model.Play(&w, 1, func(set policy.Settings, seed uint64, _ *model.Truth) (model.Node, error) {
+	if _, err := model.Run(&w, 1, func(set policy.Settings, seed uint64, _ *model.Oracle) (model.Node, error) {
 		b, err := policy.New(set, seed)
 		return &gossip{Node: b, ordinal: set.Ordinal, got: &got}, err
-	}, see(func(r *model.Record) {
-		if r.Kind == model.Taken {
+	}, observerFunc(func(r *model.Record) {
+		if r.Kind == model.RequestReceived {
 			taken++
 		}
 	})); err != nil {
@@ -389,27 +389,27 @@
 }
 
 func TestCheckNamesTheField(t *testing.T) {
-	for path, change := range map[string]func(w *model.World){
-		"servers":            func(w *model.World) { w.Servers = 0 },
-		"load":               func(w *model.World) { w.Load = math.NaN() },
-		"kinds.1.cores":      func(w *model.World) { w.Kinds[1].Cores = -1 },
-		"classes.2.effect":   func(w *model.World) { w.Classes[2].Effect = "some" },
-		"classes.0.deadline": func(w *model.World) { w.Classes[0].Deadline = 1 },
-		"trouble.0.kind":     func(w *model.World) { w.Troubles = []model.Trouble{{Kind: "flu"}} },
-		"trouble.0.from":     func(w *model.World) { w.Troubles = []model.Trouble{{Kind: "cut", From: "zone:x", To: "servers"}} },
-		"trouble.0.size":     func(w *model.World) { w.Troubles = []model.Trouble{{Kind: "gray", Size: 1.5}} },
-		"discovery.break_in": func(w *model.World) { w.Discovery.BreakIn = -1 },
-		"clients.over_share": func(w *model.World) { w.Clients.OverShare = 2 },
+	for path, change := range map[string]func(w *model.Scenario){
+		"servers":            func(w *model.Scenario) { w.Servers = 0 },
+		"load":               func(w *model.Scenario) { w.Load = math.NaN() },
+		"kinds.1.cores":      func(w *model.Scenario) { w.InstanceTypes[1].Cores = -1 },
+		"classes.2.effect":   func(w *model.Scenario) { w.Classes[2].Semantics = "some" },
+		"classes.0.deadline": func(w *model.Scenario) { w.Classes[0].Deadline = 1 },
+		"trouble.0.kind":     func(w *model.Scenario) { w.Faults = []model.Fault{{Kind: "flu"}} },
+		"trouble.0.from":     func(w *model.Scenario) { w.Faults = []model.Fault{{Kind: "cut", From: "zone:x", To: "servers"}} },
+		"trouble.0.size":     func(w *model.Scenario) { w.Faults = []model.Fault{{Kind: "gray", Magnitude: 1.5}} },
+		"discovery.break_in": func(w *model.Scenario) { w.Discovery.WatchLifetime = -1 },
+		"clients.over_share": func(w *model.Scenario) { w.Clients.OverQuotaValue = 2 },
 	} {
-		w := model.Quotes()
+		w := model.DefaultScenario()
 		change(&w)
 		var at *model.FieldError
-		if err := w.Check(); err == nil || !strings.HasPrefix(err.Error(), path+": ") {
+		if err := w.Validate(); err == nil || !strings.HasPrefix(err.Error(), path+": ") {
 			t.Errorf("%s: %v (%v)", path, err, at)
 		}
 	}
-	w := model.Quotes()
-	if err := w.Check(); err != nil {
+	w := model.DefaultScenario()
+	if err := w.Validate(); err != nil {
 		t.Error(err)
 	}
 }
@@ -419,19 +419,19 @@
 	for _, servers := range []int{12, 100, 1000, 10000} {
 		for _, policy := range []string{"decide", "least"} {
 			b.Run(fmt.Sprintf("servers=%d/%s", servers, policy), func(b *testing.B) {
-				w := model.Quotes()
-				w.Servers, w.Proxies, w.Length = servers, max(4, servers/100), 10*sec
-				w.Discovery.Calls = 1000
+				w := model.DefaultScenario()
+				w.Servers, w.Proxies, w.Duration = servers, max(4, servers/100), 10*sec
+				w.Discovery.CallsPerSecond = 1000
 				if servers >= 1000 {
-					w.Length = 2 * sec
+					w.Duration = 2 * sec
 				}
-				mk := model.Maker(decider)
+				mk := model.NodeFactory(decider)
 				if policy != "decide" {
-					mk = baseline.Maker(policy)
+					mk = baseline.NewFactory(policy)
 				}
 				events, end, calls := int64(0), 0.0, int64(0)
 				for i := range b.N {
-					st, err := model.Play(&w, uint64(i+1), mk, see(func(*model.Record) {}))
+					st, err := model.Run(&w, uint64(i+1), mk, observerFunc(func(*model.Record) {}))
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/internal/fleetsim/model/pool.go
+++ b/internal/fleetsim/model/pool.go
@@ -1,7 +1,7 @@
 package model
 
-// grab takes a place in a pool.
-func grab[T any](pool *[]T, free *[]int32) int32 {
+// acquire takes a place in a pool.
+func acquire[T any](pool *[]T, free *[]int32) int32 {
 	if n := len(*free) - 1; n >= 0 {
 		i := (*free)[n]
 		*free = (*free)[:n]
--- a/internal/fleetsim/model/probe.go
+++ b/internal/fleetsim/model/probe.go
@@ -5,63 +5,63 @@
 // waitCV is the coefficient of variation of what requests wait on others.
 const waitCV = 0.25
 
-// waited ends the wait on others of an attempt that its server has done its own work for.
-func (r *run) waited(t int32, out policy.Outcome) {
-	if k := &r.tasks[t]; r.servers[k.server].epoch != k.epoch { // its process has ended meanwhile
-		r.returned(t, policy.ConnectionReset, false)
+// endDownstreamWait ends the wait on others of an attempt that its server has done its own work for.
+func (r *simulation) endDownstreamWait(t int32, out policy.Outcome) {
+	if k := &r.serverAttempts[t]; r.servers[k.server].epoch != k.epoch { // its process has ended meanwhile
+		r.returnAttempt(t, policy.ConnectionReset, false)
 		return
 	}
-	r.reply(t, out)
+	r.returnAnswer(t, out)
 }
 
-// meets says whether s met key of late, and has it meet it now. What it remembers is bounded: the key met longest ago goes.
-func (r *run) meets(s *server, key uint64) bool {
-	k := &r.w.Keys
-	most := k.PerCore * s.kind.Cores
+// touchKey says whether s met key of late, and has it meet it now. What it remembers is bounded: the key met longest ago goes.
+func (r *simulation) touchKey(s *server, key uint64) bool {
+	k := &r.scenario.Keys
+	most := k.CapacityPerCore * s.instanceType.Cores
 	if k.Count == 0 || most == 0 {
 		return false
 	}
-	if s.met == nil {
-		s.met = make(map[uint64]Time, most)
+	if s.keyHits == nil {
+		s.keyHits = make(map[uint64]Time, most)
 	}
-	at, met := s.met[key]
-	if !met && len(s.met) >= most {
+	at, met := s.keyHits[key]
+	if !met && len(s.keyHits) >= most {
 		oldest, since := uint64(0), r.now+1
-		for other, t := range s.met {
+		for other, t := range s.keyHits {
 			if t < since || t == since && other < oldest { // the map's order must not show
 				oldest, since = other, t
 			}
 		}
-		delete(s.met, oldest)
+		delete(s.keyHits, oldest)
 	}
-	s.met[key] = r.now
-	return met && r.now-at <= Time(k.For)
+	s.keyHits[key] = r.now
+	return met && r.now-at <= Time(k.TTL)
 }
 
-// probe has a proxy ask a server for its load. Its answer is late like every report; a server that hangs gives none.
-func (r *run) probe(n int32, id uint32) {
-	s := r.serverOf(id)
-	if reportVias[r.w.Reports.Via] != policy.ReportsByPolling || s == nil {
+// probeServer has a proxy ask a server for its load. Its answer is late like every report; a server that hangs gives none.
+func (r *simulation) probeServer(n int32, id uint32) {
+	s := r.findServer(id)
+	if reportDeliveryByName[r.scenario.Reports.Delivery] != policy.ReportsByPolling || s == nil {
 		r.fail(n, "probes server %d, which it may not", id)
 		return
 	}
-	r.see(Record{Kind: Probed, Proxy: n, Server: id})
+	r.observe(Record{Kind: ServerProbed, Proxy: n, Server: id})
 	zone := r.proxies[n].zone
-	r.at(r.tick(r.now+r.delay(zone, s.zone)+r.delay(s.zone, zone)), event{kind: evProbed, a: n, b: r.proxies[n].inc, id: uint64(id)})
+	r.schedule(r.nextTick(r.now+r.networkDelay(zone, s.zone)+r.networkDelay(s.zone, zone)), event{kind: evProbeResult, subject: n, number: r.proxies[n].incarnation, id: uint64(id)})
 }
 
-func (r *run) probed(n, inc int32, id uint32) {
-	s, p := r.serverOf(id), &r.proxies[n]
-	if p.inc != inc || !p.up {
+func (r *simulation) receiveProbe(n, inc int32, id uint32) {
+	s, p := r.findServer(id), &r.proxies[n]
+	if p.incarnation != inc || !p.up {
 		return
 	}
-	r.ev = policy.Event{Kind: policy.LoadPolled, Server: id, Outcome: policy.TimedOut}
-	if s.state != down && s.hung == 0 && s.paused == 0 && !r.parted(n, s) {
-		r.ev.Outcome = policy.OK
-		if report, has := r.reportOf(s); has {
-			r.report = append(r.report[:0], report[:]...)
-			r.ev.Report = r.report
+	r.policyEvent = policy.Event{Kind: policy.LoadPolled, Server: id, Outcome: policy.TimedOut}
+	if s.state != stateDown && s.hangs == 0 && s.pauses == 0 && !r.isServerPartitioned(n, s) {
+		r.policyEvent.Outcome = policy.OK
+		if report, has := r.loadReport(s); has {
+			r.reportBuffer = append(r.reportBuffer[:0], report[:]...)
+			r.policyEvent.Report = r.reportBuffer
 		}
 	}
-	r.give(n)
+	r.deliver(n)
 }
--- a/internal/fleetsim/model/queue.go
+++ b/internal/fleetsim/model/queue.go
@@ -5,12 +5,12 @@
 // event is something that will happen. Its payload is a few numbers, so that millions can wait without a pointer
 // for the collector to follow. What they mean is up to the kind; see World.step.
 type event struct {
-	at   Time
-	seq  uint64 // order of scheduling: the order of events of one microsecond
-	kind eventKind
-	n    uint8
-	a, b int32
-	id   uint64
+	at              Time
+	seq             uint64 // order of scheduling: the order of events of one microsecond
+	kind            eventKind
+	code            uint8
+	subject, number int32
+	id              uint64
 }
 
 func (e *event) before(f *event) bool { return e.at < f.at || e.at == f.at && e.seq < f.seq }
@@ -20,11 +20,11 @@
 	ringSize   = 8192
 )
 
-// queue is a calendar queue (Brown, "Calendar queues", CACM 1988) in the ladder form: events of the present bucket
+// eventQueue is a calendar queue (Brown, "Calendar queues", CACM 1988) in the ladder form: events of the present bucket
 // stand in a heap, those of the next 16 s unsorted in a bucket each, later ones in a heap of their own. Each event
 // is sorted among the few of its own two milliseconds only, so the cost does not grow with the number that wait.
 // The order is total: by time, then by the order of scheduling.
-type queue struct {
+type eventQueue struct {
 	now    []event // heap: all of the present bucket and before
 	ring   [][]event
 	used   []uint64 // a bit for each bucket that holds something
@@ -34,18 +34,18 @@
 	size   int
 }
 
-func newQueue() *queue {
-	return &queue{ring: make([][]event, ringSize), used: make([]uint64, ringSize/64)}
+func newEventQueue() *eventQueue {
+	return &eventQueue{ring: make([][]event, ringSize), used: make([]uint64, ringSize/64)}
 }
 
-func (q *queue) push(e event) {
+func (q *eventQueue) push(e event) {
 	q.seq++
 	e.seq = q.seq
 	q.size++
 	q.put(e)
 }
 
-func (q *queue) put(e event) {
+func (q *eventQueue) put(e event) {
 	switch k := e.at >> bucketBits; {
 	case k <= q.bucket:
 		heapPush(&q.now, e)
@@ -59,7 +59,7 @@
 }
 
 // pop takes the earliest event; false: there is none.
-func (q *queue) pop() (event, bool) {
+func (q *eventQueue) pop() (event, bool) {
 	for len(q.now) == 0 {
 		if !q.advance() {
 			return event{}, false
@@ -70,7 +70,7 @@
 }
 
 // advance moves to the next bucket that holds something.
-func (q *queue) advance() bool {
+func (q *eventQueue) advance() bool {
 	next := q.nextUsed()
 	if len(q.far) > 0 {
 		if k := q.far[0].at >> bucketBits; next < 0 || k < next {
@@ -94,7 +94,7 @@
 }
 
 // nextUsed is the number of the first bucket after the present one that holds something; -1: none does.
-func (q *queue) nextUsed() int64 {
+func (q *eventQueue) nextUsed() int64 {
 	start := (q.bucket + 1) & (ringSize - 1)
 	for step := int64(0); step <= ringSize/64; step++ {
 		word := (start>>6 + step) & (ringSize/64 - 1)
--- a/internal/fleetsim/model/queue_test.go
+++ b/internal/fleetsim/model/queue_test.go
@@ -12,7 +12,7 @@
 // pops. Events of one moment come in the order of their scheduling.
 func TestQueueOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		q := newQueue()
+		q := newEventQueue()
 		var want []event
 		now, n := Time(0), uint64(0)
 		spans := rapid.SampledFrom([]Time{0, 1, 500, 1 << bucketBits, 1 << 20, 1 << bucketBits * ringSize, 1 << 40})
--- a/internal/fleetsim/model/quotes.go
+++ b/internal/fleetsim/model/quotes.go
@@ -1,39 +1,39 @@
 package model
 
-// Quotes is the laboratory's standard world: our reading of what the operators' brief says of their quote servers
+// DefaultScenario is the laboratory's standard world: our reading of what the operators' brief says of their quote servers
 // (four zones, two kinds, four classes, two tenants) with round figures where the brief gives ranges or none.
-func Quotes() World {
+func DefaultScenario() Scenario {
 	ms := func(n int) Span { return Span(n) * 1000 }
 	s := func(n int) Span { return Span(n) * 1_000_000 }
-	return World{
-		Length: s(45), Tick: ms(5), Servers: 13, Proxies: 4, Zones: 4, Cell: 6,
-		Load: 0.6, Swing: 0.2, Wave: s(30), Skew: 0.4, Spread: 0.15, Hint: 0.2,
-		Kinds: []Kind{
-			{Name: "std-8", Share: 0.56, Cores: 8, Speed: 0.95, Slots: 56, Room: 150, Knee: 42, Crowding: 0.035, ColdFrom: 0.23,
-				ColdFor: s(17), WarmByWork: true, PauseEvery: s(30), Pause: ms(60), Errors: 0.001},
-			{Name: "small-6", Share: 0.44, Cores: 6, Speed: 0.74, Slots: 44, Room: 140, Knee: 31, Crowding: 0.04, ColdFrom: 0.23,
-				ColdFor: s(17), WarmByWork: true, PauseEvery: s(25), Pause: ms(140), Errors: 0.001},
+	return Scenario{
+		Duration: s(45), Tick: ms(5), Servers: 13, Proxies: 4, Zones: 4, CellSize: 6,
+		Load: 0.6, WaveAmplitude: 0.2, WavePeriod: s(30), ZoneSkew: 0.4, Spread: 0.15, WorkHintCV: 0.2,
+		InstanceTypes: []InstanceType{
+			{Name: "std-8", Share: 0.56, Cores: 8, Speed: 0.95, Slots: 56, QueueCapacity: 150, Knee: 42, Crowding: 0.035, InitialCapacity: 0.23,
+				WarmupTime: s(17), WarmByWork: true, PauseInterval: s(30), PauseTime: ms(60), ErrorRate: 0.001},
+			{Name: "small-6", Share: 0.44, Cores: 6, Speed: 0.74, Slots: 44, QueueCapacity: 140, Knee: 31, Crowding: 0.04, InitialCapacity: 0.23,
+				WarmupTime: s(17), WarmByWork: true, PauseInterval: s(25), PauseTime: ms(140), ErrorRate: 0.001},
 		},
 		Classes: []Class{
-			{Name: "quick-quote", Share: 0.43, Work: ms(100), CV: 1, Noise: 0.3, Aim: ms(600), Deadline: ms(1500), Worth: 3,
-				Late: 0.25, Effect: "safe", Group: "all", Window: s(5)},
-			{Name: "full-quote", Share: 0.38, Work: ms(260), CV: 1.1, Noise: 0.3, Aim: ms(1500), Deadline: ms(6000), Worth: 1,
-				Late: 0.3, Effect: "safe", Group: "all", Window: s(5)},
-			{Name: "issue-policy", Share: 0.1, Work: ms(130), CV: 1.2, Noise: 0.3, Aim: ms(1000), Deadline: ms(3000), Worth: 5,
-				Late: 0.5, Effect: "keyed", Group: "zone", Window: s(3)},
-			{Name: "amend-cover", Share: 0.09, Work: ms(140), CV: 1, Noise: 0.3, Aim: ms(800), Deadline: ms(2000), Worth: 3,
-				Late: 0.5, Effect: "keyed", Group: "cell", Window: s(2)},
+			{Name: "quick-quote", Share: 0.43, Work: ms(100), WorkCV: 1, AttemptCV: 0.3, LatencyTarget: ms(600), Deadline: ms(1500), Value: 3,
+				LateValueShare: 0.25, Semantics: "safe", DedupScope: "all", DedupWindow: s(5)},
+			{Name: "full-quote", Share: 0.38, Work: ms(260), WorkCV: 1.1, AttemptCV: 0.3, LatencyTarget: ms(1500), Deadline: ms(6000), Value: 1,
+				LateValueShare: 0.3, Semantics: "safe", DedupScope: "all", DedupWindow: s(5)},
+			{Name: "issue-policy", Share: 0.1, Work: ms(130), WorkCV: 1.2, AttemptCV: 0.3, LatencyTarget: ms(1000), Deadline: ms(3000), Value: 5,
+				LateValueShare: 0.5, Semantics: "keyed", DedupScope: "zone", DedupWindow: s(3)},
+			{Name: "amend-cover", Share: 0.09, Work: ms(140), WorkCV: 1, AttemptCV: 0.3, LatencyTarget: ms(800), Deadline: ms(2000), Value: 3,
+				LateValueShare: 0.5, Semantics: "keyed", DedupScope: "cell", DedupWindow: s(2)},
 		},
-		Tenants: []Tenant{{Name: "steppe-tours", Share: 0.77, Usage: 1}, {Name: "khan-air", Share: 0.23, Usage: 1}},
-		Clients: Clients{Retries: 2, Patience: 0.48, Backoff: ms(150), Heed: 0.25, MostHeeded: ms(2500), Notice: ms(2600),
-			OverShare: 0.1},
-		Net:       Net{Same: 230, Cross: 7800, Client: 560, Jitter: 0.2, Peer: ms(20), Loss: 0.01},
-		Conn:      Conn{Trips: 2, Work: 1700, Idle: s(10), DialWithin: ms(250), CapPerCore: 750, Tax: 0.28},
-		Reports:   Reports{Every: ms(1100), Delay: ms(330), Noise: 0.035},
-		Discovery: Discovery{Notice: ms(2900), Silent: ms(8800), Add: ms(1400), Spread: ms(700), Calls: 4.5, Within: s(1)},
-		Tip:       Tip{Multiple: 3, Over: s(1), Slack: 2},
-		Told: Told{AnswerSlack: ms(20), AskWithin: s(10), DrainGrace: ms(500), Cold: s(24), ColdShare: 0.12, TipMultiple: 3,
-			Attempts: 3, MostHeld: 20000, Copies: true, Cancel: true},
-		Prices: Prices{LateFail: 0.15, Waste: 0.03, Cross: 0.03, Handshake: 0.02, Peer: 0.01},
+		Tenants: []Tenant{{Name: "steppe-tours", QuotaShare: 0.77, QuotaUsage: 1}, {Name: "khan-air", QuotaShare: 0.23, QuotaUsage: 1}},
+		Clients: Clients{Retries: 2, AttemptTimeoutShare: 0.48, Backoff: ms(150), RetryAfterCompliance: 0.25, MaxRetryAfter: ms(2500), ProxyFailoverDelay: ms(2600),
+			OverQuotaValue: 0.1},
+		Network:     Network{SameZone: 230, CrossZone: 7800, Client: 560, Jitter: 0.2, PeerDelay: ms(20), PeerLoss: 0.01},
+		Connections: Connections{HandshakeRoundTrips: 2, HandshakeWork: 1700, IdleTimeout: s(10), DialTimeout: ms(250), MaxPerCore: 750, CapacityTax: 0.28},
+		Reports:     Reports{Interval: ms(1100), Delay: ms(330), Noise: 0.035},
+		Discovery:   Discovery{DrainDelay: ms(2900), CrashDelay: ms(8800), StartDelay: ms(1400), NotifyJitter: ms(700), CallsPerSecond: 4.5, CallTimeout: s(1)},
+		Overload:    Overload{Factor: 3, Window: s(1), SlackRequests: 2},
+		Published: PublishedSettings{ResponseGrace: ms(20), SubscribeWithin: s(10), DrainGrace: ms(500), WarmupTime: s(24), InitialCapacity: 0.12, OverloadFactor: 3,
+			MaxAttempts: 3, MaxOpenRequests: 20000, AllowHedging: true, AllowCancel: true},
+		Prices: Prices{LateFailure: 0.15, WastedWork: 0.03, CrossZone: 0.03, Handshake: 0.02, PeerMessage: 0.01},
 	}
 }
--- a/internal/fleetsim/model/random.go
+++ b/internal/fleetsim/model/random.go
@@ -14,8 +14,8 @@
 }
 
 // habit draws a number from 0 to 1 that belongs to the client and the purpose alone.
-func (c *call) draw(purpose uint64) float64 {
-	return float64(mix(c.habit+purpose*0x9e3779b97f4a7c15)>>11) / (1 << 53)
+func (c *clientRequest) draw(purpose uint64) float64 {
+	return float64(mix(c.behaviour+purpose*0x9e3779b97f4a7c15)>>11) / (1 << 53)
 }
 
 // mix is the finaliser of SplitMix64 (Steele, Lea, Flood, OOPSLA 2014).
--- a/internal/fleetsim/model/server.go
+++ b/internal/fleetsim/model/server.go
@@ -7,9 +7,9 @@
 type serverState uint8
 
 const (
-	up serverState = iota
-	draining
-	down
+	stateUp serverState = iota
+	stateDraining
+	stateDown
 )
 
 // server is one server, and under the same id its successors.
@@ -18,78 +18,78 @@
 // of Parekh and Gallager's fluid model, the work that a request held since the start would have got; a request is done when v
 // passes its finish, so that a change of rate touches no request.
 type server struct {
-	n       int32
-	id      uint32
-	zone    uint8
-	cell    uint16
-	kindNo  int32
-	kind    *Kind
-	speed   float64
-	state   serverState
-	epoch   int32
-	conns   int
-	started Time // 0: long ago
+	index             int32
+	id                uint32
+	zone              uint8
+	cell              uint16
+	instanceTypeIndex int32
+	instanceType      *InstanceType
+	speed             float64
+	state             serverState
+	epoch             int32
+	connections       int
+	started           Time // 0: long ago
 
-	cold     bool
-	warmWork float64 // done since the start
-	pushed   tally   // work that has come within Tip.Over
+	cold        bool
+	warmWork    float64    // done since the start
+	arrivedWork workWindow // work that has come within Tip.Over
 
-	hung, paused int
-	stolen       float64
-	slowed       float64
-	failing      float64
-	late         Time
-	replacing    bool // a successor is to follow
-	fresh        bool // under a new id
+	hangs, pauses     int
+	stolenShare       float64
+	slowdown          float64
+	errorRate         float64
+	reportDelay       Time
+	replacing         bool // a successor is to follow
+	successorHasNewID bool // under a new id
 
-	met map[uint64]Time // keys, and when it met them last
+	keyHits map[uint64]Time // keys, and when it met them last
 
-	v      float64
-	vAt    Time
-	rate   float64 // of one request
-	nextAt Time
-	slots  []slot  // heap by finish
-	queue  []int32 // tasks waiting; head is where it begins
-	head   int
-	owed   float64 // work held
-	coming float64 // work sent that has not come yet; deciders cannot know it
+	virtualTime    float64
+	virtualTimeAt  Time
+	ratePerRequest float64 // of one request
+	nextWakeup     Time
+	slots          []slot  // heap by finish
+	queue          []int32 // tasks waiting; head is where it begins
+	head           int
+	workQueued     float64 // work held
+	workInTransit  float64 // work sent that has not come yet; deciders cannot know it
 
-	busy     float64 // core-microseconds since the last report
-	done     float64 // requests since then
-	errors   float64
-	reported Time
-	reports  [8]reportOf
-	reportN  int
+	busy        float64 // core-microseconds since the last report
+	completed   float64 // requests since then
+	errors      float64
+	reportedAt  Time
+	reports     [8]loadReport
+	reportCount int
 }
 
-// full is the capacity of the warm server, in standard cores.
-func (s *server) full() float64 { return float64(s.kind.Cores) * s.speed }
+// warmCapacity is the capacity of the warm server, in standard cores.
+func (s *server) warmCapacity() float64 { return float64(s.instanceType.Cores) * s.speed }
 
-func (r *run) addServer(zone, kindNo int32, k *Kind, speed float64) *server {
+func (r *simulation) addServer(zone, kindNo int32, k *InstanceType, speed float64) *server {
 	n := int32(len(r.servers))
-	s := &server{n: n, id: uint32(n) ^ r.salt, zone: uint8(zone), kindNo: kindNo, kind: k, speed: speed}
+	s := &server{index: n, id: uint32(n) ^ r.serverIDMask, zone: uint8(zone), instanceTypeIndex: kindNo, instanceType: k, speed: speed}
 	same := 0
-	for _, other := range r.servers[max(0, len(r.servers)-64*r.w.Zones):] {
+	for _, other := range r.servers[max(0, len(r.servers)-64*r.scenario.Zones):] {
 		if other.zone == s.zone {
 			same++
 		}
 	}
-	s.cell = uint16(int(zone) + r.w.Zones*(same/r.w.Cell))
-	if len(r.servers) > 64*r.w.Zones { // large fleets: cells by the order of coming
-		s.cell = uint16(int(zone) + r.w.Zones*(int(n)/r.w.Zones/r.w.Cell))
+	s.cell = uint16(int(zone) + r.scenario.Zones*(same/r.scenario.CellSize))
+	if len(r.servers) > 64*r.scenario.Zones { // large fleets: cells by the order of coming
+		s.cell = uint16(int(zone) + r.scenario.Zones*(int(n)/r.scenario.Zones/r.scenario.CellSize))
 	}
 	r.servers = append(r.servers, s)
 	return s
 }
 
-// sample records the use of each server that runs.
-func (r *run) sample() {
-	r.load = r.load[:0]
+// sampleLoad records the use of each server that runs.
+func (r *simulation) sampleLoad() {
+	r.loadBuffer = r.loadBuffer[:0]
 	for _, s := range r.servers {
-		if s.state == up {
-			r.load = append(r.load, math.Min(float64(len(s.slots)+len(s.queue)-s.head), float64(4*s.kind.Cores))/float64(s.kind.Cores))
+		if s.state == stateUp {
+			r.loadBuffer = append(r.loadBuffer, math.Min(float64(len(s.slots)+len(s.queue)-s.head), float64(4*s.instanceType.Cores))/float64(s.instanceType.Cores))
 		}
 	}
-	sortFloats(r.load)
-	r.see(Record{Kind: Sample, Load: r.load})
+	sortFloats(r.loadBuffer)
+	r.observe(Record{Kind: LoadSampled, Load: r.loadBuffer})
 }
--- a/internal/fleetsim/model/work.go
+++ b/internal/fleetsim/model/work.go
@@ -11,118 +11,118 @@
 	task   int32
 }
 
-// tally is the work that came within a sliding time.
-type tally struct {
-	at   []Time
-	work []float64
-	head int
-	sum  float64
+// workWindow is the work that came within a sliding time.
+type workWindow struct {
+	times []Time
+	work  []float64
+	head  int
+	sum   float64
 }
 
-func (t *tally) add(now, over Time, work float64) float64 {
-	for t.head < len(t.at) && t.at[t.head] <= now-over {
+func (t *workWindow) add(now, over Time, work float64) float64 {
+	for t.head < len(t.times) && t.times[t.head] <= now-over {
 		t.sum -= t.work[t.head]
 		t.head++
 	}
-	if t.head > 64 && 2*t.head > len(t.at) {
-		n := copy(t.at, t.at[t.head:])
+	if t.head > 64 && 2*t.head > len(t.times) {
+		n := copy(t.times, t.times[t.head:])
 		copy(t.work, t.work[t.head:])
-		t.at, t.work, t.head = t.at[:n], t.work[:n], 0
+		t.times, t.work, t.head = t.times[:n], t.work[:n], 0
 	}
 	if work > 0 {
-		t.at, t.work, t.sum = append(t.at, now), append(t.work, work), t.sum+work
+		t.times, t.work, t.sum = append(t.times, now), append(t.work, work), t.sum+work
 	}
 	return t.sum
 }
 
 // warmth is the share of its capacity that the server has.
-func (r *run) warmth(s *server) float64 {
+func (r *simulation) warmth(s *server) float64 {
 	if !s.cold {
 		return 1
 	}
-	k := s.kind
+	k := s.instanceType
 	age := float64(r.now - s.started)
 	progress := 1.0
-	if k.ColdFor > 0 {
-		progress = age / float64(k.ColdFor)
+	if k.WarmupTime > 0 {
+		progress = age / float64(k.WarmupTime)
 	}
 	if k.WarmByWork {
-		// At half use it warms in ColdFor, and at none it does in the time that deciders are told.
-		need := s.full() * float64(k.ColdFor) * (1 + k.ColdFrom) / 4
-		progress = math.Max(s.warmWork/math.Max(need, 1), age/math.Max(1, float64(r.w.Told.Cold)))
+		// At half use it warms in WarmupTime, and at none it does in the time that deciders are told.
+		need := s.warmCapacity() * float64(k.WarmupTime) * (1 + k.InitialCapacity) / 4
+		progress = math.Max(s.warmWork/math.Max(need, 1), age/math.Max(1, float64(r.scenario.Published.WarmupTime)))
 	}
 	if progress >= 1 {
 		s.cold = false
 		return 1
 	}
-	return k.ColdFrom + (1-k.ColdFrom)*progress
+	return k.InitialCapacity + (1-k.InitialCapacity)*progress
 }
 
-// advance brings a server's work up to the present.
-func (r *run) advance(s *server) {
-	if dt := float64(r.now - s.vAt); dt > 0 {
-		s.v += s.rate * dt
-		s.busy += math.Min(float64(len(s.slots)), float64(s.kind.Cores)) * dt
+// advanceServer brings a server's work up to the present.
+func (r *simulation) advanceServer(s *server) {
+	if dt := float64(r.now - s.virtualTimeAt); dt > 0 {
+		s.virtualTime += s.ratePerRequest * dt
+		s.busy += math.Min(float64(len(s.slots)), float64(s.instanceType.Cores)) * dt
 	}
-	s.vAt = r.now
+	s.virtualTimeAt = r.now
 }
 
-// settle finds a server's new rate and when it will next have finished something.
-func (r *run) settle(s *server) {
+// rescheduleServer finds a server's new rate and when it will next have finished something.
+func (r *simulation) rescheduleServer(s *server) {
 	n := len(s.slots)
-	s.rate = 0
+	s.ratePerRequest = 0
 	if n == 0 {
 		return
 	}
-	if s.hung == 0 && s.paused == 0 && s.state != down {
-		k := s.kind
-		rate := s.speed * r.warmth(s) * (1 - s.stolen) * (1 - s.slowed)
+	if s.hangs == 0 && s.pauses == 0 && s.state != stateDown {
+		k := s.instanceType
+		rate := s.speed * r.warmth(s) * (1 - s.stolenShare) * (1 - s.slowdown)
 		rate *= math.Min(1, float64(k.Cores)/float64(n))
 		if over := n + len(s.queue) - s.head - k.Knee; over > 0 {
 			rate /= 1 + k.Crowding*float64(over)
 		}
-		full := float64(r.w.Conn.CapPerCore * k.Cores)
-		rate *= 1 - r.w.Conn.Tax*math.Min(1, float64(s.conns)/full)
-		s.rate = math.Max(0, rate)
+		full := float64(r.scenario.Connections.MaxPerCore * k.Cores)
+		rate *= 1 - r.scenario.Connections.CapacityTax*math.Min(1, float64(s.connections)/full)
+		s.ratePerRequest = math.Max(0, rate)
 	}
-	if s.rate <= 1e-9 {
+	if s.ratePerRequest <= 1e-9 {
 		return // it goes on once what holds it up ends
 	}
-	next := r.now + max(1, Time(math.Ceil((s.slots[0].finish-s.v)/s.rate)))
-	if s.nextAt == 0 || next < s.nextAt {
-		s.nextAt = next
-		r.at(next, event{kind: evServer, a: s.n})
+	next := r.now + max(1, Time(math.Ceil((s.slots[0].finish-s.virtualTime)/s.ratePerRequest)))
+	if s.nextWakeup == 0 || next < s.nextWakeup {
+		s.nextWakeup = next
+		r.schedule(next, event{kind: evServerProgress, subject: s.index})
 	}
 }
 
-// work ends what is done and begins what waits.
-func (r *run) work(s *server) {
-	r.advance(s)
-	for len(s.slots) > 0 && s.slots[0].finish <= s.v+1e-6 {
+// processServer ends what is done and begins what waits.
+func (r *simulation) processServer(s *server) {
+	r.advanceServer(s)
+	for len(s.slots) > 0 && s.slots[0].finish <= s.virtualTime+1e-6 {
 		t := popSlot(&s.slots)
-		k := &r.tasks[t]
-		s.owed -= k.work
-		s.done++
+		k := &r.serverAttempts[t]
+		s.workQueued -= k.work
+		s.completed++
 		if s.cold {
 			s.warmWork += k.work
 		}
 		out := policy.OK
-		if s.kind.Errors > 0 && r.chance.Float64() < s.kind.Errors {
+		if s.instanceType.ErrorRate > 0 && r.serverRand.Float64() < s.instanceType.ErrorRate {
 			out = policy.ErrorResponse
 			s.errors++
 		}
-		r.see(Record{Kind: Ran, Server: s.id, ID: k.id, Attempt: k.attempt, Call: r.calls[k.call].no, Work: Time(k.work),
-			Flag: !k.dropped && !r.calls[k.call].over && out == policy.OK})
-		if wait := r.w.Classes[r.calls[k.call].class].Wait; wait > 0 {
-			r.at(r.now+Time(lognormal(r.chance, float64(wait), waitCV)), event{kind: evWaited, a: t, n: uint8(out)})
+		r.observe(Record{Kind: AttemptExecuted, Server: s.id, ID: k.id, Attempt: k.attempt, Request: r.clientRequests[k.clientRequest].number, Work: Time(k.work),
+			Flag: !k.abandoned && !r.clientRequests[k.clientRequest].ended && out == policy.OK})
+		if wait := r.scenario.Classes[r.clientRequests[k.clientRequest].class].DownstreamWait; wait > 0 {
+			r.schedule(r.now+Time(lognormal(r.serverRand, float64(wait), waitCV)), event{kind: evDownstreamWaitOver, subject: t, code: uint8(out)})
 		} else {
-			r.reply(t, out)
+			r.returnAnswer(t, out)
 		}
 	}
-	for s.head < len(s.queue) && len(s.slots) < s.kind.Slots {
+	for s.head < len(s.queue) && len(s.slots) < s.instanceType.Slots {
 		t := s.queue[s.head]
 		s.head++
-		pushSlot(&s.slots, slot{s.v + r.tasks[t].work, t})
+		pushSlot(&s.slots, slot{s.virtualTime + r.serverAttempts[t].work, t})
 	}
 	if s.head == len(s.queue) {
 		s.queue, s.head = s.queue[:0], 0
@@ -130,7 +130,7 @@
 		s.queue = append(s.queue[:0], s.queue[s.head:]...)
 		s.head = 0
 	}
-	r.settle(s)
+	r.rescheduleServer(s)
 }
 
 func pushSlot(h *[]slot, e slot) {
--- a/internal/fleetsim/plots/figure.go
+++ b/internal/fleetsim/plots/figure.go
@@ -20,7 +20,7 @@
 var colours = []color.RGBA{{0, 114, 178, 255}, {230, 159, 0, 255}, {0, 158, 115, 255}, {213, 94, 0, 255}, {204, 121, 167, 255},
 	{86, 180, 233, 255}, {60, 60, 60, 255}}
 
-func colour(i int) color.RGBA { return colours[i%len(colours)] }
+func seriesColour(i int) color.RGBA { return colours[i%len(colours)] }
 
 // Figure is one drawn plot.
 type Figure struct {
@@ -43,7 +43,7 @@
 func render(name string, p *plot.Plot) (*Figure, error) {
 	f := &Figure{Name: name, Title: p.Title.Text}
 	svg := vgsvg.New(width, height)
-	drawBeside(p, draw.New(svg))
+	drawWithLegend(p, draw.New(svg))
 	var out bytes.Buffer
 	if _, err := svg.WriteTo(&out); err != nil {
 		return nil, fmt.Errorf("plots: %s: %w", name, err)
@@ -51,7 +51,7 @@
 	f.SVG = slices.Clone(out.Bytes())
 	out.Reset()
 	img := vgimg.PngCanvas{Canvas: vgimg.New(width, height)}
-	drawBeside(p, draw.New(img))
+	drawWithLegend(p, draw.New(img))
 	if _, err := img.WriteTo(&out); err != nil {
 		return nil, fmt.Errorf("plots: %s: %w", name, err)
 	}
@@ -59,8 +59,8 @@
 	return f, nil
 }
 
-// drawBeside draws a plot with its legend to the right of it, where no line can pass under it.
-func drawBeside(p *plot.Plot, c draw.Canvas) {
+// drawWithLegend draws a plot with its legend to the right of it, where no line can pass under it.
+func drawWithLegend(p *plot.Plot, c draw.Canvas) {
 	legend := p.Legend
 	defer func() { p.Legend = legend }()
 	p.Legend = plot.NewLegend()
--- a/internal/fleetsim/plots/html.go
+++ b/internal/fleetsim/plots/html.go
@@ -9,7 +9,7 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-var page = template.Must(template.New("page").Parse(`<!doctype html>
+var reportPage = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>
 body { font: 15px/1.5 system-ui, sans-serif; max-width: 62rem; margin: 2rem auto; padding: 0 1rem; color: #222; background: #fff }
@@ -28,18 +28,18 @@
 </body></html>
 `))
 
-type row struct {
+type reportRow struct {
 	Point, Policy, Is, Less, Broken string
 	Bad                             bool
 }
 
-type table struct {
+type reportTable struct {
 	Name string
-	Rows []row
+	Rows []reportRow
 }
 
-// mostFaults of a report's plays are listed.
-const mostFaults = 20
+// maxProblemsListed of a report's plays are listed.
+const maxProblemsListed = 20
 
 // HTML writes one page that needs nothing else: tables, figures, and how to play again what broke a rule.
 func HTML(w io.Writer, results []*experiment.Result, measures []experiment.Measure, figures []*Figure) error {
@@ -47,7 +47,7 @@
 	var data struct {
 		Title, Text  string
 		Plays, Seeds int
-		Tables       []table
+		Tables       []reportTable
 		Figures      []template.HTML
 		Faults       []fault
 	}
@@ -55,11 +55,11 @@
 	for _, r := range results {
 		seeds[r.Seed] = true
 		switch {
-		case len(data.Faults) >= mostFaults:
+		case len(data.Faults) >= maxProblemsListed:
 		case r.Error != "":
 			data.Faults = append(data.Faults, fault{r.Policy + ": " + r.Error, r.Replay})
-		case !r.Report.Kept():
-			data.Faults = append(data.Faults, fault{r.Policy + ": " + r.Report.Breaches[0].String(), r.Replay})
+		case !r.Report.HasNoViolations():
+			data.Faults = append(data.Faults, fault{r.Policy + ": " + r.Report.Violations[0].String(), r.Replay})
 		}
 	}
 	if len(results) > 0 {
@@ -69,10 +69,10 @@
 	}
 	data.Plays, data.Seeds = len(results), len(seeds)
 	for _, m := range measures {
-		t := table{Name: m.Text}
+		t := reportTable{Name: m.Text}
 		for _, c := range experiment.Compare(results, m) {
-			t.Rows = append(t.Rows, row{c.Point, c.Policy, formatEstimate(c.Is), formatEstimate(c.Less),
-				fmt.Sprintf("%d of %d", c.Broken+c.Failed, c.Plays), c.Broken+c.Failed > 0})
+			t.Rows = append(t.Rows, reportRow{c.Point, c.Policy, formatEstimate(c.Estimate), formatEstimate(c.Difference),
+				fmt.Sprintf("%d of %d", c.RunsWithViolations+c.RunsFailed, c.Runs), c.RunsWithViolations+c.RunsFailed > 0})
 		}
 		data.Tables = append(data.Tables, t)
 	}
@@ -83,5 +83,5 @@
 		}
 		data.Figures = append(data.Figures, template.HTML(svg)) // drawn here, with its text escaped by the drawing library
 	}
-	return page.Execute(w, data)
+	return reportPage.Execute(w, data)
 }
--- a/internal/fleetsim/plots/latency.go
+++ b/internal/fleetsim/plots/latency.go
@@ -10,12 +10,12 @@
 	"gonum.org/v1/plot/plotter"
 )
 
-// percentiles is an axis of percentiles on which each nine takes as much room.
-type percentiles struct{}
+// percentileScale is an axis of percentiles on which each nine takes as much room.
+type percentileScale struct{}
 
-func (percentiles) Normalize(min, max, x float64) float64 { return (x - min) / (max - min) }
+func (percentileScale) Normalize(min, max, x float64) float64 { return (x - min) / (max - min) }
 
-func (percentiles) Ticks(min, max float64) []plot.Tick {
+func (percentileScale) Ticks(min, max float64) []plot.Tick {
 	var t []plot.Tick
 	for i, label := range []string{"0%", "90%", "99%", "99.9%", "99.99%"} {
 		t = append(t, plot.Tick{Value: float64(i), Label: label})
@@ -24,13 +24,13 @@
 }
 
 // Latency draws the time of the answers by percentile, over all seeds, a line for each policy, for one class.
-func Latency(g *group, class string) (*Figure, error) {
+func Latency(g *pointResults, class string) (*Figure, error) {
 	p := newPlot(strings.TrimSpace(fmt.Sprintf("Time of served requests, %s %s", class, g.name)), "percentile", "milliseconds")
-	p.X.Scale, p.X.Tick.Marker = percentiles{}, percentiles{}
+	p.X.Scale, p.X.Tick.Marker = percentileScale{}, percentileScale{}
 	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	for i, policy := range g.policies {
 		sum := hdrhistogram.New(1, 60_000_000, 3)
-		for _, r := range g.of[policy] {
+		for _, r := range g.byPolicy[policy] {
 			h, err := hdrhistogram.Decode([]byte(r.Report.Latency[class]))
 			if err != nil {
 				return nil, fmt.Errorf("plots: latencies of %s: %w", class, err)
@@ -45,7 +45,7 @@
 			}
 			xy = append(xy, plotter.XY{X: x, Y: float64(sum.ValueAtQuantile(q)) / 1e3})
 		}
-		if err := addLine(p, policy, colour(i), xy); err != nil {
+		if err := addLine(p, policy, seriesColour(i), xy); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/fleetsim/plots/plots.go
+++ b/internal/fleetsim/plots/plots.go
@@ -20,30 +20,30 @@
 	height = 11 * vg.Centimeter
 )
 
-// group sorts results by point, keeping the order in which points and policies first come.
-type group struct {
+// pointResults sorts results by point, keeping the order in which points and policies first come.
+type pointResults struct {
 	name     string
 	policies []string
-	of       map[string][]*experiment.Result
+	byPolicy map[string][]*experiment.Result
 }
 
-func groups(results []*experiment.Result) []*group {
-	var all []*group
-	at := map[string]*group{}
+func groupByPoint(results []*experiment.Result) []*pointResults {
+	var all []*pointResults
+	at := map[string]*pointResults{}
 	for _, r := range results {
 		if r.Report == nil {
 			continue
 		}
 		g := at[r.Name()]
 		if g == nil {
-			g = &group{name: r.Name(), of: map[string][]*experiment.Result{}}
+			g = &pointResults{name: r.Name(), byPolicy: map[string][]*experiment.Result{}}
 			at[g.name] = g
 			all = append(all, g)
 		}
-		if g.of[r.Policy] == nil {
+		if g.byPolicy[r.Policy] == nil {
 			g.policies = append(g.policies, r.Policy)
 		}
-		g.of[r.Policy] = append(g.of[r.Policy], r)
+		g.byPolicy[r.Policy] = append(g.byPolicy[r.Policy], r)
 	}
 	return all
 }
@@ -57,14 +57,14 @@
 	}, strings.ToLower(strings.Join(slices.DeleteFunc(parts, func(s string) bool { return s == "" }), "-")))
 }
 
-// Service draws the service by second at each point: the mean over the seeds, a line for each policy.
-func Service(g *group) (*Figure, error) {
+// ServiceBySecond draws the service by second at each point: the mean over the seeds, a line for each policy.
+func Service(g *pointResults) (*Figure, error) {
 	p := newPlot(strings.TrimSpace("Service by second "+g.name), "second", "worth got of worth asked")
 	p.Y.Min, p.Y.Max = 0, 1
 	for i, policy := range g.policies {
 		var sum, n []float64
-		for _, r := range g.of[policy] {
-			for s, x := range r.Report.Service {
+		for _, r := range g.byPolicy[policy] {
+			for s, x := range r.Report.ServiceBySecond {
 				if s >= len(sum) {
 					sum, n = append(sum, 0), append(n, 0)
 				}
@@ -79,7 +79,7 @@
 				xy = append(xy, plotter.XY{X: float64(s), Y: sum[s] / n[s]})
 			}
 		}
-		if err := addLine(p, policy, colour(i), xy); err != nil {
+		if err := addLine(p, policy, seriesColour(i), xy); err != nil {
 			return nil, err
 		}
 	}
@@ -87,19 +87,19 @@
 }
 
 // Load draws what the servers hold for each core, as bands of the fleet, for one policy's first seed at a point.
-func Load(g *group, policy string) (*Figure, error) {
-	r := g.of[policy][0]
+func Load(g *pointResults, policy string) (*Figure, error) {
+	r := g.byPolicy[policy][0]
 	p := newPlot(strings.TrimSpace(fmt.Sprintf("Load of the servers, %s, seed %d %s", policy, r.Seed, g.name)), "second",
 		"requests held per core")
 	p.Y.Min = 0
 	at := func(i int) plotter.XYs {
-		xy := make(plotter.XYs, len(r.Report.Bands))
-		for s, b := range r.Report.Bands {
+		xy := make(plotter.XYs, len(r.Report.LoadBands))
+		for s, b := range r.Report.LoadBands {
 			xy[s] = plotter.XY{X: float64(s + 1), Y: b[i]}
 		}
 		return xy
 	}
-	base := colour(0)
+	base := seriesColour(0)
 	for _, band := range []struct {
 		lo, hi int
 		alpha  uint8
@@ -119,7 +119,7 @@
 	if err := addLine(p, "median", base, at(2)); err != nil {
 		return nil, err
 	}
-	if err := addLine(p, "most", colour(3), at(5)); err != nil {
+	if err := addLine(p, "most", seriesColour(3), at(5)); err != nil {
 		return nil, err
 	}
 	return render(fileName("load", policy, g.name), p)
@@ -140,15 +140,15 @@
 		if err != nil {
 			return nil, fmt.Errorf("plots: %s: %w", name, err)
 		}
-		s.Color, s.Shape, s.Radius = colour(i), draw.CircleGlyph{}, vg.Points(3)
+		s.Color, s.Shape, s.Radius = seriesColour(i), draw.CircleGlyph{}, vg.Points(3)
 		p.Add(s)
 		p.Legend.Add(k, s)
 	}
 	return render(name, p)
 }
 
-// mostPoints is how many points of a sweep get figures of their own.
-const mostPoints = 8
+// maxPointsDrawn is how many points of a sweep get figures of their own.
+const maxPointsDrawn = 8
 
 // All draws what results hold: for a sweep the measures against its axis, and for each of its first points the service
 // by second, the load of the servers and the latencies.
@@ -160,7 +160,7 @@
 		}
 		return err
 	}
-	all := groups(results)
+	all := groupByPoint(results)
 	if len(all) == 0 {
 		return nil, fmt.Errorf("plots: no play came to its end")
 	}
@@ -171,7 +171,7 @@
 			}
 		}
 	}
-	for _, g := range all[:min(mostPoints, len(all))] {
+	for _, g := range all[:min(maxPointsDrawn, len(all))] {
 		if err := add(Service(g)); err != nil {
 			return nil, err
 		}
@@ -181,7 +181,7 @@
 		if len(all) > 1 {
 			continue // a figure for each class as well would be too many
 		}
-		for _, c := range g.of[g.policies[0]][0].World.Classes {
+		for _, c := range g.byPolicy[g.policies[0]][0].Scenario.Classes {
 			if err := add(Latency(g, c.Name)); err != nil {
 				return nil, err
 			}
--- a/internal/fleetsim/plots/plots_test.go
+++ b/internal/fleetsim/plots/plots_test.go
@@ -92,7 +92,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if figures, err := All(results, nil); err != nil || len(figures) != 2+len(e.World.Classes) {
+	if figures, err := All(results, nil); err != nil || len(figures) != 2+len(e.Scenario.Classes) {
 		t.Errorf("%d figures, %v", len(figures), err)
 	}
 	results[0].Report.Latency["quick-quote"] = "spoilt"
--- a/internal/fleetsim/plots/sweep.go
+++ b/internal/fleetsim/plots/sweep.go
@@ -18,7 +18,7 @@
 // intervals over the seeds.
 func Sweep(results []*experiment.Result, m experiment.Measure) (*Figure, error) {
 	cells := experiment.Compare(results, m)
-	if len(cells) == 0 || len(cells[0].X) == 0 {
+	if len(cells) == 0 || len(cells[0].Axes) == 0 {
 		return nil, fmt.Errorf("plots: these results have no swept key")
 	}
 	axis := results[0].Axes[0]
@@ -34,7 +34,7 @@
 	var ticks []plot.Tick
 	lowest := math.Inf(1)
 	for _, c := range cells {
-		x, label := number(c.X[0].Value)
+		x, label := axisValue(c.Axes[0].Value)
 		if label != "" { // not a number: places in their order
 			x = float64(slices.IndexFunc(ticks, func(t plot.Tick) bool { return t.Label == label }))
 			if x < 0 {
@@ -43,7 +43,7 @@
 			}
 		}
 		name := c.Policy
-		for _, s := range c.X[1:] {
+		for _, s := range c.Axes[1:] {
 			name += " " + s.String()
 		}
 		s := at[name]
@@ -51,19 +51,19 @@
 			s = &series{name: name}
 			at[name], all = s, append(all, s)
 		}
-		if c.Is.N == 0 {
+		if c.Estimate.N == 0 {
 			continue
 		}
-		half := c.Is.Half
+		half := c.Estimate.HalfWidth
 		if math.IsNaN(half) {
 			half = 0
 		}
-		s.xy = append(s.xy, plotter.XY{X: x, Y: c.Is.Mean})
+		s.xy = append(s.xy, plotter.XY{X: x, Y: c.Estimate.Mean})
 		s.err = append(s.err, struct{ Low, High float64 }{half, half})
-		lowest = min(lowest, c.Is.Mean-half)
+		lowest = min(lowest, c.Estimate.Mean-half)
 	}
 	for i, s := range all {
-		if err := addLine(p, s.name, colour(i), s.xy); err != nil {
+		if err := addLine(p, s.name, seriesColour(i), s.xy); err != nil {
 			return nil, err
 		}
 		if len(s.xy) == 0 {
@@ -73,7 +73,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("plots: %s: %w", s.name, err)
 		}
-		dots.Color, dots.Shape, dots.Radius = colour(i), draw.CircleGlyph{}, vg.Points(2.5)
+		dots.Color, dots.Shape, dots.Radius = seriesColour(i), draw.CircleGlyph{}, vg.Points(2.5)
 		bars, err := plotter.NewYErrorBars(struct {
 			plotter.XYer
 			plotter.YErrorer
@@ -81,7 +81,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("plots: %s: %w", s.name, err)
 		}
-		bars.Color = colour(i)
+		bars.Color = seriesColour(i)
 		p.Add(dots, bars)
 	}
 	if lowest >= 0 {
@@ -95,8 +95,8 @@
 	return render(fileName("sweep", m.Name), p)
 }
 
-// number is a swept value as a place on an axis; label is not empty where it is none.
-func number(v any) (x float64, label string) {
+// axisValue is a swept value as a place on an axis; label is not empty where it is none.
+func axisValue(v any) (x float64, label string) {
 	switch v := v.(type) {
 	case float64:
 		return v, ""
--- a/internal/fleetsim/withsubset/withsubset.go
+++ b/internal/fleetsim/withsubset/withsubset.go
@@ -13,21 +13,21 @@
 
 // node is a module that is told of a part of the list.
 type node struct {
-	module  model.Node
+	inner   model.Node
 	ordinal int
-	arc     float64
+	share   float64
 	listed  map[uint32]policy.Member
-	told    map[uint32]bool
+	unused  map[uint32]bool
 	members []policy.Member
 }
 
-// least is how many servers of each zone a part has at least.
-const least = 4
+// minServersPerZone is how many servers of each zone a part has at least.
+const minServersPerZone = 4
 
-// Maker makes nodes of make that keep to an arc of each zone. Cold budgets are divided among the proxies that may have a server in
+// NodeFactory makes nodes of make that keep to an arc of each zone. Cold budgets are divided among the proxies that may have a server in
 // their part, and no more.
-func Maker(make model.Maker, arc float64) model.Maker {
-	return func(set policy.Settings, seed uint64, truth *model.Truth) (model.Node, error) {
+func NewFactory(make model.NodeFactory, arc float64) model.NodeFactory {
+	return func(set policy.Settings, seed uint64, truth *model.Oracle) (model.Node, error) {
 		all := set.GroupSize
 		if part := int(math.Ceil(float64(all)*arc)) + 4 + int(2*math.Log10(float64(max(1, all)))); part < all {
 			set.GroupSize = part
@@ -40,7 +40,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return &node{module: module, ordinal: set.Ordinal, arc: arc, listed: map[uint32]policy.Member{}, told: map[uint32]bool{}}, nil
+		return &node{inner: module, ordinal: set.Ordinal, share: arc, listed: map[uint32]policy.Member{}, unused: map[uint32]bool{}}, nil
 	}
 }
 
@@ -51,7 +51,7 @@
 		clear(n.listed)
 	case policy.MembershipDelta:
 	default:
-		return n.module.Handle(now, ev, out)
+		return n.inner.Handle(now, ev, out)
 	}
 	for _, m := range ev.Members {
 		if m.Mode == policy.ModeGone {
@@ -71,16 +71,16 @@
 		part.Kind = policy.MembershipFull
 	}
 	n.members = n.members[:0]
-	for _, m := range subset.Select(servers, n.ordinal, n.arc, least) {
+	for _, m := range subset.Select(servers, n.ordinal, n.share, minServersPerZone) {
 		n.members = append(n.members, n.listed[m.ID])
 	}
 	part.Members = n.members
-	return n.module.Handle(now, &part, out)
+	return n.inner.Handle(now, &part, out)
 }
 
 // EjectedServers is as the module says.
 func (n *node) EjectedServers() int {
-	if m, ok := n.module.(interface{ EjectedServers() int }); ok {
+	if m, ok := n.inner.(interface{ EjectedServers() int }); ok {
 		return m.EjectedServers()
 	}
 	return 0
--- a/tools/simrank/main.go
+++ b/tools/simrank/main.go
@@ -204,11 +204,11 @@
 	if err != nil {
 		return 0, err
 	}
-	m, err := experiment.MeasureOf("g")
+	m, err := experiment.MeasureByName("g")
 	if err != nil {
 		return 0, err
 	}
-	return experiment.Compare(results, m)[0].Is.Mean, nil
+	return experiment.Compare(results, m)[0].Estimate.Mean, nil
 }
 
 // spearman is the rank correlation of two lists, with mean ranks for ties.
