--- a/cmd/pumiceline/singletonrun.go
+++ b/cmd/pumiceline/singletonrun.go
@@ -45,10 +45,10 @@
 	defer closeHistory()
 	opts := c.clientOptions(fleet, log, history)
 	var cache *discoverycache.Cache // set before the client runs
-	servesCache := fleet.Roster != "" && c.Mirror != ""
+	servesCache := fleet.DiscoveryRole != "" && c.Mirror != ""
 	if servesCache {
 		opts.Addr = c.Mirror
-		opts.Steps[fleet.Roster] = func(context.Context, leaseclient.Perform) error {
+		opts.Steps[fleet.DiscoveryRole] = func(context.Context, leaseclient.Perform) error {
 			if !cache.FollowsDiscovery() {
 				return errors.New("discovery is not reachable from here")
 			}
@@ -102,11 +102,11 @@
 // that is this instance.
 func newDiscoveryCache(fleet *deployfile.Fleet, client *leaseclient.Client, log *slog.Logger) *discoverycache.Cache {
 	return discoverycache.New(discoverycache.Options{
-		Discovery:      fleet.Discovery,
+		Discovery:      fleet.DiscoveryAddress,
 		FallbackSpread: time.Duration(fleet.Settings.LeaseDuration) * time.Microsecond,
 		Log:            log,
 		Holder: func() discoverycache.Holder {
-			holder := client.LocateHolder(fleet.Roster)
+			holder := client.LocateHolder(fleet.DiscoveryRole)
 			return discoverycache.Holder{Address: holder.Addr, Token: uint64(holder.Token), IsLocal: holder.IsLocal}
 		},
 	}, time.Now())
--- a/example/main.go
+++ b/example/main.go
@@ -1,4 +1,4 @@
-// Command example runs a stand-in discovery and three stand-in destinations at the addresses that config.json expects.
+// Command example runs a fake discovery and three fake backends at the addresses that config.json expects.
 package main
 
 import (
@@ -12,6 +12,17 @@
 	"pumiceline/internal/fake/fakestandalone"
 )
 
+// Addresses of config.json.
+const (
+	host             = "127.0.0.1"
+	discoveryAddress = host + ":8500"
+	firstBackendPort = 9001
+	lastBackendPort  = 9003
+)
+
+// serviceTime is the mean time in which a backend serves a request.
+const serviceTime = 50 * time.Millisecond
+
 func main() {
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "example:", err)
@@ -19,21 +30,24 @@
 	}
 }
 
+// run serves until it is interrupted.
 func run() error {
-	discovery, err := net.Listen("tcp", "127.0.0.1:8500")
+	discovery, err := net.Listen("tcp", discoveryAddress)
 	if err != nil {
-		return err
+		return fmt.Errorf("listen for discovery: %w", err)
 	}
-	var destinations []net.Listener
-	for port := 9001; port <= 9003; port++ {
-		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.0.1:%d", port))
+	var backends []net.Listener
+	for port := firstBackendPort; port <= lastBackendPort; port++ {
+		ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", host, port))
 		if err != nil {
-			return err
+			return fmt.Errorf("listen for backend: %w", err)
 		}
-		destinations = append(destinations, ln)
+		backends = append(backends, ln)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	fmt.Println("stand-in discovery at 127.0.0.1:8500, destinations at 127.0.0.1:9001 to 9003; interrupt to end")
-	return fakestandalone.NewWorld(discovery, destinations, []string{"ub-east"}, fakestandalone.Sleep(50*time.Millisecond)).Serve(ctx)
+	fmt.Printf("fake discovery at %s, backends at %s:%d to %d; interrupt to end\n", discoveryAddress, host, firstBackendPort,
+		lastBackendPort)
+	zones := []string{"ub-east"}
+	return fakestandalone.NewWorld(discovery, backends, zones, fakestandalone.Sleep(serviceTime)).Serve(ctx)
 }
--- a/internal/duration/span.go
+++ b/internal/duration/duration.go
@@ -1,6 +1,6 @@
-// Package duration reads and writes times as operators write them: microseconds in the program, "250ms" in files.
+// Package duration reads and writes durations as operators write them in files: "250ms" there, microseconds in the program.
 //
-// It is apart from package model so that nothing there imports the package that also holds the real clock.
+// It is a package of its own because package model, which uses it, must not import the one that has the real clock.
 package duration
 
 import (
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// Span is a length of time in microseconds.
+// Span is a duration in microseconds. Its text form is that of time.Duration.
 type Span int64
 
-// UnmarshalText reads a Go duration such as "1.5s"; less than a microsecond and negative ones are errors.
+// UnmarshalText implements encoding.TextUnmarshaler. Negative durations and those under a microsecond are errors.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	switch {
@@ -26,10 +26,11 @@
 	return nil
 }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText implements encoding.TextMarshaler.
 func (s Span) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
+// String returns the text form.
 func (s Span) String() string { return (time.Duration(s) * time.Microsecond).String() }
 
-// Seconds is the span in seconds.
+// Seconds returns the duration in seconds.
 func (s Span) Seconds() float64 { return float64(s) / 1e6 }
--- a/internal/standalone/deployfile/admission.go
+++ b/internal/standalone/deployfile/admission.go
@@ -42,6 +42,11 @@
 	workKeyPrefix    = "work."
 )
 
+// isAdmissionDuration reports whether a key's value is a duration.
+func isAdmissionDuration(key string) bool {
+	return key == maxRetryAfterKey || key == saltRotationKey || strings.HasPrefix(key, workKeyPrefix)
+}
+
 // defaultWorkMicros is the expected work of a request where neither its client nor the file says.
 const defaultWorkMicros = 100_000
 
@@ -62,7 +67,7 @@
 		return set, err
 	}
 	keys := keyLocator{path: path, index: tomlfile.IndexKeys(text)}
-	if err := keys.checkUnits(); err != nil {
+	if err := keys.checkUnits(isAdmissionDuration); err != nil {
 		return set, err
 	}
 	file.copyTo(&set)
@@ -170,26 +175,6 @@
 	return nil
 }
 
-// keyLocator makes errors with the line of a key in a file.
-type keyLocator struct {
-	path  string
-	index *tomlfile.KeyIndex
-}
-
-func (k keyLocator) errorAt(key, reason string) error {
-	return &tomlfile.Error{File: k.path, Line: k.index.Line(key), Key: key, Reason: reason}
-}
-
-// checkUnits returns an error for a duration that is a bare number.
-func (k keyLocator) checkUnits() error {
-	for _, key := range k.index.BareNumbers {
-		if key == maxRetryAfterKey || key == saltRotationKey || strings.HasPrefix(key, workKeyPrefix) {
-			return k.errorAt(key, "is a time and has no unit: write it as \"250ms\"")
-		}
-	}
-	return nil
-}
-
 // locate returns the error of admission.Settings.Check with its place in the file.
 func (k keyLocator) locate(err error, set *admission.Settings) error {
 	var invalid *admission.SettingError
--- a/internal/standalone/deployfile/fleet.go
+++ b/internal/standalone/deployfile/fleet.go
@@ -15,91 +15,133 @@
 	"pumiceline/internal/tomlfile"
 )
 
-// Fleet is deploy/fleet.toml: who agrees on the fleet's work, and what work there is.
+// Fleet is deploy/fleet.toml: the members that agree on the fleet's singleton roles, and the roles.
 type Fleet struct {
-	Name      string // told with every call: who is of another fleet is not heard
-	Settings  singleton.Settings
-	Members   map[uint64]string // addresses by number
-	Receivers map[string]string // by work, where its effects go
-	Roster    string            // the work that is to follow discovery for all; empty: there is none
-	Discovery string            // its address
+	Name             string // sent with every request: members of another fleet refuse it
+	Settings         singleton.Settings
+	Members          map[uint64]string // addresses by ID
+	Receivers        map[string]string // URLs to which the effects of a role go, by role
+	DiscoveryRole    string            // the role whose holder follows discovery for all; empty: there is none
+	DiscoveryAddress string
 }
 
+// fleetFile is the form of deploy/fleet.toml.
 type fleetFile struct {
-	Name    string            `toml:"name"`
-	Lease   duration.Span     `toml:"lease"`
-	Drift   float64           `toml:"drift"`
-	Damp    duration.Span     `toml:"damp"`
-	Members map[string]string `toml:"members"`
-	Works   map[string]struct {
-		Receiver  string `toml:"receiver"`
-		Discovery string `toml:"discovery"`
-	} `toml:"works"`
+	Name           string              `toml:"name"`
+	LeaseDuration  duration.Span       `toml:"lease"`
+	MaxClockDrift  float64             `toml:"drift"`
+	PenaltyBackoff duration.Span       `toml:"damp"`
+	Members        map[string]string   `toml:"members"`
+	Roles          map[string]roleFile `toml:"works"`
 }
 
-// ReadFleet reads the fleet's file. Faults are *tomlfile.Error.
+// roleFile is one role in deploy/fleet.toml. It has either a receiver or discovery.
+type roleFile struct {
+	Receiver  string `toml:"receiver"`
+	Discovery string `toml:"discovery"`
+}
+
+// Defaults for absent keys of deploy/fleet.toml.
+const (
+	defaultLeaseDuration  = duration.Span(2_000_000)
+	defaultMaxClockDrift  = 0.2
+	defaultPenaltyBackoff = duration.Span(2_000_000)
+)
+
+const maxFleetNameBytes = 64
+
+// ReadFleet reads deploy/fleet.toml. What is wrong in the file is a *tomlfile.Error.
 func ReadFleet(path string) (*Fleet, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	f := fleetFile{Lease: 2e6, Drift: 0.2, Damp: 2e6}
-	if err := tomlfile.Decode(path, text, &f); err != nil {
+	file := fleetFile{LeaseDuration: defaultLeaseDuration, MaxClockDrift: defaultMaxClockDrift, PenaltyBackoff: defaultPenaltyBackoff}
+	if err := tomlfile.Decode(path, text, &file); err != nil {
 		return nil, err
 	}
-	keys := tomlfile.IndexKeys(text)
-	fault := func(key, why string) error {
-		return &tomlfile.Error{File: path, Line: keys.Line(key), Key: key, Reason: why}
+	keys := keyLocator{path: path, index: tomlfile.IndexKeys(text)}
+	if err := keys.checkUnits(isFleetDuration); err != nil {
+		return nil, err
 	}
-	for _, key := range keys.BareNumbers {
-		if key == "lease" || key == "damp" {
-			return nil, fault(key, `is a time and has no unit: write it as "250ms"`)
-		}
+	return file.fleet(keys)
+}
+
+// isFleetDuration reports whether a key's value is a duration.
+func isFleetDuration(key string) bool { return key == "lease" || key == "damp" }
+
+// fleet checks the file and returns what it says.
+func (f *fleetFile) fleet(keys keyLocator) (*Fleet, error) {
+	fleet := &Fleet{
+		Name: f.Name,
+		Settings: singleton.Settings{LeaseDuration: singleton.Time(f.LeaseDuration), MaxClockDrift: f.MaxClockDrift,
+			PenaltyBackoff: singleton.Time(f.PenaltyBackoff)},
+		Members:   map[uint64]string{},
+		Receivers: map[string]string{},
 	}
-	out := &Fleet{Settings: singleton.Settings{LeaseDuration: singleton.Time(f.Lease), MaxClockDrift: f.Drift, PenaltyBackoff: singleton.Time(f.Damp)}, Members: map[uint64]string{},
-		Receivers: map[string]string{}}
-	if out.Name = f.Name; f.Name == "" || len(f.Name) > 64 {
-		return nil, fault("name", "a fleet needs a name of 64 bytes at most")
+	if f.Name == "" || len(f.Name) > maxFleetNameBytes {
+		return nil, keys.errorAt("name", fmt.Sprintf("a fleet needs a name of %d bytes at most", maxFleetNameBytes))
 	}
 	if n := len(f.Members); n != 1 && n != 3 && n != 5 && n != 7 {
-		return nil, fault("members", fmt.Sprintf("there are %d, and an even number or more than 7 bears no more failures than one less", n))
+		return nil, keys.errorAt("members",
+			fmt.Sprintf("there are %d, and an even number or more than 7 bears no more failures than one less", n))
 	}
-	for _, number := range slices.Sorted(maps.Keys(f.Members)) { // the same fault first each time
-		addr := f.Members[number]
-		id, err := strconv.ParseUint(number, 10, 64)
-		if err != nil || id == 0 || strconv.FormatUint(id, 10) != number {
-			return nil, fault("members."+number, "is no number from 1")
+	for _, number := range slices.Sorted(maps.Keys(f.Members)) { // sorted, so that the first error is always the same
+		if err := fleet.addMember(number, f.Members[number], keys); err != nil {
+			return nil, err
 		}
-		if _, port, err := net.SplitHostPort(addr); err != nil || port == "" {
-			return nil, fault("members."+number, fmt.Sprintf("%q is no address with a port", addr))
+	}
+	for _, name := range slices.Sorted(maps.Keys(f.Roles)) {
+		if err := fleet.addRole(name, f.Roles[name], keys); err != nil {
+			return nil, err
 		}
-		for other, there := range out.Members {
-			if there == addr {
-				return nil, fault("members."+number, fmt.Sprintf("has the address of member %d", other))
-			}
+	}
+	var invalid *singleton.SettingError
+	if errors.As(fleet.Settings.Validate(), &invalid) {
+		return nil, keys.errorAt(invalid.Key, invalid.Reason)
+	}
+	return fleet, nil
+}
+
+func (f *Fleet) addMember(number, addr string, keys keyLocator) error {
+	key := "members." + number
+	id, err := strconv.ParseUint(number, 10, 64)
+	if err != nil || id == 0 || strconv.FormatUint(id, 10) != number {
+		return keys.errorAt(key, "is no number from 1")
+	}
+	if !hasPort(addr) {
+		return keys.errorAt(key, fmt.Sprintf("%q is no address with a port", addr))
+	}
+	for other, otherAddr := range f.Members {
+		if otherAddr == addr {
+			return keys.errorAt(key, fmt.Sprintf("has the address of member %d", other))
 		}
-		out.Members[id] = addr
 	}
-	for _, work := range slices.Sorted(maps.Keys(f.Works)) {
-		w := f.Works[work]
-		if w.Discovery != "" {
-			if _, port, err := net.SplitHostPort(w.Discovery); err != nil || port == "" {
-				return nil, fault("works."+work+".discovery", fmt.Sprintf("%q is no address with a port", w.Discovery))
-			}
-			if w.Receiver != "" || out.Roster != "" {
-				return nil, fault("works."+work+".discovery", "a work has either a receiver or discovery, and one work alone has discovery")
-			}
-			out.Settings.Roles, out.Roster, out.Discovery = append(out.Settings.Roles, work), work, w.Discovery
-			continue
+	f.Members[id] = addr
+	return nil
+}
+
+func (f *Fleet) addRole(name string, role roleFile, keys keyLocator) error {
+	key := "works." + name
+	if role.Discovery == "" {
+		if u, err := url.Parse(role.Receiver); err != nil || u.Scheme != "http" || u.Host == "" {
+			return keys.errorAt(key+".receiver", fmt.Sprintf("%q is no http address", role.Receiver))
 		}
-		if u, err := url.Parse(w.Receiver); err != nil || u.Scheme != "http" || u.Host == "" {
-			return nil, fault("works."+work+".receiver", fmt.Sprintf("%q is no http address", w.Receiver))
+		f.Receivers[name] = role.Receiver
+	} else {
+		if !hasPort(role.Discovery) {
+			return keys.errorAt(key+".discovery", fmt.Sprintf("%q is no address with a port", role.Discovery))
 		}
-		out.Settings.Roles, out.Receivers[work] = append(out.Settings.Roles, work), w.Receiver
-	}
-	var invalid *singleton.SettingError
-	if errors.As(out.Settings.Validate(), &invalid) {
-		return nil, fault(invalid.Key, invalid.Reason)
+		if role.Receiver != "" || f.DiscoveryRole != "" {
+			return keys.errorAt(key+".discovery", "a work has either a receiver or discovery, and one work alone has discovery")
+		}
+		f.DiscoveryRole, f.DiscoveryAddress = name, role.Discovery
 	}
-	return out, nil
+	f.Settings.Roles = append(f.Settings.Roles, name)
+	return nil
+}
+
+func hasPort(addr string) bool {
+	_, port, err := net.SplitHostPort(addr)
+	return err == nil && port != ""
 }
--- a/internal/standalone/deployfile/fleet_test.go
+++ b/internal/standalone/deployfile/fleet_test.go
@@ -10,8 +10,8 @@
 	"pumiceline/internal/tomlfile"
 )
 
-// The file under deploy/ is usable, and what is not usable is told with file, line and key.
-func TestFleetFile(t *testing.T) {
+// The file under deploy/ is valid, and what is invalid is an error with file, line and key.
+func TestReadFleet_NamesInvalidKey(t *testing.T) {
 	f, err := ReadFleet("../../../deploy/fleet.toml")
 	if err != nil || f.Settings.LeaseDuration != 2e6 || f.Settings.MaxClockDrift != 0.2 || len(f.Members) != 3 || f.Receivers["export"] == "" {
 		t.Errorf("%+v, %v", f, err)
@@ -28,15 +28,15 @@
 		members + "[works.w]\ndiscovery = \"h:1\"\nreceiver = \"http://h/\"": ":7: works.w.discovery: a work has either",
 		members + "[works.w]\nreciever = \"http://h/\"":                      ":7: works.w.reciever: there is no such key",
 		"[members]\n1 = \"h:1\"\n2 = \"h:2\"\n3 = \"h:1\"\n":                 "has the address of member",
-		"name = \"\"": "f.toml", // there twice
+		"name = \"\"": "f.toml", // a duplicate key
 	} {
 		file := filepath.Join(t.TempDir(), "f.toml")
 		if err := os.WriteFile(file, []byte("name = \"f\"\n"+text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := ReadFleet(file)
-		var fault *tomlfile.Error
-		if !errors.As(err, &fault) || !strings.Contains(err.Error(), want) {
+		var keyErr *tomlfile.Error
+		if !errors.As(err, &keyErr) || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
--- /dev/null
+++ b/internal/standalone/deployfile/keylocator.go
@@ -0,0 +1,23 @@
+package deployfile
+
+import "pumiceline/internal/tomlfile"
+
+// keyLocator makes errors with the place of their key in a file.
+type keyLocator struct {
+	path  string
+	index *tomlfile.KeyIndex
+}
+
+func (k keyLocator) errorAt(key, reason string) error {
+	return &tomlfile.Error{File: k.path, Line: k.index.Line(key), Key: key, Reason: reason}
+}
+
+// checkUnits returns an error for a duration that is a bare number.
+func (k keyLocator) checkUnits(isDuration func(key string) bool) error {
+	for _, key := range k.index.BareNumbers {
+		if isDuration(key) {
+			return k.errorAt(key, "is a time and has no unit: write it as \"250ms\"")
+		}
+	}
+	return nil
+}
--- a/internal/standalone/deployfile/stored_test.go
+++ b/internal/standalone/deployfile/stored_test.go
@@ -16,11 +16,11 @@
 		t.Fatal(err)
 	}
 	want := &Fleet{
-		Name:      "north",
-		Settings:  singleton.Settings{Roles: []string{"billing", "export", "roster"}, LeaseDuration: 3e6, MaxClockDrift: 0.15, PenaltyBackoff: 4e6},
-		Members:   map[uint64]string{1: "127.0.0.1:7301", 2: "127.0.0.1:7302", 3: "127.0.0.1:7303"},
-		Receivers: map[string]string{"export": "http://127.0.0.1:7310/effects", "billing": "http://127.0.0.1:7311/effects"},
-		Roster:    "roster", Discovery: "127.0.0.1:8500",
+		Name:          "north",
+		Settings:      singleton.Settings{Roles: []string{"billing", "export", "roster"}, LeaseDuration: 3e6, MaxClockDrift: 0.15, PenaltyBackoff: 4e6},
+		Members:       map[uint64]string{1: "127.0.0.1:7301", 2: "127.0.0.1:7302", 3: "127.0.0.1:7303"},
+		Receivers:     map[string]string{"export": "http://127.0.0.1:7310/effects", "billing": "http://127.0.0.1:7311/effects"},
+		DiscoveryRole: "roster", DiscoveryAddress: "127.0.0.1:8500",
 	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
