--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// IsOpenAndEmpty reports whether a connection is open with nothing to read. One that the peer has closed, or that has died,
-// has an end or a reset to read.
+// IsOpenAndEmpty reports whether a connection is open with nothing to read. One that the peer has closed, or that has
+// died, has an end or a reset to read.
 func IsOpenAndEmpty(nc net.Conn) bool {
 	isEmpty := false
 	isSocket, err := withDescriptor(nc, func(fd int) {
@@ -22,8 +22,8 @@
 	return !isSocket || err == nil && isEmpty
 }
 
-// HasPeerClosed reports whether the peer has closed a connection, or its half of it, even where bytes that came before are
-// unread.
+// HasPeerClosed reports whether the peer has closed a connection, or its half of it, even where bytes that came
+// before are unread.
 func HasPeerClosed(nc net.Conn) bool {
 	isClosed := false
 	isSocket, err := withDescriptor(nc, func(fd int) {
@@ -39,7 +39,8 @@
 	return isSocket && err == nil && isPending
 }
 
-// withDescriptor calls f with the descriptor of a connection or listener, if it has one. An error means that it is closed.
+// withDescriptor calls f with the descriptor of a connection or listener, if it has one. An error means that it is
+// closed.
 func withDescriptor(c any, f func(fd int)) (isSocket bool, err error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/standalone/admission/controller.go
+++ b/internal/standalone/admission/controller.go
@@ -1,15 +1,15 @@
-// Package admission decides which requests may be forwarded now, which are queued, and which are rejected: fair queueing
-// over tenants by their shares, within a tenant over classes by their value, and within those over clients, under a limit
-// on the work in flight that adapts to the measured latency.
+// Package admission decides which requests may be forwarded now, which are queued, and which are rejected: fair
+// queueing over tenants by their shares, within a tenant over classes by their value, and within those over clients,
+// under a limit on the work in flight that adapts to the measured latency.
 //
-// A Controller is a state machine like policy.Balancer: it has no clock, no goroutine and no I/O. The caller's now, in
-// microseconds and never going back, is the only time that it knows. Which backend gets a request, whether it is retried,
-// and rejections for want of backends are the policy's. The Controller does not queue what the policy could take: it
-// bounds what is in flight, so that what must wait does so here, where the order is fair and a rejection is harmless, as
-// nothing has been sent.
+// A Controller is a state machine like policy.Balancer: it has no clock, no goroutine and no I/O. The caller's now,
+// in microseconds and never going back, is the only time that it knows. Which backend gets a request, whether it is
+// retried, and rejections for want of backends are the policy's. The Controller does not queue what the policy could
+// take: it bounds what is in flight, so that what must wait does so here, where the order is fair and a rejection is
+// harmless, as nothing has been sent.
 //
-// Memory is bounded by the settings alone: the number of entries is fixed, clients have no state of their own (they share
-// hashed queues), and what is reserved for rejected requests is kept as sums.
+// Memory is bounded by the settings alone: the number of entries is fixed, clients have no state of their own (they
+// share hashed queues), and what is reserved for rejected requests is kept as sums.
 //
 // controller.go has the Controller and the events of a request, settings.go the settings and reload.go their change,
 // entry.go the table of requests, queue.go the queues and fairqueue.go their order, limit.go the concurrency limit,
@@ -87,8 +87,8 @@
 	rateTimeConstant = 1e6
 	// meanWorkSamples is over how many requests the mean work is taken.
 	meanWorkSamples = 1024
-	// maxWorkRatio bounds how far a request's work may be from the mean: a wrong hint must neither gain capacity nor keep
-	// its client waiting for ever.
+	// maxWorkRatio bounds how far a request's work may be from the mean: a wrong hint must neither gain capacity nor
+	// keep its client waiting for ever.
 	maxWorkRatio = 16
 )
 
@@ -195,8 +195,8 @@
 	}
 }
 
-// chargeRetry accounts for a retry, or earns the tenant a part of one. It returns false if its tenant has no retries left.
-// A retry at the time of a reservation is free and goes to the returning lane.
+// chargeRetry accounts for a retry, or earns the tenant a part of one. It returns false if its tenant has no retries
+// left. A retry at the time of a reservation is free and goes to the returning lane.
 func (c *Controller) chargeRetry(t *tenant, e *entry, isRetry bool) bool {
 	e.isReturning = isRetry && t.takeReservation(e.work)
 	switch {
@@ -228,8 +228,8 @@
 	return true
 }
 
-// Finish reports the end of an admitted request. served says whether a backend has answered, so that the time in flight is
-// a measurement. A request that is not in flight, or not any more, is ignored.
+// Finish reports the end of an admitted request. served says whether a backend has answered, so that the time in
+// flight is a measurement. A request that is not in flight, or not any more, is ignored.
 func (c *Controller) Finish(now Time, ticket Ticket, served bool, out []Action) []Action {
 	out = c.advanceTo(now, out)
 	index := c.lookup(ticket)
@@ -322,8 +322,8 @@
 	c.lastTick += Time(slots) * reservationSlot
 }
 
-// hasCapacity reports whether a request may be admitted now. One always may if nothing is in flight, or a request of more
-// work than the limit would wait for ever.
+// hasCapacity reports whether a request may be admitted now. One always may if nothing is in flight, or a request of
+// more work than the limit would wait for ever.
 func (c *Controller) hasCapacity(work float64) bool {
 	return c.inFlight == 0 || c.inFlightWork+work <= c.limit.value*c.meanWork
 }
@@ -363,7 +363,8 @@
 	e := &c.entries[index]
 	t := &c.tenants[e.tenant]
 	t.stats.Rejected[reason]++
-	out = append(out, Action{Ticket: c.ticket(index), Kind: Reject, Reason: reason, RetryAfter: c.reserveRetryAfter(t, e)})
+	retryAfter := c.reserveRetryAfter(t, e)
+	out = append(out, Action{Ticket: c.ticket(index), Kind: Reject, Reason: reason, RetryAfter: retryAfter})
 	c.free(index)
 	return out
 }
--- a/internal/standalone/admission/controller_test.go
+++ b/internal/standalone/admission/controller_test.go
@@ -76,7 +76,8 @@
 	var out []Action
 	for i := range 1_000_000 {
 		h.now += 60
-		_, out = h.controller.Submit(h.now, Request{Tenant: i & 1, Class: i >> 1 & 1, Client: uint64(i), Deadline: h.now + sec}, out[:0])
+		r := Request{Tenant: i & 1, Class: i >> 1 & 1, Client: uint64(i), Deadline: h.now + sec}
+		_, out = h.controller.Submit(h.now, r, out[:0])
 		for _, a := range out {
 			if a.Kind == Admit {
 				h.controller.Finish(h.now, a.Ticket, false, nil)
@@ -88,8 +89,8 @@
 	}
 }
 
-// Whatever the events are, each request has one decision, something is in flight while one is queued (work conservation),
-// entries and queues agree with each other, and no request is queued past its admitBy.
+// Whatever the events are, each request has one decision, something is in flight while one is queued (work
+// conservation), entries and queues agree with each other, and no request is queued past its admitBy.
 func TestController_Invariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := testSettings(rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.1, 1, 1, 10}), 1, 5).Draw(rt, "shares")...)
@@ -146,9 +147,10 @@
 			t.Fatalf("tenant %d: %d queued, its flow says %d", i, tn.queued, n)
 		}
 	}
-	if waits != d.queued || states[stateQueued] != waits || len(d.admitByHeap) != waits || waits > d.settings.MaxQueued || len(h.queued) != waits {
-		t.Fatalf("%d queued, %d by tenants, %d by entries, %d by the heap, %d by the harness, of %d", d.queued, waits, states[stateQueued], len(d.admitByHeap),
-			len(h.queued), d.settings.MaxQueued)
+	if waits != d.queued || states[stateQueued] != waits || len(d.admitByHeap) != waits ||
+		waits > d.settings.MaxQueued || len(h.queued) != waits {
+		t.Fatalf("%d queued, %d by tenants, %d by entries, %d by the heap, %d by the harness, of %d",
+			d.queued, waits, states[stateQueued], len(d.admitByHeap), len(h.queued), d.settings.MaxQueued)
 	}
 	if states[stateInFlight] != d.inFlight || d.inFlight != len(h.inFlight) {
 		t.Fatalf("%d in flight, %d by entries, %d by the harness", d.inFlight, states[stateInFlight], len(h.inFlight))
@@ -184,7 +186,8 @@
 			n := uint64(0)
 			arrive := func() {
 				n++
-				_, out = d.Submit(now, Request{Tenant: int(n % 5), Class: int(n >> 3 & 1), Client: splitMix64(n), Deadline: now + 3600*sec}, out[:0])
+				r := Request{Tenant: int(n % 5), Class: int(n >> 3 & 1), Client: splitMix64(n), Deadline: now + 3600*sec}
+				_, out = d.Submit(now, r, out[:0])
 				take()
 			}
 			for range queued + 4 {
--- a/internal/standalone/admission/entry.go
+++ b/internal/standalone/admission/entry.go
@@ -39,7 +39,8 @@
 	} else {
 		c.freeList = c.entries[index].next
 	}
-	c.entries[index] = entry{generation: c.entries[index].generation + 1, next: noIndex, prev: noIndex, heapIndex: noIndex}
+	generation := c.entries[index].generation + 1
+	c.entries[index] = entry{generation: generation, next: noIndex, prev: noIndex, heapIndex: noIndex}
 	return index, c.ticket(index)
 }
 
--- a/internal/standalone/admission/fairness_test.go
+++ b/internal/standalone/admission/fairness_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Five tenants are backlogged with requests of very different work: over each stretch of work each gets its share, within the
-// bound of start-time fair queueing.
+// Five tenants are backlogged with requests of very different work: over each stretch of work each gets its share,
+// within the bound of start-time fair queueing.
 func TestController_BackloggedTenantsGetTheirShares(t *testing.T) {
 	shares := []float64{1, 2, 3, 4, 10}
 	s := testSettings(shares...)
@@ -110,7 +110,8 @@
 	}
 }
 
-// One tenant fills the queue with requests of a class of little value: one of a valuable class is queued, and admitted soon.
+// One tenant fills the queue with requests of a class of little value: one of a valuable class is queued, and
+// admitted soon.
 func TestController_ValuableClassPassesFlood(t *testing.T) {
 	s := testSettings(1, 1)
 	s.MaxQueued = 50
--- a/internal/standalone/admission/fairqueue.go
+++ b/internal/standalone/admission/fairqueue.go
@@ -2,11 +2,12 @@
 
 import "container/heap"
 
-// fairQueue is start-time fair queueing over flows (Goyal, Vin, Cheng, "Start-time Fair Queueing", SIGCOMM 1996): the flow
-// whose next request has the least start tag is served next. Over any time in which two flows are both backlogged, what
-// they got, each divided by its weight, differs by at most the largest request of the one over its weight and that of the
-// other over its. A flow that was idle joins at the present virtual time: it has saved nothing, and owes nothing but what
-// its last request took. Fair queues are nested: a flow's next request may be what a fair queue below it serves next.
+// fairQueue is start-time fair queueing over flows (Goyal, Vin, Cheng, "Start-time Fair Queueing", SIGCOMM 1996): the
+// flow whose next request has the least start tag is served next. Over any time in which two flows are both
+// backlogged, what they got, each divided by its weight, differs by at most the largest request of the one over its
+// weight and that of the other over its. A flow that was idle joins at the present virtual time: it has saved
+// nothing, and owes nothing but what its last request took. Fair queues are nested: a flow's next request may be what
+// a fair queue below it serves next.
 type fairQueue struct {
 	flows        []flow
 	heap         []int32 // backlogged flows by start tag, then by number
--- a/internal/standalone/admission/harness_test.go
+++ b/internal/standalone/admission/harness_test.go
@@ -7,8 +7,8 @@
 
 const ms, sec = 1000, 1_000_000
 
-// testSettings returns settings with two classes, tenants with these shares and a fixed limit of four requests, so that the
-// test decides when the next request is admitted.
+// testSettings returns settings with two classes, tenants with these shares and a fixed limit of four requests, so
+// that the test decides when the next request is admitted.
 func testSettings(shares ...float64) Settings {
 	s := Defaults()
 	s.Classes = []Class{{Name: "quote", Value: 1, Work: 100 * ms}, {Name: "policy", Value: 5, Work: 100 * ms}}
@@ -19,8 +19,8 @@
 	return s
 }
 
-// harness drives a Controller as a listener would: it keeps what is admitted until the test finishes it, and fails the test
-// where a request has two decisions.
+// harness drives a Controller as a listener would: it keeps what is admitted until the test finishes it, and fails
+// the test where a request has two decisions.
 type harness struct {
 	t          testing.TB
 	controller *Controller
--- a/internal/standalone/admission/limit.go
+++ b/internal/standalone/admission/limit.go
@@ -11,10 +11,11 @@
 	limitInUse = 0.7
 )
 
-// concurrencyLimit is a limit on the work in flight, in requests of mean work, that adapts by the gradient between the
-// latency where nothing queues and the recent one (as in Netflix's concurrency-limits, 2018): where the two differ, requests
-// queue at the backends. The limit grows by a part of its root while it is in use, to find out whether there is more
-// capacity. Latencies are per unit of work. Means of some tens of requests are compared, as single ones vary too much.
+// concurrencyLimit is a limit on the work in flight, in requests of mean work, that adapts by the gradient between
+// the latency where nothing queues and the recent one (as in Netflix's concurrency-limits, 2018): where the two
+// differ, requests queue at the backends. The limit grows by a part of its root while it is in use, to find out
+// whether there is more capacity. Latencies are per unit of work. Means of some tens of requests are compared, as
+// single ones vary too much.
 type concurrencyLimit struct {
 	value    float64
 	min, max float64
@@ -51,8 +52,8 @@
 	l.value = math.Min(math.Max((l.value+next)/2, l.min), l.max)
 }
 
-// updateBaseline moves the baseline quickly down and slowly up, most slowly while the limit is in use: latency that comes
-// from queueing must not become the baseline.
+// updateBaseline moves the baseline quickly down and slowly up, most slowly while the limit is in use: latency that
+// comes from queueing must not become the baseline.
 func (l *concurrencyLimit) updateBaseline(mean float64, isInUse bool) {
 	switch {
 	case mean < l.baseline:
@@ -70,7 +71,8 @@
 	c.limit.observe(latency, isInUse)
 }
 
-// expectedLatency returns how long a request of this work is in flight: as long as its work, before anything is measured.
+// expectedLatency returns how long a request of this work is in flight: as long as its work, before anything is
+// measured.
 func (c *Controller) expectedLatency(work float64) float64 {
 	if c.limit.recent == 0 {
 		return work
--- a/internal/standalone/admission/limit_test.go
+++ b/internal/standalone/admission/limit_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// With a model of a service that executes 20 requests at once and queues the rest, the limit settles near 20, from above and
-// from below.
+// With a model of a service that executes 20 requests at once and queues the rest, the limit settles near 20, from
+// above and from below.
 func TestController_LimitFindsCapacity(t *testing.T) {
 	for _, start := range []float64{4, 1000} {
 		s := testSettings(1)
--- a/internal/standalone/admission/reload.go
+++ b/internal/standalone/admission/reload.go
@@ -11,8 +11,8 @@
 // Retry-After.
 const returningValueFactor = 8.0
 
-// A tenant's lanes are one for each class, one for requests that return at their Retry-After, and one for each class past
-// the tenant's rate.
+// A tenant's lanes are one for each class, one for requests that return at their Retry-After, and one for each class
+// past the tenant's rate.
 
 func laneCount(classes int) int                      { return 2*classes + 1 }
 func returningLane(classes int) int32                { return int32(classes) }
@@ -58,8 +58,8 @@
 	return lanes
 }
 
-// ApplySettings replaces the settings as a whole or not at all. Requests in flight stay; queued ones are queued again in
-// the order of their arrival, or rejected where their tenant is gone or the queue is full.
+// ApplySettings replaces the settings as a whole or not at all. Requests in flight stay; queued ones are queued again
+// in the order of their arrival, or rejected where their tenant is gone or the queue is full.
 func (c *Controller) ApplySettings(now Time, next Settings, out []Action) ([]Action, error) {
 	if err := next.Check(); err != nil {
 		return out, fmt.Errorf("admission settings: %w", err)
@@ -105,7 +105,8 @@
 	return queued
 }
 
-// moveEntries gives the entries their places in new settings. A queued entry whose tenant is gone has tenant noIndex then.
+// moveEntries gives the entries their places in new settings. A queued entry whose tenant is gone has tenant noIndex
+// then.
 func (c *Controller) moveEntries(places places) {
 	for i := range c.entries {
 		e := &c.entries[i]
@@ -152,8 +153,8 @@
 	return noIndex
 }
 
-// lane returns the new lane for an old one. Requests of a class that is gone move to the returning lane, so that they are
-// served first.
+// lane returns the new lane for an old one. Requests of a class that is gone move to the returning lane, so that they
+// are served first.
 func (p *places) lane(old int32) int32 {
 	oldClasses := len(p.classes)
 	isOverQuota := isOverQuotaLane(oldClasses, old)
--- a/internal/standalone/admission/reload_test.go
+++ b/internal/standalone/admission/reload_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// New settings with other shares, a shorter queue and one tenant less: requests in flight stay, queued ones keep their order or
-// are rejected, and invalid settings change nothing.
+// New settings with other shares, a shorter queue and one tenant less: requests in flight stay, queued ones keep
+// their order or are rejected, and invalid settings change nothing.
 func TestController_ApplySettingsWithFullQueue(t *testing.T) {
 	s := testSettings(1, 1, 1)
 	s.MaxQueued = 30
--- a/internal/standalone/admission/retryafter.go
+++ b/internal/standalone/admission/retryafter.go
@@ -5,8 +5,8 @@
 const (
 	// reservationSlot is the length of a slot of reservedWork.
 	reservationSlot = 100_000
-	// reservableFraction is the part of a tenant's rate that is reserved for rejected requests; the rest is for those that
-	// come for the first time.
+	// reservableFraction is the part of a tenant's rate that is reserved for rejected requests; the rest is for those
+	// that come for the first time.
 	reservableFraction = 0.7
 	// minRate, in work a microsecond, stands for a rate of zero.
 	minRate = 1e-9
@@ -14,8 +14,8 @@
 	maxFirstSlot = 1e6
 )
 
-// tenantAdmitRate returns the work a microsecond that is admitted for a tenant, or would be: its own rate of late, or its
-// share of the whole if that is more, as nothing is known of a tenant that has sent nothing of late.
+// tenantAdmitRate returns the work a microsecond that is admitted for a tenant, or would be: its own rate of late, or
+// its share of the whole if that is more, as nothing is known of a tenant that has sent nothing of late.
 func (c *Controller) tenantAdmitRate(t *tenant, tenantIndex int) float64 {
 	own := &c.tenantOrder.flows[tenantIndex]
 	sum := c.tenantOrder.activeWeight
@@ -26,8 +26,8 @@
 	return math.Max(math.Max(t.admitRate, fair), minRate)
 }
 
-// expectedWait returns how long a request would be queued: the work of its tenant that is queued, and that is reserved for
-// requests that return now, at the rate at which the tenant's work is admitted.
+// expectedWait returns how long a request would be queued: the work of its tenant that is queued, and that is
+// reserved for requests that return now, at the rate at which the tenant's work is admitted.
 func (c *Controller) expectedWait(t *tenant, e *entry) float64 {
 	ahead := t.queuedWork
 	if e.isReturning { // capacity is reserved for it
@@ -41,10 +41,10 @@
 	return ahead / c.tenantAdmitRate(t, int(e.tenant))
 }
 
-// reserveRetryAfter returns when a rejected request should return: in the first slot in which its tenant's work, at the
-// rate at which it is admitted, leaves some that is not reserved yet. It reserves the request's work there, so that others
-// get another slot, and chooses a moment within the slot, so that requests that are rejected together do not return
-// together. 0: no slot within MaxRetryAfter has capacity, so that any time would be wrong.
+// reserveRetryAfter returns when a rejected request should return: in the first slot in which its tenant's work, at
+// the rate at which it is admitted, leaves some that is not reserved yet. It reserves the request's work there, so
+// that others get another slot, and chooses a moment within the slot, so that requests that are rejected together do
+// not return together. 0: no slot within MaxRetryAfter has capacity, so that any time would be wrong.
 func (c *Controller) reserveRetryAfter(t *tenant, e *entry) Time {
 	slotWork := c.tenantAdmitRate(t, int(e.tenant)) * reservationSlot * reservableFraction
 	first := 1 + int(math.Min(maxFirstSlot, t.queuedWork/math.Max(slotWork, minRate)*reservableFraction))
@@ -61,7 +61,8 @@
 	return 0
 }
 
-// takeReservation reports whether a retry comes at the time of a reservation of its tenant's, and takes its work off that.
+// takeReservation reports whether a retry comes at the time of a reservation of its tenant's, and takes its work off
+// that.
 func (t *tenant) takeReservation(work float64) bool {
 	for slot := range t.reservedWork[:min(2, len(t.reservedWork))] {
 		if t.reservedWork[slot] >= work/2 {
--- a/internal/standalone/admission/retryafter_test.go
+++ b/internal/standalone/admission/retryafter_test.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// simulateReturns simulates an overload in which rejected clients return once, as retries, at their Retry-After or after a fixed
-// time, and returns the part of them that was then admitted.
+// simulateReturns simulates an overload in which rejected clients return once, as retries, at their Retry-After or
+// after a fixed time, and returns the part of them that was then admitted.
 func simulateReturns(t *testing.T, overload float64, fixed Time) float64 {
 	s := testSettings(1)
 	s.MaxQueued, s.RetryRatio = 16, 10
--- a/internal/standalone/admission/settings.go
+++ b/internal/standalone/admission/settings.go
@@ -37,8 +37,8 @@
 	MinLimit, MaxLimit float64
 	// InitialLimit is the concurrency limit before anything is measured.
 	InitialLimit float64
-	// RequiredTimeFactor is the part of its expected latency that a request must have left when it is admitted; with less it
-	// is rejected. 0: it need not have any.
+	// RequiredTimeFactor is the part of its expected latency that a request must have left when it is admitted; with
+	// less it is rejected. 0: it need not have any.
 	RequiredTimeFactor float64
 
 	// RetryRatio is how many retries the clients of a tenant may send, as a part of its first attempts.
--- a/internal/standalone/backend/backend.go
+++ b/internal/standalone/backend/backend.go
@@ -1,9 +1,10 @@
-// Package backend talks to backends: a Pool keeps their connections, carries out one exchange at a time on each, and says
-// how the exchange ended.
+// Package backend talks to backends: a Pool keeps their connections, carries out one exchange at a time on each, and
+// says how the exchange ended.
 //
 // backend.go has the types of an exchange; pool.go the Pool and the backends in it, connection.go the connections and
-// their reuse; exchange.go the steps of an exchange, request.go the writing of a request, response.go the reading of a
-// response, stream.go a response that is too large to be buffered; loadpoll.go and loadreport.go the backends' load.
+// their reuse; exchange.go the steps of an exchange, request.go the writing of a request, response.go the reading of
+// a response, stream.go a response that is too large to be buffered; loadpoll.go and loadreport.go the backends'
+// load.
 package backend
 
 import (
@@ -36,8 +37,8 @@
 	// WriteBy is when writing has to stop: a backend forgets idempotency keys, so that a later retry could be executed
 	// twice. Zero: there is no limit.
 	WriteBy time.Time
-	// ClientDisconnected reports whether the client has disconnected, where its context may not know yet. nil: the context
-	// knows.
+	// ClientDisconnected reports whether the client has disconnected, where its context may not know yet. nil: the
+	// context knows.
 	ClientDisconnected func() bool
 }
 
--- a/internal/standalone/backend/connection.go
+++ b/internal/standalone/backend/connection.go
@@ -16,11 +16,11 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// minIdleBeforeReuse is how long a connection is not used after a response. A backend may send more than belongs to the
-// response, even a whole second response, some milliseconds late; it could not be told from the response to the next
-// request, which another client would get. After this time it has arrived, and is found before the connection is used. A
-// new connection costs less than a wrong response. Of 48 second responses on the bench the latest came after 5 ms; 10 ms
-// in place of 6 cost 0.03 of the standing test's score, 6 ms nothing measurable.
+// minIdleBeforeReuse is how long a connection is not used after a response. A backend may send more than belongs to
+// the response, even a whole second response, some milliseconds late; it could not be told from the response to the
+// next request, which another client would get. After this time it has arrived, and is found before the connection is
+// used. A new connection costs less than a wrong response. Of 48 second responses on the bench the latest came after
+// 5 ms; 10 ms in place of 6 cost 0.03 of the standing test's score, 6 ms nothing measurable.
 const minIdleBeforeReuse = 6 * time.Millisecond
 
 var (
@@ -39,8 +39,8 @@
 	lastUsed time.Time
 }
 
-// responseSource observes what comes on a connection: how responses are delimited, and whether the connection has ended,
-// as a malformed response may be one that was cut.
+// responseSource observes what comes on a connection: how responses are delimited, and whether the connection has
+// ended, as a malformed response may be one that was cut.
 type responseSource struct {
 	io.Reader
 	scanner httpframing.Scanner
@@ -86,8 +86,8 @@
 	return policy.ConnectFailed
 }
 
-// reuseOrReserve returns an idle connection to reuse, or one that the caller is to make, which counts as open and has no
-// nc yet.
+// reuseOrReserve returns an idle connection to reuse, or one that the caller is to make, which counts as open and has
+// no nc yet.
 func (p *Pool) reuseOrReserve(id uint32) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,8 +126,8 @@
 	}
 }
 
-// lastReusable returns the index of the most recently used connection that has been idle for minIdleBeforeReuse, so that
-// those that are not needed grow old; -1 if there is none. idle is in the order of the last use.
+// lastReusable returns the index of the most recently used connection that has been idle for minIdleBeforeReuse, so
+// that those that are not needed grow old; -1 if there is none. idle is in the order of the last use.
 func lastReusable(idle []*conn, now time.Time) int {
 	for i := len(idle) - 1; i >= 0; i-- {
 		if now.Sub(idle[i].lastUsed) >= minIdleBeforeReuse {
--- a/internal/standalone/backend/connection_test.go
+++ b/internal/standalone/backend/connection_test.go
@@ -50,14 +50,20 @@
 	}
 }
 
-// A connection on which a close or a second response may still be on its way is not reused, and the wait does not delay a request:
-// it gets a new connection.
+// A connection on which a close or a second response may still be on its way is not reused, and the wait does not
+// delay a request: it gets a new connection.
 func TestPool_ReusesConnectionsAfterMinIdle(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
 		ago  []time.Duration // since the last use, in units of the rest
 		want int
-	}{{[]time.Duration{0}, -1}, {[]time.Duration{1}, 0}, {[]time.Duration{3, 2, 1, 0}, 2}, {[]time.Duration{0, 0, 0}, -1}, {[]time.Duration{4, 3}, 1}} {
+	}{
+		{[]time.Duration{0}, -1},
+		{[]time.Duration{1}, 0},
+		{[]time.Duration{3, 2, 1, 0}, 2},
+		{[]time.Duration{0, 0, 0}, -1},
+		{[]time.Duration{4, 3}, 1},
+	} {
 		var idle []*conn
 		for _, ago := range c.ago {
 			idle = append(idle, &conn{lastUsed: now.Add(-ago * minIdleBeforeReuse)})
@@ -89,8 +95,8 @@
 	}
 }
 
-// A second response that arrives within minIdleBeforeReuse reaches no client. Here it arrives when the next request has just been
-// written, too late for a check of the connection, and before that request's own response.
+// A second response that arrives within minIdleBeforeReuse reaches no client. Here it arrives when the next request
+// has just been written, too late for a check of the connection, and before that request's own response.
 func TestPool_DiscardsSecondResponse(t *testing.T) {
 	first, second := make(chan net.Conn, 1), make(chan struct{})
 	var begun atomic.Bool
@@ -125,7 +131,8 @@
 	}
 }
 
-// A connection that the policy does not close is closed by the pool once it is too old to be used; one used since is not.
+// A connection that the policy does not close is closed by the pool once it is too old to be used; one used since is
+// not.
 func TestPool_ClosesExpiredConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool := NewPool(Options{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, MaxConnections: 9,
--- a/internal/standalone/backend/exchange.go
+++ b/internal/standalone/backend/exchange.go
@@ -20,12 +20,12 @@
 	errResponseTooLate    = errors.New("the streamed response came too late")
 )
 
-// Exchange sends a request to a backend and waits for the response until ctx ends: the whole of a buffered response, and as
-// much of a streamed one as shows that it is one. The request is written once: http.Transport would send it again by
-// itself on a reused connection that breaks, which is an attempt that the policy does not know of.
+// Exchange sends a request to a backend and waits for the response until ctx ends: the whole of a buffered response,
+// and as much of a streamed one as shows that it is one. The request is written once: http.Transport would send it
+// again by itself on a reused connection that breaks, which is an attempt that the policy does not know of.
 //
-// Once the client has disconnected nobody waits for the response. While the request's last byte has not been written the
-// exchange is then given up, even where the settings forbid cancelling what a backend may have begun to execute.
+// Once the client has disconnected nobody waits for the response. While the request's last byte has not been written
+// the exchange is then given up, even where the settings forbid cancelling what a backend may have begun to execute.
 func (p *Pool) Exchange(ctx context.Context, id uint32, a Attempt) Result {
 	if a.Body.Stream != nil && a.Body.Stream.IsClaimed() {
 		return Result{Outcome: policy.NotSent, Err: errBodyConsumed}
@@ -51,8 +51,8 @@
 	return result
 }
 
-// acquireWhileWanted is acquire until the attempt ends, the client disconnects or WriteBy passes. The last two say nothing
-// of the backend.
+// acquireWhileWanted is acquire until the attempt ends, the client disconnects or WriteBy passes. The last two say
+// nothing of the backend.
 func (p *Pool) acquireWhileWanted(ctx context.Context, id uint32, a *Attempt) (*conn, error) {
 	wanted, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -88,8 +88,8 @@
 	return result, reusable
 }
 
-// sendRequest writes the request, unless it may not be sent any more. Its errors are *exchangeError and mean that the last
-// byte was not written, so that the request has not been executed.
+// sendRequest writes the request, unless it may not be sent any more. Its errors are *exchangeError and mean that the
+// last byte was not written, so that the request has not been executed.
 func (p *Pool) sendRequest(ctx context.Context, c *conn, a *Attempt) error {
 	head, err := encodeRequest(ctx, a.Request, a.Body)
 	if err != nil {
@@ -101,8 +101,8 @@
 	return c.send(ctx, a, head)
 }
 
-// checkWanted returns why a request may not be sent now, although it could be when the policy decided: the connection has
-// been made since.
+// checkWanted returns why a request may not be sent now, although it could be when the policy decided: the connection
+// has been made since.
 func (p *Pool) checkWanted(ctx context.Context, c *conn, a *Attempt) error {
 	switch {
 	case ctx.Err() != nil || !p.isReady(c.backend):
@@ -116,7 +116,8 @@
 }
 
 // receive reads the response to a request that has been sent.
-func (p *Pool) receive(ctx context.Context, c *conn, req *http.Request, deadline time.Time) (result Result, reusable bool) {
+func (p *Pool) receive(ctx context.Context, c *conn, req *http.Request, deadline time.Time) (
+	result Result, reusable bool) {
 	received, err := c.readResponse(p, req, deadline)
 	if err != nil {
 		outcome := outcomeAfter(ctx, policy.ConnectionReset)
--- a/internal/standalone/backend/exchange_test.go
+++ b/internal/standalone/backend/exchange_test.go
@@ -18,8 +18,8 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// serveBackend starts a backend that passes each request of a connection to respond, with the number of the request on the
-// connection, and closes the connection when respond returns false. It counts connections and requests.
+// serveBackend starts a backend that passes each request of a connection to respond, with the number of the request
+// on the connection, and closes the connection when respond returns false. It counts connections and requests.
 func serveBackend(t *testing.T, respond func(n int, c net.Conn) (keepOpen bool)) (addr string, conns, requests *atomic.Int32) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -94,17 +94,18 @@
 		"delimited by close":    {"HTTP/1.1 200 OK\r\n\r\n42", policy.OK},
 		"other protocol":        {"HTTP/1.1 101 Switching Protocols\r\n\r\n", policy.ErrorResponse},
 		"garbage":               {"\x00\x01\x02 garbage\r\n\r\n", policy.ErrorResponse},
-		"too long":              {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MaxStreamedBody+1) + strings.Repeat("x", MaxBufferedBody), policy.ErrorResponse},
-		"long error":            {"HTTP/1.1 500 No\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("x", 400_000), policy.ErrorResponse},
-		"largest buffered":      {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), policy.OK},
-		"endless head":          {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10) + "\r\n\r\n", policy.ErrorResponse},
-		"endless interim":       {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), policy.ErrorResponse},
-		"two lengths":           {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n42", policy.ErrorResponse},
-		"a length twice":        {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n42", policy.ErrorResponse},
-		"bytes behind":          {okResponse + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", policy.OK},
-		"length and encoding":   {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", policy.ErrorResponse},
-		"3 GB to come":          {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n42", policy.ErrorResponse},
-		"malformed report":      {"HTTP/1.1 200 OK\r\nX-Backend-Load: garbage=,=\r\nContent-Length: 0\r\n\r\n", policy.OK},
+		"too long": {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MaxStreamedBody+1) +
+			strings.Repeat("x", MaxBufferedBody), policy.ErrorResponse},
+		"long error":          {"HTTP/1.1 500 No\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("x", 400_000), policy.ErrorResponse},
+		"largest buffered":    {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), policy.OK},
+		"endless head":        {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10) + "\r\n\r\n", policy.ErrorResponse},
+		"endless interim":     {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), policy.ErrorResponse},
+		"two lengths":         {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n42", policy.ErrorResponse},
+		"a length twice":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n42", policy.ErrorResponse},
+		"bytes behind":        {okResponse + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", policy.OK},
+		"length and encoding": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", policy.ErrorResponse},
+		"3 GB to come":        {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n42", policy.ErrorResponse},
+		"malformed report":    {"HTTP/1.1 200 OK\r\nX-Backend-Load: garbage=,=\r\nContent-Length: 0\r\n\r\n", policy.OK},
 	} {
 		addr, _, requests := serveBackend(t, func(_ int, conn net.Conn) bool {
 			io.WriteString(conn, c.text)
@@ -149,8 +150,8 @@
 	}
 }
 
-// A connection that breaks before the last byte was written proves that the request was not executed; the policy may then
-// send a request with an idempotency key to any backend.
+// A connection that breaks before the last byte was written proves that the request was not executed; the policy may
+// then send a request with an idempotency key to any backend.
 func TestPool_BreakBeforeLastByteIsConnectFailed(t *testing.T) {
 	pool := newTestPool("127.0.0.1:1", 9)
 	here, there := net.Pipe() // it has no buffer, so what is not read is not written
@@ -158,7 +159,8 @@
 		io.ReadFull(there, make([]byte, 10))
 		there.Close()
 	}()
-	res, reusable := pool.exchange(t.Context(), &conn{nc: here, backend: pool.byID[1]}, &Attempt{Request: newPost(), Body: Body{Buffered: []byte("body")}})
+	attempt := &Attempt{Request: newPost(), Body: Body{Buffered: []byte("body")}}
+	res, reusable := pool.exchange(t.Context(), &conn{nc: here, backend: pool.byID[1]}, attempt)
 	if res.Outcome != policy.ConnectFailed || reusable {
 		t.Errorf("outcome %d, %v, reusable %v", res.Outcome, res.Err, reusable)
 	}
@@ -192,8 +194,8 @@
 	}
 }
 
-// WriteBy is checked at the moment of the write, whatever was decided before: it may pass while the connection is made, or while
-// the backend reads the request slowly. The outcome does not count against the backend.
+// WriteBy is checked at the moment of the write, whatever was decided before: it may pass while the connection is
+// made, or while the backend reads the request slowly. The outcome does not count against the backend.
 func TestPool_WritesNothingAfterWriteBy(t *testing.T) {
 	for name, c := range map[string]struct {
 		connecting time.Duration // how long the dial takes
@@ -224,7 +226,8 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			defer cancel()
 			start := time.Now()
-			res := pool.Exchange(ctx, 1, Attempt{Request: newPost(), Body: Body{Buffered: []byte("body!")}, WriteBy: start.Add(300 * time.Millisecond)})
+			attempt := Attempt{Request: newPost(), Body: Body{Buffered: []byte("body!")}, WriteBy: start.Add(300 * time.Millisecond)}
+			res := pool.Exchange(ctx, 1, attempt)
 			if res.Outcome != c.want || c.connecting == 300*time.Millisecond && got > 0 || time.Since(start) > 300*time.Millisecond {
 				t.Errorf("%s: outcome %d (%v) after %v, %d bytes arrived", name, res.Outcome, res.Err, time.Since(start), got)
 			}
@@ -234,9 +237,9 @@
 	}
 }
 
-// A backend that rejects a request before it has read it completely, and closes the connection with unread bytes, resets it. Its
-// response, which has arrived already, is read, or the last byte of the request was not written: both prove that the request
-// was not executed.
+// A backend that rejects a request before it has read it completely, and closes the connection with unread bytes,
+// resets it. Its response, which has arrived already, is read, or the last byte of the request was not written: both
+// prove that the request was not executed.
 func TestPool_ReadsEarlyRejection(t *testing.T) {
 	for name, size := range map[string]int{"short": 100, "largest buffered": MaxBufferedBody, "larger than all buffers": 20 << 20} {
 		proceed := make(chan struct{})
--- a/internal/standalone/backend/loadpoll.go
+++ b/internal/standalone/backend/loadpoll.go
@@ -12,9 +12,9 @@
 // loadReportPath is where a backend reports its load.
 const loadReportPath = "/status/load"
 
-// PollLoad asks a backend for its load until ctx ends. The result has a Report, unless the backend has nothing to report
-// yet, and an Err with every Outcome but OK. A poll uses a connection like a request, but has no correlation id and is
-// counted nowhere.
+// PollLoad asks a backend for its load until ctx ends. The result has a Report, unless the backend has nothing to
+// report yet, and an Err with every Outcome but OK. A poll uses a connection like a request, but has no correlation
+// id and is counted nowhere.
 func (p *Pool) PollLoad(ctx context.Context, id uint32) Result {
 	c, err := p.acquire(ctx, id)
 	if err != nil {
@@ -41,14 +41,16 @@
 	deadline, _ := ctx.Deadline()
 	received, err := c.readResponse(p, req, deadline)
 	if err != nil {
-		return Result{Outcome: outcomeAfter(ctx, policy.ConnectionReset), Err: fmt.Errorf("read a load report: %w", err)}, false
+		outcome := outcomeAfter(ctx, policy.ConnectionReset)
+		return Result{Outcome: outcome, Err: fmt.Errorf("read a load report: %w", err)}, false
 	}
 	if received.response.Stream != nil { // no report is as long
 		received.response.Stream.(*stream).abandon()
 		return Result{Outcome: policy.ErrorResponse, Err: ErrBodyTooLarge}, false
 	}
 	if received.status != http.StatusOK {
-		return Result{Outcome: policy.ErrorResponse, Err: fmt.Errorf("load poll: status %d", received.status)}, received.reusable
+		err := fmt.Errorf("load poll: status %d", received.status)
+		return Result{Outcome: policy.ErrorResponse, Err: err}, received.reusable
 	}
 	report, err := p.parsePolledReport(received.response.Body)
 	if err != nil {
--- a/internal/standalone/backend/loadpoll_test.go
+++ b/internal/standalone/backend/loadpoll_test.go
@@ -13,8 +13,9 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// A load poll returns a report, or why there is none. Its connection can be used for a request, unless nothing more can be read
-// after the response; a backend that does not respond holds it no longer than the context; one that is draining is not polled.
+// A load poll returns a report, or why there is none. Its connection can be used for a request, unless nothing more
+// can be read after the response; a backend that does not respond holds it no longer than the context; one that is
+// draining is not polled.
 func TestPool_PollLoad(t *testing.T) {
 	say := func(status int, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
@@ -29,10 +30,11 @@
 		"report":            {say(200, report), policy.OK, []float32{0.5, 12}, true},
 		"nothing to report": {say(200, "TEXT "), policy.OK, nil, true},
 		"error status":      {say(503, report), policy.ErrorResponse, nil, true},
-		"too large":         {"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + strings.Repeat("x", 2*MaxBufferedBody), policy.ErrorResponse, nil, false},
-		"bytes behind":      {say(200, report) + "HTTP", policy.OK, []float32{0.5, 12}, false},
-		"no response":       {"", policy.TimedOut, nil, false},
-		"draining":          {"", policy.NotSent, nil, false},
+		"too large": {"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + strings.Repeat("x", 2*MaxBufferedBody),
+			policy.ErrorResponse, nil, false},
+		"bytes behind": {say(200, report) + "HTTP", policy.OK, []float32{0.5, 12}, false},
+		"no response":  {"", policy.TimedOut, nil, false},
+		"draining":     {"", policy.NotSent, nil, false},
 	} {
 		addr, conns, requests := serveBackend(t, func(n int, conn net.Conn) bool {
 			if n > 0 {
--- a/internal/standalone/backend/loadreport.go
+++ b/internal/standalone/backend/loadreport.go
@@ -14,8 +14,8 @@
 	reportPrefix = "TEXT "
 )
 
-// reportNameAliases maps names that a report may use (those of ORCA, the open request cost aggregation, among them) to the
-// columns of the settings.
+// reportNameAliases maps names that a report may use (those of ORCA, the open request cost aggregation, among them)
+// to the columns of the settings.
 var reportNameAliases = map[string]string{
 	"util":            "cpu",
 	"cpu_utilization": "cpu",
@@ -27,8 +27,8 @@
 	"latency_ms":      "avg_ms",
 }
 
-// ParseReport reads a load report such as "TEXT util=0.61, qps=12, eps=0" and returns its values in the order of columns.
-// A report that lacks a column is an error: a default would pass for the backend's value.
+// ParseReport reads a load report such as "TEXT util=0.61, qps=12, eps=0" and returns its values in the order of
+// columns. A report that lacks a column is an error: a default would pass for the backend's value.
 func ParseReport(text string, columns []string) ([]float32, error) {
 	fields, ok := strings.CutPrefix(strings.TrimSpace(text), reportPrefix)
 	if !ok {
--- a/internal/standalone/backend/pool.go
+++ b/internal/standalone/backend/pool.go
@@ -81,7 +81,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.opts.MaxConnections = limit
-	for p.openConns > limit && p.evictOldest() {
+	for p.openConns > limit {
+		if !p.evictOldest() {
+			return
+		}
 	}
 }
 
--- a/internal/standalone/backend/request.go
+++ b/internal/standalone/backend/request.go
@@ -31,8 +31,8 @@
 // expiredDeadline is a write deadline that stops a write at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// headersNotCopied are the headers that encodeRequest writes itself, or that say how the body was delimited on its way to
-// the proxy.
+// headersNotCopied are the headers that encodeRequest writes itself, or that say how the body was delimited on its
+// way to the proxy.
 var headersNotCopied = map[string]bool{
 	"Host":              true,
 	"User-Agent":        true,
@@ -42,9 +42,9 @@
 	"Trailer":           true,
 }
 
-// encodeRequest returns a request's head and the buffered part of its body as they are written to the backend. The head is
-// not written by http.Request.Write, which copies the request and its headers first: that took a seventh of a busy
-// proxy's CPU.
+// encodeRequest returns a request's head and the buffered part of its body as they are written to the backend. The
+// head is not written by http.Request.Write, which copies the request and its headers first: that took a seventh of a
+// busy proxy's CPU.
 func encodeRequest(ctx context.Context, req *http.Request, body Body) ([]byte, error) {
 	target := requestTarget(req)
 	// net/http has read each as one line; what comes from elsewhere must not become two.
@@ -65,7 +65,7 @@
 	if agent := req.Header.Get("User-Agent"); agent != "" { // ReverseProxy sets an empty one if the client sent none
 		text.WriteString("User-Agent: " + strings.NewReplacer("\r", " ", "\n", " ").Replace(agent) + "\r\n")
 	}
-	writeTimeLeft(&text, ctx, body)
+	writeTimeLeft(ctx, &text, body)
 	writeBody(&text, req.Method, body)
 	return text.Bytes(), nil
 }
@@ -81,9 +81,9 @@
 	return req.URL.Opaque + "?" + req.URL.RawQuery
 }
 
-// writeTimeLeft writes the header with the time until the attempt's deadline, if there is one. For a streamed body the time
-// counts from the last byte.
-func writeTimeLeft(text *bytes.Buffer, ctx context.Context, body Body) {
+// writeTimeLeft writes the header with the time until the attempt's deadline, if there is one. For a streamed body
+// the time counts from the last byte.
+func writeTimeLeft(ctx context.Context, text *bytes.Buffer, body Body) {
 	deadline, ok := ctx.Deadline()
 	if !ok && body.Stream == nil {
 		return
--- a/internal/standalone/backend/response.go
+++ b/internal/standalone/backend/response.go
@@ -19,7 +19,8 @@
 	maxInterimResponses = 5
 	// maxPreallocatedBytes is how much memory is reserved for a body because of its Content-Length alone.
 	maxPreallocatedBytes = 64 << 10
-	// streamAfterPause is how long a large response that has begun may pause before the client gets what there is of it.
+	// streamAfterPause is how long a large response that has begun may pause before the client gets what there is of
+	// it.
 	streamAfterPause = 150 * time.Millisecond
 	// streamBeforeDeadline is how long before the attempt's end the client gets what there is of a response of unknown
 	// length.
@@ -38,8 +39,8 @@
 	reusable bool // the connection can be used again
 }
 
-// readResponse reads one response. What exceeds the limits is an error; a part of a response never passes for a complete
-// one. deadline is when the attempt ends.
+// readResponse reads one response. What exceeds the limits is an error; a part of a response never passes for a
+// complete one. deadline is when the attempt ends.
 func (c *conn) readResponse(p *Pool, req *http.Request, deadline time.Time) (received, error) {
 	c.limit.N = maxHeadBytes + MaxBufferedBody
 	c.source.scanner = httpframing.Scanner{}
@@ -91,11 +92,11 @@
 	}, nil
 }
 
-// readStream reads a response that is large, or of unknown length, until it is clear whether it is streamed. One of unknown
-// length that turns out to be small is buffered.
+// readStream reads a response that is large, or of unknown length, until it is clear whether it is streamed. One of
+// unknown length that turns out to be small is buffered.
 func (c *conn) readStream(p *Pool, resp *http.Response, deadline time.Time) (received, error) {
-	// A body that is delimited by the connection's end is complete if that end is in order: a backend that dies resets its
-	// connections.
+	// A body that is delimited by the connection's end is complete if that end is in order: a backend that dies
+	// resets its connections.
 	endsWithConn := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	canReuse := func() bool { return !resp.Close && !endsWithConn && c.reader.Buffered() == 0 }
 	c.limit.N = math.MaxInt64 // the stream has a limit of its own
--- a/internal/standalone/backend/stream.go
+++ b/internal/standalone/backend/stream.go
@@ -21,9 +21,9 @@
 // errStreamClosed is the end of a stream that was closed or abandoned.
 var errStreamClosed = errors.New("the stream was closed")
 
-// stream carries a response's body from the backend to the client. It buffers MaxBufferedBody at most: a backend that is
-// ahead waits, so that memory does not grow with the response or with a slow client. Its goroutine, pump, ends with the
-// body, or after Close or abandon.
+// stream carries a response's body from the backend to the client. It buffers MaxBufferedBody at most: a backend that
+// is ahead waits, so that memory does not grow with the response or with a slow client. Its goroutine, pump, ends
+// with the body, or after Close or abandon.
 type stream struct {
 	conn     *conn
 	pool     *Pool
@@ -115,8 +115,8 @@
 	})
 }
 
-// waitBuffered waits until the body has ended, MaxBufferedBody bytes are buffered, or isEnough returns true for the number
-// that are. It returns that number, and the body's end if it has come.
+// waitBuffered waits until the body has ended, MaxBufferedBody bytes are buffered, or isEnough returns true for the
+// number that are. It returns that number, and the body's end if it has come.
 func (s *stream) waitBuffered(isEnough func(have int) bool) (have int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standalone/backend/stream_test.go
+++ b/internal/standalone/backend/stream_test.go
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// A large response is streamed, in whatever form; one that breaks off ends with an error that is not io.EOF; its connection is
-// released where it can be used again, although the attempt has ended.
+// A large response is streamed, in whatever form; one that breaks off ends with an error that is not io.EOF; its
+// connection is released where it can be used again, although the attempt has ended.
 func TestPool_StreamedResponses(t *testing.T) {
 	const long = 300_000
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -133,7 +133,8 @@
 	}
 }
 
-// A small response without a length is served only when it is complete, even if it is slow; one that never ends is a time-out.
+// A small response without a length is served only when it is complete, even if it is slow; one that never ends is a
+// time-out.
 func TestPool_SmallResponsesAreBuffered(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	pool, _ := serveOnce(t, func(c net.Conn) error {
@@ -142,7 +143,8 @@
 		io.WriteString(c, "1\r\ny\r\n0\r\n\r\n")
 		return nil
 	})
-	if res := exchangeGet(t, pool, time.Minute); res.Outcome != policy.OK || res.Response.Stream != nil || string(res.Response.Body) != "xy" {
+	res := exchangeGet(t, pool, time.Minute)
+	if res.Outcome != policy.OK || res.Response.Stream != nil || string(res.Response.Body) != "xy" {
 		t.Errorf("%+v", res)
 	}
 	pool, _ = serveOnce(t, func(c net.Conn) error {
@@ -154,7 +156,8 @@
 	}
 }
 
-// A backend that is ahead of the client waits: the buffer does not grow with the response. Close disconnects the backend.
+// A backend that is ahead of the client waits: the buffer does not grow with the response. Close disconnects the
+// backend.
 func TestStream_SlowReadersHoldBackendBack(t *testing.T) {
 	pool, written := serveOnce(t, func(c net.Conn) error {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MaxStreamedBody)
@@ -199,11 +202,19 @@
 	return h.Conn.Read(b)
 }
 
-// A response without a length ends with its connection if that is closed in order; a reset is no end, whether it arrives together
-// with the last bytes or after bytes have been forwarded, and whether the response is small or large.
+// A response without a length ends with its connection if that is closed in order; a reset is no end, whether it
+// arrives together with the last bytes or after bytes have been forwarded, and whether the response is small or
+// large.
 func TestPool_ResetIsNoEndOfResponse(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
-	for name, size := range map[string]int{"empty": 0, "short": 100, "a copy buffer": copyBufferBytes, "largest buffered": MaxBufferedBody, "long": 300_000} {
+	sizes := map[string]int{
+		"empty":            0,
+		"short":            100,
+		"a copy buffer":    copyBufferBytes,
+		"largest buffered": MaxBufferedBody,
+		"long":             300_000,
+	}
+	for name, size := range sizes {
 		for _, reset := range []bool{true, false} {
 			proceed := make(chan struct{})
 			pool, written := serveOnce(t, func(c net.Conn) error {
--- a/internal/standalone/deployfile/admission.go
+++ b/internal/standalone/deployfile/admission.go
@@ -1,5 +1,5 @@
-// Package deployfile reads the operators' own files under deploy/, in strict TOML: each error names the file, line and key.
-// What the platform gives a proxy is read by package config.
+// Package deployfile reads the operators' own files under deploy/, in strict TOML: each error names the file, line
+// and key. What the platform gives a proxy is read by package config.
 package deployfile
 
 import (
@@ -50,8 +50,9 @@
 // defaultWorkMicros is the expected work of a request where neither its client nor the file says.
 const defaultWorkMicros = 100_000
 
-// ReadAdmission reads the file of admission control for a deployment's settings. A tenant without a share in the file has its
-// quota for a share, a class without a value that of the settings. What is wrong in the file is a *tomlfile.Error.
+// ReadAdmission reads the file of admission control for a deployment's settings. A tenant without a share in the file
+// has its quota for a share, a class without a value that of the settings. What is wrong in the file is a
+// *tomlfile.Error.
 func ReadAdmission(path string, s *settings.Settings, seed uint64) (admission.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standalone/engine/call.go
+++ b/internal/standalone/engine/call.go
@@ -19,8 +19,8 @@
 	BodyPending bool        // the body is still coming; Call.BodySent follows
 }
 
-// Call is one request in the policy. It ends with the first attempt that succeeds, a rejection or failure by the policy, or
-// Abandon; its other attempts still have outcomes to report. Its methods are safe for concurrent use.
+// Call is one request in the policy. It ends with the first attempt that succeeds, a rejection or failure by the
+// policy, or Abandon; its other attempts still have outcomes to report. Its methods are safe for concurrent use.
 type Call struct {
 	engine   *Engine
 	id       uint64
@@ -83,9 +83,10 @@
 	}
 }
 
-// Finish reports the outcome of an attempt. It returns whether the attempt's response is the call's: the outcome is OK and
-// the call had not ended before. A second report of the same attempt is ignored. bodySentAt is when the last byte of a
-// request with BodyPending was sent, from which the server's time counts: a slow client is no slow server. It may be zero.
+// Finish reports the outcome of an attempt. It returns whether the attempt's response is the call's: the outcome is
+// OK and the call had not ended before. A second report of the same attempt is ignored. bodySentAt is when the last
+// byte of a request with BodyPending was sent, from which the server's time counts: a slow client is no slow server.
+// It may be zero.
 func (c *Call) Finish(attempt uint8, outcome policy.Outcome, report []float32, bodySentAt time.Time) bool {
 	e := c.engine
 	e.mu.Lock()
@@ -116,8 +117,8 @@
 	return isResponse
 }
 
-// Abandon reports that the client has disconnected, or its response is overdue. The cancels that follow are in Actions when
-// it returns. It has no effect on a call that has ended.
+// Abandon reports that the client has disconnected, or its response is overdue. The cancels that follow are in
+// Actions when it returns. It has no effect on a call that has ended.
 func (c *Call) Abandon() {
 	e := c.engine
 	e.mu.Lock()
--- a/internal/standalone/engine/engine.go
+++ b/internal/standalone/engine/engine.go
@@ -1,6 +1,6 @@
-// Package engine runs the policy of one proxy. It owns a policy.Balancer, which has no clock, no goroutine and no I/O: it
-// gives it one event at a time, keeps its clock and its timers, and passes each action on to the call that it belongs to
-// or to a hook. It knows nothing of HTTP, so that any protocol can use it.
+// Package engine runs the policy of one proxy. It owns a policy.Balancer, which has no clock, no goroutine and no
+// I/O: it gives it one event at a time, keeps its clock and its timers, and passes each action on to the call that it
+// belongs to or to a hook. It knows nothing of HTTP, so that any protocol can use it.
 //
 // engine.go has the Engine, call.go the calls, timer.go the timers, state.go the settings, snapshots and sizes.
 package engine
@@ -89,7 +89,8 @@
 }
 
 // dispatch gives the policy one event and executes the actions. A panic in the policy costs the decision and not the
-// process, which would end every request in flight: calls without a decision end at their deadline. Called with mu held.
+// process, which would end every request in flight: calls without a decision end at their deadline. Called with mu
+// held.
 func (e *Engine) dispatch(event *policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/standalone/engine/engine_test.go
+++ b/internal/standalone/engine/engine_test.go
@@ -41,8 +41,10 @@
 	if a, b := <-c.Actions(), <-c.Actions(); a.Attempt != 0 || b.Attempt != 1 {
 		t.Fatalf("attempts are numbered %d and %d", a.Attempt, b.Attempt)
 	}
-	got := []bool{c.Finish(1, policy.OK, nil, time.Time{}), c.Finish(1, policy.OK, nil, time.Time{}), c.Finish(0, policy.OK, nil, time.Time{}),
-		c.Finish(5, policy.OK, nil, time.Time{})}
+	var got []bool
+	for _, attempt := range []uint8{1, 1, 0, 5} {
+		got = append(got, c.Finish(attempt, policy.OK, nil, time.Time{}))
+	}
 	if want := []bool{true, false, false, false}; !slices.Equal(got, want) {
 		t.Errorf("final responses: %v, want %v", got, want)
 	}
--- a/internal/standalone/engine/state.go
+++ b/internal/standalone/engine/state.go
@@ -57,7 +57,8 @@
 	return p.ApplySettings(next)
 }
 
-// Snapshot returns what the policy has learned, as JSON for Restore in another process; nil if the policy has no snapshot.
+// Snapshot returns what the policy has learned, as JSON for Restore in another process; nil if the policy has no
+// snapshot.
 func (e *Engine) Snapshot() ([]byte, error) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -111,8 +112,8 @@
 	return sizes
 }
 
-// EjectedServers returns how many members the policy sends no requests to by its own decision (outlier ejection); 0 if the
-// policy does not report it.
+// EjectedServers returns how many members the policy sends no requests to by its own decision (outlier ejection); 0
+// if the policy does not report it.
 func (e *Engine) EjectedServers() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standalone/forwarder/attempts.go
+++ b/internal/standalone/forwarder/attempts.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// cancelPending carries out what the policy has decided at the end of the request: it cancels attempts, and does not make
-// those that were decided on just before.
+// cancelPending carries out what the policy has decided at the end of the request: it cancels attempts, and does not
+// make those that were decided on just before.
 func (a *attempts) cancelPending() {
 	for {
 		select {
--- a/internal/standalone/forwarder/loadpoller.go
+++ b/internal/standalone/forwarder/loadpoller.go
@@ -47,8 +47,8 @@
 // SetEngine sets the engine that gets the reports.
 func (p *LoadPoller) SetEngine(e *engine.Engine) { p.engine = e }
 
-// Poll begins a poll of a backend and returns at once. If the backend is being polled already, or maxPolls are in flight,
-// there is no poll: the policy asks again.
+// Poll begins a poll of a backend and returns at once. If the backend is being polled already, or maxPolls are in
+// flight, there is no poll: the policy asks again.
 func (p *LoadPoller) Poll(id uint32) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standalone/forwarder/loadpoller_test.go
+++ b/internal/standalone/forwarder/loadpoller_test.go
@@ -23,8 +23,8 @@
 	return backend.Result{Outcome: policy.TimedOut, Err: ctx.Err()}
 }
 
-// A report reaches the policy. Backends that hang have one poll each, a bounded number in all, until pollTimeout; no poll outlives
-// Close.
+// A report reaches the policy. Backends that hang have one poll each, a bounded number in all, until pollTimeout; no
+// poll outlives Close.
 func TestLoadPoller_BoundsPollsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var events []policy.Event
--- a/internal/standalone/forwarder/response.go
+++ b/internal/standalone/forwarder/response.go
@@ -31,8 +31,8 @@
 	return resp
 }
 
-// rejectedResponse is the response to a request that the policy has rejected. To send it again is harmless; retryAfter is
-// when, in microseconds, or 0 to name no time.
+// rejectedResponse is the response to a request that the policy has rejected. To send it again is harmless;
+// retryAfter is when, in microseconds, or 0 to name no time.
 func rejectedResponse(req *http.Request, retryAfter policy.Time) *http.Response {
 	resp := textResponse(req, http.StatusServiceUnavailable, "busy\n")
 	if retryAfter > 0 {
--- a/internal/standalone/forwarder/transport.go
+++ b/internal/standalone/forwarder/transport.go
@@ -23,8 +23,8 @@
 	Exchange(ctx context.Context, id uint32, a backend.Attempt) backend.Result
 }
 
-// responseMargin is how long before the client's deadline attempts end, so that the policy's final decision still reaches
-// a client that is about to time out.
+// responseMargin is how long before the client's deadline attempts end, so that the policy's final decision still
+// reaches a client that is about to time out.
 const responseMargin = 15 * time.Millisecond
 
 // Transport is an http.RoundTripper whose every attempt is decided by the policy. The context of a request must carry a
@@ -39,8 +39,8 @@
 
 var errNoRequestInfo = errors.New("the request has no deadline or no RequestInfo")
 
-// RoundTrip returns the response to a request: a backend's, or a rejection (503) or failure (502) by the policy. An error
-// means that the client has disconnected.
+// RoundTrip returns the response to a request: a backend's, or a rejection (503) or failure (502) by the policy. An
+// error means that the client has disconnected.
 func (t *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	ctx := req.Context()
 	info := RequestInfoFrom(ctx)
@@ -63,7 +63,7 @@
 	a := newAttempts(t, call, req, info)
 	defer a.releaseAfter(release)
 	defer a.cancelPending() // after Abandon, which may bring cancels
-	defer call.Abandon()    // has no effect on a call that has ended; otherwise the client left, or this function panicked
+	defer call.Abandon()    // for a client that left, or a panic; it has no effect on a call that has ended
 
 	for {
 		select {
@@ -110,7 +110,8 @@
 }
 
 // execute carries out one action of the policy. It returns the client's response if the action is one, else nil.
-func (t *Transport) execute(attemptCtx context.Context, req *http.Request, a *attempts, action policy.Action) *http.Response {
+func (t *Transport) execute(attemptCtx context.Context, req *http.Request, a *attempts,
+	action policy.Action) *http.Response {
 	switch action.Kind {
 	case policy.SendAttempt:
 		if hasDisconnected(req.Context()) {
--- a/internal/standalone/forwarder/transport_test.go
+++ b/internal/standalone/forwarder/transport_test.go
@@ -96,7 +96,8 @@
 	}
 }
 
-// A request that arrives with no time left is rejected by the policy at once; that is its response, rather than a time-out.
+// A request that arrives with no time left is rejected by the policy at once; that is its response, rather than a
+// time-out.
 func TestTransport_RejectionPrecedesExpiredDeadline(t *testing.T) {
 	refuses := policyFunc(func(ev *policy.Event) []policy.Action {
 		return []policy.Action{{Kind: policy.RejectRequest, ID: ev.ID}}
@@ -110,8 +111,8 @@
 	}
 }
 
-// Attempts end before the client's deadline, so that the policy's failure still reaches the client; a request on which the
-// policy does not decide is answered at the deadline all the same.
+// Attempts end before the client's deadline, so that the policy's failure still reaches the client; a request on
+// which the policy does not decide is answered at the deadline all the same.
 func TestTransport_Deadlines(t *testing.T) {
 	wait := func(ctx context.Context, _ uint32) backend.Result {
 		<-ctx.Done()
@@ -195,13 +196,14 @@
 			from, to := io.Pipe()
 			in := &RequestInfo{Stream: requestbody.New(from, -1, time.Second)}
 			log := slog.New(slog.DiscardHandler)
-			tr := &Transport{Engine: engine.New(decide, engine.Hooks{}, log), Log: log, Backends: bodyExchanger(func(body backend.Body) backend.Result {
+			tr := &Transport{Engine: engine.New(decide, engine.Hooks{}, log), Log: log}
+			tr.Backends = bodyExchanger(func(body backend.Body) backend.Result {
 				if _, err := io.Copy(io.Discard, body.Stream); err != nil {
 					return backend.Result{Outcome: policy.ConnectFailed}
 				}
 				time.Sleep(time.Millisecond) // the backend works on it
 				return backend.Result{Outcome: policy.OK, Response: &backend.Response{Header: http.Header{}}}
-			})}
+			})
 			ctx, disconnect := context.WithCancel(WithRequestInfo(t.Context(), in))
 			defer disconnect()
 			req, err := http.NewRequestWithContext(ctx, http.MethodPost, "/quote", nil)
--- a/internal/standalone/listener/accept_test.go
+++ b/internal/standalone/listener/accept_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// slowListener accepts no connection before proceed is closed, as in a proxy that is short of CPU, and notifies when it is
-// asked to drain or close.
+// slowListener accepts no connection before proceed is closed, as in a proxy that is short of CPU, and notifies when
+// it is asked to drain or close.
 type slowListener struct {
 	*net.TCPListener
 	proceed      chan struct{}
--- a/internal/standalone/listener/bench_test.go
+++ b/internal/standalone/listener/bench_test.go
@@ -9,14 +9,19 @@
 	"pumiceline/internal/standalone/metrics"
 )
 
-// BenchmarkMetrics compares the cost of a request through the server, without sockets, with that of the metrics that it counts.
-// The ratio within one run does not depend on the machine.
+// BenchmarkMetrics compares the cost of a request through the server, without sockets, with that of the metrics that
+// it counts. The ratio within one run does not depend on the machine.
 func BenchmarkMetrics(b *testing.B) {
 	server := newTestServer(respondOK, 9)
 	b.Run("request", func(b *testing.B) {
 		for i := range b.N {
 			r := httptest.NewRequest(http.MethodGet, "/quote", nil)
-			r.Header = http.Header{correlationIDHeader: {fmt.Sprint(i)}, classHeader: {"quote"}, tenantHeader: {"acme"}, timeLeftHeader: {"900"}}
+			r.Header = http.Header{
+				correlationIDHeader: {fmt.Sprint(i)},
+				classHeader:         {"quote"},
+				tenantHeader:        {"acme"},
+				timeLeftHeader:      {"900"},
+			}
 			server.ServeHTTP(httptest.NewRecorder(), r)
 		}
 	})
--- a/internal/standalone/listener/body_test.go
+++ b/internal/standalone/listener/body_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// A body is served however long it takes while it averages minBodyBytesPerSecond after firstBytesTimeout. A request whose body
-// stalls, breaks off or is too large is ended. The clock is fake.
+// A body is served however long it takes while it averages minBodyBytesPerSecond after firstBytesTimeout. A request
+// whose body stalls, breaks off or is too large is ended. The clock is fake.
 func TestRequestBody_PaceLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		size   int // of the whole body
@@ -98,7 +98,8 @@
 				}()
 				resp, err := http.ReadResponse(r, nil)
 				took := time.Since(begun)
-				if c.status > 0 && (err != nil || resp.StatusCode != c.status) || c.status == 0 && err == nil && resp.StatusCode < 400 {
+				if c.status > 0 && (err != nil || resp.StatusCode != c.status) ||
+					c.status == 0 && err == nil && resp.StatusCode < 400 {
 					t.Errorf("%v, %v", resp, err)
 				}
 				if c.status == 200 && got != c.size {
@@ -145,7 +146,8 @@
 			conn, r := ln.dial()
 			begun := time.Now()
 			go func() {
-				fmt.Fprintf(conn, "POST /issue HTTP/1.1\r\n%sContent-Length: %d\r\n\r\n%s", issueHeaders, c.size, strings.Repeat("x", c.size-1))
+				fmt.Fprintf(conn, "POST /issue HTTP/1.1\r\n%sContent-Length: %d\r\n\r\n%s",
+					issueHeaders, c.size, strings.Repeat("x", c.size-1))
 				time.Sleep(c.wait)
 				io.WriteString(conn, "x")
 			}()
--- a/internal/standalone/listener/conn.go
+++ b/internal/standalone/listener/conn.go
@@ -121,8 +121,8 @@
 }
 
 // Close is called by net/http after the last response, or where no request came in time. It lingers: bytes that are
-// unread, or that arrive before the client knows of the end, would have the kernel reset the connection and drop what it
-// still holds of the response.
+// unread, or that arrive before the client knows of the end, would have the kernel reset the connection and drop what
+// it still holds of the response.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	ended := c.endedByProxy
@@ -186,5 +186,8 @@
 	defer c.mu.Unlock()
 	c.handledRequests++
 	hasEncoding := c.scanner.TransferEncodingHead == c.handledRequests
-	return bodyFraming{hasTransferEncoding: hasEncoding, hasContentLengthToo: hasEncoding && c.scanner.HasLengthAndEncoding}
+	return bodyFraming{
+		hasTransferEncoding: hasEncoding,
+		hasContentLengthToo: hasEncoding && c.scanner.HasLengthAndEncoding,
+	}
 }
--- a/internal/standalone/listener/conn_test.go
+++ b/internal/standalone/listener/conn_test.go
@@ -5,7 +5,6 @@
 	"context"
 	"errors"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"os"
@@ -20,8 +19,8 @@
 	"pumiceline/internal/socket"
 )
 
-// pausingConn is a TCP connection that pauses where a test asks for it: in a read that has brought bytes, before it returns.
-// It notifies of the end of writing.
+// pausingConn is a TCP connection that pauses where a test asks for it: in a read that has brought bytes, before it
+// returns. It notifies of the end of writing.
 type pausingConn struct {
 	*net.TCPConn
 	isPausing     atomic.Bool
@@ -64,7 +63,12 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &pausingConn{TCPConn: nc.(*net.TCPConn), paused: make(chan struct{}, 1), proceed: make(chan struct{}, 1), writeClosed: make(chan struct{})}
+	h := &pausingConn{
+		TCPConn:     nc.(*net.TCPConn),
+		paused:      make(chan struct{}, 1),
+		proceed:     make(chan struct{}, 1),
+		writeClosed: make(chan struct{}),
+	}
 	if err := h.SetWriteBuffer(1 << 18); err != nil {
 		return nil, err
 	}
@@ -90,9 +94,9 @@
 	return nc.(*net.TCPConn), <-hl.conns, func() chan error { cancel(); return ended }
 }
 
-// A request that is read at the moment in which the proxy ends its connection is not forwarded: its response would find no
-// connection, and its client sends it again. This is a regression test for a race between the read, which had the bytes,
-// and the check for an idle connection.
+// A request that is read at the moment in which the proxy ends its connection is not forwarded: its response would
+// find no connection, and its client sends it again. This is a regression test for a race between the read, which had
+// the bytes, and the check for an idle connection.
 func TestClientConn_DiscardsRequestCrossingTheClose(t *testing.T) {
 	for name, end := range map[string]func(server *Server, stop func() chan error){
 		"making room": func(server *Server, _ func() chan error) {
@@ -104,11 +108,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int32
-			server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
-				HasSuccessor: func() bool { return true }, Transport: roundTripperFunc(func(r *http.Request) (*http.Response, error) {
-					requests.Add(1)
-					return respondOK(r)
-				})})
+			server := newTestServerWith(func(r *http.Request) (*http.Response, error) {
+				requests.Add(1)
+				return respondOK(r)
+			}, withSuccessor)
 			client, serverConn, stop := servePausing(t, server)
 			br := bufio.NewReader(client)
 			if resp, _, err := exchange(client, br, quoteRequest); err != nil || resp.StatusCode != 200 {
@@ -140,8 +143,8 @@
 	}
 }
 
-// A response that the client has not read yet is not lost when the proxy closes the connection with unread bytes in it: those
-// would have the kernel reset the connection and drop the rest of the response.
+// A response that the client has not read yet is not lost when the proxy closes the connection with unread bytes in
+// it: those would have the kernel reset the connection and drop the rest of the response.
 func TestClientConn_CloseKeepsUnreadResponse(t *testing.T) {
 	const size = 60_000
 	taken, more := make(chan struct{}), make(chan struct{})
@@ -156,7 +159,8 @@
 		t.Fatal(err)
 	}
 	// A chunked request is its connection's last.
-	if _, err := io.WriteString(client, "POST /issue HTTP/1.1\r\n"+issueHeaders+"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"); err != nil {
+	chunked := "POST /issue HTTP/1.1\r\n" + issueHeaders + "Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n"
+	if _, err := io.WriteString(client, chunked); err != nil {
 		t.Fatal(err)
 	}
 	<-taken
@@ -178,11 +182,10 @@
 	}
 }
 
-// A client whose idle connection is closed at shutdown sees an end and no reset, also when a request crosses the close, and
-// does not delay the shutdown.
+// A client whose idle connection is closed at shutdown sees an end and no reset, also when a request crosses the
+// close, and does not delay the shutdown.
 func TestClientConn_IdleConnectionClosesGracefully(t *testing.T) {
-	server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
-		HasSuccessor: func() bool { return true }, Transport: roundTripperFunc(respondOK)})
+	server := newTestServerWith(respondOK, withSuccessor)
 	client, serverConn, stop := servePausing(t, server)
 	br := bufio.NewReader(client)
 	if resp, _, err := exchange(client, br, quoteRequest); err != nil || resp.StatusCode != 200 {
@@ -221,8 +224,8 @@
 	return left == 0
 }
 
-// The head of a later request may take laterHeadExtension longer than the first: if the connection were closed with the last
-// byte on its way, the request would be lost.
+// The head of a later request may take laterHeadExtension longer than the first: if the connection were closed with
+// the last byte on its way, the request would be lost.
 func TestClientConn_LaterHeadsHaveLongerTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(respondOK, 10)
@@ -250,8 +253,8 @@
 	})
 }
 
-// lateConn is a connection whose reads notice an expired deadline before the bytes that have arrived, as in a proxy that is
-// short of CPU.
+// lateConn is a connection whose reads notice an expired deadline before the bytes that have arrived, as in a proxy
+// that is short of CPU.
 type lateConn struct {
 	*net.TCPConn
 	late bool
@@ -265,8 +268,8 @@
 	return l.TCPConn.Read(b)
 }
 
-// Bytes that have arrived are read even if the deadline passed before the proxy came to read them. A read that net/http itself
-// has stopped is not extended.
+// Bytes that have arrived are read even if the deadline passed before the proxy came to read them. A read that
+// net/http itself has stopped is not extended.
 func TestClientConn_ReadsArrivedBytesPastDeadline(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standalone/listener/disconnect_test.go
+++ b/internal/standalone/listener/disconnect_test.go
@@ -21,8 +21,8 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// disconnectTest is a proxy between TCP sockets whose policy, listener and connections to the backend wait where a test asks
-// for it.
+// disconnectTest is a proxy between TCP sockets whose policy, listener and connections to the backend wait where a
+// test asks for it.
 type disconnectTest struct {
 	t             *testing.T
 	addr          string
@@ -41,8 +41,8 @@
 	lastRequest   atomic.Uint64                      // the request that arrived last
 }
 
-// Handle implements engine.Policy. No attempt is ever cancelled, as where the settings forbid it, and a full membership event
-// has it send the last request once more.
+// Handle implements engine.Policy. No attempt is ever cancelled, as where the settings forbid it, and a full
+// membership event has it send the last request once more.
 func (c *disconnectTest) Handle(_ policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
 	case policy.RequestArrived:
@@ -186,15 +186,23 @@
 
 // waitForDisconnect waits until the proxy's kernel knows that the client has disconnected.
 func (c *disconnectTest) waitForDisconnect() {
-	c.waitUntil("the disconnect reaches the proxy's socket", func() bool { side := c.lastConn.Load(); return side != nil && socket.HasPeerClosed(side.TCPConn) })
+	c.t.Helper()
+	c.waitUntil("the disconnect reaches the proxy's socket", func() bool {
+		accepted := c.lastConn.Load()
+		return accepted != nil && socket.HasPeerClosed(accepted.TCPConn)
+	})
 }
 
 // waitForEnd waits until no request is left in the engine or the server.
 func (c *disconnectTest) waitForEnd() {
-	c.waitUntil("requests and attempts all end", func() bool { return c.engine.TableSizes().Calls == 0 && c.server.InFlight() == 0 })
+	c.t.Helper()
+	c.waitUntil("requests and attempts all end", func() bool {
+		return c.engine.TableSizes().Calls == 0 && c.server.InFlight() == 0
+	})
 }
 
-// disconnectKinds are the ways in which a client may disconnect. Behind bytes that nobody reads, net/http does not notice it.
+// disconnectKinds are the ways in which a client may disconnect. Behind bytes that nobody reads, net/http does not
+// notice it.
 var disconnectKinds = map[string]func(c *disconnectTest, client *net.TCPConn, length int64){
 	"closed":      func(_ *disconnectTest, client *net.TCPConn, _ int64) { client.Close() },
 	"half closed": func(_ *disconnectTest, client *net.TCPConn, _ int64) { _ = client.CloseWrite() },
@@ -205,14 +213,17 @@
 	},
 	"reset behind bytes": func(c *disconnectTest, client *net.TCPConn, length int64) {
 		_, _ = io.WriteString(client, "GET /next")
-		c.waitUntil("a byte behind the request is read", func() bool { side := c.lastConn.Load(); return side != nil && side.readBytes.Load() > length })
+		c.waitUntil("a byte behind the request is read", func() bool {
+			accepted := c.lastConn.Load()
+			return accepted != nil && accepted.readBytes.Load() > length
+		})
 		_ = client.SetLinger(0)
 		client.Close()
 	},
 }
 
-// Wherever a request waits, and however its client disconnects, no byte of it reaches a backend afterwards, even where no
-// attempt may be cancelled.
+// Wherever a request waits, and however its client disconnects, no byte of it reaches a backend afterwards, even
+// where no attempt may be cancelled.
 func TestServer_ForwardsNothingAfterDisconnect(t *testing.T) {
 	for way, leave := range disconnectKinds {
 		t.Run("queued in the policy, "+way, func(t *testing.T) {
@@ -281,12 +292,13 @@
 			running, end := context.WithCancel(t.Context())
 			defer end()
 			go gate.Run(running)
-			room, _ := gate.admit(t.Context(), &http.Request{RemoteAddr: "127.0.0.9:1"}, &forwarder.RequestInfo{}, time.Now().Add(time.Hour))
+			other := &http.Request{RemoteAddr: "127.0.0.9:1"}
+			finish, _ := gate.admit(t.Context(), other, &forwarder.RequestInfo{}, time.Now().Add(time.Hour))
 			client, n := c.send("body")
 			c.waitUntil("it is queued at the gate", func() bool { return c.server.TableSizes().GateQueue == 1 })
 			leave(c, client, n)
 			c.waitForDisconnect()
-			room(true)
+			finish(true)
 			c.waitForEnd()
 			c.checkNothingWritten()
 		})
@@ -313,8 +325,8 @@
 	}
 }
 
-// After a client disconnects while its request is being written to a backend that does not read, no more of it is written, and
-// the outcome does not count against the backend.
+// After a client disconnects while its request is being written to a backend that does not read, no more of it is
+// written, and the outcome does not count against the backend.
 func TestServer_DisconnectStopsPartialWrite(t *testing.T) {
 	here, there := net.Pipe()
 	defer there.Close()
--- a/internal/standalone/listener/gate.go
+++ b/internal/standalone/listener/gate.go
@@ -112,8 +112,8 @@
 	g.actions = decisions[:0]
 }
 
-// admit waits until a request is admitted or rejected, or ctx ends. Once the request has ended, finish must be called if
-// it was admitted; it is nil otherwise.
+// admit waits until a request is admitted or rejected, or ctx ends. Once the request has ended, finish must be called
+// if it was admitted; it is nil otherwise.
 func (g *Gate) admit(ctx context.Context, r *http.Request, info *forwarder.RequestInfo, deadline time.Time) (
 	finish func(answered bool), rejection admission.Action) {
 	ticket, decided := g.submit(r, info, deadline)
@@ -135,7 +135,8 @@
 }
 
 // submit gives a request to the controller. Its decision comes on the channel.
-func (g *Gate) submit(r *http.Request, info *forwarder.RequestInfo, deadline time.Time) (admission.Ticket, <-chan admission.Action) {
+func (g *Gate) submit(r *http.Request, info *forwarder.RequestInfo, deadline time.Time) (
+	admission.Ticket, <-chan admission.Action) {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		host = r.RemoteAddr
--- a/internal/standalone/listener/gate_test.go
+++ b/internal/standalone/listener/gate_test.go
@@ -32,15 +32,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, GuaranteedSockets: 10_000, Gate: g, Log: slog.New(slog.DiscardHandler),
-		Transport: roundTripperFunc(func(r *http.Request) (*http.Response, error) {
-			select { // as forwarder.Transport does
-			case <-time.After(100 * time.Millisecond):
-				return respondOK(r)
-			case <-r.Context().Done():
-				return &http.Response{StatusCode: http.StatusGatewayTimeout, Header: http.Header{}, Body: http.NoBody, Request: r}, nil
-			}
-		})})
+	server := newTestServerWith(func(r *http.Request) (*http.Response, error) {
+		select { // as forwarder.Transport does
+		case <-time.After(100 * time.Millisecond):
+			return respondOK(r)
+		case <-r.Context().Done():
+			return gatewayTimeout(r), nil
+		}
+	}, func(opts *Options) { opts.GuaranteedSockets, opts.Gate = 10_000, g })
 	return server, g
 }
 
@@ -50,8 +49,8 @@
 	return strings.Replace(text, "Left-Ms: 400", fmt.Sprint("Left-Ms: ", leftMs), 1)
 }
 
-// One tenant sends twenty times the capacity, another little: the 99th percentile of the other must be within 1.5 times of
-// that without the flood, and all of its requests must be served.
+// One tenant sends twenty times the capacity, another little: the 99th percentile of the other must be within 1.5
+// times of that without the flood, and all of its requests must be served.
 func TestGate_FloodOfOneTenantDoesNotDelayAnother(t *testing.T) {
 	times := func(flood bool) (took []time.Duration, refused int) {
 		late := 0
@@ -118,8 +117,8 @@
 	}
 }
 
-// Clients disconnect while they are queued, the settings change while the queue is full, and the server shuts down: each client
-// that stays gets one complete response, and the gate is empty at the end.
+// Clients disconnect while they are queued, the settings change while the queue is full, and the server shuts down:
+// each client that stays gets one complete response, and the gate is empty at the end.
 func TestGate_AnswersEveryRequestOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, gate := newGatedServer(t, func(s *admission.Settings) { s.MaxQueued = 40 })
@@ -150,7 +149,8 @@
 		}
 		time.Sleep(120 * time.Millisecond)
 		less := admission.Defaults()
-		less.Tenants, less.Classes = []admission.Tenant{{Name: "zenith", Share: 1}, {Name: "acme", Share: 0}}, []admission.Class{{Name: "quote", Value: 1, Work: 100_000}}
+		less.Tenants = []admission.Tenant{{Name: "zenith", Share: 1}, {Name: "acme", Share: 0}}
+		less.Classes = []admission.Class{{Name: "quote", Value: 1, Work: 100_000}}
 		less.MinLimit, less.InitialLimit, less.MaxLimit, less.MaxQueued = 2, 2, 2, 10
 		bad := less
 		bad.QueuesPerClass = 0
--- a/internal/standalone/listener/handler.go
+++ b/internal/standalone/listener/handler.go
@@ -150,8 +150,8 @@
 	return metrics.Failed
 }
 
-// errShutdown is the cause with which requests end that a stopping proxy has not answered when its last response is due.
-// It counts as an expired deadline: the client's own may be long after SIGKILL.
+// errShutdown is the cause with which requests end that a stopping proxy has not answered when its last response is
+// due. It counts as an expired deadline: the client's own may be long after SIGKILL.
 var errShutdown = fmt.Errorf("the proxy ends: %w", context.DeadlineExceeded)
 
 // requestContext returns a request's context. It ends at the client's deadline, which for a body that is still coming
--- a/internal/standalone/listener/request.go
+++ b/internal/standalone/listener/request.go
@@ -38,7 +38,8 @@
 // maxWorkHintMicros is the largest work hint that is accepted: an hour.
 const maxWorkHintMicros = 3_600_000_000
 
-// requestError is a client's mistake and the HTTP status that answers it. To send the same request again would not help.
+// requestError is a client's mistake and the HTTP status that answers it. To send the same request again would not
+// help.
 type requestError struct {
 	status int
 	text   string // for the client
@@ -134,8 +135,8 @@
 	return info, deadline, nil
 }
 
-// readHead checks a request's method and headers, and returns how long the client waits. Unless it returns an error, end
-// must follow.
+// readHead checks a request's method and headers, and returns how long the client waits. Unless it returns an error,
+// end must follow.
 func (rr *requestReader) readHead(method string, h http.Header) (*forwarder.RequestInfo, time.Duration, error) {
 	if singleValue(h, correlationIDHeader) == "" {
 		return nil, 0, badRequestf("%s is missing or stands twice", correlationIDHeader)
--- a/internal/standalone/listener/request_test.go
+++ b/internal/standalone/listener/request_test.go
@@ -106,7 +106,8 @@
 	}
 }
 
-// A session key has the same hash at every proxy and in every version; a header without a value, or with two, is no key.
+// A session key has the same hash at every proxy and in every version; a header without a value, or with two, is no
+// key.
 func TestHashSessionKey(t *testing.T) {
 	for want, values := range map[uint64][]string{0: {"a", "b"}, 0x580fd9631c029177: {"7f3a9c21e0b4d655"}} {
 		if got := hashSessionKey(singleValue(http.Header{sessionKeyHeader: values}, sessionKeyHeader)); got != want {
--- a/internal/standalone/listener/response.go
+++ b/internal/standalone/listener/response.go
@@ -18,8 +18,9 @@
 	headSent    bool // the response's head is written, or is being written
 	bodyStarted bool // a part of the body is
 	deadlineSet bool // the connection has a write deadline
-	// closeAfterResponse is the server's. It is read when the head is written: if a shutdown has begun since the request
-	// arrived, the client must not be left on a connection that is closed soon. nil: it is never closed for that.
+	// closeAfterResponse is the server's. It is read when the head is written: if a shutdown has begun since the
+	// request arrived, the client must not be left on a connection that is closed soon. nil: it is never closed for
+	// that.
 	closeAfterResponse *atomic.Bool
 }
 
--- a/internal/standalone/listener/response_test.go
+++ b/internal/standalone/listener/response_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// stalledWriter is a client that accepts the first write of a response and then nothing until a deadline ends the write.
+// stalledWriter is a client that accepts the first write of a response and then nothing until a deadline ends the
+// write.
 type stalledWriter struct {
 	http.ResponseWriter
 	writes   int
@@ -63,7 +64,8 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// A client that stalls in a long response is disconnected; a short response sets no deadline, and none is left for the next.
+// A client that stalls in a long response is disconnected; a short response sets no deadline, and none is left for
+// the next.
 func TestResponseWriter_StalledClientTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stalledWriter{}
--- a/internal/standalone/listener/server.go
+++ b/internal/standalone/listener/server.go
@@ -1,10 +1,10 @@
-// Package listener is the client side of the standalone proxy: it accepts client connections within a budget of sockets,
-// reads and checks each request, admits it through the gate if there is one, and hands it to a http.RoundTripper.
-// On shutdown it finishes the requests that it has accepted before it closes their connections.
+// Package listener is the client side of the standalone proxy: it accepts client connections within a budget of
+// sockets, reads and checks each request, admits it through the gate if there is one, and hands it to a
+// http.RoundTripper. On shutdown it finishes the requests that it has accepted before it closes their connections.
 //
-// One file holds one concern: server.go the Server and its options, handler.go the steps of one request, request.go and
-// body.go the reading and checking of its head and body, proxy.go and response.go the way to the transport and back,
-// accept.go, conn.go and socketbudget.go the connections, gate.go admission control, shutdown.go the end.
+// One file holds one concern: server.go the Server and its options, handler.go the steps of one request, request.go
+// and body.go the reading and checking of its head and body, proxy.go and response.go the way to the transport and
+// back, accept.go, conn.go and socketbudget.go the connections, gate.go admission control, shutdown.go the end.
 package listener
 
 import (
@@ -21,8 +21,8 @@
 	"pumiceline/internal/standalone/settings"
 )
 
-// Time limits for clients. A socket that brings nothing, or a request that never ends, takes a place that another client
-// needs.
+// Time limits for clients. A socket that brings nothing, or a request that never ends, takes a place that another
+// client needs.
 const (
 	// headTimeout bounds a request's head, from its first byte or, for the first request, from the connection's start.
 	headTimeout = 2600 * time.Millisecond
@@ -121,9 +121,9 @@
 	}
 }
 
-// ApplySettings replaces the settings as a whole or not at all. apply is given them with the classes in the order of the
-// numbers that requests will carry (package requestclass), and returns an error if another part rejects them. A class
-// that is gone keeps its number while requests of it are in flight.
+// ApplySettings replaces the settings as a whole or not at all. apply is given them with the classes in the order of
+// the numbers that requests will carry (package requestclass), and returns an error if another part rejects them. A
+// class that is gone keeps its number while requests of it are in flight.
 func (s *Server) ApplySettings(next *settings.Settings, apply func(numbered *settings.Settings) error) error {
 	if err := s.requests.applySettings(next, apply); err != nil {
 		return err
@@ -138,8 +138,8 @@
 // InFlight returns how many requests are accepted and not ended.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// TableSizes are the numbers of entries in a Server's tables, for the admin API. Each returns to a small number once the
-// requests have ended.
+// TableSizes are the numbers of entries in a Server's tables, for the admin API. Each returns to a small number once
+// the requests have ended.
 type TableSizes struct {
 	CorrelationIDs int // of requests in flight
 	ClassNumbers   int // given out by package requestclass
--- a/internal/standalone/listener/server_test.go
+++ b/internal/standalone/listener/server_test.go
@@ -25,15 +25,36 @@
 		{Name: "issue", Semantics: "token", ClientTimeout: 3e6}}, Tenants: []settings.Tenant{{Name: "acme"}, {Name: "zenith"}}}
 }
 
-func newTestServer(t roundTripperFunc, most int) *Server {
-	return New(Options{Settings: testSettings(), Transport: t, Ready: func() bool { return true }, GuaranteedSockets: most,
-		Log: slog.New(slog.DiscardHandler)})
+// newTestServer returns a server with test settings and a budget of sockets.
+func newTestServer(rt roundTripperFunc, sockets int) *Server {
+	return newTestServerWith(rt, func(opts *Options) { opts.GuaranteedSockets = sockets })
 }
 
+// newTestServerWith returns a server with test settings and nine sockets, unless change sets other options.
+func newTestServerWith(rt roundTripperFunc, change func(opts *Options)) *Server {
+	opts := Options{
+		Settings:          testSettings(),
+		Transport:         rt,
+		Ready:             func() bool { return true },
+		GuaranteedSockets: 9,
+		Log:               slog.New(slog.DiscardHandler),
+	}
+	change(&opts)
+	return New(opts)
+}
+
+// withSuccessor is an option: another process takes over at shutdown.
+func withSuccessor(opts *Options) { opts.HasSuccessor = func() bool { return true } }
+
 func respondOK(r *http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("42")), Request: r}, nil
 }
 
+// gatewayTimeout is the response of a transport whose request has run out of time.
+func gatewayTimeout(r *http.Request) *http.Response {
+	return &http.Response{StatusCode: http.StatusGatewayTimeout, Header: http.Header{}, Body: http.NoBody, Request: r}
+}
+
 // pipeListener is a listener whose connections are pipes.
 type pipeListener struct {
 	conns chan net.Conn
@@ -117,13 +138,13 @@
 	})
 }
 
-// A class may be called "ready": a request with that class is forwarded, and one without a class is the readiness check, which
-// counts among the requests of its connection.
+// A class may be called "ready": a request with that class is forwarded, and one without a class is the readiness
+// check, which counts among the requests of its connection.
 func TestServer_ClassNamedReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := testSettings()
 		set.Classes[0].Name = "ready"
-		server := New(Options{Settings: set, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler), Transport: roundTripperFunc(respondOK)})
+		server := newTestServerWith(respondOK, func(opts *Options) { opts.Settings = set })
 		ln, stop := serveOnPipes(t, server)
 		c, r := ln.dial()
 		for _, x := range [][2]string{
@@ -174,8 +195,8 @@
 	})
 }
 
-// New settings hold for requests that arrive from then on: a new class is served, without a key where it may never be repeated;
-// a class that is gone gets 400; settings that another part rejects change nothing.
+// New settings hold for requests that arrive from then on: a new class is served, without a key where it may never be
+// repeated; a class that is gone gets 400; settings that another part rejects change nothing.
 func TestServer_ApplySettingsWithRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inside, goOn := make(chan struct{}, 9), make(chan struct{})
--- a/internal/standalone/listener/shutdown.go
+++ b/internal/standalone/listener/shutdown.go
@@ -64,8 +64,8 @@
 	return longest
 }
 
-// shutDown accepts clients for acceptGrace more, or none if there is a successor, and returns once all client sockets are
-// closed. ended brings the result of the HTTP server.
+// shutDown accepts clients for acceptGrace more, or none if there is a successor, and returns once all client sockets
+// are closed. ended brings the result of the HTTP server.
 func (s *Server) shutDown(clients *budgetListener, ended <-chan error) error {
 	stop := time.Now()
 	hasSuccessor := s.opts.HasSuccessor != nil && s.opts.HasSuccessor()
@@ -75,8 +75,8 @@
 	}
 	s.lastResponseAt.Store(schedule.lastResponse.UnixNano())
 	defer time.AfterFunc(time.Until(schedule.lastResponse), s.end).Stop()
-	// Before the listener is closed: an inherited socket may be in blocking mode, and its Close waits for an Accept that
-	// only a client redirected by a closed connection causes.
+	// Before the listener is closed: an inherited socket may be in blocking mode, and its Close waits for an Accept
+	// that only a client redirected by a closed connection causes.
 	s.closeAfterResponse.Store(!schedule.closeFrom.After(stop))
 	if hasSuccessor {
 		clients.Close()
--- a/internal/standalone/listener/shutdown_test.go
+++ b/internal/standalone/listener/shutdown_test.go
@@ -6,7 +6,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"strings"
@@ -29,8 +28,8 @@
 	}
 }
 
-// At shutdown new connections are accepted for a while, responses close their connections, accepted requests are finished, and
-// connections without a request delay nothing.
+// At shutdown new connections are accepted for a while, responses close their connections, accepted requests are
+// finished, and connections without a request delay nothing.
 func TestServer_ShutdownFinishesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(func(r *http.Request) (*http.Response, error) {
@@ -69,20 +68,20 @@
 	})
 }
 
-// Without a successor, keep-alive connections, which the load balancer in front does not move, are served until shortly before
-// SIGKILL could come, and deadlines are capped to that; with a successor each response closes its connection.
+// Without a successor, keep-alive connections, which the load balancer in front does not move, are served until
+// shortly before SIGKILL could come, and deadlines are capped to that; with a successor each response closes its
+// connection.
 func TestServer_ShutdownKeepsConnectionsUntilCloseFrom(t *testing.T) {
 	for _, successor := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			var stopped time.Time
-			server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
-				HasSuccessor: func() bool { return successor }, Transport: roundTripperFunc(func(r *http.Request) (*http.Response, error) {
-					if d, _ := r.Context().Deadline(); !stopped.IsZero() && d.Sub(stopped) > 3450*time.Millisecond {
-						t.Errorf("deadline %v after the stop", d.Sub(stopped)) // SIGKILL may come 3.7 s after it
-					}
-					time.Sleep(300 * time.Millisecond)
-					return respondOK(r)
-				})})
+			server := newTestServerWith(func(r *http.Request) (*http.Response, error) {
+				if d, _ := r.Context().Deadline(); !stopped.IsZero() && d.Sub(stopped) > 3450*time.Millisecond {
+					t.Errorf("deadline %v after the stop", d.Sub(stopped)) // SIGKILL may come 3.7 s after it
+				}
+				time.Sleep(300 * time.Millisecond)
+				return respondOK(r)
+			}, func(opts *Options) { opts.HasSuccessor = func() bool { return successor } })
 			ln, stop := serveOnPipes(t, server)
 			c, r := ln.dial()
 			defer c.Close()
@@ -113,28 +112,32 @@
 	}
 }
 
-// A request that is not answered when SIGKILL comes is lost, and SIGKILL does not wait for deadlines over 3 s: each request,
-// also one whose body is still coming, is answered by lastResponse.
+// A request that is not answered when SIGKILL comes is lost, and SIGKILL does not wait for deadlines over 3 s: each
+// request, also one whose body is still coming, is answered by lastResponse.
 func TestServer_ShutdownCapsDeadlines(t *testing.T) {
-	for name, body := range map[string]string{"whole": "Content-Length: 2\r\n\r\n{}", "still coming": "Content-Length: 99999\r\n\r\n" + strings.Repeat("x", 70_000)} {
+	for name, body := range map[string]string{
+		"complete":     "Content-Length: 2\r\n\r\n{}",
+		"still coming": "Content-Length: 99999\r\n\r\n" + strings.Repeat("x", 70_000),
+	} {
 		synctest.Test(t, func(t *testing.T) {
 			set := testSettings()
 			set.Classes[1].ClientTimeout = 12e6
-			server := New(Options{Settings: set, Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
-				Transport: roundTripperFunc(func(r *http.Request) (*http.Response, error) {
-					<-r.Context().Done() // as forwarder.Transport, where the policy has not decided
-					if !errors.Is(context.Cause(r.Context()), context.DeadlineExceeded) {
-						t.Errorf("%s: it ends with %v", name, context.Cause(r.Context()))
-					}
-					return &http.Response{StatusCode: http.StatusGatewayTimeout, Header: http.Header{}, Body: http.NoBody, Request: r}, nil
-				})})
+			server := newTestServerWith(func(r *http.Request) (*http.Response, error) {
+				<-r.Context().Done() // as forwarder.Transport, where the policy has not decided
+				if !errors.Is(context.Cause(r.Context()), context.DeadlineExceeded) {
+					t.Errorf("%s: it ends with %v", name, context.Cause(r.Context()))
+				}
+				return gatewayTimeout(r), nil
+			}, func(opts *Options) { opts.Settings = set })
 			ln, stop := serveOnPipes(t, server)
 			c, r := ln.dial()
 			defer c.Close()
 			time.AfterFunc(100*time.Millisecond, func() { stop() })
 			begin := time.Now()
-			resp, _, err := exchange(c, r, "POST /issue HTTP/1.1\r\n"+strings.Replace(issueHeaders, "Left-Ms: 480", "Left-Ms: 12000", 1)+body)
-			if took := time.Since(begin) - 100*time.Millisecond; err != nil || resp.StatusCode != 504 || took > maxCountedDeadline+killDelay-killMargin {
+			patient := strings.Replace(issueHeaders, "Left-Ms: 480", "Left-Ms: 12000", 1)
+			resp, _, err := exchange(c, r, "POST /issue HTTP/1.1\r\n"+patient+body)
+			took := time.Since(begin) - 100*time.Millisecond
+			if err != nil || resp.StatusCode != 504 || took > maxCountedDeadline+killDelay-killMargin {
 				t.Errorf("%s: %v, %v, %v after the stop", name, resp, err, took)
 			}
 			c.Close()
@@ -143,16 +146,15 @@
 	}
 }
 
-// A client that was sending a head at the stop is answered if the head is complete in time, and does not delay the shutdown for
-// ever if it is not.
+// A client that was sending a head at the stop is answered if the head is complete in time, and does not delay the
+// shutdown for ever if it is not.
 func TestServer_ShutdownWaitsForIncompleteHeads(t *testing.T) {
 	for name, c := range map[string]struct {
 		kept bool // the connection had a request before
 		rest bool // the rest of the head comes
 	}{"on a new connection": {false, true}, "on a kept one": {true, true}, "never complete": {true, false}} {
 		synctest.Test(t, func(t *testing.T) {
-			server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, GuaranteedSockets: 9, Log: slog.New(slog.DiscardHandler),
-				HasSuccessor: func() bool { return true }, Transport: roundTripperFunc(respondOK)})
+			server := newTestServerWith(respondOK, withSuccessor)
 			ln, stop := serveOnPipes(t, server)
 			client, r := ln.dial()
 			defer client.Close()
--- a/internal/standalone/listener/socketbudget.go
+++ b/internal/standalone/listener/socketbudget.go
@@ -95,9 +95,9 @@
 }
 
 // evict closes one socket without a request and reports whether there was one: a socket that only lingers after its
-// close, else the longest unused, else the longest idle. Unused sockets come by the hundred and must not displace those
-// of regular clients. A socket on which a request has begun stays: if it were closed, a request that is complete by then
-// would be lost. The descriptor is free when evict returns.
+// close, else the longest unused, else the longest idle. Unused sockets come by the hundred and must not displace
+// those of regular clients. A socket on which a request has begun stays: if it were closed, a request that is
+// complete by then would be lost. The descriptor is free when evict returns.
 func (b *socketBudget) evict() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -136,9 +136,9 @@
 	b.forget(c)
 }
 
-// drain returns once all sockets are closed: each by its last response, or by drain if it has no request. One on which a
-// request has begun is not closed before lastResponse, as its client would have to send it again; from then on
-// incomplete requests are no longer waited for.
+// drain returns once all sockets are closed: each by its last response, or by drain if it has no request. One on
+// which a request has begun is not closed before lastResponse, as its client would have to send it again; from then
+// on incomplete requests are no longer waited for.
 func (b *socketBudget) drain(lastResponse time.Time) {
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
--- a/internal/standalone/listener/socketbudget_test.go
+++ b/internal/standalone/listener/socketbudget_test.go
@@ -4,7 +4,6 @@
 	"bufio"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"strings"
@@ -44,8 +43,8 @@
 	})
 }
 
-// Sockets that bring nothing, or half a head, are closed in time; hundreds of unused ones do not displace a client that has been
-// served, and a client that sends a request in between is served.
+// Sockets that bring nothing, or half a head, are closed in time; hundreds of unused ones do not displace a client
+// that has been served, and a client that sends a request in between is served.
 func TestSocketBudget_EvictsUnusedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(respondOK, 10)
@@ -90,8 +89,8 @@
 	})
 }
 
-// When sockets that have had a request come near the budget, as clients that send one request leave them, responses close their
-// connections. Unused sockets do not count.
+// When sockets that have had a request come near the budget, as clients that send one request leave them, responses
+// close their connections. Unused sockets do not count.
 func TestSocketBudget_ShedsKeepAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(respondOK, 20) // nine may be kept alive
@@ -133,11 +132,12 @@
 func TestSocketBudget_FollowsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		now := 3
-		server := New(Options{Settings: testSettings(), Ready: func() bool { return true }, Log: slog.New(slog.DiscardHandler), GuaranteedSockets: 2,
-			SocketLimit: func() int { return now }, Transport: roundTripperFunc(func(r *http.Request) (*http.Response, error) {
-				time.Sleep(time.Second)
-				return respondOK(r)
-			})})
+		server := newTestServerWith(func(r *http.Request) (*http.Response, error) {
+			time.Sleep(time.Second)
+			return respondOK(r)
+		}, func(opts *Options) {
+			opts.GuaranteedSockets, opts.SocketLimit = 2, func() int { return now }
+		})
 		ln, stop := serveOnPipes(t, server)
 		var conns []net.Conn
 		ask := func() bool { // whether it was accepted
--- a/internal/standalone/requestbody/stream.go
+++ b/internal/standalone/requestbody/stream.go
@@ -1,5 +1,5 @@
-// Package requestbody carries the body of a request that is too large to be buffered: it is read once, while it is sent to
-// a backend, and the client's time-out counts from its last byte.
+// Package requestbody carries the body of a request that is too large to be buffered: it is read once, while it is
+// sent to a backend, and the client's time-out counts from its last byte.
 package requestbody
 
 import (
@@ -56,11 +56,12 @@
 // Ended closes when the last byte has been read, or the body has broken off.
 func (s *Stream) Ended() <-chan struct{} { return s.ended }
 
-// End returns when the body ended, and the error with which it broke off if it did. It may be called once Ended has closed.
+// End returns when the body ended, and the error with which it broke off if it did. It may be called once Ended has
+// closed.
 func (s *Stream) End() (at time.Time, err error) { return s.endedAt, s.err }
 
-// WatchDeadline waits for the end of the body and then until the client's time-out less margin, and calls onTimeout; if the
-// body breaks off it calls onBroken. It returns after that, or when done closes.
+// WatchDeadline waits for the end of the body and then until the client's time-out less margin, and calls onTimeout;
+// if the body breaks off it calls onBroken. It returns after that, or when done closes.
 func (s *Stream) WatchDeadline(done <-chan struct{}, margin time.Duration, onTimeout func(), onBroken func(error)) {
 	select {
 	case <-done:
