--- a/internal/simlink/decoder.go
+++ b/internal/simlink/decoder.go
@@ -46,6 +46,7 @@
 // RecordKind determines what the host does with a decoded record.
 type RecordKind uint8
 
+// The kinds of records.
 const (
 	Ignored        RecordKind = iota // nothing: a catalog or a peer message
 	SpawnInstance                    // start an instance with Seed and Settings
--- a/internal/standalone/policy/actions.go
+++ b/internal/standalone/policy/actions.go
@@ -3,6 +3,7 @@
 // ActionKind determines which fields of an Action are set.
 type ActionKind uint8
 
+// The kinds of actions, with the fields that are set.
 const (
 	SendAttempt        ActionKind = iota + 1 // ID, Server, SendBefore, After: the attempt's time-out (0: the client's)
 	RejectRequest                            // ID, After: the Retry-After (0: none)
--- a/internal/standalone/policy/balancer.go
+++ b/internal/standalone/policy/balancer.go
@@ -3,8 +3,9 @@
 //
 // A Balancer is a state machine. Create one with New, then call Handle with each event in the order it happened;
 // Handle appends the actions that follow to the caller's buffer. The package has no clock and no goroutines and does
-// no I/O: the caller's `now` is the only time it knows, in microseconds from any fixed origin, never going back.
-// Timers are actions too (SetTimer), answered by TimerFired events.
+// no I/O: the caller's `now` is the only time it knows, in microseconds from any fixed origin, never going back. All
+// times are in microseconds unless a comment says otherwise. Timers are actions too (SetTimer), answered by TimerFired
+// events.
 //
 // A Balancer is not safe for concurrent use. Balancers share nothing; run as many as you like. Equal settings, seeds
 // and events give equal actions: iteration is over slices in the order of listing, never over maps.
@@ -57,14 +58,14 @@
 	inFlight          int     // attempts in flight at servers that are not stalled
 	congestion        float64 // moving average: share of recent responses that signalled congestion
 	lastAttemptEnd    Time
-	limitHeldUntil    Time // until then the limit does not follow the attempts in flight
-	medianAttemptTime float64
+	limitHeldUntil    Time                        // until then the limit does not follow the attempts in flight
+	medianAttemptTime float64                     // of attempts with a cost of 1, at all servers
 	unloadedLatency   []latencybaseline.Estimator // by class
 
 	// Requests.
 	requests      map[uint64]*request
 	freeRequests  []*request // for reuse
-	queue         []*request // in the order of arrival
+	queue         []*request // in the order of being queued
 	queueTimerSet bool
 	arrivals      float64 // since the last refresh
 	arrivalRate   float64 // moving average, requests per second
@@ -73,9 +74,12 @@
 	tenantTokens  []float64 // quota left, by tenant
 }
 
+// rngStream selects the random sequence of New beside its seed.
+const rngStream = 0x9e3779b97f4a7c15
+
 // New returns a balancer for the given settings. The seed determines all its random choices.
 func New(settings Settings, seed uint64) (*Balancer, error) {
-	b := &Balancer{rng: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), servers: map[uint32]*server{},
+	b := &Balancer{rng: rand.New(rand.NewPCG(seed, rngStream)), servers: map[uint32]*server{},
 		requests: map[uint64]*request{}, retryTokens: retryBurst, concurrencyLimit: math.Inf(1)}
 	if err := b.ApplySettings(settings); err != nil {
 		return nil, err
--- a/internal/standalone/policy/events.go
+++ b/internal/standalone/policy/events.go
@@ -3,6 +3,7 @@
 // EventKind determines which fields of an Event are set.
 type EventKind uint8
 
+// The kinds of events, with the fields that are set.
 const (
 	RequestArrived    EventKind = iota + 1 // ID, Class, Tenant, AffinityKey, Work, ClientTimeout, BodyPending, ClientRetry
 	AttemptEnded                           // ID, Attempt, Server, Outcome, Elapsed, Final, Report
@@ -41,6 +42,7 @@
 // Outcome is how an attempt or a load poll ended. The simulator's link sends the numbers.
 type Outcome uint8
 
+// The outcomes, with the numbers of the link.
 const (
 	OK              Outcome = iota // served
 	ErrorResponse                  // the server responded with an error
@@ -60,10 +62,11 @@
 // Mode is a server's state in the membership. The simulator's link sends the numbers.
 type Mode uint8
 
+// The modes, with the numbers of the link.
 const (
-	ModeGone Mode = iota
-	ModeReady
-	ModeDraining
+	ModeGone     Mode = iota // not listed any more
+	ModeReady                // takes requests
+	ModeDraining             // finishes what it has
 )
 
 // Member is a server as discovery lists it.
--- a/internal/standalone/policy/queue.go
+++ b/internal/standalone/policy/queue.go
@@ -2,8 +2,12 @@
 
 import "slices"
 
-// queueCheckPeriod is the time between two checks of the queue for requests whose time in it is over.
-const queueCheckPeriod = 10_000
+const (
+	// queueCheckPeriod is the time between two checks of the queue for requests whose time in it is over.
+	queueCheckPeriod = 10_000
+	// minQueueDivisor is the part of the latency target that a request may be queued for in any case.
+	minQueueDivisor = 8
+)
 
 // enqueue keeps r until a server can take it and the concurrency limit allows. A request that cannot be answered in
 // good time is rejected at once.
@@ -24,7 +28,8 @@
 func (b *Balancer) queueDeadline(r *request) Time {
 	margin := queueCheckPeriod + 2*b.settings.BatchPeriod
 	target := r.class.LatencyTarget
-	deadline := min(r.deadline-margin, r.arrivedAt+max(target/8, target-Time(2*b.medianAttemptTime)))
+	longest := max(target/minQueueDivisor, target-Time(2*b.medianAttemptTime))
+	deadline := min(r.deadline-margin, r.arrivedAt+longest)
 	if !slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayHaveExecuted }) {
 		deadline = min(deadline, r.arrivedAt+(r.deadline-r.arrivedAt)/2-margin)
 	}
--- a/internal/standalone/policy/retry.go
+++ b/internal/standalone/policy/retry.go
@@ -2,8 +2,12 @@
 
 import "math"
 
-// attemptLimit is the most attempts of a request that any setting allows.
-const attemptLimit = 8
+const (
+	// attemptLimit is the most attempts of a request that any setting allows.
+	attemptLimit = 8
+	// unusedWindowDivisor is the part at the end of a dedup window that is not used for retries.
+	unusedWindowDivisor = 8
+)
 
 // The retry budget: attempts after one that may have executed add work, which helps nobody when all servers are slow,
 // so they are limited to a fraction of the arrivals. An attempt that was not executed cost little and needs no token.
@@ -65,8 +69,8 @@
 
 // retryDeadline is when another attempt must not be written any more: math.MaxInt64 for idempotent requests, 0 once
 // a non-idempotent one may have been executed. The scope of a deduplicated request forgets its key a DedupWindow after
-// the attempt was sent. A server may start the new attempt some time after that is sent, so the last eighth of the
-// window is not used.
+// the attempt was sent. A server may start the new attempt some time after that is sent, so the last part of the window
+// is not used.
 func (r *request) retryDeadline() Time {
 	deadline := Time(math.MaxInt64)
 	for i := range r.attempts {
@@ -78,7 +82,7 @@
 		case NonIdempotent:
 			return 0
 		case Deduplicated:
-			deadline = min(deadline, a.sentAt+r.class.DedupWindow-r.class.DedupWindow/8)
+			deadline = min(deadline, a.sentAt+r.class.DedupWindow-r.class.DedupWindow/unusedWindowDivisor)
 		}
 	}
 	return deadline
--- a/internal/standalone/policy/server.go
+++ b/internal/standalone/policy/server.go
@@ -17,12 +17,12 @@
 	mode         Mode
 	listed       bool
 	size         float64
-	startedAt    Time
+	startedAt    Time // of the process; 0: long ago
 
 	// Load reports, as exponentially fading sums.
 	qpsSum, utilizationSum, epsSum float64
 	reportWeight                   float64 // sum of the reports' weights
-	lastReport                     reportValues
+	lastReport                     parsedReport
 	lastReportAt                   Time
 	nonEmptySince                  Time // A58: since when reports are valid; 0: none yet, or they expired
 	polling                        loadpolling.Schedule
--- a/internal/standalone/policy/settings.go
+++ b/internal/standalone/policy/settings.go
@@ -12,6 +12,7 @@
 // Semantics is what executing a request more than once may do.
 type Semantics uint8
 
+// What the classes of a deployment have.
 const (
 	Idempotent    Semantics = iota // may be executed any number of times
 	Deduplicated                   // carries an idempotency key: servers of one DedupScope execute it once within a window
@@ -21,6 +22,7 @@
 // DedupScope is the set of servers that recognize each other's executions of a Deduplicated request.
 type DedupScope uint8
 
+// The scopes, from the widest to the narrowest.
 const (
 	DedupEverywhere DedupScope = iota // all servers
 	DedupPerZone                      // the servers of one zone
@@ -40,6 +42,7 @@
 // ReportColumn names one value of a load report.
 type ReportColumn uint8
 
+// The columns; all but ColumnOther are used.
 const (
 	ColumnOther       ReportColumn = iota // not used
 	ColumnQPS                             // requests per second
@@ -47,23 +50,17 @@
 	ColumnEPS                             // errors per second
 )
 
-// reportColumns is the number of columns that are used, ColumnQPS to ColumnEPS.
-const reportColumns = 3
-
-// reportValues are the used columns of one load report, in the order of the constants.
-type reportValues [reportColumns]float64
-
-func (v *reportValues) qps() float64         { return v[ColumnQPS-ColumnQPS] }
-func (v *reportValues) utilization() float64 { return v[ColumnUtilization-ColumnQPS] }
-func (v *reportValues) eps() float64         { return v[ColumnEPS-ColumnQPS] }
+// parsedReport is what a load report says in the columns that are used.
+type parsedReport struct{ qps, utilization, eps float64 }
 
 // ReportDelivery is how load reports reach the balancer.
 type ReportDelivery uint8
 
+// The ways of delivery.
 const (
-	ReportsNone        ReportDelivery = iota
-	ReportsInResponses                // each response carries one
-	ReportsByPolling                  // servers answer load polls, see PollLoad
+	ReportsNone        ReportDelivery = iota // servers report no load
+	ReportsInResponses                       // each response carries one
+	ReportsByPolling                         // servers answer load polls, see PollLoad
 )
 
 // Rules are the service rules of the deployment: what every balancer must keep, and what is guaranteed about servers.
@@ -78,7 +75,7 @@
 
 // Limits are what the deployment allows.
 type Limits struct {
-	MaxAttempts     int  // of one request, at most attemptLimit; 0: attemptLimit
+	MaxAttempts     int  // of one request, at most 8; 0: 8
 	MaxOpenRequests int  // requests open at once; 0: no limit
 	AllowCancel     bool // attempts may be cancelled
 	AllowLoadPolls  bool
@@ -162,9 +159,9 @@
 }
 
 // parseReport returns the used columns of a load report, or false if it is incomplete or has impossible values.
-func (s *Settings) parseReport(values []float32) (parsed reportValues, ok bool) {
+func (s *Settings) parseReport(values []float32) (report parsedReport, ok bool) {
 	if len(values) < len(s.ReportColumns) || len(values) == 0 {
-		return parsed, false
+		return report, false
 	}
 	for i, column := range s.ReportColumns {
 		value := float64(values[i])
@@ -172,11 +169,18 @@
 			continue
 		}
 		if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
-			return parsed, false
+			return report, false
+		}
+		switch column {
+		case ColumnQPS:
+			report.qps = value
+		case ColumnUtilization:
+			report.utilization = value
+		case ColumnEPS:
+			report.eps = value
 		}
-		parsed[column-ColumnQPS] = value
 	}
-	return parsed, true
+	return report, true
 }
 
 // pollsLoad reports whether servers are to be polled for their load.
--- a/internal/standalone/policy/weights.go
+++ b/internal/standalone/policy/weights.go
@@ -34,7 +34,7 @@
 // nothing about capacity (A58): such a server keeps the mean weight.
 func (b *Balancer) addReport(s *server, values []float32) {
 	report, ok := b.settings.parseReport(values)
-	if !ok || report.qps() <= 0 || report.utilization() <= 0 {
+	if !ok || report.qps <= 0 || report.utilization <= 0 {
 		return
 	}
 	if s.nonEmptySince == 0 {
@@ -47,9 +47,9 @@
 	}
 	s.lastReport = report
 	fade := wrr.Decay(float64(elapsed), reportFadeTime)
-	s.qpsSum = s.qpsSum*fade + report.qps()
-	s.utilizationSum = s.utilizationSum*fade + report.utilization()
-	s.epsSum = s.epsSum*fade + report.eps()
+	s.qpsSum = s.qpsSum*fade + report.qps
+	s.utilizationSum = s.utilizationSum*fade + report.utilization
+	s.epsSum = s.epsSum*fade + report.eps
 	s.reportWeight = s.reportWeight*fade + 1
 }
 
@@ -119,7 +119,8 @@
 // utilization, which unlike a mean of ratios is not distorted by the noise of idle servers. Servers that warm up or
 // have not reported are left out; the last means stay when nothing else is known.
 func (b *Balancer) updateMeans() {
-	all, listed := capacityStats{}, 0.0
+	var all capacityStats
+	listed, totalSize := 0.0, 0.0
 	for i := range b.instanceTypes {
 		b.instanceTypes[i].qps, b.instanceTypes[i].utilization = 0, 0
 	}
@@ -127,7 +128,7 @@
 		if !s.listed {
 			continue
 		}
-		all.meanSize += s.size // a sum until it is divided below
+		totalSize += s.size
 		listed++
 		if s.warmingUp || s.reportWeight == 0 || s.nonEmptySince == 0 {
 			continue
@@ -138,7 +139,7 @@
 		all.qps, all.utilization = all.qps+qps, all.utilization+utilization
 	}
 	if listed > 0 {
-		b.overall.meanSize = all.meanSize / listed
+		b.overall.meanSize = totalSize / listed
 	}
 	for i := range b.instanceTypes {
 		if t := &b.instanceTypes[i]; t.utilization > minMeanEvidence {
--- a/tools/simrank/variant.go
+++ b/tools/simrank/variant.go
@@ -52,13 +52,13 @@
 // edit changes the text of a Go file. It fails unless what it is to change is there exactly once.
 type edit func(source string) (string, error)
 
-// replaceText replaces old by new.
-func replaceText(old, new string) edit {
+// replaceText replaces a text.
+func replaceText(old, replacement string) edit {
 	return func(source string) (string, error) {
 		if n := strings.Count(source, old); n != 1 {
 			return "", fmt.Errorf("%q is there %d times, not once", old, n)
 		}
-		return strings.Replace(source, old, new, 1), nil
+		return strings.Replace(source, old, replacement, 1), nil
 	}
 }
 
