--- a/cmd/pumiceline/bench_test.go
+++ b/cmd/pumiceline/bench_test.go
@@ -106,9 +106,9 @@
 		go server.Serve(ln)
 		for _, e := range c.world.Entries {
 			e.Health = "DELETED"
-			c.world.Roster.Put(e)
+			c.world.Discovery.Put(e)
 		}
-		c.world.Roster.Put(discovery.Entry{Host: "long", Address: ln.Addr().String(), Zone: "ub-east", InstanceType: "std-8", Health: "SERVING", Size: 1})
+		c.world.Discovery.Put(discovery.Entry{Host: "long", Address: ln.Addr().String(), Zone: "ub-east", InstanceType: "std-8", Health: "SERVING", Size: 1})
 		p := c.start(c.discovery)
 		c.awaitReady(p)
 		time.Sleep(3 * time.Second) // its list is there
--- a/cmd/pumiceline/cli_test.go
+++ b/cmd/pumiceline/cli_test.go
@@ -28,6 +28,9 @@
 		{"check", "--config F"},
 		{"version", ""},
 		{"try", "--for 5s --rate 10 --nodes 3 --level INFO"},
+		{"faulttest discovery-cache", "--members 3 --instances 4 --lease 1s --calm 2s --proxies 2"},
+		{"faulttest cluster", "--seed 2 --members 3 --instances 4 --works 2 --lease 1s --length 5s --unfenced --out F"},
+		{"faulttest run", "F --seed 2 --out F"},
 		{"stage roster", "--members 3 --instances 4 --lease 1s --calm 2s --proxies 2"},
 		{"stage owners", "--seed 2 --members 3 --instances 4 --works 2 --lease 1s --length 5s --unfenced --out F"},
 		{"stage run", "F --seed 2 --out F"},
@@ -74,6 +77,9 @@
 func currentName(command string) string {
 	for _, renamed := range []struct{ from, to string }{
 		{"owner ", "singleton "},
+		{"stage owners", "faulttest cluster"},
+		{"stage roster", "faulttest discovery-cache"},
+		{"stage ", "faulttest "},
 	} {
 		if rest, found := strings.CutPrefix(command, renamed.from); found {
 			return renamed.to + rest
--- a/cmd/pumiceline/cluster_test.go
+++ b/cmd/pumiceline/cluster_test.go
@@ -41,7 +41,7 @@
 	configFile    string
 	sharedFolder  string
 	memoryMB      int
-	world         *fakestandalone.World
+	world         *fakestandalone.Environment
 	adaptSettings func(settings map[string]any) // nil: they stay as the fakes have them
 }
 
@@ -64,7 +64,7 @@
 	discovery, clients := open(), open()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	world := fakestandalone.NewWorld(discovery, []net.Listener{open(), open(), open()}, []string{"ub-east"},
+	world := fakestandalone.NewEnvironment(discovery, []net.Listener{open(), open(), open()}, []string{"ub-east"},
 		func() { time.Sleep(2 * time.Millisecond) })
 	go world.Serve(ctx)
 	socket, err := clients.(*net.TCPListener).File()
@@ -82,7 +82,7 @@
 // writeConfig replaces the configuration file. The further classes are like the first one.
 func (c *cluster) writeConfig(furtherClasses ...string) {
 	c.t.Helper()
-	text, err := fakestandalone.Config(c.address, c.discovery, []string{"ub-east"})
+	text, err := fakestandalone.ProxyConfig(c.address, c.discovery, []string{"ub-east"})
 	if err != nil {
 		c.t.Fatal(err)
 	}
--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -20,7 +20,7 @@
 	Check     checkCmd     `cmd:"" help:"Check a configuration and say what it amounts to."`
 	Version   versionCmd   `cmd:"" help:"Say which version this is."`
 	Try       tryCmd       `cmd:"" help:"Run the proxy with stand-ins and a gentle load in one process, and show what happens."`
-	Stage     stageCmd     `cmd:"" help:"Run real proxies and stand-ins with faults between them."`
+	Faulttest faulttestCmd `cmd:"" aliases:"stage" help:"Run real processes with faults between them."`
 	Singleton singletonCmd `cmd:"" aliases:"owner" help:"Singleton roles: tasks that one instance of a fleet at a time carries out."`
 	Lab       fleetsimCmd  `cmd:"" help:"Try designs in the laboratory: a model of the whole fleet, without sockets."`
 }
--- a/cmd/pumiceline/process_test.go
+++ b/cmd/pumiceline/process_test.go
@@ -32,12 +32,12 @@
 	for _, backend := range backendOf {
 		keys[backend]++
 	}
-	if len(keys) != len(c.world.Destinations) {
+	if len(keys) != len(c.world.Backends) {
 		t.Errorf("keys by backend: %v", keys)
 	}
 	polls := func() (n int64) {
-		for _, d := range c.world.Destinations {
-			n += d.Probed()
+		for _, d := range c.world.Backends {
+			n += d.LoadQueries()
 		}
 		return n
 	}
@@ -79,7 +79,7 @@
 	c := newCluster(t, 64)
 	faults := faulttest.New()
 	defer faults.Close()
-	discovery, err := faults.Relay("roster", c.discovery)
+	discovery, err := faults.StartRelay("roster", c.discovery)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -94,11 +94,11 @@
 		}
 	})
 
-	discovery.Set(faulttest.Down, faulttest.Fault{Hold: true})
-	draining, servedBefore := c.world.Destinations[0], served.Load()
+	discovery.Set(faulttest.Downstream, faulttest.Fault{Hold: true})
+	draining, servedBefore := c.world.Backends[0], served.Load()
 	entry := c.world.Entries[0]
 	entry.Health = "DRAINING"
-	c.world.Roster.Put(entry)
+	c.world.Discovery.Put(entry)
 	time.Sleep(time.Second)
 	if n := draining.Served(); served.Load() == servedBefore || failed.Load() > 0 || n == 0 {
 		t.Errorf("during the partition: %d served, %d failed, %d by the draining backend", served.Load()-servedBefore, failed.Load(), n)
--- a/cmd/pumiceline/try.go
+++ b/cmd/pumiceline/try.go
@@ -56,7 +56,7 @@
 	defer stop()
 
 	failed := make(chan error, 2) // one of each goroutine below
-	world := fakestandalone.NewWorld(addrs.discovery, addrs.backends, tryZones, fakestandalone.Sleep(tryServiceTime))
+	world := fakestandalone.NewEnvironment(addrs.discovery, addrs.backends, tryZones, fakestandalone.SleepAbout(tryServiceTime))
 	stopWorld := runInBackground(context.Background(), func(ctx context.Context) {
 		if err := world.Serve(ctx); err != nil {
 			failed <- err
@@ -75,7 +75,7 @@
 		return err
 	}
 
-	clients := &fakestandalone.Clients{Base: baseURL, Rate: c.Rate, Classes: fakestandalone.Classes, Tenants: fakestandalone.Tenants}
+	clients := &fakestandalone.LoadGenerator{BaseURL: baseURL, RequestsPerSecond: c.Rate, Classes: fakestandalone.Classes, Tenants: fakestandalone.Tenants}
 	load, endLoad := context.WithTimeout(ctx, c.Duration)
 	defer endLoad()
 	stopLoad := runInBackground(load, clients.Run)
@@ -132,7 +132,7 @@
 
 // proxyConfig returns the configuration of a proxy for the fakes.
 func (a *tryAddresses) proxyConfig() (*config.Config, error) {
-	text, err := fakestandalone.Config(a.proxy, a.discovery.Addr().String(), tryZones)
+	text, err := fakestandalone.ProxyConfig(a.proxy, a.discovery.Addr().String(), tryZones)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/pumiceline/try_monitor.go
+++ b/cmd/pumiceline/try_monitor.go
@@ -33,24 +33,24 @@
 // elsewhere.
 type tryMonitor struct {
 	duration time.Duration
-	world    *fakestandalone.World
-	clients  *fakestandalone.Clients
+	world    *fakestandalone.Environment
+	clients  *fakestandalone.LoadGenerator
 	out      io.Writer
 	terminal bool
 
 	started time.Time
 	phase   tryPhase
 	status  string // the phase as it is shown
-	total   fakestandalone.Tally
+	total   fakestandalone.RequestStats
 	served  []int64 // by each backend, when the last table was drawn
 	drawn   int     // lines of the last table
 }
 
-func newTryMonitor(duration time.Duration, world *fakestandalone.World, clients *fakestandalone.Clients, out output) *tryMonitor {
+func newTryMonitor(duration time.Duration, world *fakestandalone.Environment, clients *fakestandalone.LoadGenerator, out output) *tryMonitor {
 	file, _ := out.Writer.(*os.File)
 	return &tryMonitor{duration: duration, world: world, clients: clients, out: out,
 		terminal: file != nil && term.IsTerminal(int(file.Fd())),
-		started:  time.Now(), status: "all serve", served: make([]int64, len(world.Destinations))}
+		started:  time.Now(), status: "all serve", served: make([]int64, len(world.Backends))}
 }
 
 // run draws until ctx ends, then the totals; an error of the goroutines that it watches over ends it at once.
@@ -62,8 +62,8 @@
 		case err := <-failed:
 			return err
 		case <-ctx.Done():
-			_, err := fmt.Fprintf(m.out, "%d requests: %d served, %d refused, %d failed\n", m.total.Asked, m.total.Served,
-				m.total.Refused, m.total.Failed)
+			_, err := fmt.Fprintf(m.out, "%d requests: %d served, %d refused, %d failed\n", m.total.Sent, m.total.Served,
+				m.total.Rejected, m.total.Failed)
 			return err
 		case <-ticker.C:
 		}
@@ -76,19 +76,19 @@
 
 // advancePhase drains the first backend after a third of the time and restores it after two thirds.
 func (m *tryMonitor) advancePhase() {
-	backend, entry := m.world.Destinations[0], m.world.Entries[0]
+	backend, entry := m.world.Backends[0], m.world.Entries[0]
 	elapsed := time.Since(m.started)
 	switch {
 	case m.phase == allServing && elapsed > m.duration/3:
 		m.phase, m.status = backendDraining, entry.Host+" drains"
 		entry.Health = "DRAINING"
-		m.world.Roster.Put(entry)
-		time.AfterFunc(tryDrainDelay, func() { backend.Drain(true) })
+		m.world.Discovery.Put(entry)
+		time.AfterFunc(tryDrainDelay, func() { backend.SetDraining(true) })
 	case m.phase == backendDraining && elapsed > 2*m.duration/3:
 		m.phase, m.status = backendReturned, entry.Host+" is back, cold"
-		backend.Drain(false)
+		backend.SetDraining(false)
 		entry.StartedAtMs = float64(time.Now().UnixMilli())
-		m.world.Roster.Put(entry)
+		m.world.Discovery.Put(entry)
 	}
 }
 
@@ -109,24 +109,24 @@
 }
 
 func (m *tryMonitor) writeClients(table *strings.Builder) {
-	t := m.clients.Take()
-	m.total.Asked += t.Asked
+	t := m.clients.TakeStats()
+	m.total.Sent += t.Sent
 	m.total.Served += t.Served
-	m.total.Refused += t.Refused
+	m.total.Rejected += t.Rejected
 	m.total.Failed += t.Failed
-	quantileMs := func(percent float64) float64 { return float64(t.Times.ValueAtQuantile(percent)) / 1e3 }
+	quantileMs := func(percent float64) float64 { return float64(t.Latencies.ValueAtQuantile(percent)) / 1e3 }
 	fmt.Fprintf(table, "%3.0f s  %4d asked %4d served %3d refused %3d failed  median %5.1f ms  99%% %6.1f ms  %s\n",
-		time.Since(m.started).Seconds(), t.Asked, t.Served, t.Refused, t.Failed, quantileMs(50), quantileMs(99), m.status)
+		time.Since(m.started).Seconds(), t.Sent, t.Served, t.Rejected, t.Failed, quantileMs(50), quantileMs(99), m.status)
 }
 
 func (m *tryMonitor) writeBackends(table *strings.Builder) {
-	for i, d := range m.world.Destinations {
+	for i, d := range m.world.Backends {
 		served := d.Served()
 		rate := served - m.served[i]
 		m.served[i] = served
 		if m.terminal {
 			bar := strings.Repeat("#", int(min(maxTryBar, rate)))
-			fmt.Fprintf(table, "  %-8s %4d/s  holds %2d  %s\n", d.Name, rate, d.Held(), bar)
+			fmt.Fprintf(table, "  %-8s %4d/s  holds %2d  %s\n", d.Name, rate, d.InFlight(), bar)
 		} else {
 			fmt.Fprintf(table, "  %s %d/s", d.Name, rate)
 		}
--- a/example/main.go
+++ b/example/main.go
@@ -49,5 +49,5 @@
 	fmt.Printf("fake discovery at %s, backends at %s:%d to %d; interrupt to end\n", discoveryAddress, host, firstBackendPort,
 		lastBackendPort)
 	zones := []string{"ub-east"}
-	return fakestandalone.NewWorld(discovery, backends, zones, fakestandalone.Sleep(serviceTime)).Serve(ctx)
+	return fakestandalone.NewEnvironment(discovery, backends, zones, fakestandalone.SleepAbout(serviceTime)).Serve(ctx)
 }
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -115,7 +115,7 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for _, sent := range l.sent {
-		if l.trial.runs.Of(sent.id) <= 1 {
+		if l.trial.runs.Count(sent.id) <= 1 {
 			continue
 		}
 		if sent.stream {
--- a/internal/demo/trial.go
+++ b/internal/demo/trial.go
@@ -76,7 +76,7 @@
 type trial struct {
 	Options
 	dir       string
-	runs      *fakesystem.Runs
+	runs      *fakesystem.ExecutionCounter
 	platform  *fakesystem.Platform
 	backends  []*fakesystem.Backend
 	machines  []*machine // coordinators first, then proxies
@@ -95,7 +95,7 @@
 	if options.Log == nil {
 		options.Log = io.Discard
 	}
-	t := &trial{Options: options, dir: dir, runs: fakesystem.NewRuns(), client: &http.Client{}}
+	t := &trial{Options: options, dir: dir, runs: fakesystem.NewExecutionCounter(), client: &http.Client{}}
 	defer t.close()
 	if err := t.surround(); err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	for _, backend := range t.backends {
-		t.result.Loads += backend.Loads()
+		t.result.Loads += backend.ModelLoads()
 	}
 	return &t.result, nil
 }
@@ -117,7 +117,7 @@
 	held := [][]string{{"small"}, {"small", "large"}, {"large"}}
 	for i, models := range held {
 		backend := &fakesystem.Backend{
-			ID: fmt.Sprintf("model-%d", i), Service: "models", Zone: "z0", Capacity: 32, LoadTime: loadTime, Events: 8,
+			ID: fmt.Sprintf("model-%d", i), Service: "models", Zone: "z0", Capacity: 32, ModelLoadTime: loadTime, StreamEvents: 8,
 		}
 		if err := backend.Start(t.runs, models...); err != nil {
 			return errors.Wrap(err, "starting a fake backend")
--- a/internal/fake/fakestandalone/clients.go
+++ b/internal/fake/fakestandalone/clients.go
@@ -13,34 +13,34 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Class is how a class's requests look.
-type Class struct {
+// RequestClass is how a class's requests look.
+type RequestClass struct {
 	Name     string
 	Share    float64
 	Keyed    bool
 	Deadline time.Duration
 }
 
-// Tally is what clients got, since the last time that they were asked. Times are those of served requests.
-type Tally struct {
-	Asked, Served, Refused, Failed int
-	Times                          *hdrhistogram.Histogram // microseconds
+// RequestStats is what clients got, since the last time that they were asked. Times are those of served requests.
+type RequestStats struct {
+	Sent, Served, Rejected, Failed int
+	Latencies                      *hdrhistogram.Histogram // microseconds
 }
 
-// Clients send requests to a proxy at a steady rate whatever becomes of the earlier ones (open loop), so that slow answers
+// LoadGenerator send requests to a proxy at a steady rate whatever becomes of the earlier ones (open loop), so that slow answers
 // do not hide in a slower load.
-type Clients struct {
-	Base    string // the proxy: http://address
-	Rate    float64
-	Classes []Class
-	Tenants []string
+type LoadGenerator struct {
+	BaseURL           string // the proxy: http://address
+	RequestsPerSecond float64
+	Classes           []RequestClass
+	Tenants           []string
 
 	mu    sync.Mutex
-	tally Tally
+	stats RequestStats
 }
 
 // Run sends until ctx ends, then waits for what is out.
-func (c *Clients) Run(ctx context.Context) {
+func (c *LoadGenerator) Run(ctx context.Context) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
@@ -48,7 +48,7 @@
 	defer out.Wait()
 	begin, n := time.Now(), 0
 	for {
-		wait := time.NewTimer(time.Until(begin.Add(time.Duration(float64(n) / c.Rate * float64(time.Second)))))
+		wait := time.NewTimer(time.Until(begin.Add(time.Duration(float64(n) / c.RequestsPerSecond * float64(time.Second)))))
 		select {
 		case <-ctx.Done():
 			wait.Stop()
@@ -56,12 +56,12 @@
 		case <-wait.C:
 		}
 		n++
-		out.Go(func() { c.ask(client, n) })
+		out.Go(func() { c.send(client, n) })
 	}
 }
 
-// ask sends one request and counts its end. It is not cut short when the load ends: what was asked is owed its answer.
-func (c *Clients) ask(client *http.Client, n int) {
+// send sends one request and counts its end. It is not cut short when the load ends: what was asked is owed its answer.
+func (c *LoadGenerator) send(client *http.Client, n int) {
 	class, x := c.Classes[0], rand.Float64()
 	for _, k := range c.Classes {
 		if class = k; x < k.Share {
@@ -75,7 +75,7 @@
 	if class.Keyed {
 		method, body = http.MethodPost, `{"try":true}`
 	}
-	req, err := http.NewRequestWithContext(ctx, method, c.Base+"/"+class.Name, strings.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.BaseURL+"/"+class.Name, strings.NewReader(body))
 	if err != nil {
 		c.count(http.StatusBadRequest, 0)
 		return
@@ -101,32 +101,32 @@
 	c.count(resp.StatusCode, time.Since(start))
 }
 
-func (c *Clients) count(status int, took time.Duration) {
+func (c *LoadGenerator) count(status int, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.tally.Times == nil {
-		c.tally.Times = hdrhistogram.New(1, 60_000_000, 3)
+	if c.stats.Latencies == nil {
+		c.stats.Latencies = hdrhistogram.New(1, 60_000_000, 3)
 	}
-	c.tally.Asked++
+	c.stats.Sent++
 	switch status {
 	case http.StatusOK:
-		c.tally.Served++
-		_ = c.tally.Times.RecordValue(max(1, took.Microseconds())) // a minute is far past every deadline
+		c.stats.Served++
+		_ = c.stats.Latencies.RecordValue(max(1, took.Microseconds())) // a minute is far past every deadline
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		c.tally.Refused++
+		c.stats.Rejected++
 	default:
-		c.tally.Failed++
+		c.stats.Failed++
 	}
 }
 
-// Take is what has come to an end since the last Take.
-func (c *Clients) Take() Tally {
+// TakeStats is what has come to an end since the last Take.
+func (c *LoadGenerator) TakeStats() RequestStats {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	t := c.tally
-	c.tally = Tally{}
-	if t.Times == nil {
-		t.Times = hdrhistogram.New(1, 60_000_000, 3)
+	t := c.stats
+	c.stats = RequestStats{}
+	if t.Latencies == nil {
+		t.Latencies = hdrhistogram.New(1, 60_000_000, 3)
 	}
 	return t
 }
--- a/internal/fake/fakestandalone/recorder.go
+++ b/internal/fake/fakestandalone/recorder.go
@@ -22,13 +22,13 @@
 
 	mu      sync.Mutex
 	file    *os.File
-	fence   singleton.FencingGuard
-	taken   []Taken
+	guard   singleton.FencingGuard
+	taken   []AcceptedEffect
 	refused []string
 }
 
-// Taken is an effect that counts, in the order in which they did.
-type Taken struct {
+// AcceptedEffect is an effect that counts, in the order in which they did.
+type AcceptedEffect struct {
 	singleton.Effect
 	From string    `json:"from"` // who sent it
 	At   time.Time `json:"at"`
@@ -47,13 +47,13 @@
 		if err != nil {
 			break // the end, or a line that was cut off by it
 		}
-		var t Taken
+		var t AcceptedEffect
 		if err := json.Unmarshal(bytes.TrimSpace(line), &t); err != nil {
 			file.Close()
 			return nil, fmt.Errorf("standin: recorder: %s at byte %d: %w", path, whole, err)
 		}
 		whole += int64(len(line))
-		_ = r.fence.Admit(t.Effect) // of an unfenced time: the highest stays
+		_ = r.guard.Admit(t.Effect) // of an unfenced time: the highest stays
 		r.taken = append(r.taken, t)
 	}
 	if err := file.Truncate(whole); err != nil {
@@ -70,15 +70,15 @@
 // Close closes the file.
 func (r *Recorder) Close() error { return r.file.Close() }
 
-// Taken and Refused are what counted and what did not, in order.
-func (r *Recorder) Taken() []Taken {
+// AcceptedEffect and Refused are what counted and what did not, in order.
+func (r *Recorder) Accepted() []AcceptedEffect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]Taken(nil), r.taken...)
+	return append([]AcceptedEffect(nil), r.taken...)
 }
 
-// Refused are the reasons, each naming both tokens.
-func (r *Recorder) Refused() []string {
+// Rejected are the reasons, each naming both tokens.
+func (r *Recorder) Rejected() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]string(nil), r.refused...)
@@ -93,7 +93,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if err := r.fence.Admit(e); err != nil && !r.Unfenced {
+	if err := r.guard.Admit(e); err != nil && !r.Unfenced {
 		r.refused = append(r.refused, err.Error())
 		var older *singleton.StaleEffectError
 		if errors.As(err, &older) {
@@ -103,7 +103,7 @@
 		http.Error(w, err.Error(), http.StatusInsufficientStorage)
 		return
 	}
-	t := Taken{Effect: e, From: req.Header.Get("X-From"), At: time.Now()}
+	t := AcceptedEffect{Effect: e, From: req.Header.Get("X-From"), At: time.Now()}
 	line, err := json.Marshal(t)
 	if err == nil {
 		_, err = r.file.Write(append(line, '\n'))
@@ -118,10 +118,10 @@
 	r.taken = append(r.taken, t)
 }
 
-// Interleaved finds the first effect that harms: of an older token than one before it, of another sender than its token's others, or out of
+// FindViolations finds the first effect that harms: of an older token than one before it, of another sender than its token's others, or out of
 // order within its token. It looks at what counted alone, not at what anybody believed. 0 harms, "" where there is none.
-func Interleaved(taken []Taken) (harms int, first string) {
-	latest := map[string]Taken{}
+func FindViolations(taken []AcceptedEffect) (harms int, first string) {
+	latest := map[string]AcceptedEffect{}
 	for _, t := range taken {
 		was, there := latest[t.Role]
 		if there && (t.Token < was.Token || t.Token == was.Token && (t.From != was.From || t.Serial <= was.Serial)) {
--- a/internal/fake/fakestandalone/recorder_stored_test.go
+++ b/internal/fake/fakestandalone/recorder_stored_test.go
@@ -32,13 +32,13 @@
 	at := func(nanoseconds int) time.Time {
 		return time.Date(2026, time.December, 2, 15, 34, 23, nanoseconds, time.UTC)
 	}
-	want := []Taken{
+	want := []AcceptedEffect{
 		{Effect: singleton.Effect{Role: "prices", Token: 1, Serial: 1}, From: "instance-a", At: at(286756902)},
 		{Effect: singleton.Effect{Role: "roster", Token: 4, Serial: 9}, From: "instance-b", At: at(287447640)},
 		{Effect: singleton.Effect{Role: "prices", Token: 2, Serial: 1}, From: "instance-c", At: at(287719634)},
 		{Effect: singleton.Effect{Role: "prices", Token: 2, Serial: 3}, From: "instance-d", At: at(287871083)},
 	}
-	if got := r.Taken(); !reflect.DeepEqual(got, want) {
+	if got := r.Accepted(); !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, not %+v", got, want)
 	}
 	var again []byte
--- a/internal/fake/fakestandalone/roster.go
+++ b/internal/fake/fakestandalone/roster.go
@@ -13,20 +13,20 @@
 	"pumiceline/internal/standalone/discovery"
 )
 
-// heartbeat is how often a watch says that nothing has changed.
-const heartbeat = 2 * time.Second
+// keepAliveInterval is how often a watch says that nothing has changed.
+const keepAliveInterval = 2 * time.Second
 
-// Roster is discovery. Create it with NewRoster; it is an http.Handler and safe for concurrent use.
-type Roster struct {
+// Discovery is discovery. Create it with NewDiscovery; it is an http.Handler and safe for concurrent use.
+type Discovery struct {
 	mu      sync.Mutex
 	hosts   []discovery.Entry // the present list, in the order of coming
 	changes []discovery.Entry // change i made version i+1
 	changed chan struct{}
 }
 
-// NewRoster returns a roster that lists the given hosts.
-func NewRoster(hosts ...discovery.Entry) *Roster {
-	r := &Roster{changed: make(chan struct{})}
+// NewDiscovery returns a roster that lists the given hosts.
+func NewDiscovery(hosts ...discovery.Entry) *Discovery {
+	r := &Discovery{changed: make(chan struct{})}
 	for _, h := range hosts {
 		r.Put(h)
 	}
@@ -34,7 +34,7 @@
 }
 
 // Put lists a host, or changes what is listed of it. A host whose health is DELETED leaves the list.
-func (r *Roster) Put(h discovery.Entry) {
+func (r *Discovery) Put(h discovery.Entry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := -1
@@ -58,20 +58,20 @@
 	r.changed = make(chan struct{})
 }
 
-type list struct {
+type update struct {
 	Seq   int               `json:"seq"`
-	Whole bool              `json:"whole"`
+	Full  bool              `json:"whole"`
 	Hosts []discovery.Entry `json:"hosts"`
 }
 
 // since is what changed after a version, or the whole list where the version is none of ours, and a channel that closes
 // at the next change.
-func (r *Roster) since(version int) (list, <-chan struct{}) {
+func (r *Discovery) since(version int) (update, <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	l := list{Seq: len(r.changes)}
+	l := update{Seq: len(r.changes)}
 	if version <= 0 || version > len(r.changes) {
-		l.Whole, l.Hosts = true, append([]discovery.Entry{}, r.hosts...)
+		l.Full, l.Hosts = true, append([]discovery.Entry{}, r.hosts...)
 	} else {
 		l.Hosts = append([]discovery.Entry{}, r.changes[version:]...)
 	}
@@ -79,7 +79,7 @@
 }
 
 // ServeHTTP answers GET /v1/endpoints with the whole list, and with stream=1 and index=N with what changes after N.
-func (r *Roster) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+func (r *Discovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != "/v1/endpoints" {
 		http.NotFound(w, req)
 		return
@@ -93,7 +93,7 @@
 	}
 	version, _ := strconv.Atoi(query.Get("index")) // what is no number gets the whole list
 	l, changed := r.since(version)
-	lines, beat := http.NewResponseController(w), time.NewTicker(heartbeat)
+	lines, beat := http.NewResponseController(w), time.NewTicker(keepAliveInterval)
 	defer beat.Stop()
 	for first := true; ; first = false {
 		if first || len(l.Hosts) > 0 {
--- a/internal/fake/fakestandalone/standin_test.go
+++ b/internal/fake/fakestandalone/standin_test.go
@@ -26,7 +26,7 @@
 // TestRosterWatch follows a watch: the whole list, then each change once and in order, also those that come between two
 // lines; a watch that takes up at a version hears what came after it, one with a version from elsewhere the whole list.
 func TestRosterWatch(t *testing.T) {
-	r := NewRoster(entry("x", "SERVING"), entry("y", "SERVING"))
+	r := NewDiscovery(entry("x", "SERVING"), entry("y", "SERVING"))
 	server := httptest.NewServer(r)
 	t.Cleanup(server.Close) // after the watches have ended: it waits for them
 	watch := func(index string) *bufio.Reader {
@@ -49,11 +49,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			var l list
+			var l update
 			if json.Unmarshal(line, &l) != nil {
 				continue // a heartbeat
 			}
-			words := []string{map[bool]string{true: "whole", false: "delta"}[l.Whole]}
+			words := []string{map[bool]string{true: "whole", false: "delta"}[l.Full]}
 			for _, h := range l.Hosts {
 				words = append(words, h.Host+":"+h.Health)
 			}
@@ -93,7 +93,7 @@
 }
 
 func TestDestinationAnswersAsTheProtocolSays(t *testing.T) {
-	d := &Destination{Name: "d", Cores: 1, Work: func() {}}
+	d := &Backend{Name: "d", Cores: 1, Serve: func() {}}
 	ask := func(id string) *http.Response {
 		req := httptest.NewRequest(http.MethodPost, "/c?q", strings.NewReader("body"))
 		req.Header.Set("X-Correlation-Id", id)
@@ -110,16 +110,16 @@
 		!strings.HasPrefix(resp.Header.Get("X-Backend-Load"), "TEXT util=") {
 		t.Errorf("%d %s %v", resp.StatusCode, body, resp.Header)
 	}
-	d.Fail(1)
+	d.SetErrorRatio(1)
 	if got := ask("2").StatusCode; got != http.StatusInternalServerError {
 		t.Errorf("failing: %d", got)
 	}
-	d.Drain(true)
+	d.SetDraining(true)
 	if resp := ask("3"); resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("X-Unprocessed") != "1" {
 		t.Errorf("draining: %d %v", resp.StatusCode, resp.Header)
 	}
-	if d.Served() != 1 || d.Held() != 0 {
-		t.Errorf("served %d, holds %d", d.Served(), d.Held())
+	if d.Served() != 1 || d.InFlight() != 0 {
+		t.Errorf("served %d, holds %d", d.Served(), d.InFlight())
 	}
 }
 
@@ -134,24 +134,24 @@
 		n++
 	}))
 	defer server.Close()
-	c := &Clients{Base: server.URL, Rate: 500, Classes: Classes, Tenants: Tenants}
+	c := &LoadGenerator{BaseURL: server.URL, RequestsPerSecond: 500, Classes: Classes, Tenants: Tenants}
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(200*time.Millisecond))
 	defer cancel()
 	c.Run(ctx)
-	got := c.Take()
-	if got.Asked != n || got.Served+got.Refused+got.Failed != n || n < 5 {
-		t.Errorf("%d asked of %d: %+v", got.Asked, n, got)
+	got := c.TakeStats()
+	if got.Sent != n || got.Served+got.Rejected+got.Failed != n || n < 5 {
+		t.Errorf("%d asked of %d: %+v", got.Sent, n, got)
 	}
 	if want := (n + 4) / 5; got.Served < 2*(n/5) || got.Failed < n/5 || got.Failed > want {
-		t.Errorf("%d asked: %d served, %d refused, %d failed", n, got.Served, got.Refused, got.Failed)
+		t.Errorf("%d asked: %d served, %d refused, %d failed", n, got.Served, got.Rejected, got.Failed)
 	}
-	if again := c.Take(); again.Asked != 0 {
+	if again := c.TakeStats(); again.Sent != 0 {
 		t.Errorf("taken twice: %+v", again)
 	}
 }
 
 func TestConfigIsOneThatTheProxyTakes(t *testing.T) {
-	text, err := Config("127.0.0.1:1", "127.0.0.1:2", []string{"a", "b"})
+	text, err := ProxyConfig("127.0.0.1:1", "127.0.0.1:2", []string{"a", "b"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -197,7 +197,7 @@
 	if late, next := send(again, singleton.Effect{Role: "w", Token: 1, Serial: 10}), send(again, singleton.Effect{Role: "w", Token: 2, Serial: 2}); late != 409 || next != 200 {
 		t.Errorf("%d, then %d", late, next)
 	}
-	if n := len(again.Taken()); n != 2 {
+	if n := len(again.Accepted()); n != 2 {
 		t.Errorf("%d effects count", n)
 	}
 }
--- a/internal/fake/fakestandalone/stored_test.go
+++ b/internal/fake/fakestandalone/stored_test.go
@@ -30,12 +30,12 @@
 		t.Fatal(err)
 	}
 	defer r.Close()
-	want := []Taken{
+	want := []AcceptedEffect{
 		{Effect: singleton.Effect{Role: "export", Token: 3, Serial: 1}, From: "instance 1", At: time.Date(2026, 1, 2, 3, 4, 5, 6, time.UTC)},
 		{Effect: singleton.Effect{Role: "export", Token: 5, Serial: 2}, From: "instance 2", At: time.Date(2026, 1, 2, 3, 4, 6, 7, time.UTC)},
 		{Effect: singleton.Effect{Role: "billing", Token: 4, Serial: 9}, From: "instance 3", At: time.Date(2026, 1, 2, 3, 4, 7, 8, time.UTC)},
 	}
-	if got := r.Taken(); !reflect.DeepEqual(got, want) {
+	if got := r.Accepted(); !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
 	}
 	for i, line := range bytes.Split(bytes.TrimSpace(stored), []byte("\n")) {
@@ -71,7 +71,7 @@
 
 // Discovery's stand-in writes lists under the keys that earlier versions read.
 func TestWritesListReadByEarlierVersion(t *testing.T) {
-	l := list{Seq: 41, Whole: true}
+	l := update{Seq: 41, Full: true}
 	if text, err := json.Marshal(l); err != nil || string(text) != `{"seq":41,"whole":true,"hosts":null}` {
 		t.Errorf("%s, %v", text, err)
 	}
--- a/internal/fake/fakestandalone/world.go
+++ b/internal/fake/fakestandalone/world.go
@@ -13,41 +13,41 @@
 	"pumiceline/internal/standalone/settings"
 )
 
-// World is a roster and a few destinations on loopback listeners.
-type World struct {
-	Roster       *Roster
-	Destinations []*Destination
-	Entries      []discovery.Entry // as the roster listed them first, in the destinations' order
+// Environment is a roster and a few destinations on loopback listeners.
+type Environment struct {
+	Discovery *Discovery
+	Backends  []*Backend
+	Entries   []discovery.Entry // as the roster listed them first, in the destinations' order
 
 	discoveryListener net.Listener
-	listeners         []net.Listener
+	backendListeners  []net.Listener
 }
 
-// NewWorld makes a world whose roster listens at discoveryListener and whose destinations listen at the others, in turn in the sites.
-func NewWorld(discoveryListener net.Listener, destinations []net.Listener, sites []string, work func()) *World {
-	w := &World{Roster: NewRoster(), discoveryListener: discoveryListener, listeners: destinations}
+// NewEnvironment makes a world whose roster listens at discoveryListener and whose destinations listen at the others, in turn in the sites.
+func NewEnvironment(discoveryListener net.Listener, destinations []net.Listener, sites []string, work func()) *Environment {
+	w := &Environment{Discovery: NewDiscovery(), discoveryListener: discoveryListener, backendListeners: destinations}
 	for i, ln := range destinations {
 		name := fmt.Sprintf("toy-%d", i+1)
 		e := discovery.Entry{Host: name, Address: ln.Addr().String(), Zone: sites[i%len(sites)], InstanceType: "std-8", Cell: 1, Health: "SERVING", Size: 1}
-		w.Roster.Put(e)
+		w.Discovery.Put(e)
 		w.Entries = append(w.Entries, e)
-		w.Destinations = append(w.Destinations, &Destination{Name: name, Cores: 8, Work: work})
+		w.Backends = append(w.Backends, &Backend{Name: name, Cores: 8, Serve: work})
 	}
 	return w
 }
 
 // Serve serves until ctx ends, or a listener fails.
-func (w *World) Serve(ctx context.Context) error {
-	ended := make(chan error, len(w.listeners)+1)
+func (w *Environment) Serve(ctx context.Context) error {
+	ended := make(chan error, len(w.backendListeners)+1)
 	run := func(ln net.Listener, h http.Handler) {
 		server := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
 		context.AfterFunc(ctx, func() { server.Close() })
 		go func() { ended <- server.Serve(ln) }()
 	}
-	for i, d := range w.Destinations {
-		run(w.listeners[i], d)
+	for i, d := range w.Backends {
+		run(w.backendListeners[i], d)
 	}
-	run(w.discoveryListener, w.Roster)
+	run(w.discoveryListener, w.Discovery)
 	select {
 	case err := <-ended:
 		if errors.Is(err, http.ErrServerClosed) {
@@ -61,18 +61,18 @@
 
 // Classes and Tenants are those of the configuration that Config writes.
 var (
-	Classes = []Class{{"quick-quote", 0.5, false, 1500 * time.Millisecond}, {"full-quote", 0.3, false, 6 * time.Second},
+	Classes = []RequestClass{{"quick-quote", 0.5, false, 1500 * time.Millisecond}, {"full-quote", 0.3, false, 6 * time.Second},
 		{"issue-policy", 0.2, true, 3 * time.Second}}
 	Tenants = []string{"steppe-tours", "khan-air"}
 )
 
-// Config writes a whole configuration in the platform's form for the one proxy of this world.
-func Config(listen, discovery string, sites []string) ([]byte, error) {
-	return ConfigOf(listen, discovery, sites, 0, 1)
+// ProxyConfig writes a whole configuration in the platform's form for the one proxy of this world.
+func ProxyConfig(listen, discovery string, sites []string) ([]byte, error) {
+	return ReplicaConfig(listen, discovery, sites, 0, 1)
 }
 
-// ConfigOf writes that of proxy i, from 0, of so many.
-func ConfigOf(listen, discovery string, sites []string, i, of int) ([]byte, error) {
+// ReplicaConfig writes that of proxy i, from 0, of so many.
+func ReplicaConfig(listen, discovery string, sites []string, i, of int) ([]byte, error) {
 	const us = 1e6
 	s := settings.Settings{DiscoveryMode: "subscribe", GroupSize: of, Ordinal: i, Zone: i % len(sites), InstanceTypes: []string{"std-8"}, OverQuotaValue: 0.1, BatchPeriod: 5000,
 		SizeReporting: "nominal", ValueBasis: "work", Zones: sites}
--- a/internal/fake/fakesystem/backend.go
+++ b/internal/fake/fakesystem/backend.go
@@ -21,49 +21,49 @@
 
 // Backend is a fake backend of one service.
 type Backend struct {
-	ID       string
-	Service  string
-	Zone     string
-	Capacity int
-	LoadTime time.Duration // of a model; an adapter is there at once
-	Events   int           // of a stream; 0: the service answers whole
+	ID            string
+	Service       string
+	Zone          string
+	Capacity      int
+	ModelLoadTime time.Duration // of a model; an adapter is there at once
+	StreamEvents  int           // of a stream; 0: the service answers whole
 
 	address string
 	server  *http.Server
-	runs    *Runs
+	runs    *ExecutionCounter
 
-	mutex   sync.Mutex
-	models  map[string][]string
-	orders  uint64
-	busy    bool
-	running int
-	loads   int
+	mutex    sync.Mutex
+	models   map[string][]string
+	revision uint64
+	busy     bool
+	running  int
+	loads    int
 }
 
-// Runs counts how often each request ran, over all backends.
-type Runs struct {
-	mutex sync.Mutex
-	count map[string]int
+// ExecutionCounter counts how often each request ran, over all backends.
+type ExecutionCounter struct {
+	mutex  sync.Mutex
+	counts map[string]int
 }
 
-// NewRuns makes an empty count.
-func NewRuns() *Runs { return &Runs{count: map[string]int{}} }
+// NewExecutionCounter makes an empty count.
+func NewExecutionCounter() *ExecutionCounter { return &ExecutionCounter{counts: map[string]int{}} }
 
-func (r *Runs) add(id string) {
+func (r *ExecutionCounter) record(id string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.count[id]++
+	r.counts[id]++
 }
 
-// Of returns how often a request ran.
-func (r *Runs) Of(id string) int {
+// Count returns how often a request ran.
+func (r *ExecutionCounter) Count(id string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.count[id]
+	return r.counts[id]
 }
 
 // Start lets the backend listen on loopback with the models given.
-func (b *Backend) Start(runs *Runs, models ...string) error {
+func (b *Backend) Start(runs *ExecutionCounter, models ...string) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
@@ -80,8 +80,8 @@
 // Close ends the backend at once.
 func (b *Backend) Close() { _ = b.server.Close() }
 
-// Loads returns how many models were loaded by order.
-func (b *Backend) Loads() int {
+// ModelLoads returns how many models were loaded by order.
+func (b *Backend) ModelLoads() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.loads
@@ -106,17 +106,17 @@
 	}
 }
 
-type heldModel struct {
+type residentModel struct {
 	Name     string   `json:"name"`
 	Version  int      `json:"version"`
 	Adapters []string `json:"adapters"`
 }
 
-// held returns what the backend holds; its mutex must be held.
-func (b *Backend) held() []heldModel {
-	held := make([]heldModel, 0, len(b.models))
+// residentModels returns what the backend holds; its mutex must be held.
+func (b *Backend) residentModels() []residentModel {
+	held := make([]residentModel, 0, len(b.models))
 	for name, adapters := range b.models {
-		held = append(held, heldModel{Name: name, Version: 1, Adapters: slices.Clone(adapters)})
+		held = append(held, residentModel{Name: name, Version: 1, Adapters: slices.Clone(adapters)})
 	}
 	return held
 }
@@ -125,11 +125,11 @@
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	_ = json.NewEncoder(w).Encode(map[string]any{
-		"stage": "full", "models": b.held(), "inUse": b.busy, "callCount": b.orders, "queued": 0, "active": b.running,
+		"stage": "full", "models": b.residentModels(), "inUse": b.busy, "callCount": b.revision, "queued": 0, "active": b.running,
 	})
 }
 
-type order struct {
+type modelCommand struct {
 	Operation  string  `json:"operation"`
 	Model      string  `json:"model"`
 	Adapter    string  `json:"adapter"`
@@ -139,18 +139,18 @@
 }
 
 func (b *Backend) order(w http.ResponseWriter, r *http.Request) {
-	var o order
+	var o modelCommand
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&o); err != nil || o.Owner == "" || o.Fence == nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	w.WriteHeader(b.take(o))
+	w.WriteHeader(b.execute(o))
 }
 
-func (b *Backend) take(o order) int {
+func (b *Backend) execute(o modelCommand) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	if b.busy || o.IfRevision != nil && *o.IfRevision != b.orders {
+	if b.busy || o.IfRevision != nil && *o.IfRevision != b.revision {
 		return http.StatusConflict
 	}
 	adapters, held := b.models[o.Model]
@@ -167,9 +167,9 @@
 		return http.StatusOK
 	default:
 		b.busy = true
-		time.AfterFunc(b.LoadTime, func() { b.loaded(o.Model) })
+		time.AfterFunc(b.ModelLoadTime, func() { b.loaded(o.Model) })
 	}
-	b.orders++
+	b.revision++
 	return http.StatusAccepted
 }
 
@@ -181,8 +181,8 @@
 	b.loads++
 }
 
-// begin takes a place for a request; a status other than 0 declines it.
-func (b *Backend) begin(name string) int {
+// admit takes a place for a request; a status other than 0 declines it.
+func (b *Backend) admit(name string) int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if name != "" {
@@ -199,7 +199,7 @@
 	return 0
 }
 
-func (b *Backend) end() {
+func (b *Backend) finish() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.running--
@@ -215,23 +215,23 @@
 func (b *Backend) run(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Request-Id")
 	w.Header().Set("Request-Id", id)
-	if status := b.begin(r.Header.Get("Model")); status != 0 {
+	if status := b.admit(r.Header.Get("Model")); status != 0 {
 		w.Header().Set("Not-Run", "1")
 		w.WriteHeader(status)
 		return
 	}
-	defer b.end()
-	b.runs.add(id)
+	defer b.finish()
+	b.runs.record(id)
 	w.Header().Set("Server-Seal", "seal-"+id)
 	w.Header().Set("Backend-Load", b.load())
-	if b.Events == 0 {
+	if b.StreamEvents == 0 {
 		fmt.Fprintf(w, "done by %s", b.ID)
 		return
 	}
 	w.Header().Set("Content-Type", "text/event-stream")
 	tick := time.NewTicker(eventEvery)
 	defer tick.Stop()
-	for event := 1; event <= b.Events; event++ {
+	for event := 1; event <= b.StreamEvents; event++ {
 		select {
 		case <-r.Context().Done():
 			return
--- a/internal/fake/fakesystem/fake_test.go
+++ b/internal/fake/fakesystem/fake_test.go
@@ -28,8 +28,8 @@
 
 // A whole exchange with a backend: what it holds, what it declines unrun, and what it runs.
 func TestABackendSpeaksTheProtocol(t *testing.T) {
-	runs := NewRuns()
-	b := &Backend{ID: "b-1", Service: "s", Zone: "z", Capacity: 2, Events: 2}
+	runs := NewExecutionCounter()
+	b := &Backend{ID: "b-1", Service: "s", Zone: "z", Capacity: 2, StreamEvents: 2}
 	require.NoError(t, b.Start(runs, "small"))
 	t.Cleanup(b.Close)
 	url := "http://" + b.address
@@ -59,13 +59,13 @@
 		"held: 200 ",
 		`report: 200 {"active":0,"callCount":1,"inUse":false,"models":[{"name":"small","version":1,"adapters":["a1"]}],"queued":0,"stage":"full"}`,
 	}, lines)
-	assert.Equal(t, 1, runs.Of("r1"))
-	assert.Zero(t, runs.Of("r2"))
+	assert.Equal(t, 1, runs.Count("r1"))
+	assert.Zero(t, runs.Count("r2"))
 }
 
 func TestThePlatformListsItsBackends(t *testing.T) {
 	b := &Backend{ID: "b-1", Service: "s", Zone: "z", Capacity: 2}
-	require.NoError(t, b.Start(NewRuns(), "small"))
+	require.NoError(t, b.Start(NewExecutionCounter(), "small"))
 	t.Cleanup(b.Close)
 	p := &Platform{}
 	require.NoError(t, p.Start(b))
@@ -74,5 +74,5 @@
 	assert.Equal(t, http.StatusOK, status)
 	assert.Contains(t, text, `"id":"b-1"`)
 	assert.Contains(t, text, `"state":"ready"`)
-	assert.Equal(t, 1, p.Calls())
+	assert.Equal(t, 1, p.ListRequests())
 }
--- a/internal/fake/fakesystem/platform.go
+++ b/internal/fake/fakesystem/platform.go
@@ -32,21 +32,21 @@
 // Close ends the platform.
 func (p *Platform) Close() { _ = p.server.Close() }
 
-// Calls returns how often the list was read.
-func (p *Platform) Calls() int {
+// ListRequests returns how often the list was read.
+func (p *Platform) ListRequests() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.calls
 }
 
 type listed struct {
-	ID       string      `json:"id"`
-	Service  string      `json:"service"`
-	Address  string      `json:"address"`
-	Zone     string      `json:"zone"`
-	Capacity int         `json:"capacity"`
-	State    string      `json:"state"`
-	Models   []heldModel `json:"models"`
+	ID       string          `json:"id"`
+	Service  string          `json:"service"`
+	Address  string          `json:"address"`
+	Zone     string          `json:"zone"`
+	Capacity int             `json:"capacity"`
+	State    string          `json:"state"`
+	Models   []residentModel `json:"models"`
 }
 
 func (p *Platform) serve(w http.ResponseWriter, _ *http.Request) {
@@ -56,7 +56,7 @@
 	list := make([]listed, 0, len(p.backends))
 	for _, b := range p.backends {
 		b.mutex.Lock()
-		list = append(list, listed{ID: b.ID, Service: b.Service, Address: b.address, Zone: b.Zone, Capacity: b.Capacity, State: "ready", Models: b.held()})
+		list = append(list, listed{ID: b.ID, Service: b.Service, Address: b.address, Zone: b.Zone, Capacity: b.Capacity, State: "ready", Models: b.residentModels()})
 		b.mutex.Unlock()
 	}
 	_ = json.NewEncoder(w).Encode(map[string]any{"backends": list, "nextPage": nil})
--- /dev/null
+++ b/internal/faulttest/clustertest/cluster_test.go
@@ -0,0 +1,328 @@
+package clustertest
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"pumiceline/internal/fake/fakestandalone"
+	"pumiceline/internal/faulttest"
+)
+
+// program is the path of the program as it is now, built for these tests: a process that is frozen or killed has to be a
+// real one.
+var program string
+
+func TestMain(m *testing.M) {
+	dir, err := os.MkdirTemp("", "clustertest")
+	if err == nil {
+		program = filepath.Join(dir, "pumiceline")
+		build := exec.Command("go", "build", "-buildvcs=false", "-o", program, "pumiceline/cmd/pumiceline")
+		if out, buildErr := build.CombinedOutput(); buildErr != nil {
+			err = fmt.Errorf("%w: %s", buildErr, out)
+		}
+	}
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
+	code := m.Run()
+	os.RemoveAll(dir)
+	os.Exit(code)
+}
+
+// testRole is the only role of the tests' clusters.
+const testRole = "export"
+
+// startCluster starts a cluster of three members and waits until its role is held.
+func startCluster(t *testing.T, instances int, lease time.Duration, unfenced bool) *cluster {
+	t.Helper()
+	c, err := newCluster(clusterOptions{program: program, members: 3, lease: lease, roles: []string{testRole}, unfenced: unfenced})
+	t.Cleanup(c.close)
+	for i := 0; err == nil && i < len(c.memberAddrs); i++ {
+		err = c.startMember(i)
+	}
+	for i := 0; err == nil && i < instances; i++ {
+		err = c.startInstance(i)
+	}
+	if err != nil {
+		t.Fatal(err)
+	}
+	eventually(t, c, "the role is held", func() bool { return c.lastAccepted(testRole).Token > 0 })
+	return c
+}
+
+// eventually waits for a condition. The bound is for a slow machine and says nothing of how long it takes.
+func eventually(t *testing.T, c *cluster, what string, condition func() bool) {
+	t.Helper()
+	if !waitFor(time.Now().Add(30*time.Second), condition) {
+		t.Fatalf("in vain: %s\n%s", what, c)
+	}
+}
+
+// holder is the instance whose effect was accepted last.
+func (c *cluster) holder() string { return c.lastAccepted(testRole).From }
+
+// awaitOtherHolder waits until an effect of another instance is accepted, and returns that instance.
+func awaitOtherHolder(t *testing.T, c *cluster, previous string) string {
+	t.Helper()
+	eventually(t, c, "another than "+previous+" holds the role", func() bool { return c.holder() != previous })
+	return c.holder()
+}
+
+// memberLogs says whether a member's log has a text.
+func (c *cluster) memberLogs(i int, text string) bool {
+	return strings.Contains(c.processes[memberName(i)].Log(), text)
+}
+
+// A holder that is frozen with an effect in flight, and wakes up after another holds the role, does no harm: its effect is
+// rejected by its token. Without fencing the same faults do harm, and the checker finds it.
+func TestCluster_LateEffectIsRejected(t *testing.T) {
+	for _, tt := range []struct {
+		name     string
+		unfenced bool
+	}{{"fenced", false}, {"unfenced", true}} {
+		t.Run(tt.name, func(t *testing.T) {
+			c := startCluster(t, 2, time.Second, tt.unfenced)
+			old := c.holder()
+			freezeWithEffectInFlight(t, c, old)
+			awaitOtherHolder(t, c, old)
+			c.relays[relayName(old, recorderName)].Heal() // the effect arrives while its sender is still frozen
+			eventually(t, c, "the late effect arrives", func() bool {
+				violations, _ := fakestandalone.FindViolations(c.recorder.Accepted())
+				return len(c.recorder.Rejected())+violations > 0
+			})
+			if err := c.processes[old].Thaw(); err != nil {
+				t.Error(err)
+			}
+			time.Sleep(time.Second) // in which the old holder may do harm
+			violations, first := fakestandalone.FindViolations(c.recorder.Accepted())
+			rejected := strings.Join(c.recorder.Rejected(), "\n")
+			if (violations > 0) != tt.unfenced || (rejected == "") != tt.unfenced ||
+				!tt.unfenced && !strings.Contains(rejected, "token 1, serial") {
+				t.Errorf("%d violations (%s), rejected: %s\n%s", violations, first, rejected, c)
+			}
+		})
+	}
+}
+
+// freezeWithEffectInFlight freezes an instance while an effect of its is held on the way to the recorder.
+func freezeWithEffectInFlight(t *testing.T, c *cluster, instance string) {
+	t.Helper()
+	relay := c.relays[relayName(instance, recorderName)]
+	// The responses are held first: an effect whose response is held has arrived, and is not the one in flight.
+	relay.Set(faulttest.Downstream, faulttest.Fault{Hold: true})
+	eventually(t, c, "an effect has arrived", func() bool { return relay.Held(faulttest.Downstream) > 0 })
+	relay.Set(faulttest.Upstream, faulttest.Fault{Hold: true})
+	relay.Set(faulttest.Downstream, faulttest.Fault{})
+	eventually(t, c, "an effect is in flight", func() bool { return relay.Held(faulttest.Upstream) > 0 })
+	if err := c.processes[instance].Freeze(); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A holder that sends heartbeats and makes no progress is replaced, every member logs that cause, and its late effect is
+// rejected. A holder whose heartbeat is half a lease late counts as silent instead; the lease is long, as a loaded machine
+// may hold a heartbeat up for half a second.
+func TestCluster_StuckHolderIsReplaced(t *testing.T) {
+	c := startCluster(t, 3, 5*time.Second, false)
+	old := c.holder()
+	relay := c.relays[relayName(old, recorderName)]
+	relay.Set(faulttest.Upstream, faulttest.Fault{Hold: true})
+	awaitOtherHolder(t, c, old)
+	for i := range c.memberAddrs {
+		eventually(t, c, memberName(i)+" logs the cause", func() bool {
+			return c.memberLogs(i, old+" is there and its work stands still")
+		})
+	}
+	relay.Heal()
+	eventually(t, c, "the old holder's effect is rejected", func() bool { return len(c.recorder.Rejected()) > 0 })
+	c.checkNoViolations(t)
+}
+
+func (c *cluster) checkNoViolations(t *testing.T) {
+	t.Helper()
+	if violations, first := fakestandalone.FindViolations(c.recorder.Accepted()); violations > 0 {
+		t.Error(first)
+	}
+}
+
+// failures is a sequence of failures of one cluster.
+type failures struct {
+	*cluster
+	stopped    string // instance that was stopped
+	leader     int    // member that led and was killed
+	copiedDisk string // of the leader, when it was killed
+}
+
+// What else may happen to instances and members, one failure after the other.
+func TestCluster_SurvivesFailures(t *testing.T) {
+	f := &failures{cluster: startCluster(t, 3, time.Second, false)}
+	for _, step := range []struct {
+		name string
+		run  func(*testing.T)
+	}{
+		{"holder cut off from the members", f.cutOffHolder},
+		{"instance stopped", f.stopHolder},
+		{"role moved by an operator", f.moveRole},
+		{"status and metrics", f.readStatus},
+		{"leader killed", f.killLeader},
+		{"member with an old disk", f.restoreOldDisk},
+		{"member with a full disk", f.fillDisk},
+		{"quorum lost", f.loseQuorum},
+	} {
+		if !t.Run(step.name, step.run) {
+			return // the next step would start from another state
+		}
+	}
+	f.checkNoViolations(t)
+}
+
+// cutOffHolder: the holder stops by itself before another starts.
+func (f *failures) cutOffHolder(t *testing.T) {
+	holder := f.holder()
+	for i := range f.memberAddrs {
+		f.relays[relayName(holder, memberName(i))].Set(faulttest.Upstream, faulttest.Fault{Hold: true})
+	}
+	awaitOtherHolder(t, f.cluster, holder)
+	for i := range f.memberAddrs {
+		f.relays[relayName(holder, memberName(i))].Heal()
+	}
+}
+
+// stopHolder: it ends in order and has released its lease, which did not expire.
+func (f *failures) stopHolder(t *testing.T) {
+	time.Sleep(2 * time.Second) // until no penalty is left: else there is nobody to hand over to
+	f.stopped = f.holder()
+	if err := f.processes[f.stopped].Stop(); err != nil {
+		t.Fatal(err)
+	}
+	awaitOtherHolder(t, f.cluster, f.stopped)
+	if err := f.processes[f.stopped].Wait(time.Now().Add(10 * time.Second)); err != nil {
+		t.Error(err)
+	}
+	eventually(t, f.cluster, "the lease was released", func() bool { return f.memberLogs(0, "given back by "+f.stopped) })
+}
+
+func (f *failures) moveRole(t *testing.T) {
+	var target string
+	for i := range 3 {
+		if name := instanceName(i); name != f.stopped && name != f.holder() {
+			target = name
+		}
+	}
+	move := f.command("singleton", "move", testRole, target, "--fleet", f.fleetFile(operatorName))
+	if out, err := move.CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
+	eventually(t, f.cluster, target+" holds the role", func() bool { return f.holder() == target })
+}
+
+func (f *failures) readStatus(t *testing.T) {
+	status, _, err := f.status()
+	if err != nil || !status.HasQuorum || status.MostCurrent().Assignments[testRole].Holder != f.holder() {
+		t.Errorf("status: %+v, %v", status, err)
+	}
+	f.leader = int(status.MostCurrent().Leader) - 1
+	resp, err := http.Get("http://" + f.memberAddrs[f.leader] + "/v1/metrics")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	metrics, err := io.ReadAll(resp.Body)
+	if err != nil || !strings.Contains(string(metrics), `owner_work_owned{work="export"} 1`) ||
+		!strings.Contains(string(metrics), "\nowner_instances ") {
+		t.Errorf("%v: %s", err, metrics)
+	}
+}
+
+// killLeader: the death of the leader does not move the role.
+func (f *failures) killLeader(t *testing.T) {
+	f.copiedDisk = filepath.Join(f.dir, "copy")
+	f.processes[memberName(f.leader)].Kill()
+	if out, err := exec.Command("cp", "-r", f.memberDir(f.leader), f.copiedDisk).CombinedOutput(); err != nil {
+		t.Fatalf("%v: %s", err, out)
+	}
+	before, killedAt := f.lastAccepted(testRole), time.Now()
+	eventually(t, f.cluster, "the role goes on without the leader", func() bool {
+		return f.lastAccepted(testRole).At.After(killedAt.Add(2 * time.Second))
+	})
+	if after := f.lastAccepted(testRole); after.Token != before.Token || after.From != before.From {
+		t.Errorf("the leader's death moved the role: %+v, before %+v", after, before)
+	}
+}
+
+// restoreOldDisk: a member whose disk is an older copy ends by itself.
+func (f *failures) restoreOldDisk(t *testing.T) {
+	if err := f.startMember(f.leader); err != nil {
+		t.Fatal(err)
+	}
+	eventually(t, f.cluster, "the old leader takes part again", func() bool {
+		status, _, err := f.status()
+		return err == nil && len(status.Unreachable) == 0
+	})
+	f.processes[memberName(f.leader)].Kill()
+	if err := os.RemoveAll(f.memberDir(f.leader)); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(f.copiedDisk, f.memberDir(f.leader)); err != nil {
+		t.Fatal(err)
+	}
+	if err := f.startMember(f.leader); err != nil {
+		t.Fatal(err)
+	}
+	f.expectFailure(t, f.leader, "disk is older")
+}
+
+// expectFailure waits until a member has ended with an error that its log names.
+func (f *failures) expectFailure(t *testing.T, member int, reason string) {
+	t.Helper()
+	process := f.processes[memberName(member)]
+	if err := process.Wait(time.Now().Add(20 * time.Second)); err == nil || !f.memberLogs(member, reason) {
+		t.Errorf("not ended with %q: %v, %s", reason, err, process.Log())
+	}
+}
+
+// fillDisk: a member whose disk is full ends by itself and says so; once there is room it takes part again.
+func (f *failures) fillDisk(t *testing.T) {
+	if err := os.RemoveAll(f.memberDir(f.leader)); err != nil {
+		t.Fatal(err)
+	}
+	member := (f.leader + 1) % 3
+	if err := f.processes[memberName(member)].FillDisk(); err != nil {
+		t.Fatal(err)
+	}
+	// Something to write. It fails where there is no quorum any more.
+	_ = f.command("singleton", "release", testRole, "--fleet", f.fleetFile(operatorName)).Run()
+	f.expectFailure(t, member, "can't be kept")
+	if err := f.startMember(member); err != nil {
+		t.Fatal(err)
+	}
+	restartedAt := time.Now()
+	eventually(t, f.cluster, "the role is held once there is room", func() bool {
+		return f.lastAccepted(testRole).At.After(restartedAt)
+	})
+}
+
+// loseQuorum: with one of three members left the holder stops and the status says so.
+func (f *failures) loseQuorum(t *testing.T) {
+	member := (f.leader + 1) % 3
+	f.processes[memberName(member)].Kill()
+	eventually(t, f.cluster, "the holder stops without a quorum", func() bool {
+		return time.Since(f.lastAccepted(testRole).At) > 2*time.Second
+	})
+	if _, text, err := f.status(); err == nil {
+		t.Errorf("status without a quorum: %s", text)
+	}
+	restartedAt := time.Now()
+	if err := f.startMember(member); err != nil {
+		t.Fatal(err)
+	}
+	eventually(t, f.cluster, "the role is held again", func() bool { return f.lastAccepted(testRole).At.After(restartedAt) })
+}
--- /dev/null
+++ b/internal/faulttest/clustertest/discoverycache.go
@@ -0,0 +1,372 @@
+package clustertest
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"pumiceline/internal/fake/fakestandalone"
+	"pumiceline/internal/standalone/discovery"
+)
+
+// DiscoveryCacheOptions are the parameters of a run of discovery caches.
+type DiscoveryCacheOptions struct {
+	Members      int // 1, 3, 5 or 7
+	Instances    int // each serves a cache of discovery's list
+	Lease        time.Duration
+	SteadyPeriod time.Duration // for how long requests to discovery are counted, before and after the holder is killed
+	Proxies      int           // that ask a cache, under load; as many ask discovery itself
+}
+
+// DiscoveryCacheResult is the outcome of a run of discovery caches. Its JSON form is stored.
+type DiscoveryCacheResult struct {
+	Instances     int           `json:"instances"`
+	AllServeS     float64       `json:"all_serve_s"` // in seconds from the first process's start until all caches served
+	StartCalls    int64         `json:"start_calls"` // requests to discovery until then
+	SteadyCalls   int64         `json:"calm_calls"`  // requests to discovery in the steady period
+	UpdateDelay   Percentiles   `json:"change"`      // from a change at discovery until a cache's watcher has it
+	FailoverDelay Percentiles   `json:"new_owner"`   // from the holder's death until a cache's watcher has a later change
+	FailoverCalls int64         `json:"lost_calls"`  // requests to discovery in that time
+	MemberMB      float64       `json:"member_mb"`   // mean resident memory
+	InstanceMB    float64       `json:"instance_mb"`
+	MemberCPU     float64       `json:"member_cpu"` // mean share of a core in the steady period
+	InstanceCPU   float64       `json:"instance_cpu"`
+	Direct        RequestCounts `json:"direct"`   // of proxies that ask discovery itself
+	Cached        RequestCounts `json:"mirrored"` // of proxies that ask a cache
+}
+
+// RequestCounts is what became of the requests to some proxies.
+type RequestCounts struct {
+	Sent     int `json:"Asked"`
+	Served   int `json:"Served"`
+	Rejected int `json:"Refused"`
+	Failed   int `json:"Failed"`
+}
+
+func (c *RequestCounts) add(s fakestandalone.RequestStats) {
+	c.Sent += s.Sent
+	c.Served += s.Served
+	c.Rejected += s.Rejected
+	c.Failed += s.Failed
+}
+
+// discoveryRole is the role whose holder follows discovery for all instances.
+const discoveryRole = "roster"
+
+const (
+	testBackends        = 4
+	backendServiceTime  = 20 * time.Millisecond
+	requestsPerSecond   = 50 // to each proxy
+	cacheStartTimeout   = time.Minute
+	updateTimeout       = 20 * time.Second
+	failoverTimeout     = 30 * time.Second
+	proxyReadyTimeout   = 20 * time.Second
+	settleLeases        = 5 // for how many leases instances that gave up the first holder have time to return to it
+	proxiesPerCacheUser = 2 // every other proxy asks a cache
+)
+
+var testZones = []string{"east", "west"}
+
+// discoveryCacheRun is a run of discovery caches.
+type discoveryCacheRun struct {
+	*cluster
+	opts          *DiscoveryCacheOptions
+	result        *DiscoveryCacheResult
+	discovery     *fakestandalone.Discovery
+	directAddr    string       // of discovery, for proxies
+	fleetAddr     string       // of discovery, for instances, where requests are counted
+	fleetRequests atomic.Int64 // to discovery
+	members       []string     // names
+	instances     []string
+	cacheAddrs    []string // by instance
+	watchers      *cacheWatchers
+	loads         []*fakestandalone.LoadGenerator // by proxy
+}
+
+// RunDiscoveryCache runs instances that each serve a cache of discovery's list, counts the requests to discovery, and kills
+// the instance that follows discovery for the others.
+func RunDiscoveryCache(program string, opts *DiscoveryCacheOptions) (*DiscoveryCacheResult, error) {
+	result := &DiscoveryCacheResult{Instances: opts.Instances}
+	c, err := newCluster(clusterOptions{program: program, members: opts.Members, lease: opts.Lease})
+	defer c.close()
+	if err != nil {
+		return result, err
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	r := &discoveryCacheRun{cluster: c, opts: opts, result: result, watchers: newCacheWatchers(opts.Instances)}
+	if err := r.startDiscovery(ctx); err != nil {
+		return result, err
+	}
+	if err := r.startCaches(ctx); err != nil {
+		return result, err
+	}
+	time.Sleep(settleLeases * opts.Lease)
+	if err := r.startProxies(); err != nil {
+		return result, err
+	}
+	stopLoad := r.startLoad(ctx)
+	defer stopLoad()
+	if err := r.measureSteadyPeriod(); err != nil {
+		return result, err
+	}
+	if err := r.measureFailover(); err != nil {
+		return result, err
+	}
+	stopLoad()
+	r.countRequests()
+	return result, nil
+}
+
+// startDiscovery starts the fakes of discovery and of backends, and a second listener of discovery that counts requests.
+// They end with ctx.
+func (r *discoveryCacheRun) startDiscovery(ctx context.Context) error {
+	var listeners []net.Listener
+	for range 2 + testBackends {
+		ln, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			return fmt.Errorf("start discovery: %w", err)
+		}
+		listeners = append(listeners, ln)
+	}
+	direct, counted, backends := listeners[0], listeners[1], listeners[2:]
+	environment := fakestandalone.NewEnvironment(direct, backends, testZones, fakestandalone.SleepAbout(backendServiceTime))
+	go environment.Serve(ctx)
+	r.discovery = environment.Discovery
+	r.directAddr, r.fleetAddr = direct.Addr().String(), counted.Addr().String()
+	r.putHost("first")
+	server := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		r.fleetRequests.Add(1)
+		r.discovery.ServeHTTP(w, req)
+	})}
+	context.AfterFunc(ctx, func() { server.Close() })
+	go server.Serve(counted)
+	return nil
+}
+
+// putHost adds a host to discovery's list, as a change to wait for: it drains, so no proxy sends anything there.
+func (r *discoveryCacheRun) putHost(name string) {
+	r.discovery.Put(discovery.Entry{Host: name, Address: "127.0.0.1:1", Zone: testZones[0], InstanceType: "std-8", Cell: 1,
+		Health: "DRAINING", Size: 1})
+}
+
+// startCaches starts members and instances, and waits until all caches serve.
+func (r *discoveryCacheRun) startCaches(ctx context.Context) error {
+	if err := r.writeDiscoveryFleetFile(); err != nil {
+		return err
+	}
+	startedAt := time.Now()
+	for i := range r.opts.Members {
+		if err := r.startDirectMember(i); err != nil {
+			return err
+		}
+	}
+	for i := range r.opts.Instances {
+		if err := r.startCache(i); err != nil {
+			return err
+		}
+	}
+	for i, addr := range r.cacheAddrs {
+		go r.watchers.watch(ctx, i, addr)
+	}
+	if _, err := r.watchers.awaitHost(time.Now().Add(cacheStartTimeout), "first", startedAt); err != nil {
+		return err
+	}
+	r.result.AllServeS, r.result.StartCalls = time.Since(startedAt).Seconds(), r.fleetRequests.Load()
+	return nil
+}
+
+// writeDiscoveryFleetFile writes the one fleet file of all processes: there are no relays between them.
+func (r *discoveryCacheRun) writeDiscoveryFleetFile() error {
+	var text strings.Builder
+	fmt.Fprintf(&text, "name = %q\n", filepath.Base(r.dir))
+	fmt.Fprintf(&text, "lease = %q\ndamp = %q\n[members]\n", r.lease, r.lease)
+	for i, addr := range r.memberAddrs {
+		fmt.Fprintf(&text, "%d = %q\n", i+1, addr)
+	}
+	fmt.Fprintf(&text, "[works.%s]\ndiscovery = %q\n", discoveryRole, r.fleetAddr)
+	if err := os.WriteFile(r.fleetFile(operatorName), []byte(text.String()), 0o600); err != nil {
+		return fmt.Errorf("fleet file: %w", err)
+	}
+	return nil
+}
+
+func (r *discoveryCacheRun) startDirectMember(i int) error {
+	name := memberName(i)
+	r.members = append(r.members, name)
+	if err := os.MkdirAll(r.memberDir(i), 0o700); err != nil {
+		return fmt.Errorf("folder of %s: %w", name, err)
+	}
+	return r.startProcess(name, "singleton", "member", "--fleet", r.fleetFile(operatorName), "--id", fmt.Sprint(i+1),
+		"--dir", r.memberDir(i))
+}
+
+func (r *discoveryCacheRun) startCache(i int) error {
+	addr, err := reserveAddr(0, i)
+	if err != nil {
+		return err
+	}
+	name := instanceName(i)
+	r.cacheAddrs, r.instances = append(r.cacheAddrs, addr), append(r.instances, name)
+	return r.startProcess(name, "singleton", "run", "--fleet", r.fleetFile(operatorName), "--name", name, "--mirror", addr)
+}
+
+// startProxies starts the proxies, of which every other asks a cache, and waits until each is ready.
+func (r *discoveryCacheRun) startProxies() error {
+	count := proxiesPerCacheUser * r.opts.Proxies
+	for i := range count {
+		discoveryAddr := r.directAddr
+		if isCacheUser(i) {
+			discoveryAddr = r.cacheAddrs[i/proxiesPerCacheUser%len(r.cacheAddrs)]
+		}
+		addr, err := r.startProxy(i, count, discoveryAddr)
+		if err != nil {
+			return err
+		}
+		r.loads = append(r.loads, &fakestandalone.LoadGenerator{BaseURL: "http://" + addr, RequestsPerSecond: requestsPerSecond,
+			Classes: fakestandalone.Classes, Tenants: fakestandalone.Tenants})
+		if !waitFor(time.Now().Add(proxyReadyTimeout), func() bool { return isReady(addr) }) {
+			return fmt.Errorf("proxy %d is not ready; its log:\n%s", i, r.processes[proxyName(i)].Log())
+		}
+	}
+	return nil
+}
+
+// isCacheUser says whether the i-th proxy asks a cache.
+func isCacheUser(i int) bool { return i%proxiesPerCacheUser == 1 }
+
+func proxyName(i int) string { return fmt.Sprint("proxy ", i+1) }
+
+// startProxy starts the i-th of count proxies, which asks discovery at an address, and returns where it listens.
+func (r *discoveryCacheRun) startProxy(i, count int, discoveryAddr string) (addr string, err error) {
+	if addr, err = reserveAddr(3, i); err != nil {
+		return "", err
+	}
+	config, err := fakestandalone.ReplicaConfig(addr, discoveryAddr, testZones, i, count)
+	file := filepath.Join(r.dir, fmt.Sprintf("proxy-%d.json", i))
+	if err == nil {
+		err = os.WriteFile(file, config, 0o600)
+	}
+	if err != nil {
+		return "", fmt.Errorf("configuration of proxy %d: %w", i, err)
+	}
+	return addr, r.startProcess(proxyName(i), "serve", "--config", file)
+}
+
+func isReady(addr string) bool {
+	resp, err := http.Get("http://" + addr + "/ready")
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
+
+// startLoad sends requests to all proxies at once: what one kind of proxy does is compared with what the other does. The
+// returned function ends the load and waits for the last response; it may be called twice.
+func (r *discoveryCacheRun) startLoad(ctx context.Context) (stop func()) {
+	ctx, cancel := context.WithCancel(ctx)
+	var running sync.WaitGroup
+	for _, load := range r.loads {
+		running.Go(func() { load.Run(ctx) })
+	}
+	return func() {
+		cancel()
+		running.Wait()
+	}
+}
+
+// measureSteadyPeriod measures how long a change takes to reach the caches, and what the processes use while nothing else
+// happens.
+func (r *discoveryCacheRun) measureSteadyPeriod() (err error) {
+	requestsBefore := r.fleetRequests.Load()
+	membersBefore, err := r.meanUsage(r.members)
+	if err != nil {
+		return err
+	}
+	instancesBefore, err := r.meanUsage(r.instances)
+	if err != nil {
+		return err
+	}
+	startedAt := time.Now()
+	r.putHost("second")
+	if r.result.UpdateDelay, err = r.watchers.awaitHost(startedAt.Add(updateTimeout), "second", startedAt); err != nil {
+		return err
+	}
+	time.Sleep(time.Until(startedAt.Add(r.opts.SteadyPeriod)))
+	r.result.SteadyCalls = r.fleetRequests.Load() - requestsBefore
+	seconds := time.Since(startedAt).Seconds()
+	members, err := r.meanUsage(r.members)
+	if err != nil {
+		return err
+	}
+	instances, err := r.meanUsage(r.instances)
+	if err != nil {
+		return err
+	}
+	r.result.MemberMB, r.result.MemberCPU = members.residentMB, (members.cpuSeconds-membersBefore.cpuSeconds)/seconds
+	r.result.InstanceMB, r.result.InstanceCPU = instances.residentMB, (instances.cpuSeconds-instancesBefore.cpuSeconds)/seconds
+	return nil
+}
+
+// meanUsage is what one of some processes uses on average.
+type meanUsage struct {
+	residentMB float64
+	cpuSeconds float64 // since its start
+}
+
+func (r *discoveryCacheRun) meanUsage(names []string) (mean meanUsage, err error) {
+	for _, name := range names {
+		usage, err := r.processes[name].Usage()
+		if err != nil {
+			return meanUsage{}, err
+		}
+		mean.residentMB += float64(usage.ResidentBytes) / (1 << 20) / float64(len(names))
+		mean.cpuSeconds += usage.CPU.Seconds() / float64(len(names))
+	}
+	return mean, nil
+}
+
+// measureFailover kills the instance that follows discovery and measures how long a later change takes to reach the other
+// instances' caches.
+func (r *discoveryCacheRun) measureFailover() error {
+	status, _, err := r.status()
+	if err != nil {
+		return err
+	}
+	holder := slices.Index(r.instances, status.MostCurrent().Assignments[discoveryRole].Holder)
+	if holder < 0 {
+		return errors.New("no instance follows discovery")
+	}
+	requestsBefore := r.fleetRequests.Load()
+	r.processes[r.instances[holder]].Kill()
+	killedAt := time.Now()
+	r.putHost("third")
+	r.watchers.markSeen(holder, "third", killedAt) // its cache ended with it
+	r.result.FailoverDelay, err = r.watchers.awaitHost(killedAt.Add(failoverTimeout), "third", killedAt)
+	r.result.FailoverCalls = r.fleetRequests.Load() - requestsBefore
+	if err != nil {
+		return err
+	}
+	time.Sleep(time.Until(killedAt.Add(r.opts.SteadyPeriod)))
+	return nil
+}
+
+func (r *discoveryCacheRun) countRequests() {
+	for i, load := range r.loads {
+		if isCacheUser(i) {
+			r.result.Cached.add(load.TakeStats())
+		} else {
+			r.result.Direct.add(load.TakeStats())
+		}
+	}
+}
--- /dev/null
+++ b/internal/faulttest/clustertest/run.go
@@ -0,0 +1,165 @@
+package clustertest
+
+import (
+	"context"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"github.com/anishathalye/porcupine"
+
+	"pumiceline/internal/fake/fakestandalone"
+	"pumiceline/internal/faulttest"
+)
+
+// Options are the parameters of a run.
+type Options struct {
+	Seed        uint64 // of the faults
+	Members     int    // 1, 3, 5 or 7
+	Instances   int
+	Roles       int
+	Lease       time.Duration
+	FaultPeriod time.Duration // for how long faults begin
+	Unfenced    bool          // the recorder accepts stale effects too: the checker must find violations
+}
+
+// Result is the outcome of a run. Its JSON form is stored.
+type Result struct {
+	Seed           uint64             `json:"seed"`
+	Violations     int                `json:"harms"` // accepted effects that are stale, or of two senders with one token
+	FirstViolation string             `json:"first,omitempty"`
+	Linearizable   bool               `json:"linearizable"` // what instances and a reader saw fits a receiver that compares tokens
+	Accepted       int                `json:"taken"`        // effects
+	Rejected       int                `json:"late_refused"`
+	HolderChanges  int                `json:"hand_overs"`
+	LongestGapS    map[string]float64 `json:"longest_gap_s"` // by role, in seconds between two accepted effects
+	RecoveryS      float64            `json:"owned_again_s"` // in seconds from the last fault's end until all roles are held
+	Failures       []string           `json:"why,omitempty"` // why the run failed; empty: it passed
+	History        []faulttest.Event  `json:"history,omitempty"`
+}
+
+// LongestGap is the longest gap of all roles, in seconds.
+func (r *Result) LongestGap() (longest float64) {
+	for _, gap := range r.LongestGapS {
+		longest = max(longest, gap)
+	}
+	return longest
+}
+
+const (
+	startTimeout = 30 * time.Second // until all roles are held
+	// recoveryLeases is within how many leases after the last fault every role has to be held again: a lease that expires,
+	// the penalty of an instance with several expirations, an election.
+	recoveryLeases = 12
+	// seedStream is the second half of the generator's seed.
+	seedStream = 27
+)
+
+// clockRates are what instances' clocks are drawn from: wrong by less than the drift that the fleet's file allows.
+var clockRates = []float64{1, 1, 0.85, 1.15}
+
+// Run runs a cluster of processes of the program, with faults drawn from the seed, and checks the accepted effects. An error
+// is one of the harness; what the cluster did wrong stands in the result.
+func Run(program string, opts *Options) (*Result, error) {
+	result := &Result{Seed: opts.Seed, LongestGapS: map[string]float64{}}
+	var roles []string
+	for i := range opts.Roles {
+		roles = append(roles, fmt.Sprint("work-", i+1))
+	}
+	c, err := newCluster(clusterOptions{program: program, members: opts.Members, lease: opts.Lease, roles: roles, unfenced: opts.Unfenced})
+	defer c.close()
+	if err != nil {
+		return result, err
+	}
+	random := rand.New(rand.NewPCG(opts.Seed, seedStream))
+	if err := c.startAll(opts, random); err != nil {
+		return result, err
+	}
+	if !waitFor(time.Now().Add(startTimeout), func() bool { return c.allHeldSince(time.Time{}) }) {
+		result.Failures = append(result.Failures, "not all works were owned within 30 s of the start")
+		result.History = c.History()
+		return result, nil
+	}
+	watched := make(chan []porcupine.Operation, 1)
+	watching, stopWatching := context.WithCancel(context.Background())
+	defer stopWatching()
+	go func() { watched <- c.watchRecorder(watching) }()
+	c.injectFaults(&faultInjector{cluster: c, rand: random, members: opts.Members, instances: opts.Instances}, opts)
+	c.awaitRecovery(result)
+	c.check(result)
+	stopWatching()
+	if result.Linearizable, err = c.isLinearizable(<-watched); err != nil {
+		return result, err
+	}
+	if !result.Linearizable {
+		result.Failures = append(result.Failures, "what the instances saw fits no order of effects")
+	}
+	result.History = c.History()
+	return result, nil
+}
+
+// startAll starts members and instances, whose clocks' rates it draws.
+func (c *cluster) startAll(opts *Options, random *rand.Rand) error {
+	for i := range opts.Members {
+		if err := c.startMember(i); err != nil {
+			return err
+		}
+	}
+	for i := range opts.Instances {
+		c.clockRates[instanceName(i)] = clockRates[random.IntN(len(clockRates))]
+		if err := c.startInstance(i); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// allHeldSince says whether an effect of every role was accepted after a moment.
+func (c *cluster) allHeldSince(moment time.Time) bool {
+	for _, role := range c.roles {
+		if !c.lastAccepted(role).At.After(moment) {
+			return false
+		}
+	}
+	return true
+}
+
+// injectFaults injects one fault after the other for the fault period. A fault lasts 0.3 to 2.8 leases, a pause one at most.
+func (c *cluster) injectFaults(f *faultInjector, opts *Options) {
+	ctx, cancel := context.WithTimeout(context.Background(), opts.FaultPeriod)
+	defer cancel()
+	for ctx.Err() == nil {
+		end := f.inject()
+		sleep(ctx, time.Duration((0.3+2.5*f.rand.Float64())*float64(opts.Lease)))
+		end()
+		sleep(ctx, time.Duration(f.rand.Float64()*float64(opts.Lease)))
+	}
+}
+
+// sleep waits for a time, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
+	}
+}
+
+// awaitRecovery waits until all roles are held again after the last fault.
+func (c *cluster) awaitRecovery(result *Result) {
+	lastFault := time.Now()
+	c.Record("script", "the last fault is over")
+	if !waitFor(lastFault.Add(recoveryLeases*c.lease), func() bool { return c.allHeldSince(lastFault) }) {
+		result.Failures = append(result.Failures, fmt.Sprintf("not all works were owned again %d leases after the last fault", recoveryLeases))
+	}
+	result.RecoveryS = time.Since(lastFault).Seconds()
+}
+
+// check checks the accepted effects by themselves, whatever anybody believed.
+func (c *cluster) check(result *Result) {
+	accepted := c.recorder.Accepted()
+	result.summarize(accepted)
+	result.Rejected = len(c.recorder.Rejected())
+	if result.Violations, result.FirstViolation = fakestandalone.FindViolations(accepted); result.Violations > 0 {
+		result.Failures = append(result.Failures, result.FirstViolation)
+	}
+}
--- /dev/null
+++ b/internal/faulttest/datagramrelay.go
@@ -0,0 +1,168 @@
+package faulttest
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"sync"
+	"time"
+)
+
+// DatagramRelay forwards UDP datagrams to a target, and the responses back: each sender has a socket of its own towards the
+// target. Which datagrams are lost, duplicated or late is drawn from a seed, in the order in which they come.
+type DatagramRelay struct {
+	*faultControl
+	target   *net.UDPAddr
+	listener *net.UDPConn
+	delayed  chan struct{} // one element a delayed datagram
+	closed   chan struct{}
+	running  sync.WaitGroup
+
+	sendersMu sync.Mutex
+	rand      *rand.Rand
+	senders   map[string]*net.UDPConn // sockets towards the target, by the sender's address; nil: closed
+}
+
+const (
+	maxSenders       = 256
+	maxDatagramBytes = 64 << 10
+	maxDelayed       = 4096 // datagrams that are late or held; further ones are lost, as in a full queue
+)
+
+// StartDatagramRelay listens on loopback for datagrams to a target. The name is the relay's in the history.
+func (h *Harness) StartDatagramRelay(name, target string, seed uint64) (*DatagramRelay, error) {
+	targetAddr, err := net.ResolveUDPAddr("udp", target)
+	if err != nil {
+		return nil, fmt.Errorf("datagram relay %s: %w", name, err)
+	}
+	listener, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		return nil, fmt.Errorf("datagram relay %s: %w", name, err)
+	}
+	r := &DatagramRelay{
+		faultControl: newFaultControl(h, name),
+		target:       targetAddr,
+		listener:     listener,
+		delayed:      make(chan struct{}, maxDelayed),
+		closed:       make(chan struct{}),
+		rand:         rand.New(rand.NewPCG(seed, 0)),
+		senders:      map[string]*net.UDPConn{},
+	}
+	r.running.Go(func() { r.read(listener, r.forwardUpstream) })
+	if !h.addCleanup(r.Close) {
+		r.Close()
+		return nil, fmt.Errorf("datagram relay %s: %w", name, ErrClosed)
+	}
+	h.Record(name, "%s passes to %s", listener.LocalAddr(), target)
+	return r, nil
+}
+
+// Addr is where the relay listens.
+func (r *DatagramRelay) Addr() string { return r.listener.LocalAddr().String() }
+
+// Close ends the relay and waits for its goroutines.
+func (r *DatagramRelay) Close() {
+	r.sendersMu.Lock()
+	if r.senders != nil {
+		close(r.closed)
+		r.listener.Close()
+		for _, socket := range r.senders {
+			socket.Close()
+		}
+		r.senders = nil
+	}
+	r.sendersMu.Unlock()
+	r.running.Wait()
+}
+
+// read reads datagrams from a socket until the relay is closed.
+func (r *DatagramRelay) read(socket *net.UDPConn, handle func(data []byte, from *net.UDPAddr)) {
+	buffer := make([]byte, maxDatagramBytes)
+	for {
+		n, from, err := socket.ReadFromUDP(buffer)
+		select {
+		case <-r.closed:
+			return
+		default:
+		}
+		if err != nil {
+			time.Sleep(time.Millisecond) // nobody listens at the target now; that may change
+			continue
+		}
+		handle(append([]byte(nil), buffer[:n]...), from)
+	}
+}
+
+func (r *DatagramRelay) forwardUpstream(data []byte, from *net.UDPAddr) {
+	if socket := r.socketFor(from); socket != nil {
+		r.forward(Upstream, func() { _, _ = socket.Write(data) }) // an error is a loss
+	}
+}
+
+// socketFor is the socket towards the target of a sender; nil where there are too many senders.
+func (r *DatagramRelay) socketFor(from *net.UDPAddr) *net.UDPConn {
+	r.sendersMu.Lock()
+	defer r.sendersMu.Unlock()
+	socket := r.senders[from.String()]
+	if socket != nil || r.senders == nil || len(r.senders) >= maxSenders {
+		return socket
+	}
+	socket, err := net.DialUDP("udp", nil, r.target)
+	if err != nil {
+		r.harness.Record(r.name, "no socket for %v: %v", from, err)
+		return nil
+	}
+	r.senders[from.String()] = socket
+	r.running.Go(func() {
+		r.read(socket, func(data []byte, _ *net.UDPAddr) {
+			r.forward(Downstream, func() { _, _ = r.listener.WriteToUDP(data, from) })
+		})
+	})
+	return socket
+}
+
+// forward calls deliver as often, and as late, as the fault of a direction says.
+func (r *DatagramRelay) forward(d Direction, deliver func()) {
+	fault, _ := r.fault(d)
+	fate := r.draw(fault)
+	for range fate.copies {
+		if !fault.Hold && fault.Delay == 0 && fault.Jitter == 0 {
+			deliver()
+			continue
+		}
+		select {
+		case r.delayed <- struct{}{}:
+		default:
+			return
+		}
+		due := time.Now().Add(fate.jitter)
+		r.running.Go(func() {
+			defer func() { <-r.delayed }()
+			if r.await(d, due, 1, r.closed) {
+				deliver()
+			}
+		})
+	}
+}
+
+// datagramFate is what is drawn for a datagram.
+type datagramFate struct {
+	copies int // 0: it is lost
+	jitter time.Duration
+}
+
+// draw draws the fate of the next datagram. It makes the same number of draws whatever the fault, so that a change of the
+// fault does not change later draws.
+func (r *DatagramRelay) draw(fault Fault) datagramFate {
+	r.sendersMu.Lock()
+	defer r.sendersMu.Unlock()
+	isLost, isDuplicated, jitter := r.rand.Float64() < fault.Drop, r.rand.Float64() < fault.Duplicate, r.rand.Float64()
+	fate := datagramFate{copies: 1, jitter: time.Duration(jitter * float64(fault.Jitter))}
+	switch {
+	case isLost:
+		fate.copies = 0
+	case isDuplicated:
+		fate.copies = 2
+	}
+	return fate
+}
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -7,104 +7,85 @@
 	"os"
 	"os/exec"
 	"strings"
-	"sync"
 	"syscall"
 	"time"
 
 	"golang.org/x/sys/unix"
 )
 
-// Process is a process that the stage has started. Signals go to it alone, by its id.
+// Process is a process that the harness has started. Signals go to it alone, by its process ID.
 type Process struct {
-	name  string
-	stage *Stage
-	cmd   *exec.Cmd
-	log   output
-	ended chan struct{}
-	err   error // once ended is closed
+	name    string
+	harness *Harness
+	cmd     *exec.Cmd
+	output  outputBuffer
+	ended   chan struct{}
+	err     error // of its end; to be read once ended is closed
 }
 
-// output is what a process says, with a bound: the latest is kept.
-type output struct {
-	mu   sync.Mutex
-	text bytes.Buffer
-	lost int
-}
-
-// mostOutput is how much of a process's output is kept.
-const mostOutput = 4 << 20
-
-// Write implements io.Writer. It never fails: a process must not stand still for it.
-func (o *output) Write(b []byte) (int, error) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.text.Len()+len(b) > mostOutput {
-		o.lost += o.text.Len() / 2
-		o.text.Next(o.text.Len() / 2)
-	}
-	o.text.Write(b[max(0, len(b)-mostOutput/2):])
-	return len(b), nil
-}
-
-// Start starts cmd, whose output the stage takes. The name is the history's.
-func (s *Stage) Start(name string, cmd *exec.Cmd) (*Process, error) {
-	p := &Process{name: name, stage: s, cmd: cmd, ended: make(chan struct{})}
-	cmd.Stdout, cmd.Stderr = &p.log, &p.log
+// StartProcess starts cmd and takes its output. The name is the process's in the history.
+func (h *Harness) StartProcess(name string, cmd *exec.Cmd) (*Process, error) {
+	p := &Process{name: name, harness: h, cmd: cmd, ended: make(chan struct{})}
+	cmd.Stdout, cmd.Stderr = &p.output, &p.output
 	if err := cmd.Start(); err != nil {
-		return nil, fmt.Errorf("stage: %s: %w", name, err)
+		return nil, fmt.Errorf("start %s: %w", name, err)
 	}
-	s.Say(name, "starts, process %d", cmd.Process.Pid)
-	go func() {
-		p.err = cmd.Wait()
-		why := ""
-		if cmd.ProcessState.ExitCode() > 0 { // by itself, and not in order: what it said last tells why
-			lines := strings.Split(strings.TrimSpace(p.Log()), "\n")
-			why = ": " + lines[len(lines)-1]
-		}
-		s.Say(name, "has ended: %v%s", cmd.ProcessState, why)
-		close(p.ended)
-	}()
-	if !s.owe(p.Kill) {
+	h.Record(name, "starts, process %d", cmd.Process.Pid)
+	go p.awaitEnd() // Kill, which Close calls, waits for it
+	if !h.addCleanup(p.Kill) {
 		p.Kill()
-		return nil, fmt.Errorf("stage: %s: the stage is closed", name)
+		return nil, fmt.Errorf("start %s: %w", name, ErrClosed)
 	}
 	return p, nil
 }
 
-// Log is what the process has said, in its last 2 to 4 MB.
-func (p *Process) Log() string {
-	p.log.mu.Lock()
-	defer p.log.mu.Unlock()
-	if p.log.lost > 0 {
-		return fmt.Sprintf("(%d bytes before)\n%s", p.log.lost, p.log.text.String())
+// awaitEnd records how the process ended. One that failed by itself has said why in its last line.
+func (p *Process) awaitEnd() {
+	p.err = p.cmd.Wait()
+	reason := ""
+	if p.cmd.ProcessState.ExitCode() > 0 {
+		lines := strings.Split(strings.TrimSpace(p.Log()), "\n")
+		reason = ": " + lines[len(lines)-1]
 	}
-	return p.log.text.String()
+	p.harness.Record(p.name, "has ended: %v%s", p.cmd.ProcessState, reason)
+	close(p.ended)
 }
 
-// Freeze stops the process in the middle of whatever it does, Thaw lets it go on, Stop asks it to end, Hangup sends SIGHUP.
+// Log is the latest 2 to 4 MB of the process's output.
+func (p *Process) Log() string { return p.output.String() }
+
+// Freeze stops the process in the middle of whatever it does (SIGSTOP).
 func (p *Process) Freeze() error { return p.signal("is frozen", syscall.SIGSTOP) }
-func (p *Process) Thaw() error   { return p.signal("is thawed", syscall.SIGCONT) }
-func (p *Process) Stop() error   { return p.signal("is told to stop", syscall.SIGTERM) }
+
+// Thaw lets a frozen process go on (SIGCONT).
+func (p *Process) Thaw() error { return p.signal("is thawed", syscall.SIGCONT) }
+
+// Stop asks the process to end (SIGTERM).
+func (p *Process) Stop() error { return p.signal("is told to stop", syscall.SIGTERM) }
+
+// Hangup sends the process SIGHUP.
 func (p *Process) Hangup() error { return p.signal("is sent SIGHUP", syscall.SIGHUP) }
 
-// Fill has no file of the process grow or be written behind its first page, as on a disk that is full; the process's limits are its own.
-func (p *Process) Fill() error {
-	p.stage.Say(p.name, "finds its disk full")
-	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, &unix.Rlimit{Cur: 4096, Max: unix.RLIM_INFINITY}, nil); err != nil {
-		return fmt.Errorf("stage: %s: %w", p.name, err)
+// FillDisk makes writes of the process fail as on a full disk: no file of it may grow behind its first page. The limit is of
+// this process alone.
+func (p *Process) FillDisk() error {
+	p.harness.Record(p.name, "finds its disk full")
+	limit := &unix.Rlimit{Cur: 4096, Max: unix.RLIM_INFINITY}
+	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, limit, nil); err != nil {
+		return fmt.Errorf("limit file size of %s: %w", p.name, err)
 	}
 	return nil
 }
 
-func (p *Process) signal(what string, sig syscall.Signal) error {
-	p.stage.Say(p.name, "%s", what)
+func (p *Process) signal(event string, sig syscall.Signal) error {
+	p.harness.Record(p.name, "%s", event)
 	if err := p.cmd.Process.Signal(sig); err != nil {
-		return fmt.Errorf("stage: %s %s: %w", p.name, what, err)
+		return fmt.Errorf("%s %s: %w", p.name, event, err)
 	}
 	return nil
 }
 
-// Kill ends the process, if it has not ended, and waits for that.
+// Kill kills the process, if it has not ended, and waits for its end.
 func (p *Process) Kill() {
 	select {
 	case <-p.ended:
@@ -112,49 +93,58 @@
 	default:
 	}
 	if err := p.signal("is killed", syscall.SIGKILL); err != nil && !errors.Is(err, os.ErrProcessDone) {
-		p.stage.Say(p.name, "%v", err)
+		p.harness.Record(p.name, "%v", err)
 	}
 	<-p.ended
 }
 
-// Wait waits for the process's end until by, and returns how it ended.
-func (p *Process) Wait(by time.Time) error {
-	late := time.NewTimer(time.Until(by))
-	defer late.Stop()
+// Wait waits for the process's end, until a deadline, and returns how it ended; nil: in order.
+func (p *Process) Wait(deadline time.Time) error {
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
 	select {
 	case <-p.ended:
 		if p.err != nil {
-			return fmt.Errorf("stage: %s: %w", p.name, p.err)
+			return fmt.Errorf("%s: %w", p.name, p.err)
 		}
 		return nil
-	case <-late.C:
-		return fmt.Errorf("stage: %s has not ended; its log:\n%s", p.name, p.Log())
+	case <-timer.C:
+		return fmt.Errorf("%s has not ended; its log:\n%s", p.name, p.Log())
 	}
 }
 
-// Usage is what the process holds in memory, in bytes, and what it has used of processors so far, as the kernel tells.
-func (p *Process) Usage() (resident int64, cpu time.Duration, err error) {
+// Usage is what a process uses, as the kernel counts it.
+type Usage struct {
+	ResidentBytes int64
+	CPU           time.Duration // since its start, user and system
+}
+
+// userTick is the unit of the kernel's times: USER_HZ is 100 to every program.
+const userTick = 10 * time.Millisecond
+
+// Usage reads what the process uses. It fails once the process has ended.
+func (p *Process) Usage() (Usage, error) {
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	memory, err := os.ReadFile(dir + "statm")
 	if err != nil {
-		return 0, 0, fmt.Errorf("stage: %s: %w", p.name, err)
+		return Usage{}, fmt.Errorf("memory of %s: %w", p.name, err)
+	}
+	var total, residentPages int64
+	if _, err := fmt.Sscan(string(memory), &total, &residentPages); err != nil {
+		return Usage{}, fmt.Errorf("memory of %s: %w", p.name, err)
 	}
 	times, err := os.ReadFile(dir + "stat")
 	if err != nil {
-		return 0, 0, fmt.Errorf("stage: %s: %w", p.name, err)
+		return Usage{}, fmt.Errorf("CPU time of %s: %w", p.name, err)
 	}
-	var pages, user, system int64
-	_, inner, _ := bytes.Cut(times, []byte(") ")) // behind the name, which may hold anything
-	fields := bytes.Fields(inner)
+	_, afterName, _ := bytes.Cut(times, []byte(") ")) // the name may hold anything
+	fields := bytes.Fields(afterName)
 	if len(fields) < 13 {
-		return 0, 0, fmt.Errorf("stage: %s: its times can't be read: %s", p.name, times)
-	}
-	if _, err := fmt.Sscan(string(memory), new(int64), &pages); err != nil {
-		return 0, 0, fmt.Errorf("stage: %s: %w", p.name, err)
+		return Usage{}, fmt.Errorf("CPU time of %s is not readable: %s", p.name, times)
 	}
+	var user, system int64 // fields 14 and 15 of proc(5), from 1
 	if _, err := fmt.Sscan(string(fields[11])+" "+string(fields[12]), &user, &system); err != nil {
-		return 0, 0, fmt.Errorf("stage: %s: %w", p.name, err)
+		return Usage{}, fmt.Errorf("CPU time of %s: %w", p.name, err)
 	}
-	const tick = 10 * time.Millisecond // USER_HZ is 100 to every program
-	return pages * int64(os.Getpagesize()), time.Duration(user+system) * tick, nil
+	return Usage{ResidentBytes: residentPages * int64(os.Getpagesize()), CPU: time.Duration(user+system) * userTick}, nil
 }
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -10,194 +10,215 @@
 	"time"
 )
 
-// Relay passes TCP connections on to a target. Set, Cut and Heal change what happens to the bytes; none is ever lost from the middle
-// of a stream, as TCP would not let it be: a cut holds them.
+// Relay forwards TCP connections to a target, with the faults of its Set, Partition and Heal. As in TCP, nothing is ever
+// lost from the middle of a stream: a partition holds it.
 type Relay struct {
-	*faults
-	target string
-	ln     net.Listener
-	passed [2]atomic.Int64
-	refuse atomic.Bool
-
-	linksMu sync.Mutex
-	links   map[*link]struct{} // nil: closed
-	running sync.WaitGroup
+	*faultControl
+	target   string
+	listener net.Listener
+	passed   [2]atomic.Int64
+	refuse   atomic.Bool
+
+	connectionsMu sync.Mutex
+	connections   map[*connection]struct{} // nil: closed
+	running       sync.WaitGroup
 }
 
-// link is one connection through a relay.
-type link struct {
-	ends [2]net.Conn // by direction, where from; the target's comes later
-	over chan struct{}
-	once sync.Once
+// connection is a client's connection through a relay.
+type connection struct {
+	ends      [2]net.Conn // by the direction that is read from it; the target's is nil until it was dialled
+	closed    chan struct{}
+	closeOnce sync.Once
+}
+
+// chunk is what was read from a connection at once.
+type chunk struct {
+	receivedAt time.Time
+	data       []byte
 }
 
-// pieceSize is the most that is read at once, and ahead the pieces of a direction that a relay holds for who is behind it.
 const (
-	pieceSize = 16 << 10
-	ahead     = 64
+	maxChunkBytes   = 16 << 10
+	maxQueuedChunks = 64 // of a direction, between its reader and its writer
 )
 
-// Relay listens on loopback for what is to go to target. The name is the history's.
-func (s *Stage) Relay(name, target string) (*Relay, error) {
+// StartRelay listens on loopback for connections to a target. The name is the relay's in the history.
+func (h *Harness) StartRelay(name, target string) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("stage: relay %s: %w", name, err)
+		return nil, fmt.Errorf("relay %s: %w", name, err)
 	}
-	r := &Relay{faults: newFaults(s, name), target: target, ln: ln, links: map[*link]struct{}{}}
+	r := &Relay{faultControl: newFaultControl(h, name), target: target, listener: ln, connections: map[*connection]struct{}{}}
 	r.running.Go(r.accept)
-	if !s.owe(r.Close) {
+	if !h.addCleanup(r.Close) {
 		r.Close()
-		return nil, fmt.Errorf("stage: relay %s: the stage is closed", name)
+		return nil, fmt.Errorf("relay %s: %w", name, ErrClosed)
 	}
-	s.Say(name, "%s passes to %s", ln.Addr(), target)
+	h.Record(name, "%s passes to %s", ln.Addr(), target)
 	return r, nil
 }
 
 // Addr is where the relay listens.
-func (r *Relay) Addr() string { return r.ln.Addr().String() }
+func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Passed is how many bytes have passed in a direction.
-func (r *Relay) Passed(d Direction) int64 { return r.passed[d].Load() }
+// BytesPassed is how many bytes have passed in a direction.
+func (r *Relay) BytesPassed(d Direction) int64 { return r.passed[d].Load() }
 
-// Refuse resets new connections at once, or takes them again.
-func (r *Relay) Refuse(on bool) {
+// RefuseConnections has the relay reset new connections at once, or accept them again.
+func (r *Relay) RefuseConnections(on bool) {
 	r.refuse.Store(on)
-	r.stage.Say(r.name, "new connections are refused: %v", on)
+	r.harness.Record(r.name, "new connections are refused: %v", on)
 }
 
-// Break resets all connections.
-func (r *Relay) Break() {
-	r.linksMu.Lock()
-	defer r.linksMu.Unlock()
-	r.stage.Say(r.name, "breaks %d connections", len(r.links))
-	for l := range r.links {
-		l.end(true)
+// ResetConnections resets all connections.
+func (r *Relay) ResetConnections() {
+	r.connectionsMu.Lock()
+	defer r.connectionsMu.Unlock()
+	r.harness.Record(r.name, "breaks %d connections", len(r.connections))
+	for c := range r.connections {
+		c.close(withReset)
 	}
 }
 
-// Close ends the relay and all connections through it.
+// Close ends the relay, resets all connections and waits for the relay's goroutines.
 func (r *Relay) Close() {
-	r.linksMu.Lock()
-	r.ln.Close()
-	for l := range r.links {
-		l.end(true)
+	r.connectionsMu.Lock()
+	r.listener.Close()
+	for c := range r.connections {
+		c.close(withReset)
 	}
-	r.links = nil
-	r.linksMu.Unlock()
+	r.connections = nil
+	r.connectionsMu.Unlock()
 	r.running.Wait()
 }
 
 func (r *Relay) accept() {
 	for {
-		c, err := r.ln.Accept()
+		client, err := r.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // descriptors are short
+			time.Sleep(10 * time.Millisecond) // out of file descriptors
 			continue
 		}
-		l := &link{ends: [2]net.Conn{Up: c}, over: make(chan struct{})}
-		r.linksMu.Lock()
-		if r.links == nil || r.refuse.Load() {
-			l.end(true)
+		c := &connection{ends: [2]net.Conn{Upstream: client}, closed: make(chan struct{})}
+		r.connectionsMu.Lock()
+		if r.connections == nil || r.refuse.Load() {
+			c.close(withReset)
 		} else {
-			r.links[l] = struct{}{}
-			r.running.Go(func() { r.carry(l) })
+			r.connections[c] = struct{}{}
+			r.running.Go(func() { r.relay(c) })
 		}
-		r.linksMu.Unlock()
+		r.connectionsMu.Unlock()
 	}
 }
 
-// carry passes a connection on. While its way up is held it does not come up at the target: to who dialled it is half open.
-func (r *Relay) carry(l *link) {
+// relay forwards a connection until it ends. While Upstream is held the target is not dialled: the connection is half open
+// to the client.
+func (r *Relay) relay(c *connection) {
 	defer func() {
-		l.end(false)
-		r.linksMu.Lock()
-		delete(r.links, l)
-		r.linksMu.Unlock()
+		c.close(inOrder)
+		r.connectionsMu.Lock()
+		delete(r.connections, c)
+		r.connectionsMu.Unlock()
 	}()
-	if !r.pass(Up, time.Now(), 0, l.over) {
+	if !r.await(Upstream, time.Now(), 0, c.closed) {
 		return
 	}
 	target, err := net.Dial("tcp", r.target)
 	if err != nil {
-		l.end(true)
+		c.close(withReset)
 		return
 	}
-	r.linksMu.Lock() // Break and Close look at both ends
-	l.ends[Down] = target
-	r.linksMu.Unlock()
+	r.connectionsMu.Lock() // ResetConnections and Close read both ends
+	c.ends[Downstream] = target
+	r.connectionsMu.Unlock()
 	select {
-	case <-l.over: // it was broken meanwhile, when this end was not there yet
+	case <-c.closed: // before the target's end was there to be closed with it
 		target.Close()
 		return
 	default:
 	}
 	var both sync.WaitGroup
-	both.Go(func() { r.pump(l, Up) })
-	both.Go(func() { r.pump(l, Down) })
+	both.Go(func() { r.copyDirection(c, Upstream) })
+	both.Go(func() { r.copyDirection(c, Downstream) })
 	both.Wait()
 }
 
-type piece struct {
-	at   time.Time
-	data []byte
-}
-
-// pump carries one direction to its end. An end in order is passed on as one, and anything else as a break.
-func (r *Relay) pump(l *link, d Direction) {
-	from, to := l.ends[d], l.ends[1-d]
-	pieces := make(chan piece, ahead)
-	var ended error // read after pieces is closed
+// copyDirection copies one direction to its end. An end in order is passed on as one, and any other as a reset.
+func (r *Relay) copyDirection(c *connection, d Direction) {
+	to := c.ends[1-d]
+	chunks := make(chan chunk, maxQueuedChunks)
+	var readErr error // to be read once chunks is closed
 	r.running.Go(func() {
-		defer close(pieces)
-		for {
-			p := piece{data: make([]byte, pieceSize)}
-			n, err := from.Read(p.data)
-			if p.at, p.data = time.Now(), p.data[:n]; n > 0 {
-				select {
-				case pieces <- p:
-				case <-l.over:
-					return
-				}
-			}
-			if err != nil {
-				ended = err
-				return
-			}
-		}
+		defer close(chunks)
+		readErr = readChunks(c, d, chunks)
 	})
-	for p := range pieces {
-		if !r.pass(d, p.at, 1, l.over) {
+	for p := range chunks {
+		if !r.await(d, p.receivedAt, 1, c.closed) {
 			continue // until the reader has ended
 		}
 		if _, err := to.Write(p.data); err != nil {
-			l.end(true)
+			c.close(withReset)
 			continue
 		}
 		r.passed[d].Add(int64(len(p.data)))
-		if f, _ := r.of(d); f.Rate > 0 {
-			r.pass(d, time.Now().Add(time.Duration(float64(len(p.data))/float64(f.Rate)*float64(time.Second))-f.Delay), 0, l.over)
+		r.throttle(c, d, len(p.data))
+	}
+	if readErr != io.EOF || !r.await(d, time.Now(), 0, c.closed) || to.(*net.TCPConn).CloseWrite() != nil {
+		c.close(withReset)
+	}
+}
+
+// readChunks reads a direction to its end and returns the error that ended it; nil where the connection was closed here.
+func readChunks(c *connection, d Direction, chunks chan<- chunk) error {
+	for {
+		p := chunk{data: make([]byte, maxChunkBytes)}
+		n, err := c.ends[d].Read(p.data)
+		if p.receivedAt, p.data = time.Now(), p.data[:n]; n > 0 {
+			select {
+			case chunks <- p:
+			case <-c.closed:
+				return nil
+			}
+		}
+		if err != nil {
+			return err
 		}
 	}
-	if ended != io.EOF || !r.pass(d, time.Now(), 0, l.over) || to.(*net.TCPConn).CloseWrite() != nil {
-		l.end(true)
+}
+
+// throttle waits for as long as some bytes take at the fault's rate.
+func (r *Relay) throttle(c *connection, d Direction, bytes int) {
+	fault, _ := r.fault(d)
+	if fault.Rate <= 0 {
+		return
 	}
+	took := time.Duration(float64(bytes) / float64(fault.Rate) * float64(time.Second))
+	r.await(d, time.Now().Add(took-fault.Delay), 0, c.closed) // await adds the delay
 }
 
-// end closes both ends, with a reset where reset says so.
-func (l *link) end(reset bool) {
-	l.once.Do(func() {
-		close(l.over)
-		for _, c := range l.ends {
-			if c == nil {
+// closeMode is how a connection ends.
+type closeMode bool
+
+const (
+	inOrder   closeMode = false
+	withReset closeMode = true
+)
+
+// close closes both ends. Only the first call counts.
+func (c *connection) close(mode closeMode) {
+	c.closeOnce.Do(func() {
+		close(c.closed)
+		for _, end := range c.ends {
+			if end == nil {
 				continue
 			}
-			if reset {
-				_ = c.(*net.TCPConn).SetLinger(0) // of a connection that is gone already it makes no difference
+			if mode == withReset {
+				_ = end.(*net.TCPConn).SetLinger(0) // fails where the connection is gone already, which does as well
 			}
-			c.Close()
+			end.Close()
 		}
 	})
 }
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -1,148 +1,153 @@
 package faulttest
 
 import (
-	"cmp"
 	"fmt"
-	"math/rand/v2"
 	"os"
 	"slices"
 	"strings"
-	"time"
 
 	"pumiceline/internal/duration"
 	"pumiceline/internal/tomlfile"
 )
 
-// Script is what is to happen on a stage, as a file says it.
+// Script is a file that says which processes run and which faults are injected.
 type Script struct {
-	Title        string        `toml:"title"`
-	Length       duration.Span `toml:"length"`       // clients ask for this long
-	Proxies      int           `toml:"proxies"`      // processes, each a proxy of its own
-	Destinations int           `toml:"destinations"` // stand-ins
-	Rate         float64       `toml:"rate"`         // requests a second, of all clients
-	Draw         int           `toml:"draw"`         // faults that are drawn from the seed besides those written
-	Faults       []Step        `toml:"fault"`
+	Title        string           `toml:"title"`
+	Length       duration.Span    `toml:"length"`       // for how long clients send requests
+	Proxies      int              `toml:"proxies"`      // processes
+	Backends     int              `toml:"destinations"` // fakes
+	Rate         float64          `toml:"rate"`         // requests a second, of all clients
+	RandomFaults int              `toml:"draw"`         // faults that are drawn from a seed, besides Faults
+	Faults       []ScheduledFault `toml:"fault"`
 }
 
-// Step is one fault, with its end.
-type Step struct {
-	At    duration.Span `toml:"at"`
-	For   duration.Span `toml:"for"`
-	Do    string        `toml:"do"`    // see Deeds
-	Who   string        `toml:"who"`   // proxy, roster (the way between a proxy and it) or destination (the way of all to one)
-	N     int           `toml:"n"`     // its number, from 0
-	Delay duration.Span `toml:"delay"` // of delay
+// ScheduledFault is a fault of a script.
+type ScheduledFault struct {
+	At     duration.Span `toml:"at"` // since the start
+	For    duration.Span `toml:"for"`
+	Action Action        `toml:"do"`
+	Target Target        `toml:"who"`
+	Index  int           `toml:"n"`     // of the target among its kind, from 0
+	Delay  duration.Span `toml:"delay"` // of ActionDelay
 }
 
-// Deeds are what a step may do, and to whom.
-var Deeds = map[string][]string{
-	"freeze": {"proxy"}, "kill": {"proxy"}, // it starts anew at the end
-	"cut": {"roster", "destination"}, "cut up": {"roster", "destination"}, "cut down": {"roster", "destination"},
-	"delay": {"roster", "destination"}, "break": {"roster", "destination"}, // at the end they stay broken: the parties come again
+// String describes the fault, for the history.
+func (f *ScheduledFault) String() string {
+	return fmt.Sprintf("%s %s %d for %v", f.Action, f.Target, f.Index, f.For)
 }
 
-// ReadScript reads a script and checks it. An error names the file, and the line and key where it can.
+// Action is what a scheduled fault does. The values are those of script files.
+type Action string
+
+// The actions. All but ActionReset are undone at the fault's end.
+const (
+	ActionFreeze        Action = "freeze" // a process
+	ActionKill          Action = "kill"   // a process; it is started again at the end
+	ActionCut           Action = "cut"    // hold both directions
+	ActionCutUpstream   Action = "cut up"
+	ActionCutDownstream Action = "cut down"
+	ActionDelay         Action = "delay" // both directions
+	ActionReset         Action = "break" // reset all connections
+)
+
+// Target is what a scheduled fault happens to. The values are those of script files.
+type Target string
+
+// The targets.
+const (
+	TargetProxy     Target = "proxy"       // a process
+	TargetDiscovery Target = "roster"      // the link from one proxy to discovery
+	TargetBackend   Target = "destination" // the links from all proxies to one backend
+)
+
+// Targets returns the targets that each action may have.
+func Targets() map[Action][]Target {
+	links := []Target{TargetDiscovery, TargetBackend}
+	return map[Action][]Target{
+		ActionFreeze:        {TargetProxy},
+		ActionKill:          {TargetProxy},
+		ActionCut:           links,
+		ActionCutUpstream:   links,
+		ActionCutDownstream: links,
+		ActionDelay:         links,
+		ActionReset:         links,
+	}
+}
+
+// ReadScript reads and validates a script. An error of its contents is a *tomlfile.Error.
 func ReadScript(path string) (*Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("stage: %w", err)
+		return nil, fmt.Errorf("read script: %w", err)
 	}
-	s := &Script{Length: 20e6, Proxies: 2, Destinations: 4, Rate: 60}
+	s := &Script{Length: 20e6, Proxies: 2, Backends: 4, Rate: 60}
 	if err := tomlfile.Decode(path, text, s); err != nil {
 		return nil, err
 	}
 	keys := tomlfile.IndexKeys(text)
 	for _, key := range keys.BareNumbers {
-		if last := key[strings.LastIndexByte(key, '.')+1:]; slices.Contains([]string{"length", "at", "for", "delay"}, last) {
-			return nil, &tomlfile.Error{File: path, Line: keys.Line(key), Key: key, Reason: `is a time and has no unit: write it as "250ms"`}
+		if isDurationKey(key) {
+			return nil, &tomlfile.Error{File: path, Line: keys.Line(key), Key: key,
+				Reason: `is a time and has no unit: write it as "250ms"`}
 		}
 	}
-	if key, why := s.check(); why != "" {
-		return nil, &tomlfile.Error{File: path, Line: keys.Line(key), Key: key, Reason: why}
+	if invalid := s.validate(); invalid != nil {
+		return nil, &tomlfile.Error{File: path, Line: keys.Line(invalid.key), Key: invalid.key, Reason: invalid.reason}
 	}
 	return s, nil
 }
 
-// check returns the first key that cannot be played, and why.
-func (s *Script) check() (key, why string) {
+func isDurationKey(key string) bool {
+	last := key[strings.LastIndexByte(key, '.')+1:]
+	return slices.Contains([]string{"length", "at", "for", "delay"}, last)
+}
+
+// invalidValue is a value of a script that can't be used.
+type invalidValue struct{ key, reason string }
+
+// validate returns the first value that can't be used, or nil.
+func (s *Script) validate() *invalidValue {
 	for _, c := range []struct {
-		key         string
-		n, from, to float64
-	}{{"length", s.Length.Seconds(), 1, 3600}, {"proxies", float64(s.Proxies), 1, 64}, {"destinations", float64(s.Destinations), 1, 200},
-		{"rate", s.Rate, 0.1, 5000}, {"draw", float64(s.Draw), 0, 1000}} {
-		if !(c.n >= c.from && c.n <= c.to) {
-			return c.key, fmt.Sprintf("%v is not within %v and %v", c.n, c.from, c.to)
+		key             string
+		value, min, max float64
+	}{
+		{"length", s.Length.Seconds(), 1, 3600},
+		{"proxies", float64(s.Proxies), 1, 64},
+		{"destinations", float64(s.Backends), 1, 200},
+		{"rate", s.Rate, 0.1, 5000},
+		{"draw", float64(s.RandomFaults), 0, 1000},
+	} {
+		if !(c.value >= c.min && c.value <= c.max) { // NaN fails too
+			return &invalidValue{c.key, fmt.Sprintf("%v is not within %v and %v", c.value, c.min, c.max)}
 		}
 	}
 	for i, f := range s.Faults {
-		at := fmt.Sprintf("fault.%d.", i)
-		switch {
-		case Deeds[f.Do] == nil:
-			return at + "do", fmt.Sprintf("%q is no fault", f.Do)
-		case !slices.Contains(Deeds[f.Do], f.Who):
-			return at + "who", fmt.Sprintf("%q is done to none of %q", f.Do, f.Who)
-		case f.N < 0 || f.N >= s.count(f.Who):
-			return at + "n", fmt.Sprintf("there are %d, from 0", s.count(f.Who))
-		case f.At+f.For > s.Length:
-			return at + "for", "it ends after the play"
+		if invalid := s.validateFault(fmt.Sprintf("fault.%d.", i), f); invalid != nil {
+			return invalid
 		}
 	}
-	return "", ""
-}
-
-func (s *Script) count(who string) int {
-	if who == "destination" {
-		return s.Destinations
-	}
-	return s.Proxies
+	return nil
 }
 
-// Steps are the faults that are written and those that the seed draws, in their order. The same seed draws the same.
-func (s *Script) Steps(seed uint64) []Step {
-	g := rand.New(rand.NewPCG(seed, 1))
-	deeds := []string{"freeze", "kill", "cut", "cut up", "cut down", "delay", "break"}
-	steps := slices.Clone(s.Faults)
-	for range s.Draw {
-		do := deeds[g.IntN(len(deeds))]
-		who := Deeds[do][g.IntN(len(Deeds[do]))]
-		part := func(from, to float64) duration.Span {
-			return duration.Span(float64(s.Length) * (from + (to-from)*g.Float64()))
-		}
-		steps = append(steps, Step{At: part(0.05, 0.7), For: part(0.02, 0.2), Do: do, Who: who, N: g.IntN(s.count(who)), Delay: duration.Span(20_000 + g.IntN(280_000))})
+func (s *Script) validateFault(prefix string, f ScheduledFault) *invalidValue {
+	targets, known := Targets()[f.Action]
+	switch {
+	case !known:
+		return &invalidValue{prefix + "do", fmt.Sprintf("%q is no fault", f.Action)}
+	case !slices.Contains(targets, f.Target):
+		return &invalidValue{prefix + "who", fmt.Sprintf("%q is done to none of %q", f.Action, f.Target)}
+	case f.Index < 0 || f.Index >= s.targetCount(f.Target):
+		return &invalidValue{prefix + "n", fmt.Sprintf("there are %d, from 0", s.targetCount(f.Target))}
+	case f.At+f.For > s.Length:
+		return &invalidValue{prefix + "for", "it ends after the play"}
 	}
-	slices.SortStableFunc(steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
-	return steps
+	return nil
 }
 
-// String says a step in words.
-func (s *Step) String() string { return fmt.Sprintf("%s %s %d for %v", s.Do, s.Who, s.N, s.For) }
-
-// Play has each step done at its time, and undone at its end. Steps do not wait for one another: of two on one way, the end of either
-// frees it. It returns when all have ended, or over
-// does; what was done is then undone.
-func Play(steps []Step, begun time.Time, over <-chan struct{}, do func(Step) (undo func())) {
-	ended := make(chan struct{}, len(steps))
-	wait := func(at duration.Span) bool {
-		timer := time.NewTimer(time.Until(begun.Add(time.Duration(at) * time.Microsecond)))
-		defer timer.Stop()
-		select {
-		case <-timer.C:
-			return true
-		case <-over:
-			return false
-		}
-	}
-	for _, s := range steps {
-		go func() {
-			defer func() { ended <- struct{}{} }()
-			if wait(s.At) {
-				undo := do(s)
-				wait(s.At + s.For)
-				undo()
-			}
-		}()
-	}
-	for range steps {
-		<-ended
+// targetCount is how many targets of a kind there are.
+func (s *Script) targetCount(target Target) int {
+	if target == TargetBackend {
+		return s.Backends
 	}
+	return s.Proxies
 }
--- a/internal/faulttest/stored_test.go
+++ b/internal/faulttest/stored_test.go
@@ -11,25 +11,25 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Script{Title: "All kinds of faults", Length: 30e6, Proxies: 3, Destinations: 5, Rate: 82.5, Draw: 4, Faults: []Step{
-		{At: 1e6, For: 2e6, Do: "freeze", Who: "proxy", N: 1},
-		{At: 2e6, For: 1.5e6, Do: "kill", Who: "proxy", N: 2},
-		{At: 3e6, For: 3e6, Do: "cut", Who: "roster", N: 1},
-		{At: 4e6, For: 4e6, Do: "cut up", Who: "destination", N: 4},
-		{At: 5e6, For: 5e6, Do: "cut down", Who: "roster", N: 2},
-		{At: 6e6, For: 6e6, Do: "delay", Who: "destination", N: 3, Delay: 120_000},
-		{At: 7e6, For: 7e6, Do: "break", Who: "roster", N: 1},
+	want := &Script{Title: "All kinds of faults", Length: 30e6, Proxies: 3, Backends: 5, Rate: 82.5, RandomFaults: 4, Faults: []ScheduledFault{
+		{At: 1e6, For: 2e6, Action: "freeze", Target: "proxy", Index: 1},
+		{At: 2e6, For: 1.5e6, Action: "kill", Target: "proxy", Index: 2},
+		{At: 3e6, For: 3e6, Action: "cut", Target: "roster", Index: 1},
+		{At: 4e6, For: 4e6, Action: "cut up", Target: "destination", Index: 4},
+		{At: 5e6, For: 5e6, Action: "cut down", Target: "roster", Index: 2},
+		{At: 6e6, For: 6e6, Action: "delay", Target: "destination", Index: 3, Delay: 120_000},
+		{At: 7e6, For: 7e6, Action: "break", Target: "roster", Index: 1},
 	}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
 	}
-	kinds := map[string]bool{}
+	kinds := map[Action]bool{}
 	for _, f := range got.Faults {
-		kinds[f.Do] = true
+		kinds[f.Action] = true
 	}
-	for do := range Deeds {
-		if !kinds[do] {
-			t.Errorf("the sample has no %q", do)
+	for action := range Targets() {
+		if !kinds[action] {
+			t.Errorf("the sample has no %q", action)
 		}
 	}
 }
--- a/internal/standalone/discoverycache/cache_test.go
+++ b/internal/standalone/discoverycache/cache_test.go
@@ -18,7 +18,7 @@
 // Of twenty caches only the lease holder watches discovery, and a drain reaches all of them soon. Without a holder each falls back to
 // discovery, not all at once. A new holder is followed again, and the old one, which still takes itself for the holder, is not.
 func TestCache_FollowsLeaseHolder(t *testing.T) {
-	roster := fakestandalone.NewRoster(newEntry(1, "SERVING"), newEntry(2, "SERVING"))
+	roster := fakestandalone.NewDiscovery(newEntry(1, "SERVING"), newEntry(2, "SERVING"))
 	var mu sync.Mutex
 	var calls []time.Time
 	serve := func(h http.Handler) (addr string) {
--- a/internal/standalone/server/restart_test.go
+++ b/internal/standalone/server/restart_test.go
@@ -28,7 +28,7 @@
 	defer file.Close()
 	worldCtx, endWorld := context.WithCancel(context.Background())
 	defer endWorld()
-	world := fakestandalone.NewWorld(discovery, []net.Listener{listen(t, "127.0.0.1"), listen(t, "127.0.0.1"), listen(t, "127.0.0.1")},
+	world := fakestandalone.NewEnvironment(discovery, []net.Listener{listen(t, "127.0.0.1"), listen(t, "127.0.0.1"), listen(t, "127.0.0.1")},
 		[]string{"ub-east"}, func() { time.Sleep(2 * time.Millisecond) })
 	go world.Serve(worldCtx)
 	shared := t.TempDir()
@@ -135,9 +135,9 @@
 		t.Errorf("a successor stopped before it was ready: %v", err)
 	}
 	ready(old)
-	served := world.Destinations[0].Served()
+	served := world.Backends[0].Served()
 	time.Sleep(50 * time.Millisecond)
-	if now := world.Destinations[0].Served(); now != served {
+	if now := world.Backends[0].Served(); now != served {
 		t.Errorf("the disabled backend had %d more requests", now-served)
 	}
 	if status, _ := call("POST", old.adminURL+"backends/toy-1/resume"); status != 200 {
--- a/internal/standalone/server/server_test.go
+++ b/internal/standalone/server/server_test.go
@@ -58,7 +58,7 @@
 	received, proceed := make(chan struct{}, 9), make(chan struct{})
 	fakes, endFakes := context.WithCancel(context.Background())
 	defer endFakes()
-	go fakestandalone.NewWorld(discovery, []net.Listener{listen(t, fakesHost), listen(t, fakesHost)}, []string{"ub-east"}, func() {
+	go fakestandalone.NewEnvironment(discovery, []net.Listener{listen(t, fakesHost), listen(t, fakesHost)}, []string{"ub-east"}, func() {
 		received <- struct{}{}
 		<-proceed
 	}).Serve(fakes)
--- a/internal/standalone/server/soak_test.go
+++ b/internal/standalone/server/soak_test.go
@@ -28,7 +28,7 @@
 func TestSoak_TablesDoNotGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const hour, settleTime = time.Hour, 20 * time.Second // what is in flight or idle has ended after settleTime
-		mem := &fakestandalone.Memory{}
+		mem := &fakestandalone.MemoryNetwork{}
 		world, endWorld := context.WithCancel(t.Context())
 		defer endWorld()
 		serveOn := func(h http.Handler, addr string) context.CancelFunc {
@@ -42,15 +42,15 @@
 			context.AfterFunc(ctx, func() { server.Close() })
 			return end
 		}
-		roster := fakestandalone.NewRoster()
+		roster := fakestandalone.NewDiscovery()
 		serveOn(roster, "10.0.0.1:8500")
 		rng := rand.New(rand.NewPCG(1, 2))
 		stopHost := map[string]context.CancelFunc{}
 		start := func(n int) discovery.Entry {
 			e := discovery.Entry{Host: fmt.Sprintf("s-%d", n), Address: fmt.Sprintf("10.1.%d.%d:7070", n/250, n%250+1), Zone: "ub-east", InstanceType: "std-8",
 				Cell: 1, Health: "SERVING", Size: 1, StartedAtMs: float64(time.Now().UnixMilli())}
-			d := &fakestandalone.Destination{Name: e.Host, Cores: 8, Work: func() { time.Sleep(20 * time.Millisecond) }}
-			d.Fail(0.02)
+			d := &fakestandalone.Backend{Name: e.Host, Cores: 8, Serve: func() { time.Sleep(20 * time.Millisecond) }}
+			d.SetErrorRatio(0.02)
 			stopHost[e.Host] = serveOn(d, e.Address)
 			roster.Put(e)
 			return e
@@ -60,7 +60,7 @@
 			listed = append(listed, start(n))
 		}
 
-		text, err := fakestandalone.Config("10.0.0.2:7070", "10.0.0.1:8500", []string{"ub-east"})
+		text, err := fakestandalone.ProxyConfig("10.0.0.2:7070", "10.0.0.1:8500", []string{"ub-east"})
 		if err != nil {
 			t.Fatal(err)
 		}
