--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -16,10 +16,10 @@
 
 // cli is the command line. Kong derives the names of commands and flags from those of fields.
 type cli struct {
-	Serve     serveCmd     `cmd:"" help:"Serve clients until told to stop."`
-	Check     checkCmd     `cmd:"" help:"Check a configuration and say what it amounts to."`
-	Version   versionCmd   `cmd:"" help:"Say which version this is."`
-	Try       tryCmd       `cmd:"" help:"Run the proxy with stand-ins and a gentle load in one process, and show what happens."`
+	Serve     serveCmd     `cmd:"" help:"Run the proxy until it is stopped."`
+	Check     checkCmd     `cmd:"" help:"Check a configuration and print a summary."`
+	Version   versionCmd   `cmd:"" help:"Print the version."`
+	Try       tryCmd       `cmd:"" help:"Run the proxy with fake backends and a light load in one process, and show what happens."`
 	Faulttest faulttestCmd `cmd:"" aliases:"stage" help:"Run real processes with faults between them."`
 	Singleton singletonCmd `cmd:"" aliases:"owner" help:"Singleton roles: tasks that one instance of a fleet at a time carries out."`
 	Lab       fleetsimCmd  `cmd:"" help:"Try designs in the laboratory: a model of the whole fleet, without sockets."`
@@ -30,7 +30,7 @@
 
 func main() {
 	args := kong.Parse(&cli{}, kong.Name("pumiceline"), kong.UsageOnError(),
-		kong.Description("A balancing HTTP proxy. The configuration is the file that ROUTER_CONFIG names."))
+		kong.Description("An HTTP load balancer. The configuration is the file that ROUTER_CONFIG names."))
 	args.FatalIfErrorf(args.Run(output{os.Stdout}))
 }
 
--- a/cmd/pumiceline/serve.go
+++ b/cmd/pumiceline/serve.go
@@ -24,7 +24,7 @@
 type serveCmd struct {
 	Config        string     `help:"Configuration file, in place of the one that ROUTER_CONFIG names." type:"path"`
 	AdmissionFile string     `name:"admission" aliases:"door" help:"File of admission control (deploy/door.toml); none if it is not given." type:"path"`
-	Level         slog.Level `help:"Least level of the log lines that are written." default:"INFO"`
+	Level         slog.Level `help:"Lowest level of the log lines that are written." default:"INFO"`
 }
 
 // Run serves until SIGTERM or SIGINT, and reloads the configuration on SIGHUP.
--- a/cmd/pumiceline/try.go
+++ b/cmd/pumiceline/try.go
@@ -33,8 +33,8 @@
 type tryCmd struct {
 	Duration time.Duration `name:"for" help:"How long to run." default:"20s"`
 	Rate     float64       `help:"Requests a second." default:"60"`
-	Nodes    int           `help:"Destinations." default:"4"`
-	Level    slog.Level    `help:"Least level of the proxy's log lines that are shown." default:"ERROR"`
+	Nodes    int           `help:"Number of fake backends." default:"4"`
+	Level    slog.Level    `help:"Lowest level of the proxy's log lines that are shown." default:"ERROR"`
 }
 
 // Run runs fake backends and discovery, the proxy and a light load in this process, on loopback, and shows each second what
@@ -80,7 +80,7 @@
 	defer endLoad()
 	stopLoad := runInBackground(load, clients.Run)
 	defer stopLoad()
-	fmt.Fprintf(out, "the proxy serves at %s, with %d destinations; operators' door at http://%s/v1/; interrupt to end sooner\n",
+	fmt.Fprintf(out, "proxy at %s, with %d backends; admin API at http://%s/v1/; interrupt to end sooner\n",
 		baseURL, c.Nodes, addrs.admin)
 	return newTryMonitor(c.Duration, world, clients, out).run(load, failed)
 }
--- a/internal/standalone/server/operations.go
+++ b/internal/standalone/server/operations.go
@@ -78,6 +78,6 @@
 		"class_numbers":    clients.ClassNumbers,
 		"class_series":     s.metrics.ClassCount(),
 		"gate_waiting":     clients.GateQueue,
-		"probes":           s.probes.InFlight(),
+		"probes":           s.loadPoller.InFlight(),
 	}
 }
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -66,16 +66,16 @@
 	log     *slog.Logger
 	sockets socketBudget
 
-	gate      *listener.Gate // nil: no admission control
-	metrics   *metrics.Metrics
-	backends  *backend.Pool
-	watcher   *discovery.Watcher
-	process   *hotrestart.Process
-	probes    *forwarder.LoadPoller
-	engine    *engine.Engine
-	transport *forwarder.Transport
-	clients   *listener.Server
-	reloader  *reloader
+	gate       *listener.Gate // nil: no admission control
+	metrics    *metrics.Metrics
+	backends   *backend.Pool
+	watcher    *discovery.Watcher
+	process    *hotrestart.Process
+	loadPoller *forwarder.LoadPoller
+	engine     *engine.Engine
+	transport  *forwarder.Transport
+	clients    *listener.Server
+	reloader   *reloader
 
 	accepting  atomic.Bool    // whether clients' connections are accepted
 	background sync.WaitGroup // of goroutines that end with the running context
@@ -99,7 +99,7 @@
 	s.joinProcesses()
 	defer s.process.Leave()
 	s.createRequestPath(balancer)
-	defer s.probes.Close()
+	defer s.loadPoller.Close()
 	s.registerGauges()
 	ln, err := s.listen()
 	if err != nil {
@@ -153,10 +153,10 @@
 
 // createRequestPath creates what a request passes through: the listener, the transport and the engine of the policy.
 func (s *server) createRequestPath(balancer *policy.Balancer) {
-	s.probes = forwarder.NewLoadPoller(s.backends, s.log)
-	hooks := engine.Hooks{SubscribeDiscovery: s.watcher.RestartWatch, CloseIdleConns: s.backends.CloseIdle, PollLoad: s.probes.Poll}
+	s.loadPoller = forwarder.NewLoadPoller(s.backends, s.log)
+	hooks := engine.Hooks{SubscribeDiscovery: s.watcher.RestartWatch, CloseIdleConns: s.backends.CloseIdle, PollLoad: s.loadPoller.Poll}
 	s.engine = engine.New(balancer, hooks, s.log)
-	s.probes.SetEngine(s.engine)
+	s.loadPoller.SetEngine(s.engine)
 	s.transport = &forwarder.Transport{Engine: s.engine, Backends: s.backends, Log: s.log}
 	s.transport.MaxRetryAfter.Store(settings.Micros(s.cfg.Settings.Limits.MaxRetryAfter))
 	s.clients = listener.New(listener.Options{
