--- a/internal/standalone/admission/controller.go
+++ b/internal/standalone/admission/controller.go
@@ -19,6 +19,8 @@
 import (
 	"fmt"
 	"math"
+
+	"pumiceline/internal/splitmix"
 )
 
 // Request is a request that has arrived. Tenant and Class are places in the settings.
@@ -292,7 +294,7 @@
 		c.saltRotatedAt, c.lastTick = c.now, c.now
 	}
 	if c.now-c.saltRotatedAt >= c.settings.SaltRotation {
-		c.saltRotatedAt, c.salt = c.now, splitMix64(c.salt)
+		c.saltRotatedAt, c.salt = c.now, splitmix.Mix(c.salt)
 	}
 	c.updateRates()
 	for len(c.admitByHeap) > 0 && c.entries[c.admitByHeap[0]].admitBy < c.now {
--- a/internal/standalone/admission/controller_test.go
+++ b/internal/standalone/admission/controller_test.go
@@ -5,6 +5,8 @@
 	"testing"
 
 	"pgregory.net/rapid"
+
+	"pumiceline/internal/splitmix"
 )
 
 func TestController_RejectsRequestsThatWouldBeLate(t *testing.T) {
@@ -186,7 +188,7 @@
 			n := uint64(0)
 			arrive := func() {
 				n++
-				r := Request{Tenant: int(n % 5), Class: int(n >> 3 & 1), Client: splitMix64(n), Deadline: now + 3600*sec}
+				r := Request{Tenant: int(n % 5), Class: int(n >> 3 & 1), Client: splitmix.Mix(n), Deadline: now + 3600*sec}
 				_, out = d.Submit(now, r, out[:0])
 				take()
 			}
--- a/internal/standalone/admission/queue.go
+++ b/internal/standalone/admission/queue.go
@@ -1,6 +1,10 @@
 package admission
 
-import "container/heap"
+import (
+	"container/heap"
+
+	"pumiceline/internal/splitmix"
+)
 
 // list is a queue of entries, linked by next and prev.
 type list struct{ head, tail int32 }
@@ -11,7 +15,7 @@
 	t := &c.tenants[e.tenant]
 	t.makeQueues(e.lane, c.settings.QueuesPerClass)
 	e.state = stateQueued
-	e.bucket = int32(splitMix64(e.client^c.salt) % uint64(c.settings.QueuesPerClass))
+	e.bucket = int32(splitmix.Mix(e.client^c.salt) % uint64(c.settings.QueuesPerClass))
 	c.pushBack(&t.queues[e.lane][e.bucket], index)
 	t.buckets[e.lane].push(e.bucket)
 	t.lanes.push(e.lane)
@@ -124,11 +128,3 @@
 	h.admitByHeap[a], h.admitByHeap[b] = h.admitByHeap[b], h.admitByHeap[a]
 	h.entries[h.admitByHeap[a]].heapIndex, h.entries[h.admitByHeap[b]].heapIndex = int32(a), int32(b)
 }
-
-// splitMix64 hashes a number (the finaliser of SplitMix64; Steele, Lea, Flood, OOPSLA 2014).
-func splitMix64(x uint64) uint64 {
-	x += 0x9e3779b97f4a7c15
-	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
-	x = (x ^ x>>27) * 0x94d049bb133111eb
-	return x ^ x>>31
-}
--- a/internal/standalone/admission/reload.go
+++ b/internal/standalone/admission/reload.go
@@ -5,6 +5,8 @@
 	"fmt"
 	"math"
 	"slices"
+
+	"pumiceline/internal/splitmix"
 )
 
 // returningValueFactor is how many times the value of the most valuable class requests have that return at their
@@ -41,7 +43,7 @@
 	}
 	c.meanWork = sum / float64(len(settings.Classes))
 	c.limit.setBounds(settings.MinLimit, settings.MaxLimit)
-	c.salt = splitMix64(settings.Seed + 1)
+	c.salt = splitmix.Mix(settings.Seed + 1)
 }
 
 // newLanes returns the empty lanes of a tenant.
--- a/internal/standalone/admission/retryafter.go
+++ b/internal/standalone/admission/retryafter.go
@@ -1,6 +1,10 @@
 package admission
 
-import "math"
+import (
+	"math"
+
+	"pumiceline/internal/splitmix"
+)
 
 const (
 	// reservationSlot is the length of a slot of reservedWork.
@@ -55,7 +59,7 @@
 		t.reservedWork[slot] += e.work
 		t.stats.Reserved++
 		begin := c.lastTick + Time(slot)*reservationSlot - c.now
-		spread := Time(splitMix64(uint64(e.generation)<<32^uint64(e.arrivedAt)) % (reservationSlot * 9 / 10))
+		spread := Time(splitmix.Mix(uint64(e.generation)<<32^uint64(e.arrivedAt)) % (reservationSlot * 9 / 10))
 		return min(max(1, begin+spread), c.settings.MaxRetryAfter)
 	}
 	return 0
