--- a/internal/standalone/admission/controller.go
+++ b/internal/standalone/admission/controller.go
@@ -23,7 +23,7 @@
 	"pumiceline/internal/splitmix"
 )
 
-// Request is a request that has arrived. Tenant and Class are places in the settings.
+// Request is a request that has arrived. Tenant and Class are indexes in the settings.
 type Request struct {
 	Tenant   int
 	Class    int
@@ -102,7 +102,7 @@
 
 	entries      []entry
 	freeList     int32     // the first free entry
-	tenants      []tenant  // by their place in the settings
+	tenants      []tenant  // by their index in the settings
 	tenantOrder  fairQueue // of tenants with queued requests
 	admitByHeap  []int32   // queued entries by admitBy
 	queued       int
@@ -267,7 +267,7 @@
 	return c.admitQueued(c.advanceTo(now, out))
 }
 
-// Stats returns the statistics of a tenant, by its place in the settings.
+// Stats returns the statistics of a tenant, by its index in the settings.
 func (c *Controller) Stats(tenantIndex int) TenantStats {
 	stats := c.tenants[tenantIndex].stats
 	stats.Queued = c.tenants[tenantIndex].queued
--- a/internal/standalone/admission/entry.go
+++ b/internal/standalone/admission/entry.go
@@ -18,7 +18,7 @@
 	generation  uint32 // counts the uses of the entry, so that an old ticket is not taken for a new one
 	state       uint8
 	isReturning bool  // a retry that came at its Retry-After
-	tenant      int32 // its place in the settings
+	tenant      int32 // its index in the settings
 	lane        int32 // of the tenant
 	bucket      int32 // the queue within the lane
 	next, prev  int32 // in the queue; next of a free entry is the next free one
--- a/internal/standalone/admission/reload.go
+++ b/internal/standalone/admission/reload.go
@@ -67,17 +67,17 @@
 		return out, fmt.Errorf("admission settings: %w", err)
 	}
 	out = c.advanceTo(now, out)
-	places := newPlaces(&c.settings, &next)
+	mapping := newIndexMapping(&c.settings, &next)
 	queued, oldTenants := c.queuedByArrival(), c.tenants
 	c.admitByHeap, c.queued = c.admitByHeap[:0], 0
 	c.useSettings(next)
-	for old, place := range places.tenants {
-		if place != noIndex {
-			c.tenants[place].stats = oldTenants[old].stats
-			c.tenants[place].stats.Queued = 0
+	for old, index := range mapping.tenants {
+		if index != noIndex {
+			c.tenants[index].stats = oldTenants[old].stats
+			c.tenants[index].stats.Queued = 0
 		}
 	}
-	c.moveEntries(places)
+	c.moveEntries(mapping)
 	for _, index := range queued {
 		e := &c.entries[index]
 		isTenantGone := e.tenant == noIndex
@@ -107,68 +107,68 @@
 	return queued
 }
 
-// moveEntries gives the entries their places in new settings. A queued entry whose tenant is gone has tenant noIndex
+// moveEntries gives the entries the indexes of new settings. A queued entry whose tenant is gone has tenant noIndex
 // then.
-func (c *Controller) moveEntries(places places) {
+func (c *Controller) moveEntries(mapping indexMapping) {
 	for i := range c.entries {
 		e := &c.entries[i]
 		if e.state == stateFree {
 			continue
 		}
-		e.tenant, e.lane = places.tenants[e.tenant], places.lane(e.lane)
+		e.tenant, e.lane = mapping.tenants[e.tenant], mapping.lane(e.lane)
 		if e.state == stateInFlight && e.tenant == noIndex {
 			e.tenant = 0 // its statistics have to go somewhere
 		}
 	}
 }
 
-// places are the places of the old tenants and classes in new settings, noIndex for those that are gone.
-type places struct {
+// indexMapping has the indexes of the old tenants and classes in new settings, noIndex for those that are gone.
+type indexMapping struct {
 	tenants    []int32
 	classes    []int32
 	newClasses int
 }
 
-func newPlaces(old, next *Settings) places {
-	tenantPlace, classPlace := map[string]int32{}, map[string]int32{}
+func newIndexMapping(old, next *Settings) indexMapping {
+	tenantIndex, classIndex := map[string]int32{}, map[string]int32{}
 	for i, t := range next.Tenants {
-		tenantPlace[t.Name] = int32(i)
+		tenantIndex[t.Name] = int32(i)
 	}
 	for i, class := range next.Classes {
-		classPlace[class.Name] = int32(i)
+		classIndex[class.Name] = int32(i)
 	}
-	p := places{newClasses: len(next.Classes)}
+	m := indexMapping{newClasses: len(next.Classes)}
 	for _, t := range old.Tenants {
-		p.tenants = append(p.tenants, placeOr(tenantPlace, t.Name))
+		m.tenants = append(m.tenants, indexOr(tenantIndex, t.Name))
 	}
 	for _, class := range old.Classes {
-		p.classes = append(p.classes, placeOr(classPlace, class.Name))
+		m.classes = append(m.classes, indexOr(classIndex, class.Name))
 	}
-	return p
+	return m
 }
 
-// placeOr returns the place of a name, or noIndex.
-func placeOr(places map[string]int32, name string) int32 {
-	if place, ok := places[name]; ok {
-		return place
+// indexOr returns the index of a name, or noIndex.
+func indexOr(indexes map[string]int32, name string) int32 {
+	if index, ok := indexes[name]; ok {
+		return index
 	}
 	return noIndex
 }
 
 // lane returns the new lane for an old one. Requests of a class that is gone move to the returning lane, so that they
 // are served first.
-func (p *places) lane(old int32) int32 {
-	oldClasses := len(p.classes)
+func (m *indexMapping) lane(old int32) int32 {
+	oldClasses := len(m.classes)
 	isOverQuota := isOverQuotaLane(oldClasses, old)
 	class := old
 	if isOverQuota {
 		class = classOfOverQuota(oldClasses, old)
 	}
-	if int(class) >= oldClasses || p.classes[class] == noIndex {
-		return returningLane(p.newClasses)
+	if int(class) >= oldClasses || m.classes[class] == noIndex {
+		return returningLane(m.newClasses)
 	}
 	if isOverQuota {
-		return overQuotaLane(p.newClasses, p.classes[class])
+		return overQuotaLane(m.newClasses, m.classes[class])
 	}
-	return p.classes[class]
+	return m.classes[class]
 }
--- a/internal/standalone/admission/settings.go
+++ b/internal/standalone/admission/settings.go
@@ -82,7 +82,7 @@
 )
 
 // SettingError says which setting is invalid. Key is its name in the deployment file; that of a tenant or class is
-// "tenants.N.field" or "classes.N.field" with its place in the settings.
+// "tenants.N.field" or "classes.N.field" with its index in the settings.
 type SettingError struct {
 	Key    string
 	Reason string
--- a/internal/standalone/backend/connection.go
+++ b/internal/standalone/backend/connection.go
@@ -17,10 +17,10 @@
 )
 
 // minIdleBeforeReuse is how long a connection is not used after a response. A backend may send more than belongs to
-// the response, even a whole second response, some milliseconds late; it could not be told from the response to the
-// next request, which another client would get. After this time it has arrived, and is found before the connection is
-// used. A new connection costs less than a wrong response. Of 48 second responses on the bench the latest came after
-// 5 ms; 10 ms in place of 6 cost 0.03 of the standing test's score, 6 ms nothing measurable.
+// the response, even a whole second response, some milliseconds late; it could not be distinguished from the response
+// to the next request, which another client would get. After this time it has arrived, and is found before the
+// connection is used. A new connection costs less than a wrong response. Of 48 second responses on the bench the
+// latest came after 5 ms; 10 ms in place of 6 cost 0.03 of the standing test's score, 6 ms nothing measurable.
 const minIdleBeforeReuse = 6 * time.Millisecond
 
 var (
--- a/internal/standalone/backend/request.go
+++ b/internal/standalone/backend/request.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	// timeLeftHeader is the header with the time that is left for the request, in milliseconds.
-	timeLeftHeader = "X-Time-Left-Ms"
+	// TimeLeftHeader is the header with the time that is left for a request, in milliseconds.
+	TimeLeftHeader = "X-Time-Left-Ms"
 	// typicalHeadBytes is enough for nearly every request head.
 	typicalHeadBytes = 1 << 10
 )
@@ -36,7 +36,7 @@
 var headersNotCopied = map[string]bool{
 	"Host":              true,
 	"User-Agent":        true,
-	timeLeftHeader:      true,
+	TimeLeftHeader:      true,
 	"Content-Length":    true,
 	"Transfer-Encoding": true,
 	"Trailer":           true,
@@ -91,7 +91,7 @@
 	if !ok {
 		deadline = time.Now().Add(body.Stream.ClientTimeout)
 	}
-	text.WriteString(timeLeftHeader + ": ")
+	text.WriteString(TimeLeftHeader + ": ")
 	writeInt(text, max(0, time.Until(deadline).Milliseconds()))
 	text.WriteString("\r\n")
 }
--- a/internal/standalone/engine/call.go
+++ b/internal/standalone/engine/call.go
@@ -12,7 +12,7 @@
 // Request is what the policy is given of a new request.
 type Request struct {
 	Class       uint8       // the class's number in the settings
-	Tenant      uint32      // the tenant's place in the settings
+	Tenant      uint32      // the tenant's index in the settings
 	AffinityKey uint64      // what the request is about; 0: unknown
 	WorkHint    policy.Time // expected work, in microseconds on a standard core; 0: unknown
 	Deadline    time.Time   // when the last attempt has to have ended
--- a/internal/standalone/forwarder/requestinfo.go
+++ b/internal/standalone/forwarder/requestinfo.go
@@ -11,7 +11,7 @@
 // deadline.
 type RequestInfo struct {
 	Class      uint8       // the class's number in the settings
-	Tenant     uint32      // the tenant's place in the settings
+	Tenant     uint32      // the tenant's index in the settings
 	WorkHint   policy.Time // expected work, in microseconds on a standard core; 0: unknown
 	SessionKey uint64      // a hash of what the request is about, for affinity; 0: none
 	Body       []byte      // the whole body, or its start if there is a Stream
--- a/internal/standalone/forwarder/response.go
+++ b/internal/standalone/forwarder/response.go
@@ -36,11 +36,16 @@
 func rejectedResponse(req *http.Request, retryAfter policy.Time) *http.Response {
 	resp := textResponse(req, http.StatusServiceUnavailable, "busy\n")
 	if retryAfter > 0 {
-		resp.Header.Set("Retry-After", strconv.FormatFloat(float64(retryAfter)/1e6, 'f', 3, 64))
+		resp.Header.Set("Retry-After", FormatRetryAfter(retryAfter))
 	}
 	return resp
 }
 
+// FormatRetryAfter returns the value of a Retry-After header for a time in microseconds: seconds with three decimals.
+func FormatRetryAfter(retryAfter policy.Time) string {
+	return strconv.FormatFloat(float64(retryAfter)/1e6, 'f', 3, 64)
+}
+
 func textResponse(req *http.Request, status int, text string) *http.Response {
 	return bufferedResponse(req, status, http.Header{"Content-Type": {"text/plain; charset=utf-8"}}, []byte(text))
 }
--- a/internal/standalone/listener/body.go
+++ b/internal/standalone/listener/body.go
@@ -29,7 +29,7 @@
 )
 
 var (
-	// errIncompleteBody is what the client is told of a body that broke off, stalled or was malformed.
+	// errIncompleteBody is the client's error for a body that broke off, stalled or was malformed.
 	errIncompleteBody error = &requestError{http.StatusBadRequest, "the body did not come whole"}
 
 	errBodyTooSlow = errors.New("the body comes too slowly")
--- a/internal/standalone/listener/body_test.go
+++ b/internal/standalone/listener/body_test.go
@@ -36,14 +36,14 @@
 // whose body stalls, breaks off or is too large is ended. The clock is fake.
 func TestRequestBody_PaceLimits(t *testing.T) {
 	for name, c := range map[string]struct {
-		size   int // of the whole body
-		coded  bool
-		piece  int
-		pause  time.Duration
-		sent   int  // before it stops; 0: all
-		leaves bool // disconnects there, rather than stalls
-		status int  // 0: the connection ends without a response
-		most   time.Duration
+		size        int // of the whole body
+		coded       bool
+		piece       int
+		pause       time.Duration
+		sent        int  // before it stops; 0: all
+		disconnects bool // there, rather than stalls
+		status      int  // 0: the connection ends without a response
+		most        time.Duration
 	}{
 		"short, slow":        {size: 60_000, piece: 16_000, pause: 250 * time.Millisecond, status: 200, most: 2 * time.Second},
 		"long":               {size: 2_000_000, piece: 50_000, status: 200, most: time.Second},
@@ -54,7 +54,7 @@
 		"stalls at once":     {size: 640_000, piece: 10, sent: 10, status: 400, most: 2100 * time.Millisecond},
 		"stalls later":       {size: 640_000, piece: 64_000, sent: 320_000, most: 8 * time.Second},
 		"far too slow":       {size: 640_000, piece: 4000, pause: time.Second, status: 400, most: 4 * time.Second},
-		"client leaves":      {size: 900_000, piece: 100_000, sent: 300_000, leaves: true, most: time.Second},
+		"client disconnects": {size: 900_000, piece: 100_000, sent: 300_000, disconnects: true, most: time.Second},
 		"longer than it may": {size: backend.MaxStreamedBody + 1000, coded: true, piece: 1 << 20, most: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -76,7 +76,7 @@
 					}
 					for sent := 0; sent < c.size; {
 						if c.sent > 0 && sent >= c.sent {
-							if c.leaves {
+							if c.disconnects {
 								conn.Close()
 							}
 							return
@@ -116,7 +116,7 @@
 				if server.InFlight() != 0 || len(server.openIDs.ids) != 0 || server.OpenSockets() != 0 {
 					t.Error("the request has left something behind")
 				}
-				if c.leaves && (ended == nil || got != c.sent) { // the attempt that reads must see the error
+				if c.disconnects && (ended == nil || got != c.sent) { // the attempt that reads must see the error
 					t.Errorf("the attempt read %d bytes, %v", got, ended)
 				}
 			})
--- a/internal/standalone/listener/conn.go
+++ b/internal/standalone/listener/conn.go
@@ -26,7 +26,7 @@
 	maxLingerBytes = 256 << 10
 )
 
-// Phases of a keep-alive connection, by which SetReadDeadline tells which deadline it is given.
+// Phases of a keep-alive connection, by which SetReadDeadline knows which deadline it is given.
 const (
 	phaseActive   int32 = iota // it has a request, or has not had one yet
 	phaseIdle                  // it waits for its next request
@@ -42,7 +42,7 @@
 	mu              sync.Mutex // guards the fields up to handledRequests
 	scanner         httpframing.Scanner
 	readInProgress  bool
-	endedByProxy    bool  // what a read brings from then on is discarded
+	endedByProxy    bool  // what a read returns from then on is discarded
 	handledRequests int32 // requests that have reached the handler
 
 	readAborted atomic.Bool  // net/http has stopped its own background read
--- a/internal/standalone/listener/gate.go
+++ b/internal/standalone/listener/gate.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -34,7 +33,7 @@
 
 	mu          sync.Mutex // guards what follows
 	controller  *admission.Controller
-	tenantNames []string                                   // by the tenant's place in the settings
+	tenantNames []string                                   // by the tenant's index in the settings
 	actions     []admission.Action                         // a buffer for the controller's decisions
 	pending     map[admission.Ticket]chan admission.Action // the requests that wait for a decision
 	loggedStats []admission.TenantStats                    // at the last log record, by tenant
@@ -214,7 +213,7 @@
 // writeRejection answers a rejected request. No backend has seen it, so to send it again is harmless.
 func writeRejection(w http.ResponseWriter, rejection admission.Action) {
 	if rejection.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(float64(rejection.RetryAfter)/1e6, 'f', 3, 64))
+		w.Header().Set("Retry-After", forwarder.FormatRetryAfter(rejection.RetryAfter))
 	}
 	http.Error(w, "busy: "+rejection.Reason.String(), http.StatusServiceUnavailable)
 }
--- a/internal/standalone/listener/request.go
+++ b/internal/standalone/listener/request.go
@@ -21,8 +21,8 @@
 	correlationIDHeader  = "X-Correlation-Id"
 	classHeader          = "X-Service-Class"
 	tenantHeader         = "X-Account"
-	timeLeftHeader       = "X-Time-Left-Ms" // the client's time-out, in milliseconds
-	workHintHeader       = "X-Weight-Hint"  // the expected work, in microseconds; optional
+	timeLeftHeader       = backend.TimeLeftHeader // the client's time-out, in milliseconds
+	workHintHeader       = "X-Weight-Hint"        // the expected work, in microseconds; optional
 	idempotencyKeyHeader = "Idempotency-Key"
 	sessionKeyHeader     = "X-Session-Key" // optional
 	repeatHeader         = "X-Repeat"      // "1": the client sends a request again that was rejected; optional
@@ -56,7 +56,7 @@
 type requestReader struct {
 	mu      sync.Mutex // guards what follows
 	classes requestclass.Table
-	tenants map[string]uint32 // their places in the settings, by name; empty: the deployment has no tenants
+	tenants map[string]uint32 // their indexes in the settings, by name; empty: the deployment has no tenants
 }
 
 // applySettings replaces the settings unless apply, which is given them with the classes in the order of their numbers,
--- a/internal/standalone/listener/request_test.go
+++ b/internal/standalone/listener/request_test.go
@@ -28,7 +28,7 @@
 				}
 				deadline, _ := r.Context().Deadline()
 				if key := forwarder.RequestInfoFrom(r.Context()).SessionKey; key != xxhash.Sum64String("7f3a") {
-					t.Errorf("key %x goes to the module", key)
+					t.Errorf("key %x goes to the policy", key)
 				}
 				if left := time.Until(deadline); left != 480*time.Millisecond {
 					t.Errorf("%v left", left)
--- a/internal/standalone/listener/server.go
+++ b/internal/standalone/listener/server.go
@@ -21,8 +21,8 @@
 	"pumiceline/internal/standalone/settings"
 )
 
-// Time limits for clients. A socket that brings nothing, or a request that never ends, takes a place that another
-// client needs.
+// Time limits for clients. A client that sends nothing, or a request that never ends, uses up a socket that
+// another client needs.
 const (
 	// headTimeout bounds a request's head, from its first byte or, for the first request, from the connection's start.
 	headTimeout = 2600 * time.Millisecond
--- a/internal/standalone/listener/server_test.go
+++ b/internal/standalone/listener/server_test.go
@@ -196,7 +196,7 @@
 }
 
 // New settings hold for requests that arrive from then on: a new class is served, without a key where it may never be
-// repeated; a class that is gone gets 400; settings that another part rejects change nothing.
+// retried; a class that is gone gets 400; settings that another part rejects change nothing.
 func TestServer_ApplySettingsWithRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inside, goOn := make(chan struct{}, 9), make(chan struct{})
@@ -223,10 +223,10 @@
 		next := testSettings()
 		next.Classes = []settings.Class{{Name: "bind", Semantics: "side_effect", ClientTimeout: 1e6}, next.Classes[1]}
 		if err := server.ApplySettings(next, func(*settings.Settings) error { return errors.New("no") }); err == nil {
-			t.Error("a change that another part turned down was taken")
+			t.Error("a change that another part rejected was applied")
 		}
 		if got := ask("bind", "POST", "2"); got != 400 {
-			t.Errorf("a class of settings that were turned down: %d", got)
+			t.Errorf("a class of settings that were rejected: %d", got)
 		}
 		var numbered []settings.Class
 		if err := server.ApplySettings(next, func(s *settings.Settings) error { numbered = s.Classes; return nil }); err != nil {
--- a/internal/standalone/listener/shutdown_test.go
+++ b/internal/standalone/listener/shutdown_test.go
@@ -150,15 +150,15 @@
 // shutdown for ever if it is not.
 func TestServer_ShutdownWaitsForIncompleteHeads(t *testing.T) {
 	for name, c := range map[string]struct {
-		kept bool // the connection had a request before
-		rest bool // the rest of the head comes
+		keepAlive bool // the connection had a request before
+		rest      bool // the rest of the head comes
 	}{"on a new connection": {false, true}, "on a kept one": {true, true}, "never complete": {true, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			server := newTestServerWith(respondOK, withSuccessor)
 			ln, stop := serveOnPipes(t, server)
 			client, r := ln.dial()
 			defer client.Close()
-			if c.kept {
+			if c.keepAlive {
 				if resp, _, err := exchange(client, r, quoteRequest); err != nil || resp.StatusCode != 200 {
 					t.Errorf("%s: %v, %v", name, resp, err)
 				}
--- a/internal/standalone/listener/socketbudget_test.go
+++ b/internal/standalone/listener/socketbudget_test.go
@@ -49,8 +49,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(respondOK, 10)
 		ln, stop := serveOnPipes(t, server)
-		usual, usualReader := ln.dial()
-		if resp, _, err := exchange(usual, usualReader, quoteRequest); err != nil || resp.StatusCode != 200 {
+		regular, regularReader := ln.dial()
+		if resp, _, err := exchange(regular, regularReader, quoteRequest); err != nil || resp.StatusCode != 200 {
 			t.Errorf("%v, %v", resp, err)
 		}
 		half, halfReader := ln.dial()
@@ -64,7 +64,7 @@
 				t.Fatalf("%d sockets with a budget of 10", n)
 			}
 			if i%50 == 49 {
-				if resp, _, err := exchange(usual, usualReader, quoteRequest); err != nil || resp.StatusCode != 200 {
+				if resp, _, err := exchange(regular, regularReader, quoteRequest); err != nil || resp.StatusCode != 200 {
 					t.Errorf("after %d: %v, %v", i, resp, err)
 				}
 			}
@@ -75,14 +75,14 @@
 		time.Sleep(headTimeout + time.Millisecond)
 		synctest.Wait()
 		if n := server.budget.count(); n != 1 {
-			t.Errorf("%d sockets, want the usual one", n)
+			t.Errorf("%d sockets, want the regular one", n)
 		}
 		time.Sleep(idleTimeout)
 		synctest.Wait()
 		if n := server.budget.count(); n != 0 {
 			t.Errorf("%d sockets that have been idle for long", n)
 		}
-		for _, c := range append(silent, usual, half) {
+		for _, c := range append(silent, regular, half) {
 			c.Close()
 		}
 		<-stop()
@@ -159,7 +159,7 @@
 		}
 		for i := range 5 {
 			if got, want := ask(), i < 3; got != want {
-				t.Errorf("socket %d: taken %v", i, got)
+				t.Errorf("socket %d: accepted %v", i, got)
 			}
 		}
 		now = 4
