--- a/tools/docrefs/docrefs_test.go
+++ b/tools/docrefs/docrefs_test.go
@@ -11,7 +11,8 @@
 // pages are those that a newcomer reads first.
 var pages = []string{"README.md", "CONTRIBUTING.md", "docs/architecture.md", "docs/glossary.md", "docs/design/control-state.md", "docs/design/system.md",
 	"docs/runbook-control-plane.md",
-	"docs/runbook-standalone.md"}
+	"docs/runbook-standalone.md",
+	"docs/singleton.md", "docs/design/singleton.md"}
 
 func TestPagesNameWhatExists(t *testing.T) {
 	index, err := NewIndex("../..")
