--- a/cmd/pumiceline/bench_test.go
+++ b/cmd/pumiceline/bench_test.go
@@ -35,14 +35,16 @@
 	return 0
 }
 
-// BenchmarkCost measures the CPU time of the proxy for a request, in a closed loop of 32 clients, without and with affinity and load
-// polling.
-// Figures are comparable within a run, or with those of another version run in turn with it.
+// BenchmarkCost measures the CPU time of the proxy for a request, in a closed loop of 32 clients, without and with affinity and
+// load polling. Figures are comparable within a run, or with those of another version run in turn with it.
 func BenchmarkCost(b *testing.B) {
-	for name, tune := range map[string]func(map[string]any){"plain": nil, "keys": func(set map[string]any) { useAffinity(set, true) }} {
+	for name, adapt := range map[string]func(map[string]any){
+		"plain": nil,
+		"keys":  func(set map[string]any) { useAffinity(set, true) },
+	} {
 		b.Run(name, func(b *testing.B) {
 			c := newCluster(b, 64)
-			c.adaptSettings = tune
+			c.adaptSettings = adapt
 			c.writeConfig()
 			p := c.start(c.discovery)
 			c.awaitReady(p)
--- a/internal/standalone/server/restart_test.go
+++ b/internal/standalone/server/restart_test.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"os"
 	"strings"
 	"sync"
 	"syscall"
@@ -17,137 +18,174 @@
 	"pumiceline/internal/standalone/config"
 )
 
-// Successors take over on one inherited socket under load: no request is rejected or lost, and a backend disabled at the old process
-// is disabled at the new one, also after the old one has ended and another restart has followed.
-func TestRun_HotRestartUnderLoad(t *testing.T) {
+// restartCluster is fake backends and discovery, with a listening socket that one proxy after another inherits.
+type restartCluster struct {
+	t            *testing.T
+	socket       *os.File
+	address      string // of socket
+	discovery    string // address
+	sharedFolder string
+	fakes        *fakestandalone.Environment
+}
+
+func newRestartCluster(t *testing.T) *restartCluster {
+	t.Helper()
 	discovery, clients := listen(t, "127.0.0.1"), listen(t, "127.0.0.1")
-	file, err := clients.(*net.TCPListener).File()
+	socket, err := clients.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
-	worldCtx, endWorld := context.WithCancel(context.Background())
-	defer endWorld()
-	world := fakestandalone.NewEnvironment(discovery, []net.Listener{listen(t, "127.0.0.1"), listen(t, "127.0.0.1"), listen(t, "127.0.0.1")},
-		[]string{"ub-east"}, func() { time.Sleep(2 * time.Millisecond) })
-	go world.Serve(worldCtx)
-	shared := t.TempDir()
+	t.Cleanup(func() { socket.Close() })
+	ctx, cancel := context.WithCancel(context.Background())
+	t.Cleanup(cancel)
+	backends := []net.Listener{listen(t, "127.0.0.1"), listen(t, "127.0.0.1"), listen(t, "127.0.0.1")}
+	fakes := fakestandalone.NewEnvironment(discovery, backends, []string{"ub-east"}, func() { time.Sleep(2 * time.Millisecond) })
+	go fakes.Serve(ctx)
+	return &restartCluster{t: t, socket: socket, address: clients.Addr().String(), discovery: discovery.Addr().String(),
+		sharedFolder: t.TempDir(), fakes: fakes}
+}
 
-	type process struct {
-		adminURL string
-		stop     context.CancelFunc
-		ended    chan error
-	}
-	start := func() process {
-		free := listen(t, "127.0.0.4") // an address of its own: a connection of another test can't take the port
-		p := process{adminURL: "http://" + free.Addr().String() + "/v1/", ended: make(chan error, 1)}
-		fd, err := syscall.Dup(int(file.Fd()))
-		if err != nil {
-			t.Fatal(err)
-		}
-		env := map[string]string{"ROUTER_LISTEN": clients.Addr().String(), "ROUTER_DISCOVERY": discovery.Addr().String(),
-			"ROUTER_OPERATOR": free.Addr().String(), "ROUTER_FD": fmt.Sprint(fd), "TMPDIR": shared}
-		cfg, err := config.Load(exampleConfig, func(name string) string { return env[name] })
-		if err != nil {
-			t.Fatal(err)
-		}
-		free.Close()
-		var ctx context.Context
-		ctx, p.stop = context.WithCancel(context.Background())
-		go func() { p.ended <- Run(ctx, cfg, Options{}, slog.New(slog.DiscardHandler)) }()
-		return p
-	}
-	call := func(method, url string) (int, string) {
-		req, err := http.NewRequest(method, url, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		resp, err := http.DefaultTransport.RoundTrip(req)
-		if err != nil {
-			return 0, err.Error()
-		}
-		defer resp.Body.Close()
-		body, _ := io.ReadAll(resp.Body)
-		return resp.StatusCode, string(body)
-	}
-	ready := func(p process) {
-		waitUntil(t, "ready", func() bool {
-			select {
-			case err := <-p.ended:
-				t.Fatalf("process ended before it was ready: %v", err)
-			default:
-			}
-			status, _ := call("GET", p.adminURL+"readyz")
-			return status == 200
-		})
+// runningProxy is a proxy in this process.
+type runningProxy struct {
+	adminURL string
+	stop     context.CancelFunc
+	ended    chan error
+}
+
+// start starts a proxy that inherits the socket.
+func (c *restartCluster) start() *runningProxy {
+	c.t.Helper()
+	free := listen(c.t, "127.0.0.4") // an address of its own: a connection of another test can't take the port
+	admin := free.Addr().String()
+	fd, err := syscall.Dup(int(c.socket.Fd()))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	env := map[string]string{"ROUTER_LISTEN": c.address, "ROUTER_DISCOVERY": c.discovery, "ROUTER_OPERATOR": admin,
+		"ROUTER_FD": fmt.Sprint(fd), "TMPDIR": c.sharedFolder}
+	cfg, err := config.Load(exampleConfig, func(name string) string { return env[name] })
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	free.Close()
+	ctx, cancel := context.WithCancel(context.Background())
+	p := &runningProxy{adminURL: "http://" + admin + "/v1/", stop: cancel, ended: make(chan error, 1)}
+	go func() { p.ended <- Run(ctx, cfg, Options{}, slog.New(slog.DiscardHandler)) }()
+	return p
+}
+
+// callAdmin sends a request to a proxy's admin API. The status is 0 if there is no response.
+func (c *restartCluster) callAdmin(p *runningProxy, method, path string) (status int, body string) {
+	req, err := http.NewRequest(method, p.adminURL+path, nil)
+	if err != nil {
+		c.t.Fatal(err)
+	}
+	resp, err := http.DefaultTransport.RoundTrip(req)
+	if err != nil {
+		return 0, err.Error()
 	}
-	first := start()
-	ready(first)
+	defer resp.Body.Close()
+	content, _ := io.ReadAll(resp.Body)
+	return resp.StatusCode, string(content)
+}
+
+func (c *restartCluster) awaitReady(p *runningProxy) {
+	c.t.Helper()
+	waitUntil(c.t, "ready", func() bool {
+		select {
+		case err := <-p.ended:
+			c.t.Fatalf("proxy ended before it was ready: %v", err)
+		default:
+		}
+		status, _ := c.callAdmin(p, "GET", "readyz")
+		return status == 200
+	})
+}
 
-	load, endLoad := context.WithCancel(context.Background())
+// startLoad has clients send requests in a closed loop until stop is called. None may fail.
+func (c *restartCluster) startLoad(clients int) (stop func()) {
+	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
-	for n := range 4 {
+	for n := range clients {
 		running.Go(func() {
-			for i := 0; load.Err() == nil; i++ {
-				req, err := http.NewRequest("GET", "http://"+clients.Addr().String()+"/quick-quote", nil)
-				if err != nil {
-					t.Error(err)
+			for i := 0; ctx.Err() == nil; i++ {
+				if err := c.request(client, fmt.Sprint(n, ".", i)); err != nil {
+					c.t.Errorf("request failed: %v", err)
 					return
 				}
-				req.Header = http.Header{"X-Correlation-Id": {fmt.Sprint(n, ".", i)}, "X-Service-Class": {"quick-quote"},
-					"X-Account": {"khan-air"}, "X-Time-Left-Ms": {"1500"}}
-				resp, err := client.Do(req)
-				if err != nil {
-					t.Errorf("a request was lost: %v", err)
-					return
-				}
-				io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
-				if resp.StatusCode != 200 {
-					t.Errorf("a request got %s", resp.Status)
-				}
 			}
 		})
 	}
-	old := first
+	return func() {
+		cancel()
+		running.Wait()
+	}
+}
+
+func (c *restartCluster) request(client *http.Client, correlationID string) error {
+	req, err := http.NewRequest("GET", "http://"+c.address+"/quick-quote", nil)
+	if err != nil {
+		return err
+	}
+	req.Header = http.Header{"X-Correlation-Id": {correlationID}, "X-Service-Class": {"quick-quote"},
+		"X-Account": {"khan-air"}, "X-Time-Left-Ms": {"1500"}}
+	resp, err := client.Do(req)
+	if err != nil {
+		return err
+	}
+	defer resp.Body.Close()
+	io.Copy(io.Discard, resp.Body)
+	if resp.StatusCode != 200 {
+		c.t.Errorf("a request got %s", resp.Status)
+	}
+	return nil
+}
+
+// Successors take over on one inherited socket under load: no request is rejected or lost, and a backend disabled at the old
+// process is disabled at the new one, also after the old one has ended and another restart has followed.
+func TestRun_HotRestartUnderLoad(t *testing.T) {
+	c := newRestartCluster(t)
+	old := c.start()
+	c.awaitReady(old)
+	stopLoad := c.startLoad(4)
 	for restart := range 2 {
-		next := start()
+		next := c.start()
 		if restart == 0 {
-			if status, body := call("POST", old.adminURL+"backends/toy-1/suspend"); status != 200 {
+			if status, body := c.callAdmin(old, "POST", "backends/toy-1/suspend"); status != 200 {
 				t.Errorf("suspend: %d %s", status, body)
 			}
 		}
-		ready(next)
+		c.awaitReady(next)
 		old.stop()
 		if err := <-old.ended; err != nil {
-			t.Errorf("old process: %v", err)
+			t.Errorf("old proxy: %v", err)
 		}
-		if _, body := call("GET", next.adminURL+"metrics"); !strings.Contains(body, "svc_cluster_unhealthy 1\n") {
+		if _, body := c.callAdmin(next, "GET", "metrics"); !strings.Contains(body, "svc_cluster_unhealthy 1\n") {
 			t.Errorf("restart %d: the backend is no longer disabled:\n%s", restart+1, body)
 		}
 		old = next
 	}
-	// A successor that is stopped before it is ready leaves the old process as it is.
-	aborted := start()
+
+	// A successor that is stopped before it is ready leaves the old proxy as it is.
+	aborted := c.start()
 	aborted.stop()
 	if err := <-aborted.ended; err != nil {
-		t.Errorf("a successor stopped before it was ready: %v", err)
+		t.Errorf("successor stopped before it was ready: %v", err)
 	}
-	ready(old)
-	served := world.Backends[0].Served()
+	c.awaitReady(old)
+	served := c.fakes.Backends[0].Served()
 	time.Sleep(50 * time.Millisecond)
-	if now := world.Backends[0].Served(); now != served {
+	if now := c.fakes.Backends[0].Served(); now != served {
 		t.Errorf("the disabled backend had %d more requests", now-served)
 	}
-	if status, _ := call("POST", old.adminURL+"backends/toy-1/resume"); status != 200 {
+	if status, _ := c.callAdmin(old, "POST", "backends/toy-1/resume"); status != 200 {
 		t.Errorf("resume: %d", status)
 	}
-	if status, _ := call("POST", old.adminURL+"backends/toy-9/suspend"); status != 404 {
+	if status, _ := c.callAdmin(old, "POST", "backends/toy-9/suspend"); status != 404 {
 		t.Errorf("a backend that was never listed: %d", status)
 	}
-	endLoad()
-	running.Wait()
+	stopLoad()
 	old.stop()
 	if err := <-old.ended; err != nil {
 		t.Error(err)
