--- a/internal/standalone/policy/admission_test.go
+++ b/internal/standalone/policy/admission_test.go
@@ -39,9 +39,9 @@
 			unloaded, queueing float64 // in latency targets
 			decreases          bool
 		}{{0.1, 0, false}, {0.55, 0, false}, {0.7, 0, false}, {0.1, 0.5, true}, {0.45, 0.6, true}, {1.1, 0, true}} {
-			set := testSettings()
-			set.Classes[0].LatencyTarget = Time(500_000 * scale)
-			b := newBalancer(t, set, testMembers(1))
+			settings := testSettings()
+			settings.Classes[0].LatencyTarget = Time(500_000 * scale)
+			b := newBalancer(t, settings, testMembers(1))
 			for i := range 400 {
 				took := c.unloaded * (0.8 + 0.2*float64(i%4)/3)
 				if i == 200 {
@@ -52,7 +52,7 @@
 				b.now += 10_000
 				b.inFlight = int(b.concurrencyLimit)
 				b.adjustLimit(&request{class: &b.settings.Classes[0]}, &attempt{server: b.members[0], cost: 1},
-					&Event{Outcome: OK, Elapsed: Time(took * float64(set.Classes[0].LatencyTarget))})
+					&Event{Outcome: OK, Elapsed: Time(took * float64(settings.Classes[0].LatencyTarget))})
 			}
 			if c.decreases && b.concurrencyLimit >= 10 || !c.decreases && b.concurrencyLimit < 100 {
 				t.Errorf("scale %v, unloaded %v and queueing %v of the target: limit %.0f", scale, c.unloaded, c.queueing,
@@ -115,9 +115,9 @@
 // servers can take. While every response is a sign of congestion it has far less than one in flight on average, and
 // once none is it sends all that arrives.
 func TestLimitFallsBelowOneAttempt(t *testing.T) {
-	set := testSettings()
-	set.GroupSize = 400
-	b, err := New(set, 1)
+	settings := testSettings()
+	settings.GroupSize = 400
+	b, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -270,9 +270,9 @@
 	const balancers, servers, each = 60, 20, 10
 	sent := 0
 	for seed := range uint64(balancers) {
-		set := testSettings()
-		set.GroupSize = balancers
-		b, err := New(set, seed)
+		settings := testSettings()
+		settings.GroupSize = balancers
+		b, err := New(settings, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/standalone/policy/queue_test.go
+++ b/internal/standalone/policy/queue_test.go
@@ -21,9 +21,9 @@
 // A request that can be sent nowhere is rejected while its client has half of its time left, also where the latency
 // target equals the client time-out.
 func TestQueuedAtMostHalfOfClientTimeout(t *testing.T) {
-	set := testSettings()
-	set.Classes[0].LatencyTarget = set.Classes[0].ClientTimeout
-	b := newBalancer(t, set, nil)
+	settings := testSettings()
+	settings.Classes[0].LatencyTarget = settings.Classes[0].ClientTimeout
+	b := newBalancer(t, settings, nil)
 	b.Handle(b.now, &Event{Kind: RequestArrived, ID: 1, ClientTimeout: 2_000_000}, nil)
 	for start := b.now; ; {
 		for _, a := range b.Handle(b.now+queueCheckPeriod, &Event{Kind: TimerFired, ID: timerQueue}, nil) {
@@ -68,10 +68,10 @@
 
 // When there is no capacity for all, requests within a tenant's quota go before what another sends beyond its own.
 func TestRequestsOverQuotaHaveLowerPriority(t *testing.T) {
-	set := testSettings()
-	set.Tenants = []Tenant{{QuotaPerS: 20}, {QuotaPerS: 20}}
-	set.OverQuotaValue = 0.1
-	b := newBalancer(t, set, testMembers(2))
+	settings := testSettings()
+	settings.Tenants = []Tenant{{QuotaPerS: 20}, {QuotaPerS: 20}}
+	settings.OverQuotaValue = 0.1
+	b := newBalancer(t, settings, testMembers(2))
 	b.advance(1_000_000)
 	b.concurrencyLimit = 1
 	id := uint64(0)
@@ -91,9 +91,9 @@
 
 // Rejected clients get a Retry-After: never over what they respect, longer the more is queued, and randomized.
 func TestRetryAfterGrowsWithQueue(t *testing.T) {
-	set := testSettings()
-	set.Limits.MaxRetryAfter = 2_500_000
-	b := newBalancer(t, set, nil)
+	settings := testSettings()
+	settings.Limits.MaxRetryAfter = 2_500_000
+	b := newBalancer(t, settings, nil)
 	b.medianAttemptTime, b.concurrencyLimit = 200_000, 10
 	idle, distinct := Time(0), map[Time]bool{}
 	for range 100 {
@@ -116,7 +116,7 @@
 		t.Errorf("%d with a queue, %d without", loaded, idle)
 	}
 	b.queue = make([]*request, 1e6)
-	if after := b.retryAfter(); after != set.Limits.MaxRetryAfter {
+	if after := b.retryAfter(); after != settings.Limits.MaxRetryAfter {
 		t.Errorf("Retry-After %d, want the limit", after)
 	}
 	b.settings.Limits.MaxRetryAfter = 0
--- a/internal/standalone/policy/settings_test.go
+++ b/internal/standalone/policy/settings_test.go
@@ -11,9 +11,9 @@
 		"class semantics":  func(s *Settings) { s.Classes[0].Semantics = 9 },
 		"negative factor":  func(s *Settings) { s.Rules.OverloadFactor = -1 },
 	} {
-		set := testSettings()
-		change(&set)
-		if _, err := New(set, 1); err == nil {
+		settings := testSettings()
+		change(&settings)
+		if _, err := New(settings, 1); err == nil {
 			t.Errorf("%s: no error", name)
 		}
 	}
@@ -27,8 +27,8 @@
 func TestApplySettings_AffectsNewRequests(t *testing.T) {
 	idempotent := Class{Semantics: Idempotent, LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}
 	nonIdempotent := Class{Semantics: NonIdempotent, LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}
-	set := Settings{Classes: []Class{idempotent}, Limits: Limits{MaxAttempts: 3}, Tenants: []Tenant{{QuotaPerS: 100}}}
-	b, err := New(set, 1)
+	settings := Settings{Classes: []Class{idempotent}, Limits: Limits{MaxAttempts: 3}, Tenants: []Tenant{{QuotaPerS: 100}}}
+	b, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -45,8 +45,10 @@
 		return sent
 	}
 	arrive(1)
-	failureRate := b.servers[b.requests[1].attempts[0].serverID].failureRate
-	next := set
+	const failureRate = 0.25
+	server := b.servers[b.requests[1].attempts[0].serverID]
+	server.failureRate = failureRate
+	next := settings
 	next.Classes = []Class{nonIdempotent, idempotent}
 	next.Limits.MaxAttempts, next.Tenants = 1, []Tenant{{QuotaPerS: 10}, {QuotaPerS: 20}}
 	if err := b.ApplySettings(Settings{}); err == nil {
@@ -57,7 +59,7 @@
 	}
 	arrive(2)
 	b.Handle(2, &Event{Kind: RequestArrived, ID: 3, Class: 1, Tenant: 1, Work: 1000, ClientTimeout: 4e6}, nil)
-	if len(b.servers) != 3 || b.servers[b.requests[1].attempts[0].serverID].failureRate != failureRate {
+	if len(b.servers) != 3 || b.servers[server.id] != server || server.failureRate != failureRate {
 		t.Error("what was learned about servers is lost")
 	}
 	if !fail(1, 0) || !fail(1, 1) || fail(1, 2) {
--- a/internal/standalone/policy/subscription_test.go
+++ b/internal/standalone/policy/subscription_test.go
@@ -40,11 +40,11 @@
 				}
 			}
 		}
-		set := testSettings()
-		set.SubscribeDiscovery, set.GroupSize, set.Rules.SubscribeWithin = true, c.group, 10e6
+		settings := testSettings()
+		settings.SubscribeDiscovery, settings.GroupSize, settings.Rules.SubscribeWithin = true, c.group, 10e6
 		for n := range balancers {
 			var err error
-			if balancers[n], err = New(set, uint64(n+1)); err != nil {
+			if balancers[n], err = New(settings, uint64(n+1)); err != nil {
 				t.Fatal(err)
 			}
 			handle(n, 1, Event{Kind: MembershipCached})
@@ -75,17 +75,17 @@
 
 // The first calls of balancers that start together are spread over time, and none comes too late.
 func TestFirstDiscoveryCallsAreSpread(t *testing.T) {
-	set := testSettings()
-	set.SubscribeDiscovery = true
+	settings := testSettings()
+	settings.SubscribeDiscovery = true
 	first := map[Time]int{}
 	for seed := range uint64(200) {
-		b, _ := New(set, seed)
+		b, _ := New(settings, seed)
 		for _, a := range b.Handle(1e9, &Event{Kind: MembershipCached, Members: testMembers(2)}, nil) {
 			if a.Kind == SetTimer && a.ID == timerSubscribe {
-				if a.After > set.Rules.SubscribeWithin/2 {
+				if a.After > settings.Rules.SubscribeWithin/2 {
 					t.Fatalf("first call only after %d", a.After)
 				}
-				first[a.After/(set.Rules.SubscribeWithin/40)]++
+				first[a.After/(settings.Rules.SubscribeWithin/40)]++
 			}
 		}
 	}
@@ -103,9 +103,9 @@
 // them.
 func TestDiscoveryCallsBackOffOnFailure(t *testing.T) {
 	for _, within := range []Time{8_000_000, 0} {
-		set := testSettings()
-		set.SubscribeDiscovery, set.Rules.SubscribeWithin = true, within
-		b, err := New(set, 5)
+		settings := testSettings()
+		settings.SubscribeDiscovery, settings.Rules.SubscribeWithin = true, within
+		b, err := New(settings, 5)
 		if err != nil {
 			t.Fatal(err)
 		}
