--- a/tools/docrefs/docrefs_test.go
+++ b/tools/docrefs/docrefs_test.go
@@ -12,7 +12,8 @@
 var pages = []string{"README.md", "CONTRIBUTING.md", "docs/architecture.md", "docs/glossary.md", "docs/design/control-state.md", "docs/design/system.md",
 	"docs/runbook-control-plane.md",
 	"docs/runbook-standalone.md",
-	"docs/singleton.md", "docs/design/singleton.md"}
+	"docs/singleton.md", "docs/design/singleton.md",
+	"docs/admission.md", "docs/design/admission.md"}
 
 func TestPagesNameWhatExists(t *testing.T) {
 	index, err := NewIndex("../..")
