--- a/cmd/pumiceline/bench_test.go
+++ b/cmd/pumiceline/bench_test.go
@@ -106,11 +106,11 @@
 			}
 		})}
 		go server.Serve(ln)
-		for _, e := range c.world.Entries {
+		for _, e := range c.fakes.Entries {
 			e.Health = "DELETED"
-			c.world.Discovery.Put(e)
+			c.fakes.Discovery.Put(e)
 		}
-		c.world.Discovery.Put(discovery.Entry{Host: "long", Address: ln.Addr().String(), Zone: "ub-east", InstanceType: "std-8", Health: "SERVING", Size: 1})
+		c.fakes.Discovery.Put(discovery.Entry{Host: "long", Address: ln.Addr().String(), Zone: "ub-east", InstanceType: "std-8", Health: "SERVING", Size: 1})
 		p := c.start(c.discovery)
 		c.awaitReady(p)
 		time.Sleep(3 * time.Second) // its list is there
--- a/cmd/pumiceline/cluster_test.go
+++ b/cmd/pumiceline/cluster_test.go
@@ -41,7 +41,7 @@
 	configFile    string
 	sharedFolder  string
 	memoryMB      int
-	world         *fakestandalone.Environment
+	fakes         *fakestandalone.Environment
 	adaptSettings func(settings map[string]any) // nil: they stay as the fakes have them
 }
 
@@ -64,9 +64,9 @@
 	discovery, clients := open(), open()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	world := fakestandalone.NewEnvironment(discovery, []net.Listener{open(), open(), open()}, []string{"ub-east"},
+	fakes := fakestandalone.NewEnvironment(discovery, []net.Listener{open(), open(), open()}, []string{"ub-east"},
 		func() { time.Sleep(2 * time.Millisecond) })
-	go world.Serve(ctx)
+	go fakes.Serve(ctx)
 	socket, err := clients.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 	t.Cleanup(func() { socket.Close() })
 	clients.Close() // socket has a descriptor of its own
 	c := &cluster{t: t, socket: socket, address: clients.Addr().String(), discovery: discovery.Addr().String(),
-		configFile: filepath.Join(t.TempDir(), "config.json"), sharedFolder: t.TempDir(), memoryMB: memoryMB, world: world}
+		configFile: filepath.Join(t.TempDir(), "config.json"), sharedFolder: t.TempDir(), memoryMB: memoryMB, fakes: fakes}
 	c.writeConfig()
 	return c
 }
--- a/cmd/pumiceline/process_test.go
+++ b/cmd/pumiceline/process_test.go
@@ -32,11 +32,11 @@
 	for _, backend := range backendOf {
 		keys[backend]++
 	}
-	if len(keys) != len(c.world.Backends) {
+	if len(keys) != len(c.fakes.Backends) {
 		t.Errorf("keys by backend: %v", keys)
 	}
 	polls := func() (n int64) {
-		for _, d := range c.world.Backends {
+		for _, d := range c.fakes.Backends {
 			n += d.LoadQueries()
 		}
 		return n
@@ -95,10 +95,10 @@
 	})
 
 	discovery.Set(faulttest.Downstream, faulttest.Fault{Hold: true})
-	draining, servedBefore := c.world.Backends[0], served.Load()
-	entry := c.world.Entries[0]
+	draining, servedBefore := c.fakes.Backends[0], served.Load()
+	entry := c.fakes.Entries[0]
 	entry.Health = "DRAINING"
-	c.world.Discovery.Put(entry)
+	c.fakes.Discovery.Put(entry)
 	time.Sleep(time.Second)
 	if n := draining.Served(); served.Load() == servedBefore || failed.Load() > 0 || n == 0 {
 		t.Errorf("during the partition: %d served, %d failed, %d by the draining backend", served.Load()-servedBefore, failed.Load(), n)
--- a/cmd/pumiceline/try.go
+++ b/cmd/pumiceline/try.go
@@ -56,13 +56,13 @@
 	defer stop()
 
 	failed := make(chan error, 2) // one of each goroutine below
-	world := fakestandalone.NewEnvironment(addrs.discovery, addrs.backends, tryZones, fakestandalone.SleepAbout(tryServiceTime))
-	stopWorld := runInBackground(context.Background(), func(ctx context.Context) {
-		if err := world.Serve(ctx); err != nil {
+	fakes := fakestandalone.NewEnvironment(addrs.discovery, addrs.backends, tryZones, fakestandalone.SleepAbout(tryServiceTime))
+	stopFakes := runInBackground(context.Background(), func(ctx context.Context) {
+		if err := fakes.Serve(ctx); err != nil {
 			failed <- err
 		}
 	})
-	defer stopWorld()
+	defer stopFakes()
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: c.Level}))
 	stopProxy := runInBackground(context.Background(), func(ctx context.Context) {
 		if err := server.Run(ctx, cfg, server.Options{}, log); err != nil {
@@ -82,7 +82,7 @@
 	defer stopLoad()
 	fmt.Fprintf(out, "proxy at %s, with %d backends; admin API at http://%s/v1/; interrupt to end sooner\n",
 		baseURL, c.Nodes, addrs.admin)
-	return newTryMonitor(c.Duration, world, clients, out).run(load, failed)
+	return newTryMonitor(c.Duration, fakes, clients, out).run(load, failed)
 }
 
 func (c *tryCmd) validate() error {
--- a/cmd/pumiceline/try_monitor.go
+++ b/cmd/pumiceline/try_monitor.go
@@ -33,7 +33,7 @@
 // elsewhere.
 type tryMonitor struct {
 	duration time.Duration
-	world    *fakestandalone.Environment
+	fakes    *fakestandalone.Environment
 	clients  *fakestandalone.LoadGenerator
 	out      io.Writer
 	terminal bool
@@ -46,11 +46,11 @@
 	drawn   int     // lines of the last table
 }
 
-func newTryMonitor(duration time.Duration, world *fakestandalone.Environment, clients *fakestandalone.LoadGenerator, out output) *tryMonitor {
+func newTryMonitor(duration time.Duration, fakes *fakestandalone.Environment, clients *fakestandalone.LoadGenerator, out output) *tryMonitor {
 	file, _ := out.Writer.(*os.File)
-	return &tryMonitor{duration: duration, world: world, clients: clients, out: out,
+	return &tryMonitor{duration: duration, fakes: fakes, clients: clients, out: out,
 		terminal: file != nil && term.IsTerminal(int(file.Fd())),
-		started:  time.Now(), status: "all serve", served: make([]int64, len(world.Backends))}
+		started:  time.Now(), status: "all serve", served: make([]int64, len(fakes.Backends))}
 }
 
 // run draws until ctx ends, then the totals; an error of the goroutines that it watches over ends it at once.
@@ -76,19 +76,19 @@
 
 // advancePhase drains the first backend after a third of the time and restores it after two thirds.
 func (m *tryMonitor) advancePhase() {
-	backend, entry := m.world.Backends[0], m.world.Entries[0]
+	backend, entry := m.fakes.Backends[0], m.fakes.Entries[0]
 	elapsed := time.Since(m.started)
 	switch {
 	case m.phase == allServing && elapsed > m.duration/3:
 		m.phase, m.status = backendDraining, entry.Host+" drains"
 		entry.Health = "DRAINING"
-		m.world.Discovery.Put(entry)
+		m.fakes.Discovery.Put(entry)
 		time.AfterFunc(tryDrainDelay, func() { backend.SetDraining(true) })
 	case m.phase == backendDraining && elapsed > 2*m.duration/3:
 		m.phase, m.status = backendReturned, entry.Host+" is back, cold"
 		backend.SetDraining(false)
 		entry.StartedAtMs = float64(time.Now().UnixMilli())
-		m.world.Discovery.Put(entry)
+		m.fakes.Discovery.Put(entry)
 	}
 }
 
@@ -120,7 +120,7 @@
 }
 
 func (m *tryMonitor) writeBackends(table *strings.Builder) {
-	for i, d := range m.world.Backends {
+	for i, d := range m.fakes.Backends {
 		served := d.Served()
 		rate := served - m.served[i]
 		m.served[i] = served
--- a/internal/standalone/server/soak_test.go
+++ b/internal/standalone/server/soak_test.go
@@ -64,7 +64,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		fakes, stopFakes := context.WithCancel(t.Context())
 		defer stopFakes()
-		s := newSoak(t, fakes)
+		s := newSoak(fakes, t)
 		stop, requestStop := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() {
@@ -101,7 +101,7 @@
 	})
 }
 
-func newSoak(t *testing.T, fakes context.Context) *soak {
+func newSoak(fakes context.Context, t *testing.T) *soak {
 	t.Helper()
 	s := &soak{t: t, network: &fakestandalone.MemoryNetwork{}, fakes: fakes, discovery: fakestandalone.NewDiscovery(),
 		rng: rand.New(rand.NewPCG(1, 2)), stopBackend: map[string]context.CancelFunc{}, reloads: make(chan os.Signal)}
