--- a/cmd/pumiceline/faulttestscript.go
+++ b/cmd/pumiceline/faulttestscript.go
@@ -117,7 +117,8 @@
 	r.discoveryRelays = append(r.discoveryRelays, relay)
 	r.proxyAddrs = append(r.proxyAddrs, reserved.Addr().String())
 	reserved.Close()
-	config, err := fakestandalone.ReplicaConfig(r.proxyAddrs[i], relay.Addr(), scriptZones, i, r.script.Proxies)
+	config, err := fakestandalone.ReplicaConfig(fakestandalone.ReplicaOptions{Listen: r.proxyAddrs[i], Discovery: relay.Addr(),
+		Zones: scriptZones, Ordinal: i, GroupSize: r.script.Proxies})
 	if err == nil {
 		err = os.WriteFile(r.configFile(i), config, 0o600)
 	}
--- /dev/null
+++ b/internal/fake/fakestandalone/backend.go
@@ -0,0 +1,95 @@
+package fakestandalone
+
+import (
+	"fmt"
+	"io"
+	"math/rand/v2"
+	"net/http"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// Backend serves requests on a number of cores and reports its load. Its fields must not change once it serves; what may
+// change has a method. It is an http.Handler and safe for concurrent use.
+type Backend struct {
+	Name  string
+	Cores int    // requests that are served at once; others are queued
+	Serve func() // what a core does for a request
+
+	once              sync.Once
+	cores             chan struct{}
+	draining          atomic.Bool
+	served            atomic.Int64
+	loadQueries       atomic.Int64
+	inFlight          atomic.Int64
+	errorsPerThousand atomic.Int64 // requests
+	meter             loadMeter
+}
+
+const maxRequestBytes = 64 << 10
+
+// SleepAbout returns a Backend.Serve that takes mean on average, between half of it and one and a half.
+func SleepAbout(mean time.Duration) func() {
+	return func() { time.Sleep(mean/2 + rand.N(mean)) }
+}
+
+// SetDraining has the backend reject new requests, or accept them again.
+func (b *Backend) SetDraining(on bool) { b.draining.Store(on) }
+
+// SetErrorRatio has the backend answer a share of its requests with an error at once.
+func (b *Backend) SetErrorRatio(ratio float64) { b.errorsPerThousand.Store(int64(1000 * ratio)) }
+
+// Served is how many requests it has served.
+func (b *Backend) Served() int64 { return b.served.Load() }
+
+// InFlight is how many requests it serves or has queued now.
+func (b *Backend) InFlight() int64 { return b.inFlight.Load() }
+
+// LoadQueries is how often it was asked for its load.
+func (b *Backend) LoadQueries() int64 { return b.loadQueries.Load() }
+
+// ServeHTTP responds as the protocol's backends do: 404 without an ID, 503 with X-Unprocessed while it drains, 500 on an
+// error, else 200 with a body that describes the request.
+func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	b.once.Do(func() { b.cores = make(chan struct{}, max(1, b.Cores)) })
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
+	if err != nil {
+		http.Error(w, "the request did not come whole", http.StatusBadRequest)
+		return
+	}
+	if r.URL.Path == "/status/load" {
+		b.loadQueries.Add(1)
+		fmt.Fprintln(w, b.meter.report(max(1, b.Cores)))
+		return
+	}
+	if r.Header.Get("X-Correlation-Id") == "" {
+		http.NotFound(w, r)
+		return
+	}
+	w.Header().Set("X-Backend-Load", b.meter.report(max(1, b.Cores)))
+	if b.draining.Load() {
+		w.Header().Set("X-Unprocessed", "1")
+		http.Error(w, "draining", http.StatusServiceUnavailable)
+		return
+	}
+	if rand.Int64N(1000) < b.errorsPerThousand.Load() {
+		b.meter.add(0, 1)
+		http.Error(w, "failed", http.StatusInternalServerError)
+		return
+	}
+	b.serveOnCore()
+	fmt.Fprintf(w, "%s answers %s %s with %d bytes of body, its request number %d; the proxy waits %s ms\n", b.Name, r.Method,
+		r.URL.RequestURI(), len(body), b.served.Add(1), r.Header.Get("X-Time-Left-Ms"))
+}
+
+// serveOnCore waits for a core and serves a request on it.
+func (b *Backend) serveOnCore() {
+	b.inFlight.Add(1)
+	defer b.inFlight.Add(-1)
+	b.cores <- struct{}{}
+	start := time.Now()
+	b.Serve()
+	b.meter.add(time.Since(start), 0)
+	<-b.cores
+}
--- /dev/null
+++ b/internal/fake/fakestandalone/discovery.go
@@ -0,0 +1,126 @@
+package fakestandalone
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+
+	"pumiceline/internal/standalone/discovery"
+)
+
+// keepAliveInterval is how often a watch without changes sends an empty line.
+const keepAliveInterval = 2 * time.Second
+
+// healthDeleted is the health of a host that leaves the list.
+const healthDeleted = "DELETED"
+
+// Discovery is a fake of discovery. Create it with NewDiscovery. It is an http.Handler and safe for concurrent use.
+type Discovery struct {
+	mu      sync.Mutex
+	hosts   []discovery.Entry // the current list, in the order in which hosts were added
+	changes []discovery.Entry // change i made version i+1
+	changed chan struct{}     // closed at the next change
+}
+
+// NewDiscovery returns a discovery that lists the given hosts.
+func NewDiscovery(hosts ...discovery.Entry) *Discovery {
+	d := &Discovery{changed: make(chan struct{})}
+	for _, h := range hosts {
+		d.Put(h)
+	}
+	return d
+}
+
+// Put adds a host or replaces its entry. A host whose health is DELETED is removed.
+func (d *Discovery) Put(h discovery.Entry) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	index := -1
+	for i := range d.hosts {
+		if d.hosts[i].Host == h.Host {
+			index = i
+		}
+	}
+	switch {
+	case h.Health == healthDeleted && index >= 0:
+		d.hosts = append(d.hosts[:index:index], d.hosts[index+1:]...)
+	case h.Health == healthDeleted:
+		return
+	case index >= 0:
+		d.hosts[index] = h
+	default:
+		d.hosts = append(d.hosts, h)
+	}
+	d.changes = append(d.changes, h)
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// update is a line of a watch, and the response to a request for the list.
+type update struct {
+	Seq   int               `json:"seq"`   // the version
+	Full  bool              `json:"whole"` // Hosts is the list; else the changes since the line before
+	Hosts []discovery.Entry `json:"hosts"`
+}
+
+// updateSince returns the changes after a version, or the full list where there is no such version, and a channel that is
+// closed at the next change.
+func (d *Discovery) updateSince(version int) (update, <-chan struct{}) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	u := update{Seq: len(d.changes)}
+	if version <= 0 || version > len(d.changes) {
+		u.Full, u.Hosts = true, append([]discovery.Entry{}, d.hosts...)
+	} else {
+		u.Hosts = append([]discovery.Entry{}, d.changes[version:]...)
+	}
+	return u, d.changed
+}
+
+// ServeHTTP answers GET /v1/endpoints with the full list; with stream=1 and index=N it goes on with the changes after the
+// version N.
+func (d *Discovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	if req.URL.Path != "/v1/endpoints" {
+		http.NotFound(w, req)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	query := req.URL.Query()
+	if query.Get("stream") != "1" {
+		u, _ := d.updateSince(0)
+		_ = json.NewEncoder(w).Encode(u) // a client that has gone needs none
+		return
+	}
+	version, _ := strconv.Atoi(query.Get("index")) // what is no number gets the full list
+	d.serveWatch(w, req, version)
+}
+
+// serveWatch sends updates until the client has gone.
+func (d *Discovery) serveWatch(w http.ResponseWriter, req *http.Request, version int) {
+	u, changed := d.updateSince(version)
+	lines, keepAlive := http.NewResponseController(w), time.NewTicker(keepAliveInterval)
+	defer keepAlive.Stop()
+	for first := true; ; first = false {
+		if first || len(u.Hosts) > 0 {
+			if json.NewEncoder(w).Encode(u) != nil {
+				return
+			}
+		}
+		if lines.Flush() != nil {
+			return
+		}
+		version = u.Seq
+		select {
+		case <-req.Context().Done():
+			return
+		case <-changed:
+			u, changed = d.updateSince(version)
+		case <-keepAlive.C:
+			fmt.Fprintln(w)
+			u.Hosts = nil
+		}
+	}
+}
--- /dev/null
+++ b/internal/fake/fakestandalone/environment.go
@@ -0,0 +1,63 @@
+package fakestandalone
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"time"
+
+	"pumiceline/internal/standalone/discovery"
+)
+
+// Environment is a discovery and a few backends on listeners.
+type Environment struct {
+	Discovery *Discovery
+	Backends  []*Backend
+	Entries   []discovery.Entry // as they were listed first, by backend
+
+	discoveryListener net.Listener
+	backendListeners  []net.Listener
+}
+
+// backendCores is how many requests a backend of an Environment serves at once.
+const backendCores = 8
+
+// NewEnvironment returns an environment whose backends are listed in the zones in turn, and whose requests take what serve
+// takes.
+func NewEnvironment(discoveryListener net.Listener, backends []net.Listener, zones []string, serve func()) *Environment {
+	e := &Environment{Discovery: NewDiscovery(), discoveryListener: discoveryListener, backendListeners: backends}
+	for i, ln := range backends {
+		name := fmt.Sprintf("toy-%d", i+1)
+		entry := discovery.Entry{Host: name, Address: ln.Addr().String(), Zone: zones[i%len(zones)], InstanceType: instanceType,
+			Cell: 1, Health: "SERVING", Size: 1}
+		e.Discovery.Put(entry)
+		e.Entries = append(e.Entries, entry)
+		e.Backends = append(e.Backends, &Backend{Name: name, Cores: backendCores, Serve: serve})
+	}
+	return e
+}
+
+// Serve serves until ctx ends or a listener fails.
+func (e *Environment) Serve(ctx context.Context) error {
+	ended := make(chan error, len(e.backendListeners)+1)
+	serve := func(ln net.Listener, h http.Handler) {
+		server := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
+		context.AfterFunc(ctx, func() { server.Close() })
+		go func() { ended <- server.Serve(ln) }() // ends with ctx
+	}
+	for i, b := range e.Backends {
+		serve(e.backendListeners[i], b)
+	}
+	serve(e.discoveryListener, e.Discovery)
+	select {
+	case err := <-ended:
+		if errors.Is(err, http.ErrServerClosed) {
+			return nil
+		}
+		return fmt.Errorf("fake environment: %w", err)
+	case <-ctx.Done():
+		return nil
+	}
+}
--- a/internal/fake/fakestandalone/recorder.go
+++ b/internal/fake/fakestandalone/recorder.go
@@ -6,133 +6,156 @@
 	"encoding/json"
 	"errors"
 	"fmt"
+	"io"
 	"net/http"
 	"os"
+	"slices"
 	"sync"
 	"time"
 
 	"pumiceline/internal/singleton"
 )
 
-// Recorder stands for an outside system that takes effects with their tokens: POST /effects with an ownership.Effect, 409 for one that
-// comes too late. What it took is on disk before it says so, and so is what it compares with.
+// Recorder is a fake of an outside system that carries out effects with fencing tokens: POST /effects with a
+// singleton.Effect, 409 for a stale one. What it accepted is on disk before it responds, and so is what it compares with.
+// It is an http.Handler and safe for concurrent use.
 type Recorder struct {
-	// Unfenced has it take whatever comes, to show what a receiver that can't compare tokens would suffer. Set before it serves.
+	// Unfenced has it accept stale effects too, to show the harm that a receiver that can't compare tokens would suffer. It
+	// must not change once the recorder serves.
 	Unfenced bool
 
-	mu      sync.Mutex
-	file    *os.File
-	guard   singleton.FencingGuard
-	taken   []AcceptedEffect
-	refused []string
+	mu       sync.Mutex
+	file     *os.File
+	guard    singleton.FencingGuard
+	accepted []AcceptedEffect
+	rejected []string
 }
 
-// AcceptedEffect is an effect that counts, in the order in which they did.
+// AcceptedEffect is a line of the recorder's file, in the order in which effects were accepted.
 type AcceptedEffect struct {
 	singleton.Effect
-	From string    `json:"from"` // who sent it
+	From string    `json:"from"` // instance that sent it
 	At   time.Time `json:"at"`
 }
 
-// NewRecorder goes on with what stands in the file, a JSON object a line; a last line without an end was never acknowledged and is cut off.
+const maxEffectBytes = 4 << 10
+
+// NewRecorder goes on with the effects in a file, a JSON object a line, which it creates if it does not exist. An incomplete
+// last line was never acknowledged and is removed.
 func NewRecorder(path string) (*Recorder, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
-		return nil, fmt.Errorf("standin: recorder: %w", err)
+		return nil, fmt.Errorf("recorder: %w", err)
 	}
 	r := &Recorder{file: file}
-	var whole int64
-	for in := bufio.NewReader(file); ; {
+	if err := r.load(); err != nil {
+		file.Close()
+		return nil, fmt.Errorf("recorder: %s: %w", path, err)
+	}
+	return r, nil
+}
+
+// load reads the file and leaves it at the end of its last complete line.
+func (r *Recorder) load() error {
+	var end int64 // of the complete lines
+	for in := bufio.NewReader(r.file); ; {
 		line, err := in.ReadBytes('\n')
 		if err != nil {
-			break // the end, or a line that was cut off by it
+			break // the end, or an incomplete line before it
 		}
-		var t AcceptedEffect
-		if err := json.Unmarshal(bytes.TrimSpace(line), &t); err != nil {
-			file.Close()
-			return nil, fmt.Errorf("standin: recorder: %s at byte %d: %w", path, whole, err)
+		var e AcceptedEffect
+		if err := json.Unmarshal(bytes.TrimSpace(line), &e); err != nil {
+			return fmt.Errorf("line at byte %d: %w", end, err)
 		}
-		whole += int64(len(line))
-		_ = r.guard.Admit(t.Effect) // of an unfenced time: the highest stays
-		r.taken = append(r.taken, t)
+		end += int64(len(line))
+		_ = r.guard.Admit(e.Effect) // stale where it was accepted unfenced: the latest stays
+		r.accepted = append(r.accepted, e)
 	}
-	if err := file.Truncate(whole); err != nil {
-		file.Close()
-		return nil, fmt.Errorf("standin: recorder: %w", err)
+	if err := r.file.Truncate(end); err != nil {
+		return err
 	}
-	if _, err := file.Seek(whole, 0); err != nil {
-		file.Close()
-		return nil, fmt.Errorf("standin: recorder: %w", err)
-	}
-	return r, nil
+	_, err := r.file.Seek(end, io.SeekStart)
+	return err
 }
 
 // Close closes the file.
 func (r *Recorder) Close() error { return r.file.Close() }
 
-// AcceptedEffect and Refused are what counted and what did not, in order.
+// Accepted returns the accepted effects in their order.
 func (r *Recorder) Accepted() []AcceptedEffect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]AcceptedEffect(nil), r.taken...)
+	return slices.Clone(r.accepted)
 }
 
-// Rejected are the reasons, each naming both tokens.
+// Rejected returns why effects were rejected, each reason with both tokens, in their order.
 func (r *Recorder) Rejected() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return append([]string(nil), r.refused...)
+	return slices.Clone(r.rejected)
 }
 
 // ServeHTTP implements http.Handler.
 func (r *Recorder) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	var e singleton.Effect
-	if req.Method != http.MethodPost || json.NewDecoder(http.MaxBytesReader(w, req.Body, 4<<10)).Decode(&e) != nil || e.Role == "" {
+	if req.Method != http.MethodPost || json.NewDecoder(http.MaxBytesReader(w, req.Body, maxEffectBytes)).Decode(&e) != nil || e.Role == "" {
 		http.Error(w, "no effect", http.StatusBadRequest)
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err := r.guard.Admit(e); err != nil && !r.Unfenced {
-		r.refused = append(r.refused, err.Error())
-		var older *singleton.StaleEffectError
-		if errors.As(err, &older) {
-			http.Error(w, err.Error(), http.StatusConflict)
-			return
+		r.rejected = append(r.rejected, err.Error())
+		status := http.StatusInsufficientStorage
+		var stale *singleton.StaleEffectError
+		if errors.As(err, &stale) {
+			status = http.StatusConflict
 		}
-		http.Error(w, err.Error(), http.StatusInsufficientStorage)
+		http.Error(w, err.Error(), status)
 		return
 	}
-	t := AcceptedEffect{Effect: e, From: req.Header.Get("X-From"), At: time.Now()}
-	line, err := json.Marshal(t)
-	if err == nil {
-		_, err = r.file.Write(append(line, '\n'))
-	}
-	if err == nil {
-		err = r.file.Sync()
-	}
-	if err != nil { // whether it is there nobody knows: not acknowledged, and not to be sent again with this serial
+	accepted := AcceptedEffect{Effect: e, From: req.Header.Get("X-From"), At: time.Now()}
+	if err := r.store(accepted); err != nil { // it may be stored or not: its sender must not send it again with this serial
 		http.Error(w, "not written down: "+err.Error(), http.StatusInternalServerError)
 		return
 	}
-	r.taken = append(r.taken, t)
+	r.accepted = append(r.accepted, accepted)
 }
 
-// FindViolations finds the first effect that harms: of an older token than one before it, of another sender than its token's others, or out of
-// order within its token. It looks at what counted alone, not at what anybody believed. 0 harms, "" where there is none.
-func FindViolations(taken []AcceptedEffect) (harms int, first string) {
-	latest := map[string]AcceptedEffect{}
-	for _, t := range taken {
-		was, there := latest[t.Role]
-		if there && (t.Token < was.Token || t.Token == was.Token && (t.From != was.From || t.Serial <= was.Serial)) {
-			if harms++; first == "" {
-				first = fmt.Sprintf("%s: token %d, serial %d of %s counts after token %d, serial %d of %s", t.Role, t.Token, t.Serial, t.From, was.Token,
-					was.Serial, was.From)
+// store appends an effect to the file. The caller holds r.mu.
+func (r *Recorder) store(e AcceptedEffect) error {
+	line, err := json.Marshal(e)
+	if err != nil {
+		return err
+	}
+	if _, err := r.file.Write(append(line, '\n')); err != nil {
+		return err
+	}
+	return r.file.Sync()
+}
+
+// FindViolations counts the accepted effects that must not have been accepted: of a lower token than one before, of another
+// sender than its token's others, or not in the order of its token's serials. It looks at the effects alone, not at what
+// anybody believed, and describes the first violation.
+func FindViolations(accepted []AcceptedEffect) (violations int, first string) {
+	latest := map[string]AcceptedEffect{} // by role
+	for _, e := range accepted {
+		previous, known := latest[e.Role]
+		if known && e.violatesOrder(previous) {
+			if violations++; first == "" {
+				first = fmt.Sprintf("%s: token %d, serial %d of %s counts after token %d, serial %d of %s", e.Role, e.Token, e.Serial,
+					e.From, previous.Token, previous.Serial, previous.From)
 			}
 		}
-		if !there || t.Token >= was.Token {
-			latest[t.Role] = t
+		if !known || e.Token >= previous.Token {
+			latest[e.Role] = e
 		}
 	}
-	return harms, first
+	return violations, first
+}
+
+// violatesOrder says whether an effect must not be accepted after another of its role.
+func (e AcceptedEffect) violatesOrder(previous AcceptedEffect) bool {
+	return e.Token < previous.Token ||
+		e.Token == previous.Token && (e.From != previous.From || e.Serial <= previous.Serial)
 }
--- a/internal/fake/fakestandalone/stored_test.go
+++ b/internal/fake/fakestandalone/stored_test.go
@@ -49,7 +49,7 @@
 	}{
 		{"of a token before the stored one", `{"work":"export","token":4,"serial":1}`, 409},
 		{"stored already", `{"work":"export","token":5,"serial":2}`, 409},
-		{"stored already, of another work", `{"work":"billing","token":4,"serial":9}`, 409},
+		{"stored already, of another role", `{"work":"billing","token":4,"serial":9}`, 409},
 		{"next of the stored token", `{"work":"export","token":5,"serial":3}`, 200},
 	} {
 		w, req := httptest.NewRecorder(), httptest.NewRequest("POST", "/effects", strings.NewReader(c.effect))
@@ -69,10 +69,10 @@
 	}
 }
 
-// Discovery's stand-in writes lists under the keys that earlier versions read.
+// The fake of discovery writes lists under the keys that earlier versions read.
 func TestWritesListReadByEarlierVersion(t *testing.T) {
-	l := update{Seq: 41, Full: true}
-	if text, err := json.Marshal(l); err != nil || string(text) != `{"seq":41,"whole":true,"hosts":null}` {
+	u := update{Seq: 41, Full: true}
+	if text, err := json.Marshal(u); err != nil || string(text) != `{"seq":41,"whole":true,"hosts":null}` {
 		t.Errorf("%s, %v", text, err)
 	}
 }
--- a/internal/fake/fakesystem/platform.go
+++ b/internal/fake/fakesystem/platform.go
@@ -2,44 +2,52 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"net"
 	"net/http"
 	"sync"
 )
 
-// Platform keeps the list of backends.
+// Platform is a fake of the platform, which has the list of backends.
 type Platform struct {
-	Address string
+	Address string // set by Start
 
-	server   *http.Server
-	mutex    sync.Mutex
-	backends []*Backend
-	calls    int
+	server *http.Server
+
+	mu           sync.Mutex
+	backends     []*Backend
+	listRequests int
 }
 
-// Start lets the platform listen on loopback.
+// Start has the platform serve on loopback. Close ends it.
 func (p *Platform) Start(backends ...*Backend) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return err
+		return fmt.Errorf("start platform: %w", err)
 	}
 	p.Address, p.backends = listener.Addr().String(), backends
 	p.server = &http.Server{Handler: http.HandlerFunc(p.serve)}
-	go func() { _ = p.server.Serve(listener) }() // it ends with Close
+	go func() { _ = p.server.Serve(listener) }() // ends with Close
 	return nil
 }
 
-// Close ends the platform.
+// Close ends the platform at once.
 func (p *Platform) Close() { _ = p.server.Close() }
 
-// ListRequests returns how often the list was read.
+// ListRequests returns how often the list was requested.
 func (p *Platform) ListRequests() int {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.calls
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.listRequests
+}
+
+// backendList is a page of the list; the fake has only one.
+type backendList struct {
+	Backends []listedBackend `json:"backends"`
+	NextPage *string         `json:"nextPage"` // always null
 }
 
-type listed struct {
+type listedBackend struct {
 	ID       string          `json:"id"`
 	Service  string          `json:"service"`
 	Address  string          `json:"address"`
@@ -50,14 +58,19 @@
 }
 
 func (p *Platform) serve(w http.ResponseWriter, _ *http.Request) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	p.calls++
-	list := make([]listed, 0, len(p.backends))
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.listRequests++
+	list := backendList{Backends: make([]listedBackend, 0, len(p.backends))}
 	for _, b := range p.backends {
-		b.mutex.Lock()
-		list = append(list, listed{ID: b.ID, Service: b.Service, Address: b.address, Zone: b.Zone, Capacity: b.Capacity, State: "ready", Models: b.residentModels()})
-		b.mutex.Unlock()
+		list.Backends = append(list.Backends, b.listed())
 	}
-	_ = json.NewEncoder(w).Encode(map[string]any{"backends": list, "nextPage": nil})
+	_ = json.NewEncoder(w).Encode(list)
+}
+
+func (b *Backend) listed() listedBackend {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return listedBackend{ID: b.ID, Service: b.Service, Address: b.address, Zone: b.Zone, Capacity: b.Capacity, State: "ready",
+		Models: b.residentModels()}
 }
--- a/internal/faulttest/clustertest/discoverycache.go
+++ b/internal/faulttest/clustertest/discoverycache.go
@@ -251,7 +251,8 @@
 	if addr, err = reserveAddr(3, i); err != nil {
 		return "", err
 	}
-	config, err := fakestandalone.ReplicaConfig(addr, discoveryAddr, testZones, i, count)
+	config, err := fakestandalone.ReplicaConfig(fakestandalone.ReplicaOptions{Listen: addr, Discovery: discoveryAddr, Zones: testZones,
+		Ordinal: i, GroupSize: count})
 	file := filepath.Join(r.dir, fmt.Sprintf("proxy-%d.json", i))
 	if err == nil {
 		err = os.WriteFile(file, config, 0o600)
