--- a/internal/standalone/hotrestart/process.go
+++ b/internal/standalone/hotrestart/process.go
@@ -41,8 +41,8 @@
 	hooks    Hooks
 	log      *slog.Logger
 
-	stage       atomic.Int32 // a Stage
-	peerSockets atomic.Uint64
+	stage       atomic.Int32                // a Stage
+	peerSockets atomic.Pointer[SocketUsage] // at the last poll; nil: none yet
 
 	mu        sync.Mutex // serializes Poll, which the start calls beside Run
 	processes int        // at the last poll
@@ -84,8 +84,10 @@
 
 // PeerSockets returns how many sockets the other processes held at the last poll.
 func (p *Process) PeerSockets() SocketUsage {
-	packed := p.peerSockets.Load()
-	return SocketUsage{Clients: int(packed >> 32), Backends: int(uint32(packed))}
+	if sockets := p.peerSockets.Load(); sockets != nil {
+		return *sockets
+	}
+	return SocketUsage{}
 }
 
 // HasServingPeer reports whether another process accepts connections now.
@@ -132,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	p.peerSockets.Store(peers.packedSockets)
+	p.peerSockets.Store(&peers.sockets)
 	if peers.starting && Stage(p.stage.Load()) == Serving {
 		if err := p.publishLearnedState(); err != nil {
 			return err
@@ -144,10 +146,10 @@
 
 // peerSummary is what a poll finds out about the other processes.
 type peerSummary struct {
-	processes     int
-	withRequests  int    // that are past Starting
-	starting      bool   // whether one is Starting
-	packedSockets uint64 // client sockets in the upper half, backend connections in the lower
+	processes    int
+	withRequests int  // that are past Starting
+	starting     bool // whether one is Starting
+	sockets      SocketUsage
 }
 
 func (p *Process) exchangeStates() (peerSummary, error) {
@@ -163,7 +165,8 @@
 	}
 	for _, peer := range p.presence.Peers() {
 		peers.processes++
-		peers.packedSockets += uint64(peer.ClientSockets)<<32 + uint64(peer.BackendConnections)
+		peers.sockets.Clients += int(peer.ClientSockets)
+		peers.sockets.Backends += int(peer.BackendConnections)
 		if peer.Stage == Starting {
 			peers.starting = true
 		} else {
