--- a/tools/docrefs/docrefs_test.go
+++ b/tools/docrefs/docrefs_test.go
@@ -14,7 +14,8 @@
 	"docs/runbook-standalone.md",
 	"docs/singleton.md", "docs/design/singleton.md",
 	"docs/admission.md", "docs/design/admission.md",
-	"docs/fleetsim.md", "docs/design/fleetsim.md", "docs/design/faulttest.md"}
+	"docs/fleetsim.md", "docs/design/fleetsim.md", "docs/design/faulttest.md",
+	"docs/design/standalone-operations.md"}
 
 func TestPagesNameWhatExists(t *testing.T) {
 	index, err := NewIndex("../..")
