--- a/tools/docrefs/docrefs_test.go
+++ b/tools/docrefs/docrefs_test.go
@@ -16,7 +16,8 @@
 	"docs/admission.md", "docs/design/admission.md",
 	"docs/fleetsim.md", "docs/design/fleetsim.md", "docs/design/faulttest.md",
 	"docs/design/standalone-operations.md",
-	"docs/design/subset.md", "docs/design/deployments.md"}
+	"docs/design/subset.md", "docs/design/deployments.md",
+	"docs/CAPACITY.md"}
 
 func TestPagesNameWhatExists(t *testing.T) {
 	index, err := NewIndex("../..")
