--- a/internal/fleetsim/experiment/stored_test.go
+++ b/internal/fleetsim/experiment/stored_test.go
@@ -63,7 +63,7 @@
 	if !reflect.DeepEqual(read, want) {
 		t.Errorf("read %+v\nwant %+v", read, want)
 	}
-	kinds := map[string]bool{}
+	kinds := map[model.FaultKind]bool{}
 	for _, trouble := range got.Scenario.Faults {
 		kinds[trouble.Kind] = true
 	}
--- /dev/null
+++ b/internal/fleetsim/model/arrival.go
@@ -0,0 +1,179 @@
+package model
+
+import (
+	"math"
+
+	"pumiceline/internal/standalone/policy"
+)
+
+// dedupLookupWork is the work that a server does at most for a repeat that it recognises, in microseconds.
+const dedupLookupWork = 500
+
+// arriveAtServer is an attempt's arrival at its server.
+func (sm *simulation) arriveAtServer(attemptIndex int32) {
+	attempt := sm.serverAttempts.at(attemptIndex)
+	s := sm.servers[attempt.server]
+	s.workInTransit -= attempt.work
+	switch {
+	case sm.isServerPartitioned(attempt.proxy, s) || attempt.newConnection && attempt.abandoned:
+		sm.loseInTransit(attemptIndex)
+		return
+	case s.state == stateDown || s.epoch != attempt.epoch && !attempt.newConnection:
+		outcome := policy.ConnectionReset // written to a connection whose other end is gone
+		if attempt.newConnection {
+			outcome = policy.ConnectFailed
+		}
+		sm.returnAttempt(attemptIndex, outcome, connectionLost)
+		return
+	case attempt.newConnection && !sm.acceptConnection(attempt, s):
+		sm.returnAttempt(attemptIndex, policy.ConnectFailed, connectionLost)
+		return
+	}
+	attempt.stage = stageAtServer
+	if sm.crashesFromOverload(attempt, s) {
+		sm.returnAttempt(attemptIndex, policy.ConnectionReset, connectionLost)
+		sm.overloadServer(s)
+		return
+	}
+	if outcome := sm.admitAtServer(s); outcome != policy.OK {
+		sm.returnAttempt(attemptIndex, outcome, answeredByServer)
+		return
+	}
+	sm.startProcessing(attemptIndex, s)
+}
+
+// loseInTransit ends an attempt that a partition cut off on the way, or whose proxy gave it up during the handshake.
+func (sm *simulation) loseInTransit(attemptIndex int32) {
+	attempt := sm.serverAttempts.at(attemptIndex)
+	if !attempt.abandoned {
+		if attempt.newConnection {
+			sm.scheduleFailure(attempt, policy.ConnectFailed, attempt.sentAt+Time(sm.scenario.Connections.DialTimeout))
+		} else {
+			sm.detach(attempt)
+		}
+		sm.releaseConnection(attempt, false)
+	}
+	sm.releaseServerAttempt(attemptIndex)
+}
+
+// acceptConnection is the end of a handshake; false: the server's connection table is full.
+func (sm *simulation) acceptConnection(attempt *serverAttempt, s *server) bool {
+	if s.epoch != attempt.epoch { // another process has come up behind the address meanwhile
+		p := &sm.proxies[attempt.proxy]
+		if pool := p.connections[attempt.server]; pool != nil && p.incarnation == attempt.incarnation {
+			if pool.epoch != s.epoch {
+				*pool = connectionPool{epoch: s.epoch}
+			}
+			pool.inUse++
+		}
+		attempt.epoch = s.epoch
+	}
+	if s.connections >= sm.scenario.Connections.MaxPerCore*s.instanceType.Cores {
+		return false
+	}
+	s.connections++
+	attempt.work += float64(sm.scenario.Connections.HandshakeWork)
+	sm.observe(Record{Kind: ConnectionOpened, Proxy: attempt.proxy, Server: s.id})
+	return true
+}
+
+// crashesFromOverload accounts an arrival at a cold server and says whether it is one too many.
+func (sm *simulation) crashesFromOverload(attempt *serverAttempt, s *server) bool {
+	if !s.cold {
+		return false
+	}
+	capacity := s.warmCapacity() * sm.warmth(s) // may find that the server is warm now
+	sm.observe(Record{Kind: ColdServerReached, Proxy: attempt.proxy, Server: s.id, Work: Time(attempt.work), Capacity: capacity})
+	overload := &sm.scenario.Overload
+	if !s.cold || overload.Factor <= 0 {
+		return false
+	}
+	bound := overload.Factor*capacity*float64(overload.Window) + overload.SlackRequests*sm.scenario.meanWork()
+	return s.arrivedWork.add(sm.now, Time(overload.Window), attempt.work) > bound
+}
+
+// admitAtServer says how the server answers a request at once; OK: it accepts it.
+func (sm *simulation) admitAtServer(s *server) policy.Outcome {
+	switch {
+	case s.state == stateDraining:
+		return policy.Rejected
+	case s.errorRate > 0 && sm.serverRand.Float64() < s.errorRate:
+		s.completed++
+		s.errors++
+		return policy.ErrorResponse
+	case len(s.slots) >= s.instanceType.Slots && s.queue.len() >= s.instanceType.QueueCapacity:
+		return policy.Rejected
+	}
+	return policy.OK
+}
+
+// startProcessing gives an attempt a slot or a place in the queue.
+func (sm *simulation) startProcessing(attemptIndex int32, s *server) {
+	attempt := sm.serverAttempts.at(attemptIndex)
+	if sm.touchKey(s, sm.clientRequests.at(attempt.clientRequest).key) {
+		attempt.work *= 1 - sm.scenario.Keys.HitSavings
+	}
+	sm.applyEffect(s, attempt)
+	sm.advanceServer(s)
+	if len(s.slots) < s.instanceType.Slots {
+		s.slots.push(slot{s.virtualTime + attempt.work, attemptIndex})
+	} else {
+		s.queue.push(attemptIndex)
+	}
+	sm.rescheduleServer(s)
+}
+
+// applyEffect lets an attempt have its effect, if its class is not idempotent. Servers within the class's scope know its
+// key for the window and only look a repeat up. Elsewhere the effect is repeated, which is recorded.
+func (sm *simulation) applyEffect(s *server, attempt *serverAttempt) {
+	c := sm.clientRequests.at(attempt.clientRequest)
+	class := &sm.scenario.Classes[c.class]
+	if class.semantics() == policy.Idempotent {
+		return
+	}
+	if c.firstEffectAt < 0 {
+		c.firstEffectAt, c.firstEffectZone, c.firstEffectCell = sm.now, s.zone, s.cell
+		return
+	}
+	if class.semantics() == policy.Deduplicated && sm.now-c.firstEffectAt <= Time(class.DedupWindow) && knowsFirstEffect(c, class, s) {
+		attempt.work = math.Min(attempt.work, dedupLookupWork)
+		return
+	}
+	sm.observe(Record{Kind: EffectRepeated, Server: s.id, ID: attempt.id, Request: c.number, Span: sm.now - c.firstEffectAt, Class: c.class})
+}
+
+// knowsFirstEffect says whether the server is within the scope that shares the keys of the first effect.
+func knowsFirstEffect(c *clientRequest, class *Class, s *server) bool {
+	switch class.dedupScope() {
+	case policy.DedupPerZone:
+		return c.firstEffectZone == s.zone
+	case policy.DedupPerCell:
+		return c.firstEffectCell == s.cell
+	}
+	return true
+}
+
+// touchKey says whether a request's key is in the server's cache, and puts it there. The least recently used key is
+// evicted; of several, the one of the lowest number.
+func (sm *simulation) touchKey(s *server, key uint64) (hit bool) {
+	keys := &sm.scenario.Keys
+	capacity := keys.CapacityPerCore * s.instanceType.Cores
+	if keys.Count == 0 || capacity == 0 {
+		return false
+	}
+	if s.keyCache == nil {
+		s.keyCache = make(map[uint64]Time, capacity)
+	}
+	lastUse, isCached := s.keyCache[key]
+	if !isCached && len(s.keyCache) >= capacity {
+		oldest, oldestUse := uint64(0), sm.now+1
+		for other, use := range s.keyCache {
+			if use < oldestUse || use == oldestUse && other < oldest { // the map's order must not matter
+				oldest, oldestUse = other, use
+			}
+		}
+		delete(s.keyCache, oldest)
+	}
+	s.keyCache[key] = sm.now
+	return isCached && sm.now-lastUse <= Time(keys.TTL)
+}
--- a/internal/fleetsim/model/attempts.go
+++ b/internal/fleetsim/model/attempts.go
@@ -1,155 +1,203 @@
 package model
 
-import (
-	"pumiceline/internal/standalone/policy"
-)
+import "pumiceline/internal/standalone/policy"
 
-// proxyAttempt is an attempt of a job, as its proxy has it.
+// proxyAttempt is an attempt at a server as its proxy knows it.
 type proxyAttempt struct {
-	serverAttempt int32 // -1: nothing is under way on the network
+	serverAttempt int32 // noServerAttempt: nothing is in flight on the network
 	server        int32
 	inFlight      bool
-	ran           bool
 	sentAt        Time
 }
 
+// noServerAttempt is the index of none.
+const noServerAttempt = -1
+
 // serverAttempt is an attempt on its way and at its server, where it outlives what its proxy does about it.
 type serverAttempt struct {
-	id            uint64 // the job's
+	id            uint64 // of the proxyRequest; 0: the place is free
 	work          float64
-	finish        float64 // in the server's virtual time
 	sentAt        Time
 	clientRequest int32
 	proxyRequest  int32
 	proxy         int32
-	incarnation   int32
+	incarnation   int32 // of the proxy
 	server        int32
-	epoch         int32
+	epoch         int32 // of the server process that it is for
 	attempt       uint8
 	outcome       policy.Outcome
 	stage         attemptStage
-	newConnection bool // on a new connection
-	abandoned     bool // its proxy has given it up and closed the connection
-	report        [3]float32
+	newConnection bool
+	abandoned     bool // its proxy has given it up and closed the connection, or the connection is gone
 	hasReport     bool
+	report        [reportColumns]float32
 }
 
 type attemptStage uint8
 
 const (
 	stageTravelling attemptStage = iota // to its server
-	stageAtServer                       // by its server: in work or waiting
+	stageAtServer                       // executing or queued
 	stageReturning
 )
 
-func (r *simulation) releaseServerAttempt(t int32) {
-	r.releaseClientRequest(r.serverAttempts[t].clientRequest)
-	r.serverAttempts[t].id = 0
-	r.freeServerAttempts = append(r.freeServerAttempts, t)
+func (sm *simulation) releaseServerAttempt(attemptIndex int32) {
+	attempt := sm.serverAttempts.at(attemptIndex)
+	sm.releaseClientRequest(attempt.clientRequest)
+	attempt.id = 0
+	sm.serverAttempts.release(attemptIndex)
 }
 
-// sendAttempt starts an attempt.
-func (r *simulation) sendAttempt(n int32, a *policy.Action) {
-	s := r.findServer(a.Server)
+// sendAttempt carries out a node's SendAttempt.
+func (sm *simulation) sendAttempt(proxyIndex int32, action *policy.Action) {
+	s := sm.findServer(action.Server)
 	if s == nil {
-		r.fail(n, "sends to server %d, which no list has named", a.Server)
+		sm.fail(proxyIndex, "sends to server %d, which no list has named", action.Server)
 		return
 	}
-	p := &r.proxies[n]
-	m := r.findProxyRequest(n, a.ID)
-	if r.failure != nil {
+	p := &sm.proxies[proxyIndex]
+	requestIndex := sm.findProxyRequest(proxyIndex, action.ID)
+	if sm.failure != nil {
 		return
 	}
-	crosses := p.zone != s.zone
-	if m < 0 || r.proxyRequests[m].answered { // the referee will have a word
-		r.observe(Record{Kind: AttemptSent, Proxy: n, ID: a.ID, Server: a.Server, Zone: s.zone, Cell: s.cell, Flag: crosses})
+	if requestIndex < 0 || sm.proxyRequests.at(requestIndex).answered { // a violation, which the checker counts
+		sm.observe(Record{Kind: AttemptSent, Proxy: proxyIndex, ID: action.ID, Server: action.Server, Zone: s.zone, Cell: s.cell,
+			Flag: p.zone != s.zone})
 		return
 	}
-	j := &r.proxyRequests[m]
-	if j.attemptCount >= maxAttempts || int(j.attemptCount) >= r.scenario.Published.MaxAttempts {
-		r.fail(n, "makes attempt %d of a request that may have %d", j.attemptCount+1, r.scenario.Published.MaxAttempts)
+	request := sm.proxyRequests.at(requestIndex)
+	if request.attemptCount >= maxAttempts || int(request.attemptCount) >= sm.scenario.Published.MaxAttempts {
+		sm.fail(proxyIndex, "makes attempt %d of a request that may have %d", request.attemptCount+1, sm.scenario.Published.MaxAttempts)
 		return
 	}
-	at := j.attemptCount
-	j.attemptCount++
-	j.inFlight++
-	c := &r.clientRequests[j.clientRequest]
-	t := acquire(&r.serverAttempts, &r.freeServerAttempts)
-	k := &r.serverAttempts[t]
-	*k = serverAttempt{id: j.id, proxyRequest: m, clientRequest: j.clientRequest, proxy: n, incarnation: p.incarnation, server: s.index, epoch: s.epoch, attempt: at, sentAt: r.now}
-	k.work = lognormal(r.networkRand, c.work, r.scenario.Classes[c.class].AttemptCV)
-	c.refs++
-	j.attempts[at] = proxyAttempt{serverAttempt: t, server: s.index, inFlight: true, sentAt: r.now}
-	r.observe(Record{Kind: AttemptSent, Proxy: n, ID: j.id, Attempt: at, Server: a.Server, Zone: s.zone, Cell: s.cell, Work: Time(k.work), Flag: crosses})
-	limit := j.deadline
-	if a.After > 0 {
-		limit = min(limit, r.now+a.After)
-	} else if a.After < 0 {
-		limit = r.now
-	}
-	r.schedule(r.nextTick(max(limit, r.now+1)), event{kind: evAttemptTimeout, subject: m, code: at, id: j.id})
-	travel := r.networkDelay(p.zone, s.zone)
-	pool := p.connections[s.index]
-	if pool == nil {
-		pool = &connectionPool{}
-		p.connections[s.index] = pool
+	attemptIndex := sm.newAttempt(requestIndex, s)
+	attempt := sm.serverAttempts.at(attemptIndex)
+	sm.observe(Record{Kind: AttemptSent, Proxy: proxyIndex, ID: request.id, Attempt: attempt.attempt, Server: action.Server,
+		Zone: s.zone, Cell: s.cell, Work: Time(attempt.work), Flag: p.zone != s.zone})
+	sm.scheduleAttemptTimeout(requestIndex, attempt.attempt, action.After)
+	travelTime := sm.networkDelay(p.zone, s.zone)
+	connections := sm.openConnections(p, s)
+	if attempt.newConnection = len(connections.idleSince) == 0; attempt.newConnection {
+		travelTime += Time(sm.scenario.Connections.HandshakeRoundTrips * 2 * float64(travelTime))
+	} else {
+		connections.idleSince = connections.idleSince[:len(connections.idleSince)-1]
 	}
-	if pool.epoch != s.epoch { // another process: the old connections are gone
-		*pool = connectionPool{epoch: s.epoch}
+	if sm.isServerPartitioned(proxyIndex, s) {
+		sm.loseSentAttempt(attemptIndex, s)
+		return
 	}
-	r.closeExpired(pool, s)
-	if k.newConnection = len(pool.idle) == 0; k.newConnection {
-		travel += Time(r.scenario.Connections.HandshakeRoundTrips * 2 * float64(travel))
-	} else {
-		pool.idle = pool.idle[:len(pool.idle)-1]
+	connections.inUse++
+	s.workInTransit += attempt.work
+	sm.schedule(sm.now+travelTime, event{kind: evArriveAtServer, subject: attemptIndex})
+}
+
+// newAttempt adds an attempt at the server to a proxy's request.
+func (sm *simulation) newAttempt(requestIndex int32, s *server) (attemptIndex int32) {
+	request := sm.proxyRequests.at(requestIndex)
+	number := request.attemptCount
+	request.attemptCount++
+	request.inFlight++
+	client := sm.clientRequests.at(request.clientRequest)
+	client.references++
+	attemptIndex = sm.serverAttempts.acquire()
+	*sm.serverAttempts.at(attemptIndex) = serverAttempt{id: request.id, proxyRequest: requestIndex, clientRequest: request.clientRequest,
+		proxy: request.proxy, incarnation: sm.proxies[request.proxy].incarnation, server: s.index, epoch: s.epoch, attempt: number,
+		sentAt: sm.now, work: lognormal(sm.networkRand, client.work, sm.scenario.Classes[client.class].AttemptCV)}
+	request.attempts[number] = proxyAttempt{serverAttempt: attemptIndex, server: s.index, inFlight: true, sentAt: sm.now}
+	return attemptIndex
+}
+
+// scheduleAttemptTimeout ends the attempt's time after timeout (0: none, below: at once) or with the client's patience.
+func (sm *simulation) scheduleAttemptTimeout(requestIndex int32, number uint8, timeout Time) {
+	request := sm.proxyRequests.at(requestIndex)
+	limit := request.deadline
+	if timeout > 0 {
+		limit = min(limit, sm.now+timeout)
+	} else if timeout < 0 {
+		limit = sm.now
 	}
-	if r.isServerPartitioned(n, s) { // nothing passes: a connection does not come up, a request on an old one is never seen
-		if k.newConnection {
-			r.scheduleFailure(k, policy.ConnectFailed, r.now+Time(r.scenario.Connections.DialTimeout))
-		} else {
-			s.connections--
-			j.attempts[at].serverAttempt = -1
-		}
-		r.releaseServerAttempt(t)
+	sm.schedule(sm.nextTick(max(limit, sm.now+1)), event{kind: evAttemptTimeout, subject: requestIndex, code: number, id: request.id})
+}
+
+func (sm *simulation) timeOutAttempt(e *event) {
+	request := sm.proxyRequests.at(e.subject)
+	if request.id != e.id || !request.attempts[e.code].inFlight {
 		return
 	}
-	pool.used++
-	s.workInTransit += k.work
-	r.schedule(r.now+travel, event{kind: evArriveAtServer, subject: t})
+	attempt := &request.attempts[e.code]
+	sm.abandonServerAttempt(attempt)
+	sm.endAttempt(e.subject, e.code, policy.TimedOut, sm.now-attempt.sentAt, nil)
 }
 
-// scheduleFailure plans an outcome for an attempt that no server has.
-func (r *simulation) scheduleFailure(k *serverAttempt, out policy.Outcome, at Time) {
-	r.proxyRequests[k.proxyRequest].attempts[k.attempt].serverAttempt = -1
-	r.schedule(r.nextTick(at), event{kind: evAttemptFailed, subject: k.proxyRequest, code: k.attempt, number: int32(out), id: k.id})
+// loseSentAttempt is the end of an attempt that a partition keeps from its server: a new connection does not come up, a
+// request on an existing one is never seen.
+func (sm *simulation) loseSentAttempt(attemptIndex int32, s *server) {
+	attempt := sm.serverAttempts.at(attemptIndex)
+	if attempt.newConnection {
+		sm.scheduleFailure(attempt, policy.ConnectFailed, sm.now+Time(sm.scenario.Connections.DialTimeout))
+	} else {
+		s.connections--
+		sm.detach(attempt)
+	}
+	sm.releaseServerAttempt(attemptIndex)
+}
+
+// detach leaves the proxy's attempt in flight with nothing on the network: its timeout will end it.
+func (sm *simulation) detach(attempt *serverAttempt) {
+	sm.proxyRequests.at(attempt.proxyRequest).attempts[attempt.attempt].serverAttempt = noServerAttempt
+}
+
+// scheduleFailure has an attempt that no server has end at that time.
+func (sm *simulation) scheduleFailure(attempt *serverAttempt, outcome policy.Outcome, at Time) {
+	sm.detach(attempt)
+	sm.schedule(sm.nextTick(at), event{kind: evAttemptFailed, subject: attempt.proxyRequest, code: attempt.attempt,
+		number: int32(outcome), id: attempt.id})
 }
 
-// abandonServerAttempt gives up an attempt: its connection is closed, its work goes on.
-func (r *simulation) abandonServerAttempt(t *proxyAttempt) {
-	if t.serverAttempt < 0 {
+// abandonServerAttempt gives up an attempt: its connection is closed, the server's work for it goes on.
+func (sm *simulation) abandonServerAttempt(attempt *proxyAttempt) {
+	if attempt.serverAttempt == noServerAttempt {
+		return
+	}
+	if atServer := sm.serverAttempts.at(attempt.serverAttempt); !atServer.abandoned {
+		sm.releaseConnection(atServer, false)
+		atServer.abandoned = true
+	}
+	attempt.serverAttempt = noServerAttempt
+}
+
+// cancelAttempt carries out a node's CancelAttempt.
+func (sm *simulation) cancelAttempt(proxyIndex int32, action *policy.Action) {
+	requestIndex := sm.findProxyRequest(proxyIndex, action.ID)
+	if requestIndex < 0 {
+		return // it ended before
+	}
+	request := sm.proxyRequests.at(requestIndex)
+	if int(action.Attempt) >= int(request.attemptCount) {
+		sm.fail(proxyIndex, "cancels attempt %d of a request that has had %d", action.Attempt, request.attemptCount)
 		return
 	}
-	if k := &r.serverAttempts[t.serverAttempt]; !k.abandoned {
-		r.releaseConnection(k, false)
-		k.abandoned = true
+	if attempt := &request.attempts[action.Attempt]; attempt.inFlight && sm.scenario.Published.AllowCancel {
+		sm.abandonServerAttempt(attempt)
+		sm.schedule(sm.nextTick(sm.now+1), event{kind: evAttemptFailed, subject: requestIndex, code: action.Attempt,
+			number: int32(policy.Cancelled), id: request.id})
 	}
-	t.serverAttempt = -1
 }
 
-// endAttempt tells a proxy how an attempt ended.
-func (r *simulation) endAttempt(m int32, at uint8, out policy.Outcome, elapsed Time, report []float32) {
-	j := &r.proxyRequests[m]
-	t := &j.attempts[at]
-	t.inFlight, t.serverAttempt = false, -1
-	j.inFlight--
-	n, id := j.proxy, j.id
-	server := r.servers[t.server].id
-	r.observe(Record{Kind: AttemptEnded, Proxy: n, ID: id, Attempt: at, Server: server, Outcome: out, Span: elapsed})
-	if out == policy.OK && !j.answered {
-		r.answerClient(m, policy.OK, 0)
+// endAttempt ends an attempt at its proxy, answers the client on success, and notifies the node.
+func (sm *simulation) endAttempt(requestIndex int32, number uint8, outcome policy.Outcome, elapsed Time, report []float32) {
+	request := sm.proxyRequests.at(requestIndex)
+	attempt := &request.attempts[number]
+	attempt.inFlight, attempt.serverAttempt = false, noServerAttempt
+	request.inFlight--
+	proxyIndex, id := request.proxy, request.id
+	server := sm.servers[attempt.server].id
+	sm.observe(Record{Kind: AttemptEnded, Proxy: proxyIndex, ID: id, Attempt: number, Server: server, Outcome: outcome, Span: elapsed})
+	if outcome == policy.OK && !request.answered {
+		sm.answerClient(requestIndex, policy.OK, 0)
 	}
-	r.policyEvent = policy.Event{Kind: policy.AttemptEnded, ID: id, Attempt: at, Server: server, Outcome: out, Elapsed: elapsed, Final: j.answered,
-		Report: report}
-	r.releaseIfDone(m)
-	r.deliver(n)
+	sm.policyEvent = policy.Event{Kind: policy.AttemptEnded, ID: id, Attempt: number, Server: server, Outcome: outcome, Elapsed: elapsed,
+		Final: request.answered, Report: report}
+	sm.releaseIfDone(requestIndex)
+	sm.deliver(proxyIndex)
 }
--- a/internal/fleetsim/model/build.go
+++ b/internal/fleetsim/model/build.go
@@ -5,96 +5,112 @@
 	"math/rand/v2"
 )
 
-func zeros(n int) []int { return make([]int, n) }
-
-// build draws the fleet, the traffic and the troubles, and starts everything.
-func (r *simulation) build() {
-	w := r.scenario
-	draw := rand.New(rand.NewPCG(r.seed, 4))
-	vary := func(x float64) float64 { return x * (1 + w.Spread*(2*draw.Float64()-1)) }
-	r.serverIDMask = draw.Uint32()
-	kinds := make([]InstanceType, len(w.InstanceTypes))
-	for i, k := range w.InstanceTypes {
-		k.Slots = max(1, int(vary(float64(k.Slots))))
-		k.QueueCapacity = int(vary(float64(k.QueueCapacity)))
-		k.Knee = int(vary(float64(k.Knee)))
-		k.WarmupTime = Span(vary(float64(k.WarmupTime)))
-		if w.Published.WarmupTime > 0 {
-			k.WarmupTime = min(k.WarmupTime, w.Published.WarmupTime)
-		}
-		k.InitialCapacity = max(vary(k.InitialCapacity), w.Published.InitialCapacity)
-		kinds[i] = k
+// build draws the fleet and the traffic, and starts discovery and the proxies.
+func (sm *simulation) build(rng *rand.Rand) {
+	sc := sm.scenario
+	vary := func(x float64) float64 { return x * (1 + sc.Spread*(2*rng.Float64()-1)) }
+	sm.serverIDMask = rng.Uint32()
+	totalCapacity := sm.buildServers(rng, vary)
+	meanWork := sc.meanWork()
+	sm.capacity = totalCapacity / meanWork * microsPerSecond
+	sm.arrivalRate = sc.Load * totalCapacity / meanWork
+	sm.observe(Record{Kind: SimulationStarted, Capacity: sm.capacity})
+	sm.buildTraffic(rng)
+	sm.discovery.init(sm.servers)
+	sm.proxies = make([]proxy, sc.Proxies)
+	for i := range sm.proxies {
+		p := &sm.proxies[i]
+		p.zone, p.downSince = uint8(i%sc.Zones), math.MinInt64/2
+		sm.startProxy(int32(i))
 	}
-	// Servers are dealt to zones unevenly, each zone having one at least where there are enough; kinds in proportion.
-	share, sum := 0.0, 0.0
-	for _, k := range kinds {
-		sum += k.Share
+}
+
+// buildServers draws the servers and returns their capacity in standard cores. Instance types come in proportion to
+// their shares. Servers are spread over the zones unevenly, with at least one in each zone where there are enough.
+func (sm *simulation) buildServers(rng *rand.Rand, vary func(float64) float64) (totalCapacity float64) {
+	sc := sm.scenario
+	types := make([]InstanceType, len(sc.InstanceTypes))
+	shares := 0.0
+	for i, t := range sc.InstanceTypes {
+		types[i] = varyInstanceType(t, &sc.Published, vary)
+		shares += t.Share
 	}
-	if sum == 0 {
-		sum = 1
+	if shares == 0 {
+		shares = 1
 	}
-	total := 0.0
-	for i := range w.Servers {
-		pick, x := 0, (float64(i)+0.5)/float64(w.Servers)*sum
-		for share = kinds[0].Share; pick < len(kinds)-1 && x > share; share += kinds[pick].Share {
-			pick++
+	for i := range sc.Servers {
+		chosen, position := 0, (float64(i)+0.5)/float64(sc.Servers)*shares
+		for upTo := types[0].Share; chosen < len(types)-1 && position > upTo; upTo += types[chosen].Share {
+			chosen++
 		}
-		zone := i % w.Zones
-		if i >= w.Zones && draw.Float64() < w.ZoneSkew {
-			zone = draw.IntN(w.Zones)
+		zone := i % sc.Zones
+		if i >= sc.Zones && rng.Float64() < sc.ZoneSkew {
+			zone = rng.IntN(sc.Zones)
 		}
-		s := r.addServer(int32(zone), int32(pick), &kinds[pick], vary(kinds[pick].Speed))
-		total += s.warmCapacity()
-	}
-	mean := w.meanWork()
-	r.capacity = total / mean * 1e6
-	r.arrivalRate = w.Load * total / mean
-	r.observe(Record{Kind: SimulationStarted, Capacity: r.capacity})
-	r.zoneWeights = make([]float64, w.Zones)
-	for i := range r.zoneWeights {
-		r.zoneWeights[i] = 1 + w.ZoneSkew*(2*draw.Float64()-1)
+		s := sm.addServer(uint8(zone), int32(chosen), &types[chosen], vary(types[chosen].Speed))
+		totalCapacity += s.warmCapacity()
 	}
-	r.zoneShares = cumulativeShares(w.Zones, func(i int) float64 { return r.zoneWeights[i] })
-	r.classShares = cumulativeShares(len(w.Classes), func(i int) float64 { return w.Classes[i].Share })
-	if len(w.Tenants) > 0 {
-		r.tenantShares = cumulativeShares(len(w.Tenants), func(i int) float64 { return max(1e-9, w.Tenants[i].QuotaShare*w.Tenants[i].QuotaUsage) })
+	return totalCapacity
+}
+
+// varyInstanceType draws what the servers of a type truly are. They warm up no slower than the published settings say.
+func varyInstanceType(t InstanceType, published *PublishedSettings, vary func(float64) float64) InstanceType {
+	t.Slots = max(1, int(vary(float64(t.Slots))))
+	t.QueueCapacity = int(vary(float64(t.QueueCapacity)))
+	t.Knee = int(vary(float64(t.Knee)))
+	t.WarmupTime = Span(vary(float64(t.WarmupTime)))
+	if published.WarmupTime > 0 {
+		t.WarmupTime = min(t.WarmupTime, published.WarmupTime)
 	}
-	if w.Keys.Count > 0 {
-		r.keyShares = cumulativeShares(w.Keys.Count, func(i int) float64 { return math.Pow(float64(i+1), -w.Keys.ZipfExponent) })
+	t.InitialCapacity = max(vary(t.InitialCapacity), published.InitialCapacity)
+	return t
+}
+
+// buildTraffic draws how requests are distributed over zones, classes, tenants and keys.
+func (sm *simulation) buildTraffic(rng *rand.Rand) {
+	sc := sm.scenario
+	sm.zoneWeights = make([]float64, sc.Zones)
+	for i := range sm.zoneWeights {
+		sm.zoneWeights[i] = 1 + sc.ZoneSkew*(2*rng.Float64()-1)
 	}
-	r.discovery.init(r)
-	r.proxies = make([]proxy, w.Proxies)
-	for i := range r.proxies {
-		p := &r.proxies[i]
-		p.zone, p.downSince = uint8(i%w.Zones), math.MinInt64/2
-		r.startProxy(int32(i))
+	sm.updateZoneShares()
+	sm.classShares = cumulativeShares(len(sc.Classes), func(i int) float64 { return sc.Classes[i].Share })
+	if len(sc.Tenants) > 0 {
+		sm.tenantShares = cumulativeShares(len(sc.Tenants), func(i int) float64 {
+			return max(1e-9, sc.Tenants[i].QuotaShare*sc.Tenants[i].QuotaUsage)
+		})
 	}
-	r.scheduleFaults(rand.New(rand.NewPCG(r.seed, 5)))
-	for i := range r.servers {
-		r.schedulePause(int32(i))
+	if sc.Keys.Count > 0 {
+		sm.keyShares = cumulativeShares(sc.Keys.Count, func(i int) float64 {
+			return math.Pow(float64(i+1), -sc.Keys.ZipfExponent)
+		})
 	}
-	r.schedule(0, event{kind: evArrival})
-	r.schedule(1_000_000, event{kind: evSample})
 }
 
-// cumulativeShares turns weights into the upper ends of their parts of 0 to 1.
-func cumulativeShares(n int, of func(int) float64) []float64 {
-	out, sum := make([]float64, n), 0.0
-	for i := range out {
-		sum += of(i)
-		out[i] = sum
+// updateZoneShares follows a change of the zones' weights.
+func (sm *simulation) updateZoneShares() {
+	sm.zoneShares = cumulativeShares(len(sm.zoneWeights), func(i int) float64 { return sm.zoneWeights[i] })
+}
+
+// cumulativeShares divides 0 to 1 in proportion to weights and returns the upper ends of the parts.
+func cumulativeShares(n int, weight func(int) float64) []float64 {
+	shares, sum := make([]float64, n), 0.0
+	for i := range shares {
+		sum += weight(i)
+		shares[i] = sum
 	}
-	for i := range out {
-		out[i] /= sum
+	for i := range shares {
+		shares[i] /= sum
 	}
-	return out
+	return shares
 }
 
-func indexAt(cum []float64, x float64) int {
-	for i, c := range cum {
-		if x < c {
+// indexAt returns the index of the part that x lies in.
+func indexAt(shares []float64, x float64) int {
+	for i, upTo := range shares {
+		if x < upTo {
 			return i
 		}
 	}
-	return len(cum) - 1
+	return len(shares) - 1
 }
--- a/internal/fleetsim/model/clients.go
+++ b/internal/fleetsim/model/clients.go
@@ -7,212 +7,257 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// clientRequest is what one client wants, over all its tries.
+// clientRequest is what one client wants, over all its attempts. Each attempt is a proxyRequest.
 type clientRequest struct {
-	number        uint64
-	currentID     uint64 // the present try's id
-	startedAt     Time
-	aim, deadline Time // absolute
-	work          float64
-	key           uint64
-	behaviour     uint64 // random bits that fix how this client behaves
-	effectAt      Time   // -1: none yet
-	hint          Time
-	value         float64
-	refs          int32
-	zone          uint8
-	class         uint8
-	tenant        uint16
-	attempts      uint8
-	ended         bool
-	firstEffect   struct {
-		zone uint8
-		cell uint16
+	number          uint64 // 0: the place is free
+	currentAttempt  uint64 // id of the present proxyRequest; see the constants below
+	startedAt       Time
+	deadline        Time
+	work            float64
+	workHint        Time // the client's estimate, 0: none
+	key             uint64
+	behaviour       uint64 // random bits that fix how this client behaves, whatever the policy does
+	value           float64
+	firstEffectAt   Time // -1: none yet
+	firstEffectZone uint8
+	firstEffectCell uint16
+	references      int32 // of its proxyRequests, its serverAttempts and itself while it has not ended
+	zone            uint8
+	class           uint8
+	tenant          uint16
+	attempts        uint8
+	ended           bool
+}
+
+// Values of clientRequest.currentAttempt that are no ids.
+const (
+	attemptWithoutProxy = 0 // no proxy was there
+	attemptOver         = 1 // answers come too late from here
+)
+
+// Purposes of clientRequest.draw; values from 1<<8 are proxies and attempts. A changed number is another simulation.
+const (
+	drawUnsafeRetry = 3
+	drawRetryAfter  = 4
+	drawImpatient   = 7
+	drawAnswerDelay = 9
+	drawTravelTime  = 1 << 40
+)
+
+// draw returns a number from 0 to 1 that depends on the client and the purpose alone.
+func (c *clientRequest) draw(purpose uint64) float64 {
+	return unitFloat(mix(c.behaviour + purpose*0x9e3779b97f4a7c15))
+}
+
+// startClientRequest starts the next client request and schedules the one after it. Both are drawn from a stream of
+// their own, so every policy gets the same requests.
+func (sm *simulation) startClientRequest() {
+	rate := sm.currentArrivalRate() // draws as well, and before
+	next := sm.now + max(1, Time(sm.arrivalRand.ExpFloat64()/rate+0.5))
+	if next < Time(sm.scenario.Duration) {
+		sm.schedule(next, event{kind: evArrival})
 	}
+	index := sm.clientRequests.acquire()
+	c := sm.clientRequests.at(index)
+	sm.drawClientRequest(c)
+	sm.openClientRequests++
+	sm.stats.Requests++
+	sm.observe(Record{Kind: RequestStarted, Request: c.number, Class: c.class, Tenant: c.tenant, Work: Time(c.work), Value: c.value,
+		Span: c.deadline - c.startedAt, Zone: c.zone})
+	sm.sendToProxy(index)
 }
 
-// startClientRequest begins a client's first try and plans the next. Arrivals are drawn from a stream of their own, so every
-// policy gets the same ones.
-func (r *simulation) startClientRequest() {
-	w, g := r.scenario, r.arrivalRand
-	rate := r.arrivalRate
-	if w.WavePeriod > 0 {
-		rate *= 1 + w.WaveAmplitude*math.Sin(2*math.Pi*float64(r.now)/float64(w.WavePeriod))
-	}
-	if w.BurstFactor > 0 {
-		if r.now >= r.burstEnd {
-			r.inBurst = !r.inBurst
-			mean := float64(w.BurstTime)
-			if !r.inBurst {
+// currentArrivalRate is in requests a microsecond, with the wave, bursts and a tenant's flood.
+func (sm *simulation) currentArrivalRate() float64 {
+	sc := sm.scenario
+	rate := sm.arrivalRate
+	if sc.WavePeriod > 0 {
+		rate *= 1 + sc.WaveAmplitude*math.Sin(2*math.Pi*float64(sm.now)/float64(sc.WavePeriod))
+	}
+	if sc.BurstFactor > 0 {
+		if sm.now >= sm.burstEnd {
+			sm.inBurst = !sm.inBurst
+			mean := float64(sc.BurstTime)
+			if !sm.inBurst {
 				mean *= 9
 			}
-			r.burstEnd = r.now + 1 + Time(g.ExpFloat64()*mean)
+			sm.burstEnd = sm.now + 1 + Time(sm.arrivalRand.ExpFloat64()*mean)
 		}
-		if r.inBurst {
-			rate *= w.BurstFactor
+		if sm.inBurst {
+			rate *= sc.BurstFactor
 		}
 	}
-	if len(r.tenantShares) > 0 {
-		rate *= 1 + (r.floodFactor-1)*r.tenantShares[0]
-	}
-	next := r.now + max(1, Time(g.ExpFloat64()/rate+0.5))
-	if next < Time(w.Duration) {
-		r.schedule(next, event{kind: evArrival})
-	}
-	n := acquire(&r.clientRequests, &r.freeClientRequests)
-	c := &r.clientRequests[n]
-	r.lastRequestNumber++
-	class := indexAt(r.classShares, g.Float64())
-	k := &w.Classes[class]
-	c.number, c.startedAt, c.effectAt, c.class, c.attempts, c.refs = r.lastRequestNumber, r.now, -1, uint8(class), 0, 1
-	c.aim, c.deadline = r.now+Time(k.LatencyTarget), r.now+Time(k.Deadline)
-	c.zone = uint8(indexAt(r.zoneShares, g.Float64()))
-	c.work = lognormal(g, float64(k.Work), k.WorkCV)
-	c.behaviour, c.key = g.Uint64(), g.Uint64()
-	if len(r.keyShares) > 0 {
-		at, _ := slices.BinarySearch(r.keyShares, float64(mix(c.key)>>11)/(1<<53))
-		c.key = mix(r.seed + uint64(at) + 1)
-	}
-	c.hint = 0
-	if guess := lognormal(g, c.work, max(0, w.WorkHintCV)); w.WorkHintCV >= 0 {
-		c.hint = max(1, Time(guess))
-	}
-	c.value = k.Value * c.work
-	if u := g.Float64(); len(r.tenantShares) > 0 {
-		x := u * (1 + (r.floodFactor-1)*r.tenantShares[0]) // a flood adds to the first tenant's part
-		if x -= (r.floodFactor - 1) * r.tenantShares[0]; x >= 0 {
-			c.tenant = uint16(indexAt(r.tenantShares, x))
+	if len(sm.tenantShares) > 0 {
+		rate *= 1 + (sm.floodFactor-1)*sm.tenantShares[0]
+	}
+	return rate
+}
+
+// drawClientRequest draws a request and its client. The order of the draws is part of what a seed means.
+func (sm *simulation) drawClientRequest(c *clientRequest) {
+	sc, rng := sm.scenario, sm.arrivalRand
+	sm.lastRequestNumber++
+	classIndex := indexAt(sm.classShares, rng.Float64())
+	class := &sc.Classes[classIndex]
+	c.number, c.startedAt, c.firstEffectAt, c.class, c.references = sm.lastRequestNumber, sm.now, -1, uint8(classIndex), 1
+	c.deadline = sm.now + Time(class.Deadline)
+	c.zone = uint8(indexAt(sm.zoneShares, rng.Float64()))
+	c.work = lognormal(rng, float64(class.Work), class.WorkCV)
+	c.behaviour, c.key = rng.Uint64(), rng.Uint64()
+	if len(sm.keyShares) > 0 {
+		key, _ := slices.BinarySearch(sm.keyShares, unitFloat(mix(c.key)))
+		c.key = mix(sm.seed + uint64(key) + 1)
+	}
+	if estimate := lognormal(rng, c.work, max(0, sc.WorkHintCV)); sc.WorkHintCV >= 0 {
+		c.workHint = max(1, Time(estimate))
+	}
+	c.value = class.Value * c.work
+	if u := rng.Float64(); len(sm.tenantShares) > 0 {
+		// A flood adds to the first tenant's part, which comes first and is tenant 0.
+		flood := (sm.floodFactor - 1) * sm.tenantShares[0]
+		if x := u*(1+flood) - flood; x >= 0 {
+			c.tenant = uint16(indexAt(sm.tenantShares, x))
 		}
 	}
-	r.openClientRequests++
-	r.stats.Requests++
-	r.observe(Record{Kind: RequestStarted, Request: c.number, Class: c.class, Tenant: c.tenant, Work: Time(c.work), Value: c.value, Span: Time(k.Deadline),
-		Zone: c.zone})
-	r.sendToProxy(n)
 }
 
-// sendToProxy sends a client's next try to a proxy of its zone that the front layer holds for alive.
-func (r *simulation) sendToProxy(n int32) {
-	c := &r.clientRequests[n]
+// sendToProxy sends a client's next attempt to a proxy that the front layer takes for alive.
+func (sm *simulation) sendToProxy(clientIndex int32) {
+	c := sm.clientRequests.at(clientIndex)
 	c.attempts++
-	c.currentID = 0
-	zone := c.zone
-	chosen, seen := int32(-1), 0.0
-	for pass := 0; pass < 2 && chosen < 0; pass++ {
-		for i := range r.proxies {
-			p := &r.proxies[i]
-			if pass == 0 && p.zone != zone || !p.up && r.now-p.downSince > Time(r.scenario.Clients.ProxyFailoverDelay) || p.stopsAt > 0 && r.now >= p.stopsAt {
+	c.currentAttempt = attemptWithoutProxy
+	proxyIndex := sm.chooseProxy(c)
+	network := &sm.scenario.Network
+	travelTime := Time(float64(network.Client) * (1 + network.Jitter*c.draw(uint64(c.attempts)+drawTravelTime)))
+	if proxyIndex < 0 || !sm.proxies[proxyIndex].canAccept(sm.scenario.Published.MaxOpenRequests) {
+		sm.schedule(sm.now+2*travelTime, event{kind: evReceiveAnswer, subject: clientIndex, code: uint8(policy.ConnectFailed),
+			id: attemptWithoutProxy})
+		return
+	}
+	requestIndex := sm.proxyRequests.acquire()
+	if requestIndex >= 1<<indexBits {
+		sm.fail(proxyIndex, "has a part in over %d requests open at once", 1<<indexBits)
+		return
+	}
+	sm.lastProxyRequestNumber++
+	request := sm.proxyRequests.at(requestIndex)
+	request.id = sm.lastProxyRequestNumber<<indexBits | uint64(requestIndex)
+	request.clientRequest, request.proxy, request.deadline = clientIndex, proxyIndex, sm.now+sm.attemptTimeout(c)
+	c.currentAttempt = request.id
+	c.references++
+	sm.schedule(sm.nextTick(sm.now+travelTime), event{kind: evReceiveRequest, subject: requestIndex, id: request.id})
+	sm.schedule(request.deadline, event{kind: evClientTimeout, subject: clientIndex, id: request.id})
+}
+
+// chooseProxy returns one of the proxies in the client's zone that the front layer takes for alive, each as likely, or
+// one of another zone where there is none; -1: there is none at all.
+func (sm *simulation) chooseProxy(c *clientRequest) int32 {
+	chosen, candidates := int32(-1), 0.0
+	for _, anyZone := range []bool{false, true} {
+		for i := range sm.proxies {
+			p := &sm.proxies[i]
+			if !anyZone && p.zone != c.zone || !sm.seemsAlive(p) {
 				continue
 			}
-			if seen++; c.draw(uint64(i)<<8+uint64(c.attempts))*seen < 1 { // each of them is as likely
+			// Reservoir sampling: the n-th candidate takes the place with probability 1/n.
+			if candidates++; c.draw(uint64(i)<<8+uint64(c.attempts))*candidates < 1 {
 				chosen = int32(i)
 			}
 		}
+		if chosen >= 0 {
+			break
+		}
 	}
-	travel := Time(float64(r.scenario.Network.Client) * (1 + r.scenario.Network.Jitter*c.draw(uint64(c.attempts)+1<<40)))
-	if chosen < 0 || !r.proxies[chosen].up || r.proxies[chosen].openRequests >= r.scenario.Published.MaxOpenRequests && r.scenario.Published.MaxOpenRequests > 0 {
-		r.schedule(r.now+2*travel, event{kind: evReceiveAnswer, subject: n, code: uint8(policy.ConnectFailed), id: 0})
-		return
-	}
-	k := &r.scenario.Classes[c.class]
-	patience := min(Time(r.scenario.Clients.AttemptTimeoutShare*float64(k.Deadline)), c.deadline-r.now)
-	if c.draw(7) < r.scenario.Clients.ImpatientShare {
-		patience = min(patience, Time(k.LatencyTarget))
-	}
-	m := acquire(&r.proxyRequests, &r.freeProxyRequests)
-	if m >= 1<<indexBits {
-		r.fail(chosen, "has a part in over %d requests open at once", 1<<indexBits)
-		return
-	}
-	r.lastProxyRequestNumber++
-	j := &r.proxyRequests[m]
-	j.id, j.clientRequest, j.proxy, j.deadline = r.lastProxyRequestNumber<<indexBits|uint64(m), n, chosen, r.now+patience
-	c.currentID = j.id
-	c.refs++
-	r.schedule(r.nextTick(r.now+travel), event{kind: evReceiveRequest, subject: m, id: j.id})
-	r.schedule(j.deadline, event{kind: evAbandonAttempt, subject: n, id: j.id})
+	return chosen
 }
 
-// receiveRequest gives a try to its proxy.
-func (r *simulation) receiveRequest(m int32, id uint64) {
-	j := &r.proxyRequests[m]
-	if j.id != id {
-		return
-	}
-	p, c := &r.proxies[j.proxy], &r.clientRequests[j.clientRequest]
-	if !p.up {
-		r.schedule(r.now+Time(r.scenario.Network.Client), event{kind: evReceiveAnswer, subject: j.clientRequest, code: uint8(policy.ConnectFailed), id: id})
-		r.releaseProxyRequest(m)
-		return
+// seemsAlive says whether the front layer sends clients to the proxy: it notices a death late, a stop at once.
+func (sm *simulation) seemsAlive(p *proxy) bool {
+	isKnownDead := !p.up && sm.now-p.downSince > Time(sm.scenario.Clients.ProxyFailoverDelay)
+	isStopping := p.stopsAt > 0 && sm.now >= p.stopsAt
+	return !isKnownDead && !isStopping
+}
+
+// attemptTimeout is how long the client waits for its present attempt.
+func (sm *simulation) attemptTimeout(c *clientRequest) Time {
+	class := &sm.scenario.Classes[c.class]
+	timeout := min(Time(sm.scenario.Clients.AttemptTimeoutShare*float64(class.Deadline)), c.deadline-sm.now)
+	if c.draw(drawImpatient) < sm.scenario.Clients.ImpatientShare {
+		timeout = min(timeout, Time(class.LatencyTarget))
 	}
-	p.openRequests++
-	patience := max(1, j.deadline-r.now)
-	r.observe(Record{Kind: RequestReceived, Proxy: j.proxy, ID: id, Request: c.number, Class: c.class, Span: patience})
-	r.schedule(j.deadline+Time(r.scenario.Published.ResponseGrace)+1, event{kind: evRequestExpired, subject: m, id: id})
-	r.policyEvent = policy.Event{Kind: policy.RequestArrived, ID: id, Class: c.class, Tenant: uint32(c.tenant), AffinityKey: c.key, Work: c.hint,
-		ClientTimeout: patience, ClientRetry: r.scenario.Clients.MarkRetries && c.attempts > 1}
-	r.deliver(j.proxy)
+	return timeout
 }
 
-// receiveAnswer brings a client the end of one of its tries; id 0: it reached no proxy.
-func (r *simulation) receiveAnswer(n int32, id uint64, out policy.Outcome, after Time) {
-	c := &r.clientRequests[n]
-	if c.ended || c.currentID != id {
+// receiveAnswer brings a client the end of one of its attempts, unless it has given that up.
+func (sm *simulation) receiveAnswer(clientIndex int32, attempt uint64, outcome policy.Outcome, retryAfter Time) {
+	c := sm.clientRequests.at(clientIndex)
+	if c.ended || c.currentAttempt != attempt {
 		return
 	}
-	if out == policy.OK {
-		r.endClientRequest(n, true)
+	if outcome == policy.OK {
+		sm.endClientRequest(clientIndex, true)
 		return
 	}
-	r.retryOrGiveUp(n, out, after)
+	sm.retryOrGiveUp(clientIndex, outcome, retryAfter)
 }
 
-// abandonAttempt is a client's end of patience with a try.
-func (r *simulation) abandonAttempt(n int32, id uint64) {
-	if c := &r.clientRequests[n]; !c.ended && c.currentID == id {
-		r.retryOrGiveUp(n, policy.TimedOut, 0)
+// abandonProxyRequest lets a client give up an attempt whose time is up.
+func (sm *simulation) abandonProxyRequest(clientIndex int32, attempt uint64) {
+	if c := sm.clientRequests.at(clientIndex); !c.ended && c.currentAttempt == attempt {
+		sm.retryOrGiveUp(clientIndex, policy.TimedOut, 0)
 	}
 }
 
-// retryOrGiveUp lets a client try once more, as its class allows: a safe request after any failure, a keyed one that all
-// servers know by its key likewise, others only where nothing can have run. Reckless clients do not ask.
-func (r *simulation) retryOrGiveUp(n int32, out policy.Outcome, after Time) {
-	c := &r.clientRequests[n]
-	k := &r.scenario.Classes[c.class]
-	c.currentID = 1 // answers to the last try come too late from here
-	may := out == policy.Rejected || out == policy.ConnectFailed || *semanticsByName[k.Semantics] == policy.Idempotent ||
-		*semanticsByName[k.Semantics] == policy.Deduplicated && *dedupScopeByName[k.DedupScope] == policy.DedupEverywhere && r.now-c.startedAt < Time(k.DedupWindow)
-	if !may && c.draw(3) < r.scenario.Clients.UnsafeRetryShare {
-		may = true
-	}
-	wait := Time(r.scenario.Clients.Backoff)
-	if r.retryAtOnce {
+// retryOrGiveUp schedules a client's retry after a failure, or ends its request.
+func (sm *simulation) retryOrGiveUp(clientIndex int32, outcome policy.Outcome, retryAfter Time) {
+	c := sm.clientRequests.at(clientIndex)
+	clients := &sm.scenario.Clients
+	c.currentAttempt = attemptOver
+	mayRetry := sm.mayRetry(c, outcome)
+	wait := Time(clients.Backoff)
+	if sm.retryAtOnce {
 		wait = 0
 	}
-	if after > 0 && c.draw(4) < r.scenario.Clients.RetryAfterCompliance {
-		wait = max(wait, min(after, Time(r.scenario.Clients.MaxRetryAfter)))
+	if retryAfter > 0 && c.draw(drawRetryAfter) < clients.RetryAfterCompliance {
+		wait = max(wait, min(retryAfter, Time(clients.MaxRetryAfter)))
 	}
-	next := r.now + max(1, wait)
-	if !may || int(c.attempts) > r.maxRetries || next >= c.deadline {
-		r.endClientRequest(n, false)
+	next := sm.now + max(1, wait)
+	if !mayRetry || int(c.attempts) > sm.maxRetries || next >= c.deadline {
+		sm.endClientRequest(clientIndex, false)
 		return
 	}
-	r.schedule(next, event{kind: evRetry, subject: n, id: c.number})
+	sm.schedule(next, event{kind: evRetry, subject: clientIndex, id: c.number})
 }
 
-func (r *simulation) endClientRequest(n int32, served bool) {
-	c := &r.clientRequests[n]
+// mayRetry says whether the client's class allows a retry: an idempotent request after any failure, one that all servers
+// deduplicate likewise within the window, others only where nothing can have been executed. Some clients do not ask.
+func (sm *simulation) mayRetry(c *clientRequest, outcome policy.Outcome) bool {
+	class := &sm.scenario.Classes[c.class]
+	switch {
+	case outcome == policy.Rejected, outcome == policy.ConnectFailed, class.semantics() == policy.Idempotent:
+		return true
+	case class.semantics() == policy.Deduplicated && class.dedupScope() == policy.DedupEverywhere &&
+		sm.now-c.startedAt < Time(class.DedupWindow):
+		return true
+	}
+	return c.draw(drawUnsafeRetry) < sm.scenario.Clients.UnsafeRetryShare
+}
+
+func (sm *simulation) endClientRequest(clientIndex int32, served bool) {
+	c := sm.clientRequests.at(clientIndex)
 	c.ended = true
-	r.openClientRequests--
-	r.observe(Record{Kind: RequestEnded, Request: c.number, Flag: served, Span: r.now - c.startedAt, Class: c.class, Tenant: c.tenant})
-	r.releaseClientRequest(n)
+	sm.openClientRequests--
+	sm.observe(Record{Kind: RequestEnded, Request: c.number, Flag: served, Span: sm.now - c.startedAt, Class: c.class, Tenant: c.tenant})
+	sm.releaseClientRequest(clientIndex)
 }
 
-func (r *simulation) releaseClientRequest(n int32) {
-	if c := &r.clientRequests[n]; c.refs > 1 {
-		c.refs--
-	} else {
-		c.refs, c.number, c.ended = 0, 0, true
-		r.freeClientRequests = append(r.freeClientRequests, n)
+// releaseClientRequest gives back one reference, and the place with the last.
+func (sm *simulation) releaseClientRequest(clientIndex int32) {
+	c := sm.clientRequests.at(clientIndex)
+	if c.references > 1 {
+		c.references--
+		return
 	}
+	c.references, c.number, c.ended = 0, 0, true
+	sm.clientRequests.release(clientIndex)
 }
--- a/internal/fleetsim/model/config.go
+++ b/internal/fleetsim/model/config.go
@@ -1,3 +1,6 @@
+// Package model is the simulator of a fleet: clients, proxies that run a load-balancing policy, servers, the network
+// between them and the discovery service, as one single-threaded discrete-event simulation. A run depends on nothing
+// but the scenario, the seed and the policy: the same three give the same records to the same microsecond.
 package model
 
 import (
@@ -7,31 +10,31 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// Time is a moment or a span in microseconds, as in package decide.
+// Time is a moment or a length of time in microseconds, as in package policy.
 type Time = policy.Time
 
 // Span is a length of time that is written with its unit in files.
 type Span = duration.Span
 
-// Scenario describes what is played: fleet, clients, network, discovery and troubles. Quotes returns a whole one. True
-// speeds and the like are drawn from the run's seed, within Spread of what stands here; deciders are told only what
-// Told says.
+// Scenario describes what is simulated: fleet, clients, network, discovery and faults. DefaultScenario returns a
+// complete one. Speeds and the like are drawn from the run's seed, within Spread of the values here; policies know only
+// what Published says.
 type Scenario struct {
-	Duration Span `toml:"length" json:"length"`   // clients begin new requests for this long
+	Duration Span `toml:"length" json:"length"`   // clients start new requests for this long
 	Tick     Span `toml:"tick" json:"tick"`       // proxies handle what has come in once a tick; 0: at once
 	Servers  int  `toml:"servers" json:"servers"` // in service at the start
 	Proxies  int  `toml:"proxies" json:"proxies"`
 	Zones    int  `toml:"zones" json:"zones"`
 	CellSize int  `toml:"cell" json:"cell"` // servers of one cell, within a zone
 
-	Load          float64 `toml:"load" json:"load"`         // work asked for, as a share of what the warm fleet can do
-	WaveAmplitude float64 `toml:"swing" json:"swing"`       // of the load, up and down in a wave
-	WavePeriod    Span    `toml:"wave" json:"wave"`         // the wave's length; 0: steady
-	BurstFactor   float64 `toml:"burst" json:"burst"`       // how many times the load a burst brings; 0: none
-	BurstTime     Span    `toml:"burst_on" json:"burst_on"` // mean length of a burst; they take a tenth of the time
-	ZoneSkew      float64 `toml:"skew" json:"skew"`         // how unlike the zones' traffic is: 0 alike, 1 very
-	Spread        float64 `toml:"spread" json:"spread"`     // how far drawn figures lie from those written
-	WorkHintCV    float64 `toml:"hint" json:"hint"`         // coefficient of variation of the clients' guess at work; <0: no guess
+	Load          float64 `toml:"load" json:"load"`         // requested work, as a share of the capacity of the warm fleet
+	WaveAmplitude float64 `toml:"swing" json:"swing"`       // of the load's sine wave, as a share of the load
+	WavePeriod    Span    `toml:"wave" json:"wave"`         // 0: steady load
+	BurstFactor   float64 `toml:"burst" json:"burst"`       // how many times the load a burst brings; 0: no bursts
+	BurstTime     Span    `toml:"burst_on" json:"burst_on"` // mean length of a burst; bursts take a tenth of the time
+	ZoneSkew      float64 `toml:"skew" json:"skew"`         // how much the zones' traffic differs: 0 equal, 1 very
+	Spread        float64 `toml:"spread" json:"spread"`     // how far drawn values lie from those written, as a share
+	WorkHintCV    float64 `toml:"hint" json:"hint"`         // coefficient of variation of the clients' estimate of the work; <0: no estimate
 
 	Keys          Keys              `toml:"keys" json:"keys"`
 	InstanceTypes []InstanceType    `toml:"kinds" json:"kinds"`
@@ -46,122 +49,123 @@
 	Published     PublishedSettings `toml:"told" json:"told"`
 	Prices        Prices            `toml:"prices" json:"prices"`
 	Faults        []Fault           `toml:"trouble" json:"trouble"`
-	RandomFaults  int               `toml:"draw" json:"draw"` // as many troubles more are drawn from the seed
+	RandomFaults  int               `toml:"draw" json:"draw"` // this many more faults are drawn from the seed
 }
 
-// InstanceType is a kind of server.
+// InstanceType is a type of server.
 type InstanceType struct {
 	Name            string  `toml:"name" json:"name"`
 	Share           float64 `toml:"share" json:"share"` // of the fleet
 	Cores           int     `toml:"cores" json:"cores"`
 	Speed           float64 `toml:"speed" json:"speed"`               // of a core, in standard cores
-	Slots           int     `toml:"slots" json:"slots"`               // requests in work at once
-	QueueCapacity   int     `toml:"room" json:"room"`                 // waiting room; beyond it requests are turned away unseen
-	Knee            int     `toml:"knee" json:"knee"`                 // requests held from which it loses efficiency
-	Crowding        float64 `toml:"crowding" json:"crowding"`         // loss for each request beyond the knee
+	Slots           int     `toml:"slots" json:"slots"`               // requests executed at once
+	QueueCapacity   int     `toml:"room" json:"room"`                 // requests that wait; beyond it requests are rejected unprocessed
+	Knee            int     `toml:"knee" json:"knee"`                 // requests, executing or queued, from which efficiency drops
+	Crowding        float64 `toml:"crowding" json:"crowding"`         // loss of efficiency for each request beyond the knee
 	InitialCapacity float64 `toml:"cold_from" json:"cold_from"`       // share of its capacity right after a start
-	WarmupTime      Span    `toml:"cold_for" json:"cold_for"`         // till it is warm
-	WarmByWork      bool    `toml:"warm_by_work" json:"warm_by_work"` // it warms with the work done, at the latest by Told.Cold
-	PauseInterval   Span    `toml:"pause_every" json:"pause_every"`
-	PauseTime       Span    `toml:"pause" json:"pause"`
-	ErrorRate       float64 `toml:"errors" json:"errors"` // share of requests answered with an error
+	WarmupTime      Span    `toml:"cold_for" json:"cold_for"`         // until it has its whole capacity
+	WarmByWork      bool    `toml:"warm_by_work" json:"warm_by_work"` // it warms up by the work done, at the latest within Published.WarmupTime
+	PauseInterval   Span    `toml:"pause_every" json:"pause_every"`   // mean time between pauses such as a garbage collector's
+	PauseTime       Span    `toml:"pause" json:"pause"`               // mean length of a pause of an idle server
+	ErrorRate       float64 `toml:"errors" json:"errors"`             // share of requests answered with an error
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name           string  `toml:"name" json:"name"`
-	Share          float64 `toml:"share" json:"share"`
+	Share          float64 `toml:"share" json:"share"` // of the requests
 	Work           Span    `toml:"work" json:"work"`   // mean, on a standard core
 	WorkCV         float64 `toml:"cv" json:"cv"`       // coefficient of variation of the work (lognormal)
-	AttemptCV      float64 `toml:"noise" json:"noise"` // that of one attempt's work about its request's
-	DownstreamWait Span    `toml:"wait" json:"wait"`   // mean time that it then waits on others, taking no core and no slot
-	LatencyTarget  Span    `toml:"aim" json:"aim"`
+	AttemptCV      float64 `toml:"noise" json:"noise"` // coefficient of variation of an attempt's work about its request's
+	DownstreamWait Span    `toml:"wait" json:"wait"`   // mean wait for other services after the work, without a core and a slot
+	LatencyTarget  Span    `toml:"aim" json:"aim"`     // an answer within it has its full value
 	Deadline       Span    `toml:"deadline" json:"deadline"`
 	Value          float64 `toml:"worth" json:"worth"`   // for each unit of work
-	LateValueShare float64 `toml:"late" json:"late"`     // share of the worth for an answer past the aim
-	Semantics      string  `toml:"effect" json:"effect"` // safe, keyed or unsafe
-	DedupScope     string  `toml:"group" json:"group"`   // for keyed: all, zone or cell drop a repeat
-	DedupWindow    Span    `toml:"window" json:"window"` // for keyed: for this long
+	LateValueShare float64 `toml:"late" json:"late"`     // share of the value that an answer past the target keeps
+	Semantics      string  `toml:"effect" json:"effect"` // safe (idempotent), keyed (deduplicated) or unsafe
+	DedupScope     string  `toml:"group" json:"group"`   // for keyed: all, zone or cell; servers within it drop a repeat
+	DedupWindow    Span    `toml:"window" json:"window"` // for keyed: how long they do
 }
 
-// Keys are what requests are about. Where Count is not 0, a server that met a request's key of late does less of its work.
+// Keys are the cache keys of requests. Where Count is not 0, a server that lately served a request of the same key does
+// less work for it.
 type Keys struct {
 	Count           int     `toml:"count" json:"count"`
-	ZipfExponent    float64 `toml:"zipf" json:"zipf"`         // the n-th key is asked for in proportion to 1/n^zipf
-	HitSavings      float64 `toml:"gain" json:"gain"`         // share of the work that is saved
-	TTL             Span    `toml:"for" json:"for"`           // how long a server remembers a key
-	CapacityPerCore int     `toml:"per_core" json:"per_core"` // keys that it remembers; the one met longest ago goes first
+	ZipfExponent    float64 `toml:"zipf" json:"zipf"`         // the n-th key is requested in proportion to 1/n^zipf
+	HitSavings      float64 `toml:"gain" json:"gain"`         // share of the work that a cache hit saves
+	TTL             Span    `toml:"for" json:"for"`           // how long a server keeps a key
+	CapacityPerCore int     `toml:"per_core" json:"per_core"` // keys kept; the least recently used one is evicted first
 }
 
 // Tenant is a customer of the service.
 type Tenant struct {
 	Name       string  `toml:"name" json:"name"`
-	QuotaShare float64 `toml:"share" json:"share"` // of the service: what it may use
-	QuotaUsage float64 `toml:"usage" json:"usage"` // its traffic, in its share of the load
+	QuotaShare float64 `toml:"share" json:"share"` // of the sold capacity: what it may use
+	QuotaUsage float64 `toml:"usage" json:"usage"` // its traffic, as a share of its quota
 }
 
-// Clients are the habits of clients and of the front layer that deals their connections to proxies.
+// Clients is the behaviour of clients and of the front layer that distributes their connections to proxies.
 type Clients struct {
 	Retries              int     `toml:"retries" json:"retries"`
-	AttemptTimeoutShare  float64 `toml:"patience" json:"patience"` // share of the class's deadline that one try may take
-	Backoff              Span    `toml:"backoff" json:"backoff"`   // before a further try; 0: at once
-	MarkRetries          bool    `toml:"marks" json:"marks"`       // they say of a repeat that it is one
-	RetryAfterCompliance float64 `toml:"heed" json:"heed"`         // share that waits as long as Retry-After says
-	MaxRetryAfter        Span    `toml:"most_heeded" json:"most_heeded"`
-	ImpatientShare       float64 `toml:"hasty" json:"hasty"`           // share that leaves at the aim and asks again
-	UnsafeRetryShare     float64 `toml:"reckless" json:"reckless"`     // share that repeats keyed requests after any failure
-	ProxyFailoverDelay   Span    `toml:"notice" json:"notice"`         // till the front layer notices that a proxy has died
-	OverQuotaValue       float64 `toml:"over_share" json:"over_share"` // worth of what goes past a tenant's share
+	AttemptTimeoutShare  float64 `toml:"patience" json:"patience"`       // share of the class's deadline that one attempt may take
+	Backoff              Span    `toml:"backoff" json:"backoff"`         // before a retry; 0: at once
+	MarkRetries          bool    `toml:"marks" json:"marks"`             // a retry carries a mark that it is one
+	RetryAfterCompliance float64 `toml:"heed" json:"heed"`               // share of clients that wait as long as Retry-After says
+	MaxRetryAfter        Span    `toml:"most_heeded" json:"most_heeded"` // the longest Retry-After that they follow
+	ImpatientShare       float64 `toml:"hasty" json:"hasty"`             // share that give up at the latency target and retry
+	UnsafeRetryShare     float64 `toml:"reckless" json:"reckless"`       // share that retry keyed requests after any failure
+	ProxyFailoverDelay   Span    `toml:"notice" json:"notice"`           // until the front layer notices that a proxy has died
+	OverQuotaValue       float64 `toml:"over_share" json:"over_share"`   // share of its value that a request past its tenant's quota keeps
 }
 
-// Network is the network.
+// Network is the delays and losses of the network.
 type Network struct {
-	SameZone  Span    `toml:"same" json:"same"` // one way, within a zone
-	CrossZone Span    `toml:"cross" json:"cross"`
-	Client    Span    `toml:"client" json:"client"`
-	Jitter    float64 `toml:"jitter" json:"jitter"` // mean of what is added, as a share of the delay
+	SameZone  Span    `toml:"same" json:"same"`     // one way, within a zone
+	CrossZone Span    `toml:"cross" json:"cross"`   // one way, between zones
+	Client    Span    `toml:"client" json:"client"` // one way, between a client and a proxy
+	Jitter    float64 `toml:"jitter" json:"jitter"` // mean of the exponential part that is added, as a share of the delay
 	PeerDelay Span    `toml:"peer" json:"peer"`     // most that a message between proxies takes on top
-	PeerLoss  float64 `toml:"loss" json:"loss"`     // of messages between proxies
+	PeerLoss  float64 `toml:"loss" json:"loss"`     // share of messages between proxies that are lost
 }
 
 // Connections is how proxies' connections to servers behave; one carries one request at a time.
 type Connections struct {
-	HandshakeRoundTrips float64 `toml:"trips" json:"trips"` // round trips of a handshake
-	HandshakeWork       Span    `toml:"work" json:"work"`   // that it costs the server
-	IdleTimeout         Span    `toml:"idle" json:"idle"`   // after which it is closed
-	DialTimeout         Span    `toml:"dial_within" json:"dial_within"`
-	MaxPerCore          int     `toml:"cap_per_core" json:"cap_per_core"`
-	CapacityTax         float64 `toml:"tax" json:"tax"` // share of the capacity that a full table takes
+	HandshakeRoundTrips float64 `toml:"trips" json:"trips"`
+	HandshakeWork       Span    `toml:"work" json:"work"`                 // that it costs the server
+	IdleTimeout         Span    `toml:"idle" json:"idle"`                 // after which an idle connection is closed
+	DialTimeout         Span    `toml:"dial_within" json:"dial_within"`   // after which an unanswered handshake has failed
+	MaxPerCore          int     `toml:"cap_per_core" json:"cap_per_core"` // connections that a server accepts
+	CapacityTax         float64 `toml:"tax" json:"tax"`                   // share of the capacity that a full connection table takes
 }
 
-// Reports are the load reports.
+// Reports is how servers report their load.
 type Reports struct {
-	Delivery string  `toml:"via" json:"via"` // answers (or nothing): inside answers; probe: to those who ask; none: there are none
-	Interval Span    `toml:"every" json:"every"`
-	Delay    Span    `toml:"delay" json:"delay"`
-	Noise    float64 `toml:"noise" json:"noise"`
+	Delivery string  `toml:"via" json:"via"`     // answers (or empty): inside responses; probe: to load polls; none
+	Interval Span    `toml:"every" json:"every"` // between refreshes of a server's report
+	Delay    Span    `toml:"delay" json:"delay"` // between its refresh and its first use
+	Noise    float64 `toml:"noise" json:"noise"` // relative standard deviation of the reported values
 }
 
 // Discovery is the service that lists the servers.
 type Discovery struct {
-	DrainDelay     Span    `toml:"notice" json:"notice"`     // till it knows of a drain or an orderly end
-	CrashDelay     Span    `toml:"silent" json:"silent"`     // till it knows of a crash
-	StartDelay     Span    `toml:"add" json:"add"`           // till it knows of a start
-	NotifyJitter   Span    `toml:"spread" json:"spread"`     // most that telling one proxy takes on top
-	CallsPerSecond float64 `toml:"calls" json:"calls"`       // calls a second that it answers, in turn
+	DrainDelay     Span    `toml:"notice" json:"notice"`     // until it knows of a drain or an orderly end
+	CrashDelay     Span    `toml:"silent" json:"silent"`     // until it knows of a crash
+	StartDelay     Span    `toml:"add" json:"add"`           // until it knows of a start
+	NotifyJitter   Span    `toml:"spread" json:"spread"`     // most that notifying one proxy takes on top
+	CallsPerSecond float64 `toml:"calls" json:"calls"`       // subscribe calls that it answers, first come first served
 	CallTimeout    Span    `toml:"within" json:"within"`     // a call that would wait longer fails
-	WatchLifetime  Span    `toml:"break_in" json:"break_in"` // mean life of a watch; 0: for ever
+	WatchLifetime  Span    `toml:"break_in" json:"break_in"` // mean time until a watch breaks; 0: never
 }
 
-// Overload is when a cold server falls over: sent more than Multiple times its present capacity for Over.
+// Overload is when a cold server crashes: on work of more than Factor times its present capacity within Window.
 type Overload struct {
-	Factor        float64 `toml:"multiple" json:"multiple"` // 0: servers do not fall over
+	Factor        float64 `toml:"multiple" json:"multiple"` // 0: servers do not crash from overload
 	Window        Span    `toml:"over" json:"over"`
-	SlackRequests float64 `toml:"slack" json:"slack"` // mean requests on top, for chance
-	Downtime      Span    `toml:"down" json:"down"`   // 0: for good
+	SlackRequests float64 `toml:"slack" json:"slack"` // requests of mean work that are allowed on top, for chance
+	Downtime      Span    `toml:"down" json:"down"`   // until it starts again; 0: for good
 }
 
-// PublishedSettings is what deciders are told of the deployment, and the figures of the rules.
+// PublishedSettings is what policies are given of the deployment, and the limits of the rules that a checker applies.
 type PublishedSettings struct {
 	ResponseGrace   Span    `toml:"answer_slack" json:"answer_slack"`
 	SubscribeWithin Span    `toml:"ask_within" json:"ask_within"`
@@ -169,26 +173,35 @@
 	WarmupTime      Span    `toml:"cold" json:"cold"`
 	InitialCapacity float64 `toml:"cold_share" json:"cold_share"`
 	OverloadFactor  float64 `toml:"tip_multiple" json:"tip_multiple"`
-	MaxAttempts     int     `toml:"attempts" json:"attempts"`
-	MaxOpenRequests int     `toml:"most_held" json:"most_held"`
+	MaxAttempts     int     `toml:"attempts" json:"attempts"`   // of one request at one proxy
+	MaxOpenRequests int     `toml:"most_held" json:"most_held"` // of one proxy; 0: no limit
 	AllowHedging    bool    `toml:"copies" json:"copies"`
 	AllowCancel     bool    `toml:"cancel" json:"cancel"`
 }
 
-// Prices are taken off the service, as PROTOCOL's pages count them: points of worth in 1, for as much as stated.
+// Prices are subtracted from the service: each is the share of the offered value that the stated amount costs.
 type Prices struct {
-	LateFailure float64 `toml:"late_fail" json:"late_fail"` // all failing only after the aim
-	WastedWork  float64 `toml:"waste" json:"waste"`         // work for nothing, as much as was asked for
+	LateFailure float64 `toml:"late_fail" json:"late_fail"` // all requests failing only after their latency target
+	WastedWork  float64 `toml:"waste" json:"waste"`         // as much work without a used answer as was requested
 	CrossZone   float64 `toml:"cross" json:"cross"`         // each request crossing zones once
-	Handshake   float64 `toml:"handshake" json:"handshake"` // a connection for each request
-	Probe       float64 `toml:"probe" json:"probe"`         // a probe for each request; the work that it costs a server is left out
-	PeerMessage float64 `toml:"peer" json:"peer"`           // a message of 256 bytes for each request
+	Handshake   float64 `toml:"handshake" json:"handshake"` // a new connection for each request
+	Probe       float64 `toml:"probe" json:"probe"`         // a load poll for each request; the work that it costs a server is left out
+	PeerMessage float64 `toml:"peer" json:"peer"`           // a message of 256 bytes between proxies for each request
 }
 
-// Clone copies w with its lists, so that a change of one leaves the other.
-func (w *Scenario) Clone() Scenario {
-	c := *w
-	c.InstanceTypes, c.Classes = slices.Clone(w.InstanceTypes), slices.Clone(w.Classes)
-	c.Tenants, c.Faults = slices.Clone(w.Tenants), slices.Clone(w.Faults)
+// Clone copies sc with its lists, so that a change of one leaves the other.
+func (sc *Scenario) Clone() Scenario {
+	c := *sc
+	c.InstanceTypes, c.Classes = slices.Clone(sc.InstanceTypes), slices.Clone(sc.Classes)
+	c.Tenants, c.Faults = slices.Clone(sc.Tenants), slices.Clone(sc.Faults)
 	return c
 }
+
+// meanWork is the mean work of a request, in microseconds on a standard core.
+func (sc *Scenario) meanWork() float64 {
+	sum, share := 0.0, 0.0
+	for _, c := range sc.Classes {
+		sum, share = sum+c.Share*float64(c.Work), share+c.Share
+	}
+	return sum / max(share, 1e-9)
+}
--- a/internal/fleetsim/model/connections.go
+++ b/internal/fleetsim/model/connections.go
@@ -1,56 +1,83 @@
 package model
 
-// connections are one proxy's connections to one server.
+// connectionPool holds one proxy's connections to one server process.
 type connectionPool struct {
-	epoch int32
-	used  int32
-	idle  []Time // since when, oldest first
+	epoch     int32 // of the server process
+	inUse     int32
+	idleSince []Time // of the idle ones, longest idle first
+}
+
+// openConnections returns a proxy's connections to a server, without those that are gone or idle for too long.
+func (sm *simulation) openConnections(p *proxy, s *server) *connectionPool {
+	pool := p.connections[s.index]
+	if pool == nil {
+		pool = &connectionPool{}
+		p.connections[s.index] = pool
+	}
+	if pool.epoch != s.epoch { // another process: the old connections are gone
+		*pool = connectionPool{epoch: s.epoch}
+	}
+	sm.closeExpired(pool, s)
+	return pool
 }
 
 // closeExpired closes connections that have been idle for too long.
-func (r *simulation) closeExpired(k *connectionPool, s *server) {
-	n := 0
-	for n < len(k.idle) && r.now-k.idle[n] >= Time(r.scenario.Connections.IdleTimeout) {
-		n++
+func (sm *simulation) closeExpired(pool *connectionPool, s *server) {
+	expired := 0
+	for expired < len(pool.idleSince) && sm.now-pool.idleSince[expired] >= Time(sm.scenario.Connections.IdleTimeout) {
+		expired++
 	}
-	if n > 0 {
-		s.connections -= n
-		k.idle = append(k.idle[:0], k.idle[n:]...)
+	if expired > 0 {
+		s.connections -= expired
+		pool.idleSince = append(pool.idleSince[:0], pool.idleSince[expired:]...)
 	}
 }
 
-func (r *simulation) closeIdleConnections(n, inc int32) {
-	p := &r.proxies[n]
-	if p.incarnation != inc || !p.up {
+// closeIdleConnections closes a proxy's expired connections, once a second for its whole life.
+func (sm *simulation) closeIdleConnections(proxyIndex, incarnation int32) {
+	if !sm.isRunning(proxyIndex, incarnation) {
 		return
 	}
-	for s, k := range p.connections { // what is done to one server does not touch another: any order will do
-		if srv := r.servers[s]; k.epoch == srv.epoch {
-			r.closeExpired(k, srv)
+	p := &sm.proxies[proxyIndex]
+	for serverIndex, pool := range p.connections { // servers do not affect each other here: any order will do
+		if s := sm.servers[serverIndex]; pool.epoch == s.epoch {
+			sm.closeExpired(pool, s)
 		} else {
-			k.idle = k.idle[:0]
+			pool.idleSince = pool.idleSince[:0]
 		}
-		if len(k.idle) == 0 && k.used == 0 {
-			delete(p.connections, s)
+		if len(pool.idleSince) == 0 && pool.inUse == 0 {
+			delete(p.connections, serverIndex)
 		}
 	}
-	r.schedule(r.now+1_000_000, event{kind: evCloseIdle, subject: n, number: inc})
+	sm.schedule(sm.now+microsPerSecond, event{kind: evCloseIdle, subject: proxyIndex, number: incarnation})
+}
+
+// closeIdleConnectionsTo carries out a node's CloseIdleConns.
+func (sm *simulation) closeIdleConnectionsTo(p *proxy, serverID uint32) {
+	s := sm.findServer(serverID)
+	if s == nil {
+		return
+	}
+	if pool := p.connections[s.index]; pool != nil && pool.epoch == s.epoch {
+		s.connections -= len(pool.idleSince)
+		pool.idleSince = pool.idleSince[:0]
+	}
 }
 
-// releaseConnection ends an attempt's use of its connection: kept, or closed with it.
-func (r *simulation) releaseConnection(k *serverAttempt, keep bool) {
-	s, p := r.servers[k.server], &r.proxies[k.proxy]
-	counted := s.epoch == k.epoch && (k.stage > stageTravelling || !k.newConnection)
-	if p.up && p.incarnation == k.incarnation {
-		if pool := p.connections[k.server]; pool != nil && pool.epoch == k.epoch {
-			pool.used--
-			if keep && counted {
-				pool.idle = append(pool.idle, r.now)
+// releaseConnection ends an attempt's use of its connection, which is kept or closed.
+func (sm *simulation) releaseConnection(attempt *serverAttempt, keep bool) {
+	s, p := sm.servers[attempt.server], &sm.proxies[attempt.proxy]
+	isCounted := s.epoch == attempt.epoch && (attempt.stage > stageTravelling || !attempt.newConnection) // by the server
+	if p.up && p.incarnation == attempt.incarnation {
+		if pool := p.connections[attempt.server]; pool != nil && pool.epoch == attempt.epoch {
+			pool.inUse--
+			if keep && isCounted {
+				pool.idleSince = append(pool.idleSince, sm.now)
 				return
 			}
 		}
 	}
-	if counted {
+	if isCounted {
 		s.connections--
 	}
 }
--- a/internal/fleetsim/model/discovery.go
+++ b/internal/fleetsim/model/discovery.go
@@ -6,183 +6,216 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-func sortFloats(x []float64) { slices.Sort(x) }
+// watchHeartbeatTimeout is how long a watch may be silent before its proxy takes it for broken.
+const watchHeartbeatTimeout = 5 * microsPerSecond
 
-// watchHeartbeatTimeout is how long a watch may say nothing before its proxy holds it for broken.
-const watchHeartbeatTimeout = 5_000_000
+// partitionPollInterval is how often a notification that a partition holds back is tried again.
+const partitionPollInterval = 250_000
 
-// discoveryService is discovery. It holds each list once: proxies are handed slices of one log of changes, so a thousand
-// of them with ten thousand servers cost no more memory than one.
+// discoveryService holds each list once: proxies are handed slices of one log of changes, so a thousand of them with ten
+// thousand servers cost no more memory than one.
 type discoveryService struct {
 	initial          []policy.Member // the whole list at the start
-	changes          []policy.Member // all changes since; a version is a place in it
-	current          []policy.Member // the present state, by server
-	epochs           []int32         // of the latest process heard of
-	listCache        []policy.Member // the whole list at version wholeAt
+	changes          []policy.Member // all changes since; a version is a length of it
+	current          []policy.Member // the present state, by server index; also of servers that are gone
+	epochs           []int32         // of the latest process known, by server index
+	listCache        []policy.Member // the whole list at version listCacheVersion
 	listCacheVersion int
-	busyUntil        Time // till when calls wait in turn
-	outages          int
+	busyUntil        Time // subscribe calls are answered one after another
+	outages          int  // faults in force
 }
 
-func (g *discoveryService) init(r *simulation) {
-	for _, s := range r.servers {
-		g.current = append(g.current, policy.Member{Server: s.id, Zone: s.zone, Cell: s.cell, InstanceType: uint16(s.instanceTypeIndex),
-			Mode: policy.ModeReady, Size: float64(s.instanceType.Cores)})
-		g.epochs = append(g.epochs, 0)
+func (d *discoveryService) init(servers []*server) {
+	for _, s := range servers {
+		d.current = append(d.current, s.member(policy.ModeReady))
+		d.epochs = append(d.epochs, 0)
 	}
-	g.initial = slices.Clone(g.current)
-	g.listCache = g.initial
+	d.initial = slices.Clone(d.current)
+	d.listCache = d.initial
 }
 
-// list is the whole list as it is now.
-func (g *discoveryService) list() []policy.Member {
-	if g.listCacheVersion != len(g.changes) {
-		g.listCache, g.listCacheVersion = nil, len(g.changes)
-		for i := range g.current {
-			if g.current[i].Mode != policy.ModeGone {
-				g.listCache = append(g.listCache, g.current[i])
+// add lists a new server, of which nothing is known yet: its first start will be a change.
+func (d *discoveryService) add(s *server) {
+	d.current = append(d.current, s.member(policy.ModeGone))
+	d.epochs = append(d.epochs, -1)
+}
+
+func (d *discoveryService) version() int { return len(d.changes) }
+
+// list is the whole list at the present version.
+func (d *discoveryService) list() []policy.Member {
+	if d.listCacheVersion != d.version() {
+		d.listCache, d.listCacheVersion = nil, d.version()
+		for i := range d.current {
+			if d.current[i].Mode != policy.ModeGone {
+				d.listCache = append(d.listCache, d.current[i])
 			}
 		}
 	}
-	return g.listCache
+	return d.listCache
 }
 
 // listAt is the whole list as it was at a version.
-func (g *discoveryService) listAt(version int) []policy.Member {
+func (d *discoveryService) listAt(version int) []policy.Member {
 	if version == 0 {
-		return g.initial
+		return d.initial
 	}
-	if version == g.listCacheVersion {
-		return g.listCache
+	if version == d.listCacheVersion {
+		return d.listCache
 	}
-	place := map[uint32]int{}
-	list := slices.Clone(g.initial)
+	indexByID := map[uint32]int{}
+	list := slices.Clone(d.initial)
 	for i := range list {
-		place[list[i].Server] = i
+		indexByID[list[i].Server] = i
 	}
-	for _, m := range g.changes[:version] {
-		if i, ok := place[m.Server]; ok {
+	for _, m := range d.changes[:version] {
+		if i, ok := indexByID[m.Server]; ok {
 			list[i] = m
 		} else {
-			place[m.Server] = len(list)
+			indexByID[m.Server] = len(list)
 			list = append(list, m)
 		}
 	}
 	return slices.DeleteFunc(list, func(m policy.Member) bool { return m.Mode == policy.ModeGone })
 }
 
-// scheduleDiscoveryUpdate lets discovery learn of a server's new state after a while.
-func (r *simulation) scheduleDiscoveryUpdate(s *server, mode policy.Mode, lag Time) {
-	r.schedule(r.now+lag, event{kind: evDiscoveryUpdate, subject: s.index, number: s.epoch, code: uint8(mode), id: uint64(s.started)})
+// scheduleDiscoveryUpdate lets discovery learn of a server's new mode after a delay.
+func (sm *simulation) scheduleDiscoveryUpdate(s *server, mode policy.Mode, delay Span) {
+	sm.schedule(sm.now+Time(delay), event{kind: evDiscoveryUpdate, subject: s.index, number: s.epoch, code: uint8(mode), id: uint64(s.startedAt)})
 }
 
-func (r *simulation) updateDiscovery(e *event) {
-	g := &r.discovery
-	m := &g.current[e.subject]
-	if e.number < g.epochs[e.subject] || e.number == g.epochs[e.subject] && m.Mode == policy.Mode(e.code) ||
-		e.number == g.epochs[e.subject] && m.Mode == policy.ModeGone {
-		return // late news of a process that has a successor, or no news
-	}
-	g.epochs[e.subject] = e.number
-	m.Mode, m.StartedAt = policy.Mode(e.code), Time(e.id)
-	g.changes = append(g.changes, *m)
-	r.observe(Record{Kind: DiscoveryUpdated, Members: g.changes[len(g.changes)-1:], Version: len(g.changes)})
-	for i := range r.proxies {
-		if p := &r.proxies[i]; p.up && p.watching {
-			r.scheduleNotification(int32(i))
+// updateDiscovery records a change and schedules the notification of the watching proxies.
+func (sm *simulation) updateDiscovery(e *event) {
+	d := &sm.discovery
+	serverIndex, epoch, mode, startedAt := e.subject, e.number, policy.Mode(e.code), Time(e.id)
+	member := &d.current[serverIndex]
+	isOutdated := epoch < d.epochs[serverIndex] // the process has a successor
+	isKnown := epoch == d.epochs[serverIndex] && (member.Mode == mode || member.Mode == policy.ModeGone)
+	if isOutdated || isKnown {
+		return
+	}
+	d.epochs[serverIndex] = epoch
+	member.Mode, member.StartedAt = mode, startedAt
+	d.changes = append(d.changes, *member)
+	sm.observe(Record{Kind: DiscoveryUpdated, Members: d.changes[len(d.changes)-1:], Version: d.version()})
+	for i := range sm.proxies {
+		if p := &sm.proxies[i]; p.up && p.watching {
+			sm.scheduleNotification(int32(i))
 		}
 	}
 }
 
-func (r *simulation) scheduleNotification(n int32) {
-	p := &r.proxies[n]
+func (sm *simulation) scheduleNotification(proxyIndex int32) {
+	p := &sm.proxies[proxyIndex]
 	if p.notificationPending {
-		return // what is under way will bring this as well
+		return // it will bring this change as well
 	}
 	p.notificationPending = true
-	late := Time(r.networkRand.Float64()*float64(r.scenario.Discovery.NotifyJitter)) + r.networkDelay(p.zone, 0)
-	r.schedule(r.nextTick(r.now+late), event{kind: evNotifyProxy, subject: n, number: p.incarnation})
+	delay := Time(sm.networkRand.Float64()*float64(sm.scenario.Discovery.NotifyJitter)) + sm.discoveryDelay(p)
+	sm.schedule(sm.nextTick(sm.now+delay), event{kind: evNotifyProxy, subject: proxyIndex, number: p.incarnation})
 }
 
-// notifyProxy brings a watching proxy what has changed.
-func (r *simulation) notifyProxy(n, inc int32) {
-	p := &r.proxies[n]
-	if p.incarnation != inc || !p.up {
+// discoveryDelay draws the time of a message between a proxy and discovery, which is in zone 0.
+func (sm *simulation) discoveryDelay(p *proxy) Time { return sm.networkDelay(p.zone, 0) }
+
+// notifyProxy sends a watching proxy the changes that it does not have, once no partition is in the way.
+func (sm *simulation) notifyProxy(proxyIndex, incarnation int32) {
+	if !sm.isRunning(proxyIndex, incarnation) {
 		return
 	}
+	p := &sm.proxies[proxyIndex]
 	p.notificationPending = false
-	if !p.watching || p.version == len(r.discovery.changes) {
+	if !p.watching || p.listVersion == sm.discovery.version() {
 		return
 	}
-	if r.isDiscoveryPartitioned(n) {
+	if sm.isDiscoveryPartitioned(proxyIndex) {
 		p.notificationPending = true
-		r.schedule(r.nextTick(r.now+250_000), event{kind: evNotifyProxy, subject: n, number: inc})
+		sm.schedule(sm.nextTick(sm.now+partitionPollInterval), event{kind: evNotifyProxy, subject: proxyIndex, number: incarnation})
 		return
 	}
-	r.sendMembership(n)
+	sm.sendMembership(proxyIndex)
 }
 
-// sendMembership hands a proxy the changes since its version, or the whole list where they are more than that.
-func (r *simulation) sendMembership(n int32) {
-	p, g := &r.proxies[n], &r.discovery
-	members := g.changes[p.version:len(g.changes):len(g.changes)]
+// sendMembership hands a proxy the changes since its version, or the whole list where that is shorter.
+func (sm *simulation) sendMembership(proxyIndex int32) {
+	p, d := &sm.proxies[proxyIndex], &sm.discovery
+	members := d.changes[p.listVersion:len(d.changes):len(d.changes)]
 	kind := policy.MembershipDelta
-	if len(members) > len(g.current) {
-		members, kind = g.list(), policy.MembershipFull
+	if len(members) > len(d.current) {
+		members, kind = d.list(), policy.MembershipFull
 	}
-	p.version = len(g.changes)
-	r.observe(Record{Kind: ProxyNotified, Proxy: n, Members: members, Version: p.version, Flag: kind == policy.MembershipFull})
-	r.policyEvent = policy.Event{Kind: kind, Members: members}
-	r.deliver(n)
+	p.listVersion = d.version()
+	sm.observe(Record{Kind: ProxyNotified, Proxy: proxyIndex, Members: members, Version: p.listVersion, Flag: kind == policy.MembershipFull})
+	sm.policyEvent = policy.Event{Kind: kind, Members: members}
+	sm.deliver(proxyIndex)
 }
 
-// subscribe is a proxy's call to discovery, which answers calls in turn and fails those that would wait too long.
-func (r *simulation) subscribe(n int32) {
-	p, g, d := &r.proxies[n], &r.discovery, &r.scenario.Discovery
-	r.observe(Record{Kind: DiscoveryCalled, Proxy: n})
-	e := event{kind: evSubscribeResult, subject: n, number: p.incarnation}
-	g.busyUntil = max(g.busyUntil, r.now)
-	switch wait := g.busyUntil - r.now; {
-	case r.isDiscoveryPartitioned(n):
-		e.code = 1
-		r.schedule(r.nextTick(r.now+Time(d.CallTimeout)), e)
-	case g.outages > 0:
-		e.code = 1
-		r.schedule(r.nextTick(r.now+2*r.networkDelay(p.zone, 0)), e)
-	case wait > Time(d.CallTimeout):
-		e.code = 1
-		r.schedule(r.nextTick(r.now+Time(d.CallTimeout)), e)
+// subscribe is a proxy's call to discovery, which answers calls one after another and fails those that would wait for
+// longer than the time limit.
+func (sm *simulation) subscribe(proxyIndex int32) {
+	p, d, config := &sm.proxies[proxyIndex], &sm.discovery, &sm.scenario.Discovery
+	sm.observe(Record{Kind: DiscoveryCalled, Proxy: proxyIndex})
+	succeeded := event{kind: evSubscribeResult, subject: proxyIndex, number: p.incarnation}
+	failed := succeeded
+	failed.code = 1
+	d.busyUntil = max(d.busyUntil, sm.now)
+	switch {
+	case sm.isDiscoveryPartitioned(proxyIndex):
+		sm.schedule(sm.nextTick(sm.now+Time(config.CallTimeout)), failed)
+	case d.outages > 0:
+		sm.schedule(sm.nextTick(sm.now+2*sm.discoveryDelay(p)), failed)
+	case d.busyUntil-sm.now > Time(config.CallTimeout):
+		sm.schedule(sm.nextTick(sm.now+Time(config.CallTimeout)), failed)
 	default:
-		g.busyUntil += Time(1e6 / d.CallsPerSecond)
-		r.schedule(r.nextTick(g.busyUntil+r.networkDelay(p.zone, 0)), e)
+		d.busyUntil += Time(microsPerSecond / config.CallsPerSecond)
+		sm.schedule(sm.nextTick(d.busyUntil+sm.discoveryDelay(p)), succeeded)
 	}
 }
 
-func (r *simulation) receiveSubscribeResult(e *event) {
-	p := &r.proxies[e.subject]
-	if p.incarnation != e.number || !p.up {
+// receiveSubscribeResult ends a proxy's call: it has a watch from now, and gets the list, or knows that the call failed.
+func (sm *simulation) receiveSubscribeResult(e *event) {
+	proxyIndex, incarnation := e.subject, e.number
+	if !sm.isRunning(proxyIndex, incarnation) {
 		return
 	}
-	if e.code == 1 || r.discovery.outages > 0 || r.isDiscoveryPartitioned(e.subject) {
-		r.endWatch(e.subject, e.number, true)
+	if e.code == 1 || sm.discovery.outages > 0 || sm.isDiscoveryPartitioned(proxyIndex) {
+		sm.endWatch(proxyIndex, incarnation, subscribeFailed)
 		return
 	}
-	p.watching = true
-	r.observe(Record{Kind: DiscoveryCalled, Proxy: e.subject, Flag: true})
-	if every := r.scenario.Discovery.WatchLifetime; every > 0 {
-		r.schedule(r.now+1+Time(r.networkRand.ExpFloat64()*float64(every)), event{kind: evWatchBreaks, subject: e.subject, number: e.number})
+	sm.proxies[proxyIndex].watching = true
+	sm.observe(Record{Kind: DiscoveryCalled, Proxy: proxyIndex, Flag: true})
+	if lifetime := sm.scenario.Discovery.WatchLifetime; lifetime > 0 {
+		sm.schedule(sm.now+1+Time(sm.networkRand.ExpFloat64()*float64(lifetime)),
+			event{kind: evWatchBreaks, subject: proxyIndex, number: incarnation})
 	}
-	r.sendMembership(e.subject)
+	sm.sendMembership(proxyIndex)
 }
 
-// endWatch tells a proxy that its watch broke or its call failed.
-func (r *simulation) endWatch(n, inc int32, call bool) {
-	p := &r.proxies[n]
-	if p.incarnation != inc || !p.up || !call && !p.watching {
+// watchEnd is why a proxy has no watch.
+type watchEnd bool
+
+const (
+	watchBroken     watchEnd = false
+	subscribeFailed watchEnd = true
+)
+
+// endWatch notifies a proxy that its watch broke or its call failed.
+func (sm *simulation) endWatch(proxyIndex, incarnation int32, reason watchEnd) {
+	p := &sm.proxies[proxyIndex]
+	if !sm.isRunning(proxyIndex, incarnation) || reason == watchBroken && !p.watching {
 		return
 	}
 	p.watching = false
-	r.observe(Record{Kind: WatchLost, Proxy: n, Flag: call})
-	r.policyEvent = policy.Event{Kind: policy.DiscoveryFailed}
-	r.deliver(n)
+	sm.observe(Record{Kind: WatchLost, Proxy: proxyIndex, Flag: reason == subscribeFailed})
+	sm.policyEvent = policy.Event{Kind: policy.DiscoveryFailed}
+	sm.deliver(proxyIndex)
+}
+
+// expireSilentWatches schedules the end of watches that a new partition has made silent: their proxies miss heartbeats.
+func (sm *simulation) expireSilentWatches() {
+	for i := range sm.proxies {
+		if p := &sm.proxies[i]; p.up && p.watching && sm.isDiscoveryPartitioned(int32(i)) {
+			sm.schedule(sm.now+watchHeartbeatTimeout, event{kind: evWatchBreaks, subject: int32(i), number: p.incarnation})
+		}
+	}
 }
--- a/internal/fleetsim/model/queue.go
+++ b/internal/fleetsim/model/eventqueue.go
@@ -2,33 +2,20 @@
 
 import "math/bits"
 
-// event is something that will happen. Its payload is a few numbers, so that millions can wait without a pointer
-// for the collector to follow. What they mean is up to the kind; see World.step.
-type event struct {
-	at              Time
-	seq             uint64 // order of scheduling: the order of events of one microsecond
-	kind            eventKind
-	code            uint8
-	subject, number int32
-	id              uint64
-}
-
-func (e *event) before(f *event) bool { return e.at < f.at || e.at == f.at && e.seq < f.seq }
-
 const (
-	bucketBits = 11 // a bucket holds 2^11 us, about 2 ms
-	ringSize   = 8192
+	bucketBits = 11   // a bucket holds 2^11 microseconds, about 2 ms
+	ringSize   = 8192 // buckets, about 16 s
 )
 
 // eventQueue is a calendar queue (Brown, "Calendar queues", CACM 1988) in the ladder form: events of the present bucket
-// stand in a heap, those of the next 16 s unsorted in a bucket each, later ones in a heap of their own. Each event
-// is sorted among the few of its own two milliseconds only, so the cost does not grow with the number that wait.
+// are in a heap, those of the next 16 s unsorted in a ring of buckets, later ones in a heap of their own. Each event is
+// sorted among the few of its own two milliseconds only, so the cost does not grow with the number of pending events.
 // The order is total: by time, then by the order of scheduling.
 type eventQueue struct {
-	now    []event // heap: all of the present bucket and before
+	now    []event // heap: the present bucket and before
 	ring   [][]event
 	used   []uint64 // a bit for each bucket that holds something
-	far    []event  // heap: what lies past the ring
+	far    []event  // heap: past the ring
 	bucket int64
 	seq    uint64
 	size   int
@@ -45,6 +32,7 @@
 	q.put(e)
 }
 
+// put places an event that has its sequence number.
 func (q *eventQueue) put(e event) {
 	switch k := e.at >> bucketBits; {
 	case k <= q.bucket:
@@ -110,8 +98,8 @@
 	return -1
 }
 
-// The heaps are of four children a node: events are moved less often than compared, and the children of a node
-// share cache lines.
+// heapPush adds to a heap of four children a node: the children of a node share cache lines, and the heap is half as
+// deep as a binary one.
 func heapPush(h *[]event, e event) {
 	*h = append(*h, e)
 	s := *h
@@ -127,6 +115,7 @@
 	s[i] = e
 }
 
+// heapPop removes the earliest event.
 func heapPop(h *[]event) event {
 	s := *h
 	top, n := s[0], len(s)-1
--- a/internal/fleetsim/model/events.go
+++ b/internal/fleetsim/model/events.go
@@ -1,34 +1,162 @@
 package model
 
+import "pumiceline/internal/standalone/policy"
+
+// event is something that will happen. Its payload is a few numbers, so that millions can be pending without a pointer
+// for the garbage collector to follow. eventKind says what the numbers are.
+type event struct {
+	at      Time
+	seq     uint64 // order of scheduling: the order of events of the same microsecond
+	kind    eventKind
+	code    uint8 // a small number beside the subject: an attempt's number, an outcome, a mode, a phase
+	subject int32 // index of the client request, proxy request, server attempt, proxy, server or fault
+	number  int32 // mostly the incarnation of the subject: an event of an earlier one is void
+	id      uint64
+}
+
+// before is the order in which events happen.
+func (e *event) before(f *event) bool { return e.at < f.at || e.at == f.at && e.seq < f.seq }
+
+func (e *event) outcome() policy.Outcome { return policy.Outcome(e.code) }
+
+// eventKind is a kind of event. In brackets are the fields that count besides at and subject.
 type eventKind uint8
 
+// Events of clients. The subject is a client request.
+const (
+	evArrival       eventKind = iota + 1 // the next client request starts []
+	evRetry                              // a client sends its request again [id=its number]
+	evReceiveAnswer                      // an answer comes to the client [number=Retry-After code=outcome id=proxy request, 0: none]
+	evClientTimeout                      // the client gives up the proxy request [id=proxy request]
+)
+
+// Events of proxies. The subject is a proxy where nothing else is said.
 const (
-	evArrival            eventKind = iota + 1 // the next client's first try
-	evRetry                                   // a client tries again: a=call id=its number
-	evReceiveRequest                          // a try comes to its proxy: a=job id
-	evArriveAtServer                          // an attempt comes to its server: a=task
-	evServerProgress                          // a server may have finished something: a=server
-	evReceiveOutcome                          // an attempt's end comes to its proxy: a=task
-	evAttemptTimeout                          // an attempt's time is up: a=job n=attempt id
-	evRequestExpired                          // a try's time is up: a=job id
-	evTimer                                   // a node's timer: a=proxy b=incarnation id=tag
-	evReceiveAnswer                           // an answer comes to the client: a=call b=Retry-After n=outcome id=the try's
-	evAbandonAttempt                          // the client leaves: a=call id=the try's
-	evPauseStart                              // a server's pause begins: a=server b=epoch
-	evPauseEnd                                // and ends
-	evCloseIdle                               // a proxy's idle connections: a=proxy b=incarnation
-	evFault                                   // a step of a trouble: a=trouble n=step b=step's number
-	evDiscoveryUpdate                         // discovery learns of a change: a=server n=mode id=its start
-	evNotifyProxy                             // a watch brings news: a=proxy b=incarnation
-	evSubscribeResult                         // a call to discovery is answered: a=proxy b=incarnation n=1: it failed
-	evWatchBreaks                             // a watch breaks: a=proxy b=incarnation
-	evPeerMessage                             // a message between proxies: a=proxy b=place
-	evSample                                  // once a second
-	evServerUp                                // a server process starts: a=server
-	evServerDown                              // a draining server's process ends: a=server b=epoch n=1: a successor follows
-	evProxyDown                               // a proxy that was told to stop has ended: a=proxy b=incarnation
-	evProxyUp                                 // a killed proxy starts: a=proxy
-	evProbeResult                             // a probe's answer comes: a=proxy b=incarnation id=server
-	evDownstreamWaitOver                      // an attempt has waited on others: a=task n=outcome
-	evAttemptFailed                           // an attempt that reached nobody: a=job n=attempt b=outcome id
+	evReceiveRequest  eventKind = iota + 32 // a request comes to its proxy [subject=proxy request id]
+	evReceiveOutcome                        // an attempt's end comes to its proxy [subject=server attempt]
+	evAttemptTimeout                        // an attempt's time is up [subject=proxy request code=attempt id]
+	evAttemptFailed                         // an attempt that no server has, has failed [subject=proxy request code=attempt number=outcome id]
+	evRequestExpired                        // a request had no answer in time [subject=proxy request id]
+	evTimer                                 // a node's timer fires [number=incarnation id=the node's]
+	evCloseIdle                             // idle connections are closed [number=incarnation]
+	evProbeResult                           // a load poll's answer comes [number=incarnation id=server]
+	evPeerMessage                           // a message of another proxy comes [number=message]
+	evNotifyProxy                           // a discovery watch delivers changes [number=incarnation]
+	evSubscribeResult                       // a subscribe call is answered [number=incarnation code=1: it failed]
+	evWatchBreaks                           // a discovery watch breaks [number=incarnation]
+	evProxyStop                             // a stopping proxy exits [number=incarnation]
+	evProxyStart                            // a proxy starts []
 )
+
+// Events of servers, discovery and the simulation. The subject is a server where nothing else is said.
+const (
+	evArriveAtServer     eventKind = iota + 64 // an attempt comes to its server [subject=server attempt]
+	evServerProgress                           // a server may have completed something []
+	evDownstreamWaitOver                       // an attempt has its answer from other services [subject=server attempt code=outcome]
+	evPauseStart                               // the server's pause starts [number=epoch]
+	evPauseEnd                                 // and ends [number=epoch]
+	evServerStart                              // a server process starts []
+	evServerStop                               // a draining server's process exits [number=epoch code=1: a successor follows]
+	evDiscoveryUpdate                          // discovery learns of a change [number=epoch code=mode id=start of the process]
+	evFault                                    // a step of a fault [subject=fault code=phase number=step]
+	evSampleLoad                               // the servers' load is recorded, once a second []
+)
+
+// handleEvent carries out one event.
+func (sm *simulation) handleEvent(e *event) {
+	switch {
+	case e.kind <= evClientTimeout:
+		sm.handleClientEvent(e)
+	case e.kind <= evProxyStart:
+		sm.handleProxyEvent(e)
+	default:
+		sm.handleServerEvent(e)
+	}
+}
+
+func (sm *simulation) handleClientEvent(e *event) {
+	switch e.kind {
+	case evArrival:
+		sm.startClientRequest()
+	case evRetry:
+		if c := sm.clientRequests.at(e.subject); c.number == e.id && !c.ended {
+			sm.sendToProxy(e.subject)
+		}
+	case evReceiveAnswer:
+		sm.receiveAnswer(e.subject, e.id, e.outcome(), Time(e.number))
+	case evClientTimeout:
+		sm.abandonProxyRequest(e.subject, e.id)
+	}
+}
+
+func (sm *simulation) handleProxyEvent(e *event) {
+	switch e.kind {
+	case evReceiveRequest:
+		sm.receiveRequest(e.subject, e.id)
+	case evReceiveOutcome:
+		sm.receiveOutcome(e.subject)
+	case evAttemptTimeout:
+		sm.timeOutAttempt(e)
+	case evAttemptFailed:
+		if request := sm.proxyRequests.at(e.subject); request.id == e.id && request.attempts[e.code].inFlight {
+			sm.endAttempt(e.subject, e.code, policy.Outcome(e.number), sm.now-request.attempts[e.code].sentAt, nil)
+		}
+	case evRequestExpired:
+		sm.expireRequest(e.subject, e.id)
+	case evTimer:
+		if sm.isRunning(e.subject, e.number) {
+			sm.policyEvent = policy.Event{Kind: policy.TimerFired, ID: e.id}
+			sm.deliver(e.subject)
+		}
+	case evCloseIdle:
+		sm.closeIdleConnections(e.subject, e.number)
+	case evProbeResult:
+		sm.receiveProbe(e.subject, e.number, uint32(e.id))
+	case evPeerMessage:
+		sm.deliverMessage(e.subject, e.number)
+	case evNotifyProxy:
+		sm.notifyProxy(e.subject, e.number)
+	case evSubscribeResult:
+		sm.receiveSubscribeResult(e)
+	case evWatchBreaks:
+		sm.endWatch(e.subject, e.number, watchBroken)
+	case evProxyStop:
+		sm.stopProxy(e.subject, e.number)
+	case evProxyStart:
+		sm.startProxy(e.subject)
+	}
+}
+
+func (sm *simulation) handleServerEvent(e *event) {
+	switch e.kind {
+	case evArriveAtServer:
+		sm.arriveAtServer(e.subject)
+	case evServerProgress:
+		if s := sm.servers[e.subject]; s.nextWakeup == e.at { // else it was rescheduled to an earlier time
+			s.nextWakeup = 0
+			sm.processServer(s)
+		}
+	case evDownstreamWaitOver:
+		sm.endDownstreamWait(e.subject, e.outcome())
+	case evPauseStart:
+		sm.startPause(sm.servers[e.subject], e.number)
+	case evPauseEnd:
+		sm.endPause(sm.servers[e.subject], e.number)
+	case evServerStart:
+		sm.startServer(sm.servers[e.subject])
+	case evServerStop:
+		if s := sm.servers[e.subject]; s.epoch == e.number && s.state != stateDown {
+			sm.stopServer(s, orderlyExit)
+			if e.code == 1 {
+				sm.startSuccessor(s)
+			}
+		}
+	case evDiscoveryUpdate:
+		sm.updateDiscovery(e)
+	case evFault:
+		sm.applyFault(e)
+	case evSampleLoad:
+		sm.sampleLoad()
+		sm.schedule(sm.now+microsPerSecond, event{kind: evSampleLoad})
+	}
+}
--- a/internal/fleetsim/model/lifecycle.go
+++ b/internal/fleetsim/model/lifecycle.go
@@ -1,104 +1,119 @@
 package model
 
-import (
-	"pumiceline/internal/standalone/policy"
+import "pumiceline/internal/standalone/policy"
+
+// successorDelay is the time from the end of a server to the start of its successor.
+const successorDelay = 500_000
+
+// exitKind says how a server process ends.
+type exitKind bool
+
+const (
+	orderlyExit exitKind = true // discovery is told
+	crash       exitKind = false
 )
 
-// stopServer ends a server's process; what it held breaks, and its connections do.
-func (r *simulation) stopServer(s *server, known bool) {
+// stopServer ends a server's process: its requests and connections break.
+func (sm *simulation) stopServer(s *server, kind exitKind) {
 	if s.state == stateDown {
 		return
 	}
-	r.advanceServer(s)
+	sm.advanceServer(s)
 	s.state = stateDown
-	lag := r.scenario.Discovery.CrashDelay
-	if known {
-		lag = r.scenario.Discovery.DrainDelay / 4 // an orderly end is told of soon
+	delay := sm.scenario.Discovery.CrashDelay
+	if kind == orderlyExit {
+		delay = sm.scenario.Discovery.DrainDelay / 4
 	}
-	r.scheduleDiscoveryUpdate(s, policy.ModeGone, Time(lag))
-	broken := make([]int32, 0, len(s.slots)+len(s.queue)-s.head)
-	for _, e := range s.slots {
-		broken = append(broken, e.task)
+	sm.scheduleDiscoveryUpdate(s, policy.ModeGone, delay)
+	broken := make([]int32, 0, s.openRequests())
+	for _, executing := range s.slots {
+		broken = append(broken, executing.attempt)
 	}
-	broken = append(broken, s.queue[s.head:]...)
-	s.slots, s.queue, s.head, s.workQueued, s.nextWakeup = s.slots[:0], s.queue[:0], 0, 0, 0
-	for _, t := range broken {
-		r.returnAttempt(t, policy.ConnectionReset, false)
+	broken = append(broken, s.queue.waiting()...)
+	s.slots, s.nextWakeup = s.slots[:0], 0
+	s.queue.clear()
+	for _, attemptIndex := range broken {
+		sm.returnAttempt(attemptIndex, policy.ConnectionReset, connectionLost)
 	}
 	s.connections = 0
 	s.epoch++
 }
 
 // startServer starts a process behind a server's id, cold.
-func (r *simulation) startServer(s *server) {
+func (sm *simulation) startServer(s *server) {
 	if s.state != stateDown {
 		return
 	}
-	s.state, s.started, s.cold, s.warmWork, s.arrivedWork = stateUp, max(1, r.now), true, 0, workWindow{}
-	s.virtualTimeAt, s.busy, s.completed, s.errors, s.reportedAt, s.reportCount = r.now, 0, 0, 0, r.now, 0
-	s.pauses, s.replacing, s.keyHits = 0, false, nil
-	r.observe(Record{Kind: ServerStarted, Server: s.id, Zone: s.zone})
-	r.scheduleDiscoveryUpdate(s, policy.ModeReady, Time(r.scenario.Discovery.StartDelay))
-	r.schedulePause(s.index)
+	s.state, s.startedAt, s.cold, s.warmupWork, s.arrivedWork = stateUp, max(1, sm.now), true, 0, workWindow{}
+	s.virtualTimeAt, s.reports.count = sm.now, 0
+	s.resetCounts(sm.now)
+	s.pauses, s.replacing, s.keyCache = 0, false, nil
+	sm.observe(Record{Kind: ServerStarted, Server: s.id, Zone: s.zone})
+	sm.scheduleDiscoveryUpdate(s, policy.ModeReady, sm.scenario.Discovery.StartDelay)
+	sm.schedulePause(s)
 }
 
-// overloadServer is the end of a cold server that was sent too much.
-func (r *simulation) overloadServer(s *server) {
-	r.observe(Record{Kind: ServerOverloaded, Server: s.id})
-	again := s.replacing
-	r.stopServer(s, false)
-	if again {
-		r.startSuccessor(s)
-	} else if r.scenario.Overload.Downtime > 0 {
-		r.schedule(r.now+Time(r.scenario.Overload.Downtime), event{kind: evServerUp, subject: s.index})
+// overloadServer crashes a cold server that got too much work.
+func (sm *simulation) overloadServer(s *server) {
+	sm.observe(Record{Kind: ServerOverloaded, Server: s.id})
+	hasSuccessor := s.replacing
+	sm.stopServer(s, crash)
+	if hasSuccessor {
+		sm.startSuccessor(s)
+	} else if downtime := sm.scenario.Overload.Downtime; downtime > 0 {
+		sm.schedule(sm.now+Time(downtime), event{kind: evServerStart, subject: s.index})
 	}
 }
 
-// drainServer lets a server finish what it has; its successor follows.
-func (r *simulation) drainServer(s *server, within Time, fresh bool) {
+// drainServer lets a server complete what it has for a time; its successor follows.
+func (sm *simulation) drainServer(s *server, drainTime Time, successorHasNewID bool) {
 	if s.state != stateUp {
 		return
 	}
-	s.state, s.replacing, s.successorHasNewID = stateDraining, true, fresh
-	r.scheduleDiscoveryUpdate(s, policy.ModeDraining, Time(r.scenario.Discovery.DrainDelay)/4)
-	r.schedule(r.now+within, event{kind: evServerDown, subject: s.index, number: s.epoch, code: 1})
+	s.state, s.replacing, s.successorHasNewID = stateDraining, true, successorHasNewID
+	sm.scheduleDiscoveryUpdate(s, policy.ModeDraining, sm.scenario.Discovery.DrainDelay/4)
+	sm.schedule(sm.now+drainTime, event{kind: evServerStop, subject: s.index, number: s.epoch, code: 1})
 }
 
-// startSuccessor starts a server's successor, under its id or a new one, half a second after its end.
-func (r *simulation) startSuccessor(s *server) {
+// startSuccessor schedules the start of a server's successor, under its id or a new one.
+func (sm *simulation) startSuccessor(s *server) {
 	s.replacing = false
 	if s.successorHasNewID {
-		next := r.addServer(int32(s.zone), s.instanceTypeIndex, s.instanceType, s.speed)
-		next.cell, next.state = s.cell, stateDown
-		r.discovery.current = append(r.discovery.current, policy.Member{Server: next.id, Zone: next.zone, Cell: next.cell,
-			InstanceType: uint16(next.instanceTypeIndex), Mode: policy.ModeGone, Size: float64(next.instanceType.Cores)})
-		r.discovery.epochs = append(r.discovery.epochs, -1) // nothing of it is known: its first start is news
-		s = next
+		successor := sm.addServer(s.zone, s.instanceTypeIndex, s.instanceType, s.speed)
+		successor.cell, successor.state = s.cell, stateDown
+		sm.discovery.add(successor)
+		s = successor
 	}
-	r.schedule(r.now+500_000, event{kind: evServerUp, subject: s.index})
+	sm.schedule(sm.now+successorDelay, event{kind: evServerStart, subject: s.index})
 }
 
-func (r *simulation) schedulePause(n int32) {
-	if s := r.servers[n]; s.instanceType.PauseInterval > 0 && s.instanceType.PauseTime > 0 {
-		r.schedule(r.now+1+Time(r.serverRand.ExpFloat64()*float64(s.instanceType.PauseInterval)), event{kind: evPauseStart, subject: n, number: s.epoch})
+// schedulePause schedules a server's next pause, if its type has any.
+func (sm *simulation) schedulePause(s *server) {
+	if t := s.instanceType; t.PauseInterval > 0 && t.PauseTime > 0 {
+		sm.schedule(sm.now+1+Time(sm.serverRand.ExpFloat64()*float64(t.PauseInterval)),
+			event{kind: evPauseStart, subject: s.index, number: s.epoch})
 	}
 }
 
-// changePause is a stop of the whole server, such as a collector's, or its end. It grows with what is held.
-func (r *simulation) changePause(e *event) {
-	s := r.servers[e.subject]
-	if s.epoch != e.number || s.state == stateDown {
+// startPause stops the whole server, as a garbage collector does. The pause is longer the more requests it has.
+func (sm *simulation) startPause(s *server, epoch int32) {
+	if s.epoch != epoch || s.state == stateDown {
 		return
 	}
-	r.advanceServer(s)
-	if e.kind == evPauseEnd {
-		s.pauses--
-		r.processServer(s)
-		r.schedulePause(s.index)
+	sm.advanceServer(s)
+	s.pauses++
+	sm.rescheduleServer(s)
+	growth := 1 + float64(s.openRequests())/float64(2*s.instanceType.Slots)
+	sm.schedule(sm.now+1+Time(float64(s.instanceType.PauseTime)*growth*sm.serverRand.ExpFloat64()),
+		event{kind: evPauseEnd, subject: s.index, number: epoch})
+}
+
+func (sm *simulation) endPause(s *server, epoch int32) {
+	if s.epoch != epoch || s.state == stateDown {
 		return
 	}
-	s.pauses++
-	r.rescheduleServer(s)
-	grow := 1 + float64(len(s.slots)+len(s.queue)-s.head)/float64(2*s.instanceType.Slots)
-	r.schedule(r.now+1+Time(float64(s.instanceType.PauseTime)*grow*r.serverRand.ExpFloat64()), event{kind: evPauseEnd, subject: e.subject, number: e.number})
+	sm.advanceServer(s)
+	s.pauses--
+	sm.processServer(s)
+	sm.schedulePause(s)
 }
--- a/internal/fleetsim/model/partition.go
+++ b/internal/fleetsim/model/partition.go
@@ -1,56 +1,58 @@
 package model
 
-func (r *simulation) isServerPartitioned(n int32, s *server) bool {
-	p := &r.proxies[n]
-	if p.zone != s.zone && (r.isolatedZones[p.zone] > 0 || r.isolatedZones[s.zone] > 0) {
+// partition is a fault that keeps two endpoints apart.
+type partition struct {
+	fault int32
+	a, b  Endpoint
+}
+
+// isServerPartitioned says whether a proxy and a server are partitioned from each other.
+func (sm *simulation) isServerPartitioned(proxyIndex int32, s *server) bool {
+	zone := sm.proxies[proxyIndex].zone
+	if sm.areZonesPartitioned(zone, s.zone) {
 		return true
 	}
-	for i := range r.partitions {
-		c := &r.partitions[i]
-		if c.a.matchesProxy(n, p.zone) && c.b.matchesServer(s) || c.b.matchesProxy(n, p.zone) && c.a.matchesServer(s) {
+	for i := range sm.partitions {
+		c := &sm.partitions[i]
+		if c.a.matchesProxy(proxyIndex, zone) && c.b.matchesServer(s) || c.b.matchesProxy(proxyIndex, zone) && c.a.matchesServer(s) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *simulation) isPeerPartitioned(n, m int32) bool {
-	a, b := r.proxies[n].zone, r.proxies[m].zone
-	if a != b && (r.isolatedZones[a] > 0 || r.isolatedZones[b] > 0) {
+// isPeerPartitioned says whether two proxies are partitioned from each other.
+func (sm *simulation) isPeerPartitioned(one, other int32) bool {
+	zone, otherZone := sm.proxies[one].zone, sm.proxies[other].zone
+	if sm.areZonesPartitioned(zone, otherZone) {
 		return true
 	}
-	for i := range r.partitions {
-		c := &r.partitions[i]
-		if c.a.matchesProxy(n, a) && c.b.matchesProxy(m, b) || c.b.matchesProxy(n, a) && c.a.matchesProxy(m, b) {
+	for i := range sm.partitions {
+		c := &sm.partitions[i]
+		if c.a.matchesProxy(one, zone) && c.b.matchesProxy(other, otherZone) ||
+			c.b.matchesProxy(one, zone) && c.a.matchesProxy(other, otherZone) {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *simulation) isDiscoveryPartitioned(n int32) bool {
-	p := &r.proxies[n]
+// isDiscoveryPartitioned says whether a proxy is partitioned from discovery.
+func (sm *simulation) isDiscoveryPartitioned(proxyIndex int32) bool {
+	p := &sm.proxies[proxyIndex]
 	if p.cutFromDiscovery {
 		return true
 	}
-	for i := range r.partitions {
-		c := &r.partitions[i]
-		if c.a.Kind == "discovery" && c.b.matchesProxy(n, p.zone) || c.b.Kind == "discovery" && c.a.matchesProxy(n, p.zone) {
+	for i := range sm.partitions {
+		c := &sm.partitions[i]
+		if c.a.Kind == EndpointDiscovery && c.b.matchesProxy(proxyIndex, p.zone) ||
+			c.b.Kind == EndpointDiscovery && c.a.matchesProxy(proxyIndex, p.zone) {
 			return true
 		}
 	}
 	return false
 }
 
-func (p Party) matchesProxy(n int32, zone uint8) bool {
-	return p.Kind == "proxies" || p.Kind == "proxy" && p.N == int(n) || p.Kind == "zone" && p.N == int(zone)
-}
-
-func (p Party) matchesServer(s *server) bool {
-	return p.Kind == "servers" || p.Kind == "server" && p.N == int(s.index) || p.Kind == "zone" && p.N == int(s.zone)
-}
-
-type partition struct {
-	fault int32
-	a, b  Party
+func (sm *simulation) areZonesPartitioned(a, b uint8) bool {
+	return a != b && (sm.isolatedZones[a] > 0 || sm.isolatedZones[b] > 0)
 }
--- a/internal/fleetsim/model/pool.go
+++ b/internal/fleetsim/model/pool.go
@@ -1,14 +1,26 @@
 package model
 
-// acquire takes a place in a pool.
-func acquire[T any](pool *[]T, free *[]int32) int32 {
-	if n := len(*free) - 1; n >= 0 {
-		i := (*free)[n]
-		*free = (*free)[:n]
+// pool holds values that refer to each other by index and are used again, so that the garbage collector has no pointers
+// to follow. Pointers from at hold until the next acquire.
+type pool[T any] struct {
+	items []T
+	free  []int32
+}
+
+// acquire returns the index of a zero value.
+func (p *pool[T]) acquire() int32 {
+	if last := len(p.free) - 1; last >= 0 {
+		i := p.free[last]
+		p.free = p.free[:last]
 		var zero T
-		(*pool)[i] = zero
+		p.items[i] = zero
 		return i
 	}
-	*pool = append(*pool, *new(T))
-	return int32(len(*pool) - 1)
+	p.items = append(p.items, *new(T))
+	return int32(len(p.items) - 1)
 }
+
+// release lets the index be acquired again.
+func (p *pool[T]) release(i int32) { p.free = append(p.free, i) }
+
+func (p *pool[T]) at(i int32) *T { return &p.items[i] }
--- a/internal/fleetsim/model/proxies.go
+++ b/internal/fleetsim/model/proxies.go
@@ -6,227 +6,299 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// proxyRequest is one try of a client at one proxy.
-type proxyRequest struct {
-	id            uint64
-	clientRequest int32
-	proxy         int32
-	deadline      Time
-	answered      bool
-	inFlight      uint8
-	attemptCount  uint8
-	attempts      [maxAttempts]proxyAttempt
-}
-
+// proxy is one proxy, and under the same index its successors.
 type proxy struct {
-	node                Node
-	messenger           PeerMessenger
-	incarnation         int32
-	zone                uint8
-	up                  bool
-	downSince           Time
-	stopsAt             Time // it was told to stop, and gets no new clients from then; 0: it was not
-	version             int  // of the list that its node has
-	notificationPending bool
+	node        Node
+	messenger   PeerMessenger // the node, if it exchanges messages
+	incarnation int32
+	zone        uint8
+	up          bool
+	downSince   Time
+	stopsAt     Time // when a stopping proxy gets no new clients; 0: it does not stop
+
+	openRequests   int
+	connections    map[int32]*connectionPool // by server index
+	timersInSecond int
+	timerSecond    int64
+
+	listVersion         int // of discovery's list, as its node has it
 	watching            bool
-	subscribing         bool
-	openRequests        int
-	connections         map[int32]*connectionPool
-	timersThisSecond    int
-	timerSecond         int64
-	cutFromDiscovery    bool // from discovery
+	notificationPending bool
+	cutFromDiscovery    bool // by a fault
+}
+
+// canAccept says whether the proxy takes a further request; maxOpen 0: any number.
+func (p *proxy) canAccept(maxOpen int) bool {
+	return p.up && (maxOpen <= 0 || p.openRequests < maxOpen)
 }
 
-func (r *simulation) releaseProxyRequest(m int32) {
-	r.releaseClientRequest(r.proxyRequests[m].clientRequest)
-	r.proxyRequests[m].id = 0
-	r.freeProxyRequests = append(r.freeProxyRequests, m)
+// isRunning says whether the proxy runs in this incarnation: what is for an earlier one is void.
+func (sm *simulation) isRunning(proxyIndex, incarnation int32) bool {
+	p := &sm.proxies[proxyIndex]
+	return p.up && p.incarnation == incarnation
 }
 
-// startProxy starts a proxy with nothing but the list as its zone's place had it last.
-func (r *simulation) startProxy(n int32) {
-	p := &r.proxies[n]
+// startProxy starts a proxy with nothing but the cached list of its place, as its predecessor had it last.
+func (sm *simulation) startProxy(proxyIndex int32) {
+	p := &sm.proxies[proxyIndex]
 	if p.up {
 		return
 	}
-	w := r.scenario
-	set := w.settings(int(n), int(p.zone), r.capacity)
-	node, err := r.newNode(set, mix(r.seed^uint64(n)<<32^uint64(p.incarnation)<<16^0xa5a5), r.oracle)
+	settings := sm.scenario.policySettings(int(proxyIndex), int(p.zone), sm.capacity)
+	node, err := sm.newNode(settings, mix(sm.seed^uint64(proxyIndex)<<32^uint64(p.incarnation)<<16^0xa5a5), sm.oracle)
 	if err != nil {
-		r.fail(n, "can't start: %v", err)
+		sm.fail(proxyIndex, "can't start: %v", err)
 		return
 	}
-	p.node, p.up, p.openRequests, p.watching, p.subscribing, p.notificationPending, p.timersThisSecond = node, true, 0, false, false, false, 0
-	p.stopsAt = 0
+	p.node, p.up, p.stopsAt = node, true, 0
 	p.messenger, _ = node.(PeerMessenger)
+	p.openRequests, p.timersInSecond, p.watching, p.notificationPending = 0, 0, false, false
 	p.connections = map[int32]*connectionPool{}
-	members := r.discovery.listAt(p.version)
-	r.observe(Record{Kind: ProxyStarted, Proxy: n, Members: members, Version: p.version})
-	r.policyEvent = policy.Event{Kind: policy.MembershipCached, Members: members}
-	r.deliver(n)
-	r.schedule(r.now+1_000_000+Time(n)*997%1_000_000, event{kind: evCloseIdle, subject: n, number: p.incarnation})
+	members := sm.discovery.listAt(p.listVersion)
+	sm.observe(Record{Kind: ProxyStarted, Proxy: proxyIndex, Members: members, Version: p.listVersion})
+	sm.policyEvent = policy.Event{Kind: policy.MembershipCached, Members: members}
+	sm.deliver(proxyIndex)
+	offset := Time(proxyIndex) * 997 % microsPerSecond // proxies do not all do it at once
+	sm.schedule(sm.now+microsPerSecond+offset, event{kind: evCloseIdle, subject: proxyIndex, number: p.incarnation})
 }
 
-// killProxy ends a proxy: its connections break, its requests are their clients' again, its nodes' memory is gone.
-func (r *simulation) killProxy(n int32) {
-	p := &r.proxies[n]
+// stopProxy ends a stopping proxy's process.
+func (sm *simulation) stopProxy(proxyIndex, incarnation int32) {
+	if p := &sm.proxies[proxyIndex]; p.incarnation == incarnation {
+		sm.killProxy(proxyIndex)
+		p.downSince = p.stopsAt // the front layer has known since then
+	}
+}
+
+// killProxy ends a proxy's process: its connections break, its requests are left to their clients, its node's state is
+// lost.
+func (sm *simulation) killProxy(proxyIndex int32) {
+	p := &sm.proxies[proxyIndex]
 	if !p.up {
 		return
 	}
-	r.observe(Record{Kind: ProxyStopped, Proxy: n})
-	p.up, p.downSince, p.node, p.messenger = false, r.now, nil, nil
+	sm.observe(Record{Kind: ProxyStopped, Proxy: proxyIndex})
+	p.up, p.downSince, p.node, p.messenger = false, sm.now, nil, nil
 	p.incarnation++
-	for m := range r.proxyRequests {
-		j := &r.proxyRequests[m]
-		if j.id == 0 || j.proxy != n {
+	for i := range sm.proxyRequests.items {
+		request := &sm.proxyRequests.items[i]
+		if request.id == 0 || request.proxy != proxyIndex {
 			continue
 		}
-		for i := range j.attempts[:j.attemptCount] {
-			if j.attempts[i].inFlight {
-				r.abandonServerAttempt(&j.attempts[i])
+		for k := range request.attempts[:request.attemptCount] {
+			if attempt := &request.attempts[k]; attempt.inFlight {
+				sm.abandonServerAttempt(attempt)
 			}
 		}
-		if !j.answered {
-			r.schedule(r.now+Time(r.scenario.Network.Client), event{kind: evReceiveAnswer, subject: j.clientRequest, code: uint8(policy.ConnectionReset), id: j.id})
-		}
-		r.releaseProxyRequest(int32(m))
-	}
-	for s, k := range p.connections {
-		if k.epoch == r.servers[s].epoch {
-			r.servers[s].connections -= len(k.idle)
+		if !request.answered {
+			sm.schedule(sm.now+Time(sm.scenario.Network.Client), event{kind: evReceiveAnswer, subject: request.clientRequest,
+				code: uint8(policy.ConnectionReset), id: request.id})
 		}
+		sm.releaseProxyRequest(int32(i))
 	}
+	sm.closeAllIdle(p)
 	p.connections = nil
 }
 
-// deliver hands the event in r.ev to a proxy's node and carries out what it says.
-func (r *simulation) deliver(n int32) {
-	p := &r.proxies[n]
-	r.stats.Handled++
-	r.actions = p.node.Handle(r.now, &r.policyEvent, r.actions[:0])
-	r.executeActions(n)
-}
-
-func (r *simulation) executeActions(n int32) {
-	p := &r.proxies[n]
-	if len(r.actions) > maxActionsPerEvent {
-		r.fail(n, "answers one event with %d actions", len(r.actions))
-	}
-	for i := 0; i < len(r.actions) && r.failure == nil; i++ {
-		a := &r.actions[i]
-		switch a.Kind {
-		case policy.SendAttempt:
-			r.sendAttempt(n, a)
-		case policy.RejectRequest, policy.FailRequest:
-			r.answerRequest(n, a)
-		case policy.CancelAttempt:
-			m := r.findProxyRequest(n, a.ID)
-			if m < 0 {
-				continue // it ended before
-			}
-			j := &r.proxyRequests[m]
-			if int(a.Attempt) >= int(j.attemptCount) {
-				r.fail(n, "cancels attempt %d of a request that has had %d", a.Attempt, j.attemptCount)
-			} else if t := &j.attempts[a.Attempt]; t.inFlight && r.scenario.Published.AllowCancel {
-				r.abandonServerAttempt(t)
-				r.schedule(r.nextTick(r.now+1), event{kind: evAttemptFailed, subject: m, code: a.Attempt, number: int32(policy.Cancelled), id: j.id})
-			}
-		case policy.SetTimer:
-			if second := r.now / 1_000_000; second != p.timerSecond {
-				p.timerSecond, p.timersThisSecond = second, 0
-			}
-			if p.timersThisSecond++; p.timersThisSecond > maxTimersPerSecond {
-				r.fail(n, "sets timers without end: %d within a second", p.timersThisSecond)
-			}
-			r.schedule(r.nextTick(r.now+max(1, a.After)), event{kind: evTimer, subject: n, number: p.incarnation, id: a.ID})
-		case policy.SubscribeDiscovery:
-			r.subscribe(n)
-		case policy.CloseIdleConns:
-			if s := r.findServer(a.Server); s != nil {
-				if k := p.connections[s.index]; k != nil && k.epoch == s.epoch {
-					s.connections -= len(k.idle)
-					k.idle = k.idle[:0]
-				}
+// breakConnections resets all connections of a proxy, with the attempts on them.
+func (sm *simulation) breakConnections(proxyIndex int32) {
+	p := &sm.proxies[proxyIndex]
+	if !p.up {
+		return
+	}
+	sm.closeAllIdle(p)
+	for i := range sm.proxyRequests.items {
+		request := &sm.proxyRequests.items[i]
+		if request.id == 0 || request.proxy != proxyIndex {
+			continue
+		}
+		for k := range request.attempts[:request.attemptCount] {
+			if attempt := &request.attempts[k]; attempt.inFlight && attempt.serverAttempt != noServerAttempt {
+				sm.abandonServerAttempt(attempt)
+				sm.schedule(sm.nextTick(sm.now+1), event{kind: evAttemptFailed, subject: int32(i), code: uint8(k),
+					number: int32(policy.ConnectionReset), id: request.id})
 			}
-		case policy.LogMessage:
-		case policy.PollLoad:
-			r.probeServer(n, a.Server)
-		default:
-			r.fail(n, "wants action %d, which this world does not know", a.Kind)
 		}
 	}
-	if p.messenger != nil {
-		for _, l := range p.messenger.TakeMessages() {
-			r.sendMessage(n, l)
+}
+
+func (sm *simulation) closeAllIdle(p *proxy) {
+	for serverIndex, pool := range p.connections {
+		if s := sm.servers[serverIndex]; pool.epoch == s.epoch {
+			s.connections -= len(pool.idleSince)
 		}
+		pool.idleSince = pool.idleSince[:0]
 	}
 }
 
-// findProxyRequest finds an open request of the proxy; -1: it has ended. One that never was ends the run.
-func (r *simulation) findProxyRequest(n int32, id uint64) int32 {
-	m := int32(id & (1<<indexBits - 1))
-	if no := id >> indexBits; no == 0 || no > r.lastProxyRequestNumber || int(m) >= len(r.proxyRequests) {
-		r.fail(n, "names request %d, which it was never given", id)
-		return -1
+// deliver hands policyEvent to a proxy's node and carries out its actions.
+func (sm *simulation) deliver(proxyIndex int32) {
+	sm.stats.Handled++
+	sm.actions = sm.proxies[proxyIndex].node.Handle(sm.now, &sm.policyEvent, sm.actions[:0])
+	sm.executeActions(proxyIndex)
+}
+
+// executeActions carries out what a node returned, and sends its messages.
+func (sm *simulation) executeActions(proxyIndex int32) {
+	if len(sm.actions) > maxActionsPerEvent {
+		sm.fail(proxyIndex, "answers one event with %d actions", len(sm.actions))
 	}
-	j := &r.proxyRequests[m]
-	if j.id != id {
-		return -1
+	for i := 0; i < len(sm.actions) && sm.failure == nil; i++ {
+		sm.executeAction(proxyIndex, &sm.actions[i])
 	}
-	if j.proxy != n {
-		r.fail(n, "names request %d, which proxy %d has", id, j.proxy)
-		return -1
+	if messenger := sm.proxies[proxyIndex].messenger; messenger != nil {
+		for _, message := range messenger.TakeMessages() {
+			sm.sendMessage(proxyIndex, message)
+		}
 	}
-	return m
 }
 
-func (r *simulation) findServer(id uint32) *server {
-	if n := int(id ^ r.serverIDMask); n >= 0 && n < len(r.servers) {
-		return r.servers[n]
+func (sm *simulation) executeAction(proxyIndex int32, action *policy.Action) {
+	switch action.Kind {
+	case policy.SendAttempt:
+		sm.sendAttempt(proxyIndex, action)
+	case policy.RejectRequest, policy.FailRequest:
+		sm.answerRequest(proxyIndex, action)
+	case policy.CancelAttempt:
+		sm.cancelAttempt(proxyIndex, action)
+	case policy.SetTimer:
+		sm.setTimer(proxyIndex, action)
+	case policy.SubscribeDiscovery:
+		sm.subscribe(proxyIndex)
+	case policy.CloseIdleConns:
+		sm.closeIdleConnectionsTo(&sm.proxies[proxyIndex], action.Server)
+	case policy.LogMessage: // nobody reads it here
+	case policy.PollLoad:
+		sm.pollLoad(proxyIndex, action.Server)
+	default:
+		sm.fail(proxyIndex, "wants action %d, which the simulator does not know", action.Kind)
+	}
+}
+
+func (sm *simulation) setTimer(proxyIndex int32, action *policy.Action) {
+	p := &sm.proxies[proxyIndex]
+	if second := sm.now / microsPerSecond; second != p.timerSecond {
+		p.timerSecond, p.timersInSecond = second, 0
+	}
+	if p.timersInSecond++; p.timersInSecond > maxTimersPerSecond {
+		sm.fail(proxyIndex, "sets timers without end: %d within a second", p.timersInSecond)
+	}
+	sm.schedule(sm.nextTick(sm.now+max(1, action.After)), event{kind: evTimer, subject: proxyIndex, number: p.incarnation, id: action.ID})
+}
+
+// findServer returns the server of an id, nil if there is none.
+func (sm *simulation) findServer(id uint32) *server {
+	if index := int(id ^ sm.serverIDMask); index >= 0 && index < len(sm.servers) {
+		return sm.servers[index]
 	}
 	return nil
 }
 
-// answerClient is a try's final answer.
-func (r *simulation) answerClient(m int32, out policy.Outcome, after Time) {
-	j := &r.proxyRequests[m]
-	j.answered = true
-	r.proxies[j.proxy].openRequests--
-	r.observe(Record{Kind: RequestAnswered, Proxy: j.proxy, ID: j.id, Outcome: out, Request: r.clientRequests[j.clientRequest].number, Span: after})
-	travel := Time(float64(r.scenario.Network.Client) * (1 + r.scenario.Network.Jitter*r.clientRequests[j.clientRequest].draw(9)))
-	r.schedule(r.now+travel, event{kind: evReceiveAnswer, subject: j.clientRequest, number: int32(min(after, math.MaxInt32)), code: uint8(out), id: j.id})
+// proxyRequest is one attempt of a client at one proxy: a request, as the proxy sees it.
+type proxyRequest struct {
+	id            uint64 // 0: the place is free
+	clientRequest int32
+	proxy         int32
+	deadline      Time // when its client gives it up
+	answered      bool
+	inFlight      uint8 // attempts
+	attemptCount  uint8
+	attempts      [maxAttempts]proxyAttempt
+}
+
+func (sm *simulation) releaseProxyRequest(requestIndex int32) {
+	request := sm.proxyRequests.at(requestIndex)
+	sm.releaseClientRequest(request.clientRequest)
+	request.id = 0
+	sm.proxyRequests.release(requestIndex)
+}
+
+// releaseIfDone forgets a request that is answered and has no attempt in flight.
+func (sm *simulation) releaseIfDone(requestIndex int32) {
+	if request := sm.proxyRequests.at(requestIndex); request.answered && request.inFlight == 0 && request.id != 0 {
+		sm.releaseProxyRequest(requestIndex)
+	}
 }
 
-// releaseIfDone forgets a job that is over with nothing out.
-func (r *simulation) releaseIfDone(m int32) {
-	if j := &r.proxyRequests[m]; j.answered && j.inFlight == 0 && j.id != 0 {
-		r.releaseProxyRequest(m)
+// findProxyRequest returns the index of an open request of the proxy; -1: it has ended. One that it never had ends the
+// run.
+func (sm *simulation) findProxyRequest(proxyIndex int32, id uint64) int32 {
+	requestIndex := int32(id & (1<<indexBits - 1))
+	if number := id >> indexBits; number == 0 || number > sm.lastProxyRequestNumber || int(requestIndex) >= len(sm.proxyRequests.items) {
+		sm.fail(proxyIndex, "names request %d, which it was never given", id)
+		return -1
+	}
+	request := sm.proxyRequests.at(requestIndex)
+	if request.id != id {
+		return -1
 	}
+	if request.proxy != proxyIndex {
+		sm.fail(proxyIndex, "names request %d, which proxy %d has", id, request.proxy)
+		return -1
+	}
+	return requestIndex
 }
 
-func (r *simulation) answerRequest(n int32, a *policy.Action) {
-	m := r.findProxyRequest(n, a.ID)
-	if m < 0 || r.proxyRequests[m].answered {
-		return // ended already: disregarded, as the wire does
+// receiveRequest is the arrival of a client's attempt at its proxy.
+func (sm *simulation) receiveRequest(requestIndex int32, id uint64) {
+	request := sm.proxyRequests.at(requestIndex)
+	if request.id != id {
+		return
 	}
-	out := policy.ErrorResponse
-	if a.Kind == policy.RejectRequest {
-		out = policy.Rejected
+	p, c := &sm.proxies[request.proxy], sm.clientRequests.at(request.clientRequest)
+	if !p.up {
+		sm.schedule(sm.now+Time(sm.scenario.Network.Client), event{kind: evReceiveAnswer, subject: request.clientRequest,
+			code: uint8(policy.ConnectFailed), id: id})
+		sm.releaseProxyRequest(requestIndex)
+		return
+	}
+	p.openRequests++
+	timeout := max(1, request.deadline-sm.now)
+	sm.observe(Record{Kind: RequestReceived, Proxy: request.proxy, ID: id, Request: c.number, Class: c.class, Span: timeout})
+	sm.schedule(request.deadline+Time(sm.scenario.Published.ResponseGrace)+1, event{kind: evRequestExpired, subject: requestIndex, id: id})
+	sm.policyEvent = policy.Event{Kind: policy.RequestArrived, ID: id, Class: c.class, Tenant: uint32(c.tenant), AffinityKey: c.key,
+		Work: c.workHint, ClientTimeout: timeout, ClientRetry: sm.scenario.Clients.MarkRetries && c.attempts > 1}
+	sm.deliver(request.proxy)
+}
+
+// answerRequest carries out a node's RejectRequest or FailRequest. It is void for a request that has ended.
+func (sm *simulation) answerRequest(proxyIndex int32, action *policy.Action) {
+	requestIndex := sm.findProxyRequest(proxyIndex, action.ID)
+	if requestIndex < 0 || sm.proxyRequests.at(requestIndex).answered {
+		return
+	}
+	outcome := policy.ErrorResponse
+	if action.Kind == policy.RejectRequest {
+		outcome = policy.Rejected
 	}
-	r.answerClient(m, out, a.After)
-	r.releaseIfDone(m)
+	sm.answerClient(requestIndex, outcome, action.After)
+	sm.releaseIfDone(requestIndex)
+}
+
+// answerClient sends a request's final answer to its client.
+func (sm *simulation) answerClient(requestIndex int32, outcome policy.Outcome, retryAfter Time) {
+	request := sm.proxyRequests.at(requestIndex)
+	c := sm.clientRequests.at(request.clientRequest)
+	request.answered = true
+	sm.proxies[request.proxy].openRequests--
+	sm.observe(Record{Kind: RequestAnswered, Proxy: request.proxy, ID: request.id, Outcome: outcome, Request: c.number, Span: retryAfter})
+	network := &sm.scenario.Network
+	travelTime := Time(float64(network.Client) * (1 + network.Jitter*c.draw(drawAnswerDelay)))
+	sm.schedule(sm.now+travelTime, event{kind: evReceiveAnswer, subject: request.clientRequest,
+		number: int32(min(retryAfter, math.MaxInt32)), code: uint8(outcome), id: request.id})
 }
 
-func (r *simulation) expireRequest(m int32, id uint64) {
-	j := &r.proxyRequests[m]
-	if j.id != id || j.answered {
+// expireRequest ends a request that its proxy has not answered within the grace after its deadline.
+func (sm *simulation) expireRequest(requestIndex int32, id uint64) {
+	request := sm.proxyRequests.at(requestIndex)
+	if request.id != id || request.answered {
 		return
 	}
-	n := j.proxy
-	j.answered = true
-	r.proxies[n].openRequests--
-	r.observe(Record{Kind: ResponseOverdue, Proxy: n, ID: id})
-	r.releaseIfDone(m)
-	r.policyEvent = policy.Event{Kind: policy.RequestAbandoned, ID: id}
-	r.deliver(n)
+	proxyIndex := request.proxy
+	request.answered = true
+	sm.proxies[proxyIndex].openRequests--
+	sm.observe(Record{Kind: ResponseOverdue, Proxy: proxyIndex, ID: id})
+	sm.releaseIfDone(requestIndex)
+	sm.policyEvent = policy.Event{Kind: policy.RequestAbandoned, ID: id}
+	sm.deliver(proxyIndex)
 }
--- a/internal/fleetsim/model/server.go
+++ b/internal/fleetsim/model/server.go
@@ -2,6 +2,9 @@
 
 import (
 	"math"
+	"slices"
+
+	"pumiceline/internal/standalone/policy"
 )
 
 type serverState uint8
@@ -14,9 +17,9 @@
 
 // server is one server, and under the same id its successors.
 //
-// It works by processor sharing: each request in a slot gets the same rate, at most one core. v is the virtual time
-// of Parekh and Gallager's fluid model, the work that a request held since the start would have got; a request is done when v
-// passes its finish, so that a change of rate touches no request.
+// It works by processor sharing: each request in a slot gets the same rate, at most one core. virtualTime is that of
+// Parekh and Gallager's fluid model: the work that a request in a slot since the start would have got. A request is
+// completed when virtualTime passes its finish, so that a change of the rate touches no request.
 type server struct {
 	index             int32
 	id                uint32
@@ -24,72 +27,91 @@
 	cell              uint16
 	instanceTypeIndex int32
 	instanceType      *InstanceType
-	speed             float64
+	speed             float64 // of a core, in standard cores
 	state             serverState
-	epoch             int32
+	epoch             int32 // counts the processes behind the id
 	connections       int
-	started           Time // 0: long ago
 
-	cold        bool
-	warmWork    float64    // done since the start
-	arrivedWork workWindow // work that has come within Tip.Over
+	startedAt         Time // 0: before the run
+	cold              bool
+	warmupWork        float64    // completed since the start
+	arrivedWork       workWindow // work that has come within Overload.Window
+	replacing         bool       // a successor is to follow
+	successorHasNewID bool
 
-	hangs, pauses     int
-	stolenShare       float64
-	slowdown          float64
-	errorRate         float64
-	reportDelay       Time
-	replacing         bool // a successor is to follow
-	successorHasNewID bool // under a new id
+	// What faults do to it.
+	hangs       int     // in force
+	stolenShare float64 // of its capacity, by another program
+	slowdown    float64 // share of its speed that it has lost
+	errorRate   float64 // share of requests that fail at once
+	reportDelay Time
 
-	keyHits map[uint64]Time // keys, and when it met them last
+	pauses   int             // in progress
+	keyCache map[uint64]Time // keys by their last use
 
 	virtualTime    float64
-	virtualTimeAt  Time
-	ratePerRequest float64 // of one request
-	nextWakeup     Time
-	slots          []slot  // heap by finish
-	queue          []int32 // tasks waiting; head is where it begins
-	head           int
-	workQueued     float64 // work held
-	workInTransit  float64 // work sent that has not come yet; deciders cannot know it
-
-	busy        float64 // core-microseconds since the last report
-	completed   float64 // requests since then
-	errors      float64
-	reportedAt  Time
-	reports     [8]loadReport
-	reportCount int
+	virtualTimeAt  Time    // until when virtualTime is accounted
+	ratePerRequest float64 // work in a microsecond
+	nextWakeup     Time    // of the scheduled evServerProgress; 0: none
+	slots          slotHeap
+	queue          attemptQueue
+	workInTransit  float64 // sent, not yet come; policies cannot know it
+
+	// Counts since the last refresh of its load report.
+	busyTime   float64 // core-microseconds
+	completed  float64 // requests
+	errors     float64
+	reportedAt Time
+	reports    reportHistory
 }
 
 // warmCapacity is the capacity of the warm server, in standard cores.
 func (s *server) warmCapacity() float64 { return float64(s.instanceType.Cores) * s.speed }
 
-func (r *simulation) addServer(zone, kindNo int32, k *InstanceType, speed float64) *server {
-	n := int32(len(r.servers))
-	s := &server{index: n, id: uint32(n) ^ r.serverIDMask, zone: uint8(zone), instanceTypeIndex: kindNo, instanceType: k, speed: speed}
-	same := 0
-	for _, other := range r.servers[max(0, len(r.servers)-64*r.scenario.Zones):] {
-		if other.zone == s.zone {
-			same++
-		}
+// openRequests is how many requests it executes or has queued.
+func (s *server) openRequests() int { return len(s.slots) + s.queue.len() }
+
+// member is how discovery lists it.
+func (s *server) member(mode policy.Mode) policy.Member {
+	return policy.Member{Server: s.id, Zone: s.zone, Cell: s.cell, InstanceType: uint16(s.instanceTypeIndex), Mode: mode,
+		Size: float64(s.instanceType.Cores)}
+}
+
+func (sm *simulation) addServer(zone uint8, instanceTypeIndex int32, instanceType *InstanceType, speed float64) *server {
+	index := int32(len(sm.servers))
+	s := &server{index: index, id: uint32(index) ^ sm.serverIDMask, zone: zone, instanceTypeIndex: instanceTypeIndex,
+		instanceType: instanceType, speed: speed}
+	s.cell = sm.nextCell(zone)
+	sm.servers = append(sm.servers, s)
+	return s
+}
+
+// nextCell is the cell of a server that is added to the zone. Cells of a zone are filled one after another; in large
+// fleets by the order of servers in all zones, as counting those of the zone would take too long.
+func (sm *simulation) nextCell(zone uint8) uint16 {
+	zones, size, count := sm.scenario.Zones, sm.scenario.CellSize, len(sm.servers)
+	const countedPerZone = 64
+	if count > countedPerZone*zones {
+		return uint16(int(zone) + zones*(count/zones/size))
 	}
-	s.cell = uint16(int(zone) + r.scenario.Zones*(same/r.scenario.CellSize))
-	if len(r.servers) > 64*r.scenario.Zones { // large fleets: cells by the order of coming
-		s.cell = uint16(int(zone) + r.scenario.Zones*(int(n)/r.scenario.Zones/r.scenario.CellSize))
+	inZone := 0
+	for _, s := range sm.servers {
+		if s.zone == zone {
+			inZone++
+		}
 	}
-	r.servers = append(r.servers, s)
-	return s
+	return uint16(int(zone) + zones*(inZone/size))
 }
 
-// sampleLoad records the use of each server that runs.
-func (r *simulation) sampleLoad() {
-	r.loadBuffer = r.loadBuffer[:0]
-	for _, s := range r.servers {
+// sampleLoad records the load of each server in service: requests per core, at most four.
+func (sm *simulation) sampleLoad() {
+	sm.loadBuffer = sm.loadBuffer[:0]
+	for _, s := range sm.servers {
 		if s.state == stateUp {
-			r.loadBuffer = append(r.loadBuffer, math.Min(float64(len(s.slots)+len(s.queue)-s.head), float64(4*s.instanceType.Cores))/float64(s.instanceType.Cores))
+			cores := float64(s.instanceType.Cores)
+			sm.loadBuffer = append(sm.loadBuffer, math.Min(float64(s.openRequests()), 4*cores)/cores)
 		}
 	}
-	sortFloats(r.loadBuffer)
-	r.observe(Record{Kind: LoadSampled, Load: r.loadBuffer})
+	slices.Sort(sm.loadBuffer)
+	sm.observe(Record{Kind: LoadSampled, Load: sm.loadBuffer})
 }
--- a/internal/fleetsim/model/settings.go
+++ b/internal/fleetsim/model/settings.go
@@ -1,55 +1,60 @@
 package model
 
-import (
-	"math"
-
-	"pumiceline/internal/standalone/policy"
+import "pumiceline/internal/standalone/policy"
+
+// The words of scenario files and what they stand for. An empty word is the default.
+var (
+	semanticsByName = map[string]policy.Semantics{"safe": policy.Idempotent, "keyed": policy.Deduplicated,
+		"unsafe": policy.NonIdempotent}
+	dedupScopeByName = map[string]policy.DedupScope{"": policy.DedupEverywhere, "all": policy.DedupEverywhere,
+		"zone": policy.DedupPerZone, "cell": policy.DedupPerCell}
+	reportDeliveryByName = map[string]policy.ReportDelivery{"": policy.ReportsInResponses, "answers": policy.ReportsInResponses,
+		"probe": policy.ReportsByPolling, "none": policy.ReportsNone}
 )
 
-var semanticsByName = map[string]*policy.Semantics{"safe": pointerTo(policy.Idempotent), "keyed": pointerTo(policy.Deduplicated), "unsafe": pointerTo(policy.NonIdempotent)}
+// semantics says what may be done with a request that may have been executed.
+func (c *Class) semantics() policy.Semantics { return semanticsByName[c.Semantics] }
 
-var dedupScopeByName = map[string]*policy.DedupScope{"": pointerTo(policy.DedupEverywhere), "all": pointerTo(policy.DedupEverywhere), "zone": pointerTo(policy.DedupPerZone),
-	"cell": pointerTo(policy.DedupPerCell)}
+// dedupScope says which servers drop a repeat, for a class that is deduplicated.
+func (c *Class) dedupScope() policy.DedupScope { return dedupScopeByName[c.DedupScope] }
 
-var reportDeliveryByName = map[string]policy.ReportDelivery{"": policy.ReportsInResponses, "answers": policy.ReportsInResponses,
-	"probe": policy.ReportsByPolling, "none": policy.ReportsNone}
+// delivery says how policies get load reports.
+func (r *Reports) delivery() policy.ReportDelivery { return reportDeliveryByName[r.Delivery] }
 
-func pointerTo[T any](v T) *T { return &v }
+// quotaOfCapacity is how much of the fleet's capacity is sold as tenants' quotas.
+const quotaOfCapacity = 0.8
 
-// meanWork is the mean work of a request, in microseconds on a standard core.
-func (w *Scenario) meanWork() float64 {
-	sum, share := 0.0, 0.0
-	for _, c := range w.Classes {
-		sum, share = sum+c.Share*float64(c.Work), share+c.Share
+// policySettings returns what the policy of one proxy is given. capacity is the warm fleet's, in requests a second.
+func (sc *Scenario) policySettings(ordinal, zone int, capacity float64) policy.Settings {
+	published := &sc.Published
+	settings := policy.Settings{
+		ReportColumns:  []policy.ReportColumn{policy.ColumnUtilization, policy.ColumnQPS, policy.ColumnEPS},
+		ReportDelivery: sc.Reports.delivery(), KeyAffinity: sc.Keys.Count > 0 && sc.Keys.HitSavings > 0,
+		SubscribeDiscovery: true, SizesKnown: true, ValuePerWork: true, OverQuotaValue: sc.Clients.OverQuotaValue,
+		GroupSize: sc.Proxies, Ordinal: ordinal, Zone: zone, Zones: sc.Zones, BatchPeriod: Time(sc.Tick),
+		Rules: policy.Rules{ResponseGrace: Time(published.ResponseGrace), SubscribeWithin: Time(published.SubscribeWithin),
+			WarmupTime: Time(published.WarmupTime), InitialCapacity: published.InitialCapacity,
+			OverloadFactor: published.OverloadFactor, OverloadTime: Time(sc.Overload.Window)},
+		Limits: policy.Limits{MaxAttempts: published.MaxAttempts, MaxOpenRequests: published.MaxOpenRequests,
+			AllowCancel: published.AllowCancel, AllowLoadPolls: sc.Reports.delivery() == policy.ReportsByPolling,
+			AllowHedging: published.AllowHedging, ConnIdleTimeout: Time(sc.Connections.IdleTimeout),
+			MaxRetryAfter: Time(sc.Clients.MaxRetryAfter)},
+		Prices:  policy.Prices{CrossZone: sc.Prices.CrossZone},
+		Classes: sc.PolicyClasses(),
 	}
-	return sum / math.Max(share, 1e-9)
+	for _, t := range sc.Tenants {
+		settings.Tenants = append(settings.Tenants, policy.Tenant{QuotaPerS: t.QuotaShare * capacity * quotaOfCapacity})
+	}
+	return settings
 }
 
-// Settings is what the decider of one proxy is told. quota is what the fleet can do, in requests a second.
-func (w *Scenario) settings(ordinal, zone int, quota float64) policy.Settings {
-	s := policy.Settings{ReportColumns: []policy.ReportColumn{policy.ColumnUtilization, policy.ColumnQPS, policy.ColumnEPS},
-		ReportDelivery: reportDeliveryByName[w.Reports.Delivery], KeyAffinity: w.Keys.Count > 0 && w.Keys.HitSavings > 0, SubscribeDiscovery: true, SizesKnown: true, ValuePerWork: true,
-		OverQuotaValue: w.Clients.OverQuotaValue, GroupSize: w.Proxies, Ordinal: ordinal, Zone: zone, Zones: w.Zones,
-		BatchPeriod: Time(w.Tick),
-		Rules: policy.Rules{ResponseGrace: Time(w.Published.ResponseGrace), SubscribeWithin: Time(w.Published.SubscribeWithin), WarmupTime: Time(w.Published.WarmupTime),
-			InitialCapacity: w.Published.InitialCapacity, OverloadFactor: w.Published.OverloadFactor, OverloadTime: Time(w.Overload.Window)},
-		Limits: policy.Limits{MaxAttempts: w.Published.MaxAttempts, MaxOpenRequests: w.Published.MaxOpenRequests, AllowCancel: w.Published.AllowCancel,
-			AllowLoadPolls: reportDeliveryByName[w.Reports.Delivery] == policy.ReportsByPolling,
-			AllowHedging:   w.Published.AllowHedging, ConnIdleTimeout: Time(w.Connections.IdleTimeout), MaxRetryAfter: Time(w.Clients.MaxRetryAfter)},
-		Prices: policy.Prices{CrossZone: w.Prices.CrossZone},
-	}
-	for _, c := range w.Classes {
-		s.Classes = append(s.Classes, policy.Class{Semantics: *semanticsByName[c.Semantics], DedupScope: *dedupScopeByName[c.DedupScope], DedupWindow: Time(c.DedupWindow),
-			LatencyTarget: Time(c.LatencyTarget), ClientTimeout: Time(c.Deadline), Value: c.Value})
+// PolicyClasses are the classes as policies are given them.
+func (sc *Scenario) PolicyClasses() []policy.Class {
+	var classes []policy.Class
+	for i := range sc.Classes {
+		c := &sc.Classes[i]
+		classes = append(classes, policy.Class{Semantics: c.semantics(), DedupScope: c.dedupScope(),
+			DedupWindow: Time(c.DedupWindow), LatencyTarget: Time(c.LatencyTarget), ClientTimeout: Time(c.Deadline), Value: c.Value})
 	}
-	for _, t := range w.Tenants {
-		s.Tenants = append(s.Tenants, policy.Tenant{QuotaPerS: t.QuotaShare * quota * quotaOfCapacity})
-	}
-	return s
+	return classes
 }
-
-// quotaOfCapacity is how much of the fleet's capacity is sold as tenants' shares.
-const quotaOfCapacity = 0.8
-
-// PolicyClasses are the classes as deciders are told of them.
-func (w *Scenario) PolicyClasses() []policy.Class { return w.settings(0, 0, 0).Classes }
