--- a/cmd/pumicectl/demo.go
+++ b/cmd/pumicectl/demo.go
@@ -34,7 +34,7 @@
 			if *length < minDemoLength {
 				return errors.New("--for: at least 1s")
 			}
-			options := demo.Options{Programs: *programs, Length: *length, Progress: os.Stdout}
+			options := demo.Options{Programs: *programs, LoadPeriod: *length, Progress: os.Stdout}
 			if options.Programs == "" {
 				own, err := os.Executable()
 				if err != nil {
@@ -56,7 +56,7 @@
 		return err
 	}
 	printDemoResult(os.Stdout, result)
-	if err := result.Fault(); err != nil {
+	if err := result.Violation(); err != nil {
 		fmt.Fprintln(os.Stderr, "fault:", err)
 		return errFaultsFound
 	}
@@ -68,13 +68,13 @@
 	fmt.Fprintln(table, "REQUESTS\tSERVED\tREFUSED\tFAILED\tRUN TWICE\tINCOMPLETE")
 	for _, row := range []struct {
 		name  string
-		count demo.Count
-	}{{"streams", r.Streams}, {"documents", r.Changing}} {
+		count demo.RequestCounts
+	}{{"streams", r.Streams}, {"documents", r.Documents}} {
 		c := row.count
-		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\n", row.name, c.Served, c.Refused, c.Failed, c.Twice, c.Broken)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\n", row.name, c.Served, c.Rejected, c.Failed, c.Duplicated, c.Incomplete)
 	}
 	_ = table.Flush() // a closed pipe ends the program
-	fmt.Fprintf(out, "models loaded by order: %d\n", r.Loads)
-	fmt.Fprintf(out, "changes acknowledged: %d, the last is version %d, read back: %d\n", r.Acknowledged, r.Newest, r.ReadBack)
-	fmt.Fprintf(out, "killed: %s; longest time between acknowledgements: %v\n", r.KilledHolder, r.Gap.Round(time.Millisecond))
+	fmt.Fprintf(out, "models loaded by order: %d\n", r.ModelLoads)
+	fmt.Fprintf(out, "changes acknowledged: %d, the last is version %d, read back: %d\n", r.AcknowledgedChanges, r.AcknowledgedVersion, r.ReadVersion)
+	fmt.Fprintf(out, "killed: %s; longest time between acknowledgements: %v\n", r.KilledCoordinator, r.LongestGap.Round(time.Millisecond))
 }
--- a/internal/demo/trial_test.go
+++ b/internal/demo/demo_test.go
@@ -11,42 +11,44 @@
 	"pumiceline/internal/controlplane/configuration"
 )
 
-func TestEachFaultIsTold(t *testing.T) {
+func TestResult_Violation(t *testing.T) {
 	good := Result{
-		Streams: Count{Served: 5}, Changing: Count{Served: 5}, Loads: 1, Acknowledged: 3, Newest: 7, ReadBack: 7,
+		Streams: RequestCounts{Served: 5}, Documents: RequestCounts{Served: 5}, ModelLoads: 1,
+		AcknowledgedChanges: 3, AcknowledgedVersion: 7, ReadVersion: 7,
 	}
-	assert.NoError(t, good.Fault())
+	assert.NoError(t, good.Violation())
 	cases := map[string]func(r *Result){
 		"some kind of request was never served":              func(r *Result) { r.Streams.Served = 0 },
-		"a request ran more than once":                       func(r *Result) { r.Changing.Twice = 1 },
-		"an answer was passed off as whole":                  func(r *Result) { r.Streams.Broken = 1 },
-		"changes of the configuration were not acknowledged": func(r *Result) { r.Acknowledged = 1 },
-		"version 7 was acknowledged last, 6 was read back":   func(r *Result) { r.ReadBack = 6 },
-		"no model was loaded":                                func(r *Result) { r.Loads = 0 },
+		"a request ran more than once":                       func(r *Result) { r.Documents.Duplicated = 1 },
+		"a response with status 200 was incomplete":          func(r *Result) { r.Streams.Incomplete = 1 },
+		"changes of the configuration were not acknowledged": func(r *Result) { r.AcknowledgedChanges = 1 },
+		"version 7 was acknowledged last, 6 was read back":   func(r *Result) { r.ReadVersion = 6 },
+		"no model was loaded":                                func(r *Result) { r.ModelLoads = 0 },
 	}
-	for want, spoil := range cases {
-		spoilt := good
-		spoil(&spoilt)
-		assert.EqualError(t, spoilt.Fault(), want)
+	for want, violate := range cases {
+		result := good
+		violate(&result)
+		assert.EqualError(t, result.Violation(), want)
 	}
 }
 
-// What the trial writes for its processes and sends as an operator is what the system takes.
+// The programs accept the settings of a node and the configuration.
 func TestSettingsAndConfigurationAreValid(t *testing.T) {
-	m := &machine{Name: "n", IP: "127.0.0.1", Zone: "z0", FirstPort: 1, LastPort: 2, ControlPort: 3, Seeds: []string{"127.0.0.1:3"}, PlatformAddress: "127.0.0.1:4"}
-	path, err := m.write(t.TempDir())
+	n := &node{Name: "n", IP: "127.0.0.1", Zone: "z0", FirstPort: 1, LastPort: 2, ControlPort: 3,
+		SeedNodes: []string{"127.0.0.1:3"}, PlatformAddress: "127.0.0.1:4"}
+	path, err := n.writeSettings(t.TempDir())
 	assert.NoError(t, err)
 	text, err := os.ReadFile(path)
 	assert.NoError(t, err)
 	settings, err := bootstrap.Parse(text)
 	assert.NoError(t, err)
 	assert.Equal(t, "n", settings.Node)
-	config, err := configuration.Parse([]byte(configurationFor(3)))
+	config, err := configuration.Parse([]byte(newConfiguration(3)))
 	assert.NoError(t, err)
 	assert.Equal(t, configuration.Version(3), config.Version)
 }
 
-func TestAMissingProgramIsNamed(t *testing.T) {
+func TestRun_NamesMissingProgram(t *testing.T) {
 	_, err := Run(context.Background(), Options{Programs: t.TempDir()})
 	assert.ErrorContains(t, err, "pumiceline-coordinator")
 }
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -10,119 +10,132 @@
 	"time"
 )
 
-// Figures of the load.
 const (
-	requestEvery = 20 * time.Millisecond
-	patience     = 10 * time.Second
-	events       = 8
+	requestInterval = 20 * time.Millisecond
+	requestTimeout  = 10 * time.Second
+	eventsPerStream = 8
+
+	rareModel         = "rare" // resident at no backend at first
+	rareModelInterval = 23     // requests
 )
 
-// load sends requests to the proxies in turn.
+// streamModels are the models of streams, in turn; small/a1 is an adapter.
+var streamModels = []string{"small", "large", "small/a1"}
+
+// load sends requests to the proxies in turn and counts what became of them.
 type load struct {
-	trial    *trial
-	mutex    sync.Mutex
-	streams  Count
-	changing Count
-	sent     []sentRequest
+	demo *demo
+
+	mu        sync.Mutex
+	streams   RequestCounts
+	documents RequestCounts
+	sent      []sentRequest
 }
 
+// sentRequest is a request of which the executions are counted at the end.
 type sentRequest struct {
-	id     string
-	stream bool
+	id       string
+	isStream bool
 }
 
-func newLoad(t *trial) *load { return &load{trial: t} }
+func newLoad(d *demo) *load { return &load{demo: d} }
 
-// run sends until the time is over, and waits for the last answer.
-func (l *load) run(ctx context.Context, until time.Time) {
-	ticker := time.NewTicker(requestEvery)
+// run sends requests until the deadline and waits for the last response.
+func (l *load) run(ctx context.Context, deadline time.Time) {
+	ticker := time.NewTicker(requestInterval)
 	defer ticker.Stop()
-	var under sync.WaitGroup
-	for number := 0; time.Now().Before(until) && ctx.Err() == nil; number++ {
+	var inFlight sync.WaitGroup
+	for number := 0; time.Now().Before(deadline) && ctx.Err() == nil; number++ {
 		<-ticker.C
-		under.Go(func() { l.request(ctx, number) })
+		inFlight.Go(func() { l.sendNumbered(ctx, number) })
 	}
-	under.Wait()
+	inFlight.Wait()
 }
 
-// request sends one request: two streams to one document, and now and then for the model that nobody holds at first.
-func (l *load) request(ctx context.Context, number int) {
-	stream := number%3 != 0
+// sendNumbered sends the request of a number: two streams to one document, and now and then a stream of the rare model.
+func (l *load) sendNumbered(ctx context.Context, number int) {
+	isStream := number%3 != 0
 	id := fmt.Sprintf("r%d", number)
-	machine := l.trial.machines[coordinators+number%proxies]
+	proxy := l.demo.nodes[coordinatorCount+number%proxyCount]
 	path, model := "/document/a", ""
-	if stream {
-		path, model = "/stream/a", []string{"small", "large", "small/a1"}[number/3%3]
-		if number%23 == 0 {
-			model = "rare"
+	if isStream {
+		path, model = "/stream/a", streamModels[number/3%len(streamModels)]
+		if number%rareModelInterval == 0 {
+			model = rareModel
 		}
 	}
-	l.mutex.Lock()
-	l.sent = append(l.sent, sentRequest{id, stream})
-	l.mutex.Unlock()
-	status, body, err := l.send(ctx, "http://"+machine.front()+path, id, model)
-	l.note(stream, status, body, err)
+	l.mu.Lock()
+	l.sent = append(l.sent, sentRequest{id, isStream})
+	l.mu.Unlock()
+	response, err := l.send(ctx, "http://"+proxy.clientAddress()+path, id, model)
+	l.count(isStream, response, err)
+}
+
+// response is a proxy's response.
+type response struct {
+	status int
+	body   string
 }
 
-func (l *load) send(ctx context.Context, address, id, model string) (int, string, error) {
-	ctx, cancel := context.WithTimeout(ctx, patience)
+func (l *load) send(ctx context.Context, url, id, model string) (response, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, address, strings.NewReader("text"))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, strings.NewReader("text"))
 	if err != nil {
-		return 0, "", err
+		return response{}, err
 	}
-	request.Host = "trial.example"
+	request.Host = requestHost
 	request.Header.Set("Request-Id", id)
-	request.Header.Set("Time-Left-Ms", fmt.Sprint(patience.Milliseconds()))
+	request.Header.Set("Time-Left-Ms", fmt.Sprint(requestTimeout.Milliseconds()))
 	if model != "" {
 		request.Header.Set("Model", model)
 		request.Header.Set("Token-Count", "300,40")
 	}
-	response, err := l.trial.client.Do(request)
+	got, err := l.demo.client.Do(request)
 	if err != nil {
-		return 0, "", err
+		return response{}, err
 	}
-	defer response.Body.Close()
-	body, err := io.ReadAll(response.Body)
-	return response.StatusCode, string(body), err
+	defer got.Body.Close()
+	body, err := io.ReadAll(got.Body)
+	return response{got.StatusCode, string(body)}, err
 }
 
-func (l *load) note(stream bool, status int, body string, err error) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	count := &l.changing
-	whole := strings.HasPrefix(body, "done by ")
-	if stream {
-		count = &l.streams
-		whole = strings.Count(body, "data: ") == events
+func (l *load) count(isStream bool, r response, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	counts := &l.documents
+	isComplete := strings.HasPrefix(r.body, "done by ")
+	if isStream {
+		counts = &l.streams
+		isComplete = strings.Count(r.body, "data: ") == eventsPerStream
 	}
 	switch {
 	case err != nil:
-		count.Failed++
-	case status == http.StatusOK && !whole:
-		count.Broken++
-	case status == http.StatusOK:
-		count.Served++
-	case status == http.StatusServiceUnavailable:
-		count.Refused++
+		counts.Failed++
+	case r.status == http.StatusOK && !isComplete:
+		counts.Incomplete++
+	case r.status == http.StatusOK:
+		counts.Served++
+	case r.status == http.StatusServiceUnavailable:
+		counts.Rejected++
 	default:
-		count.Failed++
+		counts.Failed++
 	}
 }
 
-// counts returns what became of the requests, those that ran twice among them.
-func (l *load) counts() (streams, changing Count) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+// counts returns what became of the requests, with those that ran more than once. It is called once, after run.
+func (l *load) counts() (streams, documents RequestCounts) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	for _, sent := range l.sent {
-		if l.trial.runs.Count(sent.id) <= 1 {
+		if l.demo.executions.Count(sent.id) <= 1 {
 			continue
 		}
-		if sent.stream {
-			l.streams.Twice++
+		if sent.isStream {
+			l.streams.Duplicated++
 		} else {
-			l.changing.Twice++
+			l.documents.Duplicated++
 		}
 	}
-	return l.streams, l.changing
+	return l.streams, l.documents
 }
--- a/internal/demo/processes.go
+++ b/internal/demo/process.go
@@ -13,43 +13,43 @@
 	"pumiceline/internal/bootstrap"
 )
 
-// endWithin is how long a process may take to end after it was told to.
-const endWithin = 8 * time.Second
+// stopTimeout is how long a process may take to end in order before it is killed.
+const stopTimeout = 8 * time.Second
 
-// process is a real process of the system.
+// process is a process of one of the system's programs.
 type process struct {
 	command *exec.Cmd
 	ended   chan struct{}
 }
 
-// launch starts a program of the folder with a settings file.
-func launch(folder, program, settings string, log io.Writer) (*process, error) {
-	command := exec.Command(filepath.Join(folder, program))
+// startProcess starts a program with a settings file.
+func startProcess(program, settings string, log io.Writer) (*process, error) {
+	command := exec.Command(program)
 	command.Env = append(os.Environ(), bootstrap.EnvironmentVariable+"="+settings)
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
-		return nil, errors.Wrapf(err, "starting %s", program)
+		return nil, errors.Wrapf(err, "start %s", filepath.Base(program))
 	}
 	p := &process{command: command, ended: make(chan struct{})}
 	go func() {
-		_ = command.Wait() // how it ended is seen by what the system does
+		_ = command.Wait() // how it ended shows in what the system does
 		close(p.ended)
 	}()
 	return p, nil
 }
 
-// kill ends the process at once.
+// kill kills the process and waits for its end.
 func (p *process) kill() {
 	_ = p.command.Process.Kill() // it may have ended by itself
 	<-p.ended
 }
 
-// stop tells the process to end in order.
+// stop has the process end in order, and kills it if it does not.
 func (p *process) stop() {
 	_ = p.command.Process.Signal(syscall.SIGTERM) // it may have ended by itself
 	select {
 	case <-p.ended:
-	case <-time.After(endWithin):
+	case <-time.After(stopTimeout):
 		p.kill()
 	}
 }
--- /dev/null
+++ b/internal/demo/result.go
@@ -0,0 +1,45 @@
+package demo
+
+import (
+	"time"
+
+	"github.com/pkg/errors"
+)
+
+// Result is the outcome of a run.
+type Result struct {
+	Streams             RequestCounts // of requests that may run more than once
+	Documents           RequestCounts // of requests that must run once at most
+	ModelLoads          int           // by command
+	AcknowledgedChanges int           // of the configuration
+	AcknowledgedVersion uint64        // the latest
+	ReadVersion         uint64        // read at the end
+	KilledCoordinator   string        // node
+	LongestGap          time.Duration // between two acknowledgements, the kill among them
+}
+
+// RequestCounts is what became of the requests of one kind.
+type RequestCounts struct {
+	Served, Rejected, Failed int
+	Duplicated               int // ran more than once
+	Incomplete               int // status 200 with an incomplete body
+}
+
+// Violation returns the first guarantee that the system violated, or nil.
+func (r *Result) Violation() error {
+	switch {
+	case r.Streams.Served == 0 || r.Documents.Served == 0:
+		return errors.New("some kind of request was never served")
+	case r.Streams.Duplicated+r.Documents.Duplicated > 0:
+		return errors.New("a request ran more than once")
+	case r.Streams.Incomplete+r.Documents.Incomplete > 0:
+		return errors.New("a response with status 200 was incomplete")
+	case r.AcknowledgedChanges < 2:
+		return errors.New("changes of the configuration were not acknowledged")
+	case r.ReadVersion != r.AcknowledgedVersion:
+		return errors.Errorf("version %d was acknowledged last, %d was read back", r.AcknowledgedVersion, r.ReadVersion)
+	case r.ModelLoads == 0:
+		return errors.New("no model was loaded")
+	}
+	return nil
+}
