--- a/cmd/pumiceline/try.go
+++ b/cmd/pumiceline/try.go
@@ -75,7 +75,8 @@
 		return err
 	}
 
-	clients := &fakestandalone.LoadGenerator{BaseURL: baseURL, RequestsPerSecond: c.Rate, Classes: fakestandalone.Classes, Tenants: fakestandalone.Tenants}
+	clients := &fakestandalone.LoadGenerator{BaseURL: baseURL, RequestsPerSecond: c.Rate, Classes: fakestandalone.Classes,
+		Tenants: fakestandalone.Tenants}
 	load, endLoad := context.WithTimeout(ctx, c.Duration)
 	defer endLoad()
 	stopLoad := runInBackground(load, clients.Run)
--- a/cmd/pumiceline/try_monitor.go
+++ b/cmd/pumiceline/try_monitor.go
@@ -46,7 +46,8 @@
 	drawn   int     // lines of the last table
 }
 
-func newTryMonitor(duration time.Duration, fakes *fakestandalone.Environment, clients *fakestandalone.LoadGenerator, out output) *tryMonitor {
+func newTryMonitor(duration time.Duration, fakes *fakestandalone.Environment, clients *fakestandalone.LoadGenerator,
+	out output) *tryMonitor {
 	file, _ := out.Writer.(*os.File)
 	return &tryMonitor{duration: duration, fakes: fakes, clients: clients, out: out,
 		terminal: file != nil && term.IsTerminal(int(file.Fd())),
--- a/internal/standalone/deployfile/fleet.go
+++ b/internal/standalone/deployfile/fleet.go
@@ -56,7 +56,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("fleet: %w", err)
 	}
-	file := fleetFile{LeaseDuration: defaultLeaseDuration, MaxClockDrift: defaultMaxClockDrift, PenaltyBackoff: defaultPenaltyBackoff}
+	file := fleetFile{
+		LeaseDuration:  defaultLeaseDuration,
+		MaxClockDrift:  defaultMaxClockDrift,
+		PenaltyBackoff: defaultPenaltyBackoff,
+	}
 	if err := tomlfile.Decode(path, text, &file); err != nil {
 		return nil, err
 	}
@@ -70,7 +74,7 @@
 // isFleetDuration reports whether a key's value is a duration.
 func isFleetDuration(key string) bool { return key == "lease" || key == "damp" }
 
-// fleet checks the file and returns what it says.
+// fleet checks the file and returns its content.
 func (f *fleetFile) fleet(keys keyLocator) (*Fleet, error) {
 	fleet := &Fleet{
 		Name: f.Name,
--- a/internal/standalone/discovery/maintenance_test.go
+++ b/internal/standalone/discovery/maintenance_test.go
@@ -92,7 +92,8 @@
 		t.Error("enabled without a new start time")
 	}
 	// Discovery may list it again with the old start time, which must not make it warm.
-	if err := w.apply([]byte(updateJSON(5, false, entryJSON("s-1", "SERVING"))), false); err != nil || l.members[w.decoder.id("s-1")].StartedAt != enabledAt {
+	err := w.apply([]byte(updateJSON(5, false, entryJSON("s-1", "SERVING"))), false)
+	if err != nil || l.members[w.decoder.id("s-1")].StartedAt != enabledAt {
 		t.Error("the list made it warm")
 	}
 	if err := w.Disable("s-1"); err != nil {
--- a/internal/standalone/discovery/resubscribe_test.go
+++ b/internal/standalone/discovery/resubscribe_test.go
@@ -17,13 +17,15 @@
 // startPolicy runs the policy of one of a group of proxies, which decides when to watch, until the test ends.
 func startPolicy(t *testing.T, w *Watcher, groupSize int, seed uint64) Policy {
 	t.Helper()
-	set := policy.Settings{Classes: []policy.Class{{ClientTimeout: 1e6, LatencyTarget: 1e6, Value: 1}}, SubscribeDiscovery: true, GroupSize: groupSize}
+	set := policy.Settings{Classes: []policy.Class{{ClientTimeout: 1e6, LatencyTarget: 1e6, Value: 1}}, SubscribeDiscovery: true,
+		GroupSize: groupSize}
 	set.Rules.SubscribeWithin = 10e6
 	balancer, err := policy.New(set, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := engine.New(balancer, engine.Hooks{SubscribeDiscovery: w.RestartWatch, CloseIdleConns: func(uint32) {}}, slog.New(slog.DiscardHandler))
+	hooks := engine.Hooks{SubscribeDiscovery: w.RestartWatch, CloseIdleConns: func(uint32) {}}
+	p := engine.New(balancer, hooks, slog.New(slog.DiscardHandler))
 	go p.Run(t.Context())
 	return p
 }
@@ -39,7 +41,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				var last, again time.Time
 				calls := 0
-				startWatcherFor(t, &recorder{}, func(w *Watcher) Policy { return startPolicy(t, w, group, seed) }, "", func(_ string, conn net.Conn) {
+				newPolicy := func(w *Watcher) Policy { return startPolicy(t, w, group, seed) }
+				startWatcherFor(t, &recorder{}, newPolicy, "", func(_ string, conn net.Conn) {
 					if calls++; calls == 2 {
 						again = time.Now()
 					}
@@ -72,7 +75,8 @@
 			var moved, again time.Time
 			var calls atomic.Int32
 			cutOff := int32(seed % 2)
-			w := startWatcherFor(t, &recorder{}, func(w *Watcher) Policy { return startPolicy(t, w, 300, seed) }, "", func(target string, conn net.Conn) {
+			newPolicy := func(w *Watcher) Policy { return startPolicy(t, w, 300, seed) }
+			w := startWatcherFor(t, &recorder{}, newPolicy, "", func(target string, conn net.Conn) {
 				if !strings.HasPrefix(target, "127.0.0.2") {
 					io.WriteString(conn, responseHead)
 					sendLine(conn, "")
--- a/internal/standalone/discovery/stored_test.go
+++ b/internal/standalone/discovery/stored_test.go
@@ -10,8 +10,8 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// The folder holds what a process of an earlier version, of the proxy "n0", stored of disabled and enabled backends. Its successor
-// finds the file by its name, applies it, and writes its own state under the same name and keys.
+// The folder holds what a process of an earlier version, of the proxy "n0", stored of disabled and enabled backends. Its
+// successor finds the file by its name, applies it, and writes its own state under the same name and keys.
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/folder")); err != nil {
--- a/internal/standalone/discovery/watcher_test.go
+++ b/internal/standalone/discovery/watcher_test.go
@@ -263,7 +263,8 @@
 			r.expect(t, `"127.1.0.1:7070" true`, "cached 1", "delta 0", "failed 0")
 			w.RestartWatch()
 			synctest.Wait()
-			if first, second := <-targets, <-targets; first != "/v1/endpoints?stream=1&index=41" || second != "/v1/endpoints?stream=1&index=0" {
+			first, second := <-targets, <-targets
+			if first != "/v1/endpoints?stream=1&index=41" || second != "/v1/endpoints?stream=1&index=0" {
 				t.Errorf("%s: requested %s, then %s", bad, first, second)
 			}
 		})
@@ -280,7 +281,8 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			var r recorder
-			w := startWatcher(t, &r, updateJSON(41, true, entryJSON("s-1", "SERVING"), entryJSON("s-2", "SERVING")), func(_ string, conn net.Conn) {
+			cached := updateJSON(41, true, entryJSON("s-1", "SERVING"), entryJSON("s-2", "SERVING"))
+			w := startWatcher(t, &r, cached, func(_ string, conn net.Conn) {
 				io.WriteString(conn, responseHead)
 				sendLine(conn, updateJSON(42, false, bad, strings.ReplaceAll(bad, "s-1", "s-3")))
 				sendLine(conn, updateJSON(43, false, entryJSON("s-1", "SERVING")))
--- a/internal/standalone/discoverycache/cache.go
+++ b/internal/standalone/discoverycache/cache.go
@@ -1,6 +1,6 @@
 // Package discoverycache keeps a copy of the endpoint list at each instance of a fleet, so that one of them watches discovery
 // for all. Proxies watch their cache as they would watch discovery. The holder of the fleet's discovery lease follows discovery,
-// the other caches follow the holder; one that hears nothing from a holder follows discovery itself until there is one again.
+// the other caches follow the holder; one that receives nothing from a holder follows discovery itself until there is one again.
 package discoverycache
 
 import (
--- a/internal/standalone/discoverycache/cache_test.go
+++ b/internal/standalone/discoverycache/cache_test.go
@@ -15,10 +15,11 @@
 	"pumiceline/internal/standalone/discovery"
 )
 
-// Of twenty caches only the lease holder watches discovery, and a drain reaches all of them soon. Without a holder each falls back to
-// discovery, not all at once. A new holder is followed again, and the old one, which still takes itself for the holder, is not.
+// Of twenty caches only the lease holder watches discovery, and a drain reaches all of them soon. Without a holder each falls
+// back to discovery, not all at once. A new holder is followed again, and the old one, which still takes itself for the holder,
+// is not.
 func TestCache_FollowsLeaseHolder(t *testing.T) {
-	roster := fakestandalone.NewDiscovery(newEntry(1, "SERVING"), newEntry(2, "SERVING"))
+	source := fakestandalone.NewDiscovery(newEntry(1, "SERVING"), newEntry(2, "SERVING"))
 	var mu sync.Mutex
 	var calls []time.Time
 	serve := func(h http.Handler) (addr string) {
@@ -36,7 +37,7 @@
 		mu.Lock()
 		calls = append(calls, time.Now())
 		mu.Unlock()
-		roster.ServeHTTP(w, r)
+		source.ServeHTTP(w, r)
 	}))
 	const n, spread = 20, time.Second
 	addrs, caches := make([]string, n), make([]*Cache, n)
@@ -102,7 +103,7 @@
 		t.Errorf("%d watches of discovery for %d caches", len(calls), n)
 	}
 	mu.Unlock()
-	roster.Put(newEntry(1, "DRAINING"))
+	source.Put(newEntry(1, "DRAINING"))
 	t.Logf("the drain reached all %d caches after %v", n, awaitAll("the drain", lists("s-1", "DRAINING")))
 
 	mu.Lock()
@@ -110,7 +111,7 @@
 	lost := time.Now()
 	mu.Unlock()
 	awaitAll("fallback to discovery", func(i int) bool { return caches[i].FollowsDiscovery() })
-	roster.Put(newEntry(2, "DELETED"))
+	source.Put(newEntry(2, "DELETED"))
 	awaitAll("a change without holder", lists("s-2", "DELETED"))
 	mu.Lock()
 	latest := calls[len(calls)-1].Sub(lost)
@@ -121,7 +122,7 @@
 	holder, token, ownBelief[0], calls = 7, 2, 1, nil // the first holder still takes itself for the holder
 	mu.Unlock()
 	awaitAll("a new holder", func(i int) bool { return i == 7 || i == 0 || !caches[i].FollowsDiscovery() })
-	roster.Put(newEntry(3, "SERVING"))
+	source.Put(newEntry(3, "SERVING"))
 	awaitAll("a change through the new holder", lists("s-3", "SERVING"))
 	mu.Lock()
 	defer mu.Unlock()
--- a/internal/standalone/discoverycache/stored_test.go
+++ b/internal/standalone/discoverycache/stored_test.go
@@ -26,8 +26,8 @@
 		t.Fatal(err)
 	}
 	want := []holderUpdate{
-		{Update: discovery.Update{Version: 1_700_000_000_000_002, Complete: true, Entries: []json.RawMessage{json.RawMessage(entryServing)}}, DiscoveryVersion: 41},
-		{Update: discovery.Update{Version: 1_700_000_000_000_003, Entries: []json.RawMessage{json.RawMessage(entryDeleted)}}, DiscoveryVersion: 42},
+		{discovery.Update{Version: 1_700_000_000_000_002, Complete: true, Entries: []json.RawMessage{[]byte(entryServing)}}, 41},
+		{discovery.Update{Version: 1_700_000_000_000_003, Entries: []json.RawMessage{[]byte(entryDeleted)}}, 42},
 	}
 	lines := bytes.Split(bytes.TrimSpace(text), []byte("\n"))
 	if len(lines) != len(want) {
@@ -58,7 +58,7 @@
 		want             discovery.Update
 		discoveryVersion uint64
 	}{
-		{"complete list", append(first, '\n'), discovery.Update{Complete: true, Entries: []json.RawMessage{json.RawMessage(entryServing)}}, 41},
+		{"complete list", append(first, '\n'), discovery.Update{Complete: true, Entries: []json.RawMessage{[]byte(entryServing)}}, 41},
 		{"list and change", append(append(first, '\n'), second...), discovery.Update{Complete: true, Entries: []json.RawMessage{}}, 42},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/standalone/hotrestart/learned_state_test.go
+++ b/internal/standalone/hotrestart/learned_state_test.go
@@ -79,11 +79,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	head, body, whole := strings.Cut(string(written), "\n")
+	head, body, hasHead := strings.Cut(string(written), "\n")
 	var l struct {
 		At policy.Time `json:"At"`
 	}
-	if err := json.Unmarshal([]byte(body), &l); err != nil || !whole || head != "pumiceline learnt 1" || l.At < now {
+	if err := json.Unmarshal([]byte(body), &l); err != nil || !hasHead || head != "pumiceline learnt 1" || l.At < now {
 		t.Fatalf("%q, %v, %+v", head, err, l)
 	}
 	if want := recent(stored, l.At); string(written) != string(want) {
--- a/internal/standalone/hotrestart/stored_test.go
+++ b/internal/standalone/hotrestart/stored_test.go
@@ -25,8 +25,8 @@
 	return dir
 }
 
-// hold locks a stored presence file as its living process would.
-func hold(t *testing.T, path string) {
+// lockFile locks a stored presence file as its live process would.
+func lockFile(t *testing.T, path string) {
 	t.Helper()
 	f, err := os.Open(path)
 	if err != nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// Presence files of a process of an earlier version are found by their names, told from those of a dead one by their locks, and read field by
-// field.
+// Presence files of processes of an earlier version are found by their names, distinguished from stale ones by their locks, and
+// read field by field.
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
 		name, file string
@@ -51,7 +51,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := storedFolder(t)
-			hold(t, filepath.Join(dir, storedPrefix+c.file))
+			lockFile(t, filepath.Join(dir, storedPrefix+c.file))
 			p, err := NewSharedFolder(dir, storedIdentity).Join()
 			if err != nil {
 				t.Fatal(err)
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -1,5 +1,5 @@
-// Package server is the standalone proxy as a whole: it creates the parts from a configuration, connects them, and runs them
-// until it is stopped.
+// Package server assembles the standalone proxy: it creates the parts from a configuration, connects them, and runs them until
+// it is stopped.
 package server
 
 import (
@@ -154,7 +154,11 @@
 // createRequestPath creates what a request passes through: the listener, the transport and the engine of the policy.
 func (s *server) createRequestPath(balancer *policy.Balancer) {
 	s.loadPoller = forwarder.NewLoadPoller(s.backends, s.log)
-	hooks := engine.Hooks{SubscribeDiscovery: s.watcher.RestartWatch, CloseIdleConns: s.backends.CloseIdle, PollLoad: s.loadPoller.Poll}
+	hooks := engine.Hooks{
+		SubscribeDiscovery: s.watcher.RestartWatch,
+		CloseIdleConns:     s.backends.CloseIdle,
+		PollLoad:           s.loadPoller.Poll,
+	}
 	s.engine = engine.New(balancer, hooks, s.log)
 	s.loadPoller.SetEngine(s.engine)
 	s.transport = &forwarder.Transport{Engine: s.engine, Backends: s.backends, Log: s.log}
--- a/internal/standalone/server/server_test.go
+++ b/internal/standalone/server/server_test.go
@@ -58,7 +58,8 @@
 	received, proceed := make(chan struct{}, 9), make(chan struct{})
 	fakes, endFakes := context.WithCancel(context.Background())
 	defer endFakes()
-	go fakestandalone.NewEnvironment(discovery, []net.Listener{listen(t, fakesHost), listen(t, fakesHost)}, []string{"ub-east"}, func() {
+	backends := []net.Listener{listen(t, fakesHost), listen(t, fakesHost)}
+	go fakestandalone.NewEnvironment(discovery, backends, []string{"ub-east"}, func() {
 		received <- struct{}{}
 		<-proceed
 	}).Serve(fakes)
