--- a/cmd/pumicectl/simulate.go
+++ b/cmd/pumicectl/simulate.go
@@ -36,7 +36,7 @@
 		ShortHelp: "run coordinators over a simulated network, disks and clocks, and check the invariants",
 		Exec: func(ctx context.Context, _ []string) error {
 			if *pauses {
-				return printPauses(simulation.MeasureRecovery(*members, *tolerance, *seeds))
+				return printRecoveryTimes(simulation.MeasureRecovery(*members, *tolerance, *seeds))
 			}
 			shape := simulation.Options{
 				Members: *members, Tolerance: *tolerance, Diskless: *volatile, FaultPhase: *length, BeyondTolerance: *wild,
@@ -55,8 +55,8 @@
 	}
 }
 
-// printPauses prints how long each kind of fault interrupts acknowledgements.
-func printPauses(pauses []simulation.RecoveryTime) error {
+// printRecoveryTimes prints how long each kind of fault interrupts acknowledgements.
+func printRecoveryTimes(pauses []simulation.RecoveryTime) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "LOSS\tPAUSE MEDIAN\tLONGEST\tPUT TO ACKNOWLEDGEMENT P50\tP99")
 	for _, p := range pauses {
--- a/internal/controlplane/coordinator/api.go
+++ b/internal/controlplane/coordinator/api.go
@@ -85,7 +85,7 @@
 	resubmit := time.NewTicker(resubmitInterval)
 	defer resubmit.Stop()
 	for {
-		a.deliver(request)
+		a.enqueue(request)
 		select {
 		case result := <-results:
 			return result, nil
@@ -98,8 +98,8 @@
 	}
 }
 
-// deliver queues the request for the replica as a message from itself.
-func (a *operatorAPI) deliver(request *message.ConfigRequest) {
+// enqueue queues the request for the replica as a message from itself.
+func (a *operatorAPI) enqueue(request *message.ConfigRequest) {
 	self := a.loop.self
 	m := &message.Message{From: self.Identity, FromAddress: self.Address, To: self.Identity, ConfigRequest: request}
 	if s := a.loop.snapshot.Load(); s != nil {
--- a/internal/controlplane/coordinator/backends.go
+++ b/internal/controlplane/coordinator/backends.go
@@ -46,7 +46,7 @@
 	if c.table == nil {
 		return
 	}
-	discoveryLag := c.settings.Platform.MaxLag + holderPollInterval
+	discoveryLag := c.settings.Platform.MaxLag + leaseHolderPollInterval
 	merged := &discovery.Table{ObservedAt: c.table.ObservedAt}
 	for _, backend := range c.table.Backends {
 		seen, ok := c.observed[backend.ID]
--- a/internal/controlplane/coordinator/backends_test.go
+++ b/internal/controlplane/coordinator/backends_test.go
@@ -28,7 +28,7 @@
 	c.onBackendsRead(listed(seen), nil)
 	c.onModelsObserved("b", []message.LoadedModel{{Name: "m"}}, seen)
 
-	behind := listed(seen.Add(maxLag + holderPollInterval))
+	behind := listed(seen.Add(maxLag + leaseHolderPollInterval))
 	c.onBackendsRead(behind, nil)
 	require.Len(t, hub.Table().Backends, 1)
 	assert.True(t, hub.Table().Backends[0].Holds("m"), "discovery may be behind")
--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -20,15 +20,15 @@
 	controllerTick   = 100 * time.Millisecond
 	eventQueueLength = 64
 
-	// holderPollInterval is how often the lease holder polls discovery.
-	holderPollInterval = 400 * time.Millisecond
+	// leaseHolderPollInterval is how often the lease holder polls discovery.
+	leaseHolderPollInterval = 400 * time.Millisecond
 	// backendsStaleAfter is how old the lease holder's backends may be until another member polls discovery itself, every
 	// memberPollInterval.
 	backendsStaleAfter = 1300 * time.Millisecond
 	memberPollInterval = 1 * time.Second
 
-	// holderPollWait is how long the lease holder may keep a poll of another member open.
-	holderPollWait = 400 * time.Millisecond
+	// leaseHolderPollWait is how long the lease holder may keep a poll of another member open.
+	leaseHolderPollWait = 400 * time.Millisecond
 	// failedTaskBackoff is how long a backend whose task failed gets no other one.
 	failedTaskBackoff = 1500 * time.Millisecond
 )
@@ -73,7 +73,7 @@
 
 // run works until ctx ends.
 func (c *controller) run(ctx context.Context) {
-	poller := distribution.NewPoller(c.loop.self.Identity, &leaseHolderSubscriber{loop: c.loop}, holderPollWait)
+	poller := distribution.NewPoller(c.loop.self.Identity, &leaseHolderSubscriber{loop: c.loop}, leaseHolderPollWait)
 	go poller.Run(ctx)
 	urgent := make(chan struct{}, 1)
 	c.loop.hub.SetOnUnmetDemand(func() {
@@ -122,7 +122,7 @@
 	if c.leaseToken != s.leaseToken {
 		c.onLeaseAcquired(s)
 	}
-	c.pollBackends(ctx, now, holderPollInterval)
+	c.pollBackends(ctx, now, leaseHolderPollInterval)
 	c.loop.hub.UseOwnTotals(c.pendingLoads(now))
 	if now.Sub(s.leaseStart) >= c.handoverDelay() {
 		c.placeModels(ctx, now)
--- a/internal/controlplane/coordinator/replica_loop.go
+++ b/internal/controlplane/coordinator/replica_loop.go
@@ -110,7 +110,7 @@
 
 // applyOutput carries out what a step asked for. Messages from the replica to itself are steps of their own.
 func (l *replicaLoop) applyOutput(out replica.Output) {
-	local := l.send(out.Immediate)
+	local := l.route(out.Immediate)
 	if out.Control != nil || out.Chain != nil || len(out.AfterSync) > 0 {
 		l.writer.enqueue(out)
 	}
@@ -119,8 +119,8 @@
 	}
 }
 
-// send sends messages to other processes and returns those for this replica.
-func (l *replicaLoop) send(messages []message.Message) []*message.Message {
+// route sends messages to other processes and returns those for this replica.
+func (l *replicaLoop) route(messages []message.Message) []*message.Message {
 	var local []*message.Message
 	for i := range messages {
 		m := &messages[i]
@@ -138,7 +138,7 @@
 
 // onSynced sends the messages whose records are on disk. The state writer calls it from its goroutine.
 func (l *replicaLoop) onSynced(messages []message.Message) {
-	for _, m := range l.send(messages) {
+	for _, m := range l.route(messages) {
 		l.inbox <- m
 	}
 }
@@ -151,7 +151,7 @@
 		l.hub.SetConfig(message.ConfigUpdate{Sequence: committed.Sequence, Document: committed.Document})
 	}
 	l.snapshot.Store(s)
-	l.hub.SetStatus(distribution.Status{ServesUntil: s.servingUntil, Members: s.view.Members})
+	l.hub.SetStatus(distribution.Status{ServingUntil: s.servingUntil, Members: s.view.Members})
 	l.logNewView(s)
 }
 
--- a/internal/controlplane/coordinator/state_writer.go
+++ b/internal/controlplane/coordinator/state_writer.go
@@ -14,8 +14,8 @@
 
 const (
 	writeRetryDelay = 50 * time.Millisecond
-	// writeStallAfter is how long a write may take until the disk counts as stalled and the member leaves the chain.
-	writeStallAfter = 600 * time.Millisecond
+	// diskStallThreshold is how long a write may take until the disk counts as stalled and the member leaves the chain.
+	diskStallThreshold = 600 * time.Millisecond
 	// maxAppendedChanges is how many changes are appended until the chain state is written in full again. It bounds how
 	// much a start has to read.
 	maxAppendedChanges = 256
@@ -57,7 +57,7 @@
 // isStalled reports whether the present write takes too long. Any goroutine may call it.
 func (w *stateWriter) isStalled() bool {
 	since := w.busySince.Load()
-	return since != 0 && time.Since(w.started)-time.Duration(since) > writeStallAfter
+	return since != 0 && time.Since(w.started)-time.Duration(since) > diskStallThreshold
 }
 
 // run writes until the process ends.
--- a/internal/controlplane/distribution/config_copy.go
+++ b/internal/controlplane/distribution/config_copy.go
@@ -7,8 +7,8 @@
 	"pumiceline/internal/message"
 )
 
-// maxDocumentBytes bounds the document that a delta may expand to. No valid configuration is larger.
-const maxDocumentBytes = 16 << 20
+// maxExpandedBytes bounds the document that a delta may expand to. No valid configuration is larger.
+const maxExpandedBytes = 16 << 20
 
 // ConfigCopy is a subscriber's copy of the committed configuration. Its sequence never decreases. The zero value is
 // empty. It is not safe for concurrent use.
@@ -37,7 +37,7 @@
 	}
 	document = update.Document
 	if len(update.Delta) > 0 {
-		expanded, err := delta.Apply(c.document, update.Delta, maxDocumentBytes)
+		expanded, err := delta.Apply(c.document, update.Delta, maxExpandedBytes)
 		if update.Base != c.sequence || err != nil || !bytes.Equal(documentDigest(expanded), update.Digest) {
 			c.needsFull = true
 			return nil, false
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -24,10 +24,10 @@
 
 // Status is a coordinator's part in the cluster, as far as its hub needs it.
 type Status struct {
-	// ServesUntil is when the member stops serving unless a majority of the voters confirms its view again before. The
+	// ServingUntil is when the member stops serving unless a majority of the voters confirms its view again before. The
 	// hub compares it with the time of each response, so that a process that was paused sends nothing outdated.
-	ServesUntil time.Time
-	Members     []message.Member
+	ServingUntil time.Time
+	Members      []message.Member
 }
 
 // Hub is the long-poll server of a coordinator. One goroutine, Run, owns its state and works through a queue of commands;
@@ -41,13 +41,13 @@
 
 // state is owned by the goroutine that runs Hub.Run.
 type state struct {
-	config        configHistory
-	backends      backendHistory
-	subscriptions *subscriptionTable
-	pending       []pendingPoll
-	totals        clusterTotals
-	inFlight      *inflight.Table
-	holders       holderIndex
+	config          configHistory
+	backends        backendHistory
+	subscriptions   *subscriptionTable
+	pending         []pendingPoll
+	totals          clusterTotals
+	inFlight        *inflight.Table
+	backendsByModel modelIndex
 }
 
 // NewHub makes a hub; Run must be called once.
@@ -119,17 +119,17 @@
 
 // Table returns the newest list of backends, nil before the first.
 func (h *Hub) Table() *discovery.Table {
-	return query(h, func(s *state) *discovery.Table { return s.backends.newest })
+	return readState(h, func(s *state) *discovery.Table { return s.backends.newest })
 }
 
 // Proxies returns how many proxies there are, as far as is known here.
 func (h *Hub) Proxies() int {
-	return query(h, func(s *state) int { return s.countProxies(time.Now()) })
+	return readState(h, func(s *state) int { return s.countProxies(time.Now()) })
 }
 
 // CollectDemand returns what the subscribers reported. Arrivals and rejections are counted since the last call.
 func (h *Hub) CollectDemand() ReportedDemand {
-	return query(h, func(s *state) ReportedDemand {
+	return readState(h, func(s *state) ReportedDemand {
 		now := time.Now()
 		return ReportedDemand{
 			Models: s.subscriptions.drainDemand(now), Loads: s.subscriptions.sumLoads(now),
@@ -138,8 +138,8 @@
 	})
 }
 
-// query runs a question in the hub's goroutine and waits for its answer.
-func query[T any](h *Hub, ask func(*state) T) T {
+// readState runs a question in the hub's goroutine and waits for its answer.
+func readState[T any](h *Hub, ask func(*state) T) T {
 	answer := make(chan T, 1)
 	h.commands <- func(s *state) { answer <- ask(s) }
 	return <-answer
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -20,7 +20,7 @@
 	hub := NewHub()
 	status := Status{Members: []message.Member{{Address: "m"}}}
 	if available {
-		status.ServesUntil = time.Now().Add(time.Hour)
+		status.ServingUntil = time.Now().Add(time.Hour)
 	}
 	hub.SetStatus(status)
 	go hub.Run(ctx)
@@ -72,7 +72,7 @@
 	hub := newTestHub(t, true)
 	hub.SetConfig(message.ConfigUpdate{Sequence: 1})
 	assert.NotNil(t, poll(t, hub, "p", message.PollRequest{}).Config)
-	hub.SetStatus(Status{ServesUntil: time.Now().Add(-time.Millisecond)})
+	hub.SetStatus(Status{ServingUntil: time.Now().Add(-time.Millisecond)})
 	response := poll(t, hub, "p", message.PollRequest{})
 	assert.True(t, response.Unavailable)
 	assert.Nil(t, response.Config)
--- a/internal/controlplane/distribution/inflight/delta.go
+++ b/internal/controlplane/distribution/inflight/delta.go
@@ -9,9 +9,9 @@
 // A backend's load is sent again only when it differs by at least this from what the receiver has. Smaller changes are
 // frequent, and hardly ever change which backend is chosen.
 const (
-	minRunningChange      = 2    // requests, and
-	minRunningChangeShare = 0.15 // as a share of the running requests that were sent last
-	minQueuedChangeMs     = 60   // milliseconds of prompts
+	minRunningChange         = 2    // requests, and
+	minRunningChangeShare    = 0.15 // as a share of the running requests that were sent last
+	minQueuedPrefillChangeMs = 60   // milliseconds of prompts
 )
 
 // Delta is what a receiver needs to bring its copy of the total loads up to date.
@@ -69,7 +69,7 @@
 	if running >= minRunningChange && float64(running) >= minRunningChangeShare*float64(last.Running) {
 		return true
 	}
-	return abs(last.Queued-current.Queued) >= minQueuedChangeMs
+	return abs(last.QueuedPrefillMs-current.QueuedPrefillMs) >= minQueuedPrefillChangeMs
 }
 
 func abs(x int) int { return max(x, -x) }
@@ -90,7 +90,7 @@
 	}
 	for _, load := range delta.Loads {
 		d.loads[load.Backend] = load
-		if load.Running == 0 && load.Queued == 0 {
+		if load.Running == 0 && load.QueuedPrefillMs == 0 {
 			delete(d.loads, load.Backend)
 		}
 	}
--- a/internal/controlplane/distribution/inflight/table.go
+++ b/internal/controlplane/distribution/inflight/table.go
@@ -23,9 +23,9 @@
 }
 
 type entry struct {
-	running    int
-	queuedMs   int
-	reportedAt time.Time
+	running         int
+	queuedPrefillMs int
+	reportedAt      time.Time
 }
 
 // NewTable makes an empty table.
@@ -39,7 +39,7 @@
 		}
 	}
 	for _, load := range loads {
-		if load.Running <= 0 && load.Queued <= 0 {
+		if load.Running <= 0 && load.QueuedPrefillMs <= 0 {
 			t.remove(load.Backend, reporter)
 			continue
 		}
@@ -48,7 +48,7 @@
 			reporters = map[string]entry{}
 			t.entries[load.Backend] = reporters
 		}
-		reporters[reporter] = entry{running: load.Running, queuedMs: load.Queued, reportedAt: now}
+		reporters[reporter] = entry{running: load.Running, queuedPrefillMs: load.QueuedPrefillMs, reportedAt: now}
 	}
 }
 
@@ -69,7 +69,7 @@
 			t.remove(backend, other)
 		case other != reporter:
 			sum.Running += entry.running
-			sum.Queued += entry.queuedMs
+			sum.QueuedPrefillMs += entry.queuedPrefillMs
 		}
 	}
 	return sum
--- a/internal/controlplane/distribution/inflight/table_test.go
+++ b/internal/controlplane/distribution/inflight/table_test.go
@@ -10,7 +10,7 @@
 )
 
 func load(backend message.BackendID, running, queued int) message.BackendLoad {
-	return message.BackendLoad{Backend: backend, Running: running, Queued: queued}
+	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queued}
 }
 
 func TestTable_SumsOtherReporters(t *testing.T) {
--- a/internal/controlplane/distribution/load_query.go
+++ b/internal/controlplane/distribution/load_query.go
@@ -28,31 +28,31 @@
 		response.Unknown = true
 		return response
 	}
-	for _, backend := range s.holders.holdersOf(s.backends.newest, modelKey{report.Service, report.Model}) {
-		if load := s.inFlight.SumOthers(backend, proxy, now); load.Running > 0 || load.Queued > 0 {
+	for _, backend := range s.backendsByModel.backendsWith(s.backends.newest, modelKey{report.Service, report.Model}) {
+		if load := s.inFlight.SumOthers(backend, proxy, now); load.Running > 0 || load.QueuedPrefillMs > 0 {
 			response.Loads = append(response.Loads, load)
 		}
 	}
 	return response
 }
 
-// holderIndex finds the backends that hold a model or an adapter. It is rebuilt for each list of backends.
-type holderIndex struct {
-	table   *discovery.Table // that the index was built from
-	holders map[modelKey][]message.BackendID
+// modelIndex finds the backends that hold a model or an adapter. It is rebuilt for each list of backends.
+type modelIndex struct {
+	table    *discovery.Table // that the index was built from
+	backends map[modelKey][]message.BackendID
 }
 
-func (x *holderIndex) holdersOf(table *discovery.Table, key modelKey) []message.BackendID {
+func (x *modelIndex) backendsWith(table *discovery.Table, key modelKey) []message.BackendID {
 	if x.table != table {
-		x.table, x.holders = table, map[modelKey][]message.BackendID{}
+		x.table, x.backends = table, map[modelKey][]message.BackendID{}
 		for i := range table.Backends {
 			x.addBackend(&table.Backends[i])
 		}
 	}
-	return x.holders[key]
+	return x.backends[key]
 }
 
-func (x *holderIndex) addBackend(backend *message.Backend) {
+func (x *modelIndex) addBackend(backend *message.Backend) {
 	for _, model := range backend.Models {
 		x.add(modelKey{backend.Service, model.Name}, backend.ID)
 		for _, adapter := range model.Adapters {
@@ -61,6 +61,6 @@
 	}
 }
 
-func (x *holderIndex) add(key modelKey, backend message.BackendID) {
-	x.holders[key] = append(x.holders[key], backend)
+func (x *modelIndex) add(key modelKey, backend message.BackendID) {
+	x.backends[key] = append(x.backends[key], backend)
 }
--- a/internal/controlplane/distribution/load_query_test.go
+++ b/internal/controlplane/distribution/load_query_test.go
@@ -12,7 +12,7 @@
 )
 
 func load(backend message.BackendID, running, queued int) message.BackendLoad {
-	return message.BackendLoad{Backend: backend, Running: running, Queued: queued}
+	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queued}
 }
 
 // It queries a model, an adapter and a model that no backend holds.
--- a/internal/controlplane/distribution/poll.go
+++ b/internal/controlplane/distribution/poll.go
@@ -66,7 +66,7 @@
 func (h *Hub) tryAnswer(s *state, poll *pendingPoll, now time.Time) bool {
 	status := h.status.Load()
 	waited := now.Sub(poll.receivedAt)
-	if !now.Before(status.ServesUntil) {
+	if !now.Before(status.ServingUntil) {
 		if waited < unavailableWait && waited < poll.maxWait() {
 			return false
 		}
--- a/internal/controlplane/distribution/subscriptions.go
+++ b/internal/controlplane/distribution/subscriptions.go
@@ -97,7 +97,7 @@
 			sum := sums[load.Backend]
 			sum.Backend = load.Backend
 			sum.Running += load.Running
-			sum.Queued += load.Queued
+			sum.QueuedPrefillMs += load.QueuedPrefillMs
 			sums[load.Backend] = sum
 		}
 	}
--- a/internal/controlplane/placement/executor/execution.go
+++ b/internal/controlplane/placement/executor/execution.go
@@ -55,27 +55,27 @@
 	return backend.Holds(name)
 }
 
-// poll is how a report is polled for.
-type poll struct {
-	minCommands uint64 // the report must know of
-	interval    time.Duration
-	timeout     time.Duration
+// pollOptions is how a report is polled for.
+type pollOptions struct {
+	minCommandCount uint64 // the report must know of
+	interval        time.Duration
+	timeout         time.Duration
 }
 
 // awaitIdle polls until no command is under way and the report knows of that many commands.
 func (x *execution) awaitIdle(ctx context.Context, minCommands uint64) error {
-	return x.pollIdle(ctx, poll{minCommands: minCommands, interval: idlePollInterval, timeout: idleTimeout})
+	return x.pollIdle(ctx, pollOptions{minCommandCount: minCommands, interval: idlePollInterval, timeout: idleTimeout})
 }
 
 // pollIdle polls until the backend is idle and takes over what it reports, or returns errNotIdle.
-func (x *execution) pollIdle(ctx context.Context, p poll) error {
+func (x *execution) pollIdle(ctx context.Context, p pollOptions) error {
 	deadline := time.Now().Add(p.timeout)
 	for time.Now().Before(deadline) {
 		report, err := x.Client.FetchReport(ctx, x.task.Backend)
 		if err != nil {
 			return err
 		}
-		if !report.IsExecuting && report.CommandCount >= p.minCommands {
+		if !report.IsExecuting && report.CommandCount >= p.minCommandCount {
 			x.models, x.commandCount = report.Models, report.CommandCount
 			return nil
 		}
@@ -156,7 +156,7 @@
 	if err := x.sleep(ctx, unloadPollInterval); err != nil {
 		return err
 	}
-	p := poll{minCommands: x.commandCount, interval: unloadPollInterval, timeout: unloadTimeout}
+	p := pollOptions{minCommandCount: x.commandCount, interval: unloadPollInterval, timeout: unloadTimeout}
 	if err := x.pollIdle(ctx, p); err != nil {
 		return errors.Wrapf(err, "unload %s", model)
 	}
@@ -179,7 +179,7 @@
 			return err
 		}
 	}
-	p := poll{minCommands: x.commandCount, interval: loadPollInterval, timeout: loadTimeout + x.task.LoadTime}
+	p := pollOptions{minCommandCount: x.commandCount, interval: loadPollInterval, timeout: loadTimeout + x.task.LoadTime}
 	if err := x.pollIdle(ctx, p); err != nil {
 		return errors.Wrapf(err, "load %s", model)
 	}
--- a/internal/controlplane/placement/planner/adapter_placement.go
+++ b/internal/controlplane/placement/planner/adapter_placement.go
@@ -79,9 +79,9 @@
 		if model.Adapters == 0 || p.replicas[model.Name] == 0 {
 			continue
 		}
-		copies := p.adapterCopies(model.Name)
+		copies := p.adapterReplicas(model.Name)
 		for _, demand := range p.rankAdapters(model) {
-			if copies[demand.adapter] < p.targetCopies(model, demand) {
+			if copies[demand.adapter] < p.targetAdapterReplicas(model, demand) {
 				demands = append(demands, demand)
 			}
 		}
@@ -90,12 +90,12 @@
 	return demands
 }
 
-// targetCopies is how many copies of an adapter there should be: one of each adapter that is requested or whose model is
+// targetAdapterReplicas is how many copies of an adapter there should be: one of each adapter that is requested or whose model is
 // busy. A busy adapter gets one at each holder of its model while the adapter slots there suffice for all the model's
 // adapters:
 //
 //	min(holders, holders * adapter slots / adapters), at least 1
-func (p *servicePlan) targetCopies(model configuration.Model, demand adapterDemand) int {
+func (p *servicePlan) targetAdapterReplicas(model configuration.Model, demand adapterDemand) int {
 	if p.targets[model.Name] <= 1 && !demand.isRequested {
 		return 0
 	}
@@ -138,7 +138,7 @@
 			slots -= len(kept.Adapters)
 		}
 	}
-	copies := p.adapterCopies(model.Name)
+	copies := p.adapterReplicas(model.Name)
 	ranked := p.rankAdapters(model)
 	sort.SliceStable(ranked, func(i, j int) bool { return copies[ranked[i].adapter] < copies[ranked[j].adapter] })
 	var names []message.ModelName
@@ -148,8 +148,8 @@
 	return names
 }
 
-// adapterCopies counts the copies of a model's adapters.
-func (p *servicePlan) adapterCopies(model message.ModelName) map[string]int {
+// adapterReplicas counts the copies of a model's adapters.
+func (p *servicePlan) adapterReplicas(model message.ModelName) map[string]int {
 	copies := map[string]int{}
 	for _, backend := range p.backends {
 		for _, held := range backend.Models {
--- a/internal/controlplane/placement/planner/load_rate_limit.go
+++ b/internal/controlplane/placement/planner/load_rate_limit.go
@@ -9,9 +9,9 @@
 const (
 	// loadStartSlack is the longest time from a load command until its load starts.
 	loadStartSlack = 300 * time.Millisecond
-	// loadsBeyond is how many loads above the rate are started in a window. The rule allows three; the others are left for
+	// extraLoads is how many loads above the rate are started in a window. The rule allows three; the others are left for
 	// loads that were taken to come from a backend's own disk and do not.
-	loadsBeyond = 1
+	extraLoads = 1
 	// burstShare is the share of a window's loads that may start within one second.
 	burstShare = 0.4
 )
@@ -43,11 +43,11 @@
 // Available returns how many loads may start now, which may be negative. Pending loads are commanded, or about to be, and
 // have not started.
 //
-//	most  = max(1, PerSecond * Window * ExcessFactor + loadsBeyond)
+//	most  = max(1, PerSecond * Window * ExcessFactor + extraLoads)
 //	burst = max(1, burstShare * most)
 //	min(most - started in the window - predecessor's, burst - started in the last second) - pending
 func (l *LoadRateLimiter) Available(now time.Time, limit LoadRateLimit, pending int) int {
-	most := max(1, int(limit.PerSecond*limit.Window.Seconds()*limit.ExcessFactor)+loadsBeyond)
+	most := max(1, int(limit.PerSecond*limit.Window.Seconds()*limit.ExcessFactor)+extraLoads)
 	burst := max(1, int(math.Ceil(burstShare*float64(most))))
 	window := limit.Window + loadStartSlack
 	for len(l.starts) > 0 && now.Sub(l.starts[0]) > window {
--- a/internal/controlplane/replica/acceptor.go
+++ b/internal/controlplane/replica/acceptor.go
@@ -5,8 +5,8 @@
 // As an acceptor of Paxos, a voter promises and accepts proposals for the view after its own. Both are synced before
 // they are sent: a voter that forgot them in a restart could help to decide a second view with the same number.
 
-// canVoteOn reports whether this member may vote on a proposal for the next view that m makes. It need not be complete:
-// the proposer is.
+// canVoteOn reports whether this member may vote on the proposal for the next view that m carries. It need not be
+// complete itself, as the proposer is.
 func (r *Replica) canVoteOn(m *message.Message) bool {
 	return m.View == r.control.View.Number && r.isVoter() && r.isInChain(m.From)
 }
--- a/internal/controlplane/replica/catch_up.go
+++ b/internal/controlplane/replica/catch_up.go
@@ -36,8 +36,8 @@
 	r.send(senderOf(m), message.Message{CatchUp: catchUp})
 }
 
-// onCatchUp takes the state of a complete member: that one has all that was acknowledged in earlier views, and so has
-// this one then. What it has beyond that is committed when the chain reaches this member.
+// onCatchUp takes the state of a complete member, which has all that was acknowledged in earlier views; then this one is
+// complete too. Changes in that state that are not committed yet are committed once the chain has replicated them here.
 func (r *Replica) onCatchUp(m *message.Message) {
 	if m.View != r.control.View.Number || !r.IsMember() || r.control.Complete || r.link.synced {
 		return
@@ -46,7 +46,7 @@
 		r.installSnapshot(*m.CatchUp.State)
 	}
 	if !bytes.Equal(m.CatchUp.Digest, r.chain.Digest) {
-		return // the response to an earlier request
+		return // it responds to a request that was made with another state
 	}
 	r.control.Complete = true
 	r.output.controlDirty = true
--- a/internal/controlplane/replica/chain_replication.go
+++ b/internal/controlplane/replica/chain_replication.go
@@ -13,9 +13,9 @@
 	committed           bool               // every member of the view has synced the state
 	committedInView     bool               // some state was committed in this view
 	committedState      message.ChainState // the newest state known to be committed, in whatever view
-	forwardedAt         time.Duration
+	forwardedAt         time.Duration      // when the state was last sent to the successor
 	snapshotRequestedAt time.Duration
-	catchUpAttempts     int              // each asks another member
+	catchUpAttempts     int              // each is a request to another member
 	pending             []pendingRequest // at the head or the tail
 	inFlight            *pendingRequest  // the request whose change is being replicated, at the head
 }
@@ -64,8 +64,8 @@
 	r.sendAfterSync(successor, message.Message{Replicate: replicate})
 }
 
-// onReplicate takes the predecessor's state, forwards it where it is new to this member, and asks for a snapshot where
-// it does not fit.
+// onReplicate takes the predecessor's state and forwards it where it is new to this member. Where the message has only a
+// change or a digest, and that does not lead from this member's state to the predecessor's, it requests a snapshot.
 func (r *Replica) onReplicate(m *message.Message) {
 	predecessor, ok := r.predecessor()
 	if !ok || m.View != r.control.View.Number || m.From != predecessor.Identity {
--- a/internal/controlplane/replica/change_history.go
+++ b/internal/controlplane/replica/change_history.go
@@ -14,16 +14,18 @@
 	// maxHistory is how many changes are kept by their digests, so that a repeated one is acknowledged again: two days of
 	// the target of 1,800 changes a day. They take some 120 KB.
 	maxHistory = 4096
-	// MaxDocumentBytes bounds a configuration: a file of the ring holds it with all that is stored beside it.
+	// MaxDocumentBytes bounds a configuration: a segment of the ring (package storage) holds it with all that is stored
+	// beside it.
 	MaxDocumentBytes = 3 << 20
-	digestBytes      = 16
+	// digestBytes is how much of a SHA-256 is kept as a digest.
+	digestBytes = 16
 )
 
 // ErrBaseMismatch is returned for a change that builds on another state.
-var ErrBaseMismatch = errors.New("a change on top of another state")
+var ErrBaseMismatch = errors.New("change builds on another state")
 
-// errDocumentMismatch is returned for a change whose delta makes another document than its digest says.
-var errDocumentMismatch = errors.New("a change that makes another document than it says")
+// errDocumentMismatch is returned for a change whose delta makes a document with another digest than the record names.
+var errDocumentMismatch = errors.New("change makes a document with another digest")
 
 // ChainDigest extends the digest of all earlier changes by one change.
 func ChainDigest(previous []byte, change *message.Change) []byte {
@@ -50,14 +52,15 @@
 }
 
 // ApplyChange returns the state after a change; the given state is not modified. It returns ErrBaseMismatch where the
-// change builds on another state, and another error where its delta does not make the document that it says.
+// change builds on another state, and another error where the result of its delta does not have the digest that the
+// record names.
 func ApplyChange(state *message.ChainState, record *message.ChangeRecord) (message.ChainState, error) {
 	if !bytes.Equal(state.Digest, record.Previous) {
 		return message.ChainState{}, ErrBaseMismatch
 	}
 	document, err := delta.Apply(state.Document, record.Delta, MaxDocumentBytes)
 	if err != nil {
-		return message.ChainState{}, err
+		return message.ChainState{}, errors.Wrap(err, "apply the delta of a change")
 	}
 	if !bytes.Equal(DocumentDigest(document), record.DocumentDigest) {
 		return message.ChainState{}, errDocumentMismatch
--- a/internal/controlplane/replica/config_requests.go
+++ b/internal/controlplane/replica/config_requests.go
@@ -10,10 +10,10 @@
 // Validator decides an operator's change on top of a state. It must be a pure function.
 type Validator func(state *message.ChainState, request *message.ConfigRequest) ValidationResult
 
-// ValidationResult is what a change amounts to on top of a state.
+// ValidationResult is the result of validating a change on top of a state.
 type ValidationResult struct {
 	// Status is the HTTP status of the answer: 200 where the change is applied or was applied before, else a rejection.
-	// 0 means that it can't be decided on this state: no answer is given, and the relay repeats the request.
+	// 0 means that it cannot be decided on this state: no response is sent, and the relay repeats the request.
 	Status   int
 	Body     []byte
 	Apply    bool // the change is to be applied; Change and Document say how
@@ -37,6 +37,8 @@
 		return
 	}
 	if !r.isSelf(target) {
+		// Only the relay forwards. A request from another member that has an older or newer view is dropped, as members that
+		// disagree on the head would send it back and forth.
 		if m.From == r.control.Identity {
 			r.send(target, message.Message{ConfigRequest: m.ConfigRequest})
 		}
@@ -79,7 +81,7 @@
 		next := r.link.pending[0]
 		r.link.pending = r.link.pending[1:]
 		switch {
-		case r.now-next.receivedAt > requestTimeout: // its relay has given it up
+		case r.now-next.receivedAt > requestTimeout: // its relay does not wait for it any more
 		case next.request.Method == http.MethodGet:
 			r.answerRead(next)
 		default:
--- a/internal/controlplane/replica/durability.go
+++ b/internal/controlplane/replica/durability.go
@@ -41,9 +41,10 @@
 	return r.isDiskless(member) && !r.isDisklessSystem()
 }
 
-// isDurable reports whether a change may be acknowledged: the voters and replicas that are on disks survive the loss of
-// all power and of as many disks as the tolerance says. In a diskless system, and in an initial view with fewer voters
-// than that takes, changes are held back until the view is durableMemberTimeout old, in which durable members may join.
+// isDurable reports whether a change may be acknowledged: after the loss of all power and of as many disks as the
+// tolerance says, the disks that are left must hold a majority of the voters and the change. In a diskless system, and in
+// an initial view with fewer voters than that takes, no change is acknowledged until the view is durableMemberTimeout
+// old: durable members may join until then.
 func (r *Replica) isDurable() bool {
 	voters := r.control.View.EffectiveVoters()
 	hasWaited := r.now-r.viewEnteredAt >= durableMemberTimeout
@@ -55,7 +56,7 @@
 	case len(voters):
 		return true
 	case 0:
-		return hasWaited || r.isDisklessSystem()
+		return hasWaited || r.isDisklessSystem() // no voter is known to have a disk
 	}
 	durableReplicas := lo.CountBy(r.control.View.Members, func(m message.Member) bool { return !r.mayBeDiskless(m) })
 	return durableVoters-r.options.Tolerance >= r.quorumSize() && durableReplicas > r.options.Tolerance
--- a/internal/controlplane/replica/failure_detector.go
+++ b/internal/controlplane/replica/failure_detector.go
@@ -11,12 +11,12 @@
 	"pumiceline/internal/message"
 )
 
-// failureDetector records when each member was heard, what it said of itself, and what its monitors report of it. The
-// monitors of a member are the next ones on a ring of all identities. The detector decides nothing: nextView draws the
-// conclusions.
+// failureDetector records when each member was heard, the health that its heartbeats give, and what its monitors report
+// of it. The monitors of a member are those that follow it on a ring of all identities. The detector decides nothing:
+// nextView decides by its records.
 type failureDetector struct {
 	members      map[message.MemberID]*memberRecord
-	reports      map[suspicionReport]time.Duration // when each was made last
+	reports      map[reportKey]time.Duration // when each report was made last
 	joinRequests map[message.MemberID]joinRequest
 	monitors     []message.Member // to whom this member sends its heartbeats
 	monitored    []message.Member // whose heartbeats it awaits
@@ -26,7 +26,7 @@
 func newFailureDetector() failureDetector {
 	return failureDetector{
 		members:      map[message.MemberID]*memberRecord{},
-		reports:      map[suspicionReport]time.Duration{},
+		reports:      map[reportKey]time.Duration{},
 		joinRequests: map[message.MemberID]joinRequest{},
 	}
 }
@@ -49,18 +49,18 @@
 	return memberRecord{}
 }
 
-// recordMessage notes that a message of a member arrived. It takes back this member's own reports that the other is
-// suspected or late, unless they rest on what that one says of itself.
+// recordMessage records that a message of a member arrived. It withdraws the reports by self that the member is suspected
+// or late, unless the member's own heartbeats say that it is unhealthy.
 func (d *failureDetector) recordMessage(identity, self message.MemberID, now time.Duration) {
 	record := d.record(identity)
 	record.lastHeard, record.lastMessage = instantAt(now), instantAt(now)
 	if !record.health.unhealthy {
-		delete(d.reports, suspicionReport{reportSuspected, identity, self})
-		delete(d.reports, suspicionReport{reportLate, identity, self})
+		delete(d.reports, reportKey{reportSuspected, identity, self})
+		delete(d.reports, reportKey{reportLate, identity, self})
 	}
 }
 
-// reset restarts all time-outs after this process was paused for a while: it cannot tell who was silent meanwhile.
+// reset restarts all time-outs after a pause of this process: what members sent meanwhile has not been read yet.
 func (d *failureDetector) reset(now, pause time.Duration) {
 	if pause > suspicionTimeout {
 		d.resumedAt = instantAt(now)
@@ -74,8 +74,9 @@
 	clear(d.joinRequests)
 }
 
-// enterView prepares for a new view. It restarts the time-outs of those members that self did not monitor before: one
-// that was silent in the old view stays so.
+// enterView prepares for a new view. It restarts the time-outs of the members that self did not monitor before, as those
+// sent it no heartbeats. The time-outs of the others go on: a member that failed in the old view must be suspected in the
+// new one without another wait.
 func (d *failureDetector) enterView(old, view message.View, self message.MemberID, now time.Duration) {
 	for _, member := range view.Members {
 		record := d.record(member.Identity)
@@ -83,7 +84,7 @@
 			record.lastHeard = instantAt(now)
 		}
 		if !containsMember(old.Members, member.Identity) {
-			record.health = health{} // what it said of itself before it rejoined
+			record.health = health{} // it is from before the member rejoined
 		}
 		delete(d.joinRequests, member.Identity)
 	}
@@ -95,8 +96,8 @@
 	clear(d.reports)
 }
 
-// recordLostVotes notes whose vote went to a newcomer of the same zone: those were probably replaced on purpose, and
-// will be stopped.
+// recordLostVotes records the voters whose vote went to a newcomer of their zone: they were probably replaced on purpose,
+// and will be stopped.
 func (d *failureDetector) recordLostVotes(old, view message.View, now time.Duration) {
 	isNewcomer := func(m message.Member) bool { return !containsMember(membersAndVoters(old), m.Identity) }
 	voters := view.EffectiveVoters()
@@ -108,7 +109,7 @@
 	}
 }
 
-// assignMonitors works out who monitors whom in a view.
+// assignMonitors sets the monitors of self, and the members that self monitors, for a view.
 func (d *failureDetector) assignMonitors(view message.View, self message.MemberID) {
 	d.monitors = monitorsOf(view, self)
 	d.monitored = lo.Filter(view.Members, func(m message.Member, _ int) bool {
@@ -116,14 +117,14 @@
 	})
 }
 
-// expire drops the reports and histories that do not count any more.
+// expire drops the reports and histories that have timed out.
 func (d *failureDetector) expire(now time.Duration) {
 	for _, record := range d.members {
 		if record.lastMessage.known && now-record.lastMessage.at > identityRetention {
 			record.memberHistory = memberHistory{}
 		}
 	}
-	maps.DeleteFunc(d.reports, func(_ suspicionReport, at time.Duration) bool { return now-at > reportTimeout })
+	maps.DeleteFunc(d.reports, func(_ reportKey, at time.Duration) bool { return now-at > reportTimeout })
 }
 
 // monitorsOf returns the members to which identity sends its heartbeats: the next ones on the ring of identities.
--- a/internal/controlplane/replica/heartbeat.go
+++ b/internal/controlplane/replica/heartbeat.go
@@ -9,19 +9,19 @@
 	"pumiceline/internal/message"
 )
 
-// membershipTimers are when a member did, or began to want, what it repeats or delays.
+// membershipTimers are the times from which a member measures its intervals and delays.
 type membershipTimers struct {
-	lastHeartbeat         instant // or the last join request, outside the chain
-	announcedToOutsiders  time.Duration
-	suspectedSince        instant // since when some member of the chain has been suspected without a gap
-	viewChangeWantedSince instant
+	lastHeartbeat         instant       // outside the chain: the last join request
+	lastAnnouncement      time.Duration // of the view, to those outside the chain
+	suspectedSince        instant       // since when some member of the chain has been suspected without a gap
+	viewChangeWantedSince instant       // since when this member could propose and a view change was due, without a gap
 }
 
 // tickMembership sends heartbeats and reports as a member, and join requests outside the chain.
 func (r *Replica) tickMembership() {
 	interval := heartbeatInterval
 	if r.options.Diskless && !r.IsMember() && !r.isDisklessSystem() {
-		interval = observerInterval // it has no prospect of joining
+		interval = observerInterval // it cannot join, as some members have disks
 	}
 	if r.timers.lastHeartbeat.known && r.now-r.timers.lastHeartbeat.at < interval {
 		return
@@ -34,7 +34,7 @@
 	}
 	r.sendHeartbeats()
 	r.reportSuspicions()
-	r.announceToOutsiders()
+	r.announceOutsideChain()
 	if r.isIsolated() {
 		r.sendJoinRequest(&message.JoinRequest{Observer: true}) // its view may be an old one
 	}
@@ -65,14 +65,14 @@
 	return heard < r.quorumSize()
 }
 
-// announceToOutsiders lets the first proposer announce the view to those outside the chain: to voters and replaced
-// voters, which may have been partitioned when it was decided and know nobody else any more, and to the seeds, as a
-// machine that comes back with nothing but the seeds' addresses asks them.
-func (r *Replica) announceToOutsiders() {
-	if !r.isFirstProposer() || r.now-r.timers.announcedToOutsiders < observerInterval {
+// announceOutsideChain lets the first proposer announce the view to those outside the chain. Voters and replaced voters
+// may have been partitioned when it was decided, and all members that they know of may be gone since. Seeds are asked by
+// machines that know nothing but the seeds' addresses, so they must know the newest view to answer.
+func (r *Replica) announceOutsideChain() {
+	if !r.isFirstProposer() || r.now-r.timers.lastAnnouncement < observerInterval {
 		return
 	}
-	r.timers.announcedToOutsiders = r.now
+	r.timers.lastAnnouncement = r.now
 	view := r.control.View
 	recipients := append(membersAndVoters(view), replacedMembers(view)...)
 	for _, seed := range r.options.Seeds {
--- a/internal/controlplane/replica/join.go
+++ b/internal/controlplane/replica/join.go
@@ -13,13 +13,13 @@
 // joinRequest is the newest request of a machine that asks to join the chain.
 type joinRequest struct {
 	member  message.Member
-	view    message.ViewNumber // the newest view that it knew
-	firstAt time.Duration      // since when it has asked without a gap
-	lastAt  time.Duration
+	view    message.ViewNumber // the newest view that the machine knew
+	firstAt time.Duration      // when the machine began to ask; its requests have not timed out since
+	lastAt  time.Duration      // when the newest request came
 }
 
 // requestToJoin asks all members known for membership; their responses also bring the newest view. A member that shuts
-// down withdraws what it has asked for.
+// down withdraws its earlier requests instead.
 func (r *Replica) requestToJoin() {
 	if r.leaving {
 		r.sendJoinRequest(&message.JoinRequest{Withdrawn: true})
@@ -75,7 +75,7 @@
 	return r.IsMember() && !r.isInChain(m.From)
 }
 
-// recordFirstJoinRequest notes when an identity asked to join that had been no member before.
+// recordFirstJoinRequest records when an identity that had never been a member asked to join for the first time.
 func (r *Replica) recordFirstJoinRequest(identity message.MemberID) {
 	record, view := r.detector.record(identity), r.control.View
 	known := append(membersAndVoters(view), replacedMembers(view)...)
@@ -99,11 +99,12 @@
 		case !r.isCurrent(request):
 			delete(r.detector.joinRequests, identity)
 		case request.view < r.control.View.Number:
-			// It has not learned of the current view. If it hears no member, it would hold up the chain.
+			// It does not know the current view. Perhaps no message reaches it: as a member it would stop every change.
 		case !isFirst && r.now-request.firstAt < admissionFallbackTimeout:
 			// The first proposer admits it, if it hears it.
 		case r.conflictsWithMember(request.member, suspected):
-			// Only one process can have an address, so the member that has it is gone, but not yet suspected.
+			// Only one process can have an address, so the member with that address is gone. It is admitted once that member
+			// is suspected, and leaves the chain.
 		default:
 			member := request.member
 			member.SinceView = r.control.View.Number + 1
--- a/internal/controlplane/replica/lease.go
+++ b/internal/controlplane/replica/lease.go
@@ -20,16 +20,16 @@
 	grantedTo      message.MemberID
 	grantedAddress string // of grantedTo
 	grantExpiresAt time.Duration
-	renewalSeenAt  time.Duration // when another member asked to renew; 0: never, or released since
+	renewalSeenAt  time.Duration // when another member's request for renewal came; 0: never, or the lease was released since
 
 	// As a candidate and holder.
 	token                message.FencingToken // of the lease held; 0: none
 	expiresAt            time.Duration
 	heldSince            time.Duration
-	requestID            uint64
+	requestID            uint64 // of the newest request
 	requestedToken       message.FencingToken
 	requestedAt          time.Duration
-	hasRequested         bool
+	hasRequested         bool                      // some request was sent, at requestedAt
 	grantedBy            map[message.MemberID]bool // who has granted the newest request
 	highestRejectedToken message.FencingToken      // the highest token that rejections reported
 }
@@ -81,14 +81,15 @@
 	r.requestLease()
 }
 
-// canHoldLease reports whether this member may be the controller: a healthy and complete member that does not leave.
+// canHoldLease reports whether this member may be the controller: a healthy and complete member that does not leave, nor
+// yields to durable members.
 func (r *Replica) canHoldLease() bool {
-	isOutsider := r.options.Diskless && !r.isDisklessSystem()
-	return r.IsMember() && r.control.Complete && !r.leaving && !r.diskStalled && !isOutsider
+	mustYield := r.options.Diskless && !r.isDisklessSystem()
+	return r.IsMember() && r.control.Complete && !r.leaving && !r.diskStalled && !mustYield
 }
 
-// canRequestLease reports whether the lease has been vacant for long enough. The members are candidates in the order
-// from the tail, as the head has other work.
+// canRequestLease reports whether the lease has been vacant for long enough. The members become candidates one after the
+// other from the tail on, so that the head, which orders all changes, is the last.
 func (r *Replica) canRequestLease() bool {
 	l := &r.lease
 	vacantSince := max(l.grantExpiresAt, r.noGrantBefore())
@@ -99,8 +100,8 @@
 	return r.now >= vacantSince+time.Duration(membersBehind)*candidateDelay
 }
 
-// noGrantBefore returns the time before which this member grants no new lease: after its start and after entering a
-// view a lease of which it does not know may last for LeaseDuration.
+// noGrantBefore returns the time before which this member grants no new lease. When it starts, or enters a view, a lease
+// that it does not know of may last for up to LeaseDuration.
 func (r *Replica) noGrantBefore() time.Duration {
 	return max(r.lease.startedAt, r.viewEnteredAt) + r.lease.duration
 }
@@ -148,7 +149,7 @@
 	}
 	l, request := &r.lease, m.LeaseRequest
 	if request.Renewal && m.From != r.control.Identity {
-		l.renewalSeenAt = r.now // a member that was away, or has no vote, learns by it that the lease is not vacant
+		l.renewalSeenAt = r.now // a member that was away, or has no vote, would take the lease for vacant otherwise
 	}
 	if !r.isVoter() || r.control.AcceptedView.Number != 0 {
 		return
--- a/internal/controlplane/replica/next_view.go
+++ b/internal/controlplane/replica/next_view.go
@@ -35,13 +35,14 @@
 	// Complete members come first, as only those can be the head; among them the order stays.
 	sort.SliceStable(staying, func(i, j int) bool { return r.isComplete(staying[i]) && !r.isComplete(staying[j]) })
 	next = r.composeView(staying, alive, joining)
-	if len(next.Members) < r.minChainLength() { // nothing may be acknowledged on so few disks
+	if len(next.Members) < r.minChainLength() { // a change on so few disks must not be acknowledged
 		return message.View{}, false
 	}
 	return next, r.isChange(next)
 }
 
-// hasReasonForChange reports whether anything speaks for another view. It is a cheap check, as mostly nothing does.
+// hasReasonForChange reports whether there may be a reason for another view. It is a cheap check on every tick that saves
+// composing a view, as mostly there is none.
 func (r *Replica) hasReasonForChange() bool {
 	current := r.control.View
 	if len(r.detector.reports)+len(r.detector.joinRequests) > 0 {
@@ -58,8 +59,9 @@
 	return !isSame || r.addsSeedZones(next)
 }
 
-// addsSeedZones reports whether a view would be the first one to tell the zones of the seeds, of which the initial view
-// has only the addresses. Who replaces a seed is recognised by its zone, also by members that never heard the lost one.
+// addsSeedZones reports whether a view would be the first one with the zones of the seeds, of which the initial view has
+// only the addresses. The zones must be in a view: a replacement is recognised by the zone of the member that it replaces,
+// also by members that were restarted and have never heard that one.
 func (r *Replica) addsSeedZones(next message.View) bool {
 	hasNoZone := func(m message.Member) bool { return m.Zone == "" }
 	current := r.control.View
@@ -67,8 +69,8 @@
 }
 
 // canRemoveSuspected reports whether the suspected members may be removed from the chain: when more of the others than
-// the tolerance are complete. Others that are still catching up are waited for, though not for long, as nothing is
-// acknowledged meanwhile.
+// the tolerance are complete. While others are still catching up it waits for up to incompleteChainTimeout, and no
+// longer, as nothing is acknowledged meanwhile.
 func (r *Replica) canRemoveSuspected(alive []message.Member, suspectedCount int) bool {
 	since := &r.timers.suspectedSince
 	if suspectedCount == 0 {
@@ -127,7 +129,8 @@
 	return next
 }
 
-// newVoterSelection starts from the current voters, with some members present.
+// newVoterSelection returns a selection that starts from the current voters. present are the members of the next chain
+// that are alive and stay.
 func (r *Replica) newVoterSelection(present []message.Member) *voterSelection {
 	view := r.control.View
 	return &voterSelection{
@@ -156,7 +159,7 @@
 		switch {
 		case isKnown || isShort || r.isEstablished(member):
 		case isCertain:
-			selection.transferVote(predecessor, member) // no other one comes for the same predecessor
+			selection.transferVote(predecessor, member) // so that no other one counts as the replacement of predecessor too
 		default:
 			continue
 		}
@@ -176,8 +179,8 @@
 	return r.detector.lookup(member.Identity).announcedLeaving.isWithin(leavingPeriod, r.now)
 }
 
-// isEstablished reports whether a member without a vote has been known for so long that it did not come to replace
-// anybody who has not been found out by now. In the first start of the system nobody comes to replace another one.
+// isEstablished reports whether a member without a vote has been known for so long that any member that it came to
+// replace is known to have failed or to be leaving by now. In the first start of the system no machine replaces another.
 func (r *Replica) isEstablished(member message.Member) bool {
 	age, isNewcomer := r.newcomerAge(member)
 	isInitialStart := r.options.FirstStart && r.now <= initialStartPeriod
--- a/internal/controlplane/replica/output.go
+++ b/internal/controlplane/replica/output.go
@@ -20,7 +20,7 @@
 	afterSync       []message.Message
 	controlDirty    bool
 	chainDirty      bool
-	chainReplaced   bool // by a snapshot or under another view, so that no records lead to it
+	chainReplaced   bool // by a snapshot or for another view, so that appendedRecords do not lead to it
 	appendedRecords []message.ChangeRecord
 }
 
--- a/internal/controlplane/replica/proposer.go
+++ b/internal/controlplane/replica/proposer.go
@@ -13,8 +13,8 @@
 	active         bool
 	number         message.ProposalNumber
 	value          message.View
-	revocable      bool // the value is what this member wanted when it started, and is given up when it no longer does
-	accepting      bool // in phase 2
+	revocable      bool // the value came from nextView, so the proposal is given up when nextView no longer returns it
+	accepting      bool // phase 2 has begun: Accept was sent
 	promises       map[message.MemberID]bool
 	acceptances    map[message.MemberID]bool
 	acceptedNumber message.ProposalNumber // the highest one of the accepted proposals that the promises report
@@ -41,8 +41,8 @@
 }
 
 // canPropose reports whether this member may start a proposal. It must be complete, so that it may become the head of
-// the chain that it proposes. A moment after the view began it knows who else is complete, and a moment after a pause of
-// its process it can tell who is alive.
+// the chain that it proposes. It waits for minViewAge to know which others are complete, and after a pause of its process
+// for suspicionTimeout to know which are alive.
 func (r *Replica) canPropose() bool {
 	if resumed := r.detector.resumedAt; resumed.known && r.now-resumed.at < suspicionTimeout {
 		return false
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -20,7 +20,7 @@
 	"pumiceline/internal/message"
 )
 
-// Options are fixed for the life of a process.
+// Options do not change while the process runs.
 type Options struct {
 	Self          message.Member // its identity is used only where the disk is empty
 	Seeds         []string       // internal addresses of the members of the first view
@@ -28,8 +28,8 @@
 	LeaseDuration time.Duration
 	FirstStart    bool // the whole system starts for the first time, with the seeds as members
 	Diskless      bool // the machine has no disk: it joins only where no member has one
-	// Incarnation is drawn at random for each life of the process. Request IDs are counted from it, so that no answer to
-	// an earlier life is taken for one to this life.
+	// Incarnation is drawn at random when the process starts. Request IDs are counted from it, so that no response to an
+	// earlier incarnation matches a request of this one.
 	Incarnation uint64
 }
 
@@ -38,15 +38,15 @@
 	options  Options
 	validate Validator
 	now      time.Duration // latest time passed to Step or Tick
-	ticked   bool
+	ticked   bool          // Tick was called; before that the time since New shows no pause
 
 	// The records as they are on disk once the outputs are synced.
 	control message.ControlState
 	chain   message.ChainState
 	output  pendingOutput
 
-	// What is lost in a restart.
-	viewEnteredAt time.Duration // or started, in the view found on disk
+	// All below is lost in a restart.
+	viewEnteredAt time.Duration // when the view was entered, or the process started with that view on its disk
 	detector      failureDetector
 	timers        membershipTimers
 	proposal      proposal
@@ -56,7 +56,7 @@
 
 	leaving         bool
 	lastJoinRequest time.Duration
-	diskStalled     bool // as the caller says
+	diskStalled     bool // as SetDiskStalled was called last
 }
 
 // New returns a replica that goes on from the records found on disk; the zero states stand for an empty disk. The time
@@ -97,7 +97,8 @@
 // SetLeaving starts a graceful shutdown: the other members remove this one from the chain, and it releases its lease.
 func (r *Replica) SetLeaving() { r.leaving = true }
 
-// SetDiskStalled says whether a write to the disk has been in progress for too long.
+// SetDiskStalled sets whether a write to the disk has been in progress for too long. A member with a stalled disk is
+// unhealthy: it is removed from the chain, proposes no view, and gives up the lease.
 func (r *Replica) SetDiskStalled(stalled bool) { r.diskStalled = stalled }
 
 // Tick does what is due at now. The caller ticks the replica every 50 ms.
@@ -126,7 +127,7 @@
 	return r.takeOutput()
 }
 
-// detectPause resets the failure detector when this process was paused: it cannot tell then who was alive meanwhile.
+// detectPause resets the failure detector when this process was paused: it does not know then who was alive meanwhile.
 func (r *Replica) detectPause(now time.Duration) {
 	if r.ticked && now-r.now > pauseThreshold {
 		r.detector.reset(now, now-r.now)
--- a/internal/controlplane/replica/status.go
+++ b/internal/controlplane/replica/status.go
@@ -57,8 +57,8 @@
 	return ""
 }
 
-// CanStop reports whether a leaving member is needed no more: it is outside the chain, and no join request of its own
-// by which it could be admitted again is still in flight.
+// CanStop reports whether a leaving member may end its process: it is outside the chain, and no join request by which it
+// could be admitted again is still in flight.
 func (r *Replica) CanStop() bool {
 	return r.leaving && !r.IsMember() && r.now-r.lastJoinRequest >= withdrawalTimeout
 }
--- a/internal/controlplane/replica/suspicion.go
+++ b/internal/controlplane/replica/suspicion.go
@@ -15,8 +15,8 @@
 	reportLate
 )
 
-// suspicionReport identifies a report; the failure detector keeps when it was made last.
-type suspicionReport struct {
+// reportKey identifies one statement of a message.SuspicionReport: what a reporter says of a member.
+type reportKey struct {
 	kind     reportKind
 	member   message.MemberID
 	reporter message.MemberID
@@ -31,7 +31,7 @@
 func (r *Replica) recordSuspicions(report *message.SuspicionReport, reporter message.MemberID) {
 	record := func(kind reportKind, members []message.MemberID) {
 		for _, member := range members {
-			r.detector.reports[suspicionReport{kind, member, reporter}] = r.now
+			r.detector.reports[reportKey{kind, member, reporter}] = r.now
 		}
 	}
 	record(reportSuspected, report.Suspected)
@@ -42,7 +42,8 @@
 	}
 }
 
-// reportSuspicions tells the other members who of those that this one monitors is suspected, leaving or late.
+// reportSuspicions sends the other members a report on those that this one monitors, where any is suspected, leaving or
+// late.
 func (r *Replica) reportSuspicions() {
 	report := r.suspicions()
 	if len(report.Suspected)+len(report.Leaving)+len(report.Late) == 0 {
@@ -56,7 +57,7 @@
 	}
 }
 
-// suspicions returns who of those that this member monitors is suspected, leaving or late.
+// suspicions returns the report on the members that this one monitors.
 func (r *Replica) suspicions() *message.SuspicionReport {
 	report := &message.SuspicionReport{}
 	for _, member := range r.detector.monitored {
--- a/internal/controlplane/replica/timeouts.go
+++ b/internal/controlplane/replica/timeouts.go
@@ -31,11 +31,11 @@
 const (
 	// joinRequestTimeout is how long a join request counts. It is repeated every heartbeatInterval, so two may be lost.
 	joinRequestTimeout = 700 * time.Millisecond
-	// newcomerTimeout is how long a newcomer waits whose predecessor is not certain. If it came to replace a member that
-	// failed, that one is suspected by then.
+	// newcomerTimeout is how long a newcomer waits for its admission where it is not certain which member it came to
+	// replace. A member that failed is suspected by then.
 	newcomerTimeout = 2 * suspicionTimeout
-	// newcomerPeriod is how long after its first request a machine counts as a newcomer, and how long a member whose vote
-	// went to a newcomer gets no vote of a suspected member.
+	// newcomerPeriod is how long after its first join request a machine counts as a newcomer. It is also how long a member
+	// that lost its vote to a newcomer cannot receive another vote: it was probably replaced, and is about to be stopped.
 	newcomerPeriod = 10 * time.Second
 	// plannedReplacementLead bounds how long before its predecessor is stopped a planned replacement is started.
 	plannedReplacementLead = 3 * time.Second
@@ -47,7 +47,7 @@
 	// admissionFallbackTimeout is how long the other members leave the admission of a joining member to the first proposer.
 	// One that the first proposer does not hear would be removed by it again at once.
 	admissionFallbackTimeout = 5 * time.Second
-	// initialStartPeriod follows the first start of the whole system: who joins in it replaces nobody.
+	// initialStartPeriod follows the first start of the system: a machine that joins in it replaces no other.
 	initialStartPeriod = 2 * time.Second
 	// observerInterval is how often a member that only wants to know the view asks for it, and how often the first proposer
 	// announces it to those outside.
@@ -58,7 +58,7 @@
 
 // View changes: see proposer.go and next_view.go.
 const (
-	// minViewAge is how long a view lasts at least: two heartbeats tell who is complete in it.
+	// minViewAge is how long a view lasts at least: within two heartbeats it is known who is complete in it.
 	minViewAge = 2 * heartbeatInterval
 	// proposalRankDelay is how long a member waits for each one before it in the chain to propose first. It is longer than a
 	// proposal takes where nothing fails, so that two members seldom compete.
@@ -79,7 +79,7 @@
 const (
 	// replicateRetryInterval is how long an unacknowledged state waits before it is sent again.
 	replicateRetryInterval = 150 * time.Millisecond
-	// requestTimeout is the age at which a pending request is dropped: the member that relays it has given it up.
+	// requestTimeout is the age at which a pending request is dropped: the member that relays it does not wait any more.
 	requestTimeout = 1500 * time.Millisecond
 	// maxPendingRequests bounds the queue at the head and the tail; relays repeat what is dropped.
 	maxPendingRequests = 64
@@ -99,7 +99,8 @@
 const (
 	// leaseRenewalInterval lets a lease of two seconds survive three lost renewals.
 	leaseRenewalInterval = 400 * time.Millisecond
-	// candidateDelay separates the candidates for a vacant lease: each waits so long for every one behind it in the chain.
+	// candidateDelay staggers the candidates for a vacant lease: each waits this long for every member behind it in the
+	// chain, so the tail is the first.
 	candidateDelay = 300 * time.Millisecond
 	// leaseSafetyMargin is how much earlier a lease ends for its holder than for the grantors: clocks may drift.
 	leaseSafetyMargin = 100 * time.Millisecond
--- a/internal/controlplane/replica/view.go
+++ b/internal/controlplane/replica/view.go
@@ -78,8 +78,8 @@
 	r.resetReplication()
 }
 
-// isCompleteIn reports whether this member is complete in a view that follows the current one. It is not when it was
-// outside the chain in between: changes may have been acknowledged without it.
+// isCompleteIn reports whether this member, as it is now, is complete in a later view. It is not where it was outside the
+// chain in between: changes may have been acknowledged without it.
 func (r *Replica) isCompleteIn(view message.View) bool {
 	at := indexOfMember(view.Members, r.control.Identity)
 	return at >= 0 && r.control.Complete && view.Members[at].SinceView <= r.control.View.Number
--- a/internal/controlplane/replica/view_confirmation.go
+++ b/internal/controlplane/replica/view_confirmation.go
@@ -8,42 +8,45 @@
 
 // viewConfirmation asks the voters whether the view is still the newest, as ReadIndex of Raft asks the followers
 // (Ongaro's thesis, section 6.4). A majority of confirmations shows that no later view had been decided when the
-// request was sent, so the member may answer reads and reject changes. One round serves all that waited when it
-// started.
+// request was sent, so the member may answer reads and reject changes. One confirmation serves all callbacks that were
+// waiting when it started.
 type viewConfirmation struct {
-	requestID   uint64   // of the round in progress
-	effects     []func() // to run when the round in progress is confirmed; nil: no round is in progress
-	waiting     []func() // for the next round
-	confirmedBy map[message.MemberID]bool
-	sentAt      time.Duration
-	startedAt   time.Duration // of the round in progress, else of the last one
+	requestID     uint64   // of the confirmation in progress
+	callbacks     []func() // run when the confirmation in progress succeeds; nil: none is in progress
+	nextCallbacks []func() // for the next confirmation
+	confirmedBy   map[message.MemberID]bool
+	sentAt        time.Duration // when requests were last sent
+	startedAt     time.Duration // of the confirmation in progress, else of the last one
 
-	confirmed   bool          // some round was confirmed in this view
-	confirmedAt time.Duration // start of the last round that was confirmed
+	confirmed   bool          // some confirmation has succeeded in this view
+	confirmedAt time.Duration // start of the last confirmation that succeeded
 }
 
-// cancel drops all that waits, as its view is over. The ID of the round is not used again.
+// cancel drops all callbacks, as the view that they need is over. The request ID is not used again, so late responses
+// match nothing.
 func (c *viewConfirmation) cancel() {
-	c.effects, c.waiting, c.confirmedBy = nil, nil, nil
+	c.callbacks, c.nextCallbacks, c.confirmedBy = nil, nil, nil
 	c.confirmed = false
 }
 
-// whenViewConfirmed runs effect when a majority has confirmed the view; it is dropped where none does in time.
-func (r *Replica) whenViewConfirmed(effect func()) {
-	r.confirmation.waiting = append(r.confirmation.waiting, effect)
-	if r.confirmation.effects == nil {
+// whenViewConfirmed runs a callback when a majority has confirmed the view. It is dropped where none does within
+// confirmTimeout, or another view begins.
+func (r *Replica) whenViewConfirmed(callback func()) {
+	r.confirmation.nextCallbacks = append(r.confirmation.nextCallbacks, callback)
+	if r.confirmation.callbacks == nil {
 		r.startConfirmation()
 	}
 }
 
-// startConfirmation starts a round for all that waits.
+// startConfirmation starts a confirmation for all callbacks that wait. A confirmation in progress cannot serve them: its
+// requests were sent before the callbacks came, so it does not show that no view was decided in between.
 func (r *Replica) startConfirmation() {
 	c := &r.confirmation
-	if len(c.waiting) == 0 {
+	if len(c.nextCallbacks) == 0 {
 		return
 	}
 	c.requestID++
-	c.effects, c.waiting = c.waiting, nil
+	c.callbacks, c.nextCallbacks = c.nextCallbacks, nil
 	c.confirmedBy = map[message.MemberID]bool{}
 	c.startedAt = r.now
 	r.sendConfirmRequests()
@@ -72,7 +75,7 @@
 
 func (r *Replica) onConfirmResponse(m *message.Message) {
 	c, response := &r.confirmation, m.ConfirmResponse
-	if m.View != r.control.View.Number || c.effects == nil || response.RequestID != c.requestID || response.Rejected {
+	if m.View != r.control.View.Number || c.callbacks == nil || response.RequestID != c.requestID || response.Rejected {
 		return
 	}
 	if !r.hasVote(m.From) {
@@ -83,25 +86,25 @@
 		return
 	}
 	c.confirmed, c.confirmedAt = true, c.startedAt
-	effects := c.effects
-	c.effects = nil
-	for _, effect := range effects {
-		effect()
+	callbacks := c.callbacks
+	c.callbacks = nil
+	for _, callback := range callbacks {
+		callback()
 	}
 	r.startConfirmation()
 }
 
-// tickConfirmation repeats the requests of the round in progress, gives it up, or, where none is in progress, keeps the
-// view confirmed for the proxies.
+// tickConfirmation repeats the requests of the confirmation in progress, or gives it up. Where none is in progress it
+// starts one every confirmInterval, so that the member may go on serving proxies.
 func (r *Replica) tickConfirmation() {
 	c := &r.confirmation
 	switch {
-	case c.effects == nil:
+	case c.callbacks == nil:
 		if r.IsMember() && r.now-c.startedAt >= confirmInterval {
 			r.whenViewConfirmed(func() {})
 		}
 	case r.now-c.startedAt > confirmTimeout:
-		c.effects = nil
+		c.callbacks = nil
 		r.startConfirmation()
 	case r.now-c.sentAt >= confirmRetryInterval:
 		r.sendConfirmRequests()
--- a/internal/controlplane/replica/voters.go
+++ b/internal/controlplane/replica/voters.go
@@ -10,11 +10,11 @@
 	"pumiceline/internal/message"
 )
 
-// voterSelection works out who votes in the next view. It has three aims:
+// voterSelection selects the voters of the next view. It has three aims:
 //
 //   - A lost member does not keep its vote beside its replacement. A voter whose address another process has is lost for
 //     certain. Otherwise a newcomer gets the vote of the member that it probably came to replace: one of its zone that
-//     leaves or is suspected, else any other one that does.
+//     is leaving or suspected, else one of another zone that is.
 //   - The vote of a suspected member goes to a live member that has none, so that losses one after another leave a
 //     majority as long as there is such a member.
 //   - The number of voters is odd where there could be more than minVoters: an even number tolerates no more losses than
@@ -24,7 +24,7 @@
 	voters    []message.Member // at first of the current view
 	present   []message.Member // members of the next chain that are alive and stay
 	replaced  []message.ReplacedVoter
-	canGrow   bool // no member is late: whoever is new did not come to replace one
+	canGrow   bool // no member is late, so no new member is about to turn out to be the replacement of one
 
 	isLeaving        func(message.Member) bool
 	timeSinceMessage func(message.Member) time.Duration         // of a voter that is not present
@@ -109,8 +109,8 @@
 	}
 }
 
-// certainPredecessor returns the voter of a newcomer's zone that it came to replace beyond much doubt: one that leaves,
-// or a suspected one where no other member or voter of the zone is left.
+// certainPredecessor returns the voter of a newcomer's zone that it almost certainly came to replace: one that leaves, or
+// a suspected one where no other member or voter of the zone is left.
 func (s *voterSelection) certainPredecessor(newcomer message.Member) (message.Member, bool) {
 	isOfZone := func(m message.Member) bool { return m.Zone == newcomer.Zone }
 	if age, _ := s.newcomerAge(newcomer); age <= plannedReplacementLead {
@@ -125,8 +125,9 @@
 	return absent, ok && !hasOthers
 }
 
-// likelyPredecessors returns the voters that a newcomer of some age may have come to replace, the likeliest first. One
-// that came just before a member was stopped came for that one: a suspected one may only be partitioned.
+// likelyPredecessors returns the voters that a newcomer of some age may have come to replace, the likeliest first. A
+// newcomer that came just before a member was asked to stop probably replaces that member; a suspected one may only be
+// partitioned, and needs its vote when it returns.
 func (s *voterSelection) likelyPredecessors(newcomerAge time.Duration) []message.Member {
 	if newcomerAge <= plannedReplacementLead {
 		return append(s.leavingVoters(), s.absentVoters()...)
@@ -150,7 +151,7 @@
 	return lo.FindOrElse(members, members[0], func(m message.Member) bool { return m.Zone == zone })
 }
 
-// restoreReplacedVoters gives the votes of leaving members that nobody took over back to replaced voters.
+// restoreReplacedVoters gives votes of leaving members that are still theirs back to replaced voters.
 func (s *voterSelection) restoreReplacedVoters() {
 	for _, leaving := range s.leavingVoters() {
 		replaced, ok := lo.Find(s.replaced, func(replaced message.ReplacedVoter) bool {
@@ -192,8 +193,8 @@
 	s.voters = append(s.voters, standbys...)
 }
 
-// dropLeavingVoters drops the votes of leaving members that nobody took over, as long as more than minVoters are left.
-// Otherwise they keep them, as they may only be restarted.
+// dropLeavingVoters drops the votes that leaving members still have, as long as more than minVoters are left. Otherwise
+// they keep them, as they may only be restarted.
 func (s *voterSelection) dropLeavingVoters() {
 	for _, leaving := range s.leavingVoters() {
 		if len(s.voters) > s.minVoters {
--- a/internal/dataplane/balancer/loads.go
+++ b/internal/dataplane/balancer/loads.go
@@ -16,7 +16,7 @@
 		if now.Sub(backend.loadReportedAt) > loadReportLifetime {
 			backend.othersInFlight = max(0, totals[id].Running-backend.lastReported.Running)
 		}
-		backend.othersQueuedPrefillMs = float64(max(0, totals[id].Queued-backend.lastReported.Queued))
+		backend.othersQueuedPrefillMs = float64(max(0, totals[id].QueuedPrefillMs-backend.lastReported.QueuedPrefillMs))
 	}
 	b.pendingLoads = b.pendingLoads[:0]
 	for _, load := range pending {
@@ -39,7 +39,7 @@
 			continue
 		}
 		load := others[backend.ID]
-		backend.othersInFlight, backend.othersQueuedPrefillMs = load.Running, float64(load.Queued)
+		backend.othersInFlight, backend.othersQueuedPrefillMs = load.Running, float64(load.QueuedPrefillMs)
 		backend.othersUpdatedAt = now
 	}
 	b.answerQueued(now)
@@ -77,5 +77,5 @@
 
 // load is what this proxy has in flight at the backend.
 func (b *Backend) load() message.BackendLoad {
-	return message.BackendLoad{Backend: b.ID, Running: b.inFlight, Queued: int(b.queuedPrefillMs)}
+	return message.BackendLoad{Backend: b.ID, Running: b.inFlight, QueuedPrefillMs: int(b.queuedPrefillMs)}
 }
--- a/internal/dataplane/balancer/picker_test.go
+++ b/internal/dataplane/balancer/picker_test.go
@@ -70,7 +70,7 @@
 		id := message.BackendID(fmt.Sprintf("b%02d", i))
 		list = append(list, backendWith(id, "m"))
 		if i < count-1 {
-			loads = append(loads, message.BackendLoad{Backend: id, Running: 1, Queued: 200})
+			loads = append(loads, message.BackendLoad{Backend: id, Running: 1, QueuedPrefillMs: 200})
 		}
 	}
 	return newBalancer(t, list...), loads
@@ -97,7 +97,7 @@
 	b, _ := balancerWithLoads(t, 20)
 	b.SetIdleConnectionCheck(func(id message.BackendID) bool { return id == "b07" })
 	pickedAt := func(queued int) message.BackendID {
-		b.SetPeerLoads("llm", "m", []message.BackendLoad{{Backend: "b07", Queued: queued}}, start)
+		b.SetPeerLoads("llm", "m", []message.BackendLoad{{Backend: "b07", QueuedPrefillMs: queued}}, start)
 		result, waiting := submit(b, newRequest("llm", "m", start), start)
 		require.False(t, waiting)
 		b.Finish(&Request{Service: "llm", Model: "m"}, result.Backend, Succeeded, time.Millisecond, start)
--- a/internal/dataplane/loads/exchange_test.go
+++ b/internal/dataplane/loads/exchange_test.go
@@ -45,7 +45,7 @@
 }
 
 func load(backend message.BackendID, running, queued int) message.BackendLoad {
-	return message.BackendLoad{Backend: backend, Running: running, Queued: queued}
+	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queued}
 }
 
 func TestExchange_FirstReportIsCompleteThenChanges(t *testing.T) {
--- a/internal/message/chain.go
+++ b/internal/message/chain.go
@@ -3,17 +3,17 @@
 // Replicate carries the replicated state to the successor in the chain: a change on top of a known state, a snapshot,
 // or only the digest, which the receiver compares with its own.
 type Replicate struct {
-	Sequence uint64        `msg:"s"`
-	Digest   []byte        `msg:"d"`
-	Change   *ChangeRecord `msg:"c,omitempty"`
-	Snapshot *ChainState   `msg:"n,omitempty"`
+	Sequence uint64        `msg:"s"`           // of the sender's state, as in ChainState
+	Digest   []byte        `msg:"d"`           // of the sender's state, as in ChainState
+	Change   *ChangeRecord `msg:"c,omitempty"` // the change that led to that state
+	Snapshot *ChainState   `msg:"n,omitempty"` // that state; at most one of Change and Snapshot is set
 }
 
 // Committed is the acknowledgement that travels from the tail to the head: every member from the sender to the tail has
 // synced the state.
 type Committed struct {
-	Sequence uint64 `msg:"s"`
-	Digest   []byte `msg:"d"`
+	Sequence uint64 `msg:"s"` // of that state
+	Digest   []byte `msg:"d"` // of that state
 }
 
 // SnapshotRequest asks the predecessor for its state, or, unless Full, only for its digest.
@@ -21,7 +21,8 @@
 	Full bool `msg:"w"`
 }
 
-// CatchUpRequest asks any complete member for its state, so that the sender is complete before the chain has reached it.
+// CatchUpRequest asks any complete member for its state. It lets the sender become complete before the state has come to
+// it along the chain, whose earlier members may be lost.
 type CatchUpRequest struct {
 	Digest []byte `msg:"d"` // of the sender's state
 }
--- a/internal/message/distribution.go
+++ b/internal/message/distribution.go
@@ -8,7 +8,7 @@
 	ID             uint64        `msg:"i"`
 	ConfigSequence uint64        `msg:"c"` // of the configuration that the sender has; 0: none
 	BackendDigest  uint64        `msg:"b"` // of the backend list that the sender has; 0: none
-	MaxWaitMs      int           `msg:"h"` // how long the coordinator may hold the poll while nothing is newer
+	MaxWaitMs      int           `msg:"h"` // how long the coordinator may delay the response while nothing is newer
 	Demand         []ModelDemand `msg:"d"` // since the last poll
 	Loads          []BackendLoad `msg:"l"` // current values, not differences
 	Proxies        int           `msg:"p"` // how many proxies the sender speaks for
@@ -22,13 +22,13 @@
 	Members       []Member       `msg:"m"` // the coordinators
 	Config        *ConfigUpdate  `msg:"c,omitempty"`
 	Backends      *BackendUpdate `msg:"b,omitempty"`
-	BackendsKnown bool           `msg:"k"` // the coordinator has a backend list
-	BackendsAgeMs int64          `msg:"a"` // time since that list was read from the platform
-	WaitedMs      int64          `msg:"h"` // how long the poll was held
-	Proxies       int            `msg:"p"` // number of proxies in the system
-	TotalLoads    []BackendLoad  `msg:"l"` // loads of all proxies together: all of them, or those that have changed
-	LoadsComplete bool           `msg:"w"` // TotalLoads has all backends with a load
-	LoadVersion   uint64         `msg:"lv"`
+	BackendsKnown bool           `msg:"k"`  // the coordinator has a backend list
+	BackendsAgeMs int64          `msg:"a"`  // time since that list was read from the platform
+	WaitedMs      int64          `msg:"h"`  // time between the arrival of the poll and this response
+	Proxies       int            `msg:"p"`  // number of proxies in the system
+	TotalLoads    []BackendLoad  `msg:"l"`  // loads of all proxies together: all of them, or those that have changed
+	LoadsComplete bool           `msg:"w"`  // TotalLoads has all backends with a load
+	LoadVersion   uint64         `msg:"lv"` // of the total loads that TotalLoads leads to
 	PendingLoads  []PendingLoad  `msg:"o"`
 }
 
@@ -57,7 +57,7 @@
 	Zone         string        `msg:"z"`
 	Capacity     int           `msg:"c"` // requests that it runs at one time
 	Draining     bool          `msg:"d"` // it takes no new requests
-	WarmUpLeftMs int           `msg:"-"`
+	WarmUpLeftMs int           `msg:"-"` // time until it has warmed up; known only to whoever reads the platform's list
 	TimeLeftMs   int           `msg:"t"` // time until the platform takes it away; 0: not announced
 	Models       []LoadedModel `msg:"m"`
 }
@@ -96,22 +96,22 @@
 
 // BackendLoad is the load that proxies have put on one backend.
 type BackendLoad struct {
-	Backend BackendID `msg:"b"`
-	Running int       `msg:"r"` // requests in flight
-	Queued  int       `msg:"q"` // milliseconds of prefill of the requests that have sent no event yet
+	Backend         BackendID `msg:"b"`
+	Running         int       `msg:"r"` // requests in flight
+	QueuedPrefillMs int       `msg:"q"` // prefill time of the requests whose response has sent no event yet
 }
 
-// LoadReport reports loads that have just changed. It may also ask for the loads that the other proxies have put on the
-// backends that hold a model.
+// LoadReport reports loads that have just changed. Where its ID is set it is a load query too: it asks for the loads that
+// the other proxies have put on the backends that hold a model.
 type LoadReport struct {
-	ID       uint64        `msg:"i"` // of the question; 0: nothing is asked
+	ID       uint64        `msg:"i"` // of the query; 0: it is only a report
 	Service  string        `msg:"s"` // of Model
-	Model    ModelName     `msg:"m"` // the model that is asked about
+	Model    ModelName     `msg:"m"` // the model that the query is for
 	Loads    []BackendLoad `msg:"l"` // current values, not differences
 	Complete bool          `msg:"w"` // the sender has no load at any other backend
 }
 
-// LoadResponse answers the question of a LoadReport: the loads of all proxies but the asking one. Backends without a
+// LoadResponse answers the query of a LoadReport: the loads of all proxies but the sender of the query. Backends without a
 // load are left out.
 type LoadResponse struct {
 	ID      uint64        `msg:"i"`
--- a/internal/message/membership.go
+++ b/internal/message/membership.go
@@ -1,6 +1,6 @@
 package message
 
-// Member is a coordinator: an identity that lives on its disk, and the address at which it is reached now.
+// Member is a coordinator: an identity that is stored on its disk, and the address at which it is reached now.
 type Member struct {
 	Identity  MemberID   `msg:"i"`
 	Address   string     `msg:"a"` // host:port for messages between processes
@@ -40,11 +40,11 @@
 	Complete    bool `msg:"c"` // it holds all that was acknowledged in earlier views
 	DiskStalled bool `msg:"d"` // a write to its disk has been in progress for too long
 	Leaving     bool `msg:"l"` // it shuts down gracefully
-	Diskless    bool `msg:"v"`
+	Diskless    bool `msg:"v"` // a restart loses all that it holds
 	Isolated    bool `msg:"i"` // it has not heard a majority of the voters for too long
 }
 
-// SuspicionReport says what a monitor found out about the members that it monitors.
+// SuspicionReport is what a monitor reports of the members that it monitors.
 type SuspicionReport struct {
 	Suspected []MemberID `msg:"m"` // not heard within the suspicion time-out, isolated, or with a stalled disk
 	Leaving   []MemberID `msg:"l"` // shutting down gracefully, and still alive
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -9,11 +9,11 @@
 // Message is one message between processes. Exactly one of the pointers is set. Messages may be lost, duplicated and
 // reordered: a sender that needs an answer repeats its request.
 type Message struct {
-	From        MemberID   `msg:"f"` // of a proxy: its node name
-	FromAddress string     `msg:"fa"`
+	From        MemberID   `msg:"f"`  // of a proxy: its node name
+	FromAddress string     `msg:"fa"` // where the sender listens; empty: a proxy, which receives responses on its connection
 	FromZone    string     `msg:"fz"`
 	To          MemberID   `msg:"t"` // empty: for whichever process listens at the address
-	ToAddress   string     `msg:"-"`
+	ToAddress   string     `msg:"-"` // where the sender's transport delivers it; it is not sent
 	View        ViewNumber `msg:"v"` // the newest view that the sender knows
 
 	Heartbeat        *Heartbeat        `msg:"hb,omitempty"`
--- a/internal/message/message_gen.go
+++ b/internal/message/message_gen.go
@@ -971,9 +971,9 @@
 				return
 			}
 		case "q":
-			z.Queued, err = dc.ReadInt()
+			z.QueuedPrefillMs, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Queued")
+				err = msgp.WrapError(err, "QueuedPrefillMs")
 				return
 			}
 		default:
@@ -1015,9 +1015,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt(z.Queued)
+	err = en.WriteInt(z.QueuedPrefillMs)
 	if err != nil {
-		err = msgp.WrapError(err, "Queued")
+		err = msgp.WrapError(err, "QueuedPrefillMs")
 		return
 	}
 	return
@@ -1035,7 +1035,7 @@
 	o = msgp.AppendInt(o, z.Running)
 	// string "q"
 	o = append(o, 0xa1, 0x71)
-	o = msgp.AppendInt(o, z.Queued)
+	o = msgp.AppendInt(o, z.QueuedPrefillMs)
 	return
 }
 
@@ -1074,9 +1074,9 @@
 				return
 			}
 		case "q":
-			z.Queued, bts, err = msgp.ReadIntBytes(bts)
+			z.QueuedPrefillMs, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Queued")
+				err = msgp.WrapError(err, "QueuedPrefillMs")
 				return
 			}
 		default:
--- a/internal/message/record.go
+++ b/internal/message/record.go
@@ -26,7 +26,7 @@
 	Digest   []byte     `msg:"d"` // chained over all changes
 	Version  uint64     `msg:"v"` // the operator's version, 0 before the first
 	Document []byte     `msg:"c"` // the complete configuration as JSON
-	History  []Change   `msg:"h"` // the newest changes, the oldest of them first
+	History  []Change   `msg:"h"` // the newest changes in order, at most as many as package replica keeps
 	Horizon  uint64     `msg:"o"` // the version before the first change in History; earlier changes are forgotten
 }
 
