--- a/cmd/pumiceline/faulttestcluster.go
+++ b/cmd/pumiceline/faulttestcluster.go
@@ -59,8 +59,8 @@
 	if err != nil {
 		return fmt.Errorf("own program: %w", err)
 	}
-	result, err := clustertest.RunDiscoveryCache(program, &clustertest.DiscoveryCacheOptions{Members: c.Members, Instances: c.Instances,
-		Lease: c.Lease, SteadyPeriod: c.SteadyPeriod, Proxies: c.Proxies})
+	result, err := clustertest.RunDiscoveryCache(program, &clustertest.DiscoveryCacheOptions{Members: c.Members,
+		Instances: c.Instances, Lease: c.Lease, SteadyPeriod: c.SteadyPeriod, Proxies: c.Proxies})
 	if err != nil {
 		return err
 	}
--- a/cmd/pumiceline/faulttestscript.go
+++ b/cmd/pumiceline/faulttestscript.go
@@ -89,7 +89,8 @@
 		listeners = append(listeners, ln)
 	}
 	r.discoveryAddr = listeners[0].Addr().String()
-	r.environment = fakestandalone.NewEnvironment(listeners[0], listeners[1:], scriptZones, fakestandalone.SleepAbout(scriptServiceTime))
+	r.environment = fakestandalone.NewEnvironment(listeners[0], listeners[1:], scriptZones,
+		fakestandalone.SleepAbout(scriptServiceTime))
 	go r.environment.Serve(ctx)
 	for i, entry := range r.environment.Entries {
 		relay, err := r.StartRelay(fmt.Sprint("destination ", i), entry.Address)
--- a/cmd/pumiceline/singletonrun.go
+++ b/cmd/pumiceline/singletonrun.go
@@ -113,7 +113,8 @@
 }
 
 // runWithCache serves the cache at addr while the client runs. It waits for all that it started.
-func runWithCache(ctx context.Context, client *leaseclient.Client, cache *discoverycache.Cache, addr string, log *slog.Logger) error {
+func runWithCache(ctx context.Context, client *leaseclient.Client, cache *discoverycache.Cache, addr string,
+	log *slog.Logger) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("discovery cache: %w", err)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -87,7 +87,8 @@
 		}
 	}
 	for i := range 2 {
-		err := d.startBackend(&fakesystem.Backend{ID: fmt.Sprintf("documents-%d", i), Service: documentService, Zone: "z0", Capacity: 8})
+		err := d.startBackend(&fakesystem.Backend{ID: fmt.Sprintf("documents-%d", i), Service: documentService, Zone: "z0",
+			Capacity: 8})
 		if err != nil {
 			return err
 		}
--- a/internal/fake/fakestandalone/recorder.go
+++ b/internal/fake/fakestandalone/recorder.go
@@ -98,7 +98,8 @@
 // ServeHTTP implements http.Handler.
 func (r *Recorder) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	var e singleton.Effect
-	if req.Method != http.MethodPost || json.NewDecoder(http.MaxBytesReader(w, req.Body, maxEffectBytes)).Decode(&e) != nil || e.Role == "" {
+	body := http.MaxBytesReader(w, req.Body, maxEffectBytes)
+	if req.Method != http.MethodPost || json.NewDecoder(body).Decode(&e) != nil || e.Role == "" {
 		http.Error(w, "no effect", http.StatusBadRequest)
 		return
 	}
--- a/internal/fake/fakesystem/backend.go
+++ b/internal/fake/fakesystem/backend.go
@@ -93,7 +93,8 @@
 func (b *Backend) serveReport(w http.ResponseWriter) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(report{Stage: "full", Models: b.residentModels(), InUse: b.loading, CallCount: b.revision, Active: b.running})
+	_ = json.NewEncoder(w).Encode(report{Stage: "full", Models: b.residentModels(), InUse: b.loading, CallCount: b.revision,
+		Active: b.running})
 }
 
 // serveRequest runs one request. Its response is a stream of events or a single text.
--- a/internal/faulttest/clustertest/cluster.go
+++ b/internal/faulttest/clustertest/cluster.go
@@ -229,8 +229,8 @@
 	if err := c.writeFleetFile(name, i+1); err != nil {
 		return err
 	}
-	return c.startProcess(name, "singleton", "member", "--fleet", c.fleetFile(name), "--id", fmt.Sprint(i+1), "--dir", c.memberDir(i),
-		"--listen", c.memberAddrs[i])
+	return c.startProcess(name, "singleton", "member", "--fleet", c.fleetFile(name), "--id", fmt.Sprint(i+1),
+		"--dir", c.memberDir(i), "--listen", c.memberAddrs[i])
 }
 
 // startInstance starts a process of an instance.
@@ -243,8 +243,8 @@
 	if r, set := c.clockRates[name]; set {
 		rate = r
 	}
-	return c.startProcess(name, "singleton", "run", "--fleet", c.fleetFile(name), "--name", name, "--zone", fmt.Sprint("z", i%2),
-		"--clock-rate", fmt.Sprint(rate), "--history", c.historyFile(name))
+	return c.startProcess(name, "singleton", "run", "--fleet", c.fleetFile(name), "--name", name,
+		"--zone", fmt.Sprint("z", i%2), "--clock-rate", fmt.Sprint(rate), "--history", c.historyFile(name))
 }
 
 // status is what an operator sees: the fleet's status and the text that it was read from.
--- a/internal/faulttest/clustertest/discoverycache.go
+++ b/internal/faulttest/clustertest/discoverycache.go
@@ -144,10 +144,11 @@
 	r.discovery = environment.Discovery
 	r.directAddr, r.fleetAddr = direct.Addr().String(), counted.Addr().String()
 	r.putHost("first")
-	server := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	count := func(w http.ResponseWriter, req *http.Request) {
 		r.fleetRequests.Add(1)
 		r.discovery.ServeHTTP(w, req)
-	})}
+	}
+	server := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(count)}
 	context.AfterFunc(ctx, func() { server.Close() })
 	go server.Serve(counted)
 	return nil
@@ -251,8 +252,8 @@
 	if addr, err = reserveAddr(3, i); err != nil {
 		return "", err
 	}
-	config, err := fakestandalone.ReplicaConfig(fakestandalone.ReplicaOptions{Listen: addr, Discovery: discoveryAddr, Zones: testZones,
-		Ordinal: i, GroupSize: count})
+	config, err := fakestandalone.ReplicaConfig(fakestandalone.ReplicaOptions{Listen: addr, Discovery: discoveryAddr,
+		Zones: testZones, Ordinal: i, GroupSize: count})
 	file := filepath.Join(r.dir, fmt.Sprintf("proxy-%d.json", i))
 	if err == nil {
 		err = os.WriteFile(file, config, 0o600)
--- a/internal/faulttest/clustertest/run.go
+++ b/internal/faulttest/clustertest/run.go
@@ -66,7 +66,8 @@
 	for i := range opts.Roles {
 		roles = append(roles, fmt.Sprint("work-", i+1))
 	}
-	c, err := newCluster(clusterOptions{program: program, members: opts.Members, lease: opts.Lease, roles: roles, unfenced: opts.Unfenced})
+	c, err := newCluster(clusterOptions{program: program, members: opts.Members, lease: opts.Lease, roles: roles,
+		unfenced: opts.Unfenced})
 	defer c.close()
 	if err != nil {
 		return result, err
@@ -149,7 +150,8 @@
 	lastFault := time.Now()
 	c.Record("script", "the last fault is over")
 	if !waitFor(lastFault.Add(recoveryLeases*c.lease), func() bool { return c.allHeldSince(lastFault) }) {
-		result.Failures = append(result.Failures, fmt.Sprintf("not all works were owned again %d leases after the last fault", recoveryLeases))
+		result.Failures = append(result.Failures,
+			fmt.Sprintf("not all works were owned again %d leases after the last fault", recoveryLeases))
 	}
 	result.RecoveryS = time.Since(lastFault).Seconds()
 }
--- a/internal/faulttest/schedule.go
+++ b/internal/faulttest/schedule.go
@@ -11,7 +11,9 @@
 )
 
 // randomActions are what random faults are drawn from. Their order is part of what a seed means.
-var randomActions = []Action{ActionFreeze, ActionKill, ActionCut, ActionCutUpstream, ActionCutDownstream, ActionDelay, ActionReset}
+var randomActions = []Action{
+	ActionFreeze, ActionKill, ActionCut, ActionCutUpstream, ActionCutDownstream, ActionDelay, ActionReset,
+}
 
 // Schedule returns the script's faults and those that are drawn from a seed, in the order of their times. The same seed
 // draws the same faults.
--- a/internal/singleton/holder.go
+++ b/internal/singleton/holder.go
@@ -43,7 +43,8 @@
 
 // Heartbeat returns the heartbeat to send now.
 func (h *Holder) Heartbeat() Heartbeat {
-	b := Heartbeat{Name: h.opts.Name, Incarnation: h.opts.Incarnation, Zone: h.opts.Zone, Build: h.opts.Build, Leaving: h.leaving}
+	b := Heartbeat{Name: h.opts.Name, Incarnation: h.opts.Incarnation, Zone: h.opts.Zone, Build: h.opts.Build,
+		Leaving: h.leaving}
 	for _, role := range slices.Sorted(maps.Keys(h.leases)) {
 		l := h.leases[role]
 		b.Leases = append(b.Leases, LeaseReport{Role: role, Token: l.token, Steps: l.steps, Released: l.released})
--- a/internal/singleton/leaseclient/heartbeat.go
+++ b/internal/singleton/leaseclient/heartbeat.go
@@ -15,6 +15,14 @@
 	"pumiceline/internal/singleton"
 )
 
+// The request of a heartbeat, as package raftmember serves it.
+const (
+	heartbeatPath    = "/v1/beat"
+	fleetHeader      = "X-Fleet"
+	leaderHeader     = "X-Leader" // of a response: the leader's ID
+	maxResponseBytes = 1 << 20
+)
+
 // sendHeartbeats sends heartbeats until stop ends and then until this instance holds nothing, for three leases at most.
 // Heartbeats themselves end with running.
 func (c *Client) sendHeartbeats(stop, running context.Context) {
@@ -101,22 +109,22 @@
 func (c *Client) postHeartbeat(ctx context.Context, member string, text []byte) (reply heartbeatReply, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.lease/heartbeatTimeoutDiv)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member+"/v1/beat", bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member+heartbeatPath, bytes.NewReader(text))
 	if err != nil {
 		return reply, fmt.Errorf("heartbeat to %s: %w", member, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set("X-Fleet", c.opts.Fleet)
+	req.Header.Set(fleetHeader, c.opts.Fleet)
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return reply, fmt.Errorf("heartbeat to %s: %w", member, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		reply.leader, _ = strconv.ParseUint(resp.Header.Get("X-Leader"), 10, 64) // no number: none is known
+		reply.leader, _ = strconv.ParseUint(resp.Header.Get(leaderHeader), 10, 64) // no number: none is known
 		return reply, fmt.Errorf("heartbeat to %s: status %s", member, resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, 1<<20)).Decode(&reply.response); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&reply.response); err != nil {
 		return reply, fmt.Errorf("response of %s: %w", member, err)
 	}
 	return reply, nil
--- a/internal/singleton/leasemanager.go
+++ b/internal/singleton/leasemanager.go
@@ -97,7 +97,8 @@
 			continue
 		}
 		if report.Released {
-			releases = append(releases, Command{Kind: CommandRelease, Role: report.Role, Token: report.Token, Reason: "given back by " + b.Name})
+			releases = append(releases, Command{Kind: CommandRelease, Role: report.Role, Token: report.Token,
+				Reason: "given back by " + b.Name})
 			continue
 		}
 		// Progress renews a lease, heartbeats alone do not: a holder that is stuck has to be replaced.
@@ -209,8 +210,9 @@
 // leaseDurationChange agrees on the settings' lease duration: on a longer one before any such lease is granted, on a
 // shorter one once all longer leases have ended. Until then every leader has to wait for the longer ones.
 func (m *LeaseManager) leaseDurationChange(now Time, s *State) []Command {
-	if s.LeaseDuration < m.settings.LeaseDuration || s.LeaseDuration > m.settings.LeaseDuration && now >= m.inheritedLeasesEnd {
-		return []Command{{Kind: CommandSetLeaseDuration, LeaseDuration: m.settings.LeaseDuration, Reason: "the leader's file says so"}}
+	desired := m.settings.LeaseDuration
+	if s.LeaseDuration < desired || s.LeaseDuration > desired && now >= m.inheritedLeasesEnd {
+		return []Command{{Kind: CommandSetLeaseDuration, LeaseDuration: desired, Reason: "the leader's file says so"}}
 	}
 	return nil
 }
--- a/internal/singleton/raftmember/handshake.go
+++ b/internal/singleton/raftmember/handshake.go
@@ -38,14 +38,14 @@
 	ErrRefused = errors.New("refused by a peer")
 )
 
-// validateStart returns ErrStaleDisk where a member whose disk is at started must not take part, as its disk was at seen
-// earlier.
-func (seen diskProgress) validateStart(started diskProgress) error {
-	isTwin := started.StartCount == seen.StartCount && seen.Nonce != 0 && started.Nonce != seen.Nonce
-	if started.StartCount < seen.StartCount || isTwin || started.Term < seen.Term ||
-		started.Term == seen.Term && started.Index < seen.Index {
+// validateStart returns ErrStaleDisk where a member that starts with a disk at started must not take part, as p was seen of
+// its disk earlier.
+func (p diskProgress) validateStart(started diskProgress) error {
+	isOtherProcess := started.StartCount == p.StartCount && p.Nonce != 0 && started.Nonce != p.Nonce
+	if started.StartCount < p.StartCount || isOtherProcess || started.Term < p.Term ||
+		started.Term == p.Term && started.Index < p.Index {
 		return fmt.Errorf("start %d, term %d, index %d, where start %d, term %d, index %d is known: %w", started.StartCount,
-			started.Term, started.Index, seen.StartCount, seen.Term, seen.Index, ErrStaleDisk)
+			started.Term, started.Index, p.StartCount, p.Term, p.Index, ErrStaleDisk)
 	}
 	return nil
 }
