--- a/cmd/pumicectl/coordinators.go
+++ b/cmd/pumicectl/coordinators.go
@@ -49,8 +49,8 @@
 	body   []byte
 }
 
-// send sends a request to one coordinator after the other until one decides it: with any status below 500. It is sent
-// unchanged each time, so that a change is applied once.
+// send sends a request to one coordinator after the other until one decides it, with any status below 500. It sends it
+// unchanged each time: coordinators recognise a change that was applied by its digest, and do not apply it again.
 func (c *coordinators) send(ctx context.Context, r request) (response, error) {
 	addresses := c.addresses()
 	if len(addresses) == 0 {
--- a/cmd/pumicectl/main.go
+++ b/cmd/pumicectl/main.go
@@ -53,5 +53,5 @@
 
 func printError(err error) { fmt.Fprintln(os.Stderr, "pumicectl:", err) }
 
-// showHelp is what a command does that only has subcommands.
+// showHelp is the Exec of commands that only have subcommands.
 func showHelp(context.Context, []string) error { return flag.ErrHelp }
--- a/cmd/pumicectl/simulate.go
+++ b/cmd/pumicectl/simulate.go
@@ -23,23 +23,24 @@
 	seeds := flags.Uint64("seeds", 1, "number of seeds")
 	members := flags.Int("members", 4, "coordinators")
 	tolerance := flags.Int("tolerance", 1, "machines that may be lost at one time")
-	volatile := flags.Int("volatile", 0, "number of members without a disk, the first seeds among them")
+	diskless := flags.Int("volatile", 0, "number of members without a disk, the first seeds among them")
 	length := flags.Duration("length", 20*time.Second, "simulated time during which faults are injected")
-	wild := flags.Bool("wild", false, "let faults overlap beyond the tolerance; never more lost disks than it allows")
+	beyondTolerance := flags.Bool("wild", false, "let faults overlap beyond the tolerance; never more lost disks than it allows")
 	drawn := flags.Bool("drawn", false, "draw members, tolerance, disks and overlaps at random from each seed")
 	shrink := flags.Bool("shrink", false, "reduce each failing run to the faults that it needs, and print its trace")
 	jobs := flags.Int("jobs", max(1, runtime.NumCPU()/2), "seeds that run in parallel")
-	pauses := flags.Bool("pauses", false, "measure how long nothing is acknowledged after each kind of fault, over the seeds")
+	measureRecovery := flags.Bool("pauses", false, "measure how long nothing is acknowledged after each kind of fault, over the seeds")
 	asJSON := flags.Bool("json", false, "print one JSON object per seed")
 	return &ffcli.Command{
 		Name: "simulate", ShortUsage: "pumicectl simulate [flags]", FlagSet: flags,
 		ShortHelp: "run coordinators over a simulated network, disks and clocks, and check the invariants",
 		Exec: func(ctx context.Context, _ []string) error {
-			if *pauses {
+			if *measureRecovery {
 				return printRecoveryTimes(simulation.MeasureRecovery(*members, *tolerance, *seeds))
 			}
 			shape := simulation.Options{
-				Members: *members, Tolerance: *tolerance, Diskless: *volatile, FaultPhase: *length, BeyondTolerance: *wild,
+				Members: *members, Tolerance: *tolerance, Diskless: *diskless, FaultPhase: *length,
+				BeyondTolerance: *beyondTolerance,
 			}
 			runner := seedRunner{first: *seed, count: *seeds, jobs: *jobs, asJSON: *asJSON, shrink: *shrink}
 			runner.options = func(seed uint64) simulation.Options {
@@ -56,12 +57,12 @@
 }
 
 // printRecoveryTimes prints how long each kind of fault interrupts acknowledgements.
-func printRecoveryTimes(pauses []simulation.RecoveryTime) error {
+func printRecoveryTimes(times []simulation.RecoveryTime) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "LOSS\tPAUSE MEDIAN\tLONGEST\tPUT TO ACKNOWLEDGEMENT P50\tP99")
-	for _, p := range pauses {
-		fmt.Fprintf(table, "%v\t%v\t%v\t%v\t%v\n", p.Kind, p.Median.Round(time.Millisecond), p.Longest.Round(time.Millisecond),
-			p.AckP50.Round(100*time.Microsecond), p.AckP99.Round(100*time.Microsecond))
+	for _, t := range times {
+		fmt.Fprintf(table, "%v\t%v\t%v\t%v\t%v\n", t.Kind, t.Median.Round(time.Millisecond), t.Longest.Round(time.Millisecond),
+			t.AckP50.Round(100*time.Microsecond), t.AckP99.Round(100*time.Microsecond))
 	}
 	return table.Flush()
 }
@@ -71,7 +72,7 @@
 	first, count uint64
 	jobs         int
 	asJSON       bool
-	shrink       bool // failing runs
+	shrink       bool // also prints the trace of each failing run, reduced to the faults that it needs
 	options      func(seed uint64) simulation.Options
 }
 
@@ -84,11 +85,11 @@
 
 func (r *seedRunner) runSeed(seed uint64) seedResult {
 	options := r.options(seed)
-	found := seedResult{Seed: seed, Result: simulation.Run(options)}
-	if r.shrink && len(found.Result.Violations) > 0 {
-		found.Trace = simulation.Trace(simulation.Shrink(options))
+	result := seedResult{Seed: seed, Result: simulation.Run(options)}
+	if r.shrink && len(result.Result.Violations) > 0 {
+		result.Trace = simulation.Trace(simulation.Shrink(options))
 	}
-	return found
+	return result
 }
 
 // run simulates and prints all seeds, until ctx ends.
--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -1,5 +1,5 @@
 // Package bootstrap reads and checks the settings file of a process of the system. The platform writes the file; the
-// environment variable PUMICELINE_BOOT names it. Settings hold for the life of the process.
+// environment variable PUMICELINE_BOOT names it. Settings do not change while the process runs.
 package bootstrap
 
 import (
@@ -29,11 +29,11 @@
 	ClientAddress    string            // listen address for clients; empty: none are served
 	ReadinessAddress string            // listen address for readiness checks
 	ControlAddress   string            // listen address for the operator
-	FirstPort        int               // of the ports for traffic inside the system
+	FirstPort        int               // of the ports for traffic inside the system; only this one is used
 	LastPort         int
 	Seeds            []string // control addresses of the first coordinators
-	FirstStart       bool     // the system starts for the first time: the seeds found it
-	CountsForQuorum  bool
+	FirstStart       bool     // the system starts for the first time, with the seeds as its members
+	CountsForQuorum  bool     // not used
 	Limits           Limits
 	StateDir         string // empty: the machine has no disk
 	Tolerance        int    // machines that may be lost at one time
@@ -49,24 +49,24 @@
 	DiskMB    int
 }
 
-// Bounds are the figures of the deployment's rules. Not all of them are used: those that are not are kept so that their
-// keys are checked.
+// Bounds are the figures of the deployment's rules. Ack, Apply, Drain, Quiet and ReuseAfter are read so that their keys are
+// checked, but nothing uses them.
 type Bounds struct {
 	Ack         time.Duration // within which a change is acknowledged
-	Apply       time.Duration // within which an acknowledged change is in force at every proxy that is in touch
+	Apply       time.Duration // within which an acknowledged change is in force at every proxy that reaches a coordinator
 	Drain       time.Duration // between the announcement that a backend leaves and its end
 	GracePeriod time.Duration // between SIGTERM and SIGKILL
-	Lease       time.Duration // within which two lease holders must not both command backends
-	Thaw        time.Duration // after a freeze, in which a late effect of a process is tolerated
+	Lease       time.Duration // within which two lease holders must not both send commands to backends
+	Thaw        time.Duration // after a process was frozen, within which late effects of it are tolerated
 	RetryWindow time.Duration // over which retries are counted
 	RetryRatio  float64       // retries that are allowed, as a part of the requests in the window
-	RetryExtra  float64       // retries that are allowed beside, by all proxies together
+	RetryExtra  float64       // retries that are allowed beyond that part, by all proxies together
 	LoadWindow  time.Duration // over which loads from the weight store are counted
 	LoadExcess  float64       // factor by which they may exceed the allowed rate over the window
-	// ChecksFencingTokens says that backends refuse commands with a lower fencing token than they have seen.
+	// ChecksFencingTokens says that backends reject commands with a lower fencing token than they have seen.
 	ChecksFencingTokens bool
-	Quiet               time.Duration
-	ReuseAfter          time.Duration
+	Quiet               time.Duration // see above
+	ReuseAfter          time.Duration // see above
 }
 
 // Platform says where and how the list of backends is read.
--- a/internal/controlplane/configuration/change.go
+++ b/internal/controlplane/configuration/change.go
@@ -26,8 +26,8 @@
 //	413  the document is too large
 //	0    undecided
 //
-// A rejection is final: a copy of the request may still be under way, and must not be applied later. So what could
-// become valid stays undecided.
+// A rejection is final: a repetition of the request may still be under way, and must not be applied once the operator has
+// the rejection. So a request that could become valid on a later state stays undecided.
 func Validate(state *message.ChainState, request *message.ConfigRequest) replica.ValidationResult {
 	digest := RequestDigest(request)
 	isSame := func(applied message.Change) bool { return bytes.Equal(applied.Digest, digest) }
@@ -50,7 +50,8 @@
 }
 
 // validateAhead decides a change based on a version that is not in force yet. The change that brings that version may be
-// under way, and a copy of this request may be decided after it. So only what no state makes valid is rejected.
+// under way, and a repetition of this request may be decided after it. So a request is rejected only where it is invalid
+// on every state.
 func validateAhead(request *message.ConfigRequest) replica.ValidationResult {
 	if request.Method == http.MethodPut {
 		if _, err := Parse(request.Body); err != nil {
--- a/internal/controlplane/configuration/configuration.go
+++ b/internal/controlplane/configuration/configuration.go
@@ -58,7 +58,7 @@
 
 // Runtime describes the model backends of a service.
 type Runtime struct {
-	Capacity       int // requests in a batch
+	Capacity       int // requests in a batch of one backend
 	CacheTokens    int // size of the KV cache; 0: unlimited
 	Models         []Model
 	WeightsMB      float64 // capacity for weights and adapters together
--- a/internal/controlplane/configuration/parse.go
+++ b/internal/controlplane/configuration/parse.go
@@ -35,7 +35,7 @@
 	return config, nil
 }
 
-// decode reads JSON with all its numbers as they stand.
+// decode reads a JSON object, with its numbers as json.Number.
 func decode(document []byte) (docreader.Node, *docreader.Findings, error) {
 	decoder := json.NewDecoder(bytes.NewReader(document))
 	decoder.UseNumber()
--- a/internal/controlplane/coordinator/api.go
+++ b/internal/controlplane/coordinator/api.go
@@ -10,15 +10,17 @@
 	"pumiceline/internal/message"
 )
 
-// Times of the operator's requests. An operator's client asks another member after a second without a response.
 const (
-	decisionTimeout  = 930 * time.Millisecond
+	// decisionTimeout is how long a request waits for its response before it is answered with 503. The operator's client
+	// tries another member after a second.
+	decisionTimeout = 930 * time.Millisecond
+	// resubmitInterval is how often a request without a response is given to the replica again.
 	resubmitInterval = 220 * time.Millisecond
 )
 
 const maxConfigBody = 8 << 20 // bytes
 
-// errNotDecided says that no member decided a request in time. It may have been applied all the same, so the client
+// errNotDecided is returned for a request that no member decided in time. It may have been applied all the same, so the client
 // sends it again unchanged.
 var errNotDecided = errors.New("not decided yet: ask again")
 
@@ -75,7 +77,7 @@
 }
 
 // submit gives the request to the replica, which forwards it to the member that decides it. As messages may be lost it
-// does so again and again until a response comes. The error is errNotDecided.
+// does so every resubmitInterval until a response comes. The error is errNotDecided.
 func (a *operatorAPI) submit(r *http.Request, request *message.ConfigRequest) (*message.ConfigResponse, error) {
 	id, results := a.loop.pending.register()
 	defer a.loop.pending.unregister(id)
--- a/internal/controlplane/coordinator/backends.go
+++ b/internal/controlplane/coordinator/backends.go
@@ -11,8 +11,8 @@
 	"pumiceline/internal/message"
 )
 
-// observedModels is what a placement task saw at a backend itself. It is ahead of discovery, which lags, and takes
-// precedence until discovery has certainly caught up.
+// observedModels are the models that a backend itself reported to a placement task. They are newer than what discovery
+// lists, which lags by up to Platform.MaxLag, and take precedence until discovery has certainly caught up.
 type observedModels struct {
 	models []message.LoadedModel
 	at     time.Time
@@ -63,7 +63,7 @@
 	c.loop.hub.SetTable(merged)
 }
 
-// onModelsObserved takes what a task saw at a backend.
+// onModelsObserved takes the models that a backend reported to a task. Reports of tasks of a lost lease are ignored.
 func (c *controller) onModelsObserved(backend message.BackendID, models []message.LoadedModel, now time.Time) {
 	if c.leaseToken == 0 {
 		return
--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -39,7 +39,7 @@
 type controller struct {
 	loop     *replicaLoop
 	settings *bootstrap.Settings
-	events   chan func(now time.Time)
+	events   chan func(now time.Time) // results of polls and tasks, run by the controller's goroutine
 
 	leaseToken message.FencingToken // of the lease under which the tables were filled; 0: not held
 	leaseStart time.Time
@@ -47,8 +47,8 @@
 	reader   *discovery.Reader
 	polling  bool // a poll of discovery is under way
 	lastPoll time.Time
-	table    *discovery.Table // as discovery listed it last
-	observed map[message.BackendID]observedModels
+	table    *discovery.Table                     // as discovery listed it last; nil: never
+	observed map[message.BackendID]observedModels // what tasks saw at backends since
 
 	config         *configuration.Config
 	configSequence uint64
@@ -90,7 +90,7 @@
 			return
 		case event := <-c.events:
 			event(time.Now())
-		case <-urgent:
+		case <-urgent: // the lease holder itself collects demand from its hub with every tick
 			if _, holds := c.lease(time.Now()); !holds {
 				go poller.PollNow(ctx)
 			}
@@ -142,10 +142,10 @@
 	}
 }
 
-// handoverDelay is how long a new lease holder sends no placement commands. All commands of its predecessor have ended
-// when the lease begins. Where backends check fencing tokens none of them can take effect any more, once a process that
-// was frozen and resumes has had its time (Bounds.Thaw). Elsewhere two lease holders must not both act within the span
-// that the deployment names (Bounds.Lease).
+// handoverDelay is how long a new lease holder sends no placement commands. A predecessor sends none after its lease (see
+// commandToken), but a process that is frozen while it sends one may send it when it resumes; the deployment tolerates
+// that for Bounds.Thaw. Where backends check fencing tokens, only the predecessor's last command has to end before.
+// Elsewhere two lease holders must not both send commands within Bounds.Lease.
 func (c *controller) handoverDelay() time.Duration {
 	if c.settings.Bounds.ChecksFencingTokens {
 		return executor.CommandTimeout + c.settings.Bounds.Thaw
@@ -166,8 +166,8 @@
 	logrus.Info("controller lease lost")
 }
 
-// onLeaseAcquired starts with empty tables. The new rate limiters take the predecessor to have started all the loads
-// that it was allowed.
+// onLeaseAcquired empties the tables, as they are from an earlier lease. The new rate limiters assume that the predecessor
+// started as many loads as it was allowed.
 func (c *controller) onLeaseAcquired(s *membershipSnapshot) {
 	c.leaseToken, c.leaseStart = s.leaseToken, s.leaseStart
 	c.demand = planner.NewDemandTable()
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -111,9 +111,9 @@
 	return server, nil
 }
 
-// awaitRemoval asks to be taken out of the view and waits until that is done. The others remove the member only once
-// enough of them hold the state; until then it goes on as a member. One that is outside the view waits until no join
-// request of its own can bring it in again. The last member of a view stops at once.
+// awaitRemoval asks for the member's removal from the view and waits for it. The others remove the member only once enough
+// of them are complete; until then it goes on as a member. One that is outside the view waits until no join request of
+// its own can be admitted any more. The only member of a view stops at once, as nobody can remove it.
 func awaitRemoval(loop *replicaLoop, grace time.Duration) {
 	close(loop.leaving)
 	deadline := time.Now().Add(min(maxRemovalWait, time.Duration(maxRemovalShare*float64(grace))))
--- a/internal/controlplane/coordinator/identity.go
+++ b/internal/controlplane/coordinator/identity.go
@@ -35,8 +35,8 @@
 	return addresses
 }
 
-// newIncarnation draws the number from which this life of the process counts its requests, so that no response to an
-// earlier incarnation matches one of this. It is random because the clock may have been set back.
+// newIncarnation draws the number from which this process counts its requests, so that no response to an earlier process
+// of the machine matches one of them. It is random because the clock may have been set back.
 func newIncarnation() uint64 {
 	var random [8]byte
 	if _, err := rand.Read(random[:]); err != nil {
--- a/internal/controlplane/coordinator/lease_holder_subscriber.go
+++ b/internal/controlplane/coordinator/lease_holder_subscriber.go
@@ -11,7 +11,8 @@
 	"pumiceline/internal/message"
 )
 
-// noConfigWanted is a sequence above all others: a coordinator gets the configuration along the replication chain.
+// noConfigWanted, as the sequence that a poller has, is above all others, so that no response has a configuration: a
+// coordinator gets it along the replication chain.
 const noConfigWanted = math.MaxUint64
 
 // leaseHolderSubscriber polls the lease holder for the backends and the total loads, which this coordinator's hub passes
@@ -71,12 +72,6 @@
 		return
 	}
 	current := *s.table
-	current.ObservedAt = observedAt(response, sent)
+	current.ObservedAt = distribution.ObservedAt(response, sent)
 	s.loop.hub.SetTable(&current)
 }
-
-// observedAt is when the lease holder's table was read, by this process's clock and at the earliest: it takes the
-// request to have arrived as soon as it was sent.
-func observedAt(response *message.PollResponse, sent time.Time) time.Time {
-	return sent.Add(time.Duration(response.WaitedMs-response.BackendsAgeMs) * time.Millisecond)
-}
--- a/internal/controlplane/coordinator/placement_tasks.go
+++ b/internal/controlplane/coordinator/placement_tasks.go
@@ -19,9 +19,10 @@
 	task         planner.Task
 	expectedDone time.Time // when its load should be complete
 	cancel       context.CancelFunc
-	loadStarted  bool // the backend has taken the load command
+	loadStarted  bool // the backend has accepted the load command, or may have
 }
 
+// hasLoaded reports whether the backend has been seen with the task's model.
 func (t *runningTask) hasLoaded(seen observedModels) bool {
 	return lo.ContainsBy(seen.models, func(m message.LoadedModel) bool { return m.Name == t.task.Load })
 }
--- a/internal/controlplane/coordinator/replica_loop.go
+++ b/internal/controlplane/coordinator/replica_loop.go
@@ -36,24 +36,24 @@
 	self     message.Member
 	snapshot atomic.Pointer[membershipSnapshot]
 
-	publishedSequence uint64             // of the configuration that the hub got last
-	loggedView        message.ViewNumber // number of the view that was logged last
+	publishedSequence uint64             // of the configuration that the hub was given last
+	loggedView        message.ViewNumber // the newest view that was logged
 }
 
 // membershipSnapshot is what the rest of the process may know of the replica, as of its last step.
 type membershipSnapshot struct {
 	view         message.View
 	isMember     bool
-	canStop      bool                 // it was asked to stop, and the others can do without it
-	leaseHolder  string               // internal address of the controller lease's holder; empty: not known
-	leaseToken   message.FencingToken // fencing token of the lease where this member holds it, else 0
-	leaseStart   time.Time
-	leaseUntil   time.Time
+	canStop      bool                  // it was asked to stop, and is neither in the view nor about to be admitted
+	leaseHolder  string                // internal address of the controller lease's holder; empty: not known
+	leaseToken   message.FencingToken  // fencing token of the lease where this member holds it, else 0
+	leaseStart   time.Time             // since when this member has held the lease without a gap; only with leaseToken
+	leaseUntil   time.Time             // when the lease expires; only with leaseToken
 	sequence     uint64                // of the newest acknowledged change
 	version      configuration.Version // the operator's, after that change
 	hasMajority  bool
-	servingUntil time.Time
-	waitingFor   string // what keeps the member from taking part, for operators; empty: nothing
+	servingUntil time.Time // until when it may serve its configuration to proxies
+	waitingFor   string    // what keeps the member from taking part, for operators; empty: nothing
 }
 
 func (l *replicaLoop) now() time.Duration { return time.Since(l.started) }
@@ -108,7 +108,7 @@
 	}
 }
 
-// applyOutput carries out what a step asked for. Messages from the replica to itself are steps of their own.
+// applyOutput carries out the output of a step. Messages from the replica to itself are stepped at once.
 func (l *replicaLoop) applyOutput(out replica.Output) {
 	local := l.route(out.Immediate)
 	if out.Control != nil || out.Chain != nil || len(out.AfterSync) > 0 {
@@ -119,9 +119,9 @@
 	}
 }
 
-// route sends messages to other processes and returns those for this replica.
-func (l *replicaLoop) route(messages []message.Message) []*message.Message {
-	var local []*message.Message
+// route passes messages of the replica on: those for other processes to the sender, and configuration responses for this
+// one to the requests that wait for them. It returns those for the replica itself, which the caller steps or queues.
+func (l *replicaLoop) route(messages []message.Message) (local []*message.Message) {
 	for i := range messages {
 		m := &messages[i]
 		switch {
@@ -136,14 +136,16 @@
 	return local
 }
 
-// onSynced sends the messages whose records are on disk. The state writer calls it from its goroutine.
+// onSynced sends the messages whose records are on disk. The state writer calls it from its goroutine. Where the inbox is
+// full it waits, unlike deliver: a lost message of the replica to itself, such as the tail's own acknowledgement, would
+// delay a change until the replica repeats it. The loop never waits for the writer, so there is no deadlock.
 func (l *replicaLoop) onSynced(messages []message.Message) {
 	for _, m := range l.route(messages) {
 		l.inbox <- m
 	}
 }
 
-// publish brings the snapshot and the hub up to date with the replica.
+// publish makes the state of the replica known to the rest of the process: by the snapshot and the hub.
 func (l *replicaLoop) publish() {
 	s := l.takeSnapshot()
 	if committed := l.replica.CommittedState(); committed.Sequence > l.publishedSequence {
--- a/internal/controlplane/coordinator/state_writer.go
+++ b/internal/controlplane/coordinator/state_writer.go
@@ -14,7 +14,7 @@
 
 const (
 	writeRetryDelay = 50 * time.Millisecond
-	// diskStallThreshold is how long a write may take until the disk counts as stalled and the member leaves the chain.
+	// diskStallThreshold is how long a write may take until the disk counts as stalled, and the member as unhealthy.
 	diskStallThreshold = 600 * time.Millisecond
 	// maxAppendedChanges is how many changes are appended until the chain state is written in full again. It bounds how
 	// much a start has to read.
@@ -26,16 +26,17 @@
 type stateWriter struct {
 	ring   *storage.Ring // nil on a machine without a disk
 	send   func([]message.Message)
-	signal chan struct{}
+	signal chan struct{} // holds one signal: the queue is not empty
 
-	mutex sync.Mutex
+	mutex sync.Mutex // guards queue
 	queue []replica.Output
 
 	started   time.Time
-	busySince atomic.Int64 // nanoseconds after started; 0: idle
+	busySince atomic.Int64 // start of the present write, in nanoseconds after started; 0: idle
 
-	chain    *message.ChainState // the newest
-	appended int                 // changes since the chain state was written in full
+	// Of the goroutine that runs run.
+	chain    *message.ChainState // as of the newest output that was taken from the queue
+	appended int                 // changes appended since the chain state was written in full
 }
 
 // newStateWriter makes a writer for a ring that holds chain. It hands messages to send once their records are synced.
@@ -54,7 +55,7 @@
 	}
 }
 
-// isStalled reports whether the present write takes too long. Any goroutine may call it.
+// isStalled reports whether the present write has taken longer than diskStallThreshold. Any goroutine may call it.
 func (w *stateWriter) isStalled() bool {
 	since := w.busySince.Load()
 	return since != 0 && time.Since(w.started)-time.Duration(since) > diskStallThreshold
@@ -97,7 +98,7 @@
 	}
 }
 
-// writeBatch is what some outputs come to together.
+// writeBatch is the records of some outputs, to be written together. Of the control state only the newest counts.
 type writeBatch struct {
 	control       *message.ControlState // nil: unchanged
 	changes       []message.ChangeRecord
--- a/internal/controlplane/coordinator/status.go
+++ b/internal/controlplane/coordinator/status.go
@@ -41,7 +41,8 @@
 	Reason   string              `json:"reason"`
 }
 
-// taskList shows the controller's running tasks to the status API. The controller writes it, any goroutine reads it.
+// taskList is a copy of the controller's running tasks for the status API. The controller sets it; any goroutine may read
+// it.
 type taskList struct{ tasks atomic.Pointer[[]Task] }
 
 func (t *taskList) set(running map[message.BackendID]*runningTask) {
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -55,7 +55,7 @@
 		LeaseToken: 77,
 	}
 
-	// storedChain is the newest chain state that was written whole.
+	// storedChain is the newest chain state that was written in full.
 	storedChain = message.ChainState{
 		View: 11, Sequence: 41, Digest: []byte("0123456789abcdef"), Version: 41,
 		Document: []byte(storedDocument(41, 5000)),
--- a/internal/controlplane/discovery/reader.go
+++ b/internal/controlplane/discovery/reader.go
@@ -37,7 +37,7 @@
 	return &Reader{address: address, client: &http.Client{Transport: transport}}
 }
 
-// page is one page of the list. The pointers tell a missing key from an empty one.
+// page is one page of the list. The fields are pointers to distinguish a missing key from an empty value.
 type page struct {
 	Backends *[]pageEntry `json:"backends"`
 	NextPage *string      `json:"nextPage"` // null: this is the last
--- a/internal/controlplane/discovery/update.go
+++ b/internal/controlplane/discovery/update.go
@@ -10,8 +10,9 @@
 	"pumiceline/internal/message"
 )
 
-// SetDigest sorts the backends by ID and sets the digest of their encoding, which tells tables apart. It is never 0,
-// which stands for no table. Whoever fills a table calls it before handing the table on.
+// SetDigest sorts the backends by ID and sets the digest of their encoding, which identifies a table: equal tables of all
+// processes have the same one. It is never 0, which stands for no table. Whoever fills a table calls it before it shares
+// the table.
 func (t *Table) SetDigest() {
 	slices.SortFunc(t.Backends, func(a, b message.Backend) int { return cmp.Compare(a.ID, b.ID) })
 	update := message.BackendUpdate{Backends: t.Backends}
@@ -48,7 +49,7 @@
 	return update
 }
 
-// isEqual compares what is sent to receivers, so a change of the warm-up time alone is none.
+// isEqual compares the encodings, as receivers get only these: a change of the warm-up time alone is no change.
 func isEqual(a, b *message.Backend) bool {
 	encodedA, errA := a.MarshalMsg(nil)
 	encodedB, errB := b.MarshalMsg(nil)
--- a/internal/controlplane/distribution/backend_history.go
+++ b/internal/controlplane/distribution/backend_history.go
@@ -9,7 +9,7 @@
 // behind gets the full list.
 const maxTableHistory = 24
 
-// backendHistory is the hub's: the newest list of backends and those before it.
+// backendHistory holds the newest list of backends and those before it.
 type backendHistory struct {
 	newest  *discovery.Table
 	earlier []*discovery.Table                // the latest last
--- a/internal/controlplane/distribution/config_copy.go
+++ b/internal/controlplane/distribution/config_copy.go
@@ -7,7 +7,8 @@
 	"pumiceline/internal/message"
 )
 
-// maxExpandedBytes bounds the document that a delta may expand to. No valid configuration is larger.
+// maxExpandedBytes bounds the document that a delta may expand to, against a malformed one. Configurations are smaller:
+// coordinators accept up to replica.MaxDocumentBytes.
 const maxExpandedBytes = 16 << 20
 
 // ConfigCopy is a subscriber's copy of the committed configuration. Its sequence never decreases. The zero value is
--- a/internal/controlplane/distribution/config_history.go
+++ b/internal/controlplane/distribution/config_history.go
@@ -11,7 +11,7 @@
 // behind gets the full document.
 const maxConfigHistory = 16
 
-// configHistory is the hub's: the newest committed configuration and those before it.
+// configHistory holds the newest committed configuration and those before it.
 type configHistory struct {
 	recent  []message.ConfigUpdate           // the newest last
 	updates map[uint64]*message.ConfigUpdate // to the newest, by the sequence that they build on
@@ -25,7 +25,7 @@
 	return h.recent[len(h.recent)-1].Sequence
 }
 
-// add appends a configuration and reports whether it is newer than all before it; another is ignored.
+// add appends a configuration and reports whether it is newer than all before it; one that is not is ignored.
 func (h *configHistory) add(update message.ConfigUpdate) bool {
 	if len(h.recent) > 0 && update.Sequence <= h.newestSequence() {
 		return false
@@ -59,7 +59,8 @@
 	return update
 }
 
-// documentDigest is the first half of the document's SHA-256. It guards against a delta applied to another document.
+// documentDigest is the first half of the document's SHA-256. Subscribers compare it, as a delta that is applied to another
+// document than it was made for may expand without an error.
 func documentDigest(document []byte) []byte {
 	sum := sha256.Sum256(document)
 	return sum[:sha256.Size/2]
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -22,7 +22,7 @@
 	pollCheckInterval = 50 * time.Millisecond
 )
 
-// Status is a coordinator's part in the cluster, as far as its hub needs it.
+// Status is what a hub needs to know of its coordinator's membership.
 type Status struct {
 	// ServingUntil is when the member stops serving unless a majority of the voters confirms its view again before. The
 	// hub compares it with the time of each response, so that a process that was paused sends nothing outdated.
@@ -74,7 +74,7 @@
 	}
 }
 
-// SetStatus sets the member's part in the cluster.
+// SetStatus sets until when the member serves, and the members of its view.
 func (h *Hub) SetStatus(status Status) { h.status.Store(&status) }
 
 // SetOnUnmetDemand sets what is called when a poll reports requests that wait for a model or were rejected for lack of it.
@@ -109,8 +109,8 @@
 	h.commands <- func(s *state) { s.totals = clusterTotals{Totals: totals, receivedAt: time.Now()} }
 }
 
-// UseOwnTotals is for the lease holder: its totals are the sums over its own subscribers, and the loads of models that it
-// has under way are these.
+// UseOwnTotals is called in place of SetTotals at the lease holder. There the totals are the sums over the hub's own
+// subscribers, as all other coordinators are among these, and pendingLoads are the loads that its placer has under way.
 func (h *Hub) UseOwnTotals(pendingLoads []message.PendingLoad) {
 	h.commands <- func(s *state) {
 		s.totals = clusterTotals{Totals: Totals{PendingLoads: pendingLoads}, receivedAt: time.Now()}
@@ -138,9 +138,9 @@
 	})
 }
 
-// readState runs a question in the hub's goroutine and waits for its answer.
-func readState[T any](h *Hub, ask func(*state) T) T {
-	answer := make(chan T, 1)
-	h.commands <- func(s *state) { answer <- ask(s) }
-	return <-answer
+// readState runs read in the hub's goroutine and returns its result.
+func readState[T any](h *Hub, read func(*state) T) T {
+	result := make(chan T, 1)
+	h.commands <- func(s *state) { result <- read(s) }
+	return <-result
 }
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -13,13 +13,14 @@
 	"pumiceline/internal/message"
 )
 
-func newTestHub(t *testing.T, available bool) *Hub {
+// newTestHub runs a hub until the test ends, of a coordinator that serves or does not.
+func newTestHub(t *testing.T, serving bool) *Hub {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	hub := NewHub()
 	status := Status{Members: []message.Member{{Address: "m"}}}
-	if available {
+	if serving {
 		status.ServingUntil = time.Now().Add(time.Hour)
 	}
 	hub.SetStatus(status)
@@ -27,6 +28,7 @@
 	return hub
 }
 
+// poll makes a poll and waits for its response.
 func poll(t *testing.T, hub *Hub, from string, request message.PollRequest) *message.PollResponse {
 	t.Helper()
 	response := make(chan *message.Message, 1)
@@ -68,7 +70,7 @@
 }
 
 // A process that was paused or partitioned finds by the clock that its time to serve is over, whatever its last status.
-func TestHub_StopsServingAtServesUntil(t *testing.T) {
+func TestHub_StopsServingAtServingUntil(t *testing.T) {
 	hub := newTestHub(t, true)
 	hub.SetConfig(message.ConfigUpdate{Sequence: 1})
 	assert.NotNil(t, poll(t, hub, "p", message.PollRequest{}).Config)
--- a/internal/controlplane/distribution/inflight/delta.go
+++ b/internal/controlplane/distribution/inflight/delta.go
@@ -6,12 +6,15 @@
 	"pumiceline/internal/message"
 )
 
-// A backend's load is sent again only when it differs by at least this from what the receiver has. Smaller changes are
-// frequent, and hardly ever change which backend is chosen.
+// A backend's load is sent again only when it differs by at least so much from what the receiver has. Smaller changes are
+// frequent, and hardly ever change which backend is picked.
 const (
-	minRunningChange         = 2    // requests, and
-	minRunningChangeShare    = 0.15 // as a share of the running requests that were sent last
-	minQueuedPrefillChangeMs = 60   // milliseconds of prompts
+	// A change of the running requests counts when it reaches both minRunningChange, in requests, and
+	// minRunningChangeShare of the number that was sent last.
+	minRunningChange      = 2
+	minRunningChangeShare = 0.15
+	// minQueuedPrefillChangeMs is the smallest change of the queued prefill that counts, in milliseconds.
+	minQueuedPrefillChangeMs = 60
 )
 
 // Delta is what a receiver needs to bring its copy of the total loads up to date.
@@ -55,7 +58,8 @@
 		}
 	}
 	if delta.Complete || len(delta.Loads) > 0 {
-		e.version = rand.Uint64() | 1 // random, so that no two hubs give the same; never 0
+		// Random, so that a receiver that moves to another hub does not by chance have the version sent last there; never 0.
+		e.version = rand.Uint64() | 1
 	}
 	delta.Version = e.version
 	return delta
--- a/internal/controlplane/distribution/inflight/table_test.go
+++ b/internal/controlplane/distribution/inflight/table_test.go
@@ -9,8 +9,8 @@
 	"pumiceline/internal/message"
 )
 
-func load(backend message.BackendID, running, queued int) message.BackendLoad {
-	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queued}
+func load(backend message.BackendID, running, queuedPrefillMs int) message.BackendLoad {
+	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queuedPrefillMs}
 }
 
 func TestTable_SumsOtherReporters(t *testing.T) {
--- a/internal/controlplane/distribution/load_query.go
+++ b/internal/controlplane/distribution/load_query.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// loadResponse carries what the other proxies have in flight at the backends that hold the model asked for.
+// loadResponse carries what the other proxies have in flight at the backends that hold the model of the query.
 func (s *state) loadResponse(proxy string, report *message.LoadReport, now time.Time) *message.LoadResponse {
 	response := &message.LoadResponse{ID: report.ID}
 	if !s.backends.newest.IsKnown() {
@@ -36,7 +36,7 @@
 	return response
 }
 
-// modelIndex finds the backends that hold a model or an adapter. It is rebuilt for each list of backends.
+// modelIndex finds the backends that hold a model or an adapter. It is rebuilt when it is used with another list.
 type modelIndex struct {
 	table    *discovery.Table // that the index was built from
 	backends map[modelKey][]message.BackendID
--- a/internal/controlplane/distribution/load_query_test.go
+++ b/internal/controlplane/distribution/load_query_test.go
@@ -11,12 +11,12 @@
 	"pumiceline/internal/message"
 )
 
-func load(backend message.BackendID, running, queued int) message.BackendLoad {
-	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queued}
+func load(backend message.BackendID, running, queuedPrefillMs int) message.BackendLoad {
+	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queuedPrefillMs}
 }
 
-// It queries a model, an adapter and a model that no backend holds.
-func TestHub_AnswersLoadQueriesForHolders(t *testing.T) {
+// The queries are for a model, an adapter, and a model that no backend holds.
+func TestHub_AnswersLoadQueriesByModel(t *testing.T) {
 	hub := NewHub()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/controlplane/distribution/poll.go
+++ b/internal/controlplane/distribution/poll.go
@@ -7,8 +7,8 @@
 	"pumiceline/internal/message"
 )
 
-// unavailableWait is how long a poll is held while the member does not serve. After a change of the view the member is
-// confirmed within this time, so that most subscribers need not fail over to another.
+// unavailableWait is how long the answer to a poll is delayed while the member does not serve. After a change of the view
+// a majority confirms the member within this time, so that most subscribers need not fail over to another.
 const unavailableWait = 200 * time.Millisecond
 
 // pendingPoll is a poll that has not been answered.
@@ -117,7 +117,7 @@
 func (s *state) addTotalLoads(response *message.PollResponse, poll *pendingPoll, now time.Time) {
 	totals := s.totalLoads(now)
 	known := s.subscriptions.bySubscriber[poll.subscriber]
-	if known == nil { // it has expired while its poll was pending
+	if known == nil { // the subscription has expired while its poll was pending
 		response.TotalLoads, response.LoadsComplete = totals, true
 		return
 	}
--- a/internal/controlplane/distribution/poller.go
+++ b/internal/controlplane/distribution/poller.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// responseMargin is how much longer than a poll's own wait its response may take; then the server counts as lost.
+	// responseMargin is how much longer than the poll's maximum wait a response may take; then the poll has failed.
 	responseMargin = 800 * time.Millisecond
 	// failoverDelay is the pause before the next server is polled after one has failed.
 	failoverDelay = 80 * time.Millisecond
@@ -39,8 +39,8 @@
 	subscriber   Subscriber
 	client       *transport.Client
 	maxWait      time.Duration
-	current      atomic.Pointer[string] // address of the server that answered last
-	serverIndex  int                    // in the subscriber's addresses; 0: the preferred
+	current      atomic.Pointer[string] // address of the server that answered last; PollNow uses it too
+	serverIndex  int                    // in the subscriber's addresses, modulo their number; 0: the preferred
 	failedOverAt time.Time
 }
 
@@ -109,6 +109,12 @@
 	}
 }
 
+// ObservedAt returns when the list of backends of a response, whose request was sent at sent, was read from the platform,
+// by the receiver's clock. It is the earliest possible time, as it takes the request to have arrived at once.
+func ObservedAt(response *message.PollResponse, sent time.Time) time.Time {
+	return sent.Add(time.Duration(response.WaitedMs-response.BackendsAgeMs) * time.Millisecond)
+}
+
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/controlplane/distribution/subscriptions.go
+++ b/internal/controlplane/distribution/subscriptions.go
@@ -12,11 +12,11 @@
 const (
 	// subscriptionLifetime is how long after its last poll a subscriber's proxies are counted.
 	subscriptionLifetime = 5 * time.Second
-	// reportLifetime is how long its loads and its waiting and running requests count.
+	// reportLifetime is how long after its last poll its loads and its waiting and running requests count.
 	reportLifetime = 2 * time.Second
 )
 
-// ReportedDemand is what subscribers reported, summed up.
+// ReportedDemand is the sum of what the subscribers reported.
 type ReportedDemand struct {
 	Models  []message.ModelDemand
 	Loads   []message.BackendLoad
@@ -29,11 +29,12 @@
 	demand       map[modelKey]*message.ModelDemand // arrivals and rejections since the last collection
 }
 
+// subscription is what one subscriber reported with its latest poll, and what was sent to it.
 type subscription struct {
-	proxies  int
+	proxies  int // how many it speaks for
 	lastPoll time.Time
 	loads    []message.BackendLoad
-	demand   []message.ModelDemand
+	demand   []message.ModelDemand // of its waiting and running requests; arrivals are in subscriptionTable.demand
 	totals   inflight.DeltaEncoder // of the totals sent to it
 }
 
--- a/internal/controlplane/placement/executor/backend_client.go
+++ b/internal/controlplane/placement/executor/backend_client.go
@@ -50,7 +50,8 @@
 	Operation Operation         `json:"operation"`
 	Model     message.ModelName `json:"model"`
 	Adapter   string            `json:"adapter,omitempty"`
-	// IfRevision is the command count for which the command is meant: at any other the backend answers Conflict.
+	// IfRevision is the command count for which the command is meant: at any other the backend answers Conflict. It is a
+	// pointer as 0, the count of a backend that has just started, has to be sent.
 	IfRevision   *uint64              `json:"ifRevision,omitempty"`
 	Owner        string               `json:"owner"`
 	FencingToken message.FencingToken `json:"fenceNo"`
@@ -87,8 +88,9 @@
 
 // BackendClient calls the control interface of backends. It may be used by several goroutines.
 //
-// Reports share one connection a backend, which is kept for a moment. Each command has a connection of its own: its
-// response carries no ID, so that a late response to an earlier request on the same connection would be taken for it.
+// Reports share one connection a backend, which is kept for reportIdleTime. Each command has a connection of its own:
+// responses carry no ID, so that on a shared connection a late response to an earlier request would be taken for the
+// command's.
 type BackendClient struct{ reports, commands *http.Client }
 
 // NewBackendClient makes a client without connections.
--- a/internal/controlplane/placement/executor/execution.go
+++ b/internal/controlplane/placement/executor/execution.go
@@ -14,30 +14,33 @@
 )
 
 const (
-	// removalNoticeTime is the time from the notice that a model goes until it is unloaded. In it the proxies learn of it.
+	// removalNoticeTime is the time between the update to the proxies, without the model, and its unload command. Until the
+	// update has come they send requests for the model, which the backend would reject.
 	removalNoticeTime = 80 * time.Millisecond
 	// conflictBackoff is the pause after a conflict: another command is under way, or the last report was outdated.
 	conflictBackoff = 300 * time.Millisecond
 	// maxAttempts bounds the attempts to send one command.
 	maxAttempts = 8
-	// adapterCommandTime is the pause after a command for an adapter: it is carried out within some milliseconds.
+	// adapterCommandTime is the pause after a command for an adapter, which a backend carries out within some milliseconds.
 	adapterCommandTime = 50 * time.Millisecond
 	// adapterRetryDelay is the pause before an adapter's command is sent again.
 	adapterRetryDelay = 40 * time.Millisecond
 )
 
-// Polling of a backend's report, for the end of a command.
+// Intervals and time-outs of polling a backend's report until it is idle: before the first command, and after an unload
+// and a load.
 const (
 	idlePollInterval   = 200 * time.Millisecond
 	idleTimeout        = 20 * time.Second
 	unloadPollInterval = 70 * time.Millisecond
-	unloadTimeout      = 20 * time.Second // the requests that run have to end first
+	unloadTimeout      = 20 * time.Second // running requests have to end first
 	loadPollInterval   = 150 * time.Millisecond
-	loadTimeout        = 15 * time.Second // beyond the expected time
-	firstLoadPollShare = 0.9              // of the expected time has passed before the first poll
+	loadTimeout        = 15 * time.Second // beyond the expected load time
+	firstLoadPollShare = 0.9              // share of the expected load time that passes before the first poll
 )
 
-// errNotIdle ends the wait for a backend that carries out a command, or whose report lacks one, for too long.
+// errNotIdle is returned for a backend that did not report in time that it is idle and has carried out the commands that
+// it accepted.
 var errNotIdle = errors.New("backend is not idle in time")
 
 // execution is one run of an executor.
@@ -45,7 +48,7 @@
 	*Executor
 	task         *planner.Task
 	models       []message.LoadedModel // that the backend holds, as far as is known
-	commandCount uint64                // that the backend should have: each command names it as its revision
+	commandCount uint64                // commands that the backend has accepted, as far as is known; see Command.IfRevision
 }
 
 func (x *execution) backendID() message.BackendID { return x.task.Backend.ID }
@@ -55,19 +58,23 @@
 	return backend.Holds(name)
 }
 
-// pollOptions is how a report is polled for.
+// anyCommandCount, as minCommandCount, takes any report.
+const anyCommandCount = 0
+
+// pollOptions say how pollIdle polls.
 type pollOptions struct {
-	minCommandCount uint64 // the report must know of
+	minCommandCount uint64 // of the report: reports lag, and one with a lower count is from before the last command
 	interval        time.Duration
 	timeout         time.Duration
 }
 
-// awaitIdle polls until no command is under way and the report knows of that many commands.
-func (x *execution) awaitIdle(ctx context.Context, minCommands uint64) error {
-	return x.pollIdle(ctx, pollOptions{minCommandCount: minCommands, interval: idlePollInterval, timeout: idleTimeout})
+// awaitIdle polls until no command is under way and the report counts at least minCommandCount commands.
+func (x *execution) awaitIdle(ctx context.Context, minCommandCount uint64) error {
+	return x.pollIdle(ctx, pollOptions{minCommandCount: minCommandCount, interval: idlePollInterval, timeout: idleTimeout})
 }
 
-// pollIdle polls until the backend is idle and takes over what it reports, or returns errNotIdle.
+// pollIdle polls until the backend is idle, and takes over the models and the command count of its report. The error is
+// errNotIdle after the time-out.
 func (x *execution) pollIdle(ctx context.Context, p pollOptions) error {
 	deadline := time.Now().Add(p.timeout)
 	for time.Now().Before(deadline) {
@@ -86,7 +93,8 @@
 	return errNotIdle
 }
 
-// send sends a command for the state that is known.
+// send sends a command once, on the condition that the backend's state is still the one that is known here. The error is
+// ErrFenced without a lease; a load beyond the capacity is not sent either.
 func (x *execution) send(ctx context.Context, operation Operation, name message.ModelName) (Answer, error) {
 	token, ok := x.LeaseToken()
 	if !ok {
@@ -112,8 +120,8 @@
 	return answer, nil
 }
 
-// sendWithRetry sends a command until it is accepted or already met. After a conflict, and where there was no answer, the
-// backend's state is read again first.
+// sendWithRetry sends a command until it is accepted or already met. After Conflict and Unknown it reads the backend's
+// state again: the next attempt is for the state with all that was carried out meanwhile.
 func (x *execution) sendWithRetry(ctx context.Context, operation Operation, name message.ModelName) (Answer, error) {
 	for range maxAttempts {
 		answer, err := x.send(ctx, operation, name)
@@ -129,7 +137,7 @@
 		if err := x.sleep(ctx, conflictBackoff); err != nil {
 			return answer, err
 		}
-		if err := x.awaitIdle(ctx, 0); err != nil {
+		if err := x.awaitIdle(ctx, anyCommandCount); err != nil {
 			return answer, err
 		}
 	}
@@ -220,7 +228,7 @@
 		case Rejected:
 			return errors.Errorf("%s of %s rejected", LoadModel, adapter)
 		case Unknown:
-			if err := x.awaitIdle(ctx, 0); err != nil {
+			if err := x.awaitIdle(ctx, anyCommandCount); err != nil {
 				return err
 			}
 			if x.holds(adapter) {
@@ -231,7 +239,7 @@
 			return err
 		}
 	}
-	return x.awaitIdle(ctx, 0)
+	return x.awaitIdle(ctx, anyCommandCount)
 }
 
 func (x *execution) onAdapterLoaded(ctx context.Context, adapter message.ModelName) error {
--- a/internal/controlplane/placement/executor/executor.go
+++ b/internal/controlplane/placement/executor/executor.go
@@ -33,11 +33,12 @@
 	Sleep func(ctx context.Context, duration time.Duration) error
 }
 
-// Run carries a task out and returns what the backend holds then. After an error that is not known, and a part of the task
-// may have been carried out. The error is ErrFenced where the lease ended, and that of ctx where it ended.
+// Run carries a task out and returns what the backend holds then. After an error a part of the task may have been carried
+// out, and what the backend holds is not known. The error is ErrFenced where the lease ended, and that of ctx where ctx
+// ended.
 func (e *Executor) Run(ctx context.Context, task *planner.Task) ([]message.LoadedModel, error) {
 	x := &execution{Executor: e, task: task}
-	if err := x.awaitIdle(ctx, 0); err != nil {
+	if err := x.awaitIdle(ctx, anyCommandCount); err != nil {
 		return nil, err
 	}
 	for _, model := range task.Unload {
--- a/internal/controlplane/placement/planner/adapter_placement.go
+++ b/internal/controlplane/placement/planner/adapter_placement.go
@@ -13,10 +13,11 @@
 const (
 	// recentAdapterDemand is how long after its last request an adapter counts as requested.
 	recentAdapterDemand = 20 * time.Second
-	// recentlyUnserved is the number of unserved requests, fading, from which an adapter counts as requested.
+	// recentlyUnserved is the decaying number of unserved requests (Demand.Unserved) above which an adapter counts as
+	// requested.
 	recentlyUnserved = 0.05
-	// busyAdapterRate is the rate, in requests a second, from which an adapter gets more than one copy.
-	busyAdapterRate = 0.3
+	// busyAdapterValue is the value, in requests a second, from which an adapter gets more than one replica.
+	busyAdapterValue = 0.3
 	// adapterSwapCost is what the swap of one adapter for another costs, in requests a second.
 	adapterSwapCost = 0.05
 	// idleAdapterValue and loadedAdapterValue are the values of an adapter without requests, in requests a second: of one
@@ -25,12 +26,12 @@
 	loadedAdapterValue = 0.008
 )
 
-// adapterDemand is an adapter that may have fewer copies than it should.
+// adapterDemand is the demand for an adapter. A replica of an adapter is one loaded at one backend.
 type adapterDemand struct {
 	model       message.ModelName
 	adapter     string
 	isRequested bool    // lately
-	value       float64 // of one more copy, in requests a second
+	value       float64 // of one more replica, in requests a second
 }
 
 // name is the adapter's full name.
@@ -72,16 +73,16 @@
 	task.LoadAdapters = append(task.LoadAdapters, demand.name())
 }
 
-// adapterDemands returns the adapters with fewer copies than they should have, the most valuable first.
+// adapterDemands returns the adapters with fewer replicas than they should have, the most valuable first.
 func (p *servicePlan) adapterDemands() []adapterDemand {
 	var demands []adapterDemand
 	for _, model := range p.service.Runtime.Models {
 		if model.Adapters == 0 || p.replicas[model.Name] == 0 {
 			continue
 		}
-		copies := p.adapterReplicas(model.Name)
+		replicas := p.adapterReplicas(model.Name)
 		for _, demand := range p.rankAdapters(model) {
-			if copies[demand.adapter] < p.targetAdapterReplicas(model, demand) {
+			if replicas[demand.adapter] < p.targetAdapterReplicas(model, demand) {
 				demands = append(demands, demand)
 			}
 		}
@@ -90,20 +91,20 @@
 	return demands
 }
 
-// targetAdapterReplicas is how many copies of an adapter there should be: one of each adapter that is requested or whose model is
-// busy. A busy adapter gets one at each holder of its model while the adapter slots there suffice for all the model's
-// adapters:
+// targetAdapterReplicas is how many replicas of an adapter there should be: one of each adapter that is requested or whose
+// model is busy. A busy adapter gets one beside each replica of its model while the adapter slots there suffice for all
+// the model's adapters:
 //
-//	min(holders, holders * adapter slots / adapters), at least 1
+//	min(model replicas, model replicas * adapter slots / adapters), at least 1
 func (p *servicePlan) targetAdapterReplicas(model configuration.Model, demand adapterDemand) int {
 	if p.targets[model.Name] <= 1 && !demand.isRequested {
 		return 0
 	}
-	if demand.value < busyAdapterRate {
+	if demand.value < busyAdapterValue {
 		return 1
 	}
-	holders := p.replicas[model.Name]
-	return max(1, min(holders, holders*p.service.Runtime.AdapterSlots/model.Adapters))
+	modelReplicas := p.replicas[model.Name]
+	return max(1, min(modelReplicas, modelReplicas*p.service.Runtime.AdapterSlots/model.Adapters))
 }
 
 // rankAdapters returns all adapters of a model, the most valuable first. The platform names them a1 to aN.
@@ -126,8 +127,8 @@
 	}
 }
 
-// adaptersFor returns the adapters that a new replica of a busy model gets with it: those with the fewest copies, as many
-// as the slots that remain at its backend.
+// adaptersFor returns the adapters that are loaded together with a new replica of a busy model: those with the fewest
+// replicas, as many as the slots that remain at its backend.
 func (p *servicePlan) adaptersFor(model configuration.Model, s *site) []message.ModelName {
 	if p.targets[model.Name] <= 1 {
 		return nil
@@ -138,9 +139,9 @@
 			slots -= len(kept.Adapters)
 		}
 	}
-	copies := p.adapterReplicas(model.Name)
+	replicas := p.adapterReplicas(model.Name)
 	ranked := p.rankAdapters(model)
-	sort.SliceStable(ranked, func(i, j int) bool { return copies[ranked[i].adapter] < copies[ranked[j].adapter] })
+	sort.SliceStable(ranked, func(i, j int) bool { return replicas[ranked[i].adapter] < replicas[ranked[j].adapter] })
 	var names []message.ModelName
 	for _, demand := range ranked[:max(0, min(slots, len(ranked)))] {
 		names = append(names, demand.name())
@@ -148,23 +149,24 @@
 	return names
 }
 
-// adapterReplicas counts the copies of a model's adapters.
+// adapterReplicas counts the replicas of each of a model's adapters.
 func (p *servicePlan) adapterReplicas(model message.ModelName) map[string]int {
-	copies := map[string]int{}
+	replicas := map[string]int{}
 	for _, backend := range p.backends {
 		for _, held := range backend.Models {
 			if held.Name != model {
 				continue
 			}
 			for _, adapter := range held.Adapters {
-				copies[adapter]++
+				replicas[adapter]++
 			}
 		}
 	}
-	return copies
+	return replicas
 }
 
-// adapterBackend returns the holder of the model with the fewest adapters, nil where no holder may take the adapter.
+// adapterBackend returns, of the backends that hold the model and may take the adapter, the one with the fewest adapters;
+// nil: there is none.
 func (p *servicePlan) adapterBackend(demand adapterDemand, tasks map[*Backend]*Task) *Backend {
 	var best *Backend
 	fewest := 0
@@ -209,9 +211,9 @@
 	return usedMB+p.capacity.sizeMB(demand.name()) <= p.service.Runtime.WeightsMB
 }
 
-// adapterToEvict returns the least valuable adapter of the backend. ok is false where none is worth less, by the same
-// hysteresis as for models, than the one that should take its place; nothing is evicted for an adapter that nobody has
-// requested.
+// adapterToEvict returns the least valuable adapter of the backend. ok is false where none has a lower value, by the same
+// hysteresis as for models, than the one that should replace it; nothing is evicted for an adapter that was not requested
+// lately.
 func (p *servicePlan) adapterToEvict(backend *Backend, task *Task, demand adapterDemand) (_ message.ModelName, ok bool) {
 	if !demand.isRequested {
 		return "", false
--- a/internal/controlplane/placement/planner/capacity.go
+++ b/internal/controlplane/placement/planner/capacity.go
@@ -5,8 +5,8 @@
 	"pumiceline/internal/message"
 )
 
-// Capacity tells what fits into a backend of a service: the weights of models and adapters together, and the number of
-// adapters. Sizes are in MB.
+// Capacity is what fits into a backend of a service. It bounds the weights of models and adapters together, in MB, and the
+// number of adapters.
 type Capacity struct{ Runtime *configuration.Runtime }
 
 // UsedMB returns the size of loaded models with their adapters.
@@ -18,8 +18,8 @@
 	return used
 }
 
-// loadedMB is the size of a loaded model with its adapters. A model that the configuration does not have is taken to fill
-// the backend.
+// loadedMB is the size of a loaded model with its adapters. The size of a model that the configuration does not have is
+// unknown, so it counts as the full capacity, and nothing is loaded beside it.
 func (c Capacity) loadedMB(loaded message.LoadedModel) float64 {
 	model, ok := c.model(loaded.Name)
 	if !ok {
--- a/internal/controlplane/placement/planner/demand.go
+++ b/internal/controlplane/placement/planner/demand.go
@@ -14,10 +14,11 @@
 	slowTimeConstant = 25 * time.Second
 	// durationTimeConstant is that of the averages from which the mean duration of requests is derived.
 	durationTimeConstant = 20 * time.Second
-	// defaultDuration is that of a request where too little was measured: below minDurationRate requests a second.
+	// defaultDuration is the mean duration of requests where it cannot be derived, as there are fewer than minDurationRate
+	// requests a second.
 	defaultDuration = 600 * time.Millisecond
 	minDurationRate = 0.3
-	// maxDuration bounds the mean duration, as a few long requests would else call for many replicas.
+	// maxDuration bounds the mean duration: otherwise a few long requests would make the model need many replicas.
 	maxDuration = 3 * time.Second
 	// demandExpiry is how long after its last request a model or adapter has an entry.
 	demandExpiry = 10 * time.Minute
@@ -29,7 +30,7 @@
 	SlowRate    float64 // the same by slowTimeConstant
 	Running     int     // requests in flight, as last reported
 	Waiting     int     // requests that wait for it, as last reported
-	Unserved    float64 // requests rejected for lack of it; the count fades by fastTimeConstant
+	Unserved    float64 // requests rejected for lack of it; the count decays by fastTimeConstant
 	LastRequest time.Time
 
 	meanRunning float64 // requests in flight, averaged by durationTimeConstant
@@ -76,6 +77,7 @@
 func (t *DemandTable) Update(now time.Time, reports []message.ModelDemand) {
 	elapsedS := now.Sub(t.updated).Seconds()
 	if t.updated.IsZero() || elapsedS <= 0 {
+		// The first reports are over an unknown time. A short one would turn a few requests into a very high rate.
 		elapsedS = fastTimeConstant.Seconds()
 	}
 	t.updated = now
--- a/internal/controlplane/placement/planner/load_rate_limit.go
+++ b/internal/controlplane/placement/planner/load_rate_limit.go
@@ -9,27 +9,27 @@
 const (
 	// loadStartSlack is the longest time from a load command until its load starts.
 	loadStartSlack = 300 * time.Millisecond
-	// extraLoads is how many loads above the rate are started in a window. The rule allows three; the others are left for
-	// loads that were taken to come from a backend's own disk and do not.
+	// extraLoads is how many loads beyond the rate may be started in a window. The deployment's rule tolerates three; two are
+	// a reserve for loads that were expected to come from a backend's own disk and come from the weight store.
 	extraLoads = 1
 	// burstShare is the share of a window's loads that may start within one second.
 	burstShare = 0.4
 )
 
 // LoadRateLimit is the deployment's rule on loads of models from the weight store, for one service: in any window, over
-// all backends and lease holders, at most PerSecond * Window * ExcessFactor loads, and a few more, may start.
+// all backends and lease holders, at most PerSecond * Window * ExcessFactor + 3 loads may start.
 type LoadRateLimit struct {
-	PerSecond    float64
-	ExcessFactor float64
-	Window       time.Duration
+	PerSecond    float64       // loads a second that the weight store allows
+	ExcessFactor float64       // by which the loads in a window may exceed that rate
+	Window       time.Duration // over which loads are counted
 }
 
-// LoadRateLimiter says how many loads from the weight store of a service may start, by a sliding window. Besides, it bounds
-// the loads of each second: from that a new lease holder, which does not know what its predecessor started, knows how
-// much that was at the most.
+// LoadRateLimiter keeps a lease holder to the LoadRateLimit of a service, by a sliding window. A new lease holder does not
+// know how many loads its predecessor has started. So the loads of each second are bounded too, by a burst: the
+// predecessor has started at most a burst in each second of the window.
 type LoadRateLimiter struct {
 	leaseStart time.Time
-	starts     []time.Time
+	starts     []time.Time // of loads within the window, in order
 }
 
 // NewLoadRateLimiter makes the limiter of a lease holder whose lease began at leaseStart.
@@ -40,15 +40,15 @@
 // RecordStart records a load that has started.
 func (l *LoadRateLimiter) RecordStart(now time.Time) { l.starts = append(l.starts, now) }
 
-// Available returns how many loads may start now, which may be negative. Pending loads are commanded, or about to be, and
-// have not started.
+// Available returns how many more loads may be commanded now, which may be negative. pending is how many loads tasks are
+// about to command, or have commanded without an answer.
 //
-//	most  = max(1, PerSecond * Window * ExcessFactor + extraLoads)
-//	burst = max(1, burstShare * most)
-//	min(most - started in the window - predecessor's, burst - started in the last second) - pending
+//	maxLoads  = max(1, floor(PerSecond * Window * ExcessFactor) + extraLoads)
+//	burst     = max(1, ceil(burstShare * maxLoads))
+//	available = min(maxLoads - started in the window - predecessor's, burst - started in the last second) - pending
 func (l *LoadRateLimiter) Available(now time.Time, limit LoadRateLimit, pending int) int {
-	most := max(1, int(limit.PerSecond*limit.Window.Seconds()*limit.ExcessFactor)+extraLoads)
-	burst := max(1, int(math.Ceil(burstShare*float64(most))))
+	maxLoads := max(1, int(limit.PerSecond*limit.Window.Seconds()*limit.ExcessFactor)+extraLoads)
+	burst := max(1, int(math.Ceil(burstShare*float64(maxLoads))))
 	window := limit.Window + loadStartSlack
 	for len(l.starts) > 0 && now.Sub(l.starts[0]) > window {
 		l.starts = l.starts[1:]
@@ -59,7 +59,7 @@
 			lastSecond++
 		}
 	}
-	return min(most-len(l.starts)-l.predecessorLoads(now, window, burst), burst-lastSecond) - pending
+	return min(maxLoads-len(l.starts)-l.predecessorLoads(now, window, burst), burst-lastSecond) - pending
 }
 
 // predecessorLoads is how many loads the previous lease holder may have started within the window: a burst in each second
--- a/internal/controlplane/placement/planner/load_rate_limit_test.go
+++ b/internal/controlplane/placement/planner/load_rate_limit_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// It lets one lease holder after the other start as many loads as each may at any moment, and counts every sliding window.
-func TestLoadRateLimiter_HoldsOverLeaseHandover(t *testing.T) {
+// Two lease holders, one after the other, start as many loads as they may at any time; no sliding window has more than the
+// deployment's rule allows.
+func TestLoadRateLimiter_KeepsLimitOverLeaseHandover(t *testing.T) {
 	const window, excess = 5 * time.Second, 1.1
 	for _, perSecond := range []float64{0.2, 2.1, 2.8, 12, 24, 40} {
 		for _, handover := range []time.Duration{0, 700 * time.Millisecond, 2300 * time.Millisecond, 6 * time.Second} {
--- a/internal/controlplane/placement/planner/model_placement.go
+++ b/internal/controlplane/placement/planner/model_placement.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// evictionHysteresis is how many times the loss at its backend a new replica must be worth. Rates over some seconds vary
-	// by a third; with a lower factor replicas of similar value would evict each other again and again.
+	// evictionHysteresis is how many times as large as the loss at its backend the value of a new replica must be. Rates over
+	// some seconds vary by a third; with a lower factor replicas of similar value would evict each other again and again.
 	evictionHysteresis = 2.0
 	// storeLoadLoss is the loss of a load from the weight store, in requests a second. It takes several times as long as
 	// one from the backend's own disk and counts against the service's rate limit.
 	storeLoadLoss = 0.25
-	// runningLoss is the loss of a load beside one running request, which it slows down, in requests a second.
+	// runningLoss is the loss, in requests a second, for each request that runs at the backend: a load slows it down.
 	runningLoss = 0.004
-	// neighbourLoss is the loss of a load beside another model, as a share of that model's rate: meanwhile its backend
-	// takes no commands, so that no adapter is loaded there.
+	// neighbourLoss is the loss for each other model that stays at the backend, as a share of that model's rate: during a
+	// load the backend takes no commands, so that no adapter of that model can be loaded there.
 	neighbourLoss = 0.01
 	// cachedLoadShare is the share of the time of a load from the weight store that one from the backend's own disk takes
 	// at most.
@@ -52,6 +52,8 @@
 	}
 	for _, demand := range p.replicaDemands() {
 		best := p.bestSite(demand.model)
+		// storeLoadLoss is part of the loss of a load from the weight store. It must count once, not times the hysteresis. A
+		// cached load, whose loss does not have it, gains as much by this.
 		if best == nil || demand.value <= evictionHysteresis*best.loss-storeLoadLoss {
 			continue
 		}
@@ -114,7 +116,7 @@
 	return s, true
 }
 
-// placeAt makes the task and accounts for it.
+// placeAt returns the task for a site, and counts its replicas and load for the rest of the plan.
 func (p *servicePlan) placeAt(s *site, model configuration.Model) Task {
 	s.backend.Busy = true
 	for _, evicted := range s.evictions {
--- a/internal/controlplane/placement/planner/planner.go
+++ b/internal/controlplane/placement/planner/planner.go
@@ -24,7 +24,7 @@
 // Backend is a backend as the planner sees it.
 type Backend struct {
 	message.Backend
-	Busy   bool                       // it carries out a task or a command, or is to be left alone
+	Busy   bool                       // it gets no task: it carries one out, or its last one has just failed
 	Cached map[message.ModelName]bool // models on its own disk, as it has held them before: they load faster from there
 }
 
@@ -67,7 +67,7 @@
 	backends   []*Backend // those of the service that stay
 	replicas   map[message.ModelName]int
 	targets    map[message.ModelName]int     // how many replicas there should be
-	shiftRates map[message.ModelName]float64 // the highest rate that may shift to a model from those before it
+	shiftRates map[message.ModelName]float64 // highest rate, in requests a second, of the models whose demand may shift to it
 	tasks      []Task
 }
 
--- a/internal/controlplane/placement/planner/planner_test.go
+++ b/internal/controlplane/placement/planner/planner_test.go
@@ -73,7 +73,7 @@
 	})
 }
 
-// loads returns the backend of each load by its model.
+// loads returns the backend of each load, by model.
 func loads(tasks []Task) map[string]string {
 	out := map[string]string{}
 	for _, task := range tasks {
@@ -84,7 +84,7 @@
 	return out
 }
 
-// Found on the bench: sole copies were evicted before the first request came.
+// Found on the bench: only replicas were evicted before the first request came.
 func TestPlan_LoadsNothingBeforeAnyDemand(t *testing.T) {
 	f := newFleet(models{"m0", "m1"}, models{"m0", "m2"}, models{"m3", "m4"})
 	assert.Empty(t, loads(f.plan(10)))
@@ -143,7 +143,7 @@
 	assert.Equal(t, "b1", loads(f.plan(10))["m1"])
 }
 
-func TestPlan_SpreadsAdaptersOfBusyModelOverHolders(t *testing.T) {
+func TestPlan_SpreadsAdaptersOfBusyModelOverReplicas(t *testing.T) {
 	f := newFleet(models{"m0"}, models{"m0"})
 	f.runtime.Models[0].Adapters = 5
 	f.request(5*time.Second, map[message.ModelName]float64{"m0": 4})
--- a/internal/controlplane/placement/planner/target.go
+++ b/internal/controlplane/placement/planner/target.go
@@ -18,14 +18,16 @@
 	runningPerReplica = 2.0
 	// shiftDistance is how many models ahead in the configured list demand is expected to shift.
 	shiftDistance = 2
-	// maxReplicaShare is the share of a service's backends that one model may have replicas at.
+	// maxReplicaShare is the largest share of a service's backends at which one model may have replicas.
 	maxReplicaShare = 0.6
 )
 
 // setTargets sets how many replicas each model should have: enough for its own rate, and for the rates of the models
 // before it in the configured list, as demand shifts along that list from time to time and a load takes seconds.
 //
-//	target = min(ceil(maxReplicaShare * backends), max(isRecent, replicasFor(rate), replicasFor(rates before it)))
+//	target = min(ceil(maxReplicaShare * backends), max(recent, replicasFor(rate), replicasFor(rates before it)))
+//
+// where recent is 1 if a request came within recentDemand, else 0.
 func (p *servicePlan) setTargets() {
 	models := p.service.Runtime.Models
 	limit := int(math.Ceil(maxReplicaShare * float64(len(p.backends))))
--- a/internal/controlplane/placement/planner/value.go
+++ b/internal/controlplane/placement/planner/value.go
@@ -10,11 +10,12 @@
 const (
 	// shiftDiscount is the share of the rate of the models before it that a model is expected to get.
 	shiftDiscount = 0.3
-	// unservedValue is that of one request that waits for a model or was rejected for lack of it.
+	// unservedValue is the value of a replica for each request that waits for the model or was rejected for lack of it.
 	unservedValue = 2.0
-	// firstReplicaValue is that of a model's only replica beyond its rate: without it each request waits for a load.
+	// firstReplicaValue is the value of a model's only replica beside its rate: without it each request waits for a load.
 	firstReplicaValue = 0.03
-	// recentRequestValue is that of an only replica whose model was requested within recentRequest: more will follow.
+	// recentRequestValue is the further value of an only replica whose model was requested within recentRequest, as more
+	// requests probably follow.
 	recentRequestValue = 0.5
 	recentRequest      = 3 * time.Second
 	// surplusDiscount is the share of its value that a replica above the target keeps.
@@ -26,8 +27,8 @@
 	return max(p.rateOf(model), shiftDiscount*p.shiftRates[model])
 }
 
-// marginalValue is the value of one more replica of a model, in requests a second. The first is worth the whole rate and
-// the requests that wait for it; each further one takes an equal share of the rate:
+// marginalValue is the value of one more replica of a model, in requests a second. The first serves the full rate and the
+// requests that wait for it; each further one takes an equal share of the rate:
 //
 //	replicas = 0: expectedRate + unservedValue*(waiting + unserved) + firstReplicaValue
 //	replicas > 0: expectedRate / (replicas + 1)
--- a/internal/controlplane/replica/catch_up_test.go
+++ b/internal/controlplane/replica/catch_up_test.go
@@ -57,7 +57,7 @@
 	assert.Equal(t, uint64(5), third.chain.Version)
 }
 
-// A response that a member got in an earlier life does not make its state complete.
+// A response to a request of an earlier incarnation does not make the state complete.
 func TestCatchUp_ComparesDigest(t *testing.T) {
 	c := newClusterWithoutThird(t)
 	c.restartWithEmptyDisk(2, "second-m2")
--- a/internal/controlplane/replica/lease_test.go
+++ b/internal/controlplane/replica/lease_test.go
@@ -55,8 +55,8 @@
 	assert.True(t, decided)
 }
 
-// Request IDs are counted from the incarnation, so late answers to an earlier life match none of this one.
-func TestIncarnation_IgnoresAnswersToEarlierLife(t *testing.T) {
+// Request IDs are counted from the incarnation, so late responses to an earlier one match no request of this one.
+func TestIncarnation_IgnoresResponsesToEarlierIncarnation(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(5 * time.Second)
 	index := leaseHolder(c)
--- a/internal/controlplane/replica/proposer_test.go
+++ b/internal/controlplane/replica/proposer_test.go
@@ -48,7 +48,7 @@
 	c.request(0, http.MethodPut, "0", "\x05x")
 	c.request(0, http.MethodPut, "7", "\x09y")
 	c.request(0, http.MethodGet, "", "")
-	assert.Empty(t, c.responses, "neither an acknowledgement nor a refusal nor a read")
+	assert.Empty(t, c.responses, "neither an acknowledgement nor a rejection nor a read")
 }
 
 // After a pause all machines count as alive, the lost ones too: a proposal at once moved votes to those.
--- a/internal/controlplane/storage/frame.go
+++ b/internal/controlplane/storage/frame.go
@@ -14,7 +14,7 @@
 //	    16      4  length of the payload
 //	    20      4  CRC-32C of the first 20 bytes and the payload
 const (
-	magic          = 0x70756d33
+	magic          = 0x70756d33 // "pum3"
 	kindOffset     = 4
 	sequenceOffset = 8
 	lengthOffset   = 16
--- a/internal/controlplane/storage/ring.go
+++ b/internal/controlplane/storage/ring.go
@@ -1,12 +1,12 @@
 // Package storage keeps a coordinator's state in a ring of preallocated segment files: the newest record of each kind,
 // and for a kind the records appended to its newest one. It works like a write-ahead log that is compacted whenever it
-// goes on in the next segment, which then begins with the newest record of every kind.
+// rotates to the next segment, which then begins with the newest record of every kind.
 //
 // A write is one sequential write of frames and one fdatasync. A frame counts only when its magic number, its checksum
 // and its place in the sequence are right.
 //
-// What a crash leaves: every write that returned without an error, and of the write that was under way a first part,
-// which may be none or all of its frames. The order of frames within a write is fixed (see Ring.Write), so that a record
+// What a crash leaves: every write that returned without an error, and a prefix of the frames of the write that was under
+// way, which may be none or all of them. The order of frames within a write is fixed (see Ring.Write), so that a record
 // can rely on another of the same write. There is a limit: each failed write is followed by one in the next segment, so
 // after SegmentCount failures in a row the next write goes to the segment with the newest synced records, and one that
 // is torn there can lose them.
@@ -72,8 +72,8 @@
 // Write replaces the newest records of some kinds and returns when they are synced. After an error it is unknown
 // whether they will be found after a crash; writing again goes on in the next segment.
 //
-// Frames are written in falling order of their kinds, and a torn write keeps a first part of them. A record that relies
-// on another of the same write must have the lower kind: then it is never kept without that one.
+// Frames are written in falling order of their kinds, and a torn write leaves a prefix of them. A record that relies on
+// another of the same write must have the lower kind: then it is never found without that one.
 //
 // Where Write goes on in the next segment it writes the newest record of every kind again, but no appended records.
 // So while CanAppend is false, a kind that has appended records must be written with Write, in full.
@@ -88,10 +88,10 @@
 	return r.writeFrames(orderFrames(records, 0, nil))
 }
 
-// CanAppend reports whether appended records that take so many bytes (see FrameBytes) still go into the current segment,
-// beside some records that are replaced.
-func (r *Ring) CanAppend(bytes int, records map[Kind][]byte) bool {
-	return !r.mustRotate && r.fits(framesBytes(records)+int64(bytes))
+// CanAppend reports whether appended records whose frames take appendedBytes (see FrameBytes) still fit into the current
+// segment, together with the records that the same write replaces.
+func (r *Ring) CanAppend(appendedBytes int, records map[Kind][]byte) bool {
+	return !r.mustRotate && r.fits(framesBytes(records)+int64(appendedBytes))
 }
 
 // Append appends to the newest record of a kind, and replaces the newest records of others. It returns when all is
@@ -105,9 +105,10 @@
 	return r.writeFrames(orderFrames(records, kind, appended))
 }
 
-func (r *Ring) fits(bytes int64) bool { return r.offset+bytes <= SegmentBytes }
+// fits reports whether frames of that size fit into the rest of the current segment.
+func (r *Ring) fits(size int64) bool { return r.offset+size <= SegmentBytes }
 
-// rotate goes on in the next segment, which begins with the newest record of every kind.
+// rotate makes the next segment the current one and writes the newest record of every kind to its beginning.
 func (r *Ring) rotate() error {
 	r.mustRotate = true
 	r.current = (r.current + 1) % len(r.files)
@@ -123,7 +124,8 @@
 	return nil
 }
 
-// orderFrames puts records appended to base first, and replaced records after them in falling order of their kinds.
+// orderFrames returns the frames of a write: records appended to the kind base first, and replaced records after them in
+// falling order of their kinds. base counts only where there are appended records.
 func orderFrames(records map[Kind][]byte, base Kind, appended [][]byte) []frame {
 	var frames []frame
 	for _, payload := range appended {
--- a/internal/dataplane/loads/coordinators.go
+++ b/internal/dataplane/loads/coordinators.go
@@ -8,11 +8,12 @@
 
 	"github.com/sirupsen/logrus"
 
+	"pumiceline/internal/logkey"
 	"pumiceline/internal/message"
 )
 
-// coordinators are the members of the control plane, in an order that is the same at all proxies: they have to meet at
-// the same coordinator.
+// coordinators are the members of the control plane, in an order that is the same at all proxies. Proxies learn of each
+// other's loads only where they report to the same coordinator, so all prefer the first.
 type coordinators struct {
 	members          []message.Member
 	unavailableUntil map[string]time.Time // by address
@@ -23,6 +24,7 @@
 	slices.SortFunc(c.members, func(a, b message.Member) int { return cmp.Compare(rank(a.Address), rank(b.Address)) })
 }
 
+// rank is by what coordinators are ordered: a hash of the address, which is the same at all proxies.
 func rank(address string) uint64 {
 	hash := fnv.New64a()
 	_, _ = hash.Write([]byte(address)) // writing to a hash does not fail
@@ -43,8 +45,8 @@
 	c.unavailableUntil[address] = now.Add(unavailableTime)
 }
 
-// ensureConnected reports whether the target can be written to now. Where it cannot, it opens a connection in the
-// background. The mutex must be held.
+// ensureConnected reports whether there is a connection to target. Where there is none it opens one in the background, so
+// that queries do not wait for it. The mutex must be held.
 func (e *Exchange) ensureConnected(target string) bool {
 	if target == "" {
 		return false
@@ -73,7 +75,7 @@
 // failOver leaves the preferred coordinator for the next one. The mutex must be held.
 func (e *Exchange) failOver(now time.Time) {
 	target := e.coordinators.preferred(now)
-	logrus.WithField("coordinator", target).Debug("load queries fail over to another coordinator")
+	logrus.WithField(logkey.Coordinator, target).Debug("load queries fail over to another coordinator")
 	e.coordinators.setUnavailable(target, now)
 	e.client.Disconnect()
 }
--- a/internal/dataplane/loads/exchange.go
+++ b/internal/dataplane/loads/exchange.go
@@ -1,7 +1,7 @@
 // Package loads exchanges with the other proxies, by way of one coordinator, what each has in flight at the backends. A
 // proxy sees a small part of the traffic, and the totals that it polls are older than a prefill takes. So it publishes
 // each change at once, and queries the loads of the others before each pick. Nothing depends on a response: without one
-// the proxy goes by what it knows.
+// the proxy picks by the totals that it polled.
 package loads
 
 import (
@@ -18,9 +18,9 @@
 	queryTimeout = 30 * time.Millisecond
 	// maxFailures is how many queries in a row a coordinator may leave unanswered until another one is used.
 	maxFailures = 2
-	// unavailableTime is how long a coordinator is not used after that, or after a failure to connect.
+	// unavailableTime is how long a coordinator is not used after maxFailures, or after a failure to connect.
 	unavailableTime = 1500 * time.Millisecond
-	// completeReportInterval is how often all loads are reported again, as they expire at the coordinator.
+	// completeReportInterval is how often all loads are reported again, as they expire at the coordinator (package inflight).
 	completeReportInterval = 1500 * time.Millisecond
 	// flushInterval batches changes: those that come closer together are reported together.
 	flushInterval = 2 * time.Millisecond
@@ -82,14 +82,14 @@
 func (e *Exchange) Query(
 	ctx context.Context, service string, model message.ModelName,
 ) (loads []message.BackendLoad, ok bool) {
-	question := e.sendQuery(service, model)
-	if question == nil {
+	query := e.sendQuery(service, model)
+	if query == nil {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, e.queryTimeout)
 	defer cancel()
-	response, err := question.Wait(ctx)
-	e.noteResponse(err == nil)
+	response, err := query.Wait(ctx)
+	e.recordResult(err == nil)
 	if err != nil || response.Unknown {
 		return nil, false
 	}
@@ -128,18 +128,18 @@
 	}
 	report := e.nextReport(target)
 	report.Service, report.Model = service, model
-	question, err := e.client.QueryLoads(target, e.identity, report)
+	query, err := e.client.QueryLoads(target, e.identity, report)
 	if err != nil {
 		return nil
 	}
-	return question
+	return query
 }
 
-// noteResponse counts queries without a response; after maxFailures in a row another coordinator is used.
-func (e *Exchange) noteResponse(answered bool) {
+// recordResult counts the queries in a row without a response, and fails over to another coordinator after maxFailures.
+func (e *Exchange) recordResult(hasResponse bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if answered {
+	if hasResponse {
 		e.failures = 0
 		return
 	}
@@ -174,12 +174,13 @@
 	e.sendReport(target)
 }
 
-// sendReport sends the next report without a query. Where the connection breaks, the report after it is complete.
+// sendReport sends the next report without a query. An error needs no handling: see nextReport.
 func (e *Exchange) sendReport(target string) {
 	_ = e.client.SendLoads(target, e.identity, e.nextReport(target))
 }
 
-// nextReport makes a report for the target: of all loads where it has not received them, else of the changes.
+// nextReport returns the next report to target: of all loads where it has not received them, else of the changes. It
+// counts as received from then on; where sending it fails, the connection breaks, and the next report is complete.
 func (e *Exchange) nextReport(target string) message.LoadReport {
 	report := message.LoadReport{Complete: e.syncedWith != target}
 	if report.Complete {
--- a/internal/dataplane/loads/exchange_test.go
+++ b/internal/dataplane/loads/exchange_test.go
@@ -35,6 +35,7 @@
 	return c
 }
 
+// newConnectedExchange makes an exchange that is connected to the coordinator that it prefers.
 func newConnectedExchange(t *testing.T, members ...message.Member) *Exchange {
 	t.Helper()
 	e := New("p1")
@@ -44,8 +45,8 @@
 	return e
 }
 
-func load(backend message.BackendID, running, queued int) message.BackendLoad {
-	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queued}
+func load(backend message.BackendID, running, queuedPrefillMs int) message.BackendLoad {
+	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queuedPrefillMs}
 }
 
 func TestExchange_FirstReportIsCompleteThenChanges(t *testing.T) {
--- a/internal/dataplane/proxy/discoveryfallback.go
+++ b/internal/dataplane/proxy/discoveryfallback.go
@@ -51,6 +51,8 @@
 	s.dispatcher.Update(balancer.Update{Backends: table.Backends, HasBackends: true, OnRemoved: s.closeConnections})
 }
 
+// fallbackState reports whether the list is stale, and with which probability to read it then: the number of calls that
+// all proxies together may make in fallbackInterval, divided by the number of proxies.
 func (s *subscription) fallbackState() (isStale bool, probability float64) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/dataplane/proxy/idleconnections.go
+++ b/internal/dataplane/proxy/idleconnections.go
@@ -18,7 +18,7 @@
 // time. The zero value is ready; all methods may be called from any goroutine.
 type idleConnections struct {
 	mutex sync.Mutex
-	since map[net.Conn]time.Time
+	since map[net.Conn]time.Time // when each idle connection became idle
 }
 
 // track is the server's ConnState callback.
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -24,12 +24,13 @@
 )
 
 const (
-	// maxPollWait is how long a coordinator holds a poll while there is nothing new.
+	// maxPollWait is how long a coordinator may delay the response to a poll while there is nothing newer.
 	maxPollWait = 400 * time.Millisecond
 	// sweepInterval is how often idle connections are checked for expiration.
 	sweepInterval = 1 * time.Second
 
-	// Limits of the listeners. The operator's limit closes most idle connections before idleTimeout does.
+	// Limits of the listeners. The idle time-out of the configuration is shorter than idleTimeout, as a rule; see
+	// idleConnections.
 	idleTimeout    = 3 * time.Minute
 	headerTimeout  = 10 * time.Second
 	maxHeaderBytes = 64 << 10
@@ -62,12 +63,12 @@
 	defer stop()
 	p := newProxy(background, settings)
 	p.start(background)
-	front, err := p.listen()
+	server, err := p.listen()
 	if err != nil {
 		return err
 	}
 	<-ctx.Done()
-	return p.drain(front)
+	return p.drain(server)
 }
 
 // newProxy assembles a proxy. Its dispatcher ends with ctx.
@@ -102,21 +103,21 @@
 }
 
 // listen starts the listeners, for readiness checks and for clients, and returns the clients' server.
-func (p *Proxy) listen() (front *http.Server, err error) {
-	ready := &http.Server{
+func (p *Proxy) listen() (*http.Server, error) {
+	readiness := &http.Server{
 		Handler: http.HandlerFunc(p.serveReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
 	}
-	front = &http.Server{
+	clients := &http.Server{
 		Handler: p.handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ConnState: p.idle.track,
 	}
-	if err := serve(ready, p.settings.ReadinessAddress); err != nil {
+	if err := serve(readiness, p.settings.ReadinessAddress); err != nil {
 		return nil, err
 	}
-	if err := serve(front, p.settings.ClientAddress); err != nil {
+	if err := serve(clients, p.settings.ClientAddress); err != nil {
 		return nil, err
 	}
-	return front, nil
+	return clients, nil
 }
 
 // serve opens a listener and serves it in the background, until the server is shut down.
@@ -142,18 +143,18 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// drain goes on serving until the platform sends no new connections, and then until all requests are finished, within
-// the grace time.
-func (p *Proxy) drain(front *http.Server) error {
+// drain goes on serving until the platform sends no new connections to the clients' server, and then until all requests
+// are finished, within the grace time.
+func (p *Proxy) drain(server *http.Server) error {
 	grace := p.settings.Bounds.GracePeriod
-	ends := time.Now().Add(grace - stopMargin)
+	deadline := time.Now().Add(grace - stopMargin)
 	p.isDraining.Store(true)
-	p.handler.StartDraining(ends)
+	p.handler.StartDraining(deadline)
 	logrus.Info("draining")
 	time.Sleep(min(noticeTime, time.Duration(noticeShare*float64(grace))))
-	ctx, cancel := context.WithDeadline(context.Background(), ends)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	err := front.Shutdown(ctx)
+	err := server.Shutdown(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
 		logrus.WithField(logkey.Requests, p.handler.Active()).Warn("grace time over with requests in flight")
 		return nil
--- a/internal/dataplane/proxy/subscription.go
+++ b/internal/dataplane/proxy/subscription.go
@@ -23,8 +23,8 @@
 )
 
 // subscription puts in force what the proxy receives from the coordinators: configuration, backends and loads. It is
-// the subscriber of a distribution.Poller, and may be used by any goroutine. What it has never goes back to an older
-// state while the process lives.
+// the subscriber of a distribution.Poller, and may be used by any goroutine. While the process runs, configuration and
+// backends are never replaced by older ones.
 type subscription struct {
 	subscriptionOptions
 	reader  *discovery.Reader
@@ -35,7 +35,7 @@
 	config     distribution.ConfigCopy
 	loadTotals inflight.DeltaDecoder
 	table      *discovery.Table // nil: the next update must be complete
-	observedAt time.Time        // when the platform showed the backends
+	observedAt time.Time        // when the backends were read from the platform
 	proxies    int              // how many there are, at least 1
 }
 
@@ -98,7 +98,7 @@
 	}
 }
 
-// ApplyUpdate puts a response of a coordinator in force. sent is when its request was sent.
+// Apply puts a response of a coordinator in force. sent is when its request was sent.
 func (s *subscription) Apply(response *message.PollResponse, sent time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -138,7 +138,7 @@
 	if !response.BackendsKnown {
 		return nil, false
 	}
-	observedAt := sent.Add(time.Duration(response.WaitedMs-response.BackendsAgeMs) * time.Millisecond)
+	observedAt := distribution.ObservedAt(response, sent)
 	if !observedAt.After(s.observedAt) {
 		return nil, false
 	}
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// minCopyBytes is the shortest range that is worth an instruction of its own.
+	// minCopyBytes is the shortest range that is copied; an instruction for a shorter one takes about as many bytes.
 	minCopyBytes = 16
 	// maxCandidates bounds how many occurrences of an item are compared for the longest match.
 	maxCandidates = 8
@@ -39,8 +39,8 @@
 	return append(delta, i.text...)
 }
 
-// Make returns the delta that turns one document into another. It compares documents item by item, so what it finds
-// equal begins at an item.
+// Make returns the delta that turns one document into another. It compares documents item by item: a range to copy, but
+// for the common prefix of the documents, begins at an item.
 func Make(old, target []byte) []byte {
 	index := indexItems(old)
 	var delta []byte
--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -11,7 +11,7 @@
 	Address = "address"
 	// Answer is how a backend answered a placement command.
 	Answer = "answer"
-	// Attempt counts the tries of one operation, from 1.
+	// Attempt is the number of an attempt of one operation, from 1.
 	Attempt = "attempt"
 	// Attempts is how many attempts a client request took.
 	Attempts = "attempts"
@@ -45,7 +45,7 @@
 	Members = "members"
 	// Model is a model, with its adapter after a slash.
 	Model = "model"
-	// Name is a model, with its adapter after a slash.
+	// Name is what a placement command loads or unloads: a model, or an adapter ("model/adapter").
 	Name = "name"
 	// Operation is what a placement command asks of a backend.
 	Operation = "operation"
@@ -53,14 +53,14 @@
 	OutputTokens = "output_tokens"
 	// Priority is the priority of a route, 0 the highest.
 	Priority = "priority"
+	// Program is the name of a process's command.
+	Program = "program"
 	// PromptTokens is the number of tokens of a prompt.
 	PromptTokens = "prompt_tokens"
 	// QueuedMs is the time from the arrival of a request until its first backend was picked.
 	QueuedMs = "queued_ms"
 	// QueuedPrefillMs is the estimated prefill time of the requests queued at a backend.
 	QueuedPrefillMs = "queued_prefill_ms"
-	// Program is the name of a process's command.
-	Program = "program"
 	// Reason is why the planner wants a placement task.
 	Reason = "reason"
 	// Rejection is why a request was rejected; empty: it was not.
--- a/internal/message/stored_test.go
+++ b/internal/message/stored_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// Tables of backends are told apart by a digest of their encoding, so its bytes have to stay the same too.
+// Tables of backends are identified by a digest of their encoding, so its bytes have to stay the same too.
 func TestWritesRecordsAsStoredByEarlierVersion(t *testing.T) {
 	for name, record := range storedRecords() {
 		t.Run(name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// A key that stands in no tag is the field's name, and would change with it.
+// Without a tag the key is the field's name, and would change with a rename.
 func TestEveryFieldHasAKeyOfItsOwn(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var check func(reflect.Type)
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -21,7 +21,7 @@
 	address string
 	conn    net.Conn // to address; nil: none is open
 	lastID  uint64
-	pending map[uint64]chan *message.Message // closed when the connection breaks
+	pending map[uint64]chan *message.Message // by request ID; a channel is closed when the connection breaks
 }
 
 // NewClient makes a client without a connection.
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times of connections.
+// Time-outs and delays of connections.
 const (
 	dialTimeout  = 600 * time.Millisecond
 	writeTimeout = 1500 * time.Millisecond
@@ -22,6 +22,7 @@
 	retryDelay   = 100 * time.Millisecond  // after a connection could not be opened or accepted
 )
 
+// readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 4 << 10
 
 // dialer opens connections that break when the peer does not acknowledge, in place of keep-alive probes.
