--- a/internal/dataplane/backend/connection.go
+++ b/internal/dataplane/backend/connection.go
@@ -12,6 +12,7 @@
 )
 
 const (
+	// dialTimeout bounds the time to connect; after it the request has not been sent and may go to another backend.
 	dialTimeout = 700 * time.Millisecond
 	// userTimeout is TCP_USER_TIMEOUT: bytes that stay unacknowledged for so long end the connection.
 	userTimeout = 2 * time.Second
@@ -19,6 +20,7 @@
 	readBuffer = 4 << 10
 )
 
+// dialer sends no TCP keep-alive probes: idle connections expire within seconds, and userTimeout covers the others.
 var dialer = net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
@@ -44,7 +46,8 @@
 	return &conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBuffer)}, nil
 }
 
-// isAlive reports whether an idle connection is still open and has nothing unread.
+// isAlive reports whether an idle connection has not expired, is open and has nothing unread. Bytes that came while it
+// was idle belong to no request of it.
 func (c *conn) isAlive() bool {
 	if c.reader.Buffered() > 0 || !time.Now().Before(c.expires) {
 		return false
--- a/internal/dataplane/backend/exchange.go
+++ b/internal/dataplane/backend/exchange.go
@@ -12,7 +12,8 @@
 const (
 	// deadlineSlack is added to the request's deadline, so that a backend's own response at the deadline still arrives.
 	deadlineSlack = 50 * time.Millisecond
-	// maxInlineWrite is the size in bytes up to which a request fits into the socket's buffer: writing it does not wait.
+	// maxInlineWrite is the size in bytes up to which a request fits into the socket's send buffer, so that writing it
+	// does not wait for the backend to read.
 	maxInlineWrite = 8 << 10
 	// maxSkippedResponses bounds how many responses to other requests are skipped before the awaited one.
 	maxSkippedResponses = 4
@@ -20,8 +21,8 @@
 	maxSkippedBody = 1 << 20
 )
 
-// Do sends a request and waits for the headers of its response. The request is written once, on one connection,
-// whatever becomes of it. When ctx ends, the connection is closed, also while the body is read. Errors are of type
+// Do sends a request and waits for the headers of its response. The request is written once, on one connection, and
+// never again after an error. When ctx ends, the connection is closed, also while the body is read. Errors are of type
 // *Error.
 func (p *Pool) Do(ctx context.Context, request *Request) (*Response, error) {
 	c, err := p.acquire(ctx, request)
@@ -29,17 +30,18 @@
 		return nil, &Error{Phase: NotSent, cause: err}
 	}
 	c.lastRequest = request.ID
-	stopWatch := context.AfterFunc(ctx, func() { c.Close() })
+	detachContext := context.AfterFunc(ctx, func() { c.Close() })
 	_ = c.SetDeadline(request.Deadline.Add(deadlineSlack)) // where it fails, reading fails too
 	head, err := roundTrip(c, encode(request), request.ID)
 	if err != nil {
-		stopWatch()
+		detachContext()
 		c.Close()
 		return nil, err
 	}
 	response := &Response{
 		Status: head.raw.StatusCode, Header: head.raw.Header, Length: head.raw.ContentLength,
-		pool: p, conn: c, raw: head.raw, stopWatch: stopWatch, backend: request.Backend, requestWritten: head.requestWritten,
+		pool: p, conn: c, raw: head.raw, detachContext: detachContext, backend: request.Backend,
+		requestWritten: head.requestWritten,
 	}
 	response.Body = &bodyReader{response}
 	return response, nil
@@ -52,7 +54,8 @@
 }
 
 // roundTrip writes a request and reads the headers of its response. A backend may respond before it has read a long
-// request, so a long one is written by a goroutine of its own, which ends with the connection at the latest.
+// request, and would wait for the proxy to read while the proxy waits for it: so a long request is written by a
+// goroutine of its own, which ends with the connection at the latest. Errors are of type *Error.
 func roundTrip(c *conn, text []byte, id string) (responseHead, error) {
 	if len(text) <= maxInlineWrite {
 		if err := writeRequest(c, text); err != nil {
--- a/internal/dataplane/backend/exchange_test.go
+++ b/internal/dataplane/backend/exchange_test.go
@@ -78,8 +78,8 @@
 }
 
 // A backend rejected a request, and sends a second rejection when the request is retried: it belongs to the first
-// attempt and bears the same request ID. Taken as the response to the second attempt it would promise that a request that
-// runs has not.
+// attempt and bears the same request ID. Taken as the response to the second attempt it would promise that a request
+// that runs has not.
 func TestDo_SkipsSecondResponseToEarlierAttempt(t *testing.T) {
 	server := newFakeServer(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 		for attempt := 1; ; attempt++ {
@@ -107,8 +107,8 @@
 	assert.Equal(t, 2, server.connections())
 }
 
-// A backend responds before it has read a long request. The response is returned before the whole request is written, and
-// the connection, on which the rest is still to be sent, is not used again.
+// A backend responds before it has read a long request. The response is returned before the whole request is written,
+// and the connection, on which the rest is still to be sent, is not used again.
 func TestDo_ResponseBeforeLongRequestIsWritten(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
@@ -172,9 +172,9 @@
 	assert.Equal(t, 1, server.connections())
 }
 
-// Informational responses are skipped. Bytes behind a complete response, here a response that bears the next request's ID,
-// are never taken for a response to that request: its connection is not used again, whether they came with the response or
-// after it.
+// Informational responses are skipped. Bytes behind a complete response, here a response that bears the next request's
+// ID, are never taken for a response to that request: its connection is not used again, whether they came with the
+// response or after it.
 func TestDo_SkipsInformationalResponsesAndSurplusBytes(t *testing.T) {
 	const surplus = "HTTP/1.1 200 OK\r\nRequest-Id: r2\r\nContent-Length: 5\r\n\r\nwrong"
 	for name, isSeparate := range map[string]bool{"in one write": false, "in a later write": true} {
--- a/internal/dataplane/backend/pool.go
+++ b/internal/dataplane/backend/pool.go
@@ -13,7 +13,8 @@
 const (
 	// defaultIdleTime is how long a connection is kept idle where the backend names no time.
 	defaultIdleTime = 5 * time.Second
-	// keepAliveMargin is taken off the time that the backend names, so that it does not close a connection in use.
+	// keepAliveMargin is subtracted from the time that the backend names, so that the backend does not close a connection
+	// while a request is on its way.
 	keepAliveMargin = 800 * time.Millisecond
 )
 
@@ -100,7 +101,7 @@
 	return c
 }
 
-// release keeps a connection idle for so long.
+// release takes a connection back, to be kept idle for idleTime at most.
 func (p *Pool) release(id message.BackendID, c *conn, idleTime time.Duration) {
 	c.expires = time.Now().Add(idleTime)
 	p.mutex.Lock()
--- a/internal/dataplane/backend/response.go
+++ b/internal/dataplane/backend/response.go
@@ -20,7 +20,7 @@
 	pool           *Pool
 	conn           *conn
 	raw            *http.Response
-	stopWatch      func() bool // stops watching the context; false where it has ended
+	detachContext  func() bool // stops closing conn at the end of the context; false where the context has ended
 	backend        message.BackendID
 	requestWritten bool // in full, before the response came
 	bodyRead       bool // up to its proper end
@@ -38,8 +38,9 @@
 	return n, err
 }
 
-// HasEnd reports whether the end of the body differs from a break of the connection.
-func (r *Response) HasEnd() bool { return r.Length >= 0 || len(r.raw.TransferEncoding) > 0 }
+// IsDelimited reports whether the body's length is known or it is chunked. The end of any other body is the end of its
+// connection, which looks the same as a connection that broke (RFC 9112, section 6.3).
+func (r *Response) IsDelimited() bool { return r.Length >= 0 || len(r.raw.TransferEncoding) > 0 }
 
 // IsRejected reports whether the backend promises that it has not processed the request.
 func (r *Response) IsRejected() bool {
@@ -48,8 +49,8 @@
 
 // Close returns the connection to the pool where it can be used again, else closes it.
 func (r *Response) Close() {
-	isLive := r.stopWatch()
-	if !isLive || !r.isReusable() {
+	isOpen := r.detachContext()
+	if !isOpen || !r.isReusable() {
 		r.conn.Close()
 		return
 	}
@@ -57,9 +58,10 @@
 	r.pool.release(r.backend, r.conn, idleTime(r.Header))
 }
 
-// isReusable reports whether the connection stands exactly behind this request and response.
+// isReusable reports whether the whole request was written and the whole response read, so that the next bytes in both
+// directions belong to the next exchange, and the backend keeps the connection open.
 func (r *Response) isReusable() bool {
-	return r.requestWritten && r.bodyRead && r.HasEnd() && !r.raw.Close && r.conn.reader.Buffered() == 0
+	return r.requestWritten && r.bodyRead && r.IsDelimited() && !r.raw.Close && r.conn.reader.Buffered() == 0
 }
 
 // idleTime is how long the connection may be kept idle by the backend's Keep-Alive header.
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -2,9 +2,10 @@
 // a state machine: its inputs are requests, outcomes, the list of backends and the time; it knows no network and no
 // clock.
 //
-// Picking is weighted round robin by an earliest-deadline-first schedule: each backend that has loaded the requested
-// model is due once in 1/weight of the service's virtual time. The weights follow gRFC A58 and rise by gRFC A100 (slow
-// start). Among the backends that are due next the one with the least load is picked.
+// Picking is weighted round robin by an earliest-deadline-first schedule (gRFC A58): each backend gets a turn every
+// 1/weight of the service's virtual time. The weights follow gRFC A58 and rise by gRFC A100 (slow start). Among the
+// backends that are due next the one with the least load is picked. The schedule is sorted for each pick instead of
+// kept in an edf.Queue, since each model has other candidates.
 //
 // Balancer is the state machine and has one owner; Dispatcher owns one and serves concurrent requests.
 package balancer
@@ -24,7 +25,7 @@
 	queue             []*Request // by priority, then deadline
 	budget            *RetryBudget
 	demand            map[ModelKey]*demand
-	pendingLoads      []pendingLoad
+	pendingLoads      []pendingLoad // loads of models in progress, as the coordinators reported them last
 	prefill           prefillRates
 	isDraining        bool
 	hasIdleConnection func(backend message.BackendID) bool // nil: not known
@@ -53,7 +54,7 @@
 	b.answerQueued(now)
 }
 
-// SetProxies sets the number of proxies that share connections and the retry allowance.
+// SetProxies sets the number of proxies that share the backends' connections and the retry allowance.
 func (b *Balancer) SetProxies(count int, now time.Time) {
 	b.budget.SetProxies(count, now)
 	b.updateConnectionLimits()
--- a/internal/dataplane/balancer/completion.go
+++ b/internal/dataplane/balancer/completion.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// FirstEvent notes that a request's first event came so long after it was sent: its prefill is over.
+// FirstEvent notes that the first event of an attempt came, elapsed after it was sent: its prefill is over.
 func (b *Balancer) FirstEvent(request *Request, backend *Backend, elapsed time.Duration) {
 	b.endPrefill(request, backend)
 	b.prefill.observe(request, elapsed)
@@ -32,7 +32,7 @@
 		backend.missingUntil[request.Model] = now.Add(missingModelEjection)
 		backend.markReachable(now)
 	case ConnectFailed:
-		request.delivered-- // nothing was sent, so another attempt is no retry
+		request.sentAttempts-- // nothing was sent, so another attempt is no retry
 		backend.markUnreachable(now)
 	case Canceled: // it says nothing of the backend
 	}
@@ -48,13 +48,14 @@
 	}
 }
 
-// markUnreachable ejects a backend that could not be connected to, by exponential backoff.
+// markUnreachable ejects a backend that could not be connected to, for a time that doubles with each failure.
 func (b *Backend) markUnreachable(now time.Time) {
 	b.connectBackoff = min(maxConnectBackoff, max(initialConnectBackoff, b.connectBackoff*2))
 	b.isUnreachable, b.probeAt = true, now.Add(b.connectBackoff)
 }
 
-// markReachable ends the ejection of an unreachable backend after a probe that came through; it begins in slow start.
+// markReachable ends the ejection of an unreachable backend after an attempt that it answered. As in gRFC A100, slow
+// start begins when a connection becomes ready.
 func (b *Backend) markReachable(now time.Time) {
 	if b.isUnreachable {
 		b.isUnreachable, b.connectBackoff = false, 0
--- a/internal/dataplane/balancer/demand.go
+++ b/internal/dataplane/balancer/demand.go
@@ -2,10 +2,11 @@
 
 import "pumiceline/internal/message"
 
-// demand is the demand for a model since the last report.
+// demand is the demand for a model.
 type demand struct {
-	arrivals, unserved float64
-	inFlight           int
+	arrivals float64 // requests since the last report
+	unserved float64 // of these, rejected because no backend would have loaded the model in time
+	inFlight int     // attempts at backends now
 }
 
 func (b *Balancer) demandFor(request *Request) *demand {
@@ -24,7 +25,7 @@
 	return b.reportDemand(), b.reportLoads()
 }
 
-// reportDemand starts counting anew; models without any demand are dropped.
+// reportDemand returns the demand by model and begins a new count; models without any demand are dropped.
 func (b *Balancer) reportDemand() (report []message.ModelDemand) {
 	waiting := map[ModelKey]int{}
 	for _, request := range b.queue {
@@ -47,6 +48,8 @@
 	return report
 }
 
+// reportLoads returns the loads of the backends where this proxy has requests in flight, and keeps them: SetTotalLoads
+// subtracts them from the totals that follow.
 func (b *Balancer) reportLoads() (report []message.BackendLoad) {
 	for _, backend := range b.backends {
 		backend.lastReported = backend.load()
--- a/internal/dataplane/balancer/dispatcher.go
+++ b/internal/dataplane/balancer/dispatcher.go
@@ -9,8 +9,10 @@
 )
 
 const (
+	// commandQueueSize is how many commands may wait for the owner before callers wait.
 	commandQueueSize = 256
-	tickInterval     = 50 * time.Millisecond
+	// tickInterval is how often queued requests are reconsidered where nothing else happens.
+	tickInterval = 50 * time.Millisecond
 )
 
 // Dispatcher owns a balancer: one goroutine carries out commands in order. Its methods may be called from any
@@ -30,7 +32,7 @@
 	Publish(loads []message.BackendLoad)
 }
 
-// DispatcherOptions connect a dispatcher with its proxy. Both may be nil.
+// DispatcherOptions connect a dispatcher with its proxy. Each may be nil.
 type DispatcherOptions struct {
 	// OnUrgentDemand is called when a request waits for a model, again and again until the next Report; it must not wait.
 	OnUrgentDemand func()
@@ -38,7 +40,8 @@
 	PeerLoads PeerLoads
 }
 
-// NewDispatcher starts the owner of a balancer, which ends with ctx. No method may be called after that.
+// NewDispatcher starts the owner of a balancer, which ends with ctx. No method may be called after that: nothing would
+// carry out its command.
 func NewDispatcher(ctx context.Context, b *Balancer, options DispatcherOptions) *Dispatcher {
 	d := &Dispatcher{
 		commands:       make(chan func(*Balancer), commandQueueSize),
@@ -70,8 +73,8 @@
 	}
 }
 
-// refreshQueued queries the peers' loads anew for the first request that waits for capacity. The goroutine ends with
-// the query.
+// refreshQueued queries the peers' loads anew for the first request that waits for capacity, which a peer's request
+// that ended may have freed. Its goroutine ends when the query has been answered or has timed out.
 func (d *Dispatcher) refreshQueued(ctx context.Context, b *Balancer) {
 	key, ok := b.FirstQueuedForCapacity()
 	if !ok || d.peerLoads == nil {
@@ -109,8 +112,8 @@
 	}
 }
 
-// cancel takes a request out of the queue. A backend that was picked in the same moment is returned: the attempt must
-// be finished.
+// cancel takes a request out of the queue. Where the request was answered before the command was carried out, its
+// result is returned without an error: a picked backend counts the attempt as in flight until Finish.
 func (d *Dispatcher) cancel(ctx context.Context, request *Request) (PickResult, error) {
 	canceled := make(chan bool, 1)
 	d.commands <- func(b *Balancer) { canceled <- b.Cancel(request) }
@@ -123,25 +126,25 @@
 // StartDraining rejects what the process could not serve before it ends.
 func (d *Dispatcher) StartDraining() { d.commands <- func(b *Balancer) { b.StartDraining(time.Now()) } }
 
-// ObserveLoad takes the load that a backend reported with an answer.
+// ObserveLoad takes the load that a backend reported with a response.
 func (d *Dispatcher) ObserveLoad(backend *Backend, running, waiting int) {
 	d.commands <- func(b *Balancer) { b.ObserveLoad(backend, running, waiting, time.Now()) }
 }
 
-// FirstEvent notes that the first event of an attempt came so long after it was sent.
+// FirstEvent notes that the first event of an attempt came, elapsed after it was sent.
 func (d *Dispatcher) FirstEvent(request *Request, backend *Backend, elapsed time.Duration) {
 	d.commands <- func(b *Balancer) { b.FirstEvent(request, backend, elapsed) }
 }
 
-// Finish takes the outcome of an attempt. It must be called once for each picked backend.
+// Finish takes the outcome of an attempt, which took elapsed. It must be called once for each picked backend.
 func (d *Dispatcher) Finish(request *Request, backend *Backend, outcome Outcome, elapsed time.Duration) {
 	d.commands <- func(b *Balancer) { b.Finish(request, backend, outcome, elapsed, time.Now()) }
 }
 
-// Update is news from the coordinators; what is nil stays as it is.
+// Update is an update from the coordinators; what is nil stays as it is.
 type Update struct {
 	Config      *configuration.Config
-	Backends    []message.Backend // the whole list, taken where HasBackends is set
+	Backends    []message.Backend // the complete list, taken where HasBackends is set
 	HasBackends bool
 	Response    *message.PollResponse // number of proxies and pending loads
 	TotalLoads  []message.BackendLoad // of all proxies, taken with Response
--- a/internal/dataplane/balancer/endpoints.go
+++ b/internal/dataplane/balancer/endpoints.go
@@ -9,11 +9,12 @@
 // Backend is a backend as this proxy sees it. It is read and changed by the balancer's owner alone.
 type Backend struct {
 	message.Backend
-	maxConnections int // this proxy's share of the connections that the backend accepts
-	isListed       bool
+	maxConnections int  // this proxy's share of the connections that the backend accepts
+	isListed       bool // scratch of SetBackends: the new list has it
 
-	// readySince has the models and adapters that are loaded. The zero time is before this proxy started.
-	readySince map[message.ModelName]time.Time
+	// modelReadySince has the models and adapters that are loaded, with the begin of their slow start. The zero time is
+	// before this proxy started: there is no slow start.
+	modelReadySince map[message.ModelName]time.Time
 
 	// The schedule.
 	stats    endpointStats
@@ -23,19 +24,20 @@
 	// What this proxy has in flight.
 	inFlight        int
 	inFlightTokens  int
-	queuedPrefillMs float64             // of requests that have not brought their first event
+	queuedPrefillMs float64             // prefill time of requests whose first event has not come
 	lastReported    message.BackendLoad // the load that the coordinators received last
 
-	// What other proxies have in flight.
-	othersInFlight        int
-	othersQueuedPrefillMs float64
-	loadReportedAt        time.Time // when the backend itself reported its load last
-	othersUpdatedAt       time.Time // when the peers' loads were queried last
+	// What other proxies (peers) have in flight, by the newest of three sources: peers' loads that were queried, the
+	// backend's own report with a response, and the polled totals.
+	peersInFlight        int
+	peersQueuedPrefillMs float64
+	loadReportedAt       time.Time // when the backend itself reported its load last
+	peersUpdatedAt       time.Time // when the peers' loads were queried last
 
 	// Ejection.
 	isUnreachable  bool
-	probeInFlight  bool // one attempt finds out whether it is reachable again
-	probeAt        time.Time
+	probeInFlight  bool      // one attempt finds out whether it is reachable again
+	probeAt        time.Time // an unreachable backend gets no attempt before
 	connectBackoff time.Duration
 	ejectedUntil   time.Time                       // after a rejection by the backend
 	missingUntil   map[message.ModelName]time.Time // models that the backend said it lacks
@@ -44,17 +46,20 @@
 // endpointSet is the backends of one service with their schedule.
 type endpointSet struct {
 	backends    []*Backend
-	virtualTime float64
+	virtualTime float64 // the earliest deadline among the candidates of the latest pick; it never goes back
 }
 
 // SetBackends replaces the list of backends and returns those that were removed.
 func (b *Balancer) SetBackends(list []message.Backend, now time.Time) (removed []*Backend) {
-	isFirst := len(b.backends) == 0
+	readySince := now
+	if len(b.backends) == 0 {
+		readySince = time.Time{} // those of the first list may have been ready for long
+	}
 	for _, backend := range b.backends {
 		backend.isListed = false
 	}
 	for i := range list {
-		b.upsertBackend(list[i], isFirst, now)
+		b.upsertBackend(list[i], readySince)
 	}
 	for _, s := range b.services {
 		s.backends = s.backends[:0]
@@ -82,36 +87,30 @@
 	return s
 }
 
-// upsertBackend adds or updates one backend. Slow start begins now for a backend or model that was not listed before,
-// except in the first list: those may have been ready for long.
-func (b *Balancer) upsertBackend(entry message.Backend, isFirst bool, now time.Time) {
+// upsertBackend adds or updates one backend. readySince is the begin of slow start for it and its models as far as they
+// were not listed before.
+func (b *Balancer) upsertBackend(entry message.Backend, readySince time.Time) {
 	backend := b.backends[entry.ID]
 	if backend == nil {
 		backend = &Backend{
-			readySince: map[message.ModelName]time.Time{}, missingUntil: map[message.ModelName]time.Time{}, weight: 1,
+			modelReadySince: map[message.ModelName]time.Time{}, missingUntil: map[message.ModelName]time.Time{}, weight: 1,
 		}
 		backend.maxConnections = b.connectionLimit(entry.Service)
-		if !isFirst {
-			backend.stats.readySince = now
-		}
+		backend.stats.readySince = readySince
 		b.backends[entry.ID] = backend
 	}
 	backend.Backend, backend.isListed = entry, true
-	since := now
-	if isFirst {
-		since = time.Time{}
-	}
-	backend.setModels(entry.Models, since)
+	backend.setModels(entry.Models, readySince)
 }
 
-// setModels replaces the loaded models and adapters; since is the ready time of those that were not loaded before.
-func (b *Backend) setModels(models []message.LoadedModel, since time.Time) {
+// setModels replaces the loaded models and adapters; readySince is of those that were not loaded before.
+func (b *Backend) setModels(models []message.LoadedModel, readySince time.Time) {
 	loaded := map[message.ModelName]time.Time{}
 	add := func(name message.ModelName) {
-		if earlier, ok := b.readySince[name]; ok {
+		if earlier, ok := b.modelReadySince[name]; ok {
 			loaded[name] = earlier
 		} else {
-			loaded[name] = since
+			loaded[name] = readySince
 		}
 	}
 	for _, model := range models {
@@ -120,11 +119,11 @@
 			add(model.Name.WithAdapter(adapter))
 		}
 	}
-	b.readySince = loaded
+	b.modelReadySince = loaded
 }
 
-// hasModel reports whether the backend has loaded a model, and its adapter where one is named. An empty model is had by
-// all.
+// hasModel reports whether the backend has loaded a model, and its adapter where one is named. Every backend serves
+// requests without a model.
 func (b *Backend) hasModel(model message.ModelName, now time.Time) bool {
 	if model == "" {
 		return true
@@ -135,7 +134,7 @@
 		}
 		delete(b.missingUntil, model)
 	}
-	_, ok := b.readySince[model]
+	_, ok := b.modelReadySince[model]
 	return ok
 }
 
--- a/internal/dataplane/balancer/loads.go
+++ b/internal/dataplane/balancer/loads.go
@@ -6,17 +6,19 @@
 	"pumiceline/internal/message"
 )
 
-// SetTotalLoads takes the polled loads of all proxies together, and the model loads in progress.
+// SetTotalLoads takes the polled loads of all proxies together, and the loads of models that are in progress. What this
+// proxy reported last is part of the totals, and what it has in flight now is counted separately: so the former is
+// subtracted. A newer source of a backend's load is not overwritten, see loadReportLifetime.
 func (b *Balancer) SetTotalLoads(loads []message.BackendLoad, pending []message.PendingLoad, now time.Time) {
 	totals := loadsByBackend(loads)
 	for id, backend := range b.backends {
-		if now.Sub(backend.othersUpdatedAt) <= loadReportLifetime {
+		if now.Sub(backend.peersUpdatedAt) <= loadReportLifetime {
 			continue
 		}
 		if now.Sub(backend.loadReportedAt) > loadReportLifetime {
-			backend.othersInFlight = max(0, totals[id].Running-backend.lastReported.Running)
+			backend.peersInFlight = max(0, totals[id].Running-backend.lastReported.Running)
 		}
-		backend.othersQueuedPrefillMs = float64(max(0, totals[id].QueuedPrefillMs-backend.lastReported.QueuedPrefillMs))
+		backend.peersQueuedPrefillMs = float64(max(0, totals[id].QueuedPrefillMs-backend.lastReported.QueuedPrefillMs))
 	}
 	b.pendingLoads = b.pendingLoads[:0]
 	for _, load := range pending {
@@ -39,8 +41,8 @@
 			continue
 		}
 		load := others[backend.ID]
-		backend.othersInFlight, backend.othersQueuedPrefillMs = load.Running, float64(load.QueuedPrefillMs)
-		backend.othersUpdatedAt = now
+		backend.peersInFlight, backend.peersQueuedPrefillMs = load.Running, float64(load.QueuedPrefillMs)
+		backend.peersUpdatedAt = now
 	}
 	b.answerQueued(now)
 }
@@ -53,12 +55,12 @@
 	return index
 }
 
-// ObserveLoad takes the load that a backend reports with an answer: requests of all proxies that run and wait there.
+// ObserveLoad takes the load that a backend reports with a response: requests of all proxies that run and wait there.
 func (b *Balancer) ObserveLoad(backend *Backend, running, waiting int, now time.Time) {
-	if now.Sub(backend.othersUpdatedAt) <= loadReportLifetime {
+	if now.Sub(backend.peersUpdatedAt) <= loadReportLifetime {
 		return // the peers' loads are as new, and include requests that have not arrived yet
 	}
-	backend.othersInFlight = max(0, running+waiting-backend.inFlight)
+	backend.peersInFlight = max(0, running+waiting-backend.inFlight)
 	backend.loadReportedAt = now
 }
 
--- a/internal/dataplane/balancer/loads_test.go
+++ b/internal/dataplane/balancer/loads_test.go
@@ -13,12 +13,12 @@
 	b, loads := balancerWithLoads(t, 3)
 	b.SetPeerLoads("llm", "m", loads, start)
 	b.SetTotalLoads([]message.BackendLoad{{Backend: "b02", Running: 50, QueuedPrefillMs: 900}}, nil, start.Add(loadReportLifetime))
-	assert.Zero(t, b.backends["b02"].othersInFlight)
+	assert.Zero(t, b.backends["b02"].peersInFlight)
 	b.ObserveLoad(b.backends["b02"], 9, 9, start.Add(loadReportLifetime))
-	assert.Zero(t, b.backends["b02"].othersInFlight)
+	assert.Zero(t, b.backends["b02"].peersInFlight)
 	b.SetTotalLoads([]message.BackendLoad{{Backend: "b02", Running: 50, QueuedPrefillMs: 900}}, nil, start.Add(loadReportLifetime+1))
-	assert.Equal(t, 50, b.backends["b02"].othersInFlight)
-	assert.Equal(t, 900.0, b.backends["b02"].othersQueuedPrefillMs)
+	assert.Equal(t, 50, b.backends["b02"].peersInFlight)
+	assert.Equal(t, 900.0, b.backends["b02"].peersQueuedPrefillMs)
 }
 
 // TestTakeChangedLoads_ReturnsEachChangeOnce follows one request from its pick to its end.
--- a/internal/dataplane/balancer/parameters.go
+++ b/internal/dataplane/balancer/parameters.go
@@ -4,33 +4,37 @@
 
 // Weights (gRFC A58), derived from the proxy's own traffic.
 const (
-	// errorUtilizationPenalty is A58's error_utilization_penalty: what the error rate adds to utilization.
+	// errorUtilizationPenalty is A58's error_utilization_penalty, at its default: the factor by which the share of
+	// errors is added to utilization.
 	errorUtilizationPenalty = 1.0
-	// blackoutPeriod is A58's blackout_period: so long after its first completion a backend has the mean weight.
+	// blackoutPeriod is A58's blackout_period, at its default: a backend has the mean weight until this time after its
+	// first completion.
 	blackoutPeriod = 10 * time.Second
-	// weightExpiration is A58's weight_expiration_period: without a completion for so long the weight is dropped.
+	// weightExpiration is A58's weight_expiration_period: the weight is dropped when no attempt has succeeded or failed
+	// for this time. A58's default is 180 s.
 	weightExpiration = 60 * time.Second
 	// statsTimeConstant is the time constant by which completions, busy time and errors decay.
 	statsTimeConstant = 15 * time.Second
 	// minCompletions is the decayed number of completions below which the mean weight is used.
 	minCompletions = 4.0
-	// minWeight bounds every weight from below, so that each backend is picked at some time.
+	// minWeight bounds every weight from below: deadlines move by 1/weight, so that a backend of weight 0 would never be
+	// picked again, and its weight would never recover.
 	minWeight = 1e-3
 )
 
 // Slow start (gRFC A100) of backends, and of models that a backend has just loaded.
 const (
-	// slowStartWindow is the time in which the weight rises to its full value.
+	// slowStartWindow is A100's slow_start_window: the time in which the weight rises to its full value.
 	slowStartWindow = 2 * time.Second
-	// slowStartAggression is A100's aggression: 1 is a linear rise, more is steeper at the beginning.
+	// slowStartAggression is A100's aggression, at its default: 1 is a linear rise, more is steeper at the beginning.
 	slowStartAggression = 1.0
-	// slowStartFloor is A100's min_weight_percent as a share.
+	// slowStartFloor is A100's min_weight_percent, as a share, at its default.
 	slowStartFloor = 0.10
 )
 
 // Picking a backend.
 const (
-	// pickWindow is how many of the earliest deadlines of the schedule are compared by load.
+	// pickWindow is how many backends, those with the earliest deadlines, are compared by load.
 	pickWindow = 4
 	// peerLoadLifetime is how long the peers' loads count as fresh: shorter than a prefill takes.
 	peerLoadLifetime = 50 * time.Millisecond
@@ -67,7 +71,7 @@
 	capacityWaitShare = 0.25
 	// placementWaitShare is the share of the latency target that a request waits for its model to be placed.
 	placementWaitShare = 0.2
-	// minServiceTime is the least time between a model's load and the first event of an answer.
+	// minServiceTime is the least time from the end of a model's load to the first event of a response.
 	minServiceTime = 300 * time.Millisecond
 
 	// queueFullRetryAfter is the Retry-After of a request that finds the queue full.
@@ -84,23 +88,24 @@
 	adapterLoadTime = 500 * time.Millisecond
 	// warmLoadTime is the time to load a model from a backend's own disk.
 	warmLoadTime = 1500 * time.Millisecond
-	// loadPropagation is the time from the end of a load until the proxies know of it.
+	// loadPropagation is the most time from the end of a load until the proxies know of it.
 	loadPropagation = 2 * time.Second
-	// unknownLoadTime is the time to load a model of which nothing is known.
+	// unknownLoadTime is the assumed time to load a model that the configuration does not name.
 	unknownLoadTime = 12 * time.Second
 )
 
 // Estimates of prefill times.
 const (
-	// defaultPrefillRate is the milliseconds that a prompt token takes where nothing was observed.
+	// defaultPrefillRate is the time per prompt token, in milliseconds, until one is observed.
 	defaultPrefillRate = 0.05
-	// minPrefillRate bounds the milliseconds that a prompt token takes from below.
+	// minPrefillRate is the least time per prompt token, in milliseconds.
 	minPrefillRate = 0.002
-	// rateStepUp and rateStepDown are relative steps after a slower and a faster observation. In balance they settle
-	// at a quantile of about a sixth.
+	// rateStepUp and rateStepDown are the relative steps of the estimate after a slower and a faster observation. They
+	// are q*step and (1-q)*step with q = 1/6 and step = 0.12, which follow the quantile of a sixth.
 	rateStepUp   = 0.02
 	rateStepDown = 0.10
-	// firstEventOverheadMs is the milliseconds until the first event of the shortest prompt, the network included.
+	// firstEventOverheadMs is the time until the first event of the shortest prompt, the network included, in
+	// milliseconds.
 	firstEventOverheadMs = 35.0
 	// minObservedPrompt is the length in tokens below which a prompt's first event says little of the rate.
 	minObservedPrompt = 200
@@ -108,6 +113,6 @@
 
 // Safety margins of the retry budget: its window slides, and proxies come and go.
 const (
-	ratioMargin     = 0.7
-	allowanceMargin = 0.7
+	ratioMargin     = 0.7 // share of the ratio that is used
+	allowanceMargin = 0.7 // share of the allowance that is used
 )
--- a/internal/dataplane/balancer/picker.go
+++ b/internal/dataplane/balancer/picker.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// candidates returns the backends that may get the request now. hasHolder reports whether any backend has loaded its
-// model at all, with or without capacity.
-func (b *Balancer) candidates(request *Request, now time.Time) (eligible []*Backend, hasHolder bool) {
+// candidates returns the backends that may get the request now. isModelLoaded reports whether any backend has loaded
+// its model at all, with or without capacity.
+func (b *Balancer) candidates(request *Request, now time.Time) (eligible []*Backend, isModelLoaded bool) {
 	s := b.services[request.Service]
 	if s == nil {
 		return nil, false
@@ -17,7 +17,7 @@
 		if backend.Draining || !backend.hasModel(request.Model, now) {
 			continue
 		}
-		hasHolder = true
+		isModelLoaded = true
 		if slices.Contains(request.triedBackends, backend.ID) || backend.isEjected(now) {
 			continue
 		}
@@ -26,16 +26,17 @@
 		}
 		eligible = append(eligible, backend)
 	}
-	return eligible, hasHolder
+	return eligible, isModelLoaded
 }
 
-// hasCapacity reports whether the backend can run the request beside what it is known to run.
+// hasCapacity reports whether the backend can run the request beside what it is known to run. A backend where no
+// prefill is queued takes a prompt of any length: no other one would be faster.
 func (b *Balancer) hasCapacity(backend *Backend, request *Request) bool {
-	if backend.inFlight+backend.othersInFlight >= max(1, backend.Capacity) {
+	if backend.inFlight+backend.peersInFlight >= max(1, backend.Capacity) {
 		return false
 	}
 	clientTimeoutMs := milliseconds(request.ClientTimeoutAt.Sub(request.Arrived))
-	if queuedMs := backend.queuedPrefillMs + backend.othersQueuedPrefillMs; queuedMs > 0 &&
+	if queuedMs := backend.queuedPrefillMs + backend.peersQueuedPrefillMs; queuedMs > 0 &&
 		queuedMs+request.prefillMs > maxPrefillWaitShare*clientTimeoutMs {
 		return false // its client would leave before its first event
 	}
@@ -52,15 +53,16 @@
 	needed := request.tokens()
 	used := backend.inFlightTokens
 	if backend.inFlight > 0 {
-		used += backend.othersInFlight * backend.inFlightTokens / backend.inFlight
+		used += backend.peersInFlight * backend.inFlightTokens / backend.inFlight
 	} else {
-		used += backend.othersInFlight * needed
+		used += backend.peersInFlight * needed
 	}
 	return used == 0 || float64(used+needed) <= maxCacheUtilization*float64(runtime.CacheTokens)
 }
 
-// pick takes the backend with the least cost among those with the earliest deadlines, and moves its deadline on. Where
-// the peers' loads are fresh, all candidates are compared: by older ones many proxies would pick the same backend.
+// pick takes the backend with the least cost among those with the earliest deadlines, and moves its deadline on by
+// 1/weight. Where the peers' loads are fresh, all candidates are compared. With older ones they must not be: all
+// proxies would see the same backend as the least loaded and send to it at the same time.
 func (b *Balancer) pick(request *Request, candidates []*Backend, now time.Time) *Backend {
 	s := b.services[request.Service]
 	slices.SortFunc(candidates, func(x, y *Backend) int {
@@ -68,7 +70,7 @@
 	})
 	first := candidates[0]
 	compared := pickWindow
-	if now.Sub(first.othersUpdatedAt) <= peerLoadLifetime {
+	if now.Sub(first.peersUpdatedAt) <= peerLoadLifetime {
 		compared = len(candidates)
 	}
 	best, least := first, b.cost(first, request, now)
@@ -77,7 +79,7 @@
 			best, least = backend, cost
 		}
 	}
-	s.virtualTime = max(s.virtualTime, min(first.deadline, best.deadline))
+	s.virtualTime = max(s.virtualTime, first.deadline) // a backend that had no turn for long gets no burst of them
 	best.deadline = max(best.deadline, s.virtualTime) + 1/best.weightFor(request, now)
 	return best
 }
@@ -85,27 +87,28 @@
 // cost is what the request would wait for at the backend, in milliseconds of queued prefill, over the backend's weight.
 // Equal costs keep the order of the schedule, so that without load the shares are those of the weights.
 func (b *Balancer) cost(backend *Backend, request *Request, now time.Time) float64 {
-	inFlight := float64(backend.inFlight + backend.othersInFlight)
-	costMs := inFlight*inFlightCostMs + backend.queuedPrefillMs + backend.othersQueuedPrefillMs
+	inFlight := float64(backend.inFlight + backend.peersInFlight)
+	costMs := inFlight*inFlightCostMs + backend.queuedPrefillMs + backend.peersQueuedPrefillMs
 	if b.hasIdleConnection != nil && !b.hasIdleConnection(backend.ID) {
 		costMs += dialCostMs
 	}
 	return costMs / backend.weightFor(request, now)
 }
 
-// weightFor is the backend's weight for a request. Slow start counts from the load of the model or adapter, too.
+// weightFor is the backend's weight for a request. Slow start (gRFC A100) also begins with the load of the model and of
+// the adapter: their caches are empty though the backend is warm.
 func (b *Backend) weightFor(request *Request, now time.Time) float64 {
-	model, adapter := b.readySince[request.Model.Base()], b.readySince[request.Model]
+	model, adapter := b.modelReadySince[request.Model.Base()], b.modelReadySince[request.Model]
 	factor := min(slowStartFactor(model, now), slowStartFactor(adapter, now))
 	return max(minWeight, b.weight*factor)
 }
 
 // assign sends the request to the backend: its load counts from now on, until Finish.
 func (b *Balancer) assign(request *Request, backend *Backend, decision Decision, now time.Time) {
-	if request.delivered == 0 {
+	if request.sentAttempts == 0 {
 		b.budget.AddRequest(now)
 	}
-	request.delivered++
+	request.sentAttempts++
 	request.triedBackends = append(request.triedBackends, backend.ID)
 	backend.inFlight++
 	request.isPrefilling = request.PromptTokens > 0
--- a/internal/dataplane/balancer/queue.go
+++ b/internal/dataplane/balancer/queue.go
@@ -39,7 +39,8 @@
 	return true
 }
 
-// Tick answers the queued requests for which the time has come. It is to be called periodically.
+// Tick answers the queued requests that have waited long enough to be rejected, or whose backends are no longer
+// ejected. It is to be called periodically.
 func (b *Balancer) Tick(now time.Time) { b.answerQueued(now) }
 
 // FirstQueuedForCapacity returns the model of the first request that waits for capacity; ok is false where none does.
@@ -71,18 +72,18 @@
 
 // tryAnswer picks a backend for the request or rejects it; false means that it has to wait.
 func (b *Balancer) tryAnswer(request *Request, now time.Time) bool {
-	candidates, hasHolder := b.candidates(request, now)
+	candidates, isModelLoaded := b.candidates(request, now)
 	if len(candidates) == 0 {
-		return b.rejectIfTooLate(request, hasHolder, now)
+		return b.rejectIfTooLate(request, isModelLoaded, now)
 	}
-	if request.delivered > 0 && !b.budget.TryRetry(now) {
+	if request.sentAttempts > 0 && !b.budget.TryRetry(now) {
 		b.reject(request, rejectedRetryAfter, RejectRetryBudget)
 		return true
 	}
 	picked := b.pick(request, candidates, now)
-	queuedMs := picked.queuedPrefillMs + picked.othersQueuedPrefillMs
+	queuedMs := picked.queuedPrefillMs + picked.peersQueuedPrefillMs
 	b.assign(request, picked, Decision{
-		Candidates: len(candidates), InFlight: picked.inFlight + picked.othersInFlight,
+		Candidates: len(candidates), InFlight: picked.inFlight + picked.peersInFlight,
 		QueuedPrefill: time.Duration(queuedMs * float64(time.Millisecond)), WaitReason: request.waitReason,
 	}, now)
 	return true
--- a/internal/dataplane/balancer/rejection.go
+++ b/internal/dataplane/balancer/rejection.go
@@ -13,15 +13,15 @@
 	readyAt time.Time
 }
 
-// loads reports whether the request's model will be there, or the model of its adapter.
-func (l *pendingLoad) loads(request *Request) bool {
+// provides reports whether the load brings the request's model, or the base model of its adapter.
+func (l *pendingLoad) provides(request *Request) bool {
 	return l.Service == request.Service && (l.Model == request.Model || l.Model == request.Model.Base())
 }
 
-// rejectIfTooLate rejects a request that cannot be served in time by waiting; false means that it waits. hasHolder says
-// that a backend has loaded its model, so that it waits for capacity.
-func (b *Balancer) rejectIfTooLate(request *Request, hasHolder bool, now time.Time) bool {
-	if hasHolder || request.Model == "" {
+// rejectIfTooLate rejects a request that cannot be served in time by waiting; false means that it waits: for capacity
+// where a backend has loaded its model, else for a load.
+func (b *Balancer) rejectIfTooLate(request *Request, isModelLoaded bool, now time.Time) bool {
+	if isModelLoaded || request.Model == "" {
 		return b.rejectWithoutCapacity(request, now)
 	}
 	return b.rejectWithoutModel(request, now)
@@ -58,8 +58,8 @@
 // long a load that begins now takes.
 func (b *Balancer) expectedReadyAt(request *Request, now time.Time) time.Time {
 	for i := range b.pendingLoads {
-		if load := &b.pendingLoads[i]; load.loads(request) {
-			return load.readyAt.Add(loadPropagation / 2)
+		if load := &b.pendingLoads[i]; load.provides(request) {
+			return load.readyAt.Add(loadPropagation / 2) // the mean, where it is between 0 and loadPropagation
 		}
 	}
 	runtime := b.runtime(request.Service)
--- a/internal/dataplane/balancer/request.go
+++ b/internal/dataplane/balancer/request.go
@@ -10,18 +10,18 @@
 type Request struct {
 	Service         string
 	Model           message.ModelName // with its adapter after a slash; empty for services without models
-	Priority        int               // 0 is the highest
+	Priority        int               // of the queue; 0 is the highest
 	PromptTokens    int
 	OutputTokens    int
 	Arrived         time.Time
 	Deadline        time.Time
 	ClientTimeoutAt time.Time     // when the client gives up if it has received nothing
-	LatencyTarget   time.Duration // SLO on the time to the first event, or to the answer where there are no events
+	LatencyTarget   time.Duration // SLO on the time to the first event, or to the response where there are no events
 
 	// The balancer's own state of the request.
 	result        chan PickResult
 	triedBackends []message.BackendID // not picked again
-	delivered     int                 // attempts that may have reached a backend
+	sentAttempts  int                 // attempts that may have reached a backend
 	isCounted     bool                // its arrival is part of the demand
 	isQueued      bool
 	waitReason    WaitReason
@@ -37,7 +37,7 @@
 
 func (r *Request) key() ModelKey { return ModelKey{r.Service, r.Model} }
 
-// tokens is the space in the KV cache that the request needs.
+// tokens is the space in the KV cache that the request needs, in tokens.
 func (r *Request) tokens() int { return r.PromptTokens + r.OutputTokens }
 
 // PickResult answers a request: a backend, or a rejection.
@@ -73,7 +73,7 @@
 	return [...]string{"none", "model", "capacity"}[r]
 }
 
-// RejectReason is why a request is rejected. Clients receive the text as the body of a 503.
+// RejectReason is why a request is rejected. Clients receive the text as the body of a 503: it must not change.
 type RejectReason string
 
 // The reasons to reject.
@@ -91,9 +91,9 @@
 // The outcomes of attempts.
 const (
 	Succeeded     Outcome = iota // the backend served the request
-	Failed                       // the backend answered with an error of its own, or its answer broke off
+	Failed                       // the backend responded with an error of its own, or its response broke off
 	Rejected                     // the backend rejected the request before processing it (Not-Run)
-	Misdirected                  // 421: the backend is another one, or has not loaded the model
+	Misdirected                  // 421: the backend has another ID, or has not loaded the model
 	ConnectFailed                // no connection, nothing was sent
 	Canceled                     // the client left or the deadline passed
 )
--- a/internal/dataplane/balancer/retrybudget.go
+++ b/internal/dataplane/balancer/retrybudget.go
@@ -3,8 +3,12 @@
 import "time"
 
 // RetryBudget bounds the retries of a proxy: attempts beyond the first of each request. A proxy may use a ratio of its
-// own requests in a sliding window, and its share of an allowance that all proxies have together. A proxy that has just
-// started takes its share of the allowance to be spent by its predecessor.
+// own requests in a sliding window, and its share of an allowance that all proxies have together:
+//
+//	retries <= requests*ratio + allowance/proxies, in each window
+//
+// less the safety margins ratioMargin and allowanceMargin. In its first window a proxy has no allowance: its
+// predecessor may have spent it.
 type RetryBudget struct {
 	window    time.Duration
 	ratio     float64
--- a/internal/dataplane/balancer/weight.go
+++ b/internal/dataplane/balancer/weight.go
@@ -7,14 +7,17 @@
 )
 
 // endpointStats is what a proxy has measured of one backend by its own traffic, for the backend's weight. Backends send
-// no load reports as in gRFC A58, so that completions stand for its requests per second, and the time that they kept a
-// slot busy for its utilization. All sums decay with statsTimeConstant.
+// no load reports as in gRFC A58: completions take the place of its requests per second, and the time that they kept a
+// slot busy that of its utilization. All sums decay with statsTimeConstant.
+//
+// The standalone proxy has weights of its own (internal/standalone/policy, weights.go), from load reports, with other
+// periods and with the mean weight mixed in. The formulas that are the same stand in package wrr.
 type endpointStats struct {
-	completions   float64
-	busySeconds   float64
-	errors        float64
-	decayedAt     time.Time // to when the sums are decayed
-	lastUpdated   time.Time
+	completions   float64   // attempts that succeeded
+	busySeconds   float64   // the time that these took
+	errors        float64   // attempts that failed
+	decayedAt     time.Time // the time that the sums are decayed to
+	lastUpdated   time.Time // the last completion or error
 	nonEmptySince time.Time // begin of the blackout period; zero: no completion yet, or the weight has expired
 	readySince    time.Time // begin of slow start; zero: ready since before this proxy started
 }
@@ -51,9 +54,12 @@
 	e.decayedAt = now
 }
 
-// weight is the A58 weight of a backend with that many slots. Rate and utilization are taken over the same time, which
-// cancels out. ok is false during the blackout period, after expiry, and while there are too few completions: then the
-// mean weight is to be used.
+// weight is the A58 weight of a backend that runs up to slots requests at once:
+//
+//	rate / (utilization + errors/completions * errorUtilizationPenalty)
+//
+// ok is false during the blackout period, after expiration, and while there are too few completions: then the mean
+// weight is to be used.
 func (e *endpointStats) weight(now time.Time, slots int) (weight float64, ok bool) {
 	if e.nonEmptySince.IsZero() || now.Sub(e.nonEmptySince) < blackoutPeriod {
 		return 0, false
@@ -71,7 +77,7 @@
 	return wrr.Weight(rate, utilization, e.errors/e.completions, errorUtilizationPenalty), true
 }
 
-// slowStart has its times in seconds.
+// slowStart has its times in seconds; MinAge is A100's second.
 var slowStart = wrr.SlowStart{
 	Window: slowStartWindow.Seconds(), MinAge: 1, Floor: slowStartFloor, Aggression: slowStartAggression,
 }
@@ -86,8 +92,8 @@
 	return slowStart.Factor(age.Seconds())
 }
 
-// updateWeights brings the weights of a service's backends up to date. They are relative to the mean, which stands for
-// the backends whose weight is not known.
+// updateWeights brings the weights of a service's backends up to date. They are relative to the mean of the known ones,
+// and 1 for a backend whose weight is not known.
 func (b *Balancer) updateWeights(service string, now time.Time) {
 	s := b.services[service]
 	if s == nil {
--- a/internal/dataplane/ingress/attempt.go
+++ b/internal/dataplane/ingress/attempt.go
@@ -22,10 +22,11 @@
 const (
 	attemptDone        attemptResult = iota // the client has its response
 	attemptRetryable                        // another backend may be tried
-	attemptInterrupted                      // a response that has begun cannot be completed by this backend
+	attemptInterrupted                      // the client has a part of the response; another backend may continue it
 )
 
-// attempt sends the request to one backend and copies its response to the client.
+// attempt sends the request to one backend and copies its response to the client. It reports the outcome to the
+// dispatcher exactly once, also where copying ends in a panic (see abort).
 func (x *exchange) attempt(ctx context.Context, picked balancer.PickResult) attemptResult {
 	target := picked.Backend
 	began := time.Now()
@@ -38,14 +39,14 @@
 	if load, ok := backend.ParseLoad(response.Header.Get(backend.HeaderLoad)); ok {
 		x.handler.dispatcher.ObserveLoad(target, load.Running, load.Waiting)
 	}
-	outcome := balancer.Failed // also where copying panics
+	outcome := balancer.Failed // what is reported where copying panics
 	defer func() { x.handler.dispatcher.Finish(x.request, target, outcome, time.Since(began)) }()
 	if response.IsRejected() {
 		outcome = rejectionOutcome(response)
 		discard(response)
 		return attemptRetryable
 	}
-	x.runs++
+	x.possibleRuns++
 	var result attemptResult
 	if !x.isStream(response) {
 		result, outcome = x.copyResponse(ctx, response)
@@ -77,7 +78,8 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscarded)) // Close sees an incomplete body
 }
 
-// handleError ends an attempt that brought no response.
+// handleError ends an attempt without a response. Where nothing was sent, another backend may be picked, even if ctx
+// has ended: then the next Pick fails and the exchange times out.
 func (x *exchange) handleError(
 	ctx context.Context, target *balancer.Backend, began time.Time, err error,
 ) attemptResult {
@@ -94,12 +96,13 @@
 	if !wasSent {
 		return attemptRetryable
 	}
-	x.runs++
+	x.possibleRuns++
 	result, _ := x.handleBreak(ctx, "the backend broke off")
 	return result
 }
 
-// handleBreak ends an attempt whose request may have run and whose response broke off before a part of it was copied.
+// handleBreak ends an attempt whose request may have run and whose response broke off, before any of this attempt's
+// response was copied. Headers may have been sent by an earlier attempt at a stream.
 func (x *exchange) handleBreak(ctx context.Context, message string) (attemptResult, balancer.Outcome) {
 	switch {
 	case x.headersSent:
--- a/internal/dataplane/ingress/copy.go
+++ b/internal/dataplane/ingress/copy.go
@@ -22,7 +22,7 @@
 // retried.
 func (x *exchange) copyResponse(ctx context.Context, response *backend.Response) (attemptResult, balancer.Outcome) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBody+1))
-	if err != nil || !response.HasEnd() || len(body) > maxBufferedBody {
+	if err != nil || !response.IsDelimited() || len(body) > maxBufferedBody {
 		return x.handleBreak(ctx, "the backend's answer broke off")
 	}
 	if x.headersSent {
@@ -39,7 +39,7 @@
 	x.copyHeaders(response)
 	x.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.writer.WriteHeader(response.Status)
-	_, _ = x.writer.Write(body) // it fails only where the client has gone
+	_, _ = x.writer.Write(body) // it fails only where the client has disconnected
 	return attemptDone, outcome
 }
 
@@ -95,7 +95,7 @@
 	ctx context.Context, response *backend.Response, pending []byte, err error,
 ) (attemptResult, balancer.Outcome) {
 	switch {
-	case err == io.EOF && response.HasEnd():
+	case err == io.EOF && response.IsDelimited():
 		if len(pending) > 0 && !x.copyEvents(pending) {
 			return attemptDone, balancer.Canceled
 		}
@@ -107,7 +107,7 @@
 	return attemptInterrupted, balancer.Failed
 }
 
-// copyEvents sends events to the client; false means that the client has gone.
+// copyEvents sends events to the client; false means that the client has disconnected.
 func (x *exchange) copyEvents(events []byte) bool {
 	x.timing.noteEvent(x.request.Arrived)
 	if id := lastEventID(events); id != "" {
@@ -121,7 +121,8 @@
 
 func (x *exchange) flush() error { return http.NewResponseController(x.writer).Flush() }
 
-// completeEvents returns the length of the complete events that text begins with: up to the last empty line.
+// completeEvents returns the length of the complete events that text begins with: up to the last empty line, which ends
+// an event (HTML standard, section Server-sent events). Lines that end with a single CR are not recognized.
 func completeEvents(text []byte) int {
 	end := 0
 	for _, separator := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
--- a/internal/dataplane/ingress/exchange.go
+++ b/internal/dataplane/ingress/exchange.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// maxPicks bounds the backends that are picked for one request, those included that did not process it.
+	// maxPicks bounds the backends that are picked for one request. The route's MaxAttempts bounds only the attempts that
+	// may have run; without maxPicks a request could go on from one rejecting backend to the next until its deadline.
 	maxPicks = 6
 	// noBackendRetryAfter is the Retry-After where no backend took the request.
 	noBackendRetryAfter = 300 * time.Millisecond
@@ -19,14 +20,14 @@
 
 // exchange is one client request with all its attempts. It belongs to the goroutine that serves the request.
 type exchange struct {
-	timing      timing
-	handler     *Handler
-	writer      http.ResponseWriter
-	route       *configuration.Route
-	request     *balancer.Request
-	outgoing    backend.Request
-	runs        int  // attempts that a backend may have processed
-	headersSent bool // the client has received the status and headers of a response
+	timing       timing
+	handler      *Handler
+	writer       http.ResponseWriter
+	route        *configuration.Route
+	request      *balancer.Request
+	outgoing     backend.Request
+	possibleRuns int  // attempts that a backend may have run; the route's MaxAttempts bounds them
+	headersSent  bool // the client has received the status and headers of a response
 }
 
 // run makes attempts until the client has its response. It panics with http.ErrAbortHandler where a response that has
@@ -59,7 +60,7 @@
 			return
 		case attemptRetryable:
 		case attemptInterrupted:
-			if !x.route.Resumable || x.runs >= x.route.MaxAttempts {
+			if !x.route.Resumable || x.possibleRuns >= x.route.MaxAttempts {
 				abort()
 			}
 		}
@@ -67,18 +68,21 @@
 	x.reject(noBackendRetryAfter, "no backend takes it")
 }
 
-// canRetry reports whether a request that may have run may run once more.
-func (x *exchange) canRetry() bool { return x.route.IsIdempotent() && x.runs < x.route.MaxAttempts }
+// canRetry reports whether a request that may have run may be sent again.
+func (x *exchange) canRetry() bool {
+	return x.route.IsIdempotent() && x.possibleRuns < x.route.MaxAttempts
+}
 
-// isTooLateToBegin reports whether the proxy is draining and ends before a response could be complete. Where a backend
-// may have processed the request it is too late for that question.
+// isTooLateToBegin reports whether the proxy is draining and ends before a response could be complete, so that the
+// request is to be rejected. Once a backend may have run the request, 503 would be a false promise: the exchange goes
+// on.
 func (x *exchange) isTooLateToBegin() bool {
-	if x.headersSent || x.runs > 0 {
+	if x.headersSent || x.possibleRuns > 0 {
 		return false
 	}
 	now := time.Now()
-	elapsed, left := now.Sub(x.handler.started), x.request.Deadline.Sub(now)
-	return !x.handler.drain.canFinish(elapsed, x.route.Kind, x.request.OutputTokens, left)
+	sinceStart, left := now.Sub(x.handler.started), x.request.Deadline.Sub(now)
+	return !x.handler.drain.canFinish(sinceStart, x.route.Kind, x.request.OutputTokens, left)
 }
 
 // reject ends the exchange with 503, or with 502 where the request may have run.
@@ -87,7 +91,7 @@
 	switch {
 	case x.headersSent:
 		abort()
-	case x.runs > 0:
+	case x.possibleRuns > 0:
 		http.Error(x.writer, reason, http.StatusBadGateway)
 	default:
 		reject(x.writer, retryAfter, reason)
@@ -100,7 +104,7 @@
 	switch {
 	case x.headersSent:
 		abort()
-	case x.runs > 0:
+	case x.possibleRuns > 0:
 		http.Error(x.writer, "no answer in time", http.StatusGatewayTimeout)
 	default:
 		reject(x.writer, noBackendRetryAfter, "no backend in time")
--- a/internal/dataplane/ingress/handler.go
+++ b/internal/dataplane/ingress/handler.go
@@ -26,7 +26,8 @@
 const (
 	// responseMargin is how long before the client's deadline the proxy's own response is sent.
 	responseMargin = 15 * time.Millisecond
-	// configStaleAfter is how long a configuration may be unconfirmed until it denies no request any more.
+	// configStaleAfter is the time since the last Confirm after which the configuration counts as stale. By a stale one a
+	// request without a route gets 503, not 404: a newer configuration may have the route.
 	configStaleAfter = 1500 * time.Millisecond
 	// noConfigRetryAfter is the Retry-After while the configuration is unknown or stale.
 	noConfigRetryAfter = 300 * time.Millisecond
@@ -38,9 +39,9 @@
 	pool       *backend.Pool
 	config     atomic.Pointer[configuration.Config] // nil: not known yet
 	confirmed  atomic.Int64                         // nanoseconds from started to the last Confirm
-	started    time.Time
+	started    time.Time                            // the origin of confirmed and of drain's times
 	drain      drain
-	active     atomic.Int64
+	active     atomic.Int64 // requests in flight
 	split      trafficSplit
 }
 
--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/request.go
@@ -19,7 +19,7 @@
 )
 
 const (
-	// maxTimeLeft bounds the time that a client gives, and is used where it gives none.
+	// maxTimeLeft bounds the time that a client gives; it is also used where the client gives none or a malformed one.
 	maxTimeLeft = 10 * time.Minute
 	// maxPriority is the number of the lowest priority; 0 is the highest.
 	maxPriority = 9
@@ -27,10 +27,10 @@
 	defaultPromptTokens = 1000
 	defaultOutputTokens = 200
 
-	// A client gives up a stream that has been silent for the longest of these.
+	// A client is assumed to give up a stream that has sent no event for the longest of these three times.
 	minStreamTimeout       = 2 * time.Second
 	streamTimeoutPerTarget = 4 // times the route's latency target
-	streamTimeoutPerGap    = 8 // times the route's longest gap between events
+	streamTimeoutPerGap    = 8 // times the route's maximum gap between events
 )
 
 func newBalancerRequest(
@@ -64,7 +64,8 @@
 	return count
 }
 
-// priorityOf is the priority that the backend gets: the client's, else the route's.
+// priorityOf is the priority that the backend gets: the client's as it is, else the route's within the bounds of the
+// header. The proxy's own queue is ordered by the route's alone.
 func priorityOf(r *http.Request, route *configuration.Route) int {
 	if text := r.Header.Get(backend.HeaderPriority); text != "" {
 		if priority, err := strconv.Atoi(text); err == nil {
@@ -74,7 +75,7 @@
 	return min(maxPriority, max(0, route.Priority))
 }
 
-// timeLeft is the time that the client gives the request.
+// timeLeft is the time that the client gives the request, from its arrival.
 func timeLeft(r *http.Request) time.Duration {
 	text := r.Header.Get(backend.HeaderTimeLeft)
 	milliseconds, err := strconv.ParseFloat(text, 64)
@@ -84,7 +85,8 @@
 	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
-// clientTimeoutAt is when the client gives up if it has received nothing.
+// clientTimeoutAt estimates when the client gives up if it has received nothing: of a stream it expects a first event
+// long before the deadline.
 func clientTimeoutAt(route *configuration.Route, arrived, deadline time.Time) time.Time {
 	if route.Kind != configuration.Streaming {
 		return deadline
--- a/internal/dataplane/ingress/trafficsplit.go
+++ b/internal/dataplane/ingress/trafficsplit.go
@@ -6,9 +6,10 @@
 	"pumiceline/internal/controlplane/configuration"
 )
 
-// trafficSplit divides a route's requests among its services by smooth weighted round robin: each request adds every
-// service's weight to its credit, and goes to the service with the most, which pays the sum of the weights. The zero
-// value is ready; all methods may be called from any goroutine.
+// trafficSplit divides a route's requests among its services by smooth weighted round robin, as nginx does among
+// upstreams: each request adds every service's weight to the service's credit and goes to the service with the highest
+// credit, from which the sum of the weights is subtracted. The zero value is ready; all methods may be called from any
+// goroutine.
 type trafficSplit struct {
 	mutex  sync.Mutex
 	credit map[string]map[string]float64 // by route and service
--- a/internal/dataplane/loads/exchange.go
+++ b/internal/dataplane/loads/exchange.go
@@ -22,7 +22,7 @@
 	unavailableTime = 1500 * time.Millisecond
 	// completeReportInterval is how often all loads are reported again, as they expire at the coordinator (package inflight).
 	completeReportInterval = 1500 * time.Millisecond
-	// flushInterval batches changes: those that come closer together are reported together.
+	// flushInterval is the least time between two reports without a query: changes in it are reported together.
 	flushInterval = 2 * time.Millisecond
 )
 
@@ -31,7 +31,7 @@
 type Exchange struct {
 	identity     message.MemberID
 	client       *transport.Client
-	hasChanges   chan struct{} // holds one signal
+	hasChanges   chan struct{} // has a value while changes are to be reported; its capacity is 1
 	queryTimeout time.Duration
 
 	// The mutex guards all below. It is held while a report is written, so that reports keep their order.
--- a/internal/dataplane/proxy/demandnotifier.go
+++ b/internal/dataplane/proxy/demandnotifier.go
@@ -12,7 +12,9 @@
 
 // demandNotifier reports demand to the coordinators at once when a request waits for a model that no backend has
 // loaded.
-type demandNotifier struct{ pending chan struct{} } // holds one signal
+type demandNotifier struct {
+	pending chan struct{} // has a value while a report is asked for; its capacity is 1
+}
 
 func newDemandNotifier() *demandNotifier { return &demandNotifier{pending: make(chan struct{}, 1)} }
 
--- a/internal/dataplane/proxy/discoveryfallback.go
+++ b/internal/dataplane/proxy/discoveryfallback.go
@@ -57,6 +57,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	isStale = time.Since(s.observedAt) > staleAfter
-	probability = s.settings.Platform.MaxCallsPerSecond * fallbackRateShare * fallbackInterval.Seconds() / float64(s.proxies)
+	callsPerSecond := s.settings.Platform.MaxCallsPerSecond * fallbackRateShare // of all proxies together
+	probability = callsPerSecond * fallbackInterval.Seconds() / float64(s.proxies)
 	return isStale, probability
 }
--- a/internal/standalone/affinity/affinity.go
+++ b/internal/standalone/affinity/affinity.go
@@ -18,10 +18,10 @@
 	Weight float64
 }
 
-// slots is the number of parts that keys are divided into. The homes of a slot are computed on first use and kept until
+// slotCount is the number of parts that keys are divided into. The homes of a slot are computed on first use and kept until
 // the members change. The number must not depend on the members: a balancer that has seen more of them would differ
 // from one that has just started.
-const slots = 16 << 10
+const slotCount = 16 << 10
 
 type slot struct {
 	homes   [2]uint32
@@ -57,9 +57,9 @@
 		return homes, false
 	}
 	if t.slots == nil {
-		t.slots = make([]slot, slots)
+		t.slots = make([]slot, slotCount)
 	}
-	index := splitmix.Mix(key) % slots
+	index := splitmix.Mix(key) % slotCount
 	s := &t.slots[index]
 	if s.version != t.version {
 		s.homes, s.version = t.rank(index), t.version
--- a/internal/standalone/policy/admission_test.go
+++ b/internal/standalone/policy/admission_test.go
@@ -252,7 +252,7 @@
 func TestOverdueAttemptsDecreaseLimit(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(4))
 	// No server is stalled, and the limit does not follow the attempts in flight.
-	b.medianAttemptTime, b.limitHeldUntil = 1e6, b.now+60e6
+	b.medianAttemptTime, b.limitFrozenUntil = 1e6, b.now+60e6
 	b.concurrencyLimit = 40
 	for id := range uint64(40) {
 		b.Handle(b.now, &Event{Kind: RequestArrived, ID: id + 1, ClientTimeout: 60e6}, nil)
--- a/internal/standalone/policy/balancer.go
+++ b/internal/standalone/policy/balancer.go
@@ -58,7 +58,7 @@
 	inFlight          int     // attempts in flight at servers that are not stalled
 	congestion        float64 // moving average: share of recent responses that signalled congestion
 	lastAttemptEnd    Time
-	limitHeldUntil    Time                        // until then the limit does not follow the attempts in flight
+	limitFrozenUntil    Time                        // until then the limit does not follow the attempts in flight
 	medianAttemptTime float64                     // of attempts with a cost of 1, at all servers
 	unloadedLatency   []latencybaseline.Estimator // by class
 
@@ -168,7 +168,7 @@
 
 const (
 	refreshPeriod   = 100_000 // between two calls of refresh
-	arrivalRateFade = 2       // time constant of arrivalRate in seconds
+	arrivalRateTimeConstant = 2       // time constant of arrivalRate in seconds
 )
 
 // refresh brings weights, budgets and the concurrency limit up to date. It runs on a period, never for a request.
@@ -176,14 +176,14 @@
 	elapsed := float64(b.now-b.refreshedAt) / 1e6 // seconds
 	b.refreshedAt = b.now
 	if elapsed > 0 {
-		b.arrivalRate += (1 - math.Exp(-elapsed/arrivalRateFade)) * (b.arrivals/elapsed - b.arrivalRate)
+		b.arrivalRate += (1 - math.Exp(-elapsed/arrivalRateTimeConstant)) * (b.arrivals/elapsed - b.arrivalRate)
 		b.arrivals = 0
 	}
 	b.refillTenantTokens(elapsed)
 	b.removeGoneServers()
 	b.updateMeans()
 	b.updateRemoteZoneShare(elapsed)
-	if b.now >= b.limitHeldUntil {
+	if b.now >= b.limitFrozenUntil {
 		b.concurrencyLimit = concurrency.LimitToUsage(b.concurrencyLimit, b.inFlight, len(b.members), b.settings.GroupSize)
 	}
 	pollInterval := loadpolling.Interval(len(b.members), b.settings.GroupSize, b.arrivalRate)
--- a/internal/standalone/policy/snapshot.go
+++ b/internal/standalone/policy/snapshot.go
@@ -50,9 +50,9 @@
 	FailureRate     float64 `json:"Faults"`
 }
 
-// limitHoldTime is how long a restored concurrency limit does not follow the attempts in flight, while requests move
+// limitFreezeTime is how long a restored concurrency limit does not follow the attempts in flight, while requests move
 // from the other balancer to this one.
-const limitHoldTime = 500_000
+const limitFreezeTime = 500_000
 
 // Bounds of plausible values in a snapshot.
 const (
@@ -109,7 +109,7 @@
 	}
 	b.arrivalRate, b.meanWork = snapshot.ArrivalRate, snapshot.MeanWork
 	b.medianAttemptTime, b.remoteZoneShare = snapshot.MedianAttemptTime, snapshot.RemoteZoneShare
-	b.concurrencyLimit, b.limitHeldUntil = max(concurrency.MinLimit, snapshot.ConcurrencyLimit), b.now+limitHoldTime
+	b.concurrencyLimit, b.limitFrozenUntil = max(concurrency.MinLimit, snapshot.ConcurrencyLimit), b.now+limitFreezeTime
 	b.overall = capacityStats{meanSize: snapshot.Overall.MeanSize, meanWeight: snapshot.Overall.MeanWeight}
 	for _, t := range snapshot.InstanceTypes {
 		b.instanceTypes[b.instanceTypeIndex(t.InstanceType)] = capacityStats{instanceType: t.InstanceType, qps: t.QPS,
--- a/internal/standalone/policy/weights.go
+++ b/internal/standalone/policy/weights.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	reportFadeTime   = 3e6  // time constant of the fading sums in microseconds: single reports are noisy
+	reportTimeConstant   = 3e6  // time constant of the fading sums in microseconds: single reports are noisy
 	meanReportWeight = 0.3  // the mean weight is mixed in as a report of a server with this utilization
 	minWeight        = 1e-6 // of a server in the schedule
 	minMeanEvidence  = 0.5  // summed utilization from which an instance type has a mean weight of its own
@@ -46,7 +46,7 @@
 		return // the server has not renewed its figures yet
 	}
 	s.lastReport = report
-	fade := wrr.Decay(float64(elapsed), reportFadeTime)
+	fade := wrr.Decay(float64(elapsed), reportTimeConstant)
 	s.qpsSum = s.qpsSum*fade + report.qps
 	s.utilizationSum = s.utilizationSum*fade + report.utilization
 	s.epsSum = s.epsSum*fade + report.eps
