--- a/internal/standalone/policy/actions.go
+++ b/internal/standalone/policy/actions.go
@@ -16,13 +16,14 @@
 	CloseIdleConns                           // Server
 )
 
-// Action is something that the caller is to do. Attempts of a request count from 0 in the order of its SendAttempts.
+// Action is something that the caller must do. Attempts of a request are numbered from 0 in the order of its
+// SendAttempts.
 type Action struct {
 	Kind       ActionKind
 	Attempt    uint8
 	Server     uint32
 	ID         uint64
 	After      Time
-	SendBefore Time // of a SendAttempt: nothing may be written from then on, it could execute twice; 0: no limit
+	SendBefore Time // of a SendAttempt: nothing may be written from then on, or it could execute twice; 0: no limit
 	Text       string
 }
--- a/internal/standalone/policy/admission.go
+++ b/internal/standalone/policy/admission.go
@@ -2,19 +2,23 @@
 
 import "pumiceline/internal/standalone/concurrency"
 
-// Admission: when more work arrives than can be done in time, the queues at the servers grow until hardly a response is
-// in time, whichever server is picked. An adaptive concurrency limit bounds this balancer's attempts in flight. Other
-// requests wait in its own queue, where the one with the highest priority goes first and a rejection is still harmless.
+// When more work arrives than can be done in time, the queues at the servers grow until hardly a response is in time,
+// whichever server is picked. An adaptive concurrency limit (package concurrency) bounds this balancer's attempts in
+// flight. Other requests wait in its own queue, where the one with the highest priority goes first and a rejection is
+// still safe: nothing has run.
 const (
-	// A response signals congestion if it takes longer than this share of the latency target
+	// congestedTargetShare is the least time, as a share of the latency target, after which a response may signal
+	// congestion, see isCongested.
 	congestedTargetShare = 0.5
-	// and than this many times the unloaded latency of its class,
+	// congestedUnloadedFactor is how many times the unloaded latency of its class a response must take to signal
+	// congestion.
 	congestedUnloadedFactor = 2
-	// or than this share of the target while the unloaded latency is not known yet.
+	// congestedShareUnknown is the share of the latency target after which a response signals congestion while the
+	// unloaded latency of its class is not known.
 	congestedShareUnknown = 0.75
 
 	congestionGain  = 0.05 // weight of the latest response in Balancer.congestion
-	lowCongestion   = 0.1  // share of congestion signals that comes without congestion
+	lowCongestion   = 0.1  // share of congestion signals below which there is taken to be no congestion
 	limitUsageShare = 0.8  // share of the limit that must be in use for it to grow
 )
 
@@ -23,7 +27,8 @@
 	return concurrency.Admits(b.concurrencyLimit, b.inFlight, float64(b.now-b.lastAttemptEnd), b.medianAttemptTime)
 }
 
-// adjustLimit adapts the concurrency limit to the outcome of attempt a of r.
+// adjustLimit adapts the concurrency limit to the outcome of attempt a of r. A limit that is hardly in use does not
+// grow: responses say nothing about what would happen beyond the attempts in flight.
 func (b *Balancer) adjustLimit(r *request, a *attempt, ev *Event) {
 	if a.server.relativeLatency >= slowFactor || a.server.warmingUp {
 		return // slow by itself, not because of congestion
@@ -45,13 +50,13 @@
 }
 
 // signalsCongestion reports whether an outcome is a sign of congested servers. known is false where it says nothing:
-// failures, and time-outs of clients that had little time.
+// failures, and time-outs of clients that left less time than congestion would take to show.
 func (b *Balancer) signalsCongestion(r *request, a *attempt, ev *Event) (congested, known bool) {
 	switch ev.Outcome {
 	case Rejected:
 		return true, true
 	case OK:
-		b.unloadedLatency[r.classIndex].Observe(b.now, 2*float64(ev.Elapsed)/(1+a.cost))
+		b.unloadedLatency[r.classIndex].Observe(b.now, float64(ev.Elapsed)/timeFactor(a.cost))
 		return b.isCongested(r, ev.Elapsed), true
 	case TimedOut:
 		congested = b.isCongested(r, ev.Elapsed)
@@ -60,9 +65,14 @@
 	return false, false
 }
 
-// isCongested reports whether a response to r after elapsed is a sign of congestion. Where work, or waiting for other
-// services, fills much of the latency target, half of the target passes without any queue. A response past the target
-// is a sign in any case.
+// isCongested reports whether a response to r after elapsed is a sign of congestion. It is one after more than
+//
+//	max(target*congestedTargetShare, min(unloaded*congestedUnloadedFactor, target))
+//
+// or congestedShareUnknown of the target while the unloaded latency is not known. The share of the target alone would
+// not do: where work, or waiting for other services, fills much of the target, half of it passes without any queue, and
+// the limit would decrease until most requests are rejected while servers are idle. A response past the target is a
+// sign in any case.
 func (b *Balancer) isCongested(r *request, elapsed Time) bool {
 	target, threshold := float64(r.class.LatencyTarget), congestedShareUnknown
 	if unloaded, known := b.unloadedLatency[r.classIndex].Baseline(); known {
--- a/internal/standalone/policy/balancer.go
+++ b/internal/standalone/policy/balancer.go
@@ -1,5 +1,6 @@
 // Package policy makes the decisions of one HTTP load balancer in a group of them: which server gets a request, when
-// to retry, when to reject, and when to subscribe to discovery.
+// to retry, when to reject, and when to subscribe to discovery. What is a server here is a backend to the packages that
+// send the requests and to the admin API; gRFC A58 calls it an endpoint.
 //
 // A Balancer is a state machine. Create one with New, then call Handle with each event in the order it happened;
 // Handle appends the actions that follow to the caller's buffer. The package has no clock and no goroutines and does
@@ -10,8 +11,8 @@
 // A Balancer is not safe for concurrent use. Balancers share nothing; run as many as you like. Equal settings, seeds
 // and events give equal actions: iteration is over slices in the order of listing, never over maps.
 //
-// The files, by concern: request (life of a request), queue (waiting requests), dispatch (attempts), retry (when a
-// further attempt is safe and affordable), schedule (weighted round robin and the choice of a server), weights (gRFC
+// The files, by concern: request (from arrival to response), queue (waiting requests), dispatch (attempts), retry (when
+// a retry is safe and the budget allows it), schedule (weighted round robin and the choice of a server), weights (gRFC
 // A58), slowstart (gRFC A100), locality (zones), outlier (ejection), admission (concurrency limit), membership and
 // subscription (discovery), snapshot (state for a successor process).
 package policy
@@ -41,7 +42,7 @@
 	servers         map[uint32]*server
 	members         []*server // the same in the order of listing, for iteration
 	affinity        affinity.Table
-	connectFailures [256]int // by zone, since the last success
+	connectFailures [256]int // by zone, in a row
 	ejected         int      // servers that are ejected or stalled
 	remoteZoneShare float64  // fraction of their weight that servers of other zones keep
 	instanceTypes   []capacityStats
@@ -58,8 +59,8 @@
 	inFlight          int     // attempts in flight at servers that are not stalled
 	congestion        float64 // moving average: share of recent responses that signalled congestion
 	lastAttemptEnd    Time
-	limitFrozenUntil    Time                        // until then the limit does not follow the attempts in flight
-	medianAttemptTime float64                     // of attempts with a cost of 1, at all servers
+	limitFrozenUntil  Time                        // before it LimitToUsage is not applied
+	medianAttemptTime float64                     // microseconds; of attempts with a cost of 1, at all servers; 0: unknown
 	unloadedLatency   []latencybaseline.Estimator // by class
 
 	// Requests.
@@ -67,14 +68,14 @@
 	freeRequests  []*request // for reuse
 	queue         []*request // in the order of being queued
 	queueTimerSet bool
-	arrivals      float64 // since the last refresh
-	arrivalRate   float64 // moving average, requests per second
-	meanWork      float64 // moving average over the requests whose work is known
-	retryTokens   float64
+	arrivals      float64   // requests since the last refresh
+	arrivalRate   float64   // moving average, requests per second
+	meanWork      float64   // moving average over the requests whose work is known, in the unit of Event.Work; 0: none yet
+	retryTokens   float64   // retry budget left
 	tenantTokens  []float64 // quota left, by tenant
 }
 
-// rngStream selects the random sequence of New beside its seed.
+// rngStream is the second word of the generator's seed, the same for all balancers.
 const rngStream = 0x9e3779b97f4a7c15
 
 // New returns a balancer for the given settings. The seed determines all its random choices.
@@ -104,7 +105,7 @@
 // Handle processes the next event, which happens at now, and appends the actions that follow to actions.
 func (b *Balancer) Handle(now Time, ev *Event, actions []Action) []Action {
 	b.now, b.actions = max(now, b.now), actions
-	if !b.started {
+	if !b.started { // not in New: the clock is known from the first event on
 		b.started, b.refreshedAt = true, b.now
 		b.setTimer(timerRefresh, b.jitter(refreshPeriod))
 		b.scheduleSubscribe()
@@ -150,6 +151,7 @@
 	b.emit(Action{Kind: SetTimer, ID: id, After: max(1, after)})
 }
 
+// onTimer ignores IDs of unknown purpose.
 func (b *Balancer) onTimer(id uint64) {
 	switch id & (1<<timerKindBits - 1) {
 	case timerRefresh:
@@ -167,11 +169,12 @@
 func (b *Balancer) jitter(t Time) Time { return t/2 + Time(b.rng.Float64()*float64(t)) }
 
 const (
-	refreshPeriod   = 100_000 // between two calls of refresh
-	arrivalRateTimeConstant = 2       // time constant of arrivalRate in seconds
+	refreshPeriod           = 100_000 // microseconds between two calls of refresh
+	arrivalRateTimeConstant = 2       // seconds
 )
 
-// refresh brings weights, budgets and the concurrency limit up to date. It runs on a period, never for a request.
+// refresh brings weights, budgets and the concurrency limit up to date. Only its timer calls it, so that a request
+// costs no pass over all servers.
 func (b *Balancer) refresh() {
 	elapsed := float64(b.now-b.refreshedAt) / 1e6 // seconds
 	b.refreshedAt = b.now
--- a/internal/standalone/policy/events.go
+++ b/internal/standalone/policy/events.go
@@ -80,7 +80,7 @@
 	StartedAt    Time    `json:"UpSince"` // the latest start; 0: long ago
 }
 
-// maxSize is more than the size of any real server.
+// maxSize bounds Member.Size: a listed size that is not below it is taken for a mistake.
 const maxSize = 1e9
 
 // relativeSize is Size where that is plausible, else 1.
--- a/internal/standalone/policy/locality.go
+++ b/internal/standalone/policy/locality.go
@@ -3,11 +3,15 @@
 import "math"
 
 const (
-	// homeZoneUtilization is the utilization of the home zone from which requests leave it, if crossing were free.
-	homeZoneUtilization    = 0.5
-	maxHomeZoneUtilization = 0.8 // and with any price
-	homeZoneRange          = 0.3 // utilization over that at which the remote share is full
-	remoteZoneAdvantage    = 0.1 // difference of utilization at which the remote share is full
+	// homeZoneUtilization is the utilization of the home zone above which requests leave it, where crossing zones has no
+	// price. The price is added to it.
+	homeZoneUtilization = 0.5
+	// maxHomeZoneUtilization bounds that sum: above it requests leave at any price.
+	maxHomeZoneUtilization = 0.8
+	// homeZoneRange is how much more than that the home zone must be utilized for the full remote share.
+	homeZoneRange = 0.3
+	// remoteZoneAdvantage is how much less than the home zone the others must be utilized for the full remote share.
+	remoteZoneAdvantage = 0.1
 
 	// maxZoneConnectFailures is the number of failures to connect in a row in one zone that point to the zone and not
 	// to its servers. Beyond it the zone loses weight, so that its servers need not be found unreachable one by one.
@@ -21,7 +25,8 @@
 
 // updateRemoteZoneShare moves the fraction of their weight that servers of other zones keep: 0 while the home zone has
 // headroom, since crossing zones has a price, and more the less headroom it has, as long as the others are less
-// utilized. It moves in small steps: reports are old and every balancer reacts to the same ones. elapsed is in seconds.
+// utilized. It moves with a time constant of 1 s: reports are old and every balancer reacts to the same ones, so that
+// the zones would take turns at being overloaded. elapsed is in seconds.
 func (b *Balancer) updateRemoteZoneShare(elapsed float64) {
 	home, remote := b.zoneLoads()
 	target := 0.0
--- a/internal/standalone/policy/membership.go
+++ b/internal/standalone/policy/membership.go
@@ -24,7 +24,8 @@
 	b.updateMeans()
 }
 
-// applyMember applies one entry. A server that is draining or gone is taken out of the schedule at once.
+// applyMember applies one entry. A server that is draining or gone is removed from the schedule at once. A new one gets
+// its first turn at a random time within its interval, so that balancers do not all send to it first.
 func (b *Balancer) applyMember(m *Member) {
 	s := b.servers[m.Server]
 	if m.Mode == ModeGone {
@@ -50,7 +51,7 @@
 	b.updateSchedule(s)
 }
 
-// addServer returns a new server that is taken to be warm and like the others.
+// addServer adds a server, which is taken to be warm and like the others until discovery or reports say otherwise.
 func (b *Balancer) addServer(id uint32) *server {
 	s := &server{id: id, relativeLatency: 1, readySince: -b.settings.Rules.WarmupTime, weight: 1, relativeWorkTime: 1}
 	s.TieBreaker, s.Value = s.id, s
@@ -59,7 +60,7 @@
 	return s
 }
 
-// setStartedAt notes when the process behind s was started. Reports of a previous process are void.
+// setStartedAt notes when the server's process was started. Reports of a previous process are discarded.
 func (b *Balancer) setStartedAt(s *server, startedAt Time, isNew bool) {
 	s.startedAt = startedAt
 	if !isNew {
--- a/internal/standalone/policy/outlier.go
+++ b/internal/standalone/policy/outlier.go
@@ -2,6 +2,9 @@
 
 import "pumiceline/internal/standalone/latencybaseline"
 
+// Outlier detection, in the sense of gRFC A50: a server that by its outcomes cannot serve is ejected from the schedule
+// for a time. A50's ejection by success rate or failure percentage is not used; failing servers lose weight instead,
+// see healthFactor.
 const (
 	// maxConnectFailures is the number of attempts in a row that must fail to connect before a server is ejected.
 	maxConnectFailures = 2
@@ -10,18 +13,21 @@
 	// timeoutFactor is how many times the median an attempt must have taken for its time-out to count: a client with
 	// little time says nothing about the server.
 	timeoutFactor = 2
-	// slowFactor is how many times the median a server's recent attempts must have taken for it to count as slow.
-	// Instance types differ by less, and single requests by more only now and then.
+	// slowFactor is how many times the median a server's recent attempts must have taken for it to count as slow, and
+	// how many times the median may pass without an outcome until it counts as stalled. Instance types differ by less,
+	// and single requests by more only now and then.
 	slowFactor = 4
-	// minRestartTime is how long a server must not have responded to be taken for restarted. No process is back
-	// sooner, and after a network that resets connections all servers would be taken for warming up.
+	// minRestartTime is how long, in microseconds, a server must not have responded to be taken for restarted. No
+	// process is back sooner. Without it, after a network fault that resets connections all servers would be taken for
+	// warming up.
 	minRestartTime = 1_000_000
-	// idleConnTimeout is how long an unused connection is kept. Servers accept only so many, and those of a balancer
-	// that does not need them keep others out.
+	// idleConnTimeout is how long, in microseconds, an unused connection is kept. Servers accept a limited number: those
+	// that one balancer does not use are missing to the others.
 	idleConnTimeout = 2_000_000
 )
 
-// The first ejection of a server, and the most that it grows to as ejections follow each other.
+// The duration of a server's first ejection, and the most that it grows to as ejections follow each other, in
+// microseconds (gRFC A50: base_ejection_time and max_ejection_time).
 const (
 	unreachableEjection    = 500_000
 	maxUnreachableEjection = 8_000_000
@@ -34,10 +40,10 @@
 const (
 	failureGain      = 0.15 // weight of the latest outcome in server.failureRate
 	relativeGain     = 0.5  // weight of the latest attempt in server.relativeLatency
-	maxRelativeTime  = 10   // the most that one attempt counts there
+	maxRelativeTime  = 10   // the most that one attempt counts in server.relativeLatency
 	medianQuantile   = 0.5
-	medianStep       = 0.06 // of the median, by which it follows one attempt
-	minAttemptMedian = 1    // microseconds
+	medianStep       = 0.06 // share of the median by which it follows one attempt
+	minAttemptMedian = 1    // microseconds; 0 stands for an unknown median
 )
 
 // EjectedServers is the number of servers listed as ready that get no turns, because this balancer has ejected them or
@@ -51,8 +57,8 @@
 	return count
 }
 
-// mayEject reports whether less than half of the servers are ejected. Else the cause is a common one, and fewer servers
-// would make it worse.
+// mayEject reports whether less than half of the servers are ejected or stalled (gRFC A50: max_ejection_percent).
+// Otherwise the cause is common to all servers, and the load of the ejected ones would bring down the rest.
 func (b *Balancer) mayEject() bool { return 2*b.ejected < len(b.members) }
 
 // eject takes s out of the schedule until a probation attempt, for a time that doubles from first to longest while
@@ -67,7 +73,7 @@
 	s.ejectedUntil = b.now + b.jitter(s.ejectionTime)
 }
 
-// endProbation notes that s has responded. After failures to connect it is ready since now, as in gRFC A100 when a
+// endProbation notes that s has responded. After failures to connect its slow start begins, as in gRFC A100 when a
 // connection becomes ready.
 func (b *Balancer) endProbation(s *server) {
 	if s.onProbation && s.unreachable && b.now-s.answeredAt >= minRestartTime {
@@ -113,7 +119,7 @@
 	if s.stalled {
 		s.stalled = false
 		b.ejected--
-		b.inFlight += s.inFlight + 1
+		b.inFlight += s.inFlight + 1 // examineServer took out this attempt as well, and b.inFlight-- did again
 	}
 }
 
@@ -126,8 +132,8 @@
 	}
 }
 
-// observeTimeout ejects a server after several time-outs. Attempts that time out make room at a server that does not
-// respond: without ejection it would get turns as an idle one.
+// observeTimeout ejects a server after several time-outs. A server that does not respond has few attempts in flight,
+// since they time out: without ejection its low load score would attract requests.
 func (b *Balancer) observeTimeout(s *server, a *attempt, ev *Event) {
 	if b.observeLatency(s, a.cost, float64(ev.Elapsed), true) >= timeoutFactor {
 		s.timeouts++
@@ -137,8 +143,9 @@
 	}
 }
 
-// observeConnectFailure ejects a server that cannot be reached. A single failure is not enough: a server that responds
-// on other connections has not restarted, and would be taken for warming up.
+// observeConnectFailure ejects a server that cannot be reached, also beyond the bound of mayEject: nothing can be
+// gained by sending to it. A single failure is not enough: a server that responds on other connections has not
+// restarted, and would be taken for warming up.
 func (b *Balancer) observeConnectFailure(s *server) {
 	b.connectFailures[s.zone]++
 	s.openConns = min(s.openConns, s.inFlight)
@@ -148,15 +155,14 @@
 	}
 }
 
-// observeLatency compares the time of an attempt with the median of all servers, which single slow servers do not move
-// and which grows when all are slow, and returns the ratio. Half of an attempt's time is taken to be fixed and half to
-// grow with its cost. Of an attempt that timed out only a lower bound is known: if that is below the median, nothing
-// follows.
+// observeLatency compares the time of an attempt, in microseconds, with the median of all servers at its cost, and
+// returns the ratio. A median is not moved by single slow servers and grows when all are slow. Of an attempt that timed
+// out only a lower bound is known: where that is below the median, it says nothing.
 func (b *Balancer) observeLatency(s *server, cost, elapsed float64, timedOut bool) (ratio float64) {
 	if b.medianAttemptTime == 0 {
 		b.medianAttemptTime = max(minAttemptMedian, elapsed)
 	}
-	ratio = elapsed / (b.medianAttemptTime * (1 + cost) / 2)
+	ratio = elapsed / (b.medianAttemptTime * timeFactor(cost))
 	if timedOut && ratio < 1 {
 		return ratio
 	}
@@ -168,8 +174,11 @@
 	return ratio
 }
 
-// healthFactor scales the weight of a server that this balancer finds slow or failing, which load reports show late, as
-// they come with good responses only. The penalty for failures is that of the A58 weight.
+// healthFactor scales the weight of a server that this balancer finds slow or failing:
+//
+//	1 / (1 + errorUtilizationPenalty*failureRate^2), over relativeLatency from slowFactor on
+//
+// Load reports come with successful responses only, so they show such a server late or never.
 func (s *server) healthFactor() float64 {
 	factor := 1 / (1 + errorUtilizationPenalty*s.failureRate*s.failureRate)
 	if s.relativeLatency < slowFactor {
@@ -178,8 +187,8 @@
 	return factor / s.relativeLatency
 }
 
-// examineServer is called for each server on the period: it ends ejections, finds stalled servers and closes unused
-// connections. A stalled server gets no turn until an attempt ends: a hung process keeps its connections, so nothing
+// examineServer is called for each server by refresh: it finds stalled servers, closes unused connections and ends
+// ejections. A stalled server gets no turn until an attempt ends: a hung process keeps its connections open, so nothing
 // but the missing responses shows it.
 func (b *Balancer) examineServer(s *server) {
 	if !s.stalled && s.inFlight > 0 && b.medianAttemptTime > 0 && b.mayEject() &&
--- a/internal/standalone/policy/queue.go
+++ b/internal/standalone/policy/queue.go
@@ -3,14 +3,16 @@
 import "slices"
 
 const (
-	// queueCheckPeriod is the time between two checks of the queue for requests whose time in it is over.
+	// queueCheckPeriod is the time in microseconds between two checks of the queue for requests whose time in it is
+	// over.
 	queueCheckPeriod = 10_000
-	// minQueueDivisor is the part of the latency target that a request may be queued for in any case.
+	// minQueueDivisor is the divisor of the latency target that gives the time that a request may be queued for however
+	// long its attempt will take.
 	minQueueDivisor = 8
 )
 
-// enqueue keeps r until a server can take it and the concurrency limit allows. A request that cannot be answered in
-// good time is rejected at once.
+// enqueue queues r until a server can take it and the concurrency limit allows. It is rejected at once where there is
+// nothing to wait for, too many requests are open, or its time in the queue ends before the next check.
 func (b *Balancer) enqueue(r *request) {
 	r.queuedUntil = b.queueDeadline(r)
 	if b.hasNoReadyServer() || b.hasTooManyRequests() || b.now+queueCheckPeriod > r.queuedUntil {
@@ -22,9 +24,9 @@
 	b.armQueueTimer()
 }
 
-// queueDeadline is the last moment that r stays in the queue. Its response must still reach the client in time, and
-// one past the latency target has little value. A request that no server can have executed is rejected while the
-// client has half of its time left to try elsewhere.
+// queueDeadline is how long r stays in the queue. Its response must still reach the client in time, and one past the
+// latency target has little value: so two attempt times before the target the wait is over. A request that no server
+// can have executed is rejected while the client has half of its time left for a retry elsewhere.
 func (b *Balancer) queueDeadline(r *request) Time {
 	margin := queueCheckPeriod + 2*b.settings.BatchPeriod
 	target := r.class.LatencyTarget
@@ -42,12 +44,14 @@
 	return len(b.members) > 0 && !slices.ContainsFunc(b.members, (*server).isReady)
 }
 
-// hasTooManyRequests reports whether more than half of the allowed requests are open.
+// hasTooManyRequests reports whether more than half of the allowed requests are open. The other half is for requests
+// that can be sent at once.
 func (b *Balancer) hasTooManyRequests() bool {
 	limit := b.settings.Limits.MaxOpenRequests
 	return limit > 0 && 2*len(b.requests) > limit
 }
 
+// armQueueTimer sets the timer of the next check unless it is set or the queue is empty.
 func (b *Balancer) armQueueTimer() {
 	if len(b.queue) > 0 && !b.queueTimerSet {
 		b.queueTimerSet = true
@@ -92,8 +96,8 @@
 	}
 }
 
-// nextQueued returns the index of the open request with the highest priority, of equals the newest, which is the most
-// likely to be answered in time; -1 if there is none.
+// nextQueued returns the index of the open request with the highest priority; -1 if there is none. Of equals it is the
+// newest, which is the most likely to be answered in time.
 func (b *Balancer) nextQueued() int {
 	best := -1
 	for i, r := range b.queue {
@@ -104,8 +108,11 @@
 	return best
 }
 
-// retryAfter is when a rejected client may find capacity: the time of an attempt for each concurrency limit's worth of
-// queued requests, randomized by a half.
+// retryAfter estimates when a rejected client may find capacity:
+//
+//	medianAttemptTime * (1 + queued/concurrencyLimit)
+//
+// times a random factor from 0.5 to 1.5, so that rejected clients do not come back together; at most MaxRetryAfter.
 func (b *Balancer) retryAfter() Time {
 	wait := max(b.medianAttemptTime, queueCheckPeriod) * (1 + float64(len(b.queue))/b.concurrencyLimit)
 	wait *= 0.5 + b.rng.Float64()
--- a/internal/standalone/policy/request.go
+++ b/internal/standalone/policy/request.go
@@ -1,15 +1,15 @@
 package policy
 
-// request is one that this balancer has accepted. It is kept until it is answered and all its attempts have ended.
+// request is a request that has arrived. It is kept until it is answered and all its attempts have ended.
 type request struct {
 	id              uint64
 	class           *Class
 	classIndex      uint8
 	affinityKey     uint64
 	homes           [2]uint32 // servers preferred for affinityKey, see pickHome
-	affinityPenalty float64   // load score added for any other server
+	affinityPenalty float64   // load score added for any other server; 0: no affinity
 	cost            float64   // work, in mean requests
-	priority        float64   // value per unit of work
+	priority        float64   // value per unit of work; the highest is dispatched first
 	arrivedAt       Time
 	deadline        Time
 	queuedUntil     Time
@@ -29,8 +29,8 @@
 	zone            uint8
 	cell            uint16
 	inFlight        bool
-	mayHaveExecuted bool // until an outcome proves the opposite, so also while it is in flight
-	bodyPending     bool // its client is still sending: it counts in no load or limit yet
+	mayHaveExecuted bool // true until an outcome proves the opposite, so also while it is in flight
+	bodyPending     bool // its client is still sending the body: it counts in no load or limit yet
 	sentAt          Time
 	cost            float64
 }
@@ -94,7 +94,7 @@
 	return priority
 }
 
-// takeTenantToken reports whether the tenant is within its quota, and counts a request against it.
+// takeTenantToken counts a request against the tenant's quota; false means that the quota is used up.
 func (b *Balancer) takeTenantToken(tenant uint32) bool {
 	if b.tenantTokens[tenant] < 1 {
 		return false
@@ -145,8 +145,9 @@
 	if !a.inFlight || a.serverID != ev.Server {
 		return
 	}
-	if a.inFlight = false; a.bodyPending {
-		b.countInFlight(a)
+	a.inFlight = false
+	if a.bodyPending {
+		b.countInFlight(a) // observeOutcome takes it out again
 	}
 	r.inFlight--
 	b.lastAttemptEnd = b.now
@@ -172,8 +173,8 @@
 	}
 }
 
-// rejectOrFail gives r its final response when no attempt is left that could: a rejection where that is safe to retry
-// for the client, else a failure.
+// rejectOrFail gives r its final response when no attempt in flight can: a rejection where the client may safely retry,
+// else a failure.
 func (b *Balancer) rejectOrFail(r *request) {
 	if r.done || r.inFlight > 0 {
 		return
--- a/internal/standalone/policy/retry.go
+++ b/internal/standalone/policy/retry.go
@@ -3,20 +3,21 @@
 import "math"
 
 const (
-	// attemptLimit is the most attempts of a request that any setting allows.
+	// attemptLimit is the most attempts of a request that Limits.MaxAttempts can allow, and its default.
 	attemptLimit = 8
-	// unusedWindowDivisor is the part at the end of a dedup window that is not used for retries.
+	// unusedWindowDivisor is the divisor of a dedup window that gives its last part, in which nothing is retried.
 	unusedWindowDivisor = 8
 )
 
-// The retry budget: attempts after one that may have executed add work, which helps nobody when all servers are slow,
-// so they are limited to a fraction of the arrivals. An attempt that was not executed cost little and needs no token.
+// The retry budget: attempts after one that may have executed add work, and when all servers are slow they make them
+// slower. So they are limited to a fraction of the arrivals. An attempt that was not executed cost little and needs no
+// token. (The system's proxy has another budget, by a sliding window over all proxies: balancer.RetryBudget.)
 const (
 	retryRatio = 0.2  // tokens gained with each arrival
 	retryBurst = 10.0 // the most tokens
 )
 
-// takeRetryToken reports whether the budget allows a retry after a, and takes a token if one is needed.
+// takeRetryToken takes a token for a retry after a, if one is needed; false means that the budget is used up.
 func (b *Balancer) takeRetryToken(a *attempt) bool {
 	if !a.mayHaveExecuted {
 		return true
@@ -88,7 +89,7 @@
 	return deadline
 }
 
-// mayReject reports whether the client may be told that a retry is safe.
+// mayReject reports whether r may be rejected, which promises the client that a retry is safe.
 func (r *request) mayReject() bool {
 	safe := r.class.Semantics == Idempotent || r.class.Semantics == Deduplicated && r.class.DedupScope == DedupEverywhere
 	if safe {
--- a/internal/standalone/policy/retry_test.go
+++ b/internal/standalone/policy/retry_test.go
@@ -42,7 +42,7 @@
 	return c.scope == DedupEverywhere || c.scope == DedupPerZone && server <= 2 || c.scope == DedupPerCell && server <= 1
 }
 
-// mayReject reports whether the client may be told that a retry is safe.
+// mayReject reports whether the request may be rejected, which promises the client that a retry is safe.
 func (c *retryCase) mayReject() bool {
 	return c.earlier.provenNotExecuted || c.semantics == Idempotent ||
 		c.semantics == Deduplicated && c.scope == DedupEverywhere
--- a/internal/standalone/policy/server.go
+++ b/internal/standalone/policy/server.go
@@ -19,7 +19,7 @@
 	size         float64
 	startedAt    Time // of the process; 0: long ago
 
-	// Load reports, as exponentially fading sums.
+	// Load reports, as exponentially decaying sums (reportTimeConstant).
 	qpsSum, utilizationSum, epsSum float64
 	reportWeight                   float64 // sum of the reports' weights
 	lastReport                     parsedReport
@@ -39,7 +39,7 @@
 	// Attempts.
 	inFlight     int
 	uploading    int // attempts whose clients are still sending the body
-	openConns    int // connections that should be open
+	openConns    int // connections that should be open: the caller keeps them, this is an estimate
 	lastSentAt   Time
 	waitingSince Time // since when attempts are in flight with none ending
 
@@ -48,11 +48,11 @@
 	failureRate     float64 // moving average of attempts that failed
 	timeouts        int     // attempts that timed out since the last response
 	connectFailures int     // attempts that could not connect since the last response
-	answeredAt      Time    // last response
-	stalled         bool    // no attempt has ended for long, with attempts in flight
-	ejected         bool
+	answeredAt      Time    // of the last response
+	stalled         bool    // attempts are in flight and none has ended for long, see examineServer
+	ejected         bool    // out of the schedule until ejectedUntil
 	ejectedUntil    Time
-	ejectionTime    Time // grows with each ejection in a row
+	ejectionTime    Time // duration of the latest ejection; it grows with each in a row
 	unreachable     bool // ejected because of failures to connect
 	onProbation     bool // back from ejection for a single attempt, whose outcome decides
 }
--- a/internal/standalone/policy/settings.go
+++ b/internal/standalone/policy/settings.go
@@ -67,10 +67,12 @@
 type Rules struct {
 	ResponseGrace   Time    // a final response may come this long after the client's time-out
 	SubscribeWithin Time    // the longest time without a subscription until the next call to discovery; 0: 10 s
-	WarmupTime      Time    // a started server has its full capacity after this time at the latest
-	InitialCapacity float64 // and at least this fraction of it from the start
-	OverloadFactor  float64 // sent more than this multiple of its present capacity (0: no limit)
-	OverloadTime    Time    // for this long, a warming-up server becomes overloaded
+	WarmupTime      Time    // from a server's start until it has its full capacity, at the latest
+	InitialCapacity float64 // fraction of its capacity that a server has from the start, at least
+	// A server that warms up becomes overloaded when it is sent more than OverloadFactor times its present capacity for
+	// OverloadTime. Factor 0: it never does.
+	OverloadFactor float64
+	OverloadTime   Time
 }
 
 // Limits are what the deployment allows.
@@ -101,7 +103,7 @@
 	ReportColumns      []ReportColumn // of a load report, in order
 	ReportDelivery     ReportDelivery
 	SubscribeDiscovery bool    // discovery sends the membership only to subscribers
-	SizesKnown         bool    // Member.Size compares the capacities of servers
+	SizesKnown         bool    // Member.Size compares the capacities of servers; else weights ignore it
 	ValuePerWork       bool    // Class.Value is for one unit of work
 	KeyAffinity        bool    // a server that executed a request of the same AffinityKey recently needs less work for it
 	OverQuotaValue     float64 // factor on the value of a tenant's requests beyond its quota
@@ -140,8 +142,8 @@
 }
 
 const (
-	defaultSubscribeWithin = 10_000_000
-	noOverloadFactor       = 1e6 // no server becomes overloaded; maxWarmupLoad still bounds what it is sent
+	defaultSubscribeWithin = 10_000_000 // microseconds
+	noOverloadFactor       = 1e6        // no server becomes overloaded; maxWarmupLoad still bounds what one is sent
 )
 
 // applyDefaults replaces what is not set.
@@ -158,7 +160,7 @@
 	}
 }
 
-// parseReport returns the used columns of a load report, or false if it is incomplete or has impossible values.
+// parseReport returns the used columns of a load report; ok is false if it is incomplete or has impossible values.
 func (s *Settings) parseReport(values []float32) (report parsedReport, ok bool) {
 	if len(values) < len(s.ReportColumns) || len(values) == 0 {
 		return report, false
--- a/internal/standalone/policy/slowstart.go
+++ b/internal/standalone/policy/slowstart.go
@@ -6,20 +6,23 @@
 	"pumiceline/internal/wrr"
 )
 
-// aggression is the parameter of gRFC A100 (slow start), at its default. Window and floor are Rules.WarmupTime and
-// Rules.InitialCapacity.
-const aggression = 1.0
+// Parameters of gRFC A100 (slow start). Window and floor are Rules.WarmupTime and Rules.InitialCapacity.
+const (
+	aggression      = 1.0 // A100's default: the weight rises linearly
+	slowStartMinAge = 1e6 // microseconds: a younger server counts as a second old
+)
 
-// The slow-start factor is relative: when most servers warm up it eases nothing. So a token budget bounds what this
-// balancer sends each warming-up server in absolute terms.
+// A100's factor is relative to the weights of the other servers: when most of them warm up, as after a restart of all,
+// it protects none. So a token budget bounds what this balancer sends each warming-up server in absolute terms.
 const (
-	// The sends of all balancers coincide at random and their work varies, and a few requests more can overload a
-	// warming-up server. The budget leaves this many times the square root of their number free for that.
+	// burstMargin is how many times the square root of the number of requests in an overload time the budget leaves
+	// free. That many requests arrive more than the mean now and then, as balancers send at random times (the standard
+	// deviation of a Poisson distribution), and a few more can overload a warming-up server.
 	burstMargin = 3
-	// A warming-up server gets at most this many times its guaranteed capacity: most servers are warm before they
-	// must be, and beyond that it could not respond in time.
+	// maxWarmupLoad bounds the budget in multiples of the guaranteed capacity. It is over 1, as most servers are warm
+	// before they must be; beyond it a server could not respond in time.
 	maxWarmupLoad = 2.4
-	// A request that costs more than this must be covered by the budget.
+	// freeRequestCost is the cost, in mean requests, up to which a request may overdraw the budget.
 	freeRequestCost = 2
 )
 
@@ -43,23 +46,23 @@
 		return
 	}
 	rate := b.slowStartRate(s)
-	burst := max(1, rate*float64(b.settings.Rules.OverloadTime)/2e6) // the rate over half of the overload time
+	burst := max(1, rate*float64(b.settings.Rules.OverloadTime)/2e6) // what the rate gives in half of the overload time
 	s.slowStartTokens = min(burst, s.slowStartTokens+rate*elapsed)
 }
 
-// slowStartFactor is A100's factor on the weight: max(floor, timeFactor^(1/aggression)) within the window.
+// slowStartFactor is A100's factor on the weight of s, see wrr.SlowStart.Factor; 1 where it does not warm up.
 func (b *Balancer) slowStartFactor(s *server) float64 {
 	if !s.warmingUp {
 		return 1
 	}
 	rules := &b.settings.Rules
 	slowStart := wrr.SlowStart{
-		Window: float64(rules.WarmupTime), MinAge: 1e6, Floor: rules.InitialCapacity, Aggression: aggression,
+		Window: float64(rules.WarmupTime), MinAge: slowStartMinAge, Floor: rules.InitialCapacity, Aggression: aggression,
 	}
 	return slowStart.Factor(float64(b.now - s.readySince))
 }
 
-// guaranteedCapacity is the fraction of its capacity that s has for sure: it grows linearly from the initial capacity
+// guaranteedCapacity is the fraction of its capacity that s has at least: it grows linearly from the initial capacity
 // over the warm-up time.
 func (b *Balancer) guaranteedCapacity(s *server) float64 {
 	if !s.warmingUp {
@@ -71,7 +74,11 @@
 }
 
 // slowStartRate is this balancer's part of what a warming-up server may be sent, in mean requests per second. The
-// number n of requests that all balancers send within the overload time solves n + burstMargin*sqrt(n) = overload.
+// number n of requests that all balancers send within the overload time solves
+//
+//	n + burstMargin*sqrt(n) = overload, with overload = OverloadFactor * capacity * OverloadTime
+//
+// which is a quadratic equation in sqrt(n), the variable root.
 func (b *Balancer) slowStartRate(s *server) float64 {
 	capacity := b.expectedWeight(s) * b.guaranteedCapacity(s)
 	overloadTime := max(1e-3, float64(b.settings.Rules.OverloadTime)/1e6) // seconds
@@ -80,15 +87,15 @@
 	return min(root*root/overloadTime, maxWarmupLoad*capacity) / float64(b.settings.GroupSize)
 }
 
-// chargeSlowStart takes the cost of a send from the budget of s. Retries, probation attempts and rejected ones count
-// too.
+// chargeSlowStart takes the cost of an attempt from the budget of s, whatever its outcome will be.
 func (b *Balancer) chargeSlowStart(s *server, cost float64) {
 	if s.warmingUp {
 		s.slowStartTokens -= max(1, cost)
 	}
 }
 
-// exceedsSlowStartBudget reports whether a request would overdraw the budget of s by far.
+// exceedsSlowStartBudget reports whether a request with this cost may not be sent to s now. One that costs up to
+// freeRequestCost may overdraw the budget; then s gets no turn until the budget has recovered, see isSchedulable.
 func (b *Balancer) exceedsSlowStartBudget(s *server, cost float64) bool {
 	return s.warmingUp && cost > max(freeRequestCost, s.slowStartTokens)
 }
--- a/internal/standalone/policy/snapshot.go
+++ b/internal/standalone/policy/snapshot.go
@@ -7,9 +7,9 @@
 	"pumiceline/internal/standalone/latencybaseline"
 )
 
-// Snapshot is what a balancer has learned, for its successor. Times are on the clock of `now`, which both must share.
-// One process hands it to another, which may be of another version: the JSON keys are the stored form and must not
-// change with the fields' names.
+// Snapshot is what a balancer has learned, for its successor. Times are on the clock of the calls of Handle, which both
+// must share. One process hands it to another, which may be of another version: the JSON keys are the stored form and
+// must not change with the fields' names.
 type Snapshot struct {
 	At                Time               `json:"At"`
 	ArrivalRate       float64            `json:"ArrivalRate"`
@@ -33,7 +33,7 @@
 	MeanWeight   float64 `json:"Mean"`
 }
 
-// ServerSnapshot is what was learned about one server. The sums are those of its load reports, exponentially fading.
+// ServerSnapshot is what was learned about one server. The sums are those of its load reports, exponentially decaying.
 type ServerSnapshot struct {
 	Server          uint32  `json:"Server"`
 	StartedAt       Time    `json:"UpSince"`
@@ -50,11 +50,12 @@
 	FailureRate     float64 `json:"Faults"`
 }
 
-// limitFreezeTime is how long a restored concurrency limit does not follow the attempts in flight, while requests move
-// from the other balancer to this one.
+// limitFreezeTime is how long, in microseconds, LimitToUsage is not applied to a restored concurrency limit: this
+// balancer begins with no attempts in flight, and would bring the limit down while requests still move over to it.
 const limitFreezeTime = 500_000
 
-// Bounds of plausible values in a snapshot.
+// Bounds of plausible values in a snapshot. One beyond them is refused: a moving average that was restored as NaN, for
+// one, would be NaN for ever.
 const (
 	maxStoredValue   = 1e9
 	maxStoredLimit   = 1e6 // an unbounded limit is stored as this
--- a/internal/standalone/policy/subscription.go
+++ b/internal/standalone/policy/subscription.go
@@ -5,25 +5,25 @@
 // subscription is the state of this balancer's subscription, where discovery sends the membership only to subscribers.
 type subscription struct {
 	pending       bool // a call is in flight
-	nextCallAt    Time // timers that fire before are left over from earlier plans
-	active        bool
-	changesMissed bool // by a subscription that timed out
+	nextCallAt    Time // timers that fire before it belong to plans that were replaced
+	active        bool // discovery has answered, and the subscription has not broken since
+	changesMissed bool // the subscription timed out, so that changes may have been missed
 	failures      int  // calls that failed in a row
 }
 
 // Calls to discovery are delayed at random so that they do not come together after a start or a failure common to all
 // balancers.
 const (
-	firstCallDivisor      = 8           // the first call is spread over this part of the allowed time,
-	baseGroupSize         = 100         // in a group of this size
-	maxGroupSpread        = 2           // and up to this many times longer in larger ones
-	maxCallSpread         = 2           // times the allowed time; after failures the rules allow four times as long
-	maxSpreadAfterTimeout = 2_000_000.0 // microseconds
+	firstCallDivisor      = 8           // the allowed time over this is the spread before the factors below
+	baseGroupSize         = 100         // balancers up to which the group does not lengthen it
+	maxGroupSpread        = 2           // the most times that a larger group lengthens it
+	maxCallSpread         = 2           // the most spread, in allowed times; after failures the rules allow four
+	maxSpreadAfterTimeout = 2_000_000.0 // the most spread where changes may have been missed, in microseconds
 )
 
-// scheduleSubscribe plans a call to discovery within a random time that grows with failures and with the group, as
-// discovery's capacity does not. There is one plan at a time: if a failed call left two behind, an outage would
-// multiply the calls.
+// scheduleSubscribe plans a call to discovery at a random time within a spread, which doubles with each further failure
+// and grows with the group, as discovery's capacity does not. There is one plan at a time: if a failed call left two
+// behind, an outage would multiply the calls.
 func (b *Balancer) scheduleSubscribe() {
 	if !b.settings.SubscribeDiscovery {
 		return
@@ -43,7 +43,7 @@
 	b.setTimer(timerSubscribe, wait)
 }
 
-// subscribe calls discovery if the plan says so, and plans another call in case that no answer comes.
+// subscribe calls discovery if the planned time has come, and plans another call in case it is not answered.
 func (b *Balancer) subscribe() {
 	if b.discovery.active || b.now < b.discovery.nextCallAt || !b.settings.SubscribeDiscovery {
 		return
--- a/internal/standalone/policy/weights.go
+++ b/internal/standalone/policy/weights.go
@@ -2,18 +2,22 @@
 
 import "pumiceline/internal/wrr"
 
-// Parameters of gRFC A58 (weighted round robin by load reports).
+// Parameters of gRFC A58 (weighted round robin by load reports); times in microseconds.
+//
+// The system's proxy has weights of its own (internal/dataplane/balancer, weight.go): its backends send no reports, so
+// it takes rate and utilization from its own attempts, with other parameters. Shared are the formulas that are the same
+// to the bit, in package wrr.
 const (
-	errorUtilizationPenalty = 10.0        // A58 has 1; here an error costs its caller the whole work
-	blackoutPeriod          = 2_000_000   // A58 has 10 s; the mean that is mixed in steadies the first reports
+	errorUtilizationPenalty = 10.0        // A58's default is 1; here an error costs its caller all of the work
+	blackoutPeriod          = 2_000_000   // A58's default is 10 s; the mean weight that is mixed in steadies first reports
 	weightExpiration        = 180_000_000 // A58's default
 )
 
 const (
-	reportTimeConstant   = 3e6  // time constant of the fading sums in microseconds: single reports are noisy
-	meanReportWeight = 0.3  // the mean weight is mixed in as a report of a server with this utilization
-	minWeight        = 1e-6 // of a server in the schedule
-	minMeanEvidence  = 0.5  // summed utilization from which an instance type has a mean weight of its own
+	reportTimeConstant = 3e6  // of the decaying sums of reports, in microseconds: single reports are noisy
+	meanReportWeight   = 0.3  // the mean weight is mixed in as a report of a server with this utilization
+	minWeight          = 1e-6 // of a server in the schedule, whose turns are 1/weight apart
+	minMeanEvidence    = 0.5  // summed utilization above which an instance type has a mean weight of its own
 )
 
 // Bounds of server.relativeWorkTime.
@@ -43,14 +47,14 @@
 	elapsed := b.now - s.lastReportAt
 	s.lastReportAt = b.now
 	if report == s.lastReport {
-		return // the server has not renewed its figures yet
+		return // the server has not renewed its figures yet: counted again, a sample would weigh double
 	}
 	s.lastReport = report
-	fade := wrr.Decay(float64(elapsed), reportTimeConstant)
-	s.qpsSum = s.qpsSum*fade + report.qps
-	s.utilizationSum = s.utilizationSum*fade + report.utilization
-	s.epsSum = s.epsSum*fade + report.eps
-	s.reportWeight = s.reportWeight*fade + 1
+	decay := wrr.Decay(float64(elapsed), reportTimeConstant)
+	s.qpsSum = s.qpsSum*decay + report.qps
+	s.utilizationSum = s.utilizationSum*decay + report.utilization
+	s.epsSum = s.epsSum*decay + report.eps
+	s.reportWeight = s.reportWeight*decay + 1
 }
 
 // discardReports forgets all reports of s, which restarts the blackout period.
@@ -58,8 +62,11 @@
 	s.qpsSum, s.utilizationSum, s.epsSum, s.reportWeight, s.nonEmptySince = 0, 0, 0, 0, 0
 }
 
-// baseWeight is the A58 weight of s, or the mean weight in the blackout period and after expiration. A single report is
-// a noisy sample of a short time, so the weight is that of the fading sums, with a little of the mean mixed in.
+// baseWeight is the A58 weight of s in requests per second at full utilization, or the mean weight in the blackout
+// period and after expiration. A single report is a noisy sample of a short time, so the weight is that of the decaying
+// sums, with a little of the mean mixed in, m being meanReportWeight:
+//
+//	(qps + m*mean) / (utilization + m + eps/qps*errorUtilizationPenalty)
 func (b *Balancer) baseWeight(s *server) float64 {
 	mean := b.expectedWeight(s)
 	if s.nonEmptySince == 0 || s.reportWeight == 0 {
@@ -89,7 +96,7 @@
 		}
 		return b.overall.meanWeight
 	}
-	// Nothing was reported yet. Sizes still compare servers; the unit is what each would get of the traffic.
+	// Nothing was reported yet. Sizes still compare servers; the mean is what each would get of the traffic.
 	weight := b.fairShare()
 	if hasSizes {
 		weight *= s.size / b.overall.meanSize
