--- a/cmd/pumiceline/cli_test.go
+++ b/cmd/pumiceline/cli_test.go
@@ -40,6 +40,12 @@
 		{"owner release", "--fleet F --level WARN work"},
 		{"owner move", "--fleet F --level WARN work instance"},
 		{"owner receive", "--listen 127.0.0.1:1 --file F --unfenced"},
+		{"fleetsim check", "F"},
+		{"fleetsim run", "F --out F --jobs 2 --set world.servers=50 --seeds 2 --plots D --keep"},
+		{"fleetsim sweep", "F --out F --jobs 2 --set world.servers=50 --seeds 2 --plots D --keep --measures good"},
+		{"fleetsim compare", "F --out F --jobs 2 --set world.servers=50 --seeds 2 --plots D --keep --measures good"},
+		{"fleetsim plot", "F --dir D --measures good"},
+		{"fleetsim replay", "F --policy none --seed 2 --set world.servers=50 --line 3 --trace F --of 4"},
 		{"lab check", "F"},
 		{"lab run", "F --out F --jobs 2 --set world.servers=50 --seeds 2 --plots D --keep"},
 		{"lab sweep", "F --out F --jobs 2 --set world.servers=50 --seeds 2 --plots D --keep --measures good"},
@@ -76,6 +82,7 @@
 // currentName is the name that the help shows of a command that may be given by its earlier name.
 func currentName(command string) string {
 	for _, renamed := range []struct{ from, to string }{
+		{"lab ", "fleetsim "},
 		{"owner ", "singleton "},
 		{"stage owners", "faulttest cluster"},
 		{"stage roster", "faulttest discovery-cache"},
--- a/cmd/pumiceline/lab_test.go
+++ b/cmd/pumiceline/fleetsim_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"errors"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -9,7 +10,7 @@
 	"testing"
 )
 
-const labText = `
+const smallExperiment = `
 policies = ["decide", "random"]
 seeds = [1, 2]
 [world]
@@ -24,15 +25,15 @@
 values = [0.3, 0.6]
 `
 
-// TestLabFromFileToReport goes the whole way on the command line: sweep, compare, plot and replay.
-func TestLabFromFileToReport(t *testing.T) {
+// TestFleetsim_SweepComparePlotReplay runs the commands one after another on each other's files.
+func TestFleetsim_SweepComparePlotReplay(t *testing.T) {
 	dir := t.TempDir()
 	file, results := filepath.Join(dir, "x.toml"), filepath.Join(dir, "x.jsonl")
-	if err := os.WriteFile(file, []byte(labText), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(smallExperiment), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	sweep := fleetsimSweepCmd{runFlags: runFlags{File: file, Out: results, Jobs: 2, Plots: filepath.Join(dir, "p")}, Measures: []string{"g", "broken"}}
+	sweep := fleetsimSweepCmd{experimentFlags: experimentFlags{File: file, Out: results, Workers: 2, PlotsDir: filepath.Join(dir, "p")}, Measures: []string{"g", "broken"}}
 	if err := sweep.Run(output{&out}); err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +41,7 @@
 		t.Errorf("table:\n%s", got)
 	}
 	out.Reset()
-	if err := (&fleetsimCompareCmd{runFlags: runFlags{File: results}, Measures: []string{"g"}}).Run(output{&out}); err != nil {
+	if err := (&fleetsimCompareCmd{experimentFlags: experimentFlags{File: results}, Measures: []string{"g"}}).Run(output{&out}); err != nil {
 		t.Fatal(err)
 	}
 	if !regexp.MustCompile(`world.load=0.6 +random +\S+ ±\S+ +-\S+ ±\S+ +`).MatchString(out.String()) {
@@ -63,15 +64,15 @@
 	if text, err := os.ReadFile(trace); err != nil || !strings.Contains(string(text), `"what":"answered"`) {
 		t.Errorf("trace: %v", err)
 	}
-	spoilt := filepath.Join(dir, "spoilt.jsonl")
+	altered := filepath.Join(dir, "altered.jsonl")
 	text, _ := os.ReadFile(results)
-	if err := os.WriteFile(spoilt, regexp.MustCompile(`"g":0\.\d`).ReplaceAll(text, []byte(`"g":0.7`)), 0o600); err != nil {
+	if err := os.WriteFile(altered, regexp.MustCompile(`"g":0\.\d`).ReplaceAll(text, []byte(`"g":0.7`)), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := (&fleetsimReplayCmd{File: spoilt, Line: 1}).Run(output{&out}); err == nil {
-		t.Error("results that were changed pass for the run's own")
+	if err := (&fleetsimReplayCmd{File: altered, Line: 1}).Run(output{&out}); !errors.Is(err, errResultDiffers) {
+		t.Error("a replay accepts results that were altered")
 	}
 	if err := (&fleetsimCheckCmd{File: filepath.Join(dir, "none.toml")}).Run(output{&out}); err == nil {
-		t.Error("a missing experiment passes")
+		t.Error("check accepts a missing experiment")
 	}
 }
--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -22,7 +22,7 @@
 	Try       tryCmd       `cmd:"" help:"Run the proxy with fake backends and a light load in one process, and show what happens."`
 	Faulttest faulttestCmd `cmd:"" aliases:"stage" help:"Run real processes with faults between them."`
 	Singleton singletonCmd `cmd:"" aliases:"owner" help:"Singleton roles: tasks that one instance of a fleet at a time carries out."`
-	Lab       fleetsimCmd  `cmd:"" help:"Try designs in the laboratory: a model of the whole fleet, without sockets."`
+	Fleetsim  fleetsimCmd  `cmd:"" aliases:"lab" help:"Simulate a whole fleet without sockets, to compare load-balancing policies."`
 }
 
 // output is where commands print; kong passes it to their Run methods.
--- a/internal/fleetsim/experiment/experiment_test.go
+++ b/internal/fleetsim/experiment/experiment_test.go
@@ -8,12 +8,13 @@
 	"strings"
 	"testing"
 
+	"pumiceline/internal/fleetsim/checker"
 	"pumiceline/internal/fleetsim/model"
 	"pumiceline/internal/tomlfile"
 )
 
-// small is an experiment that plays in a blink.
-const small = `
+// smallExperiment runs within a second.
+const smallExperiment = `
 title = "Small"
 policies = ["decide", "two-choices"]
 seeds = [1, 2]
@@ -27,7 +28,7 @@
 with."world.load" = [0.3, 0.6]
 `
 
-func TestFaultsNameFileLineAndKey(t *testing.T) {
+func TestParse_ErrorsNameFileLineAndKey(t *testing.T) {
 	for _, c := range []struct{ name, old, new, want string }{
 		{"unknown key", "servers = 8", "serves = 8", "x.toml:7: world.serves: there is no such key"},
 		{"range", "servers = 8", "servers = 0", "x.toml:7: world.servers: 0 is not within"},
@@ -39,48 +40,48 @@
 		{"swept key", `"world.proxies"`, `"world.proxy"`, "x.toml:10: sweep.0.key: world.proxy: there is no key proxy"},
 		{"swept value", "[1, 2]\nwith", "[1, 0]\nwith", "x.toml:11: sweep.0.values: at world.proxies=0: 0 is not within"},
 		{"swept type", "[1, 2]\nwith", `[1, "b"]` + "\nwith", "does not fit"},
-		{"uneven", "[0.3, 0.6]", "[0.3]", "x.toml:12: sweep.0.with.world.load: 1 values, where"},
+		{"values of different lengths", "[0.3, 0.6]", "[0.3]", "x.toml:12: sweep.0.with.world.load: 1 values, where"},
 		{"inline", "draw = 1", `trouble = [{kind = "hang", part = 2.0}]`, "x.toml:8: world.trouble.0.part: 2 is not within"},
 		{"kind", "draw = 1", `trouble = [{kind = "flu"}]`, "x.toml:8: world.trouble.0.kind"},
-		{"only names", "[[sweep]]", "[[world.kinds]]\nname = \"a\"\nshare = 1.0\n[[sweep]]", "x.toml:9: world.kinds.0.cores"},
+		{"incomplete list entry", "[[sweep]]", "[[world.kinds]]\nname = \"a\"\nshare = 1.0\n[[sweep]]", "x.toml:9: world.kinds.0.cores"},
 	} {
-		text := strings.Replace(small, c.old, c.new, 1)
+		text := strings.Replace(smallExperiment, c.old, c.new, 1)
 		_, err := Parse("x.toml", []byte(text))
-		var fault *tomlfile.Error
-		if err == nil || !errors.As(err, &fault) || !strings.Contains(err.Error(), c.want) {
+		var atKey *tomlfile.Error
+		if err == nil || !errors.As(err, &atKey) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
 		}
 	}
-	if _, err := Parse("x.toml", []byte(small)); err != nil {
+	if _, err := Parse("x.toml", []byte(smallExperiment)); err != nil {
 		t.Error(err)
 	}
 }
 
-// results plays small and returns the file that it leaves.
-func results(t *testing.T, jobs int) []byte {
+// runSmallExperiment returns the results file of smallExperiment.
+func runSmallExperiment(t *testing.T, workers int) []byte {
 	t.Helper()
-	e, err := Parse("x.toml", []byte(small))
+	e, err := Parse("x.toml", []byte(smallExperiment))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := e.Run(context.Background(), jobs, func(r *Result) error { return r.Write(&out) }); err != nil {
+	if err := e.Run(context.Background(), workers, func(r *Result) error { return r.Write(&out) }); err != nil {
 		t.Fatal(err)
 	}
 	return out.Bytes()
 }
 
-func TestSameBytesHoweverManyPlaysAtATime(t *testing.T) {
-	one, four := results(t, 1), results(t, 4)
+func TestExperiment_RunIsIndependentOfWorkers(t *testing.T) {
+	one, four := runSmallExperiment(t, 1), runSmallExperiment(t, 4)
 	if !bytes.Equal(one, four) {
-		t.Error("results differ with the number of plays at a time")
+		t.Error("results differ with the number of workers")
 	}
 }
 
-// TestALineHoldsAllThatItTakesToPlayItAgain reads the results and plays each line from what it holds.
-func TestALineHoldsAllThatItTakesToPlayItAgain(t *testing.T) {
-	text := results(t, 2)
-	all, err := Read(bytes.NewReader(text))
+// TestResult_Repeats reads the results and repeats each run from its line alone.
+func TestResult_Repeats(t *testing.T) {
+	text := runSmallExperiment(t, 2)
+	all, err := ReadResults(bytes.NewReader(text))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -89,46 +90,45 @@
 	}
 	var again bytes.Buffer
 	for _, r := range all {
-		r.Stats, r.Report, r.Error = Simulate(&r.Scenario, r.Policy, r.Seed, nil)
+		r.Simulate(nil)
 		if err := r.Write(&again); err != nil {
 			t.Fatal(err)
 		}
 	}
 	if !bytes.Equal(text, again.Bytes()) {
-		t.Error("played again from its own line, a run comes out otherwise")
+		t.Error("repeated from its own line, a run has another result")
 	}
 	want := "pumiceline lab replay x.toml --policy=two-choices --seed=2 --set=world.proxies=2 --set=world.load=0.6"
 	if got := all[7].Replay; got != want {
 		t.Errorf("replay %q, want %q", got, want)
 	}
-	// The command says the same world.
-	e, _ := Parse("x.toml", []byte(small))
+	// The replay command has the same scenario.
+	e, _ := Parse("x.toml", []byte(smallExperiment))
 	for _, s := range []string{"world.proxies=2", "world.load=0.6"} {
 		set, err := ParseSetting(s)
 		if err == nil {
-			err = Apply(&e.Scenario, set)
+			err = set.Apply(&e.Scenario)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	_, rep, _ := Simulate(&e.Scenario, "two-choices", 2, nil)
-	if rep.G != all[7].Report.G {
+	if rep := Simulate(&e.Scenario, "two-choices", 2, nil).Report; rep.G != all[7].Report.G {
 		t.Errorf("the command gives G %v, the results say %v", rep.G, all[7].Report.G)
 	}
 }
 
-func TestReadRefusesWhatItCannotKnow(t *testing.T) {
+func TestReadResults_RejectsUnknownFormat(t *testing.T) {
 	for text, want := range map[string]string{`{"format":2}`: "line 1: format 2", "{\"format\":1}\n{": "line 2"} {
-		if _, err := Read(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ReadResults(strings.NewReader(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
 }
 
-// TestRunEndsWithItsContext stops a run after its first result; nothing may hang or be left behind.
-func TestRunEndsWithItsContext(t *testing.T) {
-	e, err := Parse("x.toml", []byte(strings.Replace(small, "[1, 2]\n[world]", "[1, 2, 3, 4, 5, 6, 7, 8, 9]\n[world]", 1)))
+// TestExperiment_RunEndsWithContext cancels after the first result, and lets the receiver of results fail.
+func TestExperiment_RunEndsWithContext(t *testing.T) {
+	e, err := Parse("x.toml", []byte(strings.Replace(smallExperiment, "[1, 2]\n[world]", "[1, 2, 3, 4, 5, 6, 7, 8, 9]\n[world]", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -148,30 +148,28 @@
 	}
 }
 
-func TestPanicsOfDecidersAreFaultsOfOnePlay(t *testing.T) {
-	w := model.DefaultScenario()
-	_, rep, fault := Simulate(&w, "nobody", 1, nil)
-	if rep != nil || !strings.Contains(fault, "no policy") {
-		t.Errorf("fault %q", fault)
+func TestSimulate_PanicFailsOneRun(t *testing.T) {
+	scenario := model.DefaultScenario()
+	outcome := Simulate(&scenario, "nobody", 1, nil)
+	if outcome.Report != nil || !errors.Is(outcome.Err, ErrUnknownPolicy) || !strings.Contains(outcome.Err.Error(), "no policy") {
+		t.Errorf("error %v", outcome.Err)
 	}
-	_, rep, fault = Simulate(&w, "decide", 1, panics{})
-	if rep != nil || !strings.HasPrefix(fault, "panic: at the first record at pumiceline/") {
-		t.Errorf("fault %q", fault)
+	outcome = Simulate(&scenario, "decide", 1, panickingObserver{})
+	if outcome.Report != nil || outcome.Err == nil || !strings.HasPrefix(outcome.Err.Error(), "panic: at the first record at pumiceline/") {
+		t.Errorf("error %v", outcome.Err)
 	}
 }
 
-type panics struct{}
+type panickingObserver struct{}
 
-func (panics) Observe(*model.Record) { panic("at the first record") }
+func (panickingObserver) Observe(*model.Record) { panic("at the first record") }
 
-// TestPairedDifferences compares with figures worked out by hand: differences 1, 2 and 3 have the mean 2, the standard
+// TestCompare_PairedDifferences compares with figures calculated by hand: differences 1, 2 and 3 have the mean 2, the standard
 // deviation 1 and, at two degrees of freedom, Student's t 4.303.
-func TestPairedDifferences(t *testing.T) {
+func TestCompare_PairedDifferences(t *testing.T) {
 	results := []*Result{}
 	add := func(policy string, seed uint64, g float64) {
-		r := &Result{Policy: policy, Seed: seed}
-		r.Report = reportOf(g)
-		results = append(results, r)
+		results = append(results, &Result{Policy: policy, Seed: seed, Report: &checker.Report{G: g}})
 	}
 	for i, g := range []float64{10, 20, 30} {
 		add("a", uint64(i), g)
@@ -193,12 +191,12 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(small))
+	f.Add([]byte(smallExperiment))
 	f.Add([]byte("[world]\ntrouble = [{kind = \"hang\", at = \"1s\"}]"))
 	f.Add([]byte("[[sweep]]\nkey=\"world.kinds.0.cores\"\nvalues=[1.5]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		e, err := Parse("x.toml", text)
-		if err == nil && e.Count() > 0 { // what is accepted must be playable: no world that Check would refuse
+		if err == nil && e.Count() > 0 { // what is accepted must be valid at every point
 			points, err := e.Points()
 			if err != nil {
 				t.Fatal(err)
--- /dev/null
+++ b/internal/fleetsim/experiment/result.go
@@ -0,0 +1,85 @@
+package experiment
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+
+	"pumiceline/internal/fleetsim/checker"
+	"pumiceline/internal/fleetsim/model"
+)
+
+// formatVersion is that of Result's JSON form. Readers refuse others.
+const formatVersion = 1
+
+// Result is one run: every input that is needed to repeat it, and what came out. A results file has one as JSON on each
+// line, in the order of points, then policies, then seeds. The order of the fields is that of the files.
+type Result struct {
+	Format     int             `json:"format"`
+	Experiment string          `json:"experiment"`
+	Title      string          `json:"title,omitempty"`
+	Text       string          `json:"text,omitempty"`
+	Policy     string          `json:"policy"`
+	Seed       uint64          `json:"seed"`
+	Point      []Setting       `json:"point,omitempty"` // the axes' values
+	Axes       []Axis          `json:"axes,omitempty"`
+	Replay     string          `json:"replay"` // the command that repeats it
+	Scenario   model.Scenario  `json:"world"`
+	Stats      model.Stats     `json:"stats"`
+	Report     *checker.Report `json:"report,omitempty"`
+	Error      string          `json:"error,omitempty"` // why the run ended early, without a report
+}
+
+// Axis is how a swept key is plotted.
+type Axis struct {
+	Key   string `json:"key"`
+	Label string `json:"label"`
+	Log   bool   `json:"log,omitempty"` // logarithmically
+}
+
+// PointName is the result's point in words; "" where nothing was swept.
+func (r *Result) PointName() string { return pointName(r.Point) }
+
+// Write writes the result as a line.
+func (r *Result) Write(w io.Writer) error {
+	text, err := json.Marshal(r)
+	if err != nil {
+		return fmt.Errorf("encode result: %w", err)
+	}
+	_, err = w.Write(append(text, '\n'))
+	return err
+}
+
+// ReadResults reads a results file. Errors name the line.
+func ReadResults(in io.Reader) ([]*Result, error) {
+	var results []*Result
+	reader := bufio.NewReader(in)
+	for number := 1; ; number++ {
+		line, readErr := reader.ReadBytes('\n')
+		if line = bytes.TrimSpace(line); len(line) > 0 {
+			r, err := parseResult(line)
+			if err != nil {
+				return nil, fmt.Errorf("results: line %d: %w", number, err)
+			}
+			results = append(results, r)
+		}
+		if readErr == io.EOF {
+			return results, nil
+		} else if readErr != nil {
+			return nil, fmt.Errorf("results: line %d: %w", number, readErr)
+		}
+	}
+}
+
+func parseResult(line []byte) (*Result, error) {
+	r := &Result{}
+	if err := json.Unmarshal(line, r); err != nil {
+		return nil, err
+	}
+	if r.Format != formatVersion {
+		return nil, fmt.Errorf("format %d, this build reads %d", r.Format, formatVersion)
+	}
+	return r, nil
+}
--- /dev/null
+++ b/internal/fleetsim/experiment/setting.go
@@ -0,0 +1,140 @@
+package experiment
+
+import (
+	"fmt"
+	"reflect"
+	"strconv"
+	"strings"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"pumiceline/internal/fleetsim/model"
+)
+
+// scenarioPrefix begins the keys that can be varied.
+const scenarioPrefix = "world."
+
+// Setting is a key of the scenario, as files write it ("world.kinds.0.cores"), and its value as TOML or JSON decode it.
+type Setting struct {
+	Key   string `json:"key"`
+	Value any    `json:"value"`
+}
+
+// String is "key=value".
+func (s Setting) String() string { return fmt.Sprintf("%s=%v", s.Key, s.Value) }
+
+// ParseSetting reads "world.servers=50" as a command line gives it. The value is TOML, a bare word a string.
+func ParseSetting(text string) (Setting, error) {
+	key, value, ok := strings.Cut(text, "=")
+	if !ok {
+		return Setting{}, fmt.Errorf("%q is not key=value", text)
+	}
+	var doc struct {
+		V any `toml:"v"`
+	}
+	if err := toml.Unmarshal([]byte("v = "+value), &doc); err != nil {
+		doc.V = value
+	}
+	return Setting{strings.TrimSpace(key), doc.V}, nil
+}
+
+// Apply changes the setting's key in a scenario. An error names the key.
+func (s Setting) Apply(scenario *model.Scenario) error {
+	path, ok := strings.CutPrefix(s.Key, scenarioPrefix)
+	if !ok {
+		return fmt.Errorf("%s: only keys of world can be varied", s.Key)
+	}
+	field, err := resolve(scenario, path)
+	if err != nil {
+		return fmt.Errorf("%s: %w", s.Key, err)
+	}
+	return s.assign(field)
+}
+
+// resolve finds the field of a key, by the names that files use; list elements by their index.
+func resolve(scenario *model.Scenario, path string) (reflect.Value, error) {
+	v := reflect.ValueOf(scenario).Elem()
+	for _, part := range strings.Split(path, ".") {
+		switch v.Kind() {
+		case reflect.Struct:
+			field := fieldByTag(v, part)
+			if !field.IsValid() {
+				return v, fmt.Errorf("there is no key %s", part)
+			}
+			v = field
+		case reflect.Slice:
+			i, err := strconv.Atoi(part)
+			if err != nil || i < 0 || i >= v.Len() {
+				return v, fmt.Errorf("%q is no place in a list of %d", part, v.Len())
+			}
+			v = v.Index(i)
+		default:
+			return v, fmt.Errorf("%s has no keys of its own", part)
+		}
+	}
+	return v, nil
+}
+
+// fieldByTag is the field of a struct with that TOML key; an invalid value: there is none.
+func fieldByTag(v reflect.Value, key string) reflect.Value {
+	for i := range v.NumField() {
+		if tag, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("toml"), ","); tag == key {
+			return v.Field(i)
+		}
+	}
+	return reflect.Value{}
+}
+
+// assign gives a field the setting's value, converted where nothing is lost.
+func (s Setting) assign(field reflect.Value) error {
+	if list, ok := s.Value.([]any); ok && len(list) == 0 && field.Kind() == reflect.Slice { // world.trouble=[]: none of them
+		field.SetZero()
+		return nil
+	}
+	if span, ok := field.Addr().Interface().(*model.Span); ok {
+		return s.assignSpan(span)
+	}
+	kind := field.Kind()
+	switch x := s.Value.(type) {
+	case int64:
+		switch {
+		case field.CanInt():
+			field.SetInt(x)
+			return nil
+		case field.CanFloat():
+			field.SetFloat(float64(x))
+			return nil
+		}
+	case float64:
+		switch {
+		case field.CanFloat():
+			field.SetFloat(x)
+			return nil
+		case field.CanInt() && x == float64(int64(x)): // JSON has one kind of number
+			field.SetInt(int64(x))
+			return nil
+		}
+	case bool:
+		if kind == reflect.Bool {
+			field.SetBool(x)
+			return nil
+		}
+	case string:
+		if kind == reflect.String {
+			field.SetString(x)
+			return nil
+		}
+	}
+	return fmt.Errorf("%s: %v (%T) does not fit", s.Key, s.Value, s.Value)
+}
+
+func (s Setting) assignSpan(span *model.Span) error {
+	text, ok := s.Value.(string)
+	if !ok {
+		return fmt.Errorf("%s: %v has no unit: write a time as \"250ms\"", s.Key, s.Value)
+	}
+	if err := span.UnmarshalText([]byte(text)); err != nil {
+		return fmt.Errorf("%s: %w", s.Key, err)
+	}
+	return nil
+}
--- a/internal/fleetsim/experiment/stored_world_test.go
+++ b/internal/fleetsim/experiment/stored_scenario_test.go
@@ -2,8 +2,8 @@
 
 import "pumiceline/internal/fleetsim/model"
 
-// worldSample is the world of testdata/experiment.toml and of testdata/results.jsonl: every key, none with its zero value.
-func worldSample() model.Scenario {
+// scenarioSample is the scenario of testdata/experiment.toml and of testdata/results.jsonl: every key, none with its zero value.
+func scenarioSample() model.Scenario {
 	return model.Scenario{
 		Duration: 45_001_000, Tick: 5001,
 		Servers: 14, Proxies: 5, Zones: 5, CellSize: 7,
--- a/internal/fleetsim/experiment/stored_test.go
+++ b/internal/fleetsim/experiment/stored_test.go
@@ -12,36 +12,36 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// requireTold reports each field of a sample that has its zero value: nothing would then show that its key is read.
-func requireTold(t *testing.T, path string, v reflect.Value) {
+// requireNoZeroFields fails for each field of a sample with its zero value: the test would not show that its key is read.
+func requireNoZeroFields(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
 	case reflect.Struct:
 		for i := range v.NumField() {
 			if f := v.Type().Field(i); f.IsExported() {
-				requireTold(t, path+"."+f.Name, v.Field(i))
+				requireNoZeroFields(t, path+"."+f.Name, v.Field(i))
 			}
 		}
 	case reflect.Pointer:
-		requireTold(t, path, v.Elem())
+		requireNoZeroFields(t, path, v.Elem())
 	case reflect.Slice:
 		if v.Len() == 0 {
-			t.Errorf("%s: the sample says nothing of it", path)
+			t.Errorf("%s: the sample has no value", path)
 		}
 		for i := range v.Len() {
 			if v.Index(i).Kind() == reflect.Struct {
-				requireTold(t, path, v.Index(i))
+				requireNoZeroFields(t, path, v.Index(i))
 			}
 		}
 	default:
 		if v.IsZero() {
-			t.Errorf("%s: the sample says nothing of it", path)
+			t.Errorf("%s: the sample has no value", path)
 		}
 	}
 }
 
-// An experiment that a user stored for an earlier version is read: every key, each kind of trouble, and each policy by its name.
-func TestReadsExperimentStoredByEarlierVersion(t *testing.T) {
+// An experiment that a user stored for an earlier version is read: every key, each kind of fault, and each policy by its name.
+func TestParse_ReadsStoredExperiment(t *testing.T) {
 	got, err := Load("testdata/experiment.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -55,17 +55,17 @@
 			{Key: "world.proxies", Values: []any{int64(2), int64(3)}, With: map[string][]any{"world.load": {0.3, 0.6}}, Log: true, Label: "proxies"},
 			{Key: "world.kinds.0.cores", Values: []any{int64(4)}, With: map[string][]any{"world.told.cold": {"20s"}}, Log: true, Label: "cores"},
 		},
-		Scenario: worldSample(),
+		Scenario: scenarioSample(),
 	}
-	requireTold(t, "world", reflect.ValueOf(want.Scenario))
+	requireNoZeroFields(t, "scenario", reflect.ValueOf(want.Scenario))
 	read := *got
 	read.File, read.keys = "", nil
 	if !reflect.DeepEqual(read, want) {
 		t.Errorf("read %+v\nwant %+v", read, want)
 	}
 	kinds := map[model.FaultKind]bool{}
-	for _, trouble := range got.Scenario.Faults {
-		kinds[trouble.Kind] = true
+	for _, fault := range got.Scenario.Faults {
+		kinds[fault.Kind] = true
 	}
 	for kind := range model.FaultKinds {
 		if !kinds[kind] {
@@ -89,7 +89,7 @@
 
 // resultSample is the first line of testdata/results.jsonl: every key, none with its zero value.
 func resultSample() *Result {
-	breach := func(rule checker.Rule) checker.Violation {
+	violation := func(rule checker.Rule) checker.Violation {
 		return checker.Violation{Rule: rule, At: 1_500_000, Proxy: 2, Server: 7, ID: 99, Cause: "sent after its end"}
 	}
 	r := &Result{
@@ -97,14 +97,14 @@
 		Point:    []Setting{{Key: "world.proxies", Value: 2.0}, {Key: "world.told.cold", Value: "20s"}},
 		Axes:     []Axis{{Key: "world.proxies", Label: "proxies", Log: true}},
 		Replay:   "pumiceline lab replay whole.toml --policy=decide --seed=3 --set=world.proxies=2",
-		Scenario: worldSample(),
+		Scenario: scenarioSample(),
 		Stats:    model.Stats{Events: 1001, Handled: 1002, Requests: 1003, End: 46_000_001},
 		Error:    "panic: none at pumiceline/decide.New",
 		Report: &checker.Report{
 			G: 0.91, Overall: 0.92, Worst10s: 0.81, Worst10sStart: 11,
 			ByClass: map[string]float64{"quick-quote": 0.93, "full-quote": 0.94}, ByTenant: map[string]float64{"steppe-tours": 0.95},
 			Prices:          map[string]float64{"cross": 0.01, "waste": 0.02},
-			ViolationCounts: [4]int{1, 2, 3, 4}, Violations: []checker.Violation{breach(1), breach(4)}, RepeatedEffects: 5, RepeatedEffectCauses: []checker.Violation{breach(2)},
+			ViolationCounts: [4]int{1, 2, 3, 4}, Violations: []checker.Violation{violation(1), violation(4)}, RepeatedEffects: 5, RepeatedEffectCauses: []checker.Violation{violation(2)},
 			ColdStarts: 6, ColdOverloads: 7, ColdBoundExceeded: 8, PeakColdLoad: 2.75,
 			DiscoveryCalls: 9, DiscoveryCallsFailed: 10, PeakDiscoveryCalls: 11, ListedWithinP95: 1.25,
 			Requests: 12, InTime: 13, Late: 14, Unserved: 15,
@@ -116,18 +116,18 @@
 	return r
 }
 
-// Results that an earlier version stored are read, every field from its key, and written to the byte as they were: `lab replay` compares them so.
-func TestReadsResultsStoredByEarlierVersion(t *testing.T) {
+// Results that an earlier version stored are read, every field from its key, and written with the same bytes: the replay command compares them so.
+func TestReadResults_ReadsStoredResults(t *testing.T) {
 	stored, err := os.ReadFile("testdata/results.jsonl")
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, err := Read(bytes.NewReader(stored))
+	got, err := ReadResults(bytes.NewReader(stored))
 	if err != nil {
 		t.Fatal(err)
 	}
 	want := resultSample()
-	requireTold(t, "result", reflect.ValueOf(want))
+	requireNoZeroFields(t, "result", reflect.ValueOf(want))
 	if len(got) != 1 || !reflect.DeepEqual(got[0], want) {
 		t.Fatalf("read %+v\nwant %+v", got, want)
 	}
@@ -138,7 +138,7 @@
 }
 
 // A trace is written under the keys of an earlier version, one line for each kind of record with its name.
-func TestWritesTraceAsStoredByEarlierVersion(t *testing.T) {
+func TestTracer_WritesStoredFormat(t *testing.T) {
 	stored, err := os.ReadFile("testdata/trace.jsonl")
 	if err != nil {
 		t.Fatal(err)
@@ -152,14 +152,14 @@
 		sample.Kind = kind
 		tracer.Observe(&sample)
 	}
-	requireTold(t, "record", reflect.ValueOf(sample))
+	requireNoZeroFields(t, "record", reflect.ValueOf(sample))
 	if !bytes.Equal(written.Bytes(), stored) {
 		t.Errorf("written %s\nwant %s", &written, stored)
 	}
 }
 
 // A value on the command line is read as in the file.
-func TestReadsSettingWrittenForEarlierVersion(t *testing.T) {
+func TestParseSetting(t *testing.T) {
 	for text, want := range map[string]Setting{
 		"world.servers=50":       {Key: "world.servers", Value: int64(50)},
 		"world.tick=5ms":         {Key: "world.tick", Value: "5ms"},
--- a/internal/fleetsim/plots/figure.go
+++ b/internal/fleetsim/plots/figure.go
@@ -7,6 +7,7 @@
 	"os"
 	"path/filepath"
 	"slices"
+	"strings"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -16,15 +17,22 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
+// The size of every plot.
+const (
+	width  = 20 * vg.Centimeter
+	height = 11 * vg.Centimeter
+)
+
 // colours are Okabe and Ito's, which readers with any colour vision can tell apart.
 var colours = []color.RGBA{{0, 114, 178, 255}, {230, 159, 0, 255}, {0, 158, 115, 255}, {213, 94, 0, 255}, {204, 121, 167, 255},
 	{86, 180, 233, 255}, {60, 60, 60, 255}}
 
+// seriesColour is the colour of the i-th line of a plot.
 func seriesColour(i int) color.RGBA { return colours[i%len(colours)] }
 
-// Figure is one drawn plot.
+// Figure is one drawn plot in two formats.
 type Figure struct {
-	Name  string // of its files, without ending
+	Name  string // of its files, without extension
 	Title string
 	SVG   []byte
 	PNG   []byte
@@ -32,14 +40,15 @@
 
 // Save writes the figure's two files into a folder.
 func (f *Figure) Save(dir string) error {
-	for ending, text := range map[string][]byte{".svg": f.SVG, ".png": f.PNG} {
-		if err := os.WriteFile(filepath.Join(dir, f.Name+ending), text, 0o644); err != nil {
+	for extension, text := range map[string][]byte{".svg": f.SVG, ".png": f.PNG} {
+		if err := os.WriteFile(filepath.Join(dir, f.Name+extension), text, 0o644); err != nil {
 			return fmt.Errorf("plots: %w", err)
 		}
 	}
 	return nil
 }
 
+// render draws a plot in both formats.
 func render(name string, p *plot.Plot) (*Figure, error) {
 	f := &Figure{Name: name, Title: p.Title.Text}
 	svg := vgsvg.New(width, height)
@@ -59,19 +68,29 @@
 	return f, nil
 }
 
-// drawWithLegend draws a plot with its legend to the right of it, where no line can pass under it.
+// drawWithLegend draws a plot with its legend on the right, outside the axes.
 func drawWithLegend(p *plot.Plot, c draw.Canvas) {
 	legend := p.Legend
 	defer func() { p.Legend = legend }()
 	p.Legend = plot.NewLegend()
 	r := legend.Rectangle(c)
-	room := r.Max.X - r.Min.X + vg.Points(10)
-	p.Draw(draw.Crop(c, 0, -room, 0, 0))
+	legendWidth := r.Max.X - r.Min.X + vg.Points(10)
+	p.Draw(draw.Crop(c, 0, -legendWidth, 0, 0))
 	legend.Top, legend.Left = true, false
 	legend.YOffs = -vg.Points(24)
 	legend.Draw(c)
 }
 
+// fileName joins the parts that are not empty into a name of lower-case letters, digits, dots and hyphens.
+func fileName(parts ...string) string {
+	return strings.Map(func(c rune) rune {
+		if c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-' || c == '.' {
+			return c
+		}
+		return '-'
+	}, strings.ToLower(strings.Join(slices.DeleteFunc(parts, func(s string) bool { return s == "" }), "-")))
+}
+
 func newPlot(title, x, y string) *plot.Plot {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, y
@@ -81,6 +100,7 @@
 	return p
 }
 
+// addLine adds a line with its entry in the legend; one without points is left out.
 func addLine(p *plot.Plot, label string, c color.Color, xy plotter.XYs) error {
 	if len(xy) == 0 {
 		return nil
--- a/internal/fleetsim/plots/html.go
+++ b/internal/fleetsim/plots/html.go
@@ -5,10 +5,14 @@
 	"fmt"
 	"html/template"
 	"io"
+	"strconv"
 
 	"pumiceline/internal/fleetsim/experiment"
 )
 
+// maxProblemsListed is how many runs with violations or errors a report lists.
+const maxProblemsListed = 20
+
 var reportPage = template.Must(template.New("page").Parse(`<!doctype html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>
@@ -18,70 +22,105 @@
 code { background: #f3f3f3; padding: .1rem .3rem } .bad { color: #b00 }
 </style></head><body>
 <h1>{{.Title}}</h1><p>{{.Text}}</p>
-<p>{{.Plays}} plays over {{.Seeds}} seeds. Intervals are 95% confidence intervals over the seeds; differences are paired by seed.</p>
-{{range .Tables}}<h2>{{.Name}}</h2><table><tr><th>point</th><th>policy</th><th>mean</th><th>less the first policy</th><th>plays that broke a rule</th></tr>
-{{range .Rows}}<tr><td>{{.Point}}</td><td>{{.Policy}}</td><td>{{.Is}}</td><td>{{.Less}}</td><td{{if .Bad}} class="bad"{{end}}>{{.Broken}}</td></tr>
+<p>{{.Runs}} runs over {{.Seeds}} seeds. Intervals are 95% confidence intervals over the seeds; differences are paired by seed.</p>
+{{range .Tables}}<h2>{{.Name}}</h2><table><tr><th>point</th><th>policy</th><th>mean</th><th>less the first policy</th><th>runs that violated a rule</th></tr>
+{{range .Rows}}<tr><td>{{.Point}}</td><td>{{.Policy}}</td><td>{{.Mean}}</td><td>{{.Difference}}</td><td{{if .HasProblem}} class="bad"{{end}}>{{.Problems}}</td></tr>
 {{end}}</table>{{end}}
 {{range .Figures}}<figure>{{.}}</figure>
 {{end}}
-{{if .Faults}}<h2>Breaches and faults, with the command that plays each again</h2><ul>{{range .Faults}}<li><span class="bad">{{.What}}</span><br><code>{{.Replay}}</code></li>{{end}}</ul>{{end}}
+{{if .Problems}}<h2>Violations and errors, with the command that repeats each run</h2><ul>{{range .Problems}}<li><span class="bad">{{.Text}}</span><br><code>{{.Replay}}</code></li>{{end}}</ul>{{end}}
 </body></html>
 `))
 
-type reportRow struct {
-	Point, Policy, Is, Less, Broken string
-	Bad                             bool
+// report is the data of reportPage.
+type report struct {
+	Title, Text string
+	Runs, Seeds int
+	Tables      []reportTable
+	Figures     []template.HTML
+	Problems    []reportProblem
 }
 
+// reportTable compares the policies by one measure.
 type reportTable struct {
 	Name string
 	Rows []reportRow
 }
 
-// maxProblemsListed of a report's plays are listed.
-const maxProblemsListed = 20
+type reportRow struct {
+	Point, Policy, Mean, Difference, Problems string
+	HasProblem                                bool
+}
 
-// HTML writes one page that needs nothing else: tables, figures, and how to play again what broke a rule.
+// reportProblem is a run that violated a rule or ended early.
+type reportProblem struct{ Text, Replay string }
+
+// HTML writes one page that loads nothing: tables, figures, and the commands that repeat the runs that violated a rule.
 func HTML(w io.Writer, results []*experiment.Result, measures []experiment.Measure, figures []*Figure) error {
-	type fault struct{ What, Replay string }
-	var data struct {
-		Title, Text  string
-		Plays, Seeds int
-		Tables       []reportTable
-		Figures      []template.HTML
-		Faults       []fault
+	r := report{Runs: len(results), Seeds: countSeeds(results), Problems: listProblems(results)}
+	if len(results) > 0 {
+		if r.Title, r.Text = results[0].Title, results[0].Text; r.Title == "" {
+			r.Title = results[0].Experiment
+		}
+	}
+	for _, m := range measures {
+		r.Tables = append(r.Tables, newReportTable(results, m))
+	}
+	for _, f := range figures {
+		r.Figures = append(r.Figures, inlineSVG(f))
 	}
+	return reportPage.Execute(w, r)
+}
+
+func countSeeds(results []*experiment.Result) int {
 	seeds := map[uint64]bool{}
 	for _, r := range results {
 		seeds[r.Seed] = true
+	}
+	return len(seeds)
+}
+
+func listProblems(results []*experiment.Result) []reportProblem {
+	var problems []reportProblem
+	for _, r := range results {
 		switch {
-		case len(data.Faults) >= maxProblemsListed:
+		case len(problems) >= maxProblemsListed:
+			return problems
 		case r.Error != "":
-			data.Faults = append(data.Faults, fault{r.Policy + ": " + r.Error, r.Replay})
+			problems = append(problems, reportProblem{r.Policy + ": " + r.Error, r.Replay})
 		case !r.Report.HasNoViolations():
-			data.Faults = append(data.Faults, fault{r.Policy + ": " + r.Report.Violations[0].String(), r.Replay})
+			problems = append(problems, reportProblem{r.Policy + ": " + r.Report.Violations[0].String(), r.Replay})
 		}
 	}
-	if len(results) > 0 {
-		if data.Title, data.Text = results[0].Title, results[0].Text; data.Title == "" {
-			data.Title = results[0].Experiment
-		}
+	return problems
+}
+
+func newReportTable(results []*experiment.Result, m experiment.Measure) reportTable {
+	t := reportTable{Name: m.Text}
+	for _, c := range experiment.Compare(results, m) {
+		problems := c.RunsWithViolations + c.RunsFailed
+		t.Rows = append(t.Rows, reportRow{Point: c.Point, Policy: c.Policy, Mean: formatEstimate(c.Estimate),
+			Difference: formatEstimate(c.Difference), Problems: fmt.Sprintf("%d of %d", problems, c.Runs), HasProblem: problems > 0})
 	}
-	data.Plays, data.Seeds = len(results), len(seeds)
-	for _, m := range measures {
-		t := reportTable{Name: m.Text}
-		for _, c := range experiment.Compare(results, m) {
-			t.Rows = append(t.Rows, reportRow{c.Point, c.Policy, formatEstimate(c.Estimate), formatEstimate(c.Difference),
-				fmt.Sprintf("%d of %d", c.RunsWithViolations+c.RunsFailed, c.Runs), c.RunsWithViolations+c.RunsFailed > 0})
-		}
-		data.Tables = append(data.Tables, t)
+	return t
+}
+
+func formatEstimate(e experiment.Estimate) string {
+	switch e.N {
+	case 0:
+		return ""
+	case 1:
+		return strconv.FormatFloat(e.Mean, 'f', 3, 64)
 	}
-	for _, f := range figures {
-		svg := f.SVG
-		if i := bytes.Index(svg, []byte("<svg")); i > 0 { // what stands before belongs to files
-			svg = svg[i:]
-		}
-		data.Figures = append(data.Figures, template.HTML(svg)) // drawn here, with its text escaped by the drawing library
+	return e.String()
+}
+
+// inlineSVG is a figure as an element of the page, without the XML header of its file. It is safe as HTML: it was drawn
+// here, and the drawing library escapes the text.
+func inlineSVG(f *Figure) template.HTML {
+	svg := f.SVG
+	if i := bytes.Index(svg, []byte("<svg")); i > 0 {
+		svg = svg[i:]
 	}
-	return reportPage.Execute(w, data)
+	return template.HTML(svg)
 }
--- a/internal/fleetsim/plots/latency.go
+++ b/internal/fleetsim/plots/latency.go
@@ -8,46 +8,71 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
+
+	"pumiceline/internal/fleetsim/experiment"
 )
 
-// percentileScale is an axis of percentiles on which each nine takes as much room.
+// percentileScale is an axis of percentiles on which each nine takes as much space: x stands for 1 - 10^-x.
 type percentileScale struct{}
 
+// Normalize is plot.Normalizer's.
 func (percentileScale) Normalize(min, max, x float64) float64 { return (x - min) / (max - min) }
 
-func (percentileScale) Ticks(min, max float64) []plot.Tick {
-	var t []plot.Tick
+// Ticks is plot.Ticker's.
+func (percentileScale) Ticks(_, _ float64) []plot.Tick {
+	var ticks []plot.Tick
 	for i, label := range []string{"0%", "90%", "99%", "99.9%", "99.99%"} {
-		t = append(t, plot.Tick{Value: float64(i), Label: label})
+		ticks = append(ticks, plot.Tick{Value: float64(i), Label: label})
 	}
-	return append(t, plot.Tick{Value: math.Log10(2), Label: "50%"})
+	return append(ticks, plot.Tick{Value: math.Log10(2), Label: "50%"})
 }
 
-// Latency draws the time of the answers by percentile, over all seeds, a line for each policy, for one class.
-func Latency(g *pointResults, class string) (*Figure, error) {
-	p := newPlot(strings.TrimSpace(fmt.Sprintf("Time of served requests, %s %s", class, g.name)), "percentile", "milliseconds")
-	p.X.Scale, p.X.Tick.Marker = percentileScale{}, percentileScale{}
-	p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	for i, policy := range g.policies {
-		sum := hdrhistogram.New(1, 60_000_000, 3)
-		for _, r := range g.byPolicy[policy] {
-			h, err := hdrhistogram.Decode([]byte(r.Report.Latency[class]))
-			if err != nil {
-				return nil, fmt.Errorf("plots: latencies of %s: %w", class, err)
-			}
-			sum.Merge(h)
-		}
-		var xy plotter.XYs
-		for x := 0.05; x <= 4 && sum.TotalCount() > 0; x += 0.05 {
-			q := 100 * (1 - math.Pow(10, -x))
-			if float64(sum.TotalCount())*(1-q/100) < 1 {
-				break // past the last of them
-			}
-			xy = append(xy, plotter.XY{X: x, Y: float64(sum.ValueAtQuantile(q)) / 1e3})
+// The histograms' range is that of package checker.
+const (
+	maxLatencyMicros  = 60_000_000
+	latencyDigits     = 3
+	percentileStep    = 0.05
+	maxPercentileAxis = 4 // 99.99%
+)
+
+// drawLatency draws the latency of a class's served requests by percentile, over all seeds, a line for each policy.
+func (p *pointResults) drawLatency(class string) (*Figure, error) {
+	figure := newPlot(strings.TrimSpace(fmt.Sprintf("Time of served requests, %s %s", class, p.name)), "percentile", "milliseconds")
+	figure.X.Scale, figure.X.Tick.Marker = percentileScale{}, percentileScale{}
+	figure.Y.Scale, figure.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+	for i, policy := range p.policies {
+		latencies, err := mergeLatencies(p.byPolicy[policy], class)
+		if err != nil {
+			return nil, err
 		}
-		if err := addLine(p, policy, seriesColour(i), xy); err != nil {
+		if err := addLine(figure, policy, seriesColour(i), percentileLine(latencies)); err != nil {
 			return nil, err
 		}
 	}
-	return render(fileName("latency", class, g.name), p)
+	return render(fileName("latency", class, p.name), figure)
+}
+
+func mergeLatencies(results []*experiment.Result, class string) (*hdrhistogram.Histogram, error) {
+	merged := hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
+	for _, r := range results {
+		h, err := hdrhistogram.Decode([]byte(r.Report.Latency[class]))
+		if err != nil {
+			return nil, fmt.Errorf("plots: latencies of %s: %w", class, err)
+		}
+		merged.Merge(h)
+	}
+	return merged, nil
+}
+
+// percentileLine is in milliseconds, up to the percentile that one request lies beyond.
+func percentileLine(latencies *hdrhistogram.Histogram) plotter.XYs {
+	var line plotter.XYs
+	for x := percentileStep; x <= maxPercentileAxis && latencies.TotalCount() > 0; x += percentileStep {
+		percentile := 100 * (1 - math.Pow(10, -x))
+		if float64(latencies.TotalCount())*(1-percentile/100) < 1 {
+			break
+		}
+		line = append(line, plotter.XY{X: x, Y: float64(latencies.ValueAtQuantile(percentile)) / 1e3})
+	}
+	return line
 }
--- a/internal/fleetsim/plots/plots_test.go
+++ b/internal/fleetsim/plots/plots_test.go
@@ -10,9 +10,9 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// TestReportStandsAlone plays a small sweep and draws it: each figure must be readable as what it says it is, and the
-// page must hold them all and ask for nothing from elsewhere.
-func TestReportStandsAlone(t *testing.T) {
+// TestHTML_IsSelfContained draws a small sweep: each figure must be valid in its format, and the page must contain them all
+// and load nothing from elsewhere.
+func TestHTML_IsSelfContained(t *testing.T) {
 	e, err := experiment.Parse("x.toml", []byte(`
 title = "Two <sizes>"
 policies = ["decide", "random"]
@@ -68,19 +68,19 @@
 	}
 	text := page.String()
 	if n := strings.Count(text, "<svg"); n != len(figures) {
-		t.Errorf("the page holds %d of %d figures", n, len(figures))
+		t.Errorf("the page has %d of %d figures", n, len(figures))
 	}
 	for _, outside := range []string{"<script", "<link", "<img", "src=", "url(http", "<sizes>"} {
 		if strings.Contains(text, outside) {
-			t.Errorf("the page holds %s", outside)
+			t.Errorf("the page has %s", outside)
 		}
 	}
 	if !strings.Contains(text, "pumiceline lab replay x.toml --policy=random") {
-		t.Error("the page does not say how to play a run again that broke a rule")
+		t.Error("the page does not have the command that repeats a run that violated a rule")
 	}
 }
 
-func TestLatencyNeedsItsHistogram(t *testing.T) {
+func TestAll_RejectsDamagedHistogram(t *testing.T) {
 	e, err := experiment.Parse("x.toml", []byte("[world]\nlength = \"3s\""))
 	if err != nil {
 		t.Fatal(err)
@@ -95,8 +95,8 @@
 	if figures, err := All(results, nil); err != nil || len(figures) != 2+len(e.Scenario.Classes) {
 		t.Errorf("%d figures, %v", len(figures), err)
 	}
-	results[0].Report.Latency["quick-quote"] = "spoilt"
+	results[0].Report.Latency["quick-quote"] = "damaged"
 	if _, err := All(results, nil); err == nil || !strings.Contains(err.Error(), "quick-quote") {
-		t.Errorf("a spoilt histogram gives %v", err)
+		t.Errorf("a damaged histogram gives %v", err)
 	}
 }
--- a/internal/fleetsim/plots/sweep.go
+++ b/internal/fleetsim/plots/sweep.go
@@ -1,10 +1,10 @@
 package plots
 
 import (
+	"errors"
 	"fmt"
 	"math"
 	"slices"
-	"strconv"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -14,43 +14,55 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
+// ErrNoSweep is returned for results that have no swept key.
+var ErrNoSweep = errors.New("plots: these results have no swept key")
+
 // Sweep draws a measure against the first axis, a line for each policy and value of the other axes, with 95% confidence
 // intervals over the seeds.
 func Sweep(results []*experiment.Result, m experiment.Measure) (*Figure, error) {
-	cells := experiment.Compare(results, m)
-	if len(cells) == 0 || len(cells[0].Axes) == 0 {
-		return nil, fmt.Errorf("plots: these results have no swept key")
+	comparisons := experiment.Compare(results, m)
+	if len(comparisons) == 0 || len(comparisons[0].Axes) == 0 {
+		return nil, ErrNoSweep
 	}
 	axis := results[0].Axes[0]
-	p := newPlot(m.Text, axis.Label, m.Text)
-	p.Title.Text = results[0].Title
-	type series struct {
-		name string
-		xy   plotter.XYs
-		err  plotter.YErrors
-	}
-	var all []*series
-	at := map[string]*series{}
-	var ticks []plot.Tick
-	lowest := math.Inf(1)
-	for _, c := range cells {
-		x, label := axisValue(c.Axes[0].Value)
-		if label != "" { // not a number: places in their order
-			x = float64(slices.IndexFunc(ticks, func(t plot.Tick) bool { return t.Label == label }))
-			if x < 0 {
-				x = float64(len(ticks))
-				ticks = append(ticks, plot.Tick{Value: x, Label: label})
-			}
-		}
-		name := c.Policy
-		for _, s := range c.Axes[1:] {
-			name += " " + s.String()
-		}
-		s := at[name]
-		if s == nil {
-			s = &series{name: name}
-			at[name], all = s, append(all, s)
+	figure := newPlot(results[0].Title, axis.Label, m.Text)
+	s := newSweepSeries(comparisons)
+	for i, line := range s.lines {
+		if err := line.draw(figure, i); err != nil {
+			return nil, err
 		}
+	}
+	if s.lowest >= 0 {
+		figure.Y.Min = 0
+	}
+	if len(s.ticks) > 0 {
+		figure.X.Tick.Marker = plot.ConstantTicks(s.ticks)
+	} else if axis.Log && figure.X.Min > 0 {
+		figure.X.Scale, figure.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+	}
+	return render(fileName("sweep", m.Name), figure)
+}
+
+// sweepSeries are the lines of a sweep, in the order of the comparisons.
+type sweepSeries struct {
+	lines  []*sweepLine
+	byName map[string]*sweepLine
+	ticks  []plot.Tick // of values that are no numbers, in their order
+	lowest float64     // end of a confidence interval
+}
+
+// sweepLine is one policy, at one value of the axes after the first.
+type sweepLine struct {
+	name   string
+	means  plotter.XYs
+	errors plotter.YErrors
+}
+
+func newSweepSeries(comparisons []experiment.Comparison) *sweepSeries {
+	s := &sweepSeries{byName: map[string]*sweepLine{}, lowest: math.Inf(1)}
+	for _, c := range comparisons {
+		x := s.position(c.Axes[0].Value)
+		line := s.lineOf(c)
 		if c.Estimate.N == 0 {
 			continue
 		}
@@ -58,60 +70,61 @@
 		if math.IsNaN(half) {
 			half = 0
 		}
-		s.xy = append(s.xy, plotter.XY{X: x, Y: c.Estimate.Mean})
-		s.err = append(s.err, struct{ Low, High float64 }{half, half})
-		lowest = min(lowest, c.Estimate.Mean-half)
+		line.means = append(line.means, plotter.XY{X: x, Y: c.Estimate.Mean})
+		line.errors = append(line.errors, struct{ Low, High float64 }{half, half})
+		s.lowest = min(s.lowest, c.Estimate.Mean-half)
 	}
-	for i, s := range all {
-		if err := addLine(p, s.name, seriesColour(i), s.xy); err != nil {
-			return nil, err
-		}
-		if len(s.xy) == 0 {
-			continue
-		}
-		dots, err := plotter.NewScatter(s.xy)
-		if err != nil {
-			return nil, fmt.Errorf("plots: %s: %w", s.name, err)
-		}
-		dots.Color, dots.Shape, dots.Radius = seriesColour(i), draw.CircleGlyph{}, vg.Points(2.5)
-		bars, err := plotter.NewYErrorBars(struct {
-			plotter.XYer
-			plotter.YErrorer
-		}{s.xy, s.err})
-		if err != nil {
-			return nil, fmt.Errorf("plots: %s: %w", s.name, err)
-		}
-		bars.Color = seriesColour(i)
-		p.Add(dots, bars)
-	}
-	if lowest >= 0 {
-		p.Y.Min = 0
-	}
-	if len(ticks) > 0 {
-		p.X.Tick.Marker = plot.ConstantTicks(ticks)
-	} else if axis.Log && p.X.Min > 0 {
-		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
-	}
-	return render(fileName("sweep", m.Name), p)
+	return s
 }
 
-// axisValue is a swept value as a place on an axis; label is not empty where it is none.
-func axisValue(v any) (x float64, label string) {
-	switch v := v.(type) {
+// position is the place of a swept value on the axis: a number itself, others in their order.
+func (s *sweepSeries) position(value any) float64 {
+	switch v := value.(type) {
 	case float64:
-		return v, ""
+		return v
 	case int64:
-		return float64(v), ""
+		return float64(v)
+	}
+	label := fmt.Sprint(value)
+	if i := slices.IndexFunc(s.ticks, func(t plot.Tick) bool { return t.Label == label }); i >= 0 {
+		return float64(i)
 	}
-	return 0, fmt.Sprint(v)
+	x := float64(len(s.ticks))
+	s.ticks = append(s.ticks, plot.Tick{Value: x, Label: label})
+	return x
 }
 
-func formatEstimate(e experiment.Estimate) string {
-	if e.N == 0 {
-		return ""
+func (s *sweepSeries) lineOf(c experiment.Comparison) *sweepLine {
+	name := c.Policy
+	for _, setting := range c.Axes[1:] {
+		name += " " + setting.String()
+	}
+	if s.byName[name] == nil {
+		line := &sweepLine{name: name}
+		s.byName[name], s.lines = line, append(s.lines, line)
+	}
+	return s.byName[name]
+}
+
+// draw adds the line with its points and error bars.
+func (l *sweepLine) draw(figure *plot.Plot, index int) error {
+	colour := seriesColour(index)
+	if err := addLine(figure, l.name, colour, l.means); err != nil || len(l.means) == 0 {
+		return err
+	}
+	dots, err := plotter.NewScatter(l.means)
+	if err != nil {
+		return fmt.Errorf("plots: %s: %w", l.name, err)
 	}
-	if e.N == 1 {
-		return strconv.FormatFloat(e.Mean, 'f', 3, 64)
+	dots.Color, dots.Shape, dots.Radius = colour, draw.CircleGlyph{}, vg.Points(2.5)
+	bars, err := plotter.NewYErrorBars(struct {
+		plotter.XYer
+		plotter.YErrorer
+	}{l.means, l.errors})
+	if err != nil {
+		return fmt.Errorf("plots: %s: %w", l.name, err)
 	}
-	return e.String()
+	bars.Color = colour
+	figure.Add(dots, bars)
+	return nil
 }
--- a/internal/fleetsim/withadmission/withadmission.go
+++ b/internal/fleetsim/withadmission/withadmission.go
@@ -1,4 +1,5 @@
-// Package withadmission puts the door in front of the decision module within the laboratory, as the front does on sockets.
+// Package withadmission puts admission control in front of a policy within the simulator, as the standalone proxy does on
+// sockets.
 package withadmission
 
 import (
@@ -7,98 +8,114 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// tickTimerID is the door's own timer; the module's tags are small numbers and request ids.
+// tickTimerID is the id of the controller's timer; the policy's own are small numbers and request ids.
 const tickTimerID = 1<<64 - 1
 
-const tickInterval = 10_000
+// Times in microseconds.
+const (
+	tickInterval     = 10_000  // between ticks while requests are queued
+	expectedWork     = 100_000 // of a request, until the controller has measured it
+	minMaxRetryAfter = 100_000
+)
 
-// request is one that has come and is not over.
-type request struct {
-	ticket     admission.Ticket
-	arrival    policy.Event
-	deadline   model.Time
-	isAdmitted bool
+// Options are how admission control answers.
+type Options struct {
+	SendRetryAfter bool // rejections name a time to retry after
 }
 
-// node is a module behind a door.
-type node struct {
-	inner          model.Node
-	controller     *admission.Controller
-	requests       map[uint64]*request
-	idByTicket     map[admission.Ticket]uint64
-	admitted       []admission.Action
-	unused         []policy.Action
-	tickScheduled  bool
-	sendRetryAfter bool // refusals name a time to come back
+// NewFactory returns a factory that puts admission control in front of each node of newNode.
+func NewFactory(newNode model.NodeFactory, options Options) model.NodeFactory {
+	return func(settings policy.Settings, seed uint64, oracle *model.Oracle) (model.Node, error) {
+		inner, err := newNode(settings, seed, oracle)
+		if err != nil {
+			return nil, err
+		}
+		controller, err := admission.New(controllerSettings(settings, seed))
+		if err != nil {
+			return nil, err
+		}
+		return &node{inner: inner, controller: controller, options: options, requests: map[uint64]*request{},
+			idByTicket: map[admission.Ticket]uint64{}}, nil
+	}
 }
 
-// controllerSettings are the door's for a deployment as a decider is told of it.
-func controllerSettings(set policy.Settings, seed uint64) admission.Settings {
+// controllerSettings are the admission controller's for a deployment as a policy is given it.
+func controllerSettings(settings policy.Settings, seed uint64) admission.Settings {
 	s := admission.Defaults()
-	s.Seed, s.OverQuotaFactor = seed, set.OverQuotaValue
-	for _, t := range set.Tenants {
-		s.Tenants = append(s.Tenants, admission.Tenant{Share: t.QuotaPerS, Rate: t.QuotaPerS / float64(max(1, set.GroupSize))})
+	s.Seed, s.OverQuotaFactor = seed, settings.OverQuotaValue
+	for _, t := range settings.Tenants {
+		s.Tenants = append(s.Tenants, admission.Tenant{Share: t.QuotaPerS, Rate: t.QuotaPerS / float64(max(1, settings.GroupSize))})
 	}
 	if len(s.Tenants) == 0 {
 		s.Tenants = []admission.Tenant{{Share: 1}}
 	}
-	for _, c := range set.Classes {
-		s.Classes = append(s.Classes, admission.Class{Value: c.Value, Work: 100_000, LatencyTarget: c.LatencyTarget})
+	for _, c := range settings.Classes {
+		s.Classes = append(s.Classes, admission.Class{Value: c.Value, Work: expectedWork, LatencyTarget: c.LatencyTarget})
 	}
-	s.MaxRetryAfter = max(100_000, set.Limits.MaxRetryAfter)
+	s.MaxRetryAfter = max(minMaxRetryAfter, settings.Limits.MaxRetryAfter)
 	return s
 }
 
-// NodeFactory makes nodes of make behind a door each. comeBack says whether the door's refusals name a time.
-func NewFactory(make model.NodeFactory, comeBack bool) model.NodeFactory {
-	return func(set policy.Settings, seed uint64, truth *model.Oracle) (model.Node, error) {
-		module, err := make(set, seed, truth)
-		if err != nil {
-			return nil, err
-		}
-		d, err := admission.New(controllerSettings(set, seed))
-		if err != nil {
-			return nil, err
-		}
-		return &node{inner: module, controller: d, requests: map[uint64]*request{}, idByTicket: map[admission.Ticket]uint64{}, sendRetryAfter: comeBack}, nil
-	}
+// request is one that has come and has not ended.
+type request struct {
+	ticket     admission.Ticket
+	arrival    policy.Event
+	deadline   model.Time
+	isAdmitted bool // the policy has it
+}
+
+// node is a policy behind an admission controller.
+type node struct {
+	inner      model.Node
+	controller *admission.Controller
+	options    Options
+	requests   map[uint64]*request // by id
+	idByTicket map[admission.Ticket]uint64
+	decisions  []admission.Action // of the controller's last call
+
+	tickScheduled bool
 }
 
 // Handle is model.Node's.
 func (n *node) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch {
 	case ev.Kind == policy.RequestArrived:
-		r := &request{arrival: *ev, deadline: now + ev.ClientTimeout}
-		n.requests[ev.ID] = r
-		r.ticket, n.admitted = n.controller.Submit(now, admission.Request{Tenant: int(ev.Tenant), Class: int(ev.Class), Client: ev.AffinityKey, Work: ev.Work,
-			Deadline: r.deadline, IsRetry: ev.ClientRetry}, n.admitted[:0])
-		n.idByTicket[r.ticket] = ev.ID
+		return n.submit(now, ev, out)
 	case ev.Kind == policy.TimerFired && ev.ID == tickTimerID:
 		n.tickScheduled = false
-		n.admitted = n.controller.Tick(now, n.admitted[:0])
-	default:
-		n.admitted = n.admitted[:0]
-		if ev.Kind == policy.RequestAbandoned {
-			if r := n.requests[ev.ID]; r != nil && !r.isAdmitted {
-				n.admitted = n.controller.Cancel(now, r.ticket, n.admitted)
-				n.forget(ev.ID, r)
-				return n.execute(now, out)
-			}
+		n.decisions = n.controller.Tick(now, n.decisions[:0])
+		return n.execute(now, out)
+	case ev.Kind == policy.RequestAbandoned:
+		if r := n.requests[ev.ID]; r != nil && !r.isAdmitted {
+			n.decisions = n.controller.Cancel(now, r.ticket, n.decisions[:0])
+			n.forget(ev.ID, r)
+			return n.execute(now, out)
 		}
 		out = n.forward(now, ev, out)
-		if ev.Kind == policy.RequestAbandoned || ev.Kind == policy.AttemptEnded && ev.Final {
-			out = n.finish(now, ev.ID, ev.Kind == policy.AttemptEnded && ev.Outcome == policy.OK, out)
-		}
-		return out
+		return n.finish(now, ev.ID, false, out)
+	}
+	out = n.forward(now, ev, out)
+	if ev.Kind == policy.AttemptEnded && ev.Final {
+		out = n.finish(now, ev.ID, ev.Outcome == policy.OK, out)
 	}
+	return out
+}
+
+// submit hands a new request to the controller.
+func (n *node) submit(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
+	r := &request{arrival: *ev, deadline: now + ev.ClientTimeout}
+	n.requests[ev.ID] = r
+	r.ticket, n.decisions = n.controller.Submit(now, admission.Request{Tenant: int(ev.Tenant), Class: int(ev.Class),
+		Client: ev.AffinityKey, Work: ev.Work, Deadline: r.deadline, IsRetry: ev.ClientRetry}, n.decisions[:0])
+	n.idByTicket[r.ticket] = ev.ID
 	return n.execute(now, out)
 }
 
-// forward gives the module an event; its own final answers are ends to the door.
+// forward gives the policy an event. Requests that it answers itself have ended for the controller.
 func (n *node) forward(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	from := len(out)
 	out = n.inner.Handle(now, ev, out)
-	to := len(out)
+	to := len(out) // finish appends more, of which it takes care itself
 	for i := from; i < to; i++ {
 		if k := out[i].Kind; k == policy.RejectRequest || k == policy.FailRequest {
 			out = n.finish(now, out[i].ID, false, out)
@@ -107,14 +124,14 @@
 	return out
 }
 
-// finish tells the door that a request has left, and carries out what follows.
+// finish notifies the controller of an admitted request's end, and carries out what follows.
 func (n *node) finish(now model.Time, id uint64, served bool, out []policy.Action) []policy.Action {
 	r := n.requests[id]
 	if r == nil || !r.isAdmitted {
 		return out
 	}
 	n.forget(id, r)
-	n.admitted = n.controller.Finish(now, r.ticket, served, n.admitted[:0])
+	n.decisions = n.controller.Finish(now, r.ticket, served, n.decisions[:0])
 	return n.execute(now, out)
 }
 
@@ -123,22 +140,18 @@
 	delete(n.idByTicket, r.ticket)
 }
 
-// execute carries out what the door said.
+// execute carries out the controller's decisions.
 func (n *node) execute(now model.Time, out []policy.Action) []policy.Action {
-	said := append([]admission.Action(nil), n.admitted...)
-	for _, a := range said {
-		id := n.idByTicket[a.Ticket]
+	decisions := append([]admission.Action(nil), n.decisions...) // admitting a request may bring further ones
+	for _, d := range decisions {
+		id := n.idByTicket[d.Ticket]
 		r := n.requests[id]
 		if r == nil {
 			continue
 		}
-		if a.Kind == admission.Reject {
+		if d.Kind == admission.Reject {
 			n.forget(id, r)
-			after := a.RetryAfter
-			if !n.sendRetryAfter {
-				after = 0
-			}
-			out = append(out, policy.Action{Kind: policy.RejectRequest, ID: id, After: after})
+			out = append(out, policy.Action{Kind: policy.RejectRequest, ID: id, After: n.retryAfter(d)})
 			continue
 		}
 		r.isAdmitted = true
@@ -152,3 +165,10 @@
 	}
 	return out
 }
+
+func (n *node) retryAfter(rejection admission.Action) model.Time {
+	if !n.options.SendRetryAfter {
+		return 0
+	}
+	return rejection.RetryAfter
+}
--- a/internal/fleetsim/withsubset/withsubset.go
+++ b/internal/fleetsim/withsubset/withsubset.go
@@ -1,5 +1,5 @@
-// Package withsubset has the decision module see only its proxy's part of the fleet, within the laboratory: what keeping to a part is
-// worth, before the module itself heeds it. The part does not widen, whatever becomes of its servers.
+// Package withsubset shows a policy only its proxy's subset of the servers, within the simulator. The subset does not grow,
+// whatever becomes of its servers.
 package withsubset
 
 import (
@@ -11,39 +11,43 @@
 	"pumiceline/internal/standalone/subset"
 )
 
-// node is a module that is told of a part of the list.
+// minServersPerZone is how many servers of each zone a subset has at least.
+const minServersPerZone = 4
+
+// node is a policy that is given a subset of the list.
 type node struct {
 	inner   model.Node
 	ordinal int
-	share   float64
+	share   float64 // of each zone
 	listed  map[uint32]policy.Member
-	unused  map[uint32]bool
-	members []policy.Member
+	members []policy.Member // of the subset
 }
 
-// minServersPerZone is how many servers of each zone a part has at least.
-const minServersPerZone = 4
-
-// NodeFactory makes nodes of make that keep to an arc of each zone. Cold budgets are divided among the proxies that may have a server in
-// their part, and no more.
-func NewFactory(make model.NodeFactory, arc float64) model.NodeFactory {
-	return func(set policy.Settings, seed uint64, truth *model.Oracle) (model.Node, error) {
-		all := set.GroupSize
-		if part := int(math.Ceil(float64(all)*arc)) + 4 + int(2*math.Log10(float64(max(1, all)))); part < all {
-			set.GroupSize = part
-			set.Tenants = slices.Clone(set.Tenants)
-			for i := range set.Tenants { // shares are of what this proxy gets, not of what its servers get
-				set.Tenants[i].QuotaPerS *= float64(part) / float64(all)
+// NewFactory returns a factory of newNode's nodes with a subset of each zone, that share of it. Budgets of cold servers are
+// divided among the proxies that may have a server in their subset, and no more.
+func NewFactory(newNode model.NodeFactory, share float64) model.NodeFactory {
+	return func(settings policy.Settings, seed uint64, oracle *model.Oracle) (model.Node, error) {
+		all := settings.GroupSize
+		if sharing := sharingProxies(all, share); sharing < all {
+			settings.GroupSize = sharing
+			settings.Tenants = slices.Clone(settings.Tenants)
+			for i := range settings.Tenants { // quotas are of what this proxy gets, not of what its servers get
+				settings.Tenants[i].QuotaPerS *= float64(sharing) / float64(all)
 			}
 		}
-		module, err := make(set, seed, truth)
+		inner, err := newNode(settings, seed, oracle)
 		if err != nil {
 			return nil, err
 		}
-		return &node{inner: module, ordinal: set.Ordinal, share: arc, listed: map[uint32]policy.Member{}, unused: map[uint32]bool{}}, nil
+		return &node{inner: inner, ordinal: settings.Ordinal, share: share, listed: map[uint32]policy.Member{}}, nil
 	}
 }
 
+// sharingProxies is how many proxies may have a server in their subsets: the share of all, with a margin for chance.
+func sharingProxies(all int, share float64) int {
+	return int(math.Ceil(float64(all)*share)) + 4 + int(2*math.Log10(float64(max(1, all))))
+}
+
 // Handle is model.Node's.
 func (n *node) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
@@ -60,28 +64,25 @@
 			n.listed[m.Server] = m
 		}
 	}
-	var servers []subset.Server
+	n.selectMembers()
+	forwarded := *ev
+	if forwarded.Kind == policy.MembershipDelta {
+		forwarded.Kind = policy.MembershipFull
+	}
+	forwarded.Members = n.members
+	return n.inner.Handle(now, &forwarded, out)
+}
+
+// selectMembers selects the subset of the ready servers.
+func (n *node) selectMembers() {
+	var ready []subset.Server
 	for _, m := range n.listed {
 		if m.Mode == policy.ModeReady {
-			servers = append(servers, subset.Server{ID: m.Server, Zone: m.Zone, Cell: m.Cell, Size: m.Size})
+			ready = append(ready, subset.Server{ID: m.Server, Zone: m.Zone, Cell: m.Cell, Size: m.Size})
 		}
 	}
-	part := *ev
-	if part.Kind == policy.MembershipDelta {
-		part.Kind = policy.MembershipFull
-	}
 	n.members = n.members[:0]
-	for _, m := range subset.Select(servers, n.ordinal, n.share, minServersPerZone) {
-		n.members = append(n.members, n.listed[m.ID])
-	}
-	part.Members = n.members
-	return n.inner.Handle(now, &part, out)
-}
-
-// EjectedServers is as the module says.
-func (n *node) EjectedServers() int {
-	if m, ok := n.inner.(interface{ EjectedServers() int }); ok {
-		return m.EjectedServers()
+	for _, s := range subset.Select(ready, n.ordinal, n.share, minServersPerZone) {
+		n.members = append(n.members, n.listed[s.ID])
 	}
-	return 0
 }
--- a/tools/simrank/ranking.go
+++ b/tools/simrank/ranking.go
@@ -85,13 +85,12 @@
 }
 
 func (r *ranking) plot(deployment, folder string) error {
-	var scenarios []string
+	var points []plots.ScatterPoint
 	for _, m := range r.Measurements {
-		scenarios = append(scenarios, m.Scenario)
+		points = append(points, plots.ScatterPoint{X: m.Simulator, Y: m.Fleetsim, Group: m.Scenario})
 	}
-	simulator, fleetsim := values(r.Measurements)
-	figure, err := plots.Scatter("ranking-"+deployment, "Service that simulator and laboratory give the same variant",
-		"simulator, G", "laboratory, G", simulator, fleetsim, scenarios)
+	figure, err := plots.Scatter("ranking-"+deployment, plots.ScatterLabels{
+		Title: "Service that both simulators give the same variant", X: "operators' simulator, G", Y: "fleetsim, G"}, points)
 	if err != nil {
 		return err
 	}
--- a/tools/simrank/scenario.go
+++ b/tools/simrank/scenario.go
@@ -60,7 +60,7 @@
 func runSimulator(simulator, site, bin, variant, kind string, days int) (float64, error) {
 	sum := 0.0
 	for day := 1; day <= days; day++ {
-		why := fmt.Sprintf("Truth of the laboratory: %s on day %d of kind %s", variant, day, kind)
+		why := fmt.Sprintf("Check of fleetsim: %s on day %d of kind %s", variant, day, kind)
 		out, err := exec.Command(simulator, "run", site, "--seed", strconv.Itoa(day), "--kind", kind, "--json",
 			"--no-build", "--why", why, "--", filepath.Join(bin, "benchlink")).Output()
 		if err != nil {
@@ -82,7 +82,7 @@
 // runFleetsim returns the mean G of a scenario's experiment.
 func runFleetsim(bin string, s scenario) (float64, error) {
 	path := filepath.Join(bin, "results.jsonl")
-	args := []string{"lab", "sweep", s.experiment, "--out", path}
+	args := []string{"fleetsim", "sweep", s.experiment, "--out", path}
 	for _, change := range s.set {
 		args = append(args, "--set", change)
 	}
@@ -94,7 +94,7 @@
 		return 0, err
 	}
 	defer f.Close()
-	results, err := experiment.Read(f)
+	results, err := experiment.ReadResults(f)
 	if err != nil {
 		return 0, err
 	}
