--- a/tools/lossreport/main.go
+++ b/tools/lossreport/main.go
@@ -1,7 +1,7 @@
-// Command account says where the worth of a played day was lost: it reads the proxies' and coordinators' logs at debug
-// level from standard input, and gives for each route how many requests were late, by what, and who refused the others and
-// why; then what the orders to backends were for. A report of the same play (-report) tells the loss that is to be
-// accounted for.
+// Command lossreport says where the value of a simulated day was lost. It reads the debug logs of proxies and coordinators
+// from standard input, and prints for each route how many requests were late, by cause, and how many were rejected or
+// failed and why; then the placement commands and the reasons of placement tasks. With -report, the JSON report of the same
+// run, it prints the loss by that beside its own.
 package main
 
 import (
@@ -17,76 +17,87 @@
 	"github.com/pkg/errors"
 )
 
-// maxLine bounds a line of the log.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line of the log.
+const maxLineBytes = 1 << 20
+
+// errNoRequests is returned for a log that has no finished request.
+var errNoRequests = errors.New("the log has no finished request: are the proxies started with --log-level=debug?")
 
 func main() {
-	flags := flag.NewFlagSet("account", flag.ContinueOnError)
-	report := flags.String("report", "", "report of the same play, as JSON")
+	flags := flag.NewFlagSet("lossreport", flag.ContinueOnError)
+	report := flags.String("report", "", "report of the same run, as JSON")
 	command := &ffcli.Command{
-		Name: "account", ShortUsage: "account [-report FILE] < LOG", FlagSet: flags,
-		ShortHelp: "where the worth of a played day was lost",
+		Name: "lossreport", ShortUsage: "lossreport [-report FILE] < LOG", FlagSet: flags,
+		ShortHelp: "where the value of a simulated day was lost",
 		Exec: func(context.Context, []string) error {
 			return run(os.Stdin, os.Stdout, *report)
 		},
 	}
 	if err := command.ParseAndRun(context.Background(), os.Args[1:]); err != nil {
-		fmt.Fprintln(os.Stderr, "account:", err)
+		fmt.Fprintln(os.Stderr, "lossreport:", err)
 		os.Exit(1)
 	}
 }
 
 func run(log io.Reader, out io.Writer, reportPath string) error {
-	a := newAccount()
+	summary := newLossSummary()
 	scanner := bufio.NewScanner(log)
-	scanner.Buffer(nil, maxLine)
-	for line := 1; scanner.Scan(); line++ {
-		if err := a.take(scanner.Text()); err != nil {
-			return errors.Wrapf(err, "line %d", line)
+	scanner.Buffer(nil, maxLineBytes)
+	for number := 1; scanner.Scan(); number++ {
+		if err := summary.addLine(scanner.Text()); err != nil {
+			return errors.Wrapf(err, "line %d", number)
 		}
 	}
 	if err := scanner.Err(); err != nil {
 		return errors.Wrap(err, "reading the log")
 	}
-	if a.requests == 0 {
-		return errors.New("the log has no finished request: are the proxies started with --log-level=debug?")
+	if summary.requests == 0 {
+		return errNoRequests
 	}
-	a.print(out)
+	summary.print(out)
 	if reportPath == "" {
 		return nil
 	}
-	return compare(a, out, reportPath)
+	report, err := readReport(reportPath)
+	if err != nil {
+		return err
+	}
+	report.print(out, summary.loss())
+	return nil
 }
 
-// playReport is what is read of a report.
-type playReport struct {
+// dayReport is what is read of a report of the operators' simulator.
+type dayReport struct {
 	Classes []struct {
-		Name  string
-		N     int
-		Worth float64
-	}
+		Name     string  `json:"name"`
+		Requests int     `json:"n"`
+		Value    float64 `json:"worth"` // share that was served
+	} `json:"classes"`
 }
 
-// compare sets the loss of the report beside that of the account.
-func compare(a *account, out io.Writer, path string) error {
+func readReport(path string) (*dayReport, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return errors.Wrap(err, "reading the report")
+		return nil, errors.Wrap(err, "reading the report")
 	}
-	var report playReport
-	if err := json.Unmarshal(text, &report); err != nil {
-		return errors.Wrap(err, path)
+	report := &dayReport{}
+	if err := json.Unmarshal(text, report); err != nil {
+		return nil, errors.Wrap(err, path)
 	}
 	if len(report.Classes) == 0 {
-		return errors.Errorf("%s: classes: a list with an entry is wanted", path)
+		return nil, errors.Errorf("%s: classes: a list with an entry is wanted", path)
 	}
-	fmt.Fprintf(out, "\nloss by the report, in requests; by this log %.0f, a client's further tries counted each\n", a.loss())
+	return report, nil
+}
+
+// print prints the loss of each class beside that of the log.
+func (r *dayReport) print(out io.Writer, lossByLog float64) {
+	fmt.Fprintf(out, "\nloss by the report, in requests; by this log %.0f, a client's further tries counted each\n", lossByLog)
 	total := 0.0
-	for _, class := range report.Classes {
-		loss := float64(class.N) * (1 - class.Worth)
+	for _, class := range r.Classes {
+		loss := float64(class.Requests) * (1 - class.Value)
 		total += loss
-		fmt.Fprintf(out, "  %-28s %7.0f of %d\n", class.Name, loss, class.N)
+		fmt.Fprintf(out, "  %-28s %7.0f of %d\n", class.Name, loss, class.Requests)
 	}
 	fmt.Fprintf(out, "  %-28s %7.0f\n", "all", total)
-	return nil
 }
--- a/tools/lossreport/account_test.go
+++ b/tools/lossreport/main_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-const played = `built in 0.1 s
+const earlierLog = `built in 0.1 s
    1.0 edge-1 time="x" level=debug msg="request done" aim=1200 attempts=1 events=true first=200 for=none longest=40 pause=500 priority=1 refusal= route=r-1 total=400 waited=2 whole=true
    1.1 edge-1 time="x" level=debug msg="request done" aim=1200 attempts=1 events=true first=200 for=none longest=640 pause=500 priority=1 refusal= route=r-1 total=900 waited=2 whole=true
    1.2 edge-1 time="x" level=debug msg="request done" aim=1200 attempts=1 events=true first=1900 for=model longest=600 pause=500 priority=1 refusal= route=r-1 total=2900 waited=1500 whole=true
@@ -23,7 +23,7 @@
    1.9 core-1 time="x" level=debug msg="task begins" adapters="[]" reason="a copy is wanted"
 `
 
-const accounted = `r-1, priority 1, aim 1200 ms: 5 requests, 1 in time, loss 3
+const wantReport = `r-1, priority 1, aim 1200 ms: 5 requests, 1 in time, loss 3
        1  late: a pause
        1  late: first event, at the backend
        1  late: first event, waited for model
@@ -42,12 +42,12 @@
   all                                5
 `
 
-func TestAnAccountOfALog(t *testing.T) {
+func TestLossReport_ReadsEarlierKeys(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"classes":[{"name":"tagging","n":50,"worth":0.9}]}`), 0o600))
 	var out strings.Builder
-	require.NoError(t, run(strings.NewReader(played), &out, path))
-	assert.Equal(t, accounted, out.String())
+	require.NoError(t, run(strings.NewReader(earlierLog), &out, path))
+	assert.Equal(t, wantReport, out.String())
 }
 
 // Today's processes log the same fields under other keys than earlier ones, and some messages and values by other words.
@@ -57,12 +57,12 @@
 		" longest=", " longest_event_gap_ms=", " total=", " total_ms=", " events=", " has_events=", " whole=", " complete=",
 		" refusal=", " rejection=", `"task begins"`, `"placement task started"`,
 		"msg=order answer=0", `msg="placement command sent" answer=accepted`,
-		"msg=order answer=2", `msg="placement command sent" answer=conflict`).Replace(played)
+		"msg=order answer=2", `msg="placement command sent" answer=conflict`).Replace(earlierLog)
 	require.NotContains(t, today, "aim=")
 	require.NotContains(t, today, "task begins")
 	require.NotContains(t, today, "msg=order")
 	want := strings.NewReplacer("waited for place", "waited for capacity",
-		"answer 0", "answer accepted", "answer 2", "answer conflict").Replace(accounted)
+		"answer 0", "answer accepted", "answer 2", "answer conflict").Replace(wantReport)
 	path := filepath.Join(t.TempDir(), "report.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{"classes":[{"name":"tagging","n":50,"worth":0.9}]}`), 0o600))
 	var out strings.Builder
@@ -73,13 +73,13 @@
 	assert.ErrorContains(t, run(strings.NewReader(broken), &out, ""), "line 2: queued_ms")
 }
 
-func TestBadInputIsNamed(t *testing.T) {
+func TestLossReport_NamesBadInput(t *testing.T) {
 	var out strings.Builder
 	assert.ErrorContains(t, run(strings.NewReader("nothing\n"), &out, ""), "no finished request")
-	broken := strings.Replace(played, "waited=2", "waited=x", 1)
+	broken := strings.Replace(earlierLog, "waited=2", "waited=x", 1)
 	assert.ErrorContains(t, run(strings.NewReader(broken), &out, ""), "line 2: waited")
-	assert.ErrorContains(t, run(strings.NewReader(played), &out, filepath.Join(t.TempDir(), "none")), "reading the report")
+	assert.ErrorContains(t, run(strings.NewReader(earlierLog), &out, filepath.Join(t.TempDir(), "none")), "reading the report")
 	path := filepath.Join(t.TempDir(), "report.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{}`), 0o600))
-	assert.ErrorContains(t, run(strings.NewReader(played), &out, path), "classes: a list")
+	assert.ErrorContains(t, run(strings.NewReader(earlierLog), &out, path), "classes: a list")
 }
