--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -13,7 +13,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-const readBufferSize = 1 << 16
+const readBufferSize = 1 << 16 // bytes
 
 func main() {
 	if err := serve(os.Stdin, os.Stdout); err != nil {
@@ -39,7 +39,7 @@
 	}
 }
 
-// errInputEnded tells that no further batch follows.
+// errInputEnded is readBatch's error where the input ends between two batches.
 var errInputEnded = errors.New("input ended")
 
 // host runs the instances. Its buffers are used again for each batch.
@@ -124,7 +124,7 @@
 
 // readBody reads size bytes into body, which grows only as bytes arrive: the size of a batch is not to be trusted.
 func readBody(r io.Reader, body []byte, size int) ([]byte, error) {
-	const step = 1 << 20
+	const step = 1 << 20 // bytes
 	body = body[:0]
 	for len(body) < size {
 		offset := len(body)
--- a/internal/edf/queue.go
+++ b/internal/edf/queue.go
@@ -8,7 +8,7 @@
 // is changed, Queue.Fix must follow.
 type Item[T any] struct {
 	Deadline   float64 // the least comes first
-	TieBreaker uint32  // of equal deadlines the least comes first, so that the order never depends on the queue's history
+	TieBreaker uint32  // of equal deadlines the least comes first: without it the order would depend on earlier calls
 	Value      *T      // what embeds the item
 	position   int     // in the heap, from 1; 0: it is not queued
 }
--- a/internal/standalone/affinity/affinity.go
+++ b/internal/standalone/affinity/affinity.go
@@ -18,9 +18,9 @@
 	Weight float64
 }
 
-// slotCount is the number of parts that keys are divided into. The homes of a slot are computed on first use and kept until
-// the members change. The number must not depend on the members: a balancer that has seen more of them would differ
-// from one that has just started.
+// slotCount is the number of parts that keys are divided into. The homes of a slot are computed on first use and kept
+// until the members change. The number must not depend on the members: a balancer that has seen more of them would
+// differ from one that has just started.
 const slotCount = 16 << 10
 
 type slot struct {
@@ -45,7 +45,8 @@
 		return
 	}
 	t.members = next
-	if t.version++; t.version == 0 { // overflow: slots computed long ago would pass for new
+	t.version++
+	if t.version == 0 { // overflow: slots of 2^32 changes ago would count as computed for these members
 		t.slots, t.version = nil, 1
 	}
 }
--- a/internal/standalone/concurrency/limit_test.go
+++ b/internal/standalone/concurrency/limit_test.go
@@ -31,7 +31,7 @@
 // that the limit must stop.
 func TestStepsAreBounded(t *testing.T) {
 	for limit := MinLimit; limit < 1000; limit *= 1.3 {
-		decreased, increased, fast := Decrease(limit), Increase(limit, false), Increase(limit, true)
+		decreased, increased, fast := Decrease(limit), Increase(limit), IncreaseFast(limit)
 		if decreased < MinLimit || decreased >= limit && limit > MinLimit || decreased < 0.59*limit && decreased > MinLimit ||
 			increased <= limit || increased > 1.51*limit || fast < increased || fast > 1.51*limit {
 			t.Errorf("%v: decreases to %v, increases to %v or %v", limit, decreased, increased, fast)
@@ -40,7 +40,7 @@
 			t.Errorf("%v: equilibrium at %.2f of the responses with congestion", limit, up/(up+down))
 		}
 	}
-	if limit := Increase(math.Inf(1), true); !math.IsInf(limit, 1) {
+	if limit := IncreaseFast(math.Inf(1)); !math.IsInf(limit, 1) {
 		t.Errorf("no limit increases to %v", limit)
 	}
 }
--- a/internal/standalone/engine/call.go
+++ b/internal/standalone/engine/call.go
@@ -6,7 +6,8 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// maxActions is more than the policy can decide about one call: at most 8 attempts, as many cancels, one response.
+// maxActions is the size of a call's buffer of actions. It is more than the policy can decide about one call: at most 8
+// attempts, as many cancels, one response. So a caller that does not read delays neither the engine nor other calls.
 const maxActions = 32
 
 // Request is what the policy is given of a new request.
@@ -25,7 +26,7 @@
 	engine   *Engine
 	id       uint64
 	actions  chan policy.Action
-	ended    bool
+	ended    bool      // it has its response, or the client has disconnected
 	attempts []attempt // by number
 	running  int       // attempts without an outcome
 }
--- a/internal/standalone/engine/engine.go
+++ b/internal/standalone/engine/engine.go
@@ -1,6 +1,6 @@
 // Package engine runs the policy of one proxy. It owns a policy.Balancer, which has no clock, no goroutine and no
-// I/O: it gives it one event at a time, keeps its clock and its timers, and passes each action on to the call that it
-// belongs to or to a hook. It knows nothing of HTTP, so that any protocol can use it.
+// I/O: the engine hands it one event at a time, has its clock and its timers, and forwards each action to the call that
+// it belongs to, or to a hook. It knows nothing of HTTP, so that any protocol can use it.
 //
 // engine.go has the Engine, call.go the calls, timer.go the timers, state.go the settings, snapshots and sizes.
 package engine
@@ -59,8 +59,8 @@
 	}
 }
 
-// now returns the policy's time: Unix time in microseconds, read once and carried on by the monotonic clock. A step of
-// the system's clock must not shift the policy's ramps and windows.
+// now returns the policy's time: Unix time in microseconds, read once and advanced by the monotonic clock. A step of
+// the system's clock must not shift the policy's slow starts, ejections and dedup windows.
 func (e *Engine) now() policy.Time { return e.originMicros + time.Since(e.origin).Microseconds() }
 
 // TimeOf converts the policy's time.
--- a/internal/standalone/engine/timer.go
+++ b/internal/standalone/engine/timer.go
@@ -8,7 +8,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// noTimerWait is how long Run waits when no timer is set.
+// noTimerWait is how long Run waits when no timer is set; setTimer wakes it before.
 const noTimerWait = time.Hour
 
 // timer is a timer that the policy has set.
--- a/internal/standalone/latencybaseline/baseline.go
+++ b/internal/standalone/latencybaseline/baseline.go
@@ -2,19 +2,20 @@
 // all responses. It is pure: the caller's clock is the only one that it knows.
 package latencybaseline
 
-// The unloaded latency is a quantile of the latencies: a running quantile follows them, and its minimum of late is the
-// estimate. Queues come and go, and while they last they only add.
+// A running quantile follows the latencies, and its recent minimum is the estimate: queues come and go, and while they
+// last they only add to latencies.
 const (
 	quantile        = 0.8
-	step            = 0.03      // of its value, by which the running quantile follows one response
+	step            = 0.03      // share of its value by which the running quantile follows one response
 	warmupSamples   = 20        // responses before there is an estimate
-	fastSamples     = 10        // the first ones move the quantile further, fastSamples/n times a step
-	samplePeriod    = 1_000_000 // microseconds between two looks at the running quantile
-	growthPerSecond = 0.01      // of the minimum: a latency that has grown for good is the estimate in the end
+	fastSamples     = 10        // response n of the first ones moves the quantile fastSamples/n times as far, rounded down
+	samplePeriod    = 1_000_000 // microseconds between two samples of the running quantile for the minimum
+	growthPerSecond = 0.01      // by which the minimum grows: so a latency that rose and stays is the estimate in the end
 )
 
-// StepQuantile moves estimate, the value that a share of samples lie under, by a step (a fraction of it) towards where
-// the sample indicates that it is.
+// StepQuantile returns the estimate of a quantile after one more sample. share is the share of samples that lie under
+// the quantile. The estimate moves by a fraction of itself, up by share*step or down by (1-share)*step, which balance
+// where that share of samples is lower (a quantile by stochastic approximation).
 func StepQuantile(estimate, sample, share, step float64) float64 {
 	if sample < estimate {
 		return estimate * (1 - (1-share)*step)
@@ -26,9 +27,9 @@
 // safe for concurrent use.
 type Estimator struct {
 	samples   int
-	running   float64 // quantile
-	minimum   float64 // of running
-	sampledAt int64   // when running was looked at last
+	running   float64 // quantile of the latencies
+	minimum   float64 // recent minimum of running: the estimate
+	sampledAt int64   // when running was sampled last for the minimum, in microseconds
 }
 
 // Observe takes the latency of a response, in any unit, at now, in microseconds. Values that are not positive are
@@ -58,7 +59,7 @@
 	return Estimator{samples: warmupSamples, running: baseline, minimum: baseline}
 }
 
-// Baseline returns the unloaded latency in the unit of Observe; known is false until enough responses have come.
+// Baseline returns the unloaded latency in the unit of Observe; known is false before warmupSamples responses.
 func (e *Estimator) Baseline() (latency float64, known bool) {
 	return e.minimum, e.samples >= warmupSamples
 }
--- a/internal/standalone/loadpolling/polling.go
+++ b/internal/standalone/loadpolling/polling.go
@@ -6,7 +6,7 @@
 // second, and the reports are smoothed over seconds, so that one per second is as good as more.
 const (
 	minInterval      = 1_000_000 // microseconds between two polls of one server by one balancer
-	minGroupInterval = 500_000   // the same by all balancers together: each of N leaves N times as long
+	minGroupInterval = 500_000   // the same by all balancers together: each of N polls after N times as long
 	pollsPerRequest  = 0.05      // the most polls that a balancer sends per request that it has
 	jitter           = 0.1       // of the interval, by which polls come early or late
 )
@@ -20,7 +20,7 @@
 
 // Schedule is the schedule of one server's polls. The zero Schedule has none planned.
 type Schedule struct {
-	next    int64
+	next    int64 // time of the next poll, in microseconds
 	planned bool
 }
 
--- a/internal/standalone/policy/admission.go
+++ b/internal/standalone/policy/admission.go
@@ -42,10 +42,14 @@
 		signal = 1
 	}
 	b.congestion += (signal - b.congestion) * congestionGain
-	if congested {
+	isInUse := float64(b.inFlight)+1 > limitUsageShare*b.concurrencyLimit
+	switch {
+	case congested:
 		b.concurrencyLimit = concurrency.Decrease(b.concurrencyLimit)
-	} else if float64(b.inFlight)+1 > limitUsageShare*b.concurrencyLimit {
-		b.concurrencyLimit = concurrency.Increase(b.concurrencyLimit, b.congestion < lowCongestion)
+	case isInUse && b.congestion < lowCongestion:
+		b.concurrencyLimit = concurrency.IncreaseFast(b.concurrencyLimit)
+	case isInUse:
+		b.concurrencyLimit = concurrency.Increase(b.concurrencyLimit)
 	}
 }
 
--- a/internal/standalone/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -89,10 +89,11 @@
 // maxMicros is the longest duration that can be added to any moment without overflow.
 const maxMicros = 1e15
 
-// Micros converts a time as written into a policy.Time, within what can be added up; negative ones become -1.
+// Micros converts a time as written, in microseconds, into a policy.Time of at most maxMicros. Negative ones become -1,
+// which policy.New refuses.
 func Micros(v float64) policy.Time { return policy.Time(max(-1, min(v, maxMicros))) }
 
-// ParsePolicy reads the JSON text of the settings into those of package policy.
+// ParsePolicy reads the JSON text of the settings into those of package policy. policy.New validates their values.
 func ParsePolicy(text []byte) (policy.Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -101,7 +102,8 @@
 	return s.Policy()
 }
 
-// Policy returns the settings of package policy. policy.New validates them; an error here means a word that no key has.
+// Policy returns the settings of package policy. policy.New validates them; an error here names a text that its key
+// does not allow.
 func (s *Settings) Policy() (policy.Settings, error) {
 	out := policy.Settings{
 		ReportColumns:      s.LoadReports.policyColumns(),
--- a/internal/standalone/subset/subset.go
+++ b/internal/standalone/subset/subset.go
@@ -1,8 +1,8 @@
 // Package subset selects the part of a fleet that a proxy keeps to, from the membership and the proxy's own number
-// among its peers, without communication: deterministic aperture. The servers of each zone stand on a ring of length 1,
-// each as wide as its share of the zone's size; the proxy with number i begins at the fractional part of i times the
-// golden ratio and keeps to the arc from there. It spreads its load evenly over the arc, so that a server at an end of
-// it, which the arc covers in part, is meant to get that part of its load.
+// among its peers, without communication: deterministic aperture, as in Finagle. The servers of each zone stand on a
+// ring of length 1, each as wide as its share of the zone's size; the proxy with number i begins at the fractional part
+// of i times the golden ratio and keeps to the arc from there. It spreads its load evenly over the arc, so that a
+// server at an end of it, which the arc covers in part, is meant to get that part of its load.
 //
 // The multiples of an irrational number spread evenly, whichever run of numbers the proxies of a zone have, or every
 // fourth of them: a point of the ring is covered by the arcs of n proxies n times the arc's length, give or take 4 and
--- a/internal/wrr/wrr.go
+++ b/internal/wrr/wrr.go
@@ -9,8 +9,9 @@
 //
 //	rate / (utilization + errorRatio*penalty)
 //
-// rate is requests per time, utilization is between 0 and 1 and may be above for an overloaded endpoint, errorRatio is
-// errors over requests, and penalty is A58's error_utilization_penalty.
+// rate is requests per time (A58: qps), utilization is between 0 and 1 and may be above for an overloaded endpoint,
+// errorRatio is errors over requests (A58: eps/qps), and penalty is A58's error_utilization_penalty. The caller sees to
+// it that the denominator is positive.
 func Weight(rate, utilization, errorRatio, penalty float64) float64 {
 	return rate / (utilization + errorRatio*penalty)
 }
@@ -18,16 +19,16 @@
 // SlowStart are the parameters of gRFC A100.
 type SlowStart struct {
 	Window     float64 // slow_start_window: the time from an endpoint's readiness to its full weight
-	MinAge     float64 // A100's second: a younger endpoint counts as that old
+	MinAge     float64 // the age that a younger endpoint is taken to have; a second in A100
 	Floor      float64 // min_weight_percent, as a share of the full weight
-	Aggression float64 // 1: the weight rises linearly
+	Aggression float64 // aggression: 1 is a linear rise, more is steeper at the beginning
 }
 
 // Factor is the share of its weight that an endpoint has at an age, the time since it became ready:
 //
 //	max(floor, (max(age, minAge) / window) ^ (1/aggression)), at most 1
 //
-// and 1 from the end of the window.
+// and 1 from the end of the window. A100 calls max(age, minAge)/window the time factor.
 func (s SlowStart) Factor(age float64) float64 {
 	if age >= s.Window {
 		return 1
@@ -35,5 +36,7 @@
 	return min(1, max(s.Floor, math.Pow(max(age, s.MinAge)/s.Window, 1/s.Aggression)))
 }
 
-// Decay is the factor by which an exponentially decaying sum shrinks in elapsed.
+// Decay is the factor by which an exponentially decaying sum shrinks in elapsed:
+//
+//	exp(-elapsed / timeConstant)
 func Decay(elapsed, timeConstant float64) float64 { return math.Exp(-elapsed / timeConstant) }
