--- a/internal/fleetsim/model/attempts.go
+++ b/internal/fleetsim/model/attempts.go
@@ -180,7 +180,7 @@
 	if attempt := &request.attempts[action.Attempt]; attempt.inFlight && sm.scenario.Published.AllowCancel {
 		sm.abandonServerAttempt(attempt)
 		sm.schedule(sm.nextTick(sm.now+1), event{kind: evAttemptFailed, subject: requestIndex, code: action.Attempt,
-			number: int32(policy.Cancelled), id: request.id})
+			number: int32(policy.Canceled), id: request.id})
 	}
 }
 
--- a/internal/fleetsim/withadmission/withadmission.go
+++ b/internal/fleetsim/withadmission/withadmission.go
@@ -71,7 +71,7 @@
 	options    Options
 	requests   map[uint64]*request // by id
 	idByTicket map[admission.Ticket]uint64
-	decisions  []admission.Action // of the controller's last call
+	decisions  []admission.Decision // of the controller's last call
 
 	tickScheduled bool
 }
@@ -142,7 +142,7 @@
 
 // execute carries out the controller's decisions.
 func (n *node) execute(now model.Time, out []policy.Action) []policy.Action {
-	decisions := append([]admission.Action(nil), n.decisions...) // admitting a request may bring further ones
+	decisions := append([]admission.Decision(nil), n.decisions...) // admitting a request may bring further ones
 	for _, d := range decisions {
 		id := n.idByTicket[d.Ticket]
 		r := n.requests[id]
@@ -166,7 +166,7 @@
 	return out
 }
 
-func (n *node) retryAfter(rejection admission.Action) model.Time {
+func (n *node) retryAfter(rejection admission.Decision) model.Time {
 	if !n.options.SendRetryAfter {
 		return 0
 	}
--- a/internal/httpframing/scanner.go
+++ b/internal/httpframing/scanner.go
@@ -1,15 +1,15 @@
 // Package httpframing observes how the messages on an HTTP/1.1 connection are delimited (RFC 9112, section 6).
-// net/http drops a Content-Length beside a Transfer-Encoding, and the second of two equal lengths, without notice, so
-// that nobody behind it can tell. Whoever wrote such a message may mean its end to be elsewhere, and have hidden
-// another message in it (request smuggling).
+// net/http removes a Content-Length beside a Transfer-Encoding, and the second of two equal Content-Lengths, without an
+// error, so that its user cannot detect either. The sender of such a message may take its end to be elsewhere than
+// net/http does, and have hidden another message in it (request smuggling).
 package httpframing
 
 import "bytes"
 
-// Scanner follows the bytes of one direction of a connection from head to head. It goes by lines and lengths as
-// net/http does; bytes that net/http rejects end the connection, so that it does not matter how the Scanner reads
-// them. It does not follow a Transfer-Encoding: after the first head with one it reads nothing. The zero value is
-// ready to use.
+// Scanner follows the bytes of one direction of a connection from head to head. It splits lines and skips bodies by
+// their length as net/http does; bytes that net/http rejects end the connection, so that it does not matter how the
+// Scanner reads them. It does not decode a Transfer-Encoding: after the first head with one it ignores all bytes. The
+// zero value is ready to use.
 type Scanner struct {
 	Heads int32 // complete heads so far
 	// TransferEncodingHead is the number of the head with a Transfer-Encoding, from 1; 0: none so far.
@@ -45,7 +45,7 @@
 const (
 	// maxNameLength is the length of the longest field name that matters.
 	maxNameLength = len("transfer-encoding")
-	// maxContentLength is where further digits of a length are ignored, well below an overflow.
+	// maxContentLength is the length from which further digits are ignored, well below an overflow of int64.
 	maxContentLength = 1 << 40
 )
 
--- a/internal/simlink/stored_test.go
+++ b/internal/simlink/stored_test.go
@@ -72,7 +72,7 @@
 // Outcomes and modes have the numbers of the link.
 func TestNumbersAreThoseOfEarlierVersion(t *testing.T) {
 	outcomes := []policy.Outcome{policy.OK, policy.ErrorResponse, policy.Rejected, policy.TimedOut,
-		policy.ConnectFailed, policy.ConnectionReset, policy.Cancelled, policy.NotSent}
+		policy.ConnectFailed, policy.ConnectionReset, policy.Canceled, policy.NotSent}
 	if want := []policy.Outcome{0, 1, 2, 3, 4, 5, 6, 7}; !slices.Equal(outcomes, want) {
 		t.Errorf("outcomes are %v", outcomes)
 	}
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
-// Package socket looks at the state of sockets in the kernel, without taking bytes from them and without waiting for a
-// goroutine that reads from them. A connection that is no socket, such as a pipe in a test, counts as open and empty.
+// Package socket queries the state of sockets in the kernel. It neither consumes bytes nor waits for a goroutine that
+// reads from the socket. A connection that is no socket, such as a net.Pipe in a test, counts as open and empty.
 package socket
 
 import (
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// IsOpenAndEmpty reports whether a connection is open with nothing to read. One that the peer has closed, or that has
-// died, has an end or a reset to read.
+// IsOpenAndEmpty reports whether a connection is open with nothing to read. One that the peer has closed or reset has
+// that to read.
 func IsOpenAndEmpty(nc net.Conn) bool {
 	isEmpty := false
 	isSocket, err := withDescriptor(nc, func(fd int) {
@@ -22,8 +22,8 @@
 	return !isSocket || err == nil && isEmpty
 }
 
-// HasPeerClosed reports whether the peer has closed a connection, or its half of it, even where bytes that came
-// before are unread.
+// HasPeerClosed reports whether the peer has closed a connection, or its half of it, also while bytes from before the
+// close are unread.
 func HasPeerClosed(nc net.Conn) bool {
 	isClosed := false
 	isSocket, err := withDescriptor(nc, func(fd int) {
@@ -50,7 +50,7 @@
 	if err != nil {
 		return true, err
 	}
-	// Control and not Read, which would wait for a goroutine that reads.
+	// Control and not Read: Read would wait for a goroutine that is in a read of the same connection.
 	return true, raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
--- a/internal/standalone/admission/controller.go
+++ b/internal/standalone/admission/controller.go
@@ -4,12 +4,16 @@
 //
 // A Controller is a state machine like policy.Balancer: it has no clock, no goroutine and no I/O. The caller's now,
 // in microseconds and never going back, is the only time that it knows. Which backend gets a request, whether it is
-// retried, and rejections for want of backends are the policy's. The Controller does not queue what the policy could
-// take: it bounds what is in flight, so that what must wait does so here, where the order is fair and a rejection is
-// harmless, as nothing has been sent.
+// retried, and rejections for lack of backends are decided by the policy. The Controller bounds the work in flight, so
+// that requests queue here and not at the backends: here their order is fair, and a rejection is harmless, as nothing
+// has been sent.
 //
-// Memory is bounded by the settings alone: the number of entries is fixed, clients have no state of their own (they
-// share hashed queues), and what is reserved for rejected requests is kept as sums.
+// A tenant's requests are queued in lanes: one for each class, one for requests that return at their Retry-After, and
+// one for each class past the tenant's quota. A lane has a fixed number of queues, and a client's requests are all in
+// one of them, by a hash. So fairQueue orders three levels: tenants, the lanes of a tenant, and the queues of a lane.
+//
+// Memory is bounded by the settings alone: there is an entry for each request that is queued or in flight, clients have
+// no state of their own, and reservations for rejected requests are kept as sums.
 //
 // controller.go has the Controller and the events of a request, settings.go the settings and reload.go their change,
 // entry.go the table of requests, queue.go the queues and fairqueue.go their order, limit.go the concurrency limit,
@@ -27,9 +31,9 @@
 type Request struct {
 	Tenant   int
 	Class    int
-	Client   uint64 // a hash of who sends it, such as its address
-	Work     Time   // the client's hint; 0: none
-	Deadline Time   // absolute
+	Client   uint64 // a hash that identifies the client, such as of its address
+	Work     Time   // the client's hint, in microseconds on a standard core; 0: none, Class.Work counts
+	Deadline Time   // when the client's time-out ends
 	IsRetry  bool   // the client says that it has sent the request before
 }
 
@@ -56,12 +60,12 @@
 // String returns the reason as clients see it.
 func (r Reason) String() string { return [reasonCount]string{"no room", "too late", "repeats"}[r] }
 
-// Action is a decision about a request that was queued, or has just arrived.
-type Action struct {
+// Decision is a decision about a request that was queued, or has just arrived.
+type Decision struct {
 	Ticket     Ticket
 	Kind       Kind
 	Reason     Reason // of a rejection
-	RetryAfter Time   // of a rejection: when there should be capacity; 0: unknown
+	RetryAfter Time   // of a rejection: after what time there should be capacity; 0: unknown
 }
 
 // TenantStats counts what a tenant got.
@@ -83,18 +87,23 @@
 }
 
 const (
-	// rateInterval is how often the rates of admission are updated.
+	// rateInterval is how often the rates of admission are updated, in microseconds.
 	rateInterval = 100_000
-	// rateTimeConstant is that of their exponential smoothing.
+	// rateTimeConstant is the time constant of their exponential smoothing, in microseconds.
 	rateTimeConstant = 1e6
-	// meanWorkSamples is over how many requests the mean work is taken.
+	// meanWorkSamples is the number of requests over which the moving average of work is taken.
 	meanWorkSamples = 1024
-	// maxWorkRatio bounds how far a request's work may be from the mean: a wrong hint must neither gain capacity nor
-	// keep its client waiting for ever.
+	// maxWorkRatio bounds the ratio of a request's work to the mean, and its inverse: a client must neither gain capacity
+	// by a hint that is too low nor wait for ever for one that is too high.
 	maxWorkRatio = 16
+	// minWaitDivisor: a request may be queued for its class's latency target divided by this even where the expected
+	// latency leaves less.
+	minWaitDivisor = 8
+	// maxElapsedSlots bounds the reservation slots that pass in one update, far over the number that there can be.
+	maxElapsedSlots = 1 << 20
 )
 
-// Controller decides. It is not safe for concurrent use. See the package comment.
+// Controller admits, queues and rejects requests. It is not safe for concurrent use. See the package comment.
 type Controller struct {
 	settings Settings
 	now      Time
@@ -109,29 +118,29 @@
 	inFlight     int
 	inFlightWork float64
 
-	meanWork          float64 // of a request
-	admitRate         float64 // admitted work a microsecond, of late
+	meanWork          float64 // moving average of a request's work
+	admitRate         float64 // admitted work a microsecond, smoothed
 	admittedSinceTick float64 // work
-	lastTick          Time    // in whole reservation slots from the first
+	lastTick          Time    // of the rates; a multiple of reservationSlot after the first event
 
-	salt          uint64 // assigns clients to queues
+	salt          uint64 // of the hash that assigns clients to queues
 	saltRotatedAt Time   // 0: no event yet
 }
 
-// tenant is one tenant's state.
+// tenant is one tenant's state. Work is in microseconds on a standard core.
 type tenant struct {
-	lanes             fairQueue   // of the lanes with queued requests
-	buckets           []fairQueue // of each lane's queues; nil until the first request is queued
-	queues            [][]list    // of each lane
+	lanes             fairQueue     // over the tenant's lanes
+	buckets           []fairQueue   // by lane, over the lane's queues; nil until the first request is queued
+	queues            [][]entryList // by lane and bucket: the queued entries
 	queued            int
 	queuedWork        float64
-	admitRate         float64 // admitted work a microsecond, of late
+	admitRate         float64 // admitted work a microsecond, smoothed
 	admittedSinceTick float64 // work
 
-	retryTokens     float64
-	quotaTokens     float64
+	retryTokens     float64 // retries that its clients may send now, up to Settings.RetryBurst
+	quotaTokens     float64 // requests within its quota now
 	quotaRefilledAt Time
-	reservedWork    []float64 // by slot; the first is the present one
+	reservedWork    []float64 // work reserved for rejected requests, by reservation slot; the first slot is the present one
 	stats           TenantStats
 }
 
@@ -147,7 +156,7 @@
 
 // Submit reports a request: it is admitted, queued or rejected, and others may be rejected to make room for it. The
 // actions that follow are appended to out; the request's own, if it has one already, has the ticket that is returned.
-func (c *Controller) Submit(now Time, r Request, out []Action) (Ticket, []Action) {
+func (c *Controller) Submit(now Time, r Request, out []Decision) (Ticket, []Decision) {
 	out = c.advanceTo(now, out)
 	t := &c.tenants[r.Tenant]
 	t.stats.Arrived++
@@ -188,17 +197,18 @@
 	e.work = math.Min(math.Max(work, c.meanWork/maxWorkRatio), c.meanWork*maxWorkRatio)
 	c.meanWork += (e.work - c.meanWork) / meanWorkSamples
 	e.tenant, e.lane, e.client, e.arrivedAt = int32(r.Tenant), int32(r.Class), r.Client, c.now
-	// A queue in which each request may wait until its deadline serves none in time once it is full: the latency target
-	// counts, unless the work alone takes longer.
+	// If requests were queued until their deadlines, all would be past the latency target once the queue is full. So a
+	// request is queued only while it can be served within the target, or for a part of the target where the expected
+	// latency alone is over it.
 	latency := c.expectedLatency(e.work)
 	e.admitBy = r.Deadline - Time(c.settings.RequiredTimeFactor*latency)
 	if target := float64(class.LatencyTarget); target > 0 {
-		e.admitBy = min(e.admitBy, c.now+Time(math.Max(target/8, target-latency)))
+		e.admitBy = min(e.admitBy, c.now+Time(math.Max(target/minWaitDivisor, target-latency)))
 	}
 }
 
-// chargeRetry accounts for a retry, or earns the tenant a part of one. It returns false if its tenant has no retries
-// left. A retry at the time of a reservation is free and goes to the returning lane.
+// chargeRetry takes a retry token of the tenant for a retry, and adds RetryRatio of one for a first attempt. It returns
+// false for a retry without a token. A retry at the time of a reservation needs none and goes to the returning lane.
 func (c *Controller) chargeRetry(t *tenant, e *entry, isRetry bool) bool {
 	e.isReturning = isRetry && t.takeReservation(e.work)
 	switch {
@@ -215,7 +225,8 @@
 	return true
 }
 
-// takeQuotaToken counts a request against its tenant's rate and reports whether it is within the rate.
+// takeQuotaToken counts a request against its tenant's rate and reports whether it is within the rate: a token bucket
+// with the burst of one second.
 func (c *Controller) takeQuotaToken(tenantIndex int) bool {
 	t, rate := &c.tenants[tenantIndex], c.settings.Tenants[tenantIndex].Rate
 	if rate == 0 {
@@ -230,9 +241,9 @@
 	return true
 }
 
-// Finish reports the end of an admitted request. served says whether a backend has answered, so that the time in
-// flight is a measurement. A request that is not in flight, or not any more, is ignored.
-func (c *Controller) Finish(now Time, ticket Ticket, served bool, out []Action) []Action {
+// Finish reports the end of an admitted request. served says whether a backend has responded; only then is the time in
+// flight a sample for the concurrency limit. A request that is not in flight, or not any more, is ignored.
+func (c *Controller) Finish(now Time, ticket Ticket, served bool, out []Decision) []Decision {
 	out = c.advanceTo(now, out)
 	index := c.lookup(ticket)
 	if index == noIndex || c.entries[index].state != stateInFlight {
@@ -243,7 +254,7 @@
 	c.inFlightWork -= e.work
 	c.tenants[e.tenant].stats.Finished++
 	if c.inFlight == 0 {
-		c.inFlightWork = 0 // sums of fractions must not drift
+		c.inFlightWork = 0 // rounding errors must not accumulate
 	}
 	if served {
 		c.adaptLimit(float64(c.now-e.admittedAt) / e.work)
@@ -253,7 +264,7 @@
 }
 
 // Cancel removes a queued request whose client has disconnected. A request that is not queued is ignored.
-func (c *Controller) Cancel(now Time, ticket Ticket, out []Action) []Action {
+func (c *Controller) Cancel(now Time, ticket Ticket, out []Decision) []Decision {
 	out = c.advanceTo(now, out)
 	if index := c.lookup(ticket); index != noIndex && c.entries[index].state == stateQueued {
 		c.removeQueued(index)
@@ -263,7 +274,7 @@
 }
 
 // Tick advances the time. It should be called each 10 to 100 ms while anything is queued.
-func (c *Controller) Tick(now Time, out []Action) []Action {
+func (c *Controller) Tick(now Time, out []Decision) []Decision {
 	return c.admitQueued(c.advanceTo(now, out))
 }
 
@@ -279,7 +290,7 @@
 	return State{Limit: c.limit.value, InFlight: c.inFlight, Queued: c.queued}
 }
 
-// NextTick returns when Tick is due at the latest; 0: not as long as nothing is queued.
+// NextTick returns when Tick is due at the latest; 0: nothing is queued, and Tick is not needed.
 func (c *Controller) NextTick() Time {
 	if len(c.admitByHeap) == 0 {
 		return 0
@@ -288,7 +299,7 @@
 }
 
 // advanceTo advances the time: it updates the rates and rejects queued requests that could not be served any more.
-func (c *Controller) advanceTo(now Time, out []Action) []Action {
+func (c *Controller) advanceTo(now Time, out []Decision) []Decision {
 	c.now = max(c.now, now)
 	if c.saltRotatedAt == 0 {
 		c.saltRotatedAt, c.lastTick = c.now, c.now
@@ -314,7 +325,7 @@
 	gain := 1 - math.Exp(-elapsed/rateTimeConstant)
 	c.admitRate += gain * (c.admittedSinceTick/elapsed - c.admitRate)
 	c.admittedSinceTick = 0
-	slots := min(int((c.now-c.lastTick)/reservationSlot), 1<<20)
+	slots := min(int((c.now-c.lastTick)/reservationSlot), maxElapsedSlots)
 	for i := range c.tenants {
 		t := &c.tenants[i]
 		t.admitRate += gain * (t.admittedSinceTick/elapsed - t.admitRate)
@@ -324,14 +335,14 @@
 	c.lastTick += Time(slots) * reservationSlot
 }
 
-// hasCapacity reports whether a request may be admitted now. One always may if nothing is in flight, or a request of
-// more work than the limit would wait for ever.
+// hasCapacity reports whether a request may be admitted now. If nothing is in flight any request may: else one of more
+// work than the limit would never be admitted.
 func (c *Controller) hasCapacity(work float64) bool {
 	return c.inFlight == 0 || c.inFlightWork+work <= c.limit.value*c.meanWork
 }
 
 // admitQueued admits queued requests in fair order while there is capacity.
-func (c *Controller) admitQueued(out []Action) []Action {
+func (c *Controller) admitQueued(out []Decision) []Decision {
 	for c.queued > 0 {
 		t := &c.tenants[c.tenantOrder.next()]
 		lane := t.lanes.next()
@@ -345,7 +356,7 @@
 	return out
 }
 
-func (c *Controller) admit(index int32, out []Action) []Action {
+func (c *Controller) admit(index int32, out []Decision) []Decision {
 	e := &c.entries[index]
 	e.state, e.admittedAt = stateInFlight, c.now
 	c.inFlight++
@@ -358,15 +369,15 @@
 	if e.isReturning {
 		t.stats.ReturnsAdmitted++
 	}
-	return append(out, Action{Ticket: c.ticket(index), Kind: Admit})
+	return append(out, Decision{Ticket: c.ticket(index), Kind: Admit})
 }
 
-func (c *Controller) reject(index int32, reason Reason, out []Action) []Action {
+func (c *Controller) reject(index int32, reason Reason, out []Decision) []Decision {
 	e := &c.entries[index]
 	t := &c.tenants[e.tenant]
 	t.stats.Rejected[reason]++
 	retryAfter := c.reserveRetryAfter(t, e)
-	out = append(out, Action{Ticket: c.ticket(index), Kind: Reject, Reason: reason, RetryAfter: retryAfter})
+	out = append(out, Decision{Ticket: c.ticket(index), Kind: Reject, Reason: reason, RetryAfter: retryAfter})
 	c.free(index)
 	return out
 }
--- a/internal/standalone/admission/controller_test.go
+++ b/internal/standalone/admission/controller_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// After the head of the queue is cancelled the next request is admitted, and the cancelled one has no decision.
+// After the head of the queue is canceled the next request is admitted, and the canceled one has no decision.
 func TestController_CancelOfQueueHead(t *testing.T) {
 	h := newHarness(t, testSettings(1))
 	var all []Ticket
@@ -63,7 +63,7 @@
 	h.finishOldest()
 	h.finishOldest()
 	if _, ok := h.decided[all[4]]; ok || h.decided[all[6]].Kind != Admit {
-		t.Error("the cancelled request was decided, or the last was not")
+		t.Error("the canceled request was decided, or the last was not")
 	}
 	h.record(h.controller.Finish(h.now, all[0], true, nil)) // a second end of a request
 	if state := h.controller.State(); state.InFlight != 4 && state.InFlight != len(h.inFlight) || state.Queued != 0 {
@@ -75,7 +75,7 @@
 func TestController_MillionClientsNeedNoMemory(t *testing.T) {
 	s := testSettings(1, 3)
 	h := newHarness(t, s)
-	var out []Action
+	var out []Decision
 	for i := range 1_000_000 {
 		h.now += 60
 		r := Request{Tenant: i & 1, Class: i >> 1 & 1, Client: uint64(i), Deadline: h.now + sec}
@@ -137,30 +137,31 @@
 }
 
 func checkInvariants(t *rapid.T, h *harness) {
-	d := h.controller
-	waits, states := 0, [3]int{}
-	for i := range d.entries {
-		states[d.entries[i].state]++
-	}
-	for i := range d.tenants {
-		tn := &d.tenants[i]
-		waits += tn.queued
-		if n := d.tenantOrder.flows[i].queued; n != tn.queued {
-			t.Fatalf("tenant %d: %d queued, its flow says %d", i, tn.queued, n)
+	t.Helper()
+	c := h.controller
+	queued, states := 0, [3]int{}
+	for i := range c.entries {
+		states[c.entries[i].state]++
+	}
+	for i := range c.tenants {
+		tenant := &c.tenants[i]
+		queued += tenant.queued
+		if n := c.tenantOrder.flows[i].queued; n != tenant.queued {
+			t.Fatalf("tenant %d: %d queued, its flow has %d", i, tenant.queued, n)
 		}
 	}
-	if waits != d.queued || states[stateQueued] != waits || len(d.admitByHeap) != waits ||
-		waits > d.settings.MaxQueued || len(h.queued) != waits {
+	if queued != c.queued || states[stateQueued] != queued || len(c.admitByHeap) != queued ||
+		queued > c.settings.MaxQueued || len(h.queued) != queued {
 		t.Fatalf("%d queued, %d by tenants, %d by entries, %d by the heap, %d by the harness, of %d",
-			d.queued, waits, states[stateQueued], len(d.admitByHeap), len(h.queued), d.settings.MaxQueued)
+			c.queued, queued, states[stateQueued], len(c.admitByHeap), len(h.queued), c.settings.MaxQueued)
 	}
-	if states[stateInFlight] != d.inFlight || d.inFlight != len(h.inFlight) {
-		t.Fatalf("%d in flight, %d by entries, %d by the harness", d.inFlight, states[stateInFlight], len(h.inFlight))
+	if states[stateInFlight] != c.inFlight || c.inFlight != len(h.inFlight) {
+		t.Fatalf("%d in flight, %d by entries, %d by the harness", c.inFlight, states[stateInFlight], len(h.inFlight))
 	}
-	if waits > 0 && d.inFlight == 0 {
+	if queued > 0 && c.inFlight == 0 {
 		t.Fatal("requests are queued and nothing is in flight")
 	}
-	if waits > 0 && d.entries[d.admitByHeap[0]].admitBy < d.now {
+	if queued > 0 && c.entries[c.admitByHeap[0]].admitBy < c.now {
 		t.Fatal("a request is queued past its admitBy")
 	}
 }
@@ -176,34 +177,34 @@
 				b.Fatal(err)
 			}
 			now := Time(sec)
-			inside := make([]Ticket, 0, 64)
-			out := make([]Action, 0, 64)
-			take := func() {
+			inFlight := make([]Ticket, 0, 64)
+			out := make([]Decision, 0, 64)
+			recordAdmitted := func() {
 				for _, a := range out {
 					if a.Kind == Admit {
-						inside = append(inside, a.Ticket)
+						inFlight = append(inFlight, a.Ticket)
 					}
 				}
 			}
 			n := uint64(0)
-			arrive := func() {
+			submit := func() {
 				n++
 				r := Request{Tenant: int(n % 5), Class: int(n >> 3 & 1), Client: splitmix.Mix(n), Deadline: now + 3600*sec}
 				_, out = d.Submit(now, r, out[:0])
-				take()
+				recordAdmitted()
 			}
 			for range queued + 4 {
-				arrive()
+				submit()
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
 				now += 100
-				arrive()
-				t := inside[0]
-				inside = append(inside[:0], inside[1:]...)
-				out = d.Finish(now, t, true, out[:0])
-				take()
+				submit()
+				oldest := inFlight[0]
+				inFlight = append(inFlight[:0], inFlight[1:]...)
+				out = d.Finish(now, oldest, true, out[:0])
+				recordAdmitted()
 			}
 		})
 	}
--- a/internal/standalone/admission/entry.go
+++ b/internal/standalone/admission/entry.go
@@ -15,12 +15,12 @@
 
 // entry is the state of one request. Entries are reused.
 type entry struct {
-	generation  uint32 // counts the uses of the entry, so that an old ticket is not taken for a new one
+	generation  uint32 // counts the uses of the entry, so that a ticket of an earlier use is not accepted
 	state       uint8
 	isReturning bool  // a retry that came at its Retry-After
 	tenant      int32 // its index in the settings
 	lane        int32 // of the tenant
-	bucket      int32 // the queue within the lane
+	bucket      int32 // number of the queue within the lane
 	next, prev  int32 // in the queue; next of a free entry is the next free one
 	heapIndex   int32 // in admitByHeap
 	client      uint64
--- a/internal/standalone/admission/evict.go
+++ b/internal/standalone/admission/evict.go
@@ -2,9 +2,10 @@
 
 import "math"
 
-// evictionVictim returns the queued request that is rejected for a new one when the queue is full, or noIndex if the
-// new one is: the last in the longest queue of the least valuable lane of the tenant with the most queued requests
-// for its share. If that is the request's own tenant, only a lane of less value than its own is chosen from.
+// evictionVictim returns the queued request that is rejected in favour of a new one when the queue is full, or noIndex
+// if the new one is rejected. The victim is the last in the longest queue of the least valuable lane of the tenant with
+// the most queued requests for its share. If that is the new request's own tenant, the lane must be less valuable than
+// the new request's.
 func (c *Controller) evictionVictim(e *entry) int32 {
 	victim := c.mostOverShare(e)
 	t := &c.tenants[victim]
--- a/internal/standalone/admission/fairness_test.go
+++ b/internal/standalone/admission/fairness_test.go
@@ -15,7 +15,7 @@
 	h := newHarness(t, s)
 	g := rand.New(rand.NewPCG(1, 2))
 	got := make([]float64, len(shares))
-	most := 0.0
+	maxDeviation := 0.0
 	fill := func() {
 		for i := range shares {
 			for h.controller.tenants[i].queued < 20 {
@@ -44,14 +44,14 @@
 			sum, total = sum+x, total+got[i]
 		}
 		for i, x := range shares {
-			off := math.Abs(got[i]/total/(x/sum) - 1)
-			most = math.Max(most, off)
-			if off > 0.03 {
+			deviation := math.Abs(got[i]/total/(x/sum) - 1)
+			maxDeviation = math.Max(maxDeviation, deviation)
+			if deviation > 0.03 {
 				t.Errorf("step %d: tenant %d got %.4f of its share", step, i, got[i]/total/(x/sum))
 			}
 		}
 	}
-	t.Logf("shares are off by %.4f at the most", most)
+	t.Logf("shares are off by %.4f at the most", maxDeviation)
 }
 
 // One tenant sends twenty times the capacity, and another a tenth of its share: the second must wait no longer than the
@@ -87,8 +87,8 @@
 	}
 }
 
-// A tenant that was idle while another was served gets its share from its burst on, no more and no less.
-func TestController_IdleTenantSavesNothing(t *testing.T) {
+// A tenant that was idle while another was served gets its share from then on, no more and no less.
+func TestController_IdleTenantGainsNoCredit(t *testing.T) {
 	h := newHarness(t, testSettings(1, 1))
 	work := func(steps int, both bool) (float64, float64) {
 		a, b := h.controller.tenants[0].stats.AdmittedWork, h.controller.tenants[1].stats.AdmittedWork
@@ -131,11 +131,11 @@
 		t.Errorf("a policy was rejected: %v", a.Reason)
 	}
 	if queued := h.controller.State().Queued; queued > 50 {
-		t.Errorf("%d queued where 50 may be", queued)
+		t.Errorf("%d queued, at most 50 may be", queued)
 	}
 }
 
-// A tenant without a share gets what no other wants, and its requests are the first to be evicted.
+// A tenant without a share gets only capacity that no other uses, and its requests are the first to be evicted.
 func TestController_TenantWithoutShare(t *testing.T) {
 	s := testSettings(0, 1)
 	s.MaxQueued = 10
@@ -167,14 +167,14 @@
 	s := testSettings(1)
 	s.Tenants[0].Rate, s.MaxQueued = 20, 30
 	h := newHarness(t, s)
-	within, in := 0, 0
+	within, accepted := 0, 0
 	for step := range 3000 { // a request each 16 ms, an end each 25 ms: 60 and 40 a second
 		before := h.controller.tenants[0].quotaTokens
 		ticket := h.submit(Request{Client: uint64(step), Deadline: h.now + 2*sec})
 		if within20 := h.controller.tenants[0].quotaTokens < before; within20 || before >= 1 {
 			within++
 			if a := h.decided[ticket]; h.queued[ticket] || a.Kind == Admit {
-				in++
+				accepted++
 			}
 		}
 		h.now += 16_667
@@ -182,7 +182,7 @@
 			h.finishOldest()
 		}
 	}
-	if within < 900 || in < within*98/100 {
-		t.Errorf("of %d within the rate %d were queued or admitted", within, in)
+	if within < 900 || accepted < within*98/100 {
+		t.Errorf("of %d within the rate %d were queued or admitted", within, accepted)
 	}
 }
--- a/internal/standalone/admission/fairqueue.go
+++ b/internal/standalone/admission/fairqueue.go
@@ -5,9 +5,9 @@
 // fairQueue is start-time fair queueing over flows (Goyal, Vin, Cheng, "Start-time Fair Queueing", SIGCOMM 1996): the
 // flow whose next request has the least start tag is served next. Over any time in which two flows are both
 // backlogged, what they got, each divided by its weight, differs by at most the largest request of the one over its
-// weight and that of the other over its. A flow that was idle joins at the present virtual time: it has saved
-// nothing, and owes nothing but what its last request took. Fair queues are nested: a flow's next request may be what
-// a fair queue below it serves next.
+// weight and that of the other over its. A flow that was idle joins at the present virtual time, or at the finish tag
+// of its last request if that is later: it gains no credit while it is idle. Fair queues are nested: a flow's next
+// request may be the one that a fair queue below it serves next.
 type fairQueue struct {
 	flows        []flow
 	heap         []int32 // backlogged flows by start tag, then by number
@@ -16,19 +16,20 @@
 	epoch        uint32  // counts the times that nothing was backlogged: tags from before mean nothing
 }
 
+// flow is one of the parties that share a fairQueue.
 type flow struct {
-	weight    float64
-	start     float64 // tag of the next request
-	finish    float64 // tag of the last request
-	queued    int
-	heapIndex int32
-	epoch     uint32
+	weight    float64 // its share of the service against the other flows' weights
+	start     float64 // start tag of the next request
+	finish    float64 // finish tag of the last request that was served
+	queued    int     // requests; the flow is backlogged while there are any
+	heapIndex int32   // in fairQueue.heap; noIndex: not backlogged
+	epoch     uint32  // fairQueue.epoch at the last push
 }
 
 const (
-	// minWeight lets a flow with no weight have what no other wants.
+	// minWeight stands for a weight of zero: the flow gets next to nothing while another one is backlogged.
 	minWeight = 1e-6
-	// rebaseAt is where virtual time begins to lose fractions of a microsecond.
+	// rebaseAt is the virtual time from which tags are moved back, before float64 loses fractions of a microsecond.
 	rebaseAt = 1e14
 )
 
--- a/internal/standalone/admission/harness_test.go
+++ b/internal/standalone/admission/harness_test.go
@@ -19,36 +19,38 @@
 	return s
 }
 
-// harness drives a Controller as a listener would: it keeps what is admitted until the test finishes it, and fails
-// the test where a request has two decisions.
+// harness drives a Controller as a listener would: it keeps the tickets of what is admitted until the test finishes it,
+// and fails the test where a request has two decisions.
 type harness struct {
 	t          testing.TB
 	controller *Controller
 	now        Time
 	inFlight   []Ticket
-	decided    map[Ticket]Action
+	decided    map[Ticket]Decision
 	queued     map[Ticket]bool
 }
 
 func newHarness(t testing.TB, s Settings) *harness {
-	d, err := New(s)
+	t.Helper()
+	controller, err := New(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &harness{t: t, controller: d, now: sec, decided: map[Ticket]Action{}, queued: map[Ticket]bool{}}
+	return &harness{t: t, controller: controller, now: sec, decided: map[Ticket]Decision{}, queued: map[Ticket]bool{}}
 }
 
-func (h *harness) record(out []Action) {
-	for _, a := range out {
-		if _, twice := h.decided[a.Ticket]; twice {
-			h.t.Fatalf("two decisions for one request: %+v", a)
+func (h *harness) record(decisions []Decision) {
+	h.t.Helper()
+	for _, d := range decisions {
+		if _, twice := h.decided[d.Ticket]; twice {
+			h.t.Fatalf("two decisions for one request: %+v", d)
 		}
-		h.decided[a.Ticket] = a
-		delete(h.queued, a.Ticket)
-		if a.Kind == Admit {
-			h.inFlight = append(h.inFlight, a.Ticket)
-		} else if a.RetryAfter < 0 || a.RetryAfter > h.controller.settings.MaxRetryAfter {
-			h.t.Fatalf("rejected with a Retry-After of %d us", a.RetryAfter)
+		h.decided[d.Ticket] = d
+		delete(h.queued, d.Ticket)
+		if d.Kind == Admit {
+			h.inFlight = append(h.inFlight, d.Ticket)
+		} else if d.RetryAfter < 0 || d.RetryAfter > h.controller.settings.MaxRetryAfter {
+			h.t.Fatalf("rejected with a Retry-After of %d us", d.RetryAfter)
 		}
 	}
 }
--- a/internal/standalone/admission/queue.go
+++ b/internal/standalone/admission/queue.go
@@ -6,10 +6,10 @@
 	"pumiceline/internal/splitmix"
 )
 
-// list is a queue of entries, linked by next and prev.
-type list struct{ head, tail int32 }
+// entryList is a doubly linked list of entries, by their next and prev. Both ends are noIndex if it is empty.
+type entryList struct{ head, tail int32 }
 
-// enqueue puts a request into its tenant's, lane's and client's queue.
+// enqueue adds a request to its client's queue in its lane, and to admitByHeap.
 func (c *Controller) enqueue(index int32) {
 	e := &c.entries[index]
 	t := &c.tenants[e.tenant]
@@ -25,26 +25,26 @@
 	c.queued++
 	e.heapIndex = int32(len(c.admitByHeap))
 	c.admitByHeap = append(c.admitByHeap, index)
-	heap.Fix((*admitByHeap)(c), int(e.heapIndex))
+	heap.Fix((*byAdmitBy)(c), int(e.heapIndex))
 }
 
 // makeQueues makes the queues of a lane, if it has none yet: most lanes never need them.
 func (t *tenant) makeQueues(lane int32, queues int) {
 	if t.buckets == nil {
-		t.buckets, t.queues = make([]fairQueue, len(t.lanes.flows)), make([][]list, len(t.lanes.flows))
+		t.buckets, t.queues = make([]fairQueue, len(t.lanes.flows)), make([][]entryList, len(t.lanes.flows))
 	}
 	if t.queues[lane] != nil {
 		return
 	}
 	t.buckets[lane] = newFairQueue(queues)
-	t.queues[lane] = make([]list, queues)
+	t.queues[lane] = make([]entryList, queues)
 	for i := range t.queues[lane] {
-		t.queues[lane][i] = list{noIndex, noIndex}
+		t.queues[lane][i] = entryList{noIndex, noIndex}
 	}
 }
 
 // pushBack adds an entry at the end of a queue.
-func (c *Controller) pushBack(l *list, index int32) {
+func (c *Controller) pushBack(l *entryList, index int32) {
 	c.entries[index].prev, c.entries[index].next = l.tail, noIndex
 	if l.tail == noIndex {
 		l.head = index
@@ -55,7 +55,7 @@
 }
 
 // removeFrom removes an entry from its queue.
-func (c *Controller) removeFrom(l *list, index int32) {
+func (c *Controller) removeFrom(l *entryList, index int32) {
 	e := &c.entries[index]
 	if e.prev == noIndex {
 		l.head = e.next
@@ -98,10 +98,10 @@
 	t.queued--
 	t.queuedWork -= e.work
 	if t.queued == 0 {
-		t.queuedWork = 0 // sums of fractions must not drift
+		t.queuedWork = 0 // rounding errors must not accumulate
 	}
 	c.queued--
-	h := (*admitByHeap)(c)
+	h := (*byAdmitBy)(c)
 	at, last := int(e.heapIndex), len(c.admitByHeap)-1
 	h.Swap(at, last)
 	c.admitByHeap = c.admitByHeap[:last]
@@ -111,20 +111,20 @@
 	}
 }
 
-// admitByHeap is a Controller as the heap.Interface of its queued requests, by the last moment at which they may be
-// admitted. Of container/heap only Fix is used: its Push and Pop would allocate.
-type admitByHeap Controller
+// byAdmitBy is a Controller as the heap.Interface of its admitByHeap: the queued requests by the last moment at which
+// they may be admitted. Of container/heap only Fix is used: its Push and Pop would allocate.
+type byAdmitBy Controller
 
-func (h *admitByHeap) Len() int { return len(h.admitByHeap) }
-func (h *admitByHeap) Push(any) {}
-func (h *admitByHeap) Pop() any { return nil }
+func (h *byAdmitBy) Len() int { return len(h.admitByHeap) }
+func (h *byAdmitBy) Push(any) {}
+func (h *byAdmitBy) Pop() any { return nil }
 
-func (h *admitByHeap) Less(a, b int) bool {
+func (h *byAdmitBy) Less(a, b int) bool {
 	x, y := &h.entries[h.admitByHeap[a]], &h.entries[h.admitByHeap[b]]
 	return x.admitBy < y.admitBy || x.admitBy == y.admitBy && h.admitByHeap[a] < h.admitByHeap[b]
 }
 
-func (h *admitByHeap) Swap(a, b int) {
+func (h *byAdmitBy) Swap(a, b int) {
 	h.admitByHeap[a], h.admitByHeap[b] = h.admitByHeap[b], h.admitByHeap[a]
 	h.entries[h.admitByHeap[a]].heapIndex, h.entries[h.admitByHeap[b]].heapIndex = int32(a), int32(b)
 }
--- a/internal/standalone/admission/reload.go
+++ b/internal/standalone/admission/reload.go
@@ -9,12 +9,12 @@
 	"pumiceline/internal/splitmix"
 )
 
-// returningValueFactor is how many times the value of the most valuable class requests have that return at their
-// Retry-After.
+// returningValueFactor is the weight of the returning lane, in values of the most valuable class: capacity is reserved
+// for its requests.
 const returningValueFactor = 8.0
 
-// A tenant's lanes are one for each class, one for requests that return at their Retry-After, and one for each class
-// past the tenant's rate.
+// Numbers of a tenant's lanes: first one for each class, then that of requests that return at their Retry-After, then one
+// for each class past the tenant's quota.
 
 func laneCount(classes int) int                      { return 2*classes + 1 }
 func returningLane(classes int) int32                { return int32(classes) }
@@ -60,9 +60,9 @@
 	return lanes
 }
 
-// ApplySettings replaces the settings as a whole or not at all. Requests in flight stay; queued ones are queued again
+// ApplySettings replaces the settings completely or not at all. Requests in flight stay; queued ones are queued again
 // in the order of their arrival, or rejected where their tenant is gone or the queue is full.
-func (c *Controller) ApplySettings(now Time, next Settings, out []Action) ([]Action, error) {
+func (c *Controller) ApplySettings(now Time, next Settings, out []Decision) ([]Decision, error) {
 	if err := next.Check(); err != nil {
 		return out, fmt.Errorf("admission settings: %w", err)
 	}
@@ -82,7 +82,7 @@
 		e := &c.entries[index]
 		isTenantGone := e.tenant == noIndex
 		if isTenantGone {
-			e.tenant = 0 // its statistics have to go somewhere
+			e.tenant = 0 // the rejection is counted in the statistics of the first tenant
 		}
 		if isTenantGone || c.queued >= c.settings.MaxQueued {
 			out = c.reject(index, QueueFull, out)
@@ -117,7 +117,7 @@
 		}
 		e.tenant, e.lane = mapping.tenants[e.tenant], mapping.lane(e.lane)
 		if e.state == stateInFlight && e.tenant == noIndex {
-			e.tenant = 0 // its statistics have to go somewhere
+			e.tenant = 0 // its end is counted in the statistics of the first tenant
 		}
 	}
 }
--- a/internal/standalone/admission/retryafter.go
+++ b/internal/standalone/admission/retryafter.go
@@ -7,19 +7,25 @@
 )
 
 const (
-	// reservationSlot is the length of a slot of reservedWork.
+	// reservationSlot is the length of a slot of reservedWork, in microseconds.
 	reservationSlot = 100_000
 	// reservableFraction is the part of a tenant's rate that is reserved for rejected requests; the rest is for those
 	// that come for the first time.
 	reservableFraction = 0.7
-	// minRate, in work a microsecond, stands for a rate of zero.
+	// minRate, in work a microsecond, stands for a rate of zero, by which nothing can be divided.
 	minRate = 1e-9
-	// maxFirstSlot bounds the search for a slot.
+	// maxFirstSlot bounds the first slot that is searched, before it is converted to an int.
 	maxFirstSlot = 1e6
+	// returnSlots is in how many slots a reservation can be used: its own, and the one before, for a client that returns a
+	// little early or whose clock is a little fast.
+	returnSlots = 2
+	// spreadFraction is the part of a slot over which the requests that return in it are spread.
+	spreadFraction = 0.9
 )
 
-// tenantAdmitRate returns the work a microsecond that is admitted for a tenant, or would be: its own rate of late, or
-// its share of the whole if that is more, as nothing is known of a tenant that has sent nothing of late.
+// tenantAdmitRate returns the work a microsecond that is admitted for a tenant, or would be: its own smoothed rate, or
+// its fair share of the rate of all tenants if that is more. A tenant that has sent nothing recently has a rate of its
+// own near zero, which says nothing of how fast its requests would be admitted.
 func (c *Controller) tenantAdmitRate(t *tenant, tenantIndex int) float64 {
 	own := &c.tenantOrder.flows[tenantIndex]
 	sum := c.tenantOrder.activeWeight
@@ -59,16 +65,16 @@
 		t.reservedWork[slot] += e.work
 		t.stats.Reserved++
 		begin := c.lastTick + Time(slot)*reservationSlot - c.now
-		spread := Time(splitmix.Mix(uint64(e.generation)<<32^uint64(e.arrivedAt)) % (reservationSlot * 9 / 10))
+		spread := Time(splitmix.Mix(uint64(e.generation)<<32^uint64(e.arrivedAt)) % (reservationSlot * spreadFraction))
 		return min(max(1, begin+spread), c.settings.MaxRetryAfter)
 	}
 	return 0
 }
 
-// takeReservation reports whether a retry comes at the time of a reservation of its tenant's, and takes its work off
-// that.
+// takeReservation reports whether at least half of a retry's work is reserved for the tenant now, and takes the work off
+// the reservation.
 func (t *tenant) takeReservation(work float64) bool {
-	for slot := range t.reservedWork[:min(2, len(t.reservedWork))] {
+	for slot := range t.reservedWork[:min(returnSlots, len(t.reservedWork))] {
 		if t.reservedWork[slot] >= work/2 {
 			t.reservedWork[slot] = math.Max(0, t.reservedWork[slot]-work)
 			return true
@@ -77,7 +83,7 @@
 	return false
 }
 
-// passReservations drops the reservations of the slots that have passed.
+// passReservations removes the reservations of the slots that have passed.
 func (t *tenant) passReservations(slots int) {
 	passed := min(slots, len(t.reservedWork))
 	if passed == 0 {
--- a/internal/standalone/admission/retryafter_test.go
+++ b/internal/standalone/admission/retryafter_test.go
@@ -30,32 +30,33 @@
 // simulateReturns simulates an overload in which rejected clients return once, as retries, at their Retry-After or
 // after a fixed time, and returns the part of them that was then admitted.
 func simulateReturns(t *testing.T, overload float64, fixed Time) float64 {
+	t.Helper()
 	s := testSettings(1)
 	s.MaxQueued, s.RetryRatio = 16, 10
 	h := newHarness(t, s)
 	g := rand.New(rand.NewPCG(5, 6))
-	var due []Time
-	came, in := 0, 0
-	back := map[Ticket]bool{}
+	var returnTimes []Time // of the rejected clients that have not returned yet
+	returned, admitted := 0, 0
+	isReturn := map[Ticket]bool{}
 	for range 60_000 { // of 1 ms
 		h.now += ms
-		var now int
-		for i := 0; i < len(due); i++ {
-			if due[i] <= h.now {
-				due[i] = due[len(due)-1]
-				due = due[:len(due)-1]
+		var returns int // in this step
+		for i := 0; i < len(returnTimes); i++ {
+			if returnTimes[i] <= h.now {
+				returnTimes[i] = returnTimes[len(returnTimes)-1]
+				returnTimes = returnTimes[:len(returnTimes)-1]
 				i--
-				now++
+				returns++
 			}
 		}
-		fresh := 0
+		firstAttempts := 0
 		if g.Float64() < 0.04*overload {
-			fresh = 1
+			firstAttempts = 1
 		}
-		for i := range now + fresh {
-			ticket := h.submit(Request{Client: g.Uint64(), Deadline: h.now + sec, IsRetry: i < now})
-			if back[ticket] = i < now; i < now {
-				came++
+		for i := range returns + firstAttempts {
+			ticket := h.submit(Request{Client: g.Uint64(), Deadline: h.now + sec, IsRetry: i < returns})
+			if isReturn[ticket] = i < returns; i < returns {
+				returned++
 			}
 		}
 		if len(h.inFlight) > 0 && h.now%(25*ms) == 0 {
@@ -64,9 +65,9 @@
 		h.record(h.controller.Tick(h.now, nil))
 		for ticket, a := range h.decided {
 			switch {
-			case a.Kind == Admit && back[ticket]:
-				in++
-			case a.Kind == Reject && !back[ticket]: // a client that is rejected twice gives up
+			case a.Kind == Admit && isReturn[ticket]:
+				admitted++
+			case a.Kind == Reject && !isReturn[ticket]: // a client that is rejected twice gives up
 				after := a.RetryAfter
 				if fixed > 0 {
 					after = fixed
@@ -74,13 +75,13 @@
 				if after == 0 { // without a Retry-After it does not return
 					break
 				}
-				due = append(due, h.now+after)
+				returnTimes = append(returnTimes, h.now+after)
 			}
-			delete(back, ticket)
+			delete(isReturn, ticket)
 		}
 		clear(h.decided)
 	}
-	return float64(in) / float64(max(1, came))
+	return float64(admitted) / float64(max(1, returned))
 }
 
 // A client that returns at its Retry-After is admitted. The figures are in docs/admission.md.
--- a/internal/standalone/admission/settings.go
+++ b/internal/standalone/admission/settings.go
@@ -10,44 +10,48 @@
 // Tenant is a customer of the service.
 type Tenant struct {
 	Name  string
-	Share float64 // weight against the other tenants; 0: only what no other wants
-	Rate  float64 // requests a second that count as within its quota at this proxy; 0: all
+	Share float64 // weight against the other tenants; 0: only capacity that no other tenant uses
+	Rate  float64 // quota at this proxy, in requests a second; 0: none, all requests are within the quota
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name          string
 	Value         float64 // weight of a unit of its work against the other classes of a tenant
-	Work          Time    // expected of a request without a hint
+	Work          Time    // expected work of a request without a hint, in microseconds on a standard core
 	LatencyTarget Time    // a response within this time has the full value; 0: only the deadline counts
 }
 
-// Settings are what operators set.
+// Settings are what operators set, in deploy/door.toml, which names the keys. The defaults are those of Defaults.
 type Settings struct {
 	Tenants []Tenant
 	Classes []Class
-	// OverQuotaFactor is the value of a request past its tenant's rate, as a part of its class's; 0 to 1.
+	// OverQuotaFactor is the value of a request past its tenant's quota, as a part of its class's value; 0 to 1. It is
+	// the deployment's, not from the file.
 	OverQuotaFactor float64
 
-	// MaxQueued is how many requests may be queued in all.
+	// MaxQueued is how many requests may be queued in all; at least 1, 2048 by default.
 	MaxQueued int
-	// QueuesPerClass is the number of queues that the clients of one tenant and class share.
+	// QueuesPerClass is the number of queues that the clients of one tenant and class share; at least 1, 32 by default.
 	QueuesPerClass int
-	// MinLimit and MaxLimit bound the concurrency limit, in requests of mean work.
+	// MinLimit and MaxLimit bound the concurrency limit, in requests of mean work; 4 and 4096 by default. Both are at
+	// least 1; with equal ones the limit is fixed.
 	MinLimit, MaxLimit float64
-	// InitialLimit is the concurrency limit before anything is measured.
+	// InitialLimit is the concurrency limit before anything is measured; 64 by default.
 	InitialLimit float64
 	// RequiredTimeFactor is the part of its expected latency that a request must have left when it is admitted; with
-	// less it is rejected. 0: it need not have any.
+	// less it is rejected. 0: it is admitted up to its deadline. 0.8 by default.
 	RequiredTimeFactor float64
 
-	// RetryRatio is how many retries the clients of a tenant may send, as a part of its first attempts.
+	// RetryRatio is how many retries the clients of a tenant may send, as a part of its first attempts; 0.3 by default.
+	// 0: RetryBurst retries in all.
 	RetryRatio float64
-	// RetryBurst is how many retries they may send at once.
+	// RetryBurst is how many retries they may send at once; 20 by default. Under 1: none.
 	RetryBurst float64
-	// MaxRetryAfter is the longest Retry-After.
+	// MaxRetryAfter is the longest Retry-After; 2.5 s by default, at least reservationSlot (100 ms).
 	MaxRetryAfter Time
-	// SaltRotation is after what time clients are assigned to queues anew, so that two that share one do not for ever.
+	// SaltRotation is the time after which clients are assigned to queues anew, so that no two share a queue for ever;
+	// 10 s by default, at least 1 s.
 	SaltRotation Time
 	// Seed makes the assignment of clients to queues different at each proxy.
 	Seed uint64
--- a/internal/standalone/backend/backend.go
+++ b/internal/standalone/backend/backend.go
@@ -29,13 +29,13 @@
 // ErrBodyTooLarge is the error of a body over MaxStreamedBody.
 var ErrBodyTooLarge = fmt.Errorf("the body is longer than %d bytes", int64(MaxStreamedBody))
 
-// Attempt is a request that is to be sent, and what has to hold at the moment in which it is.
+// Attempt is a request that is to be sent, with the conditions under which it still may be.
 type Attempt struct {
 	// Request is the client's request; its body is ignored, its context is the client's.
 	Request *http.Request
 	Body    Body
-	// WriteBy is when writing has to stop: a backend forgets idempotency keys, so that a later retry could be executed
-	// twice. Zero: there is no limit.
+	// WriteBy is when writing has to stop: backends remember idempotency keys for a limited time, so that a retry after
+	// that could be executed twice. Zero: there is no limit.
 	WriteBy time.Time
 	// ClientDisconnected reports whether the client has disconnected, where its context may not know yet. nil: the
 	// context knows.
@@ -47,8 +47,8 @@
 
 // Body is a request's body.
 type Body struct {
-	Buffered []byte              // the start, which can be sent again
-	Stream   *requestbody.Stream // the rest, which can be sent once; nil: Buffered is all
+	Buffered []byte              // the start, which can be sent again in a retry
+	Stream   *requestbody.Stream // the rest, which can be sent once; nil: Buffered is the complete body
 }
 
 // Result is how an exchange ended.
@@ -64,24 +64,24 @@
 type Response struct {
 	Header http.Header
 	Body   []byte        // the body, of a buffered response
-	Stream io.ReadCloser // the whole body, of a streamed response; it must be closed. nil: the response is buffered
+	Stream io.ReadCloser // the complete body, of a streamed response; it must be closed. nil: the response is buffered
 	Length int64         // of a streamed response; -1: unknown
 }
 
 // exchangeError is an error with the outcome of the attempt that it ends.
 type exchangeError struct {
-	outcome     policy.Outcome
-	cause       error
-	isUntouched bool // nothing was written, and the connection can be used for another request
+	outcome      policy.Outcome
+	cause        error
+	connReusable bool // nothing was written: the connection can be used for another request
 }
 
 func (e *exchangeError) Error() string { return e.cause.Error() }
 func (e *exchangeError) Unwrap() error { return e.cause }
 
-// isUntouched reports whether err left the connection as it was.
-func isUntouched(err error) bool {
+// leavesConnReusable reports whether err left the connection as it was.
+func leavesConnReusable(err error) bool {
 	var e *exchangeError
-	return errors.As(err, &e) && e.isUntouched
+	return errors.As(err, &e) && e.connReusable
 }
 
 // failedResult returns the result of an exchange that ended with err, which must be or wrap an exchangeError.
--- a/internal/standalone/backend/connection.go
+++ b/internal/standalone/backend/connection.go
@@ -16,11 +16,13 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// minIdleBeforeReuse is how long a connection is not used after a response. A backend may send more than belongs to
-// the response, even a whole second response, some milliseconds late; it could not be distinguished from the response
-// to the next request, which another client would get. After this time it has arrived, and is found before the
-// connection is used. A new connection costs less than a wrong response. Of 48 second responses on the bench the
-// latest came after 5 ms; 10 ms in place of 6 cost 0.03 of the standing test's score, 6 ms nothing measurable.
+// minIdleBeforeReuse is how long a connection is not used after a response. A faulty backend may send more than belongs
+// to the response, even a complete second response, some milliseconds late. That could not be distinguished from the
+// response to the next request, and another client would get it. After this time it has arrived, and the connection is
+// closed in place of being used. A new connection costs less than a wrong response.
+//
+// Measured on the operators' bench: of 48 such second responses the latest came after 5 ms; 10 ms in place of 6 ms cost
+// 0.03 of the score, 6 ms nothing measurable.
 const minIdleBeforeReuse = 6 * time.Millisecond
 
 var (
@@ -28,7 +30,7 @@
 	errConnectionLimit = errors.New("all connections to backends are in use")
 )
 
-// conn is a connection to a backend. Its user has it alone.
+// conn is a connection to a backend. Between acquire and release it belongs to one exchange.
 type conn struct {
 	nc       net.Conn
 	source   *responseSource
@@ -39,8 +41,8 @@
 	lastUsed time.Time
 }
 
-// responseSource observes what comes on a connection: how responses are delimited, and whether the connection has
-// ended, as a malformed response may be one that was cut.
+// responseSource reads from a connection and records how responses are delimited, and whether the connection has ended:
+// a response that seems malformed may be one that broke off.
 type responseSource struct {
 	io.Reader
 	scanner httpframing.Scanner
@@ -81,13 +83,13 @@
 	case ctx.Err() != nil:
 		return outcomeAfter(ctx, policy.NotSent)
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL):
-		return policy.NotSent // a shortage of this host's, which says nothing of the backend
+		return policy.NotSent // this host lacks descriptors or ports, which says nothing of the backend
 	}
 	return policy.ConnectFailed
 }
 
-// reuseOrReserve returns an idle connection to reuse, or one that the caller is to make, which counts as open and has
-// no nc yet.
+// reuseOrReserve returns an idle connection, or one that the caller has to make: it counts as open already and has no nc
+// yet.
 func (p *Pool) reuseOrReserve(id uint32) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -116,9 +118,9 @@
 		}
 		c := b.idle[i]
 		b.idle = slices.Delete(b.idle, i, i+1)
-		// The backend closes a connection after IdleTimeout at the latest; a request that crosses the close is a reset,
-		// which may cost the only attempt that a class with idempotency keys has. If it has closed the connection, or
-		// has died, an end or a reset has arrived by now, and a request would be lost for nothing.
+		// The backend closes a connection after IdleTimeout at the latest. A request that crosses that close ends in a
+		// reset, after which a request with an idempotency key may not be retried. If the backend has closed the
+		// connection already, or its process has ended, an end or a reset is there to be read.
 		if now.Sub(c.lastUsed) < p.maxIdleAge() && socket.IsOpenAndEmpty(c.nc) {
 			return c
 		}
@@ -126,8 +128,9 @@
 	}
 }
 
-// lastReusable returns the index of the most recently used connection that has been idle for minIdleBeforeReuse, so
-// that those that are not needed grow old; -1 if there is none. idle is in the order of the last use.
+// lastReusable returns the index of the most recently used connection that has been idle for minIdleBeforeReuse; -1 if
+// there is none. Taking the latest leaves connections that are not needed idle until they expire. idle is in the order
+// of the last use.
 func lastReusable(idle []*conn, now time.Time) int {
 	for i := len(idle) - 1; i >= 0; i-- {
 		if now.Sub(idle[i].lastUsed) >= minIdleBeforeReuse {
@@ -137,8 +140,8 @@
 	return -1
 }
 
-// maxIdleAge is how long a connection may be idle and still be used: well short of the backend's close. Called with mu
-// held.
+// maxIdleAge is how long a connection may be idle and still be used: less than IdleTimeout, so that no request crosses
+// the backend's close. Called with mu held.
 func (p *Pool) maxIdleAge() time.Duration { return p.opts.IdleTimeout * 4 / 5 }
 
 // release takes a connection back after an exchange.
@@ -163,8 +166,8 @@
 }
 
 // closeExpired closes the connections that have been idle for too long to be used, and schedules itself while there are
-// others. The policy closes most of them sooner; one that it does not know of, to a backend that gets no more requests,
-// would hold its descriptor for good.
+// others. takeIdle and release close those of a backend in use; without closeExpired a connection to a backend that gets
+// no more requests would keep its descriptor for ever.
 func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standalone/backend/connection_test.go
+++ b/internal/standalone/backend/connection_test.go
@@ -32,7 +32,7 @@
 		}
 		<-closed
 		for len(pool.byID[1].idle) > 0 && socket.IsOpenAndEmpty(pool.byID[1].idle[0].nc) {
-			time.Sleep(time.Millisecond) // until the end has come over
+			time.Sleep(time.Millisecond) // the close has not arrived yet
 		}
 	}
 	if conns.Load() != 2 {
@@ -42,7 +42,7 @@
 	pool = newTestPool(addr, 9)
 	exchangePost(t, pool)
 	ageIdleConnections(pool)
-	exchangePost(t, pool) // on the same
+	exchangePost(t, pool) // on the same connection
 	pool.byID[1].idle[0].lastUsed = time.Now().Add(-pool.opts.IdleTimeout * 9 / 10)
 	exchangePost(t, pool)
 	if conns.Load() != 2 {
@@ -55,8 +55,8 @@
 func TestPool_ReusesConnectionsAfterMinIdle(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
-		ago  []time.Duration // since the last use, in units of the rest
-		want int
+		ago  []time.Duration // since the last use, in units of minIdleBeforeReuse
+		want int             // index of the connection to reuse; -1: none
 	}{
 		{[]time.Duration{0}, -1},
 		{[]time.Duration{1}, 0},
@@ -69,11 +69,11 @@
 			idle = append(idle, &conn{lastUsed: now.Add(-ago * minIdleBeforeReuse)})
 		}
 		if got := lastReusable(idle, now); got != c.want {
-			t.Errorf("last used %v rests ago: %d, want %d", c.ago, got, c.want)
+			t.Errorf("last used %v times minIdleBeforeReuse ago: %d, want %d", c.ago, got, c.want)
 		}
 	}
 	addr, conns, _ := serveBackend(t, func(_ int, c net.Conn) bool { io.WriteString(c, okResponse); return true })
-	pool := newTestPool(addr, 1) // the one that rests has to make way
+	pool := newTestPool(addr, 1) // the first connection is not old enough for reuse, and has to be evicted
 	for range 2 {
 		if res := exchangePost(t, pool); res.Outcome != policy.OK {
 			t.Fatalf("outcome %d, %v", res.Outcome, res.Err)
--- a/internal/standalone/backend/exchange.go
+++ b/internal/standalone/backend/exchange.go
@@ -20,12 +20,12 @@
 	errResponseTooLate    = errors.New("the streamed response came too late")
 )
 
-// Exchange sends a request to a backend and waits for the response until ctx ends: the whole of a buffered response,
-// and as much of a streamed one as shows that it is one. The request is written once: http.Transport would send it
-// again by itself on a reused connection that breaks, which is an attempt that the policy does not know of.
+// Exchange sends a request to a backend and waits for the response until ctx ends: for a buffered response as a whole,
+// and for a streamed one until it is clear that it is one. The request is written once: http.Transport would send it
+// again by itself where a reused connection breaks, which is an attempt that the policy does not know of.
 //
-// Once the client has disconnected nobody waits for the response. While the request's last byte has not been written
-// the exchange is then given up, even where the settings forbid cancelling what a backend may have begun to execute.
+// If the client disconnects before the request's last byte is written, the exchange is given up, even where the settings
+// forbid to cancel attempts: that rule is about requests that a backend may have begun to execute.
 func (p *Pool) Exchange(ctx context.Context, id uint32, a Attempt) Result {
 	if a.Body.Stream != nil && a.Body.Stream.IsClaimed() {
 		return Result{Outcome: policy.NotSent, Err: errBodyConsumed}
@@ -34,12 +34,12 @@
 	if err != nil {
 		return failedResult(err)
 	}
-	// A cancel closes the connection.
+	// The end of ctx closes the connection, which ends its reads and writes.
 	stop := context.AfterFunc(ctx, func() { c.nc.Close() })
 	result, reusable := p.exchange(ctx, c, &a)
 	if result.Response != nil && result.Response.Stream != nil {
 		s := result.Response.Stream.(*stream)
-		if !stop() { // cancelled in the same moment
+		if !stop() { // ctx has ended since, and the connection is closed
 			s.abandon()
 			p.release(c, false)
 			return Result{Outcome: outcomeAfter(ctx, policy.ConnectionReset), Err: errResponseTooLate}
@@ -47,12 +47,12 @@
 		s.startForwarding() // the stream releases the connection at its end
 		return result
 	}
-	p.release(c, stop() && reusable) // before the outcome is known, so that an ended attempt has no open connection
+	p.release(c, stop() && reusable) // before the outcome is reported: an ended attempt has no connection in use
 	return result
 }
 
-// acquireWhileWanted is acquire until the attempt ends, the client disconnects or WriteBy passes. The last two say
-// nothing of the backend.
+// acquireWhileWanted is acquire, which it cancels when the attempt ends, the client disconnects or WriteBy passes. After
+// the last two the outcome is policy.NotSent, as they say nothing of the backend.
 func (p *Pool) acquireWhileWanted(ctx context.Context, id uint32, a *Attempt) (*conn, error) {
 	wanted, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -70,7 +70,7 @@
 // exchange makes an exchange on a connection, and returns whether the connection can be used again.
 func (p *Pool) exchange(ctx context.Context, c *conn, a *Attempt) (result Result, reusable bool) {
 	if err := p.sendRequest(ctx, c, a); err != nil {
-		return failedResult(err), isUntouched(err)
+		return failedResult(err), leavesConnReusable(err)
 	}
 	var bodySentAt time.Time
 	if a.Body.Stream != nil {
@@ -96,7 +96,7 @@
 		return &exchangeError{outcome: policy.NotSent, cause: err}
 	}
 	if err := p.checkWanted(ctx, c, a); err != nil {
-		return &exchangeError{outcome: outcomeAfter(ctx, policy.NotSent), cause: err, isUntouched: true}
+		return &exchangeError{outcome: outcomeAfter(ctx, policy.NotSent), cause: err, connReusable: true}
 	}
 	return c.send(ctx, a, head)
 }
@@ -122,8 +122,8 @@
 	if err != nil {
 		outcome := outcomeAfter(ctx, policy.ConnectionReset)
 		if ctx.Err() == nil && !c.source.ended {
-			// The connection is intact: the backend has responded, so that it may have executed the request, and its
-			// response is of no use.
+			// The connection is intact, so that this is a response, though not a valid one: the backend may have executed
+			// the request.
 			p.warnMalformed("malformed response", c.backend, err)
 			outcome = policy.ErrorResponse
 		}
@@ -165,15 +165,16 @@
 	return policy.ErrorResponse // the backend may have executed the request
 }
 
-// outcomeAfter is the outcome of an attempt without a response: that of ctx if it has ended, else otherwise.
-func outcomeAfter(ctx context.Context, otherwise policy.Outcome) policy.Outcome {
+// outcomeAfter is the outcome of an attempt without a response: that which the end of ctx means, or, if ctx has not
+// ended, ifRunning.
+func outcomeAfter(ctx context.Context, ifRunning policy.Outcome) policy.Outcome {
 	cause := context.Cause(ctx)
 	switch {
 	case cause == nil:
-		return otherwise
+		return ifRunning
 	case !errors.Is(cause, context.DeadlineExceeded):
-		return policy.Cancelled
-	case otherwise == policy.NotSent: // the time was up before anything was sent
+		return policy.Canceled
+	case ifRunning == policy.NotSent: // the deadline passed before anything was sent
 		return policy.NotSent
 	}
 	return policy.TimedOut
@@ -182,7 +183,7 @@
 // outcomeUnsent is the outcome of an attempt whose request could not be written completely: it was not executed.
 func outcomeUnsent(ctx context.Context) policy.Outcome {
 	if ctx.Err() != nil && !errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
-		return policy.Cancelled
+		return policy.Canceled
 	}
 	return policy.ConnectFailed
 }
--- a/internal/standalone/backend/exchange_test.go
+++ b/internal/standalone/backend/exchange_test.go
@@ -21,6 +21,7 @@
 // serveBackend starts a backend that passes each request of a connection to respond, with the number of the request
 // on the connection, and closes the connection when respond returns false. It counts connections and requests.
 func serveBackend(t *testing.T, respond func(n int, c net.Conn) (keepOpen bool)) (addr string, conns, requests *atomic.Int32) {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -54,8 +55,8 @@
 	return ln.Addr().String(), conns, requests
 }
 
-func newTestPool(addr string, most int) *Pool {
-	pool := NewPool(Options{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConnections: most,
+func newTestPool(addr string, maxConnections int) *Pool {
+	pool := NewPool(Options{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConnections: maxConnections,
 		ReportColumns: []string{"cpu", "rps"}}, slog.New(slog.DiscardHandler))
 	pool.SetBackend(1, addr, true)
 	return pool
@@ -67,6 +68,7 @@
 }
 
 func exchangePost(t *testing.T, pool *Pool) Result {
+	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
 	return pool.Exchange(ctx, 1, Attempt{Request: newPost(), Body: Body{Buffered: []byte("body")}})
@@ -167,27 +169,27 @@
 }
 
 func TestPool_CancelClosesConnection(t *testing.T) {
-	asked, gone := make(chan struct{}), make(chan struct{})
+	requested, disconnected := make(chan struct{}), make(chan struct{})
 	addr, _, _ := serveBackend(t, func(_ int, c net.Conn) bool {
-		asked <- struct{}{}
+		requested <- struct{}{}
 		c.Read(make([]byte, 1))
-		close(gone)
+		close(disconnected)
 		return false
 	})
 	pool := newTestPool(addr, 9)
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-asked
+		<-requested
 		cancel()
 	}()
-	if res := pool.Exchange(ctx, 1, Attempt{Request: newPost()}); res.Outcome != policy.Cancelled {
+	if res := pool.Exchange(ctx, 1, Attempt{Request: newPost()}); res.Outcome != policy.Canceled {
 		t.Errorf("outcome %d, %v", res.Outcome, res.Err)
 	}
-	<-gone
+	<-disconnected
 	ctx, cancel = context.WithDeadline(t.Context(), time.Now())
 	defer cancel()
 	if res := pool.Exchange(ctx, 1, Attempt{Request: newPost()}); res.Outcome != policy.NotSent {
-		t.Errorf("out of time before anything was sent: outcome %d, %v", res.Outcome, res.Err)
+		t.Errorf("deadline passed before anything was sent: outcome %d, %v", res.Outcome, res.Err)
 	}
 	if pool.openConns != 0 {
 		t.Errorf("%d connections still count as open", pool.openConns)
--- a/internal/standalone/backend/loadpoll.go
+++ b/internal/standalone/backend/loadpoll.go
@@ -12,9 +12,9 @@
 // loadReportPath is where a backend reports its load.
 const loadReportPath = "/status/load"
 
-// PollLoad asks a backend for its load until ctx ends. The result has a Report, unless the backend has nothing to
-// report yet, and an Err with every Outcome but OK. A poll uses a connection like a request, but has no correlation
-// id and is counted nowhere.
+// PollLoad asks a backend for its load and waits for the response until ctx ends. The result has a Report, unless the
+// backend has nothing to report yet, and an Err with every Outcome but OK. A poll uses a connection of the pool like a
+// request; it has no correlation id and no metric counts it.
 func (p *Pool) PollLoad(ctx context.Context, id uint32) Result {
 	c, err := p.acquire(ctx, id)
 	if err != nil {
@@ -44,7 +44,7 @@
 		outcome := outcomeAfter(ctx, policy.ConnectionReset)
 		return Result{Outcome: outcome, Err: fmt.Errorf("read a load report: %w", err)}, false
 	}
-	if received.response.Stream != nil { // no report is as long
+	if received.response.Stream != nil { // over MaxBufferedBody: not a load report
 		received.response.Stream.(*stream).abandon()
 		return Result{Outcome: policy.ErrorResponse, Err: ErrBodyTooLarge}, false
 	}
@@ -60,7 +60,8 @@
 	return Result{Outcome: policy.OK, Report: report}, received.reusable
 }
 
-// parsePolledReport reads the body of the response to a load poll: a report with or without its "TEXT", or nothing.
+// parsePolledReport reads the body of the response to a load poll: a report with or without its prefix "TEXT", or
+// nothing, for which it returns nil.
 func (p *Pool) parsePolledReport(body []byte) ([]float32, error) {
 	text := strings.TrimSpace(string(body))
 	if text == "" || text == "TEXT" {
--- a/internal/standalone/backend/loadpoll_test.go
+++ b/internal/standalone/backend/loadpoll_test.go
@@ -17,7 +17,7 @@
 // can be read after the response; a backend that does not respond holds it no longer than the context; one that is
 // draining is not polled.
 func TestPool_PollLoad(t *testing.T) {
-	say := func(status int, body string) string {
+	response := func(status int, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 	}
 	report := "TEXT util=0.5, qps=12"
@@ -25,14 +25,14 @@
 		response string
 		outcome  policy.Outcome
 		report   []float32
-		keeps    bool
+		keeps    bool // the connection can be used again
 	}{
-		"report":            {say(200, report), policy.OK, []float32{0.5, 12}, true},
-		"nothing to report": {say(200, "TEXT "), policy.OK, nil, true},
-		"error status":      {say(503, report), policy.ErrorResponse, nil, true},
+		"report":            {response(200, report), policy.OK, []float32{0.5, 12}, true},
+		"nothing to report": {response(200, "TEXT "), policy.OK, nil, true},
+		"error status":      {response(503, report), policy.ErrorResponse, nil, true},
 		"too large": {"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + strings.Repeat("x", 2*MaxBufferedBody),
 			policy.ErrorResponse, nil, false},
-		"bytes behind": {say(200, report) + "HTTP", policy.OK, []float32{0.5, 12}, false},
+		"bytes behind": {response(200, report) + "HTTP", policy.OK, []float32{0.5, 12}, false},
 		"no response":  {"", policy.TimedOut, nil, false},
 		"draining":     {"", policy.NotSent, nil, false},
 	} {
--- a/internal/standalone/backend/loadreport.go
+++ b/internal/standalone/backend/loadreport.go
@@ -28,7 +28,7 @@
 }
 
 // ParseReport reads a load report such as "TEXT util=0.61, qps=12, eps=0" and returns its values in the order of
-// columns. A report that lacks a column is an error: a default would pass for the backend's value.
+// columns. A report that lacks a column is an error: the policy could not distinguish a default from a reported value.
 func ParseReport(text string, columns []string) ([]float32, error) {
 	fields, ok := strings.CutPrefix(strings.TrimSpace(text), reportPrefix)
 	if !ok {
--- a/internal/standalone/backend/pool.go
+++ b/internal/standalone/backend/pool.go
@@ -17,13 +17,14 @@
 type Options struct {
 	// DialTimeout bounds the making of a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is after what idle time backends close a connection. The pool uses none that is near it.
+	// IdleTimeout is the idle time after which backends close a connection. The pool uses a connection only while it has
+	// been idle for less than four fifths of that.
 	IdleTimeout time.Duration
 	// MaxConnections bounds the connections to all backends together.
 	MaxConnections int
-	// ReportColumns are the columns of load reports. Empty: responses carry no reports.
+	// ReportColumns are the columns of load reports, in the order of Result.Report. Empty: responses carry no reports.
 	ReportColumns []string
-	// OnRequestWritten is called for each request whose last byte has been written. nil: nothing is called.
+	// OnRequestWritten is called for each request whose last byte has been written. It may be nil.
 	OnRequestWritten func()
 	// Dial makes connections. nil: DialTCP.
 	Dial Dial
@@ -41,13 +42,13 @@
 // Pool holds the backends and the connections to them. It is safe for concurrent use.
 type Pool struct {
 	log  *slog.Logger
-	opts Options // the time-outs and MaxConnections change with mu held
+	opts Options // mu guards the time-outs and MaxConnections, the others do not change
 
 	mu            sync.Mutex // guards what follows
 	reportColumns []string
 	byID          map[uint32]*backendState
-	openConns     int  // connections, and those that are being made
-	reapScheduled bool // closeExpired will be called
+	openConns     int  // open connections, and those that are being made
+	reapScheduled bool // a timer will call closeExpired
 
 	lastWarning        time.Time // about a malformed response or report
 	suppressedWarnings int       // such warnings since that were not logged
@@ -69,7 +70,7 @@
 	return &Pool{opts: opts, reportColumns: opts.ReportColumns, log: log, byID: map[uint32]*backendState{}}
 }
 
-// ApplySettings replaces the time-outs and the report columns. Idle connections are judged by the new time-out.
+// ApplySettings replaces the time-outs and the report columns. The new idle time-out applies to idle connections too.
 func (p *Pool) ApplySettings(dialTimeout, idleTimeout time.Duration, reportColumns []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,7 +118,7 @@
 	if !ready {
 		p.closeIdle(b)
 	}
-	if addr == "" { // attempts in progress keep their pointer, and see that it is not ready
+	if addr == "" { // attempts in progress keep their pointer, and find that the backend is not ready
 		delete(p.byID, id)
 	}
 }
@@ -153,8 +154,8 @@
 	return p.openConns
 }
 
-// warnMalformed logs that a backend's response or load report is malformed, once a second at most: a backend with that
-// fault has it in every response.
+// warnMalformed logs that a backend's response or load report is malformed, at most once in warningInterval: a backend
+// with that fault has it in every response.
 func (p *Pool) warnMalformed(message string, b *backendState, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standalone/backend/pool_test.go
+++ b/internal/standalone/backend/pool_test.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// A drain holds at once, also for an attempt that has its connection already.
+// A drain takes effect at once, also for an attempt that has its connection already.
 func TestPool_DrainingBackendGetsNoRequests(t *testing.T) {
 	addr, _, requests := serveBackend(t, func(_ int, c net.Conn) bool { io.WriteString(c, okResponse); return true })
 	pool := newTestPool(addr, 9)
@@ -47,7 +47,7 @@
 	}
 }
 
-// The limit holds over all backends: an idle connection is evicted, one in use is not.
+// The limit is over all backends together: an idle connection is evicted, one in use is not.
 func TestPool_MaxConnections(t *testing.T) {
 	addr, _, _ := serveBackend(t, func(_ int, c net.Conn) bool { io.WriteString(c, okResponse); return true })
 	pool := newTestPool(addr, 1)
--- a/internal/standalone/backend/request.go
+++ b/internal/standalone/backend/request.go
@@ -17,7 +17,8 @@
 )
 
 const (
-	// TimeLeftHeader is the header with the time that is left for a request, in milliseconds.
+	// TimeLeftHeader is the header with the time until a request's deadline, in milliseconds: a client's to the proxy, and
+	// the attempt's to the backend.
 	TimeLeftHeader = "X-Time-Left-Ms"
 	// typicalHeadBytes is enough for nearly every request head.
 	typicalHeadBytes = 1 << 10
@@ -47,7 +48,7 @@
 // busy proxy's CPU.
 func encodeRequest(ctx context.Context, req *http.Request, body Body) ([]byte, error) {
 	target := requestTarget(req)
-	// net/http has read each as one line; what comes from elsewhere must not become two.
+	// net/http lets no line break through; a caller of another kind must not be able to add a header this way.
 	if strings.ContainsAny(target, " \r\n") || !httpguts.ValidHostHeader(req.Host) {
 		return nil, fmt.Errorf("encode the request: target %q or host %q", target, req.Host)
 	}
@@ -130,8 +131,8 @@
 	text.WriteString("\r\n")
 }
 
-// send writes the head and buffered body, and then the streamed body while it comes. It stops once the client has
-// disconnected or WriteBy has passed. Its errors are *exchangeError.
+// send writes the head with the buffered body, and then the streamed body as it arrives from the client. It stops when
+// the client disconnects or WriteBy passes. Its errors are *exchangeError.
 func (c *conn) send(ctx context.Context, a *Attempt, head []byte) error {
 	if !a.WriteBy.IsZero() {
 		if err := c.nc.SetWriteDeadline(a.WriteBy); err != nil {
@@ -140,7 +141,7 @@
 	}
 	err := c.writeUntilDisconnect(a, head)
 	if err == nil {
-		_ = c.nc.SetWriteDeadline(time.Time{}) // fails only on a connection that is over, as reading shows
+		_ = c.nc.SetWriteDeadline(time.Time{}) // fails only on a closed connection, which the next read reports
 		return nil
 	}
 	outcome := outcomeUnsent(ctx)
@@ -164,12 +165,12 @@
 		err = c.sendStream(client, a.Body)
 	}
 	if !stop() {
-		<-stopped // the deadline would otherwise stop the writing of the connection's next request
+		<-stopped // else it could set its deadline later, during the connection's next request
 	}
 	return err
 }
 
-// sendStream writes a streamed body while it comes from the client.
+// sendStream writes a streamed body as it arrives from the client.
 func (c *conn) sendStream(client context.Context, body Body) error {
 	if !body.Stream.Claim() {
 		return errBodyConsumed
--- a/internal/standalone/backend/response.go
+++ b/internal/standalone/backend/response.go
@@ -19,11 +19,11 @@
 	maxInterimResponses = 5
 	// maxPreallocatedBytes is how much memory is reserved for a body because of its Content-Length alone.
 	maxPreallocatedBytes = 64 << 10
-	// streamAfterPause is how long a large response that has begun may pause before the client gets what there is of
-	// it.
+	// streamAfterPause is how long the proxy buffers a response whose length is known to be over MaxBufferedBody before it
+	// forwards what has arrived. A response that fills the buffer sooner is forwarded at once.
 	streamAfterPause = 150 * time.Millisecond
-	// streamBeforeDeadline is how long before the attempt's end the client gets what there is of a response of unknown
-	// length.
+	// streamBeforeDeadline is how long before the attempt's end the proxy forwards what has arrived of a response of
+	// unknown length. Until then it may still turn out to be small enough to be buffered.
 	streamBeforeDeadline = 10 * time.Millisecond
 )
 
@@ -32,26 +32,26 @@
 	errAmbiguousEnd = errors.New("the response's end can be read in two ways")
 )
 
-// received is a response that has been read: completely, or as far as shows that it is to be streamed.
-type received struct {
+// receivedResponse is a response that has been read: completely, or as far as shows that it is to be streamed.
+type receivedResponse struct {
 	status   int
 	response *Response
 	reusable bool // the connection can be used again
 }
 
-// readResponse reads one response. What exceeds the limits is an error; a part of a response never passes for a
-// complete one. deadline is when the attempt ends.
-func (c *conn) readResponse(p *Pool, req *http.Request, deadline time.Time) (received, error) {
+// readResponse reads one response. A response over the limits, or one that breaks off, is an error. deadline is when the
+// attempt ends.
+func (c *conn) readResponse(p *Pool, req *http.Request, deadline time.Time) (receivedResponse, error) {
 	c.limit.N = maxHeadBytes + MaxBufferedBody
 	c.source.scanner = httpframing.Scanner{}
 	resp, err := c.readHead(req)
 	if err != nil {
-		return received{}, err
+		return receivedResponse{}, err
 	}
 	// The body is never closed: Close would read on to its end, which may never come.
 	switch {
-	case resp.ContentLength > MaxStreamedBody: // to wait for its end could take minutes
-		return received{}, ErrBodyTooLarge
+	case resp.ContentLength > MaxStreamedBody: // rejected at once: to read so far could take minutes
+		return receivedResponse{}, ErrBodyTooLarge
 	case resp.ContentLength >= 0 && resp.ContentLength <= MaxBufferedBody:
 		return c.readBuffered(resp)
 	}
@@ -77,15 +77,15 @@
 }
 
 // readBuffered reads a response of a known length that is buffered.
-func (c *conn) readBuffered(resp *http.Response) (received, error) {
+func (c *conn) readBuffered(resp *http.Response) (receivedResponse, error) {
 	var body bytes.Buffer
 	if n := min(resp.ContentLength, maxPreallocatedBytes); n > 0 {
 		body.Grow(int(n) + bytes.MinRead)
 	}
 	if _, err := body.ReadFrom(resp.Body); err != nil {
-		return received{}, err
+		return receivedResponse{}, err
 	}
-	return received{
+	return receivedResponse{
 		status:   resp.StatusCode,
 		response: &Response{Header: resp.Header, Length: resp.ContentLength, Body: body.Bytes()},
 		reusable: !resp.Close && c.reader.Buffered() == 0,
@@ -94,15 +94,15 @@
 
 // readStream reads a response that is large, or of unknown length, until it is clear whether it is streamed. One of
 // unknown length that turns out to be small is buffered.
-func (c *conn) readStream(p *Pool, resp *http.Response, deadline time.Time) (received, error) {
-	// A body that is delimited by the connection's end is complete if that end is in order: a backend that dies
-	// resets its connections.
+func (c *conn) readStream(p *Pool, resp *http.Response, deadline time.Time) (receivedResponse, error) {
+	// A body that is delimited by the connection's end is complete if the connection is closed and not reset: the kernel
+	// of a backend that ends unexpectedly resets its connections.
 	endsWithConn := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	canReuse := func() bool { return !resp.Close && !endsWithConn && c.reader.Buffered() == 0 }
 	c.limit.N = math.MaxInt64 // the stream has a limit of its own
 	s := newStream(p, c, resp.Body, canReuse)
 	streamFrom := time.Now().Add(streamAfterPause)
-	if resp.ContentLength < 0 { // it may still turn out to be small, and is then served only if it is complete
+	if resp.ContentLength < 0 { // it may turn out to be small, and is then served only if it is complete
 		streamFrom = deadline.Add(-streamBeforeDeadline)
 	}
 	wake := time.AfterFunc(time.Until(streamFrom), s.wake)
@@ -112,13 +112,13 @@
 	switch {
 	case err == io.EOF:
 		response.Body = s.bytes()
-		return received{status: resp.StatusCode, response: response, reusable: canReuse()}, nil
-	case err != nil: // the client has got nothing yet, so that another attempt can be made
-		return received{}, err
+		return receivedResponse{status: resp.StatusCode, response: response, reusable: canReuse()}, nil
+	case err != nil: // nothing of it is forwarded yet, so that another attempt can be made
+		return receivedResponse{}, err
 	case resp.StatusCode != http.StatusOK:
 		s.abandon()
-		return received{}, errErrorTooLong
+		return receivedResponse{}, errErrorTooLong
 	}
 	response.Stream = s
-	return received{status: resp.StatusCode, response: response}, nil
+	return receivedResponse{status: resp.StatusCode, response: response}, nil
 }
--- a/internal/standalone/backend/stream.go
+++ b/internal/standalone/backend/stream.go
@@ -15,15 +15,15 @@
 	copyBufferBytes = 16 << 10
 )
 
-// copyBuffers holds *[copyBufferBytes]byte.
+// copyBuffers pools *[copyBufferBytes]byte.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
 // errStreamClosed is the end of a stream that was closed or abandoned.
 var errStreamClosed = errors.New("the stream was closed")
 
-// stream carries a response's body from the backend to the client. It buffers MaxBufferedBody at most: a backend that
-// is ahead waits, so that memory does not grow with the response or with a slow client. Its goroutine, pump, ends
-// with the body, or after Close or abandon.
+// stream carries a response's body from the backend to the client. It buffers MaxBufferedBody at most, and then stops to
+// read until the client has accepted some of it, so that memory grows neither with the response nor with a slow client.
+// Its goroutine, pump, ends with the body, or after Close or abandon.
 type stream struct {
 	conn     *conn
 	pool     *Pool
@@ -33,9 +33,9 @@
 	mu         sync.Mutex
 	changed    sync.Cond // bytes came or went, or the stream ended
 	buffered   []byte
-	err        error // why no more will come; io.EOF: the body is complete
-	closed     bool
-	forwarding bool // a client gets the bytes: from now on the backend must not stall
+	err        error // the end of the body; io.EOF: it is complete; nil: it has not ended
+	closed     bool  // by Close or abandon
+	forwarding bool  // a client reads from it: the backend must not stall, and the stream releases the connection
 
 	releaseOnce sync.Once
 }
@@ -92,7 +92,8 @@
 	return nil
 }
 
-// end records why no more will come, and releases the connection if the stream has to.
+// end records the end of the body, and releases the connection if a client reads from the stream. Before that, the
+// attempt still has the connection.
 func (s *stream) end(err error) {
 	s.mu.Lock()
 	s.err = err
@@ -145,7 +146,7 @@
 	s.mu.Lock()
 	s.forwarding = true
 	ended, err := s.err != nil, s.err
-	if !ended { // the pump may be in a read without a deadline; a failure shows in the read
+	if !ended { // the pump may be in a read without a deadline; if this fails, so does that read
 		_ = s.conn.nc.SetReadDeadline(time.Now().Add(streamStallTimeout))
 	}
 	s.mu.Unlock()
@@ -154,7 +155,7 @@
 	}
 }
 
-// abandon ends a stream that is not forwarded; the caller releases its connection.
+// abandon ends a stream from which no client reads; the caller releases its connection.
 func (s *stream) abandon() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -162,7 +163,7 @@
 	s.changed.Broadcast()
 }
 
-// Read returns what has come, and waits where nothing has. The error of a body that broke off is not io.EOF.
+// Read returns bytes that have arrived, and waits if there are none. The error of a body that broke off is not io.EOF.
 func (s *stream) Read(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,7 +182,7 @@
 	return n, nil
 }
 
-// Close gives up what has not come yet.
+// Close ends the stream. If the body has not ended it closes the connection.
 func (s *stream) Close() error {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/standalone/backend/stream_test.go
+++ b/internal/standalone/backend/stream_test.go
@@ -16,8 +16,8 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// checkOpenConnections checks how many connections the pool comes to have. A connection is closed just after the reader has seen
-// the end of its response; one that is kept wrongly would stay for the pool's idle time, a minute.
+// checkOpenConnections waits until the pool has that many connections, or fails. A connection is closed just after the
+// reader has got the end of its response; one that is kept wrongly would stay for the pool's idle time, a minute.
 func checkOpenConnections(t *testing.T, pool *Pool, want int) {
 	t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
@@ -32,6 +32,7 @@
 
 // serveOnce starts a backend that gives one response, and reports the result of writing it.
 func serveOnce(t *testing.T, respond func(c net.Conn) error) (pool *Pool, written chan error) {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,6 +59,7 @@
 }
 
 func exchangeGet(t *testing.T, pool *Pool, within time.Duration) Result {
+	t.Helper()
 	ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(within))
 	defer cancel()
 	req, err := http.NewRequest(http.MethodGet, "http://d/quote", nil)
@@ -86,7 +88,7 @@
 	for name, c := range map[string]struct {
 		response func(c net.Conn) error
 		size     int // of the body; -1: it breaks off
-		open     int
+		open     int // connections in the end
 	}{
 		"in pieces": {func(c net.Conn) error {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long)
@@ -169,9 +171,9 @@
 	}
 }
 
-// A backend that is ahead of the client waits: the buffer does not grow with the response. Close disconnects the
-// backend.
-func TestStream_SlowReadersHoldBackendBack(t *testing.T) {
+// Where the client reads more slowly than the backend writes, the backend is blocked: the buffer does not grow with the
+// response. Close disconnects the backend.
+func TestStream_SlowReadersBlockBackend(t *testing.T) {
 	pool, written := serveOnce(t, func(c net.Conn) error {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MaxStreamedBody)
 		_, err := io.WriteString(c, strings.Repeat("x", MaxStreamedBody))
--- a/internal/standalone/forwarder/attempts.go
+++ b/internal/standalone/forwarder/attempts.go
@@ -21,7 +21,7 @@
 	template  backend.Attempt        // what each attempt sends
 	cancels   []context.CancelFunc   // by the attempt's number
 	running   sync.WaitGroup         // attempts without an outcome
-	responses chan *backend.Response // the one response, if an attempt brings it
+	responses chan *backend.Response // has a buffer for the one response that Call.Finish accepts
 }
 
 func newAttempts(t *Transport, call *engine.Call, req *http.Request, info *RequestInfo) *attempts {
@@ -78,8 +78,8 @@
 	}
 }
 
-// reportBodySent reports when a streamed body has been sent as a whole: until then the backend cannot work on it. done
-// closes when the attempt has ended.
+// reportBodySent reports to the engine when a streamed body has been sent completely: until then the backend cannot work
+// on the request. done closes when the attempt has ended.
 func (a *attempts) reportBodySent(attempt uint8, stream *requestbody.Stream, done <-chan struct{}) {
 	select {
 	case <-stream.Ended():
@@ -107,8 +107,8 @@
 	}
 }
 
-// cancelPending carries out what the policy has decided at the end of the request: it cancels attempts, and does not
-// make those that were decided on just before.
+// cancelPending carries out the actions that are left when the request has ended: it cancels attempts, and reports those
+// that the policy has decided on since as not sent.
 func (a *attempts) cancelPending() {
 	for {
 		select {
@@ -125,9 +125,9 @@
 	}
 }
 
-// releaseAfter releases the attempts' context once no attempt needs it: where the settings forbid cancelling, attempts
+// releaseWhenDone releases the attempts' context once no attempt needs it: where the settings forbid cancelling, attempts
 // run on after the response.
-func (a *attempts) releaseAfter(release context.CancelFunc) {
+func (a *attempts) releaseWhenDone(release context.CancelFunc) {
 	go func() {
 		a.running.Wait()
 		release()
--- a/internal/standalone/forwarder/loadpoller.go
+++ b/internal/standalone/forwarder/loadpoller.go
@@ -17,10 +17,11 @@
 }
 
 const (
-	// pollTimeout bounds a poll. The policy polls a backend again after a second at the earliest, and a report that is
-	// half a second late is not worth a file descriptor.
+	// pollTimeout bounds a poll. The policy polls a backend again after a second at the earliest; a report that is half a
+	// second late is of no use, and the poll's connection is better free for requests.
 	pollTimeout = 500 * time.Millisecond
-	// maxPolls may be in flight, and one of them at a backend: polls that hang must not use up what requests need.
+	// maxPolls is how many polls may be in flight, at most one for each backend: polls that hang must not use up the
+	// connections that requests need.
 	maxPolls = 16
 )
 
--- a/internal/standalone/forwarder/requestinfo.go
+++ b/internal/standalone/forwarder/requestinfo.go
@@ -8,21 +8,22 @@
 )
 
 // RequestInfo is what a listener has read and checked of a request. The context that carries it ends at the client's
-// deadline.
+// deadline, and with the cause context.Canceled when the client disconnects.
 type RequestInfo struct {
 	Class      uint8       // the class's number in the settings
 	Tenant     uint32      // the tenant's index in the settings
 	WorkHint   policy.Time // expected work, in microseconds on a standard core; 0: unknown
 	SessionKey uint64      // a hash of what the request is about, for affinity; 0: none
-	Body       []byte      // the whole body, or its start if there is a Stream
-	// Stream is the rest of a body too large to be buffered; nil: there is none. The context has no deadline then, but
-	// ends by itself.
+	Body       []byte      // the complete body, or its start if there is a Stream
+	// Stream is the rest of a body that is too large to be buffered; nil: Body is complete. With a Stream the context has
+	// no deadline, as that counts from the body's last byte; it ends with cause context.DeadlineExceeded at that moment,
+	// and with the error of a body that breaks off.
 	Stream *requestbody.Stream
 	// ClientDisconnected reports whether the client has disconnected, and ends the context if so. nil: only the context
 	// knows.
 	ClientDisconnected func() bool
 
-	Answered bool // set by RoundTrip if a backend has answered
+	Served   bool // set by RoundTrip if a backend has answered
 	Rejected bool // set by RoundTrip if the policy has rejected the request
 }
 
--- a/internal/standalone/forwarder/response.go
+++ b/internal/standalone/forwarder/response.go
@@ -18,9 +18,9 @@
 	return bufferedResponse(req, http.StatusOK, response.Header, response.Body)
 }
 
-// streamedResponse is a response that is copied while it comes. Its length is set in the header alone: ReverseProxy
-// flushes a response that it takes to have no length after each write, which is needed here, as the next bytes may take
-// seconds.
+// streamedResponse is a response that is copied while it comes. Its length is in the header alone, and not in
+// ContentLength: ReverseProxy flushes a response of unknown length after each write, which is needed here, as the next
+// bytes may take seconds.
 func streamedResponse(req *http.Request, response *backend.Response) *http.Response {
 	resp := bufferedResponse(req, http.StatusOK, response.Header, nil)
 	resp.ContentLength, resp.Body = -1, response.Stream
@@ -31,8 +31,8 @@
 	return resp
 }
 
-// rejectedResponse is the response to a request that the policy has rejected. To send it again is harmless;
-// retryAfter is when, in microseconds, or 0 to name no time.
+// rejectedResponse is the response to a request that the policy has rejected: nothing has executed it, so that its
+// client may send it again. retryAfter is when it should, in microseconds; 0: the response has no Retry-After.
 func rejectedResponse(req *http.Request, retryAfter policy.Time) *http.Response {
 	resp := textResponse(req, http.StatusServiceUnavailable, "busy\n")
 	if retryAfter > 0 {
--- a/internal/standalone/forwarder/transport.go
+++ b/internal/standalone/forwarder/transport.go
@@ -1,7 +1,7 @@
 // Package forwarder carries a request to backends: it reports the request to the engine, makes the attempts that the
 // policy decides on, and returns the one response.
 //
-// transport.go has the Transport and the life of a request, attempts.go its attempts, requestinfo.go what a listener
+// transport.go has the Transport and the course of a request, attempts.go its attempts, requestinfo.go what a listener
 // passes on with a request, response.go the responses, loadpoller.go the load polls between requests.
 package forwarder
 
@@ -16,6 +16,7 @@
 	"pumiceline/internal/standalone/backend"
 	"pumiceline/internal/standalone/engine"
 	"pumiceline/internal/standalone/policy"
+	"pumiceline/internal/standalone/requestbody"
 )
 
 // Exchanger makes one exchange with a backend: a *backend.Pool, except in tests.
@@ -32,7 +33,7 @@
 type Transport struct {
 	Engine   *engine.Engine
 	Backends Exchanger
-	// MaxRetryAfter is the longest Retry-After of a rejection, in microseconds.
+	// MaxRetryAfter is the longest Retry-After of a rejection, in microseconds. 0: rejections have no Retry-After.
 	MaxRetryAfter atomic.Int64
 	Log           *slog.Logger
 }
@@ -47,7 +48,7 @@
 	if _, hasDeadline := ctx.Deadline(); info == nil || !hasDeadline && info.Stream == nil {
 		return nil, errNoRequestInfo
 	}
-	if errors.Is(context.Cause(ctx), context.Canceled) { // the client disconnected while its request was queued
+	if errors.Is(context.Cause(ctx), context.Canceled) { // the client disconnected before the request came here
 		return nil, ctx.Err()
 	}
 	deadline := attemptDeadline(ctx, info)
@@ -61,9 +62,9 @@
 		BodyPending: info.Stream != nil,
 	})
 	a := newAttempts(t, call, req, info)
-	defer a.releaseAfter(release)
-	defer a.cancelPending() // after Abandon, which may bring cancels
-	defer call.Abandon()    // for a client that left, or a panic; it has no effect on a call that has ended
+	defer a.releaseWhenDone(release)
+	defer a.cancelPending() // runs after Abandon, whose cancels it carries out
+	defer call.Abandon()    // for a client that disconnected, or a panic; has no effect on a call that has ended
 
 	for {
 		select {
@@ -72,10 +73,11 @@
 				return resp, nil
 			}
 		case response := <-a.responses:
-			info.Answered = true
+			info.Served = true
 			return backendResponse(req, response), nil
 		case <-ctx.Done():
-			// A decision that is there already goes first, as for a request that arrived with no time left.
+			// At the deadline, a decision or response that is there already takes precedence: a request that arrives with
+			// no time left is rejected by the policy (503), and does not time out (504).
 			hasDecision := len(call.Actions())+len(a.responses) > 0
 			if hasDecision && errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 				continue
@@ -85,8 +87,8 @@
 	}
 }
 
-// attemptDeadline returns when the last attempt has to have ended. For a request whose body is still coming it is
-// provisional: the policy reckons as if the body were here, and what it plans for later, the attempts' context ends.
+// attemptDeadline returns when the last attempt has to have ended. For a streamed body it is provisional: the policy
+// plans as if the body were complete now, and the attempts' context ends by the true deadline.
 func attemptDeadline(ctx context.Context, info *RequestInfo) time.Time {
 	if info.Stream != nil {
 		return time.Now().Add(info.Stream.ClientTimeout - responseMargin)
@@ -96,8 +98,8 @@
 }
 
 // newAttemptContext returns the context of a request's attempts. It does not end with the client's: only the policy
-// cancels attempts. For a request whose body is still coming it ends when the body breaks off, or the client's time-out
-// less responseMargin after the last byte.
+// cancels attempts. For a streamed body it ends when the body breaks off, or the client's time-out less responseMargin
+// after the last byte.
 func newAttemptContext(ctx context.Context, info *RequestInfo, deadline time.Time) (context.Context, context.CancelFunc) {
 	if info.Stream == nil {
 		return context.WithDeadline(context.WithoutCancel(ctx), deadline)
@@ -115,7 +117,8 @@
 	switch action.Kind {
 	case policy.SendAttempt:
 		if hasDisconnected(req.Context()) {
-			// The client left in the same moment: the attempt is not made, and no other comes in its place.
+			// The client has disconnected since the decision: the attempt is not made. Abandon first, or the policy would
+			// decide on a retry.
 			a.call.Abandon()
 			a.call.Finish(action.Attempt, policy.NotSent, nil, time.Time{})
 			return nil
@@ -145,10 +148,10 @@
 	switch {
 	case errors.As(cause, &tooLarge):
 		return textResponse(req, http.StatusRequestEntityTooLarge, backend.ErrBodyTooLarge.Error()+"\n"), nil
-	case info.Stream != nil && !errors.Is(cause, context.Canceled) && !isTimeout:
-		return textResponse(req, http.StatusBadRequest, "the body did not come whole\n"), nil
+	case info.Stream != nil && !errors.Is(cause, context.Canceled) && !isTimeout: // the cause is the body's error
+		return textResponse(req, http.StatusBadRequest, requestbody.ErrIncomplete.Error()+"\n"), nil
 	case isTimeout:
-		// The policy should have decided by now. The client must get a response all the same.
+		// The policy should have decided by now. The client gets a response even so.
 		t.Log.Error("request still open at its deadline", "error", cause)
 		return textResponse(req, http.StatusGatewayTimeout, "out of time\n"), nil
 	}
--- a/internal/standalone/forwarder/transport_test.go
+++ b/internal/standalone/forwarder/transport_test.go
@@ -157,7 +157,7 @@
 		start := time.Now()
 		_, err := roundTrip(ctx, decide, func(ctx context.Context, _ uint32) backend.Result {
 			<-ctx.Done()
-			return backend.Result{Outcome: policy.Cancelled}
+			return backend.Result{Outcome: policy.Canceled}
 		})
 		synctest.Wait()
 		if !errors.Is(err, context.Canceled) || outcomes != 1 || time.Since(start) > 200*time.Millisecond {
--- a/internal/standalone/listener/accept.go
+++ b/internal/standalone/listener/accept.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// drainAcceptInterval is how often a draining listener looks whether more connections are queued in the kernel.
+	// drainAcceptInterval is how often a draining listener checks for connections that are queued in the kernel.
 	drainAcceptInterval = 10 * time.Millisecond
 	// descriptorRetryDelay is how long Accept waits for a file descriptor when no client socket can be evicted.
 	descriptorRetryDelay = 5 * time.Millisecond
 )
 
-// budgetListener accepts client connections within a socketBudget. Where the budget is used up it evicts a connection
-// before the server sees the new one; where none can be evicted, the new one is closed, before the process runs out of
-// descriptors: net/http would then stop accepting for up to a second, with regular clients in the queue.
-type budgetListener struct {
+// limitListener accepts client connections up to the limit of a connTracker. At the limit it evicts an open connection
+// for the new one; where none can be evicted, it closes the new one. Without the limit the process would run out of
+// file descriptors, and net/http would then stop accepting for up to a second, with regular clients in the queue.
+type limitListener struct {
 	net.Listener
-	budget    *socketBudget
+	tracker   *connTracker
 	closeOnce sync.Once
 	draining  atomic.Bool
 }
@@ -35,7 +35,7 @@
 }
 
 // Accept returns the next client connection as a *clientConn.
-func (l *budgetListener) Accept() (net.Conn, error) {
+func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		nc, err := l.Listener.Accept()
 		switch {
@@ -45,37 +45,37 @@
 				return nil, net.ErrClosed
 			}
 		case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE):
-			if !l.budget.evict() {
+			if !l.tracker.evict() {
 				time.Sleep(descriptorRetryDelay)
 			}
 		case err != nil:
 			return nil, err
-		case l.budget.count() < l.budget.limit() || l.budget.evict():
+		case l.tracker.count() < l.tracker.limit() || l.tracker.evict():
 			return &clientConn{Conn: nc}, nil
-		default: // nothing of it has been read, so its client may safely send its request again
+		default: // nothing has been read from it, so its client may safely send its request again
 			nc.Close()
 		}
 	}
 }
 
 // Close ends Accept at once. The HTTP server closes its listener too, so only the first call counts.
-func (l *budgetListener) Close() (err error) {
+func (l *limitListener) Close() (err error) {
 	l.closeOnce.Do(func() { err = l.Listener.Close() })
 	return err
 }
 
 // closeWhenDrained ends Accept once no connection is queued any more: the kernel resets those that are queued when the
 // listener is closed, with the requests on them. A listener without deadlines is closed at once.
-func (l *budgetListener) closeWhenDrained() {
+func (l *limitListener) closeWhenDrained() {
 	l.draining.Store(true)
 	if d, ok := l.Listener.(deadlineListener); !ok || d.SetDeadline(time.Now().Add(drainAcceptInterval)) != nil {
 		l.Close()
 	}
 }
 
-// extendDrain reports whether a draining Accept whose deadline has passed has a connection left to accept, and gives it
-// more time if so.
-func (l *budgetListener) extendDrain() bool {
+// extendDrain is called when the deadline of a draining Accept has passed. It reports whether a connection is still
+// queued, and extends the deadline if so.
+func (l *limitListener) extendDrain() bool {
 	d, ok := l.Listener.(deadlineListener)
 	return ok && socket.HasPendingConnection(l.Listener) && d.SetDeadline(time.Now().Add(drainAcceptInterval)) == nil
 }
--- a/internal/standalone/listener/body.go
+++ b/internal/standalone/listener/body.go
@@ -8,21 +8,19 @@
 	"time"
 
 	"pumiceline/internal/standalone/backend"
-	"pumiceline/internal/standalone/forwarder"
 	"pumiceline/internal/standalone/requestbody"
 )
 
-// Limits on a request's body. The times count only while the proxy reads: a client that is held back because the
-// backend is slow is not slow itself.
+// Limits on a request's body. Only the time in reads counts: a client has to wait while the backend accepts nothing.
 const (
-	// firstBytesTimeout is allowed for the first bytes.
+	// firstBytesTimeout is how long the first bytes may take.
 	firstBytesTimeout = 2 * time.Second
 	// minBodyBytesPerSecond is the average rate required from there: half of what slow clients send.
 	minBodyBytesPerSecond = 32_000
 	// maxBodyPause bounds a single pause, however much came before.
 	maxBodyPause = 5 * time.Second
-	// bodyArrivedWithHead is within what a body that arrived with its head is read, even by a busy proxy: the client's
-	// time-out then counts from the head.
+	// bodyArrivedWithHead is the longest time that the proxy, when it is busy, takes to read a body that arrived together
+	// with its head. The client's time-out counts from the head then, and from the body's last byte if it took longer.
 	bodyArrivedWithHead = 50 * time.Millisecond
 	// maxPreallocatedBytes is how much memory is reserved for a body because of its Content-Length alone.
 	maxPreallocatedBytes = 16 << 10
@@ -30,16 +28,18 @@
 
 var (
 	// errIncompleteBody is the client's error for a body that broke off, stalled or was malformed.
-	errIncompleteBody error = &requestError{http.StatusBadRequest, "the body did not come whole"}
+	errIncompleteBody error = &requestError{http.StatusBadRequest, requestbody.ErrIncomplete.Error()}
 
+	// errBodyTooSlow is the error of a read from a client that sends less than the limits above ask for.
 	errBodyTooSlow = errors.New("the body comes too slowly")
 )
 
-// readBody reads r's body into info, up to backend.MaxBufferedBody; what is longer is left to info.Stream. It returns
-// the client's deadline, timeLeft after the request's last byte: for a stream, it counts from the last byte of the
-// stream, and the deadline returned is provisional.
-func readBody(w http.ResponseWriter, r *http.Request, info *forwarder.RequestInfo, receivedAt time.Time,
-	timeLeft time.Duration) (deadline time.Time, err error) {
+// readBody reads r's body into the head's info, up to backend.MaxBufferedBody; the rest of a longer one is left to
+// info.Stream. It returns the client's deadline, timeLeft after the request's last byte. For a stream that is not known
+// yet, and the deadline is that of a body that ends now.
+func readBody(w http.ResponseWriter, r *http.Request, head requestHead, receivedAt time.Time) (
+	deadline time.Time, err error) {
+	info, timeLeft := head.info, head.timeLeft
 	deadline = receivedAt.Add(timeLeft)
 	if r.ContentLength == 0 {
 		return deadline, nil
@@ -47,7 +47,7 @@
 	body := &pacedBody{body: http.MaxBytesReader(w, r.Body, backend.MaxStreamedBody), conn: http.NewResponseController(w)}
 	bufferLimit := int64(backend.MaxBufferedBody)
 	if r.ContentLength < 0 {
-		bufferLimit++ // a body of MaxBufferedBody has its end only behind the next byte
+		bufferLimit++ // of unknown length: only a read past MaxBufferedBody shows that the body ends there
 	}
 	var buffered bytes.Buffer
 	if r.ContentLength > 0 {
@@ -72,7 +72,7 @@
 	return deadline, nil
 }
 
-// pacedBody reads a body that has to keep coming at the rate above.
+// pacedBody reads a client's body and fails where it comes more slowly than the limits above allow.
 type pacedBody struct {
 	body     io.Reader
 	conn     *http.ResponseController
@@ -80,7 +80,7 @@
 	readTime time.Duration // spent in reads so far
 }
 
-// Read reads on. It leaves the connection without a read deadline once the body has ended.
+// Read reads with a deadline. It leaves the connection without one once the body has ended.
 func (p *pacedBody) Read(b []byte) (int, error) {
 	earned := time.Duration(p.received) * time.Second / minBodyBytesPerSecond
 	allowance := min(firstBytesTimeout+earned-p.readTime, maxBodyPause)
--- a/internal/standalone/listener/body_test.go
+++ b/internal/standalone/listener/body_test.go
@@ -15,8 +15,8 @@
 	"pumiceline/internal/standalone/forwarder"
 )
 
-// readsWholeBody returns a transport that reads a streamed body, as an attempt would, and counts its bytes.
-func readsWholeBody(got *int, ended *error) roundTripperFunc {
+// readCompleteBody returns a transport that reads a streamed body, as an attempt would, and counts its bytes.
+func readCompleteBody(got *int, ended *error) roundTripperFunc {
 	return func(r *http.Request) (*http.Response, error) {
 		in := forwarder.RequestInfoFrom(r.Context())
 		*got = len(in.Body)
@@ -36,39 +36,39 @@
 // whose body stalls, breaks off or is too large is ended. The clock is fake.
 func TestRequestBody_PaceLimits(t *testing.T) {
 	for name, c := range map[string]struct {
-		size        int // of the whole body
-		coded       bool
-		piece       int
-		pause       time.Duration
-		sent        int  // before it stops; 0: all
-		disconnects bool // there, rather than stalls
-		status      int  // 0: the connection ends without a response
-		most        time.Duration
+		size        int // of the complete body
+		chunked     bool
+		piece       int           // bytes in one write
+		pause       time.Duration // between two writes
+		sent        int           // before it stops; 0: all
+		disconnects bool          // there, rather than stalls
+		status      int           // 0: the connection ends without a response
+		maxTime     time.Duration // until the response or the end
 	}{
-		"short, slow":        {size: 60_000, piece: 16_000, pause: 250 * time.Millisecond, status: 200, most: 2 * time.Second},
-		"long":               {size: 2_000_000, piece: 50_000, status: 200, most: time.Second},
-		"long, slow":         {size: 640_000, piece: 64_000, pause: time.Second, status: 200, most: 12 * time.Second},
-		"coded, slow":        {size: 300_000, coded: true, piece: 20_000, pause: 300 * time.Millisecond, status: 200, most: 6 * time.Second},
-		"single bytes":       {size: 3000, coded: true, piece: 1, status: 200, most: time.Second},
-		"exactly kept":       {size: backend.MaxBufferedBody, coded: true, piece: 4096, status: 200, most: time.Second},
-		"stalls at once":     {size: 640_000, piece: 10, sent: 10, status: 400, most: 2100 * time.Millisecond},
-		"stalls later":       {size: 640_000, piece: 64_000, sent: 320_000, most: 8 * time.Second},
-		"far too slow":       {size: 640_000, piece: 4000, pause: time.Second, status: 400, most: 4 * time.Second},
-		"client disconnects": {size: 900_000, piece: 100_000, sent: 300_000, disconnects: true, most: time.Second},
-		"longer than it may": {size: backend.MaxStreamedBody + 1000, coded: true, piece: 1 << 20, most: time.Second},
+		"short, slow":          {size: 60_000, piece: 16_000, pause: 250 * time.Millisecond, status: 200, maxTime: 2 * time.Second},
+		"long":                 {size: 2_000_000, piece: 50_000, status: 200, maxTime: time.Second},
+		"long, slow":           {size: 640_000, piece: 64_000, pause: time.Second, status: 200, maxTime: 12 * time.Second},
+		"chunked, slow":        {size: 300_000, chunked: true, piece: 20_000, pause: 300 * time.Millisecond, status: 200, maxTime: 6 * time.Second},
+		"single bytes":         {size: 3000, chunked: true, piece: 1, status: 200, maxTime: time.Second},
+		"exactly buffered":     {size: backend.MaxBufferedBody, chunked: true, piece: 4096, status: 200, maxTime: time.Second},
+		"stalls at once":       {size: 640_000, piece: 10, sent: 10, status: 400, maxTime: 2100 * time.Millisecond},
+		"stalls later":         {size: 640_000, piece: 64_000, sent: 320_000, maxTime: 8 * time.Second},
+		"far too slow":         {size: 640_000, piece: 4000, pause: time.Second, status: 400, maxTime: 4 * time.Second},
+		"client disconnects":   {size: 900_000, piece: 100_000, sent: 300_000, disconnects: true, maxTime: time.Second},
+		"over MaxStreamedBody": {size: backend.MaxStreamedBody + 1000, chunked: true, piece: 1 << 20, maxTime: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				got, ended := 0, error(nil)
-				server := newTestServer(readsWholeBody(&got, &ended), 9)
+				server := newTestServer(readCompleteBody(&got, &ended), 9)
 				ln, stop := serveOnPipes(t, server)
 				conn, r := ln.dial()
 				begun := time.Now()
-				gone := make(chan struct{})
+				clientDone := make(chan struct{})
 				go func() {
-					defer close(gone)
+					defer close(clientDone)
 					head := fmt.Sprintf("Content-Length: %d\r\n\r\n", c.size)
-					if c.coded {
+					if c.chunked {
 						head = "Transfer-Encoding: chunked\r\n\r\n"
 					}
 					if _, err := io.WriteString(conn, "POST /issue HTTP/1.1\r\n"+issueHeaders+head); err != nil {
@@ -83,7 +83,7 @@
 						}
 						n := min(c.piece, c.size-sent)
 						text := strings.Repeat("x", n)
-						if c.coded {
+						if c.chunked {
 							text = fmt.Sprintf("%x;a=b\r\n%s\r\n", n, text)
 						}
 						if _, err := io.WriteString(conn, text); err != nil {
@@ -92,7 +92,7 @@
 						sent += n
 						time.Sleep(c.pause)
 					}
-					if c.coded {
+					if c.chunked {
 						io.WriteString(conn, "0\r\nX-Trailer: a\r\n\r\n")
 					}
 				}()
@@ -103,13 +103,13 @@
 					t.Errorf("%v, %v", resp, err)
 				}
 				if c.status == 200 && got != c.size {
-					t.Errorf("%d bytes of %d came through, %v", got, c.size, ended)
+					t.Errorf("%d bytes of %d were forwarded, %v", got, c.size, ended)
 				}
-				if took > c.most {
+				if took > c.maxTime {
 					t.Errorf("it took %v", took)
 				}
 				conn.Close()
-				<-gone
+				<-clientDone
 				if err := <-stop(); err != nil {
 					t.Error(err)
 				}
--- a/internal/standalone/listener/conn.go
+++ b/internal/standalone/listener/conn.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	// lateReadGrace is more than enough for a read of bytes that the kernel holds already.
+	// lateReadGrace is the deadline of a read whose bytes are in the kernel's buffer already; it is far more than such a
+	// read takes.
 	lateReadGrace = 50 * time.Millisecond
 	// laterHeadExtension is how much longer than the first head on a connection a later one may take.
 	laterHeadExtension = 3 * time.Second
@@ -24,18 +25,22 @@
 	lingerTimeout = 500 * time.Millisecond
 	// maxLingerBytes is how much is read and discarded meanwhile.
 	maxLingerBytes = 256 << 10
+	// minAbortAge is how far in the past a read deadline must be to be the one by which net/http aborts its background
+	// read (its aLongTimeAgo, one second after the Unix epoch). Any other deadline is at most seconds old.
+	minAbortAge = time.Hour
 )
 
-// Phases of a keep-alive connection, by which SetReadDeadline knows which deadline it is given.
+// Phases of a keep-alive connection. net/http sets the idle deadline and the deadline of the next head by the same
+// call; SetReadDeadline distinguishes them by the phase.
 const (
 	phaseActive   int32 = iota // it has a request, or has not had one yet
-	phaseIdle                  // it waits for its next request
-	phaseNextHead              // its idle deadline is set, so that the next deadline is for the head of a later request
+	phaseIdle                  // it waits for its next request; the next deadline is the idle one
+	phaseNextHead              // its idle deadline is set; the next deadline is that of a later request's head
 )
 
-// clientConn is a client connection that observes how the requests on it are delimited and closes without loss: a
-// connection that the proxy ends between two requests is ended without a request being read from it, and a close does
-// not destroy the response before it.
+// clientConn is a client connection that closes without loss. Where the proxy closes it between two requests, no
+// request has been read from it, so that its client may safely send one again; and a close does not destroy the
+// response before it. It also records how the requests on it are delimited, which net/http hides from the handler.
 type clientConn struct {
 	net.Conn
 
@@ -45,17 +50,16 @@
 	endedByProxy    bool  // what a read returns from then on is discarded
 	handledRequests int32 // requests that have reached the handler
 
-	readAborted atomic.Bool  // net/http has stopped its own background read
+	readAborted atomic.Bool  // net/http has aborted its background read
 	phase       atomic.Int32 // one of the phases above
-	lingering   atomic.Bool  // it is closed for writing and waits for its client
+	lingering   atomic.Bool  // it is closed for writing and waits for its client to close
 }
 
 // Read reads from the client and scans the request heads that pass. net/http calls it on one goroutine at a time, which
 // need not be the handler's.
 //
-// A read whose deadline has passed first takes what has arrived: a proxy that is short of CPU gets to a request late,
-// and a request whose last byte the kernel holds counts as received. It would be lost if its connection were closed for
-// being slow.
+// A read whose deadline has passed still returns bytes that are in the kernel's buffer. A proxy that is short of CPU
+// reads late: without this it would close a connection as too slow whose request has arrived in time.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	c.readInProgress = true
@@ -75,8 +79,8 @@
 	}
 }
 
-// recordRead records the result of a read and reports whether the proxy had ended the connection before. A request that
-// arrived meanwhile is not read, so that its client may safely send it again.
+// recordRead records the result of a read and reports whether the proxy had ended the connection before. If so, the
+// bytes are discarded: a request that arrived after the end must not be handled, as its client may send it again.
 func (c *clientConn) recordRead(b []byte, err error) (ended bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -87,28 +91,42 @@
 	return c.endedByProxy
 }
 
-// endIfIdle ends a connection that is between two requests and reports whether it did. It does not where any part of a
-// request has arrived, read or not, unless force is set. The check and the decision are one step under the lock, as a
-// request may arrive between them.
-func (c *clientConn) endIfIdle(force bool) bool {
+// endIfIdle ends a connection in state http.StateNew or http.StateIdle and reports whether it did: not where any part of
+// a request has arrived, read or not. The check and the decision are one step under the lock, as a request may arrive
+// between them. The caller closes the connection.
+func (c *clientConn) endIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	hasRequest := !c.scanner.AtMessageBoundary() || c.scanner.Heads != c.handledRequests
-	if c.endedByProxy || !c.readInProgress || !force && (hasRequest || !socket.IsOpenAndEmpty(c.Conn)) {
+	if !c.canEnd() || hasRequest || !socket.IsOpenAndEmpty(c.Conn) {
 		return false
 	}
 	c.endedByProxy = true
 	return true
 }
 
-// closeGracefully ends a connection between two requests: it closes the writing side first, and discards what crosses
-// that on the way until the client closes too, or lingerUntil. To close a connection with unread bytes would reset it.
-func (c *clientConn) closeGracefully(lingerUntil time.Time, force bool) {
-	if !c.endIfIdle(force) {
-		return
+// end ends a connection in state http.StateNew or http.StateIdle, also where a part of a request has arrived, and
+// reports whether it did. The caller closes the connection.
+func (c *clientConn) end() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.canEnd() {
+		return false
 	}
+	c.endedByProxy = true
+	return true
+}
+
+// canEnd reports whether the connection is not ended yet and a read is in progress, which then returns the end to
+// net/http. Called with mu held.
+func (c *clientConn) canEnd() bool { return !c.endedByProxy && c.readInProgress }
+
+// closeGracefully closes a connection that endIfIdle or end has ended: the writing side first, and the connection once
+// the client has closed too, or at lingerUntil. Bytes that arrive meanwhile are discarded: a close with
+// unread bytes would have the kernel reset the connection.
+func (c *clientConn) closeGracefully(lingerUntil time.Time) {
 	c.lingering.Store(true)
-	// The read in progress goes on until the client's end.
+	// net/http's read in progress goes on until the client's end, and its error has net/http close the connection.
 	if !c.closeWrite() || c.Conn.SetReadDeadline(lingerUntil) != nil {
 		c.Conn.Close()
 	}
@@ -121,8 +139,8 @@
 }
 
 // Close is called by net/http after the last response, or where no request came in time. It lingers: bytes that are
-// unread, or that arrive before the client knows of the end, would have the kernel reset the connection and drop what
-// it still holds of the response.
+// unread, or that arrive before the client knows of the end, would have the kernel reset the connection and drop the
+// part of the response that is still in its send buffer.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	ended := c.endedByProxy
@@ -138,11 +156,12 @@
 	return c.Conn.Close()
 }
 
-// SetReadDeadline is called by net/http. A deadline long past stops its own background read, which then must not be
-// extended. A first head's deadline is kept: its client is owed an error or a close soon. The head of a later request
-// gets laterHeadExtension more, as one that is cut off in the middle may be complete by then, and lost.
+// SetReadDeadline is called by net/http. A deadline long past aborts net/http's background read, which Read must not
+// extend then. The deadline of a connection's first head stays as it is, so that a client that sends half a head gets
+// an error soon. The head of a later request gets laterHeadExtension more: if the connection were closed while the
+// last bytes of the head are on the way, a request that its client has sent completely would be lost.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
-	c.readAborted.Store(!t.IsZero() && time.Since(t) > time.Hour)
+	c.readAborted.Store(!t.IsZero() && time.Since(t) > minAbortAge)
 	switch {
 	case c.readAborted.Load() || t.IsZero():
 	case c.phase.CompareAndSwap(phaseIdle, phaseNextHead): // t is the idle deadline
@@ -160,9 +179,9 @@
 	return context.WithValue(ctx, connContextKey{}, nc)
 }
 
-// clientDisconnected reports whether a request's client has closed its connection, or its half of it. net/http watches
-// for that by a read of one byte, which notices it too late for a request that arrives together with the end, and never
-// behind bytes that follow the request.
+// clientDisconnected reports whether a request's client has closed its connection, or its half of it. net/http detects
+// that by a background read of one byte: too late where the end arrives together with the request, and never where
+// further bytes follow the request, as the read returns one of those.
 func clientDisconnected(r *http.Request) bool {
 	c, ok := r.Context().Value(connContextKey{}).(*clientConn)
 	return ok && socket.HasPeerClosed(c.Conn)
--- a/internal/standalone/listener/conn_test.go
+++ b/internal/standalone/listener/conn_test.go
@@ -78,6 +78,7 @@
 
 // servePausing serves on a TCP socket and connects one client to it.
 func servePausing(t *testing.T, server *Server) (client *net.TCPConn, serverConn *pausingConn, stop func() chan error) {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -99,12 +100,12 @@
 // the bytes, and the check for an idle connection.
 func TestClientConn_DiscardsRequestCrossingTheClose(t *testing.T) {
 	for name, end := range map[string]func(server *Server, stop func() chan error){
-		"making room": func(server *Server, _ func() chan error) {
-			if !server.budget.evict() {
-				t.Error("no room was made")
+		"eviction": func(server *Server, _ func() chan error) {
+			if !server.tracker.evict() {
+				t.Error("no connection was evicted")
 			}
 		},
-		"stopping": func(_ *Server, stop func() chan error) { stop() },
+		"shutdown": func(_ *Server, stop func() chan error) { stop() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			var requests atomic.Int32
@@ -117,7 +118,7 @@
 			if resp, _, err := exchange(client, br, quoteRequest); err != nil || resp.StatusCode != 200 {
 				t.Fatalf("%v, %v", resp, err)
 			}
-			for server.budget.idleNow() == 0 { // the state changes just after the response
+			for server.tracker.idleNow() == 0 { // the state changes just after the response
 				time.Sleep(time.Millisecond)
 			}
 			serverConn.isPausing.Store(true)
@@ -147,10 +148,10 @@
 // it: those would have the kernel reset the connection and drop the rest of the response.
 func TestClientConn_CloseKeepsUnreadResponse(t *testing.T) {
 	const size = 60_000
-	taken, more := make(chan struct{}), make(chan struct{})
+	forwarded, proceed := make(chan struct{}), make(chan struct{})
 	server := newTestServer(func(r *http.Request) (*http.Response, error) {
-		close(taken)
-		<-more
+		close(forwarded)
+		<-proceed
 		return &http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(strings.NewReader(strings.Repeat("x", size))),
 			ContentLength: size, Request: r}, nil
 	}, 9)
@@ -163,11 +164,11 @@
 	if _, err := io.WriteString(client, chunked); err != nil {
 		t.Fatal(err)
 	}
-	<-taken
+	<-forwarded
 	if _, err := io.WriteString(client, strings.Repeat("more than belongs here", 100)); err != nil {
 		t.Fatal(err)
 	}
-	close(more)
+	close(proceed)
 	<-serverConn.writeClosed // the proxy has closed, and the client has read next to nothing
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
--- a/internal/standalone/listener/socketbudget_test.go
+++ b/internal/standalone/listener/conntracker_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// Over the budget the longest idle socket is evicted, and the new one is served.
-func TestSocketBudget_EvictsLongestIdle(t *testing.T) {
+// At the limit the longest idle socket is evicted, and the new one is served.
+func TestConnTracker_EvictsLongestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(respondOK, 2)
 		ln, stop := serveOnPipes(t, server)
@@ -33,7 +33,7 @@
 		if resp, _, err := exchange(conns[1], readers[1], quoteRequest); err != nil || resp.StatusCode != 200 {
 			t.Errorf("the second: %v, %v", resp, err)
 		}
-		if n := server.budget.count(); n != 2 {
+		if n := server.tracker.count(); n != 2 {
 			t.Errorf("%d sockets, want 2", n)
 		}
 		for _, c := range conns {
@@ -45,7 +45,7 @@
 
 // Sockets that bring nothing, or half a head, are closed in time; hundreds of unused ones do not displace a client
 // that has been served, and a client that sends a request in between is served.
-func TestSocketBudget_EvictsUnusedFirst(t *testing.T) {
+func TestConnTracker_EvictsUnusedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(respondOK, 10)
 		ln, stop := serveOnPipes(t, server)
@@ -60,8 +60,8 @@
 			c, _ := ln.dial()
 			silent = append(silent, c)
 			time.Sleep(3 * time.Millisecond)
-			if n := server.budget.count(); n > 10 {
-				t.Fatalf("%d sockets with a budget of 10", n)
+			if n := server.tracker.count(); n > 10 {
+				t.Fatalf("%d sockets with a limit of 10", n)
 			}
 			if i%50 == 49 {
 				if resp, _, err := exchange(regular, regularReader, quoteRequest); err != nil || resp.StatusCode != 200 {
@@ -74,12 +74,12 @@
 		}
 		time.Sleep(headTimeout + time.Millisecond)
 		synctest.Wait()
-		if n := server.budget.count(); n != 1 {
+		if n := server.tracker.count(); n != 1 {
 			t.Errorf("%d sockets, want the regular one", n)
 		}
 		time.Sleep(idleTimeout)
 		synctest.Wait()
-		if n := server.budget.count(); n != 0 {
+		if n := server.tracker.count(); n != 0 {
 			t.Errorf("%d sockets that have been idle for long", n)
 		}
 		for _, c := range append(silent, regular, half) {
@@ -89,9 +89,9 @@
 	})
 }
 
-// When sockets that have had a request come near the budget, as clients that send one request leave them, responses
+// When sockets that have had a request come near the limit, as clients that send one request leave them, responses
 // close their connections. Unused sockets do not count.
-func TestSocketBudget_ShedsKeepAlive(t *testing.T) {
+func TestConnTracker_ShedsKeepAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(respondOK, 20) // nine may be kept alive
 		ln, stop := serveOnPipes(t, server)
@@ -113,13 +113,13 @@
 			conns = append(conns, c)
 			synctest.Wait()
 		}
-		if n := server.budget.count(); closed != 3 || n != 14 || server.budget.idleNow() != 9 || server.budget.unusedNow() != 5 {
-			t.Errorf("%d closed, %d open, %d idle, %d unused", closed, n, server.budget.idleNow(), server.budget.unusedNow())
+		if n := server.tracker.count(); closed != 3 || n != 14 || server.tracker.idleNow() != 9 || server.tracker.unusedNow() != 5 {
+			t.Errorf("%d closed, %d open, %d idle, %d unused", closed, n, server.tracker.idleNow(), server.tracker.unusedNow())
 		}
 		time.Sleep(idleTimeout + time.Second)
 		synctest.Wait()
-		if server.budget.idleNow() != 0 {
-			t.Errorf("%d idle with no socket open", server.budget.idleNow())
+		if server.tracker.idleNow() != 0 {
+			t.Errorf("%d idle with no socket open", server.tracker.idleNow())
 		}
 		for _, c := range conns {
 			c.Close()
@@ -128,43 +128,43 @@
 	})
 }
 
-// The budget follows SocketLimit, up and down.
-func TestSocketBudget_FollowsLimit(t *testing.T) {
+// The limit follows SocketLimit, up and down.
+func TestConnTracker_FollowsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		now := 3
+		limit := 3
 		server := newTestServerWith(func(r *http.Request) (*http.Response, error) {
 			time.Sleep(time.Second)
 			return respondOK(r)
 		}, func(opts *Options) {
-			opts.GuaranteedSockets, opts.SocketLimit = 2, func() int { return now }
+			opts.GuaranteedSockets, opts.SocketLimit = 2, func() int { return limit }
 		})
 		ln, stop := serveOnPipes(t, server)
 		var conns []net.Conn
-		ask := func() bool { // whether it was accepted
+		isAccepted := func() bool { // connects and sends a request
 			c, r := ln.dial()
 			conns = append(conns, c)
 			io.WriteString(c, strings.Replace(quoteRequest, "Id: 1", fmt.Sprint("Id: 1", len(conns)), 1))
-			taken := make(chan bool, 1)
+			answered := make(chan bool, 1)
 			go func() {
 				_, err := r.ReadByte()
-				taken <- err == nil
+				answered <- err == nil
 			}()
 			time.Sleep(10 * time.Millisecond)
 			select {
-			case ok := <-taken:
+			case ok := <-answered:
 				return ok
 			default:
 				return true
 			}
 		}
 		for i := range 5 {
-			if got, want := ask(), i < 3; got != want {
+			if got, want := isAccepted(), i < 3; got != want {
 				t.Errorf("socket %d: accepted %v", i, got)
 			}
 		}
-		now = 4
-		if !ask() || ask() {
-			t.Error("the budget did not grow by one")
+		limit = 4
+		if !isAccepted() || isAccepted() {
+			t.Error("the limit did not grow by one")
 		}
 		for _, c := range conns {
 			c.Close()
@@ -174,7 +174,7 @@
 }
 
 // Where no socket can be evicted the new one is closed, and none with a request is.
-func TestSocketBudget_ClosesNewConnectionWhenFull(t *testing.T) {
+func TestConnTracker_ClosesNewConnectionWhenFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(func(r *http.Request) (*http.Response, error) { time.Sleep(time.Second); return respondOK(r) }, 1)
 		ln, stop := serveOnPipes(t, server)
@@ -194,14 +194,14 @@
 }
 
 // idleNow returns how many sockets are idle, and unusedNow how many have brought nothing yet.
-func (s *socketBudget) idleNow() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.idle
+func (t *connTracker) idleNow() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.idle
 }
 
-func (s *socketBudget) unusedNow() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.unused
+func (t *connTracker) unusedNow() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.unused
 }
--- a/internal/standalone/listener/correlation.go
+++ b/internal/standalone/listener/correlation.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// openIDSet holds the correlation ids of the requests in flight. Another request with one of them would be taken for
-// the same request by a backend and in every log.
+// openIDSet is the set of the correlation ids of the requests in flight. A second request with the same id could not be
+// distinguished from the first by a backend or in a log.
 type openIDSet struct {
 	mu  sync.Mutex
 	ids map[string]struct{}
--- a/internal/standalone/listener/disconnect_test.go
+++ b/internal/standalone/listener/disconnect_test.go
@@ -106,6 +106,7 @@
 }
 
 func newDisconnectTest(t *testing.T, set func(c *disconnectTest, o *Options)) *disconnectTest {
+	t.Helper()
 	t.Parallel()
 	c := &disconnectTest{t: t, arrived: make(chan struct{}, 16), dialing: make(chan struct{}, 16)}
 	log := slog.New(slog.DiscardHandler)
@@ -161,6 +162,7 @@
 
 // send connects and sends a request with a time-out of three seconds and this body.
 func (c *disconnectTest) send(body string) (client *net.TCPConn, length int64) {
+	c.t.Helper()
 	nc, err := net.Dial("tcp", c.addr)
 	if err != nil {
 		c.t.Fatal(err)
@@ -223,34 +225,34 @@
 }
 
 // Wherever a request waits, and however its client disconnects, no byte of it reaches a backend afterwards, even
-// where no attempt may be cancelled.
+// where no attempt may be canceled.
 func TestServer_ForwardsNothingAfterDisconnect(t *testing.T) {
-	for way, leave := range disconnectKinds {
-		t.Run("queued in the policy, "+way, func(t *testing.T) {
+	for kind, disconnect := range disconnectKinds {
+		t.Run("queued in the policy, "+kind, func(t *testing.T) {
 			c := newDisconnectTest(t, nil)
 			client, n := c.send("body")
 			<-c.arrived
-			leave(c, client, n)
+			disconnect(c, client, n)
 			c.waitForDisconnect()
 			c.sendLastRequest()
 			c.waitForEnd()
 			c.checkNothingWritten()
 		})
-		t.Run("while the backend connection is made, "+way, func(t *testing.T) {
-			goOn := make(chan struct{})
+		t.Run("while the backend connection is made, "+kind, func(t *testing.T) {
+			proceed := make(chan struct{})
 			c := newDisconnectTest(t, func(c *disconnectTest, _ *Options) {
 				c.sendsAtOnce = true
-				c.dial = func(nc net.Conn) (net.Conn, error) { <-goOn; return nc, nil }
+				c.dial = func(nc net.Conn) (net.Conn, error) { <-proceed; return nc, nil }
 			})
 			client, n := c.send("body")
 			<-c.dialing
-			leave(c, client, n)
+			disconnect(c, client, n)
 			c.waitForDisconnect()
-			close(goOn)
+			close(proceed)
 			c.waitForEnd()
 			c.checkNothingWritten()
 		})
-		t.Run("between two attempts, "+way, func(t *testing.T) {
+		t.Run("between two attempts, "+kind, func(t *testing.T) {
 			c := newDisconnectTest(t, func(c *disconnectTest, _ *Options) {
 				c.sendsAtOnce = true
 				c.dial = func(nc net.Conn) (net.Conn, error) { nc.Close(); return nil, net.ErrClosed }
@@ -258,24 +260,24 @@
 			client, n := c.send("body")
 			c.waitUntil("the first attempt fails", func() bool { return c.attemptsEnded.Load() == 1 })
 			c.dial = func(nc net.Conn) (net.Conn, error) { return nc, nil }
-			leave(c, client, n)
+			disconnect(c, client, n)
 			c.waitForDisconnect()
 			c.sendLastRequest()
 			c.waitForEnd()
 			c.checkNothingWritten()
 		})
-		t.Run("at the connection limit, "+way, func(t *testing.T) {
+		t.Run("at the connection limit, "+kind, func(t *testing.T) {
 			c := newDisconnectTest(t, func(c *disconnectTest, _ *Options) { c.sendsAtOnce = true; c.backends.SetMaxConnections(0) })
 			client, n := c.send("body")
 			c.waitUntil("the first attempt finds no free connection", func() bool { return c.attemptsEnded.Load() == 1 })
-			leave(c, client, n)
+			disconnect(c, client, n)
 			c.waitForDisconnect()
 			c.backends.SetMaxConnections(9)
 			c.sendLastRequest()
 			c.waitForEnd()
 			c.checkNothingWritten()
 		})
-		t.Run("queued at the gate, "+way, func(t *testing.T) {
+		t.Run("queued at the gate, "+kind, func(t *testing.T) {
 			var gate *Gate
 			c := newDisconnectTest(t, func(c *disconnectTest, o *Options) {
 				c.sendsAtOnce = true
@@ -293,22 +295,22 @@
 			defer end()
 			go gate.Run(running)
 			other := &http.Request{RemoteAddr: "127.0.0.9:1"}
-			finish, _ := gate.admit(t.Context(), other, &forwarder.RequestInfo{}, time.Now().Add(time.Hour))
+			finish, _ := gate.admit(t.Context(), other, acceptedRequest{info: &forwarder.RequestInfo{}, deadline: time.Now().Add(time.Hour)})
 			client, n := c.send("body")
 			c.waitUntil("it is queued at the gate", func() bool { return c.server.TableSizes().GateQueue == 1 })
-			leave(c, client, n)
+			disconnect(c, client, n)
 			c.waitForDisconnect()
 			finish(true)
 			c.waitForEnd()
 			c.checkNothingWritten()
 		})
-		if way == "reset behind bytes" {
+		if kind == "reset behind bytes" {
 			continue // it waits for a byte to be read, which does not happen before Accept
 		}
-		t.Run("before it is accepted, "+way, func(t *testing.T) {
+		t.Run("before it is accepted, "+kind, func(t *testing.T) {
 			c := newDisconnectTest(t, func(c *disconnectTest, _ *Options) { c.sendsAtOnce = true; c.accept = make(chan struct{}) })
 			client, n := c.send("body")
-			leave(c, client, n)
+			disconnect(c, client, n)
 			c.accept <- struct{}{}
 			c.waitForDisconnect()
 			c.waitUntil("the connection is given up", func() bool { return c.server.OpenSockets() == 0 })
--- a/internal/standalone/listener/gate.go
+++ b/internal/standalone/listener/gate.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// gateTickInterval is how often the admission controller is given the time.
+	// gateTickInterval is how often Controller.Tick is called.
 	gateTickInterval = 10 * time.Millisecond
 	// gateRejectMargin is how long before its deadline a queued request is rejected at the latest, so that the response
 	// still reaches its client.
@@ -28,15 +28,15 @@
 // for the controller's decision. It is safe for concurrent use; Run must run while requests come.
 type Gate struct {
 	log        *slog.Logger
-	clientSeed maphash.Seed // clients are distinguished by a hash of their address, which nobody outside can predict
+	clientSeed maphash.Seed // of the hash of a client's address; random, so that clients cannot provoke collisions
 	origin     time.Time    // of the controller's clock
 
 	mu          sync.Mutex // guards what follows
 	controller  *admission.Controller
-	tenantNames []string                                   // by the tenant's index in the settings
-	actions     []admission.Action                         // a buffer for the controller's decisions
-	pending     map[admission.Ticket]chan admission.Action // the requests that wait for a decision
-	loggedStats []admission.TenantStats                    // at the last log record, by tenant
+	tenantNames []string                                     // by the tenant's index in the settings
+	decisions   []admission.Decision                         // a buffer for the controller's decisions
+	pending     map[admission.Ticket]chan admission.Decision // the requests that wait for a decision
+	loggedStats []admission.TenantStats                      // at the last log record, by tenant
 }
 
 // NewGate returns a gate with these settings. An error means that they are invalid.
@@ -50,7 +50,7 @@
 		clientSeed: maphash.MakeSeed(),
 		origin:     time.Now(),
 		controller: controller,
-		pending:    map[admission.Ticket]chan admission.Action{},
+		pending:    map[admission.Ticket]chan admission.Decision{},
 	}
 	g.useTenants(set)
 	return g, nil
@@ -65,14 +65,15 @@
 	g.loggedStats = make([]admission.TenantStats, len(g.tenantNames))
 }
 
-// now is the controller's clock, driven by the monotonic one. It is never 0.
+// now is the controller's clock, in microseconds of the monotonic clock. It is never 0, which a Controller takes for
+// "no event yet".
 func (g *Gate) now() admission.Time { return time.Since(g.origin).Microseconds() + 1 }
 
 // ApplySettings replaces the settings as a whole, or returns an error and keeps those in force.
 func (g *Gate) ApplySettings(next admission.Settings) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	decisions, err := g.controller.ApplySettings(g.now(), next, g.actions[:0])
+	decisions, err := g.controller.ApplySettings(g.now(), next, g.decisions[:0])
 	if err != nil {
 		return err
 	}
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// Run gives the controller the time until ctx ends.
+// Run advances the controller's time until ctx ends, so that queued requests are rejected in time.
 func (g *Gate) Run(ctx context.Context) {
 	tick, stats := time.NewTicker(gateTickInterval), time.NewTicker(gateStatsInterval)
 	defer tick.Stop()
@@ -92,7 +93,7 @@
 			return
 		case <-tick.C:
 			g.mu.Lock()
-			g.deliver(g.controller.Tick(g.now(), g.actions[:0]))
+			g.deliver(g.controller.Tick(g.now(), g.decisions[:0]))
 			g.mu.Unlock()
 		case <-stats.C:
 			g.logStats()
@@ -101,74 +102,73 @@
 }
 
 // deliver passes decisions on to the requests that wait for them. Called with mu held.
-func (g *Gate) deliver(decisions []admission.Action) {
-	for _, a := range decisions {
-		if decided := g.pending[a.Ticket]; decided != nil {
-			decided <- a // never blocks: a request has one decision, and the channel room for it
-			delete(g.pending, a.Ticket)
+func (g *Gate) deliver(decisions []admission.Decision) {
+	for _, d := range decisions {
+		if decided := g.pending[d.Ticket]; decided != nil {
+			decided <- d // never blocks: a request has one decision, and its channel has a buffer of one
+			delete(g.pending, d.Ticket)
 		}
 	}
-	g.actions = decisions[:0]
+	g.decisions = decisions[:0]
 }
 
 // admit waits until a request is admitted or rejected, or ctx ends. Once the request has ended, finish must be called
 // if it was admitted; it is nil otherwise.
-func (g *Gate) admit(ctx context.Context, r *http.Request, info *forwarder.RequestInfo, deadline time.Time) (
-	finish func(answered bool), rejection admission.Action) {
-	ticket, decided := g.submit(r, info, deadline)
-	var decision admission.Action
+func (g *Gate) admit(ctx context.Context, r *http.Request, accepted acceptedRequest) (
+	finish func(served bool), rejection admission.Decision) {
+	ticket, decided := g.submit(r, accepted)
+	var decision admission.Decision
 	select {
 	case decision = <-decided:
 	case <-ctx.Done():
 		g.withdraw(ticket, decided)
-		return nil, admission.Action{Kind: admission.Reject, Reason: admission.TooLate}
+		return nil, admission.Decision{Kind: admission.Reject, Reason: admission.TooLate}
 	}
 	if decision.Kind != admission.Admit {
 		return nil, decision
 	}
-	return func(answered bool) {
+	return func(served bool) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.deliver(g.controller.Finish(g.now(), ticket, answered, g.actions[:0]))
+		g.deliver(g.controller.Finish(g.now(), ticket, served, g.decisions[:0]))
 	}, decision
 }
 
 // submit gives a request to the controller. Its decision comes on the channel.
-func (g *Gate) submit(r *http.Request, info *forwarder.RequestInfo, deadline time.Time) (
-	admission.Ticket, <-chan admission.Action) {
+func (g *Gate) submit(r *http.Request, accepted acceptedRequest) (admission.Ticket, <-chan admission.Decision) {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
 		host = r.RemoteAddr
 	}
 	request := admission.Request{
-		Tenant:  int(info.Tenant),
-		Class:   int(info.Class),
+		Tenant:  int(accepted.info.Tenant),
+		Class:   int(accepted.info.Class),
 		Client:  maphash.String(g.clientSeed, host),
-		Work:    info.WorkHint,
-		IsRetry: singleValue(r.Header, repeatHeader) == "1",
+		Work:    accepted.info.WorkHint,
+		IsRetry: singleValue(r.Header, retryHeader) == "1",
 	}
-	decided := make(chan admission.Action, 1)
+	decided := make(chan admission.Decision, 1)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	request.Deadline = g.now() + time.Until(deadline.Add(-gateRejectMargin)).Microseconds()
-	ticket, decisions := g.controller.Submit(g.now(), request, g.actions[:0])
+	request.Deadline = g.now() + time.Until(accepted.deadline.Add(-gateRejectMargin)).Microseconds()
+	ticket, decisions := g.controller.Submit(g.now(), request, g.decisions[:0])
 	g.pending[ticket] = decided
 	g.deliver(decisions)
 	return ticket, decided
 }
 
 // withdraw takes back a request whose context has ended. It may have been admitted in the same moment.
-func (g *Gate) withdraw(ticket admission.Ticket, decided <-chan admission.Action) {
+func (g *Gate) withdraw(ticket admission.Ticket, decided <-chan admission.Decision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	select {
 	case decision := <-decided:
 		if decision.Kind == admission.Admit {
-			g.deliver(g.controller.Finish(g.now(), ticket, false, g.actions[:0]))
+			g.deliver(g.controller.Finish(g.now(), ticket, false, g.decisions[:0]))
 		}
 	default:
 		delete(g.pending, ticket)
-		g.deliver(g.controller.Cancel(g.now(), ticket, g.actions[:0]))
+		g.deliver(g.controller.Cancel(g.now(), ticket, g.decisions[:0]))
 	}
 }
 
@@ -211,7 +211,7 @@
 }
 
 // writeRejection answers a rejected request. No backend has seen it, so to send it again is harmless.
-func writeRejection(w http.ResponseWriter, rejection admission.Action) {
+func writeRejection(w http.ResponseWriter, rejection admission.Decision) {
 	if rejection.RetryAfter > 0 {
 		w.Header().Set("Retry-After", forwarder.FormatRetryAfter(rejection.RetryAfter))
 	}
--- a/internal/standalone/listener/gate_test.go
+++ b/internal/standalone/listener/gate_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -52,7 +53,7 @@
 // One tenant sends twenty times the capacity, another little: the 99th percentile of the other must be within 1.5
 // times of that without the flood, and all of its requests must be served.
 func TestGate_FloodOfOneTenantDoesNotDelayAnother(t *testing.T) {
-	times := func(flood bool) (took []time.Duration, refused int) {
+	latencies := func(flood bool) (took []time.Duration, rejected int) {
 		late := 0
 		synctest.Test(t, func(t *testing.T) {
 			server, gate := newGatedServer(t, nil)
@@ -61,7 +62,7 @@
 			var all sync.WaitGroup
 			all.Go(func() { gate.Run(running) })
 			var mu sync.Mutex
-			ask := func(id int, tenant string) {
+			request := func(id int, tenant string) {
 				all.Go(func() {
 					c, r := ln.dial()
 					defer c.Close()
@@ -75,13 +76,13 @@
 					case tenant == "zenith" && resp.StatusCode == http.StatusOK:
 						took = append(took, time.Since(begin))
 					case tenant == "zenith":
-						refused++
+						rejected++
 					case resp.StatusCode == http.StatusGatewayTimeout:
 						late++ // admitted by the expected latency, and took longer
 					case resp.StatusCode != http.StatusOK:
-						said := resp.Header.Get("Retry-After")
-						after, err := strconv.ParseFloat(said, 64)
-						if resp.StatusCode != http.StatusServiceUnavailable || said != "" && (err != nil || after <= 0 || after > 2.5) {
+						retryAfter := resp.Header.Get("Retry-After")
+						after, err := strconv.ParseFloat(retryAfter, 64)
+						if resp.StatusCode != http.StatusServiceUnavailable || retryAfter != "" && (err != nil || after <= 0 || after > 2.5) {
 							t.Errorf("rejected with %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 						}
 					}
@@ -91,11 +92,11 @@
 			for step := range 500 { // 10 ms each
 				for k := 0; flood && k < 8; k++ {
 					id++
-					ask(id, "acme")
+					request(id, "acme")
 				}
 				if step%10 == 5 { // a quarter of the capacity, half of its share
 					id++
-					ask(id, "zenith")
+					request(id, "zenith")
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
@@ -107,13 +108,13 @@
 				t.Errorf("%d of %d requests were admitted too late", late, id)
 			}
 		})
-		return took, refused
+		return took, rejected
 	}
 	p99 := func(d []time.Duration) time.Duration { slices.Sort(d); return d[len(d)*99/100] }
-	alone, _ := times(false)
-	beside, refused := times(true)
-	if a, b := p99(alone), p99(beside); b > a*3/2 || refused > 0 || len(beside) != len(alone) {
-		t.Errorf("alone %v, beside a flood %v; %d of %d served, %d refused", a, b, len(beside), len(alone), refused)
+	alone, _ := latencies(false)
+	beside, rejected := latencies(true)
+	if a, b := p99(alone), p99(beside); b > a*3/2 || rejected > 0 || len(beside) != len(alone) {
+		t.Errorf("alone %v, beside a flood %v; %d of %d served, %d rejected", a, b, len(beside), len(alone), rejected)
 	}
 }
 
@@ -148,16 +149,17 @@
 			})
 		}
 		time.Sleep(120 * time.Millisecond)
-		less := admission.Defaults()
-		less.Tenants = []admission.Tenant{{Name: "zenith", Share: 1}, {Name: "acme", Share: 0}}
-		less.Classes = []admission.Class{{Name: "quote", Value: 1, Work: 100_000}}
-		less.MinLimit, less.InitialLimit, less.MaxLimit, less.MaxQueued = 2, 2, 2, 10
-		bad := less
+		smaller := admission.Defaults()
+		smaller.Tenants = []admission.Tenant{{Name: "zenith", Share: 1}, {Name: "acme", Share: 0}}
+		smaller.Classes = []admission.Class{{Name: "quote", Value: 1, Work: 100_000}}
+		smaller.MinLimit, smaller.InitialLimit, smaller.MaxLimit, smaller.MaxQueued = 2, 2, 2, 10
+		bad := smaller
 		bad.QueuesPerClass = 0
-		if err := gate.ApplySettings(bad); err == nil || !strings.Contains(err.Error(), "buckets") {
-			t.Errorf("invalid settings are accepted: %v", err)
+		var invalid *admission.SettingError
+		if err := gate.ApplySettings(bad); !errors.As(err, &invalid) || invalid.Key != "buckets" {
+			t.Errorf("invalid settings: %v", err)
 		}
-		if err := gate.ApplySettings(less); err != nil {
+		if err := gate.ApplySettings(smaller); err != nil {
 			t.Error(err)
 		}
 		stopped := stop()
--- a/internal/standalone/listener/handler.go
+++ b/internal/standalone/listener/handler.go
@@ -24,7 +24,7 @@
 	}
 	defer rw.clearWriteDeadline()
 	defer s.recoverPanic(rw)
-	if s.closeAfterResponse.Load() || s.budget.shouldShedKeepAlive() {
+	if s.closeAfterResponse.Load() || s.tracker.shouldShedKeepAlive() {
 		rw.Header().Set("Connection", "close")
 	}
 	receivedAt := time.Now()
@@ -33,22 +33,23 @@
 		s.serveReady(rw)
 		return
 	}
-	if framing.hasTransferEncoding { // from here it is unknown where the connection's next request begins
+	if framing.hasTransferEncoding { // the scanner cannot find where the connection's next request would begin
 		rw.Header().Set("Connection", "close")
 	}
-	info, deadline, err := s.requests.read(rw, r, receivedAt, framing)
+	accepted, err := s.requests.read(rw, r, receivedAt, framing)
 	if err != nil {
 		s.rejectMalformed(rw, r, err)
 		return
 	}
-	defer s.requests.end(info)
+	defer s.requests.end(accepted.info)
 	id := r.Header.Get(correlationIDHeader)
 	if !s.openIDs.reserve(id) {
 		s.rejectMalformed(rw, r, badRequestf("%s is that of a request still open", correlationIDHeader))
 		return
 	}
 	defer s.openIDs.release(id)
-	s.serveRequest(rw, r, info, s.capDeadline(deadline))
+	accepted.deadline = s.capDeadline(accepted.deadline)
+	s.serveRequest(rw, r, accepted)
 }
 
 // recoverPanic answers a request whose handler panicked; net/http would only close the connection. It must be deferred
@@ -62,14 +63,14 @@
 		panic(p) // the client has disconnected: net/http closes the connection
 	}
 	s.opts.Log.Error("request handler panicked", "panic", p, "stack", string(debug.Stack()))
-	if rw.headSent { // an error text would pass for a part of the response
+	if rw.headSent { // the client would take an error text for a part of the response
 		panic(http.ErrAbortHandler)
 	}
 	http.Error(rw, "internal error", http.StatusInternalServerError)
 }
 
-// isReadinessCheck reports whether r asks for readiness. A request with a service class belongs to a class that happens
-// to be called "ready".
+// isReadinessCheck reports whether r is a readiness check. A request with a service class is none: its class happens to
+// be called "ready".
 func isReadinessCheck(r *http.Request) bool {
 	return r.URL.Path == readyPath && len(r.Header[classHeader]) == 0
 }
@@ -100,7 +101,8 @@
 }
 
 // serveRequest serves a request that has passed the checks, and counts how it ended.
-func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, info *forwarder.RequestInfo, deadline time.Time) {
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, accepted acceptedRequest) {
+	info := accepted.info
 	client, disconnect := context.WithCancel(r.Context())
 	defer disconnect()
 	info.ClientDisconnected = func() bool {
@@ -114,35 +116,36 @@
 	defer func() {
 		s.inFlight.Add(-1)
 		if client.Err() != nil {
-			outcome = metrics.Cancelled
+			outcome = metrics.Canceled
 		}
 		s.opts.Metrics.RequestEnded(singleValue(r.Header, classHeader), outcome)
 	}()
-	ctx, cancel := s.requestContext(client, info, deadline)
+	ctx, cancel := s.requestContext(client, accepted)
 	defer cancel()
 	if info.Stream != nil {
 		defer s.abortIncompleteBody(w, info, &outcome)
 	}
-	outcome = s.admitAndForward(ctx, w, r, info, deadline)
+	outcome = s.admitAndForward(ctx, w, r, accepted)
 }
 
 // admitAndForward passes a request through the gate and to the transport, and returns how it ended.
-func (s *Server) admitAndForward(ctx context.Context, w http.ResponseWriter, r *http.Request, info *forwarder.RequestInfo,
-	deadline time.Time) metrics.Outcome {
+func (s *Server) admitAndForward(ctx context.Context, w http.ResponseWriter, r *http.Request,
+	accepted acceptedRequest) metrics.Outcome {
+	info := accepted.info
 	if s.opts.Gate != nil {
-		finish, rejection := s.opts.Gate.admit(ctx, r, info, deadline)
+		finish, rejection := s.opts.Gate.admit(ctx, r, accepted)
 		if finish == nil {
 			writeRejection(w, rejection)
 			return metrics.Rejected
 		}
-		defer func() { finish(info.Answered) }()
+		defer func() { finish(info.Served) }()
 	}
 	if info.Stream != nil {
 		w.Header().Set("Connection", "close") // the response may end before the request's body does
 	}
 	s.proxy.ServeHTTP(w, r.WithContext(ctx))
 	switch {
-	case info.Answered:
+	case info.Served:
 		return metrics.Served
 	case info.Rejected:
 		return metrics.Rejected
@@ -150,17 +153,19 @@
 	return metrics.Failed
 }
 
-// errShutdown is the cause with which requests end that a stopping proxy has not answered when its last response is
-// due. It counts as an expired deadline: the client's own may be long after SIGKILL.
+// errShutdown is the cause of the end of a request's context when the last response of a shutdown is due. It wraps
+// context.DeadlineExceeded so that the request gets the response of an expired deadline: the client's own deadline may
+// be long after SIGKILL.
 var errShutdown = fmt.Errorf("the proxy ends: %w", context.DeadlineExceeded)
 
-// requestContext returns a request's context. It ends at the client's deadline, which for a body that is still coming
-// counts from its last byte; with the client's disconnect; and when the last response of a shutdown is due.
-func (s *Server) requestContext(client context.Context, info *forwarder.RequestInfo, deadline time.Time) (context.Context,
-	context.CancelFunc) {
+// requestContext returns a request's context. It ends at the client's deadline, which for a streamed body counts from
+// the last byte; when client ends, which is when the client disconnects; when a streamed body breaks off; and when the
+// last response of a shutdown is due.
+func (s *Server) requestContext(client context.Context, accepted acceptedRequest) (context.Context, context.CancelFunc) {
+	info := accepted.info
 	ctx, cancelDeadline := forwarder.WithRequestInfo(client, info), func() {}
 	if info.Stream == nil {
-		ctx, cancelDeadline = context.WithDeadline(ctx, deadline)
+		ctx, cancelDeadline = context.WithDeadline(ctx, accepted.deadline)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	if info.Stream != nil {
@@ -178,7 +183,7 @@
 	select {
 	case <-info.Stream.Ended():
 		if _, err := info.Stream.End(); err != nil {
-			*outcome = metrics.Cancelled
+			*outcome = metrics.Canceled
 		}
 	default:
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now()) // fails only on a connection that is over
--- a/internal/standalone/listener/proxy.go
+++ b/internal/standalone/listener/proxy.go
@@ -15,7 +15,7 @@
 func rewriteRequest(pr *httputil.ProxyRequest) {
 	target := &url.URL{Opaque: pr.In.RequestURI}
 	if !strings.HasPrefix(pr.In.RequestURI, "/") || strings.HasPrefix(pr.In.RequestURI, "//") {
-		// A form that an opaque URL is not written in.
+		// An opaque URL cannot have this form: an absolute target ("http://...") or one that begins with "//".
 		target = &url.URL{
 			Path:       pr.In.URL.Path,
 			RawPath:    pr.In.URL.RawPath,
@@ -44,13 +44,13 @@
 	w.WriteHeader(http.StatusBadGateway)
 }
 
-// bufferPool holds the buffers through which responses are copied to clients. Without a pool ReverseProxy allocates
-// 32 KiB for each response, which at a thousand a second keeps the garbage collector busy.
-type bufferPool struct{ pool sync.Pool }
-
 // copyBufferBytes is enough to copy nearly every response in one piece.
 const copyBufferBytes = 16 << 10
 
+// bufferPool pools the buffers through which responses are copied to clients. Without a pool ReverseProxy allocates
+// 32 KiB for each response, which at a thousand a second keeps the garbage collector busy.
+type bufferPool struct{ pool sync.Pool }
+
 func newBufferPool() *bufferPool {
 	return &bufferPool{sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}}
 }
--- a/internal/standalone/listener/request.go
+++ b/internal/standalone/listener/request.go
@@ -22,24 +22,23 @@
 	classHeader          = "X-Service-Class"
 	tenantHeader         = "X-Account"
 	timeLeftHeader       = backend.TimeLeftHeader // the client's time-out, in milliseconds
-	workHintHeader       = "X-Weight-Hint"        // the expected work, in microseconds; optional
+	workHintHeader       = "X-Weight-Hint"        // the expected work, in microseconds on a standard core; optional
 	idempotencyKeyHeader = "Idempotency-Key"
 	sessionKeyHeader     = "X-Session-Key" // optional
-	repeatHeader         = "X-Repeat"      // "1": the client sends a request again that was rejected; optional
+	retryHeader          = "X-Repeat"      // "1": the client sends a request again that was rejected; optional
 )
 
-// What a class's settings say of its semantics, which decide its method and whether it needs an idempotency key. Of any
-// other semantics a request may not be repeated, and it needs no key.
+// Values of settings.Class.Semantics by which a request needs a method or an idempotency key. Requests of any other
+// semantics are not retried; they are POSTs and need no key.
 const (
-	semanticsPure  = "pure"  // has no effect
-	semanticsToken = "token" // is idempotent by its key
+	semanticsPure  = "pure"  // has no effect: a GET
+	semanticsToken = "token" // is deduplicated by its idempotency key: a POST with one
 )
 
 // maxWorkHintMicros is the largest work hint that is accepted: an hour.
 const maxWorkHintMicros = 3_600_000_000
 
-// requestError is a client's mistake and the HTTP status that answers it. To send the same request again would not
-// help.
+// requestError is the error of a malformed request, with the HTTP status of the response.
 type requestError struct {
 	status int
 	text   string // for the client
@@ -59,6 +58,18 @@
 	tenants map[string]uint32 // their indexes in the settings, by name; empty: the deployment has no tenants
 }
 
+// acceptedRequest is a request that has passed the checks.
+type acceptedRequest struct {
+	info     *forwarder.RequestInfo
+	deadline time.Time // the client's; provisional while there is an info.Stream, as it counts from the last byte of that
+}
+
+// requestHead is a request's head that has passed the checks.
+type requestHead struct {
+	info     *forwarder.RequestInfo
+	timeLeft time.Duration // how long the client waits, from the request's last byte
+}
+
 // applySettings replaces the settings unless apply, which is given them with the classes in the order of their numbers,
 // returns an error. Requests carry the new numbers only after apply has returned.
 func (rr *requestReader) applySettings(next *settings.Settings, apply func(numbered *settings.Settings) error) error {
@@ -88,78 +99,77 @@
 	return rr.classes.Len()
 }
 
-// begin counts a request of a class and tenant as in flight; end must follow. An error means that it is not counted.
-func (rr *requestReader) begin(className, tenantName string) (*forwarder.RequestInfo, settings.Class, error) {
+// begin counts a request of a class and tenant as in flight, and sets both in info; end must follow. It returns the
+// class's settings. An error means that the request is not counted.
+func (rr *requestReader) begin(info *forwarder.RequestInfo, className, tenantName string) (settings.Class, error) {
 	rr.mu.Lock()
 	defer rr.mu.Unlock()
-	info := &forwarder.RequestInfo{}
 	isKnownTenant := true
 	if len(rr.tenants) > 0 {
 		info.Tenant, isKnownTenant = rr.tenants[tenantName]
 	}
 	number, class, ok := rr.classes.Acquire(className)
 	if !ok {
-		return nil, settings.Class{}, badRequestf("%s names no class", classHeader)
+		return settings.Class{}, badRequestf("%s names no class", classHeader)
 	}
 	info.Class = number
 	if !isKnownTenant {
 		rr.classes.Release(number)
-		return nil, settings.Class{}, badRequestf("%s names no tenant", tenantHeader)
+		return settings.Class{}, badRequestf("%s names no tenant", tenantHeader)
 	}
-	return info, class, nil
+	return class, nil
 }
 
-// end ends a request that begin or read returned.
+// end ends a request that begin counted.
 func (rr *requestReader) end(info *forwarder.RequestInfo) {
 	rr.mu.Lock()
 	defer rr.mu.Unlock()
 	rr.classes.Release(info.Class)
 }
 
-// read checks a request's head and reads its body, as far as it is buffered. It returns the client's deadline, as
-// readBody does. Unless it returns an error, end must follow.
+// read checks a request's head and reads its body, as far as it is buffered. Unless it returns an error, end must
+// follow.
 func (rr *requestReader) read(w http.ResponseWriter, r *http.Request, receivedAt time.Time, framing bodyFraming) (
-	*forwarder.RequestInfo, time.Time, error) {
-	info, timeLeft, err := rr.readHead(r.Method, r.Header)
+	acceptedRequest, error) {
+	head, err := rr.readHead(r.Method, r.Header)
 	if err != nil {
-		return nil, time.Time{}, err
+		return acceptedRequest{}, err
 	}
 	var deadline time.Time
 	if err = checkFraming(r, framing); err == nil {
-		deadline, err = readBody(w, r, info, receivedAt, timeLeft)
+		deadline, err = readBody(w, r, head, receivedAt)
 	}
 	if err != nil {
-		rr.end(info)
-		return nil, time.Time{}, err
+		rr.end(head.info)
+		return acceptedRequest{}, err
 	}
-	return info, deadline, nil
+	return acceptedRequest{info: head.info, deadline: deadline}, nil
 }
 
-// readHead checks a request's method and headers, and returns how long the client waits. Unless it returns an error,
-// end must follow.
-func (rr *requestReader) readHead(method string, h http.Header) (*forwarder.RequestInfo, time.Duration, error) {
+// readHead checks a request's method and headers. Unless it returns an error, end must follow.
+func (rr *requestReader) readHead(method string, h http.Header) (requestHead, error) {
 	if singleValue(h, correlationIDHeader) == "" {
-		return nil, 0, badRequestf("%s is missing or stands twice", correlationIDHeader)
+		return requestHead{}, badRequestf("%s is missing or stands twice", correlationIDHeader)
 	}
 	timeLeftMs, err := strconv.ParseUint(singleValue(h, timeLeftHeader), 10, 32)
 	if err != nil {
-		return nil, 0, badRequestf("%s is no time in whole milliseconds", timeLeftHeader)
+		return requestHead{}, badRequestf("%s is no time in whole milliseconds", timeLeftHeader)
 	}
 	workHint, err := parseWorkHint(h)
 	if err != nil {
-		return nil, 0, err
+		return requestHead{}, err
 	}
-	info, class, err := rr.begin(singleValue(h, classHeader), singleValue(h, tenantHeader))
+	info := &forwarder.RequestInfo{WorkHint: workHint, SessionKey: hashSessionKey(singleValue(h, sessionKeyHeader))}
+	class, err := rr.begin(info, singleValue(h, classHeader), singleValue(h, tenantHeader))
 	if err != nil {
-		return nil, 0, err
+		return requestHead{}, err
 	}
 	if err := checkSemantics(class, method, h); err != nil {
 		rr.end(info)
-		return nil, 0, err
+		return requestHead{}, err
 	}
-	info.WorkHint, info.SessionKey = workHint, hashSessionKey(singleValue(h, sessionKeyHeader))
-	classTimeout := time.Duration(settings.Micros(class.ClientTimeout)) * time.Microsecond
-	return info, min(time.Duration(timeLeftMs)*time.Millisecond, classTimeout), nil
+	classTimeout := settings.Duration(class.ClientTimeout)
+	return requestHead{info: info, timeLeft: min(time.Duration(timeLeftMs)*time.Millisecond, classTimeout)}, nil
 }
 
 // parseWorkHint returns a request's work hint in microseconds; 0: it has none.
@@ -194,7 +204,7 @@
 	if framing.hasContentLengthToo {
 		return badRequestf("Content-Length and Transfer-Encoding do not go together")
 	}
-	if framing.hasTransferEncoding && len(r.TransferEncoding) == 0 { // net/http reads no such body in HTTP/1.0
+	if framing.hasTransferEncoding && len(r.TransferEncoding) == 0 { // in HTTP/1.0, where net/http ignores the header
 		return badRequestf("Transfer-Encoding has no meaning here")
 	}
 	if r.ContentLength > backend.MaxStreamedBody {
@@ -211,7 +221,7 @@
 	return max(1, xxhash.Sum64String(key))
 }
 
-// singleValue returns a header's only value, or nothing if there are several: to choose among them would be wrong.
+// singleValue returns a header's only value, or "" if there are several: a backend might use another one of them.
 func singleValue(h http.Header, name string) string {
 	if values := h[name]; len(values) == 1 {
 		return values[0]
--- a/internal/standalone/listener/request_test.go
+++ b/internal/standalone/listener/request_test.go
@@ -82,7 +82,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			server := newTestServer(func(*http.Request) (*http.Response, error) {
-				t.Errorf("%s: it went on", name)
+				t.Errorf("%s: it was forwarded", name)
 				return nil, io.EOF
 			}, 9)
 			ln, stop := serveOnPipes(t, server)
@@ -141,19 +141,18 @@
 	f.Add("POST", "9b1f", "issue", "zenith", "480", "900", "5c0f")
 	f.Add("GET", "9b1f", "quote", "acme", "4294967296", "-1", "")
 	f.Add("\x00", "", "iss", "\xff", "1e3", "0x9", "k")
-	rd := newTestServer(nil, 1).requests
+	requests := newTestServer(nil, 1).requests
 	f.Fuzz(func(t *testing.T, method, id, class, tenant, left, hint, key string) {
 		h := http.Header{correlationIDHeader: {id}, classHeader: {class}, tenantHeader: {tenant}, timeLeftHeader: {left},
 			workHintHeader: {hint}, idempotencyKeyHeader: {key}}
-		var in *forwarder.RequestInfo
-		in, wait, err := rd.readHead(method, h)
+		head, err := requests.readHead(method, h)
 		if err != nil {
 			return
 		}
-		defer rd.end(in)
-		if in.Class > 1 || in.Tenant > 1 || in.WorkHint < 0 || wait < 0 || wait > 3*time.Second ||
-			id == "" || in.Class == 1 && key == "" {
-			t.Errorf("passed: %+v, %v", in, wait)
+		defer requests.end(head.info)
+		if info := head.info; info.Class > 1 || info.Tenant > 1 || info.WorkHint < 0 || head.timeLeft < 0 ||
+			head.timeLeft > 3*time.Second || id == "" || info.Class == 1 && key == "" {
+			t.Errorf("accepted: %+v, %v", info, head.timeLeft)
 		}
 	})
 }
--- a/internal/standalone/listener/response.go
+++ b/internal/standalone/listener/response.go
@@ -18,9 +18,8 @@
 	headSent    bool // the response's head is written, or is being written
 	bodyStarted bool // a part of the body is
 	deadlineSet bool // the connection has a write deadline
-	// closeAfterResponse is the server's. It is read when the head is written: if a shutdown has begun since the
-	// request arrived, the client must not be left on a connection that is closed soon. nil: it is never closed for
-	// that.
+	// closeAfterResponse is Server.closeAfterResponse. It is read when the head is written: if a shutdown has begun since
+	// the request arrived, the response must announce that the connection closes. nil: there is no shutdown.
 	closeAfterResponse *atomic.Bool
 }
 
@@ -45,7 +44,7 @@
 	return w.ResponseWriter.Write(b)
 }
 
-// prepareHead sets the headers that depend on the moment in which the head is written.
+// prepareHead sets the headers that are not known before the head is written.
 func (w *responseWriter) prepareHead(status int) {
 	if !w.headSent && isFinalStatus(status) && w.closeAfterResponse != nil && w.closeAfterResponse.Load() {
 		w.Header().Set("Connection", "close")
--- a/internal/standalone/listener/server.go
+++ b/internal/standalone/listener/server.go
@@ -21,14 +21,15 @@
 	"pumiceline/internal/standalone/settings"
 )
 
-// Time limits for clients. A client that sends nothing, or a request that never ends, uses up a socket that
+// Limits on a client's connection. A client that sends nothing, or a request that never ends, uses up a socket that
 // another client needs.
 const (
 	// headTimeout bounds a request's head, from its first byte or, for the first request, from the connection's start.
+	// Later requests of a connection have laterHeadExtension more.
 	headTimeout = 2600 * time.Millisecond
 	// idleTimeout bounds the time between two requests on a connection.
 	idleTimeout = 5 * time.Second
-	// maxHeadBytes bounds a request's head.
+	// maxHeadBytes bounds the size of a request's head.
 	maxHeadBytes = 32 << 10
 )
 
@@ -44,7 +45,7 @@
 	GuaranteedSockets int
 	// SocketLimit returns how many client sockets may be open now, at least GuaranteedSockets. nil: GuaranteedSockets.
 	SocketLimit func() int
-	// Metrics counts the requests. nil: metrics that nobody reads.
+	// Metrics counts the requests. nil: they are counted, but not exported.
 	Metrics *metrics.Metrics
 	// HasSuccessor reports, at shutdown, whether another process takes over new connections. nil: none does.
 	HasSuccessor func() bool
@@ -59,14 +60,14 @@
 	requests   *requestReader
 	proxy      *httputil.ReverseProxy
 	httpServer *http.Server
-	budget     *socketBudget
+	tracker    *connTracker
 	openIDs    *openIDSet
 	inFlight   atomic.Int64 // requests accepted and not ended
 
 	longestDeadline    atomic.Int64    // of the classes in force, in nanoseconds
 	closeAfterResponse atomic.Bool     // set during shutdown: each response closes its connection
 	lastResponseAt     atomic.Int64    // when the last response is due, in Unix nanoseconds; 0: no shutdown
-	ended              context.Context // is done at lastResponseAt
+	ended              context.Context // done at lastResponseAt; ends the contexts of requests in flight
 	end                context.CancelFunc
 }
 
@@ -78,7 +79,7 @@
 	s := &Server{
 		opts:     opts,
 		requests: &requestReader{},
-		budget:   newSocketBudget(opts.GuaranteedSockets, opts.SocketLimit),
+		tracker:  newConnTracker(opts.GuaranteedSockets, opts.SocketLimit),
 		openIDs:  newOpenIDSet(),
 	}
 	s.ended, s.end = context.WithCancel(context.Background())
@@ -97,7 +98,7 @@
 	s.httpServer = &http.Server{
 		Handler:                      s,
 		ErrorLog:                     debugLog,
-		ConnState:                    s.budget.onConnState,
+		ConnState:                    s.tracker.onConnState,
 		ConnContext:                  contextWithConn,
 		DisableGeneralOptionsHandler: true,
 		ReadHeaderTimeout:            headTimeout,
@@ -111,7 +112,7 @@
 // the last response is due (see shutdownTimes). An error means that ln failed.
 func (s *Server) Serve(ctx context.Context, ln net.Listener) error {
 	ended := make(chan error, 1)
-	clients := &budgetListener{Listener: ln, budget: s.budget}
+	clients := &limitListener{Listener: ln, tracker: s.tracker}
 	go func() { ended <- s.httpServer.Serve(clients) }()
 	select {
 	case err := <-ended:
@@ -121,9 +122,9 @@
 	}
 }
 
-// ApplySettings replaces the settings as a whole or not at all. apply is given them with the classes in the order of
-// the numbers that requests will carry (package requestclass), and returns an error if another part rejects them. A
-// class that is gone keeps its number while requests of it are in flight.
+// ApplySettings replaces the settings completely or not at all. apply is called with the settings, their classes in the
+// order of the numbers that requests will carry (package requestclass), and returns an error if another part rejects
+// them. A class that is not in the settings any more keeps its number while requests of it are in flight.
 func (s *Server) ApplySettings(next *settings.Settings, apply func(numbered *settings.Settings) error) error {
 	if err := s.requests.applySettings(next, apply); err != nil {
 		return err
@@ -133,7 +134,7 @@
 }
 
 // OpenSockets returns how many client sockets are open.
-func (s *Server) OpenSockets() int { return s.budget.count() }
+func (s *Server) OpenSockets() int { return s.tracker.count() }
 
 // InFlight returns how many requests are accepted and not ended.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
--- a/internal/standalone/listener/server_test.go
+++ b/internal/standalone/listener/server_test.go
@@ -195,18 +195,18 @@
 	})
 }
 
-// New settings hold for requests that arrive from then on: a new class is served, without a key where it may never be
-// retried; a class that is gone gets 400; settings that another part rejects change nothing.
+// New settings apply to requests that arrive from then on: a new class is served, without a key where it may never be
+// retried; a removed class gets 400; settings that another part rejects change nothing.
 func TestServer_ApplySettingsWithRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		inside, goOn := make(chan struct{}, 9), make(chan struct{})
+		forwarded, proceed := make(chan struct{}, 9), make(chan struct{})
 		server := newTestServer(func(r *http.Request) (*http.Response, error) {
-			inside <- struct{}{}
-			<-goOn
+			forwarded <- struct{}{}
+			<-proceed
 			return respondOK(r)
 		}, 9)
 		ln, stop := serveOnPipes(t, server)
-		ask := func(class, method, id string) int {
+		request := func(class, method, id string) int {
 			c, r := ln.dial()
 			defer c.Close()
 			resp, _, err := exchange(c, r, method+" /"+class+" HTTP/1.1\r\nHost: a\r\nX-Correlation-Id: "+id+"\r\nX-Service-Class: "+class+
@@ -218,14 +218,14 @@
 			return resp.StatusCode
 		}
 		old := make(chan int, 1)
-		go func() { old <- ask("quote", "GET", "1") }()
-		<-inside
+		go func() { old <- request("quote", "GET", "1") }()
+		<-forwarded
 		next := testSettings()
 		next.Classes = []settings.Class{{Name: "bind", Semantics: "side_effect", ClientTimeout: 1e6}, next.Classes[1]}
 		if err := server.ApplySettings(next, func(*settings.Settings) error { return errors.New("no") }); err == nil {
 			t.Error("a change that another part rejected was applied")
 		}
-		if got := ask("bind", "POST", "2"); got != 400 {
+		if got := request("bind", "POST", "2"); got != 400 {
 			t.Errorf("a class of settings that were rejected: %d", got)
 		}
 		var numbered []settings.Class
@@ -233,17 +233,17 @@
 			t.Error(err)
 		}
 		if len(numbered) != 3 || numbered[0].Name != "quote" {
-			t.Errorf("the number of a request under way went to another class: %+v", numbered)
+			t.Errorf("the number of a request in flight went to another class: %+v", numbered)
 		}
 		if server.InFlight() != 1 {
-			t.Errorf("%d requests are under way", server.InFlight())
+			t.Errorf("%d requests are in flight", server.InFlight())
 		}
-		close(goOn)
+		close(proceed)
 		if got := <-old; got != 200 {
-			t.Errorf("the request under way got %d", got)
+			t.Errorf("the request in flight got %d", got)
 		}
 		for class, want := range map[string]int{"bind": 200, "quote": 400} {
-			if got := ask(class, "POST", class); got != want {
+			if got := request(class, "POST", class); got != want {
 				t.Errorf("%s: %d, want %d", class, got, want)
 			}
 		}
--- a/internal/standalone/listener/shutdown.go
+++ b/internal/standalone/listener/shutdown.go
@@ -9,8 +9,8 @@
 	"pumiceline/internal/standalone/settings"
 )
 
-// What PROTOCOL promises of a planned restart: SIGKILL comes no sooner than the longest deadline, counted as at most
-// maxCountedDeadline, and killDelay more after SIGTERM.
+// How the platform stops a proxy: SIGKILL comes no sooner after SIGTERM than the longest deadline of a request, of which
+// maxCountedDeadline counts at most, and killDelay.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killDelay          = 700 * time.Millisecond
@@ -28,7 +28,7 @@
 	// unusedShutdownAge is how long a new connection may take to bring its first request before shutdown counts it as
 	// unused.
 	unusedShutdownAge = acceptGrace / 2
-	// drainInterval is how often drain looks at the sockets.
+	// drainInterval is the time between two passes of drain.
 	drainInterval = 20 * time.Millisecond
 	// lingerAfterLastResponse leaves the last connections some of the time before SIGKILL to close in order.
 	lingerAfterLastResponse = killMargin / 2
@@ -59,14 +59,14 @@
 func longestClientTimeout(s *settings.Settings) time.Duration {
 	var longest time.Duration
 	for _, c := range s.Classes {
-		longest = max(longest, time.Duration(c.ClientTimeout)*time.Microsecond)
+		longest = max(longest, settings.Duration(c.ClientTimeout))
 	}
 	return longest
 }
 
 // shutDown accepts clients for acceptGrace more, or none if there is a successor, and returns once all client sockets
 // are closed. ended brings the result of the HTTP server.
-func (s *Server) shutDown(clients *budgetListener, ended <-chan error) error {
+func (s *Server) shutDown(clients *limitListener, ended <-chan error) error {
 	stop := time.Now()
 	hasSuccessor := s.opts.HasSuccessor != nil && s.opts.HasSuccessor()
 	schedule := shutdownTimes(stop, time.Duration(s.longestDeadline.Load()))
@@ -75,13 +75,13 @@
 	}
 	s.lastResponseAt.Store(schedule.lastResponse.UnixNano())
 	defer time.AfterFunc(time.Until(schedule.lastResponse), s.end).Stop()
-	// Before the listener is closed: an inherited socket may be in blocking mode, and its Close waits for an Accept
-	// that only a client redirected by a closed connection causes.
+	// Before the listener is closed: Close of an inherited socket in blocking mode (see package hotrestart) waits until
+	// its Accept returns, and that takes a new connection, such as of a client whose response closed its old one.
 	s.closeAfterResponse.Store(!schedule.closeFrom.After(stop))
 	if hasSuccessor {
 		clients.Close()
 	}
-	s.opts.Log.Info("shutting down", "client_sockets", s.budget.count(), "successor", hasSuccessor,
+	s.opts.Log.Info("shutting down", "client_sockets", s.tracker.count(), "successor", hasSuccessor,
 		"closing_in", schedule.closeFrom.Sub(stop), "last_response_in", schedule.lastResponse.Sub(stop))
 	time.Sleep(acceptGrace)
 	clients.closeWhenDrained()
@@ -90,11 +90,12 @@
 	}
 	time.Sleep(time.Until(schedule.closeFrom))
 	s.closeAfterResponse.Store(true)
-	s.budget.drain(schedule.lastResponse)
+	s.tracker.drain(schedule.lastResponse)
 	return nil
 }
 
-// capDeadline shortens a deadline to the last response of a shutdown: SIGKILL would come before an answer.
+// capDeadline returns a deadline that is not after the last response of a shutdown: SIGKILL would come before a later
+// response.
 func (s *Server) capDeadline(deadline time.Time) time.Time {
 	if last := s.lastResponseAt.Load(); last != 0 && deadline.UnixNano() > last {
 		return time.Unix(0, last)
--- a/internal/standalone/listener/shutdown_test.go
+++ b/internal/standalone/listener/shutdown_test.go
@@ -41,16 +41,16 @@
 		idle, idleReader := ln.dial()
 		time.Sleep(time.Second)
 		answered := make(chan string, 2)
-		ask := func(c net.Conn, r *bufio.Reader) {
+		request := func(c net.Conn, r *bufio.Reader) {
 			resp, body, err := exchange(c, r, strings.Replace(quoteRequest, "Id: 1", fmt.Sprintf("Id: %p", c), 1))
 			answered <- fmt.Sprint(resp != nil && resp.Close, body, err)
 		}
-		go ask(early, earlyReader)
+		go request(early, earlyReader)
 		time.Sleep(100 * time.Millisecond)
 		ended := stop()
 		time.Sleep(500 * time.Millisecond)
-		go ask(ln.dial())
-		late, _ := ln.dial() // accepted just before the end, and never used
+		go request(ln.dial())
+		late, _ := ln.dial() // accepted just before the end of the accept grace, and never used
 		defer late.Close()
 		begun := time.Now()
 		for range 2 {
@@ -134,8 +134,8 @@
 			defer c.Close()
 			time.AfterFunc(100*time.Millisecond, func() { stop() })
 			begin := time.Now()
-			patient := strings.Replace(issueHeaders, "Left-Ms: 480", "Left-Ms: 12000", 1)
-			resp, _, err := exchange(c, r, "POST /issue HTTP/1.1\r\n"+patient+body)
+			headers := strings.Replace(issueHeaders, "Left-Ms: 480", "Left-Ms: 12000", 1)
+			resp, _, err := exchange(c, r, "POST /issue HTTP/1.1\r\n"+headers+body)
 			took := time.Since(begin) - 100*time.Millisecond
 			if err != nil || resp.StatusCode != 504 || took > maxCountedDeadline+killDelay-killMargin {
 				t.Errorf("%s: %v, %v, %v after the stop", name, resp, err, took)
--- a/internal/standalone/metrics/metrics.go
+++ b/internal/standalone/metrics/metrics.go
@@ -15,10 +15,10 @@
 
 // Outcomes of requests.
 const (
-	Cancelled Outcome = iota // by its client; not counted
-	Served                   // with a backend's complete response
-	Rejected                 // with a busy response of the proxy
-	Failed                   // with anything else, a response that broke off included
+	Canceled Outcome = iota // by its client; not counted
+	Served                  // with a backend's complete response
+	Rejected                // with a busy response of the proxy
+	Failed                  // with anything else, a response that broke off included
 	outcomeCount
 )
 
@@ -31,7 +31,7 @@
 // Metrics are the metrics of a process. Create them with New; they are safe for concurrent use.
 type Metrics struct {
 	registry      *prometheus.Registry
-	requests      [outcomeCount]*prometheus.CounterVec // nil for Cancelled
+	requests      [outcomeCount]*prometheus.CounterVec // nil for Canceled
 	attempts      prometheus.Counter
 	reloads       prometheus.Counter
 	failedReloads prometheus.Counter
@@ -68,7 +68,7 @@
 
 // RequestEnded counts a request under the class that it came with.
 func (m *Metrics) RequestEnded(class string, outcome Outcome) {
-	if outcome > Cancelled && outcome < outcomeCount {
+	if outcome > Canceled && outcome < outcomeCount {
 		m.requests[outcome].WithLabelValues(class).Inc()
 	}
 }
--- a/internal/standalone/metrics/metrics_test.go
+++ b/internal/standalone/metrics/metrics_test.go
@@ -25,7 +25,7 @@
 	})
 	m.SetClasses([]string{"a", "b"})
 	m.RequestEnded("a", Served)
-	m.RequestEnded("a", Cancelled)
+	m.RequestEnded("a", Canceled)
 	m.SetClasses([]string{"b", "c"})
 	m.RequestEnded("a", Failed) // in flight while its class was removed
 	m.SetClasses([]string{"a", "b"})
--- a/internal/standalone/policy/admission_test.go
+++ b/internal/standalone/policy/admission_test.go
@@ -237,7 +237,7 @@
 	b.Handle(b.now, &Event{Kind: RequestAbandoned, ID: 100}, nil)
 	for _, s := range b.members {
 		if s.inFlight == 1 && s.uploading == 0 { // request 100's, which was cancelled and has not ended
-			b.observeOutcome(s, &attempt{server: s, cost: 1}, &Event{Outcome: Cancelled})
+			b.observeOutcome(s, &attempt{server: s, cost: 1}, &Event{Outcome: Canceled})
 		}
 	}
 	b.refresh()
--- a/internal/standalone/policy/events.go
+++ b/internal/standalone/policy/events.go
@@ -50,7 +50,7 @@
 	TimedOut                       // no response within the time-out
 	ConnectFailed                  // no connection within the time-out
 	ConnectionReset                // the connection broke
-	Cancelled                      // by this side
+	Canceled                       // by this side
 	NotSent                        // nothing was written
 )
 
--- a/internal/standalone/policy/retry_test.go
+++ b/internal/standalone/policy/retry_test.go
@@ -64,7 +64,7 @@
 	for _, earlier := range []earlierAttempt{
 		{"served", OK, false, false}, {"error", ErrorResponse, false, false}, {"rejected", Rejected, false, true},
 		{"timeout", TimedOut, false, false}, {"no connection", ConnectFailed, false, true},
-		{"reset", ConnectionReset, false, false}, {"cancelled", Cancelled, false, false},
+		{"reset", ConnectionReset, false, false}, {"cancelled", Canceled, false, false},
 		{"not sent", NotSent, false, true}, {"in flight", 0, true, false},
 	} {
 		for _, semantics := range []Semantics{Idempotent, Deduplicated, NonIdempotent} {
--- a/internal/standalone/requestbody/stream.go
+++ b/internal/standalone/requestbody/stream.go
@@ -10,6 +10,9 @@
 	"time"
 )
 
+// ErrIncomplete says that a body broke off, stalled or was malformed. Clients see its text.
+var ErrIncomplete = errors.New("the body did not come whole")
+
 // Stream is the rest of a body that is still coming. One reader, the first to Claim it, may Read; the other methods are
 // safe for concurrent use.
 type Stream struct {
@@ -27,18 +30,18 @@
 	err     error
 }
 
-// New returns a stream of what source still brings.
+// New returns a stream of the bytes that source still has to deliver.
 func New(source io.Reader, length int64, clientTimeout time.Duration) *Stream {
 	return &Stream{Length: length, ClientTimeout: clientTimeout, source: source, ended: make(chan struct{})}
 }
 
-// Claim reports whether the caller may read the stream: only the first may, as what has been read is gone.
+// Claim reports whether the caller may read the stream: only the first may, as what is read is not kept.
 func (s *Stream) Claim() bool { return s.claimed.CompareAndSwap(false, true) }
 
 // IsClaimed reports whether Claim has been called.
 func (s *Stream) IsClaimed() bool { return s.claimed.Load() }
 
-// Read reads on. Its errors are about the client.
+// Read reads the next bytes from the client. Its errors say nothing of a backend.
 func (s *Stream) Read(b []byte) (int, error) {
 	n, err := s.source.Read(b)
 	if err != nil {
