--- a/cmd/pumicectl/status.go
+++ b/cmd/pumicectl/status.go
@@ -44,14 +44,14 @@
 	var tasks []string
 	unreachable := 0
 	for _, address := range c.addresses() {
-		status, _, err := requestStatus(ctx, address)
+		r, err := requestStatus(ctx, address)
 		if err != nil {
 			fmt.Fprintf(table, "%s\tno answer: %v\n", address, err)
 			unreachable++
 			continue
 		}
-		printStatusRow(table, address, status)
-		tasks = append(tasks, describeTasks(status.Tasks)...)
+		printStatusRow(table, address, &r.status)
+		tasks = append(tasks, describeTasks(r.status.Tasks)...)
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -66,27 +66,35 @@
 func (c *coordinators) printStatusJSON(ctx context.Context) error {
 	unreachable := 0
 	for _, address := range c.addresses() {
-		_, body, err := requestStatus(ctx, address)
+		r, err := requestStatus(ctx, address)
 		if err != nil {
 			unreachable++
 			continue
 		}
-		fmt.Println(string(body))
+		fmt.Println(string(r.json))
 	}
 	return faultsFoundIf(unreachable > 0)
 }
 
-// requestStatus returns a coordinator's status, and the JSON that it was read from.
-func requestStatus(ctx context.Context, address string) (*coordinator.Status, []byte, error) {
+// statusResponse is a coordinator's status, and the JSON that it was decoded from.
+type statusResponse struct {
+	status coordinator.Status
+	json   []byte
+}
+
+func requestStatus(ctx context.Context, address string) (statusResponse, error) {
 	r, err := sendTo(ctx, address, request{method: http.MethodGet, path: "/status"})
 	if err != nil {
-		return nil, nil, err
+		return statusResponse{}, err
 	}
 	if r.status != http.StatusOK {
-		return nil, nil, errors.Errorf("status %d", r.status)
+		return statusResponse{}, errors.Errorf("status %d", r.status)
+	}
+	decoded := statusResponse{json: r.body}
+	if err := json.Unmarshal(r.body, &decoded.status); err != nil {
+		return statusResponse{}, errors.Wrap(err, "its answer")
 	}
-	status := &coordinator.Status{}
-	return status, r.body, errors.Wrap(json.Unmarshal(r.body, status), "its answer")
+	return decoded, nil
 }
 
 func printStatusRow(table io.Writer, address string, s *coordinator.Status) {
--- a/internal/controlplane/coordinator/state.go
+++ b/internal/controlplane/coordinator/state.go
@@ -71,17 +71,25 @@
 	return nil
 }
 
-// encodeChanges also returns how many bytes the records take in the ring.
-func encodeChanges(changes []message.ChangeRecord) (records [][]byte, size int, err error) {
+func encodeChanges(changes []message.ChangeRecord) ([][]byte, error) {
+	var records [][]byte
 	for i := range changes {
 		record, err := changes[i].MarshalMsg(nil)
 		if err != nil {
-			return nil, 0, errors.Wrap(err, "encode a change")
+			return nil, errors.Wrap(err, "encode a change")
 		}
 		records = append(records, record)
+	}
+	return records, nil
+}
+
+// framesBytes returns how many bytes records take in the ring.
+func framesBytes(records [][]byte) int {
+	size := 0
+	for _, record := range records {
 		size += storage.FrameBytes(record)
 	}
-	return records, size, nil
+	return size
 }
 
 // encodeRecords encodes the states that are given; a nil one is left out.
--- a/internal/controlplane/coordinator/state_writer.go
+++ b/internal/controlplane/coordinator/state_writer.go
@@ -131,11 +131,12 @@
 	if err != nil {
 		return err
 	}
-	changes, size, err := encodeChanges(batch.changes)
+	changes, err := encodeChanges(batch.changes)
 	if err != nil {
 		return err
 	}
-	canAppend := !batch.replacesChain && w.appended+len(changes) <= maxAppendedChanges && w.ring.CanAppend(size, records)
+	canAppend := !batch.replacesChain && w.appended+len(changes) <= maxAppendedChanges &&
+		w.ring.CanAppend(framesBytes(changes), records)
 	if canAppend && len(changes) > 0 {
 		w.appended += len(changes)
 		return w.ring.Append(chainRecord, changes, records)
--- a/internal/controlplane/placement/executor/execution.go
+++ b/internal/controlplane/placement/executor/execution.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// removalNoticeTime is the time between the update to the proxies, without the model, and its unload command. Until the
-	// update has come they send requests for the model, which the backend would reject.
+	// removalNoticeTime is the time between OnModelsChanged without a model and that model's unload command. Proxies that
+	// learn of the change in it send no more requests for the model; the backend rejects those of the others.
 	removalNoticeTime = 80 * time.Millisecond
 	// conflictBackoff is the pause after a conflict: another command is under way, or the last report was outdated.
 	conflictBackoff = 300 * time.Millisecond
--- a/internal/controlplane/simulation/checks.go
+++ b/internal/controlplane/simulation/checks.go
@@ -37,16 +37,16 @@
 	if c.options.BeyondTolerance || waited < maxResponseTime || pending.base > c.history.newest {
 		return
 	}
-	noneLostSince := lo.Max(lo.Map(c.slots, func(n *node, _ int) time.Duration { return n.lostUntil }))
-	if noneLostSince <= pending.startedAt {
+	allBackSince := lo.Max(lo.Map(c.slots, func(n *node, _ int) time.Duration { return n.lostUntil }))
+	if allBackSince <= pending.startedAt {
 		c.report(RuleResponseTime, fmt.Sprintf("%s has had no answer for %v", pending.Method, waited))
 	}
 }
 
-// checkDurability checks RuleDurability when a change is acknowledged: it must be on one disk more than may be lost. Disks
-// that were lost since the change was sent count, as they may have held it.
+// checkDurability checks RuleDurability when a change is acknowledged: it must be on one disk more than may be lost, or on
+// all where there are fewer. Disks that were lost since the change was sent count, as they may have had it.
 func (c *Cluster) checkDurability(acknowledged *clientRequest) {
-	want := min(c.options.Tolerance+1, c.options.Members-c.options.Diskless)
+	minDisks := min(c.options.Tolerance+1, c.options.Members-c.options.Diskless)
 	digest := configuration.RequestDigest(&acknowledged.ConfigRequest)
 	disks := 0
 	for _, n := range c.nodes {
@@ -55,7 +55,7 @@
 			disks++
 		}
 	}
-	if disks < want && !acknowledged.isResend {
+	if disks < minDisks && !acknowledged.isResend {
 		c.report(RuleDurability, fmt.Sprintf("version %d is acknowledged on %d disks", acknowledged.version, disks))
 	}
 }
--- a/internal/controlplane/simulation/client.go
+++ b/internal/controlplane/simulation/client.go
@@ -42,7 +42,7 @@
 	changeCount     uint64
 	stopped         bool
 	pending         *clientRequest
-	lastReadVersion uint64 // or acknowledged to it
+	lastReadVersion uint64 // the newest version that it knows to be in force: read, or acknowledged to it
 }
 
 // clientRequest is a change or a read, from its first attempt to its end.
--- a/internal/controlplane/simulation/disk.go
+++ b/internal/controlplane/simulation/disk.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// minSyncTime and defaultSyncTime: a sync takes the first and up to the second (Options.MaxSyncTime) longer.
+	// minSyncTime is the shortest time that a sync takes. At random it takes up to defaultSyncTime longer, or up to
+	// Options.MaxSyncTime where that is more.
 	minSyncTime     = time.Millisecond
 	defaultSyncTime = 2 * time.Millisecond
 )
--- a/internal/controlplane/simulation/fault.go
+++ b/internal/controlplane/simulation/fault.go
@@ -66,7 +66,7 @@
 	Duration time.Duration `json:"Span"`
 	Slots    []int         `json:"Slots"` // all slots in random order; the first Count are those of the machines concerned
 	Count    int           `json:"Count"`
-	Draw     uint64        `json:"Draw"` // decides what else the kind leaves open
+	Draw     uint64        `json:"Draw"` // random number from which the kind takes its other parameters
 }
 
 // String is the fault in a line.
--- a/internal/controlplane/simulation/final_checks.go
+++ b/internal/controlplane/simulation/final_checks.go
@@ -10,8 +10,8 @@
 	"pumiceline/internal/message"
 )
 
-// checkRecovery checks RuleRecovery at the end of the time for recovery: changes are sent all the time, so one must have
-// been acknowledged in its second half.
+// checkRecovery checks RuleRecovery at the end of the time for recovery: the clients send changes all the time, so one must
+// have been acknowledged in the second half of it.
 func (c *Cluster) checkRecovery() {
 	if c.history.lastAckAt < c.now-recoveryBound/2 {
 		c.report(RuleRecovery, fmt.Sprintf("the last acknowledgement is of %v", c.history.lastAckAt))
--- a/internal/controlplane/simulation/history.go
+++ b/internal/controlplane/simulation/history.go
@@ -12,7 +12,7 @@
 	// unresolvedBases are versions on top of which a change was given up: it may have been committed.
 	unresolvedBases map[uint64]bool
 
-	newest         uint64 // version that was acknowledged
+	newest         uint64 // highest version that was acknowledged
 	newestOverTime []versionAt
 	lastAckAt      time.Duration
 	ackLatencies   []time.Duration
--- a/internal/controlplane/simulation/injection.go
+++ b/internal/controlplane/simulation/injection.go
@@ -7,18 +7,20 @@
 )
 
 const (
-	// injectionRetryDelay is the pause before a fault that would exceed the bounds is tried again.
+	// injectionRetryDelay is the pause after which a fault that would exceed the bounds is considered again.
 	injectionRetryDelay = 200 * time.Millisecond
 	// resyncTime is how long a machine counts as lost after its return: it has to join and to be brought up to date.
 	resyncTime = 4 * time.Second
 	// clusterRecoveryTime is the same after a fault of the whole cluster.
 	clusterRecoveryTime = 12 * time.Second
-	// ackFaultOneIn is how many acknowledgements there are to one fault right after one.
+	// ackFaultOneIn is in how many acknowledgements there is one that a fault follows at once.
 	ackFaultOneIn = 40
-	// maxAckFaultDelay is how long after the acknowledgement it is injected at the most.
+	// maxAckFaultDelay is the longest time between such an acknowledgement and its fault.
 	maxAckFaultDelay = 2 * time.Millisecond
-	// ackFaultTime is how long it lasts.
+	// ackFaultTime is how long such a fault lasts.
 	ackFaultTime = time.Second
+	// maxExcessLosses is how many machines beyond the tolerance an ExcessPowerLoss turns off at most.
+	maxExcessLosses = 3
 )
 
 // slotsLost returns the slots whose machine counts as lost.
@@ -88,9 +90,9 @@
 	}
 	switch f.Kind {
 	case Kill:
-		c.restart(n, restartTime, false)
+		c.restart(n, restartTime, keepDisk)
 	case PowerLoss:
-		c.restart(n, f.Duration, false)
+		c.restart(n, f.Duration, keepDisk)
 	case Freeze:
 		c.freeze(n, f.Duration)
 	case DiskStall:
@@ -104,13 +106,13 @@
 			c.partitionOneWay(c.slots, []*node{n}, f.Duration)
 		}
 	case DiskLoss:
-		c.restart(n, f.Duration, true)
+		c.restart(n, f.Duration, loseDisk)
 	case Replacement:
 		c.replace(n, f.Duration/4)
 	case PlannedReplacement:
 		c.replaceGracefully(n)
 	case GracefulRestart:
-		c.shutDownGracefully(n, func() { c.restart(n, restartTime+f.Duration/4, false) })
+		c.shutDownGracefully(n, func() { c.restart(n, restartTime+f.Duration/4, keepDisk) })
 	}
 }
 
@@ -121,7 +123,7 @@
 	case ClusterPowerLoss:
 		disksLost := int(f.Draw % uint64(c.options.Tolerance+1))
 		for i, n := range ordered {
-			c.restart(n, f.Duration+c.randomDuration(startSpread), i < disksLost)
+			c.restart(n, f.Duration+c.randomDuration(startSpread), diskFate(i < disksLost))
 		}
 	case PartitionThenDiskLoss:
 		c.injectPartitionThenDiskLoss(f, ordered)
@@ -129,8 +131,9 @@
 		c.partition(ordered[:len(ordered)/2], ordered[len(ordered)/2:], 2*f.Duration)
 		c.countAllLost(c.now + 2*f.Duration)
 	case ExcessPowerLoss:
-		for _, n := range ordered[:min(len(ordered), c.options.Tolerance+1+int(f.Draw%3))] {
-			c.restart(n, f.Duration, false)
+		excess := 1 + int(f.Draw%maxExcessLosses)
+		for _, n := range ordered[:min(len(ordered), c.options.Tolerance+excess)] {
+			c.restart(n, f.Duration, keepDisk)
 		}
 	case MessageKindLoss:
 		kind := messageKind(f.Draw % uint64(messageKindCount))
@@ -148,7 +151,7 @@
 	c.after(2*f.Duration, func() {
 		mayLoseDisk := len(c.slotsWithoutDisk()) == 0 && c.options.Tolerance > 0
 		for i, slot := range f.Slots[len(minority):] {
-			c.restart(c.slots[slot], f.Duration+c.randomDuration(startSpread), i == 0 && mayLoseDisk)
+			c.restart(c.slots[slot], f.Duration+c.randomDuration(startSpread), diskFate(i == 0 && mayLoseDisk))
 		}
 		c.countAllLost(c.now + f.Duration)
 	})
--- a/internal/controlplane/simulation/machine_faults.go
+++ b/internal/controlplane/simulation/machine_faults.go
@@ -11,14 +11,22 @@
 	plannedOverlap = time.Second
 )
 
-// restart stops a machine and starts it again after a time, where it has not been replaced meanwhile.
-func (c *Cluster) restart(n *node, downtime time.Duration, loseDisk bool) {
+// diskFate says whether a machine that restarts loses its disk.
+type diskFate bool
+
+const (
+	keepDisk diskFate = false
+	loseDisk diskFate = true
+)
+
+// restart stops a machine and starts it again after a time, unless it has been replaced meanwhile.
+func (c *Cluster) restart(n *node, downtime time.Duration, disk diskFate) {
 	if n.replica == nil {
 		return
 	}
 	n.stop()
 	n.countLost(c.now + downtime)
-	if loseDisk || c.hasNoDisks() {
+	if disk == loseDisk || c.hasNoDisks() {
 		n.loseDisk()
 		n.countDiskLost(c.now + downtime)
 	}
@@ -30,7 +38,7 @@
 	})
 }
 
-// replace takes a machine away for good. Another comes in its place at another address, with an empty disk.
+// replace stops a machine for good. After a delay another one starts in its slot, at another address and with an empty disk.
 func (c *Cluster) replace(n *node, delay time.Duration) {
 	if n.replica != nil {
 		n.stop()
@@ -39,7 +47,7 @@
 	c.slots[n.slot] = successor
 	n.generation++
 	c.after(delay, func() {
-		if c.slots[n.slot] == successor { // else it was replaced before it came
+		if c.slots[n.slot] == successor { // else it was replaced before it started
 			successor.start(false)
 		}
 	})
@@ -62,8 +70,8 @@
 	})
 }
 
-// addSuccessor makes the machine that is to take a machine's slot. Its disk counts as lost until it has been there for a
-// while after the delay.
+// addSuccessor makes the machine that replaces another in its slot. The slot's disk counts as lost until the successor has
+// had resyncTime, after the delay, to take over the state.
 func (c *Cluster) addSuccessor(n *node, delay time.Duration) *node {
 	successor := c.addNode(n.slot)
 	successor.diskLostAt = c.now
--- a/internal/controlplane/simulation/network.go
+++ b/internal/controlplane/simulation/network.go
@@ -6,20 +6,21 @@
 	"pumiceline/internal/message"
 )
 
-// Delays and losses of messages. One in so many messages is lost or delayed.
+// Delays and losses of messages. Each ...OneIn constant says that one in so many messages is lost, or delayed by up to the
+// spread.
 const (
 	minDelay    = 500 * time.Microsecond
 	delaySpread = 2 * time.Millisecond
 	localDelay  = 10 * time.Microsecond // of a message to the sender itself
 
-	lostOneIn = 200 // with its connection
+	lostOneIn = 200 // as when a connection breaks
 
 	queuedOneIn = 100
-	// queuedRequestOneIn is the same for clients' requests: one is queued at a busy relay, and its next copy overtakes it.
+	// queuedRequestOneIn is the same for clients' requests: one is queued at a busy relay, and its repetition overtakes it.
 	queuedRequestOneIn = 6
 	queuedSpread       = 400 * time.Millisecond
 
-	// staleOneIn messages arrive seconds late, perhaps at a process that was started meanwhile.
+	// A stale message arrives seconds late, perhaps at a process that was started meanwhile.
 	staleOneIn  = 1500
 	staleSpread = 5 * time.Second
 )
@@ -50,7 +51,7 @@
 	joinKind
 	leaseGrantKind
 	confirmKind
-	messageKindCount // and that of all other messages
+	messageKindCount // also stands for all other kinds, which no fault loses
 )
 
 func kindOf(m *message.Message) messageKind {
--- a/internal/controlplane/simulation/node.go
+++ b/internal/controlplane/simulation/node.go
@@ -17,6 +17,8 @@
 	seedCount = 3
 	// zoneCount is how many zones the machines are spread over.
 	zoneCount = 4
+	// machinesPerSubnet is how many machines have addresses with the same third number.
+	machinesPerSubnet = 200
 )
 
 // node is a coordinator's machine with its process and its disk.
@@ -29,7 +31,7 @@
 	replica       *replica.Replica // nil while the process is down
 	generation    int              // counts starts and stops of the process: events of an earlier one are void
 	startedAt     time.Duration
-	identityCount int
+	identityCount int    // counts starts; names the identity that a process takes where the disk is empty
 	incarnation   uint64 // of the process; it numbers its requests from here
 	requestCount  uint64 // clients' requests received by the process
 
@@ -48,7 +50,8 @@
 }
 
 func newNode(c *Cluster, index, slot int) *node {
-	return &node{cluster: c, index: index, slot: slot, address: fmt.Sprintf("10.0.%d.%d:7000", index/200, index%200+1)}
+	address := fmt.Sprintf("10.0.%d.%d:7000", index/machinesPerSubnet, index%machinesPerSubnet+1)
+	return &node{cluster: c, index: index, slot: slot, address: address}
 }
 
 // clock is the monotonic clock of the process.
--- a/internal/controlplane/simulation/options.go
+++ b/internal/controlplane/simulation/options.go
@@ -9,14 +9,14 @@
 type Options struct {
 	Seed       uint64
 	Members    int           // machines that the cluster starts with
-	Tolerance  int           // machines that may be lost at a time
+	Tolerance  int           // machines that may be lost at one time
 	FaultPhase time.Duration // the time in which faults are injected
 	// Diskless is how many of the members have no disk: the first ones.
 	Diskless int
 	// BeyondTolerance lets losses of machines overlap beyond the tolerance. Never more disks are lost at a time than it
 	// allows, so nothing acknowledged may be lost; but there is no bound on the time of a response.
 	BeyondTolerance bool
-	// MaxSyncTime is what a sync of a disk takes at most; 0: defaultSyncTime.
+	// MaxSyncTime is how much longer than minSyncTime a sync of a disk takes at most; 0: defaultSyncTime.
 	MaxSyncTime time.Duration
 	// ContinuousWrites makes each client send one valid change after the other, without reads and pauses.
 	ContinuousWrites bool
@@ -30,14 +30,14 @@
 
 // Bounds of drawn options.
 const (
-	shapeStream       = 0x73686170 // of the generator
+	shapeStream       = 0x73686170 // stream of the generator
 	minMembers        = 3
 	maxMembers        = 9
-	minMembersForTwo  = 5 // machines that it takes to tolerate the loss of two
+	minMembersForTwo  = 5 // from which the tolerance may be two
 	drawnFaultPhase   = 40 * time.Second
-	someDisklessOneIn = 5 // in one of so many runs up to maxDiskless further members have no disk
+	someDisklessOneIn = 5 // in one of so many runs up to maxDiskless members without disks are added
 	maxDiskless       = 3
-	allDisklessOneIn  = 25 // in one of so many of the others no member has a disk
+	allDisklessOneIn  = 25 // in one of so many of the other runs no member has a disk
 )
 
 // DrawOptions returns the options of a run whose shape the seed draws: members, tolerance, how many machines have no disk,
--- a/internal/controlplane/simulation/options_test.go
+++ b/internal/controlplane/simulation/options_test.go
@@ -8,7 +8,7 @@
 
 func TestDrawOptions_WithinBounds(t *testing.T) {
 	const seeds = 2000
-	isTolerance := map[int]bool{}
+	drawnTolerances := map[int]bool{}
 	beyond, someDiskless, allDiskless := 0, 0, 0
 	for seed := uint64(1); seed <= seeds; seed++ {
 		options := DrawOptions(seed)
@@ -28,12 +28,12 @@
 		if options.Tolerance == 2 {
 			assert.GreaterOrEqual(t, max(withDisk, options.Diskless), minMembersForTwo)
 		}
-		isTolerance[options.Tolerance] = true
+		drawnTolerances[options.Tolerance] = true
 		if options.BeyondTolerance {
 			beyond++
 		}
 	}
-	assert.Equal(t, map[int]bool{1: true, 2: true}, isTolerance)
+	assert.Equal(t, map[int]bool{1: true, 2: true}, drawnTolerances)
 	assert.InDelta(t, seeds/2, beyond, seeds/20)
 	assert.InDelta(t, seeds/someDisklessOneIn, someDiskless, seeds/20)
 	assert.InDelta(t, seeds/allDisklessOneIn, allDiskless, seeds/40)
--- a/internal/controlplane/simulation/planted_defects.go
+++ b/internal/controlplane/simulation/planted_defects.go
@@ -19,7 +19,7 @@
 	token  message.FencingToken
 }
 
-// forgeReplies makes up the responses that a defective program does not wait for.
+// forgeReplies delivers forged responses, so that the replica does not wait for the real ones.
 func (n *node) forgeReplies(m *message.Message) {
 	view := n.replica.View()
 	switch {
@@ -95,7 +95,7 @@
 // restartOnAdmission restarts a member that claims to be complete when it has been admitted, and is not complete.
 func (n *node) restartOnAdmission() {
 	if n.cluster.options.Defect == ClaimComplete && n.replica.IsMember() && !n.replica.IsComplete() {
-		n.cluster.restart(n, restartTime, false)
+		n.cluster.restart(n, restartTime, keepDisk)
 	}
 }
 
