--- a/cmd/pumiceline/fleetsim_test.go
+++ b/cmd/pumiceline/fleetsim_test.go
@@ -33,7 +33,8 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	sweep := fleetsimSweepCmd{experimentFlags: experimentFlags{File: file, Out: results, Workers: 2, PlotsDir: filepath.Join(dir, "p")}, Measures: []string{"g", "broken"}}
+	sweep := fleetsimSweepCmd{experimentFlags: experimentFlags{File: file, Out: results, Workers: 2,
+		PlotsDir: filepath.Join(dir, "p")}, Measures: []string{"g", "broken"}}
 	if err := sweep.Run(output{&out}); err != nil {
 		t.Fatal(err)
 	}
@@ -41,14 +42,16 @@
 		t.Errorf("table:\n%s", got)
 	}
 	out.Reset()
-	if err := (&fleetsimCompareCmd{experimentFlags: experimentFlags{File: results}, Measures: []string{"g"}}).Run(output{&out}); err != nil {
+	if err := (&fleetsimCompareCmd{experimentFlags: experimentFlags{File: results},
+		Measures: []string{"g"}}).Run(output{&out}); err != nil {
 		t.Fatal(err)
 	}
 	if !regexp.MustCompile(`world.load=0.6 +random +\S+ ±\S+ +-\S+ ±\S+ +`).MatchString(out.String()) {
 		t.Errorf("differences:\n%s", out.String())
 	}
 	out.Reset()
-	if err := (&fleetsimPlotCmd{File: results, Dir: filepath.Join(dir, "q"), Measures: []string{"worst"}}).Run(output{&out}); err != nil {
+	if err := (&fleetsimPlotCmd{File: results, Dir: filepath.Join(dir, "q"),
+		Measures: []string{"worst"}}).Run(output{&out}); err != nil {
 		t.Fatal(err)
 	}
 	for _, name := range []string{"report.html", "sweep-worst.svg", "sweep-worst.png"} {
@@ -58,7 +61,8 @@
 	}
 	trace := filepath.Join(dir, "trace")
 	out.Reset()
-	if err := (&fleetsimReplayCmd{File: results, Line: 8, Trace: trace}).Run(output{&out}); err != nil || !strings.Contains(out.String(), "the same, to the byte") {
+	if err := (&fleetsimReplayCmd{File: results, Line: 8, Trace: trace}).Run(output{&out}); err != nil ||
+		!strings.Contains(out.String(), "the same, to the byte") {
 		t.Errorf("%v\n%s", err, out.String())
 	}
 	if text, err := os.ReadFile(trace); err != nil || !strings.Contains(string(text), `"what":"answered"`) {
@@ -66,7 +70,8 @@
 	}
 	altered := filepath.Join(dir, "altered.jsonl")
 	text, _ := os.ReadFile(results)
-	if err := os.WriteFile(altered, regexp.MustCompile(`"g":0\.\d`).ReplaceAll(text, []byte(`"g":0.7`)), 0o600); err != nil {
+	if err := os.WriteFile(altered, regexp.MustCompile(`"g":0\.\d`).ReplaceAll(text, []byte(`"g":0.7`)),
+		0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := (&fleetsimReplayCmd{File: altered, Line: 1}).Run(output{&out}); !errors.Is(err, errResultDiffers) {
--- a/internal/fleetsim/baseline/request.go
+++ b/internal/fleetsim/baseline/request.go
@@ -24,8 +24,8 @@
 }
 
 func (n *node) onRequestArrived(ev *policy.Event) {
-	r := &request{id: ev.ID, class: &n.settings.Classes[ev.Class], work: max(1, ev.Work), deadline: n.now + ev.ClientTimeout,
-		value: n.valuePerWork(ev)}
+	r := &request{id: ev.ID, class: &n.settings.Classes[ev.Class], work: max(1, ev.Work),
+		deadline: n.now + ev.ClientTimeout, value: n.valuePerWork(ev)}
 	n.open[ev.ID] = r
 	n.send(r)
 }
@@ -62,7 +62,8 @@
 	r.attempts = append(r.attempts, attempt{server: chosen, sentAt: n.now, inFlight: true, mayRun: true})
 	r.inFlight++
 	n.changeInFlight(chosen, 1)
-	n.actions = append(n.actions, policy.Action{Kind: policy.SendAttempt, ID: r.id, Server: n.servers[chosen].Server, After: r.attemptTimeout})
+	n.actions = append(n.actions, policy.Action{Kind: policy.SendAttempt, ID: r.id, Server: n.servers[chosen].Server,
+		After: r.attemptTimeout})
 }
 
 // mayAttempt says whether the request may have a further attempt at all.
--- a/internal/fleetsim/checker/attempts.go
+++ b/internal/fleetsim/checker/attempts.go
@@ -187,6 +187,7 @@
 	if client := c.clientRequests[rec.Request]; client == nil || client.attempts > 1 {
 		cause = "its client asked again while an earlier copy ran or may have run"
 	}
-	c.report.RepeatedEffectCauses = append(c.report.RepeatedEffectCauses, Violation{At: rec.At, Server: rec.Server, ID: rec.ID,
-		Cause: fmt.Sprintf("call %d had its effect again after %.3f s: %s", rec.Request, seconds(rec.Span), cause)})
+	c.report.RepeatedEffectCauses = append(c.report.RepeatedEffectCauses,
+		Violation{At: rec.At, Server: rec.Server, ID: rec.ID,
+			Cause: fmt.Sprintf("call %d had its effect again after %.3f s: %s", rec.Request, seconds(rec.Span), cause)})
 }
--- a/internal/fleetsim/checker/checker.go
+++ b/internal/fleetsim/checker/checker.go
@@ -79,7 +79,8 @@
 // New makes the checker of one run of the scenario.
 func New(scenario *model.Scenario) *Checker {
 	c := &Checker{scenario: scenario, classes: scenario.PolicyClasses(), open: map[uint64]*proxyRequest{},
-		clientRequests: map[uint64]*clientRequest{}, proxies: make([]proxyState, scenario.Proxies), goneSince: map[uint32]Time{},
+		clientRequests: map[uint64]*clientRequest{}, proxies: make([]proxyState, scenario.Proxies),
+		goneSince:   map[uint32]Time{},
 		listedStart: map[uint32]Time{}, startListedAt: map[uint32]Time{}, coldServers: map[uint32]*coldServer{},
 		valueByClass: make([]valueSum, len(scenario.Classes)), valueByTenant: make([]valueSum, len(scenario.Tenants)),
 		quotaTokens: make([]float64, len(scenario.Tenants))}
--- a/internal/fleetsim/checker/coldservers.go
+++ b/internal/fleetsim/checker/coldservers.go
@@ -77,7 +77,8 @@
 		rec.Proxy = lastKnowing
 		c.addViolation(rec, RuleColdServers,
 			"cold server %d fell over, %.1f s after its start, under %.2f s of work within %.2f s, %.0f%% of it from proxies that knew",
-			rec.Server, seconds(rec.At-s.started), total/microsPerSecond, seconds(Time(c.scenario.Overload.Window)), 100*knowing/total)
+			rec.Server, seconds(rec.At-s.started), total/microsPerSecond, seconds(Time(c.scenario.Overload.Window)),
+			100*knowing/total)
 	}
 	delete(c.coldServers, rec.Server)
 }
--- a/internal/fleetsim/checker/discovery.go
+++ b/internal/fleetsim/checker/discovery.go
@@ -47,7 +47,8 @@
 }
 
 func (c *Checker) observeProxyStarted(rec *model.Record) {
-	c.proxies[rec.Proxy] = proxyState{goneSince: map[uint32]Time{}, knownStart: map[uint32]Time{}, lastContact: rec.At, startedAt: rec.At}
+	c.proxies[rec.Proxy] = proxyState{goneSince: map[uint32]Time{}, knownStart: map[uint32]Time{}, lastContact: rec.At,
+		startedAt: rec.At}
 	c.proxyStarts++
 	c.observeMembership(rec)
 }
--- a/internal/fleetsim/checker/report.go
+++ b/internal/fleetsim/checker/report.go
@@ -32,7 +32,7 @@
 	DiscoveryCalls       int     `json:"asks"`
 	DiscoveryCallsFailed int     `json:"asks_failed"`
 	PeakDiscoveryCalls   int     `json:"asks_peak"`      // within a second
-	ListedWithinP95      float64 `json:"listed_in_95_s"` // seconds until 95% of the proxies' starts had a watch; -1: fewer ever had
+	ListedWithinP95      float64 `json:"listed_in_95_s"` // seconds until 95% of proxy starts had a watch; -1: never
 
 	Requests int     `json:"calls"` // of clients, each counted once
 	InTime   int     `json:"in_time"`
@@ -46,7 +46,7 @@
 
 	ServiceBySecond []float64         `json:"service"` // -1: no value was offered
 	LoadBands       [][]float64       `json:"bands"`   // by second: quantiles of requests per core, over the servers
-	Latency         map[string]string `json:"latency"` // by class: of served requests, an HdrHistogram (V2, compressed, base 64), microseconds
+	Latency         map[string]string `json:"latency"` // by class, of served requests: HdrHistogram (V2, base 64), microseconds
 }
 
 // Answers counts the final answers of proxies.
@@ -81,9 +81,10 @@
 	worstClass := c.reportClasses()
 	worstTenant := c.reportTenants()
 	c.reportPrices(total.offered)
-	report.G = serviceWeights.overall*report.Overall + serviceWeights.worst10s*report.Worst10s + serviceWeights.class*worstClass +
-		serviceWeights.tenant*worstTenant
-	for _, name := range []string{"late_fail", "waste", "cross", "handshake", "peer", "probe"} { // in one order: rounding must not vary
+	report.G = serviceWeights.overall*report.Overall + serviceWeights.worst10s*report.Worst10s +
+		serviceWeights.class*worstClass + serviceWeights.tenant*worstTenant
+	// In one order: rounding must not vary.
+	for _, name := range []string{"late_fail", "waste", "cross", "handshake", "peer", "probe"} {
 		report.G -= report.Prices[name]
 	}
 	c.reportDiscovery()
@@ -100,7 +101,8 @@
 	return report, nil
 }
 
-// worstWindow returns the service of the worst ten seconds and where they begin, or that of the whole run if none is worse.
+// worstWindow returns the service of the worst ten seconds and where they begin, or that of the whole run if none is
+// worse.
 func (c *Checker) worstWindow(overall float64) (service float64, start int) {
 	service = overall
 	for i := 1; i+worstWindowSeconds <= len(c.valueOffered); i++ {
@@ -162,9 +164,11 @@
 	if offered > 0 {
 		lateFailures = c.lateFailure / offered
 	}
-	report.Prices = map[string]float64{"late_fail": prices.LateFailure * lateFailures, "waste": prices.WastedWork * report.WastedWork,
+	report.Prices = map[string]float64{"late_fail": prices.LateFailure * lateFailures,
+		"waste": prices.WastedWork * report.WastedWork,
 		"cross": prices.CrossZone * report.CrossZone, "handshake": prices.Handshake * report.ConnectionsOpened,
-		"peer": prices.PeerMessage * c.messageBytes / peerMessagePriceBytes / requests, "probe": prices.Probe * c.probes / requests}
+		"peer":  prices.PeerMessage * c.messageBytes / peerMessagePriceBytes / requests,
+		"probe": prices.Probe * c.probes / requests}
 }
 
 func (c *Checker) reportDiscovery() {
--- a/internal/fleetsim/checker/requests.go
+++ b/internal/fleetsim/checker/requests.go
@@ -15,8 +15,8 @@
 
 func (c *Checker) observeRequestStarted(rec *model.Record) {
 	r := c.newClientRequest()
-	*r = clientRequest{startedAt: rec.At, latencyTarget: c.classes[rec.Class].LatencyTarget, value: rec.Value, class: rec.Class,
-		tenant: rec.Tenant, withinQuota: c.takeQuota(rec)}
+	*r = clientRequest{startedAt: rec.At, latencyTarget: c.classes[rec.Class].LatencyTarget, value: rec.Value,
+		class: rec.Class, tenant: rec.Tenant, withinQuota: c.takeQuota(rec)}
 	if !r.withinQuota {
 		r.value *= c.scenario.Clients.OverQuotaValue
 	}
--- a/internal/fleetsim/checker/rules_test.go
+++ b/internal/fleetsim/checker/rules_test.go
@@ -46,11 +46,14 @@
 	sc := model.DefaultScenario()
 	sc.Duration, sc.Tick, sc.Servers, sc.Proxies, sc.Zones, sc.CellSize = 8*sec, 0, 4, 1, 2, 1
 	sc.Load, sc.WaveAmplitude, sc.ZoneSkew, sc.Spread, sc.WorkHintCV = 0.2, 0, 0, 0, 0
-	sc.InstanceTypes = []model.InstanceType{{Name: "one", Share: 1, Cores: 1, Speed: 1, Slots: 1000, InitialCapacity: 0.5, WarmupTime: 3600 * sec}}
-	sc.Classes = []model.Class{{Name: "c", Share: 1, Work: 100 * ms, LatencyTarget: 5 * sec, Deadline: 20 * sec, Value: 1, Semantics: semantics,
+	sc.InstanceTypes = []model.InstanceType{{Name: "one", Share: 1, Cores: 1, Speed: 1, Slots: 1000,
+		InitialCapacity: 0.5, WarmupTime: 3600 * sec}}
+	sc.Classes = []model.Class{{Name: "c", Share: 1, Work: 100 * ms, LatencyTarget: 5 * sec, Deadline: 20 * sec,
+		Value: 1, Semantics: semantics,
 		DedupScope: scope, DedupWindow: 3 * sec}}
 	sc.Tenants, sc.Network.Jitter, sc.Clients.AttemptTimeoutShare, sc.Clients.Retries = nil, 0, 1, 0
-	sc.Connections.HandshakeWork, sc.Overload.SlackRequests, sc.Published.WarmupTime, sc.Discovery.NotifyJitter = 0, 0, 3600*sec, 0
+	sc.Connections.HandshakeWork, sc.Overload.SlackRequests, sc.Discovery.NotifyJitter = 0, 0, 0
+	sc.Published.WarmupTime = 3600 * sec
 	return sc
 }
 
@@ -141,7 +144,8 @@
 	requireViolation(t, rep, checker.RuleAnswerInTime, when, "after its final answer")
 }
 
-// TestRetryRule_RetryOfAttemptThatMayHaveRun lets a first attempt time out, so that it may have run, and sends a second one.
+// TestRetryRule_RetryOfAttemptThatMayHaveRun lets a first attempt time out, so that it may have run, and sends a second
+// one.
 func TestRetryRule_RetryOfAttemptThatMayHaveRun(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -259,9 +263,11 @@
 	subscribeFails
 )
 
-// TestDrainRule sends to a draining server at the end of the grace and after it, with a watch, without a call and with a failed one.
+// TestDrainRule sends to a draining server at the end of the grace and after it, with a watch, without a call and with
+// a failed one.
 func TestDrainRule(t *testing.T) {
-	deploy := model.Fault{Kind: "deploy", Start: 1 * sec, Duration: 1 * sec, AffectedShare: 0.25, Magnitude: 0.25, Interval: 100 * sec}
+	deploy := model.Fault{Kind: "deploy", Start: 1 * sec, Duration: 1 * sec, AffectedShare: 0.25, Magnitude: 0.25,
+		Interval: 100 * sec}
 	listed := model.Time(1*sec) + 2900*ms/4 // when discovery knows
 	for _, c := range []struct {
 		name      string
@@ -380,7 +386,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			sc := exactScenario("safe", "all")
 			sc.Load = 1 // ten requests a second for each server
-			sc.Faults = []model.Fault{{Kind: "restart", Start: 1 * sec, Duration: 1 * sec, AffectedShare: 0.25, Interval: 500 * ms}}
+			sc.Faults = []model.Fault{{Kind: "restart", Start: 1 * sec, Duration: 1 * sec, AffectedShare: 0.25,
+				Interval: 500 * ms}}
 			if !c.notified {
 				sc.Discovery.StartDelay = 600 * sec
 				sc.Published.SubscribeWithin = 600 * sec
@@ -427,7 +434,8 @@
 				t.Errorf("%d servers fell over, want %d; peak %v", rep.ColdOverloads, c.fallen, rep.PeakColdLoad)
 			}
 			requireViolation(t, rep, c.rule, 0, "fell over")
-			if c.rule != 0 && len(rep.Violations) == 1 && (rep.Violations[0].At < when || rep.Violations[0].At > when+50*ms) {
+			if c.rule != 0 && len(rep.Violations) == 1 &&
+				(rep.Violations[0].At < when || rep.Violations[0].At > when+50*ms) {
 				t.Errorf("caught at %d, pushed over from %d", rep.Violations[0].At, when)
 			}
 		})
--- a/internal/fleetsim/checker/violation.go
+++ b/internal/fleetsim/checker/violation.go
@@ -12,8 +12,8 @@
 // The four rules.
 const (
 	RuleAnswerInTime    Rule = iota + 1 // each request gets one final answer in time, and nothing is sent for it after
-	RuleRetrySemantics                  // a request that may have been executed is retried or rejected only as its class allows
-	RuleDrainingServers                 // nothing new to a server DrainGrace after the proxy was notified that it drains or is gone
+	RuleRetrySemantics                  // what may have been executed is retried or rejected as its class allows
+	RuleDrainingServers                 // nothing new to a draining or gone server DrainGrace after the notification
 	RuleColdServers                     // all proxies together crash no cold server by overload
 	ruleCount           = iota
 )
@@ -40,7 +40,8 @@
 func (c *Checker) addViolation(rec *model.Record, rule Rule, format string, args ...any) {
 	c.report.ViolationCounts[rule-1]++
 	if len(c.report.Violations) < maxViolationsKept {
-		c.report.Violations = append(c.report.Violations, Violation{Rule: rule, At: rec.At, Proxy: rec.Proxy, Server: rec.Server, ID: rec.ID,
-			Cause: fmt.Sprintf(format, args...)})
+		c.report.Violations = append(c.report.Violations,
+			Violation{Rule: rule, At: rec.At, Proxy: rec.Proxy, Server: rec.Server, ID: rec.ID,
+				Cause: fmt.Sprintf(format, args...)})
 	}
 }
--- a/internal/fleetsim/experiment/experiment_test.go
+++ b/internal/fleetsim/experiment/experiment_test.go
@@ -41,9 +41,11 @@
 		{"swept value", "[1, 2]\nwith", "[1, 0]\nwith", "x.toml:11: sweep.0.values: at world.proxies=0: 0 is not within"},
 		{"swept type", "[1, 2]\nwith", `[1, "b"]` + "\nwith", "does not fit"},
 		{"values of different lengths", "[0.3, 0.6]", "[0.3]", "x.toml:12: sweep.0.with.world.load: 1 values, where"},
-		{"inline", "draw = 1", `trouble = [{kind = "hang", part = 2.0}]`, "x.toml:8: world.trouble.0.part: 2 is not within"},
+		{"inline", "draw = 1", `trouble = [{kind = "hang", part = 2.0}]`,
+			"x.toml:8: world.trouble.0.part: 2 is not within"},
 		{"kind", "draw = 1", `trouble = [{kind = "flu"}]`, "x.toml:8: world.trouble.0.kind"},
-		{"incomplete list entry", "[[sweep]]", "[[world.kinds]]\nname = \"a\"\nshare = 1.0\n[[sweep]]", "x.toml:9: world.kinds.0.cores"},
+		{"incomplete list entry", "[[sweep]]", "[[world.kinds]]\nname = \"a\"\nshare = 1.0\n[[sweep]]",
+			"x.toml:9: world.kinds.0.cores"},
 	} {
 		text := strings.Replace(smallExperiment, c.old, c.new, 1)
 		_, err := Parse("x.toml", []byte(text))
@@ -128,7 +130,8 @@
 
 // TestExperiment_RunEndsWithContext cancels after the first result, and lets the receiver of results fail.
 func TestExperiment_RunEndsWithContext(t *testing.T) {
-	e, err := Parse("x.toml", []byte(strings.Replace(smallExperiment, "[1, 2]\n[world]", "[1, 2, 3, 4, 5, 6, 7, 8, 9]\n[world]", 1)))
+	e, err := Parse("x.toml", []byte(strings.Replace(smallExperiment, "[1, 2]\n[world]",
+		"[1, 2, 3, 4, 5, 6, 7, 8, 9]\n[world]", 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -151,11 +154,13 @@
 func TestSimulate_PanicFailsOneRun(t *testing.T) {
 	scenario := model.DefaultScenario()
 	outcome := Simulate(&scenario, "nobody", 1, nil)
-	if outcome.Report != nil || !errors.Is(outcome.Err, ErrUnknownPolicy) || !strings.Contains(outcome.Err.Error(), "no policy") {
+	if outcome.Report != nil || !errors.Is(outcome.Err, ErrUnknownPolicy) ||
+		!strings.Contains(outcome.Err.Error(), "no policy") {
 		t.Errorf("error %v", outcome.Err)
 	}
 	outcome = Simulate(&scenario, "decide", 1, panickingObserver{})
-	if outcome.Report != nil || outcome.Err == nil || !strings.HasPrefix(outcome.Err.Error(), "panic: at the first record at pumiceline/") {
+	if outcome.Report != nil || outcome.Err == nil || !strings.HasPrefix(outcome.Err.Error(),
+		"panic: at the first record at pumiceline/") {
 		t.Errorf("error %v", outcome.Err)
 	}
 }
@@ -164,8 +169,8 @@
 
 func (panickingObserver) Observe(*model.Record) { panic("at the first record") }
 
-// TestCompare_PairedDifferences compares with figures calculated by hand: differences 1, 2 and 3 have the mean 2, the standard
-// deviation 1 and, at two degrees of freedom, Student's t 4.303.
+// TestCompare_PairedDifferences compares with figures calculated by hand: differences 1, 2 and 3 have the mean 2, the
+// standard deviation 1 and, at two degrees of freedom, Student's t 4.303.
 func TestCompare_PairedDifferences(t *testing.T) {
 	results := []*Result{}
 	add := func(policy string, seed uint64, g float64) {
--- a/internal/fleetsim/experiment/measures.go
+++ b/internal/fleetsim/experiment/measures.go
@@ -19,7 +19,8 @@
 	{"whole", "service, whole run", func(r *Result) float64 { return r.Report.Overall }},
 	{"worst", "service, worst 10 s", func(r *Result) float64 { return r.Report.Worst10s }},
 	{"broken", "rule violations", violations},
-	{"cold-peak", "most work sent to a cold server, in its capacity", func(r *Result) float64 { return r.Report.PeakColdLoad }},
+	{"cold-peak", "most work sent to a cold server, in its capacity",
+		func(r *Result) float64 { return r.Report.PeakColdLoad }},
 	{"overdriven", "times past a cold server's bound, per start", func(r *Result) float64 {
 		return ratio(r.Report.ColdBoundExceeded, r.Report.ColdStarts)
 	}},
@@ -28,12 +29,17 @@
 	}},
 	{"crossed", "attempts across zones, per request", func(r *Result) float64 { return r.Report.CrossZone }},
 	{"asks", "calls to discovery", func(r *Result) float64 { return float64(r.Report.DiscoveryCalls) }},
-	{"asks_failed", "calls to discovery that failed", func(r *Result) float64 { return float64(r.Report.DiscoveryCallsFailed) }},
-	{"asks_peak", "calls to discovery in the worst second", func(r *Result) float64 { return float64(r.Report.PeakDiscoveryCalls) }},
-	{"listed_in_95", "seconds until 95% of the proxies' starts had their list", func(r *Result) float64 { return r.Report.ListedWithinP95 }},
+	{"asks_failed", "calls to discovery that failed",
+		func(r *Result) float64 { return float64(r.Report.DiscoveryCallsFailed) }},
+	{"asks_peak", "calls to discovery in the worst second",
+		func(r *Result) float64 { return float64(r.Report.PeakDiscoveryCalls) }},
+	{"listed_in_95", "seconds until 95% of the proxies' starts had their list",
+		func(r *Result) float64 { return r.Report.ListedWithinP95 }},
 	{"opened", "connections opened, per request", func(r *Result) float64 { return r.Report.ConnectionsOpened }},
-	{"wasted", "work without a used answer, share of the requested work", func(r *Result) float64 { return r.Report.WastedWork }},
-	{"refused", "rejections, per request", func(r *Result) float64 { return ratio(r.Report.Answers.Rejected, r.Report.Requests) }},
+	{"wasted", "work without a used answer, share of the requested work",
+		func(r *Result) float64 { return r.Report.WastedWork }},
+	{"refused", "rejections, per request",
+		func(r *Result) float64 { return ratio(r.Report.Answers.Rejected, r.Report.Requests) }},
 	{"twice", "requests that had their effect again", func(r *Result) float64 { return float64(r.Report.RepeatedEffects) }},
 }
 
--- a/internal/fleetsim/experiment/robustness_test.go
+++ b/internal/fleetsim/experiment/robustness_test.go
@@ -8,18 +8,20 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// TestProductPolicy_FollowsOracleOnOtherDeployments shows constants that fit one deployment by chance. In either scenario the
-// policy's G may be the margin under that of the policy that sees the true state, and on another clock no further than that
-// under its own. With work moved into downstream waits, reports delivered otherwise or not at all, and clients that time out
-// soon or late after the latency target it may fall as far as the oracle's does, and the margin. A policy that took half of the
-// latency target for a queue had 0.145 with invitations, where the oracle has 0.848, and 0.072 with half of the work in waits.
+// TestProductPolicy_FollowsOracleOnOtherDeployments shows constants that fit one deployment by chance. In either
+// scenario the policy's G may be the margin under that of the policy that sees the true state, and on another clock no
+// further than that under its own. With work moved into downstream waits, reports delivered otherwise or not at all,
+// and clients that time out soon or late after the latency target it may fall as far as the oracle's does, and the
+// margin. A policy that took half of the latency target for a queue had 0.145 with invitations, where the oracle has
+// 0.848, and 0.072 with half of the work in waits.
 func TestProductPolicy_FollowsOracleOnOtherDeployments(t *testing.T) {
 	const margin = 0.06
 	invitations, err := Load("../../../example/experiments/invitations.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, scenario := range map[string]model.Scenario{"quotes": model.DefaultScenario(), "invitations": invitations.Scenario} {
+	for name, scenario := range map[string]model.Scenario{"quotes": model.DefaultScenario(),
+		"invitations": invitations.Scenario} {
 		scenario.Duration = 16e6
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -47,7 +49,8 @@
 					t.Errorf("on a clock of %v: G %.3f, on its own %.3f", pace, got, own)
 				}
 			}
-			changed := map[string]model.Scenario{"half of the work waits": scenario.WithDownstreamWait(0.5), "nine tenths of the work wait": scenario.WithDownstreamWait(0.9)}
+			changed := map[string]model.Scenario{"half of the work waits": scenario.WithDownstreamWait(0.5),
+				"nine tenths of the work wait": scenario.WithDownstreamWait(0.9)}
 			for _, via := range []string{"answers", "probe", "none"} {
 				c := scenario.Clone()
 				c.Reports.Delivery = via
--- a/internal/fleetsim/experiment/run.go
+++ b/internal/fleetsim/experiment/run.go
@@ -37,9 +37,9 @@
 	return len(runs)
 }
 
-// Run makes all runs of the experiment, as many at a time as there are workers, and hands each result to onResult in the
-// experiment's order, whichever ended first. A run that fails is a result with an Error. Run itself fails only if onResult
-// does, or ctx ends; its workers have ended when it returns.
+// Run makes all runs of the experiment, as many at a time as there are workers, and hands each result to onResult in
+// the experiment's order, whichever ended first. A run that fails is a result with an Error. Run itself fails only if
+// onResult does, or ctx ends; its workers have ended when it returns.
 func (e *Experiment) Run(ctx context.Context, workers int, onResult func(*Result) error) error {
 	runs, err := e.plannedRuns()
 	if err != nil {
@@ -86,8 +86,8 @@
 
 // execute makes one run.
 func (e *Experiment) execute(run *plannedRun) *Result {
-	r := &Result{Format: formatVersion, Experiment: e.Name, Title: e.Title, Text: e.Text, Policy: run.policy, Seed: run.seed,
-		Point: run.point.Axes, Axes: e.axes(), Replay: e.replayCommand(run), Scenario: run.point.Scenario}
+	r := &Result{Format: formatVersion, Experiment: e.Name, Title: e.Title, Text: e.Text, Policy: run.policy,
+		Seed: run.seed, Point: run.point.Axes, Axes: e.axes(), Replay: e.replayCommand(run), Scenario: run.point.Scenario}
 	r.Simulate(nil)
 	return r
 }
--- a/internal/fleetsim/experiment/simulate.go
+++ b/internal/fleetsim/experiment/simulate.go
@@ -30,8 +30,8 @@
 // ErrUnknownPolicy is returned for a policy that Policies does not have.
 var ErrUnknownPolicy = errors.New("there is no policy")
 
-// Simulate runs a scenario once under a checker. The trace, if not nil, observes each record too. A panic of a policy ends
-// its run with an error and leaves other runs alone.
+// Simulate runs a scenario once under a checker. The trace, if not nil, observes each record too. A panic of a policy
+// ends its run with an error and leaves other runs alone.
 func Simulate(scenario *model.Scenario, policyName string, seed uint64, trace model.Observer) (outcome Outcome) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -55,7 +55,8 @@
 	return outcome
 }
 
-// panicSite is the first function of this project below a panic. It names no addresses, which would differ from run to run.
+// panicSite is the first function of this project below a panic. It names no addresses, which would differ from run to
+// run.
 func panicSite(stack []byte) string {
 	lines := strings.Split(string(stack), "\n")
 	for i, line := range lines {
--- a/internal/fleetsim/experiment/stored_test.go
+++ b/internal/fleetsim/experiment/stored_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// An experiment that a user stored for an earlier version is read: every key, each kind of fault, and each policy by its name.
+// An experiment that a user stored for an earlier version is read: every key, each kind of fault, and each policy by
+// its name.
 func TestParse_ReadsStoredExperiment(t *testing.T) {
 	got, err := Load("testdata/experiment.toml")
 	if err != nil {
@@ -48,12 +49,15 @@
 	}
 	want := Experiment{
 		Name: "whole", Title: "Every key", Text: "An experiment as a user wrote it for an earlier version.",
-		Policies: []string{"decide", "random", "round-robin", "two-choices", "least", "truth", "keyless", "unprobed", "door", "door-silent", "half",
+		Policies: []string{"decide", "random", "round-robin", "two-choices", "least", "truth", "keyless", "unprobed",
+			"door", "door-silent", "half",
 			"quarter", "eighth"},
 		Seeds: []uint64{3, 5},
 		Sweeps: []Sweep{
-			{Key: "world.proxies", Values: []any{int64(2), int64(3)}, With: map[string][]any{"world.load": {0.3, 0.6}}, Log: true, Label: "proxies"},
-			{Key: "world.kinds.0.cores", Values: []any{int64(4)}, With: map[string][]any{"world.told.cold": {"20s"}}, Log: true, Label: "cores"},
+			{Key: "world.proxies", Values: []any{int64(2), int64(3)}, With: map[string][]any{"world.load": {0.3, 0.6}},
+				Log: true, Label: "proxies"},
+			{Key: "world.kinds.0.cores", Values: []any{int64(4)}, With: map[string][]any{"world.told.cold": {"20s"}},
+				Log: true, Label: "cores"},
 		},
 		Scenario: scenarioSample(),
 	}
@@ -82,7 +86,8 @@
 		t.Fatalf("%d points, %v", len(points), err)
 	}
 	last := points[1]
-	if last.Scenario.Proxies != 3 || last.Scenario.Load != 0.6 || last.Scenario.InstanceTypes[0].Cores != 4 || last.Scenario.Published.WarmupTime != 20e6 {
+	if last.Scenario.Proxies != 3 || last.Scenario.Load != 0.6 || last.Scenario.InstanceTypes[0].Cores != 4 ||
+		last.Scenario.Published.WarmupTime != 20e6 {
 		t.Errorf("the last point is %v", last.Settings)
 	}
 }
@@ -93,7 +98,8 @@
 		return checker.Violation{Rule: rule, At: 1_500_000, Proxy: 2, Server: 7, ID: 99, Cause: "sent after its end"}
 	}
 	r := &Result{
-		Format: 1, Experiment: "whole", Title: "Every key", Text: "A play as an earlier version kept it.", Policy: "decide", Seed: 3,
+		Format: 1, Experiment: "whole", Title: "Every key", Text: "A play as an earlier version kept it.",
+		Policy: "decide", Seed: 3,
 		Point:    []Setting{{Key: "world.proxies", Value: 2.0}, {Key: "world.told.cold", Value: "20s"}},
 		Axes:     []Axis{{Key: "world.proxies", Label: "proxies", Log: true}},
 		Replay:   "pumiceline lab replay whole.toml --policy=decide --seed=3 --set=world.proxies=2",
@@ -102,21 +108,25 @@
 		Error:    "panic: none at pumiceline/decide.New",
 		Report: &checker.Report{
 			G: 0.91, Overall: 0.92, Worst10s: 0.81, Worst10sStart: 11,
-			ByClass: map[string]float64{"quick-quote": 0.93, "full-quote": 0.94}, ByTenant: map[string]float64{"steppe-tours": 0.95},
+			ByClass:         map[string]float64{"quick-quote": 0.93, "full-quote": 0.94},
+			ByTenant:        map[string]float64{"steppe-tours": 0.95},
 			Prices:          map[string]float64{"cross": 0.01, "waste": 0.02},
-			ViolationCounts: [4]int{1, 2, 3, 4}, Violations: []checker.Violation{violation(1), violation(4)}, RepeatedEffects: 5, RepeatedEffectCauses: []checker.Violation{violation(2)},
+			ViolationCounts: [4]int{1, 2, 3, 4}, Violations: []checker.Violation{violation(1), violation(4)},
+			RepeatedEffects: 5, RepeatedEffectCauses: []checker.Violation{violation(2)},
 			ColdStarts: 6, ColdOverloads: 7, ColdBoundExceeded: 8, PeakColdLoad: 2.75,
 			DiscoveryCalls: 9, DiscoveryCallsFailed: 10, PeakDiscoveryCalls: 11, ListedWithinP95: 1.25,
 			Requests: 12, InTime: 13, Late: 14, Unserved: 15,
 			CrossZone: 0.11, ConnectionsOpened: 0.12, WastedWork: 0.13,
-			ServiceBySecond: []float64{0.5, -1}, LoadBands: [][]float64{{0.1, 0.2}, {0.3, 0.4}}, Latency: map[string]string{"quick-quote": "HISTFAAA"},
+			ServiceBySecond: []float64{0.5, -1}, LoadBands: [][]float64{{0.1, 0.2}, {0.3, 0.4}},
+			Latency: map[string]string{"quick-quote": "HISTFAAA"},
 		},
 	}
 	r.Report.Answers.Served, r.Report.Answers.Rejected, r.Report.Answers.Failed = 16, 17, 18
 	return r
 }
 
-// Results that an earlier version stored are read, every field from its key, and written with the same bytes: the replay command compares them so.
+// Results that an earlier version stored are read, every field from its key, and written with the same bytes: the
+// replay command compares them so.
 func TestReadResults_ReadsStoredResults(t *testing.T) {
 	stored, err := os.ReadFile("testdata/results.jsonl")
 	if err != nil {
@@ -143,9 +153,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sample := model.Record{At: 1_250_000, Outcome: policy.TimedOut, Flag: true, Attempt: 2, Class: 3, Tenant: 4, Proxy: 5, Server: 6, Zone: 7, Cell: 8,
+	sample := model.Record{At: 1_250_000, Outcome: policy.TimedOut, Flag: true, Attempt: 2, Class: 3, Tenant: 4,
+		Proxy: 5, Server: 6, Zone: 7, Cell: 8,
 		ID: 9, Request: 10, Work: 11, Value: 1.5, Span: 12, Capacity: 2.5, Version: 13, Load: []float64{0.25, 0.75},
-		Members: []policy.Member{{Server: 14, Zone: 15, Cell: 16, InstanceType: 17, Mode: policy.ModeDraining, Size: 3.5, StartedAt: 18}}}
+		Members: []policy.Member{{Server: 14, Zone: 15, Cell: 16, InstanceType: 17, Mode: policy.ModeDraining,
+			Size: 3.5, StartedAt: 18}}}
 	var written bytes.Buffer
 	tracer := Tracer{Out: &written}
 	for kind := model.SimulationStarted; kind <= model.LoadSampled; kind++ {
--- a/internal/fleetsim/model/arrival.go
+++ b/internal/fleetsim/model/arrival.go
@@ -83,7 +83,8 @@
 		return false
 	}
 	capacity := s.warmCapacity() * sm.warmth(s) // may find that the server is warm now
-	sm.observe(Record{Kind: ColdServerReached, Proxy: attempt.proxy, Server: s.id, Work: Time(attempt.work), Capacity: capacity})
+	sm.observe(Record{Kind: ColdServerReached, Proxy: attempt.proxy, Server: s.id, Work: Time(attempt.work),
+		Capacity: capacity})
 	overload := &sm.scenario.Overload
 	if !s.cold || overload.Factor <= 0 {
 		return false
@@ -135,11 +136,13 @@
 		c.firstEffectAt, c.firstEffectZone, c.firstEffectCell = sm.now, s.zone, s.cell
 		return
 	}
-	if class.semantics() == policy.Deduplicated && sm.now-c.firstEffectAt <= Time(class.DedupWindow) && knowsFirstEffect(c, class, s) {
+	if class.semantics() == policy.Deduplicated && sm.now-c.firstEffectAt <= Time(class.DedupWindow) &&
+		knowsFirstEffect(c, class, s) {
 		attempt.work = math.Min(attempt.work, dedupLookupWork)
 		return
 	}
-	sm.observe(Record{Kind: EffectRepeated, Server: s.id, ID: attempt.id, Request: c.number, Span: sm.now - c.firstEffectAt, Class: c.class})
+	sm.observe(Record{Kind: EffectRepeated, Server: s.id, ID: attempt.id, Request: c.number,
+		Span: sm.now - c.firstEffectAt, Class: c.class})
 }
 
 // knowsFirstEffect says whether the server is within the scope that shares the keys of the first effect.
--- a/internal/fleetsim/model/attempts.go
+++ b/internal/fleetsim/model/attempts.go
@@ -61,13 +61,14 @@
 		return
 	}
 	if requestIndex < 0 || sm.proxyRequests.at(requestIndex).answered { // a violation, which the checker counts
-		sm.observe(Record{Kind: AttemptSent, Proxy: proxyIndex, ID: action.ID, Server: action.Server, Zone: s.zone, Cell: s.cell,
-			Flag: p.zone != s.zone})
+		sm.observe(Record{Kind: AttemptSent, Proxy: proxyIndex, ID: action.ID, Server: action.Server, Zone: s.zone,
+			Cell: s.cell, Flag: p.zone != s.zone})
 		return
 	}
 	request := sm.proxyRequests.at(requestIndex)
 	if request.attemptCount >= maxAttempts || int(request.attemptCount) >= sm.scenario.Published.MaxAttempts {
-		sm.fail(proxyIndex, "makes attempt %d of a request that may have %d", request.attemptCount+1, sm.scenario.Published.MaxAttempts)
+		sm.fail(proxyIndex, "makes attempt %d of a request that may have %d", request.attemptCount+1,
+			sm.scenario.Published.MaxAttempts)
 		return
 	}
 	attemptIndex := sm.newAttempt(requestIndex, s)
@@ -100,9 +101,18 @@
 	client := sm.clientRequests.at(request.clientRequest)
 	client.references++
 	attemptIndex = sm.serverAttempts.acquire()
-	*sm.serverAttempts.at(attemptIndex) = serverAttempt{id: request.id, proxyRequest: requestIndex, clientRequest: request.clientRequest,
-		proxy: request.proxy, incarnation: sm.proxies[request.proxy].incarnation, server: s.index, epoch: s.epoch, attempt: number,
-		sentAt: sm.now, work: lognormal(sm.networkRand, client.work, sm.scenario.Classes[client.class].AttemptCV)}
+	*sm.serverAttempts.at(attemptIndex) = serverAttempt{
+		id:            request.id,
+		proxyRequest:  requestIndex,
+		clientRequest: request.clientRequest,
+		proxy:         request.proxy,
+		incarnation:   sm.proxies[request.proxy].incarnation,
+		server:        s.index,
+		epoch:         s.epoch,
+		attempt:       number,
+		sentAt:        sm.now,
+		work:          lognormal(sm.networkRand, client.work, sm.scenario.Classes[client.class].AttemptCV),
+	}
 	request.attempts[number] = proxyAttempt{serverAttempt: attemptIndex, server: s.index, inFlight: true, sentAt: sm.now}
 	return attemptIndex
 }
@@ -116,7 +126,8 @@
 	} else if timeout < 0 {
 		limit = sm.now
 	}
-	sm.schedule(sm.nextTick(max(limit, sm.now+1)), event{kind: evAttemptTimeout, subject: requestIndex, code: number, id: request.id})
+	sm.schedule(sm.nextTick(max(limit, sm.now+1)), event{kind: evAttemptTimeout, subject: requestIndex, code: number,
+		id: request.id})
 }
 
 func (sm *simulation) timeOutAttempt(e *event) {
@@ -192,12 +203,13 @@
 	request.inFlight--
 	proxyIndex, id := request.proxy, request.id
 	server := sm.servers[attempt.server].id
-	sm.observe(Record{Kind: AttemptEnded, Proxy: proxyIndex, ID: id, Attempt: number, Server: server, Outcome: outcome, Span: elapsed})
+	sm.observe(Record{Kind: AttemptEnded, Proxy: proxyIndex, ID: id, Attempt: number, Server: server, Outcome: outcome,
+		Span: elapsed})
 	if outcome == policy.OK && !request.answered {
 		sm.answerClient(requestIndex, policy.OK, 0)
 	}
-	sm.policyEvent = policy.Event{Kind: policy.AttemptEnded, ID: id, Attempt: number, Server: server, Outcome: outcome, Elapsed: elapsed,
-		Final: request.answered, Report: report}
+	sm.policyEvent = policy.Event{Kind: policy.AttemptEnded, ID: id, Attempt: number, Server: server, Outcome: outcome,
+		Elapsed: elapsed, Final: request.answered, Report: report}
 	sm.releaseIfDone(requestIndex)
 	sm.deliver(proxyIndex)
 }
--- a/internal/fleetsim/model/clients.go
+++ b/internal/fleetsim/model/clients.go
@@ -62,8 +62,8 @@
 	sm.drawClientRequest(c)
 	sm.openClientRequests++
 	sm.stats.Requests++
-	sm.observe(Record{Kind: RequestStarted, Request: c.number, Class: c.class, Tenant: c.tenant, Work: Time(c.work), Value: c.value,
-		Span: c.deadline - c.startedAt, Zone: c.zone})
+	sm.observe(Record{Kind: RequestStarted, Request: c.number, Class: c.class, Tenant: c.tenant, Work: Time(c.work),
+		Value: c.value, Span: c.deadline - c.startedAt, Zone: c.zone})
 	sm.sendToProxy(index)
 }
 
@@ -130,8 +130,8 @@
 	network := &sm.scenario.Network
 	travelTime := Time(float64(network.Client) * (1 + network.Jitter*c.draw(uint64(c.attempts)+drawTravelTime)))
 	if proxyIndex < 0 || !sm.proxies[proxyIndex].canAccept(sm.scenario.Published.MaxOpenRequests) {
-		sm.schedule(sm.now+2*travelTime, event{kind: evReceiveAnswer, subject: clientIndex, code: uint8(policy.ConnectFailed),
-			id: attemptWithoutProxy})
+		sm.schedule(sm.now+2*travelTime, event{kind: evReceiveAnswer, subject: clientIndex,
+			code: uint8(policy.ConnectFailed), id: attemptWithoutProxy})
 		return
 	}
 	requestIndex := sm.proxyRequests.acquire()
@@ -247,7 +247,8 @@
 	c := sm.clientRequests.at(clientIndex)
 	c.ended = true
 	sm.openClientRequests--
-	sm.observe(Record{Kind: RequestEnded, Request: c.number, Flag: served, Span: sm.now - c.startedAt, Class: c.class, Tenant: c.tenant})
+	sm.observe(Record{Kind: RequestEnded, Request: c.number, Flag: served, Span: sm.now - c.startedAt, Class: c.class,
+		Tenant: c.tenant})
 	sm.releaseClientRequest(clientIndex)
 }
 
--- a/internal/fleetsim/model/config.go
+++ b/internal/fleetsim/model/config.go
@@ -34,7 +34,7 @@
 	BurstTime     Span    `toml:"burst_on" json:"burst_on"` // mean length of a burst; bursts take a tenth of the time
 	ZoneSkew      float64 `toml:"skew" json:"skew"`         // how much the zones' traffic differs: 0 equal, 1 very
 	Spread        float64 `toml:"spread" json:"spread"`     // how far drawn values lie from those written, as a share
-	WorkHintCV    float64 `toml:"hint" json:"hint"`         // coefficient of variation of the clients' estimate of the work; <0: no estimate
+	WorkHintCV    float64 `toml:"hint" json:"hint"`         // CV of the clients' estimate of the work; <0: none
 
 	Keys          Keys              `toml:"keys" json:"keys"`
 	InstanceTypes []InstanceType    `toml:"kinds" json:"kinds"`
@@ -59,13 +59,13 @@
 	Cores           int     `toml:"cores" json:"cores"`
 	Speed           float64 `toml:"speed" json:"speed"`               // of a core, in standard cores
 	Slots           int     `toml:"slots" json:"slots"`               // requests executed at once
-	QueueCapacity   int     `toml:"room" json:"room"`                 // requests that wait; beyond it requests are rejected unprocessed
-	Knee            int     `toml:"knee" json:"knee"`                 // requests, executing or queued, from which efficiency drops
+	QueueCapacity   int     `toml:"room" json:"room"`                 // queued requests; further ones are rejected
+	Knee            int     `toml:"knee" json:"knee"`                 // open requests from which efficiency drops
 	Crowding        float64 `toml:"crowding" json:"crowding"`         // loss of efficiency for each request beyond the knee
 	InitialCapacity float64 `toml:"cold_from" json:"cold_from"`       // share of its capacity right after a start
 	WarmupTime      Span    `toml:"cold_for" json:"cold_for"`         // until it has its whole capacity
-	WarmByWork      bool    `toml:"warm_by_work" json:"warm_by_work"` // it warms up by the work done, at the latest within Published.WarmupTime
-	PauseInterval   Span    `toml:"pause_every" json:"pause_every"`   // mean time between pauses such as a garbage collector's
+	WarmByWork      bool    `toml:"warm_by_work" json:"warm_by_work"` // by work done, at the latest in Published.WarmupTime
+	PauseInterval   Span    `toml:"pause_every" json:"pause_every"`   // mean time between pauses, as of a collector
 	PauseTime       Span    `toml:"pause" json:"pause"`               // mean length of a pause of an idle server
 	ErrorRate       float64 `toml:"errors" json:"errors"`             // share of requests answered with an error
 }
@@ -77,7 +77,7 @@
 	Work           Span    `toml:"work" json:"work"`   // mean, on a standard core
 	WorkCV         float64 `toml:"cv" json:"cv"`       // coefficient of variation of the work (lognormal)
 	AttemptCV      float64 `toml:"noise" json:"noise"` // coefficient of variation of an attempt's work about its request's
-	DownstreamWait Span    `toml:"wait" json:"wait"`   // mean wait for other services after the work, without a core and a slot
+	DownstreamWait Span    `toml:"wait" json:"wait"`   // mean wait for other services, after the work
 	LatencyTarget  Span    `toml:"aim" json:"aim"`     // an answer within it has its full value
 	Deadline       Span    `toml:"deadline" json:"deadline"`
 	Value          float64 `toml:"worth" json:"worth"`   // for each unit of work
@@ -107,15 +107,15 @@
 // Clients is the behaviour of clients and of the front layer that distributes their connections to proxies.
 type Clients struct {
 	Retries              int     `toml:"retries" json:"retries"`
-	AttemptTimeoutShare  float64 `toml:"patience" json:"patience"`       // share of the class's deadline that one attempt may take
+	AttemptTimeoutShare  float64 `toml:"patience" json:"patience"`       // of one attempt, as a share of the deadline
 	Backoff              Span    `toml:"backoff" json:"backoff"`         // before a retry; 0: at once
 	MarkRetries          bool    `toml:"marks" json:"marks"`             // a retry carries a mark that it is one
-	RetryAfterCompliance float64 `toml:"heed" json:"heed"`               // share of clients that wait as long as Retry-After says
+	RetryAfterCompliance float64 `toml:"heed" json:"heed"`               // share of clients that follow Retry-After
 	MaxRetryAfter        Span    `toml:"most_heeded" json:"most_heeded"` // the longest Retry-After that they follow
-	ImpatientShare       float64 `toml:"hasty" json:"hasty"`             // share that give up at the latency target and retry
-	UnsafeRetryShare     float64 `toml:"reckless" json:"reckless"`       // share that retry keyed requests after any failure
-	ProxyFailoverDelay   Span    `toml:"notice" json:"notice"`           // until the front layer notices that a proxy has died
-	OverQuotaValue       float64 `toml:"over_share" json:"over_share"`   // share of its value that a request past its tenant's quota keeps
+	ImpatientShare       float64 `toml:"hasty" json:"hasty"`             // share that retry at the latency target
+	UnsafeRetryShare     float64 `toml:"reckless" json:"reckless"`       // share that retry keyed requests anyhow
+	ProxyFailoverDelay   Span    `toml:"notice" json:"notice"`           // until the front layer knows of a dead proxy
+	OverQuotaValue       float64 `toml:"over_share" json:"over_share"`   // share of value past the tenant's quota
 }
 
 // Network is the delays and losses of the network.
@@ -135,7 +135,7 @@
 	IdleTimeout         Span    `toml:"idle" json:"idle"`                 // after which an idle connection is closed
 	DialTimeout         Span    `toml:"dial_within" json:"dial_within"`   // after which an unanswered handshake has failed
 	MaxPerCore          int     `toml:"cap_per_core" json:"cap_per_core"` // connections that a server accepts
-	CapacityTax         float64 `toml:"tax" json:"tax"`                   // share of the capacity that a full connection table takes
+	CapacityTax         float64 `toml:"tax" json:"tax"`                   // share of capacity that a full table takes
 }
 
 // Reports is how servers report their load.
@@ -185,7 +185,7 @@
 	WastedWork  float64 `toml:"waste" json:"waste"`         // as much work without a used answer as was requested
 	CrossZone   float64 `toml:"cross" json:"cross"`         // each request crossing zones once
 	Handshake   float64 `toml:"handshake" json:"handshake"` // a new connection for each request
-	Probe       float64 `toml:"probe" json:"probe"`         // a load poll for each request; the work that it costs a server is left out
+	Probe       float64 `toml:"probe" json:"probe"`         // a load poll for each request, without the server's work
 	PeerMessage float64 `toml:"peer" json:"peer"`           // a message of 256 bytes between proxies for each request
 }
 
--- a/internal/fleetsim/model/discovery.go
+++ b/internal/fleetsim/model/discovery.go
@@ -81,7 +81,8 @@
 
 // scheduleDiscoveryUpdate lets discovery learn of a server's new mode after a delay.
 func (sm *simulation) scheduleDiscoveryUpdate(s *server, mode policy.Mode, delay Span) {
-	sm.schedule(sm.now+Time(delay), event{kind: evDiscoveryUpdate, subject: s.index, number: s.epoch, code: uint8(mode), id: uint64(s.startedAt)})
+	sm.schedule(sm.now+Time(delay), event{kind: evDiscoveryUpdate, subject: s.index, number: s.epoch, code: uint8(mode),
+		id: uint64(s.startedAt)})
 }
 
 // updateDiscovery records a change and schedules the notification of the watching proxies.
@@ -130,7 +131,8 @@
 	}
 	if sm.isDiscoveryPartitioned(proxyIndex) {
 		p.notificationPending = true
-		sm.schedule(sm.nextTick(sm.now+partitionPollInterval), event{kind: evNotifyProxy, subject: proxyIndex, number: incarnation})
+		sm.schedule(sm.nextTick(sm.now+partitionPollInterval),
+			event{kind: evNotifyProxy, subject: proxyIndex, number: incarnation})
 		return
 	}
 	sm.sendMembership(proxyIndex)
@@ -145,7 +147,8 @@
 		members, kind = d.list(), policy.MembershipFull
 	}
 	p.listVersion = d.version()
-	sm.observe(Record{Kind: ProxyNotified, Proxy: proxyIndex, Members: members, Version: p.listVersion, Flag: kind == policy.MembershipFull})
+	sm.observe(Record{Kind: ProxyNotified, Proxy: proxyIndex, Members: members, Version: p.listVersion,
+		Flag: kind == policy.MembershipFull})
 	sm.policyEvent = policy.Event{Kind: kind, Members: members}
 	sm.deliver(proxyIndex)
 }
--- a/internal/fleetsim/model/events.go
+++ b/internal/fleetsim/model/events.go
@@ -26,7 +26,7 @@
 const (
 	evArrival       eventKind = iota + 1 // the next client request starts []
 	evRetry                              // a client sends its request again [id=its number]
-	evReceiveAnswer                      // an answer comes to the client [number=Retry-After code=outcome id=proxy request, 0: none]
+	evReceiveAnswer                      // an answer comes [number=Retry-After code=outcome id=proxy request]
 	evClientTimeout                      // the client gives up the proxy request [id=proxy request]
 )
 
@@ -35,7 +35,7 @@
 	evReceiveRequest  eventKind = iota + 32 // a request comes to its proxy [subject=proxy request id]
 	evReceiveOutcome                        // an attempt's end comes to its proxy [subject=server attempt]
 	evAttemptTimeout                        // an attempt's time is up [subject=proxy request code=attempt id]
-	evAttemptFailed                         // an attempt that no server has, has failed [subject=proxy request code=attempt number=outcome id]
+	evAttemptFailed                         // an attempt has failed [subject=proxy request code=attempt number=outcome id]
 	evRequestExpired                        // a request had no answer in time [subject=proxy request id]
 	evTimer                                 // a node's timer fires [number=incarnation id=the node's]
 	evCloseIdle                             // idle connections are closed [number=incarnation]
@@ -52,12 +52,12 @@
 const (
 	evArriveAtServer     eventKind = iota + 64 // an attempt comes to its server [subject=server attempt]
 	evServerProgress                           // a server may have completed something []
-	evDownstreamWaitOver                       // an attempt has its answer from other services [subject=server attempt code=outcome]
+	evDownstreamWaitOver                       // other services have answered [subject=server attempt code=outcome]
 	evPauseStart                               // the server's pause starts [number=epoch]
 	evPauseEnd                                 // and ends [number=epoch]
 	evServerStart                              // a server process starts []
-	evServerStop                               // a draining server's process exits [number=epoch code=1: a successor follows]
-	evDiscoveryUpdate                          // discovery learns of a change [number=epoch code=mode id=start of the process]
+	evServerStop                               // a draining process exits [number=epoch code=1: a successor follows]
+	evDiscoveryUpdate                          // discovery learns of a change [number=epoch code=mode id=start]
 	evFault                                    // a step of a fault [subject=fault code=phase number=step]
 	evSampleLoad                               // the servers' load is recorded, once a second []
 )
--- a/internal/fleetsim/model/fault.go
+++ b/internal/fleetsim/model/fault.go
@@ -9,7 +9,7 @@
 	Duration      Span      `toml:"for" json:"for"`
 	AffectedShare float64   `toml:"part" json:"part"`           // of the servers or proxies
 	Magnitude     float64   `toml:"size" json:"size"`           // see FaultKinds
-	Interval      Span      `toml:"every" json:"every"`         // a period, a drain time or a time until a restart; see FaultKinds
+	Interval      Span      `toml:"every" json:"every"`         // period, drain time or downtime; see FaultKinds
 	From          string    `toml:"from" json:"from"`           // an endpoint, see ParseEndpoint; required for a partition
 	To            string    `toml:"to" json:"to"`               // of a partition
 	NewIDs        bool      `toml:"fresh_ids" json:"fresh_ids"` // of a deploy: successors come under new ids
@@ -42,12 +42,13 @@
 
 // FaultKinds says of each kind what it does and what its fields mean, by their keys in files.
 var FaultKinds = map[FaultKind]string{
-	FaultHang:                "part of the servers accept work and answer nothing",
-	FaultErrors:              "part of the servers fail a share (size) of their requests at once",
-	FaultNoisyNeighbour:      "another program takes a share (size) of part of the servers, on and off (every)",
-	FaultSlowdown:            "part of the servers lose a share (size) of their speed, and do not report it",
-	FaultReportDelay:         "load reports come later by size seconds",
-	FaultDeploy:              "part of the servers are replaced within the time, a share (size) of the fleet at a time; each drains for every",
+	FaultHang:           "part of the servers accept work and answer nothing",
+	FaultErrors:         "part of the servers fail a share (size) of their requests at once",
+	FaultNoisyNeighbour: "another program takes a share (size) of part of the servers, on and off (every)",
+	FaultSlowdown:       "part of the servers lose a share (size) of their speed, and do not report it",
+	FaultReportDelay:    "load reports come later by size seconds",
+	FaultDeploy: "part of the servers are replaced within the time, a share (size) of the fleet at a time; " +
+		"each drains for every",
 	FaultRestart:             "part of the servers crash and come back cold after every",
 	FaultZoneLost:            "all servers of one zone (from, else drawn) crash and come back cold after every",
 	FaultZoneIsolated:        "one zone (from, else drawn) is partitioned from the others",
@@ -56,15 +57,17 @@
 	FaultDiscoveryZoneOutage: "the proxies of one zone (from, else drawn) do not reach discovery",
 	FaultReconnectStorm:      "all connections of part of the proxies break at once, each every",
 	FaultProxyKill:           "part of the proxies are killed, and start anew after every",
-	FaultProxyRoll:           "part of the proxies are stopped within the time, a share (size) of all at a time, and start anew every after their end",
-	FaultZoneShift:           "clients of one zone (from, else drawn) send size times as many requests, those of the others fewer",
-	FaultRetryStorm:          "clients retry size times as often, and at once",
-	FaultTenantFlood:         "one tenant (the first) sends size times its traffic",
+	FaultProxyRoll: "part of the proxies are stopped within the time, a share (size) of all at a time, " +
+		"and start anew every after their end",
+	FaultZoneShift:   "clients of one zone (from, else drawn) send size times as many requests, the others fewer",
+	FaultRetryStorm:  "clients retry size times as often, and at once",
+	FaultTenantFlood: "one tenant (the first) sends size times its traffic",
 }
 
 // randomFaultKinds are the kinds that randomFaults draws from; their order is part of what a seed means.
-var randomFaultKinds = []FaultKind{FaultHang, FaultErrors, FaultNoisyNeighbour, FaultSlowdown, FaultReportDelay, FaultDeploy,
-	FaultRestart, FaultZoneIsolated, FaultDiscoveryOutage, FaultReconnectStorm, FaultProxyKill, FaultRetryStorm, FaultTenantFlood}
+var randomFaultKinds = []FaultKind{FaultHang, FaultErrors, FaultNoisyNeighbour, FaultSlowdown, FaultReportDelay,
+	FaultDeploy, FaultRestart, FaultZoneIsolated, FaultDiscoveryOutage, FaultReconnectStorm, FaultProxyKill, FaultRetryStorm,
+	FaultTenantFlood}
 
 // randomFaults draws RandomFaults faults of different kinds, of sizes that the operators have recorded. Each ends before
 // the run does.
@@ -73,8 +76,12 @@
 	length := float64(sc.Duration)
 	var faults []Fault
 	for _, i := range rng.Perm(len(randomFaultKinds))[:min(sc.RandomFaults, len(randomFaultKinds))] {
-		f := Fault{Kind: randomFaultKinds[i], Start: Span(length * between(0.1, 0.5)), Duration: Span(length * between(0.2, 0.45)),
-			AffectedShare: between(0.06, 0.2)}
+		f := Fault{
+			Kind:          randomFaultKinds[i],
+			Start:         Span(length * between(0.1, 0.5)),
+			Duration:      Span(length * between(0.2, 0.45)),
+			AffectedShare: between(0.06, 0.2),
+		}
 		switch f.Kind {
 		case FaultErrors:
 			f.Magnitude = between(0.4, 0.85)
--- a/internal/fleetsim/model/faults_test.go
+++ b/internal/fleetsim/model/faults_test.go
@@ -9,8 +9,8 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// TestRun_EffectRepeatedByUnsafeClientRetry lets clients retry keyed requests while the first attempt hangs: the checker must
-// find the repeated effect, and that the client caused it.
+// TestRun_EffectRepeatedByUnsafeClientRetry lets clients retry keyed requests while the first attempt hangs: the
+// checker must find the repeated effect, and that the client caused it.
 func TestRun_EffectRepeatedByUnsafeClientRetry(t *testing.T) {
 	for _, unsafeRetries := range []float64{0, 1} {
 		sc := model.DefaultScenario()
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestRun_FleetFaults requires of faults of a fleet whom they affect: a lost zone's servers alone, all of them, are back cold
-// after the time; stopping proxies get no clients, lose no request, and start anew; clients of one zone send more requests for
-// a while; successors under new ids are listed and get requests.
+// TestRun_FleetFaults requires of faults of a fleet whom they affect: a lost zone's servers alone, all of them, are
+// back cold after the time; stopping proxies get no clients, lose no request, and start anew; clients of one zone send
+// more requests for a while; successors under new ids are listed and get requests.
 func TestRun_FleetFaults(t *testing.T) {
 	type count struct {
 		started, up, sent, requests map[uint32]int
@@ -73,7 +73,8 @@
 	}
 	run := func(fault model.Fault) (c count, rep *checker.Report) {
 		sc := model.DefaultScenario()
-		sc.Duration, sc.Servers, sc.Proxies, sc.ZoneSkew, sc.Load, sc.Discovery.CallsPerSecond = 20*sec, 16, 20, 0, 0.3, 1000
+		sc.Duration, sc.Servers, sc.Proxies = 20*sec, 16, 20
+		sc.ZoneSkew, sc.Load, sc.Discovery.CallsPerSecond = 0, 0.3, 1000
 		sc.Faults = []model.Fault{fault}
 		c = count{map[uint32]int{}, map[uint32]int{}, map[uint32]int{}, map[uint32]int{}, 0}
 		check := checker.New(&sc)
@@ -88,7 +89,8 @@
 				c.down++
 			case r.Kind == model.AttemptSent:
 				c.sent[r.Server]++
-			case r.Kind == model.RequestStarted && r.At > model.Time(fault.Start) && r.At < model.Time(fault.Start+fault.Duration):
+			case r.Kind == model.RequestStarted && r.At > model.Time(fault.Start) &&
+				r.At < model.Time(fault.Start+fault.Duration):
 				c.requests[uint32(r.Zone)]++
 			}
 		})); err != nil {
@@ -100,19 +102,23 @@
 		}
 		return c, rep
 	}
-	if c, _ := run(model.Fault{Kind: "zone_lost", Start: 5 * sec, Interval: 3 * sec, From: "zone:2"}); len(c.started) != 1 || c.started[2] < 4 {
+	c, _ := run(model.Fault{Kind: "zone_lost", Start: 5 * sec, Interval: 3 * sec, From: "zone:2"})
+	if len(c.started) != 1 || c.started[2] < 4 {
 		t.Errorf("zone_lost: servers started by zone: %v", c.started)
 	}
-	c, rep := run(model.Fault{Kind: "proxy_roll", Start: 2 * sec, Duration: 10 * sec, AffectedShare: 1, Magnitude: 0.2, Interval: sec / 2})
+	c, rep := run(model.Fault{Kind: "proxy_roll", Start: 2 * sec, Duration: 10 * sec, AffectedShare: 1, Magnitude: 0.2,
+		Interval: sec / 2})
 	if len(c.up) != 20 || c.down != 20 || rep.Answers.Failed > rep.Requests/200 || rep.ListedWithinP95 <= 0 {
-		t.Errorf("proxy_roll: %d of 20 started anew, %d went, %d of %d requests failed, lists within %v s", len(c.up), c.down,
+		t.Errorf("proxy_roll: %d of 20 started anew, %d went, %d of %d requests failed, lists within %v s",
+			len(c.up), c.down,
 			rep.Answers.Failed, rep.Requests, rep.ListedWithinP95)
 	}
 	c, _ = run(model.Fault{Kind: "shift", Start: 5 * sec, Duration: 5 * sec, From: "zone:3", Magnitude: 3})
-	if others := float64(c.requests[0]+c.requests[1]+c.requests[2]) / 3; float64(c.requests[3]) < 2.5*others || float64(c.requests[3]) > 3.5*others {
+	if others, own := float64(c.requests[0]+c.requests[1]+c.requests[2])/3, float64(c.requests[3]); own < 2.5*others || own > 3.5*others {
 		t.Errorf("shift: requests by zone: %v", c.requests)
 	}
-	c, _ = run(model.Fault{Kind: "deploy", Start: 2 * sec, Duration: 2 * sec, AffectedShare: 1, Magnitude: 1, Interval: sec, NewIDs: true})
+	c, _ = run(model.Fault{Kind: "deploy", Start: 2 * sec, Duration: 2 * sec, AffectedShare: 1, Magnitude: 1,
+		Interval: sec, NewIDs: true})
 	if len(c.sent) != 32 {
 		t.Errorf("deploy under new ids: %d servers got requests, want 16 and their successors", len(c.sent))
 	}
--- a/internal/fleetsim/model/faultschedule.go
+++ b/internal/fleetsim/model/faultschedule.go
@@ -37,7 +37,8 @@
 		sm.schedule(start, event{kind: evFault, subject: index, code: uint8(faultStart)})
 		steps, interval := sm.faultSteps(f, len(affected))
 		for step := range steps {
-			sm.schedule(start+Time(step)*interval, event{kind: evFault, subject: index, code: uint8(faultStep), number: int32(step)})
+			sm.schedule(start+Time(step)*interval, event{kind: evFault, subject: index, code: uint8(faultStep),
+				number: int32(step)})
 		}
 		sm.schedule(start+max(1, Time(f.Duration)), event{kind: evFault, subject: index, code: uint8(faultEnd)})
 	}
@@ -140,8 +141,13 @@
 
 // applyFault carries out one phase of a fault.
 func (sm *simulation) applyFault(e *event) {
-	f := &faultEvent{Fault: &sm.scenario.Faults[e.subject], index: e.subject, phase: faultPhase(e.code), step: int(e.number),
-		affected: sm.affected[e.subject]}
+	f := &faultEvent{
+		Fault:    &sm.scenario.Faults[e.subject],
+		index:    e.subject,
+		phase:    faultPhase(e.code),
+		step:     int(e.number),
+		affected: sm.affected[e.subject],
+	}
 	if f.phase == faultStep {
 		sm.applyFaultStep(f)
 		return
--- a/internal/fleetsim/model/internal_test.go
+++ b/internal/fleetsim/model/internal_test.go
@@ -11,7 +11,8 @@
 		at  Time
 		key uint64
 		hit bool
-	}{{1, 7, false}, {1_000_000, 7, true}, {4_000_000, 7, false}, {4_500_000, 7, true}, {4_600_000, 1, false}, {4_600_001, 2, false},
+	}{{1, 7, false}, {1_000_000, 7, true}, {4_000_000, 7, false}, {4_500_000, 7, true}, {4_600_000, 1, false},
+		{4_600_001, 2, false},
 		{4_600_002, 3, false}, {4_600_003, 4, false}, {4_700_000, 7, false}, {4_700_001, 1, false}, {4_700_002, 4, true}} {
 		if sm.now = c.at; sm.touchKey(s, c.key) != c.hit {
 			t.Errorf("use %d: key %d is a hit: %v", i, c.key, !c.hit)
@@ -23,8 +24,10 @@
 func TestScenario_TimeScaled(t *testing.T) {
 	sc := DefaultScenario()
 	sc.Faults = []Fault{{Kind: "report_late", Start: 4e6, Magnitude: 1.5}}
-	if x := sc.TimeScaled(2); x.Classes[1].LatencyTarget != 2*sc.Classes[1].LatencyTarget || x.Published.WarmupTime != 2*sc.Published.WarmupTime || x.Faults[0].Magnitude != 3 ||
-		x.Faults[0].Start != 8e6 || x.Load != sc.Load || sc.Classes[1].LatencyTarget != DefaultScenario().Classes[1].LatencyTarget {
+	if x := sc.TimeScaled(2); x.Classes[1].LatencyTarget != 2*sc.Classes[1].LatencyTarget ||
+		x.Published.WarmupTime != 2*sc.Published.WarmupTime || x.Faults[0].Magnitude != 3 ||
+		x.Faults[0].Start != 8e6 || x.Load != sc.Load ||
+		sc.Classes[1].LatencyTarget != DefaultScenario().Classes[1].LatencyTarget {
 		t.Errorf("twice as slow: %+v", x)
 	}
 }
--- a/internal/fleetsim/model/loadreport.go
+++ b/internal/fleetsim/model/loadreport.go
@@ -52,7 +52,8 @@
 	noise := func() float64 { return math.Max(0, 1+sm.scenario.Reports.Noise*sm.serverRand.NormFloat64()) }
 	utilization := math.Min(1, s.busyTime/elapsed/float64(s.instanceType.Cores)*(1-s.stolenShare)+s.stolenShare)
 	s.reports.add(loadReport{sm.now, [reportColumns]float32{float32(utilization * noise()),
-		float32(s.completed / elapsed * microsPerSecond * noise()), float32(s.errors / elapsed * microsPerSecond * noise())}})
+		float32(s.completed / elapsed * microsPerSecond * noise()),
+		float32(s.errors / elapsed * microsPerSecond * noise())}})
 	s.resetCounts(sm.now)
 }
 
@@ -71,7 +72,8 @@
 	sm.observe(Record{Kind: ServerProbed, Proxy: proxyIndex, Server: serverID})
 	p := &sm.proxies[proxyIndex]
 	roundTrip := sm.networkDelay(p.zone, s.zone) + sm.networkDelay(s.zone, p.zone)
-	sm.schedule(sm.nextTick(sm.now+roundTrip), event{kind: evProbeResult, subject: proxyIndex, number: p.incarnation, id: uint64(serverID)})
+	sm.schedule(sm.nextTick(sm.now+roundTrip), event{kind: evProbeResult, subject: proxyIndex, number: p.incarnation,
+		id: uint64(serverID)})
 }
 
 // receiveProbe brings a proxy the answer to its load poll: the server's report, which is delayed like any, or a timeout
--- a/internal/fleetsim/model/messages.go
+++ b/internal/fleetsim/model/messages.go
@@ -19,12 +19,14 @@
 			continue
 		}
 		isLost := sm.networkRand.Float64() < network.PeerLoss || sm.isPeerPartitioned(from, int32(to))
-		delay := sm.networkDelay(sm.proxies[from].zone, sm.proxies[to].zone) + Time(sm.networkRand.Float64()*float64(network.PeerDelay))
+		delay := sm.networkDelay(sm.proxies[from].zone, sm.proxies[to].zone)
+		delay += Time(sm.networkRand.Float64() * float64(network.PeerDelay))
 		if isLost {
 			continue
 		}
 		index := sm.messages.acquire()
-		*sm.messages.at(index) = messageInFlight{from: from, incarnation: sm.proxies[to].incarnation, text: append([]byte(nil), message.Text...)}
+		*sm.messages.at(index) = messageInFlight{from: from, incarnation: sm.proxies[to].incarnation,
+			text: append([]byte(nil), message.Text...)}
 		sm.schedule(sm.nextTick(sm.now+delay), event{kind: evPeerMessage, subject: int32(to), number: index})
 	}
 }
--- a/internal/fleetsim/model/partition.go
+++ b/internal/fleetsim/model/partition.go
@@ -14,7 +14,8 @@
 	}
 	for i := range sm.partitions {
 		c := &sm.partitions[i]
-		if c.a.matchesProxy(proxyIndex, zone) && c.b.matchesServer(s) || c.b.matchesProxy(proxyIndex, zone) && c.a.matchesServer(s) {
+		if c.a.matchesProxy(proxyIndex, zone) && c.b.matchesServer(s) ||
+			c.b.matchesProxy(proxyIndex, zone) && c.a.matchesServer(s) {
 			return true
 		}
 	}
--- a/internal/fleetsim/model/processing.go
+++ b/internal/fleetsim/model/processing.go
@@ -152,9 +152,8 @@
 	}
 	attempt.outcome = outcome
 	if mode == answeredByServer {
-		if attempt.report, attempt.hasReport = sm.currentReport(s); sm.scenario.Reports.delivery() != policy.ReportsInResponses {
-			attempt.hasReport = false
-		}
+		attempt.report, attempt.hasReport = sm.currentReport(s)
+		attempt.hasReport = attempt.hasReport && sm.scenario.Reports.delivery() == policy.ReportsInResponses
 	} else {
 		sm.releaseConnection(attempt, false)
 		attempt.abandoned = true // only the reset is under way
--- a/internal/fleetsim/model/proxies.go
+++ b/internal/fleetsim/model/proxies.go
@@ -91,8 +91,9 @@
 			}
 		}
 		if !request.answered {
-			sm.schedule(sm.now+Time(sm.scenario.Network.Client), event{kind: evReceiveAnswer, subject: request.clientRequest,
-				code: uint8(policy.ConnectionReset), id: request.id})
+			sm.schedule(sm.now+Time(sm.scenario.Network.Client),
+				event{kind: evReceiveAnswer, subject: request.clientRequest,
+					code: uint8(policy.ConnectionReset), id: request.id})
 		}
 		sm.releaseProxyRequest(int32(i))
 	}
@@ -183,7 +184,8 @@
 	if p.timersInSecond++; p.timersInSecond > maxTimersPerSecond {
 		sm.fail(proxyIndex, "sets timers without end: %d within a second", p.timersInSecond)
 	}
-	sm.schedule(sm.nextTick(sm.now+max(1, action.After)), event{kind: evTimer, subject: proxyIndex, number: p.incarnation, id: action.ID})
+	sm.schedule(sm.nextTick(sm.now+max(1, action.After)),
+		event{kind: evTimer, subject: proxyIndex, number: p.incarnation, id: action.ID})
 }
 
 // findServer returns the server of an id, nil if there is none.
@@ -224,7 +226,8 @@
 // run.
 func (sm *simulation) findProxyRequest(proxyIndex int32, id uint64) int32 {
 	requestIndex := int32(id & (1<<indexBits - 1))
-	if number := id >> indexBits; number == 0 || number > sm.lastProxyRequestNumber || int(requestIndex) >= len(sm.proxyRequests.items) {
+	if number := id >> indexBits; number == 0 || number > sm.lastProxyRequestNumber ||
+		int(requestIndex) >= len(sm.proxyRequests.items) {
 		sm.fail(proxyIndex, "names request %d, which it was never given", id)
 		return -1
 	}
@@ -254,10 +257,20 @@
 	}
 	p.openRequests++
 	timeout := max(1, request.deadline-sm.now)
-	sm.observe(Record{Kind: RequestReceived, Proxy: request.proxy, ID: id, Request: c.number, Class: c.class, Span: timeout})
-	sm.schedule(request.deadline+Time(sm.scenario.Published.ResponseGrace)+1, event{kind: evRequestExpired, subject: requestIndex, id: id})
-	sm.policyEvent = policy.Event{Kind: policy.RequestArrived, ID: id, Class: c.class, Tenant: uint32(c.tenant), AffinityKey: c.key,
-		Work: c.workHint, ClientTimeout: timeout, ClientRetry: sm.scenario.Clients.MarkRetries && c.attempts > 1}
+	sm.observe(Record{Kind: RequestReceived, Proxy: request.proxy, ID: id, Request: c.number, Class: c.class,
+		Span: timeout})
+	sm.schedule(request.deadline+Time(sm.scenario.Published.ResponseGrace)+1,
+		event{kind: evRequestExpired, subject: requestIndex, id: id})
+	sm.policyEvent = policy.Event{
+		Kind:          policy.RequestArrived,
+		ID:            id,
+		Class:         c.class,
+		Tenant:        uint32(c.tenant),
+		AffinityKey:   c.key,
+		Work:          c.workHint,
+		ClientTimeout: timeout,
+		ClientRetry:   sm.scenario.Clients.MarkRetries && c.attempts > 1,
+	}
 	sm.deliver(request.proxy)
 }
 
@@ -281,7 +294,8 @@
 	c := sm.clientRequests.at(request.clientRequest)
 	request.answered = true
 	sm.proxies[request.proxy].openRequests--
-	sm.observe(Record{Kind: RequestAnswered, Proxy: request.proxy, ID: request.id, Outcome: outcome, Request: c.number, Span: retryAfter})
+	sm.observe(Record{Kind: RequestAnswered, Proxy: request.proxy, ID: request.id, Outcome: outcome, Request: c.number,
+		Span: retryAfter})
 	network := &sm.scenario.Network
 	travelTime := Time(float64(network.Client) * (1 + network.Jitter*c.draw(drawAnswerDelay)))
 	sm.schedule(sm.now+travelTime, event{kind: evReceiveAnswer, subject: request.clientRequest,
--- a/internal/fleetsim/model/record.go
+++ b/internal/fleetsim/model/record.go
@@ -9,15 +9,15 @@
 const (
 	SimulationStarted RecordKind = iota + 1 // [Capacity=requests a second of the warm fleet]
 	RequestStarted                          // a client starts a request [Request Class Tenant Work Value Span=deadline]
-	RequestEnded                            // the client has its last answer, or has given up [Request Flag=served Span=elapsed]
-	RequestReceived                         // a proxy receives a client's attempt [Proxy ID Request Class Span=client timeout]
-	AttemptSent                             // a proxy sends an attempt to a server [Proxy ID Attempt Server Work Flag=crosses zones]
+	RequestEnded                            // the client has its answer or has given up [Request Flag=served Span=elapsed]
+	RequestReceived                         // a proxy receives a request [Proxy ID Request Class Span=client timeout]
+	AttemptSent                             // a proxy sends an attempt [Proxy ID Attempt Server Work Flag=crosses zones]
 	ConnectionOpened                        // a connection is made for it [Proxy Server]
-	AttemptEnded                            // a proxy learns how an attempt ended [Proxy ID Attempt Server Outcome Span=elapsed]
-	RequestAnswered                         // a proxy's final answer [Proxy ID Outcome: OK, Rejected, ErrorResponse; Span=Retry-After]
+	AttemptEnded                            // an attempt ends at its proxy [Proxy ID Attempt Server Outcome Span=elapsed]
+	RequestAnswered                         // a proxy's final answer [Proxy ID Outcome Span=Retry-After]
 	ResponseOverdue                         // a request has had no answer within the grace [Proxy ID]
-	AttemptExecuted                         // a server has executed an attempt [Server ID Attempt Request Work Flag=its answer is used]
-	ColdServerReached                       // an attempt has come to a cold server [Proxy Server Work Capacity=standard cores]
+	AttemptExecuted                         // a server has executed it [Server ID Attempt Request Work Flag=answer is used]
+	ColdServerReached                       // an attempt comes to a cold server [Proxy Server Work Capacity=standard cores]
 	ServerStarted                           // a server process starts, cold [Server]
 	ServerOverloaded                        // a cold server has crashed from overload [Server]
 	DiscoveryUpdated                        // discovery knows of a change [Members Version]
@@ -27,7 +27,7 @@
 	ProxyStarted                            // a proxy starts with a cached list [Proxy Members Version]
 	ProxyStopped                            // a proxy's process ends [Proxy]
 	MessageDelivered                        // a message between proxies is delivered [Proxy=recipient Span=bytes]
-	EffectRepeated                          // a request that is not idempotent had its effect again [Server ID Request Span=since the first]
+	EffectRepeated                          // a request had its effect again [Server ID Request Span=since the first]
 	ServerProbed                            // a proxy polls a server's load [Proxy Server]
 	LoadSampled                             // once a second: the servers' load [Load]
 )
@@ -57,11 +57,31 @@
 }
 
 // recordKindNames are the names in traces, which users read: they stay as they are.
-var recordKindNames = [...]string{SimulationStarted: "opening", RequestStarted: "call", RequestEnded: "call over", RequestReceived: "taken",
-	AttemptSent: "sent", ConnectionOpened: "connection", AttemptEnded: "outcome", RequestAnswered: "answered", ResponseOverdue: "overdue",
-	AttemptExecuted: "ran", ColdServerReached: "reached cold", ServerStarted: "started", ServerOverloaded: "fell", DiscoveryUpdated: "listed",
-	ProxyNotified: "told", DiscoveryCalled: "asked", WatchLost: "watch lost", ProxyStarted: "proxy up", ProxyStopped: "proxy down",
-	MessageDelivered: "message", EffectRepeated: "twice", ServerProbed: "probe", LoadSampled: "sample"}
+var recordKindNames = [...]string{
+	SimulationStarted: "opening",
+	RequestStarted:    "call",
+	RequestEnded:      "call over",
+	RequestReceived:   "taken",
+	AttemptSent:       "sent",
+	ConnectionOpened:  "connection",
+	AttemptEnded:      "outcome",
+	RequestAnswered:   "answered",
+	ResponseOverdue:   "overdue",
+	AttemptExecuted:   "ran",
+	ColdServerReached: "reached cold",
+	ServerStarted:     "started",
+	ServerOverloaded:  "fell",
+	DiscoveryUpdated:  "listed",
+	ProxyNotified:     "told",
+	DiscoveryCalled:   "asked",
+	WatchLost:         "watch lost",
+	ProxyStarted:      "proxy up",
+	ProxyStopped:      "proxy down",
+	MessageDelivered:  "message",
+	EffectRepeated:    "twice",
+	ServerProbed:      "probe",
+	LoadSampled:       "sample",
+}
 
 // String is the kind's name in traces.
 func (k RecordKind) String() string { return recordKindNames[k] }
--- a/internal/fleetsim/model/run_test.go
+++ b/internal/fleetsim/model/run_test.go
@@ -36,7 +36,8 @@
 	sc.Duration, sc.Discovery.WatchLifetime, sc.BurstFactor, sc.BurstTime = 20*sec, 5*sec, 2, 1*sec
 	sc.Faults = []model.Fault{
 		{Kind: "hang", Start: 3 * sec, Duration: 4 * sec, AffectedShare: 0.2},
-		{Kind: "deploy", Start: 4 * sec, Duration: 12 * sec, AffectedShare: 0.9, Magnitude: 0.2, Interval: 2 * sec, NewIDs: true},
+		{Kind: "deploy", Start: 4 * sec, Duration: 12 * sec, AffectedShare: 0.9, Magnitude: 0.2, Interval: 2 * sec,
+			NewIDs: true},
 		{Kind: "proxy_kill", Start: 8 * sec, Duration: 1 * sec, AffectedShare: 0.5, Interval: 2 * sec},
 		{Kind: "restart", Start: 9 * sec, Duration: 1 * sec, AffectedShare: 0.2, Interval: 1 * sec},
 		{Kind: "zone_cut", Start: 10 * sec, Duration: 3 * sec},
@@ -56,7 +57,8 @@
 
 // TestRun_SameSeedSameRecords runs a scenario four times side by side and compares all records.
 func TestRun_SameSeedSameRecords(t *testing.T) {
-	for name, mk := range map[string]model.NodeFactory{"decide": newProductNode, "least": baseline.NewFactory(baseline.PolicyLeastRequests), "truth": baseline.NewFactory(baseline.PolicyOracle)} {
+	for name, mk := range map[string]model.NodeFactory{"decide": newProductNode,
+		"least": baseline.NewFactory(baseline.PolicyLeastRequests), "truth": baseline.NewFactory(baseline.PolicyOracle)} {
 		var runs [4]recordDigest
 		var wg sync.WaitGroup
 		for i := range runs {
@@ -77,8 +79,8 @@
 	}
 }
 
-// invariantNode wraps a node and fails the test where the simulator breaks its promises: a clock that goes back, events of
-// requests that this incarnation never had, a second outcome.
+// invariantNode wraps a node and fails the test where the simulator breaks its promises: a clock that goes back, events
+// of requests that this incarnation never had, a second outcome.
 type invariantNode struct {
 	model.Node
 	t    *testing.T
@@ -120,8 +122,8 @@
 	return out
 }
 
-// TestRun_InvariantsUnderAllFaults has all faults at once: proxies are killed with attempts in flight, and what comes for those
-// must not reach their successors; each attempt has one outcome; the clock never goes back.
+// TestRun_InvariantsUnderAllFaults has all faults at once: proxies are killed with attempts in flight, and what comes
+// for those must not reach their successors; each attempt has one outcome; the clock never goes back.
 func TestRun_InvariantsUnderAllFaults(t *testing.T) {
 	sc := scenarioWithAllFaults()
 	starts := 0
@@ -152,14 +154,18 @@
 	}
 }
 
-// TestRun_ProcessorSharingMatchesTheory compares the simulator with theory: the mean time in an M/G/1 queue with processor sharing is the
-// mean work over 1 - load, whatever the distribution of the work (Kleinrock, Queueing Systems II, 4.4).
+// TestRun_ProcessorSharingMatchesTheory compares the simulator with theory: the mean time in an M/G/1 queue with
+// processor sharing is the mean work over 1 - load, whatever the distribution of the work (Kleinrock, Queueing Systems
+// II, 4.4).
 func TestRun_ProcessorSharingMatchesTheory(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.8} {
 		sc := model.DefaultScenario()
-		sc.Duration, sc.Tick, sc.Servers, sc.Proxies, sc.Zones, sc.Load, sc.WaveAmplitude, sc.Spread = 20_000*sec, 0, 1, 1, 1, load, 0, 0
-		sc.InstanceTypes = []model.InstanceType{{Name: "one", Share: 1, Cores: 1, Speed: 1, Slots: 100_000, InitialCapacity: 1}}
-		sc.Classes = []model.Class{{Name: "c", Share: 1, Work: 100 * ms, WorkCV: 1.5, LatencyTarget: 60 * sec, Deadline: 120 * sec, Value: 1, Semantics: "safe"}}
+		sc.Duration, sc.Tick, sc.Servers, sc.Proxies, sc.Zones = 20_000*sec, 0, 1, 1, 1
+		sc.Load, sc.WaveAmplitude, sc.Spread = load, 0, 0
+		sc.InstanceTypes = []model.InstanceType{{Name: "one", Share: 1, Cores: 1, Speed: 1, Slots: 100_000,
+			InitialCapacity: 1}}
+		sc.Classes = []model.Class{{Name: "c", Share: 1, Work: 100 * ms, WorkCV: 1.5, LatencyTarget: 60 * sec,
+			Deadline: 120 * sec, Value: 1, Semantics: "safe"}}
 		sc.Tenants, sc.Connections.HandshakeWork, sc.Connections.CapacityTax, sc.Clients.AttemptTimeoutShare = nil, 0, 0, 1
 		sc.Network = model.Network{SameZone: 1, CrossZone: 1, Client: 1}
 		var sum, n float64
@@ -192,9 +198,10 @@
 		{"timers without end", "sets timers without end", func(ev *policy.Event, out []policy.Action) []policy.Action {
 			return append(out, policy.Action{Kind: policy.SetTimer, After: 0})
 		}},
-		{"unknown request", "names request 4194305, which it was never given", func(ev *policy.Event, out []policy.Action) []policy.Action {
-			return append(out, policy.Action{Kind: policy.RejectRequest, ID: 1<<22 | 1})
-		}},
+		{"unknown request", "names request 4194305, which it was never given",
+			func(ev *policy.Event, out []policy.Action) []policy.Action {
+				return append(out, policy.Action{Kind: policy.RejectRequest, ID: 1<<22 | 1})
+			}},
 		{"unknown server", "which no list has named", func(ev *policy.Event, out []policy.Action) []policy.Action {
 			if ev.Kind != policy.RequestArrived {
 				return out
@@ -218,7 +225,8 @@
 	} {
 		sc := model.DefaultScenario()
 		sc.Duration, sc.Tick = 5*sec, 0
-		_, err := model.Run(&sc, 1, func(policy.Settings, uint64, *model.Oracle) (model.Node, error) { return acting(c.act), nil }, observerFunc(func(*model.Record) {}))
+		newNode := func(policy.Settings, uint64, *model.Oracle) (model.Node, error) { return acting(c.act), nil }
+		_, err := model.Run(&sc, 1, newNode, observerFunc(func(*model.Record) {}))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "at ") {
 			t.Errorf("%s: error %v, want one with %q and its time", c.name, err, c.want)
 		}
--- a/internal/fleetsim/model/settings.go
+++ b/internal/fleetsim/model/settings.go
@@ -4,12 +4,23 @@
 
 // The words of scenario files and what they stand for. An empty word is the default.
 var (
-	semanticsByName = map[string]policy.Semantics{"safe": policy.Idempotent, "keyed": policy.Deduplicated,
-		"unsafe": policy.NonIdempotent}
-	dedupScopeByName = map[string]policy.DedupScope{"": policy.DedupEverywhere, "all": policy.DedupEverywhere,
-		"zone": policy.DedupPerZone, "cell": policy.DedupPerCell}
-	reportDeliveryByName = map[string]policy.ReportDelivery{"": policy.ReportsInResponses, "answers": policy.ReportsInResponses,
-		"probe": policy.ReportsByPolling, "none": policy.ReportsNone}
+	semanticsByName = map[string]policy.Semantics{
+		"safe":   policy.Idempotent,
+		"keyed":  policy.Deduplicated,
+		"unsafe": policy.NonIdempotent,
+	}
+	dedupScopeByName = map[string]policy.DedupScope{
+		"":     policy.DedupEverywhere,
+		"all":  policy.DedupEverywhere,
+		"zone": policy.DedupPerZone,
+		"cell": policy.DedupPerCell,
+	}
+	reportDeliveryByName = map[string]policy.ReportDelivery{
+		"":        policy.ReportsInResponses,
+		"answers": policy.ReportsInResponses,
+		"probe":   policy.ReportsByPolling,
+		"none":    policy.ReportsNone,
+	}
 )
 
 // semantics says what may be done with a request that may have been executed.
@@ -54,7 +65,8 @@
 	for i := range sc.Classes {
 		c := &sc.Classes[i]
 		classes = append(classes, policy.Class{Semantics: c.semantics(), DedupScope: c.dedupScope(),
-			DedupWindow: Time(c.DedupWindow), LatencyTarget: Time(c.LatencyTarget), ClientTimeout: Time(c.Deadline), Value: c.Value})
+			DedupWindow: Time(c.DedupWindow), LatencyTarget: Time(c.LatencyTarget), ClientTimeout: Time(c.Deadline),
+			Value: c.Value})
 	}
 	return classes
 }
--- a/internal/fleetsim/model/simulation.go
+++ b/internal/fleetsim/model/simulation.go
@@ -30,7 +30,8 @@
 	failure  error // ends the run
 	stats    Stats
 
-	// Each purpose draws from a stream of its own, so that what one policy does leaves the draws of the others as they are.
+	// Each purpose draws from a stream of its own, so that what one policy does leaves the draws of the others as they
+	// are.
 	arrivalRand, networkRand, serverRand *rand.Rand
 
 	servers        []*server
@@ -123,7 +124,8 @@
 // fail ends the run: the node of a proxy did what could not be carried out.
 func (sm *simulation) fail(proxyIndex int32, format string, args ...any) {
 	if sm.failure == nil {
-		sm.failure = fmt.Errorf("at %.6f s: proxy %d %s", float64(sm.now)/microsPerSecond, proxyIndex, fmt.Sprintf(format, args...))
+		sm.failure = fmt.Errorf("at %.6f s: proxy %d %s", float64(sm.now)/microsPerSecond, proxyIndex,
+			fmt.Sprintf(format, args...))
 	}
 }
 
--- a/internal/fleetsim/model/validate_test.go
+++ b/internal/fleetsim/model/validate_test.go
@@ -18,7 +18,10 @@
 		"classes.2.effect":   func(sc *model.Scenario) { sc.Classes[2].Semantics = "some" },
 		"classes.0.deadline": func(sc *model.Scenario) { sc.Classes[0].Deadline = 1 },
 		"trouble.0.kind":     func(sc *model.Scenario) { sc.Faults = []model.Fault{{Kind: "flu"}} },
-		"trouble.0.from":     func(sc *model.Scenario) { sc.Faults = []model.Fault{{Kind: "cut", From: "zone:x", To: "servers"}} },
+		"trouble.0.from": func(sc *model.Scenario) {
+			sc.Faults = []model.Fault{{Kind: "cut", From: "zone:x",
+				To: "servers"}}
+		},
 		"trouble.0.size":     func(sc *model.Scenario) { sc.Faults = []model.Fault{{Kind: "gray", Magnitude: 1.5}} },
 		"discovery.break_in": func(sc *model.Scenario) { sc.Discovery.WatchLifetime = -1 },
 		"clients.over_share": func(sc *model.Scenario) { sc.Clients.OverQuotaValue = 2 },
@@ -27,7 +30,8 @@
 			sc := model.DefaultScenario()
 			change(&sc)
 			var field *model.FieldError
-			if err := sc.Validate(); !errors.As(err, &field) || field.Path != path || !strings.HasPrefix(err.Error(), path+": ") {
+			if err := sc.Validate(); !errors.As(err, &field) || field.Path != path ||
+				!strings.HasPrefix(err.Error(), path+": ") {
 				t.Errorf("%v", err)
 			}
 		})
--- a/internal/fleetsim/plots/all.go
+++ b/internal/fleetsim/plots/all.go
@@ -13,8 +13,8 @@
 // ErrNoReports is returned for results of which none has a report.
 var ErrNoReports = errors.New("plots: no run came to its end")
 
-// All draws the results: for a sweep the measures against its axis, and for each of its first points the service by second
-// and the load of the servers; where there is one point, the latencies of each class as well.
+// All draws the results: for a sweep the measures against its axis, and for each of its first points the service by
+// second and the load of the servers; where there is one point, the latencies of each class as well.
 func All(results []*experiment.Result, measures []experiment.Measure) ([]*Figure, error) {
 	points := groupByPoint(results)
 	if len(points) == 0 {
--- a/internal/fleetsim/plots/figure.go
+++ b/internal/fleetsim/plots/figure.go
@@ -24,7 +24,8 @@
 )
 
 // colours are Okabe and Ito's, which readers with any colour vision can tell apart.
-var colours = []color.RGBA{{0, 114, 178, 255}, {230, 159, 0, 255}, {0, 158, 115, 255}, {213, 94, 0, 255}, {204, 121, 167, 255},
+var colours = []color.RGBA{{0, 114, 178, 255}, {230, 159, 0, 255}, {0, 158, 115, 255}, {213, 94, 0, 255},
+	{204, 121, 167, 255},
 	{86, 180, 233, 255}, {60, 60, 60, 255}}
 
 // seriesColour is the colour of the i-th line of a plot.
--- a/internal/fleetsim/plots/html.go
+++ b/internal/fleetsim/plots/html.go
@@ -100,7 +100,8 @@
 	for _, c := range experiment.Compare(results, m) {
 		problems := c.RunsWithViolations + c.RunsFailed
 		t.Rows = append(t.Rows, reportRow{Point: c.Point, Policy: c.Policy, Mean: formatEstimate(c.Estimate),
-			Difference: formatEstimate(c.Difference), Problems: fmt.Sprintf("%d of %d", problems, c.Runs), HasProblem: problems > 0})
+			Difference: formatEstimate(c.Difference), Problems: fmt.Sprintf("%d of %d", problems, c.Runs),
+			HasProblem: problems > 0})
 	}
 	return t
 }
--- a/internal/fleetsim/plots/latency.go
+++ b/internal/fleetsim/plots/latency.go
@@ -37,7 +37,8 @@
 
 // drawLatency draws the latency of a class's served requests by percentile, over all seeds, a line for each policy.
 func (p *pointResults) drawLatency(class string) (*Figure, error) {
-	figure := newPlot(strings.TrimSpace(fmt.Sprintf("Time of served requests, %s %s", class, p.name)), "percentile", "milliseconds")
+	figure := newPlot(strings.TrimSpace(fmt.Sprintf("Time of served requests, %s %s", class, p.name)), "percentile",
+		"milliseconds")
 	figure.X.Scale, figure.X.Tick.Marker = percentileScale{}, percentileScale{}
 	figure.Y.Scale, figure.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	for i, policy := range p.policies {
--- a/internal/fleetsim/plots/load.go
+++ b/internal/fleetsim/plots/load.go
@@ -25,7 +25,8 @@
 // drawLoad draws the servers' requests per core, as bands of the fleet, for one policy's first seed.
 func (p *pointResults) drawLoad(policy string) (*Figure, error) {
 	r := p.byPolicy[policy][0]
-	figure := newPlot(strings.TrimSpace(fmt.Sprintf("Load of the servers, %s, seed %d %s", policy, r.Seed, p.name)), "second",
+	figure := newPlot(strings.TrimSpace(fmt.Sprintf("Load of the servers, %s, seed %d %s", policy, r.Seed, p.name)),
+		"second",
 		"requests per core")
 	figure.Y.Min = 0
 	if err := addBand(figure, "5 to 95%", 50, loadBand(r, band5), loadBand(r, band95)); err != nil {
--- a/internal/fleetsim/plots/plots_test.go
+++ b/internal/fleetsim/plots/plots_test.go
@@ -10,8 +10,8 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// TestHTML_IsSelfContained draws a small sweep: each figure must be valid in its format, and the page must contain them all
-// and load nothing from elsewhere.
+// TestHTML_IsSelfContained draws a small sweep: each figure must be valid in its format, and the page must contain them
+// all and load nothing from elsewhere.
 func TestHTML_IsSelfContained(t *testing.T) {
 	e, err := experiment.Parse("x.toml", []byte(`
 title = "Two <sizes>"
--- a/internal/fleetsim/progress/bar.go
+++ b/internal/fleetsim/progress/bar.go
@@ -45,5 +45,6 @@
 	b.lastTenth = tenth
 	elapsed := time.Since(b.startedAt)
 	left := time.Duration(float64(elapsed) * float64(b.total-b.done) / float64(b.done))
-	fmt.Fprintf(b.out, "%d of %d runs, %s elapsed, about %s left\n", b.done, b.total, elapsed.Round(time.Second), left.Round(time.Second))
+	fmt.Fprintf(b.out, "%d of %d runs, %s elapsed, about %s left\n", b.done, b.total, elapsed.Round(time.Second),
+		left.Round(time.Second))
 }
--- a/internal/fleetsim/withadmission/withadmission.go
+++ b/internal/fleetsim/withadmission/withadmission.go
@@ -44,7 +44,8 @@
 	s := admission.Defaults()
 	s.Seed, s.OverQuotaFactor = seed, settings.OverQuotaValue
 	for _, t := range settings.Tenants {
-		s.Tenants = append(s.Tenants, admission.Tenant{Share: t.QuotaPerS, Rate: t.QuotaPerS / float64(max(1, settings.GroupSize))})
+		s.Tenants = append(s.Tenants, admission.Tenant{Share: t.QuotaPerS,
+			Rate: t.QuotaPerS / float64(max(1, settings.GroupSize))})
 	}
 	if len(s.Tenants) == 0 {
 		s.Tenants = []admission.Tenant{{Share: 1}}
--- a/internal/fleetsim/withsubset/withsubset.go
+++ b/internal/fleetsim/withsubset/withsubset.go
@@ -1,5 +1,5 @@
-// Package withsubset shows a policy only its proxy's subset of the servers, within the simulator. The subset does not grow,
-// whatever becomes of its servers.
+// Package withsubset shows a policy only its proxy's subset of the servers, within the simulator. The subset does not
+// grow, whatever becomes of its servers.
 package withsubset
 
 import (
@@ -23,8 +23,8 @@
 	members []policy.Member // of the subset
 }
 
-// NewFactory returns a factory of newNode's nodes with a subset of each zone, that share of it. Budgets of cold servers are
-// divided among the proxies that may have a server in their subset, and no more.
+// NewFactory returns a factory of newNode's nodes with a subset of each zone, that share of it. Budgets of cold servers
+// are divided among the proxies that may have a server in their subset, and no more.
 func NewFactory(newNode model.NodeFactory, share float64) model.NodeFactory {
 	return func(settings policy.Settings, seed uint64, oracle *model.Oracle) (model.Node, error) {
 		all := settings.GroupSize
--- a/tools/lossreport/main.go
+++ b/tools/lossreport/main.go
@@ -92,7 +92,8 @@
 
 // print prints the loss of each class beside that of the log.
 func (r *dayReport) print(out io.Writer, lossByLog float64) {
-	fmt.Fprintf(out, "\nloss by the report, in requests; by this log %.0f, a client's further tries counted each\n", lossByLog)
+	fmt.Fprintf(out, "\nloss by the report, in requests; by this log %.0f, a client's further tries counted each\n",
+		lossByLog)
 	total := 0.0
 	for _, class := range r.Classes {
 		loss := float64(class.Requests) * (1 - class.Value)
--- a/tools/lossreport/main_test.go
+++ b/tools/lossreport/main_test.go
@@ -78,7 +78,8 @@
 	assert.ErrorContains(t, run(strings.NewReader("nothing\n"), &out, ""), "no finished request")
 	broken := strings.Replace(earlierLog, "waited=2", "waited=x", 1)
 	assert.ErrorContains(t, run(strings.NewReader(broken), &out, ""), "line 2: waited")
-	assert.ErrorContains(t, run(strings.NewReader(earlierLog), &out, filepath.Join(t.TempDir(), "none")), "reading the report")
+	assert.ErrorContains(t, run(strings.NewReader(earlierLog), &out, filepath.Join(t.TempDir(), "none")),
+		"reading the report")
 	path := filepath.Join(t.TempDir(), "report.json")
 	require.NoError(t, os.WriteFile(path, []byte(`{}`), 0o600))
 	assert.ErrorContains(t, run(strings.NewReader(earlierLog), &out, path), "classes: a list")
