--- a/internal/dataplane/backend/connection.go
+++ b/internal/dataplane/backend/connection.go
@@ -14,7 +14,7 @@
 const (
 	// dialTimeout bounds the time to connect; after it the request has not been sent and may go to another backend.
 	dialTimeout = 700 * time.Millisecond
-	// userTimeout is TCP_USER_TIMEOUT: bytes that stay unacknowledged for so long end the connection.
+	// userTimeout is TCP_USER_TIMEOUT: the connection ends when bytes stay unacknowledged for this time.
 	userTimeout = 2 * time.Second
 	// readBuffer is the size of a connection's read buffer in bytes.
 	readBuffer = 4 << 10
--- a/internal/dataplane/backend/exchange.go
+++ b/internal/dataplane/backend/exchange.go
@@ -40,7 +40,7 @@
 	}
 	response := &Response{
 		Status: head.raw.StatusCode, Header: head.raw.Header, Length: head.raw.ContentLength,
-		pool: p, conn: c, raw: head.raw, detachContext: detachContext, backend: request.Backend,
+		pool: p, conn: c, raw: head.raw, detachContext: detachContext, backendID: request.BackendID,
 		requestWritten: head.requestWritten,
 	}
 	response.Body = &bodyReader{response}
--- a/internal/dataplane/backend/exchange_test.go
+++ b/internal/dataplane/backend/exchange_test.go
@@ -58,7 +58,7 @@
 func (s *fakeServer) request(id string, body []byte) *Request {
 	return &Request{
 		Method: http.MethodPost, Target: "/a", Host: "h", Header: http.Header{HeaderRequestID: {id}}, Body: body, ID: id,
-		Backend: "b", Address: s.address, Deadline: time.Now().Add(time.Minute),
+		BackendID: "b", Address: s.address, Deadline: time.Now().Add(time.Minute),
 	}
 }
 
--- a/internal/dataplane/backend/pool.go
+++ b/internal/dataplane/backend/pool.go
@@ -78,7 +78,7 @@
 // earlier attempt of the same request: a late second response to that attempt would bear the right request ID.
 func (p *Pool) acquire(ctx context.Context, request *Request) (*conn, error) {
 	for {
-		c := p.takeIdle(request.Backend)
+		c := p.takeIdle(request.BackendID)
 		if c == nil {
 			return dial(ctx, request.Address)
 		}
--- a/internal/dataplane/backend/request.go
+++ b/internal/dataplane/backend/request.go
@@ -11,17 +11,17 @@
 
 // Request is what is sent to a backend.
 type Request struct {
-	Method    string
-	Target    string // path and query as the client sent them
-	Host      string
-	Header    http.Header // without hop-by-hop headers
-	Body      []byte
-	ID        string // the same for all attempts of a client's request
-	Backend   message.BackendID
-	Address   string // host and port of the backend
-	Deadline  time.Time
-	Priority  int    // 0 is the highest; negative: the backend gets none
-	LastEvent string // ID of the last event that the client has received; empty: none
+	Method      string
+	Target      string // path and query as the client sent them
+	Host        string
+	Header      http.Header // without hop-by-hop headers
+	Body        []byte
+	ID          string // the same for all attempts of a client's request
+	BackendID   message.BackendID
+	Address     string // host and port of the backend
+	Deadline    time.Time
+	Priority    int    // 0 is the highest; negative: the backend gets none
+	LastEventID string // ID of the last event that the client has received; empty: none
 }
 
 // writtenByEncode are the headers that encode writes itself.
@@ -37,12 +37,12 @@
 	fmt.Fprintf(&text, "%s %s HTTP/1.1\r\nHost: %s\r\n", r.Method, r.Target, r.Host)
 	_ = r.Header.WriteSubset(&text, writtenByEncode) // writing to a buffer does not fail
 	left := max(0, time.Until(r.Deadline).Milliseconds())
-	fmt.Fprintf(&text, "%s: %d\r\n%s: %s\r\n", HeaderTimeLeft, left, HeaderTarget, r.Backend)
+	fmt.Fprintf(&text, "%s: %d\r\n%s: %s\r\n", HeaderTimeLeft, left, HeaderTarget, r.BackendID)
 	if r.Priority >= 0 {
 		fmt.Fprintf(&text, "%s: %d\r\n", HeaderPriority, r.Priority)
 	}
-	if r.LastEvent != "" {
-		fmt.Fprintf(&text, "%s: %s\r\n", HeaderLastEventID, r.LastEvent)
+	if r.LastEventID != "" {
+		fmt.Fprintf(&text, "%s: %s\r\n", HeaderLastEventID, r.LastEventID)
 	}
 	if len(r.Body) > 0 || r.Method != http.MethodGet && r.Method != http.MethodHead {
 		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(r.Body))
--- a/internal/dataplane/backend/response.go
+++ b/internal/dataplane/backend/response.go
@@ -21,7 +21,7 @@
 	conn           *conn
 	raw            *http.Response
 	detachContext  func() bool // stops closing conn at the end of the context; false where the context has ended
-	backend        message.BackendID
+	backendID      message.BackendID
 	requestWritten bool // in full, before the response came
 	bodyRead       bool // up to its proper end
 }
@@ -55,7 +55,7 @@
 		return
 	}
 	_ = r.conn.SetDeadline(time.Time{}) // the next exchange sets its own
-	r.pool.release(r.backend, r.conn, idleTime(r.Header))
+	r.pool.release(r.backendID, r.conn, idleTime(r.Header))
 }
 
 // isReusable reports whether the whole request was written and the whole response read, so that the next bytes in both
--- a/internal/dataplane/balancer/retrybudget.go
+++ b/internal/dataplane/balancer/retrybudget.go
@@ -56,7 +56,7 @@
 	return true
 }
 
-// inWindow drops the times that the window has left behind.
+// inWindow returns the times that are in the window; times are in ascending order.
 func (b *RetryBudget) inWindow(times []time.Time, now time.Time) []time.Time {
 	expired := 0
 	for expired < len(times) && now.Sub(times[expired]) > b.window {
--- a/internal/dataplane/balancer/retrybudget_test.go
+++ b/internal/dataplane/balancer/retrybudget_test.go
@@ -42,7 +42,7 @@
 	assert.True(t, budget.TryRetry(start.Add(10*time.Second)))
 }
 
-// A coordinator that has just started counts one proxy, and each proxy would take the whole allowance.
+// A coordinator that has just started counts one proxy, and each proxy would use the full allowance.
 func TestRetryBudget_LowerProxyCountTakenLate(t *testing.T) {
 	budget := NewRetryBudget(10*time.Second, 0.2, 60, start)
 	budget.SetProxies(10, start)
--- a/internal/dataplane/balancer/weight.go
+++ b/internal/dataplane/balancer/weight.go
@@ -59,7 +59,7 @@
 //	rate / (utilization + errors/completions * errorUtilizationPenalty)
 //
 // ok is false during the blackout period, after expiration, and while there are too few completions: then the mean
-// weight is to be used.
+// weight is to be used. It brings the sums up to date; after expiration another blackout period is to come.
 func (e *endpointStats) weight(now time.Time, slots int) (weight float64, ok bool) {
 	if e.nonEmptySince.IsZero() || now.Sub(e.nonEmptySince) < blackoutPeriod {
 		return 0, false
--- a/internal/dataplane/ingress/attempt.go
+++ b/internal/dataplane/ingress/attempt.go
@@ -30,7 +30,7 @@
 func (x *exchange) attempt(ctx context.Context, picked balancer.PickResult) attemptResult {
 	target := picked.Backend
 	began := time.Now()
-	x.outgoing.Backend, x.outgoing.Address = picked.BackendID, picked.Address
+	x.outgoing.BackendID, x.outgoing.Address = picked.BackendID, picked.Address
 	response, err := x.handler.pool.Do(ctx, &x.outgoing)
 	if err != nil {
 		return x.handleError(ctx, target, began, err)
--- a/internal/dataplane/ingress/copy.go
+++ b/internal/dataplane/ingress/copy.go
@@ -111,7 +111,7 @@
 func (x *exchange) copyEvents(events []byte) bool {
 	x.timing.noteEvent(x.request.Arrived)
 	if id := lastEventID(events); id != "" {
-		x.outgoing.LastEvent = id
+		x.outgoing.LastEventID = id
 	}
 	if _, err := x.writer.Write(events); err != nil {
 		return false
--- a/internal/dataplane/ingress/handler.go
+++ b/internal/dataplane/ingress/handler.go
@@ -139,7 +139,7 @@
 		outgoing: backend.Request{
 			Method: r.Method, Target: r.RequestURI, Host: r.Host, Header: endToEndHeaders(r.Header), Body: body,
 			ID: r.Header.Get(backend.HeaderRequestID), Deadline: deadline, Priority: priorityOf(r, route),
-			LastEvent: r.Header.Get(backend.HeaderLastEventID),
+			LastEventID: r.Header.Get(backend.HeaderLastEventID),
 		},
 	}
 	x.run(ctx)
--- a/internal/dataplane/ingress/timing.go
+++ b/internal/dataplane/ingress/timing.go
@@ -57,7 +57,7 @@
 		logkey.FirstEventMs: t.firstEvent.Milliseconds(), logkey.LongestEventGapMs: t.longestEventGap.Milliseconds(),
 		logkey.TotalMs: time.Since(x.request.Arrived).Milliseconds(),
 
-		logkey.Attempts: t.attempts, logkey.Backend: x.outgoing.Backend, logkey.Candidates: t.decision.Candidates,
+		logkey.Attempts: t.attempts, logkey.Backend: x.outgoing.BackendID, logkey.Candidates: t.decision.Candidates,
 		logkey.InFlight: t.decision.InFlight, logkey.QueuedPrefillMs: t.decision.QueuedPrefill.Milliseconds(),
 		logkey.WaitReason: t.decision.WaitReason, logkey.Rejection: t.rejection,
 		logkey.HasEvents: t.hasEvents, logkey.Complete: t.isComplete,
--- a/internal/standalone/latencybaseline/baseline.go
+++ b/internal/standalone/latencybaseline/baseline.go
@@ -13,14 +13,20 @@
 	growthPerSecond = 0.01      // by which the minimum grows: so a latency that rose and stays is the estimate in the end
 )
 
-// StepQuantile returns the estimate of a quantile after one more sample. share is the share of samples that lie under
-// the quantile. The estimate moves by a fraction of itself, up by share*step or down by (1-share)*step, which balance
-// where that share of samples is lower (a quantile by stochastic approximation).
-func StepQuantile(estimate, sample, share, step float64) float64 {
+// Quantile is the rule by which an estimate of a quantile follows samples, one at a time (stochastic approximation).
+// After each sample the estimate moves by a fraction of itself: up by Share*Step if the sample is not below it, else
+// down by (1-Share)*Step. Both balance where Share of the samples are below.
+type Quantile struct {
+	Share float64 // of the samples that are below the quantile: 0.5 is the median
+	Step  float64
+}
+
+// Next returns the estimate after one more sample.
+func (q Quantile) Next(estimate, sample float64) float64 {
 	if sample < estimate {
-		return estimate * (1 - (1-share)*step)
+		return estimate * (1 - (1-q.Share)*q.Step)
 	}
-	return estimate * (1 + share*step)
+	return estimate * (1 + q.Share*q.Step)
 }
 
 // Estimator estimates the unloaded latency of one class of responses. The zero Estimator has no estimate. It is not
@@ -41,7 +47,8 @@
 	if e.samples++; e.samples == 1 {
 		e.running = latency
 	}
-	e.running = StepQuantile(e.running, latency, quantile, step*float64(max(1, fastSamples/e.samples)))
+	running := Quantile{Share: quantile, Step: step * float64(max(1, fastSamples/e.samples))}
+	e.running = running.Next(e.running, latency)
 	switch elapsed := now - e.sampledAt; {
 	case e.samples == warmupSamples:
 		e.minimum, e.sampledAt = e.running, now
--- a/internal/standalone/policy/admission_test.go
+++ b/internal/standalone/policy/admission_test.go
@@ -241,8 +241,8 @@
 		}
 	}
 	b.refresh()
-	if b.inFlight != 0 || b.ejected != 0 || len(b.members) != 0 {
-		t.Errorf("left over: %d in flight, %d ejected, %d servers", b.inFlight, b.ejected, len(b.members))
+	if b.inFlight != 0 || b.ejectedOrStalled != 0 || len(b.members) != 0 {
+		t.Errorf("left over: %d in flight, %d ejected, %d servers", b.inFlight, b.ejectedOrStalled, len(b.members))
 	}
 }
 
--- a/internal/standalone/policy/balancer.go
+++ b/internal/standalone/policy/balancer.go
@@ -39,15 +39,15 @@
 	refreshedAt Time
 
 	// Servers.
-	servers         map[uint32]*server
-	members         []*server // the same in the order of listing, for iteration
-	affinity        affinity.Table
-	connectFailures [256]int // by zone, in a row
-	ejected         int      // servers that are ejected or stalled
-	remoteZoneShare float64  // fraction of their weight that servers of other zones keep
-	instanceTypes   []capacityStats
-	overall         capacityStats // over all instance types
-	discovery       subscription
+	servers             map[uint32]*server
+	members             []*server // the same in the order of listing, for iteration
+	affinity            affinity.Table
+	zoneConnectFailures [256]int // attempts in a row that could not connect, by zone
+	ejectedOrStalled    int      // servers that are ejected or stalled; one that is both counts twice
+	remoteZoneShare     float64  // fraction of their weight that servers of other zones keep
+	instanceTypes       []capacityStats
+	overall             capacityStats // over all instance types
+	discovery           subscription
 
 	// Schedule: each server gets a turn every 1/weight of virtual time, the earliest deadline first.
 	schedule    edf.Queue[server]
--- a/internal/standalone/policy/locality.go
+++ b/internal/standalone/policy/locality.go
@@ -39,7 +39,7 @@
 		target = clampToUnit((homeMean-start)/homeZoneRange) * clampToUnit((homeMean-remoteMean)/remoteZoneAdvantage)
 	}
 	b.remoteZoneShare += (target - b.remoteZoneShare) * (1 - math.Exp(-elapsed))
-	if b.connectFailures[uint8(b.settings.Zone)] > maxZoneConnectFailures {
+	if b.zoneConnectFailures[uint8(b.settings.Zone)] > maxZoneConnectFailures {
 		b.remoteZoneShare = 1
 	}
 }
@@ -65,7 +65,7 @@
 
 // zoneFactor scales the weight of s by its zone.
 func (b *Balancer) zoneFactor(s *server) float64 {
-	factor := 1 / (1 + float64(max(0, b.connectFailures[s.zone]-maxZoneConnectFailures)))
+	factor := 1 / (1 + float64(max(0, b.zoneConnectFailures[s.zone]-maxZoneConnectFailures)))
 	if !b.isHomeZone(s) {
 		factor *= b.remoteZoneShare
 	}
--- a/internal/standalone/policy/membership.go
+++ b/internal/standalone/policy/membership.go
@@ -93,7 +93,7 @@
 			continue
 		}
 		if s.ejected {
-			b.ejected--
+			b.ejectedOrStalled--
 		}
 		delete(b.servers, s.id)
 	}
--- a/internal/standalone/policy/outlier.go
+++ b/internal/standalone/policy/outlier.go
@@ -41,11 +41,12 @@
 	failureGain      = 0.15 // weight of the latest outcome in server.failureRate
 	relativeGain     = 0.5  // weight of the latest attempt in server.relativeLatency
 	maxRelativeTime  = 10   // the most that one attempt counts in server.relativeLatency
-	medianQuantile   = 0.5
-	medianStep       = 0.06 // share of the median by which it follows one attempt
 	minAttemptMedian = 1    // microseconds; 0 stands for an unknown median
 )
 
+// attemptMedian is the rule by which medianAttemptTime follows the attempts.
+var attemptMedian = latencybaseline.Quantile{Share: 0.5, Step: 0.06}
+
 // EjectedServers is the number of servers listed as ready that get no turns, because this balancer has ejected them or
 // found them stalled.
 func (b *Balancer) EjectedServers() (count int) {
@@ -59,7 +60,7 @@
 
 // mayEject reports whether less than half of the servers are ejected or stalled (gRFC A50: max_ejection_percent).
 // Otherwise the cause is common to all servers, and the load of the ejected ones would bring down the rest.
-func (b *Balancer) mayEject() bool { return 2*b.ejected < len(b.members) }
+func (b *Balancer) mayEject() bool { return 2*b.ejectedOrStalled < len(b.members) }
 
 // eject takes s out of the schedule until a probation attempt, for a time that doubles from first to longest while
 // ejections follow each other.
@@ -67,7 +68,7 @@
 	if s.ejected {
 		return
 	}
-	b.ejected++
+	b.ejectedOrStalled++
 	s.ejectionTime = min(max(first, 2*s.ejectionTime), longest)
 	s.ejected, s.onProbation = true, false
 	s.ejectedUntil = b.now + b.jitter(s.ejectionTime)
@@ -91,7 +92,7 @@
 	}
 	switch ev.Outcome {
 	case OK:
-		b.connectFailures[s.zone] = 0
+		b.zoneConnectFailures[s.zone] = 0
 		b.observeLatency(s, a.cost, float64(ev.Elapsed), false)
 		b.endProbation(s)
 		s.ejectionTime = 0
@@ -118,7 +119,7 @@
 	s.waitingSince = b.now
 	if s.stalled {
 		s.stalled = false
-		b.ejected--
+		b.ejectedOrStalled--
 		b.inFlight += s.inFlight + 1 // examineServer took out this attempt as well, and b.inFlight-- did again
 	}
 }
@@ -147,7 +148,7 @@
 // gained by sending to it. A single failure is not enough: a server that responds on other connections has not
 // restarted, and would be taken for warming up.
 func (b *Balancer) observeConnectFailure(s *server) {
-	b.connectFailures[s.zone]++
+	b.zoneConnectFailures[s.zone]++
 	s.openConns = min(s.openConns, s.inFlight)
 	if s.connectFailures++; s.connectFailures >= maxConnectFailures || s.onProbation {
 		s.unreachable = true
@@ -169,8 +170,7 @@
 	if !timedOut || ratio > s.relativeLatency {
 		s.relativeLatency += (min(ratio, maxRelativeTime) - s.relativeLatency) * relativeGain
 	}
-	b.medianAttemptTime = latencybaseline.StepQuantile(b.medianAttemptTime, b.medianAttemptTime*ratio,
-		medianQuantile, medianStep)
+	b.medianAttemptTime = attemptMedian.Next(b.medianAttemptTime, b.medianAttemptTime*ratio)
 	return ratio
 }
 
@@ -194,7 +194,7 @@
 	if !s.stalled && s.inFlight > 0 && b.medianAttemptTime > 0 && b.mayEject() &&
 		float64(b.now-s.waitingSince) > slowFactor*b.medianAttemptTime {
 		s.stalled = true
-		b.ejected++
+		b.ejectedOrStalled++
 		b.inFlight -= s.inFlight // its attempts must not fill the concurrency limit
 	}
 	if s.openConns > s.inFlight && b.now-s.lastSentAt > idleConnTimeout {
@@ -203,6 +203,6 @@
 	}
 	if s.ejected && b.now >= s.ejectedUntil {
 		s.ejected, s.onProbation = false, true
-		b.ejected--
+		b.ejectedOrStalled--
 	}
 }
--- a/internal/standalone/policy/outlier_test.go
+++ b/internal/standalone/policy/outlier_test.go
@@ -80,8 +80,8 @@
 		if s.ejected {
 			s.mode, s.listed = ModeGone, false
 			b.removeGoneServers()
-			if b.ejected != 0 || len(b.members) != 9 {
-				t.Errorf("%d ejected of %d", b.ejected, len(b.members))
+			if b.ejectedOrStalled != 0 || len(b.members) != 9 {
+				t.Errorf("%d ejected of %d", b.ejectedOrStalled, len(b.members))
 			}
 		}
 	}
--- a/internal/standalone/policy/settings.go
+++ b/internal/standalone/policy/settings.go
@@ -86,7 +86,7 @@
 	MaxRetryAfter   Time // the longest Retry-After that clients respect; 0: they are given none
 }
 
-// Prices are deductions from the result, as fractions of the value of all requests.
+// Prices are what the deployment charges for choices of a balancer, as fractions of the value of all requests.
 type Prices struct {
 	CrossZone float64 // if all first attempts went to another zone
 }
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -1,4 +1,4 @@
-// Command knownred judges a run of go test by KNOWN-RED.txt: tests that are known to fail for a real fault, each on a
+// Command knownred compares a run of go test with KNOWN-RED.txt: tests that are known to fail for a real fault, each on a
 // line of its own, "package.Test: cause (issue N)". The run passes if exactly these have failed, and they are printed.
 // It fails on any other failure, on a listed test that passed or does not exist, and on a list of more than three.
 //
@@ -29,7 +29,8 @@
 	}
 }
 
-// run judges the output of go test in the file testsPath by the list in listPath; a list that does not exist is empty.
+// run compares the output of go test in the file testsPath with the list in listPath; a list that does not exist is
+// empty.
 func run(listPath, testsPath string, out io.Writer) error {
 	list, err := os.ReadFile(listPath)
 	if err != nil && !errors.Is(err, os.ErrNotExist) {
@@ -40,11 +41,11 @@
 		return fmt.Errorf("open output of tests: %w", err)
 	}
 	defer tests.Close()
-	return judge(string(list), tests, out)
+	return checkFailures(string(list), tests, out)
 }
 
-// judge compares the tests that failed with the list, and prints the list.
-func judge(list string, tests io.Reader, out io.Writer) error {
+// checkFailures compares the tests that failed with the list, which it prints to out. The error names all differences.
+func checkFailures(list string, tests io.Reader, out io.Writer) error {
 	known, err := parseList(list)
 	for _, k := range known {
 		fmt.Fprintln(out, "known red:", k.line)
--- a/tools/knownred/main_test.go
+++ b/tools/knownred/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestJudge(t *testing.T) {
+func TestCheckFailures(t *testing.T) {
 	const passed = "?   \tp/cmd\t[no test files]\nok  \tp/a\t0.1s\n"
 	const oneFailed = passed + "--- FAIL: TestX (0.01s)\n    --- FAIL: TestX/sub (0.00s)\n        x_test.go:1: no\n" +
 		"FAIL\nFAIL\tp/b\t0.2s\nFAIL\n"
@@ -32,7 +32,7 @@
 		"nothing was run":     {"", "", "no test"},
 		"an example's output": {"", exampleFailed, "p/b.ExampleX failed"},
 	} {
-		err := judge(c.list, strings.NewReader(c.tests), io.Discard)
+		err := checkFailures(c.list, strings.NewReader(c.tests), io.Discard)
 		if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", name, err, c.want)
 		}
