--- a/internal/controlplane/configuration/configuration.go
+++ b/internal/controlplane/configuration/configuration.go
@@ -58,12 +58,12 @@
 
 // Runtime describes the model backends of a service.
 type Runtime struct {
-	Capacity       int // requests in a batch of one backend
-	CacheTokens    int // size of the KV cache; 0: unlimited
-	Models         []Model
-	WeightsMB      float64 // capacity for weights and adapters together
-	AdapterSlots   int
-	LoadsPerSecond float64 // loads that the weight store allows over all backends
+	BatchSize        int // requests in a batch of one backend
+	CacheTokens      int // size of the KV cache; 0: unlimited
+	Models           []Model
+	WeightCapacityMB float64 // capacity for weights and adapters together
+	AdapterSlots     int
+	LoadsPerSecond   float64 // loads that the weight store allows over all backends
 }
 
 // Service is a group of interchangeable backends.
--- a/internal/controlplane/configuration/parse.go
+++ b/internal/controlplane/configuration/parse.go
@@ -86,11 +86,11 @@
 
 func readRuntime(node docreader.Node) *Runtime {
 	runtime := &Runtime{
-		Capacity:       int(node.Field("capacity").Number(1)),
-		CacheTokens:    int(node.Field("cacheTokens").Number(0)),
-		WeightsMB:      node.Field("weightsMb").Number(0),
-		AdapterSlots:   int(node.Field("adapterSlots").Number(0)),
-		LoadsPerSecond: node.Field("loadsPerS").Number(1),
+		BatchSize:        int(node.Field("capacity").Number(1)),
+		CacheTokens:      int(node.Field("cacheTokens").Number(0)),
+		WeightCapacityMB: node.Field("weightsMb").Number(0),
+		AdapterSlots:     int(node.Field("adapterSlots").Number(0)),
+		LoadsPerSecond:   node.Field("loadsPerS").Number(1),
 	}
 	for _, model := range node.Field("models").Items() {
 		runtime.Models = append(runtime.Models, Model{
--- a/internal/controlplane/coordinator/backends.go
+++ b/internal/controlplane/coordinator/backends.go
@@ -25,34 +25,34 @@
 	}
 	c.polling, c.lastPoll = true, now
 	go func() {
-		table, err := c.reader.Read(ctx)
-		c.events <- func(time.Time) { c.onBackendsRead(table, err) }
+		list, err := c.reader.Read(ctx)
+		c.events <- func(time.Time) { c.onBackendsRead(list, err) }
 	}()
 }
 
-func (c *controller) onBackendsRead(table *discovery.Table, err error) {
+func (c *controller) onBackendsRead(list *discovery.BackendList, err error) {
 	c.polling = false
 	if err != nil {
 		logrus.WithError(err).Debug("discovery poll failed")
 		return
 	}
-	c.table = table
+	c.listed = list
 	c.publishBackends()
 }
 
 // publishBackends gives the hub the backends as discovery listed them, with the models that were observed since. The hub
-// takes only a table that was observed later than its own, so an observation reaches it with the next poll of discovery.
+// takes only a list that was observed later than its own, so an observation reaches it with the next poll of discovery.
 func (c *controller) publishBackends() {
-	if c.table == nil {
+	if c.listed == nil {
 		return
 	}
 	discoveryLag := c.settings.Platform.MaxLag + leaseHolderPollInterval
-	merged := &discovery.Table{ObservedAt: c.table.ObservedAt}
-	for _, backend := range c.table.Backends {
+	merged := &discovery.BackendList{ObservedAt: c.listed.ObservedAt}
+	for _, backend := range c.listed.Backends {
 		seen, ok := c.observed[backend.ID]
 		_, busy := c.running[backend.ID]
 		switch {
-		case ok && !busy && c.table.ObservedAt.Sub(seen.at) > discoveryLag:
+		case ok && !busy && c.listed.ObservedAt.Sub(seen.at) > discoveryLag:
 			delete(c.observed, backend.ID)
 		case ok:
 			backend.Models = seen.models
@@ -60,7 +60,7 @@
 		merged.Backends = append(merged.Backends, backend)
 	}
 	merged.SetDigest()
-	c.loop.hub.SetTable(merged)
+	c.loop.hub.SetBackends(merged)
 }
 
 // onModelsObserved takes the models that a backend reported to a task. Reports of tasks of a lost lease are ignored.
@@ -74,8 +74,8 @@
 
 // placementBackends returns the backends as the planner needs them.
 func (c *controller) placementBackends(now time.Time) []planner.Backend {
-	backends := make([]planner.Backend, 0, len(c.table.Backends))
-	for _, entry := range c.table.Backends {
+	backends := make([]planner.Backend, 0, len(c.listed.Backends))
+	for _, entry := range c.listed.Backends {
 		if seen, ok := c.observed[entry.ID]; ok {
 			entry.Models = seen.models
 		}
--- a/internal/controlplane/coordinator/backends_test.go
+++ b/internal/controlplane/coordinator/backends_test.go
@@ -22,27 +22,27 @@
 	c := newController(&replicaLoop{hub: hub}, settings)
 	c.leaseToken = 1
 	seen := time.Now()
-	listed := func(observedAt time.Time) *discovery.Table {
-		return &discovery.Table{Backends: []message.Backend{{ID: "b", Service: "s", Address: "a:1"}}, ObservedAt: observedAt}
+	listed := func(observedAt time.Time) *discovery.BackendList {
+		return &discovery.BackendList{Backends: []message.Backend{{ID: "b", Service: "s", Address: "a:1"}}, ObservedAt: observedAt}
 	}
 	c.onBackendsRead(listed(seen), nil)
 	c.onModelsObserved("b", []message.LoadedModel{{Name: "m"}}, seen)
 
 	behind := listed(seen.Add(maxLag + leaseHolderPollInterval))
 	c.onBackendsRead(behind, nil)
-	require.Len(t, hub.Table().Backends, 1)
-	assert.True(t, hub.Table().Backends[0].Holds("m"), "discovery may be behind")
+	require.Len(t, hub.Backends().Backends, 1)
+	assert.True(t, hub.Backends().Backends[0].Holds("m"), "discovery may be behind")
 	assert.True(t, c.placementBackends(seen)[0].Holds("m"))
 
 	caughtUp := listed(behind.ObservedAt.Add(time.Millisecond))
 	c.running["b"] = &runningTask{}
 	c.onBackendsRead(caughtUp, nil)
-	assert.True(t, hub.Table().Backends[0].Holds("m"), "a task runs there")
+	assert.True(t, hub.Backends().Backends[0].Holds("m"), "a task runs there")
 	assert.True(t, c.placementBackends(seen)[0].Busy)
 
 	delete(c.running, "b")
 	c.onBackendsRead(listed(caughtUp.ObservedAt.Add(time.Millisecond)), nil)
-	assert.False(t, hub.Table().Backends[0].Holds("m"), "discovery has caught up")
+	assert.False(t, hub.Backends().Backends[0].Holds("m"), "discovery has caught up")
 }
 
 // What a task of a lost lease reports is not used.
--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -47,7 +47,7 @@
 	reader   *discovery.Reader
 	polling  bool // a poll of discovery is under way
 	lastPoll time.Time
-	table    *discovery.Table                     // as discovery listed it last; nil: never
+	listed   *discovery.BackendList               // as discovery listed it last; nil: never
 	observed map[message.BackendID]observedModels // what tasks saw at backends since
 
 	config         *configuration.Config
@@ -112,11 +112,11 @@
 	if s == nil {
 		return
 	}
-	table := c.loop.hub.Table()
-	c.residency.record(table)
+	list := c.loop.hub.Backends()
+	c.residency.record(list)
 	if !holds {
 		c.onLeaseLost()
-		c.pollWithoutLease(ctx, s, table, now)
+		c.pollWithoutLease(ctx, s, list, now)
 		return
 	}
 	if c.leaseToken != s.leaseToken {
@@ -132,12 +132,12 @@
 // pollWithoutLease polls discovery at a member that gets no fresh backends from the lease holder. Proxies poll members
 // only, so others need none.
 func (c *controller) pollWithoutLease(
-	ctx context.Context, s *membershipSnapshot, table *discovery.Table, now time.Time,
+	ctx context.Context, s *membershipSnapshot, list *discovery.BackendList, now time.Time,
 ) {
 	if !s.isMember {
 		return
 	}
-	if !table.IsKnown() || now.Sub(table.ObservedAt) >= backendsStaleAfter {
+	if !list.IsKnown() || now.Sub(list.ObservedAt) >= backendsStaleAfter {
 		c.pollBackends(ctx, now, memberPollInterval)
 	}
 }
--- a/internal/controlplane/coordinator/lease_holder_subscriber.go
+++ b/internal/controlplane/coordinator/lease_holder_subscriber.go
@@ -21,9 +21,9 @@
 	loop  *replicaLoop
 	mutex sync.Mutex // urgent reports run beside the polls
 
-	digest uint64 // of table; 0: none
-	table  *discovery.Table
-	loads  inflight.DeltaDecoder
+	digest   uint64 // of backends; 0: none
+	backends *discovery.BackendList
+	loads    inflight.DeltaDecoder
 }
 
 // Addresses returns the lease holder's internal address, unless it is unknown or this process.
@@ -61,17 +61,17 @@
 		return
 	}
 	if response.Backends != nil {
-		table, ok := discovery.ApplyUpdate(s.table, response.Backends)
-		if !ok { // the next poll asks for the complete table
-			s.table, s.digest = nil, 0
+		list, ok := discovery.ApplyUpdate(s.backends, response.Backends)
+		if !ok { // the next poll asks for the complete list
+			s.backends, s.digest = nil, 0
 			return
 		}
-		s.table, s.digest = table, table.Digest
+		s.backends, s.digest = list, list.Digest
 	}
-	if s.table == nil {
+	if s.backends == nil {
 		return
 	}
-	current := *s.table
+	current := *s.backends
 	current.ObservedAt = distribution.ObservedAt(response, sent)
-	s.loop.hub.SetTable(&current)
+	s.loop.hub.SetBackends(&current)
 }
--- a/internal/controlplane/coordinator/placement_tasks.go
+++ b/internal/controlplane/coordinator/placement_tasks.go
@@ -31,13 +31,13 @@
 func (c *controller) placeModels(ctx context.Context, now time.Time) {
 	reported := c.loop.hub.CollectDemand()
 	c.demand.Update(now, reported.Models)
-	if c.table == nil || !c.refreshConfig() {
+	if c.listed == nil || !c.refreshConfig() {
 		return
 	}
 	input := &planner.Input{
 		Now: now, Services: c.config.Services, Backends: c.placementBackends(now), Demand: c.demand,
-		Running: lo.SliceToMap(reported.Loads, func(l message.BackendLoad) (message.BackendID, int) {
-			return l.Backend, l.Running
+		InFlight: lo.SliceToMap(reported.Loads, func(l message.BackendLoad) (message.BackendID, int) {
+			return l.Backend, l.InFlight
 		}),
 		Loading: c.loadsInFlight(), LoadsAllowed: c.loadsAllowed(now),
 	}
--- a/internal/controlplane/coordinator/residency.go
+++ b/internal/controlplane/coordinator/residency.go
@@ -12,22 +12,22 @@
 // has it at once.
 type residencyHistory struct {
 	models   map[machine]map[message.ModelName]bool
-	lastSeen time.Time // when the newest recorded table was observed
+	lastSeen time.Time // when the newest recorded list was observed
 }
 
 // machine identifies a backend across its restarts, each of which gives it another ID.
 type machine struct{ service, address string }
 
-// record adds the models of a table; one that is not newer than the last is skipped.
-func (h *residencyHistory) record(table *discovery.Table) {
-	if !table.IsKnown() || !table.ObservedAt.After(h.lastSeen) {
+// record adds the models of a list; one that is not newer than the last is skipped.
+func (h *residencyHistory) record(list *discovery.BackendList) {
+	if !list.IsKnown() || !list.ObservedAt.After(h.lastSeen) {
 		return
 	}
-	h.lastSeen = table.ObservedAt
+	h.lastSeen = list.ObservedAt
 	if h.models == nil {
 		h.models = map[machine]map[message.ModelName]bool{}
 	}
-	for _, backend := range table.Backends {
+	for _, backend := range list.Backends {
 		key := machine{backend.Service, backend.Address}
 		for _, model := range backend.Models {
 			if h.models[key] == nil {
--- a/internal/controlplane/coordinator/residency_test.go
+++ b/internal/controlplane/coordinator/residency_test.go
@@ -13,18 +13,18 @@
 // A backend that restarts under another ID at the same address still has on its disk what it held before.
 func TestResidencyHistory_SurvivesBackendRestart(t *testing.T) {
 	start := time.Now()
-	table := func(after time.Duration, id message.BackendID, models ...message.ModelName) *discovery.Table {
+	list := func(after time.Duration, id message.BackendID, models ...message.ModelName) *discovery.BackendList {
 		backend := message.Backend{ID: id, Service: "s", Address: "a:1"}
 		for _, model := range models {
 			backend.Models = append(backend.Models, message.LoadedModel{Name: model})
 		}
-		return &discovery.Table{Backends: []message.Backend{backend}, ObservedAt: start.Add(after)}
+		return &discovery.BackendList{Backends: []message.Backend{backend}, ObservedAt: start.Add(after)}
 	}
 	history := &residencyHistory{}
 	history.record(nil)
-	history.record(table(2*time.Second, "b-1", "m1"))
-	history.record(table(time.Second, "b-1", "older"))
-	history.record(table(3*time.Second, "b-2", "m2"))
+	history.record(list(2*time.Second, "b-1", "m1"))
+	history.record(list(time.Second, "b-1", "older"))
+	history.record(list(3*time.Second, "b-2", "m2"))
 	restarted := message.Backend{ID: "b-3", Service: "s", Address: "a:1"}
 	assert.Equal(t, map[message.ModelName]bool{"m1": true, "m2": true}, history.modelsOf(restarted))
 	assert.Empty(t, history.modelsOf(message.Backend{ID: "b-1", Service: "another", Address: "a:1"}))
--- a/internal/controlplane/coordinator/status.go
+++ b/internal/controlplane/coordinator/status.go
@@ -69,8 +69,8 @@
 		status.Sequence, status.Version = s.sequence, s.version
 	}
 	status.Proxies = a.loop.hub.Proxies()
-	if table := a.loop.hub.Table(); table.IsKnown() {
-		status.Backends = len(table.Backends)
+	if list := a.loop.hub.Backends(); list.IsKnown() {
+		status.Backends = len(list.Backends)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(status) // a client that has gone asks again
--- a/internal/controlplane/discovery/discovery.go
+++ b/internal/controlplane/discovery/discovery.go
@@ -8,12 +8,12 @@
 	"pumiceline/internal/message"
 )
 
-// Table is the list of backends as it was read at one time. It is not changed after its digest was set.
-type Table struct {
+// BackendList is the list of backends as it was read at one time. It is not changed after its digest was set.
+type BackendList struct {
 	Backends   []message.Backend // in the order of their IDs
 	Digest     uint64            // of the backends; see SetDigest
 	ObservedAt time.Time         // when the reading began
 }
 
-// IsKnown reports whether the table was ever read; a nil one was not.
-func (t *Table) IsKnown() bool { return t != nil && !t.ObservedAt.IsZero() }
+// IsKnown reports whether the list was ever read; a nil one was not.
+func (l *BackendList) IsKnown() bool { return l != nil && !l.ObservedAt.IsZero() }
--- a/internal/controlplane/discovery/reader.go
+++ b/internal/controlplane/discovery/reader.go
@@ -58,11 +58,11 @@
 	} `json:"models"`
 }
 
-// Read reads all pages. A list that breaks off or is malformed is an error: the caller keeps the table that it has.
-func (r *Reader) Read(ctx context.Context) (*Table, error) {
+// Read reads all pages. A list that breaks off or is malformed is an error: the caller keeps the list that it has.
+func (r *Reader) Read(ctx context.Context) (*BackendList, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
-	table := &Table{ObservedAt: time.Now()}
+	list := &BackendList{ObservedAt: time.Now()}
 	token := ""
 	for range maxPages {
 		next, err := r.readPage(ctx, token)
@@ -70,11 +70,11 @@
 			return nil, err
 		}
 		for _, entry := range *next.Backends {
-			table.Backends = append(table.Backends, entry.backend())
+			list.Backends = append(list.Backends, entry.backend())
 		}
 		if next.NextPage == nil || *next.NextPage == "" {
-			table.SetDigest()
-			return table, nil
+			list.SetDigest()
+			return list, nil
 		}
 		token = *next.NextPage
 	}
--- a/internal/controlplane/discovery/reader_test.go
+++ b/internal/controlplane/discovery/reader_test.go
@@ -13,7 +13,7 @@
 )
 
 // read reads the list from a server that answers with handler.
-func read(t *testing.T, handler http.HandlerFunc) (*Table, error) {
+func read(t *testing.T, handler http.HandlerFunc) (*BackendList, error) {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -21,7 +21,7 @@
 }
 
 func TestReader_ReadsAllPages(t *testing.T) {
-	table, err := read(t, func(w http.ResponseWriter, r *http.Request) {
+	list, err := read(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("page") == "" {
 			fmt.Fprint(w, `{"backends":[{"id":"a","service":"s","address":"1:1","state":"draining","timeLeftMs":5,"extra":{}}],"nextPage":"p/2 x"}`)
 			return
@@ -30,10 +30,10 @@
 		fmt.Fprint(w, `{"backends":[{"id":"b","service":"s","address":"2:2","state":"ready","models":[{"name":"m","adapters":["a1"]}]}],"nextPage":null}`)
 	})
 	require.NoError(t, err)
-	require.Len(t, table.Backends, 2)
-	assert.True(t, table.Backends[0].Draining)
-	assert.True(t, table.Backends[1].Holds("m/a1"))
-	assert.NotZero(t, table.Digest)
+	require.Len(t, list.Backends, 2)
+	assert.True(t, list.Backends[0].Draining)
+	assert.True(t, list.Backends[1].Holds("m/a1"))
+	assert.NotZero(t, list.Digest)
 }
 
 func TestReader_RejectsMalformedList(t *testing.T) {
@@ -49,11 +49,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			table, err := read(t, func(w http.ResponseWriter, _ *http.Request) {
+			list, err := read(t, func(w http.ResponseWriter, _ *http.Request) {
 				w.WriteHeader(c.status)
 				fmt.Fprint(w, c.body)
 			})
-			assert.Nil(t, table)
+			assert.Nil(t, list)
 			assert.ErrorContains(t, err, c.want)
 		})
 	}
--- a/internal/controlplane/discovery/update.go
+++ b/internal/controlplane/discovery/update.go
@@ -10,34 +10,34 @@
 	"pumiceline/internal/message"
 )
 
-// SetDigest sorts the backends by ID and sets the digest of their encoding, which identifies a table: equal tables of all
-// processes have the same one. It is never 0, which stands for no table. Whoever fills a table calls it before it shares
-// the table.
-func (t *Table) SetDigest() {
-	slices.SortFunc(t.Backends, func(a, b message.Backend) int { return cmp.Compare(a.ID, b.ID) })
-	update := message.BackendUpdate{Backends: t.Backends}
+// SetDigest sorts the backends by ID and sets the digest of their encoding, which identifies a list: equal lists of all
+// processes have the same one. It is never 0, which stands for no list. Whoever fills a list calls it before it shares
+// the list.
+func (l *BackendList) SetDigest() {
+	slices.SortFunc(l.Backends, func(a, b message.Backend) int { return cmp.Compare(a.ID, b.ID) })
+	update := message.BackendUpdate{Backends: l.Backends}
 	encoded, err := update.MarshalMsg(nil)
 	if err != nil {
-		t.Digest = 0
+		l.Digest = 0
 		return
 	}
-	t.Digest = xxhash.Sum64(encoded) | 1
+	l.Digest = xxhash.Sum64(encoded) | 1
 }
 
-// FullUpdate returns an update that brings a receiver without a table to this one.
-func (t *Table) FullUpdate() *message.BackendUpdate {
-	return &message.BackendUpdate{Digest: t.Digest, Backends: t.Backends}
+// FullUpdate returns an update that brings a receiver without a list to this one.
+func (l *BackendList) FullUpdate() *message.BackendUpdate {
+	return &message.BackendUpdate{Digest: l.Digest, Backends: l.Backends}
 }
 
-// UpdateSince returns an update that brings a receiver from the older table base to this one.
-func (t *Table) UpdateSince(base *Table) *message.BackendUpdate {
-	update := &message.BackendUpdate{Digest: t.Digest, Base: base.Digest}
+// UpdateSince returns an update that brings a receiver from the older list base to this one.
+func (l *BackendList) UpdateSince(base *BackendList) *message.BackendUpdate {
+	update := &message.BackendUpdate{Digest: l.Digest, Base: base.Digest}
 	before := map[message.BackendID]*message.Backend{}
 	for i := range base.Backends {
 		before[base.Backends[i].ID] = &base.Backends[i]
 	}
-	for i := range t.Backends {
-		backend := &t.Backends[i]
+	for i := range l.Backends {
+		backend := &l.Backends[i]
 		if old, ok := before[backend.ID]; !ok || !isEqual(old, backend) {
 			update.Backends = append(update.Backends, *backend)
 		}
@@ -56,17 +56,17 @@
 	return errA == nil && errB == nil && bytes.Equal(encodedA, encodedB)
 }
 
-// ApplyUpdate returns the table that an update leads to from base, which may be nil. ok is false where the update builds
-// on another table, or does not lead to the one whose digest it names: then the receiver must request a full update. The
+// ApplyUpdate returns the list that an update leads to from base, which may be nil. ok is false where the update builds
+// on another list, or does not lead to the one whose digest it names: then the receiver must request a full update. The
 // result has no ObservedAt yet.
-func ApplyUpdate(base *Table, update *message.BackendUpdate) (table *Table, ok bool) {
+func ApplyUpdate(base *BackendList, update *message.BackendUpdate) (list *BackendList, ok bool) {
 	if update.Base == 0 {
-		return &Table{Backends: update.Backends, Digest: update.Digest}, true
+		return &BackendList{Backends: update.Backends, Digest: update.Digest}, true
 	}
 	if base == nil || base.Digest != update.Base {
 		return nil, false
 	}
-	next := &Table{}
+	next := &BackendList{}
 	changed := map[message.BackendID]bool{}
 	for _, backend := range update.Backends {
 		changed[backend.ID] = true
--- a/internal/controlplane/discovery/update_test.go
+++ b/internal/controlplane/discovery/update_test.go
@@ -9,8 +9,8 @@
 	"pumiceline/internal/message"
 )
 
-func tableOf(entries ...message.Backend) *Table {
-	t := &Table{Backends: entries}
+func listOf(entries ...message.Backend) *BackendList {
+	t := &BackendList{Backends: entries}
 	t.SetDigest()
 	return t
 }
@@ -19,14 +19,14 @@
 	a, b, c := message.Backend{ID: "a"}, message.Backend{ID: "b"}, message.Backend{ID: "c"}
 	loaded := b
 	loaded.Models = []message.LoadedModel{{Name: "m"}}
-	before, after := tableOf(c, a, b), tableOf(loaded, a, message.Backend{ID: "d"})
+	before, after := listOf(c, a, b), listOf(loaded, a, message.Backend{ID: "d"})
 	update := after.UpdateSince(before)
 	assert.Len(t, update.Backends, 2, "only what changed")
 	assert.Equal(t, []message.BackendID{"c"}, update.Removed)
 	next, ok := ApplyUpdate(before, update)
 	require.True(t, ok)
 	assert.Equal(t, after.Backends, next.Backends)
-	_, ok = ApplyUpdate(tableOf(a), update)
+	_, ok = ApplyUpdate(listOf(a), update)
 	assert.False(t, ok, "another base")
 	_, ok = ApplyUpdate(nil, update)
 	assert.False(t, ok, "no base")
@@ -35,5 +35,5 @@
 	assert.Equal(t, after.Digest, full.Digest)
 	update.Removed = nil
 	_, ok = ApplyUpdate(before, update)
-	assert.False(t, ok, "an update that leads to another table")
+	assert.False(t, ok, "an update that leads to another list")
 }
--- a/internal/controlplane/distribution/backend_history.go
+++ b/internal/controlplane/distribution/backend_history.go
@@ -5,31 +5,31 @@
 	"pumiceline/internal/message"
 )
 
-// maxTableHistory is how many earlier lists of backends the hub keeps to make updates from. A subscriber that is further
+// maxBackendHistory is how many earlier lists of backends the hub keeps to make updates from. A subscriber that is further
 // behind gets the full list.
-const maxTableHistory = 24
+const maxBackendHistory = 24
 
 // backendHistory holds the newest list of backends and those before it.
 type backendHistory struct {
-	newest  *discovery.Table
-	earlier []*discovery.Table                // the latest last
+	newest  *discovery.BackendList
+	earlier []*discovery.BackendList          // the latest last
 	updates map[uint64]*message.BackendUpdate // to the newest, by the digest that they build on
 }
 
 // set sets the newest list and reports whether it differs from the one before. A list observed earlier is ignored.
-func (h *backendHistory) set(table *discovery.Table) bool {
-	if h.newest.IsKnown() && !table.ObservedAt.After(h.newest.ObservedAt) {
+func (h *backendHistory) set(list *discovery.BackendList) bool {
+	if h.newest.IsKnown() && !list.ObservedAt.After(h.newest.ObservedAt) {
 		return false
 	}
-	isChanged := !h.newest.IsKnown() || h.newest.Digest != table.Digest
+	isChanged := !h.newest.IsKnown() || h.newest.Digest != list.Digest
 	if isChanged && h.newest.IsKnown() {
 		h.earlier = append(h.earlier, h.newest)
-		h.earlier = h.earlier[max(0, len(h.earlier)-maxTableHistory):]
+		h.earlier = h.earlier[max(0, len(h.earlier)-maxBackendHistory):]
 	}
 	if isChanged {
 		h.updates = map[uint64]*message.BackendUpdate{}
 	}
-	h.newest = table
+	h.newest = list
 	return isChanged
 }
 
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -94,11 +94,11 @@
 	}
 }
 
-// SetTable sets the list of backends. A list observed earlier than the present one is ignored; pending polls get a list
+// SetBackends sets the list of backends. A list observed earlier than the present one is ignored; pending polls get a list
 // that differs at once.
-func (h *Hub) SetTable(table *discovery.Table) {
+func (h *Hub) SetBackends(list *discovery.BackendList) {
 	h.commands <- func(s *state) {
-		if s.backends.set(table) {
+		if s.backends.set(list) {
 			h.answerPending(s, time.Now())
 		}
 	}
@@ -117,9 +117,9 @@
 	}
 }
 
-// Table returns the newest list of backends, nil before the first.
-func (h *Hub) Table() *discovery.Table {
-	return readState(h, func(s *state) *discovery.Table { return s.backends.newest })
+// BackendList returns the newest list of backends, nil before the first.
+func (h *Hub) Backends() *discovery.BackendList {
+	return readState(h, func(s *state) *discovery.BackendList { return s.backends.newest })
 }
 
 // Proxies returns how many proxies there are, as far as is known here.
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -36,8 +36,8 @@
 	return (<-response).PollResponse
 }
 
-func backendTable(id message.BackendID, observed time.Time) *discovery.Table {
-	t := &discovery.Table{ObservedAt: observed, Backends: []message.Backend{{ID: id, Service: "s", Address: "a"}}}
+func backendList(id message.BackendID, observed time.Time) *discovery.BackendList {
+	t := &discovery.BackendList{ObservedAt: observed, Backends: []message.Backend{{ID: id, Service: "s", Address: "a"}}}
 	t.SetDigest()
 	return t
 }
@@ -45,7 +45,7 @@
 func TestHub_SendsOnlyNewerVersions(t *testing.T) {
 	hub := newTestHub(t, true)
 	hub.SetConfig(message.ConfigUpdate{Sequence: 3, Document: []byte("c")})
-	hub.SetTable(backendTable("b", time.Now()))
+	hub.SetBackends(backendList("b", time.Now()))
 	first := poll(t, hub, "p", message.PollRequest{})
 	require.NotNil(t, first.Config)
 	require.NotNil(t, first.Backends)
@@ -85,8 +85,8 @@
 	now := time.Now()
 	hub.SetConfig(message.ConfigUpdate{Sequence: 5})
 	hub.SetConfig(message.ConfigUpdate{Sequence: 4})
-	hub.SetTable(backendTable("new", now))
-	hub.SetTable(backendTable("old", now.Add(-time.Second)))
+	hub.SetBackends(backendList("new", now))
+	hub.SetBackends(backendList("old", now.Add(-time.Second)))
 	response := poll(t, hub, "p", message.PollRequest{})
 	assert.Equal(t, uint64(5), response.Config.Sequence)
 	assert.Equal(t, message.BackendID("new"), response.Backends.Backends[0].ID)
@@ -97,12 +97,12 @@
 	for _, from := range []string{"p", "q"} {
 		poll(t, hub, from, message.PollRequest{
 			Proxies: 1, Demand: []message.ModelDemand{{Service: "s", Model: "m", Arrivals: 2, Waiting: 1}},
-			Loads: []message.BackendLoad{{Backend: "b", Running: 3}},
+			Loads: []message.BackendLoad{{Backend: "b", InFlight: 3}},
 		})
 	}
 	reported := hub.CollectDemand()
 	assert.Equal(t, []message.ModelDemand{{Service: "s", Model: "m", Arrivals: 4, Waiting: 2}}, reported.Models)
-	assert.Equal(t, []message.BackendLoad{{Backend: "b", Running: 6}}, reported.Loads)
+	assert.Equal(t, []message.BackendLoad{{Backend: "b", InFlight: 6}}, reported.Loads)
 	assert.Equal(t, 2, reported.Proxies)
 	reported = hub.CollectDemand()
 	waiting := []message.ModelDemand{{Service: "s", Model: "m", Waiting: 2}}
@@ -111,34 +111,34 @@
 
 func TestHub_SendsTotalLoadsAsDeltas(t *testing.T) {
 	hub := newTestHub(t, true)
-	report := func(running ...int) {
+	report := func(inFlight ...int) {
 		var loads []message.BackendLoad
-		for i, count := range running {
+		for i, count := range inFlight {
 			if count > 0 {
-				loads = append(loads, message.BackendLoad{Backend: message.BackendID(rune('a' + i)), Running: count})
+				loads = append(loads, message.BackendLoad{Backend: message.BackendID(rune('a' + i)), InFlight: count})
 			}
 		}
 		poll(t, hub, "other", message.PollRequest{Loads: loads})
 	}
 	var copied inflight.DeltaDecoder
-	pollFrom := func(version uint64) (sent int, running map[message.BackendID]int) {
+	pollFrom := func(version uint64) (sent int, inFlight map[message.BackendID]int) {
 		response := poll(t, hub, "me", message.PollRequest{LoadVersion: version})
-		running = map[message.BackendID]int{}
+		inFlight = map[message.BackendID]int{}
 		for _, load := range copied.Apply(inflight.DeltaOf(response)) {
-			running[load.Backend] = load.Running
+			inFlight[load.Backend] = load.InFlight
 		}
-		return len(response.TotalLoads), running
+		return len(response.TotalLoads), inFlight
 	}
 	report(10, 20, 30)
-	sent, running := pollFrom(0)
+	sent, inFlight := pollFrom(0)
 	assert.Equal(t, 3, sent)
-	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 20, "c": 30}, running)
+	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 20, "c": 30}, inFlight)
 	report(10, 21, 0)
-	sent, running = pollFrom(copied.Version())
+	sent, inFlight = pollFrom(copied.Version())
 	assert.Equal(t, 1, sent, "a small change is not sent, the end of a load is")
-	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 20}, running)
+	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 20}, inFlight)
 	report(10, 30, 5)
-	sent, running = pollFrom(7)
+	sent, inFlight = pollFrom(7)
 	assert.Equal(t, 3, sent, "a subscriber that missed a response gets all")
-	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 30, "c": 5}, running)
+	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 30, "c": 5}, inFlight)
 }
--- a/internal/controlplane/distribution/inflight/delta.go
+++ b/internal/controlplane/distribution/inflight/delta.go
@@ -9,10 +9,10 @@
 // A backend's load is sent again only when it differs by at least so much from what the receiver has. Smaller changes are
 // frequent, and hardly ever change which backend is picked.
 const (
-	// A change of the running requests counts when it reaches both minRunningChange, in requests, and
-	// minRunningChangeShare of the number that was sent last.
-	minRunningChange      = 2
-	minRunningChangeShare = 0.15
+	// A change of the requests in flight counts when it reaches both minInFlightChange, in requests, and
+	// minInFlightChangeShare of the number that was sent last.
+	minInFlightChange      = 2
+	minInFlightChangeShare = 0.15
 	// minQueuedPrefillChangeMs is the smallest change of the queued prefill that counts, in milliseconds.
 	minQueuedPrefillChangeMs = 60
 )
@@ -66,11 +66,11 @@
 }
 
 func isSignificantChange(last, current message.BackendLoad) bool {
-	if current.Running == 0 && last.Running > 0 {
+	if current.InFlight == 0 && last.InFlight > 0 {
 		return true
 	}
-	running := abs(last.Running - current.Running)
-	if running >= minRunningChange && float64(running) >= minRunningChangeShare*float64(last.Running) {
+	change := abs(last.InFlight - current.InFlight)
+	if change >= minInFlightChange && float64(change) >= minInFlightChangeShare*float64(last.InFlight) {
 		return true
 	}
 	return abs(last.QueuedPrefillMs-current.QueuedPrefillMs) >= minQueuedPrefillChangeMs
@@ -94,7 +94,7 @@
 	}
 	for _, load := range delta.Loads {
 		d.loads[load.Backend] = load
-		if load.Running == 0 && load.QueuedPrefillMs == 0 {
+		if load.InFlight == 0 && load.QueuedPrefillMs == 0 {
 			delete(d.loads, load.Backend)
 		}
 	}
--- a/internal/controlplane/distribution/inflight/table.go
+++ b/internal/controlplane/distribution/inflight/table.go
@@ -23,7 +23,7 @@
 }
 
 type entry struct {
-	running         int
+	inFlight        int
 	queuedPrefillMs int
 	reportedAt      time.Time
 }
@@ -39,7 +39,7 @@
 		}
 	}
 	for _, load := range loads {
-		if load.Running <= 0 && load.QueuedPrefillMs <= 0 {
+		if load.InFlight <= 0 && load.QueuedPrefillMs <= 0 {
 			t.remove(load.Backend, reporter)
 			continue
 		}
@@ -48,7 +48,7 @@
 			reporters = map[string]entry{}
 			t.entries[load.Backend] = reporters
 		}
-		reporters[reporter] = entry{running: load.Running, queuedPrefillMs: load.QueuedPrefillMs, reportedAt: now}
+		reporters[reporter] = entry{inFlight: load.InFlight, queuedPrefillMs: load.QueuedPrefillMs, reportedAt: now}
 	}
 }
 
@@ -68,7 +68,7 @@
 		case now.Sub(entry.reportedAt) > entryLifetime:
 			t.remove(backend, other)
 		case other != reporter:
-			sum.Running += entry.running
+			sum.InFlight += entry.inFlight
 			sum.QueuedPrefillMs += entry.queuedPrefillMs
 		}
 	}
--- a/internal/controlplane/distribution/inflight/table_test.go
+++ b/internal/controlplane/distribution/inflight/table_test.go
@@ -9,8 +9,8 @@
 	"pumiceline/internal/message"
 )
 
-func load(backend message.BackendID, running, queuedPrefillMs int) message.BackendLoad {
-	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queuedPrefillMs}
+func load(backend message.BackendID, inFlight, queuedPrefillMs int) message.BackendLoad {
+	return message.BackendLoad{Backend: backend, InFlight: inFlight, QueuedPrefillMs: queuedPrefillMs}
 }
 
 func TestTable_SumsOtherReporters(t *testing.T) {
@@ -32,9 +32,9 @@
 	table := NewTable()
 	table.Report("p1", []message.BackendLoad{load("b1", 2, 30)}, false, now)
 	table.Report("p2", []message.BackendLoad{load("b1", 1, 0)}, false, now.Add(time.Second))
-	assert.Equal(t, 3, table.SumOthers("b1", "p3", now.Add(entryLifetime)).Running)
-	assert.Equal(t, 1, table.SumOthers("b1", "p3", now.Add(entryLifetime+time.Millisecond)).Running)
-	assert.Zero(t, table.SumOthers("b1", "p3", now.Add(2*entryLifetime)).Running)
+	assert.Equal(t, 3, table.SumOthers("b1", "p3", now.Add(entryLifetime)).InFlight)
+	assert.Equal(t, 1, table.SumOthers("b1", "p3", now.Add(entryLifetime+time.Millisecond)).InFlight)
+	assert.Zero(t, table.SumOthers("b1", "p3", now.Add(2*entryLifetime)).InFlight)
 	assert.Empty(t, table.entries)
 }
 
@@ -43,6 +43,6 @@
 	table := NewTable()
 	table.Report("p1", []message.BackendLoad{load("b1", 2, 30), load("b2", 1, 0)}, false, now)
 	table.Report("p1", []message.BackendLoad{load("b2", 4, 0)}, true, now)
-	assert.Zero(t, table.SumOthers("b1", "p3", now).Running)
-	assert.Equal(t, 4, table.SumOthers("b2", "p3", now).Running)
+	assert.Zero(t, table.SumOthers("b1", "p3", now).InFlight)
+	assert.Equal(t, 4, table.SumOthers("b2", "p3", now).InFlight)
 }
--- a/internal/controlplane/distribution/load_query.go
+++ b/internal/controlplane/distribution/load_query.go
@@ -29,7 +29,7 @@
 		return response
 	}
 	for _, backend := range s.backendsByModel.backendsWith(s.backends.newest, modelKey{report.Service, report.Model}) {
-		if load := s.inFlight.SumOthers(backend, proxy, now); load.Running > 0 || load.QueuedPrefillMs > 0 {
+		if load := s.inFlight.SumOthers(backend, proxy, now); load.InFlight > 0 || load.QueuedPrefillMs > 0 {
 			response.Loads = append(response.Loads, load)
 		}
 	}
@@ -38,18 +38,18 @@
 
 // modelIndex finds the backends that hold a model or an adapter. It is rebuilt when it is used with another list.
 type modelIndex struct {
-	table    *discovery.Table // that the index was built from
-	backends map[modelKey][]message.BackendID
+	list    *discovery.BackendList // that the index was built from
+	byModel map[modelKey][]message.BackendID
 }
 
-func (x *modelIndex) backendsWith(table *discovery.Table, key modelKey) []message.BackendID {
-	if x.table != table {
-		x.table, x.backends = table, map[modelKey][]message.BackendID{}
-		for i := range table.Backends {
-			x.addBackend(&table.Backends[i])
+func (x *modelIndex) backendsWith(list *discovery.BackendList, key modelKey) []message.BackendID {
+	if x.list != list {
+		x.list, x.byModel = list, map[modelKey][]message.BackendID{}
+		for i := range list.Backends {
+			x.addBackend(&list.Backends[i])
 		}
 	}
-	return x.backends[key]
+	return x.byModel[key]
 }
 
 func (x *modelIndex) addBackend(backend *message.Backend) {
@@ -62,5 +62,5 @@
 }
 
 func (x *modelIndex) add(key modelKey, backend message.BackendID) {
-	x.backends[key] = append(x.backends[key], backend)
+	x.byModel[key] = append(x.byModel[key], backend)
 }
--- a/internal/controlplane/distribution/load_query_test.go
+++ b/internal/controlplane/distribution/load_query_test.go
@@ -11,8 +11,8 @@
 	"pumiceline/internal/message"
 )
 
-func load(backend message.BackendID, running, queuedPrefillMs int) message.BackendLoad {
-	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queuedPrefillMs}
+func load(backend message.BackendID, inFlight, queuedPrefillMs int) message.BackendLoad {
+	return message.BackendLoad{Backend: backend, InFlight: inFlight, QueuedPrefillMs: queuedPrefillMs}
 }
 
 // The queries are for a model, an adapter, and a model that no backend holds.
@@ -30,13 +30,13 @@
 		return response
 	}
 	assert.True(t, query("p1", message.LoadReport{Service: "s", Model: "m"}).Unknown, "without a list nothing is known")
-	table := &discovery.Table{ObservedAt: time.Now(), Backends: []message.Backend{
+	list := &discovery.BackendList{ObservedAt: time.Now(), Backends: []message.Backend{
 		{ID: "b1", Service: "s", Models: []message.LoadedModel{{Name: "m", Adapters: []string{"a1"}}}},
 		{ID: "b2", Service: "s", Models: []message.LoadedModel{{Name: "m"}}},
 		{ID: "b3", Service: "s", Models: []message.LoadedModel{{Name: "n"}}},
 	}}
-	table.SetDigest()
-	hub.SetTable(table)
+	list.SetDigest()
+	hub.SetBackends(list)
 	hub.HandleLoadReport("p2", &message.LoadReport{Loads: []message.BackendLoad{load("b1", 1, 20), load("b3", 5, 0)}}, nil)
 	own := message.LoadReport{Service: "s", Model: "m", Loads: []message.BackendLoad{load("b2", 9, 0)}}
 	others := []message.BackendLoad{load("b1", 1, 20)}
--- a/internal/controlplane/distribution/subscriptions.go
+++ b/internal/controlplane/distribution/subscriptions.go
@@ -12,7 +12,7 @@
 const (
 	// subscriptionLifetime is how long after its last poll a subscriber's proxies are counted.
 	subscriptionLifetime = 5 * time.Second
-	// reportLifetime is how long after its last poll its loads and its waiting and running requests count.
+	// reportLifetime is how long after its last poll its loads and its requests waiting and in flight count.
 	reportLifetime = 2 * time.Second
 )
 
@@ -34,7 +34,7 @@
 	proxies  int // how many it speaks for
 	lastPoll time.Time
 	loads    []message.BackendLoad
-	demand   []message.ModelDemand // of its waiting and running requests; arrivals are in subscriptionTable.demand
+	demand   []message.ModelDemand // of its requests waiting and in flight; arrivals are in subscriptionTable.demand
 	totals   inflight.DeltaEncoder // of the totals sent to it
 }
 
@@ -97,7 +97,7 @@
 		for _, load := range known.loads {
 			sum := sums[load.Backend]
 			sum.Backend = load.Backend
-			sum.Running += load.Running
+			sum.InFlight += load.InFlight
 			sum.QueuedPrefillMs += load.QueuedPrefillMs
 			sums[load.Backend] = sum
 		}
@@ -115,7 +115,7 @@
 		for _, demand := range known.demand {
 			sum := t.demandOf(demand.Service, demand.Model)
 			sum.Waiting += demand.Waiting
-			sum.Running += demand.Running
+			sum.InFlight += demand.InFlight
 		}
 	}
 	drained := make([]message.ModelDemand, 0, len(t.demand))
--- a/internal/controlplane/placement/executor/executor_test.go
+++ b/internal/controlplane/placement/executor/executor_test.go
@@ -94,7 +94,7 @@
 	defer server.Close()
 	task.Backend.ID, task.Backend.Address = "i", strings.TrimPrefix(server.URL, "http://")
 	task.Capacity = planner.Capacity{Runtime: &configuration.Runtime{
-		WeightsMB: 210, AdapterSlots: 2, Models: []configuration.Model{
+		WeightCapacityMB: 210, AdapterSlots: 2, Models: []configuration.Model{
 			{Name: "m", WeightsMB: 100, AdapterMB: 1}, {Name: "n", WeightsMB: 100, AdapterMB: 1}, {Name: "o", WeightsMB: 100},
 		},
 	}}
--- a/internal/controlplane/placement/planner/adapter_placement.go
+++ b/internal/controlplane/placement/planner/adapter_placement.go
@@ -208,7 +208,7 @@
 	for _, name := range task.LoadAdapters {
 		usedMB += p.capacity.sizeMB(name)
 	}
-	return usedMB+p.capacity.sizeMB(demand.name()) <= p.service.Runtime.WeightsMB
+	return usedMB+p.capacity.sizeMB(demand.name()) <= p.service.Runtime.WeightCapacityMB
 }
 
 // adapterToEvict returns the least valuable adapter of the backend. ok is false where none has a lower value, by the same
--- a/internal/controlplane/placement/planner/capacity.go
+++ b/internal/controlplane/placement/planner/capacity.go
@@ -23,7 +23,7 @@
 func (c Capacity) loadedMB(loaded message.LoadedModel) float64 {
 	model, ok := c.model(loaded.Name)
 	if !ok {
-		return c.Runtime.WeightsMB
+		return c.Runtime.WeightCapacityMB
 	}
 	return model.WeightsMB + float64(len(loaded.Adapters))*model.AdapterMB
 }
@@ -33,7 +33,7 @@
 	model, ok := c.model(name.Base())
 	switch {
 	case !ok:
-		return c.Runtime.WeightsMB
+		return c.Runtime.WeightCapacityMB
 	case name.Adapter() != "":
 		return model.AdapterMB
 	}
@@ -54,7 +54,7 @@
 	if name.Adapter() != "" && countAdapters(models) >= c.Runtime.AdapterSlots {
 		return false
 	}
-	return c.UsedMB(models)+c.sizeMB(name) <= c.Runtime.WeightsMB
+	return c.UsedMB(models)+c.sizeMB(name) <= c.Runtime.WeightCapacityMB
 }
 
 func countAdapters(models []message.LoadedModel) int {
--- a/internal/controlplane/placement/planner/capacity_test.go
+++ b/internal/controlplane/placement/planner/capacity_test.go
@@ -11,7 +11,7 @@
 
 func TestCapacity_Fits(t *testing.T) {
 	capacity := Capacity{Runtime: &configuration.Runtime{
-		WeightsMB: 210, AdapterSlots: 2, Models: []configuration.Model{
+		WeightCapacityMB: 210, AdapterSlots: 2, Models: []configuration.Model{
 			{Name: "m", WeightsMB: 100, AdapterMB: 4}, {Name: "n", WeightsMB: 100, AdapterMB: 4}, {Name: "big", WeightsMB: 202},
 		},
 	}}
--- a/internal/controlplane/placement/planner/demand.go
+++ b/internal/controlplane/placement/planner/demand.go
@@ -28,13 +28,13 @@
 type Demand struct {
 	FastRate    float64 // requests a second, averaged by fastTimeConstant
 	SlowRate    float64 // the same by slowTimeConstant
-	Running     int     // requests in flight, as last reported
+	InFlight    int     // requests in flight, as last reported
 	Waiting     int     // requests that wait for it, as last reported
 	Unserved    float64 // requests rejected for lack of it; the count decays by fastTimeConstant
 	LastRequest time.Time
 
-	meanRunning float64 // requests in flight, averaged by durationTimeConstant
-	meanRate    float64 // requests a second, averaged by durationTimeConstant
+	meanInFlight float64 // requests in flight, averaged by durationTimeConstant
+	meanRate     float64 // requests a second, averaged by durationTimeConstant
 }
 
 // Rate is the larger of the two averages, in requests a second: it rises fast and falls slowly.
@@ -70,7 +70,7 @@
 	if entry == nil || entry.meanRate < minDurationRate {
 		return defaultDuration.Seconds()
 	}
-	return min(maxDuration.Seconds(), entry.meanRunning/entry.meanRate)
+	return min(maxDuration.Seconds(), entry.meanInFlight/entry.meanRate)
 }
 
 // Update takes what was reported since the last update.
@@ -104,7 +104,7 @@
 // demandSample is what one update reports of one model or adapter.
 type demandSample struct {
 	arrivals, unserved float64
-	running, waiting   int
+	inFlight, waiting  int
 }
 
 // sumReports sums the reports up by name. A report on an adapter counts for its model as well.
@@ -122,7 +122,7 @@
 func (s *demandSample) add(report message.ModelDemand) {
 	s.arrivals += report.Arrivals
 	s.unserved += report.Unserved
-	s.running += report.Running
+	s.inFlight += report.InFlight
 	s.waiting += report.Waiting
 }
 
@@ -147,8 +147,8 @@
 	d.SlowRate = average(d.SlowRate, rate, elapsedS, slowTimeConstant)
 	d.Unserved = d.Unserved*math.Exp(-elapsedS/fastTimeConstant.Seconds()) + sample.unserved
 	d.Waiting = sample.waiting
-	d.Running = sample.running
-	d.meanRunning = average(d.meanRunning, float64(sample.running), elapsedS, durationTimeConstant)
+	d.InFlight = sample.inFlight
+	d.meanInFlight = average(d.meanInFlight, float64(sample.inFlight), elapsedS, durationTimeConstant)
 	d.meanRate = average(d.meanRate, rate, elapsedS, durationTimeConstant)
 	if sample.arrivals > 0 || sample.waiting > 0 || sample.unserved > 0 {
 		d.LastRequest = now
--- a/internal/controlplane/placement/planner/demand_test.go
+++ b/internal/controlplane/placement/planner/demand_test.go
@@ -36,9 +36,9 @@
 	table := NewDemandTable()
 	assert.InDelta(t, defaultDuration.Seconds(), table.MeanSeconds("s", "m"), 1e-9, "nothing was reported")
 	updateFor(table, start, 10*durationTimeConstant, // the first update, of an unknown span, has faded
-		message.ModelDemand{Service: "s", Model: "m", Arrivals: 1.2, Running: 6},
-		message.ModelDemand{Service: "s", Model: "slow", Arrivals: 0.1, Running: 50},
-		message.ModelDemand{Service: "s", Model: "rare", Arrivals: 0.01, Running: 6})
+		message.ModelDemand{Service: "s", Model: "m", Arrivals: 1.2, InFlight: 6},
+		message.ModelDemand{Service: "s", Model: "slow", Arrivals: 0.1, InFlight: 50},
+		message.ModelDemand{Service: "s", Model: "rare", Arrivals: 0.01, InFlight: 6})
 	assert.InDelta(t, 0.5, table.MeanSeconds("s", "m"), 1e-3)
 	assert.InDelta(t, maxDuration.Seconds(), table.MeanSeconds("s", "slow"), 1e-9, "it is bounded")
 	assert.InDelta(t, defaultDuration.Seconds(), table.MeanSeconds("s", "rare"), 1e-9, "too few requests")
--- a/internal/controlplane/placement/planner/model_placement.go
+++ b/internal/controlplane/placement/planner/model_placement.go
@@ -16,8 +16,8 @@
 	// storeLoadLoss is the loss of a load from the weight store, in requests a second. It takes several times as long as
 	// one from the backend's own disk and counts against the service's rate limit.
 	storeLoadLoss = 0.25
-	// runningLoss is the loss, in requests a second, for each request that runs at the backend: a load slows it down.
-	runningLoss = 0.004
+	// inFlightLoss is the loss, in requests a second, for each request that runs at the backend: a load slows it down.
+	inFlightLoss = 0.004
 	// neighbourLoss is the loss for each other model that stays at the backend, as a share of that model's rate: during a
 	// load the backend takes no commands, so that no adapter of that model can be loaded there.
 	neighbourLoss = 0.01
@@ -89,7 +89,7 @@
 // siteAt chooses what has to be evicted from a backend so that a model fits, the least valuable first. ok is false where
 // it would not fit into the empty backend.
 func (p *servicePlan) siteAt(backend *Backend, model configuration.Model) (_ site, ok bool) {
-	freeMB := p.service.Runtime.WeightsMB - p.capacity.UsedMB(backend.Models)
+	freeMB := p.service.Runtime.WeightCapacityMB - p.capacity.UsedMB(backend.Models)
 	held := slices.Clone(backend.Models)
 	sort.SliceStable(held, func(i, j int) bool { return p.evictionLoss(held[i].Name) < p.evictionLoss(held[j].Name) })
 	s := site{backend: backend}
@@ -107,7 +107,7 @@
 	if !backend.Cached[model.Name] {
 		s.loss += storeLoadLoss
 	}
-	s.loss += runningLoss * float64(p.in.Running[backend.ID])
+	s.loss += inFlightLoss * float64(p.in.InFlight[backend.ID])
 	for _, kept := range backend.Models {
 		if !slices.Contains(s.evictions, kept.Name) {
 			s.loss += neighbourLoss * p.expectedRate(kept.Name)
--- a/internal/controlplane/placement/planner/planner.go
+++ b/internal/controlplane/placement/planner/planner.go
@@ -55,7 +55,7 @@
 	Backends     []Backend
 	Loading      map[string]map[message.ModelName]int // replicas that tasks under way will bring, by service
 	Demand       *DemandTable
-	Running      map[message.BackendID]int // requests in flight
+	InFlight     map[message.BackendID]int // requests in flight
 	LoadsAllowed map[string]int            // loads from the weight store that may start now, by service
 }
 
--- a/internal/controlplane/placement/planner/planner_test.go
+++ b/internal/controlplane/placement/planner/planner_test.go
@@ -26,7 +26,7 @@
 
 func newFleet(holdings ...models) *fleet {
 	f := &fleet{demand: NewDemandTable(), now: start, runtime: &configuration.Runtime{
-		Capacity: 8, WeightsMB: 210, AdapterSlots: 3, LoadsPerSecond: 2,
+		BatchSize: 8, WeightCapacityMB: 210, AdapterSlots: 3, LoadsPerSecond: 2,
 	}}
 	for i := range 10 {
 		f.runtime.Models = append(f.runtime.Models, configuration.Model{
@@ -51,7 +51,7 @@
 		var reports []message.ModelDemand
 		for model, rate := range rates {
 			reports = append(reports, message.ModelDemand{
-				Service: "s", Model: model, Arrivals: rate / 10, Running: int(rate / 2),
+				Service: "s", Model: model, Arrivals: rate / 10, InFlight: int(rate / 2),
 			})
 		}
 		f.demand.Update(f.now, reports)
@@ -185,20 +185,20 @@
 		if task.Load != "" {
 			held[task.Load] = true
 		}
-		assert.LessOrEqual(t, float64(len(held))*100, f.runtime.WeightsMB, "%+v", task)
+		assert.LessOrEqual(t, float64(len(held))*100, f.runtime.WeightCapacityMB, "%+v", task)
 	}
 }
 
 // Found on the bench: a model was loaded for requests that waited, they were sent to it, and in the next plan a busy model
 // took its place; the backend rejected the requests that had not begun.
-func TestPlan_KeepsModelWithRunningRequests(t *testing.T) {
+func TestPlan_KeepsModelWithRequestsInFlight(t *testing.T) {
 	f := newFleet(models{"m0", "m1"}, models{"m4", "m7"})
 	f.request(20*time.Second, map[message.ModelName]float64{"m0": 12, "m4": 0.9})
 	f.reportWaiting("m7", 1)
 	f.now = f.now.Add(100 * time.Millisecond)
 	report := []message.ModelDemand{
-		{Service: "s", Model: "m0", Arrivals: 1.2, Running: 6}, {Service: "s", Model: "m4", Arrivals: 0.1},
-		{Service: "s", Model: "m7", Running: 1},
+		{Service: "s", Model: "m0", Arrivals: 1.2, InFlight: 6}, {Service: "s", Model: "m4", Arrivals: 0.1},
+		{Service: "s", Model: "m7", InFlight: 1},
 	}
 	f.demand.Update(f.now, report)
 	for _, task := range f.plan(10) {
--- a/internal/controlplane/placement/planner/target.go
+++ b/internal/controlplane/placement/planner/target.go
@@ -14,8 +14,8 @@
 	busyRate = 0.8
 	// minBusyReplicas is how many a busy model gets at least, so that the loss of one backend does not take it away.
 	minBusyReplicas = 2
-	// runningPerReplica is how many requests in flight one replica should carry.
-	runningPerReplica = 2.0
+	// inFlightPerReplica is how many requests in flight one replica should carry.
+	inFlightPerReplica = 2.0
 	// shiftDistance is how many models ahead in the configured list demand is expected to shift.
 	shiftDistance = 2
 	// maxReplicaShare is the largest share of a service's backends at which one model may have replicas.
@@ -71,6 +71,6 @@
 	if rate < busyRate {
 		return 0
 	}
-	running := rate * p.in.Demand.MeanSeconds(p.service.Name, model)
-	return max(minBusyReplicas, int(math.Ceil(running/runningPerReplica)))
+	inFlight := rate * p.in.Demand.MeanSeconds(p.service.Name, model)
+	return max(minBusyReplicas, int(math.Ceil(inFlight/inFlightPerReplica)))
 }
--- a/internal/controlplane/placement/planner/value.go
+++ b/internal/controlplane/placement/planner/value.go
@@ -44,10 +44,10 @@
 //
 //	above the target:  surplusDiscount * expectedRate / replicas
 //	one of several:    expectedRate / replicas
-//	the only one:      expectedRate + unservedValue*(waiting + running + unserved) + firstReplicaValue
+//	the only one:      expectedRate + unservedValue*(waiting + in flight + unserved) + firstReplicaValue
 //	                   + recentRequestValue, if requested within recentRequest
 //
-// Running requests count for an only replica, as those that were sent to the backend a moment ago and have not begun
+// Requests in flight count for an only replica, as those that were sent to the backend a moment ago and have not begun
 // would be rejected there.
 func (p *servicePlan) evictionLoss(model message.ModelName) float64 {
 	demand := p.demandFor(model)
@@ -58,7 +58,7 @@
 	if replicas > 1 {
 		return p.expectedRate(model) / float64(replicas)
 	}
-	needing := float64(demand.Waiting+demand.Running) + demand.Unserved
+	needing := float64(demand.Waiting+demand.InFlight) + demand.Unserved
 	loss := p.expectedRate(model) + unservedValue*needing + firstReplicaValue
 	if isWithin(recentRequest, demand.LastRequest, p.in.Now) {
 		loss += recentRequestValue
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -29,7 +29,7 @@
 	prefill           prefillRates
 	isDraining        bool
 	hasIdleConnection func(backend message.BackendID) bool // nil: not known
-	hasUrgentDemand   bool                                 // a request waits for a model since the last report
+	hasUnmetDemand    bool                                 // a request waits for a model since the last report
 	changedLoads      map[message.BackendID]*Backend       // whose load by this proxy has changed since TakeChangedLoads
 }
 
--- a/internal/dataplane/balancer/demand.go
+++ b/internal/dataplane/balancer/demand.go
@@ -21,7 +21,7 @@
 
 // Report returns the demand since the last report and the present loads, for the coordinators.
 func (b *Balancer) Report() ([]message.ModelDemand, []message.BackendLoad) {
-	b.hasUrgentDemand = false
+	b.hasUnmetDemand = false
 	return b.reportDemand(), b.reportLoads()
 }
 
@@ -36,10 +36,10 @@
 	for key, d := range b.demand {
 		entry := message.ModelDemand{
 			Service: key.Service, Model: key.Model, Arrivals: d.arrivals, Unserved: d.unserved,
-			Running: d.inFlight, Waiting: waiting[key],
+			InFlight: d.inFlight, Waiting: waiting[key],
 		}
 		d.arrivals, d.unserved = 0, 0
-		if entry.Arrivals == 0 && entry.Unserved == 0 && entry.Running == 0 && entry.Waiting == 0 {
+		if entry.Arrivals == 0 && entry.Unserved == 0 && entry.InFlight == 0 && entry.Waiting == 0 {
 			delete(b.demand, key)
 			continue
 		}
--- a/internal/dataplane/balancer/dispatcher.go
+++ b/internal/dataplane/balancer/dispatcher.go
@@ -18,9 +18,9 @@
 // Dispatcher owns a balancer: one goroutine carries out commands in order. Its methods may be called from any
 // goroutine.
 type Dispatcher struct {
-	commands       chan func(*Balancer)
-	onUrgentDemand func()
-	peerLoads      PeerLoads
+	commands      chan func(*Balancer)
+	onUnmetDemand func()
+	peerLoads     PeerLoads
 }
 
 // PeerLoads exchanges with the other proxies what each has in flight.
@@ -34,8 +34,8 @@
 
 // DispatcherOptions connect a dispatcher with its proxy. Each may be nil.
 type DispatcherOptions struct {
-	// OnUrgentDemand is called when a request waits for a model, again and again until the next Report; it must not wait.
-	OnUrgentDemand func()
+	// OnUnmetDemand is called when a request waits for a model, again and again until the next Report; it must not wait.
+	OnUnmetDemand func()
 	// PeerLoads is queried before each pick; nil: the loads are those that were polled.
 	PeerLoads PeerLoads
 }
@@ -44,8 +44,8 @@
 // carry out its command.
 func NewDispatcher(ctx context.Context, b *Balancer, options DispatcherOptions) *Dispatcher {
 	d := &Dispatcher{
-		commands:       make(chan func(*Balancer), commandQueueSize),
-		onUrgentDemand: options.OnUrgentDemand, peerLoads: options.PeerLoads,
+		commands:      make(chan func(*Balancer), commandQueueSize),
+		onUnmetDemand: options.OnUnmetDemand, peerLoads: options.PeerLoads,
 	}
 	go d.run(ctx, b)
 	return d
@@ -60,8 +60,8 @@
 			return
 		case command := <-d.commands:
 			command(b)
-			if b.hasUrgentDemand && d.onUrgentDemand != nil {
-				d.onUrgentDemand()
+			if b.hasUnmetDemand && d.onUnmetDemand != nil {
+				d.onUnmetDemand()
 			}
 		case now := <-ticker.C:
 			b.Tick(now)
--- a/internal/dataplane/balancer/loads.go
+++ b/internal/dataplane/balancer/loads.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		if now.Sub(backend.loadReportedAt) > loadReportLifetime {
-			backend.peersInFlight = max(0, totals[id].Running-backend.lastReported.Running)
+			backend.peersInFlight = max(0, totals[id].InFlight-backend.lastReported.InFlight)
 		}
 		backend.peersQueuedPrefillMs = float64(max(0, totals[id].QueuedPrefillMs-backend.lastReported.QueuedPrefillMs))
 	}
@@ -41,7 +41,7 @@
 			continue
 		}
 		load := others[backend.ID]
-		backend.peersInFlight, backend.peersQueuedPrefillMs = load.Running, float64(load.QueuedPrefillMs)
+		backend.peersInFlight, backend.peersQueuedPrefillMs = load.InFlight, float64(load.QueuedPrefillMs)
 		backend.peersUpdatedAt = now
 	}
 	b.answerQueued(now)
@@ -79,5 +79,5 @@
 
 // load is what this proxy has in flight at the backend.
 func (b *Backend) load() message.BackendLoad {
-	return message.BackendLoad{Backend: b.ID, Running: b.inFlight, QueuedPrefillMs: int(b.queuedPrefillMs)}
+	return message.BackendLoad{Backend: b.ID, InFlight: b.inFlight, QueuedPrefillMs: int(b.queuedPrefillMs)}
 }
--- a/internal/dataplane/balancer/loads_test.go
+++ b/internal/dataplane/balancer/loads_test.go
@@ -12,11 +12,11 @@
 func TestPeerLoads_TakePrecedenceOverTotals(t *testing.T) {
 	b, loads := balancerWithLoads(t, 3)
 	b.SetPeerLoads("llm", "m", loads, start)
-	b.SetTotalLoads([]message.BackendLoad{{Backend: "b02", Running: 50, QueuedPrefillMs: 900}}, nil, start.Add(loadReportLifetime))
+	b.SetTotalLoads([]message.BackendLoad{{Backend: "b02", InFlight: 50, QueuedPrefillMs: 900}}, nil, start.Add(loadReportLifetime))
 	assert.Zero(t, b.backends["b02"].peersInFlight)
 	b.ObserveLoad(b.backends["b02"], 9, 9, start.Add(loadReportLifetime))
 	assert.Zero(t, b.backends["b02"].peersInFlight)
-	b.SetTotalLoads([]message.BackendLoad{{Backend: "b02", Running: 50, QueuedPrefillMs: 900}}, nil, start.Add(loadReportLifetime+1))
+	b.SetTotalLoads([]message.BackendLoad{{Backend: "b02", InFlight: 50, QueuedPrefillMs: 900}}, nil, start.Add(loadReportLifetime+1))
 	assert.Equal(t, 50, b.backends["b02"].peersInFlight)
 	assert.Equal(t, 900.0, b.backends["b02"].peersQueuedPrefillMs)
 }
@@ -27,10 +27,10 @@
 	r := newRequest("llm", "m", start)
 	r.PromptTokens = 1000
 	result, _ := submit(b, r, start)
-	assert.Equal(t, []message.BackendLoad{{Backend: "b1", Running: 1, QueuedPrefillMs: 50}}, b.TakeChangedLoads())
+	assert.Equal(t, []message.BackendLoad{{Backend: "b1", InFlight: 1, QueuedPrefillMs: 50}}, b.TakeChangedLoads())
 	assert.Empty(t, b.TakeChangedLoads())
 	b.FirstEvent(r, result.Backend, 100*time.Millisecond)
-	assert.Equal(t, []message.BackendLoad{{Backend: "b1", Running: 1}}, b.TakeChangedLoads())
+	assert.Equal(t, []message.BackendLoad{{Backend: "b1", InFlight: 1}}, b.TakeChangedLoads())
 	b.Finish(r, result.Backend, Succeeded, time.Second, start)
 	assert.Equal(t, []message.BackendLoad{{Backend: "b1"}}, b.TakeChangedLoads())
 }
--- a/internal/dataplane/balancer/picker_test.go
+++ b/internal/dataplane/balancer/picker_test.go
@@ -70,7 +70,7 @@
 		id := message.BackendID(fmt.Sprintf("b%02d", i))
 		list = append(list, backendWith(id, "m"))
 		if i < count-1 {
-			loads = append(loads, message.BackendLoad{Backend: id, Running: 1, QueuedPrefillMs: 200})
+			loads = append(loads, message.BackendLoad{Backend: id, InFlight: 1, QueuedPrefillMs: 200})
 		}
 	}
 	return newBalancer(t, list...), loads
--- a/internal/dataplane/balancer/rejection.go
+++ b/internal/dataplane/balancer/rejection.go
@@ -39,7 +39,7 @@
 func (b *Balancer) rejectWithoutModel(request *Request, now time.Time) bool {
 	if request.waitReason != WaitModel {
 		request.waitReason = WaitModel
-		b.hasUrgentDemand = true
+		b.hasUnmetDemand = true
 	}
 	if b.isDraining {
 		b.reject(request, drainingRetryAfter, RejectDraining)
--- a/internal/dataplane/balancer/rejection_test.go
+++ b/internal/dataplane/balancer/rejection_test.go
@@ -15,7 +15,7 @@
 	longTimeout := newRequest("llm", "m", start)
 	_, waiting := submit(b, longTimeout, start)
 	assert.True(t, waiting, "a load of 5 s can end in time")
-	assert.True(t, b.hasUrgentDemand, "the coordinators are notified at once")
+	assert.True(t, b.hasUnmetDemand, "the coordinators are notified at once")
 	shortTimeout := newRequest("llm", "m", start)
 	shortTimeout.ClientTimeoutAt = start.Add(2 * time.Second)
 	_, waiting = submit(b, shortTimeout, start)
--- a/internal/dataplane/loads/exchange.go
+++ b/internal/dataplane/loads/exchange.go
@@ -65,7 +65,7 @@
 	e.mutex.Lock()
 	for _, load := range loads {
 		e.loads[load.Backend] = load
-		if load.Running <= 0 && load.QueuedPrefillMs <= 0 {
+		if load.InFlight <= 0 && load.QueuedPrefillMs <= 0 {
 			delete(e.loads, load.Backend)
 		}
 		e.changed[load.Backend] = true
--- a/internal/dataplane/loads/exchange_test.go
+++ b/internal/dataplane/loads/exchange_test.go
@@ -45,8 +45,8 @@
 	return e
 }
 
-func load(backend message.BackendID, running, queuedPrefillMs int) message.BackendLoad {
-	return message.BackendLoad{Backend: backend, Running: running, QueuedPrefillMs: queuedPrefillMs}
+func load(backend message.BackendID, inFlight, queuedPrefillMs int) message.BackendLoad {
+	return message.BackendLoad{Backend: backend, InFlight: inFlight, QueuedPrefillMs: queuedPrefillMs}
 }
 
 func TestExchange_FirstReportIsCompleteThenChanges(t *testing.T) {
--- a/internal/dataplane/proxy/discoveryfallback.go
+++ b/internal/dataplane/proxy/discoveryfallback.go
@@ -38,17 +38,17 @@
 	if !isStale || rand.Float64() > probability {
 		return
 	}
-	table, err := s.reader.Read(ctx)
+	list, err := s.reader.Read(ctx)
 	if err != nil {
 		return
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if !table.ObservedAt.After(s.observedAt) {
+	if !list.ObservedAt.After(s.observedAt) {
 		return
 	}
-	s.observedAt, s.table = table.ObservedAt, table
-	s.dispatcher.Update(balancer.Update{Backends: table.Backends, HasBackends: true, OnRemoved: s.closeConnections})
+	s.observedAt, s.backends = list.ObservedAt, list
+	s.dispatcher.Update(balancer.Update{Backends: list.Backends, HasBackends: true, OnRemoved: s.closeConnections})
 }
 
 // fallbackState reports whether the list is stale, and with which probability to read it then: the number of calls that
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -82,7 +82,7 @@
 	picker := balancer.New(budget)
 	picker.SetIdleConnectionCheck(p.pool.HasIdle)
 	dispatcher := balancer.NewDispatcher(ctx, picker, balancer.DispatcherOptions{
-		OnUrgentDemand: p.notifier.notify, PeerLoads: p.loads,
+		OnUnmetDemand: p.notifier.notify, PeerLoads: p.loads,
 	})
 	p.handler = ingress.New(dispatcher, p.pool)
 	p.subscription = newSubscription(subscriptionOptions{
--- a/internal/dataplane/proxy/subscription.go
+++ b/internal/dataplane/proxy/subscription.go
@@ -34,9 +34,9 @@
 	addresses  []string // of the coordinators, the preferred first
 	config     distribution.ConfigCopy
 	loadTotals inflight.DeltaDecoder
-	table      *discovery.Table // nil: the next update must be complete
-	observedAt time.Time        // when the backends were read from the platform
-	proxies    int              // how many there are, at least 1
+	backends   *discovery.BackendList // nil: the next update must be complete
+	observedAt time.Time              // when the backends were read from the platform
+	proxies    int                    // how many there are, at least 1
 }
 
 // subscriptionOptions are what a subscription updates.
@@ -151,24 +151,24 @@
 	return backends, isNewer
 }
 
-// applyBackendUpdate applies an update to the table. One that does not fit is dropped, and the next request asks for
+// applyBackendUpdate applies an update to the list. One that does not fit is dropped, and the next request asks for
 // all backends.
 func (s *subscription) applyBackendUpdate(update *message.BackendUpdate) (backends []message.Backend, ok bool) {
-	table, ok := discovery.ApplyUpdate(s.table, update)
+	list, ok := discovery.ApplyUpdate(s.backends, update)
 	if !ok {
-		s.table = nil
+		s.backends = nil
 		return nil, false
 	}
-	s.table = table
-	return table.Backends, true
+	s.backends = list
+	return list.Backends, true
 }
 
-// digest identifies the table of backends; 0: there is none.
+// digest identifies the list of backends; 0: there is none.
 func (s *subscription) digest() uint64 {
-	if s.table == nil {
+	if s.backends == nil {
 		return 0
 	}
-	return s.table.Digest
+	return s.backends.Digest
 }
 
 func (s *subscription) closeConnections(removed []*balancer.Backend) {
--- a/internal/message/distribution.go
+++ b/internal/message/distribution.go
@@ -91,13 +91,13 @@
 	Arrivals float64   `msg:"a"` // requests
 	Waiting  int       `msg:"w"` // requests queued for it now
 	Unserved float64   `msg:"x"` // requests rejected because no backend held it
-	Running  int       `msg:"r"` // requests in flight now
+	InFlight int       `msg:"r"` // requests in flight now
 }
 
 // BackendLoad is the load that proxies have put on one backend.
 type BackendLoad struct {
 	Backend         BackendID `msg:"b"`
-	Running         int       `msg:"r"` // requests in flight
+	InFlight        int       `msg:"r"` // requests in flight
 	QueuedPrefillMs int       `msg:"q"` // prefill time of the requests whose response has sent no event yet
 }
 
--- a/internal/message/message_gen.go
+++ b/internal/message/message_gen.go
@@ -965,9 +965,9 @@
 				z.Backend = BackendID(zb0002)
 			}
 		case "r":
-			z.Running, err = dc.ReadInt()
+			z.InFlight, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Running")
+				err = msgp.WrapError(err, "InFlight")
 				return
 			}
 		case "q":
@@ -1005,9 +1005,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt(z.Running)
+	err = en.WriteInt(z.InFlight)
 	if err != nil {
-		err = msgp.WrapError(err, "Running")
+		err = msgp.WrapError(err, "InFlight")
 		return
 	}
 	// write "q"
@@ -1032,7 +1032,7 @@
 	o = msgp.AppendString(o, string(z.Backend))
 	// string "r"
 	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendInt(o, z.Running)
+	o = msgp.AppendInt(o, z.InFlight)
 	// string "q"
 	o = append(o, 0xa1, 0x71)
 	o = msgp.AppendInt(o, z.QueuedPrefillMs)
@@ -1068,9 +1068,9 @@
 				z.Backend = BackendID(zb0002)
 			}
 		case "r":
-			z.Running, bts, err = msgp.ReadIntBytes(bts)
+			z.InFlight, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Running")
+				err = msgp.WrapError(err, "InFlight")
 				return
 			}
 		case "q":
@@ -8573,9 +8573,9 @@
 				return
 			}
 		case "r":
-			z.Running, err = dc.ReadInt()
+			z.InFlight, err = dc.ReadInt()
 			if err != nil {
-				err = msgp.WrapError(err, "Running")
+				err = msgp.WrapError(err, "InFlight")
 				return
 			}
 		default:
@@ -8647,9 +8647,9 @@
 	if err != nil {
 		return
 	}
-	err = en.WriteInt(z.Running)
+	err = en.WriteInt(z.InFlight)
 	if err != nil {
-		err = msgp.WrapError(err, "Running")
+		err = msgp.WrapError(err, "InFlight")
 		return
 	}
 	return
@@ -8676,7 +8676,7 @@
 	o = msgp.AppendFloat64(o, z.Unserved)
 	// string "r"
 	o = append(o, 0xa1, 0x72)
-	o = msgp.AppendInt(o, z.Running)
+	o = msgp.AppendInt(o, z.InFlight)
 	return
 }
 
@@ -8733,9 +8733,9 @@
 				return
 			}
 		case "r":
-			z.Running, bts, err = msgp.ReadIntBytes(bts)
+			z.InFlight, bts, err = msgp.ReadIntBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "Running")
+				err = msgp.WrapError(err, "InFlight")
 				return
 			}
 		default:
--- a/internal/message/stored_test.go
+++ b/internal/message/stored_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// Tables of backends are identified by a digest of their encoding, so its bytes have to stay the same too.
+// Lists of backends are identified by a digest of their encoding, so its bytes have to stay the same too.
 func TestWritesRecordsAsStoredByEarlierVersion(t *testing.T) {
 	for name, record := range storedRecords() {
 		t.Run(name, func(t *testing.T) {
