--- a/internal/dataplane/balancer/picker.go
+++ b/internal/dataplane/balancer/picker.go
@@ -44,7 +44,7 @@
 }
 
 // hasCacheSpace reports whether the backend's KV cache has space for the request. The tokens of other proxies' requests
-// are not known: they are taken to be as long as this proxy's.
+// are not known: they are taken to have as many as this proxy's there, or as this one. An empty cache takes any request.
 func (b *Balancer) hasCacheSpace(backend *Backend, request *Request) bool {
 	runtime := b.runtime(request.Service)
 	if runtime == nil || runtime.CacheTokens == 0 {
@@ -70,7 +70,7 @@
 	})
 	first := candidates[0]
 	compared := pickWindow
-	if now.Sub(first.peersUpdatedAt) <= peerLoadLifetime {
+	if now.Sub(first.peersUpdatedAt) <= peerLoadLifetime { // and so of all: a query is for all backends with the model
 		compared = len(candidates)
 	}
 	best, least := first, b.cost(first, request, now)
--- a/internal/standalone/policy/admission_test.go
+++ b/internal/standalone/policy/admission_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"slices"
+	"testing"
+)
 
 // A queue shows before its responses are late: the limit decreases when three in ten take over half of the latency
 // target, and holds when one in ten does.
@@ -111,74 +114,94 @@
 	}
 }
 
+// servedRun is one balancer whose attempts are all served after attemptTime. Nothing happens between two steps.
+type servedRun struct {
+	balancer    *Balancer
+	now         Time
+	attemptTime Time
+	inFlight    []servedAttempt
+	timers      []checkedTimer
+	served      int
+}
+
+// servedAttempt is an attempt in flight, which is served at a time.
+type servedAttempt struct {
+	at, elapsed Time
+	id          uint64
+	server      uint32
+}
+
+// handle hands the balancer an event, starts its attempts and sets its timers.
+func (r *servedRun) handle(ev Event) {
+	for _, a := range r.balancer.Handle(r.now, &ev, nil) {
+		switch a.Kind {
+		case SendAttempt:
+			r.inFlight = append(r.inFlight, servedAttempt{r.now + r.attemptTime, r.attemptTime, a.ID, a.Server})
+		case SetTimer:
+			r.timers = append(r.timers, checkedTimer{a.ID, r.now + a.After})
+		}
+	}
+}
+
+// step advances the clock, fires the timers that are due and then serves the attempts that are.
+func (r *servedRun) step(d Time) {
+	r.now += d
+	for i := 0; i < len(r.timers); {
+		timer := r.timers[i]
+		if timer.at > r.now {
+			i++
+			continue
+		}
+		r.timers = slices.Delete(r.timers, i, i+1)
+		r.handle(Event{Kind: TimerFired, ID: timer.id})
+	}
+	for i := 0; i < len(r.inFlight); {
+		a := r.inFlight[i]
+		if a.at > r.now {
+			i++
+			continue
+		}
+		r.inFlight = slices.Delete(r.inFlight, i, i+1)
+		r.served++
+		r.handle(Event{Kind: AttemptEnded, ID: a.id, Server: a.server, Outcome: OK, Elapsed: a.elapsed, Final: true})
+	}
+}
+
 // One of 400 balancers with 90 servers of a few places each: one attempt of each balancer would be more than the
 // servers can take. While every response is a sign of congestion it has far less than one in flight on average, and
 // once none is it sends all that arrives.
 func TestLimitFallsBelowOneAttempt(t *testing.T) {
+	const stepTime = 5000
 	settings := testSettings()
 	settings.GroupSize = 400
 	b, err := New(settings, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	type attemptEnd struct {
-		at, elapsed Time
-		id          uint64
-		server      uint32
-	}
-	var inFlight []attemptEnd
-	var timers []checkedTimer
-	id, inFlightSum, served := uint64(0), 0, 0
-	const start = Time(1_000_000_000)
-	now := start
-	handle := func(ev Event) {
-		for _, a := range b.Handle(now, &ev, nil) {
-			switch a.Kind {
-			case SendAttempt:
-				elapsed := Time(600_000) // the latency target is 500,000
-				if now-start >= 40e6 {
-					elapsed = 20_000
-				}
-				inFlight = append(inFlight, attemptEnd{now + elapsed, elapsed, a.ID, a.Server})
-			case SetTimer:
-				timers = append(timers, checkedTimer{a.ID, now + a.After})
-			}
-		}
-	}
-	handle(Event{Kind: MembershipFull, Members: testMembers(90)})
-	for now = start; now < start+80e6; now += 5000 {
-		for i := 0; i < len(timers); {
-			if tm := timers[i]; tm.at <= now {
-				timers = append(timers[:i], timers[i+1:]...)
-				handle(Event{Kind: TimerFired, ID: tm.id})
-				continue
+	run := &servedRun{balancer: b, now: 1_000_000_000, attemptTime: 600_000} // the latency target is 500,000
+	run.handle(Event{Kind: MembershipFull, Members: testMembers(90)})
+	id := uint64(0)
+	serveFor := func(d Time) (meanInFlight float64) { // with 20 requests per second
+		inFlightSum := 0
+		for end := run.now + d; run.now < end; run.step(stepTime) {
+			if run.now%50_000 == 0 {
+				id++
+				run.handle(Event{Kind: RequestArrived, ID: id, ClientTimeout: 2_000_000})
 			}
-			i++
-		}
-		for i := 0; i < len(inFlight); {
-			if end := inFlight[i]; end.at <= now {
-				inFlight = append(inFlight[:i], inFlight[i+1:]...)
-				if now-start >= 60e6 {
-					served++
-				}
-				handle(Event{Kind: AttemptEnded, ID: end.id, Server: end.server, Outcome: OK, Elapsed: end.elapsed, Final: true})
-				continue
-			}
-			i++
-		}
-		if now%50_000 == 0 { // 20 per second
-			id++
-			handle(Event{Kind: RequestArrived, ID: id, ClientTimeout: 2_000_000})
-		}
-		if now-start >= 20e6 && now-start < 40e6 {
-			inFlightSum += len(inFlight)
+			inFlightSum += len(run.inFlight)
 		}
+		return float64(inFlightSum) / float64(d/stepTime)
 	}
-	if mean := float64(inFlightSum) / (20e6 / 5000); mean > 0.5 {
+	serveFor(20e6)
+	if mean := serveFor(20e6); mean > 0.5 {
 		t.Errorf("%.2f attempts in flight on average while all responses are signs of congestion", mean)
 	}
-	if served < 300 {
-		t.Errorf("%d of 400 served without congestion", served)
+	run.attemptTime = 20_000
+	serveFor(20e6)
+	run.served = 0
+	serveFor(20e6)
+	if run.served < 300 {
+		t.Errorf("%d of 400 served without congestion", run.served)
 	}
 }
 
--- a/internal/standalone/policy/snapshot_test.go
+++ b/internal/standalone/policy/snapshot_test.go
@@ -7,37 +7,52 @@
 	"testing"
 )
 
-// A balancer that restores a snapshot has the weights, slow starts, budgets and limit of its predecessor. What was
-// learned about a server that was restarted since is not restored, and a snapshot with impossible values is refused.
-func TestRestore(t *testing.T) {
-	settings := Settings{Classes: []Class{{LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}},
+// The predecessor serves a request every 10 ms from restoreStart on, the last of them until restoreEnd.
+const (
+	restoreStart    = Time(1e12)
+	restoreRequests = 400
+	restoreEnd      = restoreStart + restoreRequests*10_000 + 5000
+)
+
+// newRestoreBalancer returns a balancer that knows three servers at restoreStart, of which the third was started at
+// startedAt.
+func newRestoreBalancer(t *testing.T, startedAt Time) *Balancer {
+	t.Helper()
+	b, err := New(Settings{Classes: []Class{{LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}},
 		ReportColumns: []ReportColumn{ColumnQPS, ColumnUtilization}, ReportDelivery: ReportsInResponses,
 		Rules:   Rules{WarmupTime: 24e6, InitialCapacity: 0.1, OverloadFactor: 3, OverloadTime: 1e6},
-		Tenants: []Tenant{{QuotaPerS: 50}}}
-	const start = 1e12
-	begin := func(startedAt Time) *Balancer { // of server 3
-		t.Helper()
-		b, err := New(settings, 3)
-		if err != nil {
-			t.Fatal(err)
-		}
-		b.Handle(start, &Event{Kind: MembershipFull, Members: []Member{{Server: 1, Mode: ModeReady, Size: 1},
-			{Server: 2, Mode: ModeReady, Size: 1}, {Server: 3, Mode: ModeReady, Size: 1, StartedAt: startedAt}}}, nil)
-		return b
+		Tenants: []Tenant{{QuotaPerS: 50}}}, 3)
+	if err != nil {
+		t.Fatal(err)
 	}
-	old := begin(start - 5e6)
-	now := Time(start)
-	for id := range uint64(400) {
+	b.Handle(restoreStart, &Event{Kind: MembershipFull, Members: []Member{{Server: 1, Mode: ModeReady, Size: 1},
+		{Server: 2, Mode: ModeReady, Size: 1}, {Server: 3, Mode: ModeReady, Size: 1, StartedAt: startedAt}}}, nil)
+	return b
+}
+
+// newPredecessor returns a balancer that has served restoreRequests.
+func newPredecessor(t *testing.T) *Balancer {
+	t.Helper()
+	b := newRestoreBalancer(t, restoreStart-5e6)
+	now := restoreStart
+	for id := range uint64(restoreRequests) {
 		now += 10_000
-		old.Handle(now, &Event{Kind: TimerFired, ID: timerRefresh}, nil)
+		b.Handle(now, &Event{Kind: TimerFired, ID: timerRefresh}, nil)
 		arrived := Event{Kind: RequestArrived, ID: id + 1, Work: 1000, ClientTimeout: 4e6}
-		for _, a := range old.Handle(now, &arrived, nil) {
+		for _, a := range b.Handle(now, &arrived, nil) {
 			if a.Kind == SendAttempt {
-				old.Handle(now+5000, &Event{Kind: AttemptEnded, ID: a.ID, Server: a.Server, Outcome: OK, Elapsed: 50_000,
+				b.Handle(now+5000, &Event{Kind: AttemptEnded, ID: a.ID, Server: a.Server, Outcome: OK, Elapsed: 50_000,
 					Report: []float32{float32(id), 0.5}}, nil)
 			}
 		}
 	}
+	return b
+}
+
+// A balancer that restores a snapshot, which was written as JSON, has the weights, slow starts, budgets and limit of its
+// predecessor.
+func TestRestore_TakesOverWhatWasLearned(t *testing.T) {
+	old := newPredecessor(t)
 	text, err := json.Marshal(old.Snapshot())
 	if err != nil {
 		t.Fatal(err)
@@ -46,11 +61,11 @@
 	if err := json.Unmarshal(text, &snapshot); err != nil || !reflect.DeepEqual(&snapshot, old.Snapshot()) {
 		t.Errorf("%v: %s", err, text)
 	}
-	b := begin(start - 5e6)
-	if !b.Restore(now+5000, &snapshot) {
+	b := newRestoreBalancer(t, restoreStart-5e6)
+	if !b.Restore(restoreEnd, &snapshot) {
 		t.Fatal("not restored")
 	}
-	b.Handle(now+6000, &Event{Kind: TimerFired, ID: timerRefresh}, nil)
+	b.Handle(restoreEnd+1000, &Event{Kind: TimerFired, ID: timerRefresh}, nil)
 	baseline, known := b.unloadedLatency[0].Baseline()
 	oldBaseline, _ := old.unloadedLatency[0].Baseline()
 	if !known || baseline != oldBaseline || b.concurrencyLimit != old.concurrencyLimit ||
@@ -59,11 +74,19 @@
 		b.overall.meanWeight == 0 || b.servers[3].readySince != old.servers[3].readySince {
 		t.Errorf("%+v became %+v", snapshot, b.Snapshot())
 	}
-	restarted := begin(start + 1)
-	restarted.Restore(now+5000, &snapshot)
-	if restarted.servers[3].readySince != start+1 || restarted.servers[3].reportWeight != 0 {
+}
+
+func TestRestore_TakesNothingOfRestartedServer(t *testing.T) {
+	old := newPredecessor(t)
+	b := newRestoreBalancer(t, restoreStart+1)
+	b.Restore(restoreEnd, old.Snapshot())
+	if b.servers[3].readySince != restoreStart+1 || b.servers[3].reportWeight != 0 {
 		t.Error("restored what was learned about a previous process")
 	}
+}
+
+func TestRestore_RefusesImpossibleValues(t *testing.T) {
+	old := newPredecessor(t)
 	for name, corrupt := range map[string]func(*Snapshot){
 		"not a number":        func(s *Snapshot) { s.MedianAttemptTime = math.NaN() },
 		"negative":            func(s *Snapshot) { s.Servers[0].QPSSum = -1 },
@@ -75,12 +98,12 @@
 	} {
 		bad := *old.Snapshot()
 		corrupt(&bad)
-		c := begin(start - 5e6)
-		before := c.Snapshot()
-		if c.Restore(now+5000, &bad) {
+		b := newRestoreBalancer(t, restoreStart-5e6)
+		before := b.Snapshot()
+		if b.Restore(restoreEnd, &bad) {
 			t.Errorf("%s: restored", name)
 		}
-		if before.At = c.now; !reflect.DeepEqual(before, c.Snapshot()) {
+		if before.At = b.now; !reflect.DeepEqual(before, b.Snapshot()) {
 			t.Errorf("%s: something was changed", name)
 		}
 	}
--- a/internal/standalone/policy/subscription_test.go
+++ b/internal/standalone/policy/subscription_test.go
@@ -5,70 +5,110 @@
 	"testing"
 )
 
-// 210 balancers of a group of 300 start together, and discovery answers 60 calls a second in turn and fails those that
-// would wait for over a second. They alone must not overload it, and every one is subscribed as soon as the rule
-// demands.
-func TestSimultaneousStartsSpreadDiscoveryCalls(t *testing.T) {
-	for _, c := range []struct {
-		group, starting    int // balancers
-		perS               Time
-		maxPeak, maxFailed int
-		allSubscribed      Time // at the latest
-	}{{300, 210, 60, 70, 0, 6e6}, {300, 210, 30, 70, 150, 30e6}, {4, 4, 60, 4, 0, 3_600_000}} {
-		type dueEvent struct {
-			at       Time
-			balancer int
-			ev       Event
-		}
-		var queue []dueEvent
-		balancers := make([]*Balancer, c.starting)
-		calls, failed, subscribed, last := map[Time]int{}, 0, 0, Time(0) // calls by second
-		busyUntil := Time(0)
-		handle := func(n int, now Time, ev Event) {
-			for _, a := range balancers[n].Handle(now, &ev, nil) {
-				switch {
-				case a.Kind == SetTimer && a.ID == timerSubscribe:
-					queue = append(queue, dueEvent{now + a.After, n, Event{Kind: TimerFired, ID: a.ID}})
-				case a.Kind == SubscribeDiscovery:
-					calls[now/1e6]++
-					if busyUntil = max(busyUntil, now); busyUntil-now > 1e6 {
-						queue = append(queue, dueEvent{now + 1e6, n, Event{Kind: DiscoveryFailed}})
-						continue
-					}
-					busyUntil += 1e6 / c.perS
-					queue = append(queue, dueEvent{busyUntil, n, Event{Kind: MembershipFull}})
-				}
-			}
-		}
-		settings := testSettings()
-		settings.SubscribeDiscovery, settings.GroupSize, settings.Rules.SubscribeWithin = true, c.group, 10e6
-		for n := range balancers {
-			var err error
-			if balancers[n], err = New(settings, uint64(n+1)); err != nil {
-				t.Fatal(err)
-			}
-			handle(n, 1, Event{Kind: MembershipCached})
+// discoveryRun is a group of balancers with a discovery that answers calls one after the other, callsPerS a second, and
+// fails those that would wait for over a second.
+type discoveryRun struct {
+	balancers []*Balancer
+	callsPerS Time
+	busyUntil Time // discovery is
+	pending   []dueEvent
+
+	callsBySecond      map[Time]int
+	failed, subscribed int  // calls that failed, balancers that are subscribed
+	lastSubscribedAt   Time // when the last one was
+}
+
+// dueEvent is an event that is to happen to a balancer.
+type dueEvent struct {
+	at       Time
+	balancer int
+	event    Event
+}
+
+// newDiscoveryRun starts some balancers of a group at the same time.
+func newDiscoveryRun(t *testing.T, group, starting int, callsPerS Time) *discoveryRun {
+	t.Helper()
+	settings := testSettings()
+	settings.SubscribeDiscovery, settings.GroupSize, settings.Rules.SubscribeWithin = true, group, 10e6
+	run := &discoveryRun{callsPerS: callsPerS, callsBySecond: map[Time]int{}}
+	for n := range starting {
+		b, err := New(settings, uint64(n+1))
+		if err != nil {
+			t.Fatal(err)
 		}
-		for len(queue) > 0 && subscribed < c.starting {
-			slices.SortFunc(queue, func(a, b dueEvent) int { return int(a.at - b.at) })
-			due := queue[0]
-			queue = queue[1:]
-			switch due.ev.Kind {
-			case DiscoveryFailed:
-				failed++
-			case MembershipFull:
-				subscribed++
-				last = due.at
-			}
-			handle(due.balancer, due.at, due.ev)
+		run.balancers = append(run.balancers, b)
+		run.handle(n, 1, Event{Kind: MembershipCached})
+	}
+	return run
+}
+
+// handle hands a balancer an event and carries out the actions that concern discovery.
+func (r *discoveryRun) handle(balancer int, now Time, event Event) {
+	for _, a := range r.balancers[balancer].Handle(now, &event, nil) {
+		switch {
+		case a.Kind == SetTimer && a.ID == timerSubscribe:
+			r.pending = append(r.pending, dueEvent{now + a.After, balancer, Event{Kind: TimerFired, ID: a.ID}})
+		case a.Kind == SubscribeDiscovery:
+			r.call(balancer, now)
 		}
-		peak := 0
-		for _, n := range calls {
-			peak = max(peak, n)
+	}
+}
+
+func (r *discoveryRun) call(balancer int, now Time) {
+	r.callsBySecond[now/1e6]++
+	r.busyUntil = max(r.busyUntil, now)
+	if r.busyUntil-now > 1e6 {
+		r.pending = append(r.pending, dueEvent{now + 1e6, balancer, Event{Kind: DiscoveryFailed}})
+		return
+	}
+	r.busyUntil += 1e6 / r.callsPerS
+	r.pending = append(r.pending, dueEvent{r.busyUntil, balancer, Event{Kind: MembershipFull}})
+}
+
+// runUntilSubscribed lets the pending events happen until all balancers are subscribed or nothing is pending.
+func (r *discoveryRun) runUntilSubscribed() {
+	for len(r.pending) > 0 && r.subscribed < len(r.balancers) {
+		slices.SortFunc(r.pending, func(a, b dueEvent) int { return int(a.at - b.at) })
+		due := r.pending[0]
+		r.pending = r.pending[1:]
+		switch due.event.Kind {
+		case DiscoveryFailed:
+			r.failed++
+		case MembershipFull:
+			r.subscribed++
+			r.lastSubscribedAt = due.at
 		}
-		if peak > c.maxPeak || failed > c.maxFailed || subscribed < c.starting || last > c.allSubscribed {
-			t.Errorf("%d of a group of %d, %d calls a second: at most %d a second, %d failed, %d subscribed after %d us",
-				c.starting, c.group, c.perS, peak, failed, subscribed, last)
+		r.handle(due.balancer, due.at, due.event)
+	}
+}
+
+// peak is the most calls of a second.
+func (r *discoveryRun) peak() (peak int) {
+	for _, n := range r.callsBySecond {
+		peak = max(peak, n)
+	}
+	return peak
+}
+
+// Most balancers of a group start together. They alone must not overload discovery, and every one is subscribed as soon
+// as the rule demands.
+func TestSimultaneousStartsSpreadDiscoveryCalls(t *testing.T) {
+	for name, c := range map[string]struct {
+		group, starting    int // balancers
+		callsPerS          Time
+		maxPeak, maxFailed int
+		allSubscribedAt    Time // at the latest
+	}{
+		"large group":                 {300, 210, 60, 70, 0, 6e6},
+		"large group, slow discovery": {300, 210, 30, 70, 150, 30e6},
+		"small group":                 {4, 4, 60, 4, 0, 3_600_000},
+	} {
+		run := newDiscoveryRun(t, c.group, c.starting, c.callsPerS)
+		run.runUntilSubscribed()
+		if run.peak() > c.maxPeak || run.failed > c.maxFailed || run.subscribed < c.starting ||
+			run.lastSubscribedAt > c.allSubscribedAt {
+			t.Errorf("%s: at most %d calls a second, %d failed, %d subscribed after %d us", name, run.peak(), run.failed,
+				run.subscribed, run.lastSubscribedAt)
 		}
 	}
 }
