--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -11,6 +11,17 @@
 
 var be = binary.BigEndian
 
+// Codes of records in a batch, see package simlink.
+const (
+	codeSpawn          = 1000
+	codeMembership     = 1010
+	codeRequestArrived = 1020
+	codeTimerFired     = 1060
+	codeKilled         = 1090
+	codeCatalog        = 1100
+	codeUnknown        = 4000
+)
+
 // batch is a batch of records, with its header.
 func batch(now uint64, records ...[]byte) []byte {
 	var body []byte
@@ -52,7 +63,7 @@
 	var batches [][]byte
 	now := uint64(1_000_000)
 	first := [][]byte{}
-	catalog := be.AppendUint32(be.AppendUint16(be.AppendUint16(nil, 1100), 0), 20)
+	catalog := be.AppendUint32(be.AppendUint16(be.AppendUint16(nil, codeCatalog), 0), 20)
 	for i := range uint32(20) {
 		catalog = be.AppendUint32(catalog, 500+i)
 		catalog = append(catalog, 0, 0, 0, 0, 0, 1)
@@ -61,7 +72,8 @@
 	}
 	first = append(first, catalog)
 	for _, i := range instances {
-		first = append(first, record(1000, i, uint64(i)*77, settings), record(1010, i, uint8(2), uint16(0), uint64(1)))
+		first = append(first, record(codeSpawn, i, uint64(i)*77, settings),
+			record(codeMembership, i, uint8(2), uint16(0), uint64(1)))
 	}
 	batches = append(batches, batch(now), batch(now, first...))
 	for step := range uint64(300) {
@@ -70,11 +82,11 @@
 		for _, i := range instances {
 			rng := rand.New(rand.NewPCG(step, uint64(i)))
 			if rng.IntN(2) == 0 {
-				records = append(records, record(1020, i, step+1, uint32(500_000), uint8(0), uint32(0), rng.Uint64(),
-					uint32(0), uint8(0)))
+				records = append(records, record(codeRequestArrived, i, step+1, uint32(500_000), uint8(0), uint32(0),
+					rng.Uint64(), uint32(0), uint8(0)))
 			}
 			if step%20 == 0 {
-				records = append(records, record(1060, i, uint64(0)))
+				records = append(records, record(codeTimerFired, i, uint64(0)))
 			}
 		}
 		batches = append(batches, batch(now, records...))
@@ -89,6 +101,7 @@
 	if err := serve(bytes.NewReader(bytes.Join(batches, nil)), &out); err != nil {
 		t.Fatal(err)
 	}
+	// Sizes of a reply's records by their codes, which are those of simlink.AppendAction.
 	recordSize := map[uint16]int{1000: 20, 1010: 16, 1020: 12, 1030: 13, 1040: 16, 1050: 8, 1060: 8, 1100: 5}
 	byInstance := map[uint16]string{}
 	frames := 0
@@ -131,7 +144,7 @@
 }
 
 func TestServe_DoesNotAnswerMalformedInput(t *testing.T) {
-	good := batch(1, record(1000, 1, uint64(1), settings))
+	good := batch(1, record(codeSpawn, 1, uint64(1), settings))
 	for name, c := range map[string]struct {
 		in   []byte
 		want string
@@ -140,10 +153,10 @@
 		"truncated body":    {good[:len(good)-3], "batch 0: body truncated"},
 		"length over limit": {append([]byte{0xff, 0xff, 0xff, 0xff}, good[4:]...), "over the limit"},
 		"count over length": {be.AppendUint64(be.AppendUint32(be.AppendUint32(nil, 4), 2), 1), "2 records cannot fit"},
-		"bytes left over":   {batch(1, append(record(1090, 1), 0, 0)), "2 bytes follow"},
-		"unknown instance":  {batch(1, record(1060, 9, uint64(0))), "instance 9 was not started"},
-		"invalid settings":  {batch(1, record(1000, 1, uint64(1), `{}`)), "no classes"},
-		"unknown code":      {batch(1, record(4000, 1)), "unknown event code 4000"},
+		"bytes left over":   {batch(1, append(record(codeKilled, 1), 0, 0)), "2 bytes follow"},
+		"unknown instance":  {batch(1, record(codeTimerFired, 9, uint64(0))), "instance 9 was not started"},
+		"invalid settings":  {batch(1, record(codeSpawn, 1, uint64(1), `{}`)), "no classes"},
+		"unknown code":      {batch(1, record(codeUnknown, 1)), "unknown event code 4000"},
 	} {
 		var out bytes.Buffer
 		err := serve(bytes.NewReader(c.in), &out)
--- a/internal/standalone/policy/admission_test.go
+++ b/internal/standalone/policy/admission_test.go
@@ -205,28 +205,40 @@
 	}
 }
 
-// Requests whose clients are still sending are with no server: they do not count against the limit, make no server look
-// stalled, and count from their last byte on. Their servers are kept until they have ended.
-func TestPendingBodiesDoNotCountAgainstLimit(t *testing.T) {
-	b := newBalancer(t, testSettings(), testMembers(3))
-	b.medianAttemptTime, b.concurrencyLimit = 100_000, 5
-	arrive := func(id uint64, bodyPending bool) Action {
-		arrived := Event{Kind: RequestArrived, ID: id, ClientTimeout: 4e6, BodyPending: bodyPending}
-		for _, a := range b.Handle(b.now, &arrived, nil) {
-			if a.Kind == SendAttempt || a.Kind == RejectRequest {
-				return a
-			}
+// arrive hands the balancer a request and returns its SendAttempt or RejectRequest; the zero Action: it is queued.
+func (b *Balancer) arrive(id uint64, bodyPending bool) Action {
+	arrived := Event{Kind: RequestArrived, ID: id, ClientTimeout: 4e6, BodyPending: bodyPending}
+	for _, a := range b.Handle(b.now, &arrived, nil) {
+		if a.Kind == SendAttempt || a.Kind == RejectRequest {
+			return a
 		}
-		return Action{}
 	}
-	sent := map[uint64]uint32{}
-	for id := range uint64(20) {
-		a := arrive(id+1, true)
+	return Action{}
+}
+
+const pendingBodies = 20
+
+// newBalancerWithPendingBodies returns a balancer with a limit of 5 and three servers, which was handed the requests 1
+// to pendingBodies while their clients still send the bodies, and the server of each.
+func newBalancerWithPendingBodies(t *testing.T) (b *Balancer, servers map[uint64]uint32) {
+	t.Helper()
+	b = newBalancer(t, testSettings(), testMembers(3))
+	b.medianAttemptTime, b.concurrencyLimit = 100_000, 5
+	servers = map[uint64]uint32{}
+	for id := uint64(1); id <= pendingBodies; id++ {
+		a := b.arrive(id, true)
 		if a.Kind != SendAttempt {
-			t.Fatalf("request %d with a pending body: %+v", id+1, a)
+			t.Fatalf("request %d with a pending body: %+v", id, a)
 		}
-		sent[id+1] = a.Server
+		servers[id] = a.Server
 	}
+	return b, servers
+}
+
+// Requests whose clients are still sending are with no server: they do not count against the limit and make no server
+// look stalled.
+func TestPendingBodiesDoNotCountAgainstLimit(t *testing.T) {
+	b, _ := newBalancerWithPendingBodies(t)
 	if b.inFlight != 0 {
 		t.Fatalf("%d requests with pending bodies count against the limit", b.inFlight)
 	}
@@ -235,25 +247,48 @@
 	if n := b.EjectedServers(); n != 0 {
 		t.Errorf("%d servers are taken for stalled while clients send", n)
 	}
-	if a := arrive(100, false); a.Kind != SendAttempt {
+	if a := b.arrive(100, false); a.Kind != SendAttempt {
 		t.Errorf("a request beside ones with pending bodies: %+v", a)
 	}
-	for id := range uint64(4) {
-		b.Handle(b.now, &Event{Kind: BodySent, ID: id + 1}, nil)
-		b.Handle(b.now, &Event{Kind: BodySent, ID: id + 1}, nil) // a repeated event counts once
+}
+
+// Requests count against the limit from the last byte of their bodies on, and once.
+func TestBodySentCountsAgainstLimit(t *testing.T) {
+	b, _ := newBalancerWithPendingBodies(t)
+	if a := b.arrive(100, false); a.Kind != SendAttempt {
+		t.Errorf("a request beside ones with pending bodies: %+v", a)
+	}
+	for id := uint64(1); id <= 4; id++ {
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id}, nil)
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id}, nil) // a repeated event counts once
 	}
 	if b.inFlight != 5 {
 		t.Errorf("%d in flight, want 5", b.inFlight)
 	}
-	if a := arrive(101, false); a.Kind == SendAttempt {
+	if a := b.arrive(101, false); a.Kind == SendAttempt {
 		t.Error("a request over the limit was sent")
 	}
+}
+
+// Servers that are gone are kept until the attempts with pending bodies have ended, and nothing is left of them then.
+func TestGoneServersAreKeptForPendingBodies(t *testing.T) {
+	b, servers := newBalancerWithPendingBodies(t)
+	b.now += slowFactor*100_000 + 1_000_000
+	b.refresh()
+	b.arrive(100, false)
+	for id := uint64(1); id <= 4; id++ {
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id}, nil)
+	}
+	b.arrive(101, false) // over the limit: it is queued
 	b.Handle(b.now, &Event{Kind: RequestAbandoned, ID: 101}, nil)
-	for _, s := range b.members { // all are gone while clients still send
+	for _, s := range b.members {
 		b.Handle(b.now, &Event{Kind: MembershipDelta, Members: []Member{{Server: s.id, Mode: ModeGone}}}, nil)
 	}
 	b.refresh()
-	for id, server := range sent {
+	if len(b.members) != 3 {
+		t.Errorf("%d servers are left while clients send", len(b.members))
+	}
+	for id, server := range servers {
 		b.Handle(b.now, &Event{Kind: AttemptEnded, ID: id, Server: server, Outcome: ConnectFailed, Final: true}, nil)
 		b.Handle(b.now, &Event{Kind: BodySent, ID: id}, nil)
 	}
@@ -265,7 +300,7 @@
 	}
 	b.refresh()
 	if b.inFlight != 0 || b.ejectedOrStalled != 0 || len(b.members) != 0 {
-		t.Errorf("left over: %d in flight, %d ejected, %d servers", b.inFlight, b.ejectedOrStalled, len(b.members))
+		t.Errorf("left over: %d in flight, %d ejected or stalled, %d servers", b.inFlight, b.ejectedOrStalled, len(b.members))
 	}
 }
 
--- a/internal/standalone/policy/affinity_test.go
+++ b/internal/standalone/policy/affinity_test.go
@@ -48,8 +48,8 @@
 	return servers
 }
 
-// Requests of one key go to one server, the same at every balancer. A server that drains, is stalled or ejected has its
-// keys served at their second homes, all of a key at one, and has them back; no other key moves.
+// Requests of one key go to one server, the same at every balancer. While a server drains, is stalled or ejected, each
+// of its keys is served at its second home; then the keys return. No other key moves.
 func TestRequestsOfOneKeyGoToOneServer(t *testing.T) {
 	settings := testSettings()
 	settings.KeyAffinity = true
@@ -86,7 +86,7 @@
 }
 
 // Without the setting, keys have no home: of two rounds over all keys no more than chance goes to the same server
-// twice. Each of 12 servers met all of 300 keys then, and 60% to 70% of the work was done again.
+// twice.
 func TestKeysHaveNoHomeWithoutKeyAffinity(t *testing.T) {
 	const servers = 12
 	f := newAffinityFixture(t, testSettings(), testMembers(servers))
@@ -102,8 +102,8 @@
 	}
 }
 
-// Attempts in flight spread by listed size, also where nothing is reported; a key with by far the most requests makes
-// no server hot, as what its home cannot take goes to its second home and then to all.
+// Attempts in flight spread by listed size, also where nothing is reported. A key with by far the most requests
+// overloads no server: what its home cannot take goes to its second home and then to all.
 func TestHotKeyOverloadsNoServer(t *testing.T) {
 	settings := testSettings()
 	settings.ReportDelivery, settings.SizesKnown, settings.ReportColumns = ReportsNone, true, nil
--- a/internal/standalone/policy/snapshot_test.go
+++ b/internal/standalone/policy/snapshot_test.go
@@ -49,8 +49,8 @@
 	return b
 }
 
-// A balancer that restores a snapshot, which was written as JSON, has the weights, slow starts, budgets and limit of its
-// predecessor.
+// A balancer that restores a snapshot, which was written as JSON, has the weights, slow starts, budgets and limit of
+// its predecessor.
 func TestRestore_TakesOverWhatWasLearned(t *testing.T) {
 	old := newPredecessor(t)
 	text, err := json.Marshal(old.Snapshot())
