--- a/cmd/pumiceline/fleetsim.go
+++ b/cmd/pumiceline/fleetsim.go
@@ -81,7 +81,7 @@
 func (f *experimentFlags) execute(e *experiment.Experiment, out output) ([]*experiment.Result, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	var file io.Writer = io.Discard
+	file := io.Discard
 	if f.Out != "" {
 		created, err := os.Create(f.Out)
 		if err != nil {
--- a/internal/fleetsim/checker/attempts.go
+++ b/internal/fleetsim/checker/attempts.go
@@ -55,7 +55,7 @@
 
 // observeAttemptSent checks an attempt by the first three rules.
 func (c *Checker) observeAttemptSent(rec *model.Record) {
-	if crossesZones := rec.Flag; crossesZones {
+	if rec.CrossesZones() {
 		c.crossZoneAttempts++
 	}
 	r := c.open[rec.ID]
--- a/internal/fleetsim/checker/checker.go
+++ b/internal/fleetsim/checker/checker.go
@@ -148,11 +148,11 @@
 	case model.ServerProbed:
 		c.probes++
 	case model.AttemptExecuted:
-		if isUsed := rec.Flag; !isUsed {
+		if !rec.AnswerUsed() {
 			c.wastedWork += float64(rec.Work)
 		}
 	case model.MessageDelivered:
-		c.messageBytes += float64(rec.Span)
+		c.messageBytes += float64(rec.MessageBytes())
 	case model.LoadSampled:
 		c.observeLoad(rec)
 	}
--- a/internal/fleetsim/checker/discovery.go
+++ b/internal/fleetsim/checker/discovery.go
@@ -24,7 +24,7 @@
 	case model.ProxyNotified:
 		c.observeMembership(rec)
 	case model.DiscoveryCalled:
-		if succeeded := rec.Flag; succeeded {
+		if rec.CallSucceeded() {
 			c.observeWatchStarted(rec)
 		} else {
 			c.observeDiscoveryCall(rec)
@@ -76,12 +76,12 @@
 			p.goneSince[m.Server] = rec.At
 		}
 	}
-	if isWholeList := rec.Flag; isWholeList {
+	if rec.IsFullList() {
 		c.markMissingAsGone(p, rec)
 	}
 }
 
-// markMissingAsGone takes the servers that a whole list leaves out for gone.
+// markMissingAsGone takes the servers that a full list leaves out for gone.
 func (c *Checker) markMissingAsGone(p *proxyState, rec *model.Record) {
 	isListed := make(map[uint32]bool, len(rec.Members))
 	for i := range rec.Members {
@@ -118,9 +118,8 @@
 	if p.watching {
 		p.lastContact = rec.At // until now it was notified of everything
 	}
-	callFailed := rec.Flag
-	p.watching, p.lastCallFailed = false, callFailed
-	if callFailed {
+	p.watching, p.lastCallFailed = false, rec.CallFailed()
+	if rec.CallFailed() {
 		c.report.DiscoveryCallsFailed++
 	}
 }
--- a/internal/fleetsim/model/discovery.go
+++ b/internal/fleetsim/model/discovery.go
@@ -15,11 +15,11 @@
 // discoveryService holds each list once: proxies are handed slices of one log of changes, so a thousand of them with ten
 // thousand servers cost no more memory than one.
 type discoveryService struct {
-	initial          []policy.Member // the whole list at the start
+	initial          []policy.Member // the full list at the start
 	changes          []policy.Member // all changes since; a version is a length of it
 	current          []policy.Member // the present state, by server index; also of servers that are gone
 	epochs           []int32         // of the latest process known, by server index
-	listCache        []policy.Member // the whole list at version listCacheVersion
+	listCache        []policy.Member // the full list at version listCacheVersion
 	listCacheVersion int
 	busyUntil        Time // subscribe calls are answered one after another
 	outages          int  // faults in force
@@ -42,7 +42,7 @@
 
 func (d *discoveryService) version() int { return len(d.changes) }
 
-// list is the whole list at the present version.
+// list is the full list at the present version.
 func (d *discoveryService) list() []policy.Member {
 	if d.listCacheVersion != d.version() {
 		d.listCache, d.listCacheVersion = nil, d.version()
@@ -55,7 +55,7 @@
 	return d.listCache
 }
 
-// listAt is the whole list as it was at a version.
+// listAt is the full list as it was at a version.
 func (d *discoveryService) listAt(version int) []policy.Member {
 	if version == 0 {
 		return d.initial
@@ -138,7 +138,7 @@
 	sm.sendMembership(proxyIndex)
 }
 
-// sendMembership hands a proxy the changes since its version, or the whole list where that is shorter.
+// sendMembership hands a proxy the changes since its version, or the full list where that is shorter.
 func (sm *simulation) sendMembership(proxyIndex int32) {
 	p, d := &sm.proxies[proxyIndex], &sm.discovery
 	members := d.changes[p.listVersion:len(d.changes):len(d.changes)]
--- a/internal/fleetsim/model/eventqueue.go
+++ b/internal/fleetsim/model/eventqueue.go
@@ -14,7 +14,7 @@
 type eventQueue struct {
 	now    []event // heap: the present bucket and before
 	ring   [][]event
-	used   []uint64 // a bit for each bucket that holds something
+	used   []uint64 // bitmap of the buckets with events
 	far    []event  // heap: past the ring
 	bucket int64
 	seq    uint64
@@ -57,7 +57,7 @@
 	return heapPop(&q.now), true
 }
 
-// advance moves to the next bucket that holds something.
+// advance moves to the next bucket with events.
 func (q *eventQueue) advance() bool {
 	next := q.nextUsed()
 	if len(q.far) > 0 {
@@ -81,7 +81,7 @@
 	return true
 }
 
-// nextUsed is the number of the first bucket after the present one that holds something; -1: none does.
+// nextUsed is the number of the first bucket after the present one with events; -1: there is none.
 func (q *eventQueue) nextUsed() int64 {
 	start := (q.bucket + 1) & (ringSize - 1)
 	for step := int64(0); step <= ringSize/64; step++ {
--- a/internal/fleetsim/model/faults_test.go
+++ b/internal/fleetsim/model/faults_test.go
@@ -15,7 +15,7 @@
 	for _, unsafeRetries := range []float64{0, 1} {
 		sc := model.DefaultScenario()
 		sc.Duration, sc.Clients.UnsafeRetryShare, sc.Clients.AttemptTimeoutShare = 20*sec, unsafeRetries, 0.3
-		sc.Faults = []model.Fault{{Kind: "hang", Start: 5 * sec, Duration: 3 * sec, AffectedShare: 0.5}}
+		sc.Faults = []model.Fault{{Kind: model.FaultHang, Start: 5 * sec, Duration: 3 * sec, AffectedShare: 0.5}}
 		check := checker.New(&sc)
 		if _, err := model.Run(&sc, 2, baseline.NewFactory(baseline.PolicyTwoChoices), check); err != nil {
 			t.Fatal(err)
@@ -40,9 +40,9 @@
 	sc := model.DefaultScenario()
 	sc.Duration, sc.Load = 20*sec, 0.25
 	sc.Faults = []model.Fault{
-		{Kind: "deploy", Start: 2 * sec, Duration: 1 * sec, AffectedShare: 1, Magnitude: 1, Interval: 1 * sec},
-		{Kind: "deploy", Start: 5 * sec, Duration: 1 * sec, AffectedShare: 1, Magnitude: 1, Interval: 8 * sec},
-		{Kind: "flood", Start: 6 * sec, Duration: 4 * sec, Magnitude: 8},
+		{Kind: model.FaultDeploy, Start: 2 * sec, Duration: 1 * sec, AffectedShare: 1, Magnitude: 1, Interval: 1 * sec},
+		{Kind: model.FaultDeploy, Start: 5 * sec, Duration: 1 * sec, AffectedShare: 1, Magnitude: 1, Interval: 8 * sec},
+		{Kind: model.FaultTenantFlood, Start: 6 * sec, Duration: 4 * sec, Magnitude: 8},
 	}
 	sc.Discovery.DrainDelay = 20 * sec // so that they get requests while they drain
 	overloadedAt, followed := map[uint32]model.Time{}, 0
@@ -63,63 +63,86 @@
 	}
 }
 
-// TestRun_FleetFaults requires of faults of a fleet whom they affect: a lost zone's servers alone, all of them, are
-// back cold after the time; stopping proxies get no clients, lose no request, and start anew; clients of one zone send
-// more requests for a while; successors under new ids are listed and get requests.
-func TestRun_FleetFaults(t *testing.T) {
-	type count struct {
-		started, up, sent, requests map[uint32]int
-		down                        int
-	}
-	run := func(fault model.Fault) (c count, rep *checker.Report) {
-		sc := model.DefaultScenario()
-		sc.Duration, sc.Servers, sc.Proxies = 20*sec, 16, 20
-		sc.ZoneSkew, sc.Load, sc.Discovery.CallsPerSecond = 0, 0.3, 1000
-		sc.Faults = []model.Fault{fault}
-		c = count{map[uint32]int{}, map[uint32]int{}, map[uint32]int{}, map[uint32]int{}, 0}
-		check := checker.New(&sc)
-		if _, err := model.Run(&sc, 1, baseline.NewFactory(baseline.PolicyTwoChoices), observerFunc(func(r *model.Record) {
-			check.Observe(r)
-			switch {
-			case r.Kind == model.ServerStarted:
-				c.started[uint32(r.Zone)]++
-			case r.Kind == model.ProxyStarted && r.At > 0:
-				c.up[uint32(r.Proxy)]++
-			case r.Kind == model.ProxyStopped:
-				c.down++
-			case r.Kind == model.AttemptSent:
-				c.sent[r.Server]++
-			case r.Kind == model.RequestStarted && r.At > model.Time(fault.Start) &&
-				r.At < model.Time(fault.Start+fault.Duration):
-				c.requests[uint32(r.Zone)]++
-			}
-		})); err != nil {
-			t.Fatal(err)
-		}
-		rep, err := check.Report()
-		if err != nil {
-			t.Fatal(err)
+// fleetRun is what a fault did to a fleet of 16 servers and 20 proxies in 4 zones.
+type fleetRun struct {
+	report           *checker.Report
+	serversStarted   map[uint8]int  // by zone
+	attempts         map[uint32]int // by server
+	requests         map[uint8]int  // started while the fault was in force, by zone
+	proxiesRestarted map[int32]bool
+	proxiesStopped   int
+}
+
+func runFleetFault(t *testing.T, fault model.Fault) *fleetRun {
+	t.Helper()
+	sc := model.DefaultScenario()
+	sc.Duration, sc.Servers, sc.Proxies = 20*sec, 16, 20
+	sc.ZoneSkew, sc.Load, sc.Discovery.CallsPerSecond = 0, 0.3, 1000
+	sc.Faults = []model.Fault{fault}
+	run := &fleetRun{serversStarted: map[uint8]int{}, attempts: map[uint32]int{}, requests: map[uint8]int{},
+		proxiesRestarted: map[int32]bool{}}
+	check := checker.New(&sc)
+	observe := observerFunc(func(r *model.Record) {
+		check.Observe(r)
+		isInForce := r.At > model.Time(fault.Start) && r.At < model.Time(fault.Start+fault.Duration)
+		switch {
+		case r.Kind == model.ServerStarted:
+			run.serversStarted[r.Zone]++
+		case r.Kind == model.ProxyStarted && r.At > 0:
+			run.proxiesRestarted[r.Proxy] = true
+		case r.Kind == model.ProxyStopped:
+			run.proxiesStopped++
+		case r.Kind == model.AttemptSent:
+			run.attempts[r.Server]++
+		case r.Kind == model.RequestStarted && isInForce:
+			run.requests[r.Zone]++
 		}
-		return c, rep
+	})
+	if _, err := model.Run(&sc, 1, baseline.NewFactory(baseline.PolicyTwoChoices), observe); err != nil {
+		t.Fatal(err)
 	}
-	c, _ := run(model.Fault{Kind: "zone_lost", Start: 5 * sec, Interval: 3 * sec, From: "zone:2"})
-	if len(c.started) != 1 || c.started[2] < 4 {
-		t.Errorf("zone_lost: servers started by zone: %v", c.started)
+	var err error
+	if run.report, err = check.Report(); err != nil {
+		t.Fatal(err)
 	}
-	c, rep := run(model.Fault{Kind: "proxy_roll", Start: 2 * sec, Duration: 10 * sec, AffectedShare: 1, Magnitude: 0.2,
-		Interval: sec / 2})
-	if len(c.up) != 20 || c.down != 20 || rep.Answers.Failed > rep.Requests/200 || rep.ListedWithinP95 <= 0 {
-		t.Errorf("proxy_roll: %d of 20 started anew, %d went, %d of %d requests failed, lists within %v s",
-			len(c.up), c.down,
-			rep.Answers.Failed, rep.Requests, rep.ListedWithinP95)
+	return run
+}
+
+// All servers of a lost zone, and no others, are back cold after the time.
+func TestRun_ZoneLost(t *testing.T) {
+	run := runFleetFault(t, model.Fault{Kind: model.FaultZoneLost, Start: 5 * sec, Interval: 3 * sec, From: "zone:2"})
+	if len(run.serversStarted) != 1 || run.serversStarted[2] < 4 {
+		t.Errorf("servers started by zone: %v", run.serversStarted)
+	}
+}
+
+// Stopping proxies get no clients, lose no request, and start anew.
+func TestRun_ProxyRoll(t *testing.T) {
+	run := runFleetFault(t, model.Fault{Kind: model.FaultProxyRoll, Start: 2 * sec, Duration: 10 * sec,
+		AffectedShare: 1, Magnitude: 0.2, Interval: sec / 2})
+	report := run.report
+	if len(run.proxiesRestarted) != 20 || run.proxiesStopped != 20 || report.Answers.Failed > report.Requests/200 ||
+		report.ListedWithinP95 <= 0 {
+		t.Errorf("%d of 20 started anew, %d stopped, %d of %d requests failed, lists within %v s",
+			len(run.proxiesRestarted), run.proxiesStopped, report.Answers.Failed, report.Requests, report.ListedWithinP95)
 	}
-	c, _ = run(model.Fault{Kind: "shift", Start: 5 * sec, Duration: 5 * sec, From: "zone:3", Magnitude: 3})
-	if others, own := float64(c.requests[0]+c.requests[1]+c.requests[2])/3, float64(c.requests[3]); own < 2.5*others || own > 3.5*others {
-		t.Errorf("shift: requests by zone: %v", c.requests)
+}
+
+// Clients of the zone send more requests while the fault is in force.
+func TestRun_ZoneShift(t *testing.T) {
+	run := runFleetFault(t, model.Fault{Kind: model.FaultZoneShift, Start: 5 * sec, Duration: 5 * sec, From: "zone:3",
+		Magnitude: 3})
+	others, shifted := float64(run.requests[0]+run.requests[1]+run.requests[2])/3, float64(run.requests[3])
+	if shifted < 2.5*others || shifted > 3.5*others {
+		t.Errorf("requests by zone: %v", run.requests)
 	}
-	c, _ = run(model.Fault{Kind: "deploy", Start: 2 * sec, Duration: 2 * sec, AffectedShare: 1, Magnitude: 1,
-		Interval: sec, NewIDs: true})
-	if len(c.sent) != 32 {
-		t.Errorf("deploy under new ids: %d servers got requests, want 16 and their successors", len(c.sent))
+}
+
+// Successors under new ids are listed and get requests.
+func TestRun_DeployWithNewIDs(t *testing.T) {
+	run := runFleetFault(t, model.Fault{Kind: model.FaultDeploy, Start: 2 * sec, Duration: 2 * sec, AffectedShare: 1,
+		Magnitude: 1, Interval: sec, NewIDs: true})
+	if len(run.attempts) != 32 {
+		t.Errorf("%d servers got requests, want 16 and their successors", len(run.attempts))
 	}
 }
--- a/internal/fleetsim/model/faultschedule.go
+++ b/internal/fleetsim/model/faultschedule.go
@@ -15,7 +15,7 @@
 	faultStep // of the kinds that have steps, from the start on
 )
 
-// Once a proxy is told to stop, it gets new clients for stopAcceptDelay and has exited after stopExitDelay.
+// Once a proxy is stopped by a roll, it gets new clients for stopAcceptDelay and has exited after stopExitDelay.
 const (
 	stopAcceptDelay = 600_000
 	stopExitDelay   = 3_700_000
@@ -289,7 +289,7 @@
 
 func (sm *simulation) applyZoneShift(f *faultEvent) {
 	zone, factor := f.affected[0], max(minShiftFactor, f.Magnitude)
-	// Division and multiplication stand so for the sake of stored results: rounding must stay as it was.
+	// The order of division and multiplication fixes the rounding, and so the bytes of stored results.
 	if sm.zoneWeights[zone] /= factor; f.isStart() {
 		sm.zoneWeights[zone] *= factor * factor
 	}
--- a/internal/fleetsim/model/internal_test.go
+++ b/internal/fleetsim/model/internal_test.go
@@ -23,7 +23,7 @@
 // A scenario on a slower clock has all its times longer and nothing else changed; the original stays as it is.
 func TestScenario_TimeScaled(t *testing.T) {
 	sc := DefaultScenario()
-	sc.Faults = []Fault{{Kind: "report_late", Start: 4e6, Magnitude: 1.5}}
+	sc.Faults = []Fault{{Kind: FaultReportDelay, Start: 4e6, Magnitude: 1.5}}
 	if x := sc.TimeScaled(2); x.Classes[1].LatencyTarget != 2*sc.Classes[1].LatencyTarget ||
 		x.Published.WarmupTime != 2*sc.Published.WarmupTime || x.Faults[0].Magnitude != 3 ||
 		x.Faults[0].Start != 8e6 || x.Load != sc.Load ||
--- a/internal/fleetsim/model/lifecycle.go
+++ b/internal/fleetsim/model/lifecycle.go
@@ -9,7 +9,7 @@
 type exitKind bool
 
 const (
-	orderlyExit exitKind = true // discovery is told
+	orderlyExit exitKind = true // discovery is notified
 	crash       exitKind = false
 )
 
--- a/internal/fleetsim/model/record.go
+++ b/internal/fleetsim/model/record.go
@@ -21,7 +21,7 @@
 	ServerStarted                           // a server process starts, cold [Server]
 	ServerOverloaded                        // a cold server has crashed from overload [Server]
 	DiscoveryUpdated                        // discovery knows of a change [Members Version]
-	ProxyNotified                           // a proxy gets changes or the list [Proxy Members Version Flag=whole list]
+	ProxyNotified                           // a proxy gets changes or the list [Proxy Members Version Flag=full list]
 	DiscoveryCalled                         // a proxy calls discovery, or its call succeeded [Proxy Flag=succeeded]
 	WatchLost                               // a proxy's watch broke or its call failed [Proxy Flag=call failed]
 	ProxyStarted                            // a proxy starts with a cached list [Proxy Members Version]
@@ -56,6 +56,27 @@
 	Load     []float64       `json:"Load"` // requests per core of each server in service, ascending
 }
 
+// Served says of RequestEnded whether the client got an answer.
+func (r *Record) Served() bool { return r.Flag }
+
+// CrossesZones says of AttemptSent whether the server is in another zone.
+func (r *Record) CrossesZones() bool { return r.Flag }
+
+// AnswerUsed says of AttemptExecuted whether its answer is what the client gets.
+func (r *Record) AnswerUsed() bool { return r.Flag }
+
+// IsFullList says of ProxyNotified whether Members are the full list, not changes.
+func (r *Record) IsFullList() bool { return r.Flag }
+
+// CallSucceeded says of DiscoveryCalled whether it is the success of a call, not its start.
+func (r *Record) CallSucceeded() bool { return r.Flag }
+
+// CallFailed says of WatchLost whether a call failed, not a watch.
+func (r *Record) CallFailed() bool { return r.Flag }
+
+// MessageBytes is the size of a delivered message.
+func (r *Record) MessageBytes() int { return int(r.Span) }
+
 // recordKindNames are the names in traces, which users read: they stay as they are.
 var recordKindNames = [...]string{
 	SimulationStarted: "opening",
--- a/internal/fleetsim/model/run_test.go
+++ b/internal/fleetsim/model/run_test.go
@@ -35,36 +35,41 @@
 	sc := model.DefaultScenario()
 	sc.Duration, sc.Discovery.WatchLifetime, sc.BurstFactor, sc.BurstTime = 20*sec, 5*sec, 2, 1*sec
 	sc.Faults = []model.Fault{
-		{Kind: "hang", Start: 3 * sec, Duration: 4 * sec, AffectedShare: 0.2},
-		{Kind: "deploy", Start: 4 * sec, Duration: 12 * sec, AffectedShare: 0.9, Magnitude: 0.2, Interval: 2 * sec,
+		{Kind: model.FaultHang, Start: 3 * sec, Duration: 4 * sec, AffectedShare: 0.2},
+		{Kind: model.FaultDeploy, Start: 4 * sec, Duration: 12 * sec, AffectedShare: 0.9, Magnitude: 0.2, Interval: 2 * sec,
 			NewIDs: true},
-		{Kind: "proxy_kill", Start: 8 * sec, Duration: 1 * sec, AffectedShare: 0.5, Interval: 2 * sec},
-		{Kind: "restart", Start: 9 * sec, Duration: 1 * sec, AffectedShare: 0.2, Interval: 1 * sec},
-		{Kind: "zone_cut", Start: 10 * sec, Duration: 3 * sec},
-		{Kind: "reconnect_storm", Start: 12 * sec, Duration: 2 * sec, AffectedShare: 1, Interval: 500 * ms},
-		{Kind: "discovery_zone", Start: 6 * sec, Duration: 8 * sec},
-		{Kind: "retry_storm", Start: 13 * sec, Duration: 4 * sec, Magnitude: 3},
-		{Kind: "flood", Start: 14 * sec, Duration: 3 * sec, Magnitude: 2},
-		{Kind: "neighbour", Start: 2 * sec, Duration: 16 * sec, AffectedShare: 0.3, Magnitude: 0.5, Interval: 2 * sec},
-		{Kind: "gray", Start: 5 * sec, Duration: 9 * sec, AffectedShare: 0.1, Magnitude: 0.7},
-		{Kind: "fast_errors", Start: 7 * sec, Duration: 9 * sec, AffectedShare: 0.1, Magnitude: 0.6},
-		{Kind: "report_late", Start: 7 * sec, Duration: 9 * sec, AffectedShare: 1, Magnitude: 2},
-		{Kind: "cut", Start: 15 * sec, Duration: 2 * sec, From: "proxy:0", To: "server:3"},
-		{Kind: "discovery", Start: 16 * sec, Duration: 2 * sec},
+		{Kind: model.FaultProxyKill, Start: 8 * sec, Duration: 1 * sec, AffectedShare: 0.5, Interval: 2 * sec},
+		{Kind: model.FaultRestart, Start: 9 * sec, Duration: 1 * sec, AffectedShare: 0.2, Interval: 1 * sec},
+		{Kind: model.FaultZoneIsolated, Start: 10 * sec, Duration: 3 * sec},
+		{Kind: model.FaultReconnectStorm, Start: 12 * sec, Duration: 2 * sec, AffectedShare: 1, Interval: 500 * ms},
+		{Kind: model.FaultDiscoveryZoneOutage, Start: 6 * sec, Duration: 8 * sec},
+		{Kind: model.FaultRetryStorm, Start: 13 * sec, Duration: 4 * sec, Magnitude: 3},
+		{Kind: model.FaultTenantFlood, Start: 14 * sec, Duration: 3 * sec, Magnitude: 2},
+		{Kind: model.FaultNoisyNeighbour, Start: 2 * sec, Duration: 16 * sec, AffectedShare: 0.3, Magnitude: 0.5,
+			Interval: 2 * sec},
+		{Kind: model.FaultSlowdown, Start: 5 * sec, Duration: 9 * sec, AffectedShare: 0.1, Magnitude: 0.7},
+		{Kind: model.FaultErrors, Start: 7 * sec, Duration: 9 * sec, AffectedShare: 0.1, Magnitude: 0.6},
+		{Kind: model.FaultReportDelay, Start: 7 * sec, Duration: 9 * sec, AffectedShare: 1, Magnitude: 2},
+		{Kind: model.FaultPartition, Start: 15 * sec, Duration: 2 * sec, From: "proxy:0", To: "server:3"},
+		{Kind: model.FaultDiscoveryOutage, Start: 16 * sec, Duration: 2 * sec},
 	}
 	return sc
 }
 
 // TestRun_SameSeedSameRecords runs a scenario four times side by side and compares all records.
 func TestRun_SameSeedSameRecords(t *testing.T) {
-	for name, mk := range map[string]model.NodeFactory{"decide": newProductNode,
-		"least": baseline.NewFactory(baseline.PolicyLeastRequests), "truth": baseline.NewFactory(baseline.PolicyOracle)} {
+	for name, newNode := range map[string]model.NodeFactory{
+		"product":        newProductNode,
+		"least requests": baseline.NewFactory(baseline.PolicyLeastRequests),
+		"oracle":         baseline.NewFactory(baseline.PolicyOracle),
+	} {
 		var runs [4]recordDigest
 		var wg sync.WaitGroup
 		for i := range runs {
 			wg.Go(func() {
 				sc := scenarioWithAllFaults()
-				if _, err := model.Run(&sc, uint64(7+i/3), mk, &runs[i]); err != nil {
+				seed := uint64(7 + i/3) // the last has another
+				if _, err := model.Run(&sc, seed, newNode, &runs[i]); err != nil {
 					t.Error(name, err)
 				}
 			})
@@ -83,11 +88,11 @@
 // of requests that this incarnation never had, a second outcome.
 type invariantNode struct {
 	model.Node
-	t    *testing.T
-	now  model.Time
-	had  map[uint64]bool
-	out  map[string]bool
-	sent map[uint64]int
+	t        *testing.T
+	now      model.Time
+	received map[uint64]bool // requests of this incarnation
+	inFlight map[string]bool // attempts
+	sent     map[uint64]int  // attempts by request
 }
 
 func (s *invariantNode) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
@@ -97,25 +102,25 @@
 	s.now = now
 	switch ev.Kind {
 	case policy.RequestArrived:
-		if s.had[ev.ID] {
+		if s.received[ev.ID] {
 			s.t.Errorf("request %d came twice", ev.ID)
 		}
-		s.had[ev.ID] = true
+		s.received[ev.ID] = true
 	case policy.AttemptEnded:
 		key := fmt.Sprint(ev.ID, ev.Attempt)
-		if !s.out[key] {
+		if !s.inFlight[key] {
 			s.t.Errorf("at %d: an outcome of attempt %s, which this incarnation has not in flight", now, key)
 		}
-		delete(s.out, key)
+		delete(s.inFlight, key)
 	case policy.RequestAbandoned:
-		if !s.had[ev.ID] {
+		if !s.received[ev.ID] {
 			s.t.Errorf("request %d was abandoned and never came", ev.ID)
 		}
 	}
 	out = s.Node.Handle(now, ev, out)
 	for _, a := range out {
 		if a.Kind == policy.SendAttempt {
-			s.out[fmt.Sprint(a.ID, s.sent[a.ID])] = true
+			s.inFlight[fmt.Sprint(a.ID, s.sent[a.ID])] = true
 			s.sent[a.ID]++
 		}
 	}
@@ -131,7 +136,8 @@
 	_, err := model.Run(&sc, 3, func(set policy.Settings, seed uint64, _ *model.Oracle) (model.Node, error) {
 		starts++
 		b, err := policy.New(set, seed)
-		return &invariantNode{Node: b, t: t, had: map[uint64]bool{}, out: map[string]bool{}, sent: map[uint64]int{}}, err
+		return &invariantNode{Node: b, t: t, received: map[uint64]bool{}, inFlight: map[string]bool{},
+			sent: map[uint64]int{}}, err
 	}, check)
 	if err != nil {
 		t.Fatal(err)
@@ -170,7 +176,7 @@
 		sc.Network = model.Network{SameZone: 1, CrossZone: 1, Client: 1}
 		var sum, n float64
 		if _, err := model.Run(&sc, 5, baseline.NewFactory(baseline.PolicyRandom), observerFunc(func(r *model.Record) {
-			if r.Kind == model.RequestEnded && r.Flag {
+			if r.Kind == model.RequestEnded && r.Served() {
 				sum, n = sum+float64(r.Span), n+1
 			}
 		})); err != nil {
--- a/internal/fleetsim/model/validate_test.go
+++ b/internal/fleetsim/model/validate_test.go
@@ -19,10 +19,13 @@
 		"classes.0.deadline": func(sc *model.Scenario) { sc.Classes[0].Deadline = 1 },
 		"trouble.0.kind":     func(sc *model.Scenario) { sc.Faults = []model.Fault{{Kind: "flu"}} },
 		"trouble.0.from": func(sc *model.Scenario) {
-			sc.Faults = []model.Fault{{Kind: "cut", From: "zone:x",
+			sc.Faults = []model.Fault{{Kind: model.FaultPartition, From: "zone:x",
 				To: "servers"}}
 		},
-		"trouble.0.size":     func(sc *model.Scenario) { sc.Faults = []model.Fault{{Kind: "gray", Magnitude: 1.5}} },
+		"trouble.0.size": func(sc *model.Scenario) {
+			sc.Faults = []model.Fault{{Kind: model.FaultSlowdown,
+				Magnitude: 1.5}}
+		},
 		"discovery.break_in": func(sc *model.Scenario) { sc.Discovery.WatchLifetime = -1 },
 		"clients.over_share": func(sc *model.Scenario) { sc.Clients.OverQuotaValue = 2 },
 	} {
--- a/internal/fleetsim/plots/latency.go
+++ b/internal/fleetsim/plots/latency.go
@@ -16,7 +16,7 @@
 type percentileScale struct{}
 
 // Normalize is plot.Normalizer's.
-func (percentileScale) Normalize(min, max, x float64) float64 { return (x - min) / (max - min) }
+func (percentileScale) Normalize(least, most, x float64) float64 { return (x - least) / (most - least) }
 
 // Ticks is plot.Ticker's.
 func (percentileScale) Ticks(_, _ float64) []plot.Tick {
--- a/internal/fleetsim/progress/tables.go
+++ b/internal/fleetsim/progress/tables.go
@@ -9,7 +9,7 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// noPoint stands in tables for the point of an experiment without sweeps.
+// noPoint is in tables the point of an experiment without sweeps.
 const noPoint = "-"
 
 // PrintTable writes one line for each point and policy: the measures with their confidence intervals.
