--- a/internal/fleetsim/checker/coldservers.go
+++ b/internal/fleetsim/checker/coldservers.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if total > 0 && knowing >= knowingShare*total {
-		rec.Proxy = lastKnowing
+		rec.Proxy = lastKnowing // for the violation, and for observers that get the record after the checker
 		c.addViolation(rec, RuleColdServers,
 			"cold server %d fell over, %.1f s after its start, under %.2f s of work within %.2f s, %.0f%% of it from proxies that knew",
 			rec.Server, seconds(rec.At-s.started), total/microsPerSecond, seconds(Time(c.scenario.Overload.Window)),
--- a/internal/fleetsim/experiment/run.go
+++ b/internal/fleetsim/experiment/run.go
@@ -39,7 +39,8 @@
 
 // Run makes all runs of the experiment, as many at a time as there are workers, and hands each result to onResult in
 // the experiment's order, whichever ended first. A run that fails is a result with an Error. Run itself fails only if
-// onResult does, or ctx ends; its workers have ended when it returns.
+// onResult does, or ctx ends; its workers have ended when it returns. After an error of onResult the remaining runs
+// are still made.
 func (e *Experiment) Run(ctx context.Context, workers int, onResult func(*Result) error) error {
 	runs, err := e.plannedRuns()
 	if err != nil {
