--- a/internal/standalone/engine/call.go
+++ b/internal/standalone/engine/call.go
@@ -15,7 +15,7 @@
 	Class       uint8       // the class's number in the settings
 	Tenant      uint32      // the tenant's index in the settings
 	AffinityKey uint64      // what the request is about; 0: unknown
-	WorkHint    policy.Time // expected work, in microseconds on a standard core; 0: unknown
+	Work        policy.Time // expected work, in microseconds on a standard core; 0: unknown
 	Deadline    time.Time   // when the last attempt has to have ended
 	BodyPending bool        // the body is still coming; Call.BodySent follows
 }
@@ -51,7 +51,7 @@
 		Class:         r.Class,
 		Tenant:        r.Tenant,
 		AffinityKey:   r.AffinityKey,
-		Work:          r.WorkHint,
+		Work:          r.Work,
 		ClientTimeout: time.Until(r.Deadline).Microseconds(),
 		BodyPending:   r.BodyPending,
 	})
--- a/internal/standalone/forwarder/requestinfo.go
+++ b/internal/standalone/forwarder/requestinfo.go
@@ -10,11 +10,11 @@
 // RequestInfo is what a listener has read and checked of a request. The context that carries it ends at the client's
 // deadline, and with the cause context.Canceled when the client disconnects.
 type RequestInfo struct {
-	Class      uint8       // the class's number in the settings
-	Tenant     uint32      // the tenant's index in the settings
-	WorkHint   policy.Time // expected work, in microseconds on a standard core; 0: unknown
-	SessionKey uint64      // a hash of what the request is about, for affinity; 0: none
-	Body       []byte      // the complete body, or its start if there is a Stream
+	Class       uint8       // the class's number in the settings
+	Tenant      uint32      // the tenant's index in the settings
+	Work        policy.Time // expected work, in microseconds on a standard core; 0: unknown
+	AffinityKey uint64      // a hash of what the request is about, for affinity; 0: none
+	Body        []byte      // the complete body, or its start if there is a Stream
 	// Stream is the rest of a body that is too large to be buffered; nil: Body is complete. With a Stream the context has
 	// no deadline, as that counts from the body's last byte; it ends with cause context.DeadlineExceeded at that moment,
 	// and with the error of a body that breaks off.
--- a/internal/standalone/forwarder/transport.go
+++ b/internal/standalone/forwarder/transport.go
@@ -56,8 +56,8 @@
 	call := t.Engine.Start(engine.Request{
 		Class:       info.Class,
 		Tenant:      info.Tenant,
-		WorkHint:    info.WorkHint,
-		AffinityKey: info.SessionKey,
+		Work:        info.Work,
+		AffinityKey: info.AffinityKey,
 		Deadline:    deadline,
 		BodyPending: info.Stream != nil,
 	})
--- a/internal/standalone/listener/gate.go
+++ b/internal/standalone/listener/gate.go
@@ -144,7 +144,7 @@
 		Tenant:  int(accepted.info.Tenant),
 		Class:   int(accepted.info.Class),
 		Client:  maphash.String(g.clientSeed, host),
-		Work:    accepted.info.WorkHint,
+		Work:    accepted.info.Work,
 		IsRetry: singleValue(r.Header, retryHeader) == "1",
 	}
 	decided := make(chan admission.Decision, 1)
--- a/internal/standalone/listener/request.go
+++ b/internal/standalone/listener/request.go
@@ -159,7 +159,7 @@
 	if err != nil {
 		return requestHead{}, err
 	}
-	info := &forwarder.RequestInfo{WorkHint: workHint, SessionKey: hashSessionKey(singleValue(h, sessionKeyHeader))}
+	info := &forwarder.RequestInfo{Work: workHint, AffinityKey: hashSessionKey(singleValue(h, sessionKeyHeader))}
 	class, err := rr.begin(info, singleValue(h, classHeader), singleValue(h, tenantHeader))
 	if err != nil {
 		return requestHead{}, err
--- a/internal/standalone/listener/request_test.go
+++ b/internal/standalone/listener/request_test.go
@@ -27,7 +27,7 @@
 					t.Errorf("%s %s %v", r.Method, r.Host, r.Header)
 				}
 				deadline, _ := r.Context().Deadline()
-				if key := forwarder.RequestInfoFrom(r.Context()).SessionKey; key != xxhash.Sum64String("7f3a") {
+				if key := forwarder.RequestInfoFrom(r.Context()).AffinityKey; key != xxhash.Sum64String("7f3a") {
 					t.Errorf("key %x goes to the policy", key)
 				}
 				if left := time.Until(deadline); left != 480*time.Millisecond {
@@ -150,7 +150,7 @@
 			return
 		}
 		defer requests.end(head.info)
-		if info := head.info; info.Class > 1 || info.Tenant > 1 || info.WorkHint < 0 || head.timeLeft < 0 ||
+		if info := head.info; info.Class > 1 || info.Tenant > 1 || info.Work < 0 || head.timeLeft < 0 ||
 			head.timeLeft > 3*time.Second || id == "" || info.Class == 1 && key == "" {
 			t.Errorf("accepted: %+v, %v", info, head.timeLeft)
 		}
