--- a/internal/faulttest/clustertest/cluster_test.go
+++ b/internal/faulttest/clustertest/cluster_test.go
@@ -157,6 +157,7 @@
 type failures struct {
 	*cluster
 	stopped    string // instance that was stopped
+	target     string // instance that an operator moved the role to
 	leader     int    // member that led and was killed
 	copiedDisk string // of the leader, when it was killed
 }
@@ -211,22 +212,22 @@
 }
 
 func (f *failures) moveRole(t *testing.T) {
-	var target string
 	for i := range 3 {
 		if name := instanceName(i); name != f.stopped && name != f.holder() {
-			target = name
+			f.target = name
 		}
 	}
-	move := f.command("singleton", "move", testRole, target, "--fleet", f.fleetFile(operatorName))
+	move := f.command("singleton", "move", testRole, f.target, "--fleet", f.fleetFile(operatorName))
 	if out, err := move.CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	eventually(t, f.cluster, target+" holds the role", func() bool { return f.holder() == target })
+	eventually(t, f.cluster, f.target+" holds the role", func() bool { return f.holder() == f.target })
 }
 
+// readStatus: the role has stayed where it was moved.
 func (f *failures) readStatus(t *testing.T) {
 	status, _, err := f.status()
-	if err != nil || !status.HasQuorum || status.MostCurrent().Assignments[testRole].Holder != f.holder() {
+	if err != nil || !status.HasQuorum || status.MostCurrent().Assignments[testRole].Holder != f.target {
 		t.Errorf("status: %+v, %v", status, err)
 	}
 	f.leader = int(status.MostCurrent().Leader) - 1
@@ -242,7 +243,7 @@
 	}
 }
 
-// killLeader: the death of the leader does not move the role.
+// killLeader: the death of the leader does not move the role, which stays where an operator moved it.
 func (f *failures) killLeader(t *testing.T) {
 	f.copiedDisk = filepath.Join(f.dir, "copy")
 	f.processes[memberName(f.leader)].Kill()
@@ -253,8 +254,8 @@
 	eventually(t, f.cluster, "the role goes on without the leader", func() bool {
 		return f.lastAccepted(testRole).At.After(killedAt.Add(2 * time.Second))
 	})
-	if after := f.lastAccepted(testRole); after.Token != before.Token || after.From != before.From {
-		t.Errorf("the leader's death moved the role: %+v, before %+v", after, before)
+	if after := f.lastAccepted(testRole); after.Token != before.Token || after.From != f.target {
+		t.Errorf("the leader's death moved the role from %s: %+v, before %+v", f.target, after, before)
 	}
 }
 
