--- a/internal/standalone/backend/stream_test.go
+++ b/internal/standalone/backend/stream_test.go
@@ -16,14 +16,16 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// checkOpenConnections waits until the pool has that many connections, or fails. A connection is closed just after the
-// reader has got the end of its response; one that is kept wrongly would stay for the pool's idle time, a minute.
+// checkOpenConnections checks how many connections the pool comes to have, all of them idle: one that is still to be closed
+// counts as open too. A connection is released just after the reader has seen the end of its response; one that is kept wrongly
+// would stay for the pool's idle time, a minute.
 func checkOpenConnections(t *testing.T, pool *Pool, want int) {
 	t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
-	for pool.OpenConnections() != want {
+	for pool.OpenConnections() != want || pool.TableSizes().IdleConnections != want {
 		if time.Now().After(deadline) {
-			t.Errorf("%d connections are open, want %d", pool.OpenConnections(), want)
+			t.Errorf("%d connections are open, %d of them idle, want %d", pool.OpenConnections(),
+				pool.TableSizes().IdleConnections, want)
 			return
 		}
 		runtime.Gosched()
