--- a/internal/controlplane/configuration/parse.go
+++ b/internal/controlplane/configuration/parse.go
@@ -23,7 +23,8 @@
 
 // Parse reads a document. Where it is JSON, the error is a *docreader.Error with every fault and its path.
 func Parse(document []byte) (*Config, error) {
-	root, findings, err := decode(document)
+	findings := &docreader.Findings{}
+	root, err := decode(document, findings)
 	if err != nil {
 		return nil, err
 	}
@@ -36,18 +37,17 @@
 }
 
 // decode reads a JSON object, with its numbers as json.Number.
-func decode(document []byte) (docreader.Node, *docreader.Findings, error) {
+func decode(document []byte, findings *docreader.Findings) (docreader.Node, error) {
 	decoder := json.NewDecoder(bytes.NewReader(document))
 	decoder.UseNumber()
 	var value map[string]any
 	if err := decoder.Decode(&value); err != nil {
-		return docreader.Node{}, nil, errors.Wrap(err, "not a whole JSON object")
+		return docreader.Node{}, errors.Wrap(err, "not a whole JSON object")
 	}
 	if decoder.More() {
-		return docreader.Node{}, nil, errors.New("more than one JSON value")
+		return docreader.Node{}, errors.New("more than one JSON value")
 	}
-	findings := &docreader.Findings{}
-	return docreader.Root(value, findings), findings, nil
+	return docreader.Root(value, findings), nil
 }
 
 func readConfig(root docreader.Node, findings *docreader.Findings) *Config {
--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -75,10 +75,10 @@
 func (c *controller) run(ctx context.Context) {
 	poller := distribution.NewPoller(c.loop.self.Identity, &leaseHolderSubscriber{loop: c.loop}, leaseHolderPollWait)
 	go poller.Run(ctx)
-	urgent := make(chan struct{}, 1)
+	unmetDemand := make(chan struct{}, 1)
 	c.loop.hub.SetOnUnmetDemand(func() {
 		select {
-		case urgent <- struct{}{}:
+		case unmetDemand <- struct{}{}:
 		default:
 		}
 	})
@@ -90,7 +90,7 @@
 			return
 		case event := <-c.events:
 			event(time.Now())
-		case <-urgent: // the lease holder itself collects demand from its hub with every tick
+		case <-unmetDemand: // the lease holder itself collects demand from its hub with every tick
 			if _, holds := c.lease(time.Now()); !holds {
 				go poller.PollNow(ctx)
 			}
--- a/internal/controlplane/coordinator/lease_holder_subscriber.go
+++ b/internal/controlplane/coordinator/lease_holder_subscriber.go
@@ -19,7 +19,7 @@
 // on to its proxies, and reports what the hub gathered from them.
 type leaseHolderSubscriber struct {
 	loop  *replicaLoop
-	mutex sync.Mutex // urgent reports run beside the polls
+	mutex sync.Mutex // reports of unmet demand (Poller.PollNow) run beside the polls
 
 	digest   uint64 // of backends; 0: none
 	backends *discovery.BackendList
--- a/internal/controlplane/distribution/config_copy_test.go
+++ b/internal/controlplane/distribution/config_copy_test.go
@@ -12,7 +12,7 @@
 
 // A subscriber that has an earlier configuration gets a delta, and requests the full document where that does not apply.
 func TestConfigCopy_AppliesDeltas(t *testing.T) {
-	hub := newTestHub(t, true)
+	hub := newServingHub(t)
 	routes := strings.Repeat(`{"name":"route","host":"h.example","pathStart":"/a/"},`, 100)
 	first := message.ConfigUpdate{Sequence: 1, Document: []byte(`{"version":1,"routes":[` + routes + `]}`)}
 	second := message.ConfigUpdate{Sequence: 2, Document: []byte(`{"version":2,"routes":[` + routes + `]}`)}
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -13,17 +13,21 @@
 	"pumiceline/internal/message"
 )
 
-// newTestHub runs a hub until the test ends, of a coordinator that serves or does not.
-func newTestHub(t *testing.T, serving bool) *Hub {
+// newServingHub runs the hub of a coordinator that serves, until the test ends.
+func newServingHub(t *testing.T) *Hub {
+	t.Helper()
+	hub := newUnavailableHub(t)
+	hub.SetStatus(Status{Members: hub.status.Load().Members, ServingUntil: time.Now().Add(time.Hour)})
+	return hub
+}
+
+// newUnavailableHub runs the hub of a coordinator that does not serve, until the test ends.
+func newUnavailableHub(t *testing.T) *Hub {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	hub := NewHub()
-	status := Status{Members: []message.Member{{Address: "m"}}}
-	if serving {
-		status.ServingUntil = time.Now().Add(time.Hour)
-	}
-	hub.SetStatus(status)
+	hub.SetStatus(Status{Members: []message.Member{{Address: "m"}}})
 	go hub.Run(ctx)
 	return hub
 }
@@ -43,7 +47,7 @@
 }
 
 func TestHub_SendsOnlyNewerVersions(t *testing.T) {
-	hub := newTestHub(t, true)
+	hub := newServingHub(t)
 	hub.SetConfig(message.ConfigUpdate{Sequence: 3, Document: []byte("c")})
 	hub.SetBackends(backendList("b", time.Now()))
 	first := poll(t, hub, "p", message.PollRequest{})
@@ -56,7 +60,7 @@
 }
 
 func TestHub_AnswersPendingPollOnNewConfig(t *testing.T) {
-	hub := newTestHub(t, true)
+	hub := newServingHub(t)
 	response := make(chan *message.Message, 1)
 	hub.HandlePoll("p", message.PollRequest{MaxWaitMs: 60_000}, func(m *message.Message) { response <- m })
 	hub.SetConfig(message.ConfigUpdate{Sequence: 1})
@@ -64,14 +68,14 @@
 }
 
 func TestHub_RejectsPollsWhileNotServing(t *testing.T) {
-	response := poll(t, newTestHub(t, false), "p", message.PollRequest{MaxWaitMs: 60_000})
+	response := poll(t, newUnavailableHub(t), "p", message.PollRequest{MaxWaitMs: 60_000})
 	assert.True(t, response.Unavailable)
 	assert.Equal(t, "m", response.Members[0].Address)
 }
 
 // A process that was paused or partitioned finds by the clock that its time to serve is over, whatever its last status.
 func TestHub_StopsServingAtServingUntil(t *testing.T) {
-	hub := newTestHub(t, true)
+	hub := newServingHub(t)
 	hub.SetConfig(message.ConfigUpdate{Sequence: 1})
 	assert.NotNil(t, poll(t, hub, "p", message.PollRequest{}).Config)
 	hub.SetStatus(Status{ServingUntil: time.Now().Add(-time.Millisecond)})
@@ -81,7 +85,7 @@
 }
 
 func TestHub_IgnoresOlderConfigAndBackends(t *testing.T) {
-	hub := newTestHub(t, true)
+	hub := newServingHub(t)
 	now := time.Now()
 	hub.SetConfig(message.ConfigUpdate{Sequence: 5})
 	hub.SetConfig(message.ConfigUpdate{Sequence: 4})
@@ -93,7 +97,7 @@
 }
 
 func TestHub_CollectDemandSumsOverSubscribers(t *testing.T) {
-	hub := newTestHub(t, true)
+	hub := newServingHub(t)
 	for _, from := range []string{"p", "q"} {
 		poll(t, hub, from, message.PollRequest{
 			Proxies: 1, Demand: []message.ModelDemand{{Service: "s", Model: "m", Arrivals: 2, Waiting: 1}},
@@ -110,7 +114,7 @@
 }
 
 func TestHub_SendsTotalLoadsAsDeltas(t *testing.T) {
-	hub := newTestHub(t, true)
+	hub := newServingHub(t)
 	report := func(inFlight ...int) {
 		var loads []message.BackendLoad
 		for i, count := range inFlight {
--- a/internal/controlplane/distribution/inflight/table.go
+++ b/internal/controlplane/distribution/inflight/table.go
@@ -31,13 +31,16 @@
 // NewTable makes an empty table.
 func NewTable() *Table { return &Table{entries: map[message.BackendID]map[string]entry{}} }
 
-// Report records what a reporter has in flight now; complete says that it has nothing at any backend that is not named.
-func (t *Table) Report(reporter string, loads []message.BackendLoad, complete bool, now time.Time) {
-	if complete {
-		for backend := range t.entries {
-			t.remove(backend, reporter)
-		}
+// Replace records what a reporter has in flight now, at all backends: at those that loads do not name it has nothing.
+func (t *Table) Replace(reporter string, loads []message.BackendLoad, now time.Time) {
+	for backend := range t.entries {
+		t.remove(backend, reporter)
 	}
+	t.Update(reporter, loads, now)
+}
+
+// Update records what a reporter has in flight now at some backends.
+func (t *Table) Update(reporter string, loads []message.BackendLoad, now time.Time) {
 	for _, load := range loads {
 		if load.InFlight <= 0 && load.QueuedPrefillMs <= 0 {
 			t.remove(load.Backend, reporter)
--- a/internal/controlplane/distribution/load_query.go
+++ b/internal/controlplane/distribution/load_query.go
@@ -13,7 +13,11 @@
 func (h *Hub) HandleLoadReport(proxy string, report *message.LoadReport, reply func(*message.Message)) {
 	h.commands <- func(s *state) {
 		now := time.Now()
-		s.inFlight.Report(proxy, report.Loads, report.Complete, now)
+		if report.Complete {
+			s.inFlight.Replace(proxy, report.Loads, now)
+		} else {
+			s.inFlight.Update(proxy, report.Loads, now)
+		}
 		if report.ID == 0 {
 			return
 		}
--- a/internal/controlplane/distribution/load_query_test.go
+++ b/internal/controlplane/distribution/load_query_test.go
@@ -22,6 +22,7 @@
 	defer cancel()
 	go hub.Run(ctx)
 	query := func(proxy string, report message.LoadReport) *message.LoadResponse {
+		t.Helper()
 		answer := make(chan *message.Message, 1)
 		report.ID = 7
 		hub.HandleLoadReport(proxy, &report, func(m *message.Message) { answer <- m })
--- a/internal/controlplane/distribution/poller_test.go
+++ b/internal/controlplane/distribution/poller_test.go
@@ -51,7 +51,7 @@
 }
 
 func TestPoller_FailsOverToServingHub(t *testing.T) {
-	unavailable, serving := newTestHub(t, false), newTestHub(t, true)
+	unavailable, serving := newUnavailableHub(t), newServingHub(t)
 	serving.SetConfig(message.ConfigUpdate{Sequence: 8})
 	dead, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/internal/controlplane/replica/agreement_model_test.go
+++ b/internal/controlplane/replica/agreement_model_test.go
@@ -29,8 +29,8 @@
 	modelSeeds = 600
 )
 
-func newAgreementModel(seed uint64, count int, forgetful bool) *agreementModel {
-	m := &agreementModel{random: rand.New(rand.NewPCG(seed, 1)), forgetful: forgetful, decided: map[string]bool{}}
+func newAgreementModel(seed uint64, count int) *agreementModel {
+	m := &agreementModel{random: rand.New(rand.NewPCG(seed, 1)), decided: map[string]bool{}}
 	seeds := lo.Times(count, address)
 	for i := range count {
 		options := Options{
@@ -114,7 +114,7 @@
 	decided := 0
 	for seed := range uint64(modelSeeds) {
 		for _, count := range []int{3, 5} {
-			model := newAgreementModel(seed, count, false)
+			model := newAgreementModel(seed, count)
 			model.run()
 			require.LessOrEqual(t, len(model.decided), 1, "seed %d, %d members: %v", seed, count, model.decided)
 			decided += len(model.decided)
@@ -126,7 +126,8 @@
 // The model can fail: members that forget their promises in a restart decide two views.
 func TestAgreementModel_FindsForgottenPromises(t *testing.T) {
 	for seed := range uint64(modelSeeds) {
-		model := newAgreementModel(seed, 3, true)
+		model := newAgreementModel(seed, 3)
+		model.forgetful = true
 		model.run()
 		if len(model.decided) > 1 {
 			t.Logf("seed %d: %v", seed, model.decided)
--- a/internal/controlplane/replica/catch_up_test.go
+++ b/internal/controlplane/replica/catch_up_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net/http"
 	"testing"
 	"time"
 
@@ -37,7 +36,7 @@
 		assert.Equal(t, uint64(count), restarted.CommittedState().Version)
 		assert.LessOrEqual(t, len(restarted.chain.History), maxHistory)
 		assert.True(t, restarted.IsSynced())
-		c.request(2, http.MethodGet, "", "")
+		c.get(2)
 		require.Len(t, c.responses, 1)
 		assert.Equal(t, fmt.Sprintf(`{"version":%d}`, count), string(c.responses[0].Body))
 	}
--- a/internal/controlplane/replica/chain_replication.go
+++ b/internal/controlplane/replica/chain_replication.go
@@ -83,7 +83,7 @@
 	switch {
 	case replicate.Snapshot != nil:
 		r.installSnapshot(*replicate.Snapshot)
-	case isSame && r.chain.Sequence == replicate.Sequence:
+	case isSame && r.chain.Sequence == replicate.Sequence: // there is nothing to apply
 	case replicate.Change != nil && r.applyChange(replicate.Change) == nil:
 	default:
 		r.send(predecessor, message.Message{SnapshotRequest: &message.SnapshotRequest{Full: true}})
@@ -93,7 +93,7 @@
 	r.markSynced()
 	isNew := isFirst || replicate.Change != nil || replicate.Snapshot != nil
 	if !isNew && r.now-r.link.forwardedAt < replicateRetryInterval {
-		return
+		return // the predecessor repeats its digest; the successor was sent this state a moment ago
 	}
 	if replicate.Snapshot != nil {
 		replicate = nil // the successor asks for a snapshot if it needs one
--- a/internal/controlplane/replica/chain_replication_test.go
+++ b/internal/controlplane/replica/chain_replication_test.go
@@ -15,7 +15,7 @@
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
 	c.transcript = nil
-	c.request(1, http.MethodPut, "0", "\x05x")
+	c.put(1, 0, testDocument(5, "x"))
 	require.Len(t, c.responses, 1)
 	assert.Equal(t, http.StatusOK, c.responses[0].Status)
 	assert.Equal(t, []string{
@@ -30,9 +30,9 @@
 func TestReplication_StateOnlyGrowsWithinView(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
-	c.request(0, http.MethodPut, "0", "\x05x")
+	c.put(0, 0, testDocument(5, "x"))
 	old := c.members[1].CommittedState()
-	c.request(0, http.MethodPut, "5", "\x06y")
+	c.put(0, 5, testDocument(6, "y"))
 	tail := c.members[2]
 	late := &message.Message{
 		From: "seed-m1", FromAddress: "m1", To: "seed-m2", View: tail.View().Number,
--- a/internal/controlplane/replica/cluster_test.go
+++ b/internal/controlplane/replica/cluster_test.go
@@ -49,14 +49,16 @@
 	t.Helper()
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
-	c.request(0, http.MethodPut, "0", "\x05x")
+	c.put(0, 0, testDocument(5, "x"))
 	c.unreachable = []int{2}
 	c.advance(2*time.Second, 2)
 	return c
 }
 
-// testValidator accepts every change on top of the current version. The version of a change is the first byte of its
-// body.
+// testDocument is a configuration of a version. The version is its first byte; text distinguishes documents.
+func testDocument(version byte, text string) string { return string([]byte{version}) + text }
+
+// testValidator accepts every change on top of the current version. Its digest is the document itself.
 func testValidator(state *message.ChainState, request *message.ConfigRequest) ValidationResult {
 	for _, change := range state.History {
 		if string(change.Digest) == string(request.Body) {
@@ -160,12 +162,18 @@
 	}
 }
 
-// request sends an operator's request to a member and delivers all messages.
-func (c *testCluster) request(at int, method, ifMatch, body string) {
+// put sends an operator's change on top of a version to a member, and delivers all messages.
+func (c *testCluster) put(at int, base uint64, document string) {
+	c.request(at, &message.ConfigRequest{Method: http.MethodPut, IfMatch: fmt.Sprint(base), Body: []byte(document)})
+}
+
+// get sends an operator's read to a member, and delivers all messages.
+func (c *testCluster) get(at int) { c.request(at, &message.ConfigRequest{Method: http.MethodGet}) }
+
+// request sends an operator's request to a member, as its API does, and delivers all messages.
+func (c *testCluster) request(at int, request *message.ConfigRequest) {
 	member := c.members[at]
-	request := &message.ConfigRequest{
-		ID: uint64(len(c.responses) + 1), Method: method, IfMatch: ifMatch, Body: []byte(body),
-	}
+	request.ID = uint64(len(c.responses) + 1)
 	m := &message.Message{
 		From: member.Identity(), FromAddress: address(at), To: member.Identity(), View: member.View().Number,
 		ConfigRequest: request,
--- a/internal/controlplane/replica/config_requests_test.go
+++ b/internal/controlplane/replica/config_requests_test.go
@@ -12,15 +12,15 @@
 func TestConfigRequest_ReadsAndRejectionsAskMajority(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
-	c.request(0, http.MethodPut, "0", "\x05x")
+	c.put(0, 0, testDocument(5, "x"))
 	c.transcript = nil
-	c.request(0, http.MethodGet, "", "")
-	c.request(2, http.MethodPut, "3", "\x09y")
+	c.get(0)
+	c.put(2, 3, testDocument(9, "y"))
 	assert.Equal(t, []string{
 		"m2 -> m0: confirm", "m2 -> m1: confirm", "m2 -> m2: confirm",
 		"m0 -> m0: confirm", "m0 -> m1: confirm", "m0 -> m2: confirm",
 	}, c.transcript)
 	require.Len(t, c.responses, 3)
-	assert.Equal(t, "\x05x", string(c.responses[1].Body))
+	assert.Equal(t, testDocument(5, "x"), string(c.responses[1].Body))
 	assert.Equal(t, http.StatusPreconditionFailed, c.responses[2].Status)
 }
--- a/internal/controlplane/replica/heartbeat.go
+++ b/internal/controlplane/replica/heartbeat.go
@@ -17,6 +17,16 @@
 	viewChangeWantedSince instant       // since when this member could propose and a view change was due, without a gap
 }
 
+// recordSuspicion records whether some member of the chain is suspected now.
+func (t *membershipTimers) recordSuspicion(isSuspected bool, now time.Duration) {
+	switch {
+	case !isSuspected:
+		t.suspectedSince = instant{}
+	case !t.suspectedSince.known:
+		t.suspectedSince = instantAt(now)
+	}
+}
+
 // tickMembership sends heartbeats and reports as a member, and join requests outside the chain.
 func (r *Replica) tickMembership() {
 	interval := heartbeatInterval
--- a/internal/controlplane/replica/join_test.go
+++ b/internal/controlplane/replica/join_test.go
@@ -1,7 +1,6 @@
 package replica
 
 import (
-	"net/http"
 	"testing"
 	"time"
 
@@ -24,7 +23,7 @@
 func TestJoin_EmptyDiskMakesNewMember(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
-	c.request(0, http.MethodPut, "0", "\x05x")
+	c.put(0, 0, testDocument(5, "x"))
 	options := c.members[1].options
 	options.FirstStart = false
 	options.Self.Identity = "fresh"
--- a/internal/controlplane/replica/next_view.go
+++ b/internal/controlplane/replica/next_view.go
@@ -27,7 +27,9 @@
 	alive := lo.Reject(current.Members, func(m message.Member, _ int) bool { return isSuspected(m) })
 	joining := r.joiningMembers(suspected)
 	staying := r.removeLeaving(alive)
-	if !r.canRemoveSuspected(alive, len(suspected)) || len(staying)+len(joining) < r.minChainLength() {
+	r.timers.recordSuspicion(len(suspected) > 0, r.now)
+	if !r.canRemoveSuspected(alive) || len(staying)+len(joining) < r.minChainLength() {
+		// The suspected members stay for now, but for those whose address another process has: they are certainly gone.
 		staying = lo.Filter(current.Members, func(m message.Member, _ int) bool {
 			return containsMember(staying, m.Identity) || isSuspected(m) && !r.isAddressTaken(m)
 		})
@@ -71,16 +73,9 @@
 // canRemoveSuspected reports whether the suspected members may be removed from the chain: when more of the others than
 // the tolerance are complete. While others are still catching up it waits for up to incompleteChainTimeout, and no
 // longer, as nothing is acknowledged meanwhile.
-func (r *Replica) canRemoveSuspected(alive []message.Member, suspectedCount int) bool {
-	since := &r.timers.suspectedSince
-	if suspectedCount == 0 {
-		*since = instant{}
-		return true
-	}
-	if !since.known {
-		*since = instantAt(r.now)
-	}
-	return r.toleratesLossOf(alive) || r.now-since.at >= incompleteChainTimeout
+func (r *Replica) canRemoveSuspected(alive []message.Member) bool {
+	since := r.timers.suspectedSince
+	return !since.known || r.toleratesLossOf(alive) || r.now-since.at >= incompleteChainTimeout
 }
 
 // removeLeaving removes the members that leave, as soon as enough of the others are complete.
@@ -117,6 +112,8 @@
 	present := lo.Filter(staying, func(m message.Member, _ int) bool {
 		return containsMember(alive, m.Identity) && r.hasHeardFrom(m) && !r.yieldsToDurableMembers(m)
 	})
+	// This selection only pairs joining members with the voters that they replace. The voters are selected below, when it is
+	// known who is admitted.
 	admitted := r.admissibleMembers(joining, len(staying), r.newVoterSelection(present))
 	next.Members = slices.Concat(staying, admitted)
 	r.fillInDetails(next.Members)
--- a/internal/controlplane/replica/next_view_test.go
+++ b/internal/controlplane/replica/next_view_test.go
@@ -1,7 +1,6 @@
 package replica
 
 import (
-	"net/http"
 	"testing"
 	"time"
 
@@ -31,7 +30,7 @@
 	// A second loss right after it leaves a majority.
 	c.unreachable = []int{1, 2}
 	c.advance(4*time.Second, 1, 2)
-	c.request(0, http.MethodPut, "0", "\x05x")
+	c.put(0, 0, testDocument(5, "x"))
 	assert.Len(t, c.responses, 1)
 }
 
@@ -46,7 +45,7 @@
 	assert.False(t, c.members[0].IsMember(), "it leaves once two others hold the state")
 	c.unreachable = []int{0, 2}
 	c.advance(2*time.Second, 0, 2)
-	c.request(1, http.MethodPut, "5", "\x06y")
+	c.put(1, 5, testDocument(6, "y"))
 	assert.Len(t, c.responses, 2)
 }
 
@@ -54,7 +53,7 @@
 func TestNextView_KeepsOnlyCompleteMember(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
-	c.request(0, http.MethodPut, "0", "\x05x")
+	c.put(0, 0, testDocument(5, "x"))
 	c.unreachable = []int{1, 2}
 	c.advance(500*time.Millisecond, 1, 2)
 	c.restartWithEmptyDisk(1, "second-m1")
@@ -74,16 +73,16 @@
 	c.advance(2 * time.Second)
 	c.unreachable = []int{2}
 	c.advance(2*time.Second, 2)
-	c.request(0, http.MethodPut, "0", "\x05x")
+	c.put(0, 0, testDocument(5, "x"))
 	require.Len(t, c.responses, 1)
 	require.Len(t, c.members[0].View().Members, 2)
 	require.Len(t, c.members[0].View().EffectiveVoters(), 3)
 	c.restartWithEmptyDisk(0, "second-m0") // and the third member is back
 	c.unreachable = nil
 	c.advance(4 * time.Second)
-	c.request(2, http.MethodGet, "", "")
+	c.get(2)
 	require.Len(t, c.responses, 2)
-	assert.Equal(t, "\x05x", string(c.responses[1].Body))
+	assert.Equal(t, testDocument(5, "x"), string(c.responses[1].Body))
 	assert.Len(t, c.members[1].View().Members, 3)
 }
 
@@ -116,7 +115,7 @@
 	c.advance(time.Second)
 	c.advance(2*time.Second, 1)
 	require.Len(t, c.members[0].View().Members, 2, "in well under two seconds")
-	c.request(0, http.MethodPut, "0", "\x05x")
+	c.put(0, 0, testDocument(5, "x"))
 	require.Len(t, c.responses, 1, "the rest can still take changes")
 	c.advance(2 * time.Second)
 	require.Len(t, c.members[0].View().Members, 3)
@@ -159,7 +158,7 @@
 	require.Len(t, c.members[1].View().EffectiveVoters(), 3)
 	c.unreachable = []int{0, 1}
 	c.advance(2*time.Second, 0, 1)
-	c.request(2, http.MethodPut, "0", "\x05x")
+	c.put(2, 0, testDocument(5, "x"))
 	assert.Len(t, c.responses, 1)
 }
 
--- a/internal/controlplane/replica/proposer_test.go
+++ b/internal/controlplane/replica/proposer_test.go
@@ -1,7 +1,6 @@
 package replica
 
 import (
-	"net/http"
 	"testing"
 	"time"
 
@@ -45,9 +44,9 @@
 	c.advance(5*time.Second, 1, 2)
 	assert.Equal(t, message.ViewNumber(1), c.members[0].View().Number)
 	c.unreachable = []int{1, 2}
-	c.request(0, http.MethodPut, "0", "\x05x")
-	c.request(0, http.MethodPut, "7", "\x09y")
-	c.request(0, http.MethodGet, "", "")
+	c.put(0, 0, testDocument(5, "x"))
+	c.put(0, 7, testDocument(9, "y"))
+	c.get(0)
 	assert.Empty(t, c.responses, "neither an acknowledgement nor a rejection nor a read")
 }
 
--- a/internal/controlplane/simulation/cluster.go
+++ b/internal/controlplane/simulation/cluster.go
@@ -86,7 +86,7 @@
 		c.slots = append(c.slots, c.addNode(slot))
 	}
 	for _, n := range c.slots {
-		c.after(c.randomDuration(startSpread), func() { n.start(true) })
+		c.after(c.randomDuration(startSpread), func() { n.start(firstStart) })
 	}
 }
 
--- a/internal/controlplane/simulation/machine_faults.go
+++ b/internal/controlplane/simulation/machine_faults.go
@@ -33,7 +33,7 @@
 	generation := n.generation
 	c.after(downtime, func() {
 		if n.generation == generation && c.slots[n.slot] == n {
-			n.start(false)
+			n.start(laterStart)
 		}
 	})
 }
@@ -48,7 +48,7 @@
 	n.generation++
 	c.after(delay, func() {
 		if c.slots[n.slot] == successor { // else it was replaced before it started
-			successor.start(false)
+			successor.start(laterStart)
 		}
 	})
 }
@@ -59,7 +59,7 @@
 		return
 	}
 	successor := c.addSuccessor(n, shutdownGrace)
-	successor.start(false)
+	successor.start(laterStart)
 	c.slots[n.slot] = successor
 	c.after(plannedOverlap, func() {
 		c.shutDownGracefully(n, func() {
--- a/internal/controlplane/simulation/node.go
+++ b/internal/controlplane/simulation/node.go
@@ -73,8 +73,16 @@
 	return seeds
 }
 
+// startKind says whether a process starts with the whole cluster or later.
+type startKind bool
+
+const (
+	firstStart startKind = true
+	laterStart startKind = false
+)
+
 // start starts the process from what is on the disk.
-func (n *node) start(isFirstStart bool) {
+func (n *node) start(kind startKind) {
 	n.generation++
 	n.startedAt = n.cluster.now
 	n.frozen, n.receivedWhileFrozen, n.pendingOutputs, n.isWriting = false, nil, nil, false
@@ -87,7 +95,7 @@
 	options := replica.Options{
 		Self:  message.Member{Address: n.address, Identity: identity, Zone: n.zone()},
 		Seeds: n.cluster.seedAddresses(), Tolerance: n.cluster.options.Tolerance, LeaseDuration: leaseDuration,
-		FirstStart: isFirstStart, Diskless: n.isDiskless(), Incarnation: n.incarnation,
+		FirstStart: kind == firstStart, Diskless: n.isDiskless(), Incarnation: n.incarnation,
 	}
 	control, chain := n.load()
 	n.corruptControlState(&control)
--- a/internal/dataplane/proxy/demandnotifier.go
+++ b/internal/dataplane/proxy/demandnotifier.go
@@ -7,7 +7,7 @@
 	"pumiceline/internal/controlplane/distribution"
 )
 
-// minNotifyInterval is the least time between two polls for urgent demand.
+// minNotifyInterval is the least time between two polls for unmet demand.
 const minNotifyInterval = 60 * time.Millisecond
 
 // demandNotifier reports demand to the coordinators at once when a request waits for a model that no backend has
