--- a/internal/dataplane/balancer/completion.go
+++ b/internal/dataplane/balancer/completion.go
@@ -40,6 +40,7 @@
 	b.answerQueued(now)
 }
 
+// endPrefill removes the request's prefill from what is queued at the backend, once for each attempt.
 func (b *Balancer) endPrefill(request *Request, backend *Backend) {
 	if request.isPrefilling {
 		b.changedLoads[backend.ID] = backend
--- a/internal/dataplane/balancer/endpoints.go
+++ b/internal/dataplane/balancer/endpoints.go
@@ -78,6 +78,7 @@
 	return removed
 }
 
+// service returns the backends of a service, which is added if it is new.
 func (b *Balancer) service(name string) *endpointSet {
 	s := b.services[name]
 	if s == nil {
--- a/internal/dataplane/balancer/rejection.go
+++ b/internal/dataplane/balancer/rejection.go
@@ -80,11 +80,13 @@
 	return now.Add(unknownLoadTime)
 }
 
+// isLoadedAnywhere reports whether a backend of the service has loaded the model, draining or ejected ones included.
 func (b *Balancer) isLoadedAnywhere(service string, model message.ModelName, now time.Time) bool {
 	s := b.services[service]
 	return s != nil && slices.ContainsFunc(s.backends, func(backend *Backend) bool { return backend.hasModel(model, now) })
 }
 
+// reject answers a request that waits in Dispatcher.Pick. The channel has space: each Submit is answered once.
 func (b *Balancer) reject(request *Request, retryAfter time.Duration, reason RejectReason) {
 	request.result <- PickResult{
 		RetryAfter: retryAfter, Rejection: reason, Decision: Decision{WaitReason: request.waitReason},
--- a/internal/dataplane/balancer/weight.go
+++ b/internal/dataplane/balancer/weight.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// decay brings the sums to now.
 func (e *endpointStats) decay(now time.Time) {
 	if !e.decayedAt.IsZero() {
 		keep := wrr.Decay(now.Sub(e.decayedAt).Seconds(), statsTimeConstant.Seconds())
--- a/internal/dataplane/ingress/exchange.go
+++ b/internal/dataplane/ingress/exchange.go
@@ -49,7 +49,7 @@
 			x.reject(picked.RetryAfter, string(picked.Rejection))
 			return
 		}
-		if x.isTooLateToBegin() {
+		if x.isTooLateToBegin() { // it may have been queued for long
 			x.handler.dispatcher.Finish(x.request, picked.Backend, balancer.Canceled, 0)
 			x.reject(drainingRetryAfter, string(balancer.RejectDraining))
 			return
--- a/internal/standalone/listener/request.go
+++ b/internal/standalone/listener/request.go
@@ -168,7 +168,7 @@
 		rr.end(info)
 		return requestHead{}, err
 	}
-	classTimeout := settings.Duration(class.ClientTimeout)
+	classTimeout := durationOf(class.ClientTimeout)
 	return requestHead{info: info, timeLeft: min(time.Duration(timeLeftMs)*time.Millisecond, classTimeout)}, nil
 }
 
@@ -228,3 +228,9 @@
 	}
 	return ""
 }
+
+// durationOf converts a time of the settings, which is in microseconds, within the bounds of settings.Micros. Package
+// settings itself has no time.Duration, as packages that may not import time depend on it (tools/purity).
+func durationOf(micros float64) time.Duration {
+	return time.Duration(settings.Micros(micros)) * time.Microsecond
+}
--- a/internal/standalone/listener/shutdown.go
+++ b/internal/standalone/listener/shutdown.go
@@ -59,7 +59,7 @@
 func longestClientTimeout(s *settings.Settings) time.Duration {
 	var longest time.Duration
 	for _, c := range s.Classes {
-		longest = max(longest, settings.Duration(c.ClientTimeout))
+		longest = max(longest, durationOf(c.ClientTimeout))
 	}
 	return longest
 }
--- a/internal/standalone/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -5,7 +5,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"time"
 
 	"pumiceline/internal/standalone/policy"
 )
@@ -94,9 +93,6 @@
 // which policy.New refuses.
 func Micros(v float64) policy.Time { return policy.Time(max(-1, min(v, maxMicros))) }
 
-// Duration converts a time as written into a time.Duration, within the bounds of Micros.
-func Duration(v float64) time.Duration { return time.Duration(Micros(v)) * time.Microsecond }
-
 // ParsePolicy reads the JSON text of the settings into those of package policy. policy.New validates their values.
 func ParsePolicy(text []byte) (policy.Settings, error) {
 	var s Settings
