--- a/internal/standalone/policy/locality.go
+++ b/internal/standalone/policy/locality.go
@@ -8,9 +8,9 @@
 	homeZoneUtilization = 0.5
 	// maxHomeZoneUtilization bounds that sum: above it requests leave at any price.
 	maxHomeZoneUtilization = 0.8
-	// homeZoneRange is how much more than that the home zone must be utilized for the full remote share.
+	// homeZoneRange is the utilization above that threshold at which the remote share is full.
 	homeZoneRange = 0.3
-	// remoteZoneAdvantage is how much less than the home zone the others must be utilized for the full remote share.
+	// remoteZoneAdvantage is how much lower the other zones' utilization must be for the remote share to be full.
 	remoteZoneAdvantage = 0.1
 
 	// maxZoneConnectFailures is the number of failures to connect in a row in one zone that point to the zone and not
--- a/internal/standalone/policy/outlier.go
+++ b/internal/standalone/policy/outlier.go
@@ -6,9 +6,10 @@
 // for a time. A50's ejection by success rate or failure percentage is not used; failing servers lose weight instead,
 // see healthFactor.
 const (
-	// maxConnectFailures is the number of attempts in a row that must fail to connect before a server is ejected.
+	// maxConnectFailures is the number of attempts that must fail to connect without a response in between before a
+	// server is ejected.
 	maxConnectFailures = 2
-	// maxTimeouts is the number of attempts in a row that must time out before a server is ejected.
+	// maxTimeouts is the number of attempts that must time out without a response in between before a server is ejected.
 	maxTimeouts = 4
 	// timeoutFactor is how many times the median an attempt must have taken for its time-out to count: a client with
 	// little time says nothing about the server.
--- a/internal/standalone/policy/subscription.go
+++ b/internal/standalone/policy/subscription.go
@@ -12,13 +12,17 @@
 }
 
 // Calls to discovery are delayed at random so that they do not come together after a start or a failure common to all
-// balancers.
+// balancers. The spread of the delay is
+//
+//	SubscribeWithin/firstCallDivisor * groupFactor * 2^failures, at most maxCallSpread*SubscribeWithin
+//
+// with at least one failure, and groupFactor = GroupSize/baseGroupSize from 1 to maxGroupSpread.
 const (
-	firstCallDivisor      = 8           // the allowed time over this is the spread before the factors below
-	baseGroupSize         = 100         // balancers up to which the group does not lengthen it
-	maxGroupSpread        = 2           // the most times that a larger group lengthens it
-	maxCallSpread         = 2           // the most spread, in allowed times; after failures the rules allow four
-	maxSpreadAfterTimeout = 2_000_000.0 // the most spread where changes may have been missed, in microseconds
+	firstCallDivisor      = 8
+	baseGroupSize         = 100
+	maxGroupSpread        = 2
+	maxCallSpread         = 2           // after failures the rules allow four times SubscribeWithin
+	maxSpreadAfterTimeout = 2_000_000.0 // microseconds: the most spread where changes may have been missed
 )
 
 // scheduleSubscribe plans a call to discovery at a random time within a spread, which doubles with each further failure
