--- a/cmd/pumicectl/check.go
+++ b/cmd/pumicectl/check.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// checkFile reads the file that the only argument names, and prints its faults, or what check says of it.
+// checkFile reads the file that the only argument names, and prints its faults, or the summary that check returns.
 func checkFile(args []string, check func(text []byte) (summary string, err error)) error {
 	if len(args) != 1 {
 		return flag.ErrHelp
--- a/cmd/pumicectl/stored_test.go
+++ b/cmd/pumicectl/stored_test.go
@@ -14,7 +14,7 @@
 	"pumiceline/internal/message"
 )
 
-// The files in testdata were stored from the output of an earlier version, cef8855, and are never written anew: scripts read
+// The files in testdata were stored from the output of an earlier version, cef8855, and are never rewritten: scripts read
 // what simulate and status print with --json, and status reads it from coordinators of other versions.
 func TestReadsOutputStoredByEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/controlplane/configuration/change.go
+++ b/internal/controlplane/configuration/change.go
@@ -26,7 +26,7 @@
 //	413  the document is too large
 //	0    undecided
 //
-// A rejection is final: a repetition of the request may still be under way, and must not be applied once the operator has
+// A rejection is final: a repetition of the request may still be in progress, and must not be applied once the operator has
 // the rejection. So a request that could become valid on a later state stays undecided.
 func Validate(state *message.ChainState, request *message.ConfigRequest) replica.ValidationResult {
 	digest := RequestDigest(request)
@@ -50,7 +50,7 @@
 }
 
 // validateAhead decides a change based on a version that is not in force yet. The change that brings that version may be
-// under way, and a repetition of this request may be decided after it. So a request is rejected only where it is invalid
+// in progress, and a repetition of this request may be decided after it. So a request is rejected only where it is invalid
 // on every state.
 func validateAhead(request *message.ConfigRequest) replica.ValidationResult {
 	if request.Method == http.MethodPut {
--- a/internal/controlplane/configuration/change_test.go
+++ b/internal/controlplane/configuration/change_test.go
@@ -59,7 +59,7 @@
 	assert.Equal(t, "/z/", config.Routes[0].Prefix, "an item with the same name is replaced")
 }
 
-// A change based on one that is still under way gets no response: a copy of it may be decided after that one is in force,
+// A change based on one that is still in progress gets no response: a copy of it may be decided after that one is in force,
 // and what was rejected must never be applied.
 func TestValidate_ChangeAheadOfState(t *testing.T) {
 	state := message.ChainState{Version: 5}
--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -45,7 +45,7 @@
 	leaseStart time.Time
 
 	reader   *discovery.Reader
-	polling  bool // a poll of discovery is under way
+	polling  bool // a poll of discovery is in progress
 	lastPoll time.Time
 	listed   *discovery.BackendList               // as discovery listed it last; nil: never
 	observed map[message.BackendID]observedModels // what tasks saw at backends since
@@ -123,7 +123,7 @@
 		c.onLeaseAcquired(s)
 	}
 	c.pollBackends(ctx, now, leaseHolderPollInterval)
-	c.loop.hub.UseOwnTotals(c.pendingLoads(now))
+	c.loop.hub.UseOwnTotals(c.pendingModelLoads(now))
 	if now.Sub(s.leaseStart) >= c.handoverDelay() {
 		c.placeModels(ctx, now)
 	}
--- a/internal/controlplane/coordinator/lease_holder_subscriber.go
+++ b/internal/controlplane/coordinator/lease_holder_subscriber.go
@@ -55,7 +55,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.loop.hub.SetTotals(distribution.Totals{
-		Loads: s.loads.Apply(inflight.DeltaOf(response)), Proxies: response.Proxies, PendingLoads: response.PendingLoads,
+		Loads: s.loads.Apply(inflight.DeltaOf(response)), Proxies: response.Proxies, PendingModelLoads: response.PendingModelLoads,
 	})
 	if !response.BackendsKnown {
 		return
--- a/internal/controlplane/coordinator/placement_tasks.go
+++ b/internal/controlplane/coordinator/placement_tasks.go
@@ -39,7 +39,7 @@
 		InFlight: lo.SliceToMap(reported.Loads, func(l message.BackendLoad) (message.BackendID, int) {
 			return l.Backend, l.InFlight
 		}),
-		Loading: c.loadsInFlight(), LoadsAllowed: c.loadsAllowed(now),
+		Loading: c.loadingReplicas(), ModelLoadsAllowed: c.modelLoadsAllowed(now),
 	}
 	for _, task := range planner.Plan(input) {
 		c.startTask(ctx, task, now)
@@ -64,8 +64,8 @@
 	return true
 }
 
-// loadsInFlight counts the loads under way by service and model.
-func (c *controller) loadsInFlight() map[string]map[message.ModelName]int {
+// loadingReplicas counts the model loads in progress, by service and model.
+func (c *controller) loadingReplicas() map[string]map[message.ModelName]int {
 	counts := map[string]map[message.ModelName]int{}
 	for _, running := range c.running {
 		task := running.task
@@ -80,8 +80,8 @@
 	return counts
 }
 
-// loadsAllowed returns how many loads from the weight store may start now, by service.
-func (c *controller) loadsAllowed(now time.Time) map[string]int {
+// modelLoadsAllowed returns how many model loads from the weight store may start now, by service.
+func (c *controller) modelLoadsAllowed(now time.Time) map[string]int {
 	allowed := map[string]int{}
 	for name, service := range c.config.Services {
 		if service.Runtime == nil {
@@ -155,14 +155,14 @@
 	c.onModelsObserved(id, models, now)
 }
 
-// pendingLoads returns the loads under way, for proxies that have requests waiting for them.
-func (c *controller) pendingLoads(now time.Time) []message.PendingLoad {
-	var loads []message.PendingLoad
+// pendingModelLoads returns the model loads in progress, for proxies that have requests waiting for them.
+func (c *controller) pendingModelLoads(now time.Time) []message.PendingModelLoad {
+	var loads []message.PendingModelLoad
 	for id, running := range c.running {
 		if running.task.Load == "" {
 			continue
 		}
-		loads = append(loads, message.PendingLoad{
+		loads = append(loads, message.PendingModelLoad{
 			Service: running.task.Service, Model: running.task.Load, Backend: id,
 			ReadyInMs: max(0, running.expectedDone.Sub(now).Milliseconds()),
 		})
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -19,7 +19,7 @@
 	"pumiceline/internal/message"
 )
 
-// The state folder in testdata was stored by an earlier version, cef8855, and is never written anew. What follows is
+// The state folder in testdata was stored by an earlier version, cef8855, and is never rewritten. What follows is
 // what it holds, field by field.
 var (
 	storedControl = message.ControlState{
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -110,10 +110,10 @@
 }
 
 // UseOwnTotals is called in place of SetTotals at the lease holder. There the totals are the sums over the hub's own
-// subscribers, as all other coordinators are among these, and pendingLoads are the loads that its placer has under way.
-func (h *Hub) UseOwnTotals(pendingLoads []message.PendingLoad) {
+// subscribers, as all other coordinators are among these, and pendingModelLoads are those that its placer has started.
+func (h *Hub) UseOwnTotals(pendingModelLoads []message.PendingModelLoad) {
 	h.commands <- func(s *state) {
-		s.totals = clusterTotals{Totals: Totals{PendingLoads: pendingLoads}, receivedAt: time.Now()}
+		s.totals = clusterTotals{Totals: Totals{PendingModelLoads: pendingModelLoads}, receivedAt: time.Now()}
 	}
 }
 
--- a/internal/controlplane/distribution/inflight/table.go
+++ b/internal/controlplane/distribution/inflight/table.go
@@ -11,8 +11,8 @@
 	"pumiceline/internal/message"
 )
 
-// entryLifetime is how long a load counts after its reporter was last heard. It is longer than most streams last, so that
-// a long request is still counted, and short enough that a proxy that died soon stops distorting the choice of backends.
+// entryLifetime is how long a load counts after it was last reported. Proxies report all their loads again well within it
+// (package loads), so that only the loads of a proxy that has ended, or cannot reach the coordinator, expire.
 const entryLifetime = 4 * time.Second
 
 // Table holds what each reporter (a proxy) has in flight at each backend, by its latest report. It is soft state: it may
--- a/internal/controlplane/distribution/poll.go
+++ b/internal/controlplane/distribution/poll.go
@@ -109,7 +109,7 @@
 	}
 	response.Proxies = s.countProxies(now)
 	s.addTotalLoads(response, poll, now)
-	response.PendingLoads = s.totals.remainingPendingLoads(now)
+	response.PendingModelLoads = s.totals.remainingModelLoads(now)
 	return response
 }
 
--- a/internal/controlplane/distribution/totals.go
+++ b/internal/controlplane/distribution/totals.go
@@ -8,9 +8,9 @@
 
 // Totals is what the lease holder knows of all proxies together.
 type Totals struct {
-	Loads        []message.BackendLoad // nil: not known
-	Proxies      int                   // how many proxies there are; 0: not known
-	PendingLoads []message.PendingLoad // loads of models that are under way
+	Loads             []message.BackendLoad      // of requests, by backend; nil: not known
+	Proxies           int                        // how many proxies there are; 0: not known
+	PendingModelLoads []message.PendingModelLoad // loads of models onto backends, in progress at the lease holder's placer
 }
 
 // clusterTotals are the totals that a hub sends to its subscribers.
@@ -19,10 +19,10 @@
 	receivedAt time.Time
 }
 
-// remainingPendingLoads returns the loads under way with the time that is left from now.
-func (t *clusterTotals) remainingPendingLoads(now time.Time) []message.PendingLoad {
-	remaining := make([]message.PendingLoad, 0, len(t.PendingLoads))
-	for _, load := range t.PendingLoads {
+// remainingModelLoads returns the model loads in progress, with the time that is left from now.
+func (t *clusterTotals) remainingModelLoads(now time.Time) []message.PendingModelLoad {
+	remaining := make([]message.PendingModelLoad, 0, len(t.PendingModelLoads))
+	for _, load := range t.PendingModelLoads {
 		load.ReadyInMs -= now.Sub(t.receivedAt).Milliseconds()
 		remaining = append(remaining, load)
 	}
--- a/internal/controlplane/placement/executor/backend_client.go
+++ b/internal/controlplane/placement/executor/backend_client.go
@@ -32,7 +32,7 @@
 // Report is a backend's own report. It may be some hundred milliseconds old.
 type Report struct {
 	Models       []message.LoadedModel
-	IsExecuting  bool   // a command is under way
+	IsExecuting  bool   // a command is in progress
 	CommandCount uint64 // commands accepted since the backend started
 }
 
@@ -64,7 +64,7 @@
 const (
 	Accepted   Answer = iota // it has begun
 	AlreadyMet               // the backend is already as the command asks
-	Conflict                 // another command is under way, or the command count differs
+	Conflict                 // another command is in progress, or the command count differs
 	Rejected                 // it will not be carried out
 	Unknown                  // there was no answer: it may have been accepted
 )
--- a/internal/controlplane/placement/executor/backend_client_test.go
+++ b/internal/controlplane/placement/executor/backend_client_test.go
@@ -69,8 +69,8 @@
 	accepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 )
 
-// A second response to a report that came while the next call was under way was taken for the command's: 200 means that
-// the backend holds the model already.
+// A second response to a report request, which arrived after the command was sent on the same connection, was taken for the
+// command's: its status 200 means that the backend holds the model already.
 func TestBackendClient_LateReportIsNoAnswerToCommand(t *testing.T) {
 	_, target := newRawBackend(t, func(connection net.Conn, request *http.Request, earlier int) {
 		switch {
--- a/internal/controlplane/placement/executor/execution.go
+++ b/internal/controlplane/placement/executor/execution.go
@@ -17,7 +17,7 @@
 	// removalNoticeTime is the time between OnModelsChanged without a model and that model's unload command. Proxies that
 	// learn of the change in it send no more requests for the model; the backend rejects those of the others.
 	removalNoticeTime = 80 * time.Millisecond
-	// conflictBackoff is the pause after a conflict: another command is under way, or the last report was outdated.
+	// conflictBackoff is the pause after a conflict: another command is in progress, or the last report was outdated.
 	conflictBackoff = 300 * time.Millisecond
 	// maxAttempts bounds the attempts to send one command.
 	maxAttempts = 8
@@ -68,7 +68,7 @@
 	timeout         time.Duration
 }
 
-// awaitIdle polls until no command is under way and the report counts at least minCommandCount commands.
+// awaitIdle polls until no command is in progress and the report counts at least minCommandCount commands.
 func (x *execution) awaitIdle(ctx context.Context, minCommandCount uint64) error {
 	return x.pollIdle(ctx, pollOptions{minCommandCount: minCommandCount, interval: idlePollInterval, timeout: idleTimeout})
 }
--- a/internal/controlplane/placement/executor/executor_test.go
+++ b/internal/controlplane/placement/executor/executor_test.go
@@ -143,7 +143,8 @@
 	assert.Equal(t, []string{"model_unload n if 0: 202"}, b.lines)
 }
 
-// A command of the previous lease holder that arrives in between makes the count differ: the executor reads the state anew.
+// A command of the previous lease holder that arrives in between makes the count differ: the executor reads the report
+// again.
 func TestExecutor_ReadsStateAfterConflict(t *testing.T) {
 	b := &fakeBackend{models: map[message.ModelName][]string{"m": {}}}
 	once := true
--- a/internal/controlplane/placement/planner/model_placement.go
+++ b/internal/controlplane/placement/planner/model_placement.go
@@ -75,7 +75,7 @@
 		if backend.Busy || backend.hasModel(model.Name) {
 			continue
 		}
-		if !backend.Cached[model.Name] && p.in.LoadsAllowed[p.service.Name] <= 0 {
+		if !backend.Cached[model.Name] && p.in.ModelLoadsAllowed[p.service.Name] <= 0 {
 			continue
 		}
 		candidate, ok := p.siteAt(backend, model)
@@ -125,7 +125,7 @@
 	p.replicas[model.Name]++
 	fromCache := s.backend.Cached[model.Name]
 	if !fromCache {
-		p.in.LoadsAllowed[p.service.Name]--
+		p.in.ModelLoadsAllowed[p.service.Name]--
 	}
 	return Task{
 		Backend: s.backend.Backend, Service: p.service.Name, Unload: s.evictions, Load: model.Name,
--- a/internal/controlplane/placement/planner/planner.go
+++ b/internal/controlplane/placement/planner/planner.go
@@ -50,13 +50,13 @@
 // Input is what a plan is made from. Plan modifies it: it marks the backends that get a task as busy and counts down the
 // loads allowed.
 type Input struct {
-	Now          time.Time
-	Services     map[string]*configuration.Service
-	Backends     []Backend
-	Loading      map[string]map[message.ModelName]int // replicas that tasks under way will bring, by service
-	Demand       *DemandTable
-	InFlight     map[message.BackendID]int // requests in flight
-	LoadsAllowed map[string]int            // loads from the weight store that may start now, by service
+	Now               time.Time
+	Services          map[string]*configuration.Service
+	Backends          []Backend
+	Loading           map[string]map[message.ModelName]int // replicas that are being loaded by tasks in progress, by service
+	Demand            *DemandTable
+	InFlight          map[message.BackendID]int // requests in flight
+	ModelLoadsAllowed map[string]int            // model loads from the weight store that may start now, by service
 }
 
 // servicePlan is one run of the planner for one service.
--- a/internal/controlplane/placement/planner/planner_test.go
+++ b/internal/controlplane/placement/planner/planner_test.go
@@ -69,7 +69,7 @@
 	return Plan(&Input{
 		Now: f.now, Services: map[string]*configuration.Service{"s": {Name: "s", Runtime: f.runtime}},
 		Backends: append([]Backend{}, f.backends...), Demand: f.demand, Loading: map[string]map[message.ModelName]int{},
-		LoadsAllowed: map[string]int{"s": loadsAllowed},
+		ModelLoadsAllowed: map[string]int{"s": loadsAllowed},
 	})
 }
 
@@ -107,7 +107,7 @@
 	assert.Contains(t, found, "m1", "and so does the next one in the configured list, ahead of its demand")
 }
 
-func TestPlan_KeepsToLoadsAllowed(t *testing.T) {
+func TestPlan_KeepsToModelLoadsAllowed(t *testing.T) {
 	f := newFleet(models{"m0", "m1"}, models{"m2", "m3"}, models{"m4", "m5"})
 	for _, model := range []message.ModelName{"m6", "m7", "m8"} {
 		f.reportWaiting(model, 1)
--- a/internal/controlplane/replica/chain_replication.go
+++ b/internal/controlplane/replica/chain_replication.go
@@ -173,7 +173,7 @@
 	}
 }
 
-// acknowledgeToPredecessor says that every member from this one to the tail has synced the state.
+// acknowledgeToPredecessor acknowledges that every member from this one to the tail has synced the state.
 func (r *Replica) acknowledgeToPredecessor() {
 	if predecessor, ok := r.predecessor(); ok {
 		r.sendAfterSync(predecessor, message.Message{Committed: r.committedMessage()})
--- a/internal/controlplane/replica/join_test.go
+++ b/internal/controlplane/replica/join_test.go
@@ -63,7 +63,7 @@
 	assert.Empty(t, c.members[0].detector.joinRequests)
 }
 
-// A member that the head does not hear was admitted by another proposer, and removed again, for as long as that lasted.
+// A member that the head did not hear was admitted by another proposer and removed by the head, again and again.
 func TestJoin_RejectsMemberThatHeadDoesNotHear(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.advance(2 * time.Second)
--- a/internal/controlplane/replica/next_view_test.go
+++ b/internal/controlplane/replica/next_view_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/message"
 )
 
-// A replacement beside the vote of the member that it came for makes four voters, one of them lost, which need three.
+// A replacement that got a vote while the lost member kept its own would make four voters, of which three must be alive.
 func TestNextView_ReplacementTakesVoteOfLostMember(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
@@ -34,7 +34,7 @@
 	assert.Len(t, c.responses, 1)
 }
 
-// A member that left beside a loss kept the replacement out: the rest had no majority for good.
+// While one member was lost and another left, the replacement was not admitted: the others lost their majority for good.
 func TestNextView_AdmitsReplacementBesideLeavingMember(t *testing.T) {
 	c := newClusterWithoutThird(t)
 	c.members[0].SetLeaving()
@@ -133,7 +133,8 @@
 	assert.False(t, c.members[2].IsMember())
 }
 
-// The zones of the seeds follow from no setting; a member that restarts must know them though it never heard a lost one.
+// The settings do not give the zones of the seeds. They are in the view, so that a restarted member knows the zone also of
+// a lost member, which it has never heard.
 func TestNextView_AddsZonesOfSeeds(t *testing.T) {
 	c := newTestCluster(t, 3)
 	for i, member := range c.members {
@@ -162,7 +163,7 @@
 	assert.Len(t, c.responses, 1)
 }
 
-// What a member had said before its restart removed it once more: its monitors went on reporting that it leaves.
+// A member was removed again after its restart, as its monitors went on reporting that it leaves.
 func TestNextView_RemovesRestartedMemberOnce(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.advance(2 * time.Second)
--- a/internal/controlplane/replica/suspicion.go
+++ b/internal/controlplane/replica/suspicion.go
@@ -100,8 +100,10 @@
 	return false
 }
 
-// hasHeardFrom reports whether this member itself has heard another one within unmonitoredSuspicionTimeout. All members
-// ask all voters to confirm the view, so each hears each, also where the monitors of a failed member have failed with it.
+// hasHeardFrom reports whether this member itself has heard another one within unmonitoredSuspicionTimeout, if need be
+// without being its monitor: every member asks all voters to confirm its view, so each voter hears all members, and each
+// member hears all voters. Two members without a vote need not hear each other; as a rule there is one at most. This finds
+// a failed member whose monitors have all failed with it.
 func (r *Replica) hasHeardFrom(member message.Member) bool {
 	lastHeard := r.detector.lookup(member.Identity).lastHeard
 	return r.isSelf(member) || r.now-lastHeard.at <= unmonitoredSuspicionTimeout
--- a/internal/controlplane/simulation/client.go
+++ b/internal/controlplane/simulation/client.go
@@ -22,7 +22,7 @@
 	clientStartDelay = time.Second
 
 	maxAttempts          = 12
-	maxPipelinedAttempts = 2 // of a change on top of one that is under way
+	maxPipelinedAttempts = 2 // of a change on top of one that is in progress
 	maxFinalReadAttempts = 4 * maxAttempts
 )
 
@@ -31,7 +31,7 @@
 	readOneIn      = 3
 	resendOneIn    = 10 // a change that was acknowledged before
 	invalidOneIn   = 12 // a change that does not increase the version
-	pipelineOneIn  = 10 // while a change is under way another client sends one on top of it
+	pipelineOneIn  = 10 // while a change is in progress another client sends one on top of it
 	maxVersionStep = 3
 )
 
--- a/internal/controlplane/simulation/cluster.go
+++ b/internal/controlplane/simulation/cluster.go
@@ -44,7 +44,7 @@
 	startSpread = 300 * time.Millisecond
 	// recoveryBound is how long after the last fault the cluster may take to commit changes again.
 	recoveryBound = 12 * time.Second
-	// drainTime is for the requests under way when the clients stop.
+	// drainTime is for the requests in progress when the clients stop.
 	drainTime = 3 * time.Second
 	// finalReadBound is how long the last read may take.
 	finalReadBound = 60 * time.Second
--- a/internal/controlplane/simulation/defect.go
+++ b/internal/controlplane/simulation/defect.go
@@ -24,7 +24,7 @@
 	ForgetGrants                   // a grantor forgets its grant as soon as it has given it
 	IgnoreBase                     // a change is committed whatever version it builds on
 	ForgetChanges                  // the head knows no change that was committed earlier
-	RejectPipelinedChange          // a change on top of one that is under way is rejected
+	RejectPipelinedChange          // a change on top of one that is in progress is rejected
 	defectCount
 )
 
--- a/internal/controlplane/storage/stored_test.go
+++ b/internal/controlplane/storage/stored_test.go
@@ -30,7 +30,7 @@
 	return dir
 }
 
-// The files in testdata were stored by an earlier version, cef8855, and are never written anew. That version opened the
+// The files in testdata were stored by an earlier version, cef8855, and are never rewritten. That version opened the
 // ring three times: segment 0 holds an older record of each kind, segment 1 what was written after the second start,
 // segment 2 what was written after the third. There the last record, an appended one, is torn.
 func TestReadsRingStoredByEarlierVersion(t *testing.T) {
--- a/internal/dataplane/balancer/balancer.go
+++ b/internal/dataplane/balancer/balancer.go
@@ -25,7 +25,7 @@
 	queue             []*Request // by priority, then deadline
 	budget            *RetryBudget
 	demand            map[ModelKey]*demand
-	pendingLoads      []pendingLoad // loads of models in progress, as the coordinators reported them last
+	pendingModelLoads []pendingModelLoad // loads of models in progress, as the coordinators reported them last
 	prefill           prefillRates
 	isDraining        bool
 	hasIdleConnection func(backend message.BackendID) bool // nil: not known
--- a/internal/dataplane/balancer/dispatcher.go
+++ b/internal/dataplane/balancer/dispatcher.go
@@ -171,7 +171,7 @@
 		}
 	}
 	if u.Response != nil {
-		b.SetTotalLoads(u.TotalLoads, u.Response.PendingLoads, now)
+		b.SetTotalLoads(u.TotalLoads, u.Response.PendingModelLoads, now)
 	}
 }
 
--- a/internal/dataplane/balancer/loads.go
+++ b/internal/dataplane/balancer/loads.go
@@ -9,7 +9,7 @@
 // SetTotalLoads takes the polled loads of all proxies together, and the loads of models that are in progress. What this
 // proxy reported last is part of the totals, and what it has in flight now is counted separately: so the former is
 // subtracted. A newer source of a backend's load is not overwritten, see loadReportLifetime.
-func (b *Balancer) SetTotalLoads(loads []message.BackendLoad, pending []message.PendingLoad, now time.Time) {
+func (b *Balancer) SetTotalLoads(loads []message.BackendLoad, pending []message.PendingModelLoad, now time.Time) {
 	totals := loadsByBackend(loads)
 	for id, backend := range b.backends {
 		if now.Sub(backend.peersUpdatedAt) <= loadReportLifetime {
@@ -20,10 +20,10 @@
 		}
 		backend.peersQueuedPrefillMs = float64(max(0, totals[id].QueuedPrefillMs-backend.lastReported.QueuedPrefillMs))
 	}
-	b.pendingLoads = b.pendingLoads[:0]
+	b.pendingModelLoads = b.pendingModelLoads[:0]
 	for _, load := range pending {
 		readyAt := now.Add(time.Duration(load.ReadyInMs) * time.Millisecond)
-		b.pendingLoads = append(b.pendingLoads, pendingLoad{load, readyAt})
+		b.pendingModelLoads = append(b.pendingModelLoads, pendingModelLoad{load, readyAt})
 	}
 	b.answerQueued(now)
 }
--- a/internal/dataplane/balancer/rejection.go
+++ b/internal/dataplane/balancer/rejection.go
@@ -7,14 +7,14 @@
 	"pumiceline/internal/message"
 )
 
-// pendingLoad is a load of a model by a backend that is in progress.
-type pendingLoad struct {
-	message.PendingLoad
+// pendingModelLoad is a load of a model by a backend that is in progress.
+type pendingModelLoad struct {
+	message.PendingModelLoad
 	readyAt time.Time
 }
 
 // provides reports whether the load brings the request's model, or the base model of its adapter.
-func (l *pendingLoad) provides(request *Request) bool {
+func (l *pendingModelLoad) provides(request *Request) bool {
 	return l.Service == request.Service && (l.Model == request.Model || l.Model == request.Model.Base())
 }
 
@@ -57,8 +57,8 @@
 // expectedReadyAt estimates when the request's model is loaded: by the load in progress where there is one, else by how
 // long a load that begins now takes.
 func (b *Balancer) expectedReadyAt(request *Request, now time.Time) time.Time {
-	for i := range b.pendingLoads {
-		if load := &b.pendingLoads[i]; load.provides(request) {
+	for i := range b.pendingModelLoads {
+		if load := &b.pendingModelLoads[i]; load.provides(request) {
 			return load.readyAt.Add(loadPropagation / 2) // the mean, where it is between 0 and loadPropagation
 		}
 	}
--- a/internal/message/distribution.go
+++ b/internal/message/distribution.go
@@ -17,19 +17,19 @@
 
 // PollResponse carries what is newer than the versions in PollRequest.
 type PollResponse struct {
-	ID            uint64         `msg:"i"`
-	Unavailable   bool           `msg:"u"` // no majority of the voters confirms the coordinator's view: poll another one
-	Members       []Member       `msg:"m"` // the coordinators
-	Config        *ConfigUpdate  `msg:"c,omitempty"`
-	Backends      *BackendUpdate `msg:"b,omitempty"`
-	BackendsKnown bool           `msg:"k"`  // the coordinator has a backend list
-	BackendsAgeMs int64          `msg:"a"`  // time since that list was read from the platform
-	WaitedMs      int64          `msg:"h"`  // time between the arrival of the poll and this response
-	Proxies       int            `msg:"p"`  // number of proxies in the system
-	TotalLoads    []BackendLoad  `msg:"l"`  // loads of all proxies together: all of them, or those that have changed
-	LoadsComplete bool           `msg:"w"`  // TotalLoads has all backends with a load
-	LoadVersion   uint64         `msg:"lv"` // of the total loads that TotalLoads leads to
-	PendingLoads  []PendingLoad  `msg:"o"`
+	ID                uint64             `msg:"i"`
+	Unavailable       bool               `msg:"u"` // no majority of the voters confirms the coordinator's view: poll another one
+	Members           []Member           `msg:"m"` // the coordinators
+	Config            *ConfigUpdate      `msg:"c,omitempty"`
+	Backends          *BackendUpdate     `msg:"b,omitempty"`
+	BackendsKnown     bool               `msg:"k"`  // the coordinator has a backend list
+	BackendsAgeMs     int64              `msg:"a"`  // time since that list was read from the platform
+	WaitedMs          int64              `msg:"h"`  // time between the arrival of the poll and this response
+	Proxies           int                `msg:"p"`  // number of proxies in the system
+	TotalLoads        []BackendLoad      `msg:"l"`  // loads of all proxies together: all of them, or those that have changed
+	LoadsComplete     bool               `msg:"w"`  // TotalLoads has all backends with a load
+	LoadVersion       uint64             `msg:"lv"` // of the total loads that TotalLoads leads to
+	PendingModelLoads []PendingModelLoad `msg:"o"`
 }
 
 // ConfigUpdate is an acknowledged configuration: complete, or as a delta.
@@ -76,8 +76,8 @@
 	Adapters []string  `msg:"a"`
 }
 
-// PendingLoad is a load of a model or an adapter that is in progress.
-type PendingLoad struct {
+// PendingModelLoad is a load of a model or an adapter that is in progress.
+type PendingModelLoad struct {
 	Service   string    `msg:"s"`
 	Model     ModelName `msg:"m"`
 	Backend   BackendID `msg:"b"`
--- a/internal/message/membership.go
+++ b/internal/message/membership.go
@@ -35,7 +35,7 @@
 	ReplacedBy MemberID `msg:"b"` // the member that got the vote; empty: the vote was dropped
 }
 
-// Heartbeat says that the sender is alive, and how it is. A member sends it to its monitors.
+// Heartbeat shows that the sender is alive, and carries its health. A member sends it to its monitors.
 type Heartbeat struct {
 	Complete    bool `msg:"c"` // it holds all that was acknowledged in earlier views
 	DiskStalled bool `msg:"d"` // a write to its disk has been in progress for too long
@@ -48,7 +48,7 @@
 type SuspicionReport struct {
 	Suspected []MemberID `msg:"m"` // not heard within the suspicion time-out, isolated, or with a stalled disk
 	Leaving   []MemberID `msg:"l"` // shutting down gracefully, and still alive
-	Late      []MemberID `msg:"d"` // not heard for a shorter while: two heartbeats are missing
+	Late      []MemberID `msg:"d"` // not heard within the shorter late time-out: two heartbeats are missing
 }
 
 // JoinRequest asks for membership, or, of an observer, only for the newest view.
--- a/internal/message/message_gen.go
+++ b/internal/message/message_gen.go
@@ -8809,7 +8809,7 @@
 }
 
 // DecodeMsg implements msgp.Decodable
-func (z *PendingLoad) DecodeMsg(dc *msgp.Reader) (err error) {
+func (z *PendingModelLoad) DecodeMsg(dc *msgp.Reader) (err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -8870,7 +8870,7 @@
 }
 
 // EncodeMsg implements msgp.Encodable
-func (z *PendingLoad) EncodeMsg(en *msgp.Writer) (err error) {
+func (z *PendingModelLoad) EncodeMsg(en *msgp.Writer) (err error) {
 	// map header, size 4
 	// write "s"
 	err = en.Append(0x84, 0xa1, 0x73)
@@ -8916,7 +8916,7 @@
 }
 
 // MarshalMsg implements msgp.Marshaler
-func (z *PendingLoad) MarshalMsg(b []byte) (o []byte, err error) {
+func (z *PendingModelLoad) MarshalMsg(b []byte) (o []byte, err error) {
 	o = msgp.Require(b, z.Msgsize())
 	// map header, size 4
 	// string "s"
@@ -8935,7 +8935,7 @@
 }
 
 // UnmarshalMsg implements msgp.Unmarshaler
-func (z *PendingLoad) UnmarshalMsg(bts []byte) (o []byte, err error) {
+func (z *PendingModelLoad) UnmarshalMsg(bts []byte) (o []byte, err error) {
 	var field []byte
 	_ = field
 	var zb0001 uint32
@@ -8997,7 +8997,7 @@
 }
 
 // Msgsize returns an upper bound estimate of the number of bytes occupied by the serialized message
-func (z *PendingLoad) Msgsize() (s int) {
+func (z *PendingModelLoad) Msgsize() (s int) {
 	s = 1 + 2 + msgp.StringPrefixSize + len(z.Service) + 2 + msgp.StringPrefixSize + len(string(z.Model)) + 2 + msgp.StringPrefixSize + len(string(z.Backend)) + 2 + msgp.Int64Size
 	return
 }
@@ -9512,18 +9512,18 @@
 			var zb0004 uint32
 			zb0004, err = dc.ReadArrayHeader()
 			if err != nil {
-				err = msgp.WrapError(err, "PendingLoads")
+				err = msgp.WrapError(err, "PendingModelLoads")
 				return
 			}
-			if cap(z.PendingLoads) >= int(zb0004) {
-				z.PendingLoads = (z.PendingLoads)[:zb0004]
+			if cap(z.PendingModelLoads) >= int(zb0004) {
+				z.PendingModelLoads = (z.PendingModelLoads)[:zb0004]
 			} else {
-				z.PendingLoads = make([]PendingLoad, zb0004)
+				z.PendingModelLoads = make([]PendingModelLoad, zb0004)
 			}
-			for za0003 := range z.PendingLoads {
-				err = z.PendingLoads[za0003].DecodeMsg(dc)
+			for za0003 := range z.PendingModelLoads {
+				err = z.PendingModelLoads[za0003].DecodeMsg(dc)
 				if err != nil {
-					err = msgp.WrapError(err, "PendingLoads", za0003)
+					err = msgp.WrapError(err, "PendingModelLoads", za0003)
 					return
 				}
 			}
@@ -9717,15 +9717,15 @@
 		if err != nil {
 			return
 		}
-		err = en.WriteArrayHeader(uint32(len(z.PendingLoads)))
+		err = en.WriteArrayHeader(uint32(len(z.PendingModelLoads)))
 		if err != nil {
-			err = msgp.WrapError(err, "PendingLoads")
+			err = msgp.WrapError(err, "PendingModelLoads")
 			return
 		}
-		for za0003 := range z.PendingLoads {
-			err = z.PendingLoads[za0003].EncodeMsg(en)
+		for za0003 := range z.PendingModelLoads {
+			err = z.PendingModelLoads[za0003].EncodeMsg(en)
 			if err != nil {
-				err = msgp.WrapError(err, "PendingLoads", za0003)
+				err = msgp.WrapError(err, "PendingModelLoads", za0003)
 				return
 			}
 		}
@@ -9825,11 +9825,11 @@
 		o = msgp.AppendUint64(o, z.LoadVersion)
 		// string "o"
 		o = append(o, 0xa1, 0x6f)
-		o = msgp.AppendArrayHeader(o, uint32(len(z.PendingLoads)))
-		for za0003 := range z.PendingLoads {
-			o, err = z.PendingLoads[za0003].MarshalMsg(o)
+		o = msgp.AppendArrayHeader(o, uint32(len(z.PendingModelLoads)))
+		for za0003 := range z.PendingModelLoads {
+			o, err = z.PendingModelLoads[za0003].MarshalMsg(o)
 			if err != nil {
-				err = msgp.WrapError(err, "PendingLoads", za0003)
+				err = msgp.WrapError(err, "PendingModelLoads", za0003)
 				return
 			}
 		}
@@ -9979,18 +9979,18 @@
 			var zb0004 uint32
 			zb0004, bts, err = msgp.ReadArrayHeaderBytes(bts)
 			if err != nil {
-				err = msgp.WrapError(err, "PendingLoads")
+				err = msgp.WrapError(err, "PendingModelLoads")
 				return
 			}
-			if cap(z.PendingLoads) >= int(zb0004) {
-				z.PendingLoads = (z.PendingLoads)[:zb0004]
+			if cap(z.PendingModelLoads) >= int(zb0004) {
+				z.PendingModelLoads = (z.PendingModelLoads)[:zb0004]
 			} else {
-				z.PendingLoads = make([]PendingLoad, zb0004)
+				z.PendingModelLoads = make([]PendingModelLoad, zb0004)
 			}
-			for za0003 := range z.PendingLoads {
-				bts, err = z.PendingLoads[za0003].UnmarshalMsg(bts)
+			for za0003 := range z.PendingModelLoads {
+				bts, err = z.PendingModelLoads[za0003].UnmarshalMsg(bts)
 				if err != nil {
-					err = msgp.WrapError(err, "PendingLoads", za0003)
+					err = msgp.WrapError(err, "PendingModelLoads", za0003)
 					return
 				}
 			}
@@ -10029,8 +10029,8 @@
 		s += z.TotalLoads[za0002].Msgsize()
 	}
 	s += 2 + msgp.BoolSize + 3 + msgp.Uint64Size + 2 + msgp.ArrayHeaderSize
-	for za0003 := range z.PendingLoads {
-		s += z.PendingLoads[za0003].Msgsize()
+	for za0003 := range z.PendingModelLoads {
+		s += z.PendingModelLoads[za0003].Msgsize()
 	}
 	return
 }
--- a/internal/message/stored_test.go
+++ b/internal/message/stored_test.go
@@ -61,7 +61,7 @@
 }
 
 // storedRecords are the types whose encoding an earlier version, cef8855, stored in testdata: what coordinators keep on
-// disk, and the messages, with all that they can carry. The samples are never written anew; the filler has to leave out a
+// disk, and the messages, with all that they can carry. The samples are never rewritten; the filler has to leave out a
 // field that is added later.
 func storedRecords() map[string]encodable {
 	return map[string]encodable{
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,6 +1,6 @@
 // Package transport carries messages between the processes of the system over TCP. Messages may be lost, when a
-// connection breaks or a queue is full, but they are neither changed nor reordered on a connection: whoever needs a
-// response sends its request again.
+// connection breaks or a queue is full, but they are neither changed nor reordered on a connection. A sender
+// that needs a response repeats its request.
 //
 // A Sender sends messages without waiting, to any number of peers. A Client sends requests to one peer at a time and
 // waits for their responses. Serve takes the messages of both.
