--- a/internal/standalone/policy/locality.go
+++ b/internal/standalone/policy/locality.go
@@ -21,19 +21,23 @@
 // zoneLoad is the utilization of several servers, weighted by their weight.
 type zoneLoad struct{ utilization, weight float64 }
 
+// mean is the mean utilization; weight must be positive.
 func (l zoneLoad) mean() float64 { return l.utilization / l.weight }
 
+// zoneLoads are the loads of the home zone and of all others together.
+type zoneLoads struct{ home, remote zoneLoad }
+
 // updateRemoteZoneShare moves the fraction of their weight that servers of other zones keep: 0 while the home zone has
 // headroom, since crossing zones has a price, and more the less headroom it has, as long as the others are less
 // utilized. It moves with a time constant of 1 s: reports are old and every balancer reacts to the same ones, so that
 // the zones would take turns at being overloaded. elapsed is in seconds.
 func (b *Balancer) updateRemoteZoneShare(elapsed float64) {
-	home, remote := b.zoneLoads()
+	loads := b.zoneLoads()
 	target := 0.0
-	if home.weight > 0 {
-		homeMean, remoteMean := home.mean(), 0.0
-		if remote.weight > 0 {
-			remoteMean = remote.mean()
+	if loads.home.weight > 0 {
+		homeMean, remoteMean := loads.home.mean(), 0.0
+		if loads.remote.weight > 0 {
+			remoteMean = loads.remote.mean()
 		}
 		start := min(maxHomeZoneUtilization, homeZoneUtilization+b.settings.Prices.CrossZone)
 		target = clampToUnit((homeMean-start)/homeZoneRange) * clampToUnit((homeMean-remoteMean)/remoteZoneAdvantage)
@@ -44,21 +48,21 @@
 	}
 }
 
-// zoneLoads returns the load of the scheduled servers in the home zone and in all others.
-func (b *Balancer) zoneLoads() (home, remote zoneLoad) {
+// zoneLoads returns the loads of the servers that are in the schedule and have reported.
+func (b *Balancer) zoneLoads() (loads zoneLoads) {
 	for _, s := range b.members {
 		if !s.IsQueued() || s.reportWeight == 0 {
 			continue
 		}
-		load := &home
+		load := &loads.home
 		if !b.isHomeZone(s) {
-			load = &remote
+			load = &loads.remote
 		}
 		weight := b.baseWeight(s)
 		load.utilization += weight * s.utilizationSum / s.reportWeight
 		load.weight += weight
 	}
-	return home, remote
+	return loads
 }
 
 func (b *Balancer) isHomeZone(s *server) bool { return int(s.zone) == b.settings.Zone }
