--- a/internal/standalone/policy/locality.go
+++ b/internal/standalone/policy/locality.go
@@ -30,7 +30,7 @@
 // updateRemoteZoneShare moves the fraction of their weight that servers of other zones keep: 0 while the home zone has
 // headroom, since crossing zones has a price, and more the less headroom it has, as long as the others are less
 // utilized. It moves with a time constant of 1 s: reports are old and every balancer reacts to the same ones, so that
-// the zones would take turns at being overloaded. elapsed is in seconds.
+// with faster moves the zones would be overloaded in turn. elapsed is in seconds.
 func (b *Balancer) updateRemoteZoneShare(elapsed float64) {
 	loads := b.zoneLoads()
 	target := 0.0
