--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// BackendList returns the newest list of backends, nil before the first.
+// Backends returns the newest list of backends, nil before the first.
 func (h *Hub) Backends() *discovery.BackendList {
 	return readState(h, func(s *state) *discovery.BackendList { return s.backends.newest })
 }
