--- a/internal/controlplane/placement/planner/load_rate_limit_test.go
+++ b/internal/controlplane/placement/planner/load_rate_limit_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestLoadRateLimiter_SuccessorLoadsBeforeWholeWindow(t *testing.T) {
+func TestLoadRateLimiter_SuccessorLoadsBeforeFullWindow(t *testing.T) {
 	limit := LoadRateLimit{PerSecond: 24, ExcessFactor: 1.1, Window: 5 * time.Second}
 	l := NewLoadRateLimiter(start)
 	available := func(after time.Duration) int { return l.Available(start.Add(after), limit, 0) }
--- a/internal/controlplane/replica/cluster_test.go
+++ b/internal/controlplane/replica/cluster_test.go
@@ -13,6 +13,9 @@
 	"pumiceline/internal/message"
 )
 
+// testTick is the interval at which a testCluster ticks its members, as the coordinator does.
+const testTick = 50 * time.Millisecond
+
 // testCluster is a few replicas whose messages the test delivers, at once and in order unless it drops some.
 type testCluster struct {
 	members     []*Replica
@@ -92,6 +95,14 @@
 	return index
 }
 
+// restart restarts a member from what is on its disk.
+func (c *testCluster) restart(index int) {
+	old := c.members[index]
+	options := old.options
+	options.FirstStart = false
+	c.members[index] = New(options, testValidator, c.now, old.control, old.chain)
+}
+
 // restartWithEmptyDisk restarts a member at its address, with an empty disk and so under a new identity.
 func (c *testCluster) restartWithEmptyDisk(index int, identity message.MemberID) {
 	options := c.members[index].options
@@ -102,9 +113,8 @@
 
 // advance lets time pass in ticks and delivers all messages. Paused members neither tick nor receive.
 func (c *testCluster) advance(duration time.Duration, paused ...int) {
-	const tick = 50 * time.Millisecond
-	for passed := time.Duration(0); passed < duration; passed += tick {
-		c.now += tick
+	for passed := time.Duration(0); passed < duration; passed += testTick {
+		c.now += testTick
 		for i, member := range c.members {
 			if !slices.Contains(paused, i) {
 				c.collect(member.Tick(c.now))
--- a/internal/controlplane/replica/join_test.go
+++ b/internal/controlplane/replica/join_test.go
@@ -36,7 +36,7 @@
 }
 
 // A member that was asked to stop while its join request was in flight ended, and was admitted after that.
-func TestCanStop_WaitsForJoinRequestsInFlight(t *testing.T) {
+func TestReplica_CanStopWaitsForJoinRequestsInFlight(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
 	joined := c.addMachine(0, 1, 2)
--- a/internal/controlplane/replica/lease_test.go
+++ b/internal/controlplane/replica/lease_test.go
@@ -49,7 +49,7 @@
 		return apart(m.FromAddress, m.ToAddress) || rightProposes || fromLeft
 	}
 	for range 300 {
-		c.advance(50 * time.Millisecond)
+		c.advance(testTick)
 		require.LessOrEqual(t, len(leaseHolders(c)), 1, "at %v", c.now)
 	}
 	assert.True(t, decided)
@@ -94,9 +94,7 @@
 			continue
 		}
 		c.advance(3*time.Second, i)
-		options := c.members[i].options
-		options.FirstStart = false
-		c.members[i] = New(options, testValidator, c.now, c.members[i].control, c.members[i].chain)
+		c.restart(i)
 		c.advance(6 * time.Second)
 		require.Equal(t, []int{index}, leaseHolders(c), "after member %d", i)
 	}
@@ -128,7 +126,7 @@
 	member := c.members[index]
 	requestID := member.lease.requestID
 	member.SetDiskStalled(true)
-	c.now += 50 * time.Millisecond
+	c.now += testTick
 	member.Tick(c.now)
 	for i := range c.members {
 		member.Step(c.now, &message.Message{
--- a/internal/controlplane/replica/next_view_test.go
+++ b/internal/controlplane/replica/next_view_test.go
@@ -19,7 +19,7 @@
 	c.advance(500*time.Millisecond, 2)
 	joined := c.addMachine(0, 1)
 	for range 100 {
-		c.advance(50*time.Millisecond, 2)
+		c.advance(testTick, 2)
 		require.LessOrEqual(t, len(c.members[0].View().EffectiveVoters()), 3)
 	}
 	view := c.members[0].View()
@@ -102,7 +102,7 @@
 		return isForWipedMember || isLostJoinRequest
 	}
 	for range 60 {
-		c.advance(50 * time.Millisecond)
+		c.advance(testTick)
 		require.GreaterOrEqual(t, len(c.members[0].View().Members), 2, "at %v", c.now)
 	}
 	c.dropMessage = nil
@@ -170,11 +170,9 @@
 	c.members[1].SetLeaving()
 	c.advance(time.Second)
 	require.False(t, c.members[1].IsMember())
-	options := c.members[1].options
-	options.FirstStart = false
-	c.members[1] = New(options, testValidator, c.now, c.members[1].control, c.members[1].chain)
+	c.restart(1)
 	for !c.members[1].IsMember() {
-		c.advance(50 * time.Millisecond)
+		c.advance(testTick)
 	}
 	number := c.members[0].View().Number
 	c.advance(2 * time.Second)
--- a/internal/controlplane/replica/proposer_test.go
+++ b/internal/controlplane/replica/proposer_test.go
@@ -58,7 +58,7 @@
 	require.True(t, head.canPropose())
 	head.Tick(c.now + 3*time.Second)
 	assert.False(t, head.canPropose())
-	for at := time.Duration(0); at <= suspicionTimeout; at += 50 * time.Millisecond {
+	for at := time.Duration(0); at <= suspicionTimeout; at += testTick {
 		head.Tick(c.now + 3*time.Second + at)
 	}
 	assert.True(t, head.canPropose())
--- a/internal/controlplane/replica/voters.go
+++ b/internal/controlplane/replica/voters.go
@@ -203,8 +203,8 @@
 	}
 }
 
-// dropAbsentVoters drops the votes of suspected members as long as more than minVoters are left, and one vote more where
-// their number is even.
+// dropAbsentVoters drops the votes of suspected members as long as more than minVoters are left. Where an even number of
+// voters, still above minVoters, is left, the last of them loses its vote too.
 func (s *voterSelection) dropAbsentVoters() {
 	for _, absent := range s.absentVoters() {
 		if len(s.voters) > s.minVoters {
--- a/internal/dataplane/loads/exchange_test.go
+++ b/internal/dataplane/loads/exchange_test.go
@@ -74,7 +74,7 @@
 	assert.Empty(t, third.Loads)
 }
 
-func TestQuery_FailsAtOnceWithoutConnection(t *testing.T) {
+func TestExchange_QueryFailsAtOnceWithoutConnection(t *testing.T) {
 	e := New("p1")
 	_, ok := e.Query(context.Background(), "s", "m")
 	assert.False(t, ok, "no coordinator is known")
@@ -84,7 +84,7 @@
 }
 
 // The coordinator receives queries and answers none.
-func TestQuery_FailsOverFromSilentCoordinator(t *testing.T) {
+func TestExchange_FailsOverFromSilentCoordinator(t *testing.T) {
 	silent, other := newCoordinator(t, nil), newCoordinator(t, nil)
 	e := newConnectedExchange(t, silent.member, other.member)
 	e.queryTimeout = time.Millisecond
@@ -100,7 +100,7 @@
 	assert.Equal(t, first, e.coordinators.preferred(until.Add(1)), "it is queried again when that time is over")
 }
 
-func TestSetMembers_SameOrderAtAllProxies(t *testing.T) {
+func TestExchange_SameCoordinatorOrderAtAllProxies(t *testing.T) {
 	a, b, c := message.Member{Address: "x:1"}, message.Member{Address: "y:1"}, message.Member{Address: "z:1"}
 	one, two := New("p1"), New("p2")
 	one.SetMembers([]message.Member{a, b, c})
