--- a/internal/standalone/policy/admission_test.go
+++ b/internal/standalone/policy/admission_test.go
@@ -252,9 +252,12 @@
 	}
 }
 
-// Requests count against the limit from the last byte of their bodies on, and once.
+// Requests count against the limit from the last byte of their bodies on, and once, also where their clients took so long
+// that a server would be stalled by then.
 func TestBodySentCountsAgainstLimit(t *testing.T) {
 	b, _ := newBalancerWithPendingBodies(t)
+	b.now += slowFactor*100_000 + 1_000_000
+	b.refresh()
 	if a := b.arrive(100, false); a.Kind != SendAttempt {
 		t.Errorf("a request beside ones with pending bodies: %+v", a)
 	}
@@ -275,11 +278,16 @@
 	b, servers := newBalancerWithPendingBodies(t)
 	b.now += slowFactor*100_000 + 1_000_000
 	b.refresh()
-	b.arrive(100, false)
+	if a := b.arrive(100, false); a.Kind != SendAttempt {
+		t.Errorf("a request beside ones with pending bodies: %+v", a)
+	}
 	for id := uint64(1); id <= 4; id++ {
 		b.Handle(b.now, &Event{Kind: BodySent, ID: id}, nil)
+		b.Handle(b.now, &Event{Kind: BodySent, ID: id}, nil)
+	}
+	if a := b.arrive(101, false); b.inFlight != 5 || a.Kind == SendAttempt {
+		t.Errorf("a request over the limit, with %d in flight: %+v", b.inFlight, a)
 	}
-	b.arrive(101, false) // over the limit: it is queued
 	b.Handle(b.now, &Event{Kind: RequestAbandoned, ID: 101}, nil)
 	for _, s := range b.members {
 		b.Handle(b.now, &Event{Kind: MembershipDelta, Members: []Member{{Server: s.id, Mode: ModeGone}}}, nil)
--- a/internal/standalone/policy/snapshot_test.go
+++ b/internal/standalone/policy/snapshot_test.go
@@ -79,7 +79,9 @@
 func TestRestore_TakesNothingOfRestartedServer(t *testing.T) {
 	old := newPredecessor(t)
 	b := newRestoreBalancer(t, restoreStart+1)
-	b.Restore(restoreEnd, old.Snapshot())
+	if !b.Restore(restoreEnd, old.Snapshot()) {
+		t.Fatal("not restored")
+	}
 	if b.servers[3].readySince != restoreStart+1 || b.servers[3].reportWeight != 0 {
 		t.Error("restored what was learned about a previous process")
 	}
