--- a/cmd/pumiceline/singleton.go
+++ b/cmd/pumiceline/singleton.go
@@ -18,7 +18,7 @@
 )
 
 // singletonCmd is `pumiceline singleton`: the members that agree on who holds which role, the instances that carry the
-// roles out, and what operators may ask. Its alias is the name that it had first.
+// roles out, and the operators' requests. Its alias `owner` is its earlier name.
 type singletonCmd struct {
 	Member  singletonMemberCmd  `cmd:"" help:"Run one of the members that agree on who holds which role."`
 	Run     singletonRunCmd     `cmd:"" help:"Run an instance that carries out the roles that it holds, until it is stopped."`
@@ -40,6 +40,9 @@
 	return fleet, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: f.Level})).With("who", process), err
 }
 
+// readHeaderTimeout bounds the time in which a client of the receiver or of the discovery cache sends its headers.
+const readHeaderTimeout = 5 * time.Second
+
 // untilSignal returns a context that ends at SIGTERM or SIGINT.
 func untilSignal() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -52,7 +55,8 @@
 	Listen string `help:"Where to listen, where that is not the address in the file."`
 }
 
-// Run takes part until it is stopped. It fails where the member's disk fails or is older than what it acknowledged.
+// Run takes part until it is stopped. It fails where the member's disk fails or is older than what it acknowledged, and
+// where the member is started elsewhere.
 func (c *singletonMemberCmd) Run() error {
 	fleet, log, err := c.open(fmt.Sprint("member ", c.ID))
 	if err != nil {
@@ -60,7 +64,7 @@
 	}
 	ctx, cancel := untilSignal()
 	defer cancel()
-	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is then a write error, and no crash
+	signal.Ignore(syscall.SIGXFSZ) // beyond the limit on file sizes a write is then an error, and no crash
 	member, err := raftmember.Open(raftmember.Options{Fleet: fleet.Name, ID: c.ID, Members: fleet.Members, Dir: c.Dir,
 		Settings: fleet.Settings, Log: log})
 	if err != nil {
@@ -92,7 +96,7 @@
 	r.Unfenced = c.Unfenced
 	ctx, cancel := untilSignal()
 	defer cancel()
-	server := &http.Server{Addr: c.Listen, Handler: r, ReadHeaderTimeout: 5 * time.Second}
+	server := &http.Server{Addr: c.Listen, Handler: r, ReadHeaderTimeout: readHeaderTimeout}
 	context.AfterFunc(ctx, func() { server.Close() })
 	if err := server.ListenAndServe(); !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("recorder of effects: %w", err)
--- a/cmd/pumiceline/singletonrun.go
+++ b/cmd/pumiceline/singletonrun.go
@@ -29,8 +29,8 @@
 	ClockRate float64 `hidden:"" help:"Speed of this process's clock, for tests." default:"1"`
 }
 
-// Run carries out the roles that this instance holds, until it is stopped: a role with a receiver sends it an effect a
-// step, the role with discovery follows it for the whole fleet.
+// Run carries out the roles that this instance holds, until it is stopped: a step of a role with a receiver sends it one
+// effect, a step of the discovery role checks that this instance follows discovery for the fleet.
 func (c *singletonRunCmd) Run() error {
 	fleet, log, err := c.open(c.Name)
 	if err != nil {
@@ -44,7 +44,7 @@
 	}
 	defer closeHistory()
 	opts := c.clientOptions(fleet, log, history)
-	var cache *discoverycache.Cache // set before the client runs
+	var cache *discoverycache.Cache // needs the client; set before the client runs a step
 	servesCache := fleet.DiscoveryRole != "" && c.Mirror != ""
 	if servesCache {
 		opts.Addr = c.Mirror
@@ -98,8 +98,8 @@
 	return file, file.Close, nil
 }
 
-// newDiscoveryCache returns the copy of discovery's list that follows the holder of the role, or discovery itself where
-// that is this instance.
+// newDiscoveryCache returns a copy of discovery's list that follows the holder of the discovery role, or discovery itself
+// while this instance is the holder.
 func newDiscoveryCache(fleet *deployfile.Fleet, client *leaseclient.Client, log *slog.Logger) *discoverycache.Cache {
 	return discoverycache.New(discoverycache.Options{
 		Discovery:      fleet.DiscoveryAddress,
@@ -112,7 +112,7 @@
 	}, time.Now())
 }
 
-// runWithCache serves the cache at addr while the client runs. It waits for all that it started.
+// runWithCache serves the cache at addr while the client runs. It waits for the goroutines that it starts.
 func runWithCache(ctx context.Context, client *leaseclient.Client, cache *discoverycache.Cache, addr string,
 	log *slog.Logger) error {
 	ln, err := net.Listen("tcp", addr)
@@ -120,7 +120,7 @@
 		return fmt.Errorf("discovery cache: %w", err)
 	}
 	running, cancel := context.WithCancel(context.Background())
-	server := &http.Server{Handler: cache, ReadHeaderTimeout: 5 * time.Second}
+	server := &http.Server{Handler: cache, ReadHeaderTimeout: readHeaderTimeout}
 	var all sync.WaitGroup
 	all.Go(func() {
 		if err := server.Serve(ln); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/fake/fakestandalone/recorder.go
+++ b/internal/fake/fakestandalone/recorder.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"pumiceline/internal/singleton"
+	"pumiceline/internal/singleton/leaseclient"
 )
 
 // Recorder is a fake of an outside system that carries out effects with fencing tokens: POST /effects with a
@@ -115,7 +116,7 @@
 		http.Error(w, err.Error(), status)
 		return
 	}
-	accepted := AcceptedEffect{Effect: e, From: req.Header.Get("X-From"), At: time.Now()}
+	accepted := AcceptedEffect{Effect: e, From: req.Header.Get(leaseclient.SenderHeader), At: time.Now()}
 	if err := r.store(accepted); err != nil { // it may be stored or not: its sender must not send it again with this serial
 		http.Error(w, "not written down: "+err.Error(), http.StatusInternalServerError)
 		return
--- a/internal/singleton/choose.go
+++ b/internal/singleton/choose.go
@@ -10,13 +10,13 @@
 
 // candidateFilter narrows the choice of a holder.
 type candidateFilter struct {
-	exclude string         // instance that is not to be chosen
-	granted map[string]int // by instance, roles granted on top of what the state shows
+	exclude string         // instance that must not be chosen; empty: none
+	granted map[string]int // by instance, roles granted in this tick, which the state does not show yet
 }
 
-// chooseHolder returns the instance that should hold a role next; empty: none is eligible. It is the one that an operator
-// wants; else the one that holds the fewest roles, then the one in the zone that holds the fewest, then the newest build,
-// then the first by rendezvous hashing, which differs from role to role.
+// chooseHolder returns the instance that should hold a role next; empty: none is eligible. Where an operator has set a
+// desired holder it is that one or none. Else it is the one that holds the fewest roles, then the one in the zone that
+// holds the fewest, then the newest build, then the first by rendezvous hashing, which differs from role to role.
 func (m *LeaseManager) chooseHolder(now Time, role string, s *State, filter candidateFilter) string {
 	if desired := s.Assignments[role].DesiredHolder; desired != "" {
 		if desired != filter.exclude && m.isEligible(now, desired, role) {
@@ -26,11 +26,11 @@
 	}
 	held := m.countHeldRoles(s, filter.granted)
 	compare := func(x, y string) int {
-		bx, by := m.instances[x].heartbeat, m.instances[y].heartbeat
+		beatX, beatY := m.instances[x].heartbeat, m.instances[y].heartbeat
 		return cmp.Or(
 			cmp.Compare(held.byInstance[x], held.byInstance[y]),
-			cmp.Compare(held.byZone[bx.Zone], held.byZone[by.Zone]),
-			cmp.Compare(by.Build, bx.Build), // the newer one first
+			cmp.Compare(held.byZone[beatX.Zone], held.byZone[beatY.Zone]),
+			cmp.Compare(beatY.Build, beatX.Build), // the newer one first
 			cmp.Compare(rendezvousHash(role, x), rendezvousHash(role, y)),
 			cmp.Compare(x, y))
 	}
@@ -47,7 +47,14 @@
 func (m *LeaseManager) isEligible(now Time, name, role string) bool {
 	i := m.instances[name]
 	return i != nil && (len(i.heartbeat.Roles) == 0 || slices.Contains(i.heartbeat.Roles, role)) && !i.heartbeat.Leaving &&
-		now-i.receivedAt < m.settings.LeaseDuration/2 && now >= m.penalizedUntil[name]
+		m.isResponsive(now, i) && now >= m.penalizedUntil[name]
+}
+
+// isResponsive says whether an instance sent a heartbeat within the last half of a lease duration. That is stricter than
+// heartbeatTimeoutLeases: a grant to an instance that has just died would leave the role without a holder for a whole
+// lease.
+func (m *LeaseManager) isResponsive(now Time, i *instance) bool {
+	return now-i.receivedAt < m.settings.LeaseDuration/2
 }
 
 // heldRoles counts the roles that are held.
--- a/internal/singleton/fencing.go
+++ b/internal/singleton/fencing.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Effect identifies an effect of a role outside the fleet. A receiver accepts it only while it knows no newer one.
+// Effect identifies an effect of a role on a system outside the fleet. A receiver accepts it only if it has accepted no
+// newer one.
 type Effect struct {
 	Role   string       `json:"work"`
 	Token  FencingToken `json:"token"`
@@ -20,20 +21,20 @@
 	Latest map[string]Effect `json:"known"` // by role
 }
 
-// StaleEffectError is the error of an effect that came after a newer one.
+// StaleEffectError is the error of an effect that arrived after a newer one, or again.
 type StaleEffectError struct {
 	Effect Effect
 	Latest Effect
 }
 
-// Error implements error. It names both tokens.
+// Error names both tokens, so that the sender's log shows by whom it was replaced.
 func (e *StaleEffectError) Error() string {
-	return fmt.Sprintf("%s: token %d, serial %d comes after token %d, serial %d", e.Effect.Role, e.Effect.Token, e.Effect.Serial,
-		e.Latest.Token, e.Latest.Serial)
+	return fmt.Sprintf("%s: token %d, serial %d comes after token %d, serial %d", e.Effect.Role,
+		e.Effect.Token, e.Effect.Serial, e.Latest.Token, e.Latest.Serial)
 }
 
-// Admit remembers an effect that may be carried out. The error of one that may not is a *StaleEffectError, or
-// ErrTooManyRoles where it is of a new role and MaxRoles are remembered.
+// Admit returns nil for an effect that may be carried out, and remembers it. The error of one that may not is a
+// *StaleEffectError, or ErrTooManyRoles where it is of a new role and MaxRoles are remembered.
 func (g *FencingGuard) Admit(e Effect) error {
 	latest, known := g.Latest[e.Role]
 	switch {
--- a/internal/singleton/holder.go
+++ b/internal/singleton/holder.go
@@ -5,26 +5,26 @@
 	"slices"
 )
 
-// Holder is an instance's side: which leases it holds, and until when it may act on them.
+// Holder is an instance's side of the leases: which ones it holds, and until when it may act on them.
 type Holder struct {
 	opts    HolderOptions
 	leaving bool
 	leases  map[string]*localLease // by role
 }
 
-// HolderOptions say who the instance is.
+// HolderOptions are the configuration of a Holder.
 type HolderOptions struct {
 	Settings    Settings
 	Name        string
 	Incarnation Incarnation // not used by any other process of this name
 	Zone        string      // failure domain
-	Build       uint64
+	Build       uint64      // a newer one is preferred
 }
 
 // localLease is a lease as its holder knows it. All times are of the instance's clock.
 type localLease struct {
 	token       FencingToken
-	confirmedAt Time // when the latest heartbeat was sent whose response renewed it
+	confirmedAt Time // when the latest heartbeat whose response renewed it was sent
 	expiresAt   Time
 	steps       uint64 // completed
 	serial      uint64 // of the latest effect
@@ -33,7 +33,7 @@
 	released    bool   // given back or lost: nothing more is done with this token
 }
 
-// NewHolder returns the side of an instance that holds nothing.
+// NewHolder returns the Holder of an instance that holds no lease yet.
 func NewHolder(opts HolderOptions) *Holder {
 	return &Holder{opts: opts, leases: map[string]*localLease{}}
 }
@@ -52,21 +52,21 @@
 	return b
 }
 
-// HandleResponse takes in the response to the heartbeat that was sent at sent. Leases run from there, however late the
-// response comes.
-func (h *Holder) HandleResponse(sent Time, response HeartbeatResponse) {
-	h.dropEndedLeases(sent, response.Leases)
+// HandleResponse takes in the response to the heartbeat that was sent at sentAt. Leases run from sentAt, however late the
+// response arrives: the lease manager counts from when it received that heartbeat, which is no earlier.
+func (h *Holder) HandleResponse(sentAt Time, response HeartbeatResponse) {
+	h.dropEndedLeases(sentAt, response.Leases)
 	for _, renewal := range response.Leases {
-		h.renew(sent, renewal)
+		h.renew(sentAt, renewal)
 	}
 }
 
-// dropEndedLeases ends the leases that a response does not list. A response to a heartbeat before the one that confirmed a
-// lease may not know of it yet.
-func (h *Holder) dropEndedLeases(sent Time, renewals []LeaseRenewal) {
+// dropEndedLeases ends the leases that a response does not list. A response that was overtaken, to a heartbeat sent before
+// the one that confirmed a lease, says nothing of that lease.
+func (h *Holder) dropEndedLeases(sentAt Time, renewals []LeaseRenewal) {
 	for role, l := range h.leases {
 		isListed := slices.ContainsFunc(renewals, func(r LeaseRenewal) bool { return r.Role == role && r.Token == l.token })
-		if sent <= l.confirmedAt || isListed {
+		if sentAt <= l.confirmedAt || isListed {
 			continue
 		}
 		if l.inStep {
@@ -77,17 +77,19 @@
 	}
 }
 
-func (h *Holder) renew(sent Time, renewal LeaseRenewal) {
+// renew takes in one lease of a response. A lease with a newer token than the known one replaces that, but not while a step
+// is in progress: the end of that step, which began under the older token, would count as progress of the newer lease.
+func (h *Holder) renew(sentAt Time, renewal LeaseRenewal) {
 	l := h.leases[renewal.Role]
 	if l == nil || renewal.Token > l.token && !l.inStep {
-		l = &localLease{token: renewal.Token, confirmedAt: sent}
+		l = &localLease{token: renewal.Token, confirmedAt: sentAt}
 		h.leases[renewal.Role] = l
 	}
 	if l.token != renewal.Token || l.released {
 		return
 	}
-	l.confirmedAt = max(l.confirmedAt, sent)
-	l.expiresAt = max(l.expiresAt, sent+h.opts.Settings.HoldTime(renewal.Remaining))
+	l.confirmedAt = max(l.confirmedAt, sentAt)
+	l.expiresAt = max(l.expiresAt, sentAt+h.opts.Settings.HoldTime(renewal.Remaining))
 	l.releasing = l.releasing || renewal.Release
 	if l.releasing && !l.inStep {
 		l.released = true
@@ -104,8 +106,8 @@
 	return true
 }
 
-// NextEffect is called before each effect of a step and returns its identity. It is false once the lease has expired: the
-// step has to stop there.
+// NextEffect returns the identity of a step's next effect; call it right before that effect is sent. It is false once the
+// lease has expired or is lost: the step has to stop there.
 func (h *Holder) NextEffect(now Time, role string) (Effect, bool) {
 	l := h.leases[role]
 	if l == nil || !l.inStep || l.released || now >= l.expiresAt {
@@ -141,5 +143,6 @@
 	return active
 }
 
-// IsEmpty says whether there is no lease left that the lease manager may take for held by this instance.
+// IsEmpty says whether no lease is left here. Until then the lease manager may still count one as held: a released lease
+// stays until a response shows that its release is committed.
 func (h *Holder) IsEmpty() bool { return len(h.leases) == 0 }
--- a/internal/singleton/leaseclient/client.go
+++ b/internal/singleton/leaseclient/client.go
@@ -1,5 +1,7 @@
-// Package leaseclient is an instance's side of the singleton roles: it sends heartbeats to the members, keeps the leases
-// that they grant, and runs the steps of the roles that this instance holds.
+// Package leaseclient runs singleton roles at an instance: it sends heartbeats to the members, keeps the leases that they
+// grant, and runs the steps of the roles that this instance holds. It gives a singleton.Holder its clock and network.
+//
+// Goroutines: Run sends the heartbeats; one goroutine a role runs its steps. Run waits for them.
 package leaseclient
 
 import (
@@ -20,9 +22,9 @@
 // returns ErrLeaseLost without a call.
 type Perform func(do func(singleton.Effect) error) error
 
-// Step is one step of a role. It has to return, and to do nothing more, soon after ctx ends. An error is a step that made
-// no progress: after a lease without progress the role goes to another instance. A step that found nothing to do has
-// made progress.
+// Step is one step of a role. It has to return, and to do nothing more, soon after ctx ends, which is after a lease
+// duration at the latest. A step that returns an error made no progress: after a lease duration without progress the role
+// goes to another instance. A step that found nothing to do has made progress.
 type Step func(ctx context.Context, perform Perform) error
 
 // ErrLeaseLost is what Perform returns once the role is no longer held.
@@ -43,28 +45,31 @@
 	ClockRate   float64 // speed of this instance's clock, for tests; 0: 1
 }
 
-// Fractions of a lease.
+// Times as fractions and multiples of the lease duration.
 const (
-	heartbeatsPerLease  = 10 // that is how often a holder sends one; who holds nothing sends half as many
-	heartbeatTimeoutDiv = 4  // a heartbeat's time-out is a lease divided by this
-	stepsPerLease       = 10 // at most
-	drainLeases         = 3  // for how many leases an instance that stops waits for others to take over
+	heartbeatsPerLease = 10 // of an instance that holds a lease
+	// idleHeartbeatInterval: an instance without leases sends one heartbeat where a holder sends this many. There may be
+	// hundreds of such instances, and the leader answers all of them.
+	idleHeartbeatInterval     = 2
+	heartbeatTimeoutsPerLease = 4  // a heartbeat fails after a lease duration divided by this
+	stepsPerLease             = 10 // of a role, at most
+	drainLeases               = 3  // how many lease durations an instance that stops waits for others to take over
 )
 
 // Client holds an instance's leases. Create it with New and call Run once; the other methods are safe for concurrent use.
 type Client struct {
-	opts      Options
-	startedAt time.Time
-	lease     time.Duration
-	http      *http.Client
-	wake      chan struct{} // a heartbeat is due at once
-
-	mu        sync.Mutex
-	holder    *singleton.Holder
-	memberIDs []uint64
-	leader    int    // index in memberIDs of the member that is assumed to lead
-	reason    string // of the latest response: why this instance is granted nothing
-	holders   map[string]singleton.HolderEndpoint
+	opts         Options
+	startedAt    time.Time
+	lease        time.Duration // Settings.LeaseDuration
+	http         *http.Client
+	heartbeatDue chan struct{} // asks for a heartbeat at once
+
+	mu              sync.Mutex
+	holder          *singleton.Holder
+	memberIDs       []uint64
+	leaderIndex     int                                 // index in memberIDs of the member that is assumed to lead
+	rejectionReason string                              // of the latest response; empty: this instance may be granted roles
+	holders         map[string]singleton.HolderEndpoint // by role, as of the latest response
 }
 
 // New returns a client that holds nothing yet.
@@ -79,12 +84,12 @@
 		opts.ClockRate = 1
 	}
 	return &Client{
-		opts:      opts,
-		startedAt: time.Now(),
-		lease:     time.Duration(opts.Settings.LeaseDuration) * time.Microsecond,
-		http:      &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}},
-		wake:      make(chan struct{}, 1),
-		memberIDs: slices.Sorted(maps.Keys(opts.Members)),
+		opts:         opts,
+		startedAt:    time.Now(),
+		lease:        time.Duration(opts.Settings.LeaseDuration) * time.Microsecond,
+		http:         &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}},
+		heartbeatDue: make(chan struct{}, 1),
+		memberIDs:    slices.Sorted(maps.Keys(opts.Members)),
 		holder: singleton.NewHolder(singleton.HolderOptions{Settings: opts.Settings, Name: opts.Name, Incarnation: opts.Incarnation,
 			Zone: opts.Zone, Build: opts.Build}),
 	}, nil
@@ -123,9 +128,10 @@
 	return HolderLocation{Addr: endpoint.Addr, Token: endpoint.Token}
 }
 
-// Run sends heartbeats and runs steps until ctx ends; then until other instances have taken over, for three leases at most.
+// Run sends heartbeats and runs steps until ctx ends, and then until other instances have taken over, for three lease
+// durations at most.
 func (c *Client) Run(ctx context.Context) {
-	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	running, cancel := context.WithCancel(context.WithoutCancel(ctx)) // outlives ctx by the time to hand over
 	defer cancel()
 	var roles sync.WaitGroup
 	for role, step := range c.opts.Steps {
--- a/internal/singleton/leaseclient/effectsender.go
+++ b/internal/singleton/leaseclient/effectsender.go
@@ -13,7 +13,7 @@
 	"pumiceline/internal/singleton"
 )
 
-// Outcome is what came of an effect. The values are stored.
+// Outcome is the result of sending an effect. The values are stored.
 type Outcome string
 
 // The outcomes of an effect.
@@ -21,7 +21,7 @@
 	OutcomeSent     Outcome = "sent"    // the request is in flight
 	OutcomeAccepted Outcome = "taken"   // the receiver carried it out
 	OutcomeRejected Outcome = "refused" // the receiver knows a newer one
-	OutcomeUnknown  Outcome = "unknown" // it may have arrived or not
+	OutcomeUnknown  Outcome = "unknown" // the receiver may have carried it out or not
 )
 
 // HistoryRecord is a line of a history of effects. Its JSON form is stored.
@@ -31,9 +31,14 @@
 	Outcome Outcome `json:"did"`
 }
 
-// EffectSender returns a step that sends one effect to a receiver, the address of an HTTP endpoint, in the name of the
-// instance from. It writes each effect to history twice, a HistoryRecord a line: before it is sent, and with its outcome.
-func EffectSender(receiver, from string, history io.Writer) Step {
+// SenderHeader is the header of an effect's request with the name of the instance that sent it.
+const SenderHeader = "X-From"
+
+const maxReasonBytes = 1 << 10 // of a receiver's error message
+
+// EffectSender returns a step that sends one effect to the receiver at a URL, in the name of an instance. It writes each
+// effect to history twice, a HistoryRecord a line: before it is sent, and with its outcome.
+func EffectSender(receiverURL, instance string, history io.Writer) Step {
 	record := func(e singleton.Effect, outcome Outcome) error {
 		return json.NewEncoder(history).Encode(HistoryRecord{e, time.Now().UnixNano(), outcome})
 	}
@@ -42,30 +47,30 @@
 			if err := record(e, OutcomeSent); err != nil {
 				return fmt.Errorf("write history: %w", err)
 			}
-			outcome, err := sendEffect(ctx, receiver, from, e)
+			outcome, err := sendEffect(ctx, receiverURL, instance, e)
 			return errors.Join(err, record(e, outcome))
 		})
 	}
 }
 
-// sendEffect sends an effect to its receiver. The error of an outcome other than OutcomeAccepted says why.
-func sendEffect(ctx context.Context, receiver, from string, e singleton.Effect) (Outcome, error) {
+// sendEffect sends an effect to its receiver. An outcome other than OutcomeAccepted comes with an error that says why.
+func sendEffect(ctx context.Context, receiverURL, instance string, e singleton.Effect) (Outcome, error) {
 	text, err := json.Marshal(e)
 	if err != nil {
 		return OutcomeUnknown, fmt.Errorf("encode effect: %w", err)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, receiver, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, receiverURL, bytes.NewReader(text))
 	if err != nil {
 		return OutcomeUnknown, fmt.Errorf("send effect: %w", err)
 	}
 	req.GetBody = nil // not sent again by the transport: a second copy would be rejected and look like a fault of the holder
-	req.Header.Set("X-From", from)
+	req.Header.Set(SenderHeader, instance)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return OutcomeUnknown, fmt.Errorf("send effect: %w", err)
 	}
 	defer resp.Body.Close()
-	reason, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
+	reason, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes))
 	outcome := OutcomeUnknown
 	switch resp.StatusCode {
 	case http.StatusOK:
--- a/internal/singleton/leaseclient/heartbeat.go
+++ b/internal/singleton/leaseclient/heartbeat.go
@@ -15,23 +15,16 @@
 	"pumiceline/internal/singleton"
 )
 
-// The request of a heartbeat, as package raftmember serves it.
-const (
-	heartbeatPath    = "/v1/beat"
-	fleetHeader      = "X-Fleet"
-	leaderHeader     = "X-Leader" // of a response: the leader's ID
-	maxResponseBytes = 1 << 20
-)
+const maxResponseBytes = 1 << 20
 
-// sendHeartbeats sends heartbeats until stop ends and then until this instance holds nothing, for three leases at most.
-// Heartbeats themselves end with running.
+// sendHeartbeats sends heartbeats until stop ends and then until this instance holds nothing, for drainLeases at most. The
+// requests themselves are under running: one that is in flight when stop ends has to complete, as it may renew a lease.
 func (c *Client) sendHeartbeats(stop, running context.Context) {
 	ticker := time.NewTicker(c.lease / heartbeatsPerLease)
 	defer ticker.Stop()
 	var deadline time.Time // once stop has ended
 	for i := 0; ; i++ {
-		// Hundreds of instances hold nothing and the leader answers all: these skip every other heartbeat.
-		if !c.holdsNothing() || stop.Err() != nil || i%2 == 0 {
+		if !c.holdsNothing() || stop.Err() != nil || i%idleHeartbeatInterval == 0 {
 			c.sendHeartbeat(running)
 		}
 		if stop.Err() != nil {
@@ -44,27 +37,27 @@
 		}
 		select {
 		case <-ticker.C:
-		case <-c.wake:
+		case <-c.heartbeatDue:
 		}
 	}
 }
 
-// requestHeartbeat has the next heartbeat sent at once.
+// requestHeartbeat asks sendHeartbeats for a heartbeat at once. It does not wait.
 func (c *Client) requestHeartbeat() {
 	select {
-	case c.wake <- struct{}{}:
+	case c.heartbeatDue <- struct{}{}:
 	default:
 	}
 }
 
 // sendHeartbeat sends a heartbeat to the member that is assumed to lead and takes in its response. After a failure the next
-// goes to the leader that the member named, or to the next member.
+// heartbeat goes to the leader that the member named, or to the member with the next ID.
 func (c *Client) sendHeartbeat(ctx context.Context) {
 	c.mu.Lock()
 	sentAt := c.now()
 	heartbeat := c.holder.Heartbeat()
 	heartbeat.Addr, heartbeat.Roles = c.opts.Addr, slices.Sorted(maps.Keys(c.opts.Steps))
-	index, member := c.leader, c.opts.Members[c.memberIDs[c.leader]]
+	index, member := c.leaderIndex, c.opts.Members[c.memberIDs[c.leaderIndex]]
 	c.mu.Unlock()
 	text, err := json.Marshal(heartbeat)
 	if err != nil {
@@ -76,8 +69,8 @@
 	defer c.mu.Unlock()
 	if err != nil {
 		c.opts.Log.Debug("heartbeat failed", "member", member, "error", err)
-		if c.leader = slices.Index(c.memberIDs, reply.leader); c.leader < 0 {
-			c.leader = (index + 1) % len(c.memberIDs)
+		if c.leaderIndex = slices.Index(c.memberIDs, reply.leader); c.leaderIndex < 0 { // it named none that is known
+			c.leaderIndex = (index + 1) % len(c.memberIDs)
 		}
 		return
 	}
@@ -86,10 +79,10 @@
 
 // handleResponse takes in the response to the heartbeat that was sent at sentAt. The caller holds c.mu.
 func (c *Client) handleResponse(sentAt singleton.Time, response singleton.HeartbeatResponse) {
-	if response.Reason != c.reason && response.Reason != "" {
+	if response.Reason != c.rejectionReason && response.Reason != "" {
 		c.opts.Log.Warn("instance is granted nothing", "instance", c.opts.Name, "reason", response.Reason)
 	}
-	c.reason, c.holders = response.Reason, response.Holders
+	c.rejectionReason, c.holders = response.Reason, response.Holders
 	before := c.holder.ActiveLeases(sentAt)
 	c.holder.HandleResponse(sentAt, response)
 	for role, token := range c.holder.ActiveLeases(c.now()) {
@@ -102,26 +95,26 @@
 // heartbeatReply is what a member replied.
 type heartbeatReply struct {
 	response singleton.HeartbeatResponse
-	leader   uint64 // where the member does not lead: its leader's ID; 0: it knows none
+	leader   uint64 // of a member that does not lead: the leader's ID; 0: it knows none
 }
 
 // postHeartbeat sends an encoded heartbeat to a member.
 func (c *Client) postHeartbeat(ctx context.Context, member string, text []byte) (reply heartbeatReply, err error) {
-	ctx, cancel := context.WithTimeout(ctx, c.lease/heartbeatTimeoutDiv)
+	ctx, cancel := context.WithTimeout(ctx, c.lease/heartbeatTimeoutsPerLease)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member+heartbeatPath, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member+singleton.HeartbeatPath, bytes.NewReader(text))
 	if err != nil {
 		return reply, fmt.Errorf("heartbeat to %s: %w", member, err)
 	}
 	req.Header.Set("Content-Type", "application/json")
-	req.Header.Set(fleetHeader, c.opts.Fleet)
+	req.Header.Set(singleton.FleetHeader, c.opts.Fleet)
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return reply, fmt.Errorf("heartbeat to %s: %w", member, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		reply.leader, _ = strconv.ParseUint(resp.Header.Get(leaderHeader), 10, 64) // no number: none is known
+		reply.leader, _ = strconv.ParseUint(resp.Header.Get(singleton.LeaderHeader), 10, 64) // 0 without a number
 		return reply, fmt.Errorf("heartbeat to %s: status %s", member, resp.Status)
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&reply.response); err != nil {
--- a/internal/singleton/leasemanager.go
+++ b/internal/singleton/leasemanager.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// LeaseManager grants roles and expires leases at the member that leads. What it knows besides the State is learnt anew
-// after each change of the leader; until then every lease counts as just renewed.
+// LeaseManager grants roles and expires leases at the member that leads. It has its knowledge of instances and progress
+// from heartbeats alone, anew after each change of the leader; at its start every lease counts as just renewed.
 type LeaseManager struct {
 	settings           Settings
 	instances          map[string]*instance // by name
@@ -29,12 +29,12 @@
 	token        FencingToken
 	steps        uint64
 	lastProgress Time
-	notBefore    Time // it does not expire earlier: another leader, with longer leases, may have granted it
-	ending       bool // its end may be in the log already: it must not be renewed any more
+	notBefore    Time // it does not expire earlier: a leader with longer leases may have granted it
+	ending       bool // its expiration was proposed and may be in the log already: it must not be renewed any more
 }
 
-// NewLeaseManager returns the lease manager of a member that begins to lead at now. The state must hold all that was
-// agreed on under earlier leaders.
+// NewLeaseManager returns the lease manager of a member that begins to lead at now. The state must include every command
+// that was committed under earlier leaders.
 func NewLeaseManager(settings Settings, s *State, now Time) *LeaseManager {
 	m := &LeaseManager{
 		settings:           settings,
@@ -50,7 +50,7 @@
 			m.leases[role] = lease{token: a.Token, lastProgress: now, notBefore: m.inheritedLeasesEnd}
 		}
 	}
-	for name, n := range s.Expirations { // when they were is not known: the penalty starts anew
+	for name, n := range s.Expirations { // the state does not say when they were: the penalty starts anew
 		m.seenExpirations[name], m.penalizedUntil[name], m.lastExpiration[name] = n, now+settings.penalty(n), now
 	}
 	return m
@@ -64,24 +64,24 @@
 	return now - m.leases[role].lastProgress
 }
 
-// HandleHeartbeat takes in a heartbeat that came at now. It returns the commands to propose and the response, which may be
+// HandleHeartbeat takes in a heartbeat that was received at now. It returns the commands to propose and the response, which may be
 // sent only once a quorum has confirmed, after now, that this member still leads.
-func (m *LeaseManager) HandleHeartbeat(now Time, b Heartbeat, s *State) ([]Command, HeartbeatResponse) {
-	if reason := m.rejectionReason(now, b); reason != "" {
+func (m *LeaseManager) HandleHeartbeat(now Time, heartbeat Heartbeat, s *State) ([]Command, HeartbeatResponse) {
+	if reason := m.rejectionReason(now, heartbeat); reason != "" {
 		return nil, HeartbeatResponse{Reason: reason}
 	}
-	m.instances[b.Name] = &instance{heartbeat: b, receivedAt: now}
-	releases := m.handleLeaseReports(now, b, s)
-	return releases, m.response(now, b, s, releases)
+	m.instances[heartbeat.Name] = &instance{heartbeat: heartbeat, receivedAt: now}
+	releases := m.handleLeaseReports(now, heartbeat, s)
+	return releases, m.response(now, heartbeat, s, releases)
 }
 
 // rejectionReason says why an instance is not admitted; empty: it is.
-func (m *LeaseManager) rejectionReason(now Time, b Heartbeat) string {
-	known := m.instances[b.Name]
+func (m *LeaseManager) rejectionReason(now Time, heartbeat Heartbeat) string {
+	known := m.instances[heartbeat.Name]
 	switch {
-	case known != nil && known.heartbeat.Incarnation != b.Incarnation &&
-		now-known.receivedAt < silentLeaseLimit*m.settings.LeaseDuration:
-		return fmt.Sprintf("another process of the name %s is there, with life %x", b.Name, known.heartbeat.Incarnation)
+	case known != nil && known.heartbeat.Incarnation != heartbeat.Incarnation &&
+		now-known.receivedAt < heartbeatTimeoutLeases*m.settings.LeaseDuration:
+		return fmt.Sprintf("another process of the name %s is there, with life %x", heartbeat.Name, known.heartbeat.Incarnation)
 	case known == nil && len(m.instances) >= MaxInstances:
 		return fmt.Sprintf("there are %d instances already", MaxInstances)
 	}
@@ -89,16 +89,16 @@
 }
 
 // handleLeaseReports renews the leases whose holder made progress and returns the releases to propose. A report of a lease
-// that is no longer the instance's is skipped: the response shows that it has ended.
-func (m *LeaseManager) handleLeaseReports(now Time, b Heartbeat, s *State) (releases []Command) {
-	for _, report := range b.Leases {
+// that the instance no longer holds is skipped: the response does not list it, by which the instance learns that it ended.
+func (m *LeaseManager) handleLeaseReports(now Time, heartbeat Heartbeat, s *State) (releases []Command) {
+	for _, report := range heartbeat.Leases {
 		a := s.Assignments[report.Role]
-		if a.Token != report.Token || !a.isHeldBy(b) {
+		if a.Token != report.Token || !a.isHeldBy(heartbeat) {
 			continue
 		}
 		if report.Released {
 			releases = append(releases, Command{Kind: CommandRelease, Role: report.Role, Token: report.Token,
-				Reason: "given back by " + b.Name})
+				Reason: "given back by " + heartbeat.Name})
 			continue
 		}
 		// Progress renews a lease, heartbeats alone do not: a holder that is stuck has to be replaced.
@@ -109,8 +109,8 @@
 	return releases
 }
 
-// response is the response to a heartbeat, after which releases are proposed.
-func (m *LeaseManager) response(now Time, b Heartbeat, s *State, releases []Command) (response HeartbeatResponse) {
+// response lists the leases that the sender of a heartbeat holds, without those that it has just released.
+func (m *LeaseManager) response(now Time, heartbeat Heartbeat, s *State, releases []Command) (response HeartbeatResponse) {
 	isReleased := func(role string) bool {
 		return slices.ContainsFunc(releases, func(c Command) bool { return c.Role == role })
 	}
@@ -122,14 +122,14 @@
 			}
 			response.Holders[role] = HolderEndpoint{addr, a.Token}
 		}
-		if !a.isHeldBy(b) || isReleased(role) || !m.isRenewable(now, role, s) {
+		if !a.isHeldBy(heartbeat) || isReleased(role) || !m.isRenewable(now, role, s) {
 			continue
 		}
 		response.Leases = append(response.Leases, LeaseRenewal{
 			Role:      role,
 			Token:     a.Token,
 			Remaining: m.settings.LeaseDuration - (now - m.leases[role].lastProgress),
-			Release:   m.shouldRelease(now, role, b, s),
+			Release:   m.shouldRelease(now, role, heartbeat, s),
 		})
 	}
 	return response
@@ -143,30 +143,30 @@
 	return ""
 }
 
-// isRenewable is false where the lease is about to be ended. It is also false while the duration of leases is not agreed
-// on yet: the next leader would not know for how long it has to wait.
+// isRenewable is false where the lease is about to expire. It is also false while this leader's lease duration is not
+// committed: the next leader would not know for how long it has to wait until the lease has ended.
 func (m *LeaseManager) isRenewable(now Time, role string, s *State) bool {
 	l := m.leases[role]
 	return l.token == s.Assignments[role].Token && !l.ending && now-l.lastProgress < m.settings.LeaseDuration &&
 		s.LeaseDuration >= m.settings.LeaseDuration
 }
 
-// shouldRelease says whether the holder that sent the heartbeat should hand the role over: it leaves and another is
-// eligible, or an operator wants another that is.
-func (m *LeaseManager) shouldRelease(now Time, role string, b Heartbeat, s *State) bool {
-	if b.Leaving && m.chooseHolder(now, role, s, candidateFilter{exclude: b.Name}) != "" {
+// shouldRelease says whether the holder that sent the heartbeat should release the role: it is leaving and another instance
+// is eligible, or an operator wants another one that is.
+func (m *LeaseManager) shouldRelease(now Time, role string, heartbeat Heartbeat, s *State) bool {
+	if heartbeat.Leaving && m.chooseHolder(now, role, s, candidateFilter{exclude: heartbeat.Name}) != "" {
 		return true
 	}
 	desired := s.Assignments[role].DesiredHolder
-	return desired != "" && desired != b.Name && m.isEligible(now, desired, role)
+	return desired != "" && desired != heartbeat.Name && m.isEligible(now, desired, role)
 }
 
 // Tick returns the commands that are due at now: ends of leases, and grants of the roles that nobody holds.
 func (m *LeaseManager) Tick(now Time, s *State) []Command {
-	m.removeSilentInstances(now)
+	m.removeTimedOutInstances(now)
 	commands := m.updatePenalties(now, s)
 	commands = append(commands, m.leaseDurationChange(now, s)...)
-	granted := map[string]int{} // by instance, in this tick, on top of what the state shows
+	granted := map[string]int{} // by instance, in this tick
 	for _, role := range m.settings.Roles {
 		if s.Assignments[role].Holder != "" {
 			commands = append(commands, m.checkLease(now, role, s)...)
@@ -177,23 +177,23 @@
 	return commands
 }
 
-func (m *LeaseManager) removeSilentInstances(now Time) {
+func (m *LeaseManager) removeTimedOutInstances(now Time) {
 	for name, i := range m.instances {
-		if now-i.receivedAt > silentLeaseLimit*m.settings.LeaseDuration {
+		if now-i.receivedAt > heartbeatTimeoutLeases*m.settings.LeaseDuration {
 			delete(m.instances, name)
 		}
 	}
 }
 
-// updatePenalties starts the penalty of each instance with a further expiration, and returns the commands that forget old
-// expirations.
+// updatePenalties starts the penalty of each instance with a further expiration, and returns the commands that forget the
+// expirations of instances that have had none for minExpirationMemory and twice their penalty.
 func (m *LeaseManager) updatePenalties(now Time, s *State) (forget []Command) {
 	for name, n := range s.Expirations {
 		if n > m.seenExpirations[name] {
 			m.penalizedUntil[name], m.lastExpiration[name] = now+m.settings.penalty(n), now
 		}
 		m.seenExpirations[name] = n
-		if now-m.lastExpiration[name] > max(expirationMemory, 2*m.settings.penalty(n)) {
+		if now-m.lastExpiration[name] > max(minExpirationMemory, 2*m.settings.penalty(n)) {
 			forget = append(forget, Command{Kind: CommandForgetExpirations, Instance: name, Reason: "no lease ran out for long"})
 		}
 	}
@@ -207,8 +207,8 @@
 	return forget
 }
 
-// leaseDurationChange agrees on the settings' lease duration: on a longer one before any such lease is granted, on a
-// shorter one once all longer leases have ended. Until then every leader has to wait for the longer ones.
+// leaseDurationChange proposes the settings' lease duration: a longer one before any such lease is granted, a shorter one
+// once all longer leases have ended. Until it is committed every new leader waits for the longer ones.
 func (m *LeaseManager) leaseDurationChange(now Time, s *State) []Command {
 	desired := m.settings.LeaseDuration
 	if s.LeaseDuration < desired || s.LeaseDuration > desired && now >= m.inheritedLeasesEnd {
@@ -217,7 +217,8 @@
 	return nil
 }
 
-// checkLease expires the lease of a role whose holder made no progress for too long.
+// checkLease expires the lease of a role whose holder made no progress for a lease duration. It proposes that at each tick
+// from then on, as a proposal may be lost.
 func (m *LeaseManager) checkLease(now Time, role string, s *State) []Command {
 	a, l := s.Assignments[role], m.leases[role]
 	if l.token != a.Token { // granted just now: the lease starts
@@ -232,7 +233,7 @@
 	return []Command{{Kind: CommandExpire, Role: role, Token: a.Token, Reason: m.expiryReason(now, a)}}
 }
 
-// assignRole grants a role that nobody holds, or drops an operator's choice that can't be met.
+// assignRole grants a role that nobody holds, or withdraws a desired holder that is not eligible.
 func (m *LeaseManager) assignRole(now Time, role string, s *State, granted map[string]int) []Command {
 	delete(m.leases, role)
 	a := s.Assignments[role]
@@ -255,13 +256,13 @@
 		return a.Holder + " is silent"
 	case i.heartbeat.Incarnation != a.Incarnation:
 		return a.Holder + " has started anew"
-	case now-i.receivedAt < m.settings.LeaseDuration/2:
+	case m.isResponsive(now, i):
 		return a.Holder + " is there and its work stands still"
 	}
 	return a.Holder + " is silent"
 }
 
-// isHeldBy says whether the sender of a heartbeat, this very incarnation, holds the role.
-func (a Assignment) isHeldBy(b Heartbeat) bool {
-	return a.Holder == b.Name && a.Incarnation == b.Incarnation
+// isHeldBy says whether the sender of a heartbeat, in its present incarnation, holds the role.
+func (a Assignment) isHeldBy(heartbeat Heartbeat) bool {
+	return a.Holder == heartbeat.Name && a.Incarnation == heartbeat.Incarnation
 }
--- a/internal/singleton/messages.go
+++ b/internal/singleton/messages.go
@@ -1,10 +1,17 @@
 package singleton
 
+// How a heartbeat is sent: a POST of a Heartbeat as JSON, answered 200 with a HeartbeatResponse as JSON.
+const (
+	HeartbeatPath = "/v1/beat"
+	FleetHeader   = "X-Fleet"  // of each POST: the sender's fleet
+	LeaderHeader  = "X-Leader" // of the response of a member that does not lead: the leader's ID, if it knows one
+)
+
 // Heartbeat is what an instance sends to the lease manager.
 type Heartbeat struct {
 	Name        string        `json:"name"`
 	Incarnation Incarnation   `json:"life"`
-	Addr        string        `json:"addr,omitempty"` // where other instances reach it, if they are to
+	Addr        string        `json:"addr,omitempty"` // where other instances reach it; empty: nowhere
 	Zone        string        `json:"zone,omitempty"`
 	Build       uint64        `json:"build,omitempty"`   // a newer one is preferred
 	Leaving     bool          `json:"leaving,omitempty"` // hands over what it holds and is granted nothing more
@@ -12,7 +19,7 @@
 	Leases      []LeaseReport `json:"held,omitempty"`
 }
 
-// LeaseReport is a lease in a heartbeat, as its holder sees it.
+// LeaseReport is the state of a lease at its holder.
 type LeaseReport struct {
 	Role     string       `json:"work"`
 	Token    FencingToken `json:"token"`
@@ -21,20 +28,20 @@
 }
 
 // HeartbeatResponse is the lease manager's response. It may be sent only once a quorum has confirmed, after the heartbeat
-// came, that the member still leads.
+// was received, that the member still leads: a deposed leader would renew a lease that its successor lets expire.
 type HeartbeatResponse struct {
 	Leases []LeaseRenewal `json:"yours,omitempty"` // all leases of the incarnation that sent the heartbeat
 	Reason string         `json:"why,omitempty"`   // why the instance is granted nothing
-	// Holders are the holders that other instances may reach, by role. What a holder sends them carries its token, as an
-	// effect does.
+	// Holders are the holders that other instances may reach, by role. What a holder sends to them carries its token, as
+	// an effect does, so that they can reject a former holder.
 	Holders map[string]HolderEndpoint `json:"owners,omitempty"`
 }
 
-// LeaseRenewal is a lease in a response.
+// LeaseRenewal is the state of a lease at the lease manager.
 type LeaseRenewal struct {
 	Role      string       `json:"work"`
 	Token     FencingToken `json:"token"`
-	Remaining Time         `json:"left"`          // of the lease, by the lease manager's clock when the heartbeat came
+	Remaining Time         `json:"left"`          // of the lease, by the lease manager's clock when it received the heartbeat
 	Release   bool         `json:"end,omitempty"` // complete the step in progress and release the lease
 }
 
--- a/internal/singleton/raftmember/apply.go
+++ b/internal/singleton/raftmember/apply.go
@@ -11,7 +11,8 @@
 	"pumiceline/internal/singleton"
 )
 
-// applyEntry applies a committed entry.
+// applyEntry applies a committed entry: a change of raft's own configuration, a command, or the empty entry by which a new
+// leader begins its term.
 func (m *Member) applyEntry(e *pb.Entry) error {
 	m.applied = e.GetIndex()
 	switch {
@@ -30,7 +31,7 @@
 	case len(e.GetData()) > 0:
 		m.applyCommand(e)
 	}
-	m.leadFrom(e)
+	m.startLeaseManagerIfLeading(e.GetTerm())
 	return nil
 }
 
@@ -54,15 +55,16 @@
 	}
 }
 
-// leadFrom starts the lease manager where this member leads and e is the first entry of its own term: all that was agreed
-// on under earlier leaders is applied then. Before it nobody can have got a response from this member.
-func (m *Member) leadFrom(e *pb.Entry) {
+// startLeaseManagerIfLeading starts the lease manager where this member leads and has applied the first entry of its own
+// term: by then it has applied every entry that was committed under earlier leaders. It must not grant or renew a lease
+// earlier, as the role might have a holder that it does not know of.
+func (m *Member) startLeaseManagerIfLeading(appliedTerm uint64) {
 	status := m.node.BasicStatus()
-	if m.leaseManager != nil || status.RaftState != raft.StateLeader || e.GetTerm() != status.GetTerm() {
+	if m.leaseManager != nil || status.RaftState != raft.StateLeader || appliedTerm != status.GetTerm() {
 		return
 	}
 	m.leaseManager = singleton.NewLeaseManager(m.opts.Settings, m.state, m.now())
-	m.opts.Log.Info("lease manager started", "member", m.opts.ID, "term", e.GetTerm())
+	m.opts.Log.Info("lease manager started", "member", m.opts.ID, "term", appliedTerm)
 }
 
 // restoreSnapshot replaces the state by that of a snapshot.
@@ -86,7 +88,7 @@
 	if err != nil {
 		return fmt.Errorf("encode snapshot: %w", err)
 	}
-	if err := m.store.compact(m.applied, m.opts.SnapshotInterval/4, m.confState, text); err != nil {
+	if err := m.store.compact(m.applied, m.opts.SnapshotInterval/keptIntervalDivisor, m.confState, text); err != nil {
 		return err
 	}
 	m.snapshotIndex = m.applied
--- a/internal/singleton/raftmember/client.go
+++ b/internal/singleton/raftmember/client.go
@@ -9,8 +9,12 @@
 	"io"
 	"net/http"
 	"net/url"
+
+	"pumiceline/internal/singleton"
 )
 
+const maxReasonBytes = 1 << 10 // of the leader's error message
+
 // Client is an operator's access to the members of a fleet.
 type Client struct {
 	Fleet   string            // the fleet's name
@@ -27,8 +31,8 @@
 	Unreachable map[uint64]string `json:"silent,omitempty"` // by member, why it has no Status
 }
 
-// Status asks all members. It returns at the end of ctx at the latest; members that have not answered by then are
-// unreachable.
+// Status asks all members at once. It returns at the end of ctx at the latest; members that have not answered by then
+// count as unreachable.
 func (c *Client) Status(ctx context.Context) FleetStatus {
 	type result struct {
 		id     uint64
@@ -37,7 +41,7 @@
 	}
 	results := make(chan result, len(c.Members))
 	for id, addr := range c.Members {
-		go func() { // ends by ctx; its result has a place in the channel
+		go func() { // ends with ctx at the latest; the channel has room for its result
 			status, err := memberStatus(ctx, addr)
 			results <- result{id, status, err}
 		}()
@@ -55,7 +59,7 @@
 }
 
 func memberStatus(ctx context.Context, addr string) (s Status, err error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/v1/status", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+statusPath, nil)
 	if err != nil {
 		return s, err
 	}
@@ -68,23 +72,28 @@
 	return s, err
 }
 
+// hasQuorum says whether more than half of the fleet's members follow one leader.
 func (f *FleetStatus) hasQuorum(members int) bool {
 	followers := map[uint64]int{} // by leader
 	for _, s := range f.Members {
 		followers[s.Leader]++
 	}
-	for leader, n := range followers {
-		if leader != 0 && n > members/2 {
+	for leader, count := range followers {
+		if leader != 0 && count > members/2 {
 			return true
 		}
 	}
 	return false
 }
 
-// MostCurrent is the status of the member that knows most: the leader's, or that of the one that has applied most.
+// MostCurrent is the status of a member that takes itself for the leader; without one, that of the member that has applied
+// most entries; zero where no member answered.
 func (f *FleetStatus) MostCurrent() (best Status) {
 	for id, s := range f.Members {
-		if s.Leader == id || best.Leader != best.ID && s.Applied >= best.Applied || best.ID == 0 {
+		if s.Leader == id {
+			return s
+		}
+		if best.ID == 0 || s.Applied >= best.Applied {
 			best = s
 		}
 	}
@@ -93,12 +102,12 @@
 
 // Release ends the lease of a role's holder.
 func (c *Client) Release(ctx context.Context, role string) error {
-	return c.postToLeader(ctx, "/v1/works/"+url.PathEscape(role)+"/free")
+	return c.postToLeader(ctx, rolesPath+url.PathEscape(role)+releaseSuffix)
 }
 
-// SetDesiredHolder has a role go to an instance; to any if instance is empty.
+// SetDesiredHolder has a role go to an instance once the holder has completed its step; empty: withdraws that.
 func (c *Client) SetDesiredHolder(ctx context.Context, role, instance string) error {
-	return c.postToLeader(ctx, "/v1/works/"+url.PathEscape(role)+"/want?who="+url.QueryEscape(instance))
+	return c.postToLeader(ctx, rolesPath+url.PathEscape(role)+desiredHolderSuffix+"?"+instanceQuery+"="+url.QueryEscape(instance))
 }
 
 // postToLeader sends a request to the leader. It returns ErrNoLeader where there is none.
@@ -112,13 +121,13 @@
 	if err != nil {
 		return fmt.Errorf("request to the leader: %w", err)
 	}
-	req.Header.Set(fleetHeader, c.Fleet)
+	req.Header.Set(singleton.FleetHeader, c.Fleet)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return fmt.Errorf("request to the leader: %w", err)
 	}
 	defer resp.Body.Close()
-	if reason, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10)); resp.StatusCode != http.StatusAccepted {
+	if reason, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes)); resp.StatusCode != http.StatusAccepted {
 		return fmt.Errorf("request to the leader: %s: %s", resp.Status, bytes.TrimSpace(reason))
 	}
 	return nil
--- a/internal/singleton/raftmember/cluster_test.go
+++ b/internal/singleton/raftmember/cluster_test.go
@@ -22,7 +22,7 @@
 	testRole    = "w"
 )
 
-// cluster is three members in this process. Their disks stay while they stop and start.
+// cluster is three members in this process. Their disks last while they stop and start.
 type cluster struct {
 	t                *testing.T
 	snapshotInterval uint64
@@ -76,10 +76,12 @@
 		SnapshotInterval: c.snapshotInterval})
 }
 
-// startMember opens a member with the settings of the tests and runs it.
+// startMember opens a member with the settings of the tests and runs it. Without a logger its log is discarded.
 func startMember(t *testing.T, listen string, opts Options) runningMember {
 	t.Helper()
-	opts.Log = slog.New(slog.DiscardHandler)
+	if opts.Log == nil {
+		opts.Log = slog.New(slog.DiscardHandler)
+	}
 	opts.Settings = singleton.Settings{Roles: []string{testRole}, LeaseDuration: 1e6, MaxClockDrift: 0.2}
 	m, err := Open(opts)
 	if err != nil {
@@ -97,6 +99,7 @@
 
 // stop stops a member and returns the result of its Run.
 func (c *cluster) stop(id uint64) error {
+	c.t.Helper()
 	m := c.running[id]
 	delete(c.running, id)
 	m.cancel()
@@ -113,7 +116,8 @@
 	return dir
 }
 
-// request sends a request to a member and decodes the response. It is false where that fails or takes 2 s.
+// request sends a request to a member and decodes the response into into, unless that is nil. It is false where that fails
+// or takes 2 s.
 func (c *cluster) request(method, addr, path string, body, into any) bool {
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -125,7 +129,7 @@
 	if err != nil {
 		c.t.Fatal(err)
 	}
-	req.Header.Set(fleetHeader, testFleet)
+	req.Header.Set(singleton.FleetHeader, testFleet)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return false
@@ -134,18 +138,18 @@
 	return resp.StatusCode/100 == 2 && (into == nil || json.NewDecoder(resp.Body).Decode(into) == nil)
 }
 
-// eventually waits for a condition; the bound is for a slow machine.
+// eventually polls until a condition holds; the bound is for a slow machine.
 func (c *cluster) eventually(what string, condition func() bool) {
 	c.t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("in vain: %s", what)
+			c.t.Fatalf("not within 30 s: %s", what)
 		}
 	}
 }
 
-// runInstance has the instance a hold the role from now on: the desired holder is dropped where nobody holds the role and
-// the desired holder does not run.
+// runInstance runs the instance a, which holds the role when runInstance returns and from then on. Without a holder the
+// lease manager would withdraw the desired holders that the tests set, as none of them runs.
 func (c *cluster) runInstance() {
 	c.t.Helper()
 	held, ended := make(chan struct{}), make(chan struct{})
--- a/internal/singleton/raftmember/handshake.go
+++ b/internal/singleton/raftmember/handshake.go
@@ -14,32 +14,43 @@
 )
 
 // Raft is safe only while no member forgets its vote or an entry that it acknowledged. A disk that was restored from a
-// backup, or lost, has forgotten both. Each member therefore remembers how far its peers' disks have come, and a member
-// that starts takes part only once a quorum has checked its disk.
+// backup, or lost, lacks both. Each member therefore records how far its peers' disks have come, and a member that starts
+// takes part only once a quorum has checked its disk.
 
-// diskProgress is how far a member's disk has come. One that is behind what was seen earlier is an older copy.
+// diskProgress is how far a member's disk has come, as far as is known. A disk that is behind it is an older copy.
 type diskProgress struct {
 	StartCount uint64 `json:"boot"`  // how often the member has started
-	Nonce      uint64 `json:"nonce"` // of the process of that start
+	Nonce      uint64 `json:"nonce"` // of the process of that start; 0: not known
 	Term       uint64 `json:"term"`
 	Index      uint64 `json:"index"` // acknowledged in Term
 }
 
-// Hello is what a member says of its disk when it starts.
+// startID identifies one start of a member: a copy of its disk that is started elsewhere has the same count, but another
+// nonce.
+type startID struct{ count, nonce uint64 }
+
+// String is the form of startHeader.
+func (s startID) String() string { return fmt.Sprintf("%d %d", s.count, s.nonce) }
+
+func parseStartID(header string) (s startID, err error) {
+	_, err = fmt.Sscan(header, &s.count, &s.nonce)
+	return s, err
+}
+
+// Hello is what a member announces of its disk when it starts.
 type Hello struct {
 	ID uint64 `json:"id"`
 	diskProgress
 }
 
 var (
-	// ErrStaleDisk is the refusal of a disk that lacks what its member acknowledged.
+	// ErrStaleDisk is the reason to refuse a member: its disk lacks what it acknowledged, or it was started elsewhere.
 	ErrStaleDisk = errors.New("the member's disk is older than what it acknowledged, or another process uses its name")
 	// ErrRefused is the error of a member that ends because a peer refused its Hello.
 	ErrRefused = errors.New("refused by a peer")
 )
 
-// validateStart returns ErrStaleDisk where a member that starts with a disk at started must not take part, as p was seen of
-// its disk earlier.
+// validateStart returns ErrStaleDisk where a member that announces started must not take part, as p is known of its disk.
 func (p diskProgress) validateStart(started diskProgress) error {
 	isOtherProcess := started.StartCount == p.StartCount && p.Nonce != 0 && started.Nonce != p.Nonce
 	if started.StartCount < p.StartCount || isOtherProcess || started.Term < p.Term ||
@@ -50,8 +61,9 @@
 	return nil
 }
 
-// announce sends Hello to the peers until so many have accepted it that, with this member, they are a quorum: whatever its
-// disk once acknowledged, one of them knows. A single refusal is an ErrRefused. Where ctx ends first it returns nil.
+// announce sends Hello to the peers until those that have accepted it are a quorum together with this member. Each
+// compares it with what it has seen of this member's disk itself. A single refusal is an ErrRefused. Where ctx ends first it
+// returns nil.
 func (m *Member) announce(ctx context.Context) error {
 	hello, err := json.Marshal(Hello{ID: m.opts.ID, diskProgress: m.store.progress(m.nonce)})
 	if err != nil {
@@ -84,7 +96,7 @@
 		if accepted[id] {
 			continue
 		}
-		reply, err := m.post(ctx, p.addr, "/v1/hello", hello)
+		reply, err := m.post(ctx, p.addr, helloPath, hello)
 		switch {
 		case err == nil && reply.status == http.StatusOK:
 			accepted[id] = true
@@ -95,7 +107,7 @@
 	return nil
 }
 
-// acceptHello checks a peer's disk and remembers how far it has come.
+// acceptHello checks a peer's disk and records how far it has come. The error is ErrStaleDisk.
 func (m *Member) acceptHello(h Hello) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -106,17 +118,17 @@
 	return nil
 }
 
-// observeMessage learns from a raft message how far its sender's disk has come. It returns ErrStaleDisk where a later start
-// of the sender is known: two processes with one ID must not both vote.
-func (m *Member) observeMessage(msg *pb.Message, startCount, nonce uint64) error {
+// observeMessage records how far the disk of a raft message's sender has come. It returns ErrStaleDisk where another start
+// of the sender, no earlier one, is known: two processes with one ID must not both vote.
+func (m *Member) observeMessage(msg *pb.Message, sender startID) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	seen := m.peerProgress[msg.GetFrom()]
-	if startCount < seen.StartCount || startCount == seen.StartCount && seen.Nonce != nonce {
-		return fmt.Errorf("start %d, where start %d is known: %w", startCount, seen.StartCount, ErrStaleDisk)
+	if sender.count < seen.StartCount || sender.count == seen.StartCount && sender.nonce != seen.Nonce {
+		return fmt.Errorf("start %d, where start %d is known: %w", sender.count, seen.StartCount, ErrStaleDisk)
 	}
 	next := seen
-	next.StartCount, next.Nonce = startCount, nonce // a quorum may have accepted its Hello without this member
+	next.StartCount, next.Nonce = sender.count, sender.nonce // a quorum may have accepted its Hello without this member
 	next.advance(msg)
 	if next != seen {
 		m.peerProgress[msg.GetFrom()] = next
@@ -125,7 +137,7 @@
 	return nil
 }
 
-// advance takes in a message's term and what it acknowledges.
+// advance moves p on to a message's term and to the index that the message acknowledges.
 func (p *diskProgress) advance(msg *pb.Message) {
 	if msg.GetType() == pb.MessageType_MsgPreVote || msg.GetType() == pb.MessageType_MsgPreVoteResp {
 		return // these name a term that nobody has entered
@@ -138,7 +150,8 @@
 	}
 }
 
-// persistProgress stores what was learnt of the peers' disks.
+// persistProgress stores the peers' progress if a term or a start in it is new. An index alone can wait for that: it is
+// stored with the next change.
 func (m *Member) persistProgress() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/singleton/raftmember/http.go
+++ b/internal/singleton/raftmember/http.go
@@ -16,25 +16,36 @@
 	"pumiceline/internal/singleton"
 )
 
-const maxInstanceNameBytes = 64
+// Paths of the member API. role stands for a role's name.
+const (
+	raftPath             = "/v1/raft"
+	helloPath            = "/v1/hello"
+	statusPath           = "/v1/status"
+	metricsPath          = "/v1/metrics"
+	rolesPath            = "/v1/works/"
+	desiredHolderSuffix  = "/want"
+	releaseSuffix        = "/free"
+	instanceQuery        = "who" // of the path that sets the desired holder
+	maxInstanceNameBytes = 64
+)
 
 // handler serves members, instances and operators.
 func (m *Member) handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/raft", m.handleRaftMessage)
-	mux.HandleFunc("POST /v1/hello", m.handleHello)
-	mux.HandleFunc("POST /v1/beat", m.handleHeartbeat)
-	mux.HandleFunc("GET /v1/status", m.handleStatus)
-	mux.HandleFunc("GET /v1/metrics", m.handleMetrics)
-	mux.HandleFunc("POST /v1/works/{work}/want", m.handleSetDesiredHolder)
-	mux.HandleFunc("POST /v1/works/{work}/free", m.handleRelease)
+	mux.HandleFunc("POST "+raftPath, m.handleRaftMessage)
+	mux.HandleFunc("POST "+helloPath, m.handleHello)
+	mux.HandleFunc("POST "+singleton.HeartbeatPath, m.handleHeartbeat)
+	mux.HandleFunc("GET "+statusPath, m.handleStatus)
+	mux.HandleFunc("GET "+metricsPath, m.handleMetrics)
+	mux.HandleFunc("POST "+rolesPath+"{role}"+desiredHolderSuffix, m.handleSetDesiredHolder)
+	mux.HandleFunc("POST "+rolesPath+"{role}"+releaseSuffix, m.handleRelease)
 	return m.requireFleet(mux)
 }
 
 // requireFleet rejects POSTs of another fleet.
 func (m *Member) requireFleet(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if fleet := r.Header.Get(fleetHeader); r.Method == http.MethodPost && fleet != m.opts.Fleet {
+		if fleet := r.Header.Get(singleton.FleetHeader); r.Method == http.MethodPost && fleet != m.opts.Fleet {
 			m.opts.Log.Warn("request of another fleet rejected", "fleet", fleet, "path", r.URL.Path)
 			http.Error(w, fmt.Sprintf("this is a member of the fleet %q, not %q", m.opts.Fleet, fleet), http.StatusForbidden)
 			return
@@ -53,19 +64,19 @@
 		http.Error(w, "no message from a member to this one", http.StatusBadRequest)
 		return
 	}
-	var startCount, nonce uint64
-	if _, err := fmt.Sscan(r.Header.Get(startHeader), &startCount, &nonce); err != nil {
+	sender, err := parseStartID(r.Header.Get(startHeader))
+	if err != nil {
 		http.Error(w, "no X-Start", http.StatusBadRequest)
 		return
 	}
-	if err := m.observeMessage(msg, startCount, nonce); err != nil {
+	if err := m.observeMessage(msg, sender); err != nil {
 		m.opts.Log.Error("raft message rejected", "member", msg.GetFrom(), "error", err)
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
 	select {
 	case m.received <- msg:
-	default: // lost
+	default: // lost, as on a network
 	}
 }
 
@@ -80,11 +91,12 @@
 		http.Error(w, err.Error(), http.StatusConflict)
 		return
 	}
-	if err := m.persistProgress(); err != nil { // it would be forgotten at the next start
+	if err := m.persistProgress(); err != nil { // not accepted: after a restart this member would not know of it
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 	}
 }
 
+// handleHeartbeat responds once a quorum has confirmed, after the heartbeat was received, that this member still leads.
 func (m *Member) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	var heartbeat singleton.Heartbeat
 	err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&heartbeat)
@@ -98,7 +110,7 @@
 	checked := make(chan bool, 1)
 	if !m.runOnLoop(r.Context(), func() {
 		leader = m.leader
-		if m.leaseManager == nil || len(m.checks.waiting) >= maxWaitingReads {
+		if m.leaseManager == nil || len(m.checks.waiting) >= maxWaitingHeartbeats {
 			checked <- false
 			return
 		}
@@ -121,17 +133,17 @@
 	}
 }
 
-// rejectAsFollower answers that another member leads. It names the leader by its ID: the address may differ from client to
-// client.
+// rejectAsFollower answers that this member does not lead. It names the leader by its ID, as each client may have another
+// address for it, such as that of a relay in a fault test.
 func (m *Member) rejectAsFollower(w http.ResponseWriter, leader uint64) {
 	if leader != 0 && leader != m.opts.ID {
-		w.Header().Set(leaderHeader, strconv.FormatUint(leader, 10))
+		w.Header().Set(singleton.LeaderHeader, strconv.FormatUint(leader, 10))
 	}
 	http.Error(w, "this member does not lead", http.StatusServiceUnavailable)
 }
 
 func (m *Member) handleSetDesiredHolder(w http.ResponseWriter, r *http.Request) {
-	role, instance := r.PathValue("work"), r.URL.Query().Get("who")
+	role, instance := r.PathValue("role"), r.URL.Query().Get(instanceQuery)
 	m.proposeForOperator(r.Context(), w, role, func(singleton.Assignment) (singleton.Command, error) {
 		return singleton.Command{Kind: singleton.CommandSetDesiredHolder, Role: role, Instance: instance,
 			Reason: "an operator wants it"}, nil
@@ -139,7 +151,7 @@
 }
 
 func (m *Member) handleRelease(w http.ResponseWriter, r *http.Request) {
-	role := r.PathValue("work")
+	role := r.PathValue("role")
 	m.proposeForOperator(r.Context(), w, role, func(a singleton.Assignment) (singleton.Command, error) {
 		if a.Holder == "" {
 			return singleton.Command{}, errors.New("nobody owns it")
@@ -149,7 +161,7 @@
 	})
 }
 
-// proposeForOperator proposes the command that build makes of a role's assignment. An error of build is answered 409.
+// proposeForOperator proposes the command that build returns for a role's assignment. An error of build is answered 409.
 func (m *Member) proposeForOperator(ctx context.Context, w http.ResponseWriter, role string,
 	build func(singleton.Assignment) (singleton.Command, error)) {
 	isKnown := slices.Contains(m.opts.Settings.Roles, role)
--- a/internal/singleton/raftmember/leadershipcheck.go
+++ b/internal/singleton/raftmember/leadershipcheck.go
@@ -6,26 +6,26 @@
 	"go.etcd.io/raft/v3"
 )
 
-// leadershipChecks batch the question whether this member still leads, which a quorum has to confirm before a response to
-// a heartbeat is sent (ReadIndex, section 6.4 of the raft thesis). One check is in flight at a time; who asks meanwhile
-// waits for the next. They belong to the raft loop.
+// leadershipChecks have a quorum confirm that this member still leads, before a response to a heartbeat is sent (ReadIndex,
+// section 6.4 of Ongaro's thesis). One check is in flight at a time; callbacks that are added meanwhile wait for the next,
+// as a check says nothing of the time after its start. Owned by the raft loop.
 type leadershipChecks struct {
 	waiting  []func(isLeader bool) // for the next check
 	inFlight *leadershipCheck      // nil: none
-	lastID   uint64
+	lastID   uint64                // of a check
 }
 
 type leadershipCheck struct {
 	id        uint64
 	callbacks []func(isLeader bool)
 	confirmed bool
-	index     uint64 // once confirmed: what has to be applied before the callbacks are called
+	index     uint64 // once confirmed: the callbacks are called when the entry of this index is applied
 }
 
-// add has callback called, by the raft loop, with the result of a check that starts from now on.
+// add has callback called, by the raft loop, with the result of a check that has not started yet.
 func (c *leadershipChecks) add(callback func(isLeader bool)) { c.waiting = append(c.waiting, callback) }
 
-// start starts a check for all who wait, unless one is in flight.
+// start starts a check for all callbacks that wait, unless one is in flight.
 func (c *leadershipChecks) start(node *raft.RawNode) {
 	if len(c.waiting) == 0 || c.inFlight != nil {
 		return
@@ -55,7 +55,7 @@
 	c.inFlight = nil
 }
 
-// fail ends all checks: this member may not lead any more.
+// fail ends all checks with false: this member may no longer lead.
 func (c *leadershipChecks) fail() {
 	if c.inFlight != nil {
 		for _, callback := range c.inFlight.callbacks {
--- a/internal/singleton/raftmember/member.go
+++ b/internal/singleton/raftmember/member.go
@@ -14,8 +14,8 @@
 //	POST /v1/raft                   one raftpb.Message; X-Start names the sender's start, and 409 says that a later start of
 //	                                its ID is known
 //
-// Every POST names its fleet in X-Fleet and is answered 403 by a member of another fleet: at an address that another fleet
-// had a moment ago, two fleets would agree with each other. A member that does not lead answers 503, with the leader's ID
+// Every POST names its fleet in X-Fleet and is answered 403 by a member of another fleet: where an address has passed from
+// one fleet to another, members of both would else take part in one raft group. A member that does not lead answers 503, with the leader's ID
 // in X-Leader if it knows one.
 //
 // Goroutines: the raft loop owns the raft node, the state and the lease manager. HTTP handlers reach them through
@@ -47,28 +47,29 @@
 	Dir      string            // folder of its store
 	Settings singleton.Settings
 	Log      *slog.Logger
-	// SnapshotInterval is how many entries are applied between two snapshots; 0: 2,000. A quarter of them stays in memory,
-	// for a member that is a little behind.
+	// SnapshotInterval is how many entries are applied between two snapshots; 0: 2,000. A quarter of as many stays in
+	// memory, so that a member that is a little behind needs no snapshot.
 	SnapshotInterval uint64
 }
 
 // Bounds of what is queued. What exceeds them is lost, as on a network.
 const (
-	maxReceived      = 1024 // messages for the raft loop
-	maxQueuedPerPeer = 256  // messages to a peer
-	maxBodyBytes     = 4 << 20
-	maxWaitingReads  = 4096 // heartbeats that wait for a leadership check
+	maxReceived          = 1024    // messages for the raft loop
+	maxQueuedPerPeer     = 256     // messages to a peer
+	maxBodyBytes         = 4 << 20 // of a request
+	maxWaitingHeartbeats = 4096    // heartbeats that wait for a leadership check
 
 	defaultSnapshotInterval = 2000
+	keptIntervalDivisor     = 4 // part of SnapshotInterval that stays in memory behind a snapshot
 )
 
 // Timing of raft, in ticks.
 const (
-	electionTicks  = 10 // without a message from the leader start an election
+	electionTicks  = 10 // without a message from the leader until a member starts an election
 	heartbeatTicks = 2
 	requestTicks   = 10 // time-out of a request to a peer
 
-	ticksPerLease   = 50 // an election has to be over well within a lease
+	ticksPerLease   = 50 // an election, of some electionTicks, has to be over well within a lease
 	minTickInterval = 5 * time.Millisecond
 	maxTickInterval = 100 * time.Millisecond
 )
@@ -82,7 +83,7 @@
 	startedAt    time.Time
 	received     chan *pb.Message
 	calls        chan func() // to be run by the raft loop
-	fatal        chan error  // why this member must not go on
+	fatal        chan error  // the error with which Run has to end
 	peers        map[uint64]*peer
 	client       *http.Client
 
@@ -90,7 +91,7 @@
 	peerProgress  map[uint64]diskProgress
 	progressDirty bool
 
-	// What follows belongs to the raft loop.
+	// Owned by the raft loop.
 	node          *raft.RawNode
 	confState     *pb.ConfState
 	state         *singleton.State
@@ -98,12 +99,13 @@
 	snapshotIndex uint64
 	term          uint64
 	leader        uint64                  // 0: not known
-	leaseManager  *singleton.LeaseManager // nil: this member does not lead, or has not applied all earlier entries
+	leaseManager  *singleton.LeaseManager // nil: see startLeaseManagerIfLeading
 	checks        leadershipChecks
 	holderChanges uint64 // since the start
 }
 
-// Open opens a member's store. The errors that its caller may meet are of the settings, of the file and of its contents.
+// Open opens a member's store, creating it where there is none, and counts the start. It returns a
+// *singleton.SettingError for settings that can't be used, else errors of the file and of its contents.
 func Open(opts Options) (*Member, error) {
 	if err := opts.Settings.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -149,7 +151,7 @@
 	return m
 }
 
-// loadStored takes the peers' progress and the latest snapshot from the store.
+// loadStored loads the peers' progress and the latest snapshot from the store.
 func (m *Member) loadStored() (err error) {
 	if m.peerProgress, err = m.store.loadPeerProgress(); err != nil {
 		return err
--- a/internal/singleton/raftmember/member_test.go
+++ b/internal/singleton/raftmember/member_test.go
@@ -1,8 +1,10 @@
 package raftmember
 
 import (
+	"context"
 	"errors"
 	"fmt"
+	"log/slog"
 	"path/filepath"
 	"strings"
 	"testing"
@@ -11,8 +13,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// The log is compacted, and a member that was away for long gets a snapshot; all that was agreed on is there after every
-// member has restarted, and after a member has come from a snapshot alone.
+// The log is compacted, and a member that was stopped for long gets a snapshot. All that was committed is there after every
+// member has restarted, and at a member that got it by a snapshot alone.
 func TestMember_CompactsAndRestoresSnapshots(t *testing.T) {
 	c := newCluster(t, 40)
 	c.startAll()
@@ -41,7 +43,7 @@
 	if after := c.awaitAgreement("last"); after.Token < before.Token {
 		t.Errorf("%+v after all have restarted, before %+v", after, before)
 	}
-	c.stop(1) // the snapshot that member 3 got counts as much as any
+	c.stop(1) // member 3, which got a snapshot, is needed for the quorum now
 	c.setDesiredHolder("without-1")
 	c.awaitAgreement("without-1")
 }
@@ -121,16 +123,26 @@
 	c.awaitAgreement("after")
 }
 
-// Members of two fleets that come to one another's addresses reject one another: neither agrees to what the other says,
-// nor ends for it.
+// A member of another fleet that announces itself at this fleet's addresses is rejected: it never takes part, and neither
+// it nor a member of this fleet ends because of it.
 func TestMember_RejectsAnotherFleet(t *testing.T) {
 	c := newCluster(t, 0)
 	c.startAll()
 	c.runInstance()
 	c.setDesiredHolder("before")
-	stranger := startMember(t, "127.0.6.8:0", Options{Fleet: "g", ID: 3, Dir: t.TempDir(),
+	// The stranger logs each round of announcements after which no quorum has accepted it.
+	rounds := messageSignal{message: "member waits for a quorum to accept its disk", seen: make(chan struct{}, 1)}
+	stranger := startMember(t, "127.0.6.8:0", Options{Fleet: "g", ID: 3, Dir: t.TempDir(), Log: slog.New(rounds),
 		Members: map[uint64]string{1: c.addrs[1], 2: c.addrs[2], 3: "127.0.6.8:1"}})
-	time.Sleep(300 * time.Millisecond) // several of its announcements
+	for range 3 {
+		select {
+		case <-rounds.seen:
+		case err := <-stranger.result:
+			t.Fatalf("the stranger ended by itself: %v", err)
+		case <-time.After(20 * time.Second):
+			t.Fatal("the stranger has stopped announcing itself")
+		}
+	}
 	stranger.cancel()
 	if err := <-stranger.result; err != nil {
 		t.Errorf("the stranger: %v", err)
@@ -138,3 +150,26 @@
 	c.setDesiredHolder("after")
 	c.awaitAgreement("after")
 }
+
+// messageSignal is a log handler that signals each record with a message.
+type messageSignal struct {
+	message string
+	seen    chan struct{}
+}
+
+func (s messageSignal) Enabled(context.Context, slog.Level) bool { return true }
+
+func (s messageSignal) Handle(_ context.Context, r slog.Record) error {
+	if r.Message != s.message {
+		return nil
+	}
+	select {
+	case s.seen <- struct{}{}:
+	default: // the test has seen enough, or is about to read the last one
+	}
+	return nil
+}
+
+func (s messageSignal) WithAttrs([]slog.Attr) slog.Handler { return s }
+
+func (s messageSignal) WithGroup(string) slog.Handler { return s }
--- a/internal/singleton/raftmember/raftloop.go
+++ b/internal/singleton/raftmember/raftloop.go
@@ -13,6 +13,13 @@
 	"pumiceline/internal/singleton"
 )
 
+// Limits of the raft node.
+const (
+	maxMessageBytes     = 1 << 20 // of entries in one message
+	maxMessagesInFlight = 64      // of entries, to one peer, without an acknowledgement
+	maxUncommittedBytes = 1 << 20 // of proposals; further ones are dropped
+)
+
 // startNode creates the raft node. A member without a log starts with the entries that add all members.
 func (m *Member) startNode() (err error) {
 	m.node, err = raft.NewRawNode(&raft.Config{
@@ -21,12 +28,12 @@
 		HeartbeatTick:             heartbeatTicks,
 		Storage:                   m.store.mem,
 		Applied:                   m.applied,
-		MaxSizePerMsg:             1 << 20,
-		MaxInflightMsgs:           64,
-		MaxUncommittedEntriesSize: 1 << 20,
+		MaxSizePerMsg:             maxMessageBytes,
+		MaxInflightMsgs:           maxMessagesInFlight,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
 		CheckQuorum:               true,
 		PreVote:                   true,
-		DisableProposalForwarding: true, // what a member decided while it led must not count once another leads
+		DisableProposalForwarding: true, // a command that a member decided on while it led must not take effect under another leader
 		Logger:                    raftLogger{m.opts.Log},
 	})
 	if err != nil {
@@ -55,14 +62,14 @@
 		case <-ctx.Done():
 		case <-ticker.C:
 			m.node.Tick()
-			m.proposeDue()
+			m.tickLeaseManager()
 			if err := m.persistProgress(); err != nil {
 				return err
 			}
 		case err := <-m.fatal:
 			return err
 		case msg := <-m.received:
-			_ = m.node.Step(msg) // an error is a message that no longer fits: it is lost
+			_ = m.node.Step(msg) // an error is that of a message that raft does not take from a peer: dropped
 		case call := <-m.calls:
 			call()
 		}
@@ -76,7 +83,7 @@
 	return nil
 }
 
-// runOnLoop has f run by the raft loop and waits for it. It is false where ctx ended before the loop took f.
+// runOnLoop has the raft loop run f and waits for that. It is false where ctx ended before the loop received f.
 func (m *Member) runOnLoop(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	select {
@@ -88,14 +95,15 @@
 	}
 }
 
-// proposeDue proposes the commands that are due by time.
-func (m *Member) proposeDue() {
+// tickLeaseManager proposes the commands that are due by now.
+func (m *Member) tickLeaseManager() {
 	if m.leaseManager != nil {
 		m.propose(m.leaseManager.Tick(m.now(), m.state)...)
 	}
 }
 
-// propose appends commands to the log. What raft drops is decided anew at a later tick.
+// propose proposes commands for the log. What raft drops, the lease manager proposes again at a later tick if it still
+// holds.
 func (m *Member) propose(commands ...singleton.Command) {
 	for _, c := range commands {
 		text, err := json.Marshal(c)
@@ -108,7 +116,8 @@
 	}
 }
 
-// handleReady does what raft wants done, in the order that it requires: first the disk, then the messages, then the state.
+// handleReady handles a raft.Ready in the order that raft requires: first the disk, then the messages, then the state. A
+// message that left before what it acknowledges is on the disk would acknowledge what a crash then loses.
 func (m *Member) handleReady() error {
 	ready := m.node.Ready()
 	if err := m.store.save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
@@ -133,11 +142,11 @@
 	return m.snapshotIfDue()
 }
 
-// observeLeader takes in a change of the leader or of the term. Either ends this member's leadership as far as leases are
-// concerned: it has to apply an entry of the new term before it decides again.
+// observeLeader takes in a change of the leader or of the term. Either stops the lease manager: before it decides again
+// this member has to apply an entry of the new term.
 func (m *Member) observeLeader(ready raft.Ready) {
 	if s := ready.SoftState; s != nil && (s.Lead != m.leader || s.RaftState != raft.StateLeader) {
-		m.stopLeading()
+		m.stopLeaseManager()
 		if m.leader != s.Lead {
 			m.opts.Log.Info("leader changed", "member", m.opts.ID, "leader", s.Lead, "previous_leader", m.leader)
 		}
@@ -145,11 +154,11 @@
 	}
 	if term := ready.HardState.GetTerm(); !raft.IsEmptyHardState(ready.HardState) && term != m.term {
 		m.term = term
-		m.stopLeading()
+		m.stopLeaseManager()
 	}
 }
 
-func (m *Member) stopLeading() {
+func (m *Member) stopLeaseManager() {
 	m.checks.fail()
 	m.leaseManager = nil
 }
--- a/internal/singleton/raftmember/storage.go
+++ b/internal/singleton/raftmember/storage.go
@@ -15,13 +15,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// store is what a member may not forget, on disk: its vote and term, the log since the latest snapshot, that snapshot, how
-// often it has started, and its peers' progress. Term, vote, log and snapshot are in memory too, where raft reads them.
+// store is what a member must not lose, on disk: its vote and term, the log since the latest snapshot, that snapshot, how
+// often it has started, and its peers' progress. Term, vote, log and snapshot are in memory too (mem), where raft reads them.
 //
 // Format: a bbolt file. Bucket "meta" holds "hard" (raftpb.HardState), "snapshot" (raftpb.Snapshot), "boot" (8 bytes, big
 // endian) and "known" (JSON: diskProgress by member). Bucket "log" holds raftpb.Entry by index (8 bytes, big endian).
 //
-// The raft loop owns it but for loadPeerProgress and savePeerProgress, which Member.mu guards.
+// Owned by the raft loop, except for loadPeerProgress and savePeerProgress, which Member.mu guards.
 type store struct {
 	db         *bbolt.DB
 	mem        *raft.MemoryStorage
@@ -31,6 +31,7 @@
 const (
 	storeFile   = "member.db"
 	lockTimeout = time.Second // for another process that has the file open
+	keyBytes    = 8           // of a number: an index or the start count
 )
 
 var (
@@ -75,7 +76,7 @@
 	if err := s.loadLog(log); err != nil {
 		return err
 	}
-	if text := meta.Get(startCountKey); len(text) == 8 {
+	if text := meta.Get(startCountKey); len(text) == keyBytes {
 		s.startCount = binary.BigEndian.Uint64(text)
 	}
 	s.startCount++
@@ -122,7 +123,7 @@
 	return s.mem.Append(entries)
 }
 
-// save stores what raft wants stored before it goes on, in one transaction.
+// save stores what a raft.Ready wants on disk before its messages are sent, in one transaction.
 func (s *store) save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	if raft.IsEmptyHardState(hard) && len(entries) == 0 && raft.IsEmptySnap(snapshot) {
 		return nil
@@ -147,7 +148,7 @@
 	return s.updateMemory(hard, entries, snapshot)
 }
 
-// updateMemory brings what raft reads to what was stored.
+// updateMemory updates the copy that raft reads to what was stored.
 func (s *store) updateMemory(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	if !raft.IsEmptySnap(snapshot) {
 		if err := s.mem.ApplySnapshot(snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
@@ -165,7 +166,8 @@
 	return nil
 }
 
-// compact replaces the log up to an index by a snapshot of the state there. The last keep entries before it stay in memory.
+// compact replaces the log up to an index by a snapshot of the state there. The last keep entries before that index stay in
+// memory.
 func (s *store) compact(index, keep uint64, conf *pb.ConfState, state []byte) error {
 	snapshot, err := s.mem.CreateSnapshot(index, conf, state)
 	if err != nil {
@@ -212,7 +214,7 @@
 	return nil
 }
 
-// progress is how far this disk has come, for a process with a nonce.
+// progress is how far this disk has come, at the start of the process with a nonce.
 func (s *store) progress(nonce uint64) diskProgress {
 	hard, _, _ := s.mem.InitialState() // a MemoryStorage returns no error
 	last, _ := s.mem.LastIndex()
@@ -225,6 +227,7 @@
 	return fmt.Errorf("%s can't be kept: %w", what, err)
 }
 
+// indexKey is a number as a key, in the order of the numbers.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 func putMessage(bucket *bbolt.Bucket, key []byte, m proto.Message) error {
@@ -243,7 +246,8 @@
 	return deleteEntries(log, 0, snapshot.GetMetadata().GetIndex()+1)
 }
 
-// putEntries stores entries in place of those that the log has from the first one's index on, which were never committed.
+// putEntries stores entries in place of those that the log has from the first one's index on. Raft replaces only entries
+// that were not committed.
 func putEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
--- a/internal/singleton/raftmember/stored_test.go
+++ b/internal/singleton/raftmember/stored_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// applyEntry carries out entries at a member, and checks what they come to.
+// applyEntries applies entries at a member, and checks the resulting state.
 func applyEntries(t *testing.T, m *Member, entries []*pb.Entry) {
 	t.Helper()
 	if err := m.startNode(); err != nil {
--- a/internal/singleton/raftmember/transport.go
+++ b/internal/singleton/raftmember/transport.go
@@ -11,15 +11,15 @@
 	"go.etcd.io/raft/v3"
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-)
 
-// Headers of requests between members, from instances and from operators.
-const (
-	fleetHeader  = "X-Fleet"  // the sender's fleet
-	startHeader  = "X-Start"  // the sending member's start count and nonce
-	leaderHeader = "X-Leader" // of a response: the leader's ID
+	"pumiceline/internal/singleton"
 )
 
+// startHeader is the header with the sending member's start, as startID.String writes it.
+const startHeader = "X-Start"
+
+const maxReplyBytes = 4 << 10 // of the error text of a peer
+
 // ErrStartedElsewhere is the error of a member that ends because another process runs with its ID.
 var ErrStartedElsewhere = errors.New("the member has been started elsewhere")
 
@@ -29,14 +29,16 @@
 	queue chan []byte // encoded raft messages, for sendQueued
 }
 
-// enqueue queues a raft message for its receiver. A full queue loses it, as a network would.
+// enqueue queues a raft message for its receiver. Where the queue is full the message is lost, as on a network.
 func (m *Member) enqueue(msg *pb.Message) {
 	p := m.peers[msg.GetTo()]
 	text, err := proto.Marshal(msg)
 	if p == nil || err != nil {
 		return
 	}
-	if msg.GetType() == pb.MessageType_MsgSnap { // whether it arrived shows in what the receiver sends next
+	// Raft sends a peer nothing else until the snapshot's end is reported. Whether it arrived shows in what the peer
+	// acknowledges next.
+	if msg.GetType() == pb.MessageType_MsgSnap {
 		m.node.ReportSnapshot(msg.GetTo(), raft.SnapshotFinish)
 	}
 	select {
@@ -53,7 +55,7 @@
 		case <-ctx.Done():
 			return
 		case text := <-p.queue:
-			reply, _ := m.post(ctx, p.addr, "/v1/raft", text) // an error is a loss
+			reply, _ := m.post(ctx, p.addr, raftPath, text) // an error is a loss
 			if reply.status == http.StatusConflict {
 				m.fail(fmt.Errorf("member %d: %w: %s", m.opts.ID, ErrStartedElsewhere, reply.text))
 			}
@@ -61,7 +63,7 @@
 	}
 }
 
-// fail has the raft loop end with an error. Only the first counts.
+// fail has the raft loop end with an error, the first of several.
 func (m *Member) fail(err error) {
 	select {
 	case m.fatal <- err:
@@ -75,7 +77,7 @@
 	text   string
 }
 
-// post sends a request to a peer and waits for its response for ten ticks at most.
+// post sends a request to a peer and waits for its response for requestTicks at most.
 func (m *Member) post(ctx context.Context, addr, path string, body []byte) (reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTicks*m.tickInterval)
 	defer cancel()
@@ -83,13 +85,13 @@
 	if err != nil {
 		return reply{}, err
 	}
-	req.Header.Set(fleetHeader, m.opts.Fleet)
-	req.Header.Set(startHeader, fmt.Sprintf("%d %d", m.store.startCount, m.nonce))
+	req.Header.Set(singleton.FleetHeader, m.opts.Fleet)
+	req.Header.Set(startHeader, startID{m.store.startCount, m.nonce}.String())
 	resp, err := m.client.Do(req)
 	if err != nil {
 		return reply{}, err
 	}
 	defer resp.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(resp.Body, 4<<10))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	return reply{resp.StatusCode, string(bytes.TrimSpace(text))}, err
 }
--- a/internal/singleton/settings.go
+++ b/internal/singleton/settings.go
@@ -8,26 +8,32 @@
 // Settings are the same at all members and instances of a fleet.
 type Settings struct {
 	Roles          []string // the roles that exist, in the order in which they are assigned
-	LeaseDuration  Time     // a holder that makes no progress for as long loses its role
-	MaxClockDrift  float64  // share of its speed by which a clock may be wrong, in either direction
-	PenaltyBackoff Time     // an instance whose lease expired is granted nothing for as long; doubled with each expiration
+	LeaseDuration  Time     // a holder that makes no progress for this long loses its role
+	MaxClockDrift  float64  // share by which a clock may run too fast or too slow
+	PenaltyBackoff Time     // an instance whose lease expired is granted nothing for this long; doubled with each expiration
 }
 
-// Bounds of what is kept.
+// Limits of what a member keeps. Names and counts come from the network, so each of them is bounded.
 const (
 	MaxRoles     = 64
 	MaxInstances = 4096 // known to a lease manager; further ones are granted nothing
 
-	maxRoleNameBytes      = 64
-	maxTrackedExpirations = 1024  // instances whose expirations are counted
-	maxPenaltyDoublings   = 5     // the longest penalty is the backoff times 2 to the power of this
-	silentLeaseLimit      = 1     // an instance that was silent for as many leases is forgotten
-	expirationMemory      = 600e6 // expirations are forgotten after as long without another, and two penalties at least
+	maxRoleNameBytes    = 64
+	maxTrackedInstances = 1024 // instances whose expirations are counted
+	maxExpirationCount  = 5    // an instance's count stops here, and its penalty at 16 times the backoff
 )
 
 const (
-	minLeaseDuration = 100_000
-	maxSpan          = 3600e6 // of a lease and of a penalty
+	// heartbeatTimeoutLeases is for how many lease durations an instance may send no heartbeat until it is forgotten.
+	heartbeatTimeoutLeases = 1
+	// minExpirationMemory is for how long expirations are remembered at least after an instance's latest.
+	minExpirationMemory = 10 * minute
+)
+
+// Bounds of the settings.
+const (
+	minLeaseDuration = 100 * millisecond
+	maxSettingTime   = hour // of a lease and of a penalty
 	maxDrift         = 0.4
 )
 
@@ -45,11 +51,11 @@
 	switch {
 	case len(s.Roles) == 0 || len(s.Roles) > MaxRoles:
 		return &SettingError{"works", fmt.Sprintf("there are %d, not 1 to %d", len(s.Roles), MaxRoles)}
-	case s.LeaseDuration < minLeaseDuration || s.LeaseDuration > maxSpan:
+	case s.LeaseDuration < minLeaseDuration || s.LeaseDuration > maxSettingTime:
 		return &SettingError{"lease", "it is not within 100ms and 1h"}
 	case !(s.MaxClockDrift >= 0 && s.MaxClockDrift <= maxDrift): // NaN fails too
 		return &SettingError{"drift", fmt.Sprintf("%v is not within 0 and 0.4", s.MaxClockDrift)}
-	case s.PenaltyBackoff < 0 || s.PenaltyBackoff > maxSpan:
+	case s.PenaltyBackoff < 0 || s.PenaltyBackoff > maxSettingTime:
 		return &SettingError{"damp", "it is not within 0 and 1h"}
 	}
 	for i, role := range s.Roles {
@@ -62,13 +68,13 @@
 }
 
 // HoldTime is for how long after it sent a heartbeat an instance may act, where remaining of the lease was left when the
-// heartbeat came. With a clock that is slow by MaxClockDrift this ends before the lease does by a clock that is fast by
-// as much: HoldTime/(1-MaxClockDrift) = remaining/(1+MaxClockDrift).
+// heartbeat was received. With a clock that is slow by MaxClockDrift this ends before the lease does by a clock that is
+// fast by as much: HoldTime/(1-MaxClockDrift) = remaining/(1+MaxClockDrift).
 func (s *Settings) HoldTime(remaining Time) Time {
 	return Time(float64(remaining) * (1 - s.MaxClockDrift) / (1 + s.MaxClockDrift))
 }
 
-// penalty is for how long an instance with as many expirations is granted nothing.
-func (s *Settings) penalty(expirations int) Time {
-	return s.PenaltyBackoff << min(expirations, maxPenaltyDoublings) >> 1
+// penalty is for how long an instance with n expirations, at least one, is granted nothing: PenaltyBackoff times 2^(n-1).
+func (s *Settings) penalty(n int) Time {
+	return s.PenaltyBackoff << min(n, maxExpirationCount) >> 1
 }
--- a/internal/singleton/state.go
+++ b/internal/singleton/state.go
@@ -25,7 +25,7 @@
 // FencingToken numbers the grants of a role. An effect with a lower token than the receiver has seen is rejected.
 type FencingToken uint64
 
-// Incarnation tells the processes apart that ran under one instance's name. It is drawn at random at the start of each.
+// Incarnation distinguishes the processes that ran under one instance's name. Each draws its own at random.
 type Incarnation uint64
 
 // CommandKind is what a command does. The values are stored.
@@ -35,15 +35,15 @@
 const (
 	// CommandGrant gives the role to Instance, if its token is still Token.
 	CommandGrant CommandKind = "grant"
-	// CommandExpire ends the lease of the holder with Token, which let it expire.
+	// CommandExpire ends the lease of the holder with Token, which made no progress, and counts the expiration.
 	CommandExpire CommandKind = "expire"
-	// CommandRelease ends the lease of the holder with Token, which gave it back or was made to by an operator.
+	// CommandRelease ends the lease of the holder with Token: the holder gave it back, or an operator took it away.
 	CommandRelease CommandKind = "free"
-	// CommandSetDesiredHolder records that an operator wants Instance to hold the role; empty: nobody any more.
+	// CommandSetDesiredHolder records that an operator wants Instance to hold the role; empty: withdraws that.
 	CommandSetDesiredHolder CommandKind = "want"
 	// CommandForgetExpirations resets the count of Instance's expirations.
 	CommandForgetExpirations CommandKind = "spare"
-	// CommandSetLeaseDuration allows the leader to grant leases of up to LeaseDuration.
+	// CommandSetLeaseDuration allows this leader and later ones to grant leases of up to LeaseDuration.
 	CommandSetLeaseDuration CommandKind = "term"
 )
 
@@ -81,9 +81,9 @@
 	return s, nil
 }
 
-// Apply carries out a command. A command that comes twice, or whose precondition no longer holds, changes nothing and
-// gives ErrStaleToken. ErrUnknownCommand and ErrTooManyRoles change nothing either: the result has to be the same at all
-// members, also at those of an older build.
+// Apply carries out a command. A command that was applied before, or whose precondition no longer holds, changes nothing
+// and returns ErrStaleToken: a leader proposes commands again that may have been lost. With ErrUnknownCommand and
+// ErrTooManyRoles nothing changes either: the result has to be the same at all members, also at those of an older build.
 func (s *State) Apply(c Command) error {
 	switch c.Kind {
 	case CommandGrant:
@@ -105,6 +105,7 @@
 	}
 }
 
+// applyGrant takes the next token for the new holder. The desired holder has been served once it is the holder.
 func (s *State) applyGrant(c Command) error {
 	a := s.Assignments[c.Role]
 	if a.Token != c.Token {
@@ -117,6 +118,7 @@
 	return s.put(c.Role, granted)
 }
 
+// applyLeaseEnd keeps the role's token: the next grant takes a higher one.
 func (s *State) applyLeaseEnd(c Command) error {
 	a := s.Assignments[c.Role]
 	if a.Token != c.Token || a.Holder == "" {
@@ -130,11 +132,12 @@
 }
 
 func (s *State) countExpiration(instance string) {
-	if s.Expirations[instance] > 0 || len(s.Expirations) < maxTrackedExpirations {
-		s.Expirations[instance] = min(s.Expirations[instance]+1, maxPenaltyDoublings)
+	if s.Expirations[instance] > 0 || len(s.Expirations) < maxTrackedInstances {
+		s.Expirations[instance] = min(s.Expirations[instance]+1, maxExpirationCount)
 	}
 }
 
+// put stores an assignment, unless it is that of a role too many.
 func (s *State) put(role string, a Assignment) error {
 	if s.Assignments[role] = a; len(s.Assignments) > MaxRoles {
 		delete(s.Assignments, role)
