--- a/internal/controlplane/distribution/poller.go
+++ b/internal/controlplane/distribution/poller.go
@@ -5,6 +5,7 @@
 	"sync/atomic"
 	"time"
 
+	"pumiceline/internal/ctxtime"
 	"pumiceline/internal/message"
 	"pumiceline/internal/transport"
 )
@@ -54,13 +55,13 @@
 	for ctx.Err() == nil {
 		addresses := p.subscriber.Addresses()
 		if len(addresses) == 0 {
-			sleep(ctx, noServerDelay)
+			_ = ctxtime.Sleep(ctx, noServerDelay) // the loop checks ctx
 			continue
 		}
 		if !p.pollServer(ctx, addresses[p.serverIndex%len(addresses)]) {
 			p.serverIndex++
 			p.failedOverAt = time.Now()
-			sleep(ctx, failoverDelay)
+			_ = ctxtime.Sleep(ctx, failoverDelay) // the loop checks ctx
 			continue
 		}
 		if p.serverIndex > 0 && time.Since(p.failedOverAt) > preferredRetryInterval {
@@ -114,12 +115,3 @@
 func ObservedAt(response *message.PollResponse, sent time.Time) time.Time {
 	return sent.Add(time.Duration(response.WaitedMs-response.BackendsAgeMs) * time.Millisecond)
 }
-
-func sleep(ctx context.Context, duration time.Duration) {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-	case <-timer.C:
-	}
-}
--- a/internal/controlplane/placement/executor/executor.go
+++ b/internal/controlplane/placement/executor/executor.go
@@ -9,6 +9,7 @@
 	"github.com/pkg/errors"
 
 	"pumiceline/internal/controlplane/placement/planner"
+	"pumiceline/internal/ctxtime"
 	"pumiceline/internal/message"
 )
 
@@ -68,12 +69,5 @@
 	if e.Sleep != nil {
 		return e.Sleep(ctx, duration)
 	}
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-timer.C:
-		return nil
-	}
+	return ctxtime.Sleep(ctx, duration)
 }
--- a/internal/dataplane/loads/exchange.go
+++ b/internal/dataplane/loads/exchange.go
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"pumiceline/internal/ctxtime"
 	"pumiceline/internal/message"
 	"pumiceline/internal/transport"
 )
@@ -109,12 +110,7 @@
 		case <-ticker.C:
 			e.reportAll()
 		}
-		timer := time.NewTimer(flushInterval)
-		select {
-		case <-ctx.Done():
-		case <-timer.C:
-		}
-		timer.Stop()
+		_ = ctxtime.Sleep(ctx, flushInterval) // the select above checks ctx
 	}
 }
 
--- a/internal/dataplane/proxy/demandnotifier.go
+++ b/internal/dataplane/proxy/demandnotifier.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"pumiceline/internal/controlplane/distribution"
+	"pumiceline/internal/ctxtime"
 )
 
 // minNotifyInterval is the least time between two polls for unmet demand.
@@ -35,11 +36,6 @@
 		case <-n.pending:
 			poller.PollNow(ctx)
 		}
-		timer := time.NewTimer(minNotifyInterval)
-		select {
-		case <-ctx.Done():
-		case <-timer.C:
-		}
-		timer.Stop()
+		_ = ctxtime.Sleep(ctx, minNotifyInterval) // the select above checks ctx
 	}
 }
--- a/internal/dataplane/proxy/discoveryfallback.go
+++ b/internal/dataplane/proxy/discoveryfallback.go
@@ -5,6 +5,7 @@
 	"math/rand/v2"
 	"time"
 
+	"pumiceline/internal/ctxtime"
 	"pumiceline/internal/dataplane/balancer"
 )
 
@@ -20,14 +21,8 @@
 // runDiscoveryFallback reads the list of backends from the platform while no coordinator brings a fresh one, until ctx
 // ends.
 func (s *subscription) runDiscoveryFallback(ctx context.Context) {
-	for ctx.Err() == nil {
-		timer := time.NewTimer(fallbackInterval + rand.N(fallbackInterval))
-		select {
-		case <-ctx.Done():
-		case <-timer.C:
-			s.readIfStale(ctx)
-		}
-		timer.Stop()
+	for ctxtime.Sleep(ctx, fallbackInterval+rand.N(fallbackInterval)) == nil {
+		s.readIfStale(ctx)
 	}
 }
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -13,6 +13,7 @@
 
 	"github.com/pkg/errors"
 
+	"pumiceline/internal/ctxtime"
 	"pumiceline/internal/fake/fakesystem"
 )
 
@@ -126,7 +127,7 @@
 		}
 		d.result.LongestGap = max(d.result.LongestGap, time.Since(lastChange))
 		lastChange = time.Now()
-		if err := sleep(ctx, d.opts.LoadPeriod/changesPerRun); err != nil {
+		if err := ctxtime.Sleep(ctx, d.opts.LoadPeriod/changesPerRun); err != nil {
 			return err
 		}
 	}
@@ -180,15 +181,3 @@
 		backend.Close()
 	}
 }
-
-// sleep waits for a time. Its error is that ctx ended first.
-func sleep(ctx context.Context, duration time.Duration) error {
-	timer := time.NewTimer(duration)
-	defer timer.Stop()
-	select {
-	case <-ctx.Done():
-		return ctx.Err()
-	case <-timer.C:
-		return nil
-	}
-}
--- a/internal/demo/operator.go
+++ b/internal/demo/operator.go
@@ -11,6 +11,7 @@
 	"github.com/pkg/errors"
 
 	"pumiceline/internal/controlplane/coordinator"
+	"pumiceline/internal/ctxtime"
 )
 
 // Services of the configuration.
@@ -37,7 +38,7 @@
 	}
 	for _, n := range d.nodes[coordinatorCount:] {
 		for !d.isReady(n) {
-			if err := sleep(ctx, pollInterval); err != nil {
+			if err := ctxtime.Sleep(ctx, pollInterval); err != nil {
 				return errors.Wrapf(err, "%s is not ready", n.Name)
 			}
 		}
@@ -79,7 +80,7 @@
 		if err == nil && status < http.StatusInternalServerError {
 			return errors.Errorf("rejected with status %d", status)
 		}
-		if err := sleep(ctx, pollInterval); err != nil {
+		if err := ctxtime.Sleep(ctx, pollInterval); err != nil {
 			return err
 		}
 	}
@@ -114,7 +115,7 @@
 			d.result.ReadVersion = document.Version
 			return nil
 		}
-		if err := sleep(ctx, pollInterval); err != nil {
+		if err := ctxtime.Sleep(ctx, pollInterval); err != nil {
 			return errors.Wrap(err, "read the configuration")
 		}
 	}
