--- a/internal/standalone/subset/subset.go
+++ b/internal/standalone/subset/subset.go
@@ -6,7 +6,8 @@
 //
 // The multiples of an irrational number spread evenly, whichever run of numbers the proxies of a zone have, or every
 // fourth of them: a point of the ring is covered by the arcs of n proxies n times the arc's length, give or take 4 and
-// 2 more for each tenfold of n (TestCoverageIsEven). The package is pure: no clock, no randomness, no state.
+// 2 more for each tenfold of n (TestCoverageIsEven). Where servers are so wide that arcs are extended to cover the least
+// number of them, some are covered more often. The package is pure: no clock, no randomness, no state.
 package subset
 
 import (
