--- a/cmd/pumiceline/fleetsim.go
+++ b/cmd/pumiceline/fleetsim.go
@@ -1,24 +1,21 @@
 package main
 
 import (
-	"bytes"
 	"context"
 	"errors"
 	"fmt"
 	"io"
 	"os"
 	"os/signal"
-	"path/filepath"
 	"runtime"
 	"strings"
 
 	"pumiceline/internal/fleetsim/experiment"
 	"pumiceline/internal/fleetsim/model"
-	"pumiceline/internal/fleetsim/plots"
 	"pumiceline/internal/fleetsim/progress"
 )
 
-// fleetsimCmd is `pumiceline fleetsim`, which was `pumiceline lab` first.
+// fleetsimCmd is `pumiceline fleetsim`. Its alias `lab` is its earlier name, which results files have in their commands.
 type fleetsimCmd struct {
 	Check   fleetsimCheckCmd   `cmd:"" help:"Validate an experiment and say how many runs it has."`
 	Run     fleetsimRunCmd     `cmd:"" help:"Run an experiment as it stands, without its sweeps, and show each result."`
@@ -57,7 +54,7 @@
 	return e, nil
 }
 
-// applySettings changes the scenario by key=value texts of the command line. Each leaves a valid scenario.
+// applySettings changes the scenario by key=value texts of the command line. The scenario has to be valid after each.
 func applySettings(scenario *model.Scenario, texts []string) ([]experiment.Setting, error) {
 	var settings []experiment.Setting
 	for _, text := range texts {
@@ -211,57 +208,9 @@
 	return failed
 }
 
-// isExperiment says whether a file is an experiment, else it has results.
+// isExperiment says whether a file is an experiment, by its extension; else it has results.
 func isExperiment(file string) bool { return strings.HasSuffix(file, ".toml") }
 
-type fleetsimPlotCmd struct {
-	File     string   `arg:"" help:"Results (JSON lines)."`
-	Dir      string   `help:"Folder for the figures and report.html." default:"found/plots" type:"path"`
-	Measures []string `help:"Figures to draw against a sweep's axis." default:"g,worst"`
-}
-
-// Run draws results.
-func (c *fleetsimPlotCmd) Run(out output) error {
-	results, err := readResults(c.File)
-	if err != nil {
-		return err
-	}
-	return drawFigures(out, results, c.Dir, c.Measures)
-}
-
-// defaultMeasures are what --plots draws against a sweep's axis.
-var defaultMeasures = []string{"g", "worst", "overdriven"}
-
-// drawFigures writes the figures of results and the report into a folder.
-func drawFigures(out output, results []*experiment.Result, dir string, names []string) error {
-	measures, err := parseMeasures(names)
-	if err != nil {
-		return err
-	}
-	figures, err := plots.All(results, measures)
-	if err != nil {
-		return err
-	}
-	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return fmt.Errorf("fleetsim: plots: %w", err)
-	}
-	for _, f := range figures {
-		if err := f.Save(dir); err != nil {
-			return err
-		}
-	}
-	var text bytes.Buffer
-	if err := plots.HTML(&text, results, measures, figures); err != nil {
-		return fmt.Errorf("fleetsim: report: %w", err)
-	}
-	name := filepath.Join(dir, "report.html")
-	if err := os.WriteFile(name, text.Bytes(), 0o644); err != nil {
-		return fmt.Errorf("fleetsim: report: %w", err)
-	}
-	_, err = fmt.Fprintf(out, "%d figures and %s\n", len(figures), name)
-	return err
-}
-
 func parseMeasures(names []string) ([]experiment.Measure, error) {
 	var measures []experiment.Measure
 	for _, name := range names {
@@ -286,104 +235,3 @@
 	}
 	return results, nil
 }
-
-type fleetsimReplayCmd struct {
-	File      string   `arg:"" help:"Experiment (TOML) or results (JSON lines)."`
-	Policy    string   `help:"Policy to run, of an experiment."`
-	Seed      uint64   `help:"Seed to run, of an experiment." default:"1"`
-	Settings  []string `name:"set" help:"Value of a swept key: world.servers=50." sep:"none"`
-	Line      int      `help:"Line of the results file, from 1." default:"1"`
-	Trace     string   `help:"Write all records to this file, as JSON lines." type:"path"`
-	RequestID uint64   `name:"of" help:"Trace this request alone."`
-}
-
-// errResultDiffers is returned for a run that does not repeat its line of a results file.
-var errResultDiffers = errors.New("fleetsim: the result differs from the results file: another build, or a fault of the simulator")
-
-// Run repeats one run, and says whether a results file's line came out the same.
-func (c *fleetsimReplayCmd) Run(out output) error {
-	r, err := c.load()
-	if err != nil {
-		return err
-	}
-	stored := *r
-	if err := c.simulate(r); err != nil {
-		return err
-	}
-	progress.PrintResult(out, r)
-	if !isExperiment(c.File) {
-		if err := requireSameBytes(&stored, r); err != nil {
-			return err
-		}
-		fmt.Fprintln(out, "  the same, to the byte, as in the results file")
-	}
-	if r.Error != "" {
-		return errors.New(r.Error)
-	}
-	return nil
-}
-
-// requireSameBytes returns errResultDiffers unless both results are the same in a results file.
-func requireSameBytes(stored, repeated *experiment.Result) error {
-	var a, b bytes.Buffer
-	if err := errors.Join(stored.Write(&a), repeated.Write(&b)); err != nil {
-		return fmt.Errorf("fleetsim: %w", err)
-	}
-	if !bytes.Equal(a.Bytes(), b.Bytes()) {
-		return errResultDiffers
-	}
-	return nil
-}
-
-// load returns the run that is to be repeated.
-func (c *fleetsimReplayCmd) load() (*experiment.Result, error) {
-	if isExperiment(c.File) {
-		return c.loadFromExperiment()
-	}
-	results, err := readResults(c.File)
-	if err != nil {
-		return nil, err
-	}
-	if c.Line < 1 || c.Line > len(results) {
-		return nil, fmt.Errorf("fleetsim: %s has %d lines", c.File, len(results))
-	}
-	return results[c.Line-1], nil
-}
-
-func (c *fleetsimReplayCmd) loadFromExperiment() (*experiment.Result, error) {
-	e, err := experiment.Load(c.File)
-	if err != nil {
-		return nil, err
-	}
-	r := &experiment.Result{Scenario: e.Scenario, Policy: c.Policy, Seed: c.Seed}
-	if r.Policy == "" {
-		r.Policy = e.Policies[0]
-	}
-	// The scenario is validated by the run: single settings need not leave a valid one.
-	for _, text := range c.Settings {
-		s, err := experiment.ParseSetting(text)
-		if err == nil {
-			err = s.Apply(&r.Scenario)
-		}
-		if err != nil {
-			return nil, fmt.Errorf("--set: %w", err)
-		}
-		r.Point = append(r.Point, s)
-	}
-	return r, nil
-}
-
-// simulate makes the run, with a trace if one is asked for.
-func (c *fleetsimReplayCmd) simulate(r *experiment.Result) error {
-	if c.Trace == "" {
-		r.Simulate(nil)
-		return nil
-	}
-	f, err := os.Create(c.Trace)
-	if err != nil {
-		return fmt.Errorf("fleetsim: trace: %w", err)
-	}
-	defer f.Close()
-	r.Simulate(&experiment.Tracer{Out: f, RequestID: c.RequestID})
-	return nil
-}
--- a/internal/fleetsim/baseline/baseline.go
+++ b/internal/fleetsim/baseline/baseline.go
@@ -30,9 +30,15 @@
 // picker chooses a server for a request among n.ready, which is not empty; noServer: none that it may use.
 type picker func(n *node, r *request) int32
 
-// noServer is the index of none.
+// noServer is the index that stands for no server.
 const noServer = -1
 
+// Parts of SubscribeWithin within which a node calls discovery.
+const (
+	startSubscribePart = 4 // after its start
+	retrySubscribePart = 2 // after a call or a watch has failed
+)
+
 // randomStream is the number of the nodes' stream of random numbers.
 const randomStream = 11
 
@@ -85,12 +91,12 @@
 	quotaTokensAt Time
 }
 
-// Handle is model.Node's.
+// Handle implements model.Node.
 func (n *node) Handle(now Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	n.now, n.actions = now, out
 	if !n.started {
 		n.started = true
-		n.scheduleSubscribe(n.settings.Rules.SubscribeWithin / 4)
+		n.scheduleSubscribe(n.settings.Rules.SubscribeWithin / startSubscribePart)
 	}
 	switch ev.Kind {
 	case policy.RequestArrived:
@@ -105,7 +111,7 @@
 	case policy.TimerFired:
 		n.actions = append(n.actions, policy.Action{Kind: policy.SubscribeDiscovery})
 	case policy.DiscoveryFailed:
-		n.scheduleSubscribe(n.settings.Rules.SubscribeWithin / 2)
+		n.scheduleSubscribe(n.settings.Rules.SubscribeWithin / retrySubscribePart)
 	case policy.MembershipFull, policy.MembershipCached, policy.MembershipDelta:
 		n.updateMembership(ev)
 	}
--- a/internal/fleetsim/baseline/oracle.go
+++ b/internal/fleetsim/baseline/oracle.go
@@ -13,8 +13,15 @@
 	crossZoneCost    = 15e3    // time that crossing zones must save
 	crowdingCost     = 150e3   // time that a request more for each core costs the requests that are there
 	freeCrowding     = 0.7     // requests per core up to which it costs them nothing
-	timeoutFactor    = 8       // times the expected time that an attempt is given before another is made
+	timeoutFactor    = 8       // time-out of an attempt, in its expected times
 	timeoutSlack     = 500_000 // on top
+	headroomFactor   = 2       // headroom that a cold server must have, in the request's work
+
+	// A request of value share v, of the highest value, is sent at up to baseCrowding + crowdingByValue*(v-lowValueShare)
+	// requests per core.
+	baseCrowding    = 1.1
+	crowdingByValue = 1.4
+	lowValueShare   = 0.2
 )
 
 // candidate is a server as the oracle sees it.
@@ -24,8 +31,8 @@
 	expectation model.Expectation
 }
 
-// pickByOracle returns the server that would be done first, with what it costs the others there. Where work piles up
-// everywhere, requests of little value are rejected before others.
+// pickByOracle returns the server with the least cost: the time until the request would be completed there, and what that
+// costs the other requests there. Where all servers are crowded, requests of low value are rejected before others.
 func (n *node) pickByOracle(r *request) int32 {
 	best := candidate{index: noServer, cost: math.Inf(1)}
 	consider := func(index int32) {
@@ -43,7 +50,7 @@
 		}
 	}
 	if best.index == noServer {
-		return n.pickAnyPermitted(r) // better a guess than none
+		return n.pickAnyPermitted(r) // the oracle rules out all of them
 	}
 	mayHaveRun := slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.mayRun })
 	if best.expectation.RequestsPerCore > n.maxCrowding(r) && !mayHaveRun {
@@ -59,11 +66,11 @@
 	if !n.maySendTo(r, index) {
 		return candidate{}, false
 	}
-	place := n.oracle.Index(s.Server)
-	if place < 0 || n.oracle.WarmupHeadroom(place) < 2*float64(r.work) {
+	oracleIndex := n.oracle.Index(s.Server)
+	if oracleIndex < 0 || n.oracle.WarmupHeadroom(oracleIndex) < headroomFactor*float64(r.work) {
 		return candidate{}, false
 	}
-	expectation := n.oracle.Expected(place, r.work)
+	expectation := n.oracle.Expected(oracleIndex, r.work)
 	cost := expectation.Time + crowdingCost*math.Max(0, expectation.RequestsPerCore-freeCrowding)
 	if int(s.Zone) != n.settings.Zone {
 		cost += crossZoneCost
@@ -72,4 +79,6 @@
 }
 
 // maxCrowding is the number of requests per core up to which a request of its value is sent.
-func (n *node) maxCrowding(r *request) float64 { return 1.1 + 1.4*(r.value/max(1e-9, n.maxValue)-0.2) }
+func (n *node) maxCrowding(r *request) float64 {
+	return baseCrowding + crowdingByValue*(r.value/max(1e-9, n.maxValue)-lowValueShare)
+}
--- a/internal/fleetsim/baseline/request.go
+++ b/internal/fleetsim/baseline/request.go
@@ -30,7 +30,7 @@
 	n.send(r)
 }
 
-// valuePerWork is what a unit of a request's work is worth: less beyond its tenant's quota.
+// valuePerWork is the value of a unit of a request's work: less beyond its tenant's quota.
 func (n *node) valuePerWork(ev *policy.Event) float64 {
 	elapsed := float64(n.now-n.quotaTokensAt) / 1e6
 	n.quotaTokensAt = n.now
@@ -80,7 +80,7 @@
 		case policy.NonIdempotent:
 			return false
 		case policy.Deduplicated:
-			if n.now-a.sentAt >= r.class.DedupWindow*7/8 { // it must arrive within the window
+			if n.now-a.sentAt >= r.class.DedupWindow*7/8 { // the rest is for its way: it must arrive within the window
 				return false
 			}
 		}
--- a/internal/fleetsim/baseline/selection.go
+++ b/internal/fleetsim/baseline/selection.go
@@ -17,7 +17,7 @@
 	return n.firstPermitted(r, n.ready, n.rng.IntN(len(n.ready)))
 }
 
-// firstPermitted returns the first of the servers that the request may use, from a place on and round.
+// firstPermitted returns the first of the servers that the request may use, from an index on and around.
 func (n *node) firstPermitted(r *request, servers []int32, start int) int32 {
 	for i := range servers {
 		if index := servers[(start+i)%len(servers)]; n.maySendTo(r, index) {
--- a/internal/fleetsim/checker/attempts.go
+++ b/internal/fleetsim/checker/attempts.go
@@ -45,7 +45,8 @@
 	return &proxyRequest{}
 }
 
-// releaseIfDone forgets a request that is answered and has nothing in flight: what is sent for it then is a violation.
+// releaseIfDone forgets a request that is answered and has nothing in flight. An attempt that is sent for it later is a
+// violation, as it finds no open request.
 func (c *Checker) releaseIfDone(id uint64, r *proxyRequest) {
 	if r.answered && r.inFlight == 0 {
 		delete(c.open, id)
@@ -84,7 +85,8 @@
 	case class.Semantics == policy.NonIdempotent:
 		c.addViolation(rec, RuleRetrySemantics, "an unsafe request sent again though attempt %d may have run", number)
 	case !isSameDedupScope(class.DedupScope, earlier, rec):
-		c.addViolation(rec, RuleRetrySemantics, "a keyed request sent outside the group of attempt %d, which may have run", number)
+		c.addViolation(rec, RuleRetrySemantics, "a keyed request sent outside the group of attempt %d, which may have run",
+			number)
 	case age > class.DedupWindow:
 		c.addViolation(rec, RuleRetrySemantics, "a keyed request sent again %.3f s after attempt %d, past the window of %.3f s",
 			seconds(age), number, seconds(class.DedupWindow))
@@ -107,8 +109,8 @@
 	p := &c.proxies[rec.Proxy]
 	grace := Time(c.scenario.Published.DrainGrace)
 	if notifiedAt, ok := p.goneSince[rec.Server]; ok && rec.At > notifiedAt+grace {
-		c.addViolation(rec, RuleDrainingServers, "sent to server %d, %.3f s after the proxy was told that it drains or is gone", rec.Server,
-			seconds(rec.At-notifiedAt))
+		c.addViolation(rec, RuleDrainingServers, "sent to server %d, %.3f s after the proxy was told that it drains or is gone",
+			rec.Server, seconds(rec.At-notifiedAt))
 		return
 	}
 	if age := c.assumedListAge(p, rec.At); age > 0 {
@@ -177,7 +179,7 @@
 	}
 }
 
-// observeEffectRepeated keeps whose retry it was that had its effect again.
+// observeEffectRepeated records whose retry it was that had its effect again.
 func (c *Checker) observeEffectRepeated(rec *model.Record) {
 	c.report.RepeatedEffects++
 	if len(c.report.RepeatedEffectCauses) >= maxViolationsKept {
--- a/internal/fleetsim/checker/checker.go
+++ b/internal/fleetsim/checker/checker.go
@@ -1,5 +1,5 @@
-// Package checker judges a run of the simulator by its records, never by what a policy says of itself: whether the four
-// rules were kept, each violation with its time, request and cause, and the service that clients got.
+// Package checker evaluates a run of the simulator from its records alone, not from what a policy reports of itself:
+// whether the four rules were kept, each violation with its time, request and cause, and the service that clients got.
 package checker
 
 import (
@@ -16,8 +16,6 @@
 
 const (
 	microsPerSecond = 1_000_000
-	quotaOfCapacity = 0.8 // of the fleet's capacity is sold as tenants' quotas
-
 	// Latencies are recorded from a microsecond to a minute, with three digits.
 	maxLatency    = 60 * microsPerSecond
 	latencyDigits = 3
@@ -29,7 +27,7 @@
 type Checker struct {
 	scenario *model.Scenario
 	classes  []policy.Class
-	meanWork float64 // of a request, in microseconds
+	meanWork float64 // of a request, in microseconds on a standard core
 	report   Report
 
 	open               map[uint64]*proxyRequest // by id
@@ -60,7 +58,7 @@
 
 	crossZoneAttempts float64
 	connectionsOpened float64
-	probes            float64
+	loadPolls         float64
 	messageBytes      float64
 
 	proxyStarts    int
@@ -78,21 +76,25 @@
 
 // New makes the checker of one run of the scenario.
 func New(scenario *model.Scenario) *Checker {
-	c := &Checker{scenario: scenario, classes: scenario.PolicyClasses(), open: map[uint64]*proxyRequest{},
+	c := &Checker{scenario: scenario, classes: scenario.PolicyClasses(), meanWork: scenario.MeanWork(),
+		open:           map[uint64]*proxyRequest{},
 		clientRequests: map[uint64]*clientRequest{}, proxies: make([]proxyState, scenario.Proxies),
 		goneSince:   map[uint32]Time{},
 		listedStart: map[uint32]Time{}, startListedAt: map[uint32]Time{}, coldServers: map[uint32]*coldServer{},
 		valueByClass: make([]valueSum, len(scenario.Classes)), valueByTenant: make([]valueSum, len(scenario.Tenants)),
 		quotaTokens: make([]float64, len(scenario.Tenants))}
-	share := 0.0
-	for _, class := range scenario.Classes {
-		c.meanWork, share = c.meanWork+class.Share*float64(class.Work), share+class.Share
-		c.latencies = append(c.latencies, hdrhistogram.New(1, maxLatency, latencyDigits))
+	for range scenario.Classes {
+		c.latencies = append(c.latencies, NewLatencyHistogram())
 	}
-	c.meanWork /= math.Max(share, 1e-9)
 	return c
 }
 
+// NewLatencyHistogram returns an empty histogram of latencies in microseconds, with the range and precision of those in
+// reports.
+func NewLatencyHistogram() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, maxLatency, latencyDigits)
+}
+
 // Observe takes one record of the run.
 func (c *Checker) Observe(rec *model.Record) {
 	switch rec.Kind {
@@ -117,7 +119,7 @@
 	case model.ColdServerReached:
 		c.observeColdArrival(rec)
 	case model.ServerStarted:
-		c.coldServers[rec.Server] = &coldServer{started: rec.At}
+		c.coldServers[rec.Server] = &coldServer{startedAt: rec.At}
 		c.report.ColdStarts++
 	case model.ServerOverloaded:
 		c.checkColdRule(rec)
@@ -135,7 +137,7 @@
 // observeStart sets the tenants' quotas, which are parts of the fleet's capacity.
 func (c *Checker) observeStart(rec *model.Record) {
 	for i, t := range c.scenario.Tenants {
-		c.quota = append(c.quota, t.QuotaShare*rec.Capacity*quotaOfCapacity/microsPerSecond)
+		c.quota = append(c.quota, t.QuotaShare*rec.Capacity*model.QuotaOfCapacity/microsPerSecond)
 		c.quotaTokens[i] = c.quota[i] * microsPerSecond
 	}
 }
@@ -145,8 +147,8 @@
 	switch rec.Kind {
 	case model.ConnectionOpened:
 		c.connectionsOpened++
-	case model.ServerProbed:
-		c.probes++
+	case model.ServerPolled:
+		c.loadPolls++
 	case model.AttemptExecuted:
 		if !rec.AnswerUsed() {
 			c.wastedWork += float64(rec.Work)
@@ -158,8 +160,19 @@
 	}
 }
 
+// Indexes in each entry of Report.LoadBands.
+const (
+	LoadBand5 = iota
+	LoadBand25
+	LoadBandMedian
+	LoadBand75
+	LoadBand95
+	LoadBandMax
+)
+
 // loadQuantiles are the quantiles of the servers' load that the report has for each second.
-var loadQuantiles = []float64{0.05, 0.25, 0.5, 0.75, 0.95, 1}
+var loadQuantiles = [...]float64{LoadBand5: 0.05, LoadBand25: 0.25, LoadBandMedian: 0.5, LoadBand75: 0.75, LoadBand95: 0.95,
+	LoadBandMax: 1}
 
 func (c *Checker) observeLoad(rec *model.Record) {
 	bands := make([]float64, len(loadQuantiles))
--- a/internal/fleetsim/checker/coldservers.go
+++ b/internal/fleetsim/checker/coldservers.go
@@ -4,13 +4,13 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// knowingShare is the share of the work at a crashed cold server, from proxies that knew of its start, from which on they
-// have violated the rule.
-const knowingShare = 2.0 / 3
+// notifiedShare: a crash of a cold server violates the rule if at least this share of its work came from proxies that knew
+// of its start.
+const notifiedShare = 2.0 / 3
 
 // coldServer is a server that has started lately, with the work that came within the overload window.
 type coldServer struct {
-	started     Time
+	startedAt   Time
 	arrivals    []coldArrival
 	head        int // of arrivals: those before it are past the window
 	work        float64
@@ -38,7 +38,7 @@
 	s.work += arrival.work
 }
 
-// observeColdArrival sums up what comes to a cold server from all proxies.
+// observeColdArrival adds an arrival to the work that a cold server got from all proxies.
 func (c *Checker) observeColdArrival(rec *model.Record) {
 	s := c.coldServers[rec.Server]
 	if s == nil {
@@ -56,29 +56,29 @@
 	s.isOverBound = isOverBound
 }
 
-// checkColdRule finds who crashed a cold server: the rule is violated if most of the work came from proxies that knew of
-// its start or should have.
+// checkColdRule finds which proxies crashed a cold server: the rule is violated if most of the work came from proxies that
+// knew of its start or should have.
 func (c *Checker) checkColdRule(rec *model.Record) {
 	c.report.ColdOverloads++
 	s := c.coldServers[rec.Server]
 	if s == nil {
 		return
 	}
-	total, knowing := 0.0, 0.0
-	var lastKnowing int32
+	total, notified := 0.0, 0.0 // work, in microseconds on a standard core
+	var lastNotified int32      // proxy
 	for _, arrival := range s.arrivals[s.head:] {
 		total += arrival.work
-		if c.knowsStart(arrival.proxy, rec, s.started) {
-			knowing += arrival.work
-			lastKnowing = arrival.proxy
+		if c.knowsStart(arrival.proxy, rec, s.startedAt) {
+			notified += arrival.work
+			lastNotified = arrival.proxy
 		}
 	}
-	if total > 0 && knowing >= knowingShare*total {
-		rec.Proxy = lastKnowing // for the violation, and for observers that get the record after the checker
+	if total > 0 && notified >= notifiedShare*total {
+		rec.Proxy = lastNotified // for the violation, and for observers that get the record after the checker
 		c.addViolation(rec, RuleColdServers,
 			"cold server %d fell over, %.1f s after its start, under %.2f s of work within %.2f s, %.0f%% of it from proxies that knew",
-			rec.Server, seconds(rec.At-s.started), total/microsPerSecond, seconds(Time(c.scenario.Overload.Window)),
-			100*knowing/total)
+			rec.Server, seconds(rec.At-s.startedAt), total/microsPerSecond, seconds(Time(c.scenario.Overload.Window)),
+			100*notified/total)
 	}
 	delete(c.coldServers, rec.Server)
 }
--- a/internal/fleetsim/checker/discovery.go
+++ b/internal/fleetsim/checker/discovery.go
@@ -16,7 +16,7 @@
 	lastCallFailed bool
 }
 
-// observeDiscovery takes what discovery knows and what proxies hear of it.
+// observeDiscovery takes what discovery knows and what it notifies proxies of.
 func (c *Checker) observeDiscovery(rec *model.Record) {
 	switch rec.Kind {
 	case model.DiscoveryUpdated:
@@ -55,7 +55,7 @@
 
 func (c *Checker) observeProxyStopped(rec *model.Record) {
 	for id, r := range c.open {
-		if r.proxy == rec.Proxy { // its clients are free to repeat what dies with it
+		if r.proxy == rec.Proxy { // it is no violation when its clients send them again
 			delete(c.open, id)
 			c.freeRequests = append(c.freeRequests, r)
 		}
@@ -124,12 +124,15 @@
 	}
 }
 
-// assumedListAge is the age from which on a proxy counts as notified of a change, since it should have called discovery
-// by then; 0: it has, or it has a watch. After a failed call it may take four times as long.
+// failedCallFactor is how many times SubscribeWithin a proxy may take to call discovery again after a failed call.
+const failedCallFactor = 4
+
+// assumedListAge is the age from which on a change counts as known to a proxy, since the proxy should have called discovery
+// by then; 0: it has called in time, or it has a watch.
 func (c *Checker) assumedListAge(p *proxyState, now Time) Time {
 	age := Time(c.scenario.Published.SubscribeWithin)
 	if p.lastCallFailed {
-		age *= 4
+		age *= failedCallFactor
 	}
 	if p.watching || now-p.lastContact <= age {
 		return 0
--- a/internal/fleetsim/checker/report.go
+++ b/internal/fleetsim/checker/report.go
@@ -45,7 +45,7 @@
 	WastedWork        float64 `json:"wasted"`  // work without a used answer, for each unit of requested work
 
 	ServiceBySecond []float64         `json:"service"` // -1: no value was offered
-	LoadBands       [][]float64       `json:"bands"`   // by second: quantiles of requests per core, over the servers
+	LoadBands       [][]float64       `json:"bands"`   // by second, then by LoadBand: requests per core, over the servers
 	Latency         map[string]string `json:"latency"` // by class, of served requests: HdrHistogram (V2, base 64), microseconds
 }
 
@@ -83,7 +83,7 @@
 	c.reportPrices(total.offered)
 	report.G = serviceWeights.overall*report.Overall + serviceWeights.worst10s*report.Worst10s +
 		serviceWeights.class*worstClass + serviceWeights.tenant*worstTenant
-	// In one order: rounding must not vary.
+	// In a fixed order, as the order changes the rounding.
 	for _, name := range []string{"late_fail", "waste", "cross", "handshake", "peer", "probe"} {
 		report.G -= report.Prices[name]
 	}
@@ -168,7 +168,7 @@
 		"waste": prices.WastedWork * report.WastedWork,
 		"cross": prices.CrossZone * report.CrossZone, "handshake": prices.Handshake * report.ConnectionsOpened,
 		"peer":  prices.PeerMessage * c.messageBytes / peerMessagePriceBytes / requests,
-		"probe": prices.Probe * c.probes / requests}
+		"probe": prices.LoadPoll * c.loadPolls / requests}
 }
 
 func (c *Checker) reportDiscovery() {
@@ -179,7 +179,7 @@
 		return
 	}
 	slices.Sort(c.subscribeTimes)
-	c.report.ListedWithinP95 = -1 // starts that never had a watch come after all others
+	c.report.ListedWithinP95 = -1 // unless 95% had a watch: starts that never had one count as the slowest
 	if rank := int(math.Ceil(0.95*float64(c.proxyStarts))) - 1; rank < len(c.subscribeTimes) {
 		c.report.ListedWithinP95 = seconds(c.subscribeTimes[rank])
 	}
--- a/internal/fleetsim/checker/requests.go
+++ b/internal/fleetsim/checker/requests.go
@@ -34,7 +34,8 @@
 	return &clientRequest{}
 }
 
-// takeQuota takes a token of the tenant's quota; false: there was none. A bucket holds the tokens of a second.
+// takeQuota takes a token of the tenant's quota; false: there was none. A tenant's token
+// bucket has the size of a second's quota.
 func (c *Checker) takeQuota(rec *model.Record) bool {
 	if elapsed := float64(rec.At - c.quotaTokensAt); elapsed > 0 && len(c.quotaTokens) > 0 {
 		c.quotaTokensAt = rec.At
@@ -72,7 +73,7 @@
 		c.report.Unserved++
 	}
 	if isServed {
-		_ = c.latencies[r.class].RecordValue(max(1, elapsed)) // an error would say that it took longer than a minute
+		_ = c.latencies[r.class].RecordValue(max(1, elapsed)) // an error means over maxLatency: left out
 	}
 	if r.startedAt < microsPerSecond {
 		return // the first second does not count
--- a/internal/fleetsim/experiment/compare.go
+++ b/internal/fleetsim/experiment/compare.go
@@ -40,7 +40,7 @@
 	return e
 }
 
-// Comparison is what one policy came to at one point.
+// Comparison is the result of one policy at one point, over its seeds.
 type Comparison struct {
 	Point              string
 	Axes               []Setting
--- a/internal/fleetsim/experiment/points.go
+++ b/internal/fleetsim/experiment/points.go
@@ -16,7 +16,7 @@
 	Scenario model.Scenario
 }
 
-// Name is the axes' values in words; "" where nothing is swept.
+// Name is the axes' settings as "key=value", with spaces between; empty: nothing is swept.
 func (p *Point) Name() string { return pointName(p.Axes) }
 
 func pointName(axes []Setting) string {
--- a/internal/fleetsim/experiment/result.go
+++ b/internal/fleetsim/experiment/result.go
@@ -39,7 +39,7 @@
 	Log   bool   `json:"log,omitempty"` // logarithmically
 }
 
-// PointName is the result's point in words; "" where nothing was swept.
+// PointName is Point.Name of the result's point; empty: nothing was swept.
 func (r *Result) PointName() string { return pointName(r.Point) }
 
 // Write writes the result as a line.
--- a/internal/fleetsim/experiment/setting.go
+++ b/internal/fleetsim/experiment/setting.go
@@ -23,7 +23,8 @@
 // String is "key=value".
 func (s Setting) String() string { return fmt.Sprintf("%s=%v", s.Key, s.Value) }
 
-// ParseSetting reads "world.servers=50" as a command line gives it. The value is TOML, a bare word a string.
+// ParseSetting reads "world.servers=50" as a command line gives it. The value is TOML; text
+// that is not valid TOML is a string.
 func ParseSetting(text string) (Setting, error) {
 	key, value, ok := strings.Cut(text, "=")
 	if !ok {
--- a/internal/fleetsim/experiment/stored_scenario_test.go
+++ b/internal/fleetsim/experiment/stored_scenario_test.go
@@ -55,7 +55,7 @@
 			WarmupTime:      24_001_000,
 			InitialCapacity: 0.132, OverloadFactor: 3.25, MaxAttempts: 4, MaxOpenRequests: 20_001, AllowHedging: true,
 			AllowCancel: true},
-		Prices: model.Prices{LateFailure: 0.165, WastedWork: 0.033, CrossZone: 0.033, Handshake: 0.022, Probe: 0.055,
+		Prices: model.Prices{LateFailure: 0.165, WastedWork: 0.033, CrossZone: 0.033, Handshake: 0.022, LoadPoll: 0.055,
 			PeerMessage: 0.011},
 		Faults: []model.Fault{
 			faultSample("hang", 1_000_000, 1_500_000),
--- a/internal/fleetsim/experiment/trace.go
+++ b/internal/fleetsim/experiment/trace.go
@@ -22,7 +22,7 @@
 	Record  *model.Record `json:"record"`
 }
 
-// Observe is model.Observer's.
+// Observe implements model.Observer.
 func (t *Tracer) Observe(r *model.Record) {
 	if t.err != nil || t.RequestID != 0 && r.ID != t.RequestID {
 		return
@@ -37,7 +37,7 @@
 // teeObserver shows records to several observers.
 type teeObserver []model.Observer
 
-// Observe is model.Observer's.
+// Observe implements model.Observer.
 func (t teeObserver) Observe(r *model.Record) {
 	for _, o := range t {
 		o.Observe(r)
--- a/internal/fleetsim/model/arrival.go
+++ b/internal/fleetsim/model/arrival.go
@@ -16,7 +16,7 @@
 	s.workInTransit -= attempt.work
 	switch {
 	case sm.isServerPartitioned(attempt.proxy, s) || attempt.newConnection && attempt.abandoned:
-		sm.loseInTransit(attemptIndex)
+		sm.loseAtServer(attemptIndex)
 		return
 	case s.state == stateDown || s.epoch != attempt.epoch && !attempt.newConnection:
 		outcome := policy.ConnectionReset // written to a connection whose other end is gone
@@ -42,8 +42,9 @@
 	sm.startProcessing(attemptIndex, s)
 }
 
-// loseInTransit ends an attempt that a partition cut off on the way, or whose proxy gave it up during the handshake.
-func (sm *simulation) loseInTransit(attemptIndex int32) {
+// loseAtServer ends an attempt that does not reach its server: a partition began while it was on its way, or its proxy gave
+// it up during the handshake.
+func (sm *simulation) loseAtServer(attemptIndex int32) {
 	attempt := sm.serverAttempts.at(attemptIndex)
 	if !attempt.abandoned {
 		if attempt.newConnection {
@@ -58,7 +59,7 @@
 
 // acceptConnection is the end of a handshake; false: the server's connection table is full.
 func (sm *simulation) acceptConnection(attempt *serverAttempt, s *server) bool {
-	if s.epoch != attempt.epoch { // another process has come up behind the address meanwhile
+	if s.epoch != attempt.epoch { // another process has started at the address meanwhile
 		p := &sm.proxies[attempt.proxy]
 		if pool := p.connections[attempt.server]; pool != nil && p.incarnation == attempt.incarnation {
 			if pool.epoch != s.epoch {
@@ -77,23 +78,24 @@
 	return true
 }
 
-// crashesFromOverload accounts an arrival at a cold server and says whether it is one too many.
+// crashesFromOverload adds an arrival to the work of a cold server and says whether that work is now beyond the bound: Factor
+// times the present capacity within Window, and the slack.
 func (sm *simulation) crashesFromOverload(attempt *serverAttempt, s *server) bool {
 	if !s.cold {
 		return false
 	}
-	capacity := s.warmCapacity() * sm.warmth(s) // may find that the server is warm now
+	capacity := s.warmCapacity() * sm.warmth(s) // may set s.cold to false
 	sm.observe(Record{Kind: ColdServerReached, Proxy: attempt.proxy, Server: s.id, Work: Time(attempt.work),
 		Capacity: capacity})
 	overload := &sm.scenario.Overload
 	if !s.cold || overload.Factor <= 0 {
 		return false
 	}
-	bound := overload.Factor*capacity*float64(overload.Window) + overload.SlackRequests*sm.scenario.meanWork()
+	bound := overload.Factor*capacity*float64(overload.Window) + overload.SlackRequests*sm.scenario.MeanWork()
 	return s.arrivedWork.add(sm.now, Time(overload.Window), attempt.work) > bound
 }
 
-// admitAtServer says how the server answers a request at once; OK: it accepts it.
+// admitAtServer is the outcome of a request that the server answers without executing it; OK: it accepts the request.
 func (sm *simulation) admitAtServer(s *server) policy.Outcome {
 	switch {
 	case s.state == stateDraining:
@@ -111,7 +113,7 @@
 // startProcessing gives an attempt a slot or a place in the queue.
 func (sm *simulation) startProcessing(attemptIndex int32, s *server) {
 	attempt := sm.serverAttempts.at(attemptIndex)
-	if sm.touchKey(s, sm.clientRequests.at(attempt.clientRequest).key) {
+	if sm.lookUpKey(s, sm.clientRequests.at(attempt.clientRequest).key) {
 		attempt.work *= 1 - sm.scenario.Keys.HitSavings
 	}
 	sm.applyEffect(s, attempt)
@@ -124,8 +126,9 @@
 	sm.rescheduleServer(s)
 }
 
-// applyEffect lets an attempt have its effect, if its class is not idempotent. Servers within the class's scope know its
-// key for the window and only look a repeat up. Elsewhere the effect is repeated, which is recorded.
+// applyEffect has an attempt make its effect, if its class is not idempotent. Servers within the class's scope know the
+// request's deduplication key for the window: a repeat there costs a lookup only. Elsewhere the effect is repeated, which
+// is recorded.
 func (sm *simulation) applyEffect(s *server, attempt *serverAttempt) {
 	c := sm.clientRequests.at(attempt.clientRequest)
 	class := &sm.scenario.Classes[c.class]
@@ -156,9 +159,9 @@
 	return true
 }
 
-// touchKey says whether a request's key is in the server's cache, and puts it there. The least recently used key is
-// evicted; of several, the one of the lowest number.
-func (sm *simulation) touchKey(s *server, key uint64) (hit bool) {
+// lookUpKey says whether a request's key is in the server's cache, and puts it there or renews it. The least recently used
+// key is evicted; of several, the one of the lowest number.
+func (sm *simulation) lookUpKey(s *server, key uint64) (hit bool) {
 	keys := &sm.scenario.Keys
 	capacity := keys.CapacityPerCore * s.instanceType.Cores
 	if keys.Count == 0 || capacity == 0 {
--- a/internal/fleetsim/model/attempts.go
+++ b/internal/fleetsim/model/attempts.go
@@ -117,7 +117,8 @@
 	return attemptIndex
 }
 
-// scheduleAttemptTimeout ends the attempt's time after timeout (0: none, below: at once) or with the client's patience.
+// scheduleAttemptTimeout schedules the attempt's time-out: after timeout (0: none; negative: now), or at the client's
+// deadline if that is earlier.
 func (sm *simulation) scheduleAttemptTimeout(requestIndex int32, number uint8, timeout Time) {
 	request := sm.proxyRequests.at(requestIndex)
 	limit := request.deadline
@@ -140,8 +141,8 @@
 	sm.endAttempt(e.subject, e.code, policy.TimedOut, sm.now-attempt.sentAt, nil)
 }
 
-// loseSentAttempt is the end of an attempt that a partition keeps from its server: a new connection does not come up, a
-// request on an existing one is never seen.
+// loseSentAttempt ends an attempt that a partition keeps from its server: a new connection fails after DialTimeout; a
+// request on an existing one is lost, and only its time-out ends it at the proxy.
 func (sm *simulation) loseSentAttempt(attemptIndex int32, s *server) {
 	attempt := sm.serverAttempts.at(attemptIndex)
 	if attempt.newConnection {
@@ -158,14 +159,14 @@
 	sm.proxyRequests.at(attempt.proxyRequest).attempts[attempt.attempt].serverAttempt = noServerAttempt
 }
 
-// scheduleFailure has an attempt that no server has end at that time.
+// scheduleFailure has an attempt that has not reached a server end at a time.
 func (sm *simulation) scheduleFailure(attempt *serverAttempt, outcome policy.Outcome, at Time) {
 	sm.detach(attempt)
 	sm.schedule(sm.nextTick(at), event{kind: evAttemptFailed, subject: attempt.proxyRequest, code: attempt.attempt,
 		number: int32(outcome), id: attempt.id})
 }
 
-// abandonServerAttempt gives up an attempt: its connection is closed, the server's work for it goes on.
+// abandonServerAttempt gives up an attempt: its connection is closed. The server goes on with it, as it does not see that.
 func (sm *simulation) abandonServerAttempt(attempt *proxyAttempt) {
 	if attempt.serverAttempt == noServerAttempt {
 		return
--- a/internal/fleetsim/model/build.go
+++ b/internal/fleetsim/model/build.go
@@ -11,7 +11,7 @@
 	vary := func(x float64) float64 { return x * (1 + sc.Spread*(2*rng.Float64()-1)) }
 	sm.serverIDMask = rng.Uint32()
 	totalCapacity := sm.buildServers(rng, vary)
-	meanWork := sc.meanWork()
+	meanWork := sc.MeanWork()
 	sm.capacity = totalCapacity / meanWork * microsPerSecond
 	sm.arrivalRate = sc.Load * totalCapacity / meanWork
 	sm.observe(Record{Kind: SimulationStarted, Capacity: sm.capacity})
@@ -20,7 +20,7 @@
 	sm.proxies = make([]proxy, sc.Proxies)
 	for i := range sm.proxies {
 		p := &sm.proxies[i]
-		p.zone, p.downSince = uint8(i%sc.Zones), math.MinInt64/2
+		p.zone, p.downSince = uint8(i%sc.Zones), math.MinInt64/2 // long ago; halved, as it is subtracted from now
 		sm.startProxy(int32(i))
 	}
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-// updateZoneShares follows a change of the zones' weights.
+// updateZoneShares computes zoneShares anew after a change of zoneWeights.
 func (sm *simulation) updateZoneShares() {
 	sm.zoneShares = cumulativeShares(len(sm.zoneWeights), func(i int) float64 { return sm.zoneWeights[i] })
 }
@@ -105,7 +105,7 @@
 	return shares
 }
 
-// indexAt returns the index of the part that x lies in.
+// indexAt returns the index of the part in which x lies, 0 to 1, of the shares that cumulativeShares returns.
 func indexAt(shares []float64, x float64) int {
 	for i, upTo := range shares {
 		if x < upTo {
--- a/internal/fleetsim/model/clients.go
+++ b/internal/fleetsim/model/clients.go
@@ -35,7 +35,8 @@
 	attemptOver         = 1 // answers come too late from here
 )
 
-// Purposes of clientRequest.draw; values from 1<<8 are proxies and attempts. A changed number is another simulation.
+// Purposes of clientRequest.draw. chooseProxy uses proxy<<8 + attempt beside these, which for proxy 0 coincides with some of
+// them; that is left as it is, as a changed number changes the results of every seed.
 const (
 	drawUnsafeRetry = 3
 	drawRetryAfter  = 4
@@ -44,15 +45,22 @@
 	drawTravelTime  = 1 << 40
 )
 
-// draw returns a number from 0 to 1 that depends on the client and the purpose alone.
+// burstIntervalFactor is the mean time between bursts, in mean lengths of a burst: bursts take a tenth of the time.
+const burstIntervalFactor = 9
+
+// goldenGamma is the increment of SplitMix64: 2^64 over the golden ratio.
+const goldenGamma = 0x9e3779b97f4a7c15
+
+// draw returns a number from 0 to 1 that depends on the client and the purpose alone: what a client does is the same under
+// every policy.
 func (c *clientRequest) draw(purpose uint64) float64 {
-	return unitFloat(mix(c.behaviour + purpose*0x9e3779b97f4a7c15))
+	return unitFloat(mix(c.behaviour + purpose*goldenGamma))
 }
 
 // startClientRequest starts the next client request and schedules the one after it. Both are drawn from a stream of
 // their own, so every policy gets the same requests.
 func (sm *simulation) startClientRequest() {
-	rate := sm.currentArrivalRate() // draws as well, and before
+	rate := sm.currentArrivalRate() // may draw; has to do so before the next draw here
 	next := sm.now + max(1, Time(sm.arrivalRand.ExpFloat64()/rate+0.5))
 	if next < Time(sm.scenario.Duration) {
 		sm.schedule(next, event{kind: evArrival})
@@ -67,7 +75,7 @@
 	sm.sendToProxy(index)
 }
 
-// currentArrivalRate is in requests a microsecond, with the wave, bursts and a tenant's flood.
+// currentArrivalRate is the arrival rate now, in requests a microsecond, with the wave, bursts and a tenant's flood.
 func (sm *simulation) currentArrivalRate() float64 {
 	sc := sm.scenario
 	rate := sm.arrivalRate
@@ -79,7 +87,7 @@
 			sm.inBurst = !sm.inBurst
 			mean := float64(sc.BurstTime)
 			if !sm.inBurst {
-				mean *= 9
+				mean *= burstIntervalFactor
 			}
 			sm.burstEnd = sm.now + 1 + Time(sm.arrivalRand.ExpFloat64()*mean)
 		}
@@ -171,7 +179,8 @@
 	return chosen
 }
 
-// seemsAlive says whether the front layer sends clients to the proxy: it notices a death late, a stop at once.
+// seemsAlive says whether the front layer sends clients to the proxy. It learns of a crash after ProxyFailoverDelay, and of
+// an orderly stop without delay.
 func (sm *simulation) seemsAlive(p *proxy) bool {
 	isKnownDead := !p.up && sm.now-p.downSince > Time(sm.scenario.Clients.ProxyFailoverDelay)
 	isStopping := p.stopsAt > 0 && sm.now >= p.stopsAt
@@ -201,7 +210,7 @@
 	sm.retryOrGiveUp(clientIndex, outcome, retryAfter)
 }
 
-// abandonProxyRequest lets a client give up an attempt whose time is up.
+// abandonProxyRequest has a client give up an attempt that has timed out.
 func (sm *simulation) abandonProxyRequest(clientIndex int32, attempt uint64) {
 	if c := sm.clientRequests.at(clientIndex); !c.ended && c.currentAttempt == attempt {
 		sm.retryOrGiveUp(clientIndex, policy.TimedOut, 0)
@@ -230,7 +239,8 @@
 }
 
 // mayRetry says whether the client's class allows a retry: an idempotent request after any failure, one that all servers
-// deduplicate likewise within the window, others only where nothing can have been executed. Some clients do not ask.
+// deduplicate likewise within the window, others only where nothing can have been executed. Some clients retry in any
+// case.
 func (sm *simulation) mayRetry(c *clientRequest, outcome policy.Outcome) bool {
 	class := &sm.scenario.Classes[c.class]
 	switch {
--- a/internal/fleetsim/model/config.go
+++ b/internal/fleetsim/model/config.go
@@ -78,10 +78,10 @@
 	WorkCV         float64 `toml:"cv" json:"cv"`       // coefficient of variation of the work (lognormal)
 	AttemptCV      float64 `toml:"noise" json:"noise"` // coefficient of variation of an attempt's work about its request's
 	DownstreamWait Span    `toml:"wait" json:"wait"`   // mean wait for other services, after the work
-	LatencyTarget  Span    `toml:"aim" json:"aim"`     // an answer within it has its full value
+	LatencyTarget  Span    `toml:"aim" json:"aim"`     // a response within it has its full value
 	Deadline       Span    `toml:"deadline" json:"deadline"`
 	Value          float64 `toml:"worth" json:"worth"`   // for each unit of work
-	LateValueShare float64 `toml:"late" json:"late"`     // share of the value that an answer past the target keeps
+	LateValueShare float64 `toml:"late" json:"late"`     // share of the value that a response past the target keeps
 	Semantics      string  `toml:"effect" json:"effect"` // safe (idempotent), keyed (deduplicated) or unsafe
 	DedupScope     string  `toml:"group" json:"group"`   // for keyed: all, zone or cell; servers within it drop a repeat
 	DedupWindow    Span    `toml:"window" json:"window"` // for keyed: how long they do
@@ -107,7 +107,7 @@
 // Clients is the behaviour of clients and of the front layer that distributes their connections to proxies.
 type Clients struct {
 	Retries              int     `toml:"retries" json:"retries"`
-	AttemptTimeoutShare  float64 `toml:"patience" json:"patience"`       // of one attempt, as a share of the deadline
+	AttemptTimeoutShare  float64 `toml:"patience" json:"patience"`       // time-out of one attempt, as a share of the deadline
 	Backoff              Span    `toml:"backoff" json:"backoff"`         // before a retry; 0: at once
 	MarkRetries          bool    `toml:"marks" json:"marks"`             // a retry carries a mark that it is one
 	RetryAfterCompliance float64 `toml:"heed" json:"heed"`               // share of clients that follow Retry-After
@@ -148,7 +148,7 @@
 
 // Discovery is the service that lists the servers.
 type Discovery struct {
-	DrainDelay     Span    `toml:"notice" json:"notice"`     // until it knows of a drain or an orderly end
+	DrainDelay     Span    `toml:"notice" json:"notice"`     // four times the time until it knows of a drain or an orderly end
 	CrashDelay     Span    `toml:"silent" json:"silent"`     // until it knows of a crash
 	StartDelay     Span    `toml:"add" json:"add"`           // until it knows of a start
 	NotifyJitter   Span    `toml:"spread" json:"spread"`     // most that notifying one proxy takes on top
@@ -185,7 +185,7 @@
 	WastedWork  float64 `toml:"waste" json:"waste"`         // as much work without a used answer as was requested
 	CrossZone   float64 `toml:"cross" json:"cross"`         // each request crossing zones once
 	Handshake   float64 `toml:"handshake" json:"handshake"` // a new connection for each request
-	Probe       float64 `toml:"probe" json:"probe"`         // a load poll for each request, without the server's work
+	LoadPoll    float64 `toml:"probe" json:"probe"`         // a load poll for each request, without the server's work
 	PeerMessage float64 `toml:"peer" json:"peer"`           // a message of 256 bytes between proxies for each request
 }
 
@@ -197,8 +197,8 @@
 	return c
 }
 
-// meanWork is the mean work of a request, in microseconds on a standard core.
-func (sc *Scenario) meanWork() float64 {
+// MeanWork is the mean work of a request, in microseconds on a standard core: the classes' work by their shares.
+func (sc *Scenario) MeanWork() float64 {
 	sum, share := 0.0, 0.0
 	for _, c := range sc.Classes {
 		sum, share = sum+c.Share*float64(c.Work), share+c.Share
--- a/internal/fleetsim/model/connections.go
+++ b/internal/fleetsim/model/connections.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// closeIdleConnections closes a proxy's expired connections, once a second for its whole life.
+// closeIdleConnections closes a proxy's expired connections, once a second until its process ends.
 func (sm *simulation) closeIdleConnections(proxyIndex, incarnation int32) {
 	if !sm.isRunning(proxyIndex, incarnation) {
 		return
--- a/internal/fleetsim/model/discovery.go
+++ b/internal/fleetsim/model/discovery.go
@@ -6,14 +6,14 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// watchHeartbeatTimeout is how long a watch may be silent before its proxy takes it for broken.
+// watchHeartbeatTimeout is the time without a heartbeat after which a proxy takes its watch for broken.
 const watchHeartbeatTimeout = 5 * microsPerSecond
 
-// partitionPollInterval is how often a notification that a partition holds back is tried again.
+// partitionPollInterval is how often, in microseconds, a notification that a partition delays is tried again.
 const partitionPollInterval = 250_000
 
-// discoveryService holds each list once: proxies are handed slices of one log of changes, so a thousand of them with ten
-// thousand servers cost no more memory than one.
+// discoveryService has one log of changes, and proxies are given slices of it: a thousand proxies with ten thousand servers
+// cost no more memory than one.
 type discoveryService struct {
 	initial          []policy.Member // the full list at the start
 	changes          []policy.Member // all changes since; a version is a length of it
@@ -138,7 +138,7 @@
 	sm.sendMembership(proxyIndex)
 }
 
-// sendMembership hands a proxy the changes since its version, or the full list where that is shorter.
+// sendMembership gives a proxy the changes since its version, or the full list where that may be shorter.
 func (sm *simulation) sendMembership(proxyIndex int32) {
 	p, d := &sm.proxies[proxyIndex], &sm.discovery
 	members := d.changes[p.listVersion:len(d.changes):len(d.changes)]
@@ -214,8 +214,8 @@
 	sm.deliver(proxyIndex)
 }
 
-// expireSilentWatches schedules the end of watches that a new partition has made silent: their proxies miss heartbeats.
-func (sm *simulation) expireSilentWatches() {
+// expirePartitionedWatches schedules the end of the watches that a new partition affects: their proxies miss heartbeats.
+func (sm *simulation) expirePartitionedWatches() {
 	for i := range sm.proxies {
 		if p := &sm.proxies[i]; p.up && p.watching && sm.isDiscoveryPartitioned(int32(i)) {
 			sm.schedule(sm.now+watchHeartbeatTimeout, event{kind: evWatchBreaks, subject: int32(i), number: p.incarnation})
--- a/internal/fleetsim/model/events.go
+++ b/internal/fleetsim/model/events.go
@@ -10,7 +10,7 @@
 	kind    eventKind
 	code    uint8 // a small number beside the subject: an attempt's number, an outcome, a mode, a phase
 	subject int32 // index of the client request, proxy request, server attempt, proxy, server or fault
-	number  int32 // mostly the incarnation of the subject: an event of an earlier one is void
+	number  int32 // mostly the incarnation of the subject: an event of an earlier one is ignored
 	id      uint64
 }
 
@@ -39,7 +39,7 @@
 	evRequestExpired                        // a request had no answer in time [subject=proxy request id]
 	evTimer                                 // a node's timer fires [number=incarnation id=the node's]
 	evCloseIdle                             // idle connections are closed [number=incarnation]
-	evProbeResult                           // a load poll's answer comes [number=incarnation id=server]
+	evPollResult                            // a load poll's answer comes [number=incarnation id=server]
 	evPeerMessage                           // a message of another proxy comes [number=message]
 	evNotifyProxy                           // a discovery watch delivers changes [number=incarnation]
 	evSubscribeResult                       // a subscribe call is answered [number=incarnation code=1: it failed]
@@ -110,8 +110,8 @@
 		}
 	case evCloseIdle:
 		sm.closeIdleConnections(e.subject, e.number)
-	case evProbeResult:
-		sm.receiveProbe(e.subject, e.number, uint32(e.id))
+	case evPollResult:
+		sm.receivePollResult(e.subject, e.number, uint32(e.id))
 	case evPeerMessage:
 		sm.deliverMessage(e.subject, e.number)
 	case evNotifyProxy:
--- a/internal/fleetsim/model/faultschedule.go
+++ b/internal/fleetsim/model/faultschedule.go
@@ -15,7 +15,8 @@
 	faultStep // of the kinds that have steps, from the start on
 )
 
-// Once a proxy is stopped by a roll, it gets new clients for stopAcceptDelay and has exited after stopExitDelay.
+// Once a proxy is stopped by a roll, it gets new clients for stopAcceptDelay and has exited after stopExitDelay, in
+// microseconds.
 const (
 	stopAcceptDelay = 600_000
 	stopExitDelay   = 3_700_000
@@ -167,7 +168,7 @@
 		sm.applyRestart(f)
 	case FaultZoneIsolated:
 		sm.isolatedZones[f.affected[0]] += f.change()
-		sm.expireIfStarting(f)
+		sm.expireWatchesAtStart(f)
 	case FaultPartition:
 		sm.applyPartition(f)
 	case FaultDiscoveryOutage:
@@ -240,10 +241,10 @@
 	}
 }
 
-// expireIfStarting ends watches that a starting fault has made silent.
-func (sm *simulation) expireIfStarting(f *faultEvent) {
+// expireWatchesAtStart expires the watches that a starting fault partitions from discovery.
+func (sm *simulation) expireWatchesAtStart(f *faultEvent) {
 	if f.isStart() {
-		sm.expireSilentWatches()
+		sm.expirePartitionedWatches()
 	}
 }
 
@@ -255,7 +256,7 @@
 	} else {
 		sm.partitions = slices.DeleteFunc(sm.partitions, func(p partition) bool { return p.fault == f.index })
 	}
-	sm.expireIfStarting(f)
+	sm.expireWatchesAtStart(f)
 }
 
 func (sm *simulation) applyDiscoveryOutage(f *faultEvent) {
@@ -271,10 +272,10 @@
 func (sm *simulation) applyDiscoveryZoneOutage(f *faultEvent) {
 	for i := range sm.proxies {
 		if p := &sm.proxies[i]; int32(p.zone) == f.affected[0] {
-			p.cutFromDiscovery = f.isStart()
+			p.isolatedFromDiscovery = f.isStart()
 		}
 	}
-	sm.expireIfStarting(f)
+	sm.expireWatchesAtStart(f)
 }
 
 func (sm *simulation) applyProxyKill(f *faultEvent) {
--- a/internal/fleetsim/model/internal_test.go
+++ b/internal/fleetsim/model/internal_test.go
@@ -14,7 +14,7 @@
 	}{{1, 7, false}, {1_000_000, 7, true}, {4_000_000, 7, false}, {4_500_000, 7, true}, {4_600_000, 1, false},
 		{4_600_001, 2, false},
 		{4_600_002, 3, false}, {4_600_003, 4, false}, {4_700_000, 7, false}, {4_700_001, 1, false}, {4_700_002, 4, true}} {
-		if sm.now = c.at; sm.touchKey(s, c.key) != c.hit {
+		if sm.now = c.at; sm.lookUpKey(s, c.key) != c.hit {
 			t.Errorf("use %d: key %d is a hit: %v", i, c.key, !c.hit)
 		}
 	}
--- a/internal/fleetsim/model/lifecycle.go
+++ b/internal/fleetsim/model/lifecycle.go
@@ -2,8 +2,13 @@
 
 import "pumiceline/internal/standalone/policy"
 
-// successorDelay is the time from the end of a server to the start of its successor.
-const successorDelay = 500_000
+const (
+	// successorDelay is the time from the end of a server to the start of its successor, in microseconds.
+	successorDelay = 500_000
+	// drainDelayDivisor: discovery knows of a drain and of an orderly end after this part of Discovery.DrainDelay. Stored
+	// scenarios have the undivided value.
+	drainDelayDivisor = 4
+)
 
 // exitKind says how a server process ends.
 type exitKind bool
@@ -22,7 +27,7 @@
 	s.state = stateDown
 	delay := sm.scenario.Discovery.CrashDelay
 	if kind == orderlyExit {
-		delay = sm.scenario.Discovery.DrainDelay / 4
+		delay = sm.scenario.Discovery.DrainDelay / drainDelayDivisor
 	}
 	sm.scheduleDiscoveryUpdate(s, policy.ModeGone, delay)
 	broken := make([]int32, 0, s.openRequests())
@@ -39,7 +44,7 @@
 	s.epoch++
 }
 
-// startServer starts a process behind a server's id, cold.
+// startServer starts a cold process under a server's id.
 func (sm *simulation) startServer(s *server) {
 	if s.state != stateDown {
 		return
@@ -47,7 +52,7 @@
 	s.state, s.startedAt, s.cold, s.warmupWork, s.arrivedWork = stateUp, max(1, sm.now), true, 0, workWindow{}
 	s.virtualTimeAt, s.reports.count = sm.now, 0
 	s.resetCounts(sm.now)
-	s.pauses, s.replacing, s.keyCache = 0, false, nil
+	s.pauses, s.willBeReplaced, s.keyCache = 0, false, nil
 	sm.observe(Record{Kind: ServerStarted, Server: s.id, Zone: s.zone})
 	sm.scheduleDiscoveryUpdate(s, policy.ModeReady, sm.scenario.Discovery.StartDelay)
 	sm.schedulePause(s)
@@ -56,7 +61,7 @@
 // overloadServer crashes a cold server that got too much work.
 func (sm *simulation) overloadServer(s *server) {
 	sm.observe(Record{Kind: ServerOverloaded, Server: s.id})
-	hasSuccessor := s.replacing
+	hasSuccessor := s.willBeReplaced
 	sm.stopServer(s, crash)
 	if hasSuccessor {
 		sm.startSuccessor(s)
@@ -65,19 +70,19 @@
 	}
 }
 
-// drainServer lets a server complete what it has for a time; its successor follows.
+// drainServer has a server complete its requests for drainTime; then its successor starts.
 func (sm *simulation) drainServer(s *server, drainTime Time, successorHasNewID bool) {
 	if s.state != stateUp {
 		return
 	}
-	s.state, s.replacing, s.successorHasNewID = stateDraining, true, successorHasNewID
-	sm.scheduleDiscoveryUpdate(s, policy.ModeDraining, sm.scenario.Discovery.DrainDelay/4)
+	s.state, s.willBeReplaced, s.successorHasNewID = stateDraining, true, successorHasNewID
+	sm.scheduleDiscoveryUpdate(s, policy.ModeDraining, sm.scenario.Discovery.DrainDelay/drainDelayDivisor)
 	sm.schedule(sm.now+drainTime, event{kind: evServerStop, subject: s.index, number: s.epoch, code: 1})
 }
 
 // startSuccessor schedules the start of a server's successor, under its id or a new one.
 func (sm *simulation) startSuccessor(s *server) {
-	s.replacing = false
+	s.willBeReplaced = false
 	if s.successorHasNewID {
 		successor := sm.addServer(s.zone, s.instanceTypeIndex, s.instanceType, s.speed)
 		successor.cell, successor.state = s.cell, stateDown
@@ -95,7 +100,8 @@
 	}
 }
 
-// startPause stops the whole server, as a garbage collector does. The pause is longer the more requests it has.
+// startPause stops all requests of a server, as a garbage collector does. The pause is longer the more requests it has: up
+// to one and a half times as long with all slots in use, and longer with a queue.
 func (sm *simulation) startPause(s *server, epoch int32) {
 	if s.epoch != epoch || s.state == stateDown {
 		return
--- a/internal/fleetsim/model/loadreport.go
+++ b/internal/fleetsim/model/loadreport.go
@@ -15,7 +15,7 @@
 	count int
 }
 
-// loadReport is what a server measured up to a time.
+// loadReport is what a server measured up to a time; see reportColumns.
 type loadReport struct {
 	at     Time
 	values [reportColumns]float32
@@ -69,16 +69,16 @@
 		sm.fail(proxyIndex, "probes server %d, which it may not", serverID)
 		return
 	}
-	sm.observe(Record{Kind: ServerProbed, Proxy: proxyIndex, Server: serverID})
+	sm.observe(Record{Kind: ServerPolled, Proxy: proxyIndex, Server: serverID})
 	p := &sm.proxies[proxyIndex]
 	roundTrip := sm.networkDelay(p.zone, s.zone) + sm.networkDelay(s.zone, p.zone)
-	sm.schedule(sm.nextTick(sm.now+roundTrip), event{kind: evProbeResult, subject: proxyIndex, number: p.incarnation,
+	sm.schedule(sm.nextTick(sm.now+roundTrip), event{kind: evPollResult, subject: proxyIndex, number: p.incarnation,
 		id: uint64(serverID)})
 }
 
-// receiveProbe brings a proxy the answer to its load poll: the server's report, which is delayed like any, or a timeout
-// of a server that hangs or is not reached.
-func (sm *simulation) receiveProbe(proxyIndex, incarnation int32, serverID uint32) {
+// receivePollResult gives a proxy the result of its load poll: the server's report, which is delayed like any, or a
+// time-out where the server hangs or is not reached.
+func (sm *simulation) receivePollResult(proxyIndex, incarnation int32, serverID uint32) {
 	if !sm.isRunning(proxyIndex, incarnation) {
 		return
 	}
--- a/internal/fleetsim/model/node.go
+++ b/internal/fleetsim/model/node.go
@@ -2,7 +2,7 @@
 
 import "pumiceline/internal/standalone/policy"
 
-// Node decides for one proxy; policy.Balancer is one. The same promises hold: no clock, no goroutine, no I/O. It appends
+// Node decides for one proxy; policy.Balancer is one. Like that, it uses no clock, no goroutine and no I/O. Handle appends
 // its actions to out and returns that.
 type Node interface {
 	Handle(now Time, ev *policy.Event, out []policy.Action) []policy.Action
--- a/internal/fleetsim/model/partition.go
+++ b/internal/fleetsim/model/partition.go
@@ -41,7 +41,7 @@
 // isDiscoveryPartitioned says whether a proxy is partitioned from discovery.
 func (sm *simulation) isDiscoveryPartitioned(proxyIndex int32) bool {
 	p := &sm.proxies[proxyIndex]
-	if p.cutFromDiscovery {
+	if p.isolatedFromDiscovery {
 		return true
 	}
 	for i := range sm.partitions {
--- a/internal/fleetsim/model/processing.go
+++ b/internal/fleetsim/model/processing.go
@@ -27,7 +27,8 @@
 		progress = age / float64(t.WarmupTime)
 	}
 	if t.WarmByWork {
-		// At half use it warms up in WarmupTime, without work in the time that is published.
+		// At half use it is warm after WarmupTime: over the warm-up its mean capacity is (1+InitialCapacity)/2 of the warm
+		// one, and half of that is used. Without work it is warm after the published time.
 		needed := s.warmCapacity() * float64(t.WarmupTime) * (1 + t.InitialCapacity) / 4
 		progress = math.Max(s.warmupWork/math.Max(needed, 1), age/math.Max(1, float64(sm.scenario.Published.WarmupTime)))
 	}
@@ -47,8 +48,8 @@
 	s.virtualTimeAt = sm.now
 }
 
-// rescheduleServer follows a change of what a server executes or of its capacity: it sets the new rate and schedules the
-// next completion.
+// rescheduleServer is called after each change of what a server executes or of its capacity: it sets the new rate and
+// schedules the next completion.
 func (sm *simulation) rescheduleServer(s *server) {
 	s.ratePerRequest = 0
 	if len(s.slots) == 0 {
@@ -58,7 +59,7 @@
 		s.ratePerRequest = sm.currentRate(s)
 	}
 	if s.ratePerRequest <= stalledRate {
-		return // the end of what stalls it reschedules it
+		return // it is rescheduled when the fault or the pause that stalls it ends
 	}
 	next := sm.now + max(1, Time(math.Ceil((s.slots[0].finish-s.virtualTime)/s.ratePerRequest)))
 	if s.nextWakeup == 0 || next < s.nextWakeup {
@@ -67,8 +68,8 @@
 	}
 }
 
-// currentRate is the rate of each request in a slot: a core, or its part of the cores, less what crowding beyond the knee
-// and the connection table take.
+// currentRate is the rate of each request in a slot, in standard cores: a core, or its part of the cores, less what
+// crowding beyond the knee and the connection table take.
 func (sm *simulation) currentRate(s *server) float64 {
 	t := s.instanceType
 	executing := len(s.slots)
@@ -82,7 +83,7 @@
 	return math.Max(0, rate)
 }
 
-// processServer completes what is done and starts what is queued.
+// processServer completes the requests whose finish has passed and starts queued ones in their slots.
 func (sm *simulation) processServer(s *server) {
 	sm.advanceServer(s)
 	for len(s.slots) > 0 && s.slots[0].finish <= s.virtualTime+finishTolerance {
@@ -128,7 +129,7 @@
 	sm.returnAttempt(attemptIndex, outcome, answeredByServer)
 }
 
-// returnMode says who ends an attempt.
+// returnMode is how an attempt ends.
 type returnMode bool
 
 const (
--- a/internal/fleetsim/model/proxies.go
+++ b/internal/fleetsim/model/proxies.go
@@ -1,11 +1,16 @@
 package model
 
 import (
-	"math"
-
 	"pumiceline/internal/standalone/policy"
 )
 
+const (
+	// nodeSeedSalt separates the nodes' seeds from other numbers that are derived from the run's seed.
+	nodeSeedSalt = 0xa5a5
+	// closeIdleStagger, in microseconds, is a prime, so that proxies close their idle connections at different moments.
+	closeIdleStagger = 997
+)
+
 // proxy is one proxy, and under the same index its successors.
 type proxy struct {
 	node        Node
@@ -21,10 +26,10 @@
 	timersInSecond int
 	timerSecond    int64
 
-	listVersion         int // of discovery's list, as its node has it
-	watching            bool
-	notificationPending bool
-	cutFromDiscovery    bool // by a fault
+	listVersion           int // of discovery's list, as its node has it
+	watching              bool
+	notificationPending   bool
+	isolatedFromDiscovery bool // by a fault
 }
 
 // canAccept says whether the proxy takes a further request; maxOpen 0: any number.
@@ -32,20 +37,20 @@
 	return p.up && (maxOpen <= 0 || p.openRequests < maxOpen)
 }
 
-// isRunning says whether the proxy runs in this incarnation: what is for an earlier one is void.
+// isRunning says whether the proxy runs in this incarnation. Events for an earlier one are ignored.
 func (sm *simulation) isRunning(proxyIndex, incarnation int32) bool {
 	p := &sm.proxies[proxyIndex]
 	return p.up && p.incarnation == incarnation
 }
 
-// startProxy starts a proxy with nothing but the cached list of its place, as its predecessor had it last.
+// startProxy starts a proxy with no state but the list that its predecessor under the same index cached last.
 func (sm *simulation) startProxy(proxyIndex int32) {
 	p := &sm.proxies[proxyIndex]
 	if p.up {
 		return
 	}
 	settings := sm.scenario.policySettings(int(proxyIndex), int(p.zone), sm.capacity)
-	node, err := sm.newNode(settings, mix(sm.seed^uint64(proxyIndex)<<32^uint64(p.incarnation)<<16^0xa5a5), sm.oracle)
+	node, err := sm.newNode(settings, mix(sm.seed^uint64(proxyIndex)<<32^uint64(p.incarnation)<<16^nodeSeedSalt), sm.oracle)
 	if err != nil {
 		sm.fail(proxyIndex, "can't start: %v", err)
 		return
@@ -58,20 +63,19 @@
 	sm.observe(Record{Kind: ProxyStarted, Proxy: proxyIndex, Members: members, Version: p.listVersion})
 	sm.policyEvent = policy.Event{Kind: policy.MembershipCached, Members: members}
 	sm.deliver(proxyIndex)
-	offset := Time(proxyIndex) * 997 % microsPerSecond // proxies do not all do it at once
+	offset := Time(proxyIndex) * closeIdleStagger % microsPerSecond
 	sm.schedule(sm.now+microsPerSecond+offset, event{kind: evCloseIdle, subject: proxyIndex, number: p.incarnation})
 }
 
-// stopProxy ends a stopping proxy's process.
+// stopProxy ends the process of a proxy that a roll has stopped.
 func (sm *simulation) stopProxy(proxyIndex, incarnation int32) {
 	if p := &sm.proxies[proxyIndex]; p.incarnation == incarnation {
 		sm.killProxy(proxyIndex)
-		p.downSince = p.stopsAt // the front layer has known since then
+		p.downSince = p.stopsAt // the front layer knows of an orderly stop from its start
 	}
 }
 
-// killProxy ends a proxy's process: its connections break, its requests are left to their clients, its node's state is
-// lost.
+// killProxy ends a proxy's process: its connections break, its clients see a reset of theirs, its node's state is lost.
 func (sm *simulation) killProxy(proxyIndex int32) {
 	p := &sm.proxies[proxyIndex]
 	if !p.up {
@@ -132,62 +136,6 @@
 	}
 }
 
-// deliver hands policyEvent to a proxy's node and carries out its actions.
-func (sm *simulation) deliver(proxyIndex int32) {
-	sm.stats.Handled++
-	sm.actions = sm.proxies[proxyIndex].node.Handle(sm.now, &sm.policyEvent, sm.actions[:0])
-	sm.executeActions(proxyIndex)
-}
-
-// executeActions carries out what a node returned, and sends its messages.
-func (sm *simulation) executeActions(proxyIndex int32) {
-	if len(sm.actions) > maxActionsPerEvent {
-		sm.fail(proxyIndex, "answers one event with %d actions", len(sm.actions))
-	}
-	for i := 0; i < len(sm.actions) && sm.failure == nil; i++ {
-		sm.executeAction(proxyIndex, &sm.actions[i])
-	}
-	if messenger := sm.proxies[proxyIndex].messenger; messenger != nil {
-		for _, message := range messenger.TakeMessages() {
-			sm.sendMessage(proxyIndex, message)
-		}
-	}
-}
-
-func (sm *simulation) executeAction(proxyIndex int32, action *policy.Action) {
-	switch action.Kind {
-	case policy.SendAttempt:
-		sm.sendAttempt(proxyIndex, action)
-	case policy.RejectRequest, policy.FailRequest:
-		sm.answerRequest(proxyIndex, action)
-	case policy.CancelAttempt:
-		sm.cancelAttempt(proxyIndex, action)
-	case policy.SetTimer:
-		sm.setTimer(proxyIndex, action)
-	case policy.SubscribeDiscovery:
-		sm.subscribe(proxyIndex)
-	case policy.CloseIdleConns:
-		sm.closeIdleConnectionsTo(&sm.proxies[proxyIndex], action.Server)
-	case policy.LogMessage: // nobody reads it here
-	case policy.PollLoad:
-		sm.pollLoad(proxyIndex, action.Server)
-	default:
-		sm.fail(proxyIndex, "wants action %d, which the simulator does not know", action.Kind)
-	}
-}
-
-func (sm *simulation) setTimer(proxyIndex int32, action *policy.Action) {
-	p := &sm.proxies[proxyIndex]
-	if second := sm.now / microsPerSecond; second != p.timerSecond {
-		p.timerSecond, p.timersInSecond = second, 0
-	}
-	if p.timersInSecond++; p.timersInSecond > maxTimersPerSecond {
-		sm.fail(proxyIndex, "sets timers without end: %d within a second", p.timersInSecond)
-	}
-	sm.schedule(sm.nextTick(sm.now+max(1, action.After)),
-		event{kind: evTimer, subject: proxyIndex, number: p.incarnation, id: action.ID})
-}
-
 // findServer returns the server of an id, nil if there is none.
 func (sm *simulation) findServer(id uint32) *server {
 	if index := int(id ^ sm.serverIDMask); index >= 0 && index < len(sm.servers) {
@@ -195,124 +143,3 @@
 	}
 	return nil
 }
-
-// proxyRequest is one attempt of a client at one proxy: a request, as the proxy sees it.
-type proxyRequest struct {
-	id            uint64 // 0: the place is free
-	clientRequest int32
-	proxy         int32
-	deadline      Time // when its client gives it up
-	answered      bool
-	inFlight      uint8 // attempts
-	attemptCount  uint8
-	attempts      [maxAttempts]proxyAttempt
-}
-
-func (sm *simulation) releaseProxyRequest(requestIndex int32) {
-	request := sm.proxyRequests.at(requestIndex)
-	sm.releaseClientRequest(request.clientRequest)
-	request.id = 0
-	sm.proxyRequests.release(requestIndex)
-}
-
-// releaseIfDone forgets a request that is answered and has no attempt in flight.
-func (sm *simulation) releaseIfDone(requestIndex int32) {
-	if request := sm.proxyRequests.at(requestIndex); request.answered && request.inFlight == 0 && request.id != 0 {
-		sm.releaseProxyRequest(requestIndex)
-	}
-}
-
-// findProxyRequest returns the index of an open request of the proxy; -1: it has ended. One that it never had ends the
-// run.
-func (sm *simulation) findProxyRequest(proxyIndex int32, id uint64) int32 {
-	requestIndex := int32(id & (1<<indexBits - 1))
-	if number := id >> indexBits; number == 0 || number > sm.lastProxyRequestNumber ||
-		int(requestIndex) >= len(sm.proxyRequests.items) {
-		sm.fail(proxyIndex, "names request %d, which it was never given", id)
-		return -1
-	}
-	request := sm.proxyRequests.at(requestIndex)
-	if request.id != id {
-		return -1
-	}
-	if request.proxy != proxyIndex {
-		sm.fail(proxyIndex, "names request %d, which proxy %d has", id, request.proxy)
-		return -1
-	}
-	return requestIndex
-}
-
-// receiveRequest is the arrival of a client's attempt at its proxy.
-func (sm *simulation) receiveRequest(requestIndex int32, id uint64) {
-	request := sm.proxyRequests.at(requestIndex)
-	if request.id != id {
-		return
-	}
-	p, c := &sm.proxies[request.proxy], sm.clientRequests.at(request.clientRequest)
-	if !p.up {
-		sm.schedule(sm.now+Time(sm.scenario.Network.Client), event{kind: evReceiveAnswer, subject: request.clientRequest,
-			code: uint8(policy.ConnectFailed), id: id})
-		sm.releaseProxyRequest(requestIndex)
-		return
-	}
-	p.openRequests++
-	timeout := max(1, request.deadline-sm.now)
-	sm.observe(Record{Kind: RequestReceived, Proxy: request.proxy, ID: id, Request: c.number, Class: c.class,
-		Span: timeout})
-	sm.schedule(request.deadline+Time(sm.scenario.Published.ResponseGrace)+1,
-		event{kind: evRequestExpired, subject: requestIndex, id: id})
-	sm.policyEvent = policy.Event{
-		Kind:          policy.RequestArrived,
-		ID:            id,
-		Class:         c.class,
-		Tenant:        uint32(c.tenant),
-		AffinityKey:   c.key,
-		Work:          c.workHint,
-		ClientTimeout: timeout,
-		ClientRetry:   sm.scenario.Clients.MarkRetries && c.attempts > 1,
-	}
-	sm.deliver(request.proxy)
-}
-
-// answerRequest carries out a node's RejectRequest or FailRequest. It is void for a request that has ended.
-func (sm *simulation) answerRequest(proxyIndex int32, action *policy.Action) {
-	requestIndex := sm.findProxyRequest(proxyIndex, action.ID)
-	if requestIndex < 0 || sm.proxyRequests.at(requestIndex).answered {
-		return
-	}
-	outcome := policy.ErrorResponse
-	if action.Kind == policy.RejectRequest {
-		outcome = policy.Rejected
-	}
-	sm.answerClient(requestIndex, outcome, action.After)
-	sm.releaseIfDone(requestIndex)
-}
-
-// answerClient sends a request's final answer to its client.
-func (sm *simulation) answerClient(requestIndex int32, outcome policy.Outcome, retryAfter Time) {
-	request := sm.proxyRequests.at(requestIndex)
-	c := sm.clientRequests.at(request.clientRequest)
-	request.answered = true
-	sm.proxies[request.proxy].openRequests--
-	sm.observe(Record{Kind: RequestAnswered, Proxy: request.proxy, ID: request.id, Outcome: outcome, Request: c.number,
-		Span: retryAfter})
-	network := &sm.scenario.Network
-	travelTime := Time(float64(network.Client) * (1 + network.Jitter*c.draw(drawAnswerDelay)))
-	sm.schedule(sm.now+travelTime, event{kind: evReceiveAnswer, subject: request.clientRequest,
-		number: int32(min(retryAfter, math.MaxInt32)), code: uint8(outcome), id: request.id})
-}
-
-// expireRequest ends a request that its proxy has not answered within the grace after its deadline.
-func (sm *simulation) expireRequest(requestIndex int32, id uint64) {
-	request := sm.proxyRequests.at(requestIndex)
-	if request.id != id || request.answered {
-		return
-	}
-	proxyIndex := request.proxy
-	request.answered = true
-	sm.proxies[proxyIndex].openRequests--
-	sm.observe(Record{Kind: ResponseOverdue, Proxy: proxyIndex, ID: id})
-	sm.releaseIfDone(requestIndex)
-	sm.policyEvent = policy.Event{Kind: policy.RequestAbandoned, ID: id}
-	sm.deliver(proxyIndex)
-}
--- a/internal/fleetsim/model/record.go
+++ b/internal/fleetsim/model/record.go
@@ -28,7 +28,7 @@
 	ProxyStopped                            // a proxy's process ends [Proxy]
 	MessageDelivered                        // a message between proxies is delivered [Proxy=recipient Span=bytes]
 	EffectRepeated                          // a request had its effect again [Server ID Request Span=since the first]
-	ServerProbed                            // a proxy polls a server's load [Proxy Server]
+	ServerPolled                            // a proxy polls a server's load [Proxy Server]
 	LoadSampled                             // once a second: the servers' load [Load]
 )
 
@@ -100,7 +100,7 @@
 	ProxyStopped:      "proxy down",
 	MessageDelivered:  "message",
 	EffectRepeated:    "twice",
-	ServerProbed:      "probe",
+	ServerPolled:      "probe",
 	LoadSampled:       "sample",
 }
 
--- a/internal/fleetsim/model/server.go
+++ b/internal/fleetsim/model/server.go
@@ -18,7 +18,8 @@
 // server is one server, and under the same id its successors.
 //
 // It works by processor sharing: each request in a slot gets the same rate, at most one core. virtualTime is that of
-// Parekh and Gallager's fluid model: the work that a request in a slot since the start would have got. A request is
+// Parekh and Gallager's fluid model (generalized processor sharing, 1993): the work that a request which had been in a slot
+// since the start would have received. A request is
 // completed when virtualTime passes its finish, so that a change of the rate touches no request.
 type server struct {
 	index             int32
@@ -36,7 +37,7 @@
 	cold              bool
 	warmupWork        float64    // completed since the start
 	arrivedWork       workWindow // work that has come within Overload.Window
-	replacing         bool       // a successor is to follow
+	willBeReplaced    bool       // a successor is to follow
 	successorHasNewID bool
 
 	// What faults do to it.
@@ -55,7 +56,7 @@
 	nextWakeup     Time    // of the scheduled evServerProgress; 0: none
 	slots          slotHeap
 	queue          attemptQueue
-	workInTransit  float64 // sent, not yet come; policies cannot know it
+	workInTransit  float64 // sent and not yet arrived; of the policies only the oracle knows it
 
 	// Counts since the last refresh of its load report.
 	busyTime   float64 // core-microseconds
@@ -103,13 +104,16 @@
 	return uint16(int(zone) + zones*(inZone/size))
 }
 
-// sampleLoad records the load of each server in service: requests per core, at most four.
+// maxSampledLoad bounds a sample of a server's load, in requests per core: it is for plots.
+const maxSampledLoad = 4
+
+// sampleLoad records the load of each server in service: requests per core, at most maxSampledLoad.
 func (sm *simulation) sampleLoad() {
 	sm.loadBuffer = sm.loadBuffer[:0]
 	for _, s := range sm.servers {
 		if s.state == stateUp {
 			cores := float64(s.instanceType.Cores)
-			sm.loadBuffer = append(sm.loadBuffer, math.Min(float64(s.openRequests()), 4*cores)/cores)
+			sm.loadBuffer = append(sm.loadBuffer, math.Min(float64(s.openRequests()), maxSampledLoad*cores)/cores)
 		}
 	}
 	slices.Sort(sm.loadBuffer)
--- a/internal/fleetsim/model/settings.go
+++ b/internal/fleetsim/model/settings.go
@@ -2,7 +2,7 @@
 
 import "pumiceline/internal/standalone/policy"
 
-// The words of scenario files and what they stand for. An empty word is the default.
+// The values of keys in scenario files that name a setting. The empty text is the default.
 var (
 	semanticsByName = map[string]policy.Semantics{
 		"safe":   policy.Idempotent,
@@ -32,8 +32,8 @@
 // delivery says how policies get load reports.
 func (r *Reports) delivery() policy.ReportDelivery { return reportDeliveryByName[r.Delivery] }
 
-// quotaOfCapacity is how much of the fleet's capacity is sold as tenants' quotas.
-const quotaOfCapacity = 0.8
+// QuotaOfCapacity is the share of the fleet's capacity that is sold as tenants' quotas.
+const QuotaOfCapacity = 0.8
 
 // policySettings returns what the policy of one proxy is given. capacity is the warm fleet's, in requests a second.
 func (sc *Scenario) policySettings(ordinal, zone int, capacity float64) policy.Settings {
@@ -54,7 +54,7 @@
 		Classes: sc.PolicyClasses(),
 	}
 	for _, t := range sc.Tenants {
-		settings.Tenants = append(settings.Tenants, policy.Tenant{QuotaPerS: t.QuotaShare * capacity * quotaOfCapacity})
+		settings.Tenants = append(settings.Tenants, policy.Tenant{QuotaPerS: t.QuotaShare * capacity * QuotaOfCapacity})
 	}
 	return settings
 }
--- a/internal/fleetsim/model/simulation.go
+++ b/internal/fleetsim/model/simulation.go
@@ -12,13 +12,23 @@
 
 	maxAttempts         = 8       // of one request at one proxy
 	indexBits           = 22      // of a proxy request's id are its index in the pool; the rest is a running number
-	maxTimersPerSecond  = 500_000 // of one proxy
+	maxTimersPerSecond  = 500_000 // of one proxy: more is an endless loop of the policy
 	maxActionsPerEvent  = 1 << 20
 	drainOutTime        = 2 * microsPerSecond // that a run may take past the last deadline
 	maxPeerMessageBytes = 256
 	allPeers            = -1 // recipient of a message to all other proxies
 )
 
+// Random streams of a run, by purpose. The numbers are part of what a seed means.
+const (
+	streamArrivals     = 1 // client requests
+	streamNetwork      = 2
+	streamServers      = 3
+	streamFleet        = 4 // what build draws
+	streamFaultTargets = 5 // what scheduleFaults draws
+	streamRandomFaults = 6
+)
+
 // simulation is one run of a scenario.
 type simulation struct {
 	scenario *Scenario
@@ -30,8 +40,8 @@
 	failure  error // ends the run
 	stats    Stats
 
-	// Each purpose draws from a stream of its own, so that what one policy does leaves the draws of the others as they
-	// are.
+	// Each purpose draws from a stream of its own, so that the draws of one do not depend on how often another draws, which
+	// differs from policy to policy.
 	arrivalRand, networkRand, serverRand *rand.Rand
 
 	servers        []*server
@@ -92,13 +102,13 @@
 	}
 	own := scenario.Clone() // gets the drawn faults
 	stream := func(number uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, number)) }
-	own.Faults = append(own.Faults, own.randomFaults(stream(6))...)
+	own.Faults = append(own.Faults, own.randomFaults(stream(streamRandomFaults))...)
 	sm := &simulation{scenario: &own, seed: seed, newNode: newNode, observer: observer, events: newEventQueue(),
 		maxRetries: own.Clients.Retries, floodFactor: 1, isolatedZones: make([]int, own.Zones),
-		arrivalRand: stream(1), networkRand: stream(2), serverRand: stream(3)}
+		arrivalRand: stream(streamArrivals), networkRand: stream(streamNetwork), serverRand: stream(streamServers)}
 	sm.oracle = &Oracle{sim: sm}
-	sm.build(stream(4))
-	sm.scheduleFaults(stream(5))
+	sm.build(stream(streamFleet))
+	sm.scheduleFaults(stream(streamFaultTargets))
 	for i := range sm.servers {
 		sm.schedulePause(sm.servers[i])
 	}
@@ -138,10 +148,13 @@
 		longestDeadline = max(longestDeadline, Time(c.Deadline))
 	}
 	limit := longestDeadline + duration + grace + drainOutTime
+	// After the last answer a proxy may still have requests that their clients gave up: the grace for these, with two ticks,
+	// as proxies act at ticks only, and two microseconds for rounding.
+	settleTime := grace + 2*Time(sm.scenario.Tick) + 2
 	end := Time(0)
 	for sm.failure == nil {
 		e, ok := sm.events.pop()
-		if !ok || e.at > limit || end > 0 && e.at > end+grace+2*Time(sm.scenario.Tick)+2 {
+		if !ok || e.at > limit || end > 0 && e.at > end+settleTime {
 			break
 		}
 		sm.now = e.at
@@ -154,7 +167,7 @@
 	return end
 }
 
-// nextTick is when a proxy handles what comes at t.
+// nextTick is when a proxy handles what arrives at t: at the end of the tick.
 func (sm *simulation) nextTick(t Time) Time {
 	tick := Time(sm.scenario.Tick)
 	if tick <= 0 {
@@ -163,7 +176,7 @@
 	return (t + tick - 1) / tick * tick
 }
 
-// networkDelay draws the time of one message between two zones.
+// networkDelay draws the time, in microseconds, that one message takes between two zones.
 func (sm *simulation) networkDelay(from, to uint8) Time {
 	base := float64(sm.scenario.Network.SameZone)
 	if from != to {
--- a/internal/fleetsim/plots/latency.go
+++ b/internal/fleetsim/plots/latency.go
@@ -9,16 +9,17 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 
+	"pumiceline/internal/fleetsim/checker"
 	"pumiceline/internal/fleetsim/experiment"
 )
 
 // percentileScale is an axis of percentiles on which each nine takes as much space: x stands for 1 - 10^-x.
 type percentileScale struct{}
 
-// Normalize is plot.Normalizer's.
+// Normalize implements plot.Normalizer.
 func (percentileScale) Normalize(least, most, x float64) float64 { return (x - least) / (most - least) }
 
-// Ticks is plot.Ticker's.
+// Ticks implements plot.Ticker.
 func (percentileScale) Ticks(_, _ float64) []plot.Tick {
 	var ticks []plot.Tick
 	for i, label := range []string{"0%", "90%", "99%", "99.9%", "99.99%"} {
@@ -27,12 +28,10 @@
 	return append(ticks, plot.Tick{Value: math.Log10(2), Label: "50%"})
 }
 
-// The histograms' range is that of package checker.
+// Positions on a percentileScale.
 const (
-	maxLatencyMicros  = 60_000_000
-	latencyDigits     = 3
-	percentileStep    = 0.05
-	maxPercentileAxis = 4 // 99.99%
+	percentileStep    = 0.05 // between the points of a line
+	maxPercentileAxis = 4    // 99.99%
 )
 
 // drawLatency draws the latency of a class's served requests by percentile, over all seeds, a line for each policy.
@@ -54,7 +53,7 @@
 }
 
 func mergeLatencies(results []*experiment.Result, class string) (*hdrhistogram.Histogram, error) {
-	merged := hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
+	merged := checker.NewLatencyHistogram()
 	for _, r := range results {
 		h, err := hdrhistogram.Decode([]byte(r.Report.Latency[class]))
 		if err != nil {
--- a/internal/fleetsim/plots/load.go
+++ b/internal/fleetsim/plots/load.go
@@ -9,17 +9,14 @@
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
 
+	"pumiceline/internal/fleetsim/checker"
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// Indexes of a report's load bands, whose quantiles are 5, 25, 50, 75, 95 and 100%.
+// Opacity of the bands, of 255.
 const (
-	band5 = iota
-	band25
-	bandMedian
-	band75
-	band95
-	bandMax
+	outerBandAlpha = 50
+	innerBandAlpha = 110
 )
 
 // drawLoad draws the servers' requests per core, as bands of the fleet, for one policy's first seed.
@@ -29,16 +26,16 @@
 		"second",
 		"requests per core")
 	figure.Y.Min = 0
-	if err := addBand(figure, "5 to 95%", 50, loadBand(r, band5), loadBand(r, band95)); err != nil {
+	if err := addBand(figure, "5 to 95%", outerBandAlpha, loadBand(r, checker.LoadBand5), loadBand(r, checker.LoadBand95)); err != nil {
 		return nil, err
 	}
-	if err := addBand(figure, "25 to 75%", 110, loadBand(r, band25), loadBand(r, band75)); err != nil {
+	if err := addBand(figure, "25 to 75%", innerBandAlpha, loadBand(r, checker.LoadBand25), loadBand(r, checker.LoadBand75)); err != nil {
 		return nil, err
 	}
-	if err := addLine(figure, "median", seriesColour(0), loadBand(r, bandMedian)); err != nil {
+	if err := addLine(figure, "median", seriesColour(0), loadBand(r, checker.LoadBandMedian)); err != nil {
 		return nil, err
 	}
-	if err := addLine(figure, "max", seriesColour(3), loadBand(r, bandMax)); err != nil {
+	if err := addLine(figure, "max", seriesColour(3), loadBand(r, checker.LoadBandMax)); err != nil {
 		return nil, err
 	}
 	return render(fileName("load", policy, p.name), figure)
--- a/internal/fleetsim/withadmission/withadmission.go
+++ b/internal/fleetsim/withadmission/withadmission.go
@@ -1,5 +1,5 @@
-// Package withadmission puts admission control in front of a policy within the simulator, as the standalone proxy does on
-// sockets.
+// Package withadmission puts admission control in front of a policy within the simulator, as the standalone proxy does with
+// real requests.
 package withadmission
 
 import (
@@ -57,7 +57,7 @@
 	return s
 }
 
-// request is one that has come and has not ended.
+// request is one that has arrived and has not ended.
 type request struct {
 	ticket     admission.Ticket
 	arrival    policy.Event
@@ -77,7 +77,7 @@
 	tickScheduled bool
 }
 
-// Handle is model.Node's.
+// Handle implements model.Node.
 func (n *node) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch {
 	case ev.Kind == policy.RequestArrived:
@@ -102,7 +102,7 @@
 	return out
 }
 
-// submit hands a new request to the controller.
+// submit passes a new request to the controller.
 func (n *node) submit(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	r := &request{arrival: *ev, deadline: now + ev.ClientTimeout}
 	n.requests[ev.ID] = r
@@ -116,7 +116,7 @@
 func (n *node) forward(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	from := len(out)
 	out = n.inner.Handle(now, ev, out)
-	to := len(out) // finish appends more, of which it takes care itself
+	to := len(out) // finish appends further actions; the ends among those it handles itself
 	for i := from; i < to; i++ {
 		if k := out[i].Kind; k == policy.RejectRequest || k == policy.FailRequest {
 			out = n.finish(now, out[i].ID, false, out)
--- a/internal/fleetsim/withsubset/withsubset.go
+++ b/internal/fleetsim/withsubset/withsubset.go
@@ -1,5 +1,5 @@
-// Package withsubset shows a policy only its proxy's subset of the servers, within the simulator. The subset does not
-// grow, whatever becomes of its servers.
+// Package withsubset gives a policy only its proxy's subset of the servers, within the simulator. The subset does not grow,
+// also when servers in it fail.
 package withsubset
 
 import (
@@ -14,6 +14,12 @@
 // minServersPerZone is how many servers of each zone a subset has at least.
 const minServersPerZone = 4
 
+// Margin of sharingProxies: a constant, and for each power of ten of the proxies.
+const (
+	sharingMargin          = 4
+	sharingMarginPerDecade = 2
+)
+
 // node is a policy that is given a subset of the list.
 type node struct {
 	inner   model.Node
@@ -23,15 +29,15 @@
 	members []policy.Member // of the subset
 }
 
-// NewFactory returns a factory of newNode's nodes with a subset of each zone, that share of it. Budgets of cold servers
-// are divided among the proxies that may have a server in their subset, and no more.
+// NewFactory returns a factory of newNode's nodes that get a subset: that share of each zone. Policies divide the slow-start
+// budget of a cold server among the proxies of the group, so the group is set to those that may have a server in common.
 func NewFactory(newNode model.NodeFactory, share float64) model.NodeFactory {
 	return func(settings policy.Settings, seed uint64, oracle *model.Oracle) (model.Node, error) {
 		all := settings.GroupSize
 		if sharing := sharingProxies(all, share); sharing < all {
 			settings.GroupSize = sharing
 			settings.Tenants = slices.Clone(settings.Tenants)
-			for i := range settings.Tenants { // quotas are of what this proxy gets, not of what its servers get
+			for i := range settings.Tenants { // a quota is divided by the group size, but all proxies get the tenant's requests
 				settings.Tenants[i].QuotaPerS *= float64(sharing) / float64(all)
 			}
 		}
@@ -45,10 +51,11 @@
 
 // sharingProxies is how many proxies may have a server in their subsets: the share of all, with a margin for chance.
 func sharingProxies(all int, share float64) int {
-	return int(math.Ceil(float64(all)*share)) + 4 + int(2*math.Log10(float64(max(1, all))))
+	return int(math.Ceil(float64(all)*share)) + sharingMargin +
+		int(sharingMarginPerDecade*math.Log10(float64(max(1, all))))
 }
 
-// Handle is model.Node's.
+// Handle implements model.Node.
 func (n *node) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
 	case policy.MembershipFull, policy.MembershipCached:
--- a/tools/lossreport/main.go
+++ b/tools/lossreport/main.go
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// dayReport is what is read of a report of the operators' simulator.
+// dayReport has the fields that are read of a report of the operators' simulator.
 type dayReport struct {
 	Classes []struct {
 		Name     string  `json:"name"`
--- a/tools/lossreport/summary.go
+++ b/tools/lossreport/summary.go
@@ -22,7 +22,7 @@
 	taskReasons map[string]int // placement tasks, by reason
 }
 
-// routeLoss is what became of the requests of a route.
+// routeLoss counts the requests of a route by their result.
 type routeLoss struct {
 	priority, latencyTargetMs string
 	total                     int
@@ -115,7 +115,7 @@
 	return "", nil
 }
 
-// loss is in requests of their full value.
+// loss is the lost value, in requests of full value.
 func (s *lossSummary) loss() float64 {
 	loss := 0.0
 	for _, route := range s.routes {
--- a/tools/simrank/main.go
+++ b/tools/simrank/main.go
@@ -16,8 +16,8 @@
 )
 
 type cli struct {
-	Sim   string `help:"The simulator." required:"" type:"path"`
-	On    string `help:"The deployment." enum:"quotes,invitations" default:"quotes"`
+	Sim   string `help:"The operators' simulator." required:"" type:"path"`
+	On    string `help:"The deployment whose scenarios are compared." enum:"quotes,invitations" default:"quotes"`
 	Days  int    `help:"Days of each kind." default:"3"`
 	Plots string `help:"Folder for the scatter plot and the figures." default:"docs/reports/plots" type:"path"`
 }
@@ -58,7 +58,7 @@
 	return newRanking(measurements).report(c.On, c.Plots)
 }
 
-// measure runs a variant, whose programs are in the folder bin, in all scenarios of the deployment.
+// measure runs a variant, whose programs are in the folder bin, in all scenarios of the deployment, on both simulators.
 func (c *cli) measure(bin, variant string) (measurements []measurement, err error) {
 	d := deployments[c.On]
 	for _, s := range d.scenarios {
--- a/tools/simrank/ranking.go
+++ b/tools/simrank/ranking.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"cmp"
 	"encoding/json"
 	"fmt"
 	"io"
@@ -97,34 +98,25 @@
 	return figure.Save(folder)
 }
 
-// values returns what both simulators measured.
-func values(measurements []measurement) (simulator, fleetsim []float64) {
+// rankCorrelation is that between the services that both simulators measured.
+func rankCorrelation(measurements []measurement) float64 {
+	var simulator, fleetsim []float64
 	for _, m := range measurements {
 		simulator, fleetsim = append(simulator, m.Simulator), append(fleetsim, m.Fleetsim)
 	}
-	return simulator, fleetsim
+	return spearman(simulator, fleetsim)
 }
 
-func rankCorrelation(measurements []measurement) float64 { return spearman(values(measurements)) }
-
 // spearman returns Spearman's rank correlation of two lists, with mean ranks for ties.
 func spearman(a, b []float64) float64 { return stat.Correlation(ranks(a), ranks(b), nil) }
 
-// ranks returns the rank of each value, from 0; equal values have the mean of their ranks.
+// ranks returns the rank of each value in ascending order, from 0; equal values have the mean of their ranks.
 func ranks(values []float64) []float64 {
 	order := make([]int, len(values))
 	for i := range order {
 		order[i] = i
 	}
-	slices.SortFunc(order, func(i, j int) int {
-		switch {
-		case values[i] < values[j]:
-			return -1
-		case values[i] > values[j]:
-			return 1
-		}
-		return 0
-	})
+	slices.SortFunc(order, func(i, j int) int { return cmp.Compare(values[i], values[j]) })
 	ranks := make([]float64, len(values))
 	for first := 0; first < len(order); {
 		end := first
--- a/tools/simrank/scenario.go
+++ b/tools/simrank/scenario.go
@@ -58,14 +58,14 @@
 // simulatorRun is a run of the operators' simulator.
 type simulatorRun struct {
 	simulator string // its path
-	site      string // path of the deployment's description
+	site      string // path of the deployment's description, see deployment
 	bin       string // folder with the variant's benchlink
 	variant   string
 	kind      string // of day
 	days      int
 }
 
-// meanService returns the mean service (G) over the days. A day on which a rule was broken counts as it is.
+// meanService returns the mean service (G) over the days. A day with violations of rules counts like any other.
 func (r *simulatorRun) meanService() (float64, error) {
 	sum := 0.0
 	for day := 1; day <= r.days; day++ {
--- a/tools/simrank/variant_test.go
+++ b/tools/simrank/variant_test.go
@@ -1,6 +1,7 @@
 package main
 
 import (
+	"errors"
 	"go/parser"
 	"go/token"
 	"os"
@@ -72,7 +73,7 @@
 
 func TestVariantWithoutChange(t *testing.T) {
 	v := variant{"same", "p.go", []edit{setConstant("c", "1")}}
-	if _, err := v.apply("package p\n\nconst c = 1\n"); err == nil {
-		t.Error("a variant that changes nothing was built")
+	if _, err := v.apply("package p\n\nconst c = 1\n"); !errors.Is(err, errNoChange) {
+		t.Errorf("a variant that changes nothing: %v", err)
 	}
 }
