--- a/cmd/pumiceline/singletonadmin.go
+++ b/cmd/pumiceline/singletonadmin.go
@@ -21,8 +21,8 @@
 )
 
 // membersOf returns the access to a fleet's members.
-func membersOf(fleet *deployfile.Fleet) *raftmember.Client {
-	return &raftmember.Client{Fleet: fleet.Name, Members: fleet.Members}
+func membersOf(fleet *deployfile.Fleet) *raftmember.AdminClient {
+	return &raftmember.AdminClient{Fleet: fleet.Name, Members: fleet.Members}
 }
 
 type singletonStatusCmd struct {
--- a/internal/fleetsim/baseline/baseline.go
+++ b/internal/fleetsim/baseline/baseline.go
@@ -1,5 +1,5 @@
 // Package baseline has the textbook policies that a policy is compared with, and one that sees the true state of the
-// servers as the upper bound. They keep the rules on answers, retries and draining servers; of cold servers they know
+// servers as the upper bound. They keep the rules on responses, retries and draining servers; of cold servers they know
 // nothing.
 package baseline
 
--- a/internal/fleetsim/baseline/request.go
+++ b/internal/fleetsim/baseline/request.go
@@ -131,7 +131,7 @@
 	n.forgetIfDone(r)
 }
 
-// rejectOrFail ends a request without an answer of a server: rejected, if its client may safely retry it anywhere.
+// rejectOrFail ends a request without a response of a server: rejected, if its client may safely retry it anywhere.
 func (n *node) rejectOrFail(r *request) {
 	if r.ended || r.inFlight > 0 {
 		return
--- a/internal/fleetsim/checker/attempts.go
+++ b/internal/fleetsim/checker/attempts.go
@@ -12,7 +12,7 @@
 	proxy         int32
 	class         uint8
 	clientRequest uint64
-	answered      bool
+	responded     bool
 	inFlight      int
 	attempts      []attempt
 }
@@ -48,7 +48,7 @@
 // releaseIfDone forgets a request that is answered and has nothing in flight. An attempt that is sent for it later is a
 // violation, as it finds no open request.
 func (c *Checker) releaseIfDone(id uint64, r *proxyRequest) {
-	if r.answered && r.inFlight == 0 {
+	if r.responded && r.inFlight == 0 {
 		delete(c.open, id)
 		c.freeRequests = append(c.freeRequests, r)
 	}
@@ -60,8 +60,8 @@
 		c.crossZoneAttempts++
 	}
 	r := c.open[rec.ID]
-	if r == nil || r.answered {
-		c.addViolation(rec, RuleAnswerInTime, "sent to server %d after its final answer", rec.Server)
+	if r == nil || r.responded {
+		c.addViolation(rec, RuleResponseInTime, "sent to server %d after its final answer", rec.Server)
 		return
 	}
 	for i := range r.attempts {
@@ -137,20 +137,20 @@
 	c.releaseIfDone(rec.ID, r)
 }
 
-func (c *Checker) observeAnswer(rec *model.Record) {
+func (c *Checker) observeResponse(rec *model.Record) {
 	r := c.open[rec.ID]
-	if r == nil || r.answered {
+	if r == nil || r.responded {
 		return // the simulator lets only the first one through
 	}
-	r.answered = true
+	r.responded = true
 	switch rec.Outcome {
 	case policy.OK:
-		c.report.Answers.Served++
+		c.report.Responses.Served++
 	case policy.Rejected:
-		c.report.Answers.Rejected++
+		c.report.Responses.Rejected++
 		c.checkRejection(rec, r)
 	default:
-		c.report.Answers.Failed++
+		c.report.Responses.Failed++
 	}
 	c.releaseIfDone(rec.ID, r)
 }
@@ -172,9 +172,9 @@
 }
 
 func (c *Checker) observeOverdue(rec *model.Record) {
-	c.addViolation(rec, RuleAnswerInTime, "no final answer within the slack after its client's deadline")
+	c.addViolation(rec, RuleResponseInTime, "no final answer within the slack after its client's deadline")
 	if r := c.open[rec.ID]; r != nil {
-		r.answered = true
+		r.responded = true
 		c.releaseIfDone(rec.ID, r)
 	}
 }
@@ -191,5 +191,5 @@
 	}
 	c.report.RepeatedEffectCauses = append(c.report.RepeatedEffectCauses,
 		Violation{At: rec.At, Server: rec.Server, ID: rec.ID,
-			Cause: fmt.Sprintf("call %d had its effect again after %.3f s: %s", rec.Request, seconds(rec.Span), cause)})
+			Cause: fmt.Sprintf("call %d had its effect again after %.3f s: %s", rec.Request, seconds(rec.Duration), cause)})
 }
--- a/internal/fleetsim/checker/attempts_test.go
+++ b/internal/fleetsim/checker/attempts_test.go
@@ -22,7 +22,7 @@
 		if late == 0 {
 			requireViolation(t, rep, 0, 0, "")
 		} else {
-			requireViolation(t, rep, checker.RuleAnswerInTime, due, "no final answer")
+			requireViolation(t, rep, checker.RuleResponseInTime, due, "no final answer")
 		}
 	}
 }
@@ -41,7 +41,7 @@
 			s.at(when, func() { s.send(id, server) })
 		}
 	}))
-	requireViolation(t, rep, checker.RuleAnswerInTime, when, "after its final answer")
+	requireViolation(t, rep, checker.RuleResponseInTime, when, "after its final answer")
 }
 
 // TestRetryRule_RetryOfAttemptThatMayHaveRun lets a first attempt time out, so that it may have run, and sends a second
--- a/internal/fleetsim/checker/checker.go
+++ b/internal/fleetsim/checker/checker.go
@@ -106,8 +106,8 @@
 		c.observeRequestEnded(rec)
 	case model.RequestReceived:
 		c.observeRequestReceived(rec)
-	case model.RequestAnswered:
-		c.observeAnswer(rec)
+	case model.ResponseSent:
+		c.observeResponse(rec)
 	case model.ResponseOverdue:
 		c.observeOverdue(rec)
 	case model.AttemptSent:
@@ -150,7 +150,7 @@
 	case model.ServerPolled:
 		c.loadPolls++
 	case model.AttemptExecuted:
-		if !rec.AnswerUsed() {
+		if !rec.ResponseUsed() {
 			c.wastedWork += float64(rec.Work)
 		}
 	case model.MessageDelivered:
--- a/internal/fleetsim/checker/report.go
+++ b/internal/fleetsim/checker/report.go
@@ -34,23 +34,23 @@
 	PeakDiscoveryCalls   int     `json:"asks_peak"`      // within a second
 	ListedWithinP95      float64 `json:"listed_in_95_s"` // seconds until 95% of proxy starts had a watch; -1: never
 
-	Requests int     `json:"calls"` // of clients, each counted once
-	InTime   int     `json:"in_time"`
-	Late     int     `json:"late"`
-	Unserved int     `json:"unserved"`
-	Answers  Answers `json:"answers"`
+	Requests  int            `json:"calls"` // of clients, each counted once
+	InTime    int            `json:"in_time"`
+	Late      int            `json:"late"`
+	Unserved  int            `json:"unserved"`
+	Responses ResponseCounts `json:"answers"`
 
 	CrossZone         float64 `json:"crossed"` // attempts that crossed zones, for each request
 	ConnectionsOpened float64 `json:"opened"`  // for each request
-	WastedWork        float64 `json:"wasted"`  // work without a used answer, for each unit of requested work
+	WastedWork        float64 `json:"wasted"`  // work without a used response, for each unit of requested work
 
 	ServiceBySecond []float64         `json:"service"` // -1: no value was offered
 	LoadBands       [][]float64       `json:"bands"`   // by second, then by LoadBand: requests per core, over the servers
 	Latency         map[string]string `json:"latency"` // by class, of served requests: HdrHistogram (V2, base 64), microseconds
 }
 
-// Answers counts the final answers of proxies.
-type Answers struct {
+// ResponseCounts counts the final responses of proxies.
+type ResponseCounts struct {
 	Served   int `json:"served"`
 	Rejected int `json:"refused"`
 	Failed   int `json:"failed"`
--- a/internal/fleetsim/checker/requests.go
+++ b/internal/fleetsim/checker/requests.go
@@ -60,7 +60,7 @@
 	}
 	delete(c.clientRequests, rec.Request)
 	c.freeClientRequests = append(c.freeClientRequests, r)
-	isServed, elapsed := rec.Served(), rec.Span
+	isServed, elapsed := rec.Served(), rec.Duration
 	served := 0.0
 	switch {
 	case isServed && elapsed <= r.latencyTarget:
--- a/internal/fleetsim/checker/violation.go
+++ b/internal/fleetsim/checker/violation.go
@@ -11,7 +11,7 @@
 
 // The four rules.
 const (
-	RuleAnswerInTime    Rule = iota + 1 // each request gets one final answer in time, and nothing is sent for it after
+	RuleResponseInTime  Rule = iota + 1 // each request gets one final response in time, and nothing is sent for it after
 	RuleRetrySemantics                  // what may have been executed is retried or rejected as its class allows
 	RuleDrainingServers                 // nothing new to a draining or gone server DrainGrace after the notification
 	RuleColdServers                     // all proxies together crash no cold server by overload
--- a/internal/fleetsim/experiment/measures.go
+++ b/internal/fleetsim/experiment/measures.go
@@ -39,7 +39,7 @@
 	{"wasted", "work without a used answer, share of the requested work",
 		func(r *Result) float64 { return r.Report.WastedWork }},
 	{"refused", "rejections, per request",
-		func(r *Result) float64 { return ratio(r.Report.Answers.Rejected, r.Report.Requests) }},
+		func(r *Result) float64 { return ratio(r.Report.Responses.Rejected, r.Report.Requests) }},
 	{"twice", "requests that had their effect again", func(r *Result) float64 { return float64(r.Report.RepeatedEffects) }},
 }
 
--- a/internal/fleetsim/experiment/stored_test.go
+++ b/internal/fleetsim/experiment/stored_test.go
@@ -121,7 +121,7 @@
 			Latency: map[string]string{"quick-quote": "HISTFAAA"},
 		},
 	}
-	r.Report.Answers.Served, r.Report.Answers.Rejected, r.Report.Answers.Failed = 16, 17, 18
+	r.Report.Responses.Served, r.Report.Responses.Rejected, r.Report.Responses.Failed = 16, 17, 18
 	return r
 }
 
@@ -155,7 +155,7 @@
 	}
 	sample := model.Record{At: 1_250_000, Outcome: policy.TimedOut, Flag: true, Attempt: 2, Class: 3, Tenant: 4,
 		Proxy: 5, Server: 6, Zone: 7, Cell: 8,
-		ID: 9, Request: 10, Work: 11, Value: 1.5, Span: 12, Capacity: 2.5, Version: 13, Load: []float64{0.25, 0.75},
+		ID: 9, Request: 10, Work: 11, Value: 1.5, Duration: 12, Capacity: 2.5, Version: 13, Load: []float64{0.25, 0.75},
 		Members: []policy.Member{{Server: 14, Zone: 15, Cell: 16, InstanceType: 17, Mode: policy.ModeDraining,
 			Size: 3.5, StartedAt: 18}}}
 	var written bytes.Buffer
--- a/internal/fleetsim/model/arrival.go
+++ b/internal/fleetsim/model/arrival.go
@@ -18,7 +18,7 @@
 	case sm.isServerPartitioned(attempt.proxy, s) || attempt.newConnection && attempt.abandoned:
 		sm.loseAtServer(attemptIndex)
 		return
-	case s.state == stateDown || s.epoch != attempt.epoch && !attempt.newConnection:
+	case s.state == stateDown || s.generation != attempt.serverGeneration && !attempt.newConnection:
 		outcome := policy.ConnectionReset // written to a connection whose other end is gone
 		if attempt.newConnection {
 			outcome = policy.ConnectFailed
@@ -36,7 +36,7 @@
 		return
 	}
 	if outcome := sm.admitAtServer(s); outcome != policy.OK {
-		sm.returnAttempt(attemptIndex, outcome, answeredByServer)
+		sm.returnAttempt(attemptIndex, outcome, respondedByServer)
 		return
 	}
 	sm.startProcessing(attemptIndex, s)
@@ -59,15 +59,15 @@
 
 // acceptConnection is the end of a handshake; false: the server's connection table is full.
 func (sm *simulation) acceptConnection(attempt *serverAttempt, s *server) bool {
-	if s.epoch != attempt.epoch { // another process has started at the address meanwhile
+	if s.generation != attempt.serverGeneration { // another process has started at the address meanwhile
 		p := &sm.proxies[attempt.proxy]
-		if pool := p.connections[attempt.server]; pool != nil && p.incarnation == attempt.incarnation {
-			if pool.epoch != s.epoch {
-				*pool = connectionPool{epoch: s.epoch}
+		if pool := p.connections[attempt.server]; pool != nil && p.generation == attempt.proxyGeneration {
+			if pool.generation != s.generation {
+				*pool = connectionPool{generation: s.generation}
 			}
 			pool.inUse++
 		}
-		attempt.epoch = s.epoch
+		attempt.serverGeneration = s.generation
 	}
 	if s.connections >= sm.scenario.Connections.MaxPerCore*s.instanceType.Cores {
 		return false
@@ -145,7 +145,7 @@
 		return
 	}
 	sm.observe(Record{Kind: EffectRepeated, Server: s.id, ID: attempt.id, Request: c.number,
-		Span: sm.now - c.firstEffectAt, Class: c.class})
+		Duration: sm.now - c.firstEffectAt, Class: c.class})
 }
 
 // knowsFirstEffect says whether the server is within the scope that shares the keys of the first effect.
--- a/internal/fleetsim/model/attempts.go
+++ b/internal/fleetsim/model/attempts.go
@@ -15,22 +15,22 @@
 
 // serverAttempt is an attempt on its way and at its server, where it outlives what its proxy does about it.
 type serverAttempt struct {
-	id            uint64 // of the proxyRequest; 0: the place is free
-	work          float64
-	sentAt        Time
-	clientRequest int32
-	proxyRequest  int32
-	proxy         int32
-	incarnation   int32 // of the proxy
-	server        int32
-	epoch         int32 // of the server process that it is for
-	attempt       uint8
-	outcome       policy.Outcome
-	stage         attemptStage
-	newConnection bool
-	abandoned     bool // its proxy has given it up and closed the connection, or the connection is gone
-	hasReport     bool
-	report        [reportColumns]float32
+	id               uint64 // of the proxyRequest; 0: the place is free
+	work             float64
+	sentAt           Time
+	clientRequest    int32
+	proxyRequest     int32
+	proxy            int32
+	proxyGeneration  int32 // of the proxy
+	server           int32
+	serverGeneration int32 // of the server process that it is for
+	attempt          uint8
+	outcome          policy.Outcome
+	stage            attemptStage
+	newConnection    bool
+	abandoned        bool // its proxy has given it up and closed the connection, or the connection is gone
+	hasReport        bool
+	report           [reportColumns]float32
 }
 
 type attemptStage uint8
@@ -60,7 +60,7 @@
 	if sm.failure != nil {
 		return
 	}
-	if requestIndex < 0 || sm.proxyRequests.at(requestIndex).answered { // a violation, which the checker counts
+	if requestIndex < 0 || sm.proxyRequests.at(requestIndex).responded { // a violation, which the checker counts
 		sm.observe(Record{Kind: AttemptSent, Proxy: proxyIndex, ID: action.ID, Server: action.Server, Zone: s.zone,
 			Cell: s.cell, Flag: p.zone != s.zone})
 		return
@@ -102,16 +102,16 @@
 	client.references++
 	attemptIndex = sm.serverAttempts.acquire()
 	*sm.serverAttempts.at(attemptIndex) = serverAttempt{
-		id:            request.id,
-		proxyRequest:  requestIndex,
-		clientRequest: request.clientRequest,
-		proxy:         request.proxy,
-		incarnation:   sm.proxies[request.proxy].incarnation,
-		server:        s.index,
-		epoch:         s.epoch,
-		attempt:       number,
-		sentAt:        sm.now,
-		work:          lognormal(sm.networkRand, client.work, sm.scenario.Classes[client.class].AttemptCV),
+		id:               request.id,
+		proxyRequest:     requestIndex,
+		clientRequest:    request.clientRequest,
+		proxy:            request.proxy,
+		proxyGeneration:  sm.proxies[request.proxy].generation,
+		server:           s.index,
+		serverGeneration: s.generation,
+		attempt:          number,
+		sentAt:           sm.now,
+		work:             lognormal(sm.networkRand, client.work, sm.scenario.Classes[client.class].AttemptCV),
 	}
 	request.attempts[number] = proxyAttempt{serverAttempt: attemptIndex, server: s.index, inFlight: true, sentAt: sm.now}
 	return attemptIndex
@@ -205,12 +205,12 @@
 	proxyIndex, id := request.proxy, request.id
 	server := sm.servers[attempt.server].id
 	sm.observe(Record{Kind: AttemptEnded, Proxy: proxyIndex, ID: id, Attempt: number, Server: server, Outcome: outcome,
-		Span: elapsed})
-	if outcome == policy.OK && !request.answered {
-		sm.answerClient(requestIndex, policy.OK, 0)
+		Duration: elapsed})
+	if outcome == policy.OK && !request.responded {
+		sm.respondToClient(requestIndex, policy.OK, 0)
 	}
 	sm.policyEvent = policy.Event{Kind: policy.AttemptEnded, ID: id, Attempt: number, Server: server, Outcome: outcome,
-		Elapsed: elapsed, Final: request.answered, Report: report}
+		Elapsed: elapsed, Final: request.responded, Report: report}
 	sm.releaseIfDone(requestIndex)
 	sm.deliver(proxyIndex)
 }
--- a/internal/fleetsim/model/clients.go
+++ b/internal/fleetsim/model/clients.go
@@ -32,17 +32,17 @@
 // Values of clientRequest.currentAttempt that are no ids.
 const (
 	attemptWithoutProxy = 0 // no proxy was there
-	attemptOver         = 1 // answers come too late from here
+	attemptOver         = 1 // responses come too late from here
 )
 
 // Purposes of clientRequest.draw. chooseProxy uses proxy<<8 + attempt beside these, which for proxy 0 coincides with some of
 // them; that is left as it is, as a changed number changes the results of every seed.
 const (
-	drawUnsafeRetry = 3
-	drawRetryAfter  = 4
-	drawImpatient   = 7
-	drawAnswerDelay = 9
-	drawTravelTime  = 1 << 40
+	drawUnsafeRetry   = 3
+	drawRetryAfter    = 4
+	drawImpatient     = 7
+	drawResponseDelay = 9
+	drawTravelTime    = 1 << 40
 )
 
 // burstIntervalFactor is the mean time between bursts, in mean lengths of a burst: bursts take a tenth of the time.
@@ -71,7 +71,7 @@
 	sm.openClientRequests++
 	sm.stats.Requests++
 	sm.observe(Record{Kind: RequestStarted, Request: c.number, Class: c.class, Tenant: c.tenant, Work: Time(c.work),
-		Value: c.value, Span: c.deadline - c.startedAt, Zone: c.zone})
+		Value: c.value, Duration: c.deadline - c.startedAt, Zone: c.zone})
 	sm.sendToProxy(index)
 }
 
@@ -138,7 +138,7 @@
 	network := &sm.scenario.Network
 	travelTime := Time(float64(network.Client) * (1 + network.Jitter*c.draw(uint64(c.attempts)+drawTravelTime)))
 	if proxyIndex < 0 || !sm.proxies[proxyIndex].canAccept(sm.scenario.Published.MaxOpenRequests) {
-		sm.schedule(sm.now+2*travelTime, event{kind: evReceiveAnswer, subject: clientIndex,
+		sm.schedule(sm.now+2*travelTime, event{kind: evReceiveResponse, subject: clientIndex,
 			code: uint8(policy.ConnectFailed), id: attemptWithoutProxy})
 		return
 	}
@@ -197,8 +197,8 @@
 	return timeout
 }
 
-// receiveAnswer brings a client the end of one of its attempts, unless it has given that up.
-func (sm *simulation) receiveAnswer(clientIndex int32, attempt uint64, outcome policy.Outcome, retryAfter Time) {
+// receiveResponse brings a client the end of one of its attempts, unless it has given that up.
+func (sm *simulation) receiveResponse(clientIndex int32, attempt uint64, outcome policy.Outcome, retryAfter Time) {
 	c := sm.clientRequests.at(clientIndex)
 	if c.ended || c.currentAttempt != attempt {
 		return
@@ -257,7 +257,7 @@
 	c := sm.clientRequests.at(clientIndex)
 	c.ended = true
 	sm.openClientRequests--
-	sm.observe(Record{Kind: RequestEnded, Request: c.number, Flag: served, Span: sm.now - c.startedAt, Class: c.class,
+	sm.observe(Record{Kind: RequestEnded, Request: c.number, Flag: served, Duration: sm.now - c.startedAt, Class: c.class,
 		Tenant: c.tenant})
 	sm.releaseClientRequest(clientIndex)
 }
--- a/internal/fleetsim/model/config.go
+++ b/internal/fleetsim/model/config.go
@@ -182,7 +182,7 @@
 // Prices are subtracted from the service: each is the share of the offered value that the stated amount costs.
 type Prices struct {
 	LateFailure float64 `toml:"late_fail" json:"late_fail"` // all requests failing only after their latency target
-	WastedWork  float64 `toml:"waste" json:"waste"`         // as much work without a used answer as was requested
+	WastedWork  float64 `toml:"waste" json:"waste"`         // as much work without a used response as was requested
 	CrossZone   float64 `toml:"cross" json:"cross"`         // each request crossing zones once
 	Handshake   float64 `toml:"handshake" json:"handshake"` // a new connection for each request
 	LoadPoll    float64 `toml:"probe" json:"probe"`         // a load poll for each request, without the server's work
--- a/internal/fleetsim/model/connections.go
+++ b/internal/fleetsim/model/connections.go
@@ -2,9 +2,9 @@
 
 // connectionPool holds one proxy's connections to one server process.
 type connectionPool struct {
-	epoch     int32 // of the server process
-	inUse     int32
-	idleSince []Time // of the idle ones, longest idle first
+	generation int32 // of the server process
+	inUse      int32
+	idleSince  []Time // of the idle ones, longest idle first
 }
 
 // openConnections returns a proxy's connections to a server, without those that are gone or idle for too long.
@@ -14,8 +14,8 @@
 		pool = &connectionPool{}
 		p.connections[s.index] = pool
 	}
-	if pool.epoch != s.epoch { // another process: the old connections are gone
-		*pool = connectionPool{epoch: s.epoch}
+	if pool.generation != s.generation { // another process: the old connections are gone
+		*pool = connectionPool{generation: s.generation}
 	}
 	sm.closeExpired(pool, s)
 	return pool
@@ -34,13 +34,13 @@
 }
 
 // closeIdleConnections closes a proxy's expired connections, once a second until its process ends.
-func (sm *simulation) closeIdleConnections(proxyIndex, incarnation int32) {
-	if !sm.isRunning(proxyIndex, incarnation) {
+func (sm *simulation) closeIdleConnections(proxyIndex, generation int32) {
+	if !sm.isRunning(proxyIndex, generation) {
 		return
 	}
 	p := &sm.proxies[proxyIndex]
 	for serverIndex, pool := range p.connections { // servers do not affect each other here: any order will do
-		if s := sm.servers[serverIndex]; pool.epoch == s.epoch {
+		if s := sm.servers[serverIndex]; pool.generation == s.generation {
 			sm.closeExpired(pool, s)
 		} else {
 			pool.idleSince = pool.idleSince[:0]
@@ -49,7 +49,7 @@
 			delete(p.connections, serverIndex)
 		}
 	}
-	sm.schedule(sm.now+microsPerSecond, event{kind: evCloseIdle, subject: proxyIndex, number: incarnation})
+	sm.schedule(sm.now+microsPerSecond, event{kind: evCloseIdle, subject: proxyIndex, number: generation})
 }
 
 // closeIdleConnectionsTo carries out a node's CloseIdleConns.
@@ -58,7 +58,7 @@
 	if s == nil {
 		return
 	}
-	if pool := p.connections[s.index]; pool != nil && pool.epoch == s.epoch {
+	if pool := p.connections[s.index]; pool != nil && pool.generation == s.generation {
 		s.connections -= len(pool.idleSince)
 		pool.idleSince = pool.idleSince[:0]
 	}
@@ -67,9 +67,10 @@
 // releaseConnection ends an attempt's use of its connection, which is kept or closed.
 func (sm *simulation) releaseConnection(attempt *serverAttempt, keep bool) {
 	s, p := sm.servers[attempt.server], &sm.proxies[attempt.proxy]
-	isCounted := s.epoch == attempt.epoch && (attempt.stage > stageTravelling || !attempt.newConnection) // by the server
-	if p.up && p.incarnation == attempt.incarnation {
-		if pool := p.connections[attempt.server]; pool != nil && pool.epoch == attempt.epoch {
+	// The server counts a connection from the end of the handshake until its process ends.
+	isCounted := s.generation == attempt.serverGeneration && (attempt.stage > stageTravelling || !attempt.newConnection)
+	if p.up && p.generation == attempt.proxyGeneration {
+		if pool := p.connections[attempt.server]; pool != nil && pool.generation == attempt.serverGeneration {
 			pool.inUse--
 			if keep && isCounted {
 				pool.idleSince = append(pool.idleSince, sm.now)
--- a/internal/fleetsim/model/discovery.go
+++ b/internal/fleetsim/model/discovery.go
@@ -18,7 +18,7 @@
 	initial          []policy.Member // the full list at the start
 	changes          []policy.Member // all changes since; a version is a length of it
 	current          []policy.Member // the present state, by server index; also of servers that are gone
-	epochs           []int32         // of the latest process known, by server index
+	generations      []int32         // of the latest process known, by server index
 	listCache        []policy.Member // the full list at version listCacheVersion
 	listCacheVersion int
 	busyUntil        Time // subscribe calls are answered one after another
@@ -28,7 +28,7 @@
 func (d *discoveryService) init(servers []*server) {
 	for _, s := range servers {
 		d.current = append(d.current, s.member(policy.ModeReady))
-		d.epochs = append(d.epochs, 0)
+		d.generations = append(d.generations, 0)
 	}
 	d.initial = slices.Clone(d.current)
 	d.listCache = d.initial
@@ -37,7 +37,7 @@
 // add lists a new server, of which nothing is known yet: its first start will be a change.
 func (d *discoveryService) add(s *server) {
 	d.current = append(d.current, s.member(policy.ModeGone))
-	d.epochs = append(d.epochs, -1)
+	d.generations = append(d.generations, -1)
 }
 
 func (d *discoveryService) version() int { return len(d.changes) }
@@ -81,21 +81,21 @@
 
 // scheduleDiscoveryUpdate lets discovery learn of a server's new mode after a delay.
 func (sm *simulation) scheduleDiscoveryUpdate(s *server, mode policy.Mode, delay Span) {
-	sm.schedule(sm.now+Time(delay), event{kind: evDiscoveryUpdate, subject: s.index, number: s.epoch, code: uint8(mode),
+	sm.schedule(sm.now+Time(delay), event{kind: evDiscoveryUpdate, subject: s.index, number: s.generation, code: uint8(mode),
 		id: uint64(s.startedAt)})
 }
 
 // updateDiscovery records a change and schedules the notification of the watching proxies.
 func (sm *simulation) updateDiscovery(e *event) {
 	d := &sm.discovery
-	serverIndex, epoch, mode, startedAt := e.subject, e.number, policy.Mode(e.code), Time(e.id)
+	serverIndex, generation, mode, startedAt := e.subject, e.number, policy.Mode(e.code), Time(e.id)
 	member := &d.current[serverIndex]
-	isOutdated := epoch < d.epochs[serverIndex] // the process has a successor
-	isKnown := epoch == d.epochs[serverIndex] && (member.Mode == mode || member.Mode == policy.ModeGone)
+	isOutdated := generation < d.generations[serverIndex] // the process has a successor
+	isKnown := generation == d.generations[serverIndex] && (member.Mode == mode || member.Mode == policy.ModeGone)
 	if isOutdated || isKnown {
 		return
 	}
-	d.epochs[serverIndex] = epoch
+	d.generations[serverIndex] = generation
 	member.Mode, member.StartedAt = mode, startedAt
 	d.changes = append(d.changes, *member)
 	sm.observe(Record{Kind: DiscoveryUpdated, Members: d.changes[len(d.changes)-1:], Version: d.version()})
@@ -113,15 +113,15 @@
 	}
 	p.notificationPending = true
 	delay := Time(sm.networkRand.Float64()*float64(sm.scenario.Discovery.NotifyJitter)) + sm.discoveryDelay(p)
-	sm.schedule(sm.nextTick(sm.now+delay), event{kind: evNotifyProxy, subject: proxyIndex, number: p.incarnation})
+	sm.schedule(sm.nextTick(sm.now+delay), event{kind: evNotifyProxy, subject: proxyIndex, number: p.generation})
 }
 
 // discoveryDelay draws the time of a message between a proxy and discovery, which is in zone 0.
 func (sm *simulation) discoveryDelay(p *proxy) Time { return sm.networkDelay(p.zone, 0) }
 
 // notifyProxy sends a watching proxy the changes that it does not have, once no partition is in the way.
-func (sm *simulation) notifyProxy(proxyIndex, incarnation int32) {
-	if !sm.isRunning(proxyIndex, incarnation) {
+func (sm *simulation) notifyProxy(proxyIndex, generation int32) {
+	if !sm.isRunning(proxyIndex, generation) {
 		return
 	}
 	p := &sm.proxies[proxyIndex]
@@ -132,7 +132,7 @@
 	if sm.isDiscoveryPartitioned(proxyIndex) {
 		p.notificationPending = true
 		sm.schedule(sm.nextTick(sm.now+partitionPollInterval),
-			event{kind: evNotifyProxy, subject: proxyIndex, number: incarnation})
+			event{kind: evNotifyProxy, subject: proxyIndex, number: generation})
 		return
 	}
 	sm.sendMembership(proxyIndex)
@@ -158,7 +158,7 @@
 func (sm *simulation) subscribe(proxyIndex int32) {
 	p, d, config := &sm.proxies[proxyIndex], &sm.discovery, &sm.scenario.Discovery
 	sm.observe(Record{Kind: DiscoveryCalled, Proxy: proxyIndex})
-	succeeded := event{kind: evSubscribeResult, subject: proxyIndex, number: p.incarnation}
+	succeeded := event{kind: evSubscribeResult, subject: proxyIndex, number: p.generation}
 	failed := succeeded
 	failed.code = 1
 	d.busyUntil = max(d.busyUntil, sm.now)
@@ -177,19 +177,19 @@
 
 // receiveSubscribeResult ends a proxy's call: it has a watch from now, and gets the list, or knows that the call failed.
 func (sm *simulation) receiveSubscribeResult(e *event) {
-	proxyIndex, incarnation := e.subject, e.number
-	if !sm.isRunning(proxyIndex, incarnation) {
+	proxyIndex, generation := e.subject, e.number
+	if !sm.isRunning(proxyIndex, generation) {
 		return
 	}
 	if e.code == 1 || sm.discovery.outages > 0 || sm.isDiscoveryPartitioned(proxyIndex) {
-		sm.endWatch(proxyIndex, incarnation, subscribeFailed)
+		sm.endWatch(proxyIndex, generation, subscribeFailed)
 		return
 	}
 	sm.proxies[proxyIndex].watching = true
 	sm.observe(Record{Kind: DiscoveryCalled, Proxy: proxyIndex, Flag: true})
 	if lifetime := sm.scenario.Discovery.WatchLifetime; lifetime > 0 {
 		sm.schedule(sm.now+1+Time(sm.networkRand.ExpFloat64()*float64(lifetime)),
-			event{kind: evWatchBreaks, subject: proxyIndex, number: incarnation})
+			event{kind: evWatchBreaks, subject: proxyIndex, number: generation})
 	}
 	sm.sendMembership(proxyIndex)
 }
@@ -203,9 +203,9 @@
 )
 
 // endWatch notifies a proxy that its watch broke or its call failed.
-func (sm *simulation) endWatch(proxyIndex, incarnation int32, reason watchEnd) {
+func (sm *simulation) endWatch(proxyIndex, generation int32, reason watchEnd) {
 	p := &sm.proxies[proxyIndex]
-	if !sm.isRunning(proxyIndex, incarnation) || reason == watchBroken && !p.watching {
+	if !sm.isRunning(proxyIndex, generation) || reason == watchBroken && !p.watching {
 		return
 	}
 	p.watching = false
@@ -218,7 +218,7 @@
 func (sm *simulation) expirePartitionedWatches() {
 	for i := range sm.proxies {
 		if p := &sm.proxies[i]; p.up && p.watching && sm.isDiscoveryPartitioned(int32(i)) {
-			sm.schedule(sm.now+watchHeartbeatTimeout, event{kind: evWatchBreaks, subject: int32(i), number: p.incarnation})
+			sm.schedule(sm.now+watchHeartbeatTimeout, event{kind: evWatchBreaks, subject: int32(i), number: p.generation})
 		}
 	}
 }
--- a/internal/fleetsim/model/events.go
+++ b/internal/fleetsim/model/events.go
@@ -10,7 +10,7 @@
 	kind    eventKind
 	code    uint8 // a small number beside the subject: an attempt's number, an outcome, a mode, a phase
 	subject int32 // index of the client request, proxy request, server attempt, proxy, server or fault
-	number  int32 // mostly the incarnation of the subject: an event of an earlier one is ignored
+	number  int32 // mostly the generation of the subject: an event of an earlier one is ignored
 	id      uint64
 }
 
@@ -24,10 +24,10 @@
 
 // Events of clients. The subject is a client request.
 const (
-	evArrival       eventKind = iota + 1 // the next client request starts []
-	evRetry                              // a client sends its request again [id=its number]
-	evReceiveAnswer                      // an answer comes [number=Retry-After code=outcome id=proxy request]
-	evClientTimeout                      // the client gives up the proxy request [id=proxy request]
+	evArrival         eventKind = iota + 1 // the next client request starts []
+	evRetry                                // a client sends its request again [id=its number]
+	evReceiveResponse                      // a response arrives [number=Retry-After code=outcome id=proxy request]
+	evClientTimeout                        // the client gives up the proxy request [id=proxy request]
 )
 
 // Events of proxies. The subject is a proxy where nothing else is said.
@@ -36,15 +36,15 @@
 	evReceiveOutcome                        // an attempt's end comes to its proxy [subject=server attempt]
 	evAttemptTimeout                        // an attempt's time is up [subject=proxy request code=attempt id]
 	evAttemptFailed                         // an attempt has failed [subject=proxy request code=attempt number=outcome id]
-	evRequestExpired                        // a request had no answer in time [subject=proxy request id]
-	evTimer                                 // a node's timer fires [number=incarnation id=the node's]
-	evCloseIdle                             // idle connections are closed [number=incarnation]
-	evPollResult                            // a load poll's answer comes [number=incarnation id=server]
+	evRequestExpired                        // a request had no response within the grace [subject=proxy request id]
+	evTimer                                 // a node's timer fires [number=generation id=the node's]
+	evCloseIdle                             // idle connections are closed [number=generation]
+	evPollResult                            // a load poll's result comes [number=generation id=server]
 	evPeerMessage                           // a message of another proxy comes [number=message]
-	evNotifyProxy                           // a discovery watch delivers changes [number=incarnation]
-	evSubscribeResult                       // a subscribe call is answered [number=incarnation code=1: it failed]
-	evWatchBreaks                           // a discovery watch breaks [number=incarnation]
-	evProxyStop                             // a stopping proxy exits [number=incarnation]
+	evNotifyProxy                           // a discovery watch delivers changes [number=generation]
+	evSubscribeResult                       // a subscribe call ends [number=generation code=1: it failed]
+	evWatchBreaks                           // a discovery watch breaks [number=generation]
+	evProxyStop                             // a stopping proxy exits [number=generation]
 	evProxyStart                            // a proxy starts []
 )
 
@@ -53,11 +53,11 @@
 	evArriveAtServer     eventKind = iota + 64 // an attempt comes to its server [subject=server attempt]
 	evServerProgress                           // a server may have completed something []
 	evDownstreamWaitOver                       // other services have answered [subject=server attempt code=outcome]
-	evPauseStart                               // the server's pause starts [number=epoch]
-	evPauseEnd                                 // and ends [number=epoch]
+	evPauseStart                               // the server's pause starts [number=generation]
+	evPauseEnd                                 // and ends [number=generation]
 	evServerStart                              // a server process starts []
-	evServerStop                               // a draining process exits [number=epoch code=1: a successor follows]
-	evDiscoveryUpdate                          // discovery learns of a change [number=epoch code=mode id=start]
+	evServerStop                               // a draining process exits [number=generation code=1: a successor follows]
+	evDiscoveryUpdate                          // discovery learns of a change [number=generation code=mode id=start]
 	evFault                                    // a step of a fault [subject=fault code=phase number=step]
 	evSampleLoad                               // the servers' load is recorded, once a second []
 )
@@ -82,8 +82,8 @@
 		if c := sm.clientRequests.at(e.subject); c.number == e.id && !c.ended {
 			sm.sendToProxy(e.subject)
 		}
-	case evReceiveAnswer:
-		sm.receiveAnswer(e.subject, e.id, e.outcome(), Time(e.number))
+	case evReceiveResponse:
+		sm.receiveResponse(e.subject, e.id, e.outcome(), Time(e.number))
 	case evClientTimeout:
 		sm.abandonProxyRequest(e.subject, e.id)
 	}
@@ -145,7 +145,7 @@
 	case evServerStart:
 		sm.startServer(sm.servers[e.subject])
 	case evServerStop:
-		if s := sm.servers[e.subject]; s.epoch == e.number && s.state != stateDown {
+		if s := sm.servers[e.subject]; s.generation == e.number && s.state != stateDown {
 			sm.stopServer(s, orderlyExit)
 			if e.code == 1 {
 				sm.startSuccessor(s)
--- a/internal/fleetsim/model/faults_test.go
+++ b/internal/fleetsim/model/faults_test.go
@@ -121,10 +121,10 @@
 	run := runFleetFault(t, model.Fault{Kind: model.FaultProxyRoll, Start: 2 * sec, Duration: 10 * sec,
 		AffectedShare: 1, Magnitude: 0.2, Interval: sec / 2})
 	report := run.report
-	if len(run.proxiesRestarted) != 20 || run.proxiesStopped != 20 || report.Answers.Failed > report.Requests/200 ||
+	if len(run.proxiesRestarted) != 20 || run.proxiesStopped != 20 || report.Responses.Failed > report.Requests/200 ||
 		report.ListedWithinP95 <= 0 {
 		t.Errorf("%d of 20 started anew, %d stopped, %d of %d requests failed, lists within %v s",
-			len(run.proxiesRestarted), run.proxiesStopped, report.Answers.Failed, report.Requests, report.ListedWithinP95)
+			len(run.proxiesRestarted), run.proxiesStopped, report.Responses.Failed, report.Requests, report.ListedWithinP95)
 	}
 }
 
--- a/internal/fleetsim/model/faultschedule.go
+++ b/internal/fleetsim/model/faultschedule.go
@@ -209,7 +209,7 @@
 		for _, proxyIndex := range sm.faultBatch(f) {
 			p := &sm.proxies[proxyIndex]
 			p.stopsAt = sm.now + stopAcceptDelay
-			sm.schedule(sm.now+stopExitDelay, event{kind: evProxyStop, subject: proxyIndex, number: p.incarnation})
+			sm.schedule(sm.now+stopExitDelay, event{kind: evProxyStop, subject: proxyIndex, number: p.generation})
 			sm.schedule(sm.now+stopExitDelay+Time(f.Interval), event{kind: evProxyStart, subject: proxyIndex})
 		}
 	}
@@ -265,7 +265,7 @@
 		return
 	}
 	for i := range sm.proxies {
-		sm.endWatch(int32(i), sm.proxies[i].incarnation, watchBroken)
+		sm.endWatch(int32(i), sm.proxies[i].generation, watchBroken)
 	}
 }
 
--- a/internal/fleetsim/model/lifecycle.go
+++ b/internal/fleetsim/model/lifecycle.go
@@ -41,7 +41,7 @@
 		sm.returnAttempt(attemptIndex, policy.ConnectionReset, connectionLost)
 	}
 	s.connections = 0
-	s.epoch++
+	s.generation++
 }
 
 // startServer starts a cold process under a server's id.
@@ -77,7 +77,7 @@
 	}
 	s.state, s.willBeReplaced, s.successorHasNewID = stateDraining, true, successorHasNewID
 	sm.scheduleDiscoveryUpdate(s, policy.ModeDraining, sm.scenario.Discovery.DrainDelay/drainDelayDivisor)
-	sm.schedule(sm.now+drainTime, event{kind: evServerStop, subject: s.index, number: s.epoch, code: 1})
+	sm.schedule(sm.now+drainTime, event{kind: evServerStop, subject: s.index, number: s.generation, code: 1})
 }
 
 // startSuccessor schedules the start of a server's successor, under its id or a new one.
@@ -96,14 +96,14 @@
 func (sm *simulation) schedulePause(s *server) {
 	if t := s.instanceType; t.PauseInterval > 0 && t.PauseTime > 0 {
 		sm.schedule(sm.now+1+Time(sm.serverRand.ExpFloat64()*float64(t.PauseInterval)),
-			event{kind: evPauseStart, subject: s.index, number: s.epoch})
+			event{kind: evPauseStart, subject: s.index, number: s.generation})
 	}
 }
 
 // startPause stops all requests of a server, as a garbage collector does. The pause is longer the more requests it has: up
 // to one and a half times as long with all slots in use, and longer with a queue.
-func (sm *simulation) startPause(s *server, epoch int32) {
-	if s.epoch != epoch || s.state == stateDown {
+func (sm *simulation) startPause(s *server, generation int32) {
+	if s.generation != generation || s.state == stateDown {
 		return
 	}
 	sm.advanceServer(s)
@@ -111,11 +111,11 @@
 	sm.rescheduleServer(s)
 	growth := 1 + float64(s.openRequests())/float64(2*s.instanceType.Slots)
 	sm.schedule(sm.now+1+Time(float64(s.instanceType.PauseTime)*growth*sm.serverRand.ExpFloat64()),
-		event{kind: evPauseEnd, subject: s.index, number: epoch})
+		event{kind: evPauseEnd, subject: s.index, number: generation})
 }
 
-func (sm *simulation) endPause(s *server, epoch int32) {
-	if s.epoch != epoch || s.state == stateDown {
+func (sm *simulation) endPause(s *server, generation int32) {
+	if s.generation != generation || s.state == stateDown {
 		return
 	}
 	sm.advanceServer(s)
--- a/internal/fleetsim/model/loadreport.go
+++ b/internal/fleetsim/model/loadreport.go
@@ -72,14 +72,14 @@
 	sm.observe(Record{Kind: ServerPolled, Proxy: proxyIndex, Server: serverID})
 	p := &sm.proxies[proxyIndex]
 	roundTrip := sm.networkDelay(p.zone, s.zone) + sm.networkDelay(s.zone, p.zone)
-	sm.schedule(sm.nextTick(sm.now+roundTrip), event{kind: evPollResult, subject: proxyIndex, number: p.incarnation,
+	sm.schedule(sm.nextTick(sm.now+roundTrip), event{kind: evPollResult, subject: proxyIndex, number: p.generation,
 		id: uint64(serverID)})
 }
 
 // receivePollResult gives a proxy the result of its load poll: the server's report, which is delayed like any, or a
 // time-out where the server hangs or is not reached.
-func (sm *simulation) receivePollResult(proxyIndex, incarnation int32, serverID uint32) {
-	if !sm.isRunning(proxyIndex, incarnation) {
+func (sm *simulation) receivePollResult(proxyIndex, generation int32, serverID uint32) {
+	if !sm.isRunning(proxyIndex, generation) {
 		return
 	}
 	s := sm.findServer(serverID)
--- a/internal/fleetsim/model/messages.go
+++ b/internal/fleetsim/model/messages.go
@@ -2,9 +2,9 @@
 
 // messageInFlight is a message on its way to one proxy.
 type messageInFlight struct {
-	from        int32
-	incarnation int32 // of the recipient
-	text        []byte
+	from       int32
+	generation int32 // of the recipient
+	text       []byte
 }
 
 // sendMessage sends a node's message to one proxy or to all others. Each copy is lost or delayed by itself.
@@ -25,7 +25,7 @@
 			continue
 		}
 		index := sm.messages.acquire()
-		*sm.messages.at(index) = messageInFlight{from: from, incarnation: sm.proxies[to].incarnation,
+		*sm.messages.at(index) = messageInFlight{from: from, generation: sm.proxies[to].generation,
 			text: append([]byte(nil), message.Text...)}
 		sm.schedule(sm.nextTick(sm.now+delay), event{kind: evPeerMessage, subject: int32(to), number: index})
 	}
@@ -36,10 +36,10 @@
 	*sm.messages.at(index) = messageInFlight{}
 	sm.messages.release(index)
 	messenger := sm.proxies[to].messenger
-	if !sm.isRunning(to, message.incarnation) || messenger == nil {
+	if !sm.isRunning(to, message.generation) || messenger == nil {
 		return
 	}
-	sm.observe(Record{Kind: MessageDelivered, Proxy: to, Span: Time(len(message.text))})
+	sm.observe(Record{Kind: MessageDelivered, Proxy: to, Duration: Time(len(message.text))})
 	sm.stats.Handled++
 	sm.actions = messenger.Receive(sm.now, int(message.from), message.text, sm.actions[:0])
 	sm.executeActions(to)
--- a/internal/fleetsim/model/nodeactions.go
+++ b/internal/fleetsim/model/nodeactions.go
@@ -31,7 +31,7 @@
 	case policy.SendAttempt:
 		sm.sendAttempt(proxyIndex, action)
 	case policy.RejectRequest, policy.FailRequest:
-		sm.answerRequest(proxyIndex, action)
+		sm.rejectOrFailRequest(proxyIndex, action)
 	case policy.CancelAttempt:
 		sm.cancelAttempt(proxyIndex, action)
 	case policy.SetTimer:
@@ -57,5 +57,5 @@
 		sm.fail(proxyIndex, "sets timers without end: %d within a second", p.timersInSecond)
 	}
 	sm.schedule(sm.nextTick(sm.now+max(1, action.After)),
-		event{kind: evTimer, subject: proxyIndex, number: p.incarnation, id: action.ID})
+		event{kind: evTimer, subject: proxyIndex, number: p.generation, id: action.ID})
 }
--- a/internal/fleetsim/model/processing.go
+++ b/internal/fleetsim/model/processing.go
@@ -117,27 +117,27 @@
 			event{kind: evDownstreamWaitOver, subject: attemptIndex, code: uint8(outcome)})
 		return
 	}
-	sm.returnAttempt(attemptIndex, outcome, answeredByServer)
+	sm.returnAttempt(attemptIndex, outcome, respondedByServer)
 }
 
 // endDownstreamWait answers an attempt that has waited for other services.
 func (sm *simulation) endDownstreamWait(attemptIndex int32, outcome policy.Outcome) {
-	if attempt := sm.serverAttempts.at(attemptIndex); sm.servers[attempt.server].epoch != attempt.epoch {
+	if attempt := sm.serverAttempts.at(attemptIndex); sm.servers[attempt.server].generation != attempt.serverGeneration {
 		sm.returnAttempt(attemptIndex, policy.ConnectionReset, connectionLost) // its process has ended meanwhile
 		return
 	}
-	sm.returnAttempt(attemptIndex, outcome, answeredByServer)
+	sm.returnAttempt(attemptIndex, outcome, respondedByServer)
 }
 
 // returnMode is how an attempt ends.
 type returnMode bool
 
 const (
-	answeredByServer returnMode = true  // on a connection that stays
-	connectionLost   returnMode = false // the network: the connection is gone
+	respondedByServer returnMode = true  // on a connection that stays
+	connectionLost    returnMode = false // the network: the connection is gone
 )
 
-// returnAttempt sends an attempt's end back to its proxy, with the server's load report if it is the server's answer.
+// returnAttempt sends an attempt's end back to its proxy, with the server's load report if it is the server's response.
 func (sm *simulation) returnAttempt(attemptIndex int32, outcome policy.Outcome, mode returnMode) {
 	attempt := sm.serverAttempts.at(attemptIndex)
 	s := sm.servers[attempt.server]
@@ -152,7 +152,7 @@
 		return
 	}
 	attempt.outcome = outcome
-	if mode == answeredByServer {
+	if mode == respondedByServer {
 		attempt.report, attempt.hasReport = sm.currentReport(s)
 		attempt.hasReport = attempt.hasReport && sm.scenario.Reports.delivery() == policy.ReportsInResponses
 	} else {
--- a/internal/fleetsim/model/proxies.go
+++ b/internal/fleetsim/model/proxies.go
@@ -13,13 +13,13 @@
 
 // proxy is one proxy, and under the same index its successors.
 type proxy struct {
-	node        Node
-	messenger   PeerMessenger // the node, if it exchanges messages
-	incarnation int32
-	zone        uint8
-	up          bool
-	downSince   Time
-	stopsAt     Time // when a stopping proxy gets no new clients; 0: it does not stop
+	node       Node
+	messenger  PeerMessenger // the node, if it exchanges messages
+	generation int32         // counts the processes under the index
+	zone       uint8
+	up         bool
+	downSince  Time
+	stopsAt    Time // when a stopping proxy gets no new clients; 0: it does not stop
 
 	openRequests   int
 	connections    map[int32]*connectionPool // by server index
@@ -37,10 +37,10 @@
 	return p.up && (maxOpen <= 0 || p.openRequests < maxOpen)
 }
 
-// isRunning says whether the proxy runs in this incarnation. Events for an earlier one are ignored.
-func (sm *simulation) isRunning(proxyIndex, incarnation int32) bool {
+// isRunning says whether the proxy runs in this generation. Events for an earlier one are ignored.
+func (sm *simulation) isRunning(proxyIndex, generation int32) bool {
 	p := &sm.proxies[proxyIndex]
-	return p.up && p.incarnation == incarnation
+	return p.up && p.generation == generation
 }
 
 // startProxy starts a proxy with no state but the list that its predecessor under the same index cached last.
@@ -50,7 +50,7 @@
 		return
 	}
 	settings := sm.scenario.policySettings(int(proxyIndex), int(p.zone), sm.capacity)
-	node, err := sm.newNode(settings, mix(sm.seed^uint64(proxyIndex)<<32^uint64(p.incarnation)<<16^nodeSeedSalt), sm.oracle)
+	node, err := sm.newNode(settings, mix(sm.seed^uint64(proxyIndex)<<32^uint64(p.generation)<<16^nodeSeedSalt), sm.oracle)
 	if err != nil {
 		sm.fail(proxyIndex, "can't start: %v", err)
 		return
@@ -64,12 +64,12 @@
 	sm.policyEvent = policy.Event{Kind: policy.MembershipCached, Members: members}
 	sm.deliver(proxyIndex)
 	offset := Time(proxyIndex) * closeIdleStagger % microsPerSecond
-	sm.schedule(sm.now+microsPerSecond+offset, event{kind: evCloseIdle, subject: proxyIndex, number: p.incarnation})
+	sm.schedule(sm.now+microsPerSecond+offset, event{kind: evCloseIdle, subject: proxyIndex, number: p.generation})
 }
 
 // stopProxy ends the process of a proxy that a roll has stopped.
-func (sm *simulation) stopProxy(proxyIndex, incarnation int32) {
-	if p := &sm.proxies[proxyIndex]; p.incarnation == incarnation {
+func (sm *simulation) stopProxy(proxyIndex, generation int32) {
+	if p := &sm.proxies[proxyIndex]; p.generation == generation {
 		sm.killProxy(proxyIndex)
 		p.downSince = p.stopsAt // the front layer knows of an orderly stop from its start
 	}
@@ -83,7 +83,7 @@
 	}
 	sm.observe(Record{Kind: ProxyStopped, Proxy: proxyIndex})
 	p.up, p.downSince, p.node, p.messenger = false, sm.now, nil, nil
-	p.incarnation++
+	p.generation++
 	for i := range sm.proxyRequests.items {
 		request := &sm.proxyRequests.items[i]
 		if request.id == 0 || request.proxy != proxyIndex {
@@ -94,9 +94,9 @@
 				sm.abandonServerAttempt(attempt)
 			}
 		}
-		if !request.answered {
+		if !request.responded {
 			sm.schedule(sm.now+Time(sm.scenario.Network.Client),
-				event{kind: evReceiveAnswer, subject: request.clientRequest,
+				event{kind: evReceiveResponse, subject: request.clientRequest,
 					code: uint8(policy.ConnectionReset), id: request.id})
 		}
 		sm.releaseProxyRequest(int32(i))
@@ -129,7 +129,7 @@
 
 func (sm *simulation) closeAllIdle(p *proxy) {
 	for serverIndex, pool := range p.connections {
-		if s := sm.servers[serverIndex]; pool.epoch == s.epoch {
+		if s := sm.servers[serverIndex]; pool.generation == s.generation {
 			s.connections -= len(pool.idleSince)
 		}
 		pool.idleSince = pool.idleSince[:0]
--- a/internal/fleetsim/model/proxyrequests.go
+++ b/internal/fleetsim/model/proxyrequests.go
@@ -12,7 +12,7 @@
 	clientRequest int32
 	proxy         int32
 	deadline      Time // when its client gives it up
-	answered      bool
+	responded     bool
 	inFlight      uint8 // attempts
 	attemptCount  uint8
 	attempts      [maxAttempts]proxyAttempt
@@ -27,7 +27,7 @@
 
 // releaseIfDone forgets a request that is answered and has no attempt in flight.
 func (sm *simulation) releaseIfDone(requestIndex int32) {
-	if request := sm.proxyRequests.at(requestIndex); request.answered && request.inFlight == 0 && request.id != 0 {
+	if request := sm.proxyRequests.at(requestIndex); request.responded && request.inFlight == 0 && request.id != 0 {
 		sm.releaseProxyRequest(requestIndex)
 	}
 }
@@ -60,7 +60,7 @@
 	}
 	p, c := &sm.proxies[request.proxy], sm.clientRequests.at(request.clientRequest)
 	if !p.up {
-		sm.schedule(sm.now+Time(sm.scenario.Network.Client), event{kind: evReceiveAnswer, subject: request.clientRequest,
+		sm.schedule(sm.now+Time(sm.scenario.Network.Client), event{kind: evReceiveResponse, subject: request.clientRequest,
 			code: uint8(policy.ConnectFailed), id: id})
 		sm.releaseProxyRequest(requestIndex)
 		return
@@ -68,7 +68,7 @@
 	p.openRequests++
 	timeout := max(1, request.deadline-sm.now)
 	sm.observe(Record{Kind: RequestReceived, Proxy: request.proxy, ID: id, Request: c.number, Class: c.class,
-		Span: timeout})
+		Duration: timeout})
 	sm.schedule(request.deadline+Time(sm.scenario.Published.ResponseGrace)+1,
 		event{kind: evRequestExpired, subject: requestIndex, id: id})
 	sm.policyEvent = policy.Event{
@@ -84,42 +84,42 @@
 	sm.deliver(request.proxy)
 }
 
-// answerRequest carries out a node's RejectRequest or FailRequest. For a request that has ended it does nothing.
-func (sm *simulation) answerRequest(proxyIndex int32, action *policy.Action) {
+// rejectOrFailRequest carries out a node's RejectRequest or FailRequest. For a request that has ended it does nothing.
+func (sm *simulation) rejectOrFailRequest(proxyIndex int32, action *policy.Action) {
 	requestIndex := sm.findProxyRequest(proxyIndex, action.ID)
-	if requestIndex < 0 || sm.proxyRequests.at(requestIndex).answered {
+	if requestIndex < 0 || sm.proxyRequests.at(requestIndex).responded {
 		return
 	}
 	outcome := policy.ErrorResponse
 	if action.Kind == policy.RejectRequest {
 		outcome = policy.Rejected
 	}
-	sm.answerClient(requestIndex, outcome, action.After)
+	sm.respondToClient(requestIndex, outcome, action.After)
 	sm.releaseIfDone(requestIndex)
 }
 
-// answerClient sends a request's final answer to its client.
-func (sm *simulation) answerClient(requestIndex int32, outcome policy.Outcome, retryAfter Time) {
+// respondToClient sends a request's final response to its client.
+func (sm *simulation) respondToClient(requestIndex int32, outcome policy.Outcome, retryAfter Time) {
 	request := sm.proxyRequests.at(requestIndex)
 	c := sm.clientRequests.at(request.clientRequest)
-	request.answered = true
+	request.responded = true
 	sm.proxies[request.proxy].openRequests--
-	sm.observe(Record{Kind: RequestAnswered, Proxy: request.proxy, ID: request.id, Outcome: outcome, Request: c.number,
-		Span: retryAfter})
+	sm.observe(Record{Kind: ResponseSent, Proxy: request.proxy, ID: request.id, Outcome: outcome, Request: c.number,
+		Duration: retryAfter})
 	network := &sm.scenario.Network
-	travelTime := Time(float64(network.Client) * (1 + network.Jitter*c.draw(drawAnswerDelay)))
-	sm.schedule(sm.now+travelTime, event{kind: evReceiveAnswer, subject: request.clientRequest,
+	travelTime := Time(float64(network.Client) * (1 + network.Jitter*c.draw(drawResponseDelay)))
+	sm.schedule(sm.now+travelTime, event{kind: evReceiveResponse, subject: request.clientRequest,
 		number: int32(min(retryAfter, math.MaxInt32)), code: uint8(outcome), id: request.id})
 }
 
 // expireRequest ends a request that its proxy has not answered within the grace after its deadline.
 func (sm *simulation) expireRequest(requestIndex int32, id uint64) {
 	request := sm.proxyRequests.at(requestIndex)
-	if request.id != id || request.answered {
+	if request.id != id || request.responded {
 		return
 	}
 	proxyIndex := request.proxy
-	request.answered = true
+	request.responded = true
 	sm.proxies[proxyIndex].openRequests--
 	sm.observe(Record{Kind: ResponseOverdue, Proxy: proxyIndex, ID: id})
 	sm.releaseIfDone(requestIndex)
--- a/internal/fleetsim/model/record.go
+++ b/internal/fleetsim/model/record.go
@@ -8,15 +8,15 @@
 // What happens in a simulation. In brackets are the fields of Record that count besides At.
 const (
 	SimulationStarted RecordKind = iota + 1 // [Capacity=requests a second of the warm fleet]
-	RequestStarted                          // a client starts a request [Request Class Tenant Work Value Span=deadline]
-	RequestEnded                            // the client has its answer or has given up [Request Flag=served Span=elapsed]
-	RequestReceived                         // a proxy receives a request [Proxy ID Request Class Span=client timeout]
+	RequestStarted                          // a client starts a request [Request Class Tenant Work Value Duration=deadline]
+	RequestEnded                            // the client has its response or has given up [Request Flag=served Duration=elapsed]
+	RequestReceived                         // a proxy receives a request [Proxy ID Request Class Duration=client timeout]
 	AttemptSent                             // a proxy sends an attempt [Proxy ID Attempt Server Work Flag=crosses zones]
 	ConnectionOpened                        // a connection is made for it [Proxy Server]
-	AttemptEnded                            // an attempt ends at its proxy [Proxy ID Attempt Server Outcome Span=elapsed]
-	RequestAnswered                         // a proxy's final answer [Proxy ID Outcome Span=Retry-After]
-	ResponseOverdue                         // a request has had no answer within the grace [Proxy ID]
-	AttemptExecuted                         // a server has executed it [Server ID Attempt Request Work Flag=answer is used]
+	AttemptEnded                            // an attempt ends at its proxy [Proxy ID Attempt Server Outcome Duration=elapsed]
+	ResponseSent                            // a proxy's final response [Proxy ID Outcome Duration=Retry-After]
+	ResponseOverdue                         // a request has had no response within the grace [Proxy ID]
+	AttemptExecuted                         // a server has executed it [Server ID Attempt Request Work Flag=response is used]
 	ColdServerReached                       // an attempt comes to a cold server [Proxy Server Work Capacity=standard cores]
 	ServerStarted                           // a server process starts, cold [Server]
 	ServerOverloaded                        // a cold server has crashed from overload [Server]
@@ -26,8 +26,8 @@
 	WatchLost                               // a proxy's watch broke or its call failed [Proxy Flag=call failed]
 	ProxyStarted                            // a proxy starts with a cached list [Proxy Members Version]
 	ProxyStopped                            // a proxy's process ends [Proxy]
-	MessageDelivered                        // a message between proxies is delivered [Proxy=recipient Span=bytes]
-	EffectRepeated                          // a request had its effect again [Server ID Request Span=since the first]
+	MessageDelivered                        // a message between proxies is delivered [Proxy=recipient Duration=bytes]
+	EffectRepeated                          // a request had its effect again [Server ID Request Duration=since the first]
 	ServerPolled                            // a proxy polls a server's load [Proxy Server]
 	LoadSampled                             // once a second: the servers' load [Load]
 )
@@ -49,21 +49,21 @@
 	Request  uint64          `json:"Call"` // the client request's number, over all its attempts
 	Work     Time            `json:"Work"` // in microseconds on a standard core
 	Value    float64         `json:"Worth"`
-	Span     Time            `json:"Span"` // a length of time, but for messages
+	Duration Time            `json:"Span"` // a length of time; of MessageDelivered bytes
 	Capacity float64         `json:"Capacity"`
 	Version  int             `json:"Version"`
 	Members  []policy.Member `json:"Members"`
 	Load     []float64       `json:"Load"` // requests per core of each server in service, ascending
 }
 
-// Served says of RequestEnded whether the client got an answer.
+// Served says of RequestEnded whether the client got a response.
 func (r *Record) Served() bool { return r.Flag }
 
 // CrossesZones says of AttemptSent whether the server is in another zone.
 func (r *Record) CrossesZones() bool { return r.Flag }
 
-// AnswerUsed says of AttemptExecuted whether its answer is what the client gets.
-func (r *Record) AnswerUsed() bool { return r.Flag }
+// ResponseUsed says of AttemptExecuted whether its response is what the client gets.
+func (r *Record) ResponseUsed() bool { return r.Flag }
 
 // IsFullList says of ProxyNotified whether Members are the full list, not changes.
 func (r *Record) IsFullList() bool { return r.Flag }
@@ -75,7 +75,7 @@
 func (r *Record) CallFailed() bool { return r.Flag }
 
 // MessageBytes is the size of a delivered message.
-func (r *Record) MessageBytes() int { return int(r.Span) }
+func (r *Record) MessageBytes() int { return int(r.Duration) }
 
 // recordKindNames are the names in traces, which users read: they stay as they are.
 var recordKindNames = [...]string{
@@ -86,7 +86,7 @@
 	AttemptSent:       "sent",
 	ConnectionOpened:  "connection",
 	AttemptEnded:      "outcome",
-	RequestAnswered:   "answered",
+	ResponseSent:      "answered",
 	ResponseOverdue:   "overdue",
 	AttemptExecuted:   "ran",
 	ColdServerReached: "reached cold",
--- a/internal/fleetsim/model/run_test.go
+++ b/internal/fleetsim/model/run_test.go
@@ -85,12 +85,12 @@
 }
 
 // invariantNode wraps a node and fails the test where the simulator breaks its promises: a clock that goes back, events
-// of requests that this incarnation never had, a second outcome.
+// of requests that this generation never had, a second outcome.
 type invariantNode struct {
 	model.Node
 	t        *testing.T
 	now      model.Time
-	received map[uint64]bool // requests of this incarnation
+	received map[uint64]bool // requests of this generation
 	inFlight map[string]bool // attempts
 	sent     map[uint64]int  // attempts by request
 }
@@ -109,7 +109,7 @@
 	case policy.AttemptEnded:
 		key := fmt.Sprint(ev.ID, ev.Attempt)
 		if !s.inFlight[key] {
-			s.t.Errorf("at %d: an outcome of attempt %s, which this incarnation has not in flight", now, key)
+			s.t.Errorf("at %d: an outcome of attempt %s, which this generation has not in flight", now, key)
 		}
 		delete(s.inFlight, key)
 	case policy.RequestAbandoned:
@@ -177,7 +177,7 @@
 		var sum, n float64
 		if _, err := model.Run(&sc, 5, baseline.NewFactory(baseline.PolicyRandom), observerFunc(func(r *model.Record) {
 			if r.Kind == model.RequestEnded && r.Served() {
-				sum, n = sum+float64(r.Span), n+1
+				sum, n = sum+float64(r.Duration), n+1
 			}
 		})); err != nil {
 			t.Fatal(err)
--- a/internal/fleetsim/model/server.go
+++ b/internal/fleetsim/model/server.go
@@ -30,7 +30,7 @@
 	instanceType      *InstanceType
 	speed             float64 // of a core, in standard cores
 	state             serverState
-	epoch             int32 // counts the processes behind the id
+	generation        int32 // counts the processes under the id
 	connections       int
 
 	startedAt         Time // 0: before the run
--- a/internal/fleetsim/model/simulation.go
+++ b/internal/fleetsim/model/simulation.go
@@ -89,7 +89,7 @@
 	Events   int64 `json:"Events"`   // of the simulation
 	Handled  int64 `json:"Handled"`  // events and messages given to nodes
 	Requests int64 `json:"Requests"` // of clients, each counted once
-	End      Time  `json:"End"`      // when the last answer was given
+	End      Time  `json:"End"`      // when the last response was given
 }
 
 // Run simulates a scenario from the seed, with the nodes that newNode makes, and shows the observer each record. It is
@@ -139,8 +139,8 @@
 	}
 }
 
-// loop handles events until the last client has its answer, and the proxies have had their grace for requests that
-// clients gave up. It returns the time of the last answer, 0 if requests were still open.
+// loop handles events until the last client has its response, and the proxies have had their grace for requests that
+// clients gave up. It returns the time of the last response, 0 if requests were still open.
 func (sm *simulation) loop() Time {
 	duration, grace := Time(sm.scenario.Duration), Time(sm.scenario.Published.ResponseGrace)
 	longestDeadline := Time(0)
@@ -148,8 +148,8 @@
 		longestDeadline = max(longestDeadline, Time(c.Deadline))
 	}
 	limit := longestDeadline + duration + grace + drainOutTime
-	// After the last answer a proxy may still have requests that their clients gave up: the grace for these, with two ticks,
-	// as proxies act at ticks only, and two microseconds for rounding.
+	// After the last response a proxy may still have requests that their clients gave up: the grace for these, with two
+	// ticks, as proxies act at ticks only, and two microseconds for rounding.
 	settleTime := grace + 2*Time(sm.scenario.Tick) + 2
 	end := Time(0)
 	for sm.failure == nil {
--- a/internal/fleetsim/progress/result.go
+++ b/internal/fleetsim/progress/result.go
@@ -25,7 +25,7 @@
 		p.Worst10sStart, minValue(p.ByClass), formatPrices(p.Prices))
 	fmt.Fprintf(out, "  %d requests: %d in time, %d late, %d unserved; %d refusals, %d failures\n", p.Requests,
 		p.InTime, p.Late, p.Unserved,
-		p.Answers.Rejected, p.Answers.Failed)
+		p.Responses.Rejected, p.Responses.Failed)
 	fmt.Fprintf(out, "  cold: %d starts, %d fell over, %d times past the bound, at most %.2f times the capacity\n",
 		p.ColdStarts, p.ColdOverloads,
 		p.ColdBoundExceeded, p.PeakColdLoad)
--- a/internal/singleton/raftmember/client.go
+++ b/internal/singleton/raftmember/client.go
@@ -15,8 +15,8 @@
 
 const maxReasonBytes = 1 << 10 // of the leader's error message
 
-// Client is an operator's access to the members of a fleet.
-type Client struct {
+// AdminClient is an operator's access to the members of a fleet.
+type AdminClient struct {
 	Fleet   string            // the fleet's name
 	Members map[uint64]string // addresses by ID
 }
@@ -33,7 +33,7 @@
 
 // Status asks all members at once. It returns at the end of ctx at the latest; members that have not answered by then
 // count as unreachable.
-func (c *Client) Status(ctx context.Context) FleetStatus {
+func (c *AdminClient) Status(ctx context.Context) FleetStatus {
 	type result struct {
 		id     uint64
 		status Status
@@ -101,17 +101,17 @@
 }
 
 // Release ends the lease of a role's holder.
-func (c *Client) Release(ctx context.Context, role string) error {
+func (c *AdminClient) Release(ctx context.Context, role string) error {
 	return c.postToLeader(ctx, rolesPath+url.PathEscape(role)+releaseSuffix)
 }
 
 // SetDesiredHolder has a role go to an instance once the holder has completed its step; empty: withdraws that.
-func (c *Client) SetDesiredHolder(ctx context.Context, role, instance string) error {
+func (c *AdminClient) SetDesiredHolder(ctx context.Context, role, instance string) error {
 	return c.postToLeader(ctx, rolesPath+url.PathEscape(role)+desiredHolderSuffix+"?"+instanceQuery+"="+url.QueryEscape(instance))
 }
 
 // postToLeader sends a request to the leader. It returns ErrNoLeader where there is none.
-func (c *Client) postToLeader(ctx context.Context, path string) error {
+func (c *AdminClient) postToLeader(ctx context.Context, path string) error {
 	fleet := c.Status(ctx)
 	leader := fleet.MostCurrent()
 	if !fleet.HasQuorum || leader.ID != leader.Leader {
