--- a/cmd/pumiceline/bench_test.go
+++ b/cmd/pumiceline/bench_test.go
@@ -20,6 +20,7 @@
 // readMemory returns a figure of /proc/<pid>/<file> about a process, in MB. In Pss a page that several processes share counts
 // for each in proportion.
 func readMemory(b *testing.B, p *process, file, field string) float64 {
+	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", p.Process.Pid, file))
 	if err != nil {
 		b.Fatal(err)
@@ -107,13 +108,14 @@
 		})}
 		go server.Serve(ln)
 		for _, e := range c.fakes.Entries {
-			e.Health = "DELETED"
+			e.Health = discovery.HealthDeleted
 			c.fakes.Discovery.Put(e)
 		}
-		c.fakes.Discovery.Put(discovery.Entry{Host: "long", Address: ln.Addr().String(), Zone: "ub-east", InstanceType: "std-8", Health: "SERVING", Size: 1})
+		c.fakes.Discovery.Put(discovery.Entry{Host: "long", Address: ln.Addr().String(), Zone: "ub-east", InstanceType: "std-8",
+			Health: discovery.HealthServing, Size: 1})
 		p := c.start(c.discovery)
 		c.awaitReady(p)
-		time.Sleep(3 * time.Second) // its list is there
+		time.Sleep(3 * time.Second) // until it has the list with the backend above alone
 		before := readMemory(b, p, "status", "VmRSS")
 		var bodies []io.ReadCloser
 		for n := range readers {
@@ -150,7 +152,7 @@
 		c := newCluster(b, 64)
 		p := c.start(c.discovery)
 		c.awaitReady(p)
-		times := func() (took []time.Duration) {
+		scrapeTimes := func() (took []time.Duration) {
 			for range 50 {
 				start := time.Now()
 				if status, _, err := get(connectionPerRequest, p.adminURL+"metrics", nil); err != nil || status != 200 {
@@ -162,7 +164,7 @@
 			slices.Sort(took)
 			return took
 		}
-		calm := times()
+		idle := scrapeTimes()
 		var served atomic.Int64
 		start := time.Now()
 		stopLoad := c.startLoad(64, newKeepAliveTransport(b), func(status int, _ error, _ time.Time) {
@@ -171,10 +173,10 @@
 			}
 		})
 		time.Sleep(time.Second)
-		busy := times()
+		busy := scrapeTimes()
 		stopLoad()
 		b.ReportMetric(float64(served.Load())/time.Since(start).Seconds(), "requests/s")
-		for name, t := range map[string]time.Duration{"ms-calm": calm[25], "ms-median": busy[25], "ms-most": busy[49]} {
+		for name, t := range map[string]time.Duration{"ms-calm": idle[25], "ms-median": busy[25], "ms-most": busy[49]} {
 			b.ReportMetric(float64(t.Microseconds())/1000, name)
 		}
 	}
--- a/cmd/pumiceline/cluster_test.go
+++ b/cmd/pumiceline/cluster_test.go
@@ -197,6 +197,7 @@
 
 // newKeepAliveTransport returns a transport that keeps its connections until the test ends.
 func newKeepAliveTransport(t testing.TB) *http.Transport {
+	t.Helper()
 	transport := &http.Transport{MaxIdleConnsPerHost: 64}
 	t.Cleanup(transport.CloseIdleConnections)
 	return transport
--- a/cmd/pumiceline/process_test.go
+++ b/cmd/pumiceline/process_test.go
@@ -13,6 +13,7 @@
 	"time"
 
 	"pumiceline/internal/faulttest"
+	"pumiceline/internal/standalone/discovery"
 	"pumiceline/internal/standalone/hotrestart"
 )
 
@@ -79,11 +80,11 @@
 	c := newCluster(t, 64)
 	faults := faulttest.New()
 	defer faults.Close()
-	discovery, err := faults.StartRelay("roster", c.discovery)
+	discoveryRelay, err := faults.StartRelay("discovery", c.discovery)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := c.start(discovery.Addr())
+	p := c.start(discoveryRelay.Addr())
 	c.awaitReady(p)
 	var served, failed atomic.Int64
 	stopLoad := c.startLoad(4, newKeepAliveTransport(t), func(status int, err error, _ time.Time) {
@@ -94,16 +95,16 @@
 		}
 	})
 
-	discovery.Set(faulttest.Downstream, faulttest.Fault{Hold: true})
+	discoveryRelay.Set(faulttest.Downstream, faulttest.Fault{Hold: true})
 	draining, servedBefore := c.fakes.Backends[0], served.Load()
 	entry := c.fakes.Entries[0]
-	entry.Health = "DRAINING"
+	entry.Health = discovery.HealthDraining
 	c.fakes.Discovery.Put(entry)
 	time.Sleep(time.Second)
 	if n := draining.Served(); served.Load() == servedBefore || failed.Load() > 0 || n == 0 {
 		t.Errorf("during the partition: %d served, %d failed, %d by the draining backend", served.Load()-servedBefore, failed.Load(), n)
 	}
-	discovery.Heal()
+	discoveryRelay.Heal()
 	time.Sleep(500 * time.Millisecond)
 	n := draining.Served()
 	if time.Sleep(500 * time.Millisecond); draining.Served() != n {
@@ -122,11 +123,11 @@
 	}
 }
 
-// A successor that is killed, before or after it is ready, costs nothing but the requests that it had accepted itself: the old
-// process serves on with its full quotas, and the next successor takes over without a lost request. A reload while two processes
-// serve reaches both.
+// When a successor is killed, before or after it is ready, only requests that it has accepted are lost: the old process goes on
+// serving with its full quotas, and the next successor takes over without a lost request. A reload while two processes serve
+// is applied by both.
 func TestServe_SuccessorIsKilled(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // accepts and says nothing, so that a successor waits for its list
+	silent, err := net.Listen("tcp", "127.0.0.1:0") // sends nothing, so that a successor waits for its list
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -146,11 +147,11 @@
 			c.awaitReady(old)
 			var killedFrom, killedBy, served, lost atomic.Int64 // the first two: Unix nanoseconds
 			stopLoad := c.startLoad(4, connectionPerRequest, func(status int, err error, started time.Time) {
-				switch dead := killedBy.Load(); {
+				switch ended := killedBy.Load(); {
 				case err == nil && status == 200:
 					served.Add(1)
-				case err != nil && tc.ready && killedFrom.Load() > 0 && (dead == 0 || started.UnixNano() < dead):
-					lost.Add(1) // it was with the killed process
+				case err != nil && tc.ready && killedFrom.Load() > 0 && (ended == 0 || started.UnixNano() < ended):
+					lost.Add(1) // the killed process had accepted it
 				default:
 					t.Errorf("request failed: %d, %v", status, err)
 				}
@@ -167,7 +168,7 @@
 			successor.Wait()
 			killedBy.Store(time.Now().UnixNano())
 
-			time.Sleep(4 * hotrestart.PollInterval) // the old process finds out that it is alone
+			time.Sleep(4 * hotrestart.PollInterval) // until the old process has detected that it is alone
 			next := c.start(c.discovery)
 			c.awaitReady(next)
 			stopProcess(t, old)
--- a/cmd/pumiceline/try_monitor.go
+++ b/cmd/pumiceline/try_monitor.go
@@ -11,6 +11,7 @@
 	"golang.org/x/term"
 
 	"pumiceline/internal/fake/fakestandalone"
+	"pumiceline/internal/standalone/discovery"
 )
 
 // tryPhase is the state of the one backend that drains and comes back.
@@ -82,7 +83,7 @@
 	switch {
 	case m.phase == allServing && elapsed > m.duration/3:
 		m.phase, m.status = backendDraining, entry.Host+" drains"
-		entry.Health = "DRAINING"
+		entry.Health = discovery.HealthDraining
 		m.fakes.Discovery.Put(entry)
 		time.AfterFunc(tryDrainDelay, func() { backend.SetDraining(true) })
 	case m.phase == backendDraining && elapsed > 2*m.duration/3:
--- a/internal/duration/duration.go
+++ b/internal/duration/duration.go
@@ -1,6 +1,7 @@
 // Package duration reads and writes durations as operators write them in files: "250ms" there, microseconds in the program.
 //
-// It is a package of its own because package model, which uses it, must not import the one that has the real clock.
+// It is a package of its own because packages without a clock use it, such as internal/fleetsim/model, and tools/purity
+// forbids them to import a package that reads the clock.
 package duration
 
 import (
--- a/internal/fake/fakestandalone/discovery.go
+++ b/internal/fake/fakestandalone/discovery.go
@@ -14,9 +14,6 @@
 // keepAliveInterval is how often a watch without changes sends an empty line.
 const keepAliveInterval = 2 * time.Second
 
-// healthDeleted is the health of a host that leaves the list.
-const healthDeleted = "DELETED"
-
 // Discovery is a fake of discovery. Create it with NewDiscovery. It is an http.Handler and safe for concurrent use.
 type Discovery struct {
 	mu      sync.Mutex
@@ -45,9 +42,9 @@
 		}
 	}
 	switch {
-	case h.Health == healthDeleted && index >= 0:
+	case h.Health == discovery.HealthDeleted && index >= 0:
 		d.hosts = append(d.hosts[:index:index], d.hosts[index+1:]...)
-	case h.Health == healthDeleted:
+	case h.Health == discovery.HealthDeleted:
 		return
 	case index >= 0:
 		d.hosts[index] = h
--- a/internal/fake/fakestandalone/environment.go
+++ b/internal/fake/fakestandalone/environment.go
@@ -31,7 +31,7 @@
 	for i, ln := range backends {
 		name := fmt.Sprintf("toy-%d", i+1)
 		entry := discovery.Entry{Host: name, Address: ln.Addr().String(), Zone: zones[i%len(zones)], InstanceType: instanceType,
-			Cell: 1, Health: "SERVING", Size: 1}
+			Cell: 1, Health: discovery.HealthServing, Size: 1}
 		e.Discovery.Put(entry)
 		e.Entries = append(e.Entries, entry)
 		e.Backends = append(e.Backends, &Backend{Name: name, Cores: backendCores, Serve: serve})
--- a/internal/standalone/admin/api.go
+++ b/internal/standalone/admin/api.go
@@ -1,6 +1,6 @@
 // Package admin is the admin API for operators: readiness, metrics, and disabling of backends. Each connection carries one
 // request, which is answered within a second whatever the load. The API has a few connections of its own, apart from those of
-// clients and backends, and a connection whose request does not come loses its place to the next one.
+// clients and backends. When all are in use, the oldest one without a complete request is closed for the next one.
 package admin
 
 import (
@@ -14,6 +14,7 @@
 	"path"
 	"time"
 
+	"pumiceline/internal/logkey"
 	"pumiceline/internal/standalone/maintenance"
 )
 
@@ -22,17 +23,18 @@
 	requestTimeout = time.Second
 	// responseTimeout is how long a client may then take to read the response.
 	responseTimeout = 3 * time.Second
-	maxBodyBytes    = 4 << 10
-	maxHeaderBytes  = 8 << 10
+	// maxBodyBytes and maxHeaderBytes bound the size of a request.
+	maxBodyBytes   = 4 << 10
+	maxHeaderBytes = 8 << 10
 )
 
 // Options are what an API needs.
 type Options struct {
 	Ready          func() error // nil when this process can serve, else the reason why not
 	Metrics        http.Handler
-	Disable        func(backend string) error // see discovery.Watcher
-	Enable         func(backend string) error
-	MaxConnections int // at once, at least 1
+	Disable        func(backend string) error // discovery.Watcher.Disable, except in tests
+	Enable         func(backend string) error // discovery.Watcher.Enable
+	MaxConnections int                        // at once; less than 1 counts as 1
 	Log            *slog.Logger
 }
 
@@ -74,7 +76,7 @@
 	return nil
 }
 
-// requireCompleteRequest lets only complete requests on: an incomplete one must have no effect.
+// requireCompleteRequest passes only complete requests on to next: an incomplete one must have no effect.
 func requireCompleteRequest(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
@@ -102,11 +104,11 @@
 			http.Error(w, err.Error(), http.StatusNotFound)
 		case errors.Is(err, maintenance.ErrTooManyDisabled):
 			http.Error(w, err.Error(), http.StatusConflict)
-		case err != nil: // in force, but a successor of this process would not know of it
-			a.opts.Log.Error("maintenance state not stored", "backend", backend, "error", err)
+		case err != nil: // in force here, but not known to the other processes and to a successor
+			a.opts.Log.Error("maintenance state not stored", logkey.Backend, backend, "error", err)
 			http.Error(w, "in force here, but not written down: "+err.Error(), http.StatusInternalServerError)
 		default:
-			a.opts.Log.Info("maintenance request", "backend", backend, "result", result)
+			a.opts.Log.Info("maintenance request", logkey.Backend, backend, "result", result)
 			w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 			fmt.Fprintf(w, "%s %s\n", backend, result)
 		}
--- a/internal/standalone/admin/connlimit.go
+++ b/internal/standalone/admin/connlimit.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// connLimiter bounds the number of connections. Where all are taken, the oldest one whose request is not complete yet is closed
-// in favour of the next.
+// connLimiter bounds the number of connections. At the limit, the oldest one whose request is not complete yet is closed for
+// the next one.
 type connLimiter struct {
 	limit int
 
@@ -47,7 +47,7 @@
 	}
 }
 
-// add adds a connection; false if all have complete requests, which are answered within moments.
+// add adds a connection. It returns false at the limit if all connections have complete requests, which are answered soon.
 func (l *connLimiter) add(c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +71,7 @@
 	}
 }
 
-// Close implements net.Conn and frees the connection's place.
+// Close implements net.Conn. The connection does not count against the limit any more.
 func (c *conn) Close() error {
 	c.limiter.remove(c)
 	return c.Conn.Close()
@@ -90,7 +90,7 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// connFrom returns the connection of a request, nil if it is none of this package.
+// connFrom returns the connection of a request, nil in a request that did not come through this package's listener.
 func connFrom(ctx context.Context) *conn {
 	c, _ := ctx.Value(connKey{}).(*conn)
 	return c
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -1,5 +1,5 @@
 // Package config reads the proxy's configuration: the file that ROUTER_CONFIG names, and the environment variables that
-// override it. It applies defaults and refuses what cannot work, naming the key.
+// override it. It applies defaults and rejects invalid values, with their keys.
 package config
 
 import (
@@ -17,29 +17,30 @@
 
 // Config is a valid configuration.
 type Config struct {
-	Name           string
-	Listen         string          // address for clients
-	Discovery      string          // address
-	AdminListen    string          // address of the admin API; empty: there is none
+	Name           string          // in log records, and with Listen the proxy's identity in SharedFolder
+	Listen         string          // IP address and port for clients; required
+	Discovery      string          // IP address and port of discovery; required
+	AdminListen    string          // IP address and port of the admin API; empty: there is none
 	ListenFD       int             // descriptor of an inherited listening socket (ROUTER_FD); 0: none, open one at Listen
 	SharedFolder   string          // that all processes of this proxy see (TMPDIR); empty: there is none
-	Seed           uint64          // of the policy's random numbers
+	Seed           uint64          // of the policy's random numbers; from the clock if the file has none
 	Limits         Limits          // of the machine
 	KnownEndpoints json.RawMessage // endpoint list to start with, in the form of discovery; checked by package discovery
 	Settings       settings.Settings
 	Policy         policy.Settings // made from Settings
 
-	document any // the file as JSON, which Reload compares with the next one
+	document any // the file as decoded JSON, for Reload to compare its keys with those of the next one
 }
 
-// Limits are those of the machine.
+// Limits are the resources of the machine that the proxy may use. While several processes of it run, they divide memory and
+// sockets. 0 stands for the default.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	Cores    float64 `json:"cores"`     // CPU cores; rounded up, the number of threads that run Go code; 1 by default
+	MemoryMB int     `json:"memory_mb"` // in MiB; at least minMemoryMB; 192 by default
+	Sockets  int     `json:"sockets"`   // at least minSockets; 1024 by default
 }
 
-// Defaults for what neither the file nor the environment has. Times are in microseconds, as in the settings.
+// Defaults for keys that neither the file nor the environment has. Times are in microseconds, as in the settings.
 const (
 	defaultName        = "pumiceline"
 	defaultCores       = 1
@@ -50,12 +51,12 @@
 	defaultRetryAfter  = 2_500_000
 )
 
-// Bounds of what can work.
+// Bounds of valid values.
 const (
 	maxCores    = 1024
 	minMemoryMB = 32
 	minSockets  = 64
-	minListenFD = 3 // the lower ones are the standard streams
+	minListenFD = 3 // 0 to 2 are the standard streams
 )
 
 // KeyError is the error of one key of the file, or of one environment variable.
@@ -255,7 +256,7 @@
 	return nil
 }
 
-// nameKey puts the key before the error of its type.
+// nameKey adds the key to the error of a value of the wrong JSON type, which encoding/json has in a field only.
 func nameKey(err error) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) && typeErr.Field != "" {
--- a/internal/standalone/config/reload.go
+++ b/internal/standalone/config/reload.go
@@ -10,8 +10,8 @@
 // Reload reads the configuration again while the proxy runs. Unlike Load, it prefers the discovery address of the file to that
 // of ROUTER_DISCOVERY, which was set at the start and cannot have changed since.
 //
-// The file must have all keys that the current one has, except optionalKeys: a file that was truncated or is being written must
-// not pass for one that leaves keys to their defaults. The number of attempts must be positive.
+// The file must have all keys that the current one has, except optionalKeys: in a file that was truncated or is being written a
+// missing key must not stand for its default. The number of attempts must be positive.
 func Reload(path string, env func(string) string, current *Config) (*Config, error) {
 	next, err := loadForReload(path, env)
 	if err != nil {
@@ -48,8 +48,8 @@
 var optionalKeys = map[string]bool{"seed": true, "known": true, "operator": true, "peers": true, "peers_all": true,
 	"peer_listen": true, "AimStretch": true, "PassesDeadline": true, "WarmKeys": true}
 
-// missingKey returns the path of a key that old has and next has not, empty if there is none. The elements of lists in next
-// need the keys that all those of old have. Path is that of old and next.
+// missingKey returns the path of a key that old has and next does not have, empty if there is none. Each element of a list in
+// next needs the keys that all elements of old's list have. path is that of old and next.
 func missingKey(old, next any, path string) string {
 	switch old := old.(type) {
 	case map[string]any:
--- a/internal/standalone/config/settings.go
+++ b/internal/standalone/config/settings.go
@@ -37,7 +37,8 @@
 	return err
 }
 
-// setLimitDefaults sets the defaults of the limits that only the proxy knows.
+// setLimitDefaults sets the defaults of absent times. They are the proxy's own: package settings, which the simulator's link
+// uses too, has none.
 func setLimitDefaults(l *settings.Limits) error {
 	for _, limit := range []struct {
 		key          string
--- a/internal/standalone/deployfile/admission.go
+++ b/internal/standalone/deployfile/admission.go
@@ -17,8 +17,8 @@
 	"pumiceline/internal/tomlfile"
 )
 
-// admissionFile is deploy/door.toml, the settings of admission control. An absent key has the value of
-// admission.Defaults.
+// admissionFile is deploy/door.toml, the settings of admission control. admission.Settings documents the fields; an absent
+// key has the value of admission.Defaults.
 type admissionFile struct {
 	MaxQueued          int                      `toml:"waiting"`
 	QueuesPerClass     int                      `toml:"buckets"`
@@ -30,9 +30,9 @@
 	RetryBurst         float64                  `toml:"repeat_burst"`
 	MaxRetryAfter      duration.Span            `toml:"max_come_back"`
 	SaltRotation       duration.Span            `toml:"rotate"`
-	Shares             map[string]float64       `toml:"shares"` // by tenant
-	Values             map[string]float64       `toml:"worth"`  // by class
-	Work               map[string]duration.Span `toml:"work"`   // by class
+	Shares             map[string]float64       `toml:"shares"` // by tenant; an absent one has its quota as its share
+	Values             map[string]float64       `toml:"worth"`  // by class; an absent one has the deployment's value
+	Work               map[string]duration.Span `toml:"work"`   // by class; an absent one has defaultWorkMicros
 }
 
 // Keys of admissionFile whose values are durations, which need a unit.
@@ -47,7 +47,8 @@
 	return key == maxRetryAfterKey || key == saltRotationKey || strings.HasPrefix(key, workKeyPrefix)
 }
 
-// defaultWorkMicros is the expected work of a request where neither its client nor the file says.
+// defaultWorkMicros is the expected work of a request, in microseconds on a standard core, of a class that the file does not
+// name.
 const defaultWorkMicros = 100_000
 
 // ReadAdmission reads the file of admission control for a deployment's settings. A tenant without a share in the file
@@ -189,18 +190,18 @@
 // under its name.
 func keyInFile(key string, set *admission.Settings) string {
 	parts := strings.Split(key, ".")
-	if len(parts) != 3 {
+	if len(parts) != 3 { // not "tenants.N.field" or "classes.N.field"
 		return key
 	}
-	place, err := strconv.Atoi(parts[1])
+	index, err := strconv.Atoi(parts[1])
 	if err != nil {
 		return key
 	}
 	switch field := parts[2]; field {
 	case "share":
-		return "shares." + set.Tenants[place].Name
+		return "shares." + set.Tenants[index].Name
 	case "worth", "work", "aim":
-		return field + "." + set.Classes[place].Name
+		return field + "." + set.Classes[index].Name
 	}
 	return key // of a setting that is not from this file
 }
--- a/internal/standalone/deployfile/fleet.go
+++ b/internal/standalone/deployfile/fleet.go
@@ -41,11 +41,11 @@
 	Discovery string `toml:"discovery"`
 }
 
-// Defaults for absent keys of deploy/fleet.toml.
+// Defaults for absent keys of deploy/fleet.toml; see singleton.Settings.
 const (
-	defaultLeaseDuration  = duration.Span(2_000_000)
-	defaultMaxClockDrift  = 0.2
-	defaultPenaltyBackoff = duration.Span(2_000_000)
+	defaultLeaseDuration  = duration.Span(2_000_000) // 2 s
+	defaultMaxClockDrift  = 0.2                      // a fifth of a clock's speed
+	defaultPenaltyBackoff = duration.Span(2_000_000) // 2 s
 )
 
 const maxFleetNameBytes = 64
--- a/internal/standalone/deployfile/keylocator.go
+++ b/internal/standalone/deployfile/keylocator.go
@@ -2,7 +2,7 @@
 
 import "pumiceline/internal/tomlfile"
 
-// keyLocator makes errors with the place of their key in a file.
+// keyLocator makes errors that name the file, and the line of their key in it.
 type keyLocator struct {
 	path  string
 	index *tomlfile.KeyIndex
--- a/internal/standalone/discovery/decoder.go
+++ b/internal/standalone/discovery/decoder.go
@@ -35,9 +35,9 @@
 
 // Values of Entry.Health.
 const (
-	healthServing  = "SERVING"
-	healthDraining = "DRAINING"
-	healthDeleted  = "DELETED"
+	HealthServing  = "SERVING"
+	HealthDraining = "DRAINING"
+	HealthDeleted  = "DELETED"
 )
 
 const (
@@ -74,8 +74,8 @@
 
 var errInvalidName = errors.New("host is empty or too long")
 
-// Decoder decodes updates with the names of zones and instance types of the settings, and assigns server IDs. It is not safe
-// for concurrent use.
+// Decoder decodes updates with the names of zones and instance types of the settings, and gives each backend the ID by which
+// the policy and the backend pool know it. It is not safe for concurrent use.
 type Decoder struct {
 	zones, instanceTypes []string
 	ids                  map[string]uint32 // by name
@@ -87,7 +87,7 @@
 	return &Decoder{zones: zones, instanceTypes: instanceTypes, ids: map[string]uint32{}, names: map[uint32]string{}}
 }
 
-// Decode decodes an update. Only a message that is invalid as a whole is an error.
+// Decode decodes an update. Invalid entries are in DecodedUpdate.Invalid; the error is of a message that is no update.
 func (d *Decoder) Decode(message []byte) (DecodedUpdate, error) {
 	var u Update
 	if err := json.Unmarshal(message, &u); err != nil {
@@ -111,7 +111,7 @@
 	var named struct {
 		Host string `json:"host"`
 	}
-	_ = json.Unmarshal(raw, &named) // fields before the faulty one are set even so
+	_ = json.Unmarshal(raw, &named) // an error in another field leaves the name readable
 	return named.Host
 }
 
@@ -136,7 +136,7 @@
 	if entry.Host == "" || len(entry.Host) > maxNameBytes {
 		return Endpoint{}, fmt.Errorf("%w: %.40q", errInvalidName, entry.Host)
 	}
-	if entry.Health == healthDeleted {
+	if entry.Health == HealthDeleted {
 		return Endpoint{Name: entry.Host}, nil
 	}
 	member, err := d.member(&entry)
@@ -150,9 +150,9 @@
 func (d *Decoder) member(entry *Entry) (policy.Member, error) {
 	var m policy.Member
 	switch entry.Health {
-	case healthServing:
+	case HealthServing:
 		m.Mode = policy.ModeReady
-	case healthDraining:
+	case HealthDraining:
 		m.Mode = policy.ModeDraining
 	default:
 		return m, fmt.Errorf("health %.40q is unknown", entry.Health)
@@ -162,7 +162,8 @@
 	}
 	zone := slices.Index(d.zones, entry.Zone)
 	if zone < 0 && len(d.zones) > 0 || zone > math.MaxUint8 {
-		// Not guessed: keyed requests may be repeated within a zone, so a wrong zone could carry one out twice.
+		// No default: requests of classes with deduplication per zone may be retried within their zone only, and with a
+		// wrong zone one could be executed twice.
 		return m, fmt.Errorf("site %.40q is not in the settings", entry.Zone)
 	}
 	if entry.Cell < 0 || entry.Cell > math.MaxUint16 {
@@ -172,7 +173,7 @@
 		return m, fmt.Errorf("born_ms %v is out of range", entry.StartedAtMs)
 	}
 	instanceType := slices.Index(d.instanceTypes, entry.InstanceType)
-	if instanceType < 0 { // all unknown ones are one further type
+	if instanceType < 0 { // unknown types together count as one further type
 		instanceType = len(d.instanceTypes)
 	}
 	m.Zone, m.Cell, m.InstanceType = uint8(max(0, zone)), uint16(entry.Cell), uint16(instanceType)
@@ -200,6 +201,7 @@
 	return id
 }
 
+// forget removes an ID and its name.
 func (d *Decoder) forget(id uint32) {
 	delete(d.ids, d.names[id])
 	delete(d.names, id)
--- a/internal/standalone/discovery/maintenance.go
+++ b/internal/standalone/discovery/maintenance.go
@@ -5,6 +5,7 @@
 	"log/slog"
 	"time"
 
+	"pumiceline/internal/logkey"
 	"pumiceline/internal/standalone/hotrestart"
 	"pumiceline/internal/standalone/maintenance"
 	"pumiceline/internal/standalone/policy"
@@ -13,19 +14,21 @@
 const (
 	// maintenanceFile is the file of the shared folder that holds what operators disabled and enabled.
 	maintenanceFile = "bans.json"
-	// maintenancePollInterval is how often changes by other processes are looked for: well within the time that a drain has.
+	// maintenancePollInterval is how often the file is checked for changes by other processes. A backend that is disabled at
+	// one process gets no new requests from the others after this time.
 	maintenancePollInterval = 50 * time.Millisecond
 )
 
-// ShareMaintenance has the watcher keep what operators disable in folder, and restore what is there. It is to be called
-// before Start.
+// ShareMaintenance has the watcher store what operators disable in folder, and restores what is stored there. Call it before
+// Start.
 func (w *Watcher) ShareMaintenance(folder *hotrestart.SharedFolder) {
 	w.folder = folder
 	w.pollMaintenance()
 }
 
-// Disable keeps new requests from a backend until Enable. Without an error it is in force, and stored where there is a folder.
-// An error that is none of package maintenance means that it is in force but not stored.
+// Disable keeps new requests from a backend until Enable. If it returns nil, the change is in force, and stored if there is a
+// shared folder. After maintenance.ErrUnknownBackend and maintenance.ErrTooManyDisabled nothing has changed; any other error
+// means that the change is in force but not stored.
 func (w *Watcher) Disable(name string) error {
 	return w.changeMaintenance(func(s *maintenance.State) error { return s.Disable(name) })
 }
@@ -83,7 +86,7 @@
 		}
 		return w.maintenance.Encode(), nil
 	})
-	if !changed { // the folder failed before the change, which is in force even so
+	if !changed { // the folder failed before change was called; it is to be in force even so
 		changeErr = w.changeAndPublish(change)
 	}
 	if changeErr != nil {
@@ -137,7 +140,7 @@
 		if member == e.published {
 			continue
 		}
-		w.log.Info("backend disabled or enabled by an operator", "backend", e.Name, "disabled", member.Mode != e.Member.Mode,
+		w.log.Info("backend disabled or enabled by an operator", logkey.Backend, e.Name, "disabled", member.Mode != e.Member.Mode,
 			slog.Int64("started_at", member.StartedAt))
 		e.published = member
 		w.endpoints[id] = e
--- a/internal/standalone/discovery/message_reader.go
+++ b/internal/standalone/discovery/message_reader.go
@@ -11,12 +11,12 @@
 
 var errMessageTooLong = errors.New("message of the discovery watch is too long")
 
-// messageReader splits the stream of a watch into messages: JSON objects, each on one line or, where lists come indented, on
-// several, and empty lines between them, which are heartbeats. A json.Decoder would not report those.
+// messageReader splits the stream of a watch into messages. A message is a JSON object, on one line or, if it is indented, on
+// several; an empty line between two messages is a heartbeat, which a json.Decoder would not report.
 type messageReader struct {
 	br      *bufio.Reader
 	message []byte
-	ended   bool // a message has just ended, and the rest of its line is no heartbeat
+	ended   bool // a message has just ended: the end of its line is no heartbeat
 }
 
 func newMessageReader(r io.Reader) *messageReader { return &messageReader{br: bufio.NewReader(r)} }
--- a/internal/standalone/discovery/resubscribe_test.go
+++ b/internal/standalone/discovery/resubscribe_test.go
@@ -33,25 +33,25 @@
 // policySeeds is how many seeds of the policy each case is run with.
 const policySeeds = 30
 
-// Updates that a silent watch misses have to be known 6 s after its last byte. By then watcher and policy must have the next
-// watch, with a second to spare for its way: whatever the size of the group, and also if the last line was incomplete.
-func TestWatcher_ReplacesSilentWatchInTime(t *testing.T) {
+// Updates that a watch without heartbeats misses have to be known 6 s after its last byte. Watcher and policy must have started
+// the next watch a second before that, whatever the size of the group, and also if the last line was incomplete.
+func TestWatcher_ReplacesTimedOutWatchSoon(t *testing.T) {
 	for _, group := range []int{1, 100, 300} {
 		for seed := range uint64(policySeeds) {
 			synctest.Test(t, func(t *testing.T) {
-				var last, again time.Time
+				var lastByteAt, nextWatchAt time.Time
 				calls := 0
 				newPolicy := func(w *Watcher) Policy { return startPolicy(t, w, group, seed) }
 				startWatcherFor(t, &recorder{}, newPolicy, "", func(_ string, conn net.Conn) {
 					if calls++; calls == 2 {
-						again = time.Now()
+						nextWatchAt = time.Now()
 					}
 					if calls > 1 {
 						return
 					}
 					io.WriteString(conn, responseHead)
 					sendLine(conn, updateJSON(1, true, entryJSON("s-1", "SERVING")))
-					last = time.Now()
+					lastByteAt = time.Now()
 					if seed%2 == 1 {
 						io.WriteString(conn, "9\r\n{\"seq\":2,\r\n")
 					}
@@ -59,7 +59,7 @@
 				})
 				time.Sleep(30 * time.Second)
 				synctest.Wait()
-				if took := again.Sub(last); calls < 2 || took > 5*time.Second {
+				if took := nextWatchAt.Sub(lastByteAt); calls < 2 || took > 5*time.Second {
 					t.Errorf("group of %d, seed %d: watched again %v after the last byte, %d calls", group, seed, took, calls)
 				}
 			})
@@ -72,9 +72,9 @@
 func TestWatcher_RetriesNewSourceSoon(t *testing.T) {
 	for seed := range uint64(policySeeds) {
 		synctest.Test(t, func(t *testing.T) {
-			var moved, again time.Time
+			var movedAt, nextWatchAt time.Time
 			var calls atomic.Int32
-			cutOff := int32(seed % 2)
+			stoppedWatches := int32(seed % 2) // watches of the new source that the policy stops
 			newPolicy := func(w *Watcher) Policy { return startPolicy(t, w, 300, seed) }
 			w := startWatcherFor(t, &recorder{}, newPolicy, "", func(target string, conn net.Conn) {
 				if !strings.HasPrefix(target, "127.0.0.2") {
@@ -84,33 +84,33 @@
 					return
 				}
 				call := calls.Add(1)
-				if call <= cutOff {
+				if call <= stoppedWatches {
 					io.Copy(io.Discard, conn)
 					return
 				}
-				if call == cutOff+1 {
+				if call == stoppedWatches+1 {
 					time.Sleep(time.Second) // rejected after a wait
 					io.WriteString(conn, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
 					return
 				}
-				if call == cutOff+2 {
-					again = time.Now()
+				if call == stoppedWatches+2 {
+					nextWatchAt = time.Now()
 				}
 				io.WriteString(conn, responseHead)
 				sendLine(conn, updateJSON(7, true, entryJSON("s-2", "SERVING")))
 				io.Copy(io.Discard, conn)
 			})
 			time.Sleep(10 * time.Second)
-			moved = time.Now()
+			movedAt = time.Now()
 			newSource := testSource
 			newSource.Address = "127.0.0.2:1"
 			w.SetSource(newSource)
-			if synctest.Wait(); cutOff > 0 {
+			if synctest.Wait(); stoppedWatches > 0 {
 				w.RestartWatch()
 			}
 			time.Sleep(20 * time.Second)
 			synctest.Wait()
-			if took := again.Sub(moved); calls.Load() < cutOff+2 || took > 3*time.Second+100*time.Millisecond {
+			if took := nextWatchAt.Sub(movedAt); calls.Load() < stoppedWatches+2 || took > 3*time.Second+100*time.Millisecond {
 				t.Errorf("seed %d: watched again %v after the change, %d calls", seed, took, calls.Load())
 			}
 		})
--- a/internal/standalone/discovery/watch.go
+++ b/internal/standalone/discovery/watch.go
@@ -14,18 +14,19 @@
 )
 
 const (
-	// silenceTimeout is how long a watch may bring no complete message and no heartbeat; there is one every 2 s at least. A
-	// machine that is partitioned leaves its connections open, so silence is the only sign of it. Updates that a silent watch
-	// misses have to be known 6 s after its last byte. This time, the policy's delay and a further call have to fit into that.
-	silenceTimeout = 2600 * time.Millisecond
-	// dialTimeout leaves enough of silenceTimeout for one lost SYN to be sent again.
+	// heartbeatTimeout is how long a watch may bring no complete message and no heartbeat; discovery sends one every 2 s at
+	// least. It is the only way to detect a partition, which leaves the connection open. The platform allows 6 s from the last
+	// byte of a watch until its missed updates are known: this time-out, the policy's delay before the next call, and the
+	// call have to fit into that.
+	heartbeatTimeout = 2600 * time.Millisecond
+	// dialTimeout is long enough for one lost SYN to be sent again, which TCP does after a second.
 	dialTimeout = 1500 * time.Millisecond
 )
 
 var errWatchStopped = errors.New("discovery watch stopped")
 
-// watch runs one watch and returns why it ended, which it always does. An error that wraps os.ErrDeadlineExceeded means that
-// discovery was silent.
+// watch runs one watch and returns why it ended; it never returns nil. An error that wraps os.ErrDeadlineExceeded means that
+// the connection, the response or a heartbeat did not come in time.
 func (w *Watcher) watch(ctx context.Context) error {
 	conn, err := w.dial(ctx, w.source.Address, time.Now().Add(dialTimeout))
 	if err != nil {
@@ -48,7 +49,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("create discovery request: %w", err)
 	}
-	if err := conn.SetDeadline(time.Now().Add(silenceTimeout)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(heartbeatTimeout)); err != nil {
 		return nil, fmt.Errorf("set discovery deadline: %w", err)
 	}
 	if err := req.Write(conn); err != nil {
@@ -67,8 +68,8 @@
 // readStream applies the messages of a watch until it fails.
 func (w *Watcher) readStream(ctx context.Context, conn net.Conn, messages *messageReader) error {
 	for first := true; ; first = false {
-		// The deadline is that of a complete message: one that comes byte by byte, or half of one, is no sign of life.
-		if err := conn.SetReadDeadline(time.Now().Add(silenceTimeout)); err != nil {
+		// The deadline is that of a complete message: single bytes of one do not extend it.
+		if err := conn.SetReadDeadline(time.Now().Add(heartbeatTimeout)); err != nil {
 			return fmt.Errorf("set discovery deadline: %w", err)
 		}
 		message, err := messages.next()
@@ -80,15 +81,15 @@
 		}
 		w.sourceUnconfirmed.Store(false)
 		if len(message) == 0 {
-			if first { // nothing has changed, and the policy waits for a response to its call
+			if first { // nothing has changed; the policy waits for a response to its call
 				w.policy.UpdateMembers(policy.MembershipDelta, nil)
 				w.hasSynced.Store(true)
 			}
 			continue
 		}
 		if err := w.apply(message, false); err != nil {
-			// The next message continues from this one, so that its content, perhaps a drain, would be lost for good. The
-			// watch ends, and the next one asks for the complete list.
+			// The next message has only the changes after this one, so that the changes in this one, perhaps a drain, would
+			// never be applied. The watch ends, and the next one asks for the complete list.
 			w.version = 0
 			return fmt.Errorf("apply discovery update: %w", err)
 		}
@@ -96,8 +97,8 @@
 	}
 }
 
-// apply applies an update to the list and publishes it: to the backends first, so that a drain holds for attempts in progress
-// too. The list is cached if it is not from discovery but what the proxy had last.
+// apply applies an update to the list and publishes it: to the backends first, so that attempts that have not been sent yet do
+// not go to a draining backend. cached says that the update is the configuration's own list, which may be outdated.
 func (w *Watcher) apply(message []byte, cached bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -133,8 +134,8 @@
 	}
 }
 
-// drainInvalid returns the listed endpoints among invalid entries as draining: their entries may say so, and they get nothing
-// new until they are valid again. Those that are not listed are left out.
+// drainInvalid returns the listed endpoints among invalid entries as draining: the entry may have been to announce a drain, so
+// that the backend gets no new requests until its entry is valid again. Endpoints that are not listed are left out.
 func (w *Watcher) drainInvalid(invalid []*EntryError) []Endpoint {
 	var draining []Endpoint
 	for _, entryErr := range invalid {
@@ -178,8 +179,8 @@
 	}
 }
 
-// remove forgets an endpoint. Each deploy brings new names, so keeping the old ones would fill the memory; one that comes back
-// gets the same ID again.
+// remove removes an endpoint and its ID. Each deployment brings new names, so that memory would grow if the old ones were kept.
+// An endpoint that is listed again gets the same ID.
 func (w *Watcher) remove(id uint32) {
 	delete(w.endpoints, id)
 	w.decoder.forget(id)
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -55,12 +55,12 @@
 	folder   *hotrestart.SharedFolder // nil: disabled backends are kept in memory only
 	log      *slog.Logger
 
-	restart           chan struct{} // RestartWatch was called
-	sourceChanged     chan struct{} // SetSource was called
+	restart           chan struct{} // has a value when RestartWatch was called
+	sourceChanged     chan struct{} // has a value when SetSource was called
 	nextSource        atomic.Pointer[Source]
-	hasEndpoints      atomic.Bool
-	hasSynced         atomic.Bool
-	sourceUnconfirmed atomic.Bool // the source has changed, and no watch of the new one has brought anything or ended by itself yet
+	hasEndpoints      atomic.Bool // see HasEndpoints
+	hasSynced         atomic.Bool // see HasSynced
+	sourceUnconfirmed atomic.Bool // no watch of a new source has brought a message, or ended by itself, since SetSource
 	endpointCount     atomic.Int64
 
 	// The following two are written by Run, between watches, and by the one watch that is running.
@@ -80,7 +80,7 @@
 	published policy.Member
 }
 
-// NewWatcher returns a watcher that holds no list.
+// NewWatcher returns a watcher without a list.
 func NewWatcher(opts Options) *Watcher {
 	dial := opts.Dial
 	if dial == nil {
@@ -91,8 +91,8 @@
 		restart: make(chan struct{}, 1), sourceChanged: make(chan struct{}, 1)}
 }
 
-// Start publishes the endpoint list that this proxy had last, in the form of discovery, and keeps p for updates. It is to be
-// called once, before Run.
+// Start publishes the configuration's own endpoint list, in the form of discovery, and sets the policy that is notified of
+// updates. Call it once, before Run. cached may be empty.
 func (w *Watcher) Start(p Policy, cached []byte) {
 	w.policy = p
 	if len(cached) == 0 {
@@ -106,27 +106,27 @@
 }
 
 // RestartWatch has Run start a watch in place of the present one. It returns at once.
-func (w *Watcher) RestartWatch() { signal(w.restart) }
+func (w *Watcher) RestartWatch() { notify(w.restart) }
 
-// SetSource has Run watch another source from now on, without waiting for the policy to ask: the policy relies on the present
-// watch, and the old source may fall silent. It returns at once.
+// SetSource has Run watch another source from now on. It does not wait until the policy asks for a watch: the policy relies on
+// the present one, and the old source may send nothing more. It returns at once.
 //
 // Where names of zones or instance types differ from before, the complete list is asked for again, since known backends were
 // decoded by the old names.
 func (w *Watcher) SetSource(s Source) {
 	w.nextSource.Store(&s)
-	signal(w.sourceChanged)
+	notify(w.sourceChanged)
 }
 
-// signal makes a channel of capacity one readable.
-func signal(c chan<- struct{}) {
+// notify puts a value into a channel of capacity one, unless it has one.
+func notify(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
 	default:
 	}
 }
 
-// HasEndpoints reports whether there is an endpoint list to work with.
+// HasEndpoints reports whether there is an endpoint list: an empty one counts only if it came from discovery.
 func (w *Watcher) HasEndpoints() bool { return w.hasEndpoints.Load() }
 
 // HasSynced reports whether discovery has confirmed or sent the list since the start.
@@ -135,10 +135,14 @@
 // EndpointCount returns the number of listed backends.
 func (w *Watcher) EndpointCount() int { return int(w.endpointCount.Load()) }
 
-// TableSizes is how many entries a Watcher holds in memory.
-type TableSizes struct{ Endpoints, IDs, Maintenance int }
+// TableSizes are the numbers of entries in a Watcher's tables, for the admin API.
+type TableSizes struct {
+	Endpoints   int // listed backends
+	IDs         int // names of backends that have an ID
+	Maintenance int // backends that the maintenance state remembers
+}
 
-// TableSizes returns how many entries are held in memory.
+// TableSizes returns how many entries the tables hold now.
 func (w *Watcher) TableSizes() TableSizes {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -168,13 +172,13 @@
 	}
 }
 
-// useSource replaces the source. The list stays in use until the new source has sent its own, whose versions are independent
-// of the old source's: asked for changes since a version of that, it could leave out what it has to say.
+// useSource replaces the source. The list stays in use until the new source has sent its own. Versions of two sources are
+// independent, so that the new one is asked for its complete list, and not for changes since a version of the old one.
 func (w *Watcher) useSource(s *Source) {
 	w.log.Info("discovery moved", "from", w.source.Address, "to", s.Address)
 	w.source, w.version = *s, 0
 	w.decoder.zones, w.decoder.instanceTypes = s.Zones, s.InstanceTypes
-	w.sourceUnconfirmed.Store(true) // RestartWatch may stop the first watch of it before it has ended
+	w.sourceUnconfirmed.Store(true) // stays set if RestartWatch stops the first watch of the new source
 }
 
 // startWatch starts a watch. The returned function stops it and waits for its end.
@@ -193,8 +197,8 @@
 	}
 }
 
-// reportWatchEnd notifies the policy that a watch ended by itself. A watch that fell silent may have missed updates, and those
-// of a new source matter as much, so the policy has to ask again sooner then.
+// reportWatchEnd notifies the policy that a watch ended by itself. A watch that timed out may have missed updates, and so may
+// one of a new source that has brought nothing yet: with DiscoveryTimedOut the policy asks again sooner.
 func (w *Watcher) reportWatchEnd(err error) {
 	w.log.Warn("discovery watch ended", "error", err)
 	kind := policy.DiscoveryFailed
--- a/internal/standalone/discovery/watcher_test.go
+++ b/internal/standalone/discovery/watcher_test.go
@@ -28,7 +28,7 @@
 
 func (r *recorder) UpdateMembers(kind policy.EventKind, members []policy.Member) {
 	names := map[policy.EventKind]string{policy.MembershipFull: "full", policy.MembershipCached: "cached",
-		policy.MembershipDelta: "delta", policy.DiscoveryFailed: "failed", policy.DiscoveryTimedOut: "silent"}
+		policy.MembershipDelta: "delta", policy.DiscoveryFailed: "failed", policy.DiscoveryTimedOut: "timed out"}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lines = append(r.lines, fmt.Sprintf("%s %d", names[kind], len(members)))
@@ -100,7 +100,7 @@
 // sendLine sends one line of a watch.
 func sendLine(conn net.Conn, text string) { fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(text)+1, text) }
 
-// A watch applies updates, confirms an unchanged list, and fails when it falls silent.
+// A watch applies updates, confirms an unchanged list, and times out without heartbeats.
 func TestWatcher_AppliesUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r recorder
@@ -132,12 +132,12 @@
 		if len(w.endpoints) != 1 || len(w.decoder.ids) != 1 || len(w.decoder.names) != 1 {
 			t.Errorf("removed backends are still in memory: %v %v", w.endpoints, w.decoder.ids)
 		}
-		time.Sleep(silenceTimeout - time.Second)
+		time.Sleep(heartbeatTimeout - time.Second)
 		lines <- ""
-		time.Sleep(silenceTimeout - time.Second)
+		time.Sleep(heartbeatTimeout - time.Second)
 		r.expect(t)
-		time.Sleep(2 * time.Second) // silent past its heartbeats
-		r.expect(t, "silent 0")
+		time.Sleep(2 * time.Second) // past heartbeatTimeout
+		r.expect(t, "timed out 0")
 		close(lines)
 	})
 }
@@ -173,7 +173,7 @@
 	})
 }
 
-// The policy learns whether a watch failed or fell silent: after silence it must ask again sooner.
+// The policy is notified whether a watch failed or timed out: after a time-out it must ask again sooner.
 func TestWatcher_ReportsHowWatchEnded(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -183,21 +183,21 @@
 		{"refused", nil, "failed 0"},
 		{"reset", func(string, net.Conn) {}, "failed 0"},
 		{"busy", func(_ string, conn net.Conn) { io.WriteString(conn, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }, "failed 0"},
-		{"silent", func(_ string, conn net.Conn) { io.Copy(io.Discard, conn) }, "silent 0"},
+		{"no response", func(_ string, conn net.Conn) { io.Copy(io.Discard, conn) }, "timed out 0"},
 		{"ended", func(_ string, conn net.Conn) { io.WriteString(conn, responseHead+"0\r\n\r\n") }, "failed 0"},
 		{"half a line", func(_ string, conn net.Conn) {
 			fmt.Fprintf(conn, responseHead+"9\r\n%s\r\n", `{"seq":42`)
 			io.Copy(io.Discard, conn)
-		}, "silent 0"},
+		}, "timed out 0"},
 		{"byte by byte", func(_ string, conn net.Conn) {
 			io.WriteString(conn, responseHead)
 			for _, b := range []byte(updateJSON(42, true, entryJSON("s-1", "DRAINING"))) {
 				if _, err := fmt.Fprintf(conn, "1\r\n%c\r\n", b); err != nil {
 					return
 				}
-				time.Sleep(silenceTimeout / 4)
+				time.Sleep(heartbeatTimeout / 4)
 			}
-		}, "silent 0"},
+		}, "timed out 0"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -208,7 +208,7 @@
 					t.Error("an empty cached list counts as endpoints")
 				}
 				w.RestartWatch()
-				time.Sleep(2 * silenceTimeout)
+				time.Sleep(2 * heartbeatTimeout)
 				r.expect(t, tc.want)
 			})
 		})
@@ -244,8 +244,8 @@
 	})
 }
 
-// An invalid message may have held a drain, and the next one continues from it: the watch ends, the list stays, and the next
-// watch asks for the complete one.
+// An invalid message may have had a drain, and the next one has only the changes after it: the watch ends, the list stays, and
+// the next watch asks for the complete one.
 func TestWatcher_InvalidMessageEndsWatch(t *testing.T) {
 	for _, bad := range []string{"garbage", `{"seq":"x"}`, "[]", `{"seq":42,"whole":false,"hosts":7}`, "}", `"text"`} {
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/standalone/discoverycache/cache.go
+++ b/internal/standalone/discoverycache/cache.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	// SilenceTimeout is how long a source may send nothing. A watch brings a line every heartbeatInterval at least.
-	SilenceTimeout    = 3 * time.Second
+	// HeartbeatTimeout is how long a source may send nothing before it counts as failed.
+	HeartbeatTimeout = 3 * time.Second
+	// heartbeatInterval is the longest time between two lines of a watch: one without changes has empty lines.
 	heartbeatInterval = 2 * time.Second
-	// holderPollInterval is how often a cache that starts looks whether the lease has a holder.
+	// holderPollInterval is how often a cache that starts checks whether the lease has a holder.
 	holderPollInterval = 10 * time.Millisecond
-	// failedHolderPenalty is how many times the fallback spread a failed holder is not tried again.
+	// failedHolderPenalty is for how long a failed holder is not followed, in fallback spreads.
 	failedHolderPenalty = 10
 )
 
@@ -38,7 +39,8 @@
 type Options struct {
 	Discovery string // address of discovery
 	Holder    func() Holder
-	// FallbackSpread is the time over which caches that lost their holder fall back to discovery, and wait after failures.
+	// FallbackSpread is the time over which caches that start, or lost their holder, fall back to discovery, and the longest
+	// wait after a failed watch of discovery. The waits are random, so that a fleet does not call discovery all at once.
 	FallbackSpread time.Duration
 	Log            *slog.Logger
 }
@@ -50,7 +52,7 @@
 	mu               sync.Mutex
 	list             *List
 	changed          chan struct{} // closed and replaced at each change
-	lastHeard        time.Time     // when the source last sent anything
+	lastContact      time.Time     // when the source last sent an update or a heartbeat
 	followsDiscovery bool          // whether that source was discovery
 	maxToken         uint64        // the highest token of a holder that was followed
 
@@ -58,28 +60,30 @@
 	suspectedUntil time.Time // it is retried until then
 	lastFailure    time.Time // of suspected
 
-	failed      source // the holder that was given up
-	failedUntil time.Time
+	failed      source    // the holder that is not followed
+	failedUntil time.Time // until then
 }
 
-// New returns an empty cache. Its versions start at now in microseconds: no earlier process at this address got that far.
+// New returns an empty cache. Its versions start at now in microseconds, past any version of an earlier process at this
+// address.
 func New(opts Options, now time.Time) *Cache {
 	return &Cache{opts: opts, list: NewList(uint64(now.UnixMicro())), changed: make(chan struct{})}
 }
 
-// IsFresh reports whether there is a list and its source is alive.
+// IsFresh reports whether there is a list and its source has sent something within HeartbeatTimeout.
 func (c *Cache) IsFresh() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, loaded := c.list.DiscoveryVersion()
-	return loaded && time.Since(c.lastHeard) < SilenceTimeout
+	return loaded && time.Since(c.lastContact) < HeartbeatTimeout
 }
 
-// FollowsDiscovery reports whether this cache follows discovery itself, and discovery is alive.
+// FollowsDiscovery reports whether this cache follows discovery itself, and discovery has sent something within
+// HeartbeatTimeout.
 func (c *Cache) FollowsDiscovery() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.followsDiscovery && time.Since(c.lastHeard) < SilenceTimeout
+	return c.followsDiscovery && time.Since(c.lastContact) < HeartbeatTimeout
 }
 
 // Run keeps the copy up to date until ctx ends.
@@ -104,8 +108,8 @@
 	}
 }
 
-// awaitHolder waits a random time for the lease to have a holder: instances that start at once, before there is one, must not
-// all watch discovery.
+// awaitHolder waits until the lease has a holder, for a random time at most: instances that start together, before there is a
+// holder, must not all watch discovery.
 func (c *Cache) awaitHolder(ctx context.Context) {
 	deadline := time.Now().Add(c.opts.FallbackSpread + randomUpTo(2*c.opts.FallbackSpread))
 	for time.Now().Before(deadline) && ctx.Err() == nil {
@@ -143,15 +147,16 @@
 	return from
 }
 
-// suspectHolder notes that a holder failed at now. It may just have acquired the lease, so it is retried for a random time: of
-// many caches that lose the same holder each falls back to discovery at a time of its own. The copy is served meanwhile.
+// suspectHolder records that a holder failed at now. It may just have acquired the lease, so it is retried for a random time,
+// different for each of the caches that lose the same holder, so that they do not all fall back to discovery together. The
+// copy is served meanwhile.
 func (c *Cache) suspectHolder(holder source, now time.Time, cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.suspected != holder || now.Sub(c.lastFailure) > c.opts.FallbackSpread {
-		// The next holder is there about a lease later, which most wait for. All have given up while the copy is still fresh.
-		minWait := min(c.opts.FallbackSpread, SilenceTimeout/2)
-		wait := minWait + time.Duration(rand.Int64N(int64(SilenceTimeout-minWait)))
+		// Long enough for the next holder to have the lease, in most cases, and over while the copy is still fresh.
+		minWait := min(c.opts.FallbackSpread, HeartbeatTimeout/2)
+		wait := minWait + time.Duration(rand.Int64N(int64(HeartbeatTimeout-minWait)))
 		c.suspected, c.suspectedUntil = holder, now.Add(wait)
 	}
 	c.lastFailure = now
@@ -161,11 +166,11 @@
 	}
 }
 
-// noteHeard notes a sign of life of a source.
-func (c *Cache) noteHeard(from source) {
+// recordContact records that a source has sent an update or a heartbeat.
+func (c *Cache) recordContact(from source) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.lastHeard, c.maxToken, c.followsDiscovery = time.Now(), max(c.maxToken, from.token), from.isDiscovery()
+	c.lastContact, c.maxToken, c.followsDiscovery = time.Now(), max(c.maxToken, from.token), from.isDiscovery()
 }
 
 // apply applies an update of a source and wakes those who watch this cache.
@@ -173,7 +178,7 @@
 	if err := c.applyToList(u, from, mayBeStale); err != nil {
 		return err
 	}
-	c.noteHeard(from)
+	c.recordContact(from)
 	return nil
 }
 
--- a/internal/standalone/discoverycache/follow.go
+++ b/internal/standalone/discoverycache/follow.go
@@ -25,12 +25,12 @@
 	DiscoveryVersion uint64 `json:"origin,omitempty"`
 }
 
-// follow watches a source until it ends, falls silent, or another one is to be followed; only the last is no error.
+// follow watches a source until the watch ends or times out, which is an error, or another source is to be followed.
 func (c *Cache) follow(ctx context.Context, from source) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	silence := time.AfterFunc(SilenceTimeout, cancel)
-	defer silence.Stop()
+	timeout := time.AfterFunc(HeartbeatTimeout, cancel)
+	defer timeout.Stop()
 	resp, err := openWatch(ctx, from)
 	if err != nil {
 		return err
@@ -39,14 +39,14 @@
 	lines := bufio.NewScanner(resp.Body)
 	lines.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for first := true; lines.Scan(); {
-		silence.Reset(SilenceTimeout)
+		timeout.Reset(HeartbeatTimeout)
 		if line := bytes.TrimSpace(lines.Bytes()); len(line) > 0 {
 			if err := c.applyLine(line, from, first); err != nil {
 				return err
 			}
 			first = false
 		} else { // a heartbeat
-			c.noteHeard(from)
+			c.recordContact(from)
 		}
 		if c.chooseSource() != from {
 			return nil
@@ -73,7 +73,7 @@
 		resp.Body.Close()
 		return nil, fmt.Errorf("open watch: source responded %s", resp.Status)
 	}
-	if token, _ := strconv.ParseUint(resp.Header.Get(tokenHeader), 10, 64); token < from.token { // no number is token 0
+	if token, _ := strconv.ParseUint(resp.Header.Get(tokenHeader), 10, 64); token < from.token { // an invalid one counts as 0
 		resp.Body.Close()
 		return nil, fmt.Errorf("open watch: source has fencing token %d, want %d", token, from.token)
 	}
--- a/internal/standalone/discoverycache/list.go
+++ b/internal/standalone/discoverycache/list.go
@@ -15,15 +15,15 @@
 // Errors of List.Apply.
 var (
 	// ErrStale means that an update is older than the list: it would undo drains that are known.
-	ErrStale       = errors.New("update is older than the cached list")
-	errNoBase      = errors.New("update is incremental and no list is cached")
-	errDeletedHost = errors.New("complete list has a deleted entry")
+	ErrStale        = errors.New("update is older than the cached list")
+	errNoBase       = errors.New("update is incremental and no list is cached")
+	errDeletedEntry = errors.New("complete list has a deleted entry")
 )
 
 // List is the endpoint list as it was received last, with the latest changes. It does no I/O and is not safe for concurrent use.
 //
-// Its versions are its own, one a changed entry. They start where those of no earlier process at the same address can have
-// been, so that a version of an earlier process is answered with the complete list.
+// Its versions are its own: each changed entry is one version. They start past those of any earlier process at the same
+// address, so that a client that asks with a version of an earlier process gets the complete list.
 type List struct {
 	baseVersion      uint64 // before the first of changes
 	discoveryVersion uint64 // of discovery, that this is a copy of
@@ -84,9 +84,9 @@
 		if err := json.Unmarshal(raw, &fields); err != nil || fields.Host == "" {
 			return nil, fmt.Errorf("invalid entry: %.100s", raw)
 		}
-		e := entry{name: fields.Host, deleted: fields.Health == "DELETED", raw: raw}
+		e := entry{name: fields.Host, deleted: fields.Health == discovery.HealthDeleted, raw: raw}
 		if u.Complete && e.deleted {
-			return nil, fmt.Errorf("%w: %s", errDeletedHost, e.name)
+			return nil, fmt.Errorf("%w: %s", errDeletedEntry, e.name)
 		}
 		entries = append(entries, e)
 	}
@@ -114,7 +114,7 @@
 	if err := json.Unmarshal(raw, &fields); err != nil {
 		return nil, fmt.Errorf("mark entry as deleted: %w", err)
 	}
-	fields["health"] = json.RawMessage(`"DELETED"`)
+	fields["health"] = json.RawMessage(`"` + discovery.HealthDeleted + `"`)
 	deleted, err := json.Marshal(fields)
 	if err != nil {
 		return nil, fmt.Errorf("mark entry as deleted: %w", err)
--- a/internal/standalone/discoverycache/serve.go
+++ b/internal/standalone/discoverycache/serve.go
@@ -48,10 +48,10 @@
 	}
 	query := req.URL.Query()
 	if query.Get("stream") != "1" {
-		_ = h.write(c.since(0)) // a client that has gone needs no response
+		_ = h.write(c.since(0)) // fails only if the client has disconnected
 		return
 	}
-	version, _ := strconv.ParseUint(query.Get("index"), 10, 64) // what is no number gets the complete list
+	version, _ := strconv.ParseUint(query.Get("index"), 10, 64) // an invalid one is 0: the complete list
 	h.stream(req, version, mayServe)
 }
 
@@ -70,8 +70,8 @@
 	return json.NewEncoder(h.w).Encode(s.update)
 }
 
-// stream writes what changed after a version, then each change, and heartbeats between them, while mayServe. After that the
-// response ends at once, which has the client look for another source sooner than silence would.
+// stream writes what changed after a version, then each change, and heartbeats between them, while mayServe returns true. Then
+// the response ends at once, so that the client chooses another source without waiting for a time-out.
 func (h *watchHandler) stream(req *http.Request, version uint64, mayServe func() bool) {
 	next := h.cache.since(version)
 	controller, heartbeat := http.NewResponseController(h.w), time.NewTicker(heartbeatInterval/2)
--- a/internal/standalone/hotrestart/inherited_listener.go
+++ b/internal/standalone/hotrestart/inherited_listener.go
@@ -8,12 +8,11 @@
 	"syscall"
 )
 
-// inheritedListener is a listening socket that other processes hold too.
+// inheritedListener is a listening socket that other processes have open too.
 //
-// O_NONBLOCK is one flag for all holders of a socket, and whoever hands it to a further process may clear it: Go's os.File.Fd
-// does. An accept that then finds that another process has taken the connection would sleep in the kernel until the next
-// connection, and Close would wait for it, so that a process that was asked to stop would not end. The flag is therefore set
-// again before each accept.
+// O_NONBLOCK is one flag for all processes that have the socket, and one that passes it on may clear it: Go's os.File.Fd does.
+// If another process then accepts the connection first, accept sleeps in the kernel until the next connection, and Close waits
+// for it, so that a process that was asked to stop would not end. The flag is therefore set again before each accept.
 type inheritedListener struct {
 	file   *os.File
 	raw    syscall.RawConn
@@ -51,8 +50,8 @@
 	if err != nil {
 		return nil, &net.OpError{Op: "accept", Net: l.addr.Network(), Addr: l.addr, Err: err}
 	}
-	// net.FileConn duplicates the descriptor. Where none is left for that moment the connection is closed unread, and its
-	// client may send again.
+	// net.FileConn duplicates the descriptor. If the process has no descriptor left for the copy, the connection is closed
+	// unread, and its client may safely send its request again.
 	file := os.NewFile(uintptr(fd), "client")
 	defer file.Close()
 	return net.FileConn(file)
@@ -68,7 +67,7 @@
 			}
 			fd, _, acceptErr = syscall.Accept4(int(listening), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			if acceptErr != syscall.EINTR && acceptErr != syscall.ECONNABORTED {
-				return acceptErr != syscall.EAGAIN // if so, Read waits for the next connection
+				return acceptErr != syscall.EAGAIN // on EAGAIN Read waits for the next connection
 			}
 		}
 	})
--- a/internal/standalone/hotrestart/inherited_listener_test.go
+++ b/internal/standalone/hotrestart/inherited_listener_test.go
@@ -78,7 +78,7 @@
 		}
 		ended <- err
 	}()
-	time.Sleep(50 * time.Millisecond) // Accept is waiting; nothing outside shows it
+	time.Sleep(50 * time.Millisecond) // until Accept waits, which cannot be observed from outside
 	if err := syscall.SetNonblock(int(file.Fd()), false); err != nil {
 		t.Fatal(err)
 	}
@@ -88,7 +88,7 @@
 	}
 	defer c.Close()
 	(<-accepted).Close()
-	time.Sleep(50 * time.Millisecond) // it is in the second Accept
+	time.Sleep(50 * time.Millisecond) // until the second Accept waits
 	closed := make(chan struct{})
 	go func() { ln.Close(); close(closed) }()
 	select {
--- a/internal/standalone/hotrestart/learned_state.go
+++ b/internal/standalone/hotrestart/learned_state.go
@@ -11,19 +11,20 @@
 	learnedStateFile = "learnt.json"
 	// learnedStateHeader is the file's first line; it names the version of the format.
 	learnedStateHeader = "pumiceline learnt 1\n"
-	// learnedStateMaxAge is how old the state may be to be adopted.
+	// learnedStateMaxAge is how old the state may be to be adopted. The serving process renews it every PollInterval.
 	learnedStateMaxAge = 2 * time.Second
 )
 
-// errForeignLearnedState is the reason why a file of another format is not adopted.
-var errForeignLearnedState = errors.New("written in the format of another version")
+// errUnknownFormat is the error of a file with another header.
+var errUnknownFormat = errors.New("written in the format of another version")
 
-// LearnedState is a policy whose learned state can be passed on.
-type LearnedState interface {
+// Policy is the policy of a process, whose learned state another process can adopt: an *engine.Engine, except in tests.
+type Policy interface {
 	Snapshot() ([]byte, error) // nil: this policy has no such state
 	Restore(state []byte, maxAge time.Duration) error
 }
 
+// publishLearnedState writes what this process's policy has learned to the shared folder.
 func (p *Process) publishLearnedState() error {
 	state, err := p.hooks.Policy.Snapshot()
 	if err != nil || state == nil {
@@ -34,8 +35,8 @@
 	})
 }
 
-// AdoptLearnedState takes over what the process that has served so far has learned. Without such a state, or with one that is
-// too old or invalid, the policy starts cold, which is only logged.
+// AdoptLearnedState restores the policy from what the serving process has published. Without such a state, or with one that
+// is too old or invalid, the policy starts cold, which is only logged.
 func (p *Process) AdoptLearnedState() {
 	if p.presence == nil {
 		return
@@ -57,7 +58,7 @@
 func (p *Process) adopt(content []byte) error {
 	state, ok := bytes.CutPrefix(content, []byte(learnedStateHeader))
 	if !ok {
-		return errForeignLearnedState
+		return errUnknownFormat
 	}
 	return p.hooks.Policy.Restore(state, learnedStateMaxAge)
 }
--- a/internal/standalone/hotrestart/presence.go
+++ b/internal/standalone/hotrestart/presence.go
@@ -41,8 +41,8 @@
 		BackendConnections: binary.BigEndian.Uint32(b[5:])}
 }
 
-// Presence is this process's file in the shared folder. The process holds an exclusive lock on it: the kernel releases the
-// lock when the process dies, however it dies, which tells other processes that the file is stale.
+// Presence is this process's file in the shared folder. The process has an exclusive lock on it. The kernel releases the lock
+// when the process ends, however it ends, so that the others can detect a stale file.
 type Presence struct {
 	folder *SharedFolder
 	file   *os.File
@@ -66,7 +66,7 @@
 		file.Close()
 		return nil, err
 	}
-	// It gets its final name only once it is locked: another process would remove an unlocked file as stale.
+	// Renamed to its final name only once it is locked: another process would remove an unlocked file as stale.
 	if err := os.Rename(temporary, path); err != nil {
 		file.Close()
 		return nil, fmt.Errorf("rename presence file: %w", err)
@@ -88,7 +88,7 @@
 	p.file.Close()
 }
 
-// Peers returns the states of the other live processes of the proxy and removes the files of dead ones.
+// Peers returns the states of the other running processes of the proxy, and removes the files of those that have ended.
 func (p *Presence) Peers() []ProcessState {
 	var states []ProcessState
 	paths, _ := filepath.Glob(p.folder.prefix + "process-*") // its only error is a bad pattern
@@ -103,18 +103,17 @@
 	return states
 }
 
-// readPeer returns the state in a presence file; false if its process is dead, in which case the file is removed, or has
-// just left.
+// readPeer returns the state in a presence file; false if its process has ended, in which case it removes the file.
 func readPeer(path string) (state ProcessState, ok bool) {
 	file, err := os.Open(path)
 	if err != nil {
-		return ProcessState{}, false // it has just left
+		return ProcessState{}, false // its process has just removed it
 	}
 	defer file.Close()
 	err = syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
-	if errors.Is(err, syscall.EWOULDBLOCK) { // locked by its live process
+	if errors.Is(err, syscall.EWOULDBLOCK) { // its process has the lock, and so is running
 		var b [stateBytes]byte
-		n, _ := file.ReadAt(b[:], 0) // a short file is judged by its length
+		n, _ := file.ReadAt(b[:], 0) // of a failed read the length alone matters
 		return decodeProcessState(b), n == stateBytes
 	}
 	if err == nil {
--- a/internal/standalone/hotrestart/process.go
+++ b/internal/standalone/hotrestart/process.go
@@ -1,7 +1,10 @@
 // Package hotrestart coordinates the processes of one proxy while a new version takes over from an old one. Both accept
 // connections from one listening socket, which the platform passes to each of them. They find each other by presence files in
 // a shared folder, divide the limits of the machine and the quotas of the proxy between them, and the old process publishes
-// what its policy has learned, so that the new one need not start from nothing.
+// what its policy has learned, so that the new one does not start cold.
+//
+// process.go has the Process, presence.go the presence files, learned_state.go what the policy has learned, shared_folder.go
+// the folder, inherited_listener.go the socket.
 //
 // Old and new versions of the program run side by side: names and formats of the files may not change.
 package hotrestart
@@ -15,13 +18,14 @@
 	"time"
 )
 
-// PollInterval is how often a process looks for others.
+// PollInterval is how often a process publishes its state and reads that of the others.
 const PollInterval = 50 * time.Millisecond
 
-// memoryLimitFraction of a process's memory is the collector's limit; the rest is for what the collector does not see.
+// memoryLimitFraction is the part of a process's memory that the garbage collector may use as its limit. The rest is for
+// memory that the Go runtime does not account for, such as socket buffers of the kernel.
 const memoryLimitFraction = 0.7
 
-// SocketUsage is how many sockets processes hold.
+// SocketUsage is how many sockets one or more processes have open: to clients and to backends.
 type SocketUsage struct{ Clients, Backends int }
 
 // Hooks connect a Process to the rest of the program. They are called while the Process is locked and must not call Poll.
@@ -29,11 +33,12 @@
 	SocketUsage func() SocketUsage // of this process
 	// ShareQuotas is called at each poll with the number of processes that have requests, this one included.
 	ShareQuotas func(processes int) error
-	Policy      LearnedState
+	Policy      Policy // whose learned state is published and adopted
 }
 
-// Process is this process as one of those of a proxy. While there are several, each gets an equal part of the memory; of
-// sockets each may use what the others do not, since they move from one to the other as clients do.
+// Process is this process as one of the processes of a proxy. While there are several, each may use an equal part of the
+// memory. Sockets are not divided in this way: each process may use those that the others do not, since clients move from
+// the old process to the new one.
 type Process struct {
 	folder   *SharedFolder
 	presence *Presence // nil: not joined, other processes are not seen
@@ -48,15 +53,15 @@
 	processes int        // at the last poll
 }
 
-// NewProcess returns a process that is Starting and has not joined. Folder may be nil: then it stays alone.
+// NewProcess returns a process that is Starting and has not joined. memoryMB is the limit of all processes of the proxy
+// together. folder may be nil: then the process never sees others.
 func NewProcess(folder *SharedFolder, memoryMB int, log *slog.Logger) *Process {
 	p := &Process{folder: folder, memoryMB: memoryMB, log: log}
 	p.SetStage(Starting)
 	return p
 }
 
-// Join makes this process visible to others and the others to it. It is to be called before Connect; without a folder it
-// does nothing.
+// Join makes this process visible to others and the others to it. Call it before Connect. Without a folder it does nothing.
 func (p *Process) Join() error {
 	if p.folder == nil {
 		return nil
@@ -76,7 +81,7 @@
 	}
 }
 
-// Connect sets the hooks. It is to be called once, before the first Poll.
+// Connect sets the hooks. Call it once, before the first Poll.
 func (p *Process) Connect(hooks Hooks) { p.hooks = hooks }
 
 // SetStage sets the stage that the next poll publishes.
@@ -144,11 +149,11 @@
 	return p.hooks.ShareQuotas(1 + peers.withRequests)
 }
 
-// peerSummary is what a poll finds out about the other processes.
+// peerSummary is the state of the other processes together.
 type peerSummary struct {
 	processes    int
-	withRequests int  // that are past Starting
-	starting     bool // whether one is Starting
+	withRequests int  // processes that are past Starting
+	starting     bool // a process is Starting
 	sockets      SocketUsage
 }
 
@@ -176,8 +181,8 @@
 	return peers, nil
 }
 
-// shareMemory sets this process's memory limit when the number of processes has changed, and returns unused memory to the
-// system when it has grown.
+// shareMemory sets this process's memory limit when the number of processes has changed. When it has grown, it also returns
+// unused memory to the system, for the other process.
 func (p *Process) shareMemory(processes int) {
 	if processes == p.processes {
 		return
--- a/internal/standalone/hotrestart/shared_folder.go
+++ b/internal/standalone/hotrestart/shared_folder.go
@@ -14,8 +14,10 @@
 const maxFileBytes = 4 << 20
 
 // SharedFolder is a folder that the processes of one proxy share. All file names begin with a hash of the proxy's identity, so
-// proxies that were given the same folder do not see one another's files. It is safe for concurrent use.
-type SharedFolder struct{ prefix string }
+// that several proxies may use one folder. It is safe for concurrent use.
+type SharedFolder struct {
+	prefix string // of the paths of all files
+}
 
 // NewSharedFolder returns the folder at path for the proxy with the given identity.
 func NewSharedFolder(path, identity string) *SharedFolder {
@@ -66,13 +68,13 @@
 	})
 }
 
-// withLock runs f while no other process of the proxy holds the lock of the same name.
+// withLock runs f with the exclusive lock of a file among the processes of the proxy.
 func (d *SharedFolder) withLock(name string, f func() error) error {
 	lock, err := os.OpenFile(d.prefix+name+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		return fmt.Errorf("open lock file: %w", err)
 	}
-	defer lock.Close() // releases the lock, as the death of the process does
+	defer lock.Close() // releases the lock, as the end of the process does
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX); err != nil {
 		return fmt.Errorf("lock shared file %s: %w", name, err)
 	}
--- a/internal/standalone/maintenance/state.go
+++ b/internal/standalone/maintenance/state.go
@@ -1,6 +1,6 @@
-// Package maintenance decides which backends get no new requests because operators have disabled them. Its State stands
-// between the endpoint list and those that act on it. It has no I/O, clock or lock: its owner serializes the calls and passes
-// the time.
+// Package maintenance decides which backends get no new requests because operators have disabled them. A State is applied to
+// the entries of the endpoint list before they are published to the policy and the backend pool. It has no I/O, clock or lock:
+// its owner, discovery.Watcher, serializes the calls and passes the time.
 package maintenance
 
 import (
@@ -14,8 +14,8 @@
 )
 
 const (
-	// MaxBackends is how many backends a State remembers. A disabled one is remembered although it has left the list; one that
-	// is enabled is forgotten once MaxBackends others have been listed since.
+	// MaxBackends is how many backends a State remembers. A disabled one is remembered also when it is not listed any more; an
+	// enabled one is forgotten once MaxBackends others have been listed since.
 	MaxBackends = 4096
 	// maxDisabled is how many of them may be disabled.
 	maxDisabled = MaxBackends / 2
@@ -29,8 +29,8 @@
 	ErrTooManyDisabled = errors.New("too many hosts are taken out")
 )
 
-// errForeignFormat is the error of Restore for a stored form that Encode does not write.
-var errForeignFormat = errors.New("unknown format or too many backends")
+// errUnknownFormat is the error of Restore for a stored form that Encode cannot have written.
+var errUnknownFormat = errors.New("unknown format or too many backends")
 
 // State is which backends are disabled, and since when others are enabled again. The zero value is ready for use.
 type State struct {
@@ -41,10 +41,10 @@
 type backendState struct {
 	lastObserved uint64 // State.observations at the last Observe
 	disabled     bool
-	enabledAt    policy.Time // the last Enable after a Disable; 0: none, or the backend has been restarted since
+	enabledAt    policy.Time // of the last Enable after a Disable; 0: none, or the backend has been restarted since
 }
 
-// Observe notes that a backend is on the endpoint list, with its start time as listed.
+// Observe records that a backend is on the endpoint list, with its start time as listed.
 func (s *State) Observe(name string, startedAt policy.Time) {
 	b := s.backends[name]
 	if b == nil {
@@ -162,7 +162,7 @@
 		return fmt.Errorf("decode maintenance state: %w", err)
 	}
 	if stored.Version != formatVersion || len(stored.Disabled) > maxDisabled || len(stored.EnabledAt) > MaxBackends {
-		return fmt.Errorf("%w: version %d with %d and %d backends", errForeignFormat, stored.Version, len(stored.Disabled),
+		return fmt.Errorf("%w: version %d with %d and %d backends", errUnknownFormat, stored.Version, len(stored.Disabled),
 			len(stored.EnabledAt))
 	}
 	for _, b := range s.backends {
--- a/internal/standalone/metrics/gauges.go
+++ b/internal/standalone/metrics/gauges.go
@@ -10,12 +10,11 @@
 	InFlight  func() int // requests accepted and not ended
 	Backends  func() int // on the endpoint list
 	Unhealthy func() int // of these, the ones that get no new requests now
-	// TableSizes is how many entries are held in memory, by what they are for. Each has to come down again when its cause is
-	// gone. nil: not exported.
+	// TableSizes returns the numbers of entries in tables that could leak memory, by the tables' names. nil: not exported.
 	TableSizes func() map[string]int
 }
 
-// RegisterGauges adds gauges, and those of every Go process. It is to be called once.
+// RegisterGauges adds gauges, and client_golang's collectors for the process and the Go runtime. Call it once.
 func (m *Metrics) RegisterGauges(g Gauges) {
 	m.registerGauge("svc_current", "Requests accepted and not ended.", g.InFlight)
 	m.registerGauge("svc_cluster_size", "Backends on the endpoint list.", g.Backends)
@@ -33,7 +32,7 @@
 		func() float64 { return float64(read()) }))
 }
 
-// tableSizes collects all series of svc_kept with one call, since the figures come from few locks.
+// tableSizes collects all series of svc_kept by one call, which takes each owner's lock once.
 type tableSizes struct {
 	read func() map[string]int
 	desc *prometheus.Desc
--- a/internal/standalone/metrics/metrics.go
+++ b/internal/standalone/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics holds the proxy's metrics: one registry for the process, in Prometheus's text format. Counters are counted
-// where the thing happens; gauges are read from their owners at each scrape.
+// Package metrics has the proxy's metrics: one Prometheus registry for the process. Counters are incremented by the packages
+// that know of the event; gauges are read from their owners at each scrape.
 package metrics
 
 import (
@@ -28,7 +28,7 @@
 // maxRemovedClasses is how many classes that have left the settings keep their series.
 const maxRemovedClasses = 64
 
-// Metrics are the metrics of a process. Create them with New; they are safe for concurrent use.
+// Metrics are the metrics of a process. Create them with New. They are safe for concurrent use.
 type Metrics struct {
 	registry      *prometheus.Registry
 	requests      [outcomeCount]*prometheus.CounterVec // nil for Canceled
@@ -37,8 +37,8 @@
 	failedReloads prometheus.Counter
 
 	mu      sync.Mutex
-	classes map[string]bool // that have series; false: removed from the settings
-	removed []string        // in the order of their removal
+	classes map[string]bool // the classes that have series; false: removed from the settings
+	removed []string        // removed classes that still have series, in the order of their removal
 }
 
 // New returns metrics whose counters are 0.
@@ -107,7 +107,8 @@
 	}
 }
 
-// updateRemoved adds the classes that are not present any more, and takes out those that are again. It is called with mu held.
+// updateRemoved adds to removed the classes that are not in the settings any more, and deletes from it those that are again.
+// Called with mu held.
 func (m *Metrics) updateRemoved(present map[string]bool) {
 	for name, inSettings := range m.classes {
 		if inSettings && !present[name] {
@@ -138,7 +139,7 @@
 	return len(m.classes)
 }
 
-// Handler responds with all metrics as text.
+// Handler returns the handler of a scrape: all metrics in Prometheus's text format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{DisableCompression: true})
 }
--- a/internal/standalone/requestclass/table.go
+++ b/internal/standalone/requestclass/table.go
@@ -1,6 +1,6 @@
-// Package requestclass numbers the classes of requests across reloads of the settings. Policy and admission control know a
-// class by its number, so a number must mean the same class for as long as a request of it is in flight. The package has no I/O,
-// clock or lock: the owner of a Table serializes the calls.
+// Package requestclass numbers the classes of requests across reloads of the settings. Policy and admission control identify a
+// class by its number, so that a number must mean the same class for as long as a request of it is in flight. The package has
+// no I/O, clock or lock: the owner of a Table serializes the calls.
 package requestclass
 
 import (
@@ -22,9 +22,10 @@
 	numbers map[string]int // of the classes of the settings, by name
 }
 
+// slot is a class number.
 type slot struct {
 	class    settings.Class
-	inFlight int
+	inFlight int // requests of the class
 }
 
 // Acquire starts a request of the class with a name. ok is false if the settings have no such class now.
@@ -43,9 +44,9 @@
 // Len returns how many numbers have been assigned, MaxClasses at most.
 func (t *Table) Len() int { return len(t.slots) }
 
-// Plan assigns numbers to the classes of new settings: a name keeps its number, a new one gets the first number that no class
-// of the new settings and no request in flight needs, or the next one. Numbers that are not needed keep their old class. The
-// result, by number, is for Apply; the table stays as it is.
+// Plan assigns numbers to the classes of new settings: a name keeps its number; a new name gets the lowest number that neither
+// a class of the new settings nor a request in flight needs. Numbers that are not needed keep their old class. It returns the
+// classes by number, for Apply, and does not change the table.
 func (t *Table) Plan(next []settings.Class) ([]settings.Class, error) {
 	plan, needed := t.current()
 	numbers := t.numbersByName()
@@ -83,8 +84,8 @@
 	return classes, needed
 }
 
-// numbersByName returns the number of each name. Where two numbers have one name, it is that of the class in the settings: the
-// other one has only requests in flight from before.
+// numbersByName returns the number of each name. If two numbers have the same name, it is that of the class in the settings;
+// the other one belongs to requests in flight from before the class was removed and added again.
 func (t *Table) numbersByName() map[string]int {
 	numbers := map[string]int{}
 	for n, s := range t.slots {
--- a/internal/standalone/requestclass/table_test.go
+++ b/internal/standalone/requestclass/table_test.go
@@ -18,7 +18,11 @@
 }
 
 // applySettings plans and applies the classes of new settings.
-func applySettings(t interface{ Fatal(...any) }, table *Table, list []settings.Class) {
+func applySettings(t interface {
+	Helper()
+	Fatal(...any)
+}, table *Table, list []settings.Class) {
+	t.Helper()
 	plan, err := table.Plan(list)
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +30,7 @@
 	table.Apply(plan, list)
 }
 
-// A removed class with a request in flight keeps its number, and has the same one when it is back with other semantics; a number
+// A removed class with a request in flight keeps its number, and has the same one when it is added again with other semantics; a number
 // that is not needed is assigned again.
 func TestTable_KeepsNumbersOfRequestsInFlight(t *testing.T) {
 	var table Table
--- a/internal/standalone/server/operations.go
+++ b/internal/standalone/server/operations.go
@@ -54,8 +54,8 @@
 		TableSizes: s.tableSizes})
 }
 
-// tableSizes returns how many entries are held in memory by ID, host, address or class: the series of svc_kept. Each of these
-// comes down again with its owner, or has a bound of its own; docs/runbook-standalone.md says which.
+// tableSizes returns the numbers of entries in tables by ID, host, address or class: the series of svc_kept. Each of them
+// decreases again with what it counts, or has a bound of its own; docs/runbook-standalone.md says which.
 func (s *server) tableSizes() map[string]int {
 	engine, backends, clients := s.engine.TableSizes(), s.backends.TableSizes(), s.clients.TableSizes()
 	discovery := s.watcher.TableSizes()
--- a/internal/standalone/server/reload.go
+++ b/internal/standalone/server/reload.go
@@ -29,14 +29,15 @@
 	log           *slog.Logger
 
 	mu        sync.Mutex
-	processes int            // of this proxy that share its quotas
-	cfg       *config.Config // in force; replaced by reload alone
+	processes int            // of this proxy that share its quotas; 0: not known yet, counts as 1
+	cfg       *config.Config // in force; only reload replaces it
 }
 
 // reload reads the configuration and applies it completely or not at all. The file of admission control is read with it, and
-// on its own where the configuration is not usable.
+// also where the configuration is rejected.
 func (r *reloader) reload(read ReadConfig) {
-	// Read without the lock, since a file that blocks its reader must hold up nobody else; only reload replaces cfg.
+	// Read without the lock: a read may block (a pipe), and shareQuotas needs the lock. cfg is safe to read, as only reload
+	// replaces it.
 	next, err := read(r.cfg)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -47,7 +48,7 @@
 	if err == nil {
 		return
 	}
-	// A half-written or wrong file must not stop a proxy that serves.
+	// A half-written or invalid file must not stop a proxy that serves.
 	r.log.Error("configuration not reloaded, previous one stays", "error", err)
 	if r.gate == nil {
 		return
@@ -76,7 +77,7 @@
 		return err
 	}
 	limits := &next.Settings.Limits
-	r.backends.ApplySettings(settingsDuration(limits.DialTimeout), settingsDuration(limits.ConnIdleTimeout),
+	r.backends.ApplySettings(settings.Duration(limits.DialTimeout), settings.Duration(limits.ConnIdleTimeout),
 		config.ReportColumns(&next.Settings, &next.Policy))
 	r.transport.MaxRetryAfter.Store(settings.Micros(limits.MaxRetryAfter))
 	r.metrics.SetClasses(classNames(&next.Settings))
@@ -90,8 +91,8 @@
 	return nil
 }
 
-// policySettings converts settings to those of the policy. Where several processes serve, each counts as a proxy of its own in
-// the group: together they give cold backends and tenants' shares what one would.
+// policySettings converts settings to those of the policy. While several processes of this proxy serve, the group counts each
+// of them as a proxy, so that together they use the slow-start budgets and tenants' quotas of one.
 func (r *reloader) policySettings(s *settings.Settings) (policy.Settings, error) {
 	set, err := config.PolicySettings(s)
 	set.GroupSize = max(1, set.GroupSize) * max(1, r.processes)
--- a/internal/standalone/server/restart_test.go
+++ b/internal/standalone/server/restart_test.go
@@ -76,6 +76,7 @@
 
 // callAdmin sends a request to a proxy's admin API. The status is 0 if there is no response.
 func (c *restartCluster) callAdmin(p *runningProxy, method, path string) (status int, body string) {
+	c.t.Helper()
 	req, err := http.NewRequest(method, p.adminURL+path, nil)
 	if err != nil {
 		c.t.Fatal(err)
@@ -104,6 +105,7 @@
 
 // startLoad has clients send requests in a closed loop until stop is called. None may fail.
 func (c *restartCluster) startLoad(clients int) (stop func()) {
+	c.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}}
@@ -124,6 +126,7 @@
 }
 
 func (c *restartCluster) request(client *http.Client, correlationID string) error {
+	c.t.Helper()
 	req, err := http.NewRequest("GET", "http://"+c.address+"/quick-quote", nil)
 	if err != nil {
 		return err
@@ -174,10 +177,11 @@
 		t.Errorf("successor stopped before it was ready: %v", err)
 	}
 	c.awaitReady(old)
-	served := c.fakes.Backends[0].Served()
-	time.Sleep(50 * time.Millisecond)
-	if now := c.fakes.Backends[0].Served(); now != served {
-		t.Errorf("the disabled backend had %d more requests", now-served)
+	disabled, other := c.fakes.Backends[0], c.fakes.Backends[1]
+	disabledServed, otherServed := disabled.Served(), other.Served()
+	waitUntil(t, "100 more requests served by another backend", func() bool { return other.Served() >= otherServed+100 })
+	if now := disabled.Served(); now != disabledServed {
+		t.Errorf("the disabled backend had %d more requests", now-disabledServed)
 	}
 	if status, _ := c.callAdmin(old, "POST", "backends/toy-1/resume"); status != 200 {
 		t.Errorf("resume: %d", status)
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -25,17 +25,18 @@
 )
 
 const (
-	// discoveryTimeout is how long a process that takes over from another waits for the endpoint list.
+	// discoveryTimeout is how long a process that takes over from another waits for discovery to confirm the endpoint
+	// list before it serves with the configuration's own list.
 	discoveryTimeout = 3500 * time.Millisecond
-	// discoveryPollInterval is how often it looks whether the list has come.
+	// discoveryPollInterval is how often it checks whether discovery has.
 	discoveryPollInterval = 10 * time.Millisecond
 )
 
-// Options are what Run takes besides the configuration. Each may be absent.
+// Options are what Run takes besides the configuration. The zero value is valid.
 type Options struct {
-	ReloadSignals <-chan os.Signal // at each of them the configuration is reloaded
-	ReadConfig    ReadConfig       // reads it; needed with ReloadSignals
-	AdmissionFile string           // settings of admission control; empty: there is none
+	ReloadSignals <-chan os.Signal // each signal reloads the configuration; nil: it is never reloaded
+	ReadConfig    ReadConfig       // reads it; required with ReloadSignals
+	AdmissionFile string           // path of the settings of admission control; empty: there is no admission control
 	Network       Network          // nil: TCP
 }
 
@@ -61,7 +62,7 @@
 
 // server is one running proxy.
 type server struct {
-	cfg     *config.Config // that it was started with
+	cfg     *config.Config // as at the start; the reloader has the one in force
 	opts    Options
 	log     *slog.Logger
 	sockets socketBudget
@@ -77,12 +78,12 @@
 	clients    *listener.Server
 	reloader   *reloader
 
-	accepting  atomic.Bool    // whether clients' connections are accepted
-	background sync.WaitGroup // of goroutines that end with the running context
+	accepting  atomic.Bool    // clients' connections are accepted; the admin API's readiness depends on it
+	background sync.WaitGroup // of the goroutines that run waits for
 }
 
-// Run serves clients until stop ends and all requests in flight have ended. It returns an error if the configuration cannot
-// work or if the listener fails.
+// Run serves clients until stop ends, and returns when the requests in flight have ended or the last response is due
+// (package listener). It returns an error if the configuration is invalid or the listener fails.
 func Run(stop context.Context, cfg *config.Config, opts Options, log *slog.Logger) error {
 	if opts.Network == nil {
 		opts.Network = tcp{}
@@ -127,8 +128,8 @@
 	s.metrics = metrics.New()
 	s.metrics.SetClasses(classNames(set))
 	s.backends = backend.NewPool(backend.Options{
-		DialTimeout:      settingsDuration(set.Limits.DialTimeout),
-		IdleTimeout:      settingsDuration(set.Limits.ConnIdleTimeout),
+		DialTimeout:      settings.Duration(set.Limits.DialTimeout),
+		IdleTimeout:      settings.Duration(set.Limits.ConnIdleTimeout),
 		MaxConnections:   s.sockets.backendShare(),
 		ReportColumns:    config.ReportColumns(set, &s.cfg.Policy),
 		OnRequestWritten: s.metrics.AttemptSent,
@@ -138,7 +139,7 @@
 		Backends: s.backends, Log: s.log})
 }
 
-// joinProcesses makes this process known to the others of this proxy, where there is a folder that all of them see.
+// joinProcesses makes this process visible to the other processes of this proxy, if there is a folder that they share.
 func (s *server) joinProcesses() {
 	var folder *hotrestart.SharedFolder
 	if s.cfg.SharedFolder != "" {
@@ -191,7 +192,7 @@
 
 // run starts the goroutines and serves clients from ln until stop ends.
 func (s *server) run(stop context.Context, ln net.Listener) error {
-	// Discovery and timers are needed until the last request has ended.
+	// Not ended by stop: discovery and the policy's timers are needed until the last request has ended.
 	running, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
 	s.watcher.Start(s.engine, s.cfg.KnownEndpoints)
@@ -216,7 +217,7 @@
 	if s.gate != nil {
 		s.background.Go(func() { s.gate.Run(running) })
 	}
-	// Not waited for: a configuration file that blocks its reader (a pipe) must not delay the end.
+	// Not in background, which run waits for: reading a configuration file may block (a pipe) and must not delay the end.
 	go s.reloadOnSignals(running)
 }
 
@@ -246,9 +247,9 @@
 	return s.clients.Serve(stop, ln)
 }
 
-// awaitEndpoints waits until discovery has sent the endpoint list; false if stop ended before. Beside a process that serves, one
-// with an older list would send requests to backends that the other knows to be draining. If discovery is down, the list of
-// the configuration is used after discoveryTimeout; without any list it waits on.
+// awaitEndpoints waits until discovery has sent or confirmed the endpoint list; false if stop ended before. Without that, this
+// process could send requests to backends of which the one that it takes over from knows that they are draining. If discovery
+// does not respond, the configuration's own list is used after discoveryTimeout; without one it goes on waiting.
 func awaitEndpoints(stop context.Context, watcher *discovery.Watcher) bool {
 	timeout, ticker := time.NewTimer(discoveryTimeout), time.NewTicker(discoveryPollInterval)
 	defer timeout.Stop()
@@ -270,8 +271,3 @@
 func discoverySource(cfg *config.Config) discovery.Source {
 	return discovery.Source{Address: cfg.Discovery, Zones: cfg.Settings.Zones, InstanceTypes: cfg.Settings.InstanceTypes}
 }
-
-// settingsDuration converts a time of the settings, in microseconds.
-func settingsDuration(micros float64) time.Duration {
-	return time.Duration(settings.Micros(micros)) * time.Microsecond
-}
--- a/internal/standalone/server/soak_test.go
+++ b/internal/standalone/server/soak_test.go
@@ -41,7 +41,7 @@
 	soakBackends = 8
 )
 
-// soak runs a proxy on a fake clock while backends, classes, clients and watches come and go.
+// soak runs a proxy on a fake clock while backends, classes, clients and watches are added and removed.
 type soak struct {
 	t           *testing.T
 	network     *fakestandalone.MemoryNetwork
@@ -155,7 +155,7 @@
 	n := s.started
 	s.started++
 	entry := discovery.Entry{Host: fmt.Sprintf("s-%d", n), Address: fmt.Sprintf("10.1.%d.%d:7070", n/250, n%250+1), Zone: "ub-east",
-		InstanceType: "std-8", Cell: 1, Health: "SERVING", Size: 1, StartedAtMs: float64(time.Now().UnixMilli())}
+		InstanceType: "std-8", Cell: 1, Health: discovery.HealthServing, Size: 1, StartedAtMs: float64(time.Now().UnixMilli())}
 	backend := &fakestandalone.Backend{Name: entry.Host, Cores: 8, Serve: func() { time.Sleep(20 * time.Millisecond) }}
 	backend.SetErrorRatio(0.02)
 	s.stopBackend[entry.Host] = s.serve(backend, entry.Address)
@@ -168,12 +168,12 @@
 	i := s.rng.IntN(len(s.listed))
 	old := s.listed[i]
 	stop := s.stopBackend[old.Host]
-	old.Health = "DRAINING"
+	old.Health = discovery.HealthDraining
 	s.discovery.Put(old)
 	s.listed[i] = s.startBackend()
 	go func() {
 		time.Sleep(2 * time.Second)
-		old.Health = "DELETED"
+		old.Health = discovery.HealthDeleted
 		s.discovery.Put(old)
 		stop()
 	}()
@@ -200,7 +200,7 @@
 			s.replaceBackend()
 		}
 		if n%10 == 0 {
-			s.reloads <- os.Interrupt // whichever signal
+			s.reloads <- os.Interrupt // any signal
 		}
 		time.Sleep(time.Duration(s.rng.Int64N(int64(time.Second))))
 		if early == nil && time.Since(start) > soakDuration/10 {
@@ -210,9 +210,10 @@
 	return early
 }
 
-// request sends the n-th request: some are cancelled by the client, some have a body too long to be buffered, some are of a
-// class that comes and goes.
+// request sends the n-th request: some are canceled by the client, some have a body too long to be buffered, some are of a
+// class that a reload has added and another one will remove.
 func (s *soak) request(n int) {
+	s.t.Helper()
 	timeout := 1500 * time.Millisecond
 	if n%10 == 0 { // the client cancels before there can be a response
 		timeout = 10 * time.Millisecond
@@ -247,8 +248,8 @@
 	}
 }
 
-// measure returns the least of a few scrapes of each figure. What a busy machine adds to a figure comes and goes (goroutines
-// of the scrape that have not ended, what lies in pools); what is leaked shows in every scrape.
+// measure returns the least of a few scrapes of each figure. On a busy machine single scrapes have more (goroutines of the
+// scrape that have not ended, entries of a sync.Pool); a leak is in every scrape.
 func (s *soak) measure() map[string]float64 {
 	least := s.scrape()
 	for range soakScrapes - 1 {
@@ -261,9 +262,10 @@
 
 // scrape returns table sizes, goroutines and the heap as the admin API shows them once all has settled.
 func (s *soak) scrape() map[string]float64 {
+	s.t.Helper()
 	time.Sleep(soakSettleTime)
 	synctest.Wait()
-	for range 2 { // what lies in a sync.Pool outlives one collection, and how much does depends on the machine's load
+	for range 2 { // entries of a sync.Pool survive one collection, and their number depends on the machine's load
 		runtime.GC()
 	}
 	resp, err := s.client.Get("http://" + soakAdmin + "/v1/metrics")
@@ -291,7 +293,7 @@
 func growthTolerance(name string, was float64) float64 {
 	switch name {
 	case "go_goroutines":
-		return 2 // those of the scrape itself come and go
+		return 2 // of the scrape itself
 	case "go_memstats_heap_alloc_bytes":
 		return 0.5 * was // the fake discovery keeps all its changes
 	case `svc_kept{what="suspension_names"}`:
--- a/internal/standalone/server/sockets.go
+++ b/internal/standalone/server/sockets.go
@@ -2,29 +2,32 @@
 
 import "pumiceline/internal/standalone/hotrestart"
 
-// Fractions of the socket budget: client sockets and connections to backends have one each, the rest is for the listener,
-// discovery, a dial in progress and the runtime.
+// Fractions of the socket budget (limits.sockets).
 const (
+	// clientFraction is for client sockets and backendFraction for connections to backends. The rest is for the listener,
+	// the admin API, discovery, a dial in progress and the runtime.
 	clientFraction  = 0.55
 	backendFraction = 0.35
-	// Of the backends' fraction, clients may use what is over the reserve and over what is in use with some headroom.
+	// backendReserve is the part of backendFraction that clients never use, and backendHeadroom how much over the backend
+	// connections that are open now they leave unused. The rest of backendFraction they may use.
 	backendReserve  = 0.15
 	backendHeadroom = 0.08
-	// adminFraction is that of the admin API, between minAdminSockets and maxAdminSockets.
+	// adminFraction is for the admin API, within minAdminSockets and maxAdminSockets.
 	adminFraction   = 1.0 / 32
 	minAdminSockets = 4
 	maxAdminSockets = 12
-	// guaranteedFraction of its fraction may be used by a process whatever the other processes of the proxy use.
+	// guaranteedFraction is the part of clientFraction and of backendFraction that a process may use whatever the other
+	// processes of the proxy use: a successor must be able to serve beside a process that has used up the budget.
 	guaranteedFraction = 0.25
 )
 
-// socketBudget is how many sockets all processes of the proxy may hold together.
+// socketBudget is the number of sockets that all processes of the proxy may have open together.
 type socketBudget float64
 
 // clientShare is the number of client sockets that are allowed in any case.
 func (b socketBudget) clientShare() int { return int(b * clientFraction) }
 
-// backendShare is the number of backend connections without other processes.
+// backendShare is the number of backend connections that are allowed where there is no other process.
 func (b socketBudget) backendShare() int { return int(b * backendFraction) }
 
 // adminShare is the number of connections to the admin API.
@@ -32,8 +35,8 @@
 	return int(max(minAdminSockets, min(maxAdminSockets, b*adminFraction)))
 }
 
-// clientLimit is the number of client sockets allowed now: what the backends have no use for is lent to clients, what other
-// processes hold is taken off.
+// clientLimit is the number of client sockets allowed now: the clients' fraction, or more where backends do not use theirs,
+// less the client sockets of the other processes.
 func (b socketBudget) clientLimit(backendConnections int, peers hotrestart.SocketUsage) int {
 	used := socketBudget(backendConnections+peers.Backends) + b*backendHeadroom
 	spare := b*(clientFraction+backendFraction) - max(b*backendReserve, used)
@@ -45,7 +48,7 @@
 	return max(b.backendShare()-peers.Backends, int(b*backendFraction*guaranteedFraction))
 }
 
-// socketUsage returns what this process holds.
+// socketUsage returns how many sockets this process has open.
 func (s *server) socketUsage() hotrestart.SocketUsage {
 	return hotrestart.SocketUsage{Clients: s.clients.OpenSockets(), Backends: s.backends.OpenConnections()}
 }
--- a/internal/tomlfile/keyindex.go
+++ b/internal/tomlfile/keyindex.go
@@ -11,11 +11,11 @@
 // count from 0: "world.kinds.0.cores".
 type KeyIndex struct {
 	lines map[string]int
-	// BareNumbers are the keys whose values are numbers. Where a duration belongs, the unit is missing.
+	// BareNumbers are the keys whose values are numbers. A duration among them lacks its unit.
 	BareNumbers []string
 }
 
-// IndexKeys finds the keys of a file. A text that is not TOML gives what comes before the error.
+// IndexKeys returns the keys of a file. Of a text that is not valid TOML it returns those before the error.
 func IndexKeys(text []byte) *KeyIndex {
 	index := &KeyIndex{lines: map[string]int{}}
 	elements := map[string]int{} // of each array of tables, so far
