--- a/internal/standalone/admin/api_test.go
+++ b/internal/standalone/admin/api_test.go
@@ -63,7 +63,7 @@
 
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: op\r\n\r\n" }
 
-// Readiness, metrics, and requests that are refused.
+// Readiness, metrics, and requests that are rejected.
 func TestAPI_ServesReadinessAndMetrics(t *testing.T) {
 	var ready atomic.Bool
 	registry := metrics.New()
@@ -124,7 +124,7 @@
 	}
 }
 
-// A request names a backend by its escaped ID; what is refused is a 4xx.
+// A request names a backend by its escaped ID; a rejected request is a 4xx.
 func TestAPI_DisablesAndEnablesBackends(t *testing.T) {
 	var mu sync.Mutex
 	disabled := map[string]bool{}
--- a/internal/standalone/admission/controller.go
+++ b/internal/standalone/admission/controller.go
@@ -37,13 +37,13 @@
 	IsRetry  bool   // the client says that it has sent the request before
 }
 
-// Kind says what is to be done with a request.
+// Kind is the kind of a Decision.
 type Kind uint8
 
-// What is to be done with a request.
+// The kinds of decisions.
 const (
-	Admit  Kind = iota + 1 // it is to be forwarded
-	Reject                 // it is to be answered at once
+	Admit  Kind = iota + 1 // forward the request
+	Reject                 // answer it at once with a rejection
 )
 
 // Reason is why a request is rejected. Clients see its String, and it is a part of log keys.
--- a/internal/standalone/backend/connection.go
+++ b/internal/standalone/backend/connection.go
@@ -34,7 +34,7 @@
 type conn struct {
 	nc       net.Conn
 	source   *responseSource
-	limit    *io.LimitedReader // bounds what is read of a response
+	limit    *io.LimitedReader // bounds the bytes read for one response
 	reader   *bufio.Reader
 	backend  *backendState
 	addr     string // the backend's when the connection was made
--- a/internal/standalone/backend/response.go
+++ b/internal/standalone/backend/response.go
@@ -22,7 +22,7 @@
 	// streamAfterPause is how long the proxy buffers a response whose length is known to be over MaxBufferedBody before it
 	// forwards what has arrived. A response that fills the buffer sooner is forwarded at once.
 	streamAfterPause = 150 * time.Millisecond
-	// streamBeforeDeadline is how long before the attempt's end the proxy forwards what has arrived of a response of
+	// streamBeforeDeadline is how long before the attempt's end the proxy forwards the arrived part of a response of
 	// unknown length. Until then it may still turn out to be small enough to be buffered.
 	streamBeforeDeadline = 10 * time.Millisecond
 )
--- a/internal/standalone/backend/response_test.go
+++ b/internal/standalone/backend/response_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// FuzzReadResponse reads cut and garbled responses: what is accepted must be complete.
+// FuzzReadResponse reads truncated and garbled responses: an accepted one must be complete.
 func FuzzReadResponse(f *testing.F) {
 	for cut := 0; cut <= len(okResponse); cut += 5 {
 		f.Add([]byte(okResponse[:cut]))
--- a/internal/standalone/deployfile/admission.go
+++ b/internal/standalone/deployfile/admission.go
@@ -52,8 +52,7 @@
 const defaultWorkMicros = 100_000
 
 // ReadAdmission reads the file of admission control for a deployment's settings. A tenant without a share in the file
-// has its quota for a share, a class without a value that of the settings. What is wrong in the file is a
-// *tomlfile.Error.
+// has its quota for a share, a class without a value that of the settings. An invalid file is a *tomlfile.Error.
 func ReadAdmission(path string, s *settings.Settings, seed uint64) (admission.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standalone/deployfile/fleet.go
+++ b/internal/standalone/deployfile/fleet.go
@@ -50,7 +50,7 @@
 
 const maxFleetNameBytes = 64
 
-// ReadFleet reads deploy/fleet.toml. What is wrong in the file is a *tomlfile.Error.
+// ReadFleet reads deploy/fleet.toml. An invalid file is a *tomlfile.Error.
 func ReadFleet(path string) (*Fleet, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/standalone/deployfile/fleet_test.go
+++ b/internal/standalone/deployfile/fleet_test.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/tomlfile"
 )
 
-// The file under deploy/ is valid, and what is invalid is an error with file, line and key.
+// The file under deploy/ is valid; an invalid one is an error with file, line and key.
 func TestReadFleet_NamesInvalidKey(t *testing.T) {
 	f, err := ReadFleet("../../../deploy/fleet.toml")
 	if err != nil || f.Settings.LeaseDuration != 2e6 || f.Settings.MaxClockDrift != 0.2 || len(f.Members) != 3 || f.Receivers["export"] == "" {
--- a/internal/standalone/discovery/message_reader.go
+++ b/internal/standalone/discovery/message_reader.go
@@ -21,8 +21,8 @@
 
 func newMessageReader(r io.Reader) *messageReader { return &messageReader{br: bufio.NewReader(r)} }
 
-// next returns the next message, which is valid until the next call, or nothing for a heartbeat. What is no JSON object is
-// returned as its line, for the decoder to refuse.
+// next returns the next message, which is valid until the next call, or nil for a heartbeat. A line that does not begin a JSON
+// object is returned as it is, for the decoder to reject.
 func (r *messageReader) next() ([]byte, error) {
 	r.message = r.message[:0]
 	depth, quoted, escaped := 0, false, false
--- a/internal/standalone/discoverycache/cache_test.go
+++ b/internal/standalone/discoverycache/cache_test.go
@@ -7,6 +7,7 @@
 	"log/slog"
 	"net"
 	"net/http"
+	"slices"
 	"sync"
 	"testing"
 	"time"
@@ -15,118 +16,161 @@
 	"pumiceline/internal/standalone/discovery"
 )
 
-// Of twenty caches only the lease holder watches discovery, and a drain reaches all of them soon. Without a holder each falls
-// back to discovery, not all at once. A new holder is followed again, and the old one, which still takes itself for the holder,
-// is not.
-func TestCache_FollowsLeaseHolder(t *testing.T) {
-	source := fakestandalone.NewDiscovery(newEntry(1, "SERVING"), newEntry(2, "SERVING"))
-	var mu sync.Mutex
-	var calls []time.Time
-	serve := func(h http.Handler) (addr string) {
-		t.Helper()
-		ln, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			t.Fatal(err)
-		}
-		server := &http.Server{Handler: h}
-		go server.Serve(ln)
-		t.Cleanup(func() { server.Close() })
-		return ln.Addr().String()
-	}
-	discoveryAddress := serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		mu.Lock()
-		calls = append(calls, time.Now())
-		mu.Unlock()
-		source.ServeHTTP(w, r)
+const (
+	fleetCaches         = 20
+	fleetFallbackSpread = time.Second
+)
+
+// cacheFleet is a fake discovery and the caches of a fleet, over loopback.
+type cacheFleet struct {
+	t         *testing.T
+	discovery *fakestandalone.Discovery
+	addrs     []string // of the caches
+	caches    []*Cache
+
+	mu         sync.Mutex
+	watches    []time.Time    // when each watch of discovery began
+	holder     int            // the cache that has the lease; -1: none
+	token      uint64         // fencing token of its lease
+	selfTokens map[int]uint64 // tokens of caches that take themselves for the holder, rightly or not
+}
+
+// startCacheFleet runs caches until the test ends. Cache 0 has the lease.
+func startCacheFleet(t *testing.T, hosts ...discovery.Entry) *cacheFleet {
+	t.Helper()
+	f := &cacheFleet{t: t, discovery: fakestandalone.NewDiscovery(hosts...), addrs: make([]string, fleetCaches), token: 1,
+		selfTokens: map[int]uint64{}}
+	discoveryAddress := f.serve(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		f.mu.Lock()
+		f.watches = append(f.watches, time.Now())
+		f.mu.Unlock()
+		f.discovery.ServeHTTP(w, r)
 	}))
-	const n, spread = 20, time.Second
-	addrs, caches := make([]string, n), make([]*Cache, n)
-	holder, token := 0, uint64(1) // -1: none
-	ownBelief := map[int]uint64{} // tokens of instances that take themselves for the holder, right or not
-	for i := range n {
-		locateHolder := func() Holder {
-			mu.Lock()
-			defer mu.Unlock()
-			if believed := ownBelief[i]; believed > 0 {
-				return Holder{Address: addrs[i], Token: believed, IsLocal: true}
-			}
-			if holder < 0 {
-				return Holder{}
-			}
-			return Holder{Address: addrs[holder], Token: token, IsLocal: holder == i}
-		}
-		caches[i] = New(Options{Discovery: discoveryAddress, Holder: locateHolder, FallbackSpread: spread,
-			Log: slog.New(slog.DiscardHandler)}, time.Now())
-		addrs[i] = serve(caches[i])
+	for i := range fleetCaches {
+		cache := New(Options{Discovery: discoveryAddress, Holder: func() Holder { return f.holderAt(i) },
+			FallbackSpread: fleetFallbackSpread, Log: slog.New(slog.DiscardHandler)}, time.Now())
+		f.addrs[i] = f.serve(cache)
+		f.caches = append(f.caches, cache)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	for _, c := range caches {
-		go c.Run(ctx)
+	t.Cleanup(cancel)
+	for _, cache := range f.caches {
+		go cache.Run(ctx)
 	}
-	lists := func(host, health string) func(i int) bool {
-		return func(i int) bool {
-			resp, err := http.Get("http://" + addrs[i] + "/v1/endpoints")
-			if err != nil {
-				return false
-			}
-			defer resp.Body.Close()
-			text, _ := io.ReadAll(resp.Body)
-			var u struct{ Hosts []discovery.Entry }
-			if resp.StatusCode != 200 || json.Unmarshal(text, &u) != nil {
-				return false
-			}
-			for _, h := range u.Hosts {
-				if h.Host == host {
-					return h.Health == health
-				}
+	return f
+}
+
+// serve serves a handler on a free port until the test ends.
+func (f *cacheFleet) serve(h http.Handler) (addr string) {
+	f.t.Helper()
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	server := &http.Server{Handler: h}
+	go server.Serve(ln)
+	f.t.Cleanup(func() { server.Close() })
+	return ln.Addr().String()
+}
+
+// holderAt returns the holder of the lease as cache i knows it.
+func (f *cacheFleet) holderAt(i int) Holder {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if token := f.selfTokens[i]; token > 0 {
+		return Holder{Address: f.addrs[i], Token: token, IsLocal: true}
+	}
+	if f.holder < 0 {
+		return Holder{}
+	}
+	return Holder{Address: f.addrs[f.holder], Token: f.token, IsLocal: f.holder == i}
+}
+
+// change changes the lease under the lock, and forgets the watches so far.
+func (f *cacheFleet) change(change func()) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	change()
+	f.watches = nil
+}
+
+// watchTimes returns when each watch of discovery since the last change began.
+func (f *cacheFleet) watchTimes() []time.Time {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return slices.Clone(f.watches)
+}
+
+// lists returns a condition: cache i lists a host with this health, or does not list it if that is DELETED.
+func (f *cacheFleet) lists(host, health string) func(i int) bool {
+	return func(i int) bool {
+		resp, err := http.Get("http://" + f.addrs[i] + "/v1/endpoints")
+		if err != nil {
+			return false
+		}
+		defer resp.Body.Close()
+		text, _ := io.ReadAll(resp.Body)
+		var update struct{ Hosts []discovery.Entry }
+		if resp.StatusCode != 200 || json.Unmarshal(text, &update) != nil {
+			return false
+		}
+		for _, h := range update.Hosts {
+			if h.Host == host {
+				return h.Health == health
 			}
-			return health == "DELETED"
 		}
+		return health == discovery.HealthDeleted
 	}
-	awaitAll := func(what string, condition func(i int) bool) time.Duration {
-		t.Helper()
-		started := time.Now()
-		for i := range n {
-			for !condition(i) {
-				if time.Since(started) > 20*time.Second {
-					t.Fatalf("condition never held: %s, at cache %d", what, i)
-				}
-				time.Sleep(5 * time.Millisecond)
+}
+
+// awaitAll waits until a condition holds of each cache, and returns how long that took.
+func (f *cacheFleet) awaitAll(what string, condition func(i int) bool) time.Duration {
+	f.t.Helper()
+	started := time.Now()
+	for i := range fleetCaches {
+		for !condition(i) {
+			if time.Since(started) > 20*time.Second {
+				f.t.Fatalf("condition never held: %s, at cache %d", what, i)
 			}
+			time.Sleep(5 * time.Millisecond)
 		}
-		return time.Since(started)
 	}
-	awaitAll("the list", lists("s-1", "SERVING"))
-	mu.Lock()
-	if len(calls) > 2 {
-		t.Errorf("%d watches of discovery for %d caches", len(calls), n)
+	return time.Since(started)
+}
+
+// Of twenty caches only the lease holder watches discovery, and a drain reaches all of them soon. Without a holder each falls
+// back to discovery, not all at once. A new holder is followed again, and the old one, which still takes itself for the holder,
+// is not.
+func TestCache_FollowsLeaseHolder(t *testing.T) {
+	f := startCacheFleet(t, newEntry(1, discovery.HealthServing), newEntry(2, discovery.HealthServing))
+	f.awaitAll("the list", f.lists("s-1", discovery.HealthServing))
+	if n := len(f.watchTimes()); n > 2 {
+		t.Errorf("%d watches of discovery for %d caches", n, fleetCaches)
 	}
-	mu.Unlock()
-	source.Put(newEntry(1, "DRAINING"))
-	t.Logf("the drain reached all %d caches after %v", n, awaitAll("the drain", lists("s-1", "DRAINING")))
+	f.discovery.Put(newEntry(1, discovery.HealthDraining))
+	took := f.awaitAll("the drain", f.lists("s-1", discovery.HealthDraining))
+	t.Logf("the drain reached all %d caches after %v", fleetCaches, took)
 
-	mu.Lock()
-	holder, calls = -1, nil
-	lost := time.Now()
-	mu.Unlock()
-	awaitAll("fallback to discovery", func(i int) bool { return caches[i].FollowsDiscovery() })
-	source.Put(newEntry(2, "DELETED"))
-	awaitAll("a change without holder", lists("s-2", "DELETED"))
-	mu.Lock()
-	latest := calls[len(calls)-1].Sub(lost)
-	t.Logf("%d watches of discovery within %v of the loss of the holder", len(calls), latest)
-	if len(calls) < n-1 || latest < spread/3 {
-		t.Errorf("%d watches of discovery, the latest %v after the loss: not all, or all at once", len(calls), latest)
+	var lostAt time.Time
+	f.change(func() { f.holder, lostAt = -1, time.Now() })
+	f.awaitAll("fallback to discovery", func(i int) bool { return f.caches[i].FollowsDiscovery() })
+	f.discovery.Put(newEntry(2, discovery.HealthDeleted))
+	f.awaitAll("a change without holder", f.lists("s-2", discovery.HealthDeleted))
+	watches := f.watchTimes()
+	latest := watches[len(watches)-1].Sub(lostAt)
+	t.Logf("%d watches of discovery within %v of the loss of the holder", len(watches), latest)
+	if len(watches) < fleetCaches-1 || latest < fleetFallbackSpread/3 {
+		t.Errorf("%d watches of discovery, the latest %v after the loss: not all, or all at once", len(watches), latest)
 	}
-	holder, token, ownBelief[0], calls = 7, 2, 1, nil // the first holder still takes itself for the holder
-	mu.Unlock()
-	awaitAll("a new holder", func(i int) bool { return i == 7 || i == 0 || !caches[i].FollowsDiscovery() })
-	source.Put(newEntry(3, "SERVING"))
-	awaitAll("a change through the new holder", lists("s-3", "SERVING"))
-	mu.Lock()
-	defer mu.Unlock()
-	if len(calls) > 2 {
-		t.Errorf("%d watches of discovery with a new holder", len(calls))
+
+	const oldHolder, newHolder = 0, 7
+	f.change(func() { f.holder, f.token, f.selfTokens[oldHolder] = newHolder, 2, 1 })
+	f.awaitAll("a new holder", func(i int) bool {
+		return i == newHolder || i == oldHolder || !f.caches[i].FollowsDiscovery()
+	})
+	f.discovery.Put(newEntry(3, discovery.HealthServing))
+	f.awaitAll("a change through the new holder", f.lists("s-3", discovery.HealthServing))
+	if n := len(f.watchTimes()); n > 2 {
+		t.Errorf("%d watches of discovery with a new holder", n)
 	}
 }
--- a/internal/standalone/forwarder/transport_test.go
+++ b/internal/standalone/forwarder/transport_test.go
@@ -112,7 +112,7 @@
 }
 
 // Attempts end before the client's deadline, so that the policy's failure still reaches the client; a request on
-// which the policy does not decide is answered at the deadline all the same.
+// which the policy does not decide is answered at the deadline.
 func TestTransport_Deadlines(t *testing.T) {
 	wait := func(ctx context.Context, _ uint32) backend.Result {
 		<-ctx.Done()
@@ -137,7 +137,7 @@
 	}
 }
 
-// When the client disconnects its attempts are cancelled, as the policy decides, and each of them still has an outcome.
+// When the client disconnects its attempts are canceled, as the policy decides, and each of them still has an outcome.
 func TestTransport_DisconnectCancelsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		outcomes := 0
--- a/internal/standalone/listener/accept_test.go
+++ b/internal/standalone/listener/accept_test.go
@@ -34,7 +34,7 @@
 	return l.TCPListener.Close()
 }
 
-// Connections that are still queued in the kernel at the end of the accept grace are served all the same.
+// Connections that are still queued in the kernel at the end of the accept grace are served.
 func TestServer_ShutdownAcceptsQueuedConnections(t *testing.T) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standalone/listener/disconnect_test.go
+++ b/internal/standalone/listener/disconnect_test.go
@@ -203,8 +203,8 @@
 	})
 }
 
-// disconnectKinds are the ways in which a client may disconnect. Behind bytes that nobody reads, net/http does not
-// notice it.
+// disconnectKinds are the ways in which a client may disconnect. net/http does not detect a disconnect behind bytes that it
+// has not read.
 var disconnectKinds = map[string]func(c *disconnectTest, client *net.TCPConn, length int64){
 	"closed":      func(_ *disconnectTest, client *net.TCPConn, _ int64) { client.Close() },
 	"half closed": func(_ *disconnectTest, client *net.TCPConn, _ int64) { _ = client.CloseWrite() },
--- a/internal/standalone/listener/gate.go
+++ b/internal/standalone/listener/gate.go
@@ -179,7 +179,7 @@
 	return len(g.pending)
 }
 
-// logStats logs, for each tenant of which a request was rejected or is queued, what has happened since the last call.
+// logStats logs, for each tenant of which a request was rejected or is queued, the counts since the last call.
 func (g *Gate) logStats() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/standalone/policy/events.go
+++ b/internal/standalone/policy/events.go
@@ -1,5 +1,7 @@
 package policy
 
+import "fmt"
+
 // EventKind determines which fields of an Event are set.
 type EventKind uint8
 
@@ -54,6 +56,26 @@
 	NotSent                        // nothing was written
 )
 
+// outcomeNames are the outcomes as they are in log records.
+var outcomeNames = [...]string{
+	OK:              "ok",
+	ErrorResponse:   "error response",
+	Rejected:        "rejected",
+	TimedOut:        "timed out",
+	ConnectFailed:   "connect failed",
+	ConnectionReset: "connection reset",
+	Canceled:        "canceled",
+	NotSent:         "not sent",
+}
+
+// String returns the outcome as it is in log records.
+func (o Outcome) String() string {
+	if int(o) < len(outcomeNames) {
+		return outcomeNames[o]
+	}
+	return fmt.Sprintf("outcome %d", uint8(o))
+}
+
 // provesNotExecuted reports whether o proves that the server did not execute the request.
 func (o Outcome) provesNotExecuted() bool {
 	return o == Rejected || o == ConnectFailed || o == NotSent
--- a/internal/standalone/requestbody/stream.go
+++ b/internal/standalone/requestbody/stream.go
@@ -16,7 +16,7 @@
 // Stream is the rest of a body that is still coming. One reader, the first to Claim it, may Read; the other methods are
 // safe for concurrent use.
 type Stream struct {
-	// Length is that of the whole body in bytes, with what has been buffered before the stream; -1: unknown.
+	// Length is that of the complete body in bytes, with the part that was buffered before the stream; -1: unknown.
 	Length int64
 	// ClientTimeout is how long the client waits from the last byte.
 	ClientTimeout time.Duration
