--- a/internal/standalone/engine/engine.go
+++ b/internal/standalone/engine/engine.go
@@ -63,9 +63,13 @@
 // the system's clock must not shift the policy's slow starts, ejections and dedup windows.
 func (e *Engine) now() policy.Time { return e.originMicros + time.Since(e.origin).Microseconds() }
 
+// Duration converts a duration of the policy, which is in microseconds. The packages of the policy and of its settings cannot:
+// they must not import package time (tools/purity).
+func Duration(t policy.Time) time.Duration { return time.Duration(t) * time.Microsecond }
+
 // TimeOf converts the policy's time.
 func (e *Engine) TimeOf(t policy.Time) time.Time {
-	return e.origin.Add(time.Duration(t-e.originMicros) * time.Microsecond)
+	return e.origin.Add(Duration(t - e.originMicros))
 }
 
 // LoadPolled reports the result of a load poll that Hooks.PollLoad was called for.
@@ -107,7 +111,7 @@
 func (e *Engine) execute(action *policy.Action) {
 	switch action.Kind {
 	case policy.SetTimer:
-		e.setTimer(action.ID, time.Duration(action.After)*time.Microsecond)
+		e.setTimer(action.ID, Duration(action.After))
 	case policy.SubscribeDiscovery:
 		e.hooks.SubscribeDiscovery()
 	case policy.CloseIdleConns:
--- a/internal/standalone/engine/state.go
+++ b/internal/standalone/engine/state.go
@@ -86,7 +86,7 @@
 		return ErrNotRestorable
 	}
 	if age := e.now() - snapshot.At; age > maxAge.Microseconds() {
-		return fmt.Errorf("%w: %v", ErrStaleSnapshot, time.Duration(age)*time.Microsecond)
+		return fmt.Errorf("%w: %v", ErrStaleSnapshot, Duration(age))
 	}
 	if !p.Restore(e.now(), &snapshot) {
 		return ErrInvalidSnapshot
--- a/internal/standalone/forwarder/attempts.go
+++ b/internal/standalone/forwarder/attempts.go
@@ -45,7 +45,7 @@
 		a.transport.Log.Error("attempt out of order", logkey.Attempt, action.Attempt)
 	}
 	if action.After > 0 {
-		ctx, cancel = context.WithTimeout(ctx, time.Duration(action.After)*time.Microsecond)
+		ctx, cancel = context.WithTimeout(ctx, engine.Duration(action.After))
 	}
 	attempt := a.template
 	if action.SendBefore > 0 {
--- a/internal/standalone/listener/request.go
+++ b/internal/standalone/listener/request.go
@@ -10,6 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"pumiceline/internal/standalone/backend"
+	"pumiceline/internal/standalone/engine"
 	"pumiceline/internal/standalone/forwarder"
 	"pumiceline/internal/standalone/policy"
 	"pumiceline/internal/standalone/requestclass"
@@ -168,7 +169,7 @@
 		rr.end(info)
 		return requestHead{}, err
 	}
-	classTimeout := durationOf(class.ClientTimeout)
+	classTimeout := engine.Duration(settings.Micros(class.ClientTimeout))
 	return requestHead{info: info, timeLeft: min(time.Duration(timeLeftMs)*time.Millisecond, classTimeout)}, nil
 }
 
@@ -228,9 +229,3 @@
 	}
 	return ""
 }
-
-// durationOf converts a time of the settings, which is in microseconds, within the bounds of settings.Micros. Package
-// settings itself has no time.Duration, as packages that may not import time depend on it (tools/purity).
-func durationOf(micros float64) time.Duration {
-	return time.Duration(settings.Micros(micros)) * time.Microsecond
-}
--- a/internal/standalone/listener/shutdown.go
+++ b/internal/standalone/listener/shutdown.go
@@ -6,6 +6,7 @@
 	"net"
 	"time"
 
+	"pumiceline/internal/standalone/engine"
 	"pumiceline/internal/standalone/settings"
 )
 
@@ -59,7 +60,7 @@
 func longestClientTimeout(s *settings.Settings) time.Duration {
 	var longest time.Duration
 	for _, c := range s.Classes {
-		longest = max(longest, durationOf(c.ClientTimeout))
+		longest = max(longest, engine.Duration(settings.Micros(c.ClientTimeout)))
 	}
 	return longest
 }
--- a/internal/standalone/server/reload.go
+++ b/internal/standalone/server/reload.go
@@ -77,7 +77,8 @@
 		return err
 	}
 	limits := &next.Settings.Limits
-	r.backends.ApplySettings(settings.Duration(limits.DialTimeout), settings.Duration(limits.ConnIdleTimeout),
+	r.backends.ApplySettings(engine.Duration(settings.Micros(limits.DialTimeout)),
+		engine.Duration(settings.Micros(limits.ConnIdleTimeout)),
 		config.ReportColumns(&next.Settings, &next.Policy))
 	r.transport.MaxRetryAfter.Store(settings.Micros(limits.MaxRetryAfter))
 	r.metrics.SetClasses(classNames(&next.Settings))
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -128,8 +128,8 @@
 	s.metrics = metrics.New()
 	s.metrics.SetClasses(classNames(set))
 	s.backends = backend.NewPool(backend.Options{
-		DialTimeout:      settings.Duration(set.Limits.DialTimeout),
-		IdleTimeout:      settings.Duration(set.Limits.ConnIdleTimeout),
+		DialTimeout:      engine.Duration(settings.Micros(set.Limits.DialTimeout)),
+		IdleTimeout:      engine.Duration(settings.Micros(set.Limits.ConnIdleTimeout)),
 		MaxConnections:   s.sockets.backendShare(),
 		ReportColumns:    config.ReportColumns(set, &s.cfg.Policy),
 		OnRequestWritten: s.metrics.AttemptSent,
