--- a/cmd/pumiceline/stored_test.go
+++ b/cmd/pumiceline/stored_test.go
@@ -11,8 +11,8 @@
 	"pumiceline/internal/faulttest"
 )
 
-// The verdict of a play is written under the keys that an earlier version stored it under.
-func TestReadsVerdictStoredByEarlierVersion(t *testing.T) {
+// The result of a script is written and read with the keys of an earlier version.
+func TestReadsResultStoredByEarlierVersion(t *testing.T) {
 	stored, err := os.ReadFile("testdata/verdict.json")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/pumiceline/try_test.go
+++ b/cmd/pumiceline/try_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// While a backend drains and comes back, no request is refused and none fails.
+// While a backend drains and returns, no request is rejected and none fails.
 func TestTry_ServesAllRequests(t *testing.T) {
 	var out bytes.Buffer
 	if err := (&tryCmd{Duration: 3 * time.Second, Rate: 40, Nodes: 3, Level: 12}).Run(output{&out}); err != nil {
--- a/internal/httpframing/scanner_test.go
+++ b/internal/httpframing/scanner_test.go
@@ -27,12 +27,12 @@
 
 // FuzzScanner compares the Scanner with what net/http reads from the same bytes, in pieces of any size.
 func FuzzScanner(f *testing.F) {
-	whole := "POST /issue HTTP/1.1\r\nHost: x\r\nX-Time-Left-Ms: 5\r\nContent-Length: 4\r\n\r\nbody" +
+	messages := "POST /issue HTTP/1.1\r\nHost: x\r\nX-Time-Left-Ms: 5\r\nContent-Length: 4\r\n\r\nbody" +
 		"GET /quote HTTP/1.1\r\nHost: x\r\n\r\n" + "POST / HTTP/1.1\r\nHost: x\r\n" +
 		"content-length:2\nTRANSFER-ENCODING: chunked\r\n\r\n0\r\n\r\n"
-	for cut := 0; cut <= len(whole); cut += 41 {
-		f.Add([]byte(whole[:cut]), 1+cut%7)
-		f.Add([]byte(whole[cut:]), 1+cut%11)
+	for cut := 0; cut <= len(messages); cut += 41 {
+		f.Add([]byte(messages[:cut]), 1+cut%7)
+		f.Add([]byte(messages[cut:]), 1+cut%11)
 	}
 	f.Fuzz(func(t *testing.T, text []byte, piece int) {
 		var got Scanner
@@ -48,11 +48,11 @@
 				return
 			}
 			if heads > got.Heads {
-				t.Fatalf("net/http reads head %d, and %d were seen", heads, got.Heads)
+				t.Fatalf("net/http reads head %d, and the scanner has found %d", heads, got.Heads)
 			}
 			if len(r.TransferEncoding) > 0 {
 				if got.TransferEncodingHead != heads {
-					t.Fatalf("head %d has an encoding that was not seen", heads)
+					t.Fatalf("head %d has an encoding that the scanner has not found", heads)
 				}
 				return
 			}
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// IsOpenAndEmpty must not wait for the goroutine that reads from the connection: a proxy looks at all its sockets,
-// and one that brought nothing would hold up the others.
+// IsOpenAndEmpty must not wait for the goroutine that reads from the connection: a proxy checks all its sockets in turn,
+// and an idle one would delay the others.
 func TestIsOpenAndEmpty_DoesNotWaitForReader(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// An invalid or truncated file is refused with the name of the key; classes may be added, removed and changed.
-func TestReload_RefusesInvalidFile(t *testing.T) {
+// An invalid or truncated file is rejected with the name of the key; classes may be added, removed and changed.
+func TestReload_RejectsInvalidFile(t *testing.T) {
 	full := strings.Replace(valid, `"MayProbe":true`, `"TryLimit":3,"MayProbe":true`, 1)
 	current, err := Parse([]byte(full), emptyEnv)
 	if err != nil {
@@ -140,7 +140,7 @@
 	}
 }
 
-// FuzzParse parses truncated and garbled configurations: none may panic, or pass without what serving needs.
+// FuzzParse parses truncated and garbled configurations: none may panic, or be accepted without what serving needs.
 func FuzzParse(f *testing.F) {
 	for cut := 0; cut < len(valid); cut += 31 {
 		f.Add([]byte(valid[:cut]))
@@ -150,7 +150,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		c, err := Parse(text, emptyEnv)
 		if err == nil && (c.Listen == "" || c.Discovery == "" || len(c.Policy.Classes) == 0 || c.Limits.Sockets < minSockets) {
-			t.Errorf("passed: %+v", c)
+			t.Errorf("accepted: %+v", c)
 		}
 	})
 }
--- a/internal/standalone/deployfile/stored_test.go
+++ b/internal/standalone/deployfile/stored_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// A file of admission control that operators stored for an earlier version is read, with every key. None has the value that stands in for an absent one.
+// A file of admission control that operators stored for an earlier version is read, with every key. The sample has no default
+// value, so that a key that is not read is found.
 func TestReadAdmission_StoredByEarlierVersion(t *testing.T) {
 	deployment := &settings.Settings{GroupSize: 2, OverQuotaValue: 0.2,
 		Tenants: []settings.Tenant{{Name: "steppe-tours", QuotaPerS: 254}, {Name: "khan-air", QuotaPerS: 76}},
@@ -46,10 +47,10 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
 	}
-	usual := admission.Defaults()
+	defaults := admission.Defaults()
 	for i := range reflect.TypeOf(want).NumField() {
-		if reflect.ValueOf(want).Field(i).IsZero() || reflect.DeepEqual(reflect.ValueOf(want).Field(i).Interface(), reflect.ValueOf(usual).Field(i).Interface()) {
-			t.Errorf("the sample says nothing of %s", reflect.TypeOf(want).Field(i).Name)
+		if reflect.ValueOf(want).Field(i).IsZero() || reflect.DeepEqual(reflect.ValueOf(want).Field(i).Interface(), reflect.ValueOf(defaults).Field(i).Interface()) {
+			t.Errorf("the sample has the default of %s", reflect.TypeOf(want).Field(i).Name)
 		}
 	}
 }
--- a/internal/standalone/hotrestart/presence_test.go
+++ b/internal/standalone/hotrestart/presence_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Processes of one proxy see each other's states. The file of a dead one is ignored and removed.
-func TestPresence_SeesLivePeersOnly(t *testing.T) {
+// Processes of one proxy see each other's states. The file of one that has ended is ignored and removed.
+func TestPresence_SeesRunningPeersOnly(t *testing.T) {
 	dir := t.TempDir()
 	join := func(identity string) *Presence {
 		t.Helper()
@@ -29,12 +29,12 @@
 	if got := b.Peers(); !slices.Equal(got, []ProcessState{{Stage: Starting}}) {
 		t.Errorf("b sees %v", got)
 	}
-	b.file.Close() // as its death does: the lock is released, the file stays
+	b.file.Close() // as the end of its process does: the lock is released, the file stays
 	if got := a.Peers(); len(got) != 0 {
-		t.Errorf("a sees %v, but its peer is dead", got)
+		t.Errorf("a sees %v, but its peer has ended", got)
 	}
 	if _, err := os.Stat(b.path); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("file of the dead process: %v", err)
+		t.Errorf("file of the process that has ended: %v", err)
 	}
 	a.Leave()
 	if got := otherProxy.Peers(); len(got) != 0 {
--- a/internal/standalone/hotrestart/stored_test.go
+++ b/internal/standalone/hotrestart/stored_test.go
@@ -25,7 +25,7 @@
 	return dir
 }
 
-// lockFile locks a stored presence file as its live process would.
+// lockFile locks a stored presence file as its running process would.
 func lockFile(t *testing.T, path string) {
 	t.Helper()
 	f, err := os.Open(path)
@@ -47,7 +47,7 @@
 	}{
 		{"starting", "process-4711-00c0ffee", ProcessState{Stage: Starting, ClientSockets: 0x01020304, BackendConnections: 0x05060708}},
 		{"serving", "process-4712-0badcafe", ProcessState{Stage: Serving, ClientSockets: 7, BackendConnections: 300}},
-		{"ending", "process-4713-deadbeef", ProcessState{Stage: Draining, ClientSockets: 70_000, BackendConnections: 12}},
+		{"draining", "process-4713-deadbeef", ProcessState{Stage: Draining, ClientSockets: 70_000, BackendConnections: 12}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			dir := storedFolder(t)
@@ -62,7 +62,7 @@
 			}
 			left, err := filepath.Glob(filepath.Join(dir, storedPrefix+"process-*"))
 			if err != nil || len(left) != 2 {
-				t.Errorf("%v, %v: the files of the dead processes are to be removed", left, err)
+				t.Errorf("%v, %v: the files of the processes that have ended are to be removed", left, err)
 			}
 			if err := p.Set(c.want); err != nil {
 				t.Fatal(err)
@@ -81,7 +81,7 @@
 	}
 }
 
-// The bytes that stand for the stages are part of the form in which an earlier version stored them.
+// The bytes of the stages are part of the stored form.
 func TestStagesAreThoseStoredByEarlierVersion(t *testing.T) {
 	if Starting != 's' || Serving != 'r' || Draining != 'e' {
 		t.Errorf("%q, %q, %q", Starting, Serving, Draining)
--- a/internal/standalone/requestclass/table_test.go
+++ b/internal/standalone/requestclass/table_test.go
@@ -30,8 +30,8 @@
 	table.Apply(plan, list)
 }
 
-// A removed class with a request in flight keeps its number, and has the same one when it is added again with other semantics; a number
-// that is not needed is assigned again.
+// A removed class with a request in flight keeps its number, and has the same one when it is added again with other semantics;
+// a number that is not needed is assigned again.
 func TestTable_KeepsNumbersOfRequestsInFlight(t *testing.T) {
 	var table Table
 	applySettings(t, &table, newClasses("a", "b"))
@@ -43,10 +43,10 @@
 	if c, _, _ := table.Acquire("c"); c == n {
 		t.Error("the number of a request in flight was assigned again")
 	}
-	back := append(newClasses("c"), settings.Class{Name: "b", Semantics: "side_effect"})
-	applySettings(t, &table, back)
+	next := append(newClasses("c"), settings.Class{Name: "b", Semantics: "side_effect"})
+	applySettings(t, &table, next)
 	if m, class, ok := table.Acquire("b"); !ok || m != n || class.Semantics != "side_effect" {
-		t.Errorf("back as %d %+v %v", m, class, ok)
+		t.Errorf("added again as %d %+v %v", m, class, ok)
 	}
 	table.Release(n)
 	table.Release(n)
