--- a/internal/fleetsim/checker/coldservers_test.go
+++ b/internal/fleetsim/checker/coldservers_test.go
@@ -88,7 +88,7 @@
 	sc.Discovery.StartDelay = 1 * sec
 	found := -1
 	if _, err := model.Run(&sc, 1, func(policy.Settings, uint64, *model.Oracle) (model.Node, error) {
-		return &scripted{on: func(s *scripted, ev *policy.Event) {
+		return &scripted{onEvent: func(s *scripted, ev *policy.Event) {
 			switch ev.Kind {
 			case policy.MembershipCached:
 				s.do(policy.Action{Kind: policy.SubscribeDiscovery})
--- a/internal/fleetsim/checker/discovery_test.go
+++ b/internal/fleetsim/checker/discovery_test.go
@@ -94,7 +94,7 @@
 	var list []uint32
 	sc.Faults = sc.Faults[:1]
 	if _, err := model.Run(&sc, 1, func(policy.Settings, uint64, *model.Oracle) (model.Node, error) {
-		return &scripted{on: func(s *scripted, ev *policy.Event) {
+		return &scripted{onEvent: func(s *scripted, ev *policy.Event) {
 			switch ev.Kind {
 			case policy.MembershipCached:
 				s.do(policy.Action{Kind: policy.SubscribeDiscovery})
--- a/internal/fleetsim/checker/scripted_test.go
+++ b/internal/fleetsim/checker/scripted_test.go
@@ -11,29 +11,29 @@
 
 const ms, sec = 1000, 1_000_000
 
-// scripted is a policy whose every step a test writes out. Functions given to at are called at the time they name.
+// scripted is a policy that a test scripts: onEvent is called for each event, functions that at was given at their times.
 type scripted struct {
-	on    func(s *scripted, ev *policy.Event)
-	now   model.Time
-	out   []policy.Action
-	later []func()
+	onEvent   func(s *scripted, ev *policy.Event)
+	now       model.Time
+	actions   []policy.Action
+	scheduled []func()
 }
 
 func (s *scripted) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
-	s.now, s.out = now, out
+	s.now, s.actions = now, out
 	if ev.Kind == policy.TimerFired {
-		s.later[ev.ID]()
+		s.scheduled[ev.ID]()
 	} else {
-		s.on(s, ev)
+		s.onEvent(s, ev)
 	}
-	return s.out
+	return s.actions
 }
 
-func (s *scripted) do(a policy.Action) { s.out = append(s.out, a) }
+func (s *scripted) do(a policy.Action) { s.actions = append(s.actions, a) }
 
 func (s *scripted) at(t model.Time, f func()) {
-	s.later = append(s.later, f)
-	s.do(policy.Action{Kind: policy.SetTimer, ID: uint64(len(s.later) - 1), After: t - s.now})
+	s.scheduled = append(s.scheduled, f)
+	s.do(policy.Action{Kind: policy.SetTimer, ID: uint64(len(s.scheduled) - 1), After: t - s.now})
 }
 
 func (s *scripted) send(id uint64, server uint32) {
@@ -62,7 +62,7 @@
 	t.Helper()
 	check := checker.New(&sc)
 	if _, err := model.Run(&sc, 1, func(policy.Settings, uint64, *model.Oracle) (model.Node, error) {
-		return &scripted{on: on}, nil
+		return &scripted{onEvent: on}, nil
 	}, check); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleetsim/experiment/experiment_test.go
+++ b/internal/fleetsim/experiment/experiment_test.go
@@ -151,14 +151,19 @@
 	}
 }
 
-func TestSimulate_PanicFailsOneRun(t *testing.T) {
+func TestSimulate_UnknownPolicy(t *testing.T) {
 	scenario := model.DefaultScenario()
 	outcome := Simulate(&scenario, "nobody", 1, nil)
 	if outcome.Report != nil || !errors.Is(outcome.Err, ErrUnknownPolicy) ||
 		!strings.Contains(outcome.Err.Error(), "no policy") {
 		t.Errorf("error %v", outcome.Err)
 	}
-	outcome = Simulate(&scenario, "decide", 1, panickingObserver{})
+}
+
+// A panic in a run is its error, with the place but without addresses, which would differ from run to run.
+func TestSimulate_PanicFailsOneRun(t *testing.T) {
+	scenario := model.DefaultScenario()
+	outcome := Simulate(&scenario, "decide", 1, panickingObserver{})
 	if outcome.Report != nil || outcome.Err == nil || !strings.HasPrefix(outcome.Err.Error(),
 		"panic: at the first record at pumiceline/") {
 		t.Errorf("error %v", outcome.Err)
@@ -183,11 +188,11 @@
 		add("b", uint64(i), g)
 	}
 	g, _ := MeasureByName("g")
-	cells := Compare(results, g)
-	if len(cells) != 2 || cells[0].Difference.N != 0 {
-		t.Fatalf("cells %+v", cells)
+	comparisons := Compare(results, g)
+	if len(comparisons) != 2 || comparisons[0].Difference.N != 0 {
+		t.Fatalf("comparisons %+v", comparisons)
 	}
-	if d := cells[1].Difference; d.N != 3 || d.Mean != 2 || math.Abs(d.HalfWidth-4.3027/math.Sqrt(3)) > 1e-3 {
+	if d := comparisons[1].Difference; d.N != 3 || d.Mean != 2 || math.Abs(d.HalfWidth-4.3027/math.Sqrt(3)) > 1e-3 {
 		t.Errorf("difference %+v", d)
 	}
 	if one := NewEstimate([]float64{5}); !math.IsNaN(one.HalfWidth) || one.Mean != 5 {
--- a/internal/fleetsim/experiment/robustness_test.go
+++ b/internal/fleetsim/experiment/robustness_test.go
@@ -8,8 +8,8 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// TestProductPolicy_FollowsOracleOnOtherDeployments shows constants that fit one deployment by chance. In either
-// scenario the policy's G may be the margin under that of the policy that sees the true state, and on another clock no
+// TestProductPolicy_FollowsOracleOnOtherDeployments fails for constants of the policy that fit one deployment by chance.
+// In either scenario the policy's G may be the margin under that of the policy that sees the true state, and on another clock no
 // further than that under its own. With work moved into downstream waits, reports delivered otherwise or not at all,
 // and clients that time out soon or late after the latency target it may fall as far as the oracle's does, and the
 // margin. A policy that took half of the latency target for a queue had 0.145 with invitations, where the oracle has
--- a/internal/fleetsim/model/arrival.go
+++ b/internal/fleetsim/model/arrival.go
@@ -52,7 +52,7 @@
 		} else {
 			sm.detach(attempt)
 		}
-		sm.releaseConnection(attempt, false)
+		sm.releaseConnection(attempt, closeConnection)
 	}
 	sm.releaseServerAttempt(attemptIndex)
 }
--- a/internal/fleetsim/model/attempts.go
+++ b/internal/fleetsim/model/attempts.go
@@ -172,7 +172,7 @@
 		return
 	}
 	if atServer := sm.serverAttempts.at(attempt.serverAttempt); !atServer.abandoned {
-		sm.releaseConnection(atServer, false)
+		sm.releaseConnection(atServer, closeConnection)
 		atServer.abandoned = true
 	}
 	attempt.serverAttempt = noServerAttempt
--- a/internal/fleetsim/model/bench_test.go
+++ b/internal/fleetsim/model/bench_test.go
@@ -8,7 +8,7 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// BenchmarkRun measures what an event costs by the size of the fleet, with a twentieth as many proxies (four at least).
+// BenchmarkRun measures what an event costs by the size of the fleet, with a hundredth as many proxies (four at least).
 func BenchmarkRun(b *testing.B) {
 	for _, servers := range []int{12, 100, 1000, 10000} {
 		for _, policy := range []string{"decide", "least"} {
@@ -19,21 +19,22 @@
 				if servers >= 1000 {
 					sc.Duration = 2 * sec
 				}
-				mk := model.NodeFactory(newProductNode)
+				newNode := model.NodeFactory(newProductNode)
 				if policy != "decide" {
-					mk = baseline.NewFactory(policy)
+					newNode = baseline.NewFactory(policy)
 				}
-				events, end, calls := int64(0), 0.0, int64(0)
+				events, simulatedSeconds, requests := int64(0), 0.0, int64(0)
 				for i := range b.N {
-					st, err := model.Run(&sc, uint64(i+1), mk, observerFunc(func(*model.Record) {}))
+					stats, err := model.Run(&sc, uint64(i+1), newNode, observerFunc(func(*model.Record) {}))
 					if err != nil {
 						b.Fatal(err)
 					}
-					events, end, calls = events+st.Events, end+float64(st.End)/1e6, calls+st.Requests
+					events, requests = events+stats.Events, requests+stats.Requests
+					simulatedSeconds += float64(stats.End) / 1e6
 				}
 				b.ReportMetric(float64(events)/b.Elapsed().Seconds(), "events/s")
-				b.ReportMetric(end/b.Elapsed().Seconds(), "x-real-time")
-				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(calls), "ns/request")
+				b.ReportMetric(simulatedSeconds/b.Elapsed().Seconds(), "x-real-time")
+				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(requests), "ns/request")
 				b.ReportMetric(0, "ns/op")
 			})
 		}
--- a/internal/fleetsim/model/connections.go
+++ b/internal/fleetsim/model/connections.go
@@ -64,15 +64,23 @@
 	}
 }
 
-// releaseConnection ends an attempt's use of its connection, which is kept or closed.
-func (sm *simulation) releaseConnection(attempt *serverAttempt, keep bool) {
+// releaseMode is what becomes of a connection after an attempt on it.
+type releaseMode bool
+
+const (
+	keepConnection  releaseMode = true // idle, for a later attempt
+	closeConnection releaseMode = false
+)
+
+// releaseConnection ends an attempt's use of its connection.
+func (sm *simulation) releaseConnection(attempt *serverAttempt, mode releaseMode) {
 	s, p := sm.servers[attempt.server], &sm.proxies[attempt.proxy]
 	// The server counts a connection from the end of the handshake until its process ends.
 	isCounted := s.generation == attempt.serverGeneration && (attempt.stage > stageTravelling || !attempt.newConnection)
 	if p.up && p.generation == attempt.proxyGeneration {
 		if pool := p.connections[attempt.server]; pool != nil && pool.generation == attempt.serverGeneration {
 			pool.inUse--
-			if keep && isCounted {
+			if mode == keepConnection && isCounted {
 				pool.idleSince = append(pool.idleSince, sm.now)
 				return
 			}
--- a/internal/fleetsim/model/internal_test.go
+++ b/internal/fleetsim/model/internal_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A server keeps a key for the TTL, only so many of them, and evicts the least recently used one first.
+// A server caches a key for the TTL and CapacityPerCore keys for each core, and evicts the least recently used one first.
 func TestServer_KeyCache(t *testing.T) {
 	sc := DefaultScenario()
 	sc.Keys = Keys{Count: 10, HitSavings: 0.6, TTL: 2e6, CapacityPerCore: 2} // on two cores: four places
@@ -11,9 +11,19 @@
 		at  Time
 		key uint64
 		hit bool
-	}{{1, 7, false}, {1_000_000, 7, true}, {4_000_000, 7, false}, {4_500_000, 7, true}, {4_600_000, 1, false},
+	}{
+		{1, 7, false},
+		{1_000_000, 7, true},
+		{4_000_000, 7, false}, // past the TTL since the last use
+		{4_500_000, 7, true},
+		{4_600_000, 1, false},
 		{4_600_001, 2, false},
-		{4_600_002, 3, false}, {4_600_003, 4, false}, {4_700_000, 7, false}, {4_700_001, 1, false}, {4_700_002, 4, true}} {
+		{4_600_002, 3, false},
+		{4_600_003, 4, false}, // a fifth key: evicts 7
+		{4_700_000, 7, false}, // evicts 1
+		{4_700_001, 1, false}, // evicts 2
+		{4_700_002, 4, true},
+	} {
 		if sm.now = c.at; sm.lookUpKey(s, c.key) != c.hit {
 			t.Errorf("use %d: key %d is a hit: %v", i, c.key, !c.hit)
 		}
--- a/internal/fleetsim/model/processing.go
+++ b/internal/fleetsim/model/processing.go
@@ -147,7 +147,7 @@
 	}
 	if sm.isServerPartitioned(attempt.proxy, s) { // the proxy finds out by its timeout
 		sm.detach(attempt)
-		sm.releaseConnection(attempt, false)
+		sm.releaseConnection(attempt, closeConnection)
 		sm.releaseServerAttempt(attemptIndex)
 		return
 	}
@@ -156,7 +156,7 @@
 		attempt.report, attempt.hasReport = sm.currentReport(s)
 		attempt.hasReport = attempt.hasReport && sm.scenario.Reports.delivery() == policy.ReportsInResponses
 	} else {
-		sm.releaseConnection(attempt, false)
+		sm.releaseConnection(attempt, closeConnection)
 		attempt.abandoned = true // only the reset is under way
 	}
 	attempt.stage = stageReturning
@@ -172,7 +172,7 @@
 		return
 	}
 	if !attempt.abandoned {
-		sm.releaseConnection(attempt, true)
+		sm.releaseConnection(attempt, keepConnection)
 	}
 	requestIndex, number, outcome, elapsed := attempt.proxyRequest, attempt.attempt, attempt.outcome, sm.now-attempt.sentAt
 	var report []float32
--- a/internal/fleetsim/model/run_test.go
+++ b/internal/fleetsim/model/run_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-// invariantNode wraps a node and fails the test where the simulator breaks its promises: a clock that goes back, events
+// invariantNode wraps a node and fails the test where the simulator violates its contract: a clock that goes back, events
 // of requests that this generation never had, a second outcome.
 type invariantNode struct {
 	model.Node
@@ -127,8 +127,8 @@
 	return out
 }
 
-// TestRun_InvariantsUnderAllFaults has all faults at once: proxies are killed with attempts in flight, and what comes
-// for those must not reach their successors; each attempt has one outcome; the clock never goes back.
+// TestRun_InvariantsUnderAllFaults has all faults, many at a time: proxies are killed with attempts in flight, whose
+// outcomes must not reach their successors; each attempt has one outcome; the clock never goes back.
 func TestRun_InvariantsUnderAllFaults(t *testing.T) {
 	sc := scenarioWithAllFaults()
 	starts := 0
@@ -246,14 +246,19 @@
 	return a(ev, out)
 }
 
-// broadcaster sends the other nodes a message for each request, to count what arrives.
+// broadcaster sends the other nodes a message for each request, and counts the messages that it receives.
 type broadcaster struct {
 	model.Node
 	ordinal int
-	got     *[2]int // messages, messages from itself
+	counts  *messageCounts // of all broadcasters
 	outbox  []model.PeerMessage
 }
 
+type messageCounts struct {
+	received    int
+	wrongSender int // from itself, or with another sender than the text names
+}
+
 func (g *broadcaster) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	if ev.Kind == policy.RequestArrived {
 		g.outbox = append(g.outbox, model.PeerMessage{To: -1, Text: []byte{byte(g.ordinal)}})
@@ -262,9 +267,9 @@
 }
 
 func (g *broadcaster) Receive(_ model.Time, from int, text []byte, out []policy.Action) []policy.Action {
-	g.got[0]++
+	g.counts.received++
 	if from == g.ordinal || int(text[0]) != from {
-		g.got[1]++
+		g.counts.wrongSender++
 	}
 	return out
 }
@@ -278,20 +283,20 @@
 func TestRun_PeerMessageLoss(t *testing.T) {
 	sc := model.DefaultScenario()
 	sc.Duration, sc.Network.PeerLoss = 5*sec, 0.25
-	var got [2]int
-	received := 0
+	var counts messageCounts
+	requests := 0
 	if _, err := model.Run(&sc, 1, func(set policy.Settings, seed uint64, _ *model.Oracle) (model.Node, error) {
 		b, err := policy.New(set, seed)
-		return &broadcaster{Node: b, ordinal: set.Ordinal, got: &got}, err
+		return &broadcaster{Node: b, ordinal: set.Ordinal, counts: &counts}, err
 	}, observerFunc(func(r *model.Record) {
 		if r.Kind == model.RequestReceived {
-			received++
+			requests++
 		}
 	})); err != nil {
 		t.Fatal(err)
 	}
-	share := float64(got[0]) / float64(received*(sc.Proxies-1))
-	if math.Abs(share-0.75) > 0.03 || got[1] > 0 {
-		t.Errorf("%.3f of the messages arrived, want 0.75; %d with a wrong sender", share, got[1])
+	share := float64(counts.received) / float64(requests*(sc.Proxies-1))
+	if math.Abs(share-0.75) > 0.03 || counts.wrongSender > 0 {
+		t.Errorf("%.3f of the messages arrived, want 0.75; %d with a wrong sender", share, counts.wrongSender)
 	}
 }
--- a/internal/singleton/leasemanager_test.go
+++ b/internal/singleton/leasemanager_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// fleet is a quorum that agrees at once, with instances whose heartbeats always come: what is left is what the lease
-// manager decides.
+// fleet is a lease manager with a log that commits at once and instances whose heartbeats always arrive, to test what the
+// lease manager decides.
 type fleet struct {
 	settings   Settings
 	now        Time
@@ -53,7 +53,7 @@
 	}
 }
 
-// run lets time pass, with a heartbeat of each instance every tenth of a second.
+// run advances the clock by span, with a heartbeat of each instance and a tick every tenth of a second.
 func (f *fleet) run(span Time) {
 	for end := f.now + span; f.now < end; f.now += 100_000 {
 		f.steps++
@@ -64,33 +64,33 @@
 	}
 }
 
-// sendHeartbeat sends an instance's heartbeat, and a second one that releases the leases that the response wants back:
-// steps are short.
+// sendHeartbeat sends an instance's heartbeat, and at once a second one that releases the leases that the response wants
+// back, as no step is in progress.
 func (f *fleet) sendHeartbeat(name string) {
-	b := f.heartbeats[name]
-	b.Name, b.Leases = name, nil
+	heartbeat := f.heartbeats[name]
+	heartbeat.Name, heartbeat.Leases = name, nil
 	for role, a := range f.state.Assignments {
-		if !a.isHeldBy(b) {
+		if !a.isHeldBy(heartbeat) {
 			continue
 		}
 		report := LeaseReport{Role: role, Token: a.Token, Steps: f.steps}
 		if f.stuck[name] {
 			report.Steps = 0
 		}
-		b.Leases = append(b.Leases, report)
+		heartbeat.Leases = append(heartbeat.Leases, report)
 	}
-	commands, response := f.manager.HandleHeartbeat(f.now, b, f.state)
+	commands, response := f.manager.HandleHeartbeat(f.now, heartbeat, f.state)
 	f.apply(commands)
 	for _, l := range response.Leases {
 		if l.Release {
-			b.Leases = []LeaseReport{{Role: l.Role, Token: l.Token, Released: true}}
-			commands, _ := f.manager.HandleHeartbeat(f.now, b, f.state)
+			heartbeat.Leases = []LeaseReport{{Role: l.Role, Token: l.Token, Released: true}}
+			commands, _ := f.manager.HandleHeartbeat(f.now, heartbeat, f.state)
 			f.apply(commands)
 		}
 	}
 }
 
-// holders shows who holds which role.
+// holders lists the holder of each role: "w1=a w2=".
 func (f *fleet) holders() string {
 	var all []string
 	for _, role := range f.settings.Roles {
@@ -108,7 +108,8 @@
 
 func TestLeaseManager_SpreadsRolesAndReassignsThoseOfLeaving(t *testing.T) {
 	f := newFleet("w1", "w2", "w3", "w4")
-	f.heartbeats["a"], f.heartbeats["b"] = Heartbeat{Incarnation: 1, Zone: "x", Build: 1}, Heartbeat{Incarnation: 1, Zone: "y", Build: 2}
+	f.heartbeats["a"] = Heartbeat{Incarnation: 1, Zone: "x", Build: 1}
+	f.heartbeats["b"] = Heartbeat{Incarnation: 1, Zone: "y", Build: 2}
 	f.run(300_000)
 	if n := strings.Count(f.holders(), "=a"); n != 2 || strings.Count(f.holders(), "=b") != 2 {
 		t.Errorf("not spread: %s", f.holders())
--- a/internal/singleton/model_test.go
+++ b/internal/singleton/model_test.go
@@ -9,9 +9,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// model is two instances, the lease manager of the member that leads, the log, and a receiver of effects. Whatever may be
-// late, lost or duplicated is, in every order. An instance that is not heard of for a while is the same as one that is
-// frozen, partitioned or slow.
+// model is two instances, the lease manager of the member that leads, the log, and a receiver of effects. Each event that
+// may come late or not at all does so, in every order. An instance without events for a while stands for one that is frozen,
+// partitioned or slow.
 type model struct {
 	fault         plantedFault
 	settings      Settings
@@ -52,8 +52,8 @@
 
 const longestLease = 8
 
-// In a tick the lease manager's clock, which is fast, advances by 4 and an instance's, which is slow, by 2: each is off by
-// a third.
+// In a tick the lease manager's clock, which is fast, advances by 4 and an instance's, which is slow, by 2, where a true
+// clock advances by 3: each is off by a third.
 func (m *model) managerNow() Time { return 4 * m.ticks }
 func (m *model) holderNow() Time  { return 2 * m.ticks }
 
@@ -216,7 +216,7 @@
 func (d *digest) addSteps(steps uint64)   { d.add(int(steps - d.steps)) }
 func (d *digest) addAge(moment, now Time) { d.add(int(min(now-moment, longestLease))) }
 
-// activeLeases is what an instance believes that it may act on.
+// activeLeases are the leases on which an instance would act.
 func (m *model) activeLeases(i int) map[string]FencingToken {
 	l := m.holders[i].leases[role]
 	if m.fault == actsAfterRelease && l != nil && m.holderNow() < l.expiresAt {
@@ -225,7 +225,7 @@
 	return m.holders[i].ActiveLeases(m.holderNow())
 }
 
-// propose appends commands that are not proposed already, three at most.
+// propose appends commands that are not proposed already, three in all at most, to bound the number of models.
 func (m *model) propose(commands ...Command) {
 	for _, c := range commands {
 		if len(m.proposed) < 3 && !slices.Contains(m.proposed, c) {
@@ -240,7 +240,7 @@
 	model *model
 }
 
-// successors returns what may come next of a model.
+// successors returns the models that follow a model after each event that is possible now.
 func (m *model) successors() []successor {
 	all := append(m.leaderEvents(), m.instanceEvents(0)...)
 	all = append(all, m.instanceEvents(1)...)
