--- a/cmd/pumiceline/faulttestcluster.go
+++ b/cmd/pumiceline/faulttestcluster.go
@@ -10,6 +10,7 @@
 	"pumiceline/internal/faulttest/clustertest"
 )
 
+// faulttestClusterCmd is `pumiceline faulttest cluster`.
 type faulttestClusterCmd struct {
 	Seed      uint64        `help:"What the faults are drawn from." default:"1"`
 	Members   int           `help:"Members that agree: 1, 3, 5 or 7." default:"5"`
@@ -45,6 +46,7 @@
 	return nil
 }
 
+// faulttestDiscoveryCacheCmd is `pumiceline faulttest discovery-cache`.
 type faulttestDiscoveryCacheCmd struct {
 	Members      int           `help:"Members that agree: 1, 3, 5 or 7." default:"5"`
 	Instances    int           `help:"Instances, each with a cache of discovery's list." default:"60"`
--- a/cmd/pumiceline/faulttestrun.go
+++ b/cmd/pumiceline/faulttestrun.go
@@ -12,6 +12,7 @@
 	"pumiceline/internal/faulttest"
 )
 
+// faulttestRunCmd is `pumiceline faulttest run`.
 type faulttestRunCmd struct {
 	File string `arg:"" help:"The script." type:"existingfile"`
 	Seed uint64 `help:"What the script's random faults are drawn from." default:"1"`
--- a/cmd/pumiceline/faulttestscript.go
+++ b/cmd/pumiceline/faulttestscript.go
@@ -170,21 +170,24 @@
 	}
 }
 
+// recordError adds an error to the history of the run.
 func (r *scriptRun) recordError(err error) {
 	if err != nil {
 		r.Record("script", "%v", err)
 	}
 }
 
+// freeze stops a proxy's process (SIGSTOP) until end is called.
 func (r *scriptRun) freeze(i int) (end func()) {
 	p := r.process(i)
-	if err := p.Freeze(); err != nil { // it was killed and is not back yet
+	if err := p.Freeze(); err != nil { // it was killed and has not been started again yet
 		r.recordError(err)
 		return func() {}
 	}
 	return func() { r.recordError(p.Thaw()) } // fails where it was killed while it was frozen
 }
 
+// injectLinkFault injects a fault into a relay. The returned function ends it.
 func injectLinkFault(relay *faulttest.Relay, f faulttest.ScheduledFault) (end func()) {
 	if f.Action == faulttest.ActionReset {
 		relay.ResetConnections()
--- a/cmd/pumiceline/try.go
+++ b/cmd/pumiceline/try.go
@@ -86,6 +86,7 @@
 	return newTryMonitor(c.Duration, fakes, clients, out).run(load, failed)
 }
 
+// validate checks the flags.
 func (c *tryCmd) validate() error {
 	if c.Nodes < minTryNodes || c.Nodes > maxTryNodes || c.Rate <= 0 || c.Rate > maxTryRate || c.Duration < minTryDuration {
 		return fmt.Errorf("try: takes %d to %d nodes, a rate up to %d, and %v or more", minTryNodes, maxTryNodes, maxTryRate,
--- a/internal/standalone/admin/api.go
+++ b/internal/standalone/admin/api.go
@@ -115,6 +115,7 @@
 	}
 }
 
+// readyz answers 200 if this process can serve, else 503 with the reason.
 func (a *API) readyz(w http.ResponseWriter, _ *http.Request) {
 	if err := a.opts.Ready(); err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/internal/standalone/admission/controller.go
+++ b/internal/standalone/admission/controller.go
@@ -356,6 +356,7 @@
 	return out
 }
 
+// admit admits a request that is not in a queue, or not any more.
 func (c *Controller) admit(index int32, out []Decision) []Decision {
 	e := &c.entries[index]
 	e.state, e.admittedAt = stateInFlight, c.now
@@ -372,6 +373,7 @@
 	return append(out, Decision{Ticket: c.ticket(index), Kind: Admit})
 }
 
+// reject rejects a request that is not in a queue, or not any more, and frees its entry.
 func (c *Controller) reject(index int32, reason Reason, out []Decision) []Decision {
 	e := &c.entries[index]
 	t := &c.tenants[e.tenant]
--- a/internal/standalone/admission/entry.go
+++ b/internal/standalone/admission/entry.go
@@ -44,6 +44,7 @@
 	return index, c.ticket(index)
 }
 
+// free returns an entry to the free list. Its ticket is invalid from then on.
 func (c *Controller) free(index int32) {
 	c.entries[index].state = stateFree
 	c.entries[index].next = c.freeList
--- a/internal/standalone/admission/limit.go
+++ b/internal/standalone/admission/limit.go
@@ -40,6 +40,7 @@
 	count    int     // number of these samples
 }
 
+// setBounds sets the bounds and brings the limit within them.
 func (l *concurrencyLimit) setBounds(lower, upper float64) {
 	l.min, l.max = lower, upper
 	l.value = math.Min(math.Max(l.value, lower), upper)
--- a/internal/standalone/admission/reload.go
+++ b/internal/standalone/admission/reload.go
@@ -129,6 +129,7 @@
 	newClasses int
 }
 
+// newIndexMapping maps tenants and classes by their names.
 func newIndexMapping(old, next *Settings) indexMapping {
 	tenantIndex, classIndex := map[string]int32{}, map[string]int32{}
 	for i, t := range next.Tenants {
--- a/internal/standalone/admission/settings.go
+++ b/internal/standalone/admission/settings.go
@@ -95,6 +95,7 @@
 // Error returns the key and the reason.
 func (e *SettingError) Error() string { return e.Key + ": " + e.Reason }
 
+// invalid returns a *SettingError.
 func invalid(key, format string, args ...any) error {
 	return &SettingError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -76,6 +76,7 @@
 	errNoFile  = errors.New("ROUTER_CONFIG: not set, and no file given")
 )
 
+// keyErrorf returns a *KeyError.
 func keyErrorf(key, format string, args ...any) error {
 	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
 }
@@ -102,6 +103,7 @@
 	return Parse(text, env)
 }
 
+// readFile returns the text of the file at path, or, if that is empty, of the one that ROUTER_CONFIG names.
 func readFile(path string, env func(string) string) ([]byte, error) {
 	if path == "" {
 		path = env("ROUTER_CONFIG")
@@ -196,6 +198,7 @@
 	return checkAddress("operator", c.AdminListen)
 }
 
+// checkAddress checks that a required key has an IP address and port.
 func checkAddress(key, value string) error {
 	if value == "" {
 		return &KeyError{Key: key, Err: errMissing}
--- a/internal/standalone/config/reload.go
+++ b/internal/standalone/config/reload.go
@@ -27,6 +27,7 @@
 	return next, nil
 }
 
+// loadForReload is Load, except that ROUTER_DISCOVERY does not override the file's discovery address.
 func loadForReload(path string, env func(string) string) (*Config, error) {
 	text, err := readFile(path, env)
 	if err != nil {
@@ -60,6 +61,7 @@
 	return ""
 }
 
+// missingKeyOfObject is missingKey where old is an object.
 func missingKeyOfObject(old map[string]any, next any, path string) string {
 	object, ok := next.(map[string]any)
 	if !ok {
@@ -80,6 +82,7 @@
 	return ""
 }
 
+// missingKeyOfList is missingKey where old is a list.
 func missingKeyOfList(old []any, next any, path string) string {
 	list, ok := next.([]any)
 	if !ok {
--- a/internal/standalone/config/settings.go
+++ b/internal/standalone/config/settings.go
@@ -59,6 +59,7 @@
 	return nil
 }
 
+// checkClasses checks names and client time-outs of the classes; policy.New checks the rest.
 func checkClasses(classes []settings.Class) error {
 	if len(classes) == 0 {
 		return &KeyError{Key: "settings.Classes", Err: errEmpty}
--- a/internal/standalone/deployfile/admission.go
+++ b/internal/standalone/deployfile/admission.go
@@ -61,6 +61,7 @@
 	return parseAdmission(path, text, s, seed)
 }
 
+// parseAdmission is ReadAdmission for a text; path is its name for errors.
 func parseAdmission(path string, text []byte, s *settings.Settings, seed uint64) (admission.Settings, error) {
 	set := admission.Defaults()
 	file := newAdmissionFile(set)
--- a/internal/standalone/deployfile/fleet.go
+++ b/internal/standalone/deployfile/fleet.go
@@ -107,6 +107,7 @@
 	return fleet, nil
 }
 
+// addMember checks a member of the file and adds it.
 func (f *Fleet) addMember(number, addr string, keys keyLocator) error {
 	key := "members." + number
 	id, err := strconv.ParseUint(number, 10, 64)
@@ -125,6 +126,7 @@
 	return nil
 }
 
+// addRole checks a role of the file and adds it.
 func (f *Fleet) addRole(name string, role roleFile, keys keyLocator) error {
 	key := "works." + name
 	if role.Discovery == "" {
--- a/internal/standalone/discovery/decoder.go
+++ b/internal/standalone/discovery/decoder.go
@@ -128,6 +128,7 @@
 	}
 }
 
+// decodeEntry decodes an entry, without its ID. Of a deleted backend only the name is set.
 func (d *Decoder) decodeEntry(raw []byte) (Endpoint, error) {
 	var entry Entry
 	if err := json.Unmarshal(raw, &entry); err != nil {
--- a/internal/standalone/discovery/maintenance.go
+++ b/internal/standalone/discovery/maintenance.go
@@ -122,6 +122,8 @@
 	w.publishMaintenance()
 }
 
+// restoreMaintenance replaces the maintenance state by a stored form. An invalid one is logged and ignored. Called with mu
+// held.
 func (w *Watcher) restoreMaintenance(stored []byte) {
 	if len(stored) == 0 {
 		return
--- a/internal/standalone/discovery/watch.go
+++ b/internal/standalone/discovery/watch.go
@@ -123,6 +123,7 @@
 	return nil
 }
 
+// membershipKind returns the policy's event for an update.
 func membershipKind(complete, cached bool) policy.EventKind {
 	switch {
 	case cached:
--- a/internal/standalone/discoverycache/cache.go
+++ b/internal/standalone/discoverycache/cache.go
@@ -182,6 +182,7 @@
 	return nil
 }
 
+// applyToList applies an update to the list, unless its source is a holder that was superseded since.
 func (c *Cache) applyToList(u discovery.Update, from source, mayBeStale bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,6 +204,7 @@
 	changed          <-chan struct{} // closed at the next change
 }
 
+// since returns what changed after a version.
 func (c *Cache) since(version uint64) snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standalone/discoverycache/follow.go
+++ b/internal/standalone/discoverycache/follow.go
@@ -80,6 +80,8 @@
 	return resp, nil
 }
 
+// applyLine applies one line of a watch. The first line of a holder may be older than the copy: the holder may be behind the
+// source that was followed before.
 func (c *Cache) applyLine(line []byte, from source, first bool) error {
 	var u holderUpdate
 	if err := json.Unmarshal(line, &u); err != nil {
--- a/internal/standalone/forwarder/attempts.go
+++ b/internal/standalone/forwarder/attempts.go
@@ -24,6 +24,7 @@
 	responses chan *backend.Response // has a buffer for the one response that Call.Finish accepts
 }
 
+// newAttempts returns the attempts of a request, of which none has begun.
 func newAttempts(t *Transport, call *engine.Call, req *http.Request, info *RequestInfo) *attempts {
 	return &attempts{
 		transport: t,
@@ -101,6 +102,7 @@
 	return a.transport.Backends.Exchange(ctx, id, attempt)
 }
 
+// cancel ends the context of an attempt. The attempt still reports its outcome.
 func (a *attempts) cancel(attempt uint8) {
 	if int(attempt) < len(a.cancels) {
 		a.cancels[attempt]()
--- a/internal/standalone/forwarder/loadpoller.go
+++ b/internal/standalone/forwarder/loadpoller.go
@@ -60,6 +60,7 @@
 	p.running.Go(func() { p.poll(id) })
 }
 
+// poll makes a poll and reports its result to the engine.
 func (p *LoadPoller) poll(id uint32) {
 	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
 	defer cancel()
--- a/internal/standalone/hotrestart/learned_state.go
+++ b/internal/standalone/hotrestart/learned_state.go
@@ -55,6 +55,7 @@
 	p.log.Info("warm start: learned state adopted")
 }
 
+// adopt restores the policy from the content of learnedStateFile.
 func (p *Process) adopt(content []byte) error {
 	state, ok := bytes.CutPrefix(content, []byte(learnedStateHeader))
 	if !ok {
--- a/internal/standalone/hotrestart/presence.go
+++ b/internal/standalone/hotrestart/presence.go
@@ -36,6 +36,7 @@
 	return binary.BigEndian.AppendUint32(b, s.BackendConnections)
 }
 
+// decodeProcessState is the inverse of encode.
 func decodeProcessState(b [stateBytes]byte) ProcessState {
 	return ProcessState{Stage: Stage(b[0]), ClientSockets: binary.BigEndian.Uint32(b[1:]),
 		BackendConnections: binary.BigEndian.Uint32(b[5:])}
--- a/internal/standalone/hotrestart/process.go
+++ b/internal/standalone/hotrestart/process.go
@@ -134,6 +134,7 @@
 	}
 }
 
+// poll is Poll with mu held.
 func (p *Process) poll() error {
 	peers, err := p.exchangeStates()
 	if err != nil {
@@ -157,6 +158,7 @@
 	sockets      SocketUsage
 }
 
+// exchangeStates publishes the state of this process and returns that of the others.
 func (p *Process) exchangeStates() (peerSummary, error) {
 	var peers peerSummary
 	if p.presence == nil {
--- a/internal/standalone/listener/conn.go
+++ b/internal/standalone/listener/conn.go
@@ -122,8 +122,8 @@
 func (c *clientConn) canEnd() bool { return !c.endedByProxy && c.readInProgress }
 
 // closeGracefully closes a connection that endIfIdle or end has ended: the writing side first, and the connection once
-// the client has closed too, or at lingerUntil. Bytes that arrive meanwhile are discarded: a close with
-// unread bytes would have the kernel reset the connection.
+// the client has closed too, or at lingerUntil. Bytes that arrive meanwhile are discarded: a close with unread bytes
+// would have the kernel reset the connection.
 func (c *clientConn) closeGracefully(lingerUntil time.Time) {
 	c.lingering.Store(true)
 	// net/http's read in progress goes on until the client's end, and its error has net/http close the connection.
--- a/internal/standalone/listener/handler.go
+++ b/internal/standalone/listener/handler.go
@@ -75,6 +75,7 @@
 	return r.URL.Path == readyPath && len(r.Header[classHeader]) == 0
 }
 
+// serveReady answers the readiness check: 200 once there is an endpoint list.
 func (s *Server) serveReady(w http.ResponseWriter) {
 	if !s.opts.Ready() {
 		http.Error(w, "no pool config yet", http.StatusServiceUnavailable)
--- a/internal/standalone/maintenance/state.go
+++ b/internal/standalone/maintenance/state.go
@@ -38,6 +38,7 @@
 	observations uint64 // number of calls of Observe
 }
 
+// backendState is what a State remembers of one backend.
 type backendState struct {
 	lastObserved uint64 // State.observations at the last Observe
 	disabled     bool
@@ -57,6 +58,7 @@
 	}
 }
 
+// add adds a backend, and evicts another one if there are MaxBackends.
 func (s *State) add(name string) *backendState {
 	if s.backends == nil {
 		s.backends = map[string]*backendState{}
--- a/internal/standalone/metrics/metrics.go
+++ b/internal/standalone/metrics/metrics.go
@@ -125,6 +125,7 @@
 	m.removed = stillRemoved
 }
 
+// deleteSeries deletes the series of a class. Called with mu held.
 func (m *Metrics) deleteSeries(class string) {
 	for _, v := range m.requests[Served:] {
 		v.DeleteLabelValues(class)
--- a/internal/standalone/server/operations.go
+++ b/internal/standalone/server/operations.go
@@ -48,6 +48,7 @@
 	return nil
 }
 
+// registerGauges adds to the metrics what is read from the parts at each scrape.
 func (s *server) registerGauges() {
 	s.metrics.RegisterGauges(metrics.Gauges{InFlight: s.clients.InFlight, Backends: s.watcher.EndpointCount,
 		Unhealthy:  func() int { return s.engine.EjectedServers() + s.watcher.DisabledCount() },
--- a/internal/standalone/server/reload.go
+++ b/internal/standalone/server/reload.go
@@ -130,6 +130,7 @@
 	return r.gate.ApplySettings(set)
 }
 
+// classNames returns the names of the classes, in the order of the settings.
 func classNames(s *settings.Settings) []string {
 	var names []string
 	for _, c := range s.Classes {
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -221,6 +221,7 @@
 	go s.reloadOnSignals(running)
 }
 
+// reloadOnSignals reloads the configuration at each signal until running ends.
 func (s *server) reloadOnSignals(running context.Context) {
 	for {
 		select {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -39,6 +39,7 @@
 	return nil
 }
 
+// decodeError returns the *Error for an error of the TOML library.
 func decodeError(path string, err error) error {
 	var unknownKeys *toml.StrictMissingError
 	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
