--- a/cmd/pumiceline/fleetsim.go
+++ b/cmd/pumiceline/fleetsim.go
@@ -119,7 +119,7 @@
 	case r.Error != "":
 		return fmt.Errorf("%s ended early: %s\n  again: %s", r.Policy, r.Error, r.Replay)
 	case f.FailOnViolated && r.Policy == e.Policies[0] && !r.Report.HasNoViolations():
-		return fmt.Errorf("%s broke a rule: %v\n  again: %s", r.Policy, r.Report.Violations[0], r.Replay)
+		return fmt.Errorf("%s violated a rule: %v\n  again: %s", r.Policy, r.Report.Violations[0], r.Replay)
 	}
 	return nil
 }
@@ -134,7 +134,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(out, "%s: %d plays\n", c.File, e.Count())
+	_, err = fmt.Fprintf(out, "%s: %d runs\n", c.File, e.Count())
 	return err
 }
 
--- a/cmd/pumiceline/singletonadmin.go
+++ b/cmd/pumiceline/singletonadmin.go
@@ -72,11 +72,11 @@
 		if m, reached := status.Members[id]; reached {
 			fmt.Fprintf(t, "%d\t%s\t%d\t%d\t%d\t%d\n", id, fleet.Members[id], m.Leader, m.Term, m.Applied, m.HolderChanges)
 		} else {
-			fmt.Fprintf(t, "%d\t%s\tsilent: %s\n", id, fleet.Members[id], status.Unreachable[id])
+			fmt.Fprintf(t, "%d\t%s\tunreachable: %s\n", id, fleet.Members[id], status.Unreachable[id])
 		}
 	}
 	current := status.MostCurrent()
-	fmt.Fprintln(t, "\nWORK\tOWNER\tTOKEN\tPROGRESS\tWANTED")
+	fmt.Fprintln(t, "\nROLE\tHOLDER\tTOKEN\tPROGRESS\tDESIRED")
 	for _, role := range slices.Sorted(maps.Keys(current.Assignments)) {
 		a, holder, age := current.Assignments[role], current.Assignments[role].Holder, "unknown"
 		if ms, known := current.ProgressAgeMs[role]; known {
--- a/internal/fleetsim/progress/tables.go
+++ b/internal/fleetsim/progress/tables.go
@@ -21,7 +21,7 @@
 		byMeasure[i] = experiment.Compare(results, m)
 		header += "\t" + m.Name
 	}
-	fmt.Fprintln(w, header+"\tplays\tbroke a rule\tfailed")
+	fmt.Fprintln(w, header+"\truns\tviolated a rule\tfailed")
 	for i, c := range byMeasure[0] {
 		fmt.Fprintf(w, "%s\t%s", pointOrDash(c.Point), c.Policy)
 		for k := range measures {
@@ -35,7 +35,7 @@
 // PrintDifferences writes how each policy differs from the first at its point, seed by seed.
 func PrintDifferences(out io.Writer, results []*experiment.Result, m experiment.Measure) error {
 	w := newTable(out)
-	fmt.Fprintf(w, "point\tpolicy\t%s\tless the first policy\tverdict\n", m.Name)
+	fmt.Fprintf(w, "point\tpolicy\t%s\tdifference from the first policy\tresult\n", m.Name)
 	for _, c := range experiment.Compare(results, m) {
 		difference, conclusion := describeDifference(c.Difference)
 		fmt.Fprintf(w, "%s\t%s\t%v\t%s\t%s\n", pointOrDash(c.Point), c.Policy, c.Estimate, difference, conclusion)
