--- a/internal/standalone/backend/connection.go
+++ b/internal/standalone/backend/connection.go
@@ -57,7 +57,7 @@
 }
 
 // acquire returns an idle connection to a backend, or a new one. Its errors are *exchangeError.
-func (p *Pool) acquire(ctx context.Context, id uint32) (*conn, error) {
+func (p *Pool) acquire(ctx context.Context, id policy.ServerID) (*conn, error) {
 	c, err := p.reuseOrReserve(id)
 	if err != nil {
 		return nil, &exchangeError{outcome: policy.NotSent, cause: err}
@@ -90,7 +90,7 @@
 
 // reuseOrReserve returns an idle connection, or one that the caller has to make: it counts as open already and has no nc
 // yet.
-func (p *Pool) reuseOrReserve(id uint32) (*conn, error) {
+func (p *Pool) reuseOrReserve(id policy.ServerID) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.byID[id]
@@ -207,7 +207,7 @@
 }
 
 // CloseIdle closes the idle connections to a backend.
-func (p *Pool) CloseIdle(id uint32) {
+func (p *Pool) CloseIdle(id policy.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if b := p.byID[id]; b != nil {
--- a/internal/standalone/backend/exchange.go
+++ b/internal/standalone/backend/exchange.go
@@ -26,7 +26,7 @@
 //
 // If the client disconnects before the request's last byte is written, the exchange is given up, even where the settings
 // forbid to cancel attempts: that rule is about requests that a backend may have begun to execute.
-func (p *Pool) Exchange(ctx context.Context, id uint32, a Attempt) Result {
+func (p *Pool) Exchange(ctx context.Context, id policy.ServerID, a Attempt) Result {
 	if a.Body.Stream != nil && a.Body.Stream.IsClaimed() {
 		return Result{Outcome: policy.NotSent, Err: errBodyConsumed}
 	}
@@ -53,7 +53,7 @@
 
 // acquireWhileWanted is acquire, which it cancels when the attempt ends, the client disconnects or WriteBy passes. After
 // the last two the outcome is policy.NotSent, as they say nothing of the backend.
-func (p *Pool) acquireWhileWanted(ctx context.Context, id uint32, a *Attempt) (*conn, error) {
+func (p *Pool) acquireWhileWanted(ctx context.Context, id policy.ServerID, a *Attempt) (*conn, error) {
 	wanted, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(a.Request.Context(), cancel)()
--- a/internal/standalone/backend/loadpoll.go
+++ b/internal/standalone/backend/loadpoll.go
@@ -15,7 +15,7 @@
 // PollLoad asks a backend for its load and waits for the response until ctx ends. The result has a Report, unless the
 // backend has nothing to report yet, and an Err with every Outcome but OK. A poll uses a connection of the pool like a
 // request; it has no correlation id and no metric counts it.
-func (p *Pool) PollLoad(ctx context.Context, id uint32) Result {
+func (p *Pool) PollLoad(ctx context.Context, id policy.ServerID) Result {
 	c, err := p.acquire(ctx, id)
 	if err != nil {
 		return failedResult(err)
--- a/internal/standalone/backend/pool.go
+++ b/internal/standalone/backend/pool.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"pumiceline/internal/logkey"
+	"pumiceline/internal/standalone/policy"
 )
 
 // warningInterval is how often a malformed response or load report is logged at most.
@@ -46,7 +47,7 @@
 
 	mu            sync.Mutex // guards what follows
 	reportColumns []string
-	byID          map[uint32]*backendState
+	byID          map[policy.ServerID]*backendState
 	openConns     int  // open connections, and those that are being made
 	reapScheduled bool // a timer will call closeExpired
 
@@ -56,7 +57,7 @@
 
 // backendState is a backend and its idle connections.
 type backendState struct {
-	id    uint32
+	id    policy.ServerID
 	addr  string
 	ready bool    // it is a member and not draining
 	idle  []*conn // in the order of their last use, the latest at the end
@@ -67,7 +68,7 @@
 	if opts.Dial == nil {
 		opts.Dial = DialTCP
 	}
-	return &Pool{opts: opts, reportColumns: opts.ReportColumns, log: log, byID: map[uint32]*backendState{}}
+	return &Pool{opts: opts, reportColumns: opts.ReportColumns, log: log, byID: map[policy.ServerID]*backendState{}}
 }
 
 // ApplySettings replaces the time-outs and the report columns. The new idle time-out applies to idle connections too.
@@ -102,7 +103,7 @@
 }
 
 // SetBackend sets where a backend listens and whether it may get new requests. An empty address removes it.
-func (p *Pool) SetBackend(id uint32, addr string, ready bool) {
+func (p *Pool) SetBackend(id policy.ServerID, addr string, ready bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := p.byID[id]
--- a/internal/standalone/discovery/decoder.go
+++ b/internal/standalone/discovery/decoder.go
@@ -78,13 +78,14 @@
 // the policy and the backend pool know it. It is not safe for concurrent use.
 type Decoder struct {
 	zones, instanceTypes []string
-	ids                  map[string]uint32 // by name
-	names                map[uint32]string // by ID
+	ids                  map[string]policy.ServerID // by name
+	names                map[policy.ServerID]string // by ID
 }
 
 // NewDecoder returns a decoder for the zones and instance types that the settings name.
 func NewDecoder(zones, instanceTypes []string) *Decoder {
-	return &Decoder{zones: zones, instanceTypes: instanceTypes, ids: map[string]uint32{}, names: map[uint32]string{}}
+	return &Decoder{zones: zones, instanceTypes: instanceTypes, ids: map[string]policy.ServerID{},
+		names: map[policy.ServerID]string{}}
 }
 
 // Decode decodes an update. Invalid entries are in DecodedUpdate.Invalid; the error is of a message that is no update.
@@ -184,7 +185,7 @@
 
 // id returns the ID of a name: its FNV-1a hash, so that it is the same at every proxy and after a restart. While the hash is
 // taken by another name, a zero byte is appended to the name.
-func (d *Decoder) id(name string) uint32 {
+func (d *Decoder) id(name string) policy.ServerID {
 	if id, ok := d.ids[name]; ok {
 		return id
 	}
@@ -203,7 +204,7 @@
 }
 
 // forget removes an ID and its name.
-func (d *Decoder) forget(id uint32) {
+func (d *Decoder) forget(id policy.ServerID) {
 	delete(d.ids, d.names[id])
 	delete(d.names, id)
 }
--- a/internal/standalone/discovery/watch.go
+++ b/internal/standalone/discovery/watch.go
@@ -168,7 +168,7 @@
 
 // removeMissing removes the endpoints that a complete list does not have.
 func (w *Watcher) removeMissing(members []policy.Member) {
-	present := make(map[uint32]bool, len(members))
+	present := make(map[policy.ServerID]bool, len(members))
 	for _, m := range members {
 		present[m.Server] = m.Mode != policy.ModeGone
 	}
@@ -182,7 +182,7 @@
 
 // remove removes an endpoint and its ID. Each deployment brings new names, so that memory would grow if the old ones were kept.
 // An endpoint that is listed again gets the same ID.
-func (w *Watcher) remove(id uint32) {
+func (w *Watcher) remove(id policy.ServerID) {
 	delete(w.endpoints, id)
 	w.decoder.forget(id)
 }
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -24,7 +24,7 @@
 
 // Backends is notified of the addresses of backends and of which of them may get new requests.
 type Backends interface {
-	SetBackend(id uint32, addr string, ready bool)
+	SetBackend(id policy.ServerID, addr string, ready bool)
 }
 
 // Source is a discovery service, and the names of the settings by which its list is decoded.
@@ -69,7 +69,7 @@
 
 	mu                 sync.Mutex // guards what follows
 	decoder            *Decoder
-	endpoints          map[uint32]listedEndpoint
+	endpoints          map[policy.ServerID]listedEndpoint
 	maintenance        maintenance.State
 	maintenanceVersion hotrestart.FileVersion // of the file that was read last
 }
@@ -87,7 +87,7 @@
 		dial = backend.DialTCP
 	}
 	return &Watcher{source: opts.Source, dial: dial, backends: opts.Backends, log: opts.Log,
-		decoder: NewDecoder(opts.Source.Zones, opts.Source.InstanceTypes), endpoints: map[uint32]listedEndpoint{},
+		decoder: NewDecoder(opts.Source.Zones, opts.Source.InstanceTypes), endpoints: map[policy.ServerID]listedEndpoint{},
 		restart: make(chan struct{}, 1), sourceChanged: make(chan struct{}, 1)}
 }
 
--- a/internal/standalone/engine/call.go
+++ b/internal/standalone/engine/call.go
@@ -33,7 +33,7 @@
 
 // attempt is one attempt of a call.
 type attempt struct {
-	server  uint32
+	server  policy.ServerID
 	started time.Time
 	running bool
 }
@@ -63,7 +63,7 @@
 func (c *Call) Actions() <-chan policy.Action { return c.actions }
 
 // addAttempt adds a running attempt and returns its number. Called with the engine locked.
-func (c *Call) addAttempt(server uint32) uint8 {
+func (c *Call) addAttempt(server policy.ServerID) uint8 {
 	c.attempts = append(c.attempts, attempt{server: server, started: time.Now(), running: true})
 	c.running++
 	return uint8(len(c.attempts) - 1)
--- a/internal/standalone/engine/engine.go
+++ b/internal/standalone/engine/engine.go
@@ -22,9 +22,9 @@
 // Hooks carry out the actions that belong to no call. They are called with the engine locked: they must return at once
 // and must not call the engine.
 type Hooks struct {
-	SubscribeDiscovery func()              // asks discovery for the membership
-	CloseIdleConns     func(server uint32) // closes the idle connections to a server
-	PollLoad           func(server uint32) // asks a server for its load; LoadPolled must follow. nil: no load polls
+	SubscribeDiscovery func()                       // asks discovery for the membership
+	CloseIdleConns     func(server policy.ServerID) // closes the idle connections to a server
+	PollLoad           func(server policy.ServerID) // asks a server for its load; LoadPolled must follow. nil: no load polls
 }
 
 // Engine serialises the events of one Policy. Its methods are safe for concurrent use. Run must run for timers to fire.
@@ -73,7 +73,7 @@
 }
 
 // LoadPolled reports the result of a load poll that Hooks.PollLoad was called for.
-func (e *Engine) LoadPolled(server uint32, outcome policy.Outcome, elapsed time.Duration, report []float32) {
+func (e *Engine) LoadPolled(server policy.ServerID, outcome policy.Outcome, elapsed time.Duration, report []float32) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dispatch(&policy.Event{
--- a/internal/standalone/forwarder/attempts.go
+++ b/internal/standalone/forwarder/attempts.go
@@ -92,7 +92,7 @@
 }
 
 // exchange makes one exchange and survives a panic: an attempt without an outcome would leave its request open.
-func (a *attempts) exchange(ctx context.Context, id uint32, attempt backend.Attempt) (result backend.Result) {
+func (a *attempts) exchange(ctx context.Context, id policy.ServerID, attempt backend.Attempt) (result backend.Result) {
 	defer func() {
 		if p := recover(); p != nil {
 			a.transport.Log.Error("attempt panicked", "panic", p, "stack", string(debug.Stack()))
--- a/internal/standalone/forwarder/loadpoller.go
+++ b/internal/standalone/forwarder/loadpoller.go
@@ -9,11 +9,12 @@
 	"pumiceline/internal/logkey"
 	"pumiceline/internal/standalone/backend"
 	"pumiceline/internal/standalone/engine"
+	"pumiceline/internal/standalone/policy"
 )
 
 // LoadReporter asks a backend for its load: a *backend.Pool, except in tests.
 type LoadReporter interface {
-	PollLoad(ctx context.Context, id uint32) backend.Result
+	PollLoad(ctx context.Context, id policy.ServerID) backend.Result
 }
 
 const (
@@ -36,13 +37,13 @@
 	running  sync.WaitGroup
 
 	mu      sync.Mutex
-	pending map[uint32]struct{} // backends that are being polled
+	pending map[policy.ServerID]struct{} // backends that are being polled
 }
 
 // NewLoadPoller returns a LoadPoller that asks backends. SetEngine must be called before the first Poll.
 func NewLoadPoller(backends LoadReporter, log *slog.Logger) *LoadPoller {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &LoadPoller{backends: backends, log: log, ctx: ctx, cancel: cancel, pending: map[uint32]struct{}{}}
+	return &LoadPoller{backends: backends, log: log, ctx: ctx, cancel: cancel, pending: map[policy.ServerID]struct{}{}}
 }
 
 // SetEngine sets the engine that gets the reports.
@@ -50,7 +51,7 @@
 
 // Poll begins a poll of a backend and returns at once. If the backend is being polled already, or maxPolls are in
 // flight, there is no poll: the policy asks again.
-func (p *LoadPoller) Poll(id uint32) {
+func (p *LoadPoller) Poll(id policy.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if _, isPending := p.pending[id]; isPending || len(p.pending) >= maxPolls || p.ctx.Err() != nil {
@@ -61,7 +62,7 @@
 }
 
 // poll makes a poll and reports its result to the engine.
-func (p *LoadPoller) poll(id uint32) {
+func (p *LoadPoller) poll(id policy.ServerID) {
 	ctx, cancel := context.WithTimeout(p.ctx, pollTimeout)
 	defer cancel()
 	start := time.Now()
--- a/internal/standalone/forwarder/transport.go
+++ b/internal/standalone/forwarder/transport.go
@@ -21,7 +21,7 @@
 
 // Exchanger makes one exchange with a backend: a *backend.Pool, except in tests.
 type Exchanger interface {
-	Exchange(ctx context.Context, id uint32, a backend.Attempt) backend.Result
+	Exchange(ctx context.Context, id policy.ServerID, a backend.Attempt) backend.Result
 }
 
 // responseMargin is how long before the client's deadline attempts end, so that the policy's final decision still
--- a/internal/standalone/policy/actions.go
+++ b/internal/standalone/policy/actions.go
@@ -21,7 +21,7 @@
 type Action struct {
 	Kind       ActionKind
 	Attempt    uint8
-	Server     uint32
+	Server     ServerID
 	ID         uint64
 	After      Time
 	SendBefore Time // of a SendAttempt: nothing may be written from then on, or it could execute twice; 0: no limit
--- a/internal/standalone/policy/balancer.go
+++ b/internal/standalone/policy/balancer.go
@@ -39,7 +39,7 @@
 	refreshedAt Time
 
 	// Servers.
-	servers             map[uint32]*server
+	servers             map[ServerID]*server
 	members             []*server // the same in the order of listing, for iteration
 	affinity            affinity.Table
 	zoneConnectFailures [256]int // attempts in a row that could not connect, by zone
@@ -80,7 +80,7 @@
 
 // New returns a balancer for the given settings. The seed determines all its random choices.
 func New(settings Settings, seed uint64) (*Balancer, error) {
-	b := &Balancer{rng: rand.New(rand.NewPCG(seed, rngStream)), servers: map[uint32]*server{},
+	b := &Balancer{rng: rand.New(rand.NewPCG(seed, rngStream)), servers: map[ServerID]*server{},
 		requests: map[uint64]*request{}, retryTokens: retryBurst, concurrencyLimit: math.Inf(1)}
 	if err := b.ApplySettings(settings); err != nil {
 		return nil, err
--- a/internal/standalone/policy/events.go
+++ b/internal/standalone/policy/events.go
@@ -31,7 +31,7 @@
 	Attempt       uint8
 	Class         uint8 // index into Settings.Classes
 	Tenant        uint32
-	Server        uint32
+	Server        ServerID
 	ID            uint64
 	AffinityKey   uint64 // what the request is about; 0: unknown
 	Work          Time   // expected work on a standard core; 0: unknown
@@ -91,15 +91,19 @@
 	ModeDraining             // finishes what it has
 )
 
+// ServerID identifies a server in events and actions. The caller assigns it: the same at every balancer of the group and
+// after a restart, as the home servers of affinity keys and the snapshot for a successor depend on it.
+type ServerID = uint32
+
 // Member is a server as discovery lists it.
 type Member struct {
-	Server       uint32  `json:"Server"`
-	Zone         uint8   `json:"Zone"`
-	Cell         uint16  `json:"Cell"`
-	InstanceType uint16  `json:"Kind"` // servers of one type have equal capacity
-	Mode         Mode    `json:"Mode"`
-	Size         float64 `json:"Size"`    // compares capacities, see Settings.SizesKnown
-	StartedAt    Time    `json:"UpSince"` // the latest start; 0: long ago
+	Server       ServerID `json:"Server"`
+	Zone         uint8    `json:"Zone"`
+	Cell         uint16   `json:"Cell"`
+	InstanceType uint16   `json:"Kind"` // servers of one type have equal capacity
+	Mode         Mode     `json:"Mode"`
+	Size         float64  `json:"Size"`    // compares capacities, see Settings.SizesKnown
+	StartedAt    Time     `json:"UpSince"` // the latest start; 0: long ago
 }
 
 // maxSize bounds Member.Size: a listed size that is not below it is taken for a mistake.
--- a/internal/standalone/policy/membership.go
+++ b/internal/standalone/policy/membership.go
@@ -52,7 +52,7 @@
 }
 
 // addServer adds a server, which is taken to be warm and like the others until discovery or reports say otherwise.
-func (b *Balancer) addServer(id uint32) *server {
+func (b *Balancer) addServer(id ServerID) *server {
 	s := &server{id: id, relativeLatency: 1, readySince: -b.settings.Rules.WarmupTime, weight: 1, relativeWorkTime: 1}
 	s.TieBreaker, s.Value = s.id, s
 	b.servers[id] = s
--- a/internal/standalone/policy/request.go
+++ b/internal/standalone/policy/request.go
@@ -6,10 +6,10 @@
 	class           *Class
 	classIndex      uint8
 	affinityKey     uint64
-	homes           [2]uint32 // servers preferred for affinityKey, see pickHome
-	affinityPenalty float64   // load score added for any other server; 0: no affinity
-	cost            float64   // work, in mean requests
-	priority        float64   // value per unit of work; the highest is dispatched first
+	homes           [2]ServerID // servers preferred for affinityKey, see pickHome
+	affinityPenalty float64     // load score added for any other server; 0: no affinity
+	cost            float64     // work, in mean requests
+	priority        float64     // value per unit of work; the highest is dispatched first
 	arrivedAt       Time
 	deadline        Time
 	queuedUntil     Time
@@ -25,7 +25,7 @@
 // attempt is one send of a request to a server.
 type attempt struct {
 	server          *server
-	serverID        uint32
+	serverID        ServerID
 	zone            uint8
 	cell            uint16
 	inFlight        bool
--- a/internal/standalone/policy/server.go
+++ b/internal/standalone/policy/server.go
@@ -10,7 +10,7 @@
 	edf.Item[server]
 
 	// From discovery.
-	id           uint32
+	id           ServerID
 	zone         uint8
 	cell         uint16
 	instanceType int // index into Balancer.instanceTypes
--- a/internal/standalone/policy/snapshot.go
+++ b/internal/standalone/policy/snapshot.go
@@ -35,19 +35,19 @@
 
 // ServerSnapshot is what was learned about one server. The sums are those of its load reports, exponentially decaying.
 type ServerSnapshot struct {
-	Server          uint32  `json:"Server"`
-	StartedAt       Time    `json:"UpSince"`
-	LastReportAt    Time    `json:"LastReport"`
-	NonEmptySince   Time    `json:"NonEmptySince"`
-	ReadySince      Time    `json:"Ready"`
-	WarmingUp       bool    `json:"Cold"`
-	QPSSum          float64 `json:"QPS"`
-	UtilizationSum  float64 `json:"Util"`
-	EPSSum          float64 `json:"EPS"`
-	ReportWeight    float64 `json:"Mass"`
-	SlowStartTokens float64 `json:"Tokens"`
-	RelativeLatency float64 `json:"Pace"`
-	FailureRate     float64 `json:"Faults"`
+	Server          ServerID `json:"Server"`
+	StartedAt       Time     `json:"UpSince"`
+	LastReportAt    Time     `json:"LastReport"`
+	NonEmptySince   Time     `json:"NonEmptySince"`
+	ReadySince      Time     `json:"Ready"`
+	WarmingUp       bool     `json:"Cold"`
+	QPSSum          float64  `json:"QPS"`
+	UtilizationSum  float64  `json:"Util"`
+	EPSSum          float64  `json:"EPS"`
+	ReportWeight    float64  `json:"Mass"`
+	SlowStartTokens float64  `json:"Tokens"`
+	RelativeLatency float64  `json:"Pace"`
+	FailureRate     float64  `json:"Faults"`
 }
 
 // limitFreezeTime is how long, in microseconds, LimitToUsage is not applied to a restored concurrency limit: this
