--- a/internal/fleetsim/model/clients.go
+++ b/internal/fleetsim/model/clients.go
@@ -32,7 +32,7 @@
 // Values of clientRequest.currentAttempt that are no ids.
 const (
 	attemptWithoutProxy = 0 // no proxy was there
-	attemptOver         = 1 // responses come too late from here
+	attemptOver         = 1 // the client has given the attempt up: its response is ignored
 )
 
 // Purposes of clientRequest.draw. chooseProxy uses proxy<<8 + attempt beside these, which for proxy 0 coincides with some of
--- a/internal/fleetsim/model/config.go
+++ b/internal/fleetsim/model/config.go
@@ -21,7 +21,7 @@
 // what Published says.
 type Scenario struct {
 	Duration Span `toml:"length" json:"length"`   // clients start new requests for this long
-	Tick     Span `toml:"tick" json:"tick"`       // proxies handle what has come in once a tick; 0: at once
+	Tick     Span `toml:"tick" json:"tick"`       // proxies handle what has arrived once a tick; 0: without delay
 	Servers  int  `toml:"servers" json:"servers"` // in service at the start
 	Proxies  int  `toml:"proxies" json:"proxies"`
 	Zones    int  `toml:"zones" json:"zones"`
--- a/internal/fleetsim/model/events.go
+++ b/internal/fleetsim/model/events.go
@@ -32,15 +32,15 @@
 
 // Events of proxies. The subject is a proxy where nothing else is said.
 const (
-	evReceiveRequest  eventKind = iota + 32 // a request comes to its proxy [subject=proxy request id]
-	evReceiveOutcome                        // an attempt's end comes to its proxy [subject=server attempt]
+	evReceiveRequest  eventKind = iota + 32 // a request arrives at its proxy [subject=proxy request id]
+	evReceiveOutcome                        // an attempt's end arrives at its proxy [subject=server attempt]
 	evAttemptTimeout                        // an attempt's time is up [subject=proxy request code=attempt id]
 	evAttemptFailed                         // an attempt has failed [subject=proxy request code=attempt number=outcome id]
 	evRequestExpired                        // a request had no response within the grace [subject=proxy request id]
 	evTimer                                 // a node's timer fires [number=generation id=the node's]
 	evCloseIdle                             // idle connections are closed [number=generation]
-	evPollResult                            // a load poll's result comes [number=generation id=server]
-	evPeerMessage                           // a message of another proxy comes [number=message]
+	evPollResult                            // a load poll's result arrives [number=generation id=server]
+	evPeerMessage                           // a message of another proxy arrives [number=message]
 	evNotifyProxy                           // a discovery watch delivers changes [number=generation]
 	evSubscribeResult                       // a subscribe call ends [number=generation code=1: it failed]
 	evWatchBreaks                           // a discovery watch breaks [number=generation]
@@ -50,7 +50,7 @@
 
 // Events of servers, discovery and the simulation. The subject is a server where nothing else is said.
 const (
-	evArriveAtServer     eventKind = iota + 64 // an attempt comes to its server [subject=server attempt]
+	evArriveAtServer     eventKind = iota + 64 // an attempt arrives at its server [subject=server attempt]
 	evServerProgress                           // a server may have completed something []
 	evDownstreamWaitOver                       // other services have answered [subject=server attempt code=outcome]
 	evPauseStart                               // the server's pause starts [number=generation]
--- a/internal/fleetsim/model/fault.go
+++ b/internal/fleetsim/model/fault.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// Fault is something that goes wrong for a while.
+// Fault is a fault that is injected for a time.
 type Fault struct {
 	Kind          FaultKind `toml:"kind" json:"kind"`
 	Start         Span      `toml:"at" json:"at"`
--- a/internal/fleetsim/model/lifecycle.go
+++ b/internal/fleetsim/model/lifecycle.go
@@ -58,7 +58,7 @@
 	sm.schedulePause(s)
 }
 
-// overloadServer crashes a cold server that got too much work.
+// overloadServer crashes a cold server whose work exceeds the bound of crashesFromOverload.
 func (sm *simulation) overloadServer(s *server) {
 	sm.observe(Record{Kind: ServerOverloaded, Server: s.id})
 	hasSuccessor := s.willBeReplaced
--- a/internal/fleetsim/model/oracle.go
+++ b/internal/fleetsim/model/oracle.go
@@ -27,7 +27,7 @@
 
 // Expectation is how a server would do a request that it is sent now.
 type Expectation struct {
-	Time            float64 // until it is completed if nothing else came, in microseconds; infinite: it would not be
+	Time            float64 // in microseconds, until it is completed if nothing else arrives; infinite: it would not be
 	RequestsPerCore float64 // that the server would then have, with those on their way
 }
 
--- a/internal/fleetsim/model/record.go
+++ b/internal/fleetsim/model/record.go
@@ -17,7 +17,7 @@
 	ResponseSent                            // a proxy's final response [Proxy ID Outcome Duration=Retry-After]
 	ResponseOverdue                         // a request has had no response within the grace [Proxy ID]
 	AttemptExecuted                         // a server has executed it [Server ID Attempt Request Work Flag=response is used]
-	ColdServerReached                       // an attempt comes to a cold server [Proxy Server Work Capacity=standard cores]
+	ColdServerReached                       // an attempt arrives at a cold server [Proxy Server Work Capacity=standard cores]
 	ServerStarted                           // a server process starts, cold [Server]
 	ServerOverloaded                        // a cold server has crashed from overload [Server]
 	DiscoveryUpdated                        // discovery knows of a change [Members Version]
--- a/internal/fleetsim/model/server.go
+++ b/internal/fleetsim/model/server.go
@@ -36,7 +36,7 @@
 	startedAt         Time // 0: before the run
 	cold              bool
 	warmupWork        float64    // completed since the start
-	arrivedWork       workWindow // work that has come within Overload.Window
+	arrivedWork       workWindow // work that has arrived within Overload.Window
 	willBeReplaced    bool       // a successor is to follow
 	successorHasNewID bool
 
--- a/internal/fleetsim/model/serverqueue.go
+++ b/internal/fleetsim/model/serverqueue.go
@@ -79,7 +79,7 @@
 	}
 }
 
-// workWindow sums up the work that came within a sliding window of time.
+// workWindow sums up the work that arrived within a sliding window of time.
 type workWindow struct {
 	times []Time
 	work  []float64
--- a/internal/singleton/doc.go
+++ b/internal/singleton/doc.go
@@ -3,7 +3,7 @@
 // disk and no goroutines. Its parts run in different places:
 //
 //   - State is what a quorum of members agrees on, one Command of the replicated log after the other. It is the same at
-//     every member that has applied as many.
+//     every member that has applied as many of them.
 //   - LeaseManager runs at the member that leads. It decides who is granted which role and whose lease has expired.
 //   - Holder runs at each instance. It stops acting on a role before any other instance may be granted it.
 //   - FencingGuard runs where effects arrive. It rejects what a former holder sends when the lease did not stop it.
--- a/internal/singleton/leaseclient/client.go
+++ b/internal/singleton/leaseclient/client.go
@@ -90,8 +90,8 @@
 		http:         &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}},
 		heartbeatDue: make(chan struct{}, 1),
 		memberIDs:    slices.Sorted(maps.Keys(opts.Members)),
-		holder: singleton.NewHolder(singleton.HolderOptions{Settings: opts.Settings, Name: opts.Name, Incarnation: opts.Incarnation,
-			Zone: opts.Zone, Build: opts.Build}),
+		holder: singleton.NewHolder(singleton.HolderOptions{Settings: opts.Settings, Name: opts.Name,
+			Incarnation: opts.Incarnation, Zone: opts.Zone, Build: opts.Build}),
 	}, nil
 }
 
--- a/internal/singleton/leaseclient/heartbeat.go
+++ b/internal/singleton/leaseclient/heartbeat.go
@@ -102,7 +102,8 @@
 func (c *Client) postHeartbeat(ctx context.Context, member string, text []byte) (reply heartbeatReply, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.lease/heartbeatTimeoutsPerLease)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+member+singleton.HeartbeatPath, bytes.NewReader(text))
+	url := "http://" + member + singleton.HeartbeatPath
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(text))
 	if err != nil {
 		return reply, fmt.Errorf("heartbeat to %s: %w", member, err)
 	}
--- a/internal/singleton/leasemanager.go
+++ b/internal/singleton/leasemanager.go
@@ -64,8 +64,8 @@
 	return now - m.leases[role].lastProgress
 }
 
-// HandleHeartbeat takes in a heartbeat that was received at now. It returns the commands to propose and the response, which may be
-// sent only once a quorum has confirmed, after now, that this member still leads.
+// HandleHeartbeat takes in a heartbeat that was received at now. It returns the commands to propose and the response, which
+// may be sent only once a quorum has confirmed, after now, that this member still leads.
 func (m *LeaseManager) HandleHeartbeat(now Time, heartbeat Heartbeat, s *State) ([]Command, HeartbeatResponse) {
 	if reason := m.rejectionReason(now, heartbeat); reason != "" {
 		return nil, HeartbeatResponse{Reason: reason}
--- a/internal/singleton/raftmember/client.go
+++ b/internal/singleton/raftmember/client.go
@@ -107,7 +107,8 @@
 
 // SetDesiredHolder has a role go to an instance once the holder has completed its step; empty: withdraws that.
 func (c *AdminClient) SetDesiredHolder(ctx context.Context, role, instance string) error {
-	return c.postToLeader(ctx, rolesPath+url.PathEscape(role)+desiredHolderSuffix+"?"+instanceQuery+"="+url.QueryEscape(instance))
+	query := "?" + instanceQuery + "=" + url.QueryEscape(instance)
+	return c.postToLeader(ctx, rolesPath+url.PathEscape(role)+desiredHolderSuffix+query)
 }
 
 // postToLeader sends a request to the leader. It returns ErrNoLeader where there is none.
--- a/internal/singleton/raftmember/handshake.go
+++ b/internal/singleton/raftmember/handshake.go
@@ -61,9 +61,9 @@
 	return nil
 }
 
-// announce sends Hello to the peers until those that have accepted it are a quorum together with this member. Each
-// compares it with what it has seen of this member's disk itself. A single refusal is an ErrRefused. Where ctx ends first it
-// returns nil.
+// announce sends Hello to the peers until those that have accepted it are a quorum together with this member. Each compares
+// it with what it has seen of this member's disk itself. A single refusal is an ErrRefused. Where ctx ends first it returns
+// nil.
 func (m *Member) announce(ctx context.Context) error {
 	hello, err := json.Marshal(Hello{ID: m.opts.ID, diskProgress: m.store.progress(m.nonce)})
 	if err != nil {
--- a/internal/singleton/raftmember/member.go
+++ b/internal/singleton/raftmember/member.go
@@ -15,8 +15,8 @@
 //	                                its ID is known
 //
 // Every POST names its fleet in X-Fleet and is answered 403 by a member of another fleet: where an address has passed from
-// one fleet to another, members of both would else take part in one raft group. A member that does not lead answers 503, with the leader's ID
-// in X-Leader if it knows one.
+// one fleet to another, members of both would else take part in one raft group. A member that does not lead answers 503,
+// with the leader's ID in X-Leader if it knows one.
 //
 // Goroutines: the raft loop owns the raft node, the state and the lease manager. HTTP handlers reach them through
 // runOnLoop. One goroutine a peer sends what is queued for it. Run waits for all of them.
--- a/internal/singleton/raftmember/raftloop.go
+++ b/internal/singleton/raftmember/raftloop.go
@@ -33,7 +33,7 @@
 		MaxUncommittedEntriesSize: maxUncommittedBytes,
 		CheckQuorum:               true,
 		PreVote:                   true,
-		DisableProposalForwarding: true, // a command that a member decided on while it led must not take effect under another leader
+		DisableProposalForwarding: true, // what one leader decided must not take effect under another
 		Logger:                    raftLogger{m.opts.Log},
 	})
 	if err != nil {
--- a/internal/singleton/raftmember/storage.go
+++ b/internal/singleton/raftmember/storage.go
@@ -16,7 +16,8 @@
 )
 
 // store is what a member must not lose, on disk: its vote and term, the log since the latest snapshot, that snapshot, how
-// often it has started, and its peers' progress. Term, vote, log and snapshot are in memory too (mem), where raft reads them.
+// often it has started, and its peers' progress. Term, vote, log and snapshot are in memory (mem) too, where raft reads
+// them.
 //
 // Format: a bbolt file. Bucket "meta" holds "hard" (raftpb.HardState), "snapshot" (raftpb.Snapshot), "boot" (8 bytes, big
 // endian) and "known" (JSON: diskProgress by member). Bucket "log" holds raftpb.Entry by index (8 bytes, big endian).
--- a/internal/singleton/state.go
+++ b/internal/singleton/state.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// State is the outcome of all commands of the replicated log, the same at every member that has applied as many. Its JSON
-// form is the snapshot that is stored.
+// State is the outcome of all commands of the replicated log, the same at every member that has applied as many of them.
+// Its JSON form is the snapshot that is stored.
 type State struct {
 	Assignments   map[string]Assignment `json:"works"`            // by role
 	Expirations   map[string]int        `json:"lapses,omitempty"` // by instance, how many of its leases expired
