--- a/cmd/pumiceline/faulttestrun.go
+++ b/cmd/pumiceline/faulttestrun.go
@@ -77,7 +77,7 @@
 		return err
 	}
 	if len(result.ProxyFailures) > 0 {
-		return fmt.Errorf("stage: %v; again with: pumiceline stage run %s --seed %d", result.ProxyFailures, c.File, c.Seed)
+		return fmt.Errorf("faulttest: %v; again with: pumiceline faulttest run %s --seed %d", result.ProxyFailures, c.File, c.Seed)
 	}
 	return nil
 }
