--- a/internal/standalone/backend/exchange.go
+++ b/internal/standalone/backend/exchange.go
@@ -30,7 +30,7 @@
 	if a.Body.Stream != nil && a.Body.Stream.IsClaimed() {
 		return Result{Outcome: policy.NotSent, Err: errBodyConsumed}
 	}
-	c, err := p.acquireWhileWanted(ctx, id, &a)
+	c, err := p.acquireForAttempt(ctx, id, &a)
 	if err != nil {
 		return failedResult(err)
 	}
@@ -51,18 +51,19 @@
 	return result
 }
 
-// acquireWhileWanted is acquire, which it cancels when the attempt ends, the client disconnects or WriteBy passes. After
+// acquireForAttempt is acquire, which it cancels when the attempt ends, the client disconnects or WriteBy passes. After
 // the last two the outcome is policy.NotSent, as they say nothing of the backend.
-func (p *Pool) acquireWhileWanted(ctx context.Context, id policy.ServerID, a *Attempt) (*conn, error) {
-	wanted, cancel := context.WithCancel(ctx)
+func (p *Pool) acquireForAttempt(ctx context.Context, id policy.ServerID, a *Attempt) (*conn, error) {
+	acquireCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	defer context.AfterFunc(a.Request.Context(), cancel)()
 	if !a.WriteBy.IsZero() {
 		defer time.AfterFunc(time.Until(a.WriteBy), cancel).Stop()
 	}
-	c, err := p.acquire(wanted, id)
-	if err != nil && wanted.Err() != nil && ctx.Err() == nil {
-		return nil, &exchangeError{outcome: policy.NotSent, cause: fmt.Errorf("no longer wanted: %w", err)}
+	c, err := p.acquire(acquireCtx, id)
+	if err != nil && acquireCtx.Err() != nil && ctx.Err() == nil {
+		err = fmt.Errorf("the client disconnected, or the time for a retry passed: %w", err)
+		return nil, &exchangeError{outcome: policy.NotSent, cause: err}
 	}
 	return c, err
 }
@@ -95,15 +96,15 @@
 	if err != nil {
 		return &exchangeError{outcome: policy.NotSent, cause: err}
 	}
-	if err := p.checkWanted(ctx, c, a); err != nil {
+	if err := p.checkMaySend(ctx, c, a); err != nil {
 		return &exchangeError{outcome: outcomeAfter(ctx, policy.NotSent), cause: err, connReusable: true}
 	}
 	return c.send(ctx, a, head)
 }
 
-// checkWanted returns why a request may not be sent now, although it could be when the policy decided: the connection
-// has been made since.
-func (p *Pool) checkWanted(ctx context.Context, c *conn, a *Attempt) error {
+// checkMaySend returns an error if a request may not be sent any more: while its connection was made, the attempt may have
+// ended, the backend have begun to drain, WriteBy have passed or the client have disconnected.
+func (p *Pool) checkMaySend(ctx context.Context, c *conn, a *Attempt) error {
 	switch {
 	case ctx.Err() != nil || !p.isReady(c.backend):
 		return errAttemptEnded
