--- a/internal/standalone/policy/admission_test.go
+++ b/internal/standalone/policy/admission_test.go
@@ -273,6 +273,18 @@
 	}
 }
 
+// A server that is gone is kept while its only attempts are ones with pending bodies.
+func TestGoneServersAreKeptWhileAllBodiesArePending(t *testing.T) {
+	b, _ := newBalancerWithPendingBodies(t)
+	for _, s := range b.members {
+		b.Handle(b.now, &Event{Kind: MembershipDelta, Members: []Member{{Server: s.id, Mode: ModeGone}}}, nil)
+	}
+	b.refresh()
+	if len(b.members) != 3 {
+		t.Errorf("%d servers are left while clients send", len(b.members))
+	}
+}
+
 // Servers that are gone are kept until the attempts with pending bodies have ended, and nothing is left of them then.
 func TestGoneServersAreKeptForPendingBodies(t *testing.T) {
 	b, servers := newBalancerWithPendingBodies(t)
