--- a/cmd/pumiceline/faulttest.go
+++ b/cmd/pumiceline/faulttest.go
@@ -6,7 +6,7 @@
 	"os"
 )
 
-// faulttestCmd is `pumiceline faulttest`. The aliases are the names that the commands had first.
+// faulttestCmd is `pumiceline faulttest`. The aliases are the commands' earlier names.
 type faulttestCmd struct {
 	Run            faulttestRunCmd            `cmd:"" help:"Run a script: real proxies, with faults between them and fakes of backends and discovery."`
 	Cluster        faulttestClusterCmd        `cmd:"" aliases:"owners" help:"Inject faults drawn from a seed into members and instances of singleton roles, and check the effects."`
--- a/cmd/pumiceline/faulttestcluster.go
+++ b/cmd/pumiceline/faulttestcluster.go
@@ -33,8 +33,8 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "seed %d: %d effects counted, %d late ones refused, %d hand-overs, longest gap %.1f s, "+
-		"all owned again %.1f s after the last fault, %d harms, linearizable %v\n",
+	fmt.Fprintf(out, "seed %d: %d effects accepted, %d late ones rejected, %d changes of holders, longest gap %.1f s, "+
+		"all roles held again %.1f s after the last fault, %d violations, linearizable %v\n",
 		result.Seed, result.Accepted, result.Rejected, result.HolderChanges, result.LongestGap(),
 		result.RecoveryS, result.Violations, result.Linearizable)
 	if err := writeResult(c.Out, result); err != nil {
--- a/cmd/pumiceline/faulttestrun.go
+++ b/cmd/pumiceline/faulttestrun.go
@@ -28,7 +28,7 @@
 	History        []faulttest.Event `json:"history"`
 }
 
-// requestCounts is what became of the requests to one proxy.
+// requestCounts counts the requests to one proxy by their result.
 type requestCounts struct {
 	Sent     int `json:"asked"`
 	Served   int `json:"served"`
@@ -42,13 +42,13 @@
 
 // String is the form in which the command prints counts.
 func (c requestCounts) String() string {
-	return fmt.Sprintf("%d asked, %d served, %d refused, %d failed", c.Sent, c.Served, c.Rejected, c.Failed)
+	return fmt.Sprintf("%d sent, %d served, %d rejected, %d failed", c.Sent, c.Served, c.Rejected, c.Failed)
 }
 
-// settleTime is how long after the last fault's end what it left in flight still counts as its effect.
+// settleTime is the time after the last fault's end in which requests that fail still count as affected by it.
 const settleTime = time.Second
 
-// Run runs a script and shows what became of the requests. It fails if a proxy ended by itself or not in order.
+// Run runs a script and shows the requests by their result. It fails if a proxy ended by itself or not in order.
 func (c *faulttestRunCmd) Run(out output) error {
 	script, err := faulttest.ReadScript(c.File)
 	if err != nil {
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// execute sends requests to the proxies for the script's length, injects the faults meanwhile, and counts what became of the
-// requests.
+// execute sends requests to the proxies for the script's length, injects the faults meanwhile, and counts the requests by
+// their result.
 func (r *scriptRun) execute(ctx context.Context, schedule []faulttest.ScheduledFault) (result scriptResult) {
 	startedAt := time.Now()
 	ctx, cancel := context.WithCancel(ctx)
--- a/cmd/pumiceline/faulttestscript.go
+++ b/cmd/pumiceline/faulttestscript.go
@@ -23,7 +23,7 @@
 // scriptZones are the zones of fake backends and proxies.
 var scriptZones = []string{"east", "west"}
 
-// scriptRun is what a script runs on: fakes of discovery and of backends behind relays, and processes of proxies.
+// scriptRun is a run of a script: fakes of discovery and of backends behind relays, and processes of proxies.
 type scriptRun struct {
 	*faulttest.Harness
 	script          *faulttest.Script
@@ -154,7 +154,7 @@
 	return r.processes[i]
 }
 
-// inject injects a fault and returns what ends it. Faults may overlap: a proxy that is to be frozen may be down.
+// inject injects a fault and returns what ends it. Faults may overlap: a proxy that is to be frozen may have been killed.
 func (r *scriptRun) inject(f faulttest.ScheduledFault) (end func()) {
 	r.Record("script", "%v", &f)
 	switch {
@@ -206,7 +206,7 @@
 	return relay.Heal
 }
 
-// stopProxies stops all proxies and returns what was not in order.
+// stopProxies stops all proxies and returns which had ended already, or do not end in order.
 func (r *scriptRun) stopProxies() (failures []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,5 +1,7 @@
 // Package demo runs the whole system on loopback, with real processes of its programs and fakes of what surrounds it. It
-// kills the coordinator that holds the controller lease, and counts what became of every request and change.
+// kills the coordinator that holds the controller lease, and counts all requests and configuration changes by their result.
+//
+// Goroutines: one sends the load, and one for each process awaits its end. Run waits for all of them.
 package demo
 
 import (
@@ -22,7 +24,7 @@
 	Programs   string        // folder of the system's programs
 	LoadPeriod time.Duration // for how long requests are sent
 	Log        io.Writer     // for the output of the processes; nil: discarded
-	Progress   io.Writer     // for what the run does meanwhile; nil: discarded
+	Progress   io.Writer     // for a line about each step; nil: discarded
 }
 
 const (
@@ -31,6 +33,7 @@
 	startTimeout     = 20 * time.Second
 	pollInterval     = 20 * time.Millisecond
 	changesPerRun    = 20 // of the configuration, about
+	firstVersion     = 1  // of the configuration, put by awaitReady
 )
 
 // demo is one run.
@@ -45,7 +48,7 @@
 	result     Result
 }
 
-// Run runs the system once. An error is one of the run itself; what the system did wrong is the result's Violation.
+// Run runs the system once. An error is one of the run itself; Result.Violation says what the system did wrong.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	dir, err := os.MkdirTemp("", "pumiceline-demo")
 	if err != nil {
@@ -118,7 +121,7 @@
 	}()
 	fault := &coordinatorFault{demo: d, killAt: time.Now().Add(d.opts.LoadPeriod / 3)}
 	lastChange := time.Now()
-	for version := uint64(2); time.Now().Before(deadline) && ctx.Err() == nil; version++ {
+	for version := uint64(firstVersion + 1); time.Now().Before(deadline) && ctx.Err() == nil; version++ {
 		if err := fault.step(ctx); err != nil {
 			return err
 		}
@@ -144,7 +147,7 @@
 	restarted bool
 }
 
-// step does what is due.
+// step kills or starts the coordinator if that is due, else does nothing.
 func (f *coordinatorFault) step(ctx context.Context) error {
 	if f.killed == nil && time.Now().After(f.killAt) {
 		f.killed = f.leaseHolder(ctx)
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -17,12 +17,13 @@
 
 	rareModel         = "rare" // resident at no backend at first
 	rareModelInterval = 23     // requests
+	documentInterval  = 3      // requests, of which one is a document
 )
 
 // streamModels are the models of streams, in turn; small/a1 is an adapter.
 var streamModels = []string{"small", "large", "small/a1"}
 
-// load sends requests to the proxies in turn and counts what became of them.
+// load sends requests to the proxies in turn and counts them by their result.
 type load struct {
 	demo *demo
 
@@ -52,14 +53,15 @@
 	inFlight.Wait()
 }
 
-// sendNumbered sends the request of a number: two streams to one document, and now and then a stream of the rare model.
+// sendNumbered sends the request of a number: two of three are streams, of which one in rareModelInterval numbers is of the
+// rare model; the third is a document.
 func (l *load) sendNumbered(ctx context.Context, number int) {
-	isStream := number%3 != 0
+	isStream := number%documentInterval != 0
 	id := fmt.Sprintf("r%d", number)
 	proxy := l.demo.nodes[coordinatorCount+number%proxyCount]
 	path, model := "/document/a", ""
 	if isStream {
-		path, model = "/stream/a", streamModels[number/3%len(streamModels)]
+		path, model = "/stream/a", streamModels[number/documentInterval%len(streamModels)]
 		if number%rareModelInterval == 0 {
 			model = rareModel
 		}
@@ -123,7 +125,7 @@
 	}
 }
 
-// counts returns what became of the requests, with those that ran more than once. It is called once, after run.
+// counts returns the requests by their result, with those that ran more than once. Call it once, after run.
 func (l *load) counts() (streams, documents RequestCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/demo/node.go
+++ b/internal/demo/node.go
@@ -72,23 +72,23 @@
 
 // startNodes starts the processes of all nodes.
 func (d *demo) startNodes() error {
-	ports, err := freePorts(4)
+	ports, err := freePorts()
 	if err != nil {
 		return err
 	}
 	var seedNodes []string
 	for i := range coordinatorCount {
-		seedNodes = append(seedNodes, fmt.Sprintf("%s:%d", nodeIP(i), ports[2]))
+		seedNodes = append(seedNodes, fmt.Sprintf("%s:%d", nodeIP(i), ports.control))
 	}
 	for i := range coordinatorCount + proxyCount {
 		n := &node{
 			IP:              nodeIP(i),
 			Zone:            fmt.Sprintf("z%d", i%3),
-			FrontPort:       ports[0],
-			ReadyPort:       ports[1],
-			ControlPort:     ports[2],
-			FirstPort:       ports[3],
-			LastPort:        ports[3] + 1,
+			FrontPort:       ports.client,
+			ReadyPort:       ports.ready,
+			ControlPort:     ports.control,
+			FirstPort:       ports.first,
+			LastPort:        ports.first + 1,
 			SeedNodes:       seedNodes,
 			FirstStart:      true,
 			PlatformAddress: d.platform.Address,
@@ -123,16 +123,18 @@
 	return nil
 }
 
-// freePorts returns ports that were free a moment ago, and distinct.
-func freePorts(count int) ([]int, error) {
-	var ports []int
-	for range count {
+// nodePorts are the ports of every node, each at an IP address of its own.
+type nodePorts struct{ client, ready, control, first int }
+
+// freePorts returns distinct ports that are free on the first node's address.
+func freePorts() (ports nodePorts, err error) {
+	for _, port := range []*int{&ports.client, &ports.ready, &ports.control, &ports.first} {
 		listener, err := net.Listen("tcp", nodeIP(0)+":0")
 		if err != nil {
-			return nil, errors.Wrap(err, "find a free port")
+			return nodePorts{}, errors.Wrap(err, "find a free port")
 		}
-		defer listener.Close()
-		ports = append(ports, listener.Addr().(*net.TCPAddr).Port)
+		defer listener.Close() // at the return: until then no other gets the same port
+		*port = listener.Addr().(*net.TCPAddr).Port
 	}
 	return ports, nil
 }
--- a/internal/demo/operator.go
+++ b/internal/demo/operator.go
@@ -23,7 +23,7 @@
 // requestHost is the host of all requests.
 const requestHost = "trial.example"
 
-// modelLoadTime is what the fake backends take to load a model, and what the configuration says of it.
+// modelLoadTime is how long the fake backends take to load a model, as the configuration says (loadS).
 const modelLoadTime = 400 * time.Millisecond
 
 // putTimeout is that of one attempt to change the configuration.
@@ -33,7 +33,7 @@
 func (d *demo) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	if err := d.putConfiguration(ctx, 1); err != nil {
+	if err := d.putConfiguration(ctx, firstVersion); err != nil {
 		return errors.Wrap(err, "put the first configuration")
 	}
 	for _, n := range d.nodes[coordinatorCount:] {
@@ -55,7 +55,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// leaseHolder is the coordinator that holds the controller lease, or the first where none says so.
+// leaseHolder is the coordinator that reports the controller lease as its own; the first coordinator where none does.
 func (d *demo) leaseHolder(ctx context.Context) *node {
 	for _, n := range d.nodes[:coordinatorCount] {
 		var status coordinator.Status
--- a/internal/demo/process.go
+++ b/internal/demo/process.go
@@ -32,7 +32,7 @@
 	}
 	p := &process{command: command, ended: make(chan struct{})}
 	go func() {
-		_ = command.Wait() // how it ended shows in what the system does
+		_ = command.Wait() // the result shows what the system did; how a process ended does not matter
 		close(p.ended)
 	}()
 	return p, nil
--- a/internal/demo/result.go
+++ b/internal/demo/result.go
@@ -18,7 +18,7 @@
 	LongestGap          time.Duration // between two acknowledgements, the kill among them
 }
 
-// RequestCounts is what became of the requests of one kind.
+// RequestCounts counts the requests of one kind by their result.
 type RequestCounts struct {
 	Served, Rejected, Failed int
 	Duplicated               int // ran more than once
--- a/internal/fake/fakestandalone/backend.go
+++ b/internal/fake/fakestandalone/backend.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-// Backend serves requests on a number of cores and reports its load. Its fields must not change once it serves; what may
-// change has a method. It is an http.Handler and safe for concurrent use.
+// Backend is a fake backend that serves requests on a number of cores and reports its load. Its fields must not change once
+// it serves; the methods Set... may be called then. It is an http.Handler and safe for concurrent use.
 type Backend struct {
 	Name  string
 	Cores int    // requests that are served at once; others are queued
 	Serve func() // what a core does for a request
 
 	once              sync.Once
-	cores             chan struct{}
+	cores             chan struct{} // one element a core in use
 	draining          atomic.Bool
 	served            atomic.Int64
 	loadQueries       atomic.Int64
@@ -27,7 +27,10 @@
 	meter             loadMeter
 }
 
-const maxRequestBytes = 64 << 10
+const (
+	maxRequestBytes = 64 << 10
+	perThousand     = 1000
+)
 
 // SleepAbout returns a Backend.Serve that takes mean on average, between half of it and one and a half.
 func SleepAbout(mean time.Duration) func() {
@@ -37,8 +40,8 @@
 // SetDraining has the backend reject new requests, or accept them again.
 func (b *Backend) SetDraining(on bool) { b.draining.Store(on) }
 
-// SetErrorRatio has the backend answer a share of its requests with an error at once.
-func (b *Backend) SetErrorRatio(ratio float64) { b.errorsPerThousand.Store(int64(1000 * ratio)) }
+// SetErrorRatio has the backend fail a share of its requests, from 0 to 1, without serving them.
+func (b *Backend) SetErrorRatio(ratio float64) { b.errorsPerThousand.Store(int64(ratio * perThousand)) }
 
 // Served is how many requests it has served.
 func (b *Backend) Served() int64 { return b.served.Load() }
@@ -73,8 +76,8 @@
 		http.Error(w, "draining", http.StatusServiceUnavailable)
 		return
 	}
-	if rand.Int64N(1000) < b.errorsPerThousand.Load() {
-		b.meter.add(0, 1)
+	if rand.Int64N(perThousand) < b.errorsPerThousand.Load() {
+		b.meter.countFailed()
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return
 	}
@@ -90,6 +93,6 @@
 	b.cores <- struct{}{}
 	start := time.Now()
 	b.Serve()
-	b.meter.add(time.Since(start), 0)
+	b.meter.countServed(time.Since(start))
 	<-b.cores
 }
--- a/internal/fake/fakestandalone/discovery.go
+++ b/internal/fake/fakestandalone/discovery.go
@@ -88,17 +88,17 @@
 	query := req.URL.Query()
 	if query.Get("stream") != "1" {
 		u, _ := d.updateSince(0)
-		_ = json.NewEncoder(w).Encode(u) // a client that has gone needs none
+		_ = json.NewEncoder(w).Encode(u) // fails where the client has disconnected
 		return
 	}
-	version, _ := strconv.Atoi(query.Get("index")) // what is no number gets the full list
+	version, _ := strconv.Atoi(query.Get("index")) // 0 without a number: the full list
 	d.serveWatch(w, req, version)
 }
 
-// serveWatch sends updates until the client has gone.
+// serveWatch sends updates, and empty lines between them, until the client disconnects.
 func (d *Discovery) serveWatch(w http.ResponseWriter, req *http.Request, version int) {
 	u, changed := d.updateSince(version)
-	lines, keepAlive := http.NewResponseController(w), time.NewTicker(keepAliveInterval)
+	response, keepAlive := http.NewResponseController(w), time.NewTicker(keepAliveInterval)
 	defer keepAlive.Stop()
 	for first := true; ; first = false {
 		if first || len(u.Hosts) > 0 {
@@ -106,7 +106,7 @@
 				return
 			}
 		}
-		if lines.Flush() != nil {
+		if response.Flush() != nil {
 			return
 		}
 		version = u.Seq
@@ -117,7 +117,7 @@
 			u, changed = d.updateSince(version)
 		case <-keepAlive.C:
 			fmt.Fprintln(w)
-			u.Hosts = nil
+			u.Hosts = nil // sent already
 		}
 	}
 }
--- a/internal/fake/fakestandalone/environment.go
+++ b/internal/fake/fakestandalone/environment.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/standalone/discovery"
 )
 
-// Environment is a discovery and a few backends on listeners.
+// Environment is a fake discovery and fake backends, each on a listener.
 type Environment struct {
 	Discovery *Discovery
 	Backends  []*Backend
@@ -21,11 +21,12 @@
 	backendListeners  []net.Listener
 }
 
-// backendCores is how many requests a backend of an Environment serves at once.
-const backendCores = 8
+const (
+	backendCores      = 8 // requests that a backend of an Environment serves at once
+	readHeaderTimeout = 10 * time.Second
+)
 
-// NewEnvironment returns an environment whose backends are listed in the zones in turn, and whose requests take what serve
-// takes.
+// NewEnvironment returns an environment whose backends are listed in the zones in turn, and call serve for each request.
 func NewEnvironment(discoveryListener net.Listener, backends []net.Listener, zones []string, serve func()) *Environment {
 	e := &Environment{Discovery: NewDiscovery(), discoveryListener: discoveryListener, backendListeners: backends}
 	for i, ln := range backends {
@@ -43,7 +44,7 @@
 func (e *Environment) Serve(ctx context.Context) error {
 	ended := make(chan error, len(e.backendListeners)+1)
 	serve := func(ln net.Listener, h http.Handler) {
-		server := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
+		server := &http.Server{Handler: h, ReadHeaderTimeout: readHeaderTimeout}
 		context.AfterFunc(ctx, func() { server.Close() })
 		go func() { ended <- server.Serve(ln) }() // ends with ctx
 	}
--- a/internal/fake/fakestandalone/loadgenerator.go
+++ b/internal/fake/fakestandalone/loadgenerator.go
@@ -17,18 +17,18 @@
 type RequestClass struct {
 	Name           string
 	Share          float64 // of all requests
-	IdempotencyKey bool    // requests change something and bear a key
+	IdempotencyKey bool    // requests are POSTs with an idempotency key
 	Deadline       time.Duration
 }
 
-// RequestStats is what became of a load generator's requests.
+// RequestStats counts a load generator's requests by their result.
 type RequestStats struct {
 	Sent, Served, Rejected, Failed int
 	Latencies                      *hdrhistogram.Histogram // of served requests, in microseconds
 }
 
-// LoadGenerator sends requests to a proxy at a steady rate whatever becomes of the earlier ones (open loop), so that slow
-// responses are not hidden by a lower load.
+// LoadGenerator sends requests to a proxy at a steady rate that does not depend on the responses (open loop), so that slow
+// responses do not lower the load.
 type LoadGenerator struct {
 	BaseURL           string // of the proxy: http://address
 	RequestsPerSecond float64
@@ -39,9 +39,11 @@
 	stats RequestStats
 }
 
+const maxIdleConns = 64 // to the proxy
+
 // Run sends requests until ctx ends, then waits for those in flight: they are not cancelled by ctx.
 func (g *LoadGenerator) Run(ctx context.Context) {
-	transport := &http.Transport{MaxIdleConnsPerHost: 64}
+	transport := &http.Transport{MaxIdleConnsPerHost: maxIdleConns}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 	var inFlight sync.WaitGroup
@@ -86,12 +88,12 @@
 	start := time.Now()
 	resp, err := client.Do(req)
 	if err != nil {
-		g.count(0, 0)
+		g.count(noResponse, 0)
 		return
 	}
 	defer resp.Body.Close()
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		g.count(0, 0)
+		g.count(noResponse, 0)
 		return
 	}
 	g.count(resp.StatusCode, time.Since(start))
@@ -116,7 +118,10 @@
 	return req, nil
 }
 
-// count counts a response, or status 0 for none.
+// noResponse is the status of a request without a complete response.
+const noResponse = 0
+
+// count counts a request by the status of its response.
 func (g *LoadGenerator) count(status int, latency time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -135,7 +140,7 @@
 	}
 }
 
-// TakeStats returns what became of the requests that have ended since the last TakeStats.
+// TakeStats returns the counts of the requests that have ended since the last TakeStats.
 func (g *LoadGenerator) TakeStats() RequestStats {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -149,5 +154,6 @@
 
 // newLatencies returns an empty histogram from a microsecond to a minute.
 func newLatencies() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, time.Minute.Microseconds(), 3)
+	const significantDigits = 3
+	return hdrhistogram.New(1, time.Minute.Microseconds(), significantDigits)
 }
--- a/internal/fake/fakestandalone/loadmeter.go
+++ b/internal/fake/fakestandalone/loadmeter.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// loadMeter measures what a load report says. It is safe for concurrent use.
+// loadMeter measures the values of a load report. It is safe for concurrent use.
 type loadMeter struct {
 	mu          sync.Mutex
 	periodStart time.Time
@@ -22,16 +22,24 @@
 // emptyReport is the report before the first period has ended.
 const emptyReport = "TEXT util=0, qps=0, eps=0"
 
-// add counts a request that kept a core busy for a time, and 1 if it failed.
-func (m *loadMeter) add(busy time.Duration, failed int) {
+// countServed counts a request that kept a core busy for a time.
+func (m *loadMeter) countServed(busy time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.busy += busy
 	m.completed++
-	m.failed += failed
 }
 
-// report returns the load as the header's text, with values that are about reportInterval old at most.
+// countFailed counts a request that failed without being served.
+func (m *loadMeter) countFailed() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.completed++
+	m.failed++
+}
+
+// report returns the load as the text of the load header. Its values are those of the period before, renewed once a
+// reportInterval.
 func (m *loadMeter) report(cores int) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,9 +48,9 @@
 		m.periodStart = now
 	}
 	if period := now.Sub(m.periodStart); period >= reportInterval {
-		s := period.Seconds()
-		m.latest = fmt.Sprintf("TEXT util=%.3f, qps=%.2f, eps=%.2f", min(1, m.busy.Seconds()/s/float64(cores)),
-			float64(m.completed)/s, float64(m.failed)/s)
+		seconds := period.Seconds()
+		m.latest = fmt.Sprintf("TEXT util=%.3f, qps=%.2f, eps=%.2f", min(1, m.busy.Seconds()/seconds/float64(cores)),
+			float64(m.completed)/seconds, float64(m.failed)/seconds)
 		m.periodStart, m.busy, m.completed, m.failed = now, 0, 0, 0
 	}
 	if m.latest == "" {
--- a/internal/fake/fakestandalone/memorynetwork.go
+++ b/internal/fake/fakestandalone/memorynetwork.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// MemoryNetwork is a network within the process, without sockets: with package testing/synctest whole hours pass on it in
-// moments. Its zero value has no listeners. It is safe for concurrent use.
+// MemoryNetwork is a network within the process, without sockets, so that tests with package testing/synctest can run on a
+// simulated clock. Its zero value has no listeners. It is safe for concurrent use.
 type MemoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener // by address
@@ -34,7 +34,8 @@
 	return l, nil
 }
 
-// Dial connects to the listener at an address. The error of an address without a listener is syscall.ECONNREFUSED, at once.
+// Dial connects to the listener at an address. Without a listener it returns syscall.ECONNREFUSED
+// without waiting.
 func (n *MemoryNetwork) Dial(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
--- a/internal/fake/fakestandalone/recorder.go
+++ b/internal/fake/fakestandalone/recorder.go
@@ -18,11 +18,12 @@
 )
 
 // Recorder is a fake of an outside system that carries out effects with fencing tokens: POST /effects with a
-// singleton.Effect, 409 for a stale one. What it accepted is on disk before it responds, and so is what it compares with.
+// singleton.Effect, 409 for a stale one. An effect is on disk before the response that accepts it, so that after a restart
+// the recorder rejects what it would have rejected before.
 // It is an http.Handler and safe for concurrent use.
 type Recorder struct {
-	// Unfenced has it accept stale effects too, to show the harm that a receiver that can't compare tokens would suffer. It
-	// must not change once the recorder serves.
+	// Unfenced has it accept stale effects too, as a receiver would that can't compare tokens. It must not change once the
+	// recorder serves.
 	Unfenced bool
 
 	mu       sync.Mutex
@@ -41,8 +42,8 @@
 
 const maxEffectBytes = 4 << 10
 
-// NewRecorder goes on with the effects in a file, a JSON object a line, which it creates if it does not exist. An incomplete
-// last line was never acknowledged and is removed.
+// NewRecorder returns a recorder with the effects that a file has, a JSON object a line; it creates the file if it does not
+// exist. An incomplete last line is of an effect that was never acknowledged, and is removed.
 func NewRecorder(path string) (*Recorder, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -69,7 +70,7 @@
 			return fmt.Errorf("line at byte %d: %w", end, err)
 		}
 		end += int64(len(line))
-		_ = r.guard.Admit(e.Effect) // stale where it was accepted unfenced: the latest stays
+		_ = r.guard.Admit(e.Effect) // an error is that of a stale effect that was accepted unfenced
 		r.accepted = append(r.accepted, e)
 	}
 	if err := r.file.Truncate(end); err != nil {
@@ -117,7 +118,7 @@
 		return
 	}
 	accepted := AcceptedEffect{Effect: e, From: req.Header.Get(leaseclient.SenderHeader), At: time.Now()}
-	if err := r.store(accepted); err != nil { // it may be stored or not: its sender must not send it again with this serial
+	if err := r.store(accepted); err != nil { // it may be stored or not; sent again with this serial it may be rejected
 		http.Error(w, "not written down: "+err.Error(), http.StatusInternalServerError)
 		return
 	}
@@ -137,8 +138,8 @@
 }
 
 // FindViolations counts the accepted effects that must not have been accepted: of a lower token than one before, of another
-// sender than its token's others, or not in the order of its token's serials. It looks at the effects alone, not at what
-// anybody believed, and describes the first violation.
+// sender than its token's others, or not in the order of its token's serials. It looks at nothing but the
+// accepted effects and their order, and describes the first violation.
 func FindViolations(accepted []AcceptedEffect) (violations int, first string) {
 	latest := map[string]AcceptedEffect{} // by role
 	for _, e := range accepted {
--- a/internal/fake/fakesystem/backend.go
+++ b/internal/fake/fakesystem/backend.go
@@ -21,7 +21,7 @@
 	Service       string
 	Zone          string
 	Capacity      int           // requests that run at once
-	ModelLoadTime time.Duration // an adapter is loaded at once
+	ModelLoadTime time.Duration // of a model; an adapter takes no time
 	StreamEvents  int           // of a response; 0: the response is no stream
 
 	address    string
@@ -117,7 +117,8 @@
 	b.streamEvents(w, r)
 }
 
-// admit takes a place for a request of a model, or of none. A status other than 200 rejects it before it runs.
+// admit takes a place for a request, of a model unless its name is empty. A status other than 200 is a rejection: the
+// request does not run.
 func (b *Backend) admit(name string) (status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -143,7 +144,7 @@
 	return fmt.Sprintf("%d,0,%d", b.running, b.Capacity)
 }
 
-// streamEvents sends events until all are sent or the client has gone.
+// streamEvents sends events until all are sent or the client disconnects.
 func (b *Backend) streamEvents(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	ticker := time.NewTicker(eventInterval)
@@ -155,6 +156,6 @@
 		case <-ticker.C:
 		}
 		fmt.Fprintf(w, "id: %d\ndata: word %d\n\n", event, event)
-		_ = http.NewResponseController(w).Flush() // a client that has gone ends the request's context
+		_ = http.NewResponseController(w).Flush() // fails where the client has disconnected, which ends the request's context
 	}
 }
--- a/internal/fake/fakesystem/executions.go
+++ b/internal/fake/fakesystem/executions.go
@@ -8,7 +8,7 @@
 	counts map[string]int // by request ID
 }
 
-// NewExecutionCounter returns a counter of which no request ran.
+// NewExecutionCounter returns a counter without executions.
 func NewExecutionCounter() *ExecutionCounter { return &ExecutionCounter{counts: map[string]int{}} }
 
 func (c *ExecutionCounter) record(requestID string) {
--- a/internal/faulttest/clustertest/cachewatchers.go
+++ b/internal/faulttest/clustertest/cachewatchers.go
@@ -12,10 +12,11 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"pumiceline/internal/ctxtime"
 	"pumiceline/internal/standalone/discovery"
 )
 
-// cacheWatchers watch all discovery caches, as proxies would, and note when each had which host.
+// cacheWatchers watch all discovery caches, as proxies would, and record when each had which host first.
 type cacheWatchers struct {
 	mu   sync.Mutex
 	seen []map[string]time.Time // by cache and host
@@ -28,8 +29,11 @@
 	Max float64 `json:"max_ms"`
 }
 
-// watchRetryInterval is the pause before a watch that ended is opened again.
-const watchRetryInterval = 50 * time.Millisecond
+const (
+	watchRetryInterval = 50 * time.Millisecond // before a watch that ended is opened again
+	hostPollInterval   = 10 * time.Millisecond // of awaitHost
+	delayDigits        = 3                     // significant digits of a delay
+)
 
 func newCacheWatchers(caches int) *cacheWatchers {
 	w := &cacheWatchers{}
@@ -43,10 +47,7 @@
 func (w *cacheWatchers) watch(ctx context.Context, cache int, addr string) {
 	for version := uint64(0); ctx.Err() == nil; {
 		version = w.watchOnce(ctx, cache, addr, version)
-		select {
-		case <-ctx.Done():
-		case <-time.After(watchRetryInterval):
-		}
+		_ = ctxtime.Sleep(ctx, watchRetryInterval) // an error ends the loop
 	}
 }
 
@@ -78,7 +79,7 @@
 	return version
 }
 
-// markSeen notes that a cache has a host. Only the first time counts.
+// markSeen records that a cache has a host. Only the first time counts.
 func (w *cacheWatchers) markSeen(cache int, host string, at time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -101,13 +102,13 @@
 		if time.Now().After(deadline) {
 			return Percentiles{}, fmt.Errorf("%d caches never had %s", missing, host)
 		}
-		time.Sleep(10 * time.Millisecond)
+		time.Sleep(hostPollInterval)
 	}
 }
 
 // delays returns how long after since the caches had a host, in microseconds, and how many do not have it.
 func (w *cacheWatchers) delays(host string, since time.Time) (delays *hdrhistogram.Histogram, missing int, err error) {
-	delays = hdrhistogram.New(1, time.Minute.Microseconds(), 3)
+	delays = hdrhistogram.New(1, time.Minute.Microseconds(), delayDigits)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, seen := range w.seen {
--- a/internal/faulttest/clustertest/checker.go
+++ b/internal/faulttest/clustertest/checker.go
@@ -19,11 +19,11 @@
 	"pumiceline/internal/singleton/leaseclient"
 )
 
-const watchInterval = 50 * time.Millisecond
+const recorderPollInterval = 50 * time.Millisecond
 
-// watchRecorder reads, until ctx ends, the latest accepted effect of each role: what a user of the outside system sees.
+// watchRecorder reads the latest accepted effect of each role until ctx ends, as a user of the outside system would.
 func (c *cluster) watchRecorder(ctx context.Context) (reads []porcupine.Operation) {
-	ticker := time.NewTicker(watchInterval)
+	ticker := time.NewTicker(recorderPollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -40,9 +40,9 @@
 	}
 }
 
-// isLinearizable judges what the instances and a reader saw of the recorder: whether there is an order of all effects and
-// reads, each between its request and its response, in which a receiver that compares tokens gives those responses. An
-// effect without a response may have been carried out at any time since, or never.
+// isLinearizable checks what the instances and a reader observed of the recorder: whether there is an order of all effects
+// and reads, each between its request and its response, in which a receiver that compares tokens gives those responses
+// (Herlihy and Wing 1990). An effect without a response may have been carried out at any time since, or never.
 func (c *cluster) isLinearizable(reads []porcupine.Operation) (bool, error) {
 	files, err := filepath.Glob(filepath.Join(c.dir, "*.history"))
 	if err != nil {
@@ -83,7 +83,8 @@
 }
 
 // fencedReceiver is the model of a receiver that compares tokens. Its state is the latest accepted effect of a role. An
-// input without a token is a read, whose output is that state; the output of an effect is its outcome.
+// input without a token is a read, whose output is that state; the output of an effect is its outcome. It does not use
+// singleton.FencingGuard, so that a fault of that is found.
 var fencedReceiver = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byRole := map[string][]porcupine.Operation{}
--- a/internal/faulttest/clustertest/cluster.go
+++ b/internal/faulttest/clustertest/cluster.go
@@ -27,7 +27,7 @@
 	lease        time.Duration
 	roles        []string
 	memberAddrs  []string // their own, behind the relays
-	relays       map[string]*faulttest.Relay
+	relays       map[link]*faulttest.Relay
 	processes    map[string]*faulttest.Process
 	clockRates   map[string]float64 // of instances; absent: 1
 	recorder     *fakestandalone.Recorder
@@ -44,6 +44,11 @@
 	unfenced bool // the recorder accepts stale effects too
 }
 
+const (
+	readHeaderTimeout = 10 * time.Second
+	pollInterval      = 20 * time.Millisecond // of waitFor
+)
+
 // Names of parties besides members and instances. The operator's requests pass no relays.
 const (
 	recorderName = "recorder"
@@ -53,7 +58,7 @@
 func memberName(i int) string   { return fmt.Sprint("member ", i+1) }
 func instanceName(i int) string { return fmt.Sprint("instance ", i+1) }
 
-// isMember says whether a party is a member.
+// isMember says whether a party is a member, by its name.
 func isMember(name string) bool { return strings.HasPrefix(name, "member") }
 
 // newCluster prepares a cluster, of which only the recorder runs. close ends it, also after an error.
@@ -63,7 +68,7 @@
 		program:    opts.program,
 		lease:      opts.lease,
 		roles:      opts.roles,
-		relays:     map[string]*faulttest.Relay{},
+		relays:     map[link]*faulttest.Relay{},
 		processes:  map[string]*faulttest.Process{},
 		clockRates: map[string]float64{},
 	}
@@ -75,13 +80,13 @@
 		return c, err
 	}
 	for i := range opts.members {
-		addr, err := reserveAddr(2, i)
+		addr, err := reserveAddr(memberAddrs, i)
 		if err != nil {
 			return c, err
 		}
 		c.memberAddrs = append(c.memberAddrs, addr)
 	}
-	return c, c.writeFleetFile(operatorName, 0)
+	return c, c.writeFleetFile(operatorName)
 }
 
 func (c *cluster) startRecorder(unfenced bool) (err error) {
@@ -94,7 +99,7 @@
 		return fmt.Errorf("recorder: %w", err)
 	}
 	c.recorderAddr = ln.Addr().String()
-	c.server = &http.Server{Handler: c.recorder, ReadHeaderTimeout: 10 * time.Second}
+	c.server = &http.Server{Handler: c.recorder, ReadHeaderTimeout: readHeaderTimeout}
 	go c.server.Serve(ln) // close ends it
 	return nil
 }
@@ -111,11 +116,22 @@
 	os.RemoveAll(c.dir)
 }
 
+// addrKind is the kind of party that an address is for. Each kind has IP addresses of its own.
+type addrKind int
+
+// The kinds. A kind has 250 addresses, and caches, of which there may be more, those of two kinds.
+const (
+	cacheAddrs  addrKind = 0
+	memberAddrs addrKind = 2
+	proxyAddrs  addrKind = 3
+)
+
 // reserveAddr returns an address with a free port for the i-th party of a kind. Its IP address is derived from the kind and
 // this process's ID: until the party listens there, no other connection and no other cluster takes the port.
-func reserveAddr(kind, i int) (string, error) {
+func reserveAddr(kind addrKind, i int) (string, error) {
+	const kinds, addrsPerKind = 4, 250
 	pid := os.Getpid()
-	ip := fmt.Sprintf("127.%d.%d.%d", 16+pid%200, 4*(pid/200%50)+kind+i/250, i%250+1)
+	ip := fmt.Sprintf("127.%d.%d.%d", 16+pid%200, kinds*(pid/200%50)+int(kind)+i/addrsPerKind, i%addrsPerKind+1)
 	ln, err := net.Listen("tcp", ip+":0")
 	if err != nil {
 		return "", fmt.Errorf("reserve an address: %w", err)
@@ -124,76 +140,84 @@
 	return ln.Addr().String(), nil
 }
 
-// relayName names the relay from one party to another.
-func relayName(from, to string) string { return from + " to " + to }
+// link is the way from one party to another, by their names.
+type link struct{ from, to string }
 
-// relayBetween is the relay from one party to another, started at first use.
-func (c *cluster) relayBetween(from, to string) (*faulttest.Relay, error) {
-	name := relayName(from, to)
-	if r := c.relays[name]; r != nil {
+// String is the name of the link's relay in the history.
+func (l link) String() string { return l.from + " to " + l.to }
+
+// relayBetween is the relay of a link to the recorder or a member, started at first use.
+func (c *cluster) relayBetween(l link) (*faulttest.Relay, error) {
+	if r := c.relays[l]; r != nil {
 		return r, nil
 	}
 	target := c.recorderAddr
 	for i, addr := range c.memberAddrs {
-		if to == memberName(i) {
+		if l.to == memberName(i) {
 			target = addr
 		}
 	}
-	r, err := c.StartRelay(name, target)
+	r, err := c.StartRelay(l.String(), target)
 	if err == nil {
-		c.relays[name] = r
+		c.relays[l] = r
 	}
 	return r, err
 }
 
 // relaysBetween are the relays that were started from any of some parties to any of others.
 func (c *cluster) relaysBetween(from, to func(name string) bool) (found []*faulttest.Relay) {
-	for name, r := range c.relays {
-		a, b, _ := strings.Cut(name, " to ")
-		if from(a) && to(b) {
+	for l, r := range c.relays {
+		if from(l.from) && to(l.to) {
 			found = append(found, r)
 		}
 	}
 	return found
 }
 
-// addrOf is the address of a party as another reaches it: its relay's, but the party's own for the operator.
-func (c *cluster) addrOf(to, direct, from string) (string, error) {
-	if from == operatorName {
+// addrOf is the address at which a link's first party reaches the other: that of the relay, but direct, the party's own, for
+// the operator.
+func (c *cluster) addrOf(l link, direct string) (string, error) {
+	if l.from == operatorName {
 		return direct, nil
 	}
-	r, err := c.relayBetween(from, to)
+	r, err := c.relayBetween(l)
 	if err != nil {
 		return "", err
 	}
 	return r.Addr(), nil
 }
 
-// writeFleetFile writes the fleet file of a party, in which every other party has the address of the relay to it. member is
-// the party's number if it is a member, else 0.
-func (c *cluster) writeFleetFile(party string, member int) error {
-	var text strings.Builder
-	fmt.Fprintf(&text, "name = %q\n", filepath.Base(c.dir))
-	fmt.Fprintf(&text, "lease = %q\ndamp = %q\n[members]\n", c.lease, c.lease)
+// writeFleetFile writes the fleet file of a party, in which every other party has the address of the relay to it.
+func (c *cluster) writeFleetFile(party string) error {
+	text := c.fleetFileHead()
 	for i, addr := range c.memberAddrs {
 		var err error
-		if i+1 != member {
-			if addr, err = c.addrOf(memberName(i), addr, party); err != nil {
+		if memberName(i) != party {
+			if addr, err = c.addrOf(link{party, memberName(i)}, addr); err != nil {
 				return err
 			}
 		}
-		fmt.Fprintf(&text, "%d = %q\n", i+1, addr)
+		text += fmt.Sprintf("%d = %q\n", i+1, addr)
 	}
 	for _, role := range c.roles {
 		addr, err := c.recorderAddr, error(nil)
-		if member == 0 {
-			if addr, err = c.addrOf(recorderName, addr, party); err != nil {
+		if !isMember(party) { // a member reads the roles' names only
+			if addr, err = c.addrOf(link{party, recorderName}, addr); err != nil {
 				return err
 			}
 		}
-		fmt.Fprintf(&text, "[works.%s]\nreceiver = \"http://%s/effects\"\n", role, addr)
+		text += fmt.Sprintf("[works.%s]\nreceiver = \"http://%s/effects\"\n", role, addr)
 	}
-	if err := os.WriteFile(c.fleetFile(party), []byte(text.String()), 0o600); err != nil {
+	return c.storeFleetFile(party, text)
+}
+
+// fleetFileHead is the beginning of every fleet file, up to the members' addresses.
+func (c *cluster) fleetFileHead() string {
+	return fmt.Sprintf("name = %q\nlease = %q\ndamp = %q\n[members]\n", filepath.Base(c.dir), c.lease, c.lease)
+}
+
+func (c *cluster) storeFleetFile(party, text string) error {
+	if err := os.WriteFile(c.fleetFile(party), []byte(text), 0o600); err != nil {
 		return fmt.Errorf("fleet file of %s: %w", party, err)
 	}
 	return nil
@@ -223,20 +247,26 @@
 // startMember starts a process of a member, on the disk that the member has.
 func (c *cluster) startMember(i int) error {
 	name := memberName(i)
-	if err := os.MkdirAll(c.memberDir(i), 0o700); err != nil {
-		return fmt.Errorf("folder of %s: %w", name, err)
-	}
-	if err := c.writeFleetFile(name, i+1); err != nil {
+	if err := c.writeFleetFile(name); err != nil {
 		return err
 	}
-	return c.startProcess(name, "singleton", "member", "--fleet", c.fleetFile(name), "--id", fmt.Sprint(i+1),
+	return c.startMemberProcess(i, c.fleetFile(name))
+}
+
+// startMemberProcess starts a process of a member with a fleet file. It listens at its own address, also where the file has
+// a relay's in its place.
+func (c *cluster) startMemberProcess(i int, fleetFile string) error {
+	if err := os.MkdirAll(c.memberDir(i), 0o700); err != nil {
+		return fmt.Errorf("folder of %s: %w", memberName(i), err)
+	}
+	return c.startProcess(memberName(i), "singleton", "member", "--fleet", fleetFile, "--id", fmt.Sprint(i+1),
 		"--dir", c.memberDir(i), "--listen", c.memberAddrs[i])
 }
 
 // startInstance starts a process of an instance.
 func (c *cluster) startInstance(i int) error {
 	name := instanceName(i)
-	if err := c.writeFleetFile(name, 0); err != nil {
+	if err := c.writeFleetFile(name); err != nil {
 		return err
 	}
 	rate := 1.0
@@ -247,13 +277,14 @@
 		"--zone", fmt.Sprint("z", i%2), "--clock-rate", fmt.Sprint(rate), "--history", c.historyFile(name))
 }
 
-// status is what an operator sees: the fleet's status and the text that it was read from.
-func (c *cluster) status() (s raftmember.FleetStatus, text string, err error) {
+// status is the fleet's status as the command shows it to an operator. Its error is that of the command, which fails where
+// there is no quorum, or that of its output.
+func (c *cluster) status() (s raftmember.FleetStatus, err error) {
 	out, err := c.command("singleton", "status", "--json", "--fleet", c.fleetFile(operatorName)).Output()
-	if json.Unmarshal(out, &s) != nil && err == nil {
-		err = fmt.Errorf("status is not readable: %s", out)
+	if decodeErr := json.Unmarshal(out, &s); decodeErr != nil && err == nil {
+		err = fmt.Errorf("status %q: %w", out, decodeErr)
 	}
-	return s, string(out), err
+	return s, err
 }
 
 // lastAccepted is the latest effect of a role that the recorder accepted.
@@ -266,13 +297,13 @@
 	return last
 }
 
-// waitFor waits until a condition holds, and returns false if it does not by the deadline.
+// waitFor polls until a condition holds, and returns false if it does not by the deadline.
 func waitFor(deadline time.Time, condition func() bool) bool {
 	for !condition() {
 		if time.Now().After(deadline) {
 			return false
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(pollInterval)
 	}
 	return true
 }
--- a/internal/faulttest/clustertest/cluster_test.go
+++ b/internal/faulttest/clustertest/cluster_test.go
@@ -58,11 +58,14 @@
 	return c
 }
 
-// eventually waits for a condition. The bound is for a slow machine and says nothing of how long it takes.
+// eventuallyTimeout is for a slow machine; it says nothing of how long a condition usually takes.
+const eventuallyTimeout = 30 * time.Second
+
+// eventually waits until a condition holds.
 func eventually(t *testing.T, c *cluster, what string, condition func() bool) {
 	t.Helper()
-	if !waitFor(time.Now().Add(30*time.Second), condition) {
-		t.Fatalf("in vain: %s\n%s", what, c)
+	if !waitFor(time.Now().Add(eventuallyTimeout), condition) {
+		t.Fatalf("not within %v: %s\n%s", eventuallyTimeout, what, c)
 	}
 }
 
@@ -81,8 +84,8 @@
 	return strings.Contains(c.processes[memberName(i)].Log(), text)
 }
 
-// A holder that is frozen with an effect in flight, and wakes up after another holds the role, does no harm: its effect is
-// rejected by its token. Without fencing the same faults do harm, and the checker finds it.
+// The effect of a holder that was frozen with the effect in flight, and is thawed after another instance holds the role, is
+// rejected by its token. Without fencing it is accepted, and the checker finds that violation.
 func TestCluster_LateEffectIsRejected(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -93,7 +96,7 @@
 			old := c.holder()
 			freezeWithEffectInFlight(t, c, old)
 			awaitOtherHolder(t, c, old)
-			c.relays[relayName(old, recorderName)].Heal() // the effect arrives while its sender is still frozen
+			c.relays[link{old, recorderName}].Heal() // the effect arrives while its sender is still frozen
 			eventually(t, c, "the late effect arrives", func() bool {
 				violations, _ := fakestandalone.FindViolations(c.recorder.Accepted())
 				return len(c.recorder.Rejected())+violations > 0
@@ -101,7 +104,7 @@
 			if err := c.processes[old].Thaw(); err != nil {
 				t.Error(err)
 			}
-			time.Sleep(time.Second) // in which the old holder may do harm
+			time.Sleep(time.Second) // a lease: time for the old holder to send more, which must be rejected as well
 			violations, first := fakestandalone.FindViolations(c.recorder.Accepted())
 			rejected := strings.Join(c.recorder.Rejected(), "\n")
 			if (violations > 0) != tt.unfenced || (rejected == "") != tt.unfenced ||
@@ -112,10 +115,10 @@
 	}
 }
 
-// freezeWithEffectInFlight freezes an instance while an effect of its is held on the way to the recorder.
+// freezeWithEffectInFlight freezes an instance while one of its effects is held on the way to the recorder.
 func freezeWithEffectInFlight(t *testing.T, c *cluster, instance string) {
 	t.Helper()
-	relay := c.relays[relayName(instance, recorderName)]
+	relay := c.relays[link{instance, recorderName}]
 	// The responses are held first: an effect whose response is held has arrived, and is not the one in flight.
 	relay.Set(faulttest.Downstream, faulttest.Fault{Hold: true})
 	eventually(t, c, "an effect has arrived", func() bool { return relay.Held(faulttest.Downstream) > 0 })
@@ -128,12 +131,12 @@
 }
 
 // A holder that sends heartbeats and makes no progress is replaced, every member logs that cause, and its late effect is
-// rejected. A holder whose heartbeat is half a lease late counts as silent instead; the lease is long, as a loaded machine
-// may hold a heartbeat up for half a second.
+// rejected. Another cause is logged for a holder whose heartbeat is half a lease late: the lease is long, as on a loaded
+// machine a heartbeat may be half a second late.
 func TestCluster_StuckHolderIsReplaced(t *testing.T) {
 	c := startCluster(t, 3, 5*time.Second, false)
 	old := c.holder()
-	relay := c.relays[relayName(old, recorderName)]
+	relay := c.relays[link{old, recorderName}]
 	relay.Set(faulttest.Upstream, faulttest.Fault{Hold: true})
 	awaitOtherHolder(t, c, old)
 	for i := range c.memberAddrs {
@@ -162,14 +165,14 @@
 	copiedDisk string // of the leader, when it was killed
 }
 
-// What else may happen to instances and members, one failure after the other.
+// A cluster survives failures of instances and members, one after the other.
 func TestCluster_SurvivesFailures(t *testing.T) {
 	f := &failures{cluster: startCluster(t, 3, time.Second, false)}
 	for _, step := range []struct {
 		name string
 		run  func(*testing.T)
 	}{
-		{"holder cut off from the members", f.cutOffHolder},
+		{"holder partitioned from the members", f.partitionHolder},
 		{"instance stopped", f.stopHolder},
 		{"role moved by an operator", f.moveRole},
 		{"status and metrics", f.readStatus},
@@ -185,21 +188,21 @@
 	f.checkNoViolations(t)
 }
 
-// cutOffHolder: the holder stops by itself before another starts.
-func (f *failures) cutOffHolder(t *testing.T) {
+// partitionHolder partitions the holder from all members: it stops by itself before another instance starts.
+func (f *failures) partitionHolder(t *testing.T) {
 	holder := f.holder()
 	for i := range f.memberAddrs {
-		f.relays[relayName(holder, memberName(i))].Set(faulttest.Upstream, faulttest.Fault{Hold: true})
+		f.relays[link{holder, memberName(i)}].Set(faulttest.Upstream, faulttest.Fault{Hold: true})
 	}
 	awaitOtherHolder(t, f.cluster, holder)
 	for i := range f.memberAddrs {
-		f.relays[relayName(holder, memberName(i))].Heal()
+		f.relays[link{holder, memberName(i)}].Heal()
 	}
 }
 
-// stopHolder: it ends in order and has released its lease, which did not expire.
+// stopHolder stops the holder: it ends in order and has released its lease, which did not expire.
 func (f *failures) stopHolder(t *testing.T) {
-	time.Sleep(2 * time.Second) // until no penalty is left: else there is nobody to hand over to
+	time.Sleep(2 * time.Second) // until no penalty is left: else no instance is eligible
 	f.stopped = f.holder()
 	if err := f.processes[f.stopped].Stop(); err != nil {
 		t.Fatal(err)
@@ -211,6 +214,7 @@
 	eventually(t, f.cluster, "the lease was released", func() bool { return f.memberLogs(0, "given back by "+f.stopped) })
 }
 
+// moveRole moves the role to the third instance, as an operator would.
 func (f *failures) moveRole(t *testing.T) {
 	for i := range 3 {
 		if name := instanceName(i); name != f.stopped && name != f.holder() {
@@ -224,9 +228,9 @@
 	eventually(t, f.cluster, f.target+" holds the role", func() bool { return f.holder() == f.target })
 }
 
-// readStatus: the role has stayed where it was moved.
+// readStatus checks that status and metrics show the role where it was moved.
 func (f *failures) readStatus(t *testing.T) {
-	status, _, err := f.status()
+	status, err := f.status()
 	if err != nil || !status.HasQuorum || status.MostCurrent().Assignments[testRole].Holder != f.target {
 		t.Errorf("status: %+v, %v", status, err)
 	}
@@ -243,7 +247,7 @@
 	}
 }
 
-// killLeader: the death of the leader does not move the role, which stays where an operator moved it.
+// killLeader kills the leader, which does not move the role.
 func (f *failures) killLeader(t *testing.T) {
 	f.copiedDisk = filepath.Join(f.dir, "copy")
 	f.processes[memberName(f.leader)].Kill()
@@ -259,13 +263,13 @@
 	}
 }
 
-// restoreOldDisk: a member whose disk is an older copy ends by itself.
+// restoreOldDisk starts a member on an older copy of its disk: it ends by itself.
 func (f *failures) restoreOldDisk(t *testing.T) {
 	if err := f.startMember(f.leader); err != nil {
 		t.Fatal(err)
 	}
 	eventually(t, f.cluster, "the old leader takes part again", func() bool {
-		status, _, err := f.status()
+		status, err := f.status()
 		return err == nil && len(status.Unreachable) == 0
 	})
 	f.processes[memberName(f.leader)].Kill()
@@ -290,7 +294,7 @@
 	}
 }
 
-// fillDisk: a member whose disk is full ends by itself and says so; once there is room it takes part again.
+// fillDisk fills a member's disk: the member ends by itself with that error; once there is room it takes part again.
 func (f *failures) fillDisk(t *testing.T) {
 	if err := os.RemoveAll(f.memberDir(f.leader)); err != nil {
 		t.Fatal(err)
@@ -299,7 +303,7 @@
 	if err := f.processes[memberName(member)].FillDisk(); err != nil {
 		t.Fatal(err)
 	}
-	// Something to write. It fails where there is no quorum any more.
+	// A command for the member to write. The request fails if the member was needed for the quorum.
 	_ = f.command("singleton", "release", testRole, "--fleet", f.fleetFile(operatorName)).Run()
 	f.expectFailure(t, member, "can't be kept")
 	if err := f.startMember(member); err != nil {
@@ -311,15 +315,15 @@
 	})
 }
 
-// loseQuorum: with one of three members left the holder stops and the status says so.
+// loseQuorum kills the second of three members: the holder stops and the status has no quorum.
 func (f *failures) loseQuorum(t *testing.T) {
 	member := (f.leader + 1) % 3
 	f.processes[memberName(member)].Kill()
 	eventually(t, f.cluster, "the holder stops without a quorum", func() bool {
 		return time.Since(f.lastAccepted(testRole).At) > 2*time.Second
 	})
-	if _, text, err := f.status(); err == nil {
-		t.Errorf("status without a quorum: %s", text)
+	if status, err := f.status(); err == nil {
+		t.Errorf("status without a quorum: %+v", status)
 	}
 	restartedAt := time.Now()
 	if err := f.startMember(member); err != nil {
--- a/internal/faulttest/clustertest/discoverycache.go
+++ b/internal/faulttest/clustertest/discoverycache.go
@@ -9,7 +9,6 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -23,7 +22,7 @@
 	Members      int // 1, 3, 5 or 7
 	Instances    int // each serves a cache of discovery's list
 	Lease        time.Duration
-	SteadyPeriod time.Duration // for how long requests to discovery are counted, before and after the holder is killed
+	SteadyPeriod time.Duration // without faults, in which requests to discovery are counted; and the time after the kill
 	Proxies      int           // that ask a cache, under load; as many ask discovery itself
 }
 
@@ -44,7 +43,7 @@
 	Cached        RequestCounts `json:"mirrored"` // of proxies that ask a cache
 }
 
-// RequestCounts is what became of the requests to some proxies.
+// RequestCounts counts the requests to some proxies by their result.
 type RequestCounts struct {
 	Sent     int `json:"Asked"`
 	Served   int `json:"Served"`
@@ -70,8 +69,15 @@
 	updateTimeout       = 20 * time.Second
 	failoverTimeout     = 30 * time.Second
 	proxyReadyTimeout   = 20 * time.Second
-	settleLeases        = 5 // for how many leases instances that gave up the first holder have time to return to it
-	proxiesPerCacheUser = 2 // every other proxy asks a cache
+	settleLeases        = 5 // lease durations in which instances that took the first holder for dead return to it
+	proxiesPerCacheUser = 2 // every second proxy asks a cache, the others discovery itself
+)
+
+// Names of the hosts that are added as changes.
+const (
+	hostAtStart        = "first"
+	hostInSteadyPeriod = "second"
+	hostAfterKill      = "third"
 )
 
 var testZones = []string{"east", "west"}
@@ -143,12 +149,12 @@
 	go environment.Serve(ctx)
 	r.discovery = environment.Discovery
 	r.directAddr, r.fleetAddr = direct.Addr().String(), counted.Addr().String()
-	r.putHost("first")
+	r.putHost(hostAtStart)
 	count := func(w http.ResponseWriter, req *http.Request) {
 		r.fleetRequests.Add(1)
 		r.discovery.ServeHTTP(w, req)
 	}
-	server := &http.Server{ReadHeaderTimeout: 10 * time.Second, Handler: http.HandlerFunc(count)}
+	server := &http.Server{ReadHeaderTimeout: readHeaderTimeout, Handler: http.HandlerFunc(count)}
 	context.AfterFunc(ctx, func() { server.Close() })
 	go server.Serve(counted)
 	return nil
@@ -167,7 +173,8 @@
 	}
 	startedAt := time.Now()
 	for i := range r.opts.Members {
-		if err := r.startDirectMember(i); err != nil {
+		r.members = append(r.members, memberName(i))
+		if err := r.startMemberProcess(i, r.fleetFile(operatorName)); err != nil {
 			return err
 		}
 	}
@@ -179,7 +186,7 @@
 	for i, addr := range r.cacheAddrs {
 		go r.watchers.watch(ctx, i, addr)
 	}
-	if _, err := r.watchers.awaitHost(time.Now().Add(cacheStartTimeout), "first", startedAt); err != nil {
+	if _, err := r.watchers.awaitHost(time.Now().Add(cacheStartTimeout), hostAtStart, startedAt); err != nil {
 		return err
 	}
 	r.result.AllServeS, r.result.StartCalls = time.Since(startedAt).Seconds(), r.fleetRequests.Load()
@@ -188,31 +195,16 @@
 
 // writeDiscoveryFleetFile writes the one fleet file of all processes: there are no relays between them.
 func (r *discoveryCacheRun) writeDiscoveryFleetFile() error {
-	var text strings.Builder
-	fmt.Fprintf(&text, "name = %q\n", filepath.Base(r.dir))
-	fmt.Fprintf(&text, "lease = %q\ndamp = %q\n[members]\n", r.lease, r.lease)
+	text := r.fleetFileHead()
 	for i, addr := range r.memberAddrs {
-		fmt.Fprintf(&text, "%d = %q\n", i+1, addr)
-	}
-	fmt.Fprintf(&text, "[works.%s]\ndiscovery = %q\n", discoveryRole, r.fleetAddr)
-	if err := os.WriteFile(r.fleetFile(operatorName), []byte(text.String()), 0o600); err != nil {
-		return fmt.Errorf("fleet file: %w", err)
+		text += fmt.Sprintf("%d = %q\n", i+1, addr)
 	}
-	return nil
-}
-
-func (r *discoveryCacheRun) startDirectMember(i int) error {
-	name := memberName(i)
-	r.members = append(r.members, name)
-	if err := os.MkdirAll(r.memberDir(i), 0o700); err != nil {
-		return fmt.Errorf("folder of %s: %w", name, err)
-	}
-	return r.startProcess(name, "singleton", "member", "--fleet", r.fleetFile(operatorName), "--id", fmt.Sprint(i+1),
-		"--dir", r.memberDir(i))
+	text += fmt.Sprintf("[works.%s]\ndiscovery = %q\n", discoveryRole, r.fleetAddr)
+	return r.storeFleetFile(operatorName, text)
 }
 
 func (r *discoveryCacheRun) startCache(i int) error {
-	addr, err := reserveAddr(0, i)
+	addr, err := reserveAddr(cacheAddrs, i)
 	if err != nil {
 		return err
 	}
@@ -249,7 +241,7 @@
 
 // startProxy starts the i-th of count proxies, which asks discovery at an address, and returns where it listens.
 func (r *discoveryCacheRun) startProxy(i, count int, discoveryAddr string) (addr string, err error) {
-	if addr, err = reserveAddr(3, i); err != nil {
+	if addr, err = reserveAddr(proxyAddrs, i); err != nil {
 		return "", err
 	}
 	config, err := fakestandalone.ReplicaConfig(fakestandalone.ReplicaOptions{Listen: addr, Discovery: discoveryAddr,
@@ -300,8 +292,8 @@
 		return err
 	}
 	startedAt := time.Now()
-	r.putHost("second")
-	if r.result.UpdateDelay, err = r.watchers.awaitHost(startedAt.Add(updateTimeout), "second", startedAt); err != nil {
+	r.putHost(hostInSteadyPeriod)
+	if r.result.UpdateDelay, err = r.watchers.awaitHost(startedAt.Add(updateTimeout), hostInSteadyPeriod, startedAt); err != nil {
 		return err
 	}
 	time.Sleep(time.Until(startedAt.Add(r.opts.SteadyPeriod)))
@@ -341,7 +333,7 @@
 // measureFailover kills the instance that follows discovery and measures how long a later change takes to reach the other
 // instances' caches.
 func (r *discoveryCacheRun) measureFailover() error {
-	status, _, err := r.status()
+	status, err := r.status()
 	if err != nil {
 		return err
 	}
@@ -352,9 +344,9 @@
 	requestsBefore := r.fleetRequests.Load()
 	r.processes[r.instances[holder]].Kill()
 	killedAt := time.Now()
-	r.putHost("third")
-	r.watchers.markSeen(holder, "third", killedAt) // its cache ended with it
-	r.result.FailoverDelay, err = r.watchers.awaitHost(killedAt.Add(failoverTimeout), "third", killedAt)
+	r.putHost(hostAfterKill)
+	r.watchers.markSeen(holder, hostAfterKill, killedAt) // its cache ended with it
+	r.result.FailoverDelay, err = r.watchers.awaitHost(killedAt.Add(failoverTimeout), hostAfterKill, killedAt)
 	r.result.FailoverCalls = r.fleetRequests.Load() - requestsBefore
 	if err != nil {
 		return err
--- a/internal/faulttest/clustertest/faults.go
+++ b/internal/faulttest/clustertest/faults.go
@@ -15,36 +15,56 @@
 	instances int
 }
 
-// faultKinds is the number of kinds that inject draws from.
-const faultKinds = 8
+// faultKind is a kind of fault that inject draws. The order of the kinds is part of what a seed means.
+type faultKind int
 
-// inject begins one fault, of the holder of a role or of a member, and returns what ends it.
+const (
+	freezeHolder               faultKind = iota
+	freezeHolderWithLateEffect           // an effect that it sent is held and arrives when the fault ends
+	holdHeartbeats                       // the members do not receive the holder's heartbeats, or it their responses
+	holdEffects                          // the holder is stuck: its effects do not arrive while its heartbeats do
+	killHolder
+	killMembers
+	fillMemberDisk
+	partitionMember
+	faultKindCount = iota
+)
+
+// inject begins one fault, of the holder of a role or of a member, and returns what ends it. What a relay held arrives then.
 func (f *faultInjector) inject() (end func()) {
 	role := f.roles[f.rand.IntN(len(f.roles))]
-	holder := f.lastAccepted(role).From // a fault of an instance that holds nothing shows nothing
+	holder := f.lastAccepted(role).From // a fault of an instance that holds nothing would have no effect
 	member := f.rand.IntN(f.members)
-	switch kind := f.rand.IntN(faultKinds); kind {
-	case 0:
+	switch kind := faultKind(f.rand.IntN(faultKindCount)); kind {
+	case freezeHolder:
 		return f.freeze(holder, func() {})
-	case 1: // and an effect of its arrives late
+	case freezeHolderWithLateEffect:
 		release := hold(faulttest.Upstream, f.relaysBetween(isNamed(holder), isNamed(recorderName)))
-		time.Sleep(f.lease / 5)
+		time.Sleep(f.lease / stepsToHold) // until the holder has sent an effect
 		return f.freeze(holder, release)
-	case 2: // the members do not receive its heartbeats, or it their responses; what was sent arrives late
+	case holdHeartbeats:
 		return hold(faulttest.Direction(f.rand.IntN(2)), f.relaysBetween(isNamed(holder), isMember))
-	case 3: // it is stuck: its effects do not arrive while its heartbeats do
+	case holdEffects:
 		return hold(faulttest.Upstream, f.relaysBetween(isNamed(holder), isNamed(recorderName)))
-	case 4:
+	case killHolder:
 		return f.killInstance(holder)
-	case 5:
+	case killMembers:
 		return f.killMembers(member)
-	case 6:
+	case fillMemberDisk:
 		return f.fillDisk(member)
 	default:
 		return f.partition(member)
 	}
 }
 
+// stepsToHold is the part of a lease within which a holder surely sends an effect: it makes ten steps in a lease.
+const stepsToHold = 5
+
+// leases draws a time of least lease durations and up to spread more.
+func (f *faultInjector) leases(least, spread float64) time.Duration {
+	return time.Duration((least + spread*f.rand.Float64()) * float64(f.lease))
+}
+
 func isNamed(name string) func(string) bool { return func(s string) bool { return s == name } }
 
 // hold has relays hold a direction until end is called.
@@ -59,7 +79,8 @@
 	}
 }
 
-// recordError adds an error of the harness itself to the history: the process may have ended already.
+// recordError adds an error of the harness itself to the history. It is no failure of the run: the process that a fault is
+// for may have ended already.
 func (f *faultInjector) recordError(err error) {
 	if err != nil {
 		f.Record("script", "%v", err)
@@ -114,13 +135,13 @@
 	}
 }
 
-// partition cuts a member off from the others, for what it sends or both ways.
+// partition partitions a member from the others, in the direction in which it sends or in both.
 func (f *faultInjector) partition(member int) (end func()) {
-	isCutOff := isNamed(memberName(member))
-	endSending := hold(faulttest.Upstream, f.relaysBetween(isCutOff, isMember))
+	isPartitioned := isNamed(memberName(member))
+	endSending := hold(faulttest.Upstream, f.relaysBetween(isPartitioned, isMember))
 	if f.rand.IntN(2) != 0 {
 		return endSending
 	}
-	endReceiving := hold(faulttest.Upstream, f.relaysBetween(isMember, isCutOff))
+	endReceiving := hold(faulttest.Upstream, f.relaysBetween(isMember, isPartitioned))
 	return func() { endSending(); endReceiving() }
 }
--- a/internal/faulttest/clustertest/run.go
+++ b/internal/faulttest/clustertest/run.go
@@ -8,6 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"pumiceline/internal/ctxtime"
 	"pumiceline/internal/fake/fakestandalone"
 	"pumiceline/internal/faulttest"
 )
@@ -26,9 +27,9 @@
 // Result is the outcome of a run. Its JSON form is stored.
 type Result struct {
 	Seed           uint64             `json:"seed"`
-	Violations     int                `json:"harms"` // accepted effects that are stale, or of two senders with one token
+	Violations     int                `json:"harms"` // see fakestandalone.FindViolations
 	FirstViolation string             `json:"first,omitempty"`
-	Linearizable   bool               `json:"linearizable"` // what instances and a reader saw fits a receiver that compares tokens
+	Linearizable   bool               `json:"linearizable"` // see isLinearizable
 	Accepted       int                `json:"taken"`        // effects
 	Rejected       int                `json:"late_refused"`
 	HolderChanges  int                `json:"hand_overs"`
@@ -51,7 +52,10 @@
 	// recoveryLeases is within how many leases after the last fault every role has to be held again: a lease that expires,
 	// the penalty of an instance with several expirations, an election.
 	recoveryLeases = 12
-	// seedStream is the second half of the generator's seed.
+	// A fault lasts between minFaultLeases lease durations and faultLeasesSpread more: some end before a lease expires.
+	minFaultLeases    = 0.3
+	faultLeasesSpread = 2.5
+	// seedStream is the second half of the generator's seed. It is part of what a seed means.
 	seedStream = 27
 )
 
@@ -59,7 +63,7 @@
 var clockRates = []float64{1, 1, 0.85, 1.15}
 
 // Run runs a cluster of processes of the program, with faults drawn from the seed, and checks the accepted effects. An error
-// is one of the harness; what the cluster did wrong stands in the result.
+// is one of the harness; Result.Failures says what the cluster did wrong.
 func Run(program string, opts *Options) (*Result, error) {
 	result := &Result{Seed: opts.Seed, LongestGapS: map[string]float64{}}
 	var roles []string
@@ -77,7 +81,7 @@
 		return result, err
 	}
 	if !waitFor(time.Now().Add(startTimeout), func() bool { return c.allHeldSince(time.Time{}) }) {
-		result.Failures = append(result.Failures, "not all works were owned within 30 s of the start")
+		result.Failures = append(result.Failures, fmt.Sprintf("not all roles were held within %v of the start", startTimeout))
 		result.History = c.History()
 		return result, nil
 	}
@@ -93,13 +97,13 @@
 		return result, err
 	}
 	if !result.Linearizable {
-		result.Failures = append(result.Failures, "what the instances saw fits no order of effects")
+		result.Failures = append(result.Failures, "the histories of the instances are not linearizable")
 	}
 	result.History = c.History()
 	return result, nil
 }
 
-// startAll starts members and instances, whose clocks' rates it draws.
+// startAll starts members and instances, and draws the rates of the instances' clocks.
 func (c *cluster) startAll(opts *Options, random *rand.Rand) error {
 	for i := range opts.Members {
 		if err := c.startMember(i); err != nil {
@@ -125,23 +129,15 @@
 	return true
 }
 
-// injectFaults injects one fault after the other for the fault period. A fault lasts 0.3 to 2.8 leases, a pause one at most.
+// injectFaults injects one fault after the other for the fault period. Between two of them is a pause of one lease at most.
 func (c *cluster) injectFaults(f *faultInjector, opts *Options) {
 	ctx, cancel := context.WithTimeout(context.Background(), opts.FaultPeriod)
 	defer cancel()
 	for ctx.Err() == nil {
 		end := f.inject()
-		sleep(ctx, time.Duration((0.3+2.5*f.rand.Float64())*float64(opts.Lease)))
+		_ = ctxtime.Sleep(ctx, f.leases(minFaultLeases, faultLeasesSpread)) // an error is the end of the period
 		end()
-		sleep(ctx, time.Duration(f.rand.Float64()*float64(opts.Lease)))
-	}
-}
-
-// sleep waits for a time, or until ctx ends.
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
+		_ = ctxtime.Sleep(ctx, f.leases(0, 1))
 	}
 }
 
@@ -151,12 +147,12 @@
 	c.Record("script", "the last fault is over")
 	if !waitFor(lastFault.Add(recoveryLeases*c.lease), func() bool { return c.allHeldSince(lastFault) }) {
 		result.Failures = append(result.Failures,
-			fmt.Sprintf("not all works were owned again %d leases after the last fault", recoveryLeases))
+			fmt.Sprintf("not all roles were held again %d leases after the last fault", recoveryLeases))
 	}
 	result.RecoveryS = time.Since(lastFault).Seconds()
 }
 
-// check checks the accepted effects by themselves, whatever anybody believed.
+// check checks the effects that the recorder accepted, in its order.
 func (c *cluster) check(result *Result) {
 	accepted := c.recorder.Accepted()
 	result.summarize(accepted)
--- a/internal/faulttest/datagramrelay.go
+++ b/internal/faulttest/datagramrelay.go
@@ -9,7 +9,7 @@
 )
 
 // DatagramRelay forwards UDP datagrams to a target, and the responses back: each sender has a socket of its own towards the
-// target. Which datagrams are lost, duplicated or late is drawn from a seed, in the order in which they come.
+// target. Which datagrams are lost, duplicated or late is drawn from a seed, in the order in which they are received.
 type DatagramRelay struct {
 	*faultControl
 	target   *net.UDPAddr
@@ -27,6 +27,8 @@
 	maxSenders       = 256
 	maxDatagramBytes = 64 << 10
 	maxDelayed       = 4096 // datagrams that are late or held; further ones are lost, as in a full queue
+
+	readRetryInterval = time.Millisecond
 )
 
 // StartDatagramRelay listens on loopback for datagrams to a target. The name is the relay's in the history.
@@ -86,7 +88,7 @@
 		default:
 		}
 		if err != nil {
-			time.Sleep(time.Millisecond) // nobody listens at the target now; that may change
+			time.Sleep(readRetryInterval) // ICMP says that nothing listens at the target; that may change
 			continue
 		}
 		handle(append([]byte(nil), buffer[:n]...), from)
@@ -121,7 +123,7 @@
 	return socket
 }
 
-// forward calls deliver as often, and as late, as the fault of a direction says.
+// forward calls deliver for each copy of a datagram, after the delay that the fault of the direction causes.
 func (r *DatagramRelay) forward(d Direction, deliver func()) {
 	fault, _ := r.fault(d)
 	fate := r.draw(fault)
@@ -156,7 +158,9 @@
 func (r *DatagramRelay) draw(fault Fault) datagramFate {
 	r.sendersMu.Lock()
 	defer r.sendersMu.Unlock()
-	isLost, isDuplicated, jitter := r.rand.Float64() < fault.Drop, r.rand.Float64() < fault.Duplicate, r.rand.Float64()
+	isLost := r.rand.Float64() < fault.Drop
+	isDuplicated := r.rand.Float64() < fault.Duplicate
+	jitter := r.rand.Float64()
 	fate := datagramFate{copies: 1, jitter: time.Duration(jitter * float64(fault.Jitter))}
 	switch {
 	case isLost:
--- a/internal/faulttest/datagramrelay_test.go
+++ b/internal/faulttest/datagramrelay_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// receiveDatagram returns the next datagram and its sender; "" where none comes for a while.
+// receiveDatagram returns the next datagram and its sender; "" where none arrives for 300 ms.
 func receiveDatagram(conn *net.UDPConn) (text string, sender *net.UDPAddr) {
 	buffer := make([]byte, 99)
 	conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
@@ -17,7 +17,7 @@
 }
 
 // relayDatagrams sends 30 datagrams through a relay that loses and duplicates some, and one that is held until the relay
-// heals, and returns what came, with the response to the last.
+// heals. It returns the datagrams that the target received, with the sender's response to the last.
 func relayDatagrams(t *testing.T, target *net.UDPConn, seed uint64) (received string) {
 	t.Helper()
 	h := New()
@@ -38,7 +38,7 @@
 	r.Set(Upstream, Fault{Drop: 0.3, Duplicate: 0.3})
 	for n := range 30 {
 		fmt.Fprint(conn, n, " ")
-		time.Sleep(time.Millisecond)
+		time.Sleep(time.Millisecond) // so that the kernel's buffers lose none
 	}
 	r.Set(Upstream, Fault{Hold: true})
 	fmt.Fprint(conn, "held")
--- a/internal/faulttest/faultcontrol.go
+++ b/internal/faulttest/faultcontrol.go
@@ -14,13 +14,16 @@
 	Downstream                  // from the target back to the client
 )
 
-// String implements fmt.Stringer. The history has these words.
+// String implements fmt.Stringer. The values are those of the history.
 func (d Direction) String() string { return [...]string{"up", "down"}[d] }
 
-// Fault is what happens to one direction of a relay. The zero Fault passes everything at once.
+// opposite is the other direction.
+func (d Direction) opposite() Direction { return 1 - d }
+
+// Fault is the fault of one direction of a relay. The zero Fault passes everything without delay.
 type Fault struct {
 	Delay time.Duration // of each chunk or datagram
-	Hold  bool          // nothing passes; what has come is delivered once the hold ends, as after a partition
+	Hold  bool          // nothing passes; what was received is delivered once the hold ends, as after a partition
 
 	Rate int // of a stream, in bytes a second; 0: unlimited
 
@@ -29,15 +32,15 @@
 	Duplicate float64       // share of datagrams that are delivered twice
 }
 
-// faultControl holds the faults of a relay's two directions and wakes what waits for a change. It is safe for concurrent
-// use.
+// faultControl keeps the faults of a relay's two directions and wakes the goroutines that wait for a change. It is safe for
+// concurrent use.
 type faultControl struct {
 	harness *Harness
 	name    string // of the relay, in the history
 
 	mu      sync.Mutex
 	current [2]Fault
-	held    [2]int        // chunks or datagrams that a hold keeps from passing
+	held    [2]int        // chunks or datagrams that are received and held
 	changed chan struct{} // closed at the next change
 }
 
@@ -45,7 +48,7 @@
 	return &faultControl{harness: h, name: name, changed: make(chan struct{})}
 }
 
-// Set changes the fault of a direction, also for what already waits there.
+// Set changes the fault of a direction, also for chunks and datagrams that already wait there.
 func (f *faultControl) Set(d Direction, fault Fault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -74,8 +77,8 @@
 	return f.current[d], f.changed
 }
 
-// Held is how many chunks or datagrams have come and are held. They are delivered once the hold ends, whatever becomes of
-// their sender.
+// Held is how many chunks or datagrams were received and are held. They are delivered once the hold ends, also if their
+// sender has ended by then.
 func (f *faultControl) Held(d Direction) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,8 +91,8 @@
 	f.held[d] += count
 }
 
-// await waits until what came at receivedAt may pass in a direction. count is how many chunks or datagrams that is: 0 for
-// the beginning or the end of a stream. It is false if cancelled is closed first.
+// await waits until what was received at receivedAt may pass in a direction. count is how many chunks or datagrams that is:
+// 0 for the beginning or the end of a stream. It is false if cancelled is closed first.
 func (f *faultControl) await(d Direction, receivedAt time.Time, count int, cancelled <-chan struct{}) bool {
 	isHeld := false
 	for {
--- a/internal/faulttest/harness.go
+++ b/internal/faulttest/harness.go
@@ -1,6 +1,7 @@
-// Package faulttest is a harness that runs real processes on loopback and injects faults between them: relays that delay,
-// throttle, hold and reset what passes, and processes that are frozen, thawed and killed. It records all of that in one
-// history. What the simulators are for decisions, the harness is for processes. It ends only what it has started.
+// Package faulttest is a harness that runs real processes on loopback and injects faults: relays between processes delay,
+// throttle, hold and reset connections, and processes are frozen, thawed and killed. One history records all of that. The
+// simulators test decisions with many seeds; the harness tests what they leave out, the processes and the kernel's sockets
+// between them. It signals and ends only processes that it has started.
 package faulttest
 
 import (
@@ -18,7 +19,7 @@
 
 	mu       sync.Mutex
 	closed   bool
-	cleanups []func()
+	cleanups []func() // of relays and processes, in the order of their starts
 	events   []Event
 }
 
--- a/internal/faulttest/outputbuffer.go
+++ b/internal/faulttest/outputbuffer.go
@@ -10,9 +10,10 @@
 type outputBuffer struct {
 	mu        sync.Mutex
 	text      bytes.Buffer
-	discarded int // bytes before text
+	discarded int // number of bytes that were before text
 }
 
+// maxOutputBytes is how much output is kept. Beyond it the older half is discarded.
 const maxOutputBytes = 4 << 20
 
 // Write implements io.Writer. It never fails: a process must not be blocked by its output.
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -39,7 +39,7 @@
 	return p, nil
 }
 
-// awaitEnd records how the process ended. One that failed by itself has said why in its last line.
+// awaitEnd records how the process ended, with the last line of its output if it failed by itself.
 func (p *Process) awaitEnd() {
 	p.err = p.cmd.Wait()
 	reason := ""
@@ -66,11 +66,14 @@
 // Hangup sends the process SIGHUP.
 func (p *Process) Hangup() error { return p.signal("is sent SIGHUP", syscall.SIGHUP) }
 
-// FillDisk makes writes of the process fail as on a full disk: no file of it may grow behind its first page. The limit is of
-// this process alone.
+// fullDiskFileBytes is how large a file of a process may grow once its disk is full.
+const fullDiskFileBytes = 4096
+
+// FillDisk makes writes of the process fail as on a full disk: no file may grow beyond fullDiskFileBytes. The limit is that of
+// the process alone (RLIMIT_FSIZE).
 func (p *Process) FillDisk() error {
 	p.harness.Record(p.name, "finds its disk full")
-	limit := &unix.Rlimit{Cur: 4096, Max: unix.RLIM_INFINITY}
+	limit := &unix.Rlimit{Cur: fullDiskFileBytes, Max: unix.RLIM_INFINITY}
 	if err := unix.Prlimit(p.cmd.Process.Pid, unix.RLIMIT_FSIZE, limit, nil); err != nil {
 		return fmt.Errorf("limit file size of %s: %w", p.name, err)
 	}
@@ -122,6 +125,12 @@
 // userTick is the unit of the kernel's times: USER_HZ is 100 to every program.
 const userTick = 10 * time.Millisecond
 
+// Fields of /proc/PID/stat after the name, from 0; proc(5) counts them from 3.
+const (
+	statUserTime   = 14 - 3
+	statSystemTime = 15 - 3
+)
+
 // Usage reads what the process uses. It fails once the process has ended.
 func (p *Process) Usage() (Usage, error) {
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
@@ -137,13 +146,13 @@
 	if err != nil {
 		return Usage{}, fmt.Errorf("CPU time of %s: %w", p.name, err)
 	}
-	_, afterName, _ := bytes.Cut(times, []byte(") ")) // the name may hold anything
+	_, afterName, _ := bytes.Cut(times, []byte(") ")) // the name may contain spaces
 	fields := bytes.Fields(afterName)
-	if len(fields) < 13 {
+	if len(fields) <= statSystemTime {
 		return Usage{}, fmt.Errorf("CPU time of %s is not readable: %s", p.name, times)
 	}
-	var user, system int64 // fields 14 and 15 of proc(5), from 1
-	if _, err := fmt.Sscan(string(fields[11])+" "+string(fields[12]), &user, &system); err != nil {
+	var user, system int64 // in user ticks
+	if _, err := fmt.Sscan(string(fields[statUserTime])+" "+string(fields[statSystemTime]), &user, &system); err != nil {
 		return Usage{}, fmt.Errorf("CPU time of %s: %w", p.name, err)
 	}
 	return Usage{ResidentBytes: residentPages * int64(os.Getpagesize()), CPU: time.Duration(user+system) * userTick}, nil
--- a/internal/faulttest/process_test.go
+++ b/internal/faulttest/process_test.go
@@ -8,29 +8,33 @@
 	"time"
 )
 
-// A frozen process does nothing and goes on when it is thawed; the harness ends it, and its history has all of that in
-// order.
+// A frozen process stands still and goes on when it is thawed; Close kills it, and the history has these events in order.
 func TestProcess_FreezeThawAndClose(t *testing.T) {
 	h := New()
 	p, err := h.StartProcess("ticker", exec.Command("sh", "-c", "while :; do echo tick; sleep 0.01; done"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	grows := func() bool {
+	growsWithin := func(limit time.Duration) bool {
 		before := len(p.Log())
-		time.Sleep(200 * time.Millisecond)
-		return len(p.Log()) > before
+		for deadline := time.Now().Add(limit); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
+			if len(p.Log()) > before {
+				return true
+			}
+		}
+		return false
 	}
-	running := grows()
+	const standstill = 200 * time.Millisecond // twenty ticks
+	running := growsWithin(20 * time.Second)
 	p.Freeze()
-	time.Sleep(50 * time.Millisecond)
-	frozen := grows()
+	time.Sleep(50 * time.Millisecond) // for output that is still on its way
+	frozen := !growsWithin(standstill)
 	p.Thaw()
-	if thawed := grows(); !running || frozen || !thawed {
+	if thawed := growsWithin(20 * time.Second); !running || !frozen || !thawed {
 		t.Errorf("running %v, frozen %v, thawed %v", running, frozen, thawed)
 	}
 	h.Close()
-	if err := p.Wait(time.Now().Add(time.Second)); err == nil || grows() {
+	if err := p.Wait(time.Now().Add(time.Second)); err == nil || growsWithin(standstill) {
 		t.Errorf("it goes on after the harness was closed: %v", err)
 	}
 	at := -1
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Relay forwards TCP connections to a target, with the faults of its Set, Partition and Heal. As in TCP, nothing is ever
-// lost from the middle of a stream: a partition holds it.
+// Relay forwards TCP connections to a target, with the faults of its Set, Partition and Heal. As in TCP no bytes are lost
+// from the middle of a stream: a partition holds them.
 type Relay struct {
 	*faultControl
 	target   string
@@ -40,6 +40,8 @@
 const (
 	maxChunkBytes   = 16 << 10
 	maxQueuedChunks = 64 // of a direction, between its reader and its writer
+
+	acceptRetryInterval = 10 * time.Millisecond
 )
 
 // StartRelay listens on loopback for connections to a target. The name is the relay's in the history.
@@ -64,7 +66,7 @@
 // BytesPassed is how many bytes have passed in a direction.
 func (r *Relay) BytesPassed(d Direction) int64 { return r.passed[d].Load() }
 
-// RefuseConnections has the relay reset new connections at once, or accept them again.
+// RefuseConnections has the relay reset new connections, or accept them again.
 func (r *Relay) RefuseConnections(on bool) {
 	r.refuse.Store(on)
 	r.harness.Record(r.name, "new connections are refused: %v", on)
@@ -99,7 +101,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(10 * time.Millisecond) // out of file descriptors
+			time.Sleep(acceptRetryInterval) // out of file descriptors; that may change
 			continue
 		}
 		c := &connection{ends: [2]net.Conn{Upstream: client}, closed: make(chan struct{})}
@@ -135,7 +137,7 @@
 	c.ends[Downstream] = target
 	r.connectionsMu.Unlock()
 	select {
-	case <-c.closed: // before the target's end was there to be closed with it
+	case <-c.closed: // while the target was dialled, so that close did not close its end
 		target.Close()
 		return
 	default:
@@ -146,9 +148,9 @@
 	both.Wait()
 }
 
-// copyDirection copies one direction to its end. An end in order is passed on as one, and any other as a reset.
+// copyDirection copies one direction until it ends. An orderly end is forwarded as one, any other as a reset.
 func (r *Relay) copyDirection(c *connection, d Direction) {
-	to := c.ends[1-d]
+	to := c.ends[d.opposite()]
 	chunks := make(chan chunk, maxQueuedChunks)
 	var readErr error // to be read once chunks is closed
 	r.running.Go(func() {
@@ -195,8 +197,8 @@
 	if fault.Rate <= 0 {
 		return
 	}
-	took := time.Duration(float64(bytes) / float64(fault.Rate) * float64(time.Second))
-	r.await(d, time.Now().Add(took-fault.Delay), 0, c.closed) // await adds the delay
+	transferTime := time.Duration(float64(bytes) / float64(fault.Rate) * float64(time.Second))
+	r.await(d, time.Now().Add(transferTime-fault.Delay), 0, c.closed) // await adds the delay
 }
 
 // closeMode is how a connection ends.
@@ -216,7 +218,7 @@
 				continue
 			}
 			if mode == withReset {
-				_ = end.(*net.TCPConn).SetLinger(0) // fails where the connection is gone already, which does as well
+				_ = end.(*net.TCPConn).SetLinger(0) // an error means that the connection has ended already
 			}
 			end.Close()
 		}
--- a/internal/faulttest/relay_test.go
+++ b/internal/faulttest/relay_test.go
@@ -45,8 +45,8 @@
 	return r
 }
 
-// A stream passes complete, late, slowly or after a partition as the faults say. While Upstream is held nothing reaches the
-// target. An end in order is passed on as one, and a reset as a reset.
+// A stream arrives complete, late, slowly or after the hold, as the fault of a direction requires. While Upstream is held
+// the target is not connected. An orderly end is forwarded as one, and a reset as a reset.
 func TestRelay_Faults(t *testing.T) {
 	target, accepted := startEcho(t)
 	r := startRelay(t, target)
@@ -101,8 +101,8 @@
 	}
 }
 
-// What is held has come, has not been delivered, and is delivered though its sender is gone. What came before the hold is
-// not counted.
+// Held counts what was received during a hold, not what passed before. It is delivered once the hold ends, also if its
+// sender has closed by then.
 func TestRelay_Held(t *testing.T) {
 	ln := listen(t)
 	r := startRelay(t, ln.Addr().String())
--- a/internal/faulttest/schedule.go
+++ b/internal/faulttest/schedule.go
@@ -27,7 +27,14 @@
 	return schedule
 }
 
-// randomFault draws a fault that starts after 5 to 70 % of the length and lasts 2 to 20 % of it.
+// Times of a random fault.
+const (
+	minRandomDelayMicros = 20_000 // of ActionDelay
+	maxRandomDelayMicros = 300_000
+)
+
+// randomFault draws a fault that starts after 5 to 70% of the length and lasts 2 to 20% of it. The order of the draws is part
+// of what a seed means.
 func (s *Script) randomFault(r *rand.Rand) (f ScheduledFault) {
 	shareOfLength := func(from, to float64) duration.Span {
 		return duration.Span(float64(s.Length) * (from + (to-from)*r.Float64()))
@@ -38,7 +45,7 @@
 	f.At = shareOfLength(0.05, 0.7)
 	f.For = shareOfLength(0.02, 0.2)
 	f.Index = r.IntN(s.targetCount(f.Target))
-	f.Delay = duration.Span(20_000 + r.IntN(280_000)) // microseconds
+	f.Delay = duration.Span(minRandomDelayMicros + r.IntN(maxRandomDelayMicros-minRandomDelayMicros))
 	return f
 }
 
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/tomlfile"
 )
 
-// Script is a file that says which processes run and which faults are injected.
+// Script says which processes run and which faults are injected. It is read from a TOML file.
 type Script struct {
 	Title        string           `toml:"title"`
 	Length       duration.Span    `toml:"length"`       // for how long clients send requests
@@ -23,12 +23,12 @@
 
 // ScheduledFault is a fault of a script.
 type ScheduledFault struct {
-	At     duration.Span `toml:"at"` // since the start
-	For    duration.Span `toml:"for"`
+	At     duration.Span `toml:"at"`  // since the start
+	For    duration.Span `toml:"for"` // duration
 	Action Action        `toml:"do"`
 	Target Target        `toml:"who"`
 	Index  int           `toml:"n"`     // of the target among its kind, from 0
-	Delay  duration.Span `toml:"delay"` // of ActionDelay
+	Delay  duration.Span `toml:"delay"` // of each chunk, for ActionDelay
 }
 
 // String describes the fault, for the history.
@@ -50,7 +50,7 @@
 	ActionReset         Action = "break" // reset all connections
 )
 
-// Target is what a scheduled fault happens to. The values are those of script files.
+// Target is the kind of party or link that a scheduled fault affects. The values are those of script files.
 type Target string
 
 // The targets.
--- a/internal/faulttest/script_test.go
+++ b/internal/faulttest/script_test.go
@@ -19,11 +19,11 @@
 	s := &Script{Length: 10e6, Proxies: 2, Backends: 3, Rate: 1, RandomFaults: 200}
 	first, again, other := s.Schedule(1), s.Schedule(1), s.Schedule(2)
 	if !slices.Equal(first, again) || slices.Equal(first, other) {
-		t.Error("the seed does not decide")
+		t.Error("the same seed drew other faults, or another seed the same")
 	}
 	s.Faults, s.RandomFaults = first, 0
 	if invalid := s.validate(); invalid != nil {
-		t.Errorf("drawn, and invalid: %+v", invalid)
+		t.Errorf("an invalid fault was drawn: %+v", invalid)
 	}
 }
 
