--- a/cmd/pumiceline/faulttest_test.go
+++ b/cmd/pumiceline/faulttest_test.go
@@ -12,18 +12,40 @@
 func TestFaulttestRun_RecoversAfterFaults(t *testing.T) {
 	t.Setenv("PUMICELINE_TEST_MAIN", "1")
 	script, out := filepath.Join(t.TempDir(), "s.toml"), filepath.Join(t.TempDir(), "v.json")
-	text := "length = \"5s\"\n[[fault]]\nat = \"500ms\"\nfor = \"1s\"\ndo = \"cut down\"\nwho = \"roster\"\n[[fault]]\nat = \"1s\"\nfor = \"1s\"\ndo = \"kill\"\nwho = \"proxy\"\nn = 1\n"
+	const text = `length = "5s"
+[[fault]]
+at = "500ms"
+for = "1s"
+do = "cut down"
+who = "roster"
+[[fault]]
+at = "1s"
+for = "1s"
+do = "kill"
+who = "proxy"
+n = 1
+`
 	if err := os.WriteFile(script, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := (&faulttestRunCmd{File: script, Seed: 1, Out: out}).Run(output{io.Discard}); err != nil {
 		t.Fatal(err)
 	}
-	var v scriptResult
-	if text, err := os.ReadFile(out); err != nil || json.Unmarshal(text, &v) != nil {
+	written, err := os.ReadFile(out)
+	if err != nil {
 		t.Fatal(err)
 	}
-	if v.AfterLastFault.Sent < 30 || v.AfterLastFault.Failed > 0 || v.Proxies[0].Failed > 0 || v.Proxies[1].Failed == 0 || len(v.ProxyFailures) > 0 {
-		t.Errorf("%+v", v)
+	var result scriptResult
+	if err := json.Unmarshal(written, &result); err != nil {
+		t.Fatal(err)
+	}
+	if after := result.AfterLastFault; after.Sent < 30 || after.Failed > 0 {
+		t.Errorf("after the last fault: %+v", after)
+	}
+	if result.Proxies[0].Failed > 0 || result.Proxies[1].Failed == 0 { // only the second proxy was killed
+		t.Errorf("by proxy: %+v", result.Proxies)
+	}
+	if len(result.ProxyFailures) > 0 {
+		t.Errorf("proxies ended not in order: %v", result.ProxyFailures)
 	}
 }
--- a/cmd/pumiceline/faulttestcluster.go
+++ b/cmd/pumiceline/faulttestcluster.go
@@ -41,7 +41,8 @@
 		return err
 	}
 	if len(result.Failures) > 0 {
-		return fmt.Errorf("faulttest: %s; again with: pumiceline faulttest cluster --seed %d", strings.Join(result.Failures, "; "), c.Seed)
+		return fmt.Errorf("faulttest: %s; again with: pumiceline faulttest cluster --seed %d",
+			strings.Join(result.Failures, "; "), c.Seed)
 	}
 	return nil
 }
--- a/cmd/pumiceline/faulttestrun.go
+++ b/cmd/pumiceline/faulttestrun.go
@@ -77,7 +77,8 @@
 		return err
 	}
 	if len(result.ProxyFailures) > 0 {
-		return fmt.Errorf("faulttest: %v; again with: pumiceline faulttest run %s --seed %d", result.ProxyFailures, c.File, c.Seed)
+		return fmt.Errorf("faulttest: %v; again with: pumiceline faulttest run %s --seed %d",
+			result.ProxyFailures, c.File, c.Seed)
 	}
 	return nil
 }
@@ -93,8 +94,9 @@
 	var generators []*fakestandalone.LoadGenerator
 	var running sync.WaitGroup
 	for _, addr := range r.proxyAddrs {
-		g := &fakestandalone.LoadGenerator{BaseURL: "http://" + addr, RequestsPerSecond: r.script.Rate / float64(r.script.Proxies),
-			Classes: fakestandalone.Classes, Tenants: fakestandalone.Tenants}
+		g := &fakestandalone.LoadGenerator{BaseURL: "http://" + addr,
+			RequestsPerSecond: r.script.Rate / float64(r.script.Proxies),
+			Classes:           fakestandalone.Classes, Tenants: fakestandalone.Tenants}
 		generators = append(generators, g)
 		running.Go(func() { g.Run(load) })
 	}
--- a/internal/fake/fakestandalone/recorder_stored_test.go
+++ b/internal/fake/fakestandalone/recorder_stored_test.go
@@ -13,9 +13,9 @@
 	"pumiceline/internal/singleton"
 )
 
-// The file in testdata was stored by an earlier version, cef8855, and is never written anew. The recorder reads it, goes on
-// behind it, and compares tokens with those that it holds.
-func TestRecorderReadsEffectsStoredByEarlierVersion(t *testing.T) {
+// The file in testdata was stored by an earlier version, cef8855, and is never written anew. The recorder reads it,
+// appends to it, and compares tokens with those in it.
+func TestRecorder_ReadsEffectsStoredByEarlierVersion(t *testing.T) {
 	stored, err := os.ReadFile(filepath.Join("testdata", "recorder-effects.jsonl"))
 	if err != nil {
 		t.Fatal(err)
@@ -42,8 +42,8 @@
 		t.Errorf("%+v, not %+v", got, want)
 	}
 	var again []byte
-	for _, taken := range want {
-		line, err := json.Marshal(taken)
+	for _, accepted := range want {
+		line, err := json.Marshal(accepted)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -56,7 +56,9 @@
 		effect string
 		status int
 	}{
-		{`{"work":"prices","token":1,"serial":2}`, 409}, {`{"work":"prices","token":2,"serial":3}`, 409}, {`{"work":"roster","token":4,"serial":10}`, 200},
+		{`{"work":"prices","token":1,"serial":2}`, 409},
+		{`{"work":"prices","token":2,"serial":3}`, 409},
+		{`{"work":"roster","token":4,"serial":10}`, 200},
 	} {
 		w := httptest.NewRecorder()
 		r.ServeHTTP(w, httptest.NewRequest("POST", "/effects", bytes.NewReader([]byte(c.effect))))
@@ -64,7 +66,8 @@
 			t.Errorf("%s: %d", c.effect, w.Code)
 		}
 	}
-	if now, err := os.ReadFile(file); err != nil || !bytes.HasPrefix(now, stored) || bytes.Count(now, []byte("\n")) != len(want)+1 {
+	now, err := os.ReadFile(file)
+	if err != nil || !bytes.HasPrefix(now, stored) || bytes.Count(now, []byte("\n")) != len(want)+1 {
 		t.Errorf("the file is now %s, %v", now, err)
 	}
 }
--- a/internal/fake/fakestandalone/stored_test.go
+++ b/internal/fake/fakestandalone/stored_test.go
@@ -15,7 +15,8 @@
 	"pumiceline/internal/singleton"
 )
 
-// A recorder goes on with the effects that an earlier version stored, compares later ones with them, and stores its own in the same form.
+// A recorder reads the effects that an earlier version stored, compares later ones with them, and appends its own in the same
+// form.
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	stored, err := os.ReadFile("testdata/effects.jsonl")
 	if err != nil {
@@ -62,10 +63,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	added, goesOn := bytes.CutPrefix(written, stored)
+	added, isAppended := bytes.CutPrefix(written, stored)
 	form := regexp.MustCompile(`^\{"work":"export","token":5,"serial":3,"from":"instance 4","at":"[-0-9T:.Z+]+"\}\n$`)
-	if !goesOn || !form.Match(added) {
-		t.Errorf("the file went on with %s", added)
+	if !isAppended || !form.Match(added) {
+		t.Errorf("appended %s", added)
 	}
 }
 
--- a/internal/faulttest/clustertest/cluster.go
+++ b/internal/faulttest/clustertest/cluster.go
@@ -174,8 +174,8 @@
 	return found
 }
 
-// addrOf is the address at which a link's first party reaches the other: that of the relay, but direct, the party's own, for
-// the operator.
+// addrOf is the address at which a link's first party reaches the other: that of the relay, but direct, the party's own,
+// for the operator.
 func (c *cluster) addrOf(l link, direct string) (string, error) {
 	if l.from == operatorName {
 		return direct, nil
--- a/internal/faulttest/clustertest/cluster_test.go
+++ b/internal/faulttest/clustertest/cluster_test.go
@@ -43,7 +43,8 @@
 // startCluster starts a cluster of three members and waits until its role is held.
 func startCluster(t *testing.T, instances int, lease time.Duration, unfenced bool) *cluster {
 	t.Helper()
-	c, err := newCluster(clusterOptions{program: program, members: 3, lease: lease, roles: []string{testRole}, unfenced: unfenced})
+	c, err := newCluster(clusterOptions{program: program, members: 3, lease: lease, roles: []string{testRole},
+		unfenced: unfenced})
 	t.Cleanup(c.close)
 	for i := 0; err == nil && i < len(c.memberAddrs); i++ {
 		err = c.startMember(i)
--- a/internal/faulttest/clustertest/discoverycache.go
+++ b/internal/faulttest/clustertest/discoverycache.go
@@ -265,8 +265,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// startLoad sends requests to all proxies at once: what one kind of proxy does is compared with what the other does. The
-// returned function ends the load and waits for the last response; it may be called twice.
+// startLoad sends requests to all proxies at the same time, so that those that ask a cache and those that ask discovery have
+// the same conditions. The returned function ends the load and waits for the last response; it may be called twice.
 func (r *discoveryCacheRun) startLoad(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -293,7 +293,8 @@
 	}
 	startedAt := time.Now()
 	r.putHost(hostInSteadyPeriod)
-	if r.result.UpdateDelay, err = r.watchers.awaitHost(startedAt.Add(updateTimeout), hostInSteadyPeriod, startedAt); err != nil {
+	r.result.UpdateDelay, err = r.watchers.awaitHost(startedAt.Add(updateTimeout), hostInSteadyPeriod, startedAt)
+	if err != nil {
 		return err
 	}
 	time.Sleep(time.Until(startedAt.Add(r.opts.SteadyPeriod)))
--- a/internal/faulttest/clustertest/faults.go
+++ b/internal/faulttest/clustertest/faults.go
@@ -30,7 +30,8 @@
 	faultKindCount = iota
 )
 
-// inject begins one fault, of the holder of a role or of a member, and returns what ends it. What a relay held arrives then.
+// inject begins one fault, of the holder of a role or of a member, and returns what ends it. What a relay held arrives
+// then.
 func (f *faultInjector) inject() (end func()) {
 	role := f.roles[f.rand.IntN(len(f.roles))]
 	holder := f.lastAccepted(role).From // a fault of an instance that holds nothing would have no effect
--- a/internal/faulttest/clustertest/run.go
+++ b/internal/faulttest/clustertest/run.go
@@ -62,8 +62,8 @@
 // clockRates are what instances' clocks are drawn from: wrong by less than the drift that the fleet's file allows.
 var clockRates = []float64{1, 1, 0.85, 1.15}
 
-// Run runs a cluster of processes of the program, with faults drawn from the seed, and checks the accepted effects. An error
-// is one of the harness; Result.Failures says what the cluster did wrong.
+// Run runs a cluster of processes of the program, with faults drawn from the seed, and checks the accepted effects. An
+// error is one of the harness; Result.Failures says what the cluster did wrong.
 func Run(program string, opts *Options) (*Result, error) {
 	result := &Result{Seed: opts.Seed, LongestGapS: map[string]float64{}}
 	var roles []string
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -69,8 +69,8 @@
 // fullDiskFileBytes is how large a file of a process may grow once its disk is full.
 const fullDiskFileBytes = 4096
 
-// FillDisk makes writes of the process fail as on a full disk: no file may grow beyond fullDiskFileBytes. The limit is that of
-// the process alone (RLIMIT_FSIZE).
+// FillDisk makes writes of the process fail as on a full disk: no file may grow beyond fullDiskFileBytes. The limit is that
+// of the process alone (RLIMIT_FSIZE).
 func (p *Process) FillDisk() error {
 	p.harness.Record(p.name, "finds its disk full")
 	limit := &unix.Rlimit{Cur: fullDiskFileBytes, Max: unix.RLIM_INFINITY}
--- a/internal/faulttest/schedule.go
+++ b/internal/faulttest/schedule.go
@@ -33,8 +33,8 @@
 	maxRandomDelayMicros = 300_000
 )
 
-// randomFault draws a fault that starts after 5 to 70% of the length and lasts 2 to 20% of it. The order of the draws is part
-// of what a seed means.
+// randomFault draws a fault that starts after 5 to 70% of the length and lasts 2 to 20% of it. The order of the draws is
+// part of what a seed means.
 func (s *Script) randomFault(r *rand.Rand) (f ScheduledFault) {
 	shareOfLength := func(from, to float64) duration.Span {
 		return duration.Span(float64(s.Length) * (from + (to-from)*r.Float64()))
--- a/internal/faulttest/stored_test.go
+++ b/internal/faulttest/stored_test.go
@@ -11,7 +11,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := &Script{Title: "All kinds of faults", Length: 30e6, Proxies: 3, Backends: 5, Rate: 82.5, RandomFaults: 4, Faults: []ScheduledFault{
+	want := &Script{Title: "All kinds of faults", Length: 30e6, Proxies: 3, Backends: 5, Rate: 82.5, RandomFaults: 4}
+	want.Faults = []ScheduledFault{
 		{At: 1e6, For: 2e6, Action: "freeze", Target: "proxy", Index: 1},
 		{At: 2e6, For: 1.5e6, Action: "kill", Target: "proxy", Index: 2},
 		{At: 3e6, For: 3e6, Action: "cut", Target: "roster", Index: 1},
@@ -19,7 +20,7 @@
 		{At: 5e6, For: 5e6, Action: "cut down", Target: "roster", Index: 2},
 		{At: 6e6, For: 6e6, Action: "delay", Target: "destination", Index: 3, Delay: 120_000},
 		{At: 7e6, For: 7e6, Action: "break", Target: "roster", Index: 1},
-	}}
+	}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("read %+v\nwant %+v", got, want)
 	}
