--- a/internal/fleetsim/model/oracle.go
+++ b/internal/fleetsim/model/oracle.go
@@ -41,7 +41,7 @@
 		return Expectation{math.Inf(1), math.Inf(1)}
 	}
 	requests := float64(s.openRequests()) + math.Max(0, s.workInTransit/sm.scenario.MeanWork()) + 1
-	rate := s.speed * sm.warmth(s) * (1 - s.stolenShare) * (1 - s.slowdown)
+	rate := sm.coreRate(s)
 	if crowd := requests - float64(t.Knee); crowd > 0 {
 		rate /= 1 + t.Crowding*crowd
 	}
--- a/internal/fleetsim/model/processing.go
+++ b/internal/fleetsim/model/processing.go
@@ -68,12 +68,17 @@
 	}
 }
 
+// coreRate is the rate of one core of a server, in standard cores, as its warm-up and faults leave it.
+func (sm *simulation) coreRate(s *server) float64 {
+	return s.speed * sm.warmth(s) * (1 - s.stolenShare) * (1 - s.slowdown)
+}
+
 // currentRate is the rate of each request in a slot, in standard cores: a core, or its part of the cores, less what
 // crowding beyond the knee and the connection table take.
 func (sm *simulation) currentRate(s *server) float64 {
 	t := s.instanceType
 	executing := len(s.slots)
-	rate := s.speed * sm.warmth(s) * (1 - s.stolenShare) * (1 - s.slowdown)
+	rate := sm.coreRate(s)
 	rate *= math.Min(1, float64(t.Cores)/float64(executing))
 	if crowd := s.openRequests() - t.Knee; crowd > 0 {
 		rate /= 1 + t.Crowding*float64(crowd)
--- a/internal/singleton/leaseclient/client.go
+++ b/internal/singleton/leaseclient/client.go
@@ -56,6 +56,11 @@
 	drainLeases               = 3  // how many lease durations an instance that stops waits for others to take over
 )
 
+const (
+	maxIdleConnsPerMember = 2
+	idleConnTimeout       = 10 * time.Second // shorter than the member's
+)
+
 // Client holds an instance's leases. Create it with New and call Run once; the other methods are safe for concurrent use.
 type Client struct {
 	opts         Options
@@ -84,10 +89,11 @@
 		opts.ClockRate = 1
 	}
 	return &Client{
-		opts:         opts,
-		startedAt:    time.Now(),
-		lease:        time.Duration(opts.Settings.LeaseDuration) * time.Microsecond,
-		http:         &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2, IdleConnTimeout: 10 * time.Second}},
+		opts:      opts,
+		startedAt: time.Now(),
+		lease:     time.Duration(opts.Settings.LeaseDuration) * time.Microsecond,
+		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerMember,
+			IdleConnTimeout: idleConnTimeout}},
 		heartbeatDue: make(chan struct{}, 1),
 		memberIDs:    slices.Sorted(maps.Keys(opts.Members)),
 		holder: singleton.NewHolder(singleton.HolderOptions{Settings: opts.Settings, Name: opts.Name,
--- a/internal/singleton/raftmember/http.go
+++ b/internal/singleton/raftmember/http.go
@@ -105,31 +105,46 @@
 		http.Error(w, "no beat of an instance", http.StatusBadRequest)
 		return
 	}
-	var response singleton.HeartbeatResponse
-	var leader uint64
-	checked := make(chan bool, 1)
-	if !m.runOnLoop(r.Context(), func() {
-		leader = m.leader
+	result, ok := m.processHeartbeat(r.Context(), heartbeat)
+	switch {
+	case !ok: // the client has disconnected
+	case !result.isLeader:
+		m.rejectAsFollower(w, result.leader)
+	default:
+		w.Header().Set("Content-Type", "application/json")
+		_ = json.NewEncoder(w).Encode(result.response) // fails where the client has disconnected
+	}
+}
+
+// heartbeatResult is what a member has to say to a heartbeat.
+type heartbeatResult struct {
+	response singleton.HeartbeatResponse
+	isLeader bool   // a quorum has confirmed, after the heartbeat was received, that this member leads; else no response
+	leader   uint64 // as this member knows it; 0: none
+}
+
+// processHeartbeat has the lease manager process a heartbeat and waits for the leadership check. It is false where ctx
+// ended first.
+func (m *Member) processHeartbeat(ctx context.Context, heartbeat singleton.Heartbeat) (result heartbeatResult, ok bool) {
+	checked := make(chan bool, 1) // has room for the one result: the loop never waits for this goroutine
+	if !m.runOnLoop(ctx, func() {
+		result.leader = m.leader
 		if m.leaseManager == nil || len(m.checks.waiting) >= maxWaitingHeartbeats {
 			checked <- false
 			return
 		}
 		var commands []singleton.Command
-		commands, response = m.leaseManager.HandleHeartbeat(m.now(), heartbeat, m.state)
+		commands, result.response = m.leaseManager.HandleHeartbeat(m.now(), heartbeat, m.state)
 		m.propose(commands...)
 		m.checks.add(func(isLeader bool) { checked <- isLeader })
 	}) {
-		return
+		return result, false
 	}
 	select {
-	case isLeader := <-checked:
-		if !isLeader {
-			m.rejectAsFollower(w, leader)
-			return
-		}
-		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(response) // a client that has gone needs none
-	case <-r.Context().Done():
+	case result.isLeader = <-checked:
+		return result, true
+	case <-ctx.Done():
+		return result, false
 	}
 }
 
--- a/internal/singleton/raftmember/member.go
+++ b/internal/singleton/raftmember/member.go
@@ -63,6 +63,14 @@
 	keptIntervalDivisor     = 4 // part of SnapshotInterval that stays in memory behind a snapshot
 )
 
+// Connections. The server's idle time-out is the longer one, so that a peer does not send on a connection that ends.
+const (
+	maxIdleConnsPerPeer = 4
+	peerIdleTimeout     = 10 * time.Second
+	readHeaderTimeout   = 5 * time.Second
+	serverIdleTimeout   = 30 * time.Second
+)
+
 // Timing of raft, in ticks.
 const (
 	electionTicks  = 10 // without a message from the leader until a member starts an election
@@ -140,8 +148,9 @@
 		calls:        make(chan func()),
 		fatal:        make(chan error, 1),
 		peers:        map[uint64]*peer{},
-		client:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4, IdleConnTimeout: 10 * time.Second}},
-		state:        singleton.NewState(),
+		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerPeer,
+			IdleConnTimeout: peerIdleTimeout}},
+		state: singleton.NewState(),
 	}
 	for id, addr := range opts.Members {
 		if id != opts.ID {
@@ -170,7 +179,7 @@
 // was refused (ErrRefused) or it was started elsewhere (ErrStartedElsewhere). It closes ln and the store.
 func (m *Member) Run(ctx context.Context, ln net.Listener) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
-	server := &http.Server{Handler: m.handler(), ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second,
+	server := &http.Server{Handler: m.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: serverIdleTimeout,
 		ErrorLog: slog.NewLogLogger(m.opts.Log.Handler(), slog.LevelDebug)}
 	var running sync.WaitGroup
 	running.Go(func() {
