--- a/cmd/pumiceline/faulttestrun.go
+++ b/cmd/pumiceline/faulttestrun.go
@@ -45,8 +45,8 @@
 	return fmt.Sprintf("%d sent, %d served, %d rejected, %d failed", c.Sent, c.Served, c.Rejected, c.Failed)
 }
 
-// settleTime is the time after the last fault's end in which requests that fail still count as affected by it.
-const settleTime = time.Second
+// recoveryTime is the time after the last fault's end in which requests that fail still count as affected by it.
+const recoveryTime = time.Second
 
 // Run runs a script and shows the requests by their result. It fails if a proxy ended by itself or not in order.
 func (c *faulttestRunCmd) Run(out output) error {
@@ -102,7 +102,7 @@
 	}
 	faulttest.RunSchedule(schedule, startedAt, ctx.Done(), r.inject)
 	select {
-	case <-time.After(settleTime):
+	case <-time.After(recoveryTime):
 	case <-load.Done():
 	}
 	for _, g := range generators {
--- a/cmd/pumiceline/singletonrun.go
+++ b/cmd/pumiceline/singletonrun.go
@@ -21,12 +21,12 @@
 
 type singletonRunCmd struct {
 	fleetFlags
-	Name      string  `help:"This instance's name." required:""`
-	Zone      string  `help:"Its failure domain: of two that hold as many roles, the one whose zone holds fewer gets the next."`
-	Build     uint64  `help:"Newer builds are preferred."`
-	Mirror    string  `help:"Where to serve the copy of discovery's list, for proxies here and caches elsewhere; empty: nowhere."`
-	History   string  `help:"File for when each effect was sent and its outcome, a JSON object a line." type:"path"`
-	ClockRate float64 `hidden:"" help:"Speed of this process's clock, for tests." default:"1"`
+	Name         string  `help:"This instance's name." required:""`
+	Zone         string  `help:"Its failure domain: of two that hold as many roles, the one whose zone holds fewer gets the next."`
+	Build        uint64  `help:"Newer builds are preferred."`
+	CacheAddress string  `name:"mirror" help:"Where to serve the copy of discovery's list, for proxies here and caches elsewhere; empty: nowhere."`
+	History      string  `help:"File for when each effect was sent and its outcome, a JSON object a line." type:"path"`
+	ClockRate    float64 `hidden:"" help:"Speed of this process's clock, for tests." default:"1"`
 }
 
 // Run carries out the roles that this instance holds, until it is stopped: a step of a role with a receiver sends it one
@@ -45,9 +45,9 @@
 	defer closeHistory()
 	opts := c.clientOptions(fleet, log, history)
 	var cache *discoverycache.Cache // needs the client; set before the client runs a step
-	servesCache := fleet.DiscoveryRole != "" && c.Mirror != ""
+	servesCache := fleet.DiscoveryRole != "" && c.CacheAddress != ""
 	if servesCache {
-		opts.Addr = c.Mirror
+		opts.Addr = c.CacheAddress
 		opts.Steps[fleet.DiscoveryRole] = func(context.Context, leaseclient.Perform) error {
 			if !cache.FollowsDiscovery() {
 				return errors.New("discovery is not reachable from here")
@@ -64,7 +64,7 @@
 		return nil
 	}
 	cache = newDiscoveryCache(fleet, client, log)
-	return runWithCache(ctx, client, cache, c.Mirror, log)
+	return runWithCache(ctx, client, cache, c.CacheAddress, log)
 }
 
 func (c *singletonRunCmd) clientOptions(fleet *deployfile.Fleet, log *slog.Logger, history io.Writer) leaseclient.Options {
--- a/internal/faulttest/clustertest/discoverycache.go
+++ b/internal/faulttest/clustertest/discoverycache.go
@@ -69,7 +69,7 @@
 	updateTimeout       = 20 * time.Second
 	failoverTimeout     = 30 * time.Second
 	proxyReadyTimeout   = 20 * time.Second
-	settleLeases        = 5 // lease durations in which instances that took the first holder for dead return to it
+	stabilizationLeases = 5 // lease durations in which instances that took the first holder for dead return to it
 	proxiesPerCacheUser = 2 // every second proxy asks a cache, the others discovery itself
 )
 
@@ -116,7 +116,7 @@
 	if err := r.startCaches(ctx); err != nil {
 		return result, err
 	}
-	time.Sleep(settleLeases * opts.Lease)
+	time.Sleep(stabilizationLeases * opts.Lease)
 	if err := r.startProxies(); err != nil {
 		return result, err
 	}
--- a/internal/fleetsim/model/simulation.go
+++ b/internal/fleetsim/model/simulation.go
@@ -150,11 +150,11 @@
 	limit := longestDeadline + duration + grace + drainOutTime
 	// After the last response a proxy may still have requests that their clients gave up: the grace for these, with two
 	// ticks, as proxies act at ticks only, and two microseconds for rounding.
-	settleTime := grace + 2*Time(sm.scenario.Tick) + 2
+	endGrace := grace + 2*Time(sm.scenario.Tick) + 2
 	end := Time(0)
 	for sm.failure == nil {
 		e, ok := sm.events.pop()
-		if !ok || e.at > limit || end > 0 && e.at > end+settleTime {
+		if !ok || e.at > limit || end > 0 && e.at > end+endGrace {
 			break
 		}
 		sm.now = e.at
