--- a/internal/singleton/leasemanager.go
+++ b/internal/singleton/leasemanager.go
@@ -81,7 +81,8 @@
 	switch {
 	case known != nil && known.heartbeat.Incarnation != heartbeat.Incarnation &&
 		now-known.receivedAt < heartbeatTimeoutLeases*m.settings.LeaseDuration:
-		return fmt.Sprintf("another process of the name %s is there, with life %x", heartbeat.Name, known.heartbeat.Incarnation)
+		return fmt.Sprintf("another process of the name %s is there, with incarnation %x", heartbeat.Name,
+			known.heartbeat.Incarnation)
 	case known == nil && len(m.instances) >= MaxInstances:
 		return fmt.Sprintf("there are %d instances already", MaxInstances)
 	}
@@ -194,7 +195,7 @@
 		}
 		m.seenExpirations[name] = n
 		if now-m.lastExpiration[name] > max(minExpirationMemory, 2*m.settings.penalty(n)) {
-			forget = append(forget, Command{Kind: CommandForgetExpirations, Instance: name, Reason: "no lease ran out for long"})
+			forget = append(forget, Command{Kind: CommandForgetExpirations, Instance: name, Reason: "no lease has expired for long"})
 		}
 	}
 	for name := range m.seenExpirations {
@@ -240,7 +241,7 @@
 	if name := m.chooseHolder(now, role, s, candidateFilter{granted: granted}); name != "" {
 		granted[name]++
 		return []Command{{Kind: CommandGrant, Role: role, Instance: name, Incarnation: m.instances[name].heartbeat.Incarnation,
-			Token: a.Token, Reason: "nobody owns it"}}
+			Token: a.Token, Reason: "nobody holds it"}}
 	}
 	if a.DesiredHolder != "" && !m.isEligible(now, a.DesiredHolder, role) {
 		return []Command{{Kind: CommandSetDesiredHolder, Role: role, Reason: a.DesiredHolder + " is not there"}}
--- a/internal/singleton/raftmember/handshake.go
+++ b/internal/singleton/raftmember/handshake.go
@@ -51,6 +51,7 @@
 )
 
 // validateStart returns ErrStaleDisk where a member that announces started must not take part, as p is known of its disk.
+// With the same start count and another nonce it is a second process on a copy of the disk; a nonce of 0 is not known.
 func (p diskProgress) validateStart(started diskProgress) error {
 	isOtherProcess := started.StartCount == p.StartCount && p.Nonce != 0 && started.Nonce != p.Nonce
 	if started.StartCount < p.StartCount || isOtherProcess || started.Term < p.Term ||
--- a/internal/singleton/raftmember/http.go
+++ b/internal/singleton/raftmember/http.go
@@ -16,19 +16,21 @@
 	"pumiceline/internal/singleton"
 )
 
-// Paths of the member API. role stands for a role's name.
+// Paths of the member API, besides singleton.HeartbeatPath.
 const (
-	raftPath             = "/v1/raft"
-	helloPath            = "/v1/hello"
-	statusPath           = "/v1/status"
-	metricsPath          = "/v1/metrics"
-	rolesPath            = "/v1/works/"
-	desiredHolderSuffix  = "/want"
-	releaseSuffix        = "/free"
-	instanceQuery        = "who" // of the path that sets the desired holder
-	maxInstanceNameBytes = 64
+	raftPath            = "/v1/raft"
+	helloPath           = "/v1/hello"
+	statusPath          = "/v1/status"
+	metricsPath         = "/v1/metrics"
+	rolesPath           = "/v1/works/" // with the role's name and one of the suffixes behind it
+	desiredHolderSuffix = "/want"
+	releaseSuffix       = "/free"
+
+	instanceQuery = "who" // key of the query: the desired holder
 )
 
+const maxInstanceNameBytes = 64
+
 // handler serves members, instances and operators.
 func (m *Member) handler() http.Handler {
 	mux := http.NewServeMux()
@@ -54,6 +56,7 @@
 	})
 }
 
+// handleRaftMessage queues a message for the raft loop. Its response says nothing of whether it was processed.
 func (m *Member) handleRaftMessage(w http.ResponseWriter, r *http.Request) {
 	msg := &pb.Message{}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -80,6 +83,7 @@
 	}
 }
 
+// handleHello accepts or rejects a peer that starts. It responds once an acceptance is on disk.
 func (m *Member) handleHello(w http.ResponseWriter, r *http.Request) {
 	var h Hello
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&h); err != nil || m.peers[h.ID] == nil {
--- a/internal/singleton/raftmember/member.go
+++ b/internal/singleton/raftmember/member.go
@@ -52,15 +52,18 @@
 	SnapshotInterval uint64
 }
 
-// Bounds of what is queued. What exceeds them is lost, as on a network.
+// Limits of what is queued and received. Messages beyond them are lost, as on a network; heartbeats are answered 503.
 const (
 	maxReceived          = 1024    // messages for the raft loop
 	maxQueuedPerPeer     = 256     // messages to a peer
 	maxBodyBytes         = 4 << 20 // of a request
-	maxWaitingHeartbeats = 4096    // heartbeats that wait for a leadership check
+	maxWaitingHeartbeats = 4096    // that wait for a leadership check
+)
 
-	defaultSnapshotInterval = 2000
-	keptIntervalDivisor     = 4 // part of SnapshotInterval that stays in memory behind a snapshot
+// Snapshots.
+const (
+	defaultSnapshotInterval = 2000 // entries
+	keptIntervalDivisor     = 4    // part of SnapshotInterval that stays in memory behind a snapshot
 )
 
 // Connections. The server's idle time-out is the longer one, so that a peer does not send on a connection that ends.
