--- a/internal/fleetsim/checker/coldservers.go
+++ b/internal/fleetsim/checker/coldservers.go
@@ -76,7 +76,8 @@
 	if total > 0 && notified >= notifiedShare*total {
 		rec.Proxy = lastNotified // for the violation, and for observers that get the record after the checker
 		c.addViolation(rec, RuleColdServers,
-			"cold server %d fell over, %.1f s after its start, under %.2f s of work within %.2f s, %.0f%% of it from proxies that knew",
+			"cold server %d fell over, %.1f s after its start, under %.2f s of work within %.2f s, "+
+				"%.0f%% of it from proxies that knew",
 			rec.Server, seconds(rec.At-s.startedAt), total/microsPerSecond, seconds(Time(c.scenario.Overload.Window)),
 			100*notified/total)
 	}
--- a/internal/fleetsim/checker/report.go
+++ b/internal/fleetsim/checker/report.go
@@ -46,7 +46,7 @@
 
 	ServiceBySecond []float64         `json:"service"` // -1: no value was offered
 	LoadBands       [][]float64       `json:"bands"`   // by second, then by LoadBand: requests per core, over the servers
-	Latency         map[string]string `json:"latency"` // by class, of served requests: HdrHistogram (V2, base 64), microseconds
+	Latency         map[string]string `json:"latency"` // by class, of served requests: see reportLatencies
 }
 
 // ResponseCounts counts the final responses of proxies.
@@ -142,6 +142,7 @@
 	return worst
 }
 
+// reportLatencies encodes the latencies, in microseconds, as HdrHistogram does (V2, compressed, base 64).
 func (c *Checker) reportLatencies() error {
 	c.report.Latency = map[string]string{}
 	for i, histogram := range c.latencies {
--- a/internal/fleetsim/checker/requests.go
+++ b/internal/fleetsim/checker/requests.go
@@ -2,7 +2,7 @@
 
 import "pumiceline/internal/fleetsim/model"
 
-// clientRequest is what one client wants, over all its attempts.
+// clientRequest is one request of a client with all its attempts.
 type clientRequest struct {
 	startedAt     Time
 	latencyTarget Time
--- a/internal/fleetsim/model/arrival.go
+++ b/internal/fleetsim/model/arrival.go
@@ -78,8 +78,8 @@
 	return true
 }
 
-// crashesFromOverload adds an arrival to the work of a cold server and says whether that work is now beyond the bound: Factor
-// times the present capacity within Window, and the slack.
+// crashesFromOverload adds an arrival to the work of a cold server and says whether that work is now beyond the bound:
+// Factor times the present capacity within Window, and the slack.
 func (sm *simulation) crashesFromOverload(attempt *serverAttempt, s *server) bool {
 	if !s.cold {
 		return false
--- a/internal/fleetsim/model/build.go
+++ b/internal/fleetsim/model/build.go
@@ -39,6 +39,7 @@
 		shares = 1
 	}
 	for i := range sc.Servers {
+		// The type is the one in whose part of the cumulative shares the server's position lies.
 		chosen, position := 0, (float64(i)+0.5)/float64(sc.Servers)*shares
 		for upTo := types[0].Share; chosen < len(types)-1 && position > upTo; upTo += types[chosen].Share {
 			chosen++
--- a/internal/fleetsim/model/clients.go
+++ b/internal/fleetsim/model/clients.go
@@ -7,7 +7,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// clientRequest is what one client wants, over all its attempts. Each attempt is a proxyRequest.
+// clientRequest is one request of a client with all its attempts. Each attempt is a proxyRequest.
 type clientRequest struct {
 	number          uint64 // 0: the place is free
 	currentAttempt  uint64 // id of the present proxyRequest; see the constants below
@@ -35,8 +35,8 @@
 	attemptOver         = 1 // the client has given the attempt up: its response is ignored
 )
 
-// Purposes of clientRequest.draw. chooseProxy uses proxy<<8 + attempt beside these, which for proxy 0 coincides with some of
-// them; that is left as it is, as a changed number changes the results of every seed.
+// Purposes of clientRequest.draw. chooseProxy uses proxy<<8 + attempt beside these, which for proxy 0 coincides with some
+// of them; that is left as it is, as a changed number changes the results of every seed.
 const (
 	drawUnsafeRetry   = 3
 	drawRetryAfter    = 4
@@ -197,10 +197,10 @@
 	return timeout
 }
 
-// receiveResponse brings a client the end of one of its attempts, unless it has given that up.
-func (sm *simulation) receiveResponse(clientIndex int32, attempt uint64, outcome policy.Outcome, retryAfter Time) {
+// receiveResponse is the arrival of an attempt's end at its client. The end of one that the client has given up is ignored.
+func (sm *simulation) receiveResponse(clientIndex int32, proxyRequestID uint64, outcome policy.Outcome, retryAfter Time) {
 	c := sm.clientRequests.at(clientIndex)
-	if c.ended || c.currentAttempt != attempt {
+	if c.ended || c.currentAttempt != proxyRequestID {
 		return
 	}
 	if outcome == policy.OK {
@@ -211,8 +211,8 @@
 }
 
 // abandonProxyRequest has a client give up an attempt that has timed out.
-func (sm *simulation) abandonProxyRequest(clientIndex int32, attempt uint64) {
-	if c := sm.clientRequests.at(clientIndex); !c.ended && c.currentAttempt == attempt {
+func (sm *simulation) abandonProxyRequest(clientIndex int32, proxyRequestID uint64) {
+	if c := sm.clientRequests.at(clientIndex); !c.ended && c.currentAttempt == proxyRequestID {
 		sm.retryOrGiveUp(clientIndex, policy.TimedOut, 0)
 	}
 }
--- a/internal/fleetsim/model/connections.go
+++ b/internal/fleetsim/model/connections.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// releaseMode is what becomes of a connection after an attempt on it.
+// releaseMode says whether a connection is kept after an attempt on it.
 type releaseMode bool
 
 const (
--- a/internal/fleetsim/model/discovery.go
+++ b/internal/fleetsim/model/discovery.go
@@ -175,7 +175,8 @@
 	}
 }
 
-// receiveSubscribeResult ends a proxy's call: it has a watch from now, and gets the list, or knows that the call failed.
+// receiveSubscribeResult is the end of a proxy's call to discovery: from now on it has a watch and is given the list, or it
+// is notified that the call failed.
 func (sm *simulation) receiveSubscribeResult(e *event) {
 	proxyIndex, generation := e.subject, e.number
 	if !sm.isRunning(proxyIndex, generation) {
--- a/internal/fleetsim/model/pool.go
+++ b/internal/fleetsim/model/pool.go
@@ -1,7 +1,7 @@
 package model
 
-// pool holds values that refer to each other by index and are used again, so that the garbage collector has no pointers
-// to follow. Pointers from at hold until the next acquire.
+// pool keeps values that refer to each other by index and are reused, so that the garbage collector has no pointers to
+// follow. A pointer from at is valid until the next acquire.
 type pool[T any] struct {
 	items []T
 	free  []int32
@@ -23,4 +23,5 @@
 // release lets the index be acquired again.
 func (p *pool[T]) release(i int32) { p.free = append(p.free, i) }
 
+// at returns the value of an index that is acquired, or was last released and not acquired again.
 func (p *pool[T]) at(i int32) *T { return &p.items[i] }
--- a/internal/fleetsim/model/record.go
+++ b/internal/fleetsim/model/record.go
@@ -9,7 +9,7 @@
 const (
 	SimulationStarted RecordKind = iota + 1 // [Capacity=requests a second of the warm fleet]
 	RequestStarted                          // a client starts a request [Request Class Tenant Work Value Duration=deadline]
-	RequestEnded                            // the client has its response or has given up [Request Flag=served Duration=elapsed]
+	RequestEnded                            // the client has its response or gave up [Request Flag=served Duration=elapsed]
 	RequestReceived                         // a proxy receives a request [Proxy ID Request Class Duration=client timeout]
 	AttemptSent                             // a proxy sends an attempt [Proxy ID Attempt Server Work Flag=crosses zones]
 	ConnectionOpened                        // a connection is made for it [Proxy Server]
