--- a/internal/fleetsim/model/partition.go
+++ b/internal/fleetsim/model/partition.go
@@ -1,53 +1,40 @@
 package model
 
-// partition is a fault that keeps two endpoints apart.
+// partition is a fault in force that keeps two endpoints apart.
 type partition struct {
-	fault int32
+	fault int32 // its index
 	a, b  Endpoint
 }
 
 // isServerPartitioned says whether a proxy and a server are partitioned from each other.
 func (sm *simulation) isServerPartitioned(proxyIndex int32, s *server) bool {
 	zone := sm.proxies[proxyIndex].zone
-	if sm.areZonesPartitioned(zone, s.zone) {
-		return true
-	}
-	for i := range sm.partitions {
-		c := &sm.partitions[i]
-		if c.a.matchesProxy(proxyIndex, zone) && c.b.matchesServer(s) ||
-			c.b.matchesProxy(proxyIndex, zone) && c.a.matchesServer(s) {
-			return true
-		}
-	}
-	return false
+	return sm.areZonesPartitioned(zone, s.zone) || sm.arePartitioned(
+		func(e Endpoint) bool { return e.matchesProxy(proxyIndex, zone) },
+		func(e Endpoint) bool { return e.matchesServer(s) })
 }
 
 // isPeerPartitioned says whether two proxies are partitioned from each other.
 func (sm *simulation) isPeerPartitioned(one, other int32) bool {
 	zone, otherZone := sm.proxies[one].zone, sm.proxies[other].zone
-	if sm.areZonesPartitioned(zone, otherZone) {
-		return true
-	}
-	for i := range sm.partitions {
-		c := &sm.partitions[i]
-		if c.a.matchesProxy(one, zone) && c.b.matchesProxy(other, otherZone) ||
-			c.b.matchesProxy(one, zone) && c.a.matchesProxy(other, otherZone) {
-			return true
-		}
-	}
-	return false
+	return sm.areZonesPartitioned(zone, otherZone) || sm.arePartitioned(
+		func(e Endpoint) bool { return e.matchesProxy(one, zone) },
+		func(e Endpoint) bool { return e.matchesProxy(other, otherZone) })
 }
 
 // isDiscoveryPartitioned says whether a proxy is partitioned from discovery.
 func (sm *simulation) isDiscoveryPartitioned(proxyIndex int32) bool {
 	p := &sm.proxies[proxyIndex]
-	if p.isolatedFromDiscovery {
-		return true
-	}
+	return p.isolatedFromDiscovery || sm.arePartitioned(
+		func(e Endpoint) bool { return e.matchesProxy(proxyIndex, p.zone) },
+		func(e Endpoint) bool { return e.Kind == EndpointDiscovery })
+}
+
+// arePartitioned says whether a partition in force has one party at one end and the other party at the other.
+func (sm *simulation) arePartitioned(matchesOne, matchesOther func(Endpoint) bool) bool {
 	for i := range sm.partitions {
-		c := &sm.partitions[i]
-		if c.a.Kind == EndpointDiscovery && c.b.matchesProxy(proxyIndex, p.zone) ||
-			c.b.Kind == EndpointDiscovery && c.a.matchesProxy(proxyIndex, p.zone) {
+		p := &sm.partitions[i]
+		if matchesOne(p.a) && matchesOther(p.b) || matchesOne(p.b) && matchesOther(p.a) {
 			return true
 		}
 	}
