--- a/internal/singleton/raftmember/handshake.go
+++ b/internal/singleton/raftmember/handshake.go
@@ -63,8 +63,8 @@
 }
 
 // announce sends Hello to the peers until those that have accepted it are a quorum together with this member. Each compares
-// it with what it has seen of this member's disk itself. A single refusal is an ErrRefused. Where ctx ends first it returns
-// nil.
+// it with what it has seen of this member's disk itself: a peer that did not run when this member last acknowledged entries
+// accepts an older copy that lacks them. A single refusal is an ErrRefused. Where ctx ends first it returns nil.
 func (m *Member) announce(ctx context.Context) error {
 	hello, err := json.Marshal(Hello{ID: m.opts.ID, diskProgress: m.store.progress(m.nonce)})
 	if err != nil {
