--- a/internal/standalone/policy/admission.go
+++ b/internal/standalone/policy/admission.go
@@ -2,19 +2,19 @@
 
 import "pumiceline/internal/standalone/concurrency"
 
-// When more work arrives than can be done in time, the queues at the servers grow until hardly a response is in time,
-// whichever server is picked. An adaptive concurrency limit (package concurrency) bounds this balancer's attempts in
-// flight. Other requests wait in its own queue, where the one with the highest priority goes first and a rejection is
-// still safe: nothing has run.
+// When more work arrives than can be done in time, the queues at the servers grow until hardly a response is
+// in time, whichever server is picked. An adaptive concurrency limit (package concurrency) bounds this
+// balancer's attempts in flight. Other requests wait in its own queue, where the one with the highest
+// priority goes first and a rejection is still safe: nothing has run.
 const (
-	// congestedTargetShare is the least time, as a share of the latency target, after which a response may signal
-	// congestion, see isCongested.
+	// congestedTargetShare is the least time, as a share of the latency target, after which a response may
+	// signal congestion, see isCongested.
 	congestedTargetShare = 0.5
-	// congestedUnloadedFactor is how many times the unloaded latency of its class a response must take to signal
-	// congestion.
+	// congestedUnloadedFactor is how many times the unloaded latency of its class a response must take to
+	// signal congestion.
 	congestedUnloadedFactor = 2
-	// congestedShareUnknown is the share of the latency target after which a response signals congestion while the
-	// unloaded latency of its class is not known.
+	// congestedShareUnknown is the share of the latency target after which a response signals congestion
+	// while the unloaded latency of its class is not known.
 	congestedShareUnknown = 0.75
 
 	congestionGain  = 0.05 // weight of the latest response in Balancer.congestion
@@ -24,11 +24,12 @@
 
 // hasCapacity reports whether the concurrency limit allows another attempt.
 func (b *Balancer) hasCapacity() bool {
-	return concurrency.Admits(b.concurrencyLimit, b.inFlight, float64(b.now-b.lastAttemptEnd), b.medianAttemptTime)
+	idle := float64(b.now - b.lastAttemptEnd)
+	return concurrency.Admits(b.concurrencyLimit, b.inFlight, idle, b.medianAttemptTime)
 }
 
-// adjustLimit adapts the concurrency limit to the outcome of attempt a of r. A limit that is hardly in use does not
-// grow: responses say nothing about what would happen beyond the attempts in flight.
+// adjustLimit adapts the concurrency limit to the outcome of attempt a of r. A limit that is hardly in use
+// does not grow: responses say nothing about what would happen beyond the attempts in flight.
 func (b *Balancer) adjustLimit(r *request, a *attempt, ev *Event) {
 	if a.server.relativeLatency >= slowFactor || a.server.warmingUp {
 		return // slow by itself, not because of congestion
@@ -53,8 +54,8 @@
 	}
 }
 
-// signalsCongestion reports whether an outcome is a sign of congested servers. known is false where it says nothing:
-// failures, and time-outs of clients that left less time than congestion would take to show.
+// signalsCongestion reports whether an outcome is a sign of congested servers. known is false where it says
+// nothing: failures, and time-outs of clients that left less time than congestion would take to show.
 func (b *Balancer) signalsCongestion(r *request, a *attempt, ev *Event) (congested, known bool) {
 	switch ev.Outcome {
 	case Rejected:
@@ -69,14 +70,15 @@
 	return false, false
 }
 
-// isCongested reports whether a response to r after elapsed is a sign of congestion. It is one after more than
+// isCongested reports whether a response to r after elapsed is a sign of congestion. It is one after more
+// than
 //
 //	max(target*congestedTargetShare, min(unloaded*congestedUnloadedFactor, target))
 //
-// or congestedShareUnknown of the target while the unloaded latency is not known. The share of the target alone would
-// not do: where work, or waiting for other services, fills much of the target, half of it passes without any queue, and
-// the limit would decrease until most requests are rejected while servers are idle. A response past the target is a
-// sign in any case.
+// or congestedShareUnknown of the target while the unloaded latency is not known. The share of the target
+// alone would not do: where work, or waiting for other services, fills much of the target, half of it passes
+// without any queue, and the limit would decrease until most requests are rejected while servers are idle. A
+// response past the target is a sign in any case.
 func (b *Balancer) isCongested(r *request, elapsed Time) bool {
 	target, threshold := float64(r.class.LatencyTarget), congestedShareUnknown
 	if unloaded, known := b.unloadedLatency[r.classIndex].Baseline(); known {
--- a/internal/standalone/policy/balancer.go
+++ b/internal/standalone/policy/balancer.go
@@ -1,20 +1,21 @@
-// Package policy makes the decisions of one HTTP load balancer in a group of them: which server gets a request, when
-// to retry, when to reject, and when to subscribe to discovery. What is a server here is a backend to the packages that
-// send the requests and to the admin API; gRFC A58 calls it an endpoint.
+// Package policy makes the decisions of one HTTP load balancer in a group of them: which server gets a
+// request, when to retry, when to reject, and when to subscribe to discovery. What is a server here is a
+// backend to the packages that send the requests and to the admin API; gRFC A58 calls it an endpoint.
 //
-// A Balancer is a state machine. Create one with New, then call Handle with each event in the order it happened;
-// Handle appends the actions that follow to the caller's buffer. The package has no clock and no goroutines and does
-// no I/O: the caller's `now` is the only time it knows, in microseconds from any fixed origin, never going back. All
-// times are in microseconds unless a comment says otherwise. Timers are actions too (SetTimer), answered by TimerFired
-// events.
+// A Balancer is a state machine. Create one with New, then call Handle with each event in the order it
+// happened; Handle appends the actions that follow to the caller's buffer. The package has no clock and no
+// goroutines and does no I/O: the caller's `now` is the only time it knows, in microseconds from any fixed
+// origin, never going back. All times are in microseconds unless a comment says otherwise. Timers are actions
+// too (SetTimer), answered by TimerFired events.
 //
-// A Balancer is not safe for concurrent use. Balancers share nothing; run as many as you like. Equal settings, seeds
-// and events give equal actions: iteration is over slices in the order of listing, never over maps.
+// A Balancer is not safe for concurrent use. Balancers share nothing; run as many as you like. Equal
+// settings, seeds and events give equal actions: iteration is over slices in the order of listing, never over
+// maps.
 //
-// The files, by concern: request (from arrival to response), queue (waiting requests), dispatch (attempts), retry (when
-// a retry is safe and the budget allows it), schedule (weighted round robin and the choice of a server), weights (gRFC
-// A58), slowstart (gRFC A100), locality (zones), outlier (ejection), admission (concurrency limit), membership and
-// subscription (discovery), snapshot (state for a successor process).
+// The files, by concern: request (from arrival to response), queue (waiting requests), dispatch (attempts),
+// retry (when a retry is safe and the budget allows it), schedule (weighted round robin and the choice of a
+// server), weights (gRFC A58), slowstart (gRFC A100), locality (zones), outlier (ejection), admission
+// (concurrency limit), membership and subscription (discovery), snapshot (state for a successor process).
 package policy
 
 import (
@@ -60,7 +61,7 @@
 	congestion        float64 // moving average: share of recent responses that signalled congestion
 	lastAttemptEnd    Time
 	limitFrozenUntil  Time                        // before it LimitToUsage is not applied
-	medianAttemptTime float64                     // microseconds; of attempts with a cost of 1, at all servers; 0: unknown
+	medianAttemptTime float64                     // microseconds, of attempts with a cost of 1; 0: unknown
 	unloadedLatency   []latencybaseline.Estimator // by class
 
 	// Requests.
@@ -70,7 +71,7 @@
 	queueTimerSet bool
 	arrivals      float64   // requests since the last refresh
 	arrivalRate   float64   // moving average, requests per second
-	meanWork      float64   // moving average over the requests whose work is known, in the unit of Event.Work; 0: none yet
+	meanWork      float64   // moving average of the known work of requests, unit of Event.Work; 0: none yet
 	retryTokens   float64   // retry budget left
 	tenantTokens  []float64 // quota left, by tenant
 }
@@ -88,7 +89,8 @@
 	return b, nil
 }
 
-// ApplySettings replaces the settings, or none with an error. Open requests keep their class and number of attempts.
+// ApplySettings replaces the settings, or none with an error. Open requests keep their class and number of
+// attempts.
 func (b *Balancer) ApplySettings(settings Settings) error {
 	if err := settings.validate(); err != nil {
 		return err
@@ -173,13 +175,14 @@
 	arrivalRateTimeConstant = 2       // seconds
 )
 
-// refresh brings weights, budgets and the concurrency limit up to date. Only its timer calls it, so that a request
-// costs no pass over all servers.
+// refresh brings weights, budgets and the concurrency limit up to date. Only its timer calls it, so that a
+// request costs no pass over all servers.
 func (b *Balancer) refresh() {
 	elapsed := float64(b.now-b.refreshedAt) / 1e6 // seconds
 	b.refreshedAt = b.now
 	if elapsed > 0 {
-		b.arrivalRate += (1 - math.Exp(-elapsed/arrivalRateTimeConstant)) * (b.arrivals/elapsed - b.arrivalRate)
+		gain := 1 - math.Exp(-elapsed/arrivalRateTimeConstant)
+		b.arrivalRate += gain * (b.arrivals/elapsed - b.arrivalRate)
 		b.arrivals = 0
 	}
 	b.refillTenantTokens(elapsed)
@@ -187,7 +190,8 @@
 	b.updateMeans()
 	b.updateRemoteZoneShare(elapsed)
 	if b.now >= b.limitFrozenUntil {
-		b.concurrencyLimit = concurrency.LimitToUsage(b.concurrencyLimit, b.inFlight, len(b.members), b.settings.GroupSize)
+		b.concurrencyLimit = concurrency.LimitToUsage(
+			b.concurrencyLimit, b.inFlight, len(b.members), b.settings.GroupSize)
 	}
 	pollInterval := loadpolling.Interval(len(b.members), b.settings.GroupSize, b.arrivalRate)
 	for _, s := range b.members {
--- a/internal/standalone/policy/dispatch.go
+++ b/internal/standalone/policy/dispatch.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// dispatch sends r to a server, or queues it where no server can take it; a request that may not be sent any more is
-// rejected or failed. It reports whether r was sent.
+// dispatch sends r to a server, or queues it where no server can take it; a request that may not be sent any
+// more is rejected or failed. It reports whether r was sent.
 func (b *Balancer) dispatch(r *request) bool {
 	if !b.mayAttempt(r) || r.inFlight == 0 && b.lacksTime(r) {
 		b.rejectOrFail(r)
@@ -20,15 +20,15 @@
 // minTimeShare is the fraction of an attempt's expected time that must be left for it to be worth sending.
 const minTimeShare = 0.8
 
-// lacksTime reports whether r has less time left than an attempt will most likely take. Such an attempt would be work
-// for a response that nobody waits for any more, and then for the client's retry: under load, time-outs that cause
-// retries can keep servers busy with nothing else.
+// lacksTime reports whether r has less time left than an attempt will most likely take. Such an attempt would
+// be work for a response that nobody waits for any more, and then for the client's retry: under load,
+// time-outs that cause retries can keep servers busy with nothing else.
 func (b *Balancer) lacksTime(r *request) bool {
 	return float64(r.deadline-b.now) < minTimeShare*b.medianAttemptTime*timeFactor(r.cost)
 }
 
-// timeFactor is the expected time of an attempt with this cost, relative to one with a cost of 1: half of an attempt's
-// time is taken to be fixed and half to grow with its cost.
+// timeFactor is the expected time of an attempt with this cost, relative to one with a cost of 1: half of an
+// attempt's time is taken to be fixed and half to grow with its cost.
 func timeFactor(cost float64) float64 { return (1 + cost) / 2 }
 
 // send starts an attempt of r on s.
@@ -37,8 +37,10 @@
 	if sendBefore == math.MaxInt64 {
 		sendBefore = 0 // no limit
 	}
-	r.attempts = append(r.attempts, attempt{server: s, serverID: s.id, zone: s.zone, cell: s.cell, inFlight: true,
-		mayHaveExecuted: true, bodyPending: true, sentAt: b.now, cost: r.cost})
+	r.attempts = append(r.attempts, attempt{
+		server: s, serverID: s.id, zone: s.zone, cell: s.cell, inFlight: true,
+		mayHaveExecuted: true, bodyPending: true, sentAt: b.now, cost: r.cost,
+	})
 	r.inFlight++
 	s.uploading++
 	b.chargeSlowStart(s, r.cost)
@@ -53,7 +55,8 @@
 	b.emit(Action{Kind: SendAttempt, ID: r.id, Server: s.id, SendBefore: sendBefore})
 }
 
-// countInFlight counts an attempt whose request its server has completely: from now on its time is the server's.
+// countInFlight counts an attempt whose request its server has completely: from now on its time is the
+// server's.
 func (b *Balancer) countInFlight(a *attempt) {
 	s := a.server
 	a.bodyPending = false
--- a/internal/standalone/policy/membership.go
+++ b/internal/standalone/policy/membership.go
@@ -24,8 +24,9 @@
 	b.updateMeans()
 }
 
-// applyMember applies one entry. A server that is draining or gone is removed from the schedule at once. A new one gets
-// its first turn at a random time within its interval, so that balancers do not all send to it first.
+// applyMember applies one entry. A server that is draining or gone is removed from the schedule at once. A
+// new one gets its first turn at a random time within its interval, so that balancers do not all send to it
+// first.
 func (b *Balancer) applyMember(m *Member) {
 	s := b.servers[m.Server]
 	if m.Mode == ModeGone {
@@ -51,9 +52,11 @@
 	b.updateSchedule(s)
 }
 
-// addServer adds a server, which is taken to be warm and like the others until discovery or reports say otherwise.
+// addServer adds a server, which is taken to be warm and like the others until discovery or reports say
+// otherwise.
 func (b *Balancer) addServer(id ServerID) *server {
-	s := &server{id: id, relativeLatency: 1, readySince: -b.settings.Rules.WarmupTime, weight: 1, relativeWorkTime: 1}
+	warmedUp := -b.settings.Rules.WarmupTime
+	s := &server{id: id, relativeLatency: 1, readySince: warmedUp, weight: 1, relativeWorkTime: 1}
 	s.TieBreaker, s.Value = s.id, s
 	b.servers[id] = s
 	b.members = append(b.members, s)
@@ -72,7 +75,8 @@
 	}
 }
 
-// instanceTypeIndex returns the index of an instance type in b.instanceTypes, to which it is added if it is new.
+// instanceTypeIndex returns the index of an instance type in b.instanceTypes, to which it is added if it is
+// new.
 func (b *Balancer) instanceTypeIndex(instanceType uint16) int {
 	for i := range b.instanceTypes {
 		if b.instanceTypes[i].instanceType == instanceType {
@@ -83,8 +87,8 @@
 	return len(b.instanceTypes) - 1
 }
 
-// removeGoneServers forgets servers that are gone and have no attempts. Such a server is in no schedule and not
-// stalled.
+// removeGoneServers forgets servers that are gone and have no attempts. Such a server is in no schedule and
+// not stalled.
 func (b *Balancer) removeGoneServers() {
 	kept := b.members[:0]
 	for _, s := range b.members {
--- a/internal/standalone/policy/outlier.go
+++ b/internal/standalone/policy/outlier.go
@@ -2,28 +2,29 @@
 
 import "pumiceline/internal/standalone/latencybaseline"
 
-// Outlier detection, in the sense of gRFC A50: a server that by its outcomes cannot serve is ejected from the schedule
-// for a time. A50's ejection by success rate or failure percentage is not used; failing servers lose weight instead,
-// see healthFactor.
+// Outlier detection, in the sense of gRFC A50: a server that by its outcomes cannot serve is ejected from the
+// schedule for a time. A50's ejection by success rate or failure percentage is not used; failing servers lose
+// weight instead, see healthFactor.
 const (
-	// maxConnectFailures is the number of attempts that must fail to connect without a response in between before a
-	// server is ejected.
+	// maxConnectFailures is the number of attempts that must fail to connect without a response in between
+	// before a server is ejected.
 	maxConnectFailures = 2
-	// maxTimeouts is the number of attempts that must time out without a response in between before a server is ejected.
+	// maxTimeouts is the number of attempts that must time out without a response in between before a server
+	// is ejected.
 	maxTimeouts = 4
-	// timeoutFactor is how many times the median an attempt must have taken for its time-out to count: a client with
-	// little time says nothing about the server.
+	// timeoutFactor is how many times the median an attempt must have taken for its time-out to count: a
+	// client with little time says nothing about the server.
 	timeoutFactor = 2
-	// slowFactor is how many times the median a server's recent attempts must have taken for it to count as slow, and
-	// how many times the median may pass without an outcome until it counts as stalled. Instance types differ by less,
-	// and single requests by more only now and then.
+	// slowFactor is how many times the median a server's recent attempts must have taken for it to count as
+	// slow, and how many times the median may pass without an outcome until it counts as stalled. Instance
+	// types differ by less, and single requests by more only now and then.
 	slowFactor = 4
-	// minRestartTime is how long, in microseconds, a server must not have responded to be taken for restarted. No
-	// process is back sooner. Without it, after a network fault that resets connections all servers would be taken for
-	// warming up.
+	// minRestartTime is how long, in microseconds, a server must not have responded to be taken for
+	// restarted. No process is back sooner. Without it, after a network fault that resets connections all
+	// servers would be taken for warming up.
 	minRestartTime = 1_000_000
-	// idleConnTimeout is how long, in microseconds, an unused connection is kept. Servers accept a limited number: those
-	// that one balancer does not use are missing to the others.
+	// idleConnTimeout is how long, in microseconds, an unused connection is kept. Servers accept a limited
+	// number: those that one balancer does not use are missing to the others.
 	idleConnTimeout = 2_000_000
 )
 
@@ -48,8 +49,8 @@
 // attemptMedian is the rule by which medianAttemptTime follows the attempts.
 var attemptMedian = latencybaseline.Quantile{Share: 0.5, Step: 0.06}
 
-// EjectedServers is the number of servers listed as ready that get no turns, because this balancer has ejected them or
-// found them stalled.
+// EjectedServers is the number of servers listed as ready that get no turns, because this balancer has
+// ejected them or found them stalled.
 func (b *Balancer) EjectedServers() (count int) {
 	for _, s := range b.members {
 		if s.isReady() && (s.ejected || s.stalled) {
@@ -59,12 +60,13 @@
 	return count
 }
 
-// mayEject reports whether less than half of the servers are ejected or stalled (gRFC A50: max_ejection_percent).
-// Otherwise the cause is common to all servers, and the load of the ejected ones would bring down the rest.
+// mayEject reports whether less than half of the servers are ejected or stalled (gRFC A50:
+// max_ejection_percent). Otherwise the cause is common to all servers, and the load of the ejected ones would
+// bring down the rest.
 func (b *Balancer) mayEject() bool { return 2*b.ejectedOrStalled < len(b.members) }
 
-// eject takes s out of the schedule until a probation attempt, for a time that doubles from first to longest while
-// ejections follow each other.
+// eject takes s out of the schedule until a probation attempt, for a time that doubles from first to longest
+// while ejections follow each other.
 func (b *Balancer) eject(s *server, first, longest Time) {
 	if s.ejected {
 		return
@@ -75,8 +77,8 @@
 	s.ejectedUntil = b.now + b.jitter(s.ejectionTime)
 }
 
-// endProbation notes that s has responded. After failures to connect its slow start begins, as in gRFC A100 when a
-// connection becomes ready.
+// endProbation notes that s has responded. After failures to connect its slow start begins, as in gRFC A100
+// when a connection becomes ready.
 func (b *Balancer) endProbation(s *server) {
 	if s.onProbation && s.unreachable && b.now-s.answeredAt >= minRestartTime {
 		b.beginSlowStart(s, b.now)
@@ -121,12 +123,13 @@
 	if s.stalled {
 		s.stalled = false
 		b.ejectedOrStalled--
-		b.inFlight += s.inFlight + 1 // examineServer took out this attempt as well, and b.inFlight-- did again
+		// One more, as examineServer took out this attempt as well, and b.inFlight-- did again.
+		b.inFlight += s.inFlight + 1
 	}
 }
 
-// observeRejection ejects a server that is draining without notice or whose queue is full: more requests would only be
-// rejected as well.
+// observeRejection ejects a server that is draining without notice or whose queue is full: more requests
+// would only be rejected as well.
 func (b *Balancer) observeRejection(s *server) {
 	b.endProbation(s)
 	if b.mayEject() {
@@ -134,8 +137,8 @@
 	}
 }
 
-// observeTimeout ejects a server after several time-outs. A server that does not respond has few attempts in flight,
-// since they time out: without ejection its low load score would attract requests.
+// observeTimeout ejects a server after several time-outs. A server that does not respond has few attempts in
+// flight, since they time out: without ejection its low load score would attract requests.
 func (b *Balancer) observeTimeout(s *server, a *attempt, ev *Event) {
 	if b.observeLatency(s, a.cost, float64(ev.Elapsed), true) >= timeoutFactor {
 		s.timeouts++
@@ -145,9 +148,9 @@
 	}
 }
 
-// observeConnectFailure ejects a server that cannot be reached, also beyond the bound of mayEject: nothing can be
-// gained by sending to it. A single failure is not enough: a server that responds on other connections has not
-// restarted, and would be taken for warming up.
+// observeConnectFailure ejects a server that cannot be reached, also beyond the bound of mayEject: nothing
+// can be gained by sending to it. A single failure is not enough: a server that responds on other connections
+// has not restarted, and would be taken for warming up.
 func (b *Balancer) observeConnectFailure(s *server) {
 	b.zoneConnectFailures[s.zone]++
 	s.openConns = min(s.openConns, s.inFlight)
@@ -157,9 +160,9 @@
 	}
 }
 
-// observeLatency compares the time of an attempt, in microseconds, with the median of all servers at its cost, and
-// returns the ratio. A median is not moved by single slow servers and grows when all are slow. Of an attempt that timed
-// out only a lower bound is known: where that is below the median, it says nothing.
+// observeLatency compares the time of an attempt, in microseconds, with the median of all servers at its
+// cost, and returns the ratio. A median is not moved by single slow servers and grows when all are slow. Of
+// an attempt that timed out only a lower bound is known: where that is below the median, it says nothing.
 func (b *Balancer) observeLatency(s *server, cost, elapsed float64, timedOut bool) (ratio float64) {
 	if b.medianAttemptTime == 0 {
 		b.medianAttemptTime = max(minAttemptMedian, elapsed)
@@ -188,9 +191,9 @@
 	return factor / s.relativeLatency
 }
 
-// examineServer is called for each server by refresh: it finds stalled servers, closes unused connections and ends
-// ejections. A stalled server gets no turn until an attempt ends: a hung process keeps its connections open, so nothing
-// but the missing responses shows it.
+// examineServer is called for each server by refresh: it finds stalled servers, closes unused connections and
+// ends ejections. A stalled server gets no turn until an attempt ends: a hung process keeps its connections
+// open, so nothing but the missing responses shows it.
 func (b *Balancer) examineServer(s *server) {
 	if !s.stalled && s.inFlight > 0 && b.medianAttemptTime > 0 && b.mayEject() &&
 		float64(b.now-s.waitingSince) > slowFactor*b.medianAttemptTime {
--- a/internal/standalone/policy/queue.go
+++ b/internal/standalone/policy/queue.go
@@ -3,16 +3,17 @@
 import "slices"
 
 const (
-	// queueCheckPeriod is the time in microseconds between two checks of the queue for requests whose time in it is
-	// over.
+	// queueCheckPeriod is the time in microseconds between two checks of the queue for requests whose time in
+	// it is over.
 	queueCheckPeriod = 10_000
-	// minQueueDivisor is the divisor of the latency target that gives the time that a request may be queued for however
-	// long its attempt will take.
+	// minQueueDivisor is the divisor of the latency target that gives the time that a request may be queued
+	// for however long its attempt will take.
 	minQueueDivisor = 8
 )
 
-// enqueue queues r until a server can take it and the concurrency limit allows. It is rejected at once where there is
-// nothing to wait for, too many requests are open, or its time in the queue ends before the next check.
+// enqueue queues r until a server can take it and the concurrency limit allows. It is rejected at once where
+// there is nothing to wait for, too many requests are open, or its time in the queue ends before the next
+// check.
 func (b *Balancer) enqueue(r *request) {
 	r.queuedUntil = b.queueDeadline(r)
 	if b.hasNoReadyServer() || b.hasTooManyRequests() || b.now+queueCheckPeriod > r.queuedUntil {
@@ -24,9 +25,10 @@
 	b.armQueueTimer()
 }
 
-// queueDeadline is how long r stays in the queue. Its response must still reach the client in time, and one past the
-// latency target has little value: so two attempt times before the target the wait is over. A request that no server
-// can have executed is rejected while the client has half of its time left for a retry elsewhere.
+// queueDeadline is how long r stays in the queue. Its response must still reach the client in time, and one
+// past the latency target has little value: so two attempt times before the target the wait is over. A
+// request that no server can have executed is rejected while the client has half of its time left for a retry
+// elsewhere.
 func (b *Balancer) queueDeadline(r *request) Time {
 	margin := queueCheckPeriod + 2*b.settings.BatchPeriod
 	target := r.class.LatencyTarget
@@ -38,14 +40,14 @@
 	return deadline
 }
 
-// hasNoReadyServer reports whether servers are known and all of them are draining or gone: there is nothing to wait
-// for.
+// hasNoReadyServer reports whether servers are known and all of them are draining or gone: there is nothing
+// to wait for.
 func (b *Balancer) hasNoReadyServer() bool {
 	return len(b.members) > 0 && !slices.ContainsFunc(b.members, (*server).isReady)
 }
 
-// hasTooManyRequests reports whether more than half of the allowed requests are open. The other half is for requests
-// that can be sent at once.
+// hasTooManyRequests reports whether more than half of the allowed requests are open. The other half is for
+// requests that can be sent at once.
 func (b *Balancer) hasTooManyRequests() bool {
 	limit := b.settings.Limits.MaxOpenRequests
 	return limit > 0 && 2*len(b.requests) > limit
@@ -96,8 +98,8 @@
 	}
 }
 
-// nextQueued returns the index of the open request with the highest priority; -1 if there is none. Of equals it is the
-// newest, which is the most likely to be answered in time.
+// nextQueued returns the index of the open request with the highest priority; -1 if there is none. Of equals
+// it is the newest, which is the most likely to be answered in time.
 func (b *Balancer) nextQueued() int {
 	best := -1
 	for i, r := range b.queue {
@@ -112,7 +114,8 @@
 //
 //	medianAttemptTime * (1 + queued/concurrencyLimit)
 //
-// times a random factor from 0.5 to 1.5, so that rejected clients do not come back together; at most MaxRetryAfter.
+// times a random factor from 0.5 to 1.5, so that rejected clients do not come back together; at most
+// MaxRetryAfter.
 func (b *Balancer) retryAfter() Time {
 	wait := max(b.medianAttemptTime, queueCheckPeriod) * (1 + float64(len(b.queue))/b.concurrencyLimit)
 	wait *= 0.5 + b.rng.Float64()
--- a/internal/standalone/policy/request.go
+++ b/internal/standalone/policy/request.go
@@ -58,9 +58,11 @@
 	}
 	r := b.freeRequests[len(b.freeRequests)-1]
 	b.freeRequests = b.freeRequests[:len(b.freeRequests)-1]
-	*r = request{id: ev.ID, class: &b.settings.Classes[ev.Class], classIndex: ev.Class, affinityKey: ev.AffinityKey,
+	*r = request{
+		id: ev.ID, class: &b.settings.Classes[ev.Class], classIndex: ev.Class, affinityKey: ev.AffinityKey,
 		cost: b.relativeCost(ev.Work), arrivedAt: b.now, deadline: b.now + ev.ClientTimeout,
-		maxAttempts: b.settings.Limits.MaxAttempts, attempts: r.attempts[:0], bodyPending: ev.BodyPending}
+		maxAttempts: b.settings.Limits.MaxAttempts, attempts: r.attempts[:0], bodyPending: ev.BodyPending,
+	}
 	r.priority = b.priorityOf(r, ev.Tenant)
 	return r
 }
@@ -81,8 +83,8 @@
 	return w / b.meanWork
 }
 
-// priorityOf returns the value of r per unit of work. What a tenant sends beyond its quota has a low value: it must
-// not displace what others send within theirs when there is no capacity for all.
+// priorityOf returns the value of r per unit of work. What a tenant sends beyond its quota has a low value:
+// it must not displace what others send within theirs when there is no capacity for all.
 func (b *Balancer) priorityOf(r *request, tenant uint32) float64 {
 	priority := r.class.Value
 	if !b.settings.ValuePerWork {
@@ -103,7 +105,8 @@
 	return true
 }
 
-// refillTenantTokens adds this balancer's part of each tenant's quota for elapsed seconds, up to one second's worth.
+// refillTenantTokens adds this balancer's part of each tenant's quota for elapsed seconds, up to one second's
+// worth.
 func (b *Balancer) refillTenantTokens(elapsed float64) {
 	for i, tenant := range b.settings.Tenants {
 		rate := tenant.QuotaPerS / float64(b.settings.GroupSize)
@@ -173,8 +176,8 @@
 	}
 }
 
-// rejectOrFail gives r its final response when no attempt in flight can: a rejection where the client may safely retry,
-// else a failure.
+// rejectOrFail gives r its final response when no attempt in flight can: a rejection where the client may
+// safely retry, else a failure.
 func (b *Balancer) rejectOrFail(r *request) {
 	if r.done || r.inFlight > 0 {
 		return
--- a/internal/standalone/policy/retry.go
+++ b/internal/standalone/policy/retry.go
@@ -5,13 +5,15 @@
 const (
 	// attemptLimit is the most attempts of a request that Limits.MaxAttempts can allow, and its default.
 	attemptLimit = 8
-	// unusedWindowDivisor is the divisor of a dedup window that gives its last part, in which nothing is retried.
+	// unusedWindowDivisor is the divisor of a dedup window that gives its last part, in which nothing is
+	// retried.
 	unusedWindowDivisor = 8
 )
 
-// The retry budget: attempts after one that may have executed add work, and when all servers are slow they make them
-// slower. So they are limited to a fraction of the arrivals. An attempt that was not executed cost little and needs no
-// token. (The system's proxy has another budget, by a sliding window over all proxies: balancer.RetryBudget.)
+// The retry budget: attempts after one that may have executed add work, and when all servers are slow they
+// make them slower. So they are limited to a fraction of the arrivals. An attempt that was not executed cost
+// little and needs no token. (The system's proxy has another budget, by a sliding window over all proxies:
+// balancer.RetryBudget.)
 const (
 	retryRatio = 0.2  // tokens gained with each arrival
 	retryBurst = 10.0 // the most tokens
@@ -40,8 +42,8 @@
 	return b.now < r.retryDeadline()
 }
 
-// mayAttemptOn reports whether r may have another attempt on s. A deduplicated request stays in the scope of those
-// servers that recognize its earlier attempts.
+// mayAttemptOn reports whether r may have another attempt on s. A deduplicated request stays in the scope of
+// those servers that recognize its earlier attempts.
 func (b *Balancer) mayAttemptOn(r *request, s *server) bool {
 	if !b.mayAttempt(r) || !s.isReady() {
 		return false
@@ -68,10 +70,10 @@
 	return true
 }
 
-// retryDeadline is when another attempt must not be written any more: math.MaxInt64 for idempotent requests, 0 once
-// a non-idempotent one may have been executed. The scope of a deduplicated request forgets its key a DedupWindow after
-// the attempt was sent. A server may start the new attempt some time after that is sent, so the last part of the window
-// is not used.
+// retryDeadline is when another attempt must not be written any more: math.MaxInt64 for idempotent requests,
+// 0 once a non-idempotent one may have been executed. The scope of a deduplicated request forgets its key a
+// DedupWindow after the attempt was sent. A server may start the new attempt some time after that is sent, so
+// the last part of the window is not used.
 func (r *request) retryDeadline() Time {
 	deadline := Time(math.MaxInt64)
 	for i := range r.attempts {
@@ -91,7 +93,8 @@
 
 // mayReject reports whether r may be rejected, which promises the client that a retry is safe.
 func (r *request) mayReject() bool {
-	safe := r.class.Semantics == Idempotent || r.class.Semantics == Deduplicated && r.class.DedupScope == DedupEverywhere
+	safe := r.class.Semantics == Idempotent ||
+		r.class.Semantics == Deduplicated && r.class.DedupScope == DedupEverywhere
 	if safe {
 		return true
 	}
--- a/internal/standalone/policy/schedule.go
+++ b/internal/standalone/policy/schedule.go
@@ -2,23 +2,25 @@
 
 import "math"
 
-// The choice of a server looks at the next few turns of the schedule, then further ahead for an idle connection: among
-// many servers a server's next turn comes only after its idle connections were closed.
+// The choice of a server looks at the next few turns of the schedule, then further ahead for an idle
+// connection: among many servers a server's next turn comes only after its idle connections were closed.
 const (
 	maxCandidates         = 16  // turns of servers that the request may use
 	maxIdleConnCandidates = 128 // further turns, for warm servers with an idle connection
 )
 
-// A server that executed a request of the same affinity key recently needs less than half of the work, so a request
-// goes elsewhere only if far more is in flight at its home servers. In units of loadScore:
+// A server that executed a request of the same affinity key recently needs less than half of the work, so a
+// request goes elsewhere only if far more is in flight at its home servers. In units of loadScore:
 const (
 	minAffinityPenalty     = 10.0
 	affinityPenaltyPerLoad = 1.0 // times the mean load score; half of the penalty for the second home
 )
 
 const (
-	newConnPenalty    = 1    // in units of loadScore: a new connection costs time, and servers accept a limited number
-	sameServerPenalty = 1000 // the same, of a server that had an attempt of the request: only where there is no other
+	// newConnPenalty is in units of loadScore: a new connection costs time, and servers accept only so many.
+	newConnPenalty = 1
+	// sameServerPenalty is that of a server that had an attempt of the request: only where there is no other.
+	sameServerPenalty = 1000
 )
 
 // isSchedulable reports whether s may get turns.
@@ -29,8 +31,9 @@
 	return !s.warmingUp || s.slowStartTokens >= 1
 }
 
-// updateSchedule adds s to the schedule or removes it, by isSchedulable. A server that missed turns while it was not in
-// the schedule gets its next one at a random time within its own interval: made up for, they would be a burst.
+// updateSchedule adds s to the schedule or removes it, by isSchedulable. A server that missed turns while it
+// was not in the schedule gets its next one at a random time within its own interval: made up for, they would
+// be a burst.
 func (b *Balancer) updateSchedule(s *server) {
 	isSchedulable := b.isSchedulable(s)
 	switch {
@@ -44,8 +47,9 @@
 	}
 }
 
-// setWeight changes the weight of s. The time to its next turn is rescaled: with a deadline of the old weight, a server
-// whose weight rises again from almost nothing would wait for ages, and one whose weight falls would come too soon.
+// setWeight changes the weight of s. The time to its next turn is rescaled: with a deadline of the old
+// weight, a server whose weight rises again from almost nothing would wait for ages, and one whose weight
+// falls would come too soon.
 func (b *Balancer) setWeight(s *server, weight float64) {
 	if weight == s.weight {
 		return
@@ -60,14 +64,16 @@
 	b.updateSchedule(s)
 }
 
-// pick returns the server for r, or nil if there is none: a home server of the affinity key, else the server with the
-// least load score among the next turns that r may use, of equals the earliest due. The server's next turn comes
-// 1/weight later (gRFC A58). Turns that are skipped keep their deadline, so that in the long run the shares are those
-// of the weights. Once a score is no more than the affinity penalty, no server but a home can have a lower one.
+// pick returns the server for r, or nil if there is none: a home server of the affinity key, else the server
+// with the least load score among the next turns that r may use, of equals the earliest due. The server's
+// next turn comes 1/weight later (gRFC A58). Turns that are skipped keep their deadline, so that in the long
+// run the shares are those of the weights. Once a score is no more than the affinity penalty, no server but a
+// home can have a lower one.
 func (b *Balancer) pick(r *request) *server {
 	best, bestScore := b.pickHome(r)
 	skipped := b.skipped[:0]
-	for candidates := 0; bestScore > r.affinityPenalty && b.schedule.Len() > 0 && candidates < maxCandidates; {
+	candidates := 0
+	for bestScore > r.affinityPenalty && b.schedule.Len() > 0 && candidates < maxCandidates {
 		s := b.schedule.Peek()
 		if b.mayAttemptOn(r, s) && !b.exceedsSlowStartBudget(s, r.cost) {
 			candidates++
@@ -90,8 +96,9 @@
 	return best
 }
 
-// pickIdleConn returns the warm server with an idle connection whose load score is the least and below bestScore, or
-// best if there is none. Servers that warm up get requests in their turns only: slow start bounds what they are sent.
+// pickIdleConn returns the warm server with an idle connection whose load score is the least and below
+// bestScore, or best if there is none. Servers that warm up get requests in their turns only: slow start
+// bounds what they are sent.
 func (b *Balancer) pickIdleConn(r *request, best *server, bestScore float64) *server {
 	for _, item := range b.schedule.Front(maxIdleConnCandidates) {
 		s := item.Value
@@ -103,15 +110,17 @@
 	return best
 }
 
-// pickHome returns the home server of r's affinity key with the lower load score, of those that r may use, and its
-// score; nil and +Inf if there is none. It also sets r.homes and r.affinityPenalty, which loadScore needs.
+// pickHome returns the home server of r's affinity key with the lower load score, of those that r may use,
+// and its score; nil and +Inf if there is none. It also sets r.homes and r.affinityPenalty, which loadScore
+// needs.
 func (b *Balancer) pickHome(r *request) (best *server, bestScore float64) {
 	r.affinityPenalty, bestScore = 0, math.Inf(1)
 	if r.affinityKey == 0 || !b.settings.KeyAffinity {
 		return nil, bestScore
 	}
 	r.homes, _ = b.affinity.Homes(r.affinityKey)
-	r.affinityPenalty = minAffinityPenalty + affinityPenaltyPerLoad*2*float64(b.inFlight)/float64(max(1, len(b.members)))
+	members := float64(max(1, len(b.members)))
+	r.affinityPenalty = minAffinityPenalty + affinityPenaltyPerLoad*2*float64(b.inFlight)/members
 	for _, id := range r.homes {
 		s := b.servers[id]
 		if s == nil || !s.IsQueued() || !b.mayAttemptOn(r, s) || b.exceedsSlowStartBudget(s, r.cost) {
@@ -128,8 +137,8 @@
 //
 //	2*inFlight*relativeWorkTime + newConnPenalty + affinity penalty + sameServerPenalty
 //
-// with each penalty where it applies. An idle server with an open connection has 0; an attempt in flight at a mean
-// server counts for two new connections.
+// with each penalty where it applies. An idle server with an open connection has 0; an attempt in flight at a
+// mean server counts for two new connections.
 func (b *Balancer) loadScore(r *request, s *server) float64 {
 	score := 2 * float64(s.inFlight) * s.relativeWorkTime
 	if s.inFlight >= s.openConns {
--- a/internal/standalone/policy/slowstart.go
+++ b/internal/standalone/policy/slowstart.go
@@ -12,22 +12,24 @@
 	slowStartMinAge = 1e6 // microseconds: a younger server counts as a second old
 )
 
-// A100's factor is relative to the weights of the other servers: when most of them warm up, as after a restart of all,
-// it protects none. So a token budget bounds what this balancer sends each warming-up server in absolute terms.
+// A100's factor is relative to the weights of the other servers: when most of them warm up, as after a
+// restart of all, it protects none. So a token budget bounds what this balancer sends each warming-up server
+// in absolute terms.
 const (
-	// burstMargin is how many times the square root of the number of requests in an overload time the budget leaves
-	// free. That many requests arrive more than the mean now and then, as balancers send at random times (the standard
-	// deviation of a Poisson distribution), and a few more can overload a warming-up server.
+	// burstMargin is how many times the square root of the number of requests in an overload time the budget
+	// leaves free. That many requests arrive more than the mean now and then, as balancers send at random
+	// times (the standard deviation of a Poisson distribution), and a few more can overload a warming-up
+	// server.
 	burstMargin = 3
-	// maxWarmupLoad bounds the budget in multiples of the guaranteed capacity. It is over 1, as most servers are warm
-	// before they must be; beyond it a server could not respond in time.
+	// maxWarmupLoad bounds the budget in multiples of the guaranteed capacity. It is over 1, as most servers
+	// are warm before they must be; beyond it a server could not respond in time.
 	maxWarmupLoad = 2.4
 	// freeRequestCost is the cost, in mean requests, up to which a request may overdraw the budget.
 	freeRequestCost = 2
 )
 
-// beginSlowStart starts the slow start of s. In a large group a balancer may send less than one request in the whole
-// window; a random first budget spreads the first requests of all balancers.
+// beginSlowStart starts the slow start of s. In a large group a balancer may send less than one request in
+// the whole window; a random first budget spreads the first requests of all balancers.
 func (b *Balancer) beginSlowStart(s *server, readySince Time) {
 	s.readySince = readySince
 	s.warmingUp = b.now-readySince < b.settings.Rules.WarmupTime
@@ -36,7 +38,8 @@
 	}
 }
 
-// refreshSlowStart ends the slow start of s after the warm-up time, or refills its budget for elapsed seconds.
+// refreshSlowStart ends the slow start of s after the warm-up time, or refills its budget for elapsed
+// seconds.
 func (b *Balancer) refreshSlowStart(s *server, elapsed float64) {
 	if !s.warmingUp {
 		return
@@ -46,7 +49,8 @@
 		return
 	}
 	rate := b.slowStartRate(s)
-	burst := max(1, rate*float64(b.settings.Rules.OverloadTime)/2e6) // what the rate gives in half of the overload time
+	// The burst is what the rate gives in half of the overload time.
+	burst := max(1, rate*float64(b.settings.Rules.OverloadTime)/2e6)
 	s.slowStartTokens = min(burst, s.slowStartTokens+rate*elapsed)
 }
 
@@ -57,13 +61,14 @@
 	}
 	rules := &b.settings.Rules
 	slowStart := wrr.SlowStart{
-		Window: float64(rules.WarmupTime), MinAge: slowStartMinAge, Floor: rules.InitialCapacity, Aggression: aggression,
+		Window: float64(rules.WarmupTime), MinAge: slowStartMinAge,
+		Floor: rules.InitialCapacity, Aggression: aggression,
 	}
 	return slowStart.Factor(float64(b.now - s.readySince))
 }
 
-// guaranteedCapacity is the fraction of its capacity that s has at least: it grows linearly from the initial capacity
-// over the warm-up time.
+// guaranteedCapacity is the fraction of its capacity that s has at least: it grows linearly from the initial
+// capacity over the warm-up time.
 func (b *Balancer) guaranteedCapacity(s *server) float64 {
 	if !s.warmingUp {
 		return 1
@@ -73,8 +78,8 @@
 	return min(1, rules.InitialCapacity+(1-rules.InitialCapacity)*max(0, age))
 }
 
-// slowStartRate is this balancer's part of what a warming-up server may be sent, in mean requests per second. The
-// number n of requests that all balancers send within the overload time solves
+// slowStartRate is this balancer's part of what a warming-up server may be sent, in mean requests per second.
+// The number n of requests that all balancers send within the overload time solves
 //
 //	n + burstMargin*sqrt(n) = overload, with overload = OverloadFactor * capacity * OverloadTime
 //
@@ -94,8 +99,9 @@
 	}
 }
 
-// exceedsSlowStartBudget reports whether a request with this cost may not be sent to s now. One that costs up to
-// freeRequestCost may overdraw the budget; then s gets no turn until the budget has recovered, see isSchedulable.
+// exceedsSlowStartBudget reports whether a request with this cost may not be sent to s now. One that costs up
+// to freeRequestCost may overdraw the budget; then s gets no turn until the budget has recovered, see
+// isSchedulable.
 func (b *Balancer) exceedsSlowStartBudget(s *server, cost float64) bool {
 	return s.warmingUp && cost > max(freeRequestCost, s.slowStartTokens)
 }
--- a/internal/standalone/policy/subscription.go
+++ b/internal/standalone/policy/subscription.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// subscription is the state of this balancer's subscription, where discovery sends the membership only to subscribers.
+// subscription is the state of this balancer's subscription, where discovery sends the membership only to
+// subscribers.
 type subscription struct {
 	pending       bool // a call is in flight
 	nextCallAt    Time // timers that fire before it belong to plans that were replaced
@@ -11,8 +12,8 @@
 	failures      int  // calls that failed in a row
 }
 
-// Calls to discovery are delayed at random so that they do not come together after a start or a failure common to all
-// balancers. The spread of the delay is
+// Calls to discovery are delayed at random so that they do not come together after a start or a failure
+// common to all balancers. The spread of the delay is
 //
 //	SubscribeWithin/firstCallDivisor * groupFactor * 2^failures, at most maxCallSpread*SubscribeWithin
 //
@@ -25,15 +26,16 @@
 	maxSpreadAfterTimeout = 2_000_000.0 // microseconds: the most spread where changes may have been missed
 )
 
-// scheduleSubscribe plans a call to discovery at a random time within a spread, which doubles with each further failure
-// and grows with the group, as discovery's capacity does not. There is one plan at a time: if a failed call left two
-// behind, an outage would multiply the calls.
+// scheduleSubscribe plans a call to discovery at a random time within a spread, which doubles with each
+// further failure and grows with the group, as discovery's capacity does not. There is one plan at a time: if
+// a failed call left two behind, an outage would multiply the calls.
 func (b *Balancer) scheduleSubscribe() {
 	if !b.settings.SubscribeDiscovery {
 		return
 	}
 	allowed := float64(b.settings.Rules.SubscribeWithin)
-	spread := allowed / firstCallDivisor * max(1, min(maxGroupSpread, float64(b.settings.GroupSize)/baseGroupSize))
+	groups := float64(b.settings.GroupSize) / baseGroupSize
+	spread := allowed / firstCallDivisor * max(1, min(maxGroupSpread, groups))
 	spread = min(spread*math.Exp2(float64(max(1, b.discovery.failures))), maxCallSpread*allowed)
 	if b.discovery.changesMissed {
 		spread = min(spread, maxSpreadAfterTimeout)
@@ -64,13 +66,14 @@
 	}
 }
 
-// onDiscoveryFailed plans the next call after one that failed, or after a subscription broke. The failure of an earlier
-// call leaves the plan alone: failures could put the next call off for ever.
+// onDiscoveryFailed plans the next call after one that failed, or after a subscription broke. The failure of
+// an earlier call leaves the plan alone: failures could put the next call off for ever.
 func (b *Balancer) onDiscoveryFailed(ev *Event) {
 	if !b.discovery.pending && !b.discovery.active {
 		return
 	}
-	b.discovery.active, b.discovery.pending, b.discovery.changesMissed = false, false, ev.Kind == DiscoveryTimedOut
+	b.discovery.active, b.discovery.pending = false, false
+	b.discovery.changesMissed = ev.Kind == DiscoveryTimedOut
 	b.discovery.failures++
 	b.scheduleSubscribe()
 }
--- a/internal/standalone/policy/weights.go
+++ b/internal/standalone/policy/weights.go
@@ -4,12 +4,12 @@
 
 // Parameters of gRFC A58 (weighted round robin by load reports); times in microseconds.
 //
-// The system's proxy has weights of its own (internal/dataplane/balancer, weight.go): its backends send no reports, so
-// it takes rate and utilization from its own attempts, with other parameters. Shared are the formulas that are the same
-// to the bit, in package wrr.
+// The system's proxy has weights of its own (internal/dataplane/balancer, weight.go): its backends send no
+// reports, so it takes rate and utilization from its own attempts, with other parameters. Shared are the
+// formulas that are the same to the bit, in package wrr.
 const (
-	errorUtilizationPenalty = 10.0        // A58's default is 1; here an error costs its caller all of the work
-	blackoutPeriod          = 2_000_000   // A58's default is 10 s; the mean weight that is mixed in steadies first reports
+	errorUtilizationPenalty = 10.0        // A58's default is 1; here an error costs all of the work
+	blackoutPeriod          = 2_000_000   // A58's default is 10 s; mixing in the mean steadies first reports
 	weightExpiration        = 180_000_000 // A58's default
 )
 
@@ -34,8 +34,8 @@
 	meanWeight       float64 // requests per second at full utilization; 0: unknown
 }
 
-// addReport processes a load report. A report with impossible values is ignored, and one without requests or load says
-// nothing about capacity (A58): such a server keeps the mean weight.
+// addReport processes a load report. A report with impossible values is ignored, and one without requests or
+// load says nothing about capacity (A58): such a server keeps the mean weight.
 func (b *Balancer) addReport(s *server, values []float32) {
 	report, ok := b.settings.parseReport(values)
 	if !ok || report.qps <= 0 || report.utilization <= 0 {
@@ -62,9 +62,9 @@
 	s.qpsSum, s.utilizationSum, s.epsSum, s.reportWeight, s.nonEmptySince = 0, 0, 0, 0, 0
 }
 
-// baseWeight is the A58 weight of s in requests per second at full utilization, or the mean weight in the blackout
-// period and after expiration. A single report is a noisy sample of a short time, so the weight is that of the decaying
-// sums, with a little of the mean mixed in, m being meanReportWeight:
+// baseWeight is the A58 weight of s in requests per second at full utilization, or the mean weight in the
+// blackout period and after expiration. A single report is a noisy sample of a short time, so the weight is
+// that of the decaying sums, with a little of the mean mixed in, m being meanReportWeight:
 //
 //	(qps + m*mean) / (utilization + m + eps/qps*errorUtilizationPenalty)
 func (b *Balancer) baseWeight(s *server) float64 {
@@ -80,11 +80,13 @@
 		return mean
 	}
 	qps, utilization := s.qpsSum/s.reportWeight, s.utilizationSum/s.reportWeight
-	return wrr.Weight(qps+meanReportWeight*mean, utilization+meanReportWeight, s.epsSum/s.qpsSum, errorUtilizationPenalty)
+	errorShare := s.epsSum / s.qpsSum
+	return wrr.Weight(
+		qps+meanReportWeight*mean, utilization+meanReportWeight, errorShare, errorUtilizationPenalty)
 }
 
-// expectedWeight is the mean weight of servers like s: of its instance type if that is known, else of all servers,
-// scaled by listed size.
+// expectedWeight is the mean weight of servers like s: of its instance type if that is known, else of all
+// servers, scaled by listed size.
 func (b *Balancer) expectedWeight(s *server) float64 {
 	if ofType := &b.instanceTypes[s.instanceType]; ofType.meanWeight > 0 {
 		return ofType.meanWeight
@@ -104,7 +106,8 @@
 	return weight
 }
 
-// fairShare is a server's part of all traffic in requests per second, if all balancers have as much as this one.
+// fairShare is a server's part of all traffic in requests per second, if all balancers have as much as this
+// one.
 func (b *Balancer) fairShare() float64 {
 	return max(1, b.arrivalRate*float64(b.settings.GroupSize)) / float64(max(1, len(b.members)))
 }
@@ -122,9 +125,9 @@
 	b.updateSchedule(s)
 }
 
-// updateMeans computes the mean weight of each instance type and of all servers: the ratio of summed rates to summed
-// utilization, which unlike a mean of ratios is not distorted by the noise of idle servers. Servers that warm up or
-// have not reported are left out; the last means stay when nothing else is known.
+// updateMeans computes the mean weight of each instance type and of all servers: the ratio of summed rates to
+// summed utilization, which unlike a mean of ratios is not distorted by the noise of idle servers. Servers
+// that warm up or have not reported are left out; the last means stay when nothing else is known.
 func (b *Balancer) updateMeans() {
 	var all capacityStats
 	listed, totalSize := 0.0, 0.0
