--- a/internal/dataplane/balancer/balancer_test.go
+++ b/internal/dataplane/balancer/balancer_test.go
@@ -57,7 +57,7 @@
 	}
 }
 
-// Requests that waited for a model outlasted the grace time of a draining proxy and were lost.
+// Requests that wait for a model could outlast the grace time of a draining proxy, and would be lost.
 func TestDraining_RejectsRequestsForMissingModel(t *testing.T) {
 	b := newBalancer(t, backendWith("a", "n"))
 	queued := newRequest("llm", "m", start)
--- a/internal/dataplane/ingress/drain_test.go
+++ b/internal/dataplane/ingress/drain_test.go
@@ -11,7 +11,8 @@
 	"pumiceline/internal/controlplane/configuration"
 )
 
-// A stream of 170 tokens that came 1.6 s after SIGTERM was accepted, and cut when the grace time was over.
+// Without the estimate a stream of 170 tokens that came 1.6 s after SIGTERM was accepted, and broken off when the grace
+// time was over.
 func TestDrain_CanFinish(t *testing.T) {
 	var d drain
 	const minute = time.Minute
--- a/internal/standalone/policy/queue_test.go
+++ b/internal/standalone/policy/queue_test.go
@@ -66,7 +66,8 @@
 	}
 }
 
-// When there is no capacity for all, requests within a tenant's quota go before what another sends beyond its own.
+// When there is no capacity for all, requests within a tenant's quota have priority over what another sends beyond its
+// own.
 func TestRequestsOverQuotaHaveLowerPriority(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{QuotaPerS: 20}, {QuotaPerS: 20}}
--- a/internal/standalone/policy/snapshot_test.go
+++ b/internal/standalone/policy/snapshot_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// A balancer that restores a snapshot has the weights, slow starts, budgets and limit of the one before; of a server
-// that was restarted since it takes nothing, and impossible values are refused.
+// A balancer that restores a snapshot has the weights, slow starts, budgets and limit of its predecessor. What was
+// learned about a server that was restarted since is not restored, and a snapshot with impossible values is refused.
 func TestRestore(t *testing.T) {
 	settings := Settings{Classes: []Class{{LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}},
 		ReportColumns: []ReportColumn{ColumnQPS, ColumnUtilization}, ReportDelivery: ReportsInResponses,
--- a/tools/docrefs/docrefs.go
+++ b/tools/docrefs/docrefs.go
@@ -1,5 +1,6 @@
 // Package docrefs checks that what pages name in backticks exists: paths of the repository, and symbols such as
-// `replica.Replica` or `balancer.Balancer.Pick` of its packages. Its test runs the check on the pages that a newcomer reads first.
+// `replica.Replica` or `balancer.Balancer.Pick` of its packages. Its test runs the check on the pages that a newcomer
+// reads first.
 package docrefs
 
 import (
@@ -15,10 +16,10 @@
 )
 
 var (
-	quoted = regexp.MustCompile("`([^`\n]+)`")
+	quotedPattern = regexp.MustCompile("`([^`\n]+)`")
 	// symbol is a package and one or two names: package.Name or package.Type.Member.
-	symbol = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
-	path   = regexp.MustCompile(`^(?:\.ci|cmd|deploy|docs|example|internal|tools)(?:/[\w.-]+)+/?$`)
+	symbolPattern = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
+	pathPattern   = regexp.MustCompile(`^(?:\.ci|cmd|deploy|docs|example|internal|tools)(?:/[\w.-]+)+/?$`)
 )
 
 // Index has what pages may name: the symbols of each package of a module, by the package's name.
@@ -115,7 +116,8 @@
 	}
 }
 
-// Check returns a line for each name in backticks on the page that is a path or a symbol of the module and does not exist.
+// Check returns a line for each name in backticks on the page that is a path or a symbol of the module and does not
+// exist.
 func (x *Index) Check(page string) ([]string, error) {
 	text, err := os.ReadFile(filepath.Join(x.root, page))
 	if err != nil {
@@ -123,7 +125,7 @@
 	}
 	var findings []string
 	for number, line := range strings.Split(string(text), "\n") {
-		for _, match := range quoted.FindAllStringSubmatch(line, -1) {
+		for _, match := range quotedPattern.FindAllStringSubmatch(line, -1) {
 			if problem := x.problem(match[1]); problem != "" {
 				findings = append(findings, fmt.Sprintf("%s:%d: `%s` %s", page, number+1, match[1], problem))
 			}
@@ -132,15 +134,15 @@
 	return findings, nil
 }
 
-// problem says what is wrong with a name, or nothing.
+// problem returns what is wrong with a name in backticks; empty: nothing, or it is neither a path nor a symbol.
 func (x *Index) problem(name string) string {
-	if path.MatchString(name) {
+	if pathPattern.MatchString(name) {
 		if _, err := os.Stat(filepath.Join(x.root, name)); err != nil {
 			return "does not exist"
 		}
 		return ""
 	}
-	match := symbol.FindStringSubmatch(name)
+	match := symbolPattern.FindStringSubmatch(name)
 	if match == nil {
 		return ""
 	}
--- a/tools/purity/check.go
+++ b/tools/purity/check.go
@@ -25,7 +25,7 @@
 	"Tick": true, "Until": true,
 }
 
-// check returns what a package does that its rule forbids, each finding with its place.
+// check returns what a package does that its rule forbids, each finding with its position.
 func check(rule Rule) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(rule.Folder, "*.go"))
 	if err != nil {
@@ -65,37 +65,51 @@
 		return nil, err
 	}
 	var findings []string
-	names := map[string]string{} // the file's name for a package: its path
+	paths := map[string]string{} // import paths by the file's name for the package
 	for _, imported := range file.Imports {
 		path, err := strconv.Unquote(imported.Path.Value)
 		if err != nil {
 			return nil, err
 		}
-		name := path[strings.LastIndex(path, "/")+1:]
-		if imported.Name != nil {
-			name = imported.Name.Name
-		}
-		names[name] = path
+		name := packageName(imported, path)
+		paths[name] = path
 		if isForbidden(path) && (path != "net/http" || name == "_" || name == ".") {
 			findings = append(findings, fmt.Sprintf("%s: imports %s", positions.Position(imported.Pos()), path))
 		}
 	}
+	return append(findings, forbiddenUses(file, positions, paths)...), nil
+}
+
+// packageName is the file's name for an imported package. Without one in the import it is taken to be the last element
+// of the path.
+func packageName(imported *ast.ImportSpec, path string) string {
+	if imported.Name != nil {
+		return imported.Name.Name
+	}
+	return path[strings.LastIndex(path, "/")+1:]
+}
+
+// forbiddenUses returns the file's uses of what isForbiddenUse names. paths are its imports, by the names in the file.
+func forbiddenUses(file *ast.File, positions *token.FileSet, paths map[string]string) (findings []string) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		selector, ok := node.(*ast.SelectorExpr)
 		if !ok {
 			return true
 		}
 		qualifier, ok := selector.X.(*ast.Ident)
-		if ok && isForbiddenUse(names[qualifier.Name], selector.Sel.Name) {
-			findings = append(findings, fmt.Sprintf("%s: uses %s.%s", positions.Position(node.Pos()), names[qualifier.Name], selector.Sel.Name))
+		if !ok {
+			return true
+		}
+		if path, name := paths[qualifier.Name], selector.Sel.Name; isForbiddenUse(path, name) {
+			findings = append(findings, fmt.Sprintf("%s: uses %s.%s", positions.Position(node.Pos()), path, name))
 		}
 		return true
 	})
-	return findings, nil
+	return findings
 }
 
-// isForbiddenUse reports whether a name of a package reads the clock, waits, or belongs to the network. Of net/http the names of
-// statuses and methods are free: they are numbers and words.
+// isForbiddenUse reports whether a name of a package reads the clock, waits, or belongs to the network. Of net/http the
+// names of statuses and methods are allowed: they are constants.
 func isForbiddenUse(path, name string) bool {
 	switch path {
 	case "time":
--- a/tools/purity/main.go
+++ b/tools/purity/main.go
@@ -1,5 +1,5 @@
-// Purity checks that packages which decide know no clock, network or file, so that they can be simulated and tested with
-// any time and any order of events. CI runs it on tools/purity/packages.txt.
+// Command purity checks that packages which decide know no clock, network or file, so that they can be simulated and
+// tested with any time and any order of events. CI runs it on tools/purity/packages.txt.
 //
 //	go run ./tools/purity tools/purity/packages.txt
 //
@@ -11,24 +11,30 @@
 	"os"
 )
 
+const (
+	exitFindings = 1
+	exitFailure  = 2 // of the command itself: usage, or a file that cannot be read
+)
+
 func main() {
 	if len(os.Args) != 2 {
 		fmt.Fprintln(os.Stderr, "usage: purity FILE")
-		os.Exit(2)
+		os.Exit(exitFailure)
 	}
 	findings, err := run(os.Args[1])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "purity:", err)
-		os.Exit(2)
+		os.Exit(exitFailure)
 	}
 	for _, finding := range findings {
 		fmt.Println(finding)
 	}
 	if len(findings) > 0 {
-		os.Exit(1)
+		os.Exit(exitFindings)
 	}
 }
 
+// run checks all rules of the list in a file and returns the findings.
 func run(name string) ([]string, error) {
 	file, err := os.Open(name)
 	if err != nil {
--- a/tools/purity/rules.go
+++ b/tools/purity/rules.go
@@ -7,15 +7,15 @@
 	"strings"
 )
 
-// Level says how much a package must do without.
+// Level is what a package must do without.
 type Level string
 
 const (
 	// NoClock forbids network, files and system calls, and reading the clock or waiting for it. Times are values that the
 	// caller passes in.
 	NoClock Level = "no-clock"
-	// NoTime is NoClock, and neither the package nor any package of this module that it depends on may import time, net, os or
-	// syscall. Package duration alone may, to read "250ms".
+	// NoTime is NoClock, and neither the package nor any package of this module that it depends on may import time, net,
+	// os or syscall. Package duration alone may, to read "250ms".
 	NoTime Level = "no-time"
 )
 
@@ -26,8 +26,8 @@
 	Except map[string]bool // base names
 }
 
-// readRules reads a list of rules: on each line a folder, a level and, behind "except", names of files. Lines that begin with #
-// are comments.
+// readRules reads a list of rules: on each line a folder, a level and, behind "except", names of files. Lines that
+// begin with # are comments.
 func readRules(list io.Reader) ([]Rule, error) {
 	var rules []Rule
 	lines := bufio.NewScanner(list)
--- a/tools/simrank/main.go
+++ b/tools/simrank/main.go
@@ -40,7 +40,7 @@
 func (c *cli) run() error {
 	dir, err := os.MkdirTemp("", "simrank")
 	if err != nil {
-		return err
+		return fmt.Errorf("make folder for programs: %w", err)
 	}
 	defer os.RemoveAll(dir)
 	var measurements []measurement
@@ -62,7 +62,8 @@
 func (c *cli) measure(bin, variant string) (measurements []measurement, err error) {
 	d := deployments[c.On]
 	for _, s := range d.scenarios {
-		simulator, err := runSimulator(c.Sim, d.site, bin, variant, s.kind, c.Days)
+		run := simulatorRun{simulator: c.Sim, site: d.site, bin: bin, variant: variant, kind: s.kind, days: c.Days}
+		simulator, err := run.meanService()
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", s.kind, err)
 		}
--- a/tools/simrank/ranking.go
+++ b/tools/simrank/ranking.go
@@ -25,7 +25,7 @@
 	r := &ranking{Measurements: measurements, ByScenario: map[string]float64{}}
 	r.Correlation = rankCorrelation(measurements)
 	for _, name := range r.scenarios() {
-		r.ByScenario[name] = rankCorrelation(r.of(name))
+		r.ByScenario[name] = rankCorrelation(r.measurementsOf(name))
 	}
 	return r
 }
@@ -40,8 +40,8 @@
 	return names
 }
 
-// of returns the measurements of one scenario.
-func (r *ranking) of(scenario string) (measurements []measurement) {
+// measurementsOf returns the measurements of one scenario.
+func (r *ranking) measurementsOf(scenario string) (measurements []measurement) {
 	for _, m := range r.Measurements {
 		if m.Scenario == scenario {
 			measurements = append(measurements, m)
@@ -56,14 +56,14 @@
 		return err
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return err
+		return fmt.Errorf("make folder of plots: %w", err)
 	}
 	if err := r.plot(deployment, folder); err != nil {
-		return err
+		return fmt.Errorf("plot ranking: %w", err)
 	}
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
-		return err
+		return fmt.Errorf("encode ranking: %w", err)
 	}
 	return os.WriteFile(filepath.Join(folder, "ranking-"+deployment+".json"), append(text, '\n'), 0o644)
 }
@@ -79,7 +79,7 @@
 	}
 	fmt.Fprintf(out, "rank correlation over %d variants: %.3f\n", len(r.Measurements), r.Correlation)
 	for _, name := range r.scenarios() {
-		fmt.Fprintf(out, "  within %s, %d variants: %.3f\n", name, len(r.of(name)), r.ByScenario[name])
+		fmt.Fprintf(out, "  within %s, %d variants: %.3f\n", name, len(r.measurementsOf(name)), r.ByScenario[name])
 	}
 	return nil
 }
--- a/tools/simrank/variant.go
+++ b/tools/simrank/variant.go
@@ -121,7 +121,7 @@
 // build builds the link to the operators' simulator and fleetsim with the variant, into the folder bin.
 func (v *variant) build(bin string) error {
 	if err := os.MkdirAll(bin, 0o755); err != nil {
-		return err
+		return fmt.Errorf("make folder of programs: %w", err)
 	}
 	args := []string{"build", "-buildvcs=false", "-o", bin + "/"}
 	if v.file != "" {
@@ -142,7 +142,7 @@
 func (v *variant) writeOverlay(folder string) (path string, err error) {
 	source, err := os.ReadFile(v.file)
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("read source: %w", err)
 	}
 	changed, err := v.apply(string(source))
 	if err != nil {
@@ -150,16 +150,19 @@
 	}
 	changedPath := filepath.Join(folder, "changed.go")
 	if err := os.WriteFile(changedPath, []byte(changed), 0o644); err != nil {
-		return "", err
+		return "", fmt.Errorf("write changed source: %w", err)
 	}
 	original, err := filepath.Abs(v.file)
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("resolve path of source: %w", err)
 	}
 	overlay, err := json.Marshal(map[string]any{"Replace": map[string]string{original: changedPath}})
 	if err != nil {
-		return "", err
+		return "", fmt.Errorf("encode overlay: %w", err)
 	}
 	path = filepath.Join(folder, "overlay.json")
-	return path, os.WriteFile(path, overlay, 0o644)
+	if err := os.WriteFile(path, overlay, 0o644); err != nil {
+		return "", fmt.Errorf("write overlay: %w", err)
+	}
+	return path, nil
 }
