--- a/internal/ctxtime/ctxtime.go
+++ b/internal/ctxtime/ctxtime.go
@@ -1,4 +1,4 @@
-// Package ctxtime has functions of package time that end with a context.
+// Package ctxtime provides functions of package time that a context can cancel.
 package ctxtime
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Sleep waits for a duration, or until ctx ends: then it returns the error of ctx.
+// Sleep waits for a duration. If ctx ends first, it returns the error of ctx.
 func Sleep(ctx context.Context, duration time.Duration) error {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
--- a/internal/ctxtime/ctxtime_test.go
+++ b/internal/ctxtime/ctxtime_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestSleep_EndsWithDurationOrContext(t *testing.T) {
+func TestSleep_ReturnsAfterDurationOrContextEnd(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	started := time.Now()
 	assert.NoError(t, Sleep(ctx, time.Millisecond))
--- a/internal/delta/delta.go
+++ b/internal/delta/delta.go
@@ -1,9 +1,10 @@
-// Package delta encodes the difference between two documents that mostly hold the same items, such as two versions of a
-// configuration in JSON. Like VCDIFF (RFC 3284) a delta is a sequence of instructions: copy a range of the old document,
-// then insert text.
+// Package delta encodes the difference between two documents that mostly hold the same items, such as two versions of
+// a configuration in JSON. As in VCDIFF (RFC 3284), a delta is a sequence of instructions. Each instruction copies a
+// range of the old document and then inserts text.
 //
-// Deltas are stored and sent between versions of the program, so the encoding must not change. Each instruction is three
-// unsigned varints and a text: the offset and length of the range to copy, and the length of the text to insert.
+// Deltas are stored, and exchanged between different versions of the program, so the encoding must not change. Each
+// instruction is three unsigned varints and a text: the offset and length of the range to copy, the length of the text
+// to insert, and this text.
 package delta
 
 import (
@@ -15,9 +16,10 @@
 )
 
 const (
-	// minCopyBytes is the shortest range that is copied; an instruction for a shorter one takes about as many bytes.
+	// minCopyBytes is the length of the shortest range that is copied. An instruction takes about as many bytes as a
+	// shorter range, so copying it would not make the delta shorter.
 	minCopyBytes = 16
-	// maxCandidates bounds how many occurrences of an item are compared for the longest match.
+	// maxCandidates bounds how many occurrences of an item are tried for the longest match.
 	maxCandidates = 8
 )
 
@@ -39,8 +41,8 @@
 	return append(delta, i.text...)
 }
 
-// Make returns the delta that turns one document into another. It compares documents item by item: a range to copy, but
-// for the common prefix of the documents, begins at an item.
+// Make returns the delta that turns one document into another. It compares the documents item by item: each range to
+// copy begins at the start of an item, except for the common prefix of the documents.
 func Make(old, target []byte) []byte {
 	index := indexItems(old)
 	var delta []byte
@@ -61,8 +63,9 @@
 	return current.appendTo(delta)
 }
 
-// longestMatch returns the offset in old, of some candidates, from which most of text can be copied. It tries the
-// candidates in order from the end of the last copy, as documents mostly hold their items in the same order.
+// longestMatch returns the candidate offset in old from which the longest prefix of text can be copied, and the
+// length of that prefix. It tries at most maxCandidates, beginning with the first at or after the end of the last
+// copy, because both documents mostly hold their items in the same order.
 func longestMatch(candidates []int, old, text []byte, lastEnd int) (offset, length int) {
 	next, _ := slices.BinarySearch(candidates, lastEnd)
 	for i := range min(maxCandidates, len(candidates)) {
@@ -74,7 +77,7 @@
 	return offset, length
 }
 
-// indexItems returns the offsets of each item of a document, in rising order.
+// indexItems returns the offsets of each item of a document, in ascending order.
 func indexItems(document []byte) map[string][]int {
 	index := map[string][]int{}
 	for offset := 0; offset < len(document); {
@@ -86,7 +89,8 @@
 	return index
 }
 
-// itemLength returns the length of the first item of a text: up to a bracket or comma that ends one in JSON.
+// itemLength returns the length of the first item of a text. An item ends with the first closing bracket or comma, or
+// with the text. Items need not be JSON values: a comma within a string ends an item too.
 func itemLength(text []byte) int {
 	if end := bytes.IndexAny(text, "},]"); end >= 0 {
 		return end + 1
@@ -104,8 +108,9 @@
 	return shorter
 }
 
-// Apply returns the document that a delta makes of an old one. One of more than maxBytes is ErrMalformed, as is a delta
-// made for another document where that shows; compare a digest of the result to be sure.
+// Apply applies a delta to an old document and returns the new one. It returns ErrMalformed if the new document is
+// longer than maxBytes, or if the delta cannot be decoded or refers to ranges that old does not have. A delta for
+// another document can go undetected, so callers that need certainty must compare a digest of the result.
 func Apply(old, delta []byte, maxBytes int) ([]byte, error) {
 	var document []byte
 	for len(delta) > 0 {
--- a/internal/delta/delta_test.go
+++ b/internal/delta/delta_test.go
@@ -12,7 +12,8 @@
 
 const maxBytes = 1 << 20
 
-// document is a configuration of some routes, of which the one with the index changed has another time-out.
+// document returns a configuration. The route with the index changed has a different time-out from the others; -1:
+// none.
 func document(version, routes int, changed int) string {
 	var items []string
 	for i := range routes {
@@ -45,8 +46,8 @@
 	}
 }
 
-// The delta for one changed route of 300 is about as large as that route.
-func TestMake_SizeFollowsChange(t *testing.T) {
+// A delta for one changed route of 300 is about as large as that route: less than a 50th of the document.
+func TestMake_DeltaIsAboutAsLargeAsChange(t *testing.T) {
 	old, target := document(1, 300, -1), document(2, 300, 150)
 	assert.Less(t, len(Make([]byte(old), []byte(target)))*50, len(target))
 }
@@ -56,7 +57,7 @@
 	encoded := Make(old, []byte(document(2, 5, 3)))
 	for cut := 1; cut < len(encoded); cut++ {
 		restored, err := Apply(old, encoded[:cut], maxBytes)
-		if err == nil { // cut between two instructions: only a digest of the document shows it
+		if err == nil { // a delta cut between two instructions is well-formed: only a digest of the document reveals it
 			assert.NotEqual(t, document(2, 5, 3), string(restored))
 		}
 	}
--- a/internal/duration/duration.go
+++ b/internal/duration/duration.go
@@ -1,7 +1,8 @@
-// Package duration reads and writes durations as operators write them in files: "250ms" there, microseconds in the program.
+// Package duration converts between durations in files that operators write, such as "250ms", and microseconds in the
+// program.
 //
-// It is a package of its own because packages without a clock use it, such as internal/fleetsim/model, and tools/purity
-// forbids them to import a package that reads the clock.
+// It is a separate package because packages that must not read a clock, such as internal/fleetsim/model, import it.
+// tools/purity forbids these to import a package that reads the clock.
 package duration
 
 import (
@@ -12,7 +13,8 @@
 // Span is a duration in microseconds. Its text form is that of time.Duration.
 type Span int64
 
-// UnmarshalText implements encoding.TextUnmarshaler. Negative durations and those under a microsecond are errors.
+// UnmarshalText implements encoding.TextUnmarshaler. It returns an error for a negative duration and for one between
+// zero and a microsecond. It truncates a longer one to whole microseconds.
 func (s *Span) UnmarshalText(text []byte) error {
 	d, err := time.ParseDuration(string(text))
 	switch {
--- a/internal/duration/duration_test.go
+++ b/internal/duration/duration_test.go
@@ -9,7 +9,7 @@
 	for _, c := range []struct {
 		text string
 		want Span
-		err  string // part of the error; empty: none
+		err  string // substring of the expected error; empty: no error is expected
 	}{
 		{text: "250ms", want: 250_000},
 		{text: "1.5s", want: 1_500_000},
@@ -31,13 +31,13 @@
 				return
 			}
 			if err != nil || s != c.want {
-				t.Errorf("%d µs, %v, want %d", s, err, c.want)
+				t.Errorf("got %d µs and error %v, want %d µs", s, err, c.want)
 			}
 		})
 	}
 }
 
-func TestSpan_MarshalTextIsReadBack(t *testing.T) {
+func TestSpan_MarshalTextRoundTrip(t *testing.T) {
 	for _, want := range []Span{0, 1, 999, 250_000, 3_600_000_000} {
 		text, err := want.MarshalText()
 		if err != nil {
@@ -45,7 +45,7 @@
 		}
 		var got Span
 		if err := got.UnmarshalText(text); err != nil || got != want {
-			t.Errorf("%d written as %s and read as %d, %v", want, text, got, err)
+			t.Errorf("%d is marshaled as %s and unmarshaled as %d, error %v", want, text, got, err)
 		}
 	}
 }
--- a/internal/edf/queue.go
+++ b/internal/edf/queue.go
@@ -1,22 +1,22 @@
-// Package edf holds an earliest-deadline-first queue, the schedule behind weighted round robin. It is pure: deadlines
-// are numbers of any unit, and it decides nothing but the order.
+// Package edf provides an earliest-deadline-first queue, the schedule of weighted round robin. The package is pure:
+// deadlines are numbers of any unit, and the queue only orders items by them.
 package edf
 
 import "container/heap"
 
-// Item is embedded by what is put into a Queue. It may be in one queue at a time. Where the deadline of a queued item
-// is changed, Queue.Fix must follow.
+// Item is embedded in the values that a Queue orders. It may be in one queue at a time. A caller that changes the
+// deadline of a queued item must call Queue.Fix afterwards.
 type Item[T any] struct {
-	Deadline   float64 // the least comes first
-	TieBreaker uint32  // of equal deadlines the least comes first: without it the order would depend on earlier calls
-	Value      *T      // what embeds the item
-	position   int     // in the heap, from 1; 0: it is not queued
+	Deadline   float64 // the lowest comes first
+	TieBreaker uint32  // orders equal deadlines, lowest first: otherwise their order would depend on earlier calls
+	Value      *T      // the value that embeds the item
+	position   int     // in the heap, from 1; 0: not queued
 }
 
 // IsQueued reports whether the item is in a queue.
 func (i *Item[T]) IsQueued() bool { return i.position > 0 }
 
-// Queue is a priority queue of items by deadline. The zero value is empty. It is not safe for concurrent use.
+// Queue is a priority queue of items by deadline. The zero value is an empty queue. It is not safe for concurrent use.
 type Queue[T any] struct{ heap itemHeap[T] }
 
 // Len returns the number of items.
@@ -25,11 +25,11 @@
 // Peek returns the value with the earliest deadline. The queue must not be empty.
 func (q *Queue[T]) Peek() *T { return q.heap[0].Value }
 
-// Front returns up to n items from the front of the heap. The first has the earliest deadline; the others are early but
-// not sorted. The slice is valid until the queue changes.
+// Front returns up to n items from the front of the heap. The first has the earliest deadline. The others are not
+// sorted, and not necessarily the next earliest. The slice is valid until the queue changes.
 func (q *Queue[T]) Front(n int) []*Item[T] { return q.heap[:min(n, len(q.heap))] }
 
-// Push adds an item, which must not be queued.
+// Push adds an item, which must not be in a queue.
 func (q *Queue[T]) Push(i *Item[T]) { heap.Push(&q.heap, i) }
 
 // Pop removes the item with the earliest deadline and returns its value. The queue must not be empty.
--- a/internal/edf/queue_test.go
+++ b/internal/edf/queue_test.go
@@ -53,7 +53,7 @@
 	assert.Equal(t, []string{"c", "a"}, popAll(&q))
 }
 
-func TestQueue_FrontBeginsWithTheEarliest(t *testing.T) {
+func TestQueue_FrontBeginsWithEarliest(t *testing.T) {
 	var q Queue[entry]
 	assert.Empty(t, q.Front(3))
 	random := rand.New(rand.NewPCG(1, 2))
--- a/internal/splitmix/splitmix.go
+++ b/internal/splitmix/splitmix.go
@@ -1,9 +1,9 @@
-// Package splitmix scrambles numbers, where a result must depend on nothing but its inputs and be the same in every
-// process. It is pure.
+// Package splitmix hashes integers. Unlike hash/maphash, a result depends only on the input and is the same in every
+// process. The package is pure.
 package splitmix
 
-// Mix is one step of SplitMix64 (Steele, Lea, Flood, OOPSLA 2014): a bijection of the 64-bit numbers whose results look
-// random. It is no cryptographic hash.
+// Mix is one step of SplitMix64 (Steele, Lea, Flood, OOPSLA 2014): a bijection of the 64-bit integers whose results
+// look random. It is not a cryptographic hash.
 func Mix(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
