--- a/internal/dataplane/backend/connection.go
+++ b/internal/dataplane/backend/connection.go
@@ -12,30 +12,33 @@
 )
 
 const (
-	// dialTimeout bounds the time to connect; after it the request has not been sent and may go to another backend.
+	// dialTimeout bounds the time to connect. When it expires, the request has not been sent and may go to another
+	// backend.
 	dialTimeout = 700 * time.Millisecond
-	// userTimeout is TCP_USER_TIMEOUT: the connection ends when bytes stay unacknowledged for this time.
+	// userTimeout is TCP_USER_TIMEOUT: the kernel closes the connection when sent bytes stay unacknowledged for this
+	// time.
 	userTimeout = 2 * time.Second
 	// readBuffer is the size of a connection's read buffer in bytes.
 	readBuffer = 4 << 10
 )
 
-// dialer sends no TCP keep-alive probes: idle connections expire within seconds, and userTimeout covers the others.
+// dialer sends no TCP keep-alive probes. They are not needed: idle connections expire within seconds, and userTimeout
+// covers connections with unacknowledged bytes.
 var dialer = net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// Where the option is refused, the exchange still has its deadline.
+		// If the kernel rejects the option, the deadline of the exchange still bounds the wait.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
 
-// conn is a connection to one backend. It belongs to one exchange, or to the pool while it is idle.
+// conn is a connection to one backend. One exchange owns it, or the pool while it is idle.
 type conn struct {
 	net.Conn
 	reader      *bufio.Reader
-	expires     time.Time // not used again from then on
-	lastRequest string    // ID of the request that it carried last
+	expires     time.Time // while idle: not used again from this time on
+	lastRequest string    // ID of the last request that was sent on it
 }
 
 func dial(ctx context.Context, address string) (*conn, error) {
@@ -46,9 +49,9 @@
 	return &conn{Conn: opened, reader: bufio.NewReaderSize(opened, readBuffer)}, nil
 }
 
-// isAlive reports whether an idle connection has not expired, is open and has nothing unread. Bytes that came while it
-// was idle belong to no request of it.
-func (c *conn) isAlive() bool {
+// isReusable reports whether an idle connection has not expired, is open, and has no unread bytes. Bytes that arrived
+// while it was idle answer none of its requests, and could be taken for the response to the next one.
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 || !time.Now().Before(c.expires) {
 		return false
 	}
@@ -56,12 +59,12 @@
 	if err != nil {
 		return false
 	}
-	isAlive := false
+	isOpen := false
 	var one [1]byte
 	err = raw.Read(func(fd uintptr) bool {
 		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		isAlive = errors.Is(err, unix.EAGAIN) // open, and nothing to read
+		isOpen = errors.Is(err, unix.EAGAIN) // open, and nothing to read
 		return true
 	})
-	return err == nil && isAlive
+	return err == nil && isOpen
 }
--- a/internal/dataplane/backend/error.go
+++ b/internal/dataplane/backend/error.go
@@ -1,12 +1,12 @@
 package backend
 
-// Phase is how far an exchange came before it failed.
+// Phase is how far an exchange proceeded before it failed.
 type Phase int
 
 // The phases of an exchange.
 const (
-	NotSent Phase = iota // nothing of the request was written: it cannot have run
-	Sent                 // a part of the request was written: it may have run
+	NotSent Phase = iota // no byte of the request was written: it cannot have run
+	Sent                 // at least a part of the request was written: it may have run
 )
 
 // Error is the error of an exchange without a response. Its Phase decides whether the request may be retried.
--- a/internal/dataplane/backend/exchange.go
+++ b/internal/dataplane/backend/exchange.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	// deadlineSlack is added to the request's deadline, so that a backend's own response at the deadline still arrives.
+	// deadlineSlack is added to the request's deadline, so that a response that the backend sends at the deadline still
+	// arrives.
 	deadlineSlack = 50 * time.Millisecond
-	// maxInlineWrite is the size in bytes up to which a request fits into the socket's send buffer, so that writing it
-	// does not wait for the backend to read.
+	// maxInlineWrite is the size in bytes up to which a request is assumed to fit into the socket's send buffer, so
+	// that writing it does not wait for the backend to read.
 	maxInlineWrite = 8 << 10
-	// maxSkippedResponses bounds how many responses to other requests are skipped before the awaited one.
-	maxSkippedResponses = 4
-	// maxSkippedBody bounds the body of such a response in bytes.
+	// maxResponsesRead bounds how many responses are read for one request. It includes informational responses,
+	// responses to other requests, and the awaited one.
+	maxResponsesRead = 4
+	// maxSkippedBody bounds the body in bytes of a response to another request.
 	maxSkippedBody = 1 << 20
 )
 
-// Do sends a request and waits for the headers of its response. The request is written once, on one connection, and
-// never again after an error. When ctx ends, the connection is closed, also while the body is read. Errors are of type
-// *Error.
+// Do sends a request and waits for the headers of its response. It writes the request once, on one connection, and
+// never retries it after an error. When ctx ends, the connection is closed, even while the caller reads the body.
+// Errors are of type *Error.
 func (p *Pool) Do(ctx context.Context, request *Request) (*Response, error) {
 	c, err := p.acquire(ctx, request)
 	if err != nil {
@@ -31,7 +33,7 @@
 	}
 	c.lastRequest = request.ID
 	detachContext := context.AfterFunc(ctx, func() { c.Close() })
-	_ = c.SetDeadline(request.Deadline.Add(deadlineSlack)) // where it fails, reading fails too
+	_ = c.SetDeadline(request.Deadline.Add(deadlineSlack)) // if it fails, reading fails too
 	head, err := roundTrip(c, encode(request), request.ID)
 	if err != nil {
 		detachContext()
@@ -50,12 +52,13 @@
 // responseHead is a response whose headers have been read.
 type responseHead struct {
 	raw            *http.Response
-	requestWritten bool // false: the response came before the whole request was written
+	requestWritten bool // false: the response arrived before the whole request was written
 }
 
 // roundTrip writes a request and reads the headers of its response. A backend may respond before it has read a long
-// request, and would wait for the proxy to read while the proxy waits for it: so a long request is written by a
-// goroutine of its own, which ends with the connection at the latest. Errors are of type *Error.
+// request. If the proxy wrote the whole request first, it would wait for the backend to read while the backend waits
+// for the proxy to read the response. So a separate goroutine writes a long request; it ends when the connection is
+// closed at the latest. Errors are of type *Error.
 func roundTrip(c *conn, text []byte, id string) (responseHead, error) {
 	if len(text) <= maxInlineWrite {
 		if err := writeRequest(c, text); err != nil {
@@ -72,17 +75,17 @@
 		case writeErr := <-written:
 			return responseHead{raw, writeErr == nil}, nil
 		default:
-			return responseHead{raw, false}, nil // the connection is not used again
+			return responseHead{raw, false}, nil // the request is not written in full: the connection is not reused
 		}
 	}
-	c.Close() // it ends the writer
+	c.Close() // unblocks the writing goroutine
 	if writeErr := <-written; writeErr != nil {
 		return responseHead{}, writeErr
 	}
 	return responseHead{}, readError(err)
 }
 
-// writeRequest writes a request; its error says whether a part of it may have arrived.
+// writeRequest writes a request. The Phase of its error is whether a part of the request may have arrived.
 func writeRequest(c *conn, text []byte) error {
 	n, err := c.Write(text)
 	if err == nil {
@@ -102,10 +105,10 @@
 	return &Error{Phase: Sent, cause: errors.Wrap(err, "read the response")}
 }
 
-// readHead reads up to the headers of the response to request id. It skips informational responses, and responses to
-// earlier requests on the connection.
+// readHead reads up to the end of the headers of the response to the request with this ID. It skips informational
+// responses, and responses to other requests, such as late ones to earlier requests on the connection.
 func readHead(c *conn, id string) (*http.Response, error) {
-	for range maxSkippedResponses {
+	for range maxResponsesRead {
 		response, err := http.ReadResponse(c.reader, nil)
 		if err != nil {
 			return nil, err
@@ -123,10 +126,10 @@
 	return nil, errors.New("only responses to other requests")
 }
 
-// skipBody reads the body of a response to another request.
+// skipBody reads and drops the body of a response to another request, so that the next response can be read.
 func skipBody(response *http.Response) error {
 	if response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-		return errors.New("a response to another request has no end")
+		return errors.New("a response to another request has neither a length nor a chunked body")
 	}
 	n, err := io.Copy(io.Discard, io.LimitReader(response.Body, maxSkippedBody))
 	if err != nil {
--- a/internal/dataplane/backend/exchange_test.go
+++ b/internal/dataplane/backend/exchange_test.go
@@ -17,7 +17,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeServer hands each connection to the test, which writes the responses byte by byte.
+// fakeServer passes each connection to a function of the test, which writes the raw bytes of the responses.
 type fakeServer struct {
 	address string
 	mutex   sync.Mutex
@@ -62,8 +62,9 @@
 	}
 }
 
-func respond(conn net.Conn, status int, id, extra, body string) {
-	fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nRequest-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, extra, len(body), body)
+func respond(conn net.Conn, status int, id, extraHeaders, body string) {
+	fmt.Fprintf(conn, "HTTP/1.1 %d x\r\nRequest-Id: %s\r\n%sContent-Length: %d\r\n\r\n%s",
+		status, id, extraHeaders, len(body), body)
 }
 
 // exchange sends a request and returns the status and body of its response.
@@ -77,10 +78,11 @@
 	return got.Status, string(body)
 }
 
-// A backend rejected a request, and sends a second rejection when the request is retried: it belongs to the first
-// attempt and bears the same request ID. Taken as the response to the second attempt it would promise that a request
-// that runs has not.
-func TestDo_SkipsSecondResponseToEarlierAttempt(t *testing.T) {
+// A backend may send a second rejection of the same attempt, late. It has the same request ID as a retry of the
+// request. If the retry used the same connection, the late rejection would be taken as its response, and would
+// promise that the request has not run although it runs. The fake server rejects every request on its first
+// connection, so the test fails if the retry uses that connection.
+func TestDo_RetryUsesAnotherConnection(t *testing.T) {
 	server := newFakeServer(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 		for attempt := 1; ; attempt++ {
 			request, err := http.ReadRequest(reader)
@@ -107,8 +109,8 @@
 	assert.Equal(t, 2, server.connections())
 }
 
-// A backend responds before it has read a long request. The response is returned before the whole request is written,
-// and the connection, on which the rest is still to be sent, is not used again.
+// A backend responds before it has read a long request. Do must return the response before the whole request is
+// written. The rest of the request is not sent yet, so the connection must not be reused.
 func TestDo_ResponseBeforeLongRequestIsWritten(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
@@ -120,14 +122,14 @@
 		id := request.Header.Get(HeaderRequestID)
 		if number == 1 {
 			respond(conn, http.StatusServiceUnavailable, id, "Not-Run: 1\r\n", "")
-			<-done // the rest is left unread
+			<-done // leaves the rest of the request unread
 			return
 		}
 		_, _ = io.Copy(io.Discard, request.Body)
 		respond(conn, http.StatusOK, id, "", "ran")
 	})
 	pool := NewPool()
-	long := []byte(strings.Repeat("x", 32<<20)) // more than the sockets hold
+	long := []byte(strings.Repeat("x", 32<<20)) // more than the socket buffers hold
 	got, err := pool.Do(context.Background(), server.request("r1", long))
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusServiceUnavailable, got.Status)
@@ -139,10 +141,10 @@
 	assert.Equal(t, 2, server.connections())
 }
 
-// After a reset the request is not sent again, and its error says that it may have run.
+// After a connection reset the request must not be sent again, and its error must have the phase Sent: it may have run.
 func TestDo_NeverRetries(t *testing.T) {
 	var mutex sync.Mutex
-	var seen []string
+	var received []string
 	server := newFakeServer(t, func(number int, conn net.Conn, reader *bufio.Reader) {
 		for {
 			request, err := http.ReadRequest(reader)
@@ -151,7 +153,7 @@
 			}
 			id := request.Header.Get(HeaderRequestID)
 			mutex.Lock()
-			seen = append(seen, id)
+			received = append(received, id)
 			mutex.Unlock()
 			if id == "reset" {
 				_ = conn.(*net.TCPConn).SetLinger(0)
@@ -168,13 +170,13 @@
 	assert.Equal(t, Sent, failure.Phase)
 	mutex.Lock()
 	defer mutex.Unlock()
-	assert.Equal(t, []string{"first", "reset"}, seen)
+	assert.Equal(t, []string{"first", "reset"}, received)
 	assert.Equal(t, 1, server.connections())
 }
 
-// Informational responses are skipped. Bytes behind a complete response, here a response that bears the next request's
-// ID, are never taken for a response to that request: its connection is not used again, whether they came with the
-// response or after it.
+// Informational responses must be skipped. Bytes after a complete response, here a response with the ID of the next
+// request, must not be taken for the response to that request. So a connection with such bytes must not be reused,
+// whether they arrived with the response or after it.
 func TestDo_SkipsInformationalResponsesAndSurplusBytes(t *testing.T) {
 	const surplus = "HTTP/1.1 200 OK\r\nRequest-Id: r2\r\nContent-Length: 5\r\n\r\nwrong"
 	for name, isSeparate := range map[string]bool{"in one write": false, "in a later write": true} {
@@ -202,8 +204,9 @@
 			pool := NewPool()
 			_, body := exchange(t, pool, server.request("r1", nil))
 			assert.Equal(t, "one", body)
-			// A surplus that arrives after the next request was sent cannot be told from its response.
-			isDetected := func() bool { return len(pool.idle["b"]) == 0 || !pool.idle["b"][0].isAlive() }
+			// Wait for the surplus bytes: if they arrived after the next request was sent, they could not be
+			// distinguished from its response.
+			isDetected := func() bool { return len(pool.idle["b"]) == 0 || !pool.idle["b"][0].isReusable() }
 			require.Eventually(t, isDetected, 5*time.Second, time.Millisecond)
 			_, body = exchange(t, pool, server.request("r2", nil))
 			assert.Equal(t, "two", body)
--- a/internal/dataplane/backend/headers.go
+++ b/internal/dataplane/backend/headers.go
@@ -4,8 +4,8 @@
 const (
 	HeaderRequestID   = "Request-Id"
 	HeaderTimeLeft    = "Time-Left-Ms"
-	HeaderTarget      = "Target-Backend" // the backend's ID; another backend answers 421
-	HeaderSeal        = "Server-Seal"    // of a response; the proxy copies it without reading it
+	HeaderTarget      = "Target-Backend" // ID of the backend; a backend with another ID responds with 421
+	HeaderSeal        = "Server-Seal"    // response header; the proxy copies it without reading it
 	HeaderNotRun      = "Not-Run"        // the backend rejected the request before processing it
 	HeaderLoad        = "Backend-Load"   // see ParseLoad
 	HeaderBackendID   = "Backend-Id"
--- a/internal/dataplane/backend/pool.go
+++ b/internal/dataplane/backend/pool.go
@@ -1,5 +1,5 @@
-// Package backend keeps connections to backends and makes single exchanges on them. A request is written once: nothing
-// here retries, so that the caller can account for every time that a request may have run.
+// Package backend pools connections to backends and makes single exchanges on them. It writes each request once and
+// never retries, so that the caller can count every attempt that may have run.
 package backend
 
 import (
@@ -11,15 +11,15 @@
 )
 
 const (
-	// defaultIdleTime is how long a connection is kept idle where the backend names no time.
+	// defaultIdleTime is how long an idle connection is kept if the backend's Keep-Alive header gives no time-out.
 	defaultIdleTime = 5 * time.Second
-	// keepAliveMargin is subtracted from the time that the backend names, so that the backend does not close a connection
-	// while a request is on its way.
+	// keepAliveMargin is subtracted from the time-out that the backend gives. Without it the backend could close an
+	// idle connection while a request is in transit.
 	keepAliveMargin = 800 * time.Millisecond
 )
 
-// Pool keeps idle connections by backend. The newest is used first, so that those not needed expire. All methods may be
-// called from any goroutine.
+// Pool keeps idle connections by backend. It reuses the newest first, so that surplus connections expire. All methods
+// may be called from any goroutine.
 type Pool struct {
 	mutex sync.Mutex
 	idle  map[message.BackendID][]*conn // by the backend's ID, the newest last
@@ -28,7 +28,8 @@
 // NewPool makes an empty pool.
 func NewPool() *Pool { return &Pool{idle: map[message.BackendID][]*conn{}} }
 
-// HasIdle reports whether there is an idle connection to the backend that has not expired.
+// HasIdle reports whether the newest idle connection to the backend has not expired. It does not check older ones,
+// which normally expire earlier.
 func (p *Pool) HasIdle(id message.BackendID) bool {
 	now := time.Now()
 	p.mutex.Lock()
@@ -37,8 +38,8 @@
 	return len(list) > 0 && now.Before(list[len(list)-1].expires)
 }
 
-// Forget closes the idle connections to a backend that was removed.
-func (p *Pool) Forget(id message.BackendID) {
+// CloseIdle closes the idle connections to a backend, for one that was removed.
+func (p *Pool) CloseIdle(id message.BackendID) {
 	p.mutex.Lock()
 	list := p.idle[id]
 	delete(p.idle, id)
@@ -74,15 +75,16 @@
 	return expired
 }
 
-// acquire returns an idle connection to the request's backend, or a new one. It does not return one that carried an
-// earlier attempt of the same request: a late second response to that attempt would bear the right request ID.
+// acquire returns an idle connection to the request's backend, or opens a new one. It does not return a connection
+// whose last request was an earlier attempt of this request. The backend may send a second response to that attempt
+// late; it has the same request ID and would be taken for the response to this attempt.
 func (p *Pool) acquire(ctx context.Context, request *Request) (*conn, error) {
 	for {
 		c := p.takeIdle(request.BackendID)
 		if c == nil {
 			return dial(ctx, request.Address)
 		}
-		if c.lastRequest != request.ID && c.isAlive() {
+		if c.lastRequest != request.ID && c.isReusable() {
 			return c, nil
 		}
 		c.Close()
@@ -101,7 +103,7 @@
 	return c
 }
 
-// release takes a connection back, to be kept idle for idleTime at most.
+// release returns a connection to the pool, which keeps it idle for at most idleTime.
 func (p *Pool) release(id message.BackendID, c *conn, idleTime time.Duration) {
 	c.expires = time.Now().Add(idleTime)
 	p.mutex.Lock()
--- a/internal/dataplane/backend/pool_test.go
+++ b/internal/dataplane/backend/pool_test.go
@@ -17,7 +17,7 @@
 	assert.True(t, pool.HasIdle("b"))
 	assert.False(t, pool.HasIdle("c"))
 	pool.release("b", &conn{Conn: client}, -time.Second)
-	assert.False(t, pool.HasIdle("b"), "the newest has expired, so all have")
-	pool.Forget("b")
+	assert.False(t, pool.HasIdle("b"), "the newest connection has expired")
+	pool.CloseIdle("b")
 	assert.False(t, pool.HasIdle("b"))
 }
--- a/internal/dataplane/backend/request.go
+++ b/internal/dataplane/backend/request.go
@@ -9,10 +9,10 @@
 	"pumiceline/internal/message"
 )
 
-// Request is what is sent to a backend.
+// Request is one attempt of a client's request at a backend.
 type Request struct {
 	Method      string
-	Target      string // path and query as the client sent them
+	Target      string // path and query, unchanged from the client's request
 	Host        string
 	Header      http.Header // without hop-by-hop headers
 	Body        []byte
@@ -20,11 +20,11 @@
 	BackendID   message.BackendID
 	Address     string // host and port of the backend
 	Deadline    time.Time
-	Priority    int    // 0 is the highest; negative: the backend gets none
+	Priority    int    // 0 is the highest; negative: the header is not sent
 	LastEventID string // ID of the last event that the client has received; empty: none
 }
 
-// writtenByEncode are the headers that encode writes itself.
+// writtenByEncode are the headers that encode sets, so it does not copy them from Request.Header.
 var writtenByEncode = map[string]bool{
 	"Host": true, "Content-Length": true, HeaderTimeLeft: true, HeaderTarget: true, HeaderPriority: true,
 	HeaderLastEventID: true,
--- a/internal/dataplane/backend/response.go
+++ b/internal/dataplane/backend/response.go
@@ -10,23 +10,23 @@
 	"pumiceline/internal/message"
 )
 
-// Response is a response whose body is still to be read. Close must be called.
+// Response is a response whose headers have been read, but not its body. The caller must call Close.
 type Response struct {
 	Status int
 	Header http.Header
 	Body   io.Reader
-	Length int64 // of the body in bytes; -1: not known
+	Length int64 // of the body in bytes; -1: unknown
 
 	pool           *Pool
 	conn           *conn
 	raw            *http.Response
-	detachContext  func() bool // stops closing conn at the end of the context; false where the context has ended
+	detachContext  func() bool // conn is no longer closed when the context ends; false if the context has ended
 	backendID      message.BackendID
-	requestWritten bool // in full, before the response came
-	bodyRead       bool // up to its proper end
+	requestWritten bool // the whole request was written before the response arrived
+	bodyRead       bool // the body was read up to its proper end
 }
 
-// bodyReader notes when the body has come to its proper end.
+// bodyReader records in the response that the body was read up to its proper end.
 type bodyReader struct{ response *Response }
 
 // Read reads from the body.
@@ -38,8 +38,8 @@
 	return n, err
 }
 
-// IsDelimited reports whether the body's length is known or it is chunked. The end of any other body is the end of its
-// connection, which looks the same as a connection that broke (RFC 9112, section 6.3).
+// IsDelimited reports whether the body has a known length or is chunked. Any other body ends when the backend closes
+// the connection, which cannot be distinguished from a broken connection (RFC 9112, section 6.3).
 func (r *Response) IsDelimited() bool { return r.Length >= 0 || len(r.raw.TransferEncoding) > 0 }
 
 // IsRejected reports whether the backend promises that it has not processed the request.
@@ -47,7 +47,7 @@
 	return r.Header.Get(HeaderNotRun) != "" || r.Status == http.StatusMisdirectedRequest
 }
 
-// Close returns the connection to the pool where it can be used again, else closes it.
+// Close returns the connection to the pool if it can be reused, and closes it otherwise.
 func (r *Response) Close() {
 	isOpen := r.detachContext()
 	if !isOpen || !r.isReusable() {
@@ -58,13 +58,14 @@
 	r.pool.release(r.backendID, r.conn, idleTime(r.Header))
 }
 
-// isReusable reports whether the whole request was written and the whole response read, so that the next bytes in both
-// directions belong to the next exchange, and the backend keeps the connection open.
+// isReusable reports whether the connection can carry another exchange. The whole request must be written and the
+// whole response read, or bytes of this exchange would be taken for bytes of the next. The backend must keep the
+// connection open.
 func (r *Response) isReusable() bool {
 	return r.requestWritten && r.bodyRead && r.IsDelimited() && !r.raw.Close && r.conn.reader.Buffered() == 0
 }
 
-// idleTime is how long the connection may be kept idle by the backend's Keep-Alive header.
+// idleTime returns how long the connection may be kept idle, according to the backend's Keep-Alive header.
 func idleTime(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(part), "=")
@@ -78,14 +79,14 @@
 	return defaultIdleTime
 }
 
-// Load is a backend's load as it reports it with a response.
+// Load is the load that a backend reports with a response.
 type Load struct {
 	Running, Waiting int // requests of all proxies
-	Slots            int // requests that can run at the same time
+	Slots            int // number of requests that can run at the same time
 }
 
-// ParseLoad reads the value of HeaderLoad: running, waiting and slots, separated by commas. ok is false where it is
-// missing or malformed.
+// ParseLoad parses the value of HeaderLoad: running, waiting and slots, separated by commas. ok is false if the value
+// is missing or malformed.
 func ParseLoad(text string) (load Load, ok bool) {
 	parts := strings.Split(text, ",")
 	if len(parts) != 3 {
--- a/internal/dataplane/backend/response_test.go
+++ b/internal/dataplane/backend/response_test.go
@@ -25,10 +25,10 @@
 		want            time.Duration
 	}{
 		{"no header", "", defaultIdleTime},
-		{"no time", "max=100", defaultIdleTime},
-		{"a time", "timeout=10, max=100", 10*time.Second - keepAliveMargin},
-		{"a time shorter than the margin", "Timeout=0", 0},
-		{"a malformed time", "timeout=soon", defaultIdleTime},
+		{"no time-out", "max=100", defaultIdleTime},
+		{"time-out", "timeout=10, max=100", 10*time.Second - keepAliveMargin},
+		{"time-out shorter than the margin", "Timeout=0", 0},
+		{"malformed time-out", "timeout=soon", defaultIdleTime},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/dataplane/loads/exchange.go
+++ b/internal/dataplane/loads/exchange.go
@@ -1,7 +1,7 @@
-// Package loads exchanges with the other proxies, by way of one coordinator, what each has in flight at the backends. A
-// proxy sees a small part of the traffic, and the totals that it polls are older than a prefill takes. So it publishes
-// each change at once, and queries the loads of the others before each pick. Nothing depends on a response: without one
-// the proxy picks by the totals that it polled.
+// Package loads shares with the other proxies, through one coordinator, the load that each proxy has in flight at the
+// backends. A proxy sees only a small part of the traffic, and the totals that it polls are older than a prefill
+// takes. So it publishes each change at once, and queries the loads of the other proxies before each pick. No pick
+// depends on a response: without one the proxy uses the totals that it polled.
 package loads
 
 import (
@@ -17,35 +17,37 @@
 const (
 	// queryTimeout bounds the wait for a response: a few times the round trip within a region.
 	queryTimeout = 30 * time.Millisecond
-	// maxFailures is how many queries in a row a coordinator may leave unanswered until another one is used.
+	// maxFailures is how many consecutive queries must fail before the proxy uses another coordinator.
 	maxFailures = 2
 	// unavailableTime is how long a coordinator is not used after maxFailures, or after a failure to connect.
 	unavailableTime = 1500 * time.Millisecond
-	// completeReportInterval is how often all loads are reported again, as they expire at the coordinator (package inflight).
+	// completeReportInterval is how often all loads are reported again. Without this they would expire at the
+	// coordinator (package inflight).
 	completeReportInterval = 1500 * time.Millisecond
-	// flushInterval is the least time between two reports without a query: changes in it are reported together.
+	// flushInterval is the minimum time between two reports without a query. Changes within it are reported together.
 	flushInterval = 2 * time.Millisecond
 )
 
-// Exchange reports to, and queries, the coordinator that all proxies with the same membership view choose. All methods
+// Exchange reports to, and queries, the coordinator that all proxies with the same membership view prefer. All methods
 // may be called from any goroutine.
 type Exchange struct {
 	identity     message.MemberID
 	client       *transport.Client
-	hasChanges   chan struct{} // has a value while changes are to be reported; its capacity is 1
+	hasChanges   chan struct{} // holds a value while changes are not reported yet; its capacity is 1
 	queryTimeout time.Duration
 
-	// The mutex guards all below. It is held while a report is written, so that reports keep their order.
+	// mutex guards the fields below. It is held while a report is written: otherwise an older report could be sent
+	// after a newer one.
 	mutex        sync.Mutex
 	coordinators coordinators
-	failures     int // queries without a response, in a row
+	failures     int // consecutive queries without a response
 	isConnecting bool
-	syncedWith   string // address of the coordinator that has received all loads on the present connection
+	syncedWith   string // address of the coordinator that was sent all loads on the current connection; empty: none
 	loads        map[message.BackendID]message.BackendLoad
-	changed      map[message.BackendID]bool // not reported yet
+	changed      map[message.BackendID]bool // backends whose changed load is not reported yet
 }
 
-// New makes an exchange for the proxy of that identity. Run must be called once.
+// New returns an exchange for the proxy with this identity. The caller must call Run once.
 func New(identity message.MemberID) *Exchange {
 	return &Exchange{
 		identity: identity, client: transport.NewClient(), hasChanges: make(chan struct{}, 1), queryTimeout: queryTimeout,
@@ -54,14 +56,14 @@
 	}
 }
 
-// SetMembers takes the coordinators of the present membership view.
+// SetMembers sets the coordinators of the current membership view.
 func (e *Exchange) SetMembers(members []message.Member) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.coordinators.set(members)
 }
 
-// Publish takes what the proxy has in flight now at backends where that has changed. It does not wait.
+// Publish queues a report of this proxy's current loads at backends where they have changed. It does not block.
 func (e *Exchange) Publish(loads []message.BackendLoad) {
 	e.mutex.Lock()
 	for _, load := range loads {
@@ -78,8 +80,8 @@
 	}
 }
 
-// Query returns what the other proxies have in flight at the backends that have loaded a model; backends where they
-// have nothing are left out. ok is false where no response came in time.
+// Query returns what the other proxies have in flight at the backends that have loaded a model. It omits backends where
+// they have nothing in flight. ok is false if no response came in time, or if the response is marked Unknown.
 func (e *Exchange) Query(
 	ctx context.Context, service string, model message.ModelName,
 ) (loads []message.BackendLoad, ok bool) {
@@ -97,7 +99,7 @@
 	return response.Loads, true
 }
 
-// Run reports changes as they come, until ctx ends.
+// Run reports changes as they occur, and all loads every completeReportInterval, until ctx ends.
 func (e *Exchange) Run(ctx context.Context) {
 	ticker := time.NewTicker(completeReportInterval)
 	defer ticker.Stop()
@@ -114,7 +116,7 @@
 	}
 }
 
-// sendQuery reports the changes together with a query; nil: it could not be sent.
+// sendQuery sends the next report together with a query. It returns nil if they could not be sent.
 func (e *Exchange) sendQuery(service string, model message.ModelName) *transport.LoadQuery {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -131,7 +133,7 @@
 	return query
 }
 
-// recordResult counts the queries in a row without a response, and fails over to another coordinator after maxFailures.
+// recordResult counts consecutive queries without a response, and fails over to another coordinator after maxFailures.
 func (e *Exchange) recordResult(hasResponse bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -147,7 +149,7 @@
 	e.failOver(time.Now())
 }
 
-// reportChanges reports what was not reported yet.
+// reportChanges reports the changes that are not reported yet, or all loads if the coordinator was not sent them yet.
 func (e *Exchange) reportChanges() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -170,13 +172,14 @@
 	e.sendReport(target)
 }
 
-// sendReport sends the next report without a query. An error needs no handling: see nextReport.
+// sendReport sends the next report without a query. An error needs no handling, see nextReport.
 func (e *Exchange) sendReport(target string) {
 	_ = e.client.SendLoads(target, e.identity, e.nextReport(target))
 }
 
-// nextReport returns the next report to target: of all loads where it has not received them, else of the changes. It
-// counts as received from then on; where sending it fails, the connection breaks, and the next report is complete.
+// nextReport returns the next report to target: the changes if target was sent all loads before, otherwise all loads.
+// It marks the report as sent, so the caller must send it. If sending fails, the connection is closed, and the first
+// report on the next connection contains all loads.
 func (e *Exchange) nextReport(target string) message.LoadReport {
 	report := message.LoadReport{Complete: e.syncedWith != target}
 	if report.Complete {
@@ -187,7 +190,7 @@
 		for backend := range e.changed {
 			load, ok := e.loads[backend]
 			if !ok {
-				load = message.BackendLoad{Backend: backend} // nothing is in flight any more
+				load = message.BackendLoad{Backend: backend} // the proxy has nothing in flight there any more
 			}
 			report.Loads = append(report.Loads, load)
 		}
--- a/internal/dataplane/loads/exchange_test.go
+++ b/internal/dataplane/loads/exchange_test.go
@@ -13,19 +13,19 @@
 	"pumiceline/internal/transport"
 )
 
-// coordinator is a fake coordinator. It hands out the reports that it receives, and answers queries by a function.
-type coordinator struct {
+// fakeCoordinator puts the reports that it receives into a channel, and gets its responses to queries from a function.
+type fakeCoordinator struct {
 	member  message.Member
 	reports chan *message.LoadReport
 }
 
-func newCoordinator(t *testing.T, answer func(*message.LoadReport) *message.LoadResponse) *coordinator {
+func newFakeCoordinator(t *testing.T, answer func(*message.LoadReport) *message.LoadResponse) *fakeCoordinator {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { listener.Close() })
 	member := message.Member{Address: listener.Addr().String()}
-	c := &coordinator{member: member, reports: make(chan *message.LoadReport, 64)}
+	c := &fakeCoordinator{member: member, reports: make(chan *message.LoadReport, 64)}
 	go transport.Serve(listener, func(m *message.Message, reply func(*message.Message)) {
 		c.reports <- m.LoadReport
 		if m.LoadReport.ID != 0 && answer != nil {
@@ -39,7 +39,7 @@
 func newConnectedExchange(t *testing.T, members ...message.Member) *Exchange {
 	t.Helper()
 	e := New("p1")
-	e.queryTimeout = time.Minute // a machine under load answers late
+	e.queryTimeout = time.Minute // on a loaded machine responses can take longer than the default time-out
 	e.SetMembers(members)
 	require.NoError(t, e.client.Connect(e.coordinators.members[0].Address))
 	return e
@@ -50,7 +50,7 @@
 }
 
 func TestExchange_FirstReportIsCompleteThenChanges(t *testing.T) {
-	c := newCoordinator(t, func(r *message.LoadReport) *message.LoadResponse {
+	c := newFakeCoordinator(t, func(r *message.LoadReport) *message.LoadResponse {
 		return &message.LoadResponse{ID: r.ID, Loads: []message.BackendLoad{load("b9", 3, 4)}}
 	})
 	e := newConnectedExchange(t, c.member)
@@ -66,7 +66,7 @@
 	e.reportChanges()
 	second := <-c.reports
 	assert.False(t, second.Complete)
-	assert.Zero(t, second.ID, "it is no query")
+	assert.Zero(t, second.ID, "the report must not contain a query")
 	assert.Equal(t, []message.BackendLoad{load("b1", 0, 0)}, second.Loads)
 	e.reportAll()
 	third := <-c.reports
@@ -77,16 +77,16 @@
 func TestExchange_QueryFailsAtOnceWithoutConnection(t *testing.T) {
 	e := New("p1")
 	_, ok := e.Query(context.Background(), "s", "m")
-	assert.False(t, ok, "no coordinator is known")
+	assert.False(t, ok, "the members are not set")
 	e.SetMembers([]message.Member{{Address: "127.0.0.1:1"}})
 	_, ok = e.Query(context.Background(), "s", "m")
-	assert.False(t, ok, "no coordinator is reached")
+	assert.False(t, ok, "there is no connection to the coordinator")
 }
 
-// The coordinator receives queries and answers none.
-func TestExchange_FailsOverFromSilentCoordinator(t *testing.T) {
-	silent, other := newCoordinator(t, nil), newCoordinator(t, nil)
-	e := newConnectedExchange(t, silent.member, other.member)
+// Both coordinators receive queries and respond to none.
+func TestExchange_FailsOverFromUnresponsiveCoordinator(t *testing.T) {
+	unresponsive, other := newFakeCoordinator(t, nil), newFakeCoordinator(t, nil)
+	e := newConnectedExchange(t, unresponsive.member, other.member)
 	e.queryTimeout = time.Millisecond
 	first := e.coordinators.members[0].Address
 	for range maxFailures {
@@ -97,13 +97,13 @@
 	defer e.mutex.Unlock()
 	until := e.coordinators.unavailableUntil[first]
 	assert.Equal(t, e.coordinators.members[1].Address, e.coordinators.preferred(until))
-	assert.Equal(t, first, e.coordinators.preferred(until.Add(1)), "it is queried again when that time is over")
+	assert.Equal(t, first, e.coordinators.preferred(until.Add(1)), "the first must be preferred again after this time")
 }
 
 func TestExchange_SameCoordinatorOrderAtAllProxies(t *testing.T) {
 	a, b, c := message.Member{Address: "x:1"}, message.Member{Address: "y:1"}, message.Member{Address: "z:1"}
-	one, two := New("p1"), New("p2")
-	one.SetMembers([]message.Member{a, b, c})
-	two.SetMembers([]message.Member{c, a, b})
-	assert.Equal(t, one.coordinators.members, two.coordinators.members)
+	first, second := New("p1"), New("p2")
+	first.SetMembers([]message.Member{a, b, c})
+	second.SetMembers([]message.Member{c, a, b})
+	assert.Equal(t, first.coordinators.members, second.coordinators.members)
 }
--- a/internal/dataplane/proxy/demandnotifier.go
+++ b/internal/dataplane/proxy/demandnotifier.go
@@ -8,18 +8,18 @@
 	"pumiceline/internal/ctxtime"
 )
 
-// minNotifyInterval is the least time between two polls for unmet demand.
+// minNotifyInterval is the minimum time between two polls that are triggered by unmet demand.
 const minNotifyInterval = 60 * time.Millisecond
 
 // demandNotifier reports demand to the coordinators at once when a request waits for a model that no backend has
-// loaded.
+// loaded. Without it the report would wait for the next regular poll.
 type demandNotifier struct {
-	pending chan struct{} // has a value while a report is asked for; its capacity is 1
+	pending chan struct{} // holds a value while a report is requested; its capacity is 1
 }
 
 func newDemandNotifier() *demandNotifier { return &demandNotifier{pending: make(chan struct{}, 1)} }
 
-// notify asks for a report. It does not wait; several calls before the report are one.
+// notify requests a report. It does not block. Several calls before the report result in one report.
 func (n *demandNotifier) notify() {
 	select {
 	case n.pending <- struct{}{}:
@@ -27,7 +27,7 @@
 	}
 }
 
-// run reports until ctx ends.
+// run sends the requested reports until ctx ends.
 func (n *demandNotifier) run(ctx context.Context, poller *distribution.Poller) {
 	for {
 		select {
--- a/internal/dataplane/proxy/idleconnections_test.go
+++ b/internal/dataplane/proxy/idleconnections_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A real server's connection is idle, while the clock of the sweep is moved on.
+// The test uses a connection to a real server, and passes future times to closeExpired.
 func TestIdleConnections_ClosedBeyondLimit(t *testing.T) {
 	idle := &idleConnections{}
 	idled := make(chan struct{}, 8)
@@ -35,7 +35,7 @@
 	t.Cleanup(func() { conn.Close() })
 	reader := bufio.NewReader(conn)
 	const limit = 10 * time.Second
-	ask := func() error {
+	sendRequest := func() error {
 		fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
 		response, err := http.ReadResponse(reader, nil)
 		if err != nil {
@@ -45,11 +45,11 @@
 		<-idled
 		return err
 	}
-	require.NoError(t, ask())
+	require.NoError(t, sendRequest())
 	idle.closeExpired(time.Now().Add(limit), limit)
 	idle.closeExpired(time.Now().Add(time.Hour), 0)
-	require.NoError(t, ask(), "within the limit, or without one, it stays")
+	require.NoError(t, sendRequest(), "within the limit, or without a limit, the connection must stay open")
 	idle.closeExpired(time.Now().Add(limit+2*idleGrace), limit)
 	_, err = reader.ReadByte()
-	assert.Error(t, err, "beyond the limit the server closes it")
+	assert.Error(t, err, "beyond the limit the server must close the connection")
 }
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -1,5 +1,5 @@
-// Package proxy assembles the data plane's process: the listener for clients, the readiness check, and the subscription
-// to the coordinators.
+// Package proxy assembles the process of the data plane: the listener for clients, the readiness check, and the
+// subscription to the coordinators.
 package proxy
 
 import (
@@ -24,26 +24,27 @@
 )
 
 const (
-	// maxPollWait is how long a coordinator may delay the response to a poll while there is nothing newer.
+	// maxPollWait is how long a coordinator may delay its response to a poll while it has nothing newer to send.
 	maxPollWait = 400 * time.Millisecond
 	// sweepInterval is how often idle connections are checked for expiration.
 	sweepInterval = 1 * time.Second
 
-	// Limits of the listeners. The idle time-out of the configuration is shorter than idleTimeout, as a rule; see
+	// Limits of the listeners. The idle time-out of the configuration is usually shorter than idleTimeout; see
 	// idleConnections.
 	idleTimeout    = 3 * time.Minute
 	headerTimeout  = 10 * time.Second
 	maxHeaderBytes = 64 << 10
 
-	// noticeTime is how long a draining proxy goes on accepting connections: the platform needs two failed readiness
-	// checks to send no more. It is at most noticeShare of the grace time.
-	noticeTime  = 2500 * time.Millisecond
-	noticeShare = 0.4
-	// stopMargin is kept of the grace time for the exit itself.
+	// drainDelay is how long a draining proxy continues to accept connections. The platform sends new connections
+	// until two readiness checks have failed; without the delay these would be refused. The delay is at most
+	// maxDrainDelayShare of the grace time.
+	drainDelay         = 2500 * time.Millisecond
+	maxDrainDelayShare = 0.4
+	// stopMargin is the part of the grace time that is reserved for the exit of the process.
 	stopMargin = 300 * time.Millisecond
 )
 
-// Proxy is the data plane's process.
+// Proxy is the process of the data plane.
 type Proxy struct {
 	settings     *bootstrap.Settings
 	pool         *backend.Pool
@@ -56,8 +57,9 @@
 	isDraining   atomic.Bool
 }
 
-// Run serves until ctx ends, then drains within the grace time. An error is one of a listener. The process is expected
-// to exit afterwards: background goroutines are stopped but not waited for, as that could outlast the grace time.
+// Run serves until ctx ends, then drains within the grace time. It returns an error only if a listener fails. The
+// process must exit afterwards: Run cancels the background goroutines but does not wait for them, because that could
+// take longer than the grace time.
 func Run(ctx context.Context, settings *bootstrap.Settings) error {
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -71,7 +73,7 @@
 	return p.drain(server)
 }
 
-// newProxy assembles a proxy. Its dispatcher ends with ctx.
+// newProxy assembles a proxy. Its dispatcher runs until ctx ends.
 func newProxy(ctx context.Context, settings *bootstrap.Settings) *Proxy {
 	identity := message.MemberID(settings.Node + "/" + settings.IP)
 	p := &Proxy{
@@ -93,7 +95,7 @@
 	return p
 }
 
-// start starts the background goroutines, which end with ctx.
+// start starts the background goroutines, which run until ctx ends.
 func (p *Proxy) start(ctx context.Context) {
 	go p.poller.Run(ctx)
 	go p.loads.Run(ctx)
@@ -102,7 +104,7 @@
 	go p.sweepConnections(ctx)
 }
 
-// listen starts the listeners, for readiness checks and for clients, and returns the clients' server.
+// listen starts the listeners for readiness checks and for clients, and returns the server for clients.
 func (p *Proxy) listen() (*http.Server, error) {
 	readiness := &http.Server{
 		Handler: http.HandlerFunc(p.serveReady), ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
@@ -134,7 +136,7 @@
 	return nil
 }
 
-// serveReady answers a readiness check.
+// serveReady responds to a readiness check.
 func (p *Proxy) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if p.isDraining.Load() || !p.subscription.isReady.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -143,26 +145,26 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// drain goes on serving until the platform sends no new connections to the clients' server, and then until all requests
-// are finished, within the grace time.
+// drain continues to serve for drainDelay, so that the platform stops sending new connections. It then shuts down the
+// server for clients and waits until all requests are finished, within the grace time.
 func (p *Proxy) drain(server *http.Server) error {
 	grace := p.settings.Bounds.GracePeriod
 	deadline := time.Now().Add(grace - stopMargin)
 	p.isDraining.Store(true)
 	p.handler.StartDraining(deadline)
 	logrus.Info("draining")
-	time.Sleep(min(noticeTime, time.Duration(noticeShare*float64(grace))))
+	time.Sleep(min(drainDelay, time.Duration(maxDrainDelayShare*float64(grace))))
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	err := server.Shutdown(ctx)
 	if errors.Is(err, context.DeadlineExceeded) {
-		logrus.WithField(logkey.Requests, p.handler.Active()).Warn("grace time over with requests in flight")
+		logrus.WithField(logkey.Requests, p.handler.Active()).Warn("grace time expired with requests in flight")
 		return nil
 	}
 	return errors.Wrap(err, "shut down the listener")
 }
 
-// sweepConnections closes connections that have been idle for too long, to backends and of clients, until ctx ends.
+// sweepConnections closes expired idle connections, both to backends and from clients, until ctx ends.
 func (p *Proxy) sweepConnections(ctx context.Context) {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
--- a/internal/dataplane/proxy/subscription.go
+++ b/internal/dataplane/proxy/subscription.go
@@ -22,27 +22,29 @@
 	"pumiceline/internal/message"
 )
 
-// subscription puts in force what the proxy receives from the coordinators: configuration, backends and loads. It is
-// the subscriber of a distribution.Poller, and may be used by any goroutine. While the process runs, configuration and
-// backends are never replaced by older ones.
+// subscription applies what the proxy receives from the coordinators: configuration, backends and loads. It is the
+// subscriber of a distribution.Poller. Its methods may be called from any goroutine. While the process runs, it never
+// replaces the configuration or the backends by older ones.
 type subscription struct {
 	subscriptionOptions
 	reader  *discovery.Reader
-	isReady atomic.Bool // a configuration and a list of backends are known
+	isReady atomic.Bool // a configuration and a list of backends have been received
 
 	mutex      sync.Mutex
 	addresses  []string // of the coordinators, the preferred first
 	config     distribution.ConfigCopy
 	loadTotals inflight.DeltaDecoder
 	backends   *discovery.BackendList // nil: the next update must be complete
-	newest     discovery.BackendList  // when the backends were read from the platform, and their revision, without themselves
-	proxies    int                    // how many there are, at least 1
+	// newestVersion holds when the newest backends were read from the platform, and their revision, but not the
+	// backends.
+	newestVersion discovery.BackendList
+	proxyCount    int // number of proxies, at least 1
 }
 
-// subscriptionOptions are what a subscription updates.
+// subscriptionOptions holds the settings of a subscription and the components that it updates.
 type subscriptionOptions struct {
 	settings   *bootstrap.Settings
-	seeds      []string // addresses of coordinators to begin with
+	seeds      []string // addresses of coordinators; used alone while the members are unknown, else last
 	dispatcher *balancer.Dispatcher
 	handler    *ingress.Handler
 	pool       *backend.Pool
@@ -52,11 +54,12 @@
 func newSubscription(options subscriptionOptions) *subscription {
 	return &subscription{
 		subscriptionOptions: options,
-		reader:              discovery.NewReader(options.settings.Platform.Address), proxies: 1,
+		reader:              discovery.NewReader(options.settings.Platform.Address), proxyCount: 1,
 	}
 }
 
-// Addresses returns the coordinators: those of the membership view, of the proxy's own zone first, then the seeds.
+// Addresses returns the addresses of the coordinators: first the members in the proxy's own zone, then the other
+// members, then the seeds.
 func (s *subscription) Addresses() []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -64,8 +67,8 @@
 	return lo.Uniq(append(all, s.seeds...))
 }
 
-// SetMembers takes the coordinators of a membership view. Proxies prefer those of their own zone; within a zone each
-// prefers another one at random.
+// SetMembers sets the coordinators of a membership view. A proxy prefers those of its own zone. Their order within
+// the own zone and within the other zones is random, so that the proxies spread over them.
 func (s *subscription) SetMembers(members []message.Member) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -74,9 +77,11 @@
 	}
 	shuffled := append([]message.Member{}, members...)
 	mutable.Shuffle(shuffled)
-	near, far := lo.FilterReject(shuffled, func(m message.Member, _ int) bool { return m.Zone == s.settings.Zone })
+	sameZone, otherZones := lo.FilterReject(shuffled, func(m message.Member, _ int) bool {
+		return m.Zone == s.settings.Zone
+	})
 	s.loads.SetMembers(members)
-	s.addresses = addressesOf(append(near, far...))
+	s.addresses = addressesOf(append(sameZone, otherZones...))
 }
 
 func addressesOf(members []message.Member) []string {
@@ -87,7 +92,7 @@
 	return len(a) == len(b) && len(lo.Without(a, b...)) == 0
 }
 
-// PollRequest returns the versions that the proxy has, and its demand and loads.
+// PollRequest returns the next poll request: the versions of what the proxy has, its demand and its loads.
 func (s *subscription) PollRequest() message.PollRequest {
 	demand, loads := s.dispatcher.Report()
 	s.mutex.Lock()
@@ -98,14 +103,14 @@
 	}
 }
 
-// Apply puts a response of a coordinator in force. sent is when its request was sent.
+// Apply applies the response of a coordinator to a poll. sent is when the poll request was sent.
 func (s *subscription) Apply(response *message.PollResponse, sent time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	update := balancer.Update{Config: s.applyConfig(response.Config), Response: response, OnRemoved: s.closeConnections}
 	update.Backends, update.HasBackends = s.applyBackends(response, sent)
 	update.TotalLoads = s.loadTotals.Apply(inflight.DeltaOf(response))
-	s.proxies = max(1, response.Proxies)
+	s.proxyCount = max(1, response.Proxies)
 	s.dispatcher.Update(update)
 	if update.Config != nil {
 		s.handler.SetConfig(update.Config)
@@ -116,7 +121,7 @@
 	}
 }
 
-// applyConfig returns the configuration of an update; nil: it is not newer, or invalid.
+// applyConfig returns the configuration of an update, or nil if it is not newer than the current one or is invalid.
 func (s *subscription) applyConfig(update *message.ConfigUpdate) *configuration.Config {
 	document, isNewer := s.config.Apply(update)
 	if !isNewer {
@@ -124,14 +129,14 @@
 	}
 	config, err := configuration.Parse(document)
 	if err != nil {
-		logrus.WithError(err).Error("invalid configuration from a coordinator, the present one stays in force")
+		logrus.WithError(err).Error("invalid configuration from a coordinator; the current one stays in use")
 		return nil
 	}
-	logrus.WithField(logkey.Version, config.Version).Debug("configuration in force")
+	logrus.WithField(logkey.Version, config.Version).Debug("new configuration applied")
 	return config
 }
 
-// applyBackends returns the backends of a response; isNewer is false where those that are known stay.
+// applyBackends returns the backends of a response. isNewer is false if the current list stays in use.
 func (s *subscription) applyBackends(
 	response *message.PollResponse, sent time.Time,
 ) (backends []message.Backend, isNewer bool) {
@@ -139,20 +144,20 @@
 		return nil, false
 	}
 	received := discovery.BackendList{ObservedAt: distribution.ObservedAt(response, sent), Revision: response.BackendsRevision}
-	if !received.IsNewerThan(&s.newest) {
+	if !received.IsNewerThan(&s.newestVersion) {
 		return nil, false
 	}
 	if response.Backends != nil {
 		backends, isNewer = s.applyBackendUpdate(response.Backends)
 	}
 	if s.digest() != 0 {
-		s.newest = received
+		s.newestVersion = received
 	}
 	return backends, isNewer
 }
 
-// applyBackendUpdate applies an update to the list. One that does not fit is dropped, and the next request asks for
-// all backends.
+// applyBackendUpdate applies an update to the list of backends. An update that is based on another list is dropped,
+// and so is one whose result has another digest. The next poll then requests all backends.
 func (s *subscription) applyBackendUpdate(update *message.BackendUpdate) (backends []message.Backend, ok bool) {
 	list, ok := discovery.ApplyUpdate(s.backends, update)
 	if !ok {
@@ -163,7 +168,7 @@
 	return list.Backends, true
 }
 
-// digest identifies the list of backends; 0: there is none.
+// digest identifies the current list of backends; 0: there is none.
 func (s *subscription) digest() uint64 {
 	if s.backends == nil {
 		return 0
@@ -173,6 +178,6 @@
 
 func (s *subscription) closeConnections(removed []*balancer.Backend) {
 	for _, b := range removed {
-		s.pool.Forget(b.ID)
+		s.pool.CloseIdle(b.ID)
 	}
 }
--- a/internal/dataplane/proxy/subscription_test.go
+++ b/internal/dataplane/proxy/subscription_test.go
@@ -30,14 +30,14 @@
 
 func TestSubscription_PrefersCoordinatorsOfItsZone(t *testing.T) {
 	s := newTestSubscription(t, "seed:1", "near:1")
-	assert.Equal(t, []string{"seed:1", "near:1"}, s.Addresses(), "the seeds, until the members are known")
+	assert.Equal(t, []string{"seed:1", "near:1"}, s.Addresses(), "only the seeds while the members are unknown")
 	s.SetMembers([]message.Member{
 		{Address: "far:1", Zone: "far"}, {Address: "near:1", Zone: "near"}, {Address: "far:2", Zone: "far"},
 	})
 	addresses := s.Addresses()
 	assert.Equal(t, "near:1", addresses[0])
 	assert.ElementsMatch(t, []string{"far:1", "far:2"}, addresses[1:3])
-	assert.Equal(t, []string{"seed:1"}, addresses[3:], "each once")
+	assert.Equal(t, []string{"seed:1"}, addresses[3:], "each address must be listed once")
 }
 
 func TestSubscription_ReadyWithConfigAndBackends(t *testing.T) {
@@ -45,7 +45,7 @@
 	now := time.Now()
 	config := &message.ConfigUpdate{Sequence: 7, Document: []byte(`{"version":3,"services":[],"routes":[]}`)}
 	s.Apply(&message.PollResponse{Config: config}, now)
-	assert.False(t, s.isReady.Load(), "no list of backends is known")
+	assert.False(t, s.isReady.Load(), "no list of backends has been received")
 	assert.Equal(t, uint64(7), s.PollRequest().ConfigSequence)
 
 	update := &message.BackendUpdate{Digest: 5, Backends: []message.Backend{{ID: "b1", Service: "s"}}}
@@ -54,7 +54,7 @@
 	assert.Equal(t, uint64(5), s.PollRequest().BackendDigest)
 }
 
-func TestSubscription_BackendsNeverGoBack(t *testing.T) {
+func TestSubscription_IgnoresOlderBackends(t *testing.T) {
 	s := newTestSubscription(t)
 	now := time.Now()
 	newer := &message.BackendUpdate{Digest: 5, Backends: []message.Backend{{ID: "b1", Service: "s"}}}
@@ -64,19 +64,19 @@
 	assert.Equal(t, uint64(5), s.PollRequest().BackendDigest)
 }
 
-func TestSubscription_RequestsAllBackendsAfterUnfittingUpdate(t *testing.T) {
+func TestSubscription_RequestsAllBackendsAfterMismatchedUpdate(t *testing.T) {
 	s := newTestSubscription(t)
 	now := time.Now()
 	complete := &message.BackendUpdate{Digest: 5, Backends: []message.Backend{{ID: "b1", Service: "s"}}}
-	unfitting := &message.BackendUpdate{Digest: 9, Base: 8}
+	mismatched := &message.BackendUpdate{Digest: 9, Base: 8}
 	s.Apply(&message.PollResponse{BackendsKnown: true, Backends: complete}, now)
-	s.Apply(&message.PollResponse{BackendsKnown: true, Backends: unfitting}, now.Add(time.Second))
+	s.Apply(&message.PollResponse{BackendsKnown: true, Backends: mismatched}, now.Add(time.Second))
 	assert.Zero(t, s.PollRequest().BackendDigest)
 	s.Apply(&message.PollResponse{BackendsKnown: true, Backends: complete}, now.Add(2*time.Second))
 	assert.Equal(t, uint64(5), s.PollRequest().BackendDigest)
 }
 
-// Without a configuration nothing can be served, so the list is not worth a call to the platform.
+// Without a configuration nothing can be served, so the proxy must not call the platform for a list of backends.
 func TestSubscription_NoFallbackBeforeConfiguration(t *testing.T) {
 	s := newTestSubscription(t)
 	isStale, _ := s.fallbackState()
@@ -84,11 +84,12 @@
 	config := &message.ConfigUpdate{Sequence: 7, Document: []byte(`{"version":3,"services":[],"routes":[]}`)}
 	s.Apply(&message.PollResponse{Config: config}, time.Now())
 	isStale, _ = s.fallbackState()
-	assert.True(t, isStale, "a configuration is in force, and no list is known")
+	assert.True(t, isStale, "there is a configuration but no list")
 }
 
-// Lists of one reading replace each other by their revisions, whatever the time on the way seems to say of their age.
-func TestSubscription_LaterRevisionOfOneReadingIsTaken(t *testing.T) {
+// Lists of the same lease holder are ordered by their revisions. Their ages include network delays, so a newer list
+// can seem older than the current one.
+func TestSubscription_RevisionOrdersBackendsOfSameLeaseHolder(t *testing.T) {
 	s := newTestSubscription(t)
 	now := time.Now()
 	list := func(digest, number uint64, age int64) *message.PollResponse {
@@ -100,7 +101,7 @@
 	}
 	s.Apply(list(5, 1, 100), now)
 	s.Apply(list(6, 2, 103), now)
-	assert.Equal(t, uint64(6), s.PollRequest().BackendDigest, "it seems to be older, and is newer")
+	assert.Equal(t, uint64(6), s.PollRequest().BackendDigest, "its age is higher, but its revision is newer")
 	s.Apply(list(5, 1, 90), now)
-	assert.Equal(t, uint64(6), s.PollRequest().BackendDigest, "it seems to be newer, and is older")
+	assert.Equal(t, uint64(6), s.PollRequest().BackendDigest, "its age is lower, but its revision is older")
 }
--- a/internal/wrr/wrr.go
+++ b/internal/wrr/wrr.go
@@ -48,7 +48,7 @@
 const (
 	Usable     Validity = iota
 	InBlackout          // there are too few measurements yet: the mean weight is used
-	Expired             // no update came for Periods.Expiration: the mean weight is used, and a new blackout period follows
+	Expired             // no update for Periods.Expiration: the mean weight is used, and a new blackout period follows
 )
 
 // Periods are A58's weight_expiration_period and blackout_period.
