--- a/internal/dataplane/balancer/balancer_test.go
+++ b/internal/dataplane/balancer/balancer_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// submit returns the result where there is one at once; waiting is true where there is none.
+// submit submits a request and returns its result if there is one at once. Otherwise waiting is true.
 func submit(b *Balancer, r *Request, now time.Time) (result PickResult, waiting bool) {
 	b.Submit(r, now)
 	select {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Requests that wait for a model could outlast the grace time of a draining proxy, and would be lost.
+// A request that waits for a model could still wait when the grace time of a draining proxy expires, and would be lost.
 func TestDraining_RejectsRequestsForMissingModel(t *testing.T) {
 	b := newBalancer(t, backendWith("a", "n"))
 	queued := newRequest("llm", "m", start)
@@ -69,5 +69,5 @@
 	assert.False(t, waiting)
 	assert.Nil(t, result.Backend)
 	result, _ = submit(b, newRequest("llm", "n", start), start.Add(time.Second))
-	assert.NotNil(t, result.Backend, "what can be served is served")
+	assert.NotNil(t, result.Backend, "a request for a loaded model must be served")
 }
--- a/internal/dataplane/balancer/completion.go
+++ b/internal/dataplane/balancer/completion.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// FirstEvent notes that the first event of an attempt came, elapsed after it was sent: its prefill is over.
+// FirstEvent records that the first event of an attempt arrived, elapsed after it was sent: its prefill is complete.
 func (b *Balancer) FirstEvent(request *Request, backend *Backend, elapsed time.Duration) {
 	b.endPrefill(request, backend)
 	b.prefill.observe(request, elapsed)
 }
 
-// Finish takes the outcome of an attempt, which took elapsed since it was sent. It must be called once for each picked
-// backend.
+// Finish records the outcome of an attempt, elapsed after it was sent. It must be called exactly once for each picked
+// backend: until then the attempt counts as in flight.
 func (b *Balancer) Finish(request *Request, backend *Backend, outcome Outcome, elapsed time.Duration, now time.Time) {
 	backend.inFlight--
 	b.endPrefill(request, backend)
@@ -35,15 +35,15 @@
 		backend.missingUntil[request.Model] = now.Add(missingModelEjection)
 		backend.markReachable(now)
 	case ConnectFailed:
-		request.sentAttempts-- // nothing was sent, so another attempt is no retry
+		request.sentAttempts-- // nothing was sent, so another attempt does not count as a retry
 		backend.markUnreachable(now)
-	case Canceled: // it says nothing of the backend
+	case Canceled: // the outcome gives no information about the backend
 	}
 	b.updateWeights(backend.Service, now)
 	b.answerQueued(now)
 }
 
-// endPrefill removes the request's prefill from what is queued at the backend, once for each attempt.
+// endPrefill subtracts the request's prefill time from the prefill queued at the backend, once for each attempt.
 func (b *Balancer) endPrefill(request *Request, backend *Backend) {
 	if request.isPrefilling {
 		b.changedLoads[backend.ID] = backend
@@ -52,14 +52,14 @@
 	}
 }
 
-// markUnreachable ejects a backend that could not be connected to, for a time that doubles with each failure.
+// markUnreachable ejects a backend after a failure to connect, for a time that doubles with each consecutive failure.
 func (b *Backend) markUnreachable(now time.Time) {
 	b.connectBackoff = min(maxConnectBackoff, max(initialConnectBackoff, b.connectBackoff*2))
 	b.isUnreachable, b.probeAt = true, now.Add(b.connectBackoff)
 }
 
-// markReachable ends the ejection of an unreachable backend after an attempt that it answered. As in gRFC A100, slow
-// start begins when a connection becomes ready.
+// markReachable ends the ejection of an unreachable backend that has responded to an attempt. As in gRFC A100, slow
+// start begins when a connection becomes ready, so it begins anew.
 func (b *Backend) markReachable(now time.Time) {
 	if b.isUnreachable {
 		b.isUnreachable, b.connectBackoff = false, 0
--- a/internal/dataplane/balancer/completion_test.go
+++ b/internal/dataplane/balancer/completion_test.go
@@ -14,25 +14,26 @@
 	result, _ := submit(b, r, start)
 	b.Finish(r, result.Backend, ConnectFailed, 0, start)
 	_, waiting := submit(b, newRequest("plain", "", start), start)
-	assert.True(t, waiting, "it is ejected")
+	assert.True(t, waiting, "the only backend must be ejected")
 	later := start.Add(initialConnectBackoff)
 	b.queue = nil
 	probe := newRequest("plain", "", later)
 	result, waiting = submit(b, probe, later)
-	require.False(t, waiting, "one probe")
+	require.False(t, waiting, "one probe must be sent after the backoff")
 	_, waiting = submit(b, newRequest("plain", "", later), later)
-	assert.True(t, waiting, "no second one while it is in flight")
+	assert.True(t, waiting, "no second probe may be sent while one is in flight")
 	b.Finish(probe, result.Backend, Succeeded, time.Millisecond, later)
-	assert.Equal(t, later, b.backends["a"].stats.readySince, "its success begins slow start")
+	assert.Equal(t, later, b.backends["a"].stats.readySince, "a successful probe must begin slow start")
 	assert.False(t, b.backends["a"].isUnreachable)
 }
 
-// A probe that any response answers has reached the backend, an error too; one without a response has not.
+// A probe with any response, including an error, shows that the backend is reachable. A probe without a response does
+// not.
 func TestUnreachableBackend_ProbeOutcomes(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		outcome Outcome
-		reached bool
+		name      string
+		outcome   Outcome
+		isReached bool
 	}{
 		{"served", Succeeded, true}, {"error response", ErrorResponse, true}, {"rejected", Rejected, true},
 		{"misdirected", Misdirected, true}, {"no response", Failed, false}, {"connect failed", ConnectFailed, false},
@@ -46,7 +47,7 @@
 			result, waiting := submit(b, probe, later)
 			require.False(t, waiting)
 			b.Finish(probe, result.Backend, c.outcome, time.Millisecond, later)
-			assert.Equal(t, !c.reached, b.backends["a"].isUnreachable)
+			assert.Equal(t, !c.isReached, b.backends["a"].isUnreachable)
 		})
 	}
 }
--- a/internal/dataplane/balancer/demand.go
+++ b/internal/dataplane/balancer/demand.go
@@ -2,11 +2,11 @@
 
 import "pumiceline/internal/message"
 
-// demand is the demand for a model.
+// demand is the demand for a model at this proxy.
 type demand struct {
-	arrivals float64 // requests since the last report
-	unserved float64 // of these, rejected because no backend would have loaded the model in time
-	inFlight int     // attempts at backends now
+	arrivals float64 // requests that arrived since the last report
+	unserved float64 // requests rejected since the last report because no backend would have loaded the model in time
+	inFlight int     // attempts in flight at backends
 }
 
 func (b *Balancer) demandFor(request *Request) *demand {
@@ -19,13 +19,13 @@
 	return d
 }
 
-// Report returns the demand since the last report and the present loads, for the coordinators.
+// Report returns the demand since the last report and the current loads, for the coordinators.
 func (b *Balancer) Report() ([]message.ModelDemand, []message.BackendLoad) {
 	b.hasUnmetDemand = false
 	return b.reportDemand(), b.reportLoads()
 }
 
-// reportDemand returns the demand by model and begins a new count; models without any demand are dropped.
+// reportDemand returns the demand by model and resets the counts. Models without any demand are dropped.
 func (b *Balancer) reportDemand() (report []message.ModelDemand) {
 	waiting := map[ModelKey]int{}
 	for _, request := range b.queue {
@@ -48,8 +48,8 @@
 	return report
 }
 
-// reportLoads returns the loads of the backends where this proxy has requests in flight, and keeps them: SetTotalLoads
-// subtracts them from the totals that follow.
+// reportLoads returns this proxy's loads at the backends where it has requests in flight. It stores them in
+// lastReported, because SetTotalLoads subtracts them from the totals that the coordinators send.
 func (b *Balancer) reportLoads() (report []message.BackendLoad) {
 	for _, backend := range b.backends {
 		backend.lastReported = backend.load()
--- a/internal/dataplane/balancer/dispatcher.go
+++ b/internal/dataplane/balancer/dispatcher.go
@@ -9,39 +9,40 @@
 )
 
 const (
-	// commandQueueSize is how many commands may wait for the owner before callers wait.
+	// commandQueueSize is how many commands may be queued for the owner before callers block.
 	commandQueueSize = 256
-	// tickInterval is how often queued requests are reconsidered where nothing else happens.
+	// tickInterval is how often queued requests are re-evaluated without another event.
 	tickInterval = 50 * time.Millisecond
 )
 
-// Dispatcher owns a balancer: one goroutine carries out commands in order. Its methods may be called from any
-// goroutine.
+// Dispatcher owns a balancer: one goroutine executes commands in order. Its methods may be called from any goroutine.
 type Dispatcher struct {
 	commands      chan func(*Balancer)
 	onUnmetDemand func()
 	peerLoads     PeerLoads
 }
 
-// PeerLoads exchanges with the other proxies what each has in flight.
+// PeerLoads shares the loads in flight between this proxy and its peers, the other proxies.
 type PeerLoads interface {
-	// Query returns what the other proxies have in flight at the backends that have loaded a model; ok is false where
-	// that is not known.
+	// Query returns what the other proxies have in flight at the backends that have loaded a model. ok is false if that
+	// is unknown.
 	Query(ctx context.Context, service string, model message.ModelName) (loads []message.BackendLoad, ok bool)
-	// Publish takes this proxy's loads at backends where they have changed. It does not wait.
+	// Publish reports this proxy's loads at backends where they have changed. It does not block.
 	Publish(loads []message.BackendLoad)
 }
 
-// DispatcherOptions connect a dispatcher with its proxy. Each may be nil.
+// DispatcherOptions connects a dispatcher with its proxy. Each field may be nil.
 type DispatcherOptions struct {
-	// OnUnmetDemand is called when a request waits for a model, again and again until the next Report; it must not wait.
+	// OnUnmetDemand is called when a request waits for a model. It is called repeatedly until the next Report, and must
+	// not block.
 	OnUnmetDemand func()
-	// PeerLoads is queried before each pick; nil: the loads are those that were polled.
+	// PeerLoads is queried before each pick. Without it the balancer uses the loads that backends report and the polled
+	// totals.
 	PeerLoads PeerLoads
 }
 
-// NewDispatcher starts the owner of a balancer, which ends with ctx. No method may be called after that: nothing would
-// carry out its command.
+// NewDispatcher starts the goroutine that owns a balancer. It runs until ctx ends. No method may be called afterwards:
+// nothing would execute its command, so callers could block forever.
 func NewDispatcher(ctx context.Context, b *Balancer, options DispatcherOptions) *Dispatcher {
 	d := &Dispatcher{
 		commands:      make(chan func(*Balancer), commandQueueSize),
@@ -73,8 +74,8 @@
 	}
 }
 
-// refreshQueued queries the peers' loads anew for the first request that waits for capacity, which a peer's request
-// that ended may have freed. Its goroutine ends when the query has been answered or has timed out.
+// refreshQueued queries the peers' loads again for the first request that waits for capacity: a request of a peer may
+// have ended and freed capacity. The goroutine that it starts ends when the query gets a response or times out.
 func (d *Dispatcher) refreshQueued(ctx context.Context, b *Balancer) {
 	key, ok := b.FirstQueuedForCapacity()
 	if !ok || d.peerLoads == nil {
@@ -87,7 +88,8 @@
 	}()
 }
 
-// Pick waits until a backend is picked for the request or the request is rejected. An error means that ctx ended first.
+// Pick waits until a backend is picked for the request or the request is rejected. It returns an error only if ctx ends
+// first.
 func (d *Dispatcher) Pick(ctx context.Context, request *Request) (PickResult, error) {
 	if request.result == nil {
 		request.result = make(chan PickResult, 1)
@@ -112,8 +114,8 @@
 	}
 }
 
-// cancel takes a request out of the queue. Where the request was answered before the command was carried out, its
-// result is returned without an error: a picked backend counts the attempt as in flight until Finish.
+// cancel removes a request from the queue. If the request was answered before that, cancel returns its result without
+// an error. The caller must see a picked backend, because the attempt counts as in flight until Finish.
 func (d *Dispatcher) cancel(ctx context.Context, request *Request) (PickResult, error) {
 	canceled := make(chan bool, 1)
 	d.commands <- func(b *Balancer) { canceled <- b.Cancel(request) }
@@ -123,37 +125,38 @@
 	return <-request.result, nil
 }
 
-// StartDraining rejects what the process could not serve before it ends.
+// StartDraining rejects the requests that wait for a model; see Balancer.StartDraining.
 func (d *Dispatcher) StartDraining() { d.commands <- func(b *Balancer) { b.StartDraining(time.Now()) } }
 
-// ObserveLoad takes the load that a backend reported with a response.
+// ObserveLoad records the load that a backend reported with a response.
 func (d *Dispatcher) ObserveLoad(backend *Backend, running, waiting int) {
 	d.commands <- func(b *Balancer) { b.ObserveLoad(backend, running, waiting, time.Now()) }
 }
 
-// FirstEvent notes that the first event of an attempt came, elapsed after it was sent.
+// FirstEvent records that the first event of an attempt arrived, elapsed after it was sent.
 func (d *Dispatcher) FirstEvent(request *Request, backend *Backend, elapsed time.Duration) {
 	d.commands <- func(b *Balancer) { b.FirstEvent(request, backend, elapsed) }
 }
 
-// Finish takes the outcome of an attempt, which took elapsed. It must be called once for each picked backend.
+// Finish records the outcome of an attempt, elapsed after it was sent. It must be called exactly once for each picked
+// backend.
 func (d *Dispatcher) Finish(request *Request, backend *Backend, outcome Outcome, elapsed time.Duration) {
 	d.commands <- func(b *Balancer) { b.Finish(request, backend, outcome, elapsed, time.Now()) }
 }
 
-// Update is an update from the coordinators; what is nil stays as it is.
+// Update is an update from the coordinators. What a nil field would replace stays unchanged.
 type Update struct {
 	Config      *configuration.Config
-	Backends    []message.Backend // the complete list, taken where HasBackends is set
+	Backends    []message.Backend // the complete list; used only if HasBackends is set
 	HasBackends bool
-	Response    *message.PollResponse // number of proxies and pending loads
-	TotalLoads  []message.BackendLoad // of all proxies, taken with Response
-	// OnRemoved receives the backends that the list no longer has. It is called by the balancer's owner and must not
-	// wait. It may be nil.
+	Response    *message.PollResponse // for the number of proxies and the pending loads of models
+	TotalLoads  []message.BackendLoad // of all proxies; used only if Response is set
+	// OnRemoved receives the backends that are not in the new list. The balancer's owner calls it, so it must not
+	// block. It may be nil.
 	OnRemoved func([]*Backend)
 }
 
-// Update puts an update in force. It does not wait for that.
+// Update queues an update. It does not wait until the update is applied.
 func (d *Dispatcher) Update(update Update) {
 	d.commands <- func(b *Balancer) { update.apply(b, time.Now()) }
 }
@@ -175,7 +178,7 @@
 	}
 }
 
-// Report returns the demand since the last report and the present loads, for the coordinators.
+// Report returns the demand since the last report and the current loads, for the coordinators.
 func (d *Dispatcher) Report() (demand []message.ModelDemand, loads []message.BackendLoad) {
 	done := make(chan struct{})
 	d.commands <- func(b *Balancer) {
--- a/internal/dataplane/balancer/endpoints.go
+++ b/internal/dataplane/balancer/endpoints.go
@@ -6,14 +6,14 @@
 	"pumiceline/internal/message"
 )
 
-// Backend is a backend as this proxy sees it. It is read and changed by the balancer's owner alone.
+// Backend is a backend with this proxy's state of it. Only the balancer's owner may read and change it.
 type Backend struct {
 	message.Backend
 	maxConnections int  // this proxy's share of the connections that the backend accepts
-	isListed       bool // scratch of SetBackends: the new list has it
+	isListed       bool // used within SetBackends: the backend is in the new list
 
-	// modelReadySince has the models and adapters that are loaded, with the begin of their slow start. The zero time is
-	// before this proxy started: there is no slow start.
+	// modelReadySince maps the loaded models and adapters to the start of their slow start. The zero time means that
+	// the model was loaded before this proxy started: it has no slow start.
 	modelReadySince map[message.ModelName]time.Time
 
 	// The schedule.
@@ -24,36 +24,36 @@
 	// What this proxy has in flight.
 	inFlight        int
 	inFlightTokens  int
-	queuedPrefillMs float64             // prefill time of requests whose first event has not come
-	lastReported    message.BackendLoad // the load that the coordinators received last
+	queuedPrefillMs float64             // prefill time of requests whose first event has not arrived
+	lastReported    message.BackendLoad // the load in the last report to the coordinators
 
-	// What other proxies (peers) have in flight, by the newest of three sources: peers' loads that were queried, the
-	// backend's own report with a response, and the polled totals.
+	// What other proxies (peers) have in flight. There are three sources: queries of the peers' loads, the backend's
+	// own report with a response, and the polled totals. See loadReportLifetime for their precedence.
 	peersInFlight        int
 	peersQueuedPrefillMs float64
-	loadReportedAt       time.Time // when the backend itself reported its load last
-	peersUpdatedAt       time.Time // when the peers' loads were queried last
+	loadReportedAt       time.Time // time of the backend's own last report
+	peersUpdatedAt       time.Time // time of the last query of the peers' loads
 
 	// Ejection.
 	isUnreachable  bool
-	probeInFlight  bool      // one attempt finds out whether it is reachable again
-	probeAt        time.Time // an unreachable backend gets no attempt before
+	probeInFlight  bool      // an attempt that checks whether an unreachable backend is reachable again
+	probeAt        time.Time // an unreachable backend gets no attempt before this time
 	connectBackoff time.Duration
 	ejectedUntil   time.Time                       // after a rejection by the backend
-	missingUntil   map[message.ModelName]time.Time // models that the backend said it lacks
+	missingUntil   map[message.ModelName]time.Time // models that the backend reported as not loaded, by a 421
 }
 
-// endpointSet is the backends of one service with their schedule.
+// endpointSet holds the backends of one service and their schedule.
 type endpointSet struct {
 	backends    []*Backend
-	virtualTime float64 // the earliest deadline among the candidates of the latest pick; it never goes back
+	virtualTime float64 // the earliest deadline among the candidates of the last pick; it never decreases
 }
 
 // SetBackends replaces the list of backends and returns those that were removed.
 func (b *Balancer) SetBackends(list []message.Backend, now time.Time) (removed []*Backend) {
 	readySince := now
 	if len(b.backends) == 0 {
-		readySince = time.Time{} // those of the first list may have been ready for long
+		readySince = time.Time{} // the backends of the first list may have been ready for a long time
 	}
 	for _, backend := range b.backends {
 		backend.isListed = false
@@ -78,7 +78,7 @@
 	return removed
 }
 
-// service returns the backends of a service, which is added if it is new.
+// service returns the backends of a service. It adds the service if it is new.
 func (b *Balancer) service(name string) *endpointSet {
 	s := b.services[name]
 	if s == nil {
@@ -88,8 +88,8 @@
 	return s
 }
 
-// upsertBackend adds or updates one backend. readySince is the begin of slow start for it and its models as far as they
-// were not listed before.
+// upsertBackend adds or updates one backend. readySince is the start of slow start for the backend if it is new, and
+// for those of its models that are new.
 func (b *Balancer) upsertBackend(entry message.Backend, readySince time.Time) {
 	backend := b.backends[entry.ID]
 	if backend == nil {
@@ -104,7 +104,7 @@
 	backend.setModels(entry.Models, readySince)
 }
 
-// setModels replaces the loaded models and adapters; readySince is of those that were not loaded before.
+// setModels replaces the loaded models and adapters. readySince applies to those that were not loaded before.
 func (b *Backend) setModels(models []message.LoadedModel, readySince time.Time) {
 	loaded := map[message.ModelName]time.Time{}
 	add := func(name message.ModelName) {
@@ -123,7 +123,7 @@
 	b.modelReadySince = loaded
 }
 
-// hasModel reports whether the backend has loaded a model, and its adapter where one is named. Every backend serves
+// hasModel reports whether the backend has loaded a model, and its adapter if the name has one. Every backend serves
 // requests without a model.
 func (b *Backend) hasModel(model message.ModelName, now time.Time) bool {
 	if model == "" {
@@ -139,7 +139,7 @@
 	return ok
 }
 
-// isEjected reports whether the backend is out of the schedule. An unreachable one takes a single probe at a time.
+// isEjected reports whether the backend must not be picked. An unreachable backend gets one probe at a time.
 func (b *Backend) isEjected(now time.Time) bool {
 	if now.Before(b.ejectedUntil) {
 		return true
--- a/internal/dataplane/balancer/loads.go
+++ b/internal/dataplane/balancer/loads.go
@@ -6,9 +6,9 @@
 	"pumiceline/internal/message"
 )
 
-// SetTotalLoads takes the polled loads of all proxies together, and the loads of models that are in progress. What this
-// proxy reported last is part of the totals, and what it has in flight now is counted separately: so the former is
-// subtracted. A newer source of a backend's load is not overwritten, see loadReportLifetime.
+// SetTotalLoads sets the polled total loads of all proxies, and the loads of models that are in progress. The totals
+// include the last report of this proxy. It is subtracted, because this proxy's own load is counted separately. A newer
+// source of a backend's load is not overwritten, see loadReportLifetime.
 func (b *Balancer) SetTotalLoads(loads []message.BackendLoad, pending []message.PendingModelLoad, now time.Time) {
 	totals := loadsByBackend(loads)
 	for id, backend := range b.backends {
@@ -28,8 +28,8 @@
 	b.answerQueued(now)
 }
 
-// SetPeerLoads takes what the other proxies have in flight at this moment at the backends that have loaded a model;
-// at backends that are not named they have nothing.
+// SetPeerLoads sets what the other proxies have in flight now at the backends that have loaded a model. They have
+// nothing in flight at backends that loads does not name.
 func (b *Balancer) SetPeerLoads(service string, model message.ModelName, loads []message.BackendLoad, now time.Time) {
 	s := b.services[service]
 	if s == nil {
@@ -55,10 +55,11 @@
 	return index
 }
 
-// ObserveLoad takes the load that a backend reports with a response: requests of all proxies that run and wait there.
+// ObserveLoad records the load that a backend reports with a response: the requests of all proxies that run and wait
+// there.
 func (b *Balancer) ObserveLoad(backend *Backend, running, waiting int, now time.Time) {
 	if now.Sub(backend.peersUpdatedAt) <= loadReportLifetime {
-		return // the peers' loads are as new, and include requests that have not arrived yet
+		return // the queried loads are as recent, and include requests that have not arrived at the backend yet
 	}
 	backend.peersInFlight = max(0, running+waiting-backend.inFlight)
 	backend.loadReportedAt = now
@@ -77,7 +78,7 @@
 	return loads
 }
 
-// load is what this proxy has in flight at the backend.
+// load returns what this proxy has in flight at the backend.
 func (b *Backend) load() message.BackendLoad {
 	return message.BackendLoad{Backend: b.ID, InFlight: b.inFlight, QueuedPrefillMs: int(b.queuedPrefillMs)}
 }
--- a/internal/dataplane/balancer/loads_test.go
+++ b/internal/dataplane/balancer/loads_test.go
@@ -21,7 +21,7 @@
 	assert.Equal(t, 900.0, b.backends["b02"].peersQueuedPrefillMs)
 }
 
-// TestTakeChangedLoads_ReturnsEachChangeOnce follows one request from its pick to its end.
+// The load changes with the pick, the first event and the end of one request. Each change must be returned once.
 func TestTakeChangedLoads_ReturnsEachChangeOnce(t *testing.T) {
 	b := newBalancer(t, backendWith("b1", "m"))
 	r := newRequest("llm", "m", start)
--- a/internal/dataplane/balancer/picker.go
+++ b/internal/dataplane/balancer/picker.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// candidates returns the backends that may get the request now. isModelLoaded reports whether any backend has loaded
-// its model at all, with or without capacity.
+// candidates returns the backends that may get the request now. isModelLoaded is true if any backend that is not
+// draining has loaded its model, even if it is ejected or has no capacity.
 func (b *Balancer) candidates(request *Request, now time.Time) (eligible []*Backend, isModelLoaded bool) {
 	s := b.services[request.Service]
 	if s == nil {
@@ -29,8 +29,8 @@
 	return eligible, isModelLoaded
 }
 
-// hasCapacity reports whether the backend can run the request beside what it is known to run. A backend where no
-// prefill is queued takes a prompt of any length: no other one would be faster.
+// hasCapacity reports whether the backend can run the request in addition to its known load. A backend without queued
+// prefill can take a prompt of any length, because no other backend would be faster.
 func (b *Balancer) hasCapacity(backend *Backend, request *Request) bool {
 	if backend.inFlight+backend.peersInFlight >= max(1, backend.Capacity) {
 		return false
@@ -38,13 +38,14 @@
 	clientTimeoutMs := milliseconds(request.ClientTimeoutAt.Sub(request.Arrived))
 	if queuedMs := backend.queuedPrefillMs + backend.peersQueuedPrefillMs; queuedMs > 0 &&
 		queuedMs+request.prefillMs > maxPrefillWaitShare*clientTimeoutMs {
-		return false // its client would leave before its first event
+		return false // the client would give up before the first event
 	}
 	return b.hasCacheSpace(backend, request)
 }
 
-// hasCacheSpace reports whether the backend's KV cache has space for the request. The tokens of other proxies' requests
-// are not known: they are taken to have as many as this proxy's there, or as this one. An empty cache takes any request.
+// hasCacheSpace reports whether the backend's KV cache has space for the request. The tokens of other proxies'
+// requests are unknown. Each is assumed to have the mean number of tokens of this proxy's requests there, or those of
+// this request if there are none. An empty cache accepts any request.
 func (b *Balancer) hasCacheSpace(backend *Backend, request *Request) bool {
 	runtime := b.runtime(request.Service)
 	if runtime == nil || runtime.CacheTokens == 0 {
@@ -60,9 +61,9 @@
 	return used == 0 || float64(used+needed) <= maxCacheUtilization*float64(runtime.CacheTokens)
 }
 
-// pick takes the backend with the least cost among those with the earliest deadlines, and moves its deadline on by
-// 1/weight. Where the peers' loads are fresh, all candidates are compared. With older ones they must not be: all
-// proxies would see the same backend as the least loaded and send to it at the same time.
+// pick returns the backend with the lowest cost among those with the earliest deadlines, and moves its deadline on by
+// 1/weight. If the peers' loads are fresh, it compares all candidates. With older loads it must not: all proxies
+// would see the same backend as the least loaded and send their requests to it at the same time.
 func (b *Balancer) pick(request *Request, candidates []*Backend, now time.Time) *Backend {
 	s := b.services[request.Service]
 	slices.SortFunc(candidates, func(x, y *Backend) int {
@@ -70,7 +71,8 @@
 	})
 	first := candidates[0]
 	compared := pickWindow
-	if now.Sub(first.peersUpdatedAt) <= peerLoadLifetime { // and so of all: a query is for all backends with the model
+	// A query updates all backends with the model, so the first candidate stands for all.
+	if now.Sub(first.peersUpdatedAt) <= peerLoadLifetime {
 		compared = len(candidates)
 	}
 	best, least := first, b.cost(first, request, now)
@@ -79,13 +81,15 @@
 			best, least = backend, cost
 		}
 	}
-	s.virtualTime = max(s.virtualTime, first.deadline) // a backend that had no turn for long gets no burst of them
+	// Otherwise a backend that was not picked for a long time would get a burst of picks.
+	s.virtualTime = max(s.virtualTime, first.deadline)
 	best.deadline = max(best.deadline, s.virtualTime) + 1/best.weightFor(request, now)
 	return best
 }
 
-// cost is what the request would wait for at the backend, in milliseconds of queued prefill, over the backend's weight.
-// Equal costs keep the order of the schedule, so that without load the shares are those of the weights.
+// cost is the load that the request would wait for at the backend, in milliseconds of queued prefill, divided by the
+// backend's weight. For equal costs pick follows the schedule, so without load the shares of requests follow the
+// weights.
 func (b *Balancer) cost(backend *Backend, request *Request, now time.Time) float64 {
 	inFlight := float64(backend.inFlight + backend.peersInFlight)
 	costMs := inFlight*inFlightCostMs + backend.queuedPrefillMs + backend.peersQueuedPrefillMs
@@ -95,15 +99,15 @@
 	return costMs / backend.weightFor(request, now)
 }
 
-// weightFor is the backend's weight for a request. Slow start (gRFC A100) also begins with the load of the model and of
-// the adapter: their caches are empty though the backend is warm.
+// weightFor returns the backend's weight for a request. Slow start (gRFC A100) also applies after the load of the
+// model or of the adapter: their caches are empty even if the backend has been ready for a long time.
 func (b *Backend) weightFor(request *Request, now time.Time) float64 {
 	model, adapter := b.modelReadySince[request.Model.Base()], b.modelReadySince[request.Model]
 	factor := min(slowStartFactor(model, now), slowStartFactor(adapter, now))
 	return max(minWeight, b.weight*factor)
 }
 
-// assign sends the request to the backend: its load counts from now on, until Finish.
+// assign answers the request with the backend, and counts its load at the backend until Finish.
 func (b *Balancer) assign(request *Request, backend *Backend, decision Decision, now time.Time) {
 	if request.sentAttempts == 0 {
 		b.budget.AddRequest(now)
--- a/internal/dataplane/balancer/picker_test.go
+++ b/internal/dataplane/balancer/picker_test.go
@@ -22,7 +22,7 @@
 			result, waiting := submit(b, r, now)
 			require.False(t, waiting)
 			order += string(result.Backend.ID)
-			result.Backend.inFlight-- // ended, without a completion
+			result.Backend.inFlight-- // ends the attempt without a completion
 		}
 		return order
 	}
@@ -55,13 +55,13 @@
 	for range 3 {
 		result, waiting := submit(b, newRequest("llm", "m", start), start)
 		require.False(t, waiting)
-		assert.NotEqual(t, first.BackendID, result.BackendID, "a long prefill is queued there")
+		assert.NotEqual(t, first.BackendID, result.BackendID, "the backend with the long queued prefill must not be picked")
 	}
 	b.FirstEvent(long, first.Backend, 400*time.Millisecond)
 	assert.Zero(t, first.Backend.queuedPrefillMs)
 }
 
-// balancerWithLoads makes a balancer with count backends that have loaded m, and peer loads on all but the last.
+// balancerWithLoads returns a balancer with count backends that have loaded m, and peer loads for all but the last.
 func balancerWithLoads(t *testing.T, count int) (*Balancer, []message.BackendLoad) {
 	t.Helper()
 	var list []message.Backend
@@ -90,7 +90,7 @@
 	later := start.Add(peerLoadLifetime + time.Millisecond)
 	result, waiting := submit(b, newRequest("llm", "m", later), later)
 	require.False(t, waiting)
-	assert.Equal(t, message.BackendID("b00"), result.BackendID, "the earliest deadline; the idle one is beyond the window")
+	assert.Equal(t, message.BackendID("b00"), result.BackendID, "the earliest deadline; the idle backend is outside the window")
 }
 
 func TestPick_IdleConnectionPreferredUntilBusier(t *testing.T) {
--- a/internal/dataplane/balancer/prefill.go
+++ b/internal/dataplane/balancer/prefill.go
@@ -6,11 +6,11 @@
 	"pumiceline/internal/message"
 )
 
-// prefillRates keeps by model how many milliseconds a prompt token takes until the first event where no other prefill
-// is queued before it. It tracks a low quantile of the observations, as most of what lies above it is queueing.
+// prefillRates estimates for each model the prefill time per prompt token, in milliseconds, without queueing at the
+// backend. It tracks a low quantile of the observed times, because most of the time above it is queueing.
 type prefillRates map[message.ModelName]float64
 
-// estimateMs is how long the prefill of the request should take, in milliseconds.
+// estimateMs returns the estimated time of the request's prefill, in milliseconds.
 func (r prefillRates) estimateMs(request *Request) float64 {
 	rate, ok := r[request.Model.Base()]
 	if !ok {
@@ -19,7 +19,7 @@
 	return rate * float64(request.PromptTokens)
 }
 
-// observe takes the time from sending a request to its first event.
+// observe updates the estimate by the time from sending a request to its first event.
 func (r prefillRates) observe(request *Request, elapsed time.Duration) {
 	if request.PromptTokens < minObservedPrompt {
 		return
--- a/internal/dataplane/balancer/prefill_test.go
+++ b/internal/dataplane/balancer/prefill_test.go
@@ -14,9 +14,9 @@
 	for i := range 300 {
 		elapsed := 135 * time.Millisecond
 		if i%2 == 0 {
-			elapsed = time.Second // it was queued
+			elapsed = time.Second // includes queueing
 		}
 		rates.observe(r, elapsed)
 	}
-	assert.InDelta(t, 100, rates.estimateMs(r), 30, "the prefill alone, without queueing and overhead")
+	assert.InDelta(t, 100, rates.estimateMs(r), 30, "the estimate must not include queueing and overhead")
 }
--- a/internal/dataplane/balancer/queue.go
+++ b/internal/dataplane/balancer/queue.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Submit takes a request, or one whose last attempt may be retried. It is answered at once, or queued.
+// Submit answers a request at once or queues it. The request is new, or its last attempt may be retried.
 func (b *Balancer) Submit(request *Request, now time.Time) {
 	request.prefillMs = b.prefill.estimateMs(request)
 	if !request.isCounted {
@@ -29,7 +29,7 @@
 	})
 }
 
-// Cancel takes a request out of the queue. It returns false where the request was answered already.
+// Cancel removes a request from the queue. It returns false if the request is already answered.
 func (b *Balancer) Cancel(request *Request) bool {
 	if !request.isQueued {
 		return false
@@ -40,10 +40,11 @@
 }
 
 // Tick answers the queued requests that have waited long enough to be rejected, or whose backends are no longer
-// ejected. It is to be called periodically.
+// ejected. It must be called periodically.
 func (b *Balancer) Tick(now time.Time) { b.answerQueued(now) }
 
-// FirstQueuedForCapacity returns the model of the first request that waits for capacity; ok is false where none does.
+// FirstQueuedForCapacity returns the model of the first request with a model that waits for capacity. ok is false if
+// there is none.
 func (b *Balancer) FirstQueuedForCapacity() (key ModelKey, ok bool) {
 	for _, request := range b.queue {
 		if request.waitReason == WaitCapacity && request.Model != "" {
@@ -70,7 +71,7 @@
 	b.queue = remaining
 }
 
-// tryAnswer picks a backend for the request or rejects it; false means that it has to wait.
+// tryAnswer picks a backend for the request or rejects it. It returns false if the request has to wait.
 func (b *Balancer) tryAnswer(request *Request, now time.Time) bool {
 	candidates, isModelLoaded := b.candidates(request, now)
 	if len(candidates) == 0 {
--- a/internal/dataplane/balancer/request.go
+++ b/internal/dataplane/balancer/request.go
@@ -6,11 +6,11 @@
 	"pumiceline/internal/message"
 )
 
-// Request is what the balancer knows of a request. One Request serves all attempts of a client's request.
+// Request is the balancer's record of a client's request. All attempts of the client's request use the same Request.
 type Request struct {
 	Service         string
 	Model           message.ModelName // with its adapter after a slash; empty for services without models
-	Priority        int               // of the queue; 0 is the highest
+	Priority        int               // in the queue; 0 is the highest
 	PromptTokens    int
 	OutputTokens    int
 	Arrived         time.Time
@@ -18,11 +18,11 @@
 	ClientTimeoutAt time.Time     // when the client gives up if it has received nothing
 	LatencyTarget   time.Duration // SLO on the time to the first event, or to the response where there are no events
 
-	// The balancer's own state of the request.
+	// The balancer's internal state.
 	result        chan PickResult
 	triedBackends []message.BackendID // not picked again
 	sentAttempts  int                 // attempts that may have reached a backend
-	isCounted     bool                // its arrival is part of the demand
+	isCounted     bool                // its arrival is counted in the demand
 	isQueued      bool
 	waitReason    WaitReason
 	isPrefilling  bool    // its prefill counts as queued at the backend
@@ -37,7 +37,7 @@
 
 func (r *Request) key() ModelKey { return ModelKey{r.Service, r.Model} }
 
-// tokens is the space in the KV cache that the request needs, in tokens.
+// tokens returns the space in the KV cache that the request needs, in tokens.
 func (r *Request) tokens() int { return r.PromptTokens + r.OutputTokens }
 
 // PickResult answers a request: a backend, or a rejection.
@@ -50,30 +50,31 @@
 	Decision   Decision
 }
 
-// Decision records what the balancer knew when it picked a backend or rejected a request, for the log.
+// Decision records, for the log, the state by which the balancer picked a backend or rejected a request.
 type Decision struct {
-	Candidates    int           // backends that could have taken the request
+	Candidates    int           // number of backends that could have taken the request
 	InFlight      int           // requests of all proxies at the picked backend, without this one
 	QueuedPrefill time.Duration // prefill of all proxies queued at the picked backend, without this request's
 	WaitReason    WaitReason
 }
 
-// WaitReason is what a request waits, or has waited, for.
+// WaitReason is the reason why a request waits, or last waited.
 type WaitReason int
 
 // The reasons to wait.
 const (
 	WaitNone     WaitReason = iota
 	WaitModel               // no backend has loaded the model
-	WaitCapacity            // the backends that have loaded it are at capacity
+	WaitCapacity            // every suitable backend is at capacity, ejected or already tried
 )
 
-// String returns the reason as it is logged.
+// String returns the reason as it is written to the log.
 func (r WaitReason) String() string {
 	return [...]string{"none", "model", "capacity"}[r]
 }
 
-// RejectReason is why a request is rejected. Clients receive the text as the body of a 503: it must not change.
+// RejectReason is the reason why a request is rejected. Clients receive the text in the body of a 503, so it must not
+// change.
 type RejectReason string
 
 // The reasons to reject.
@@ -91,10 +92,10 @@
 // The outcomes of attempts.
 const (
 	Succeeded     Outcome = iota // the backend served the request
-	Failed                       // no response came, though the request was sent
+	Failed                       // the request was sent, but no response arrived
 	Rejected                     // the backend rejected the request before processing it (Not-Run)
 	Misdirected                  // 421: the backend has another ID, or has not loaded the model
-	ConnectFailed                // no connection, nothing was sent
-	Canceled                     // the client left or the deadline passed
-	ErrorResponse                // the backend responded with an error of its own, or its response broke off
+	ConnectFailed                // no connection: nothing was sent
+	Canceled                     // the client disconnected or the deadline passed
+	ErrorResponse                // the backend responded with an error, or its response was truncated
 )
--- a/internal/dataplane/balancer/retrybudget.go
+++ b/internal/dataplane/balancer/retrybudget.go
@@ -2,13 +2,14 @@
 
 import "time"
 
-// RetryBudget bounds the retries of a proxy: attempts beyond the first of each request. A proxy may use a ratio of its
-// own requests in a sliding window, and its share of an allowance that all proxies have together:
+// RetryBudget limits the retries of a proxy, which are the attempts after the first of each request. In a sliding
+// window, a proxy may make retries for a ratio of its own requests, and use its share of an allowance of all proxies
+// together:
 //
 //	retries <= requests*ratio + allowance/proxies, in each window
 //
-// less the safety margins ratioMargin and allowanceMargin. In its first window a proxy has no allowance: its
-// predecessor may have spent it.
+// Both terms are reduced by the safety margins ratioMargin and allowanceMargin. A proxy has no allowance in its first
+// window, because the process that it replaces may have spent it.
 type RetryBudget struct {
 	window    time.Duration
 	ratio     float64
@@ -18,16 +19,18 @@
 	requests    []time.Time // first attempts in the window
 	retries     []time.Time // retries in the window
 	proxies     int
-	confirmedAt time.Time // when the coordinators last counted at least as many proxies
+	confirmedAt time.Time // when the coordinators last reported at least proxies, or when proxies was last lowered
 }
 
-// NewRetryBudget makes a budget of ratio retries per request and allowance retries of all proxies in each window.
+// NewRetryBudget returns a budget of ratio retries per request, and allowance retries of all proxies, in each window.
 func NewRetryBudget(window time.Duration, ratio, allowance float64, now time.Time) *RetryBudget {
 	return &RetryBudget{window: window, ratio: ratio, allowance: allowance, started: now, proxies: 1}
 }
 
-// SetProxies sets how many proxies share the allowance. A lower count is believed only after two windows: a coordinator
-// that has just started has not heard from all, and a proxy behind a partition still uses its share.
+// SetProxies sets how many proxies share the allowance. A lower count takes effect only after two windows without a
+// count that is as high as the current one: a coordinator that has just started has not received polls from all
+// proxies yet, and a proxy behind a partition still uses its share. Otherwise the proxies could exceed the allowance
+// together.
 func (b *RetryBudget) SetProxies(count int, now time.Time) {
 	if count >= b.proxies || now.Sub(b.confirmedAt) > 2*b.window {
 		b.proxies, b.confirmedAt = max(1, count), now
@@ -37,12 +40,12 @@
 // Proxies returns how many proxies share the allowance, at least 1.
 func (b *RetryBudget) Proxies() int { return b.proxies }
 
-// AddRequest counts the first attempt of a request.
+// AddRequest records the first attempt of a request.
 func (b *RetryBudget) AddRequest(now time.Time) {
 	b.requests = append(b.inWindow(b.requests, now), now)
 }
 
-// TryRetry takes a retry from the budget; false means that it must not be made.
+// TryRetry takes a retry from the budget. If it returns false, the retry must not be made.
 func (b *RetryBudget) TryRetry(now time.Time) bool {
 	b.requests, b.retries = b.inWindow(b.requests, now), b.inWindow(b.retries, now)
 	allowed := float64(len(b.requests)) * b.ratio * ratioMargin
@@ -56,7 +59,7 @@
 	return true
 }
 
-// inWindow returns the times that are in the window; times are in ascending order.
+// inWindow returns the times that are in the window. times must be in ascending order.
 func (b *RetryBudget) inWindow(times []time.Time, now time.Time) []time.Time {
 	expired := 0
 	for expired < len(times) && now.Sub(times[expired]) > b.window {
--- a/internal/dataplane/balancer/retrybudget_test.go
+++ b/internal/dataplane/balancer/retrybudget_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestRetryBudget_HoldsInEveryWindow(t *testing.T) {
+func TestRetryBudget_LimitHoldsInEveryWindow(t *testing.T) {
 	budget := NewRetryBudget(10*time.Second, 0.2, 60, start)
 	budget.SetProxies(10, start)
 	now := start
@@ -36,20 +36,21 @@
 	assert.NotEmpty(t, retries)
 }
 
-func TestRetryBudget_NoAllowanceAfterStart(t *testing.T) {
+func TestRetryBudget_NoAllowanceInFirstWindow(t *testing.T) {
 	budget := NewRetryBudget(10*time.Second, 0.2, 60, start)
-	assert.False(t, budget.TryRetry(start.Add(9*time.Second)), "its predecessor may have spent it")
+	assert.False(t, budget.TryRetry(start.Add(9*time.Second)), "the process that it replaces may have spent the allowance")
 	assert.True(t, budget.TryRetry(start.Add(10*time.Second)))
 }
 
-// A coordinator that has just started counts one proxy, and each proxy would use the full allowance.
-func TestRetryBudget_LowerProxyCountTakenLate(t *testing.T) {
+// A coordinator that has just started reports one proxy. If the count took effect at once, each proxy would use the
+// full allowance.
+func TestRetryBudget_LowerProxyCountAppliesAfterTwoWindows(t *testing.T) {
 	budget := NewRetryBudget(10*time.Second, 0.2, 60, start)
 	budget.SetProxies(10, start)
 	budget.SetProxies(1, start.Add(15*time.Second))
 	assert.Equal(t, 10, budget.Proxies())
 	budget.SetProxies(12, start.Add(16*time.Second))
-	assert.Equal(t, 12, budget.Proxies(), "a higher count is taken at once")
+	assert.Equal(t, 12, budget.Proxies(), "a higher count must take effect at once")
 	budget.SetProxies(11, start.Add(36*time.Second))
 	assert.Equal(t, 12, budget.Proxies())
 	budget.SetProxies(11, start.Add(37*time.Second))
--- a/internal/dataplane/balancer/weight.go
+++ b/internal/dataplane/balancer/weight.go
@@ -6,61 +6,62 @@
 	"pumiceline/internal/wrr"
 )
 
-// endpointStats is what a proxy has measured of one backend by its own traffic, for the backend's weight. Backends send
-// no load reports as in gRFC A58: completions take the place of its requests per second, and the time that they kept a
-// slot busy that of its utilization. All sums decay with statsTimeConstant.
+// endpointStats holds the measurements of one backend from this proxy's own traffic, for the backend's weight.
+// Backends do not send the load reports of gRFC A58. Completions are used instead of its requests per second, and the
+// time for which they kept a slot busy instead of its utilization. All sums decay with statsTimeConstant.
 //
-// The standalone proxy has weights of its own (internal/standalone/policy, weights.go), from load reports, with other
-// periods and with the mean weight mixed in. The formulas that are the same stand in package wrr.
+// The standalone proxy computes its weights separately (internal/standalone/policy, weights.go): from load reports,
+// with other periods, and with the mean weight mixed in. Package wrr has the formulas that both share.
 type endpointStats struct {
 	completions   float64   // attempts that succeeded
-	busySeconds   float64   // the time that these took
+	busySeconds   float64   // total duration of the attempts that succeeded
 	errors        float64   // attempts that failed
-	decayedAt     time.Time // the time that the sums are decayed to
-	lastUpdated   time.Time // the last completion or error
-	nonEmptySince time.Time // begin of the blackout period; zero: no completion yet, or the weight has expired
-	readySince    time.Time // begin of slow start; zero: ready since before this proxy started
+	decayedAt     time.Time // the time up to which the sums have decayed
+	lastUpdated   time.Time // time of the last completion or error
+	nonEmptySince time.Time // start of the blackout period; zero: no completion yet, or the weight has expired
+	readySince    time.Time // start of slow start; zero: ready since before this proxy started
 }
 
-// addCompletion adds a request that succeeded and kept a slot busy for elapsed.
+// addCompletion adds an attempt that succeeded and kept a slot busy for elapsed.
 func (e *endpointStats) addCompletion(now time.Time, elapsed time.Duration) {
 	e.decay(now)
 	e.completions++
 	e.busySeconds += elapsed.Seconds()
-	e.noteUpdate(now)
+	e.recordUpdate(now)
 }
 
-// addError adds a request that failed.
+// addError adds an attempt that failed.
 func (e *endpointStats) addError(now time.Time) {
 	e.decay(now)
 	e.errors++
-	e.noteUpdate(now)
+	e.recordUpdate(now)
 }
 
-func (e *endpointStats) noteUpdate(now time.Time) {
+func (e *endpointStats) recordUpdate(now time.Time) {
 	e.lastUpdated = now
 	if e.nonEmptySince.IsZero() && e.completions > 0 {
 		e.nonEmptySince = now
 	}
 }
 
-// decay brings the sums to now.
+// decay decays the sums up to now.
 func (e *endpointStats) decay(now time.Time) {
 	if !e.decayedAt.IsZero() {
-		keep := wrr.Decay(now.Sub(e.decayedAt).Seconds(), statsTimeConstant.Seconds())
-		e.completions *= keep
-		e.busySeconds *= keep
-		e.errors *= keep
+		factor := wrr.Decay(now.Sub(e.decayedAt).Seconds(), statsTimeConstant.Seconds())
+		e.completions *= factor
+		e.busySeconds *= factor
+		e.errors *= factor
 	}
 	e.decayedAt = now
 }
 
-// weight is the A58 weight of a backend that runs up to slots requests at once:
+// weight returns the A58 weight of a backend that runs up to slots requests at once:
 //
 //	rate / (utilization + errors/completions * errorUtilizationPenalty)
 //
-// ok is false during the blackout period, after expiration, and while there are too few completions: then the mean
-// weight is to be used. It brings the sums up to date; after expiration another blackout period is to come.
+// ok is false during the blackout period, after expiration, and while there are too few completions: the caller must
+// then use the mean weight. weight also decays the sums up to now. After expiration a new blackout period begins with
+// the next completion or error.
 func (e *endpointStats) weight(now time.Time, slots int) (weight float64, ok bool) {
 	if e.nonEmptySince.IsZero() {
 		return 0, false
@@ -81,16 +82,16 @@
 	return wrr.Weight(rate, utilization, e.errors/e.completions, errorUtilizationPenalty), true
 }
 
-// weightPeriods has its times in seconds.
+// weightPeriods is in seconds.
 var weightPeriods = wrr.Periods{Expiration: weightExpiration.Seconds(), Blackout: blackoutPeriod.Seconds()}
 
-// slowStart has its times in seconds; MinAge is A100's second.
+// slowStart is in seconds. MinAge is one second, as in A100.
 var slowStart = wrr.SlowStart{
 	Window: slowStartWindow.Seconds(), MinAge: 1, Floor: slowStartFloor, Aggression: slowStartAggression,
 }
 
-// slowStartFactor is the A100 factor of a backend, or of a model there, that has been ready since readySince. The zero
-// time is before this proxy started: there is no slow start.
+// slowStartFactor returns the A100 factor of a backend, or of a model there, that has been ready since readySince.
+// The zero time means ready since before this proxy started: there is no slow start.
 func slowStartFactor(readySince, now time.Time) float64 {
 	if readySince.IsZero() {
 		return 1
@@ -99,8 +100,8 @@
 	return slowStart.Factor(age.Seconds())
 }
 
-// updateWeights brings the weights of a service's backends up to date. They are relative to the mean of the known ones,
-// and 1 for a backend whose weight is not known.
+// updateWeights updates the weights of a service's backends. They are relative to the mean of the known weights. A
+// backend whose weight is unknown gets 1. All are multiplied by the factor of slow start.
 func (b *Balancer) updateWeights(service string, now time.Time) {
 	s := b.services[service]
 	if s == nil {
--- a/internal/dataplane/balancer/weight_test.go
+++ b/internal/dataplane/balancer/weight_test.go
@@ -46,19 +46,19 @@
 	assert.False(t, ok, "expired")
 	e.addCompletion(now.Add(2*weightExpiration), time.Second)
 	_, ok = e.weight(now.Add(2*weightExpiration+time.Second), 10)
-	assert.False(t, ok, "another blackout period after expiry")
+	assert.False(t, ok, "a new blackout period must begin after expiration")
 }
 
 func TestSlowStartFactor_FollowsA100(t *testing.T) {
 	assert.InDelta(t, math.Max(slowStartFloor, 1/slowStartWindow.Seconds()), slowStartFactor(start, start), 1e-9)
 	half := slowStartWindow / 2
-	risen := math.Pow(half.Seconds()/slowStartWindow.Seconds(), 1/slowStartAggression)
-	assert.InDelta(t, risen, slowStartFactor(start, start.Add(half)), 1e-9)
+	want := math.Pow(half.Seconds()/slowStartWindow.Seconds(), 1/slowStartAggression)
+	assert.InDelta(t, want, slowStartFactor(start, start.Add(half)), 1e-9)
 	assert.Equal(t, 1.0, slowStartFactor(start, start.Add(slowStartWindow)))
 	assert.Equal(t, 1.0, slowStartFactor(time.Time{}, start), "ready since before the proxy started")
 }
 
-func TestNewBackend_StartsSlowly(t *testing.T) {
+func TestNewBackend_SlowStart(t *testing.T) {
 	b := newBalancer(t, plainBackend("a"), plainBackend("b"))
 	now := start.Add(time.Minute)
 	b.SetBackends([]message.Backend{plainBackend("a"), plainBackend("b"), plainBackend("new")}, now)
@@ -70,7 +70,7 @@
 	assert.Equal(t, 1.0, b.backends["new"].weight)
 }
 
-func TestNewModel_StartsSlowlyWhereItIsNew(t *testing.T) {
+func TestNewModel_SlowStartOnlyOnBackendThatLoadedIt(t *testing.T) {
 	b := newBalancer(t, backendWith("a", "m", "n"), backendWith("b", "n"))
 	now := start.Add(time.Minute)
 	b.SetBackends([]message.Backend{backendWith("a", "m", "n"), backendWith("b", "n", "m")}, now)
@@ -82,7 +82,7 @@
 	assert.Equal(t, 1.0, old)
 	assert.InDelta(t, 1/slowStartWindow.Seconds(), fresh, 1e-9)
 	old, other := weights("n", now)
-	assert.Equal(t, old, other, "no slow start of the model that was loaded before")
+	assert.Equal(t, old, other, "a model that was loaded before must have no slow start")
 	_, ready := weights("m", now.Add(slowStartWindow))
 	assert.Equal(t, 1.0, ready)
 }
