--- a/internal/dataplane/balancer/picker_test.go
+++ b/internal/dataplane/balancer/picker_test.go
@@ -90,7 +90,7 @@
 	later := start.Add(peerLoadLifetime + time.Millisecond)
 	result, waiting := submit(b, newRequest("llm", "m", later), later)
 	require.False(t, waiting)
-	assert.Equal(t, message.BackendID("b00"), result.BackendID, "the earliest deadline; the idle backend is outside the window")
+	assert.Equal(t, message.BackendID("b00"), result.BackendID, "earliest deadline; the idle one is outside the window")
 }
 
 func TestPick_IdleConnectionPreferredUntilBusier(t *testing.T) {
--- a/internal/dataplane/ingress/attempt.go
+++ b/internal/dataplane/ingress/attempt.go
@@ -13,20 +13,20 @@
 	"pumiceline/internal/dataplane/balancer"
 )
 
-// maxDiscarded bounds the body of a rejection that is read so that its connection can be used again.
+// maxDiscarded bounds how much of a rejection's body is read so that the connection can be reused.
 const maxDiscarded = 64 << 10
 
-// attemptResult is what an attempt means for the exchange.
+// attemptResult decides how the exchange continues after an attempt.
 type attemptResult int
 
 const (
-	attemptDone        attemptResult = iota // the client has its response
+	attemptDone        attemptResult = iota // the exchange is complete: the client got a response or has disconnected
 	attemptRetryable                        // another backend may be tried
-	attemptInterrupted                      // the client has a part of the response; another backend may continue it
+	attemptInterrupted                      // the client got a part of the response; another backend may continue it
 )
 
 // attempt sends the request to one backend and copies its response to the client. It reports the outcome to the
-// dispatcher exactly once, also where copying ends in a panic (see abort).
+// dispatcher exactly once, even if copying panics (see abort).
 func (x *exchange) attempt(ctx context.Context, picked balancer.PickResult) attemptResult {
 	target := picked.Backend
 	began := time.Now()
@@ -39,7 +39,7 @@
 	if load, ok := backend.ParseLoad(response.Header.Get(backend.HeaderLoad)); ok {
 		x.handler.dispatcher.ObserveLoad(target, load.Running, load.Waiting)
 	}
-	outcome := balancer.ErrorResponse // what is reported where copying panics
+	outcome := balancer.ErrorResponse // reported if copying panics
 	defer func() { x.handler.dispatcher.Finish(x.request, target, outcome, time.Since(began)) }()
 	if response.IsRejected() {
 		outcome = rejectionOutcome(response)
@@ -61,7 +61,7 @@
 	return result
 }
 
-// isStream reports whether the response is a stream of events; errors never are.
+// isStream reports whether the response is a stream of events. Only responses with status 2xx can be.
 func (x *exchange) isStream(response *backend.Response) bool {
 	return response.Status >= 200 && response.Status <= 299 && x.route.Kind == configuration.Streaming
 }
@@ -73,13 +73,14 @@
 	return balancer.Rejected
 }
 
-// discard reads a short response so that its connection can be used again.
+// discard reads a short response so that its connection can be reused.
 func discard(response *backend.Response) {
-	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscarded)) // Close sees an incomplete body
+	// An error needs no handling: Close does not reuse the connection if the body was not read in full.
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscarded))
 }
 
-// handleError ends an attempt without a response. Where nothing was sent, another backend may be picked, even if ctx
-// has ended: then the next Pick fails and the exchange times out.
+// handleError ends an attempt without a response. If nothing was sent, it returns attemptRetryable, even if ctx has
+// ended: then the next Pick fails and the exchange times out.
 func (x *exchange) handleError(
 	ctx context.Context, target *balancer.Backend, began time.Time, err error,
 ) attemptResult {
@@ -101,8 +102,8 @@
 	return result
 }
 
-// handleBreak ends an attempt whose request may have run and whose response broke off, before any of this attempt's
-// response was copied. Headers may have been sent by an earlier attempt at a stream.
+// handleBreak ends an attempt whose request may have run and whose response is missing or truncated. No part of this
+// attempt's response has been copied to the client, but an earlier attempt at a stream may have sent headers.
 func (x *exchange) handleBreak(ctx context.Context, message string) (attemptResult, balancer.Outcome) {
 	switch {
 	case x.headersSent:
--- a/internal/dataplane/ingress/copy.go
+++ b/internal/dataplane/ingress/copy.go
@@ -12,21 +12,22 @@
 )
 
 const (
-	// maxBufferedBody bounds a response that is not a stream: it is read in full before its first byte is sent.
+	// maxBufferedBody bounds the body of a response that is not a stream. The proxy reads it in full before it sends
+	// the first byte to the client.
 	maxBufferedBody = 4 << 20
-	// streamBuffer is the size of one read from a stream.
+	// streamBuffer is the maximum size in bytes of one read from a stream.
 	streamBuffer = 4 << 10
 )
 
-// copyResponse copies a response that is not a stream. It is read in full first, so that one that breaks off can be
-// retried.
+// copyResponse copies a response that is not a stream. It reads the response in full before it sends any of it, so that
+// the request can be retried after a truncated response.
 func (x *exchange) copyResponse(ctx context.Context, response *backend.Response) (attemptResult, balancer.Outcome) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBody+1))
 	if err != nil || !response.IsDelimited() || len(body) > maxBufferedBody {
 		return x.handleBreak(ctx, "the backend's answer broke off")
 	}
 	if x.headersSent {
-		return attemptInterrupted, balancer.ErrorResponse // the continuation of a stream was answered with an error
+		return attemptInterrupted, balancer.ErrorResponse // the request to resume a stream got an error response
 	}
 	outcome := balancer.Succeeded
 	if response.Status >= http.StatusInternalServerError {
@@ -39,11 +40,11 @@
 	x.copyHeaders(response)
 	x.writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	x.writer.WriteHeader(response.Status)
-	_, _ = x.writer.Write(body) // it fails only where the client has disconnected
+	_, _ = x.writer.Write(body) // fails only if the client has disconnected
 	return attemptDone, outcome
 }
 
-// copyHeaders copies the backend's headers to the client's response.
+// copyHeaders copies the backend's end-to-end headers to the client's response, except its length and load.
 func (x *exchange) copyHeaders(response *backend.Response) {
 	header := x.writer.Header()
 	for name, values := range endToEndHeaders(response.Header) {
@@ -52,12 +53,12 @@
 	header.Del("Content-Length")
 	header.Del(backend.HeaderLoad)
 	if header.Get("Content-Type") == "" {
-		header["Content-Type"] = nil // else the server would guess one
+		header["Content-Type"] = nil // otherwise net/http would guess one from the body
 	}
 }
 
-// copyStream copies events as they come, each complete. onFirst is called at the first event of this attempt. A stream
-// that breaks off between two events can be resumed by another backend.
+// copyStream copies events as they arrive, and only complete ones: so another backend can resume the stream after the
+// last event if it breaks. onFirst is called at the first event of this attempt.
 func (x *exchange) copyStream(
 	ctx context.Context, response *backend.Response, onFirst func(),
 ) (attemptResult, balancer.Outcome) {
@@ -90,7 +91,7 @@
 	}
 }
 
-// endStream ends a stream whose reading ended with err. pending are the bytes after its last complete event.
+// endStream ends a stream after reading from it returned err. pending holds the bytes after the last complete event.
 func (x *exchange) endStream(
 	ctx context.Context, response *backend.Response, pending []byte, err error,
 ) (attemptResult, balancer.Outcome) {
@@ -107,9 +108,9 @@
 	return attemptInterrupted, balancer.ErrorResponse
 }
 
-// copyEvents sends events to the client; false means that the client has disconnected.
+// copyEvents sends events to the client. It returns false if the client has disconnected.
 func (x *exchange) copyEvents(events []byte) bool {
-	x.timing.noteEvent(x.request.Arrived)
+	x.timing.recordEvent(x.request.Arrived)
 	if id := lastEventID(events); id != "" {
 		x.outgoing.LastEventID = id
 	}
@@ -121,8 +122,9 @@
 
 func (x *exchange) flush() error { return http.NewResponseController(x.writer).Flush() }
 
-// completeEvents returns the length of the complete events that text begins with: up to the last empty line, which ends
-// an event (HTML standard, section Server-sent events). Lines that end with a single CR are not recognized.
+// completeEvents returns the length of the complete events at the beginning of text. An empty line ends an event
+// (HTML standard, section Server-sent events), so the length is up to the last empty line. Lines that end with a
+// single CR are not recognized.
 func completeEvents(text []byte) int {
 	end := 0
 	for _, separator := range [][]byte{[]byte("\n\n"), []byte("\r\n\r\n")} {
--- a/internal/dataplane/ingress/copy_test.go
+++ b/internal/dataplane/ingress/copy_test.go
@@ -10,10 +10,10 @@
 	tests := []struct {
 		name, text, complete string
 	}{
-		{"nothing", "", ""},
-		{"an incomplete event", "data: a\n", ""},
+		{"empty", "", ""},
+		{"incomplete event", "data: a\n", ""},
 		{"one event", "data: a\n\n", "data: a\n\n"},
-		{"one event and a part", "data: a\n\ndata: b\n", "data: a\n\n"},
+		{"one event and an incomplete one", "data: a\n\ndata: b\n", "data: a\n\n"},
 		{"two events", "data: a\n\ndata: b\n\n", "data: a\n\ndata: b\n\n"},
 		{"lines that end with CRLF", "data: a\r\n\r\ndata", "data: a\r\n\r\n"},
 	}
--- a/internal/dataplane/ingress/drain_test.go
+++ b/internal/dataplane/ingress/drain_test.go
@@ -11,22 +11,23 @@
 	"pumiceline/internal/controlplane/configuration"
 )
 
-// Without the estimate a stream of 170 tokens that came 1.6 s after SIGTERM was accepted, and broken off when the grace
-// time was over.
+// Without the estimate, a stream of 170 tokens that arrived 1.6 s after SIGTERM was accepted, and was aborted when the
+// grace time expired.
 func TestDrain_CanFinish(t *testing.T) {
 	var d drain
 	const minute = time.Minute
-	assert.True(t, d.canFinish(0, configuration.Streaming, 100_000, minute), "nothing is rejected before draining")
+	assert.True(t, d.canFinish(0, configuration.Streaming, 100_000, minute), "no request may be rejected before draining")
 	d.begin(7 * time.Second)
 	assert.True(t, d.canFinish(time.Second, configuration.Streaming, 170, minute))
 	assert.False(t, d.canFinish(4*time.Second, configuration.Streaming, 170, minute))
 	assert.True(t, d.canFinish(4*time.Second, configuration.Streaming, 20, minute))
-	assert.True(t, d.canFinish(4*time.Second, configuration.Streaming, 170, 2*time.Second), "its deadline comes first")
+	assert.True(t, d.canFinish(4*time.Second, configuration.Streaming, 170, 2*time.Second), "its deadline is before the end")
 	assert.True(t, d.canFinish(6*time.Second, configuration.Changing, 0, minute))
 	assert.False(t, d.canFinish(6500*time.Millisecond, configuration.Changing, 0, minute))
 }
 
-// The time of streams is estimated as a high quantile: a few slow ones weigh more than many fast ones.
+// The estimate is a high quantile of the time per token, so a few slow streams have more effect on it than many fast
+// ones.
 func TestDrain_EstimatesHighQuantileOfTokenTime(t *testing.T) {
 	var d drain
 	for range 200 {
@@ -35,16 +36,17 @@
 		}
 		d.observeStream(4*time.Second, 100)
 	}
-	assert.InDelta(t, (40 * time.Millisecond).Seconds(), d.perToken().Seconds(), 0.015)
+	assert.InDelta(t, (40 * time.Millisecond).Seconds(), d.timePerToken().Seconds(), 0.015)
 	for range 1000 {
 		d.observeStream(time.Second, 100)
 	}
-	assert.InDelta(t, (10 * time.Millisecond).Seconds(), d.perToken().Seconds(), 0.003)
+	assert.InDelta(t, (10 * time.Millisecond).Seconds(), d.timePerToken().Seconds(), 0.003)
 	d.observeStream(time.Hour, 0)
-	assert.Less(t, d.perToken(), maxTokenTime, "a request that names no tokens is no observation")
+	assert.Less(t, d.timePerToken(), maxTokenTime, "a stream without a token count must not be observed")
 }
 
-// The rejection promises that the request has not run, says when to retry, and reaches no backend.
+// The rejection must be a 503 with Retry-After, which promises that the request has not run. So the request must not
+// reach a backend.
 func TestDraining_RejectsWithRetryAfter(t *testing.T) {
 	b := newFakeBackend(t, stream(true, 1))
 	p := newProxy(t, b)
--- a/internal/dataplane/ingress/exchange.go
+++ b/internal/dataplane/ingress/exchange.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// maxPicks bounds the backends that are picked for one request. The route's MaxAttempts bounds only the attempts that
-	// may have run; without maxPicks a request could go on from one rejecting backend to the next until its deadline.
+	// maxPicks bounds how many backends are picked for one request. The route's MaxAttempts bounds only the attempts
+	// that may have run. Without maxPicks a request could go from one rejecting backend to the next until its
+	// deadline.
 	maxPicks = 6
-	// noBackendRetryAfter is the Retry-After where no backend took the request.
+	// noBackendRetryAfter is the Retry-After if no backend accepted the request.
 	noBackendRetryAfter = 300 * time.Millisecond
 )
 
-// exchange is one client request with all its attempts. It belongs to the goroutine that serves the request.
+// exchange is one client request with all its attempts. Only the goroutine that serves the request uses it.
 type exchange struct {
 	timing       timing
 	handler      *Handler
@@ -27,11 +28,11 @@
 	request      *balancer.Request
 	outgoing     backend.Request
 	possibleRuns int  // attempts that a backend may have run; the route's MaxAttempts bounds them
-	headersSent  bool // the client has received the status and headers of a response
+	headersSent  bool // the status and headers of a stream were sent to the client
 }
 
-// run makes attempts until the client has its response. It panics with http.ErrAbortHandler where a response that has
-// begun cannot be completed: the server then closes the connection.
+// run makes attempts until the client has its response. It panics with http.ErrAbortHandler if a response that has
+// begun cannot be completed. The server then closes the connection.
 func (x *exchange) run(ctx context.Context) {
 	defer x.logTiming()
 	if x.isTooLateToBegin() {
@@ -49,12 +50,12 @@
 			x.reject(picked.RetryAfter, string(picked.Rejection))
 			return
 		}
-		if x.isTooLateToBegin() { // it may have been queued for long
+		if x.isTooLateToBegin() { // the request may have been queued for a long time
 			x.handler.dispatcher.Finish(x.request, picked.Backend, balancer.Canceled, 0)
 			x.reject(drainingRetryAfter, string(balancer.RejectDraining))
 			return
 		}
-		x.timing.notePicked(x.request.Arrived, picked.Decision)
+		x.timing.recordPick(x.request.Arrived, picked.Decision)
 		switch x.attempt(ctx, picked) {
 		case attemptDone:
 			return
@@ -68,14 +69,14 @@
 	x.reject(noBackendRetryAfter, "no backend takes it")
 }
 
-// canRetry reports whether a request that may have run may be sent again.
+// canRetry reports whether the request may be sent again although it may have run.
 func (x *exchange) canRetry() bool {
 	return x.route.IsIdempotent() && x.possibleRuns < x.route.MaxAttempts
 }
 
-// isTooLateToBegin reports whether the proxy is draining and ends before a response could be complete, so that the
-// request is to be rejected. Once a backend may have run the request, 503 would be a false promise: the exchange goes
-// on.
+// isTooLateToBegin reports whether the request must be rejected because the proxy is draining and ends before a
+// response could be complete. It returns false once a backend may have run the request: a 503 would promise that it
+// has not run. The exchange then continues.
 func (x *exchange) isTooLateToBegin() bool {
 	if x.headersSent || x.possibleRuns > 0 {
 		return false
@@ -85,7 +86,7 @@
 	return !x.handler.drain.canFinish(sinceStart, x.route.Kind, x.request.OutputTokens, left)
 }
 
-// reject ends the exchange with 503, or with 502 where the request may have run.
+// reject ends the exchange with 503, or with 502 if the request may have run.
 func (x *exchange) reject(retryAfter time.Duration, reason string) {
 	x.timing.rejection = reason
 	switch {
@@ -98,8 +99,8 @@
 	}
 }
 
-// timeOut ends an exchange whose client left or whose deadline passed: with 503, or with 504 where the request may have
-// run.
+// timeOut ends an exchange whose client has disconnected or whose deadline has passed: with 503, or with 504 if the
+// request may have run.
 func (x *exchange) timeOut() {
 	switch {
 	case x.headersSent:
@@ -111,5 +112,6 @@
 	}
 }
 
-// abort ends the client's connection: a response that ends early must not look complete.
+// abort makes the server close the client's connection: the client must not take a truncated response for a complete
+// one.
 func abort() { panic(http.ErrAbortHandler) }
--- a/internal/dataplane/ingress/exchange_test.go
+++ b/internal/dataplane/ingress/exchange_test.go
@@ -16,23 +16,24 @@
 	"pumiceline/internal/dataplane/backend"
 )
 
-const testTimeout = 10 * time.Second // a test that waits for so long has failed
+const testTimeout = 10 * time.Second // a test fails if it waits longer for an event
 
-func waitFor(t *testing.T, what string, happened <-chan struct{}) {
+func waitFor(t *testing.T, event string, occurred <-chan struct{}) {
 	t.Helper()
 	select {
-	case <-happened:
+	case <-occurred:
 	case <-time.After(testTimeout):
-		t.Fatal(what + " did not happen")
+		t.Fatal(event + " did not happen")
 	}
 }
 
-// When a client has disconnected, the connection to the backend that works for it is closed, and the request is not retried.
+// When a client disconnects, the proxy must close the connection to the backend that processes its request, so that the
+// backend can stop. The request must not be retried.
 func TestExchange_ClientDisconnectClosesBackendConnection(t *testing.T) {
 	begun, ended := make(chan struct{}), make(chan struct{})
 	working := newFakeBackend(t, func(conn net.Conn, _ *http.Request) {
 		close(begun)
-		_, _ = io.Copy(io.Discard, conn) // until the proxy closes
+		_, _ = io.Copy(io.Discard, conn) // returns when the proxy closes the connection
 		close(ended)
 	})
 	other := newFakeBackend(t)
@@ -50,14 +51,15 @@
 			response.Body.Close()
 		}
 	}()
-	waitFor(t, "the request", begun)
+	waitFor(t, "the arrival of the request at the backend", begun)
 	disconnect()
-	waitFor(t, "the client's end", answered)
-	waitFor(t, "the end of the backend's work", ended)
+	waitFor(t, "the end of the client's call", answered)
+	waitFor(t, "the close of the connection to the backend", ended)
 	assert.Empty(t, other.requests())
 }
 
-// The attempt at an unresponsive backend ends at the route's time-out. The request may have run, so that 503 would be wrong.
+// The attempt at an unresponsive backend must end at the route's time-out. The request may have run, so the response
+// must be 504: a 503 would promise that it has not.
 func TestExchange_GatewayTimeoutAtRouteTimeout(t *testing.T) {
 	unresponsive := newFakeBackend(t, func(conn net.Conn, _ *http.Request) { _, _ = io.Copy(io.Discard, conn) })
 	p := newProxy(t, unresponsive)
@@ -69,10 +71,10 @@
 	response, _, err := p.call(t, "/once/a", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusGatewayTimeout, response.StatusCode)
-	assert.Less(t, time.Since(began), testTimeout, "though its client would wait for a minute")
+	assert.Less(t, time.Since(began), testTimeout, "the client's own time-out is a minute")
 }
 
-// The backend receives the time that is left of the client's, never more.
+// The backend must receive the remainder of the time that the client gave, never more.
 func TestExchange_ForwardsRemainingTime(t *testing.T) {
 	sent := make(chan string, 1)
 	b := newFakeBackend(t, func(conn net.Conn, request *http.Request) {
--- a/internal/dataplane/ingress/fakebackend_test.go
+++ b/internal/dataplane/ingress/fakebackend_test.go
@@ -28,7 +28,7 @@
 {"name":"resumable","host":"h","pathStart":"/resume/","kind":"streaming","timeoutMs":60000,"targetMs":40000,"service":"s","tries":2,"resumable":true}
 ]}`
 
-// script is what a fake backend does with one request; it may close the connection.
+// script handles one request at a fake backend. It may close the connection.
 type script func(conn net.Conn, request *http.Request)
 
 // fakeBackend handles each request by its next script, and closes the connection where there is none.
@@ -36,7 +36,7 @@
 	listener net.Listener
 	mutex    sync.Mutex
 	scripts  []script
-	seen     []string
+	received []string
 }
 
 func newFakeBackend(t *testing.T, scripts ...script) *fakeBackend {
@@ -67,7 +67,7 @@
 		}
 		body, _ := io.ReadAll(request.Body)
 		b.mutex.Lock()
-		b.seen = append(b.seen, fmt.Sprintf("%s %s %q target %s last %q", request.Method, request.RequestURI, body,
+		b.received = append(b.received, fmt.Sprintf("%s %s %q target %s last %q", request.Method, request.RequestURI, body,
 			request.Header.Get(backend.HeaderTarget), request.Header.Get(backend.HeaderLastEventID)))
 		if len(b.scripts) == 0 {
 			b.mutex.Unlock()
@@ -83,10 +83,10 @@
 func (b *fakeBackend) requests() []string {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	return b.seen
+	return b.received
 }
 
-// respond writes a response in which ID stands for the request's ID.
+// respond writes a response. It replaces ID in the text by the request's ID.
 func respond(text string) script {
 	return func(conn net.Conn, request *http.Request) {
 		id := request.Header.Get(backend.HeaderRequestID)
@@ -101,7 +101,8 @@
 
 var rejection = respond("HTTP/1.1 503 No\nRequest-Id: ID\nNot-Run: 1\nContent-Length: 0\n\n")
 
-// stream responds with a stream of events, which ends properly or breaks off after them.
+// stream responds with a stream of events. The stream ends properly if isComplete is set. Otherwise the connection is
+// closed within the next event.
 func stream(isComplete bool, ids ...int) script {
 	return func(conn net.Conn, request *http.Request) {
 		respond("HTTP/1.1 200 OK\nRequest-Id: ID\nServer-Seal: x\n"+
@@ -121,7 +122,7 @@
 
 func closeConn(conn net.Conn, _ *http.Request) { conn.Close() }
 
-// proxy is a handler before fake backends, on a real listener.
+// proxy is a handler on a real listener, with fake backends.
 type proxy struct {
 	handler *Handler
 	server  *httptest.Server
--- a/internal/dataplane/ingress/handler.go
+++ b/internal/dataplane/ingress/handler.go
@@ -1,9 +1,10 @@
-// Package ingress serves clients' requests: it matches each to a route, has a backend picked for each attempt, and
-// copies the backend's response to the client.
+// Package ingress serves client requests. It matches each request to a route, has the balancer pick a backend for each
+// attempt, and copies the backend's response to the client.
 //
-// Three rules stand above all others. A response 503 with Retry-After promises that the request has not run, so it is
-// sent only where no backend can have processed it. A request that may have run is retried only where its route allows
-// that. A response that cannot be completed ends its connection, so that it never looks complete.
+// The package ensures three rules. A 503 response with Retry-After promises that the request has not run, so it is
+// sent only if no backend can have processed the request. A request that may have run is retried only if its route
+// allows it. If a response cannot be completed, its connection is closed, so that the client does not take it for a
+// complete one.
 package ingress
 
 import (
@@ -24,43 +25,45 @@
 )
 
 const (
-	// responseMargin is how long before the client's deadline the proxy's own response is sent.
+	// responseMargin is how long before the client's deadline the proxy ends the attempts and sends its own response,
+	// so that the response arrives in time.
 	responseMargin = 15 * time.Millisecond
-	// configStaleAfter is the time since the last Confirm after which the configuration counts as stale. By a stale one a
-	// request without a route gets 503, not 404: a newer configuration may have the route.
+	// configStaleAfter is the time since the last Confirm after which the configuration is stale. With a stale
+	// configuration a request without a route gets 503 instead of 404: a newer configuration may have the route.
 	configStaleAfter = 1500 * time.Millisecond
-	// noConfigRetryAfter is the Retry-After while the configuration is unknown or stale.
+	// noConfigRetryAfter is the Retry-After while there is no configuration or it is stale.
 	noConfigRetryAfter = 300 * time.Millisecond
 )
 
-// Handler serves clients. All methods may be called from any goroutine.
+// Handler serves client requests. All methods may be called from any goroutine.
 type Handler struct {
 	dispatcher *balancer.Dispatcher
 	pool       *backend.Pool
-	config     atomic.Pointer[configuration.Config] // nil: not known yet
+	config     atomic.Pointer[configuration.Config] // nil: none yet
 	confirmed  atomic.Int64                         // nanoseconds from started to the last Confirm
-	started    time.Time                            // the origin of confirmed and of drain's times
+	started    time.Time                            // confirmed and the times of drain are relative to it
 	drain      drain
 	active     atomic.Int64 // requests in flight
 	split      trafficSplit
 }
 
-// New makes a handler without a configuration: it rejects all requests until SetConfig.
+// New returns a handler without a configuration. It rejects all requests until SetConfig is called.
 func New(dispatcher *balancer.Dispatcher, pool *backend.Pool) *Handler {
 	return &Handler{dispatcher: dispatcher, pool: pool, started: time.Now()}
 }
 
-// SetConfig puts a configuration in force.
+// SetConfig replaces the configuration.
 func (h *Handler) SetConfig(config *configuration.Config) {
 	h.config.Store(config)
 	h.split.reset()
 }
 
-// Confirm notes that the configuration in force is the newest. Without it the configuration becomes stale.
+// Confirm records that the current configuration is the newest one. It must be called regularly, otherwise the
+// configuration becomes stale.
 func (h *Handler) Confirm() { h.confirmed.Store(int64(time.Since(h.started))) }
 
-// IdleTimeout is how long a client's connection may be idle by the configuration in force; 0: no configuration is
-// known.
+// IdleTimeout returns how long a client's connection may be idle according to the current configuration. It is 0
+// while there is no configuration.
 func (h *Handler) IdleTimeout() time.Duration {
 	if config := h.config.Load(); config != nil {
 		return config.Limits.IdleTimeout
@@ -68,8 +71,8 @@
 	return 0
 }
 
-// StartDraining announces that the process ends at the given time: every response closes its connection, and requests
-// that could not be finished by then are rejected.
+// StartDraining prepares for the end of the process at the given time. From now on every response closes its
+// connection, and requests that could not be finished by then are rejected.
 func (h *Handler) StartDraining(until time.Time) {
 	h.drain.begin(until.Sub(h.started))
 	h.dispatcher.StartDraining()
@@ -94,7 +97,7 @@
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	route := config.Match(r.Host, path)
 	if route == nil {
-		h.denyRoute(w)
+		h.respondNoRoute(w)
 		return
 	}
 	if body, ok := readBody(w, r, int64(config.Limits.BodyBytes)); ok {
@@ -102,8 +105,9 @@
 	}
 }
 
-// denyRoute answers a request without a route. A newer configuration may have one, so a stale one gives no 404.
-func (h *Handler) denyRoute(w http.ResponseWriter) {
+// respondNoRoute responds to a request without a route: with 404, or with 503 if the configuration is stale, because
+// a newer one may have the route.
+func (h *Handler) respondNoRoute(w http.ResponseWriter) {
 	if time.Since(h.started)-time.Duration(h.confirmed.Load()) > configStaleAfter {
 		reject(w, noConfigRetryAfter, "the configuration may be out of date")
 		return
@@ -111,7 +115,7 @@
 	http.Error(w, "no route", http.StatusNotFound)
 }
 
-// readBody reads the request's body. Where that fails, it answers the request and returns false.
+// readBody reads the request's body. If that fails, it responds with an error and returns false.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) (body []byte, ok bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	if err == nil {
@@ -126,7 +130,7 @@
 	return nil, false
 }
 
-// forward sends a request to backends, until its deadline.
+// forward sends a request to backends until one serves it or its deadline is near.
 func (h *Handler) forward(
 	w http.ResponseWriter, r *http.Request, route *configuration.Route, body []byte, arrived time.Time,
 ) {
@@ -145,7 +149,7 @@
 	x.run(ctx)
 }
 
-// reject answers 503, which promises that the request has not run, and when to retry.
+// reject responds with 503 and Retry-After, which promise that the request has not run.
 func reject(w http.ResponseWriter, retryAfter time.Duration, reason string) {
 	w.Header().Set("Retry-After", strconv.FormatFloat(math.Ceil(retryAfter.Seconds()*1000)/1000, 'f', -1, 64))
 	http.Error(w, reason, http.StatusServiceUnavailable)
--- a/internal/dataplane/ingress/handler_test.go
+++ b/internal/dataplane/ingress/handler_test.go
@@ -27,8 +27,8 @@
 }
 
 func TestHandler_ChangingRequestRetriedOnlyAfterRejection(t *testing.T) {
-	refusing, serving := newFakeBackend(t, rejection), newFakeBackend(t, okResponse("served"))
-	response, body, err := newProxy(t, refusing, serving).call(t, "/once/a", "")
+	rejecting, serving := newFakeBackend(t, rejection), newFakeBackend(t, okResponse("served"))
+	response, body, err := newProxy(t, rejecting, serving).call(t, "/once/a", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusOK, response.StatusCode)
 	assert.Equal(t, "served", body)
@@ -37,7 +37,7 @@
 	response, _, err = newProxy(t, breaking, other).call(t, "/once/a", "")
 	require.NoError(t, err)
 	assert.Equal(t, http.StatusBadGateway, response.StatusCode, "it may have run: 503 would promise that it has not")
-	assert.Empty(t, other.requests(), "and it is not retried")
+	assert.Empty(t, other.requests(), "a request that may have run must not be retried")
 }
 
 func TestHandler_IdempotentRequestRetriedWithinAttempts(t *testing.T) {
@@ -79,8 +79,8 @@
 
 	breaking, other := newFakeBackend(t, stream(false, 1, 2)), newFakeBackend(t, stream(true, 3))
 	_, body, err = newProxy(t, breaking, other).call(t, "/stream/a", "")
-	require.Error(t, err, "a stream that cannot be resumed is aborted")
-	assert.Equal(t, "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n", body, "only complete events were copied")
+	require.Error(t, err, "a broken stream that cannot be resumed must be aborted")
+	assert.Equal(t, "id: 1\ndata: e1\n\nid: 2\ndata: e2\n\n", body, "only complete events must be copied")
 }
 
 func TestHandler_ResumesStreamAtOtherBackend(t *testing.T) {
@@ -99,7 +99,7 @@
 	p.handler.confirmed.Store(int64(-time.Hour))
 	response, _, err = p.call(t, "/none/", "")
 	require.NoError(t, err)
-	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "the route may be there in a newer configuration")
+	assert.Equal(t, http.StatusServiceUnavailable, response.StatusCode, "a newer configuration may have the route")
 	assert.NotEmpty(t, response.Header.Get("Retry-After"))
 }
 
--- a/internal/dataplane/ingress/headers_test.go
+++ b/internal/dataplane/ingress/headers_test.go
@@ -13,5 +13,5 @@
 		"Keep-Alive": {"timeout=5"},
 	}
 	assert.Equal(t, http.Header{"Accept": {"a", "b"}}, endToEndHeaders(header))
-	assert.Len(t, header, 5, "the original is unchanged")
+	assert.Len(t, header, 5, "the original must not be changed")
 }
--- a/internal/dataplane/ingress/request.go
+++ b/internal/dataplane/ingress/request.go
@@ -12,22 +12,24 @@
 	"pumiceline/internal/message"
 )
 
-// Request headers that the proxy alone reads.
+// Request headers that only the proxy reads.
 const (
 	headerModel      = "Model"
-	headerTokenCount = "Token-Count" // tokens of the prompt and, after a comma, at most of the output
+	headerTokenCount = "Token-Count" // number of prompt tokens and, after a comma, maximum number of output tokens
 )
 
 const (
-	// maxTimeLeft bounds the time that a client gives; it is also used where the client gives none or a malformed one.
+	// maxTimeLeft bounds the time that a client gives for a request. It is also used if the client's value is missing,
+	// malformed or higher.
 	maxTimeLeft = 10 * time.Minute
-	// maxPriority is the number of the lowest priority; 0 is the highest.
+	// maxPriority is the number of the lowest priority; 0 is the highest priority.
 	maxPriority = 9
-	// defaultPromptTokens and defaultOutputTokens are used where the client does not give the number of tokens.
+	// defaultPromptTokens and defaultOutputTokens are used if the client does not give the number of tokens.
 	defaultPromptTokens = 1000
 	defaultOutputTokens = 200
 
-	// A client is assumed to give up a stream that has sent no event for the longest of these three times.
+	// A client is assumed to give up a stream if the first event does not arrive within the longest of three times:
+	// this minimum, and the two multiples.
 	minStreamTimeout       = 2 * time.Second
 	streamTimeoutPerTarget = 4 // times the route's latency target
 	streamTimeoutPerGap    = 8 // times the route's maximum gap between events
@@ -48,10 +50,10 @@
 	return request
 }
 
-// tokenCount is the number of tokens of a request's prompt and, at most, of its output.
+// tokenCount holds the number of tokens of a request's prompt and the maximum number of its output.
 type tokenCount struct{ prompt, output int }
 
-// parseTokenCount reads the value of headerTokenCount. What is missing or malformed gets its default.
+// parseTokenCount parses the value of headerTokenCount. A number that is missing or malformed gets its default.
 func parseTokenCount(text string) tokenCount {
 	count := tokenCount{prompt: defaultPromptTokens, output: defaultOutputTokens}
 	promptText, outputText, hasOutput := strings.Cut(text, ",")
@@ -64,8 +66,8 @@
 	return count
 }
 
-// priorityOf is the priority that the backend gets: the client's as it is, else the route's within the bounds of the
-// header. The proxy's own queue is ordered by the route's alone.
+// priorityOf returns the priority that is sent to the backend: the client's unchanged if it is a number, otherwise the
+// route's, limited to the range of the header. The proxy's own queue is ordered by the route's priority only.
 func priorityOf(r *http.Request, route *configuration.Route) int {
 	if text := r.Header.Get(backend.HeaderPriority); text != "" {
 		if priority, err := strconv.Atoi(text); err == nil {
@@ -75,7 +77,7 @@
 	return min(maxPriority, max(0, route.Priority))
 }
 
-// timeLeft is the time that the client gives the request, from its arrival.
+// timeLeft returns the time that the client gives for the request, from its arrival.
 func timeLeft(r *http.Request) time.Duration {
 	text := r.Header.Get(backend.HeaderTimeLeft)
 	milliseconds, err := strconv.ParseFloat(text, 64)
@@ -85,7 +87,7 @@
 	return time.Duration(milliseconds * float64(time.Millisecond))
 }
 
-// clientTimeoutAt estimates when the client gives up if it has received nothing: of a stream it expects a first event
+// clientTimeoutAt estimates when the client gives up if it has received nothing. Of a stream it expects the first event
 // long before the deadline.
 func clientTimeoutAt(route *configuration.Route, arrived, deadline time.Time) time.Time {
 	if route.Kind != configuration.Streaming {
--- a/internal/dataplane/ingress/request_test.go
+++ b/internal/dataplane/ingress/request_test.go
@@ -39,9 +39,9 @@
 
 func TestPriorityOf(t *testing.T) {
 	route := &configuration.Route{Priority: 12}
-	assert.Equal(t, maxPriority, priorityOf(&http.Request{Header: http.Header{}}, route), "the route's, within bounds")
+	assert.Equal(t, maxPriority, priorityOf(&http.Request{Header: http.Header{}}, route), "the route's, limited to 0..9")
 	client := http.Header{backend.HeaderPriority: {"2"}}
-	assert.Equal(t, 2, priorityOf(&http.Request{Header: client}, route), "the client's comes first")
+	assert.Equal(t, 2, priorityOf(&http.Request{Header: client}, route), "the client's takes precedence")
 	malformed := http.Header{backend.HeaderPriority: {"high"}}
 	assert.Equal(t, maxPriority, priorityOf(&http.Request{Header: malformed}, route))
 }
@@ -54,8 +54,8 @@
 		route configuration.Route
 		want  time.Time
 	}{
-		{"no stream", configuration.Route{Kind: configuration.Changing, LatencyTarget: time.Second}, deadline},
-		{"least time", configuration.Route{Kind: configuration.Streaming}, arrived.Add(minStreamTimeout)},
+		{"not a stream", configuration.Route{Kind: configuration.Changing, LatencyTarget: time.Second}, deadline},
+		{"minimum", configuration.Route{Kind: configuration.Streaming}, arrived.Add(minStreamTimeout)},
 		{"by latency target", configuration.Route{Kind: configuration.Streaming, LatencyTarget: time.Second},
 			arrived.Add(4 * time.Second)},
 		{"by event gap", configuration.Route{Kind: configuration.Streaming, MaxEventGap: time.Second},
--- a/internal/dataplane/ingress/timing.go
+++ b/internal/dataplane/ingress/timing.go
@@ -9,21 +9,21 @@
 	"pumiceline/internal/logkey"
 )
 
-// timing records where the time of a request went, for the log at debug level. Times count from the arrival.
+// timing records the times of the stages of a request, for the log at debug level. Times are relative to the arrival.
 type timing struct {
-	queued          time.Duration // until its first backend was picked
-	sent            time.Duration // until its last attempt began
+	queued          time.Duration // when the first backend was picked
+	sent            time.Duration // when the last attempt began
 	firstEvent      time.Duration
 	lastEvent       time.Duration
 	longestEventGap time.Duration
 	attempts        int
 	hasEvents       bool
 	decision        balancer.Decision // of the last attempt
-	rejection       string            // empty: it was not rejected
-	isComplete      bool              // the client was sent a complete response
+	rejection       string            // empty: the request was not rejected
+	isComplete      bool              // a complete response was sent to the client
 }
 
-func (t *timing) notePicked(arrived time.Time, decision balancer.Decision) {
+func (t *timing) recordPick(arrived time.Time, decision balancer.Decision) {
 	t.attempts++
 	t.sent, t.decision = time.Since(arrived), decision
 	if t.attempts == 1 {
@@ -31,7 +31,7 @@
 	}
 }
 
-func (t *timing) noteEvent(arrived time.Time) {
+func (t *timing) recordEvent(arrived time.Time) {
 	at := time.Since(arrived)
 	if !t.hasEvents {
 		t.hasEvents, t.firstEvent = true, at
@@ -41,7 +41,8 @@
 	t.lastEvent = at
 }
 
-// logTiming logs where the time of the request went. tools/lossreport reads these records: it knows message and keys.
+// logTiming logs the times of the request. tools/lossreport reads these records, so message and keys must match those
+// in it.
 func (x *exchange) logTiming() {
 	if !logrus.IsLevelEnabled(logrus.DebugLevel) {
 		return
--- a/internal/dataplane/ingress/trafficsplit.go
+++ b/internal/dataplane/ingress/trafficsplit.go
@@ -7,15 +7,15 @@
 )
 
 // trafficSplit divides a route's requests among its services by smooth weighted round robin, as nginx does among
-// upstreams: each request adds every service's weight to the service's credit and goes to the service with the highest
-// credit, from which the sum of the weights is subtracted. The zero value is ready; all methods may be called from any
-// goroutine.
+// upstreams. Each request adds every service's weight to the service's credit and goes to the service with the
+// highest credit. The sum of the weights is then subtracted from that credit. The zero value is ready to use. All
+// methods may be called from any goroutine.
 type trafficSplit struct {
 	mutex  sync.Mutex
 	credit map[string]map[string]float64 // by route and service
 }
 
-// reset forgets the routes of an earlier configuration.
+// reset discards all credits. It is called for a new configuration, which may have other routes and weights.
 func (s *trafficSplit) reset() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
