--- a/internal/dataplane/balancer/completion.go
+++ b/internal/dataplane/balancer/completion.go
@@ -59,7 +59,7 @@
 }
 
 // markReachable ends the ejection of an unreachable backend that has responded to an attempt. As in gRFC A100, slow
-// start begins when a connection becomes ready, so it begins anew.
+// start begins when a connection becomes ready, so it restarts here.
 func (b *Backend) markReachable(now time.Time) {
 	if b.isUnreachable {
 		b.isUnreachable, b.connectBackoff = false, 0
--- a/internal/dataplane/balancer/dispatcher.go
+++ b/internal/dataplane/balancer/dispatcher.go
@@ -27,7 +27,8 @@
 	// Query returns what the other proxies have in flight at the backends that have loaded a model. ok is false if that
 	// is unknown.
 	Query(ctx context.Context, service string, model message.ModelName) (loads []message.BackendLoad, ok bool)
-	// Publish reports this proxy's loads at backends where they have changed. It does not block.
+	// Publish reports this proxy's loads at backends where they have changed. It does not wait until the
+	// report is sent.
 	Publish(loads []message.BackendLoad)
 }
 
@@ -144,7 +145,7 @@
 	d.commands <- func(b *Balancer) { b.Finish(request, backend, outcome, elapsed, time.Now()) }
 }
 
-// Update is an update from the coordinators. What a nil field would replace stays unchanged.
+// Update is an update from the coordinators. A nil Config or Response leaves the current state unchanged.
 type Update struct {
 	Config      *configuration.Config
 	Backends    []message.Backend // the complete list; used only if HasBackends is set
--- a/internal/dataplane/balancer/parameters.go
+++ b/internal/dataplane/balancer/parameters.go
@@ -83,7 +83,8 @@
 	queueFullRetryAfter = time.Second
 	// rejectedRetryAfter is the Retry-After of most rejections.
 	rejectedRetryAfter = 400 * time.Millisecond
-	// drainingRetryAfter is the Retry-After of a draining proxy: other proxies can take the request at once.
+	// drainingRetryAfter is the Retry-After of a draining proxy. It is short because other proxies can accept the
+	// request at once.
 	drainingRetryAfter = 50 * time.Millisecond
 )
 
--- a/internal/dataplane/balancer/request.go
+++ b/internal/dataplane/balancer/request.go
@@ -16,7 +16,7 @@
 	Arrived         time.Time
 	Deadline        time.Time
 	ClientTimeoutAt time.Time     // when the client gives up if it has received nothing
-	LatencyTarget   time.Duration // SLO on the time to the first event, or to the response where there are no events
+	LatencyTarget   time.Duration // SLO on the time to the first event, or to the response if it has no events
 
 	// The balancer's internal state.
 	result        chan PickResult
--- a/internal/dataplane/ingress/drain.go
+++ b/internal/dataplane/ingress/drain.go
@@ -22,7 +22,8 @@
 	streamOverhead = 300 * time.Millisecond
 	// responseTime is the assumed time of a response that is not a stream.
 	responseTime = 800 * time.Millisecond
-	// drainingRetryAfter is the Retry-After of a draining proxy: other proxies can take the request at once.
+	// drainingRetryAfter is the Retry-After of a draining proxy. It is short because other proxies can accept the
+	// request at once.
 	drainingRetryAfter = 50 * time.Millisecond
 )
 
--- a/internal/dataplane/ingress/drain_test.go
+++ b/internal/dataplane/ingress/drain_test.go
@@ -21,7 +21,7 @@
 	assert.True(t, d.canFinish(time.Second, configuration.Streaming, 170, minute))
 	assert.False(t, d.canFinish(4*time.Second, configuration.Streaming, 170, minute))
 	assert.True(t, d.canFinish(4*time.Second, configuration.Streaming, 20, minute))
-	assert.True(t, d.canFinish(4*time.Second, configuration.Streaming, 170, 2*time.Second), "its deadline is before the end")
+	assert.True(t, d.canFinish(4*time.Second, configuration.Streaming, 170, 2*time.Second), "deadline before the end")
 	assert.True(t, d.canFinish(6*time.Second, configuration.Changing, 0, minute))
 	assert.False(t, d.canFinish(6500*time.Millisecond, configuration.Changing, 0, minute))
 }
--- a/internal/dataplane/ingress/fakebackend_test.go
+++ b/internal/dataplane/ingress/fakebackend_test.go
@@ -31,7 +31,7 @@
 // script handles one request at a fake backend. It may close the connection.
 type script func(conn net.Conn, request *http.Request)
 
-// fakeBackend handles each request by its next script, and closes the connection where there is none.
+// fakeBackend handles each request by its next script. It closes the connection if no script is left.
 type fakeBackend struct {
 	listener net.Listener
 	mutex    sync.Mutex
--- a/internal/dataplane/ingress/handler.go
+++ b/internal/dataplane/ingress/handler.go
@@ -25,7 +25,7 @@
 )
 
 const (
-	// responseMargin is how long before the client's deadline the proxy ends the attempts and sends its own response,
+	// responseMargin is how long before the request's deadline the proxy ends the attempts and sends its own response,
 	// so that the response arrives in time.
 	responseMargin = 15 * time.Millisecond
 	// configStaleAfter is the time since the last Confirm after which the configuration is stale. With a stale
--- a/internal/dataplane/loads/exchange.go
+++ b/internal/dataplane/loads/exchange.go
@@ -63,7 +63,8 @@
 	e.coordinators.set(members)
 }
 
-// Publish queues a report of this proxy's current loads at backends where they have changed. It does not block.
+// Publish queues a report of this proxy's current loads at backends where they have changed. It does not wait until the
+// report is sent, but it waits for the mutex while another report is being written.
 func (e *Exchange) Publish(loads []message.BackendLoad) {
 	e.mutex.Lock()
 	for _, load := range loads {
