--- a/internal/dataplane/backend/response.go
+++ b/internal/dataplane/backend/response.go
@@ -20,7 +20,7 @@
 	pool           *Pool
 	conn           *conn
 	raw            *http.Response
-	detachContext  func() bool // conn is no longer closed when the context ends; false if the context has ended
+	detachContext  func() bool // stops the end of the context from closing conn; false: the context has ended
 	backendID      message.BackendID
 	requestWritten bool // the whole request was written before the response arrived
 	bodyRead       bool // the body was read up to its proper end
--- a/internal/dataplane/proxy/proxy.go
+++ b/internal/dataplane/proxy/proxy.go
@@ -57,9 +57,9 @@
 	isDraining   atomic.Bool
 }
 
-// Run serves until ctx ends, then drains within the grace time. It returns an error only if a listener fails. The
-// process must exit afterwards: Run cancels the background goroutines but does not wait for them, because that could
-// take longer than the grace time.
+// Run serves until ctx ends, then drains within the grace time. It returns an error only if a listener cannot be
+// opened or shut down. The process must exit afterwards: Run cancels the background goroutines but does not wait for
+// them, because that could take longer than the grace time.
 func Run(ctx context.Context, settings *bootstrap.Settings) error {
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
--- a/internal/wrr/wrr.go
+++ b/internal/wrr/wrr.go
@@ -47,7 +47,7 @@
 // The states of a weight.
 const (
 	Usable     Validity = iota
-	InBlackout          // there are too few measurements yet: the mean weight is used
+	InBlackout          // too few measurements within Periods.Blackout of the first update: the mean weight is used
 	Expired             // no update for Periods.Expiration: the mean weight is used, and a new blackout period follows
 )
 
