--- a/internal/controlplane/configuration/change.go
+++ b/internal/controlplane/configuration/change.go
@@ -15,19 +15,19 @@
 	"pumiceline/internal/message"
 )
 
-// digestBytes is how much of a request's SHA-256 is kept.
+// digestBytes is the length of a request digest, a truncated SHA-256.
 const digestBytes = 16
 
-// Validate decides an operator's PUT or PATCH on top of a state. The result's status is
+// Validate decides whether an operator's PUT or PATCH can be applied to a state. The result's status is
 //
-//	200  it was applied before, or is valid and to be applied (Apply)
-//	400  it is invalid; the body names the faults
-//	412  another version is current than the one that it is based on
+//	200  the change was applied before, or is valid and must be applied (Apply)
+//	400  the change is invalid; the body names the faults
+//	412  the change is based on an older version than the current one
 //	413  the document is too large
 //	0    undecided
 //
-// A rejection is final: a repetition of the request may still be in progress, and must not be applied once the operator has
-// the rejection. So a request that could become valid on a later state stays undecided.
+// A rejection must be final. Another copy of the request may still be in transit, and must not be applied after the
+// operator has received the rejection. So a request that could become valid on a later state stays undecided.
 func Validate(state *message.ChainState, request *message.ConfigRequest) replica.ValidationResult {
 	digest := RequestDigest(request)
 	isSame := func(applied message.Change) bool { return bytes.Equal(applied.Digest, digest) }
@@ -40,7 +40,7 @@
 	}
 	switch {
 	case base < Version(state.Horizon):
-		return undecided() // it may have been applied so long ago that its digest is forgotten
+		return undecided() // it may have been applied, and its digest dropped from the history
 	case base > Version(state.Version):
 		return validateAhead(request)
 	case base < Version(state.Version):
@@ -49,9 +49,9 @@
 	return validateOnCurrent(state, request, digest)
 }
 
-// validateAhead decides a change based on a version that is not in force yet. The change that brings that version may be
-// in progress, and a repetition of this request may be decided after it. So a request is rejected only where it is invalid
-// on every state.
+// validateAhead validates a change based on a newer version than the current one. The change to that version may be in
+// progress, and another copy of this request may be validated after it is applied. So a request is rejected only if it
+// is invalid on every state.
 func validateAhead(request *message.ConfigRequest) replica.ValidationResult {
 	if request.Method == http.MethodPut {
 		if _, err := Parse(request.Body); err != nil {
@@ -61,7 +61,7 @@
 	return undecided()
 }
 
-// validateOnCurrent decides a change based on the version in force.
+// validateOnCurrent validates a change based on the current version.
 func validateOnCurrent(state *message.ChainState, request *message.ConfigRequest, digest []byte) replica.ValidationResult {
 	document := request.Body
 	if request.Method == http.MethodPatch {
@@ -85,7 +85,7 @@
 	return replica.ValidationResult{Status: http.StatusOK, Apply: true, Change: change, Document: document}
 }
 
-// parseIfMatch reads the version that a change is based on from its If-Match header, where it may be quoted.
+// parseIfMatch reads the version that a change is based on from its If-Match header. The version may be quoted.
 func parseIfMatch(header string) (Version, error) {
 	version, err := strconv.ParseUint(strings.Trim(strings.TrimSpace(header), `"`), 10, 64)
 	if err != nil {
@@ -94,7 +94,8 @@
 	return Version(version), nil
 }
 
-// undecided is the result for a request that gets no response yet: the operator's client sends it again.
+// undecided is the result for a request that gets no response yet. The member that relays it submits it again; after that
+// member's time-out the operator's client sends it again.
 func undecided() replica.ValidationResult { return replica.ValidationResult{} }
 
 func reject(status int, err error) replica.ValidationResult {
@@ -105,8 +106,8 @@
 	return replica.ValidationResult{Status: status, Body: body}
 }
 
-// RequestDigest identifies a request by its method, base and body: one that is sent again has the same digest. Digests
-// are stored, so it must never change.
+// RequestDigest identifies a request by its method, base version and body, so a repeated request has the same digest.
+// Digests are stored on disk, so their computation must never change.
 func RequestDigest(request *message.ConfigRequest) []byte {
 	hash := sha256.New()
 	hash.Write([]byte(request.Method + "\n" + strings.TrimSpace(request.IfMatch) + "\n"))
--- a/internal/controlplane/configuration/change_test.go
+++ b/internal/controlplane/configuration/change_test.go
@@ -10,10 +10,10 @@
 	"pumiceline/internal/message"
 )
 
-// stateMachine applies requests one after the other to one state.
+// stateMachine applies requests in order to one state.
 type stateMachine struct{ state message.ChainState }
 
-// apply returns the status of the response.
+// apply validates a request, applies it if it is valid, and returns the status of the response.
 func (m *stateMachine) apply(method, ifMatch, body string) int {
 	result := Validate(&m.state, &message.ConfigRequest{Method: method, IfMatch: ifMatch, Body: []byte(body)})
 	if result.Apply {
@@ -59,8 +59,8 @@
 	assert.Equal(t, "/z/", config.Routes[0].Prefix, "an item with the same name is replaced")
 }
 
-// A change based on one that is still in progress gets no response: a copy of it may be decided after that one is in force,
-// and what was rejected must never be applied.
+// A change based on a version that is not current yet gets no response. A copy of it may be validated once that version
+// is current, and a rejected change must never be applied.
 func TestValidate_ChangeAheadOfState(t *testing.T) {
 	state := message.ChainState{Version: 5}
 	ahead := &message.ConfigRequest{Method: http.MethodPut, IfMatch: "7", Body: []byte(document(9, ""))}
@@ -68,12 +68,13 @@
 	patched := &message.ConfigRequest{Method: http.MethodPatch, IfMatch: "7", Body: []byte(`{"version":9}`)}
 	assert.Zero(t, Validate(&state, patched).Status)
 	broken := &message.ConfigRequest{Method: http.MethodPut, IfMatch: "7", Body: []byte(`{"version":9,`)}
-	assert.Equal(t, http.StatusBadRequest, Validate(&state, broken).Status, "no state makes it valid")
+	assert.Equal(t, http.StatusBadRequest, Validate(&state, broken).Status, "it is invalid on every state")
 	state.Version = 7
 	assert.True(t, Validate(&state, ahead).Apply)
 }
 
-// Changes before the horizon are forgotten: a request that is sent again may have been applied, so it is not rejected.
+// The history does not hold changes before the horizon. A request based on such a version may be a copy of an applied
+// one, so it is not rejected.
 func TestValidate_ChangeBeforeHorizon(t *testing.T) {
 	state := message.ChainState{Version: 50, Horizon: 40}
 	old := &message.ConfigRequest{Method: http.MethodPut, IfMatch: "39", Body: []byte(document(41, ""))}
--- a/internal/controlplane/configuration/configuration.go
+++ b/internal/controlplane/configuration/configuration.go
@@ -1,7 +1,7 @@
-// Package configuration parses, validates and changes the operator's configuration. The document is kept and replicated
-// as the operator sent it; what the system needs of it leaves this package in typed form (Config).
+// Package configuration parses, validates and changes the operator's configuration. The document is stored and
+// replicated as the operator sent it. Other packages use its typed form, Config.
 //
-// Parse and Validate are pure functions: every coordinator must come to the same result on the same state.
+// Parse and Validate are pure functions: every coordinator must get the same result on the same state.
 package configuration
 
 import (
@@ -10,26 +10,27 @@
 	"pumiceline/internal/message"
 )
 
-// Version is the operator's number of a configuration. Each change must raise it. 0 stands for no configuration.
+// Version is the number that the operator gives to a configuration. Each change must raise it. 0 means no
+// configuration.
 type Version uint64
 
-// RouteKind says which of a route's requests may run more than once. Its values are those of the document.
+// RouteKind says whether the requests of a route may run more than once. Its values are those in the document.
 type RouteKind string
 
-// The kinds of routes. Streaming routes answer with a stream of events.
+// The kinds of routes. A Streaming route responds with a stream of events.
 const (
 	ReadOnly  RouteKind = "read_only"
 	Changing  RouteKind = "changing"
 	Streaming RouteKind = "streaming"
 )
 
-// WeightedService is a service that gets a part of a route's requests, in proportion to its weight.
+// WeightedService is a service that receives a share of a route's requests in proportion to its weight.
 type WeightedService struct {
 	Service string
 	Weight  float64
 }
 
-// Route says which requests go to which service, and how.
+// Route describes which requests go to which services, and how they are handled.
 type Route struct {
 	Name          string
 	Host          string // in lower case, without a port
@@ -37,11 +38,11 @@
 	Kind          RouteKind
 	Timeout       time.Duration // from the arrival of a request to the end of its response
 	LatencyTarget time.Duration // a response within it earns its full value
-	MaxEventGap   time.Duration // longest time between two events of a stream that still counts as in time
+	MaxEventGap   time.Duration // longest time between two events of a stream that still counts as on time
 	Priority      int           // 0 is the most urgent
 	Split         []WeightedService
 	MaxAttempts   int  // backends to which one client request may be sent, at least 1
-	Resumable     bool // a stream that broke may be continued at another backend
+	Resumable     bool // an interrupted stream may be resumed at another backend
 }
 
 // IsIdempotent reports whether a request of the route may run more than once.
@@ -51,9 +52,9 @@
 type Model struct {
 	Name      message.ModelName
 	WeightsMB float64
-	LoadTime  time.Duration // of a load from the weight store
-	Adapters  int           // how many there are
-	AdapterMB float64       // size of each
+	LoadTime  time.Duration // time to load it from the weight store
+	Adapters  int           // number of adapters
+	AdapterMB float64       // size of each adapter
 }
 
 // Runtime describes the model backends of a service.
@@ -63,30 +64,30 @@
 	Models           []Model
 	WeightCapacityMB float64 // capacity for weights and adapters together
 	AdapterSlots     int
-	LoadsPerSecond   float64 // loads that the weight store allows over all backends
+	LoadsPerSecond   float64 // limit of the weight store over all backends
 }
 
 // Service is a group of interchangeable backends.
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int      // at each backend, of all callers together
-	Runtime        *Runtime // nil: its backends serve no models
+	MaxConnections int      // per backend, over all callers
+	Runtime        *Runtime // nil if its backends serve no models
 }
 
-// Limits bound what a client may send, and how slowly.
+// Limits bound the size of a client's requests, and the time that a client may take to send them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
-	HeaderTimeout time.Duration // for the header of a request
-	IdleTimeout   time.Duration // between two requests of a connection
+	HeaderTimeout time.Duration // time to receive the header of a request
+	IdleTimeout   time.Duration // time between two requests on a connection
 }
 
-// Config is a configuration in typed form. It is not changed after Parse.
+// Config is a configuration in typed form. It is immutable after Parse.
 type Config struct {
 	Version  Version
 	Routes   []*Route
 	Services map[string]*Service // by name
 	Limits   Limits
-	byHost   map[string][]*Route // longest prefix first
+	byHost   map[string][]*Route // by host; the routes with the longest prefix come first
 }
--- a/internal/controlplane/configuration/parse.go
+++ b/internal/controlplane/configuration/parse.go
@@ -12,7 +12,7 @@
 	"pumiceline/internal/message"
 )
 
-// Defaults of what a document leaves out.
+// Defaults of the fields that a document omits.
 const (
 	defaultPriority      = 5
 	defaultHeaderBytes   = 16 << 10
@@ -21,7 +21,8 @@
 	defaultIdleTimeout   = 15 * time.Second
 )
 
-// Parse reads a document. Where it is JSON, the error is a *docreader.Error with every fault and its path.
+// Parse reads a document. If the document is one JSON object, the error is a *docreader.Error with every fault and its
+// path.
 func Parse(document []byte) (*Config, error) {
 	findings := &docreader.Findings{}
 	root, err := decode(document, findings)
@@ -150,8 +151,8 @@
 	}
 }
 
-// checkRoutes finds what is wrong between items: unknown services, weights that sum to 0, two routes with the same match,
-// a name that is used twice.
+// checkRoutes adds the faults that no single field shows: unknown services, weights that sum to 0, two routes with the
+// same host and prefix, duplicate route names.
 func checkRoutes(config *Config, root docreader.Node, findings *docreader.Findings) {
 	type match struct{ host, prefix string }
 	matches, names := map[match]bool{}, map[string]bool{}
--- a/internal/controlplane/configuration/patch.go
+++ b/internal/controlplane/configuration/patch.go
@@ -7,8 +7,9 @@
 	"github.com/pkg/errors"
 )
 
-// patchBody is the body of a PATCH. Add and Remove hold items and their names by list, such as "routes". Items are
-// removed first; an added one replaces the item of the same name.
+// patchBody is the body of a PATCH. Add holds the items to add to each list of the document, such as "routes"; Remove
+// holds the names of the items to remove from it. Items are removed first. An added item replaces the item with the
+// same name.
 type patchBody struct {
 	Version json.RawMessage              `json:"version"`
 	Add     map[string][]json.RawMessage `json:"add"`
@@ -21,35 +22,35 @@
 	if err := json.Unmarshal(body, &request); err != nil {
 		return nil, errors.Wrap(err, "not a whole JSON object")
 	}
-	members := map[string]json.RawMessage{}
+	fields := map[string]json.RawMessage{}
 	if len(document) > 0 {
-		if err := json.Unmarshal(document, &members); err != nil {
+		if err := json.Unmarshal(document, &fields); err != nil {
 			return nil, errors.Wrap(err, "the configuration in force")
 		}
 	}
-	members["version"] = request.Version
+	fields["version"] = request.Version
 	for list, names := range request.Remove {
 		remove := func(items []json.RawMessage) ([]json.RawMessage, error) { return removeItems(items, names) }
-		if err := editList(members, list, remove); err != nil {
+		if err := editList(fields, list, remove); err != nil {
 			return nil, err
 		}
 	}
 	for list, added := range request.Add {
 		add := func(items []json.RawMessage) ([]json.RawMessage, error) { return addItems(items, added) }
-		if err := editList(members, list, add); err != nil {
+		if err := editList(fields, list, add); err != nil {
 			return nil, err
 		}
 	}
-	return json.Marshal(members)
+	return json.Marshal(fields)
 }
 
-// editList replaces a list of the document by what edit makes of it. A missing list is an empty one.
+// editList replaces a list of the document with the result of edit. A missing list counts as empty.
 func editList(
-	members map[string]json.RawMessage, list string, edit func([]json.RawMessage) ([]json.RawMessage, error),
+	fields map[string]json.RawMessage, list string, edit func([]json.RawMessage) ([]json.RawMessage, error),
 ) error {
 	var items []json.RawMessage
-	if len(members[list]) > 0 {
-		if err := json.Unmarshal(members[list], &items); err != nil {
+	if len(fields[list]) > 0 {
+		if err := json.Unmarshal(fields[list], &items); err != nil {
 			return errors.Wrapf(err, "%s: no list", list)
 		}
 	}
@@ -58,10 +59,10 @@
 		return errors.Wrap(err, list)
 	}
 	if items == nil {
-		items = []json.RawMessage{} // not null
+		items = []json.RawMessage{} // encoded as [] rather than null
 	}
 	encoded, err := json.Marshal(items)
-	members[list] = encoded
+	fields[list] = encoded
 	return err
 }
 
@@ -79,7 +80,7 @@
 	return remaining, nil
 }
 
-// addItems appends items, or puts them in place of those of the same name.
+// addItems appends items. An added item replaces an existing item with the same name.
 func addItems(items, added []json.RawMessage) ([]json.RawMessage, error) {
 	indexByName := map[string]int{}
 	for i, item := range items {
--- a/internal/controlplane/configuration/routing.go
+++ b/internal/controlplane/configuration/routing.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// index makes the tables that Match searches.
+// index builds the lookup table for Match.
 func (c *Config) index() {
 	c.byHost = map[string][]*Route{}
 	for _, route := range c.Routes {
@@ -16,8 +16,8 @@
 	}
 }
 
-// Match returns the route of a request's host, which may have a port, with the longest prefix of its path. It is nil
-// where there is none.
+// Match returns the route of a request's host with the longest prefix of its path, or nil if there is none. The host
+// may include a port.
 func (c *Config) Match(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon > strings.LastIndexByte(host, ']') {
 		host = host[:colon]
