--- a/internal/controlplane/storage/frame.go
+++ b/internal/controlplane/storage/frame.go
@@ -10,7 +10,7 @@
 //	offset  bytes  content
 //	     0      4  magic
 //	     4      4  kind
-//	     8      8  sequence, rising through all segments
+//	     8      8  sequence number, increasing across all segments
 //	    16      4  length of the payload
 //	    20      4  CRC-32C of the first 20 bytes and the payload
 const (
@@ -24,13 +24,13 @@
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// frame is a record that is about to be written.
+// frame is a record to be written.
 type frame struct {
 	kind    Kind
 	payload []byte
 }
 
-// FrameBytes returns how many bytes a record takes in a segment.
+// FrameBytes returns the size of a record's frame in a segment.
 func FrameBytes(record []byte) int { return headerBytes + len(record) }
 
 func framesBytes(records map[Kind][]byte) int64 {
@@ -53,7 +53,7 @@
 	return append(encoded, payload...)
 }
 
-// frameHeader is a header as it was read. Nothing of it is to be trusted before the checksum was compared.
+// frameHeader is a header as read from a segment. It must not be trusted before its checksum is verified.
 type frameHeader struct {
 	magic    uint32
 	kind     Kind
--- a/internal/controlplane/storage/recovery.go
+++ b/internal/controlplane/storage/recovery.go
@@ -6,13 +6,14 @@
 	"github.com/pkg/errors"
 )
 
-// maxSequenceGap bounds the gap in the sequence after each opening. A crash may leave parts of frames that are not read, and
-// a later frame of the same place, kind and size with the same sequence could be completed by them: its checksum would
-// be right. The gap is random, as openings that find the same newest frame would else give the same sequences again.
+// maxSequenceGap bounds the gap in the sequence numbers after each opening. A crash may leave parts of frames that
+// recovery does not read. If a later frame had the same offset, kind, size and sequence number and were torn, those
+// parts could complete it, and its checksum would be right. The gap is random because openings that find the same
+// newest frame would otherwise assign the same sequence numbers again.
 const maxSequenceGap = 1 << 40
 
-// OpenFiles opens a ring on segments of SegmentBytes each and reads what they hold. An error means that a segment
-// cannot be read; what a crash left is none.
+// OpenFiles opens a ring on segments of SegmentBytes each and reads their records. It returns an error only if a
+// segment cannot be read; a torn write is not an error.
 func OpenFiles(files []File) (*Ring, error) { return openFiles(files, SegmentBytes) }
 
 func openFiles(files []File, segmentBytes int64) (*Ring, error) {
@@ -38,16 +39,16 @@
 			}
 		}
 	}
-	// What follows the last frame may be torn, so writing goes on in the next segment.
+	// The bytes after the last frame may belong to a torn write, so the next write goes to the next segment.
 	ring.current, ring.mustRotate = last, true
 	ring.skipSequences = 1 + rand.Uint64N(maxSequenceGap)
 	return ring, nil
 }
 
-// segmentContents is what one segment holds.
+// segmentContents holds the records of one segment.
 type segmentContents struct {
 	newest       map[Kind]record
-	appended     map[Kind][][]byte // since the newest record of their kind
+	appended     map[Kind][][]byte // records appended to the newest record of their kind
 	lastSequence uint64
 }
 
@@ -56,9 +57,10 @@
 	payload  []byte
 }
 
-// readSegment reads a segment up to the first frame that does not count. Frames of one use of a segment have consecutive
-// sequences. Any other sequence shows a frame of another use: one that stands behind the end of the present one, or one
-// whose successor became durable while it did not itself, as a disk may write sectors in any order.
+// readSegment reads a segment up to the first invalid frame. The frames written during one use of a segment have
+// consecutive sequence numbers. A frame with any other number is left from another use, for one of two reasons: it is
+// located after the last frame of this use, or the frame that should have overwritten it did not become durable. The
+// latter can happen although the next frame did become durable, as a disk may write sectors in any order.
 func readSegment(file File, segmentBytes int64) (*segmentContents, error) {
 	contents := &segmentContents{newest: map[Kind]record{}, appended: map[Kind][][]byte{}}
 	encoded := make([]byte, headerBytes)
@@ -84,7 +86,8 @@
 	return contents, nil
 }
 
-// continuesWith reports whether a frame with that sequence can be the next one. Any sequence can begin a segment.
+// continuesWith reports whether the next frame can have that sequence number. The first frame of a segment can have
+// any.
 func (c *segmentContents) continuesWith(sequence uint64) bool {
 	if c.lastSequence == 0 {
 		return sequence > 0
--- a/internal/controlplane/storage/ring.go
+++ b/internal/controlplane/storage/ring.go
@@ -2,18 +2,19 @@
 // and for a kind the records appended to its newest one. It works like a write-ahead log that is compacted whenever it
 // rotates to the next segment, which then begins with the newest record of every kind.
 //
-// A write is one sequential write of frames and one fdatasync. A frame counts only when its magic number, its checksum
-// and its place in the sequence are right.
+// A write is one sequential write of frames and one fdatasync. A frame is valid only if its magic number, its checksum
+// and its sequence number are right.
 //
-// What a crash leaves: every write that returned without an error, and a prefix of the frames of the write that was under
-// way, which may be none or all of them. The order of frames within a write is fixed (see Ring.Write), so that a record
-// can rely on another of the same write. A failed write is followed by one in another segment, never in one that holds the
-// newest synced record of some kind (see Ring.nextSegment), so no number of failures in a row loses a synced record.
+// Crashes: every write that returned without an error survives a crash. Of a write in progress a prefix of the frames
+// survives, which may be none or all of them. The order of frames within a write is fixed (see Ring.Write), so a
+// record can rely on another record of the same write. After a failed write the next one goes to another segment,
+// which never holds the newest synced record of any kind (see Ring.nextSegment). So no number of consecutive failures
+// loses a synced record.
 //
-// What recovery does: OpenFiles reads each segment up to its first frame that does not count, and of all segments takes
-// the record of each kind with the highest sequence, together with what was appended to it there. Whatever follows such
-// a frame in the segment is dropped without a report, be it a torn write, a damaged sector, or frames of the segment's
-// earlier use. Only a segment that cannot be read is an error. Writing goes on in the next segment.
+// Recovery: OpenFiles reads each segment up to its first invalid frame. For each kind it takes the record with the
+// highest sequence number in any segment, together with the records appended to it there. It silently ignores the rest
+// of a segment after an invalid frame, which may be a torn write, a damaged sector, or frames from an earlier use of
+// the segment. Only a segment that cannot be read is an error. The next write goes to the next segment.
 package storage
 
 import (
@@ -24,8 +25,7 @@
 	"github.com/pkg/errors"
 )
 
-// Size of a ring, unless it is opened with another one. All segments together stay under half of the smallest disk known, which
-// has 64 MB.
+// Default size of a ring. All segments together take less than half of the smallest known disk, which has 64 MB.
 const (
 	SegmentCount = 4
 	SegmentBytes = 7 << 20
@@ -41,14 +41,14 @@
 
 func (k Kind) isAppended() bool { return k&appendedBit != 0 }
 
-// File is what the ring needs of a segment. Tests implement it to inject disk faults.
+// File is the access that the ring needs to a segment. Tests implement it to inject disk faults.
 type File interface {
 	ReadAt(p []byte, offset int64) (int, error)
 	WriteAt(p []byte, offset int64) (int, error)
 	Sync() error
 }
 
-// Ring is an open ring. One goroutine owns it; it has no locks.
+// Ring is an open ring. It has no locks, so only one goroutine may use it.
 type Ring struct {
 	files        []File
 	segmentBytes int64
@@ -58,10 +58,10 @@
 	// skipSequences is added to the sequence before the first write after the opening (see maxSequenceGap).
 	skipSequences uint64
 	newest        map[Kind][]byte
-	appended      map[Kind][][]byte // by the kind that they were appended to; they stand in the segment of its newest record
-	// synced names the segment with the newest synced record of each kind. A write that failed does not change it.
+	appended      map[Kind][][]byte // by the kind that they extend; stored in the segment of its newest record
+	// synced is the index of the segment with the newest synced record of each kind. A failed write does not change it.
 	synced map[Kind]int
-	// mustRotate is set when the end of the current segment is unknown: after a failed write, and after a start.
+	// mustRotate is set while the end of the current segment is unknown: after a failed write, and after opening.
 	mustRotate bool
 }
 
@@ -71,9 +71,9 @@
 // errNoFreeSegment cannot occur while there are fewer kinds of records than segments.
 var errNoFreeSegment = errors.New("each segment of the ring holds a newest record")
 
-// SyncFound syncs the segments that hold the records found at the opening. A process that was killed leaves writes in the
-// operating system's cache that it had not synced: they are found, and a loss of power would still lose them. So nothing
-// that was found may be relied on before SyncFound has returned without an error.
+// SyncFound syncs the segments with the records found at opening. A killed process may leave unsynced writes in the
+// operating system's cache. The next process finds their records, but a loss of power would still lose them. So no
+// record found at opening may be relied on before SyncFound has returned without an error.
 func (r *Ring) SyncFound() error {
 	segments := map[int]bool{}
 	for _, segment := range r.synced {
@@ -87,20 +87,20 @@
 	return nil
 }
 
-// Newest returns the newest record of a kind, nil where there is none.
+// Newest returns the newest record of a kind, or nil if there is none.
 func (r *Ring) Newest(kind Kind) []byte { return r.newest[kind] }
 
-// Appended returns what was appended to the newest record of a kind, in order.
+// Appended returns the records appended to the newest record of a kind, in order.
 func (r *Ring) Appended(kind Kind) [][]byte { return r.appended[kind] }
 
 // Write replaces the newest records of some kinds and returns when they are synced. After an error it is unknown
-// whether they will be found after a crash; writing again goes on in the next segment.
+// whether the records will be found after a crash; the next write goes to the next segment.
 //
-// Frames are written in falling order of their kinds, and a torn write leaves a prefix of them. A record that relies on
-// another of the same write must have the lower kind: then it is never found without that one.
+// Frames are written in descending order of their kinds, and a torn write leaves a prefix of them. If one record relies
+// on another of the same write, it must have the lower kind: then it is never found without the other.
 //
-// Where Write goes on in the next segment it writes the newest record of every kind again, but no appended records.
-// So while CanAppend is false, a kind that has appended records must be written with Write, in full.
+// When Write rotates to the next segment, it writes the newest record of every kind again, but no appended records.
+// So while CanAppend is false, a kind that has appended records must be written in full with Write.
 func (r *Ring) Write(records map[Kind][]byte) error {
 	for kind, payload := range records {
 		r.newest[kind] = payload
@@ -112,15 +112,15 @@
 	return r.writeFrames(orderFrames(records, 0, nil))
 }
 
-// CanAppend reports whether appended records whose frames take appendedBytes (see FrameBytes) still fit into the current
-// segment, together with the records that the same write replaces.
+// CanAppend reports whether the current segment has room for appended records with frames of appendedBytes in total
+// (see FrameBytes), together with the records that the same write replaces.
 func (r *Ring) CanAppend(appendedBytes int, records map[Kind][]byte) bool {
 	return !r.mustRotate && r.fits(framesBytes(records)+int64(appendedBytes))
 }
 
-// Append appends to the newest record of a kind, and replaces the newest records of others. It returns when all is
-// synced. CanAppend must be true, and the newest record of the kind must stand in the current segment. After an error
-// the kind must be written with Write, in full.
+// Append appends records to the newest record of a kind, and replaces the newest records of other kinds. It returns
+// when all of them are synced. CanAppend must be true, and the newest record of the kind must be in the current
+// segment. After an error the kind must be written in full with Write.
 func (r *Ring) Append(kind Kind, appended [][]byte, records map[Kind][]byte) error {
 	for other, payload := range records {
 		r.newest[other] = payload
@@ -129,10 +129,10 @@
 	return r.writeFrames(orderFrames(records, kind, appended))
 }
 
-// fits reports whether frames of that size fit into the rest of the current segment.
+// fits reports whether the current segment has room for frames of that size.
 func (r *Ring) fits(size int64) bool { return r.offset+size <= r.segmentBytes }
 
-// rotate makes the next segment the current one and writes the newest record of every kind to its beginning.
+// rotate makes the next free segment the current one and writes the newest record of every kind to its beginning.
 func (r *Ring) rotate() error {
 	r.mustRotate = true
 	if framesBytes(r.newest) > r.segmentBytes {
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// nextSegment returns the first segment after the current one that holds no newest synced record of any kind. While there
-// are fewer kinds than segments there is one.
+// nextSegment returns the first segment after the current one that holds no newest synced record of any kind. There is
+// always one while there are fewer kinds than segments.
 func (r *Ring) nextSegment() (int, error) {
 	inUse := map[int]bool{}
 	for _, segment := range r.synced {
@@ -168,8 +168,8 @@
 	return 0, errNoFreeSegment
 }
 
-// orderFrames returns the frames of a write: records appended to the kind base first, and replaced records after them in
-// falling order of their kinds. base counts only where there are appended records.
+// orderFrames returns the frames of a write: first the records appended to the kind base, then the replaced records in
+// descending order of their kinds. base is ignored if there are no appended records.
 func orderFrames(records map[Kind][]byte, base Kind, appended [][]byte) []frame {
 	var frames []frame
 	for _, payload := range appended {
--- a/internal/controlplane/storage/ring_faults_test.go
+++ b/internal/controlplane/storage/ring_faults_test.go
@@ -11,32 +11,32 @@
 
 var errInjected = errors.New("injected disk fault")
 
-// writeOutcome is what happens to one write of the ring.
+// writeOutcome is the injected result of one write to the ring.
 type writeOutcome int
 
 const (
 	writeSucceeds writeOutcome = iota
 	writeRefused               // nothing is written
-	writeTorn                  // half of the bytes are written, and the write fails
-	syncFails                  // all bytes are in the operating system's cache, none is durable
+	writeTorn                  // the first half of the bytes is written, and the write fails
+	syncFails                  // all bytes are in the operating system's cache, but none is durable
 )
 
-// crash is what happens after a write.
+// crash is the injected fault after a write.
 type crash int
 
 const (
 	noCrash       crash = iota
-	processKilled       // the operating system's cache stays
+	processKilled       // the operating system's cache is kept
 	powerLost           // unsynced writes are lost
-	powerTorn           // of each unsynced write the first half is durable
-	powerReversed       // of each unsynced write the second half is durable, as sectors are written in any order
+	powerTorn           // only the first half of each unsynced write is durable
+	powerReversed       // only the second half of each unsynced write is durable, as a disk may write sectors in any order
 )
 
-// faultyFile is a segment in memory that grows as it is written. What is not synced is kept apart, as writes.
+// faultyFile is a segment in memory that grows as it is written. It keeps a list of its unsynced writes.
 type faultyFile struct {
 	cached, durable []byte
 	unsynced        []unsyncedWrite
-	outcome         *writeOutcome // of the ring's present write
+	outcome         *writeOutcome // of the ring's current write
 }
 
 type unsyncedWrite struct {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// losePower leaves the durable content and what of the unsynced writes the crash leaves.
+// losePower keeps the durable content, and the parts of the unsynced writes that the kind of crash leaves.
 func (f *faultyFile) losePower(kind crash) {
 	for _, w := range f.unsynced {
 		half := len(w.content) / 2
@@ -102,14 +102,14 @@
 	return content
 }
 
-// faultyDisk is a ring on faulty files together with what its user may rely on. Write number n stores n as kind 1 and
-// as kind 2, as the coordinator does with the control state and the chain state.
+// faultyDisk is a ring on faulty files together with the numbers that its user may rely on. Write number n stores n as
+// kind 1 and as kind 2, as the coordinator does with the control state and the chain state.
 type faultyDisk struct {
 	t       require.TestingT
 	files   []File
 	outcome writeOutcome
 	ring    *Ring
-	// acknowledged is the newest number that a write returned without an error, or that a start found.
+	// acknowledged is the newest number that was written without an error or found at opening.
 	acknowledged, attempted uint64
 }
 
@@ -131,7 +131,7 @@
 	return binary.BigEndian.Uint64(record)
 }
 
-// write stores the next number, appended to kind 2 where that is possible, as the coordinator does.
+// write stores the next number. Like the coordinator, it appends the number to kind 2 if that is possible.
 func (d *faultyDisk) write(outcome writeOutcome) {
 	d.outcome = outcome
 	d.attempted++
@@ -161,8 +161,8 @@
 	d.open(trace)
 }
 
-// open opens the ring anew, and fails where an acknowledged number is gone or a control state is found without the chain
-// state that was written with it. What is found counts as acknowledged from then on.
+// open reopens the ring. It fails the test if an acknowledged number is lost, or if a control state is found without
+// the chain state that was written with it. The number found counts as acknowledged from then on.
 func (d *faultyDisk) open(trace string) {
 	ring, err := OpenFiles(d.files)
 	require.NoError(d.t, err, trace)
@@ -179,13 +179,13 @@
 	d.ring, d.acknowledged = ring, control
 }
 
-// step is a write and what follows it.
+// step is a write and the crash that follows it.
 type step struct {
 	outcome writeOutcome
 	crash   crash
 }
 
-// forEachSequence calls play with each sequence of that many steps.
+// forEachSequence calls play with each sequence of the given length.
 func forEachSequence(steps []step, length int, play func([]step)) {
 	sequence := make([]step, length)
 	var extend func(int)
@@ -226,7 +226,7 @@
 
 var allCrashes = []crash{processKilled, powerLost, powerTorn, powerReversed}
 
-// Whatever becomes of up to seven writes in a row, no acknowledged record is lost in the crash that follows.
+// A crash after up to seven writes loses no acknowledged record, whichever of the writes fail and in whichever way.
 func TestRing_LosesNothingInAnySequenceOfFailedWrites(t *testing.T) {
 	steps := crossSteps([]writeOutcome{writeSucceeds, writeRefused, writeTorn, syncFails}, []crash{noCrash})
 	for length := 1; length <= 7; length++ {
@@ -238,7 +238,7 @@
 	}
 }
 
-// The same where the process is killed or power is lost between the writes.
+// Crashes between up to four writes lose no acknowledged record, whether the process is killed or power is lost.
 func TestRing_LosesNothingInAnySequenceOfCrashes(t *testing.T) {
 	steps := crossSteps([]writeOutcome{writeSucceeds, writeTorn, syncFails}, append([]crash{noCrash}, allCrashes...))
 	for length := 1; length <= 4; length++ {
@@ -246,20 +246,20 @@
 	}
 }
 
-// A ring that reuses the segment with the newest synced records is found out by such a sequence.
-func TestRing_SequencesFindReuseOfSyncedSegment(t *testing.T) {
+// The checks of faultyDisk detect a ring that reuses the segment with the newest synced records.
+func TestFaultyDisk_DetectsReuseOfSyncedSegment(t *testing.T) {
 	failure := &recordedFailure{}
 	disk := newFaultyDisk(failure)
 	disk.write(writeSucceeds)
 	for range SegmentCount + 1 {
-		clear(disk.ring.synced) // the planted defect: the ring forgets which segments it needs
+		clear(disk.ring.synced) // the injected defect: the ring does not keep the segments that it needs
 		disk.write(writeTorn)
 	}
-	disk.restart(powerTorn, "planted")
+	disk.restart(powerTorn, "injected defect")
 	require.True(t, failure.failed)
 }
 
-// recordedFailure stands in for a test that may fail.
+// recordedFailure is a require.TestingT that records a failure instead of failing the test.
 type recordedFailure struct{ failed bool }
 
 func (f *recordedFailure) Errorf(string, ...any) { f.failed = true }
--- a/internal/controlplane/storage/ring_test.go
+++ b/internal/controlplane/storage/ring_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// memoryFile is a segment in memory. It keeps written and synced contents apart, as a disk does that loses power.
+// memoryFile is a segment in memory that keeps its written and its synced contents separately.
 type memoryFile struct {
 	written, synced []byte
 	failing         bool
@@ -64,7 +64,7 @@
 	assert.Nil(t, again.Newest(3))
 }
 
-// copyWith returns copies of the segments, with other bytes at an offset of one of them.
+// copyWith returns copies of the segments, with text written at an offset of one of them.
 func copyWith(memory []*memoryFile, changed int, offset int64, text []byte) []File {
 	copies := make([]File, SegmentCount)
 	for i, file := range memory {
@@ -76,7 +76,7 @@
 	return copies
 }
 
-// Wherever a write that was not synced is cut, the records before it are found, and so is the next write.
+// An unsynced write torn at any byte leaves the earlier records, and the next write is found too.
 func TestRing_TornWriteLeavesSyncedRecords(t *testing.T) {
 	files, memory := newFiles()
 	ring := open(t, files)
@@ -93,8 +93,8 @@
 	}
 }
 
-// A control state says that the chain state is complete: after a torn write of both it must not be found with the chain
-// state before.
+// A control state may say that the chain state is complete. After a torn write of both, a new control state must not be
+// found with the old chain state.
 func TestRing_TornWriteKeepsHigherKindsFirst(t *testing.T) {
 	files, memory := newFiles()
 	ring := open(t, files)
@@ -164,7 +164,7 @@
 	assert.Equal(t, "kept", string(again.Newest(1)))
 }
 
-// Appended records stay in order with their record, whatever else is written, until the next record of the kind.
+// Appended records are found in order, also after writes of other kinds, until the next record of their kind.
 func TestRing_KeepsAppendedRecordsInOrder(t *testing.T) {
 	files, _ := newFiles()
 	ring := open(t, files)
@@ -177,14 +177,14 @@
 	again := open(t, files)
 	assert.Equal(t, [][]byte{[]byte("one"), []byte("two"), []byte("three")}, again.Appended(2))
 	assert.Equal(t, "control again", string(again.Newest(1)))
-	assert.False(t, again.CanAppend(1, nil), "what follows may be torn")
+	assert.False(t, again.CanAppend(1, nil), "the bytes after the last frame may be torn")
 	require.NoError(t, again.Write(map[Kind][]byte{2: []byte("base with three")}))
 	last := open(t, files)
 	assert.Empty(t, last.Appended(2))
 	assert.Equal(t, "base with three", string(last.Newest(2)))
 }
 
-// A torn or failed append leaves the appended records before it, and a full segment takes no more.
+// A torn or failed append leaves the earlier appended records. A full segment takes no more records.
 func TestRing_TornAppendLeavesSyncedRecords(t *testing.T) {
 	files, memory := newFiles()
 	ring := open(t, files)
--- a/internal/controlplane/storage/segment.go
+++ b/internal/controlplane/storage/segment.go
@@ -10,17 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// segmentFile is a segment on disk. Its size never changes, so that a sync need not write metadata.
+// segmentFile is a segment on disk. Its size never changes, so a sync need not write a new size to the metadata.
 type segmentFile struct{ *os.File }
 
-// Sync writes the contents to the disk.
+// Sync makes the written contents durable.
 func (f segmentFile) Sync() error { return unix.Fdatasync(int(f.Fd())) }
 
-// Open opens the ring in a folder, with segments of SegmentBytes, and reads what it holds. It makes the folder and the segments
-// where they are missing.
+// Open opens the ring in a directory, with segments of SegmentBytes, and reads its records. It creates the directory
+// and the segments if they are missing.
 func Open(dir string) (*Ring, error) { return OpenSized(dir, SegmentBytes) }
 
-// OpenSized opens a ring with segments of another size. The size of a ring must stay the same.
+// OpenSized is Open with another segment size. A ring must always be opened with the same size.
 func OpenSized(dir string, segmentBytes int64) (*Ring, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, errors.Wrap(err, "make the folder of the ring")
@@ -39,7 +39,7 @@
 		if err := syncDir(dir); err != nil {
 			return nil, err
 		}
-		// The folder itself may be new. One above it that may not be read was there before.
+		// The directory may be new, so its parent is synced too. A parent without read permission existed before.
 		if err := syncDir(filepath.Dir(dir)); err != nil && !errors.Is(err, fs.ErrPermission) {
 			return nil, err
 		}
@@ -47,7 +47,7 @@
 	return openFiles(files, segmentBytes)
 }
 
-// openSegment opens a segment; one that is missing, or has another size, is preallocated.
+// openSegment opens a segment. It sets the size of a segment that is missing or has another size.
 func openSegment(path string, segmentBytes int64) (segment File, created bool, err error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -66,7 +66,7 @@
 	return segmentFile{file}, true, errors.Wrap(file.Sync(), "sync a new segment")
 }
 
-// syncDir makes the entries of new files in a folder durable.
+// syncDir makes the entries of new files in a directory durable.
 func syncDir(dir string) error {
 	folder, err := os.Open(dir)
 	if err != nil {
--- a/internal/controlplane/storage/stored_test.go
+++ b/internal/controlplane/storage/stored_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// unpackRing unpacks the segments of a ring from testdata into a folder of the test.
+// unpackRing unpacks the segments of a ring from testdata into a temporary directory.
 func unpackRing(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -30,15 +30,15 @@
 	return dir
 }
 
-// The files in testdata were stored by an earlier version, cef8855, and are never rewritten. That version opened the
-// ring three times: segment 0 holds an older record of each kind, segment 1 what was written after the second start,
-// segment 2 what was written after the third. There the last record, an appended one, is torn.
+// The files in testdata were stored by an earlier version, cef8855, and must never be rewritten. That version opened
+// the ring three times: segment 0 holds an older record of each kind, segment 1 the records written after the second
+// opening, and segment 2 those written after the third. The last record in segment 2, an appended one, is torn.
 func TestReadsRingStoredByEarlierVersion(t *testing.T) {
 	dir := unpackRing(t)
 	for i := range SegmentCount {
 		info, err := os.Stat(filepath.Join(dir, fmt.Sprintf("ring-%d", i)))
 		require.NoError(t, err)
-		require.EqualValues(t, SegmentBytes, info.Size(), "a segment of another size would be cut or grown at the start")
+		require.EqualValues(t, SegmentBytes, info.Size(), "a segment of another size would be truncated or extended by Open")
 	}
 	ring, err := Open(dir)
 	require.NoError(t, err)
@@ -51,7 +51,7 @@
 	assert.Empty(t, ring.Appended(7))
 	assert.Equal(t, 2, ring.current)
 	assert.EqualValues(t, 16, ring.sequence)
-	assert.False(t, ring.CanAppend(1, nil), "what follows the last record is torn")
+	assert.False(t, ring.CanAppend(1, nil), "the bytes after the last record are torn")
 
 	require.NoError(t, ring.Write(map[Kind][]byte{2: []byte("chain, third")}))
 	again, err := Open(dir)
