--- a/internal/controlplane/replica/acceptor.go
+++ b/internal/controlplane/replica/acceptor.go
@@ -2,11 +2,11 @@
 
 import "pumiceline/internal/message"
 
-// As an acceptor of Paxos, a voter promises and accepts proposals for the view after its own. Both are synced before
-// they are sent: a voter that forgot them in a restart could help to decide a second view with the same number.
+// A voter is a Paxos acceptor for the view after its current one. Promises and acceptances are synced before they are
+// sent: a voter that lost them in a restart could help to decide a second view with the same number.
 
-// canVoteOn reports whether this member may vote on the proposal for the next view that m carries. It need not be
-// complete itself, as the proposer is.
+// canVoteOn reports whether this member may vote on the proposal for the next view that m carries. A voter need not be
+// complete; only the proposer must be.
 func (r *Replica) canVoteOn(m *message.Message) bool {
 	return m.View == r.control.View.Number && r.isVoter() && r.isInChain(m.From)
 }
--- a/internal/controlplane/replica/agreement_model_test.go
+++ b/internal/controlplane/replica/agreement_model_test.go
@@ -13,15 +13,15 @@
 	"pumiceline/internal/message"
 )
 
-// agreementModel runs the agreement on view 2 alone: every member proposes a view of its own, again and again, while
-// messages are lost, duplicated and reordered, and members restart from what they had synced.
+// agreementModel runs only the agreement on view 2. The members repeatedly propose different views while messages are
+// lost, duplicated and reordered, and members restart from their synced state.
 type agreementModel struct {
-	random    *rand.Rand
-	members   []*Replica
-	disks     []message.ControlState
-	inFlight  []message.Message
-	forgetful bool // planted defect: a restarted member has forgotten what it promised and accepted
-	decided   map[string]bool
+	random        *rand.Rand
+	members       []*Replica
+	disks         []message.ControlState
+	inFlight      []message.Message
+	losesPromises bool // injected defect: a restart loses the member's promises and acceptances
+	decided       map[string]bool
 }
 
 const (
@@ -44,7 +44,7 @@
 	return m
 }
 
-// value returns a view for a member to propose: the current one, made unique by a zone.
+// value returns a view for a member to propose: the initial one, made distinguishable by a zone.
 func (m *agreementModel) value(proposer int) message.View {
 	view := InitialView([]string{address(0), address(1), address(2)})
 	view.Number = 2
@@ -52,7 +52,7 @@
 	return view
 }
 
-// applyOutput syncs an output, or loses its second half as the member loses power.
+// applyOutput carries out an output. At random the member restarts after the immediate messages, before the sync.
 func (m *agreementModel) applyOutput(index int, out Output) {
 	m.inFlight = append(m.inFlight, out.Immediate...)
 	if m.random.IntN(20) == 0 {
@@ -67,7 +67,7 @@
 
 func (m *agreementModel) restart(index int) {
 	disk := m.disks[index]
-	if m.forgetful {
+	if m.losesPromises {
 		disk.HighestProposal, disk.AcceptedProposal = message.ProposalNumber{}, message.ProposalNumber{}
 		disk.AcceptedView = message.View{}
 	}
@@ -86,7 +86,7 @@
 	}
 	at := m.random.IntN(len(m.inFlight))
 	delivered := m.inFlight[at]
-	if m.random.IntN(6) > 0 { // else it is delivered again later
+	if m.random.IntN(6) > 0 { // otherwise it is duplicated
 		m.inFlight = append(m.inFlight[:at:at], m.inFlight[at+1:]...)
 	}
 	if m.random.IntN(10) == 0 || delivered.ViewAnnouncement != nil {
@@ -120,19 +120,19 @@
 			decided += len(model.decided)
 		}
 	}
-	assert.Greater(t, decided, modelSeeds, "most runs decide")
+	assert.Greater(t, decided, modelSeeds, "most runs must decide a view")
 }
 
-// The model can fail: members that forget their promises in a restart decide two views.
-func TestAgreementModel_FindsForgottenPromises(t *testing.T) {
+// The model detects a violation: members that lose their promises in a restart decide two views.
+func TestAgreementModel_DetectsLostPromises(t *testing.T) {
 	for seed := range uint64(modelSeeds) {
 		model := newAgreementModel(seed, 3)
-		model.forgetful = true
+		model.losesPromises = true
 		model.run()
 		if len(model.decided) > 1 {
 			t.Logf("seed %d: %v", seed, model.decided)
 			return
 		}
 	}
-	t.Fatal("no seed finds it")
+	t.Fatal("two views were decided with no seed")
 }
--- a/internal/controlplane/replica/catch_up.go
+++ b/internal/controlplane/replica/catch_up.go
@@ -6,11 +6,11 @@
 	"pumiceline/internal/message"
 )
 
-// A member that is not complete takes the state from any member that is, so that it may propose and lead a later view
-// even where its predecessor in the chain is lost. It is synced with its predecessor, and counts for acknowledgements,
-// only when the state has come down the chain.
+// An incomplete member copies the state of any complete member, so that it may propose a later view and become its
+// head even if its predecessor in the chain is lost. It is synced, and counts for acknowledgements, only once its
+// predecessor has replicated the state to it.
 
-// requestCatchUp asks one member after the other, the head first, as long as this one is not complete.
+// requestCatchUp asks the next member in turn for its state while this member is incomplete. The head is asked first.
 func (r *Replica) requestCatchUp() {
 	if r.control.Complete {
 		return
@@ -23,7 +23,7 @@
 	}
 }
 
-// onCatchUpRequest sends the state of this member, if it is complete, to one that is not.
+// onCatchUpRequest sends the state of this member to an incomplete member, if this one is complete.
 func (r *Replica) onCatchUpRequest(m *message.Message) {
 	if m.View != r.control.View.Number || !r.IsMember() || !r.control.Complete {
 		return
@@ -36,8 +36,8 @@
 	r.send(senderOf(m), message.Message{CatchUp: catchUp})
 }
 
-// onCatchUp takes the state of a complete member, which has all that was acknowledged in earlier views; then this one is
-// complete too. Changes in that state that are not committed yet are committed once the chain has replicated them here.
+// onCatchUp installs the state of a complete member, which holds every change acknowledged in earlier views. Then this
+// member is complete too. Uncommitted changes in that state are committed once the chain has replicated them here.
 func (r *Replica) onCatchUp(m *message.Message) {
 	if m.View != r.control.View.Number || !r.IsMember() || r.control.Complete || r.link.synced {
 		return
@@ -46,7 +46,7 @@
 		r.installSnapshot(*m.CatchUp.State)
 	}
 	if !bytes.Equal(m.CatchUp.Digest, r.chain.Digest) {
-		return // it responds to a request that was made with another state
+		return // it answers a request that carried the digest of another state
 	}
 	r.control.Complete = true
 	r.output.controlDirty = true
--- a/internal/controlplane/replica/catch_up_test.go
+++ b/internal/controlplane/replica/catch_up_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/message"
 )
 
-// A member that missed many changes gets the state in one message, however many there were.
+// A member that missed changes receives the state in one message, however many changes it missed.
 func TestCatchUp_AfterThousandsOfChanges(t *testing.T) {
 	for _, count := range []int{1000, 10_000} {
 		c := newTestCluster(t, 3)
@@ -42,7 +42,7 @@
 	}
 }
 
-// An incomplete member becomes complete by any member that is, also when its predecessor sends nothing.
+// An incomplete member catches up from any complete member, even if its predecessor sends nothing.
 func TestCatchUp_FromAnyCompleteMember(t *testing.T) {
 	c := newClusterWithoutThird(t)
 	c.restartWithEmptyDisk(2, "second-m2")
@@ -52,11 +52,11 @@
 	third := c.members[2]
 	require.True(t, third.IsMember())
 	assert.True(t, third.control.Complete)
-	assert.False(t, third.IsSynced(), "it counts for no acknowledgement before the chain has reached it")
+	assert.False(t, third.IsSynced(), "its predecessor has not replicated the state to it yet")
 	assert.Equal(t, uint64(5), third.chain.Version)
 }
 
-// A response to a request of an earlier incarnation does not make the state complete.
+// A response to a request of an earlier incarnation has another digest and does not make the member complete.
 func TestCatchUp_ComparesDigest(t *testing.T) {
 	c := newClusterWithoutThird(t)
 	c.restartWithEmptyDisk(2, "second-m2")
--- a/internal/controlplane/replica/chain_replication.go
+++ b/internal/controlplane/replica/chain_replication.go
@@ -7,21 +7,21 @@
 	"pumiceline/internal/message"
 )
 
-// replicationLink is the member's part in replicating the state along the chain of its view.
+// replicationLink is the state of this member's replication to its successor and from its predecessor.
 type replicationLink struct {
 	synced              bool               // the state agrees with the predecessor's in this view
 	committed           bool               // every member of the view has synced the state
 	committedInView     bool               // some state was committed in this view
-	committedState      message.ChainState // the newest state known to be committed, in whatever view
+	committedState      message.ChainState // the newest state known to be committed, in any view
 	forwardedAt         time.Duration      // when the state was last sent to the successor
 	snapshotRequestedAt time.Duration
-	catchUpAttempts     int              // each is a request to another member
-	pending             []pendingRequest // at the head or the tail
+	catchUpAttempts     int              // number of catch-up requests sent; each goes to the next member
+	pending             []pendingRequest // requests queued at the head or the tail
 	inFlight            *pendingRequest  // the request whose change is being replicated, at the head
 }
 
-// resetReplication starts the member's part in a view, or anew after a restart. A complete head has all that was
-// acknowledged, so its state is the one that the chain agrees on.
+// resetReplication restarts replication when a view is entered or the process starts. A complete head holds every
+// acknowledged change, so the chain adopts its state.
 func (r *Replica) resetReplication() {
 	r.link = replicationLink{committedState: r.link.committedState, pending: r.link.pending}
 	if r.isHead() && r.control.Complete {
@@ -47,8 +47,9 @@
 	return r.control.View.Members[position-1], true
 }
 
-// forwardToSuccessor sends the state to the successor once it is synced here: as replicate, where the successor lacks
-// only its change, else (nil) as the digest. The tail has no successor: it commits the state once it is synced.
+// forwardToSuccessor sends the state to the successor once it is synced here. replicate carries a change if the
+// successor lacks only that change; if it is nil, only the digest is sent. The tail has no successor: it commits the
+// state once it is synced.
 func (r *Replica) forwardToSuccessor(replicate *message.Replicate) {
 	r.link.forwardedAt = r.now
 	r.link.committed = false
@@ -64,8 +65,8 @@
 	r.sendAfterSync(successor, message.Message{Replicate: replicate})
 }
 
-// onReplicate takes the predecessor's state and forwards it where it is new to this member. Where the message has only a
-// change or a digest, and that does not lead from this member's state to the predecessor's, it requests a snapshot.
+// onReplicate installs the predecessor's state and forwards it if it is new to this member. If the message has only a
+// change or a digest, and does not lead from this member's state to the predecessor's, it requests a snapshot.
 func (r *Replica) onReplicate(m *message.Message) {
 	predecessor, ok := r.predecessor()
 	if !ok || m.View != r.control.View.Number || m.From != predecessor.Identity {
@@ -73,7 +74,7 @@
 	}
 	replicate := m.Replicate
 	if r.chain.View == m.View && replicate.Sequence < r.chain.Sequence {
-		return // overtaken by a later one: within a view the state only grows
+		return // reordered after a later message: within a view the sequence only rises
 	}
 	isSame := bytes.Equal(r.chain.Digest, replicate.Digest)
 	if replicate.Snapshot == nil && isSame && r.link.synced && r.link.committed {
@@ -83,7 +84,7 @@
 	switch {
 	case replicate.Snapshot != nil:
 		r.installSnapshot(*replicate.Snapshot)
-	case isSame && r.chain.Sequence == replicate.Sequence: // there is nothing to apply
+	case isSame && r.chain.Sequence == replicate.Sequence: // nothing to apply
 	case replicate.Change != nil && r.applyChange(replicate.Change) == nil:
 	default:
 		r.send(predecessor, message.Message{SnapshotRequest: &message.SnapshotRequest{Full: true}})
@@ -93,15 +94,15 @@
 	r.markSynced()
 	isNew := isFirst || replicate.Change != nil || replicate.Snapshot != nil
 	if !isNew && r.now-r.link.forwardedAt < replicateRetryInterval {
-		return // the predecessor repeats its digest; the successor was sent this state a moment ago
+		return // the predecessor repeats its digest; this state was forwarded within replicateRetryInterval
 	}
 	if replicate.Snapshot != nil {
-		replicate = nil // the successor asks for a snapshot if it needs one
+		replicate = nil // the successor requests a snapshot if it needs one
 	}
 	r.forwardToSuccessor(replicate)
 }
 
-// markSynced notes that the state agrees with the predecessor's, which makes this member complete.
+// markSynced records that the state agrees with the predecessor's, which makes this member complete.
 func (r *Replica) markSynced() {
 	r.link.synced = true
 	r.recordView()
@@ -111,8 +112,8 @@
 	}
 }
 
-// recordView stores that the state belongs to the current view, so that no older message of that view replaces it after
-// a restart.
+// recordView stores the current view in the chain state, so that after a restart an older message of that view cannot
+// replace the state.
 func (r *Replica) recordView() {
 	if r.chain.View != r.control.View.Number {
 		r.chain.View = r.control.View.Number
@@ -120,7 +121,7 @@
 	}
 }
 
-// replaceChain notes that the chain state has to be written completely.
+// replaceChain marks the chain state to be written in full.
 func (r *Replica) replaceChain() {
 	r.output.chainDirty, r.output.chainReplaced = true, true
 	r.output.appendedRecords = nil
@@ -135,8 +136,8 @@
 	r.replaceChain()
 }
 
-// applyChange applies one change to the chain state. Where it does not fit, it returns an error and leaves the state as
-// it is.
+// applyChange applies one change to the chain state. If the change does not apply, it returns an error and the state is
+// unchanged.
 func (r *Replica) applyChange(record *message.ChangeRecord) error {
 	next, err := ApplyChange(&r.chain, record)
 	if err != nil {
@@ -149,7 +150,7 @@
 	return nil
 }
 
-// onCommitted takes the successor's acknowledgement of the state, or, at the tail, its own.
+// onCommitted handles the successor's acknowledgement of the state. The tail acknowledges to itself.
 func (r *Replica) onCommitted(m *message.Message) {
 	if m.View != r.control.View.Number || !r.link.synced {
 		return
@@ -173,7 +174,7 @@
 	}
 }
 
-// acknowledgeToPredecessor acknowledges that every member from this one to the tail has synced the state.
+// acknowledgeToPredecessor tells the predecessor that every member from this one to the tail has synced the state.
 func (r *Replica) acknowledgeToPredecessor() {
 	if predecessor, ok := r.predecessor(); ok {
 		r.sendAfterSync(predecessor, message.Message{Committed: r.committedMessage()})
@@ -184,7 +185,7 @@
 	return &message.Committed{Sequence: r.chain.Sequence, Digest: r.chain.Digest}
 }
 
-// onSnapshotRequest sends the state, or its digest, to the successor.
+// onSnapshotRequest sends the successor a snapshot if it asks for the full state, otherwise the digest.
 func (r *Replica) onSnapshotRequest(m *message.Message) {
 	successor, ok := r.successor()
 	if !ok || m.View != r.control.View.Number || m.From != successor.Identity || !r.link.synced {
@@ -198,7 +199,7 @@
 	r.sendAfterSync(successor, message.Message{Replicate: replicate})
 }
 
-// tickReplication repeats what got no answer.
+// tickReplication sends unacknowledged states and unanswered requests again.
 func (r *Replica) tickReplication() {
 	if !r.IsMember() {
 		return
--- a/internal/controlplane/replica/chain_replication_test.go
+++ b/internal/controlplane/replica/chain_replication_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// Found by the simulation: a snapshot that was overtaken by a change set the tail back.
+// A snapshot that arrives after a later change must not replace the newer state.
 func TestReplication_StateOnlyGrowsWithinView(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
@@ -43,5 +43,5 @@
 	assert.Equal(t, uint64(6), tail.chain.Version)
 	restarted := New(tail.options, testValidator, 0, tail.control, tail.chain)
 	restarted.Step(c.now, late)
-	assert.Equal(t, uint64(6), restarted.chain.Version, "nor after a restart")
+	assert.Equal(t, uint64(6), restarted.chain.Version, "the state does not go back after a restart either")
 }
--- a/internal/controlplane/replica/change_history.go
+++ b/internal/controlplane/replica/change_history.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// maxHistory is how many changes are kept by their digests, so that a repeated one is acknowledged again: two days of
-	// the target of 1,800 changes a day. They take some 120 KB.
+	// maxHistory is how many changes the history keeps. A repeated change is recognised by its digest and acknowledged
+	// again. 4096 changes are two days of the target of 1,800 changes a day, and take some 120 KB.
 	maxHistory = 4096
-	// MaxDocumentBytes bounds a configuration: a segment of the ring (package storage) holds it with all that is stored
-	// beside it.
+	// MaxDocumentBytes bounds a configuration document, so that it fits into a segment of the ring (package storage)
+	// together with the other records.
 	MaxDocumentBytes = 3 << 20
-	// digestBytes is how much of a SHA-256 is kept as a digest.
+	// digestBytes is the length of a digest, a truncated SHA-256.
 	digestBytes = 16
 )
 
-// ErrBaseMismatch is returned for a change that builds on another state.
+// ErrBaseMismatch is returned for a change that is based on another state.
 var ErrBaseMismatch = errors.New("change builds on another state")
 
-// errDocumentMismatch is returned for a change whose delta makes a document with another digest than the record names.
+// errDocumentMismatch is returned for a change whose delta results in a document with another digest than the record's.
 var errDocumentMismatch = errors.New("change makes a document with another digest")
 
 // ChainDigest extends the digest of all earlier changes by one change.
@@ -51,9 +51,9 @@
 	}
 }
 
-// ApplyChange returns the state after a change; the given state is not modified. It returns ErrBaseMismatch where the
-// change builds on another state, and another error where the result of its delta does not have the digest that the
-// record names.
+// ApplyChange returns the state after a change; the given state is not modified. It returns ErrBaseMismatch if the
+// change is based on another state, and another error if the delta cannot be applied or its result does not have the
+// digest in the record.
 func ApplyChange(state *message.ChainState, record *message.ChangeRecord) (message.ChainState, error) {
 	if !bytes.Equal(state.Digest, record.Previous) {
 		return message.ChainState{}, ErrBaseMismatch
@@ -72,8 +72,8 @@
 	}, nil
 }
 
-// appendToHistory returns the history with one more change. The oldest ones beyond maxHistory are dropped, and the
-// horizon moves up to the version of the last of them.
+// appendToHistory returns the history with one more change. It drops the oldest changes beyond maxHistory, and raises
+// the horizon to the version of the newest dropped change.
 func appendToHistory(state *message.ChainState, change message.Change) (history []message.Change, horizon uint64) {
 	dropped := max(0, len(state.History)+1-maxHistory)
 	horizon = state.Horizon
--- a/internal/controlplane/replica/change_history_test.go
+++ b/internal/controlplane/replica/change_history_test.go
@@ -9,7 +9,8 @@
 	"pumiceline/internal/message"
 )
 
-// A change whose delta does not make the document of its digest is rejected, and leaves the state as it is.
+// A change whose delta does not result in a document with the recorded digest is rejected and leaves the state
+// unchanged.
 func TestApplyChange_RejectsMismatch(t *testing.T) {
 	state := message.ChainState{Digest: []byte("d"), Document: []byte("old document")}
 	record := newChangeRecord(&state, message.Change{Version: 2, Digest: []byte("x")}, []byte("new document"), 1)
--- a/internal/controlplane/replica/cluster_test.go
+++ b/internal/controlplane/replica/cluster_test.go
@@ -16,15 +16,15 @@
 // testTick is the interval at which a testCluster ticks its members, as the coordinator does.
 const testTick = 50 * time.Millisecond
 
-// testCluster is a few replicas whose messages the test delivers, at once and in order unless it drops some.
+// testCluster is a group of replicas. The test delivers their messages at once and in order, or drops them.
 type testCluster struct {
 	members     []*Replica
 	now         time.Duration
-	queue       []message.Message // sent and not delivered yet
+	queue       []message.Message // sent but not delivered yet
 	responses   []message.ConfigResponse
-	transcript  []string                      // lines of the messages delivered
-	unreachable []int                         // members that no message reaches
-	dropMessage func(m *message.Message) bool // messages that are lost
+	transcript  []string                      // one line per delivered message of interest
+	unreachable []int                         // members to which no message is delivered
+	dropMessage func(m *message.Message) bool // reports whether a message is lost
 }
 
 func newTestCluster(t *testing.T, count int) *testCluster {
@@ -32,7 +32,7 @@
 	return newTolerantCluster(t, count, 1)
 }
 
-// newTolerantCluster makes a cluster that tolerates the loss of so many members.
+// newTolerantCluster makes a cluster with the given tolerance for lost members.
 func newTolerantCluster(t *testing.T, count, tolerance int) *testCluster {
 	t.Helper()
 	c := &testCluster{}
@@ -47,7 +47,7 @@
 	return c
 }
 
-// newClusterWithoutThird makes a cluster of three that has acknowledged a change and then lost its third member.
+// newClusterWithoutThird makes a cluster of three members that acknowledged a change and then lost its third member.
 func newClusterWithoutThird(t *testing.T) *testCluster {
 	t.Helper()
 	c := newTestCluster(t, 3)
@@ -58,10 +58,10 @@
 	return c
 }
 
-// testDocument is a configuration of a version. The version is its first byte; text distinguishes documents.
+// testDocument returns a configuration document. Its first byte is the version; text distinguishes documents.
 func testDocument(version byte, text string) string { return string([]byte{version}) + text }
 
-// testValidator accepts every change on top of the current version. Its digest is the document itself.
+// testValidator accepts every change based on the current version. A change's digest is the document itself.
 func testValidator(state *message.ChainState, request *message.ConfigRequest) ValidationResult {
 	for _, change := range state.History {
 		if string(change.Digest) == string(request.Body) {
@@ -83,7 +83,7 @@
 	return names
 }
 
-// addMachine adds a machine with an empty disk at an address of its own; it knows some members as seeds. It returns the
+// addMachine adds a machine with an empty disk at a new address, with some members as its seeds. It returns the
 // machine's index.
 func (c *testCluster) addMachine(seeds ...int) int {
 	index := len(c.members)
@@ -95,7 +95,7 @@
 	return index
 }
 
-// restart restarts a member from what is on its disk.
+// restart restarts a member from the state on its disk.
 func (c *testCluster) restart(index int) {
 	old := c.members[index]
 	options := old.options
@@ -103,7 +103,7 @@
 	c.members[index] = New(options, testValidator, c.now, old.control, old.chain)
 }
 
-// restartWithEmptyDisk restarts a member at its address, with an empty disk and so under a new identity.
+// restartWithEmptyDisk restarts a member at the same address with an empty disk, and therefore under a new identity.
 func (c *testCluster) restartWithEmptyDisk(index int, identity message.MemberID) {
 	options := c.members[index].options
 	options.FirstStart = false
@@ -111,7 +111,7 @@
 	c.members[index] = New(options, testValidator, c.now, message.ControlState{}, message.ChainState{})
 }
 
-// advance lets time pass in ticks and delivers all messages. Paused members neither tick nor receive.
+// advance advances the time in ticks and delivers all messages. Paused members neither tick nor receive messages.
 func (c *testCluster) advance(duration time.Duration, paused ...int) {
 	for passed := time.Duration(0); passed < duration; passed += testTick {
 		c.now += testTick
@@ -124,13 +124,13 @@
 	}
 }
 
-// collect queues the messages of an output, all records of which count as synced.
+// collect queues the messages of an output, as if its records had been synced.
 func (c *testCluster) collect(out Output) {
 	c.queue = append(c.queue, out.Immediate...)
 	c.queue = append(c.queue, out.AfterSync...)
 }
 
-// deliver delivers all messages queued, and those that are sent in response.
+// deliver delivers all queued messages, and those sent in response.
 func (c *testCluster) deliver(paused ...int) {
 	for len(c.queue) > 0 {
 		m := c.queue[0]
@@ -152,7 +152,7 @@
 	}
 }
 
-// recordTranscript adds a line for each message of replication and of decisions.
+// recordTranscript adds a line for a message of chain replication, view confirmation or view agreement.
 func (c *testCluster) recordTranscript(m *message.Message) {
 	from, to := strings.TrimPrefix(string(m.From), "seed-"), strings.TrimPrefix(string(m.To), "seed-")
 	record := func(format string, arguments ...any) {
@@ -172,15 +172,15 @@
 	}
 }
 
-// put sends an operator's change on top of a version to a member, and delivers all messages.
+// put sends a member an operator's change based on a version, and delivers all messages.
 func (c *testCluster) put(at int, base uint64, document string) {
 	c.request(at, &message.ConfigRequest{Method: http.MethodPut, IfMatch: fmt.Sprint(base), Body: []byte(document)})
 }
 
-// get sends an operator's read to a member, and delivers all messages.
+// get sends a member an operator's read, and delivers all messages.
 func (c *testCluster) get(at int) { c.request(at, &message.ConfigRequest{Method: http.MethodGet}) }
 
-// request sends an operator's request to a member, as its API does, and delivers all messages.
+// request submits an operator's request to a member as the member's API does, and delivers all messages.
 func (c *testCluster) request(at int, request *message.ConfigRequest) {
 	member := c.members[at]
 	request.ID = uint64(len(c.responses) + 1)
--- a/internal/controlplane/replica/config_requests.go
+++ b/internal/controlplane/replica/config_requests.go
@@ -7,38 +7,39 @@
 	"pumiceline/internal/message"
 )
 
-// Validator decides an operator's change on top of a state. It must be a pure function.
+// Validator decides whether an operator's change can be applied to a state. It must be a pure function.
 type Validator func(state *message.ChainState, request *message.ConfigRequest) ValidationResult
 
-// ValidationResult is the result of validating a change on top of a state.
+// ValidationResult is the result of validating a change against a state.
 type ValidationResult struct {
-	// Status is the HTTP status of the answer: 200 where the change is applied or was applied before, else a rejection.
-	// 0 means that it cannot be decided on this state: no response is sent, and the relay repeats the request.
+	// Status is the HTTP status of the response: 200 if the change is applied or was applied before, otherwise that of a
+	// rejection. 0 means that the change cannot be decided on this state: no response is sent, and the relay repeats the
+	// request.
 	Status   int
 	Body     []byte
-	Apply    bool // the change is to be applied; Change and Document say how
+	Apply    bool // the change is to be applied, as Change and Document describe
 	Change   message.Change
 	Document []byte
 }
 
-// pendingRequest is an operator's request that waits at the head or the tail.
+// pendingRequest is an operator's request in the queue of the head or the tail.
 type pendingRequest struct {
 	from       message.Member // the member that relays it and gets the response
 	request    message.ConfigRequest
 	receivedAt time.Duration
 }
 
-// onConfigRequest takes an operator's request. The member that the operator reached relays it to the head, which
-// decides changes, or to the tail, which answers reads; those queue it. A relay repeats its requests until it has a
-// response, so any of them may be dropped.
+// onConfigRequest handles an operator's request. The member that receives it from the operator is its relay. The relay
+// forwards a change to the head and a read to the tail, which queue it. The relay repeats a request until it has a
+// response, so any copy may be dropped.
 func (r *Replica) onConfigRequest(m *message.Message) {
 	target, ok := r.responderFor(m.ConfigRequest)
 	if !ok {
 		return
 	}
 	if !r.isSelf(target) {
-		// Only the relay forwards. A request from another member that has an older or newer view is dropped, as members that
-		// disagree on the head would send it back and forth.
+		// Only the relay forwards a request. Members with different views may disagree on the head, and would otherwise send
+		// a request back and forth.
 		if m.From == r.control.Identity {
 			r.send(target, message.Message{ConfigRequest: m.ConfigRequest})
 		}
@@ -74,14 +75,13 @@
 	return members[0], true
 }
 
-// dispatchPendingRequests processes the queue in order. It stops while a change is in flight or the state is not
-// committed.
+// dispatchPendingRequests processes the queue in order while the state is committed and no change is in flight.
 func (r *Replica) dispatchPendingRequests() {
 	for len(r.link.pending) > 0 && r.link.synced && r.link.committed && r.link.inFlight == nil {
 		next := r.link.pending[0]
 		r.link.pending = r.link.pending[1:]
 		switch {
-		case r.now-next.receivedAt > requestTimeout: // its relay does not wait for it any more
+		case r.now-next.receivedAt > requestTimeout: // the relay no longer waits for it
 		case next.request.Method == http.MethodGet:
 			r.answerRead(next)
 		default:
@@ -102,7 +102,7 @@
 	})
 }
 
-// processChange validates a change at the head and replicates it where it is to be applied.
+// processChange validates a change at the head, and replicates it if it is to be applied.
 func (r *Replica) processChange(change pendingRequest) {
 	if !r.isHead() || !r.IsDurable() {
 		return // its relay repeats it
@@ -113,11 +113,12 @@
 		r.replicateChange(change, result)
 	case result.Status == 0: // its relay repeats it
 	case result.Status == http.StatusOK:
-		// What is committed in this view is held by every complete member, so it is there in every later view too: no
-		// majority has to be asked.
+		// Every complete member holds a change that is committed in this view, so every later view contains it too. The
+		// majority need not confirm the view.
 		r.respond(change, result.Status, result.Body)
 	default:
-		// A head that was replaced without knowing it must not reject what its successor may have accepted.
+		// This head may have been replaced without having received the new view. It must not reject a change that the new
+		// head may have accepted, so a majority must confirm the view first.
 		r.whenViewConfirmed(func() { r.respond(change, result.Status, result.Body) })
 	}
 }
@@ -126,13 +127,13 @@
 func (r *Replica) replicateChange(change pendingRequest, result ValidationResult) {
 	record := newChangeRecord(&r.chain, result.Change, result.Document, r.control.View.Number)
 	if r.applyChange(record) != nil {
-		return // its document is larger than MaxDocumentBytes, which the validator should reject
+		return // the document exceeds MaxDocumentBytes, which the validator should have rejected
 	}
 	r.link.inFlight = &change
 	r.forwardToSuccessor(&message.Replicate{Change: record, Sequence: r.chain.Sequence, Digest: r.chain.Digest})
 }
 
-// acknowledgeChange responds to the request in flight, whose change is committed now.
+// acknowledgeChange responds to the request in flight once its change is committed.
 func (r *Replica) acknowledgeChange() {
 	if r.link.inFlight == nil {
 		return
--- a/internal/controlplane/replica/config_requests_test.go
+++ b/internal/controlplane/replica/config_requests_test.go
@@ -9,6 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
+// Before a read or a rejection is answered, a majority must confirm the view.
 func TestConfigRequest_ReadsAndRejectionsAskMajority(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
--- a/internal/controlplane/replica/durability.go
+++ b/internal/controlplane/replica/durability.go
@@ -6,8 +6,8 @@
 	"pumiceline/internal/message"
 )
 
-// Machines without a disk are members only where no machine has one; the initial view may have both, as its members are
-// given by the settings. Diskless members then leave as soon as enough durable ones are complete.
+// Diskless machines are members only if no machine has a disk. The settings give the members of the initial view, so
+// that view may have both kinds; its diskless members are then removed as soon as enough durable ones are complete.
 
 // isDiskless reports whether a member is known to have no disk.
 func (r *Replica) isDiskless(member message.Member) bool {
@@ -17,7 +17,7 @@
 	return member.Diskless || r.detector.lookup(member.Identity).disk == diskAbsent
 }
 
-// mayBeDiskless reports whether a member has no disk, or is a seed that has not said yet whether it has one.
+// mayBeDiskless reports whether a member has no disk, or is a seed whose first heartbeat has not arrived yet.
 func (r *Replica) mayBeDiskless(member message.Member) bool {
 	if r.isSelf(member) {
 		return r.options.Diskless
@@ -26,8 +26,9 @@
 	return r.isDiskless(member) || isUnknownSeed
 }
 
-// isDisklessSystem reports whether no member of the view has a disk, and, in the initial view, none has turned up within
-// durableMemberTimeout. Diskless machines are ordinary members then; one that restarts comes back as another member.
+// isDisklessSystem reports whether no member or voter of the view has a disk. In the initial view this is decided only
+// after durableMemberTimeout. In a diskless system, diskless machines are ordinary members; a machine that restarts
+// rejoins as a new member.
 func (r *Replica) isDisklessSystem() bool {
 	view := r.control.View
 	if len(view.Members) == 0 || view.Number == 1 && r.now-r.viewEnteredAt < durableMemberTimeout {
@@ -36,15 +37,16 @@
 	return lo.EveryBy(membersAndVoters(view), r.isDiskless)
 }
 
-// yieldsToDurableMembers reports whether a member has no disk though others have one.
+// yieldsToDurableMembers reports whether a member has no disk although the system is not diskless.
 func (r *Replica) yieldsToDurableMembers(member message.Member) bool {
 	return r.isDiskless(member) && !r.isDisklessSystem()
 }
 
-// IsDurable reports whether a change may be acknowledged: after the loss of all power and of as many disks as the
-// tolerance says, the disks that are left must hold a majority of the voters and the change. In a diskless system, and in
-// an initial view with fewer voters than that takes, no change is acknowledged until the view is durableMemberTimeout
-// old: durable members may join until then.
+// IsDurable reports whether a change may be acknowledged. After a loss of power at all members and of as many disks as
+// are tolerated, the remaining disks must belong to a majority of the voters and must hold the change. If no voter is
+// known to have a disk, and the system is not known to be diskless, a change is acknowledged only once the view is
+// durableMemberTimeout old, because durable members may still join. The same holds for an initial view with fewer than
+// minVoters voters.
 func (r *Replica) IsDurable() bool {
 	voters := r.control.View.EffectiveVoters()
 	hasWaited := r.now-r.viewEnteredAt >= durableMemberTimeout
--- a/internal/controlplane/replica/failure_detector.go
+++ b/internal/controlplane/replica/failure_detector.go
@@ -11,16 +11,16 @@
 	"pumiceline/internal/message"
 )
 
-// failureDetector records when each member was heard, the health that its heartbeats give, and what its monitors report
-// of it. The monitors of a member are those that follow it on a ring of all identities. The detector decides nothing:
-// nextView decides by its records.
+// failureDetector records for each member when its last message arrived, the health in its heartbeats, and the reports
+// of its monitors. The monitors of a member are its successors on a ring of all members, ordered by identity. The
+// detector only keeps records; nextView decides based on them.
 type failureDetector struct {
 	members      map[message.MemberID]*memberRecord
-	reports      map[reportKey]time.Duration // when each report was made last
+	reports      map[reportKey]time.Duration // when each report was last received
 	joinRequests map[message.MemberID]joinRequest
-	monitors     []message.Member // to whom this member sends its heartbeats
-	monitored    []message.Member // whose heartbeats it awaits
-	resumedAt    instant          // when this process went on after a pause longer than suspicionTimeout
+	monitors     []message.Member // members to which this one sends its heartbeats
+	monitored    []message.Member // members whose heartbeats this one expects
+	resumedAt    instant          // when this process resumed after a pause longer than suspicionTimeout
 }
 
 func newFailureDetector() failureDetector {
@@ -31,7 +31,7 @@
 	}
 }
 
-// record returns the record of an identity, to be changed.
+// record returns the record of an identity for modification. It creates a missing record.
 func (d *failureDetector) record(identity message.MemberID) *memberRecord {
 	record, ok := d.members[identity]
 	if !ok {
@@ -41,7 +41,7 @@
 	return record
 }
 
-// lookup returns what is known of an identity: the zero record where nothing is.
+// lookup returns a copy of the record of an identity, or the zero record if there is none.
 func (d *failureDetector) lookup(identity message.MemberID) memberRecord {
 	if record, ok := d.members[identity]; ok {
 		return *record
@@ -49,42 +49,42 @@
 	return memberRecord{}
 }
 
-// recordMessage records that a message of a member arrived. It withdraws the reports by self that the member is suspected
-// or late, unless the member's own heartbeats say that it is unhealthy.
+// recordMessage records that a message from a member arrived. It withdraws self's reports that the member is suspected
+// or late, unless the member's last heartbeat says that it is unhealthy.
 func (d *failureDetector) recordMessage(identity, self message.MemberID, now time.Duration) {
 	record := d.record(identity)
-	record.lastHeard, record.lastMessage = instantAt(now), instantAt(now)
+	record.timeoutStart, record.lastMessage = instantAt(now), instantAt(now)
 	if !record.health.unhealthy {
 		delete(d.reports, reportKey{reportSuspected, identity, self})
 		delete(d.reports, reportKey{reportLate, identity, self})
 	}
 }
 
-// reset restarts all time-outs after a pause of this process: what members sent meanwhile has not been read yet.
+// reset restarts all time-outs after a pause of this process: messages that arrived during the pause are not read yet.
 func (d *failureDetector) reset(now, pause time.Duration) {
 	if pause > suspicionTimeout {
 		d.resumedAt = instantAt(now)
 	}
 	for _, record := range d.members {
-		if record.lastHeard.known {
-			record.lastHeard.at = now
+		if record.timeoutStart.known {
+			record.timeoutStart.at = now
 		}
 	}
 	clear(d.reports)
 	clear(d.joinRequests)
 }
 
-// enterView prepares for a new view. It restarts the time-outs of the members that self did not monitor before, as those
-// sent it no heartbeats. The time-outs of the others go on: a member that failed in the old view must be suspected in the
-// new one without another wait.
+// enterView prepares for a new view. It restarts the time-outs of the members that self did not monitor before, as
+// they sent it no heartbeats. The time-outs of the others continue: a member that failed in the old view must be
+// suspected in the new view without another full time-out.
 func (d *failureDetector) enterView(old, view message.View, self message.MemberID, now time.Duration) {
 	for _, member := range view.Members {
 		record := d.record(member.Identity)
 		if !containsMember(monitorsOf(old, member.Identity), self) {
-			record.lastHeard = instantAt(now)
+			record.timeoutStart = instantAt(now)
 		}
 		if !containsMember(old.Members, member.Identity) {
-			record.health = health{} // it is from before the member rejoined
+			record.health = health{} // drops the health from before the member rejoined
 		}
 		delete(d.joinRequests, member.Identity)
 	}
@@ -96,8 +96,8 @@
 	clear(d.reports)
 }
 
-// recordLostVotes records the voters whose vote went to a newcomer of their zone: they were probably replaced on purpose,
-// and will be stopped.
+// recordLostVotes records the voters that lost their vote to a newcomer of their zone. They were probably replaced on
+// purpose, and will be stopped.
 func (d *failureDetector) recordLostVotes(old, view message.View, now time.Duration) {
 	isNewcomer := func(m message.Member) bool { return !containsMember(membersAndVoters(old), m.Identity) }
 	voters := view.EffectiveVoters()
@@ -127,7 +127,7 @@
 	maps.DeleteFunc(d.reports, func(_ reportKey, at time.Duration) bool { return now-at > reportTimeout })
 }
 
-// monitorsOf returns the members to which identity sends its heartbeats: the next ones on the ring of identities.
+// monitorsOf returns the members to which a member sends its heartbeats: the next ones on the ring of identities.
 func monitorsOf(view message.View, identity message.MemberID) []message.Member {
 	ring := slices.Clone(view.Members)
 	sort.Slice(ring, func(i, j int) bool { return ring[i].Identity < ring[j].Identity })
--- a/internal/controlplane/replica/heartbeat.go
+++ b/internal/controlplane/replica/heartbeat.go
@@ -9,12 +9,12 @@
 	"pumiceline/internal/message"
 )
 
-// membershipTimers are the times from which a member measures its intervals and delays.
+// membershipTimers holds the start times of a member's intervals and delays.
 type membershipTimers struct {
-	lastHeartbeat         instant       // outside the chain: the last join request
-	lastAnnouncement      time.Duration // of the view, to those outside the chain
-	suspectedSince        instant       // since when some member of the chain has been suspected without a gap
-	viewChangeWantedSince instant       // since when this member could propose and a view change was due, without a gap
+	lastHeartbeat         instant       // outside the chain: when the last join request was sent
+	lastAnnouncement      time.Duration // when the view was last announced outside the chain
+	suspectedSince        instant       // start of the period in which some member of the chain has been suspected
+	viewChangeWantedSince instant       // start of the period in which this member could propose and a view change was due
 }
 
 // recordSuspicion records whether some member of the chain is suspected now.
@@ -27,7 +27,7 @@
 	}
 }
 
-// tickMembership sends heartbeats and reports as a member, and join requests outside the chain.
+// tickMembership sends heartbeats and reports if this replica is a member, otherwise join requests.
 func (r *Replica) tickMembership() {
 	interval := heartbeatInterval
 	if r.options.Diskless && !r.IsMember() && !r.isDisklessSystem() {
@@ -46,7 +46,7 @@
 	r.reportSuspicions()
 	r.announceOutsideChain()
 	if r.isIsolated() {
-		r.sendJoinRequest(&message.JoinRequest{Observer: true}) // its view may be an old one
+		r.sendJoinRequest(&message.JoinRequest{Observer: true}) // its view may be outdated
 	}
 }
 
@@ -64,20 +64,21 @@
 	r.detector.record(m.From).recordHeartbeat(m.Heartbeat, m.View, m.FromZone, r.now)
 }
 
-// isIsolated reports whether this member has not heard a majority of the voters for too long. Others may still hear it.
+// isIsolated reports whether less than a majority of the voters has sent this member a message within
+// suspicionTimeout. Its own messages may still reach others.
 func (r *Replica) isIsolated() bool {
 	if r.now-r.viewEnteredAt < suspicionTimeout {
 		return false
 	}
-	heard := lo.CountBy(r.control.View.EffectiveVoters(), func(m message.Member) bool {
-		return r.isSelf(m) || r.detector.lookup(m.Identity).lastHeard.isWithin(suspicionTimeout, r.now)
+	recent := lo.CountBy(r.control.View.EffectiveVoters(), func(m message.Member) bool {
+		return r.isSelf(m) || r.detector.lookup(m.Identity).timeoutStart.isWithin(suspicionTimeout, r.now)
 	})
-	return heard < r.quorumSize()
+	return recent < r.quorumSize()
 }
 
-// announceOutsideChain lets the first proposer announce the view to those outside the chain. Voters and replaced voters
-// may have been partitioned when it was decided, and all members that they know of may be gone since. Seeds are asked by
-// machines that know nothing but the seeds' addresses, so they must know the newest view to answer.
+// announceOutsideChain announces the view outside the chain if this member is the first proposer. Voters and replaced
+// voters may have been partitioned when the view was decided, and all members in their last view may be gone since. New
+// machines have only the addresses of the seeds, so the seeds must have the newest view to answer their requests.
 func (r *Replica) announceOutsideChain() {
 	if !r.isFirstProposer() || r.now-r.timers.lastAnnouncement < observerInterval {
 		return
@@ -91,7 +92,7 @@
 	chainAddresses := lo.Map(view.Members, func(m message.Member, _ int) string { return m.Address })
 	for _, recipient := range lo.UniqBy(recipients, func(m message.Member) string { return m.Address }) {
 		if !slices.Contains(chainAddresses, recipient.Address) {
-			r.announceView(message.Member{Address: recipient.Address}) // whichever process listens there now
+			r.announceView(message.Member{Address: recipient.Address}) // any process that listens there now
 		}
 	}
 }
--- a/internal/controlplane/replica/heartbeat_test.go
+++ b/internal/controlplane/replica/heartbeat_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A member that was removed learns of the newer view, also where all members that it knows are gone.
+// A removed member receives the newer view after it returns, although a machine unknown to it has joined meanwhile.
 func TestViewAnnouncement_ReachesRemovedMember(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
@@ -22,8 +22,8 @@
 	assert.Equal(t, c.members[1].View().Number, c.members[0].View().Number)
 }
 
-// A partitioned member came back to find all machines gone that it knew, and the head that would have announced the view
-// to it was lost: it held the vote that the others needed.
+// A voter returns from a partition when every other member of its own view is gone and the old head is lost. The new
+// first proposer must announce the view to it, because the others need its vote.
 func TestViewAnnouncement_ReachesAbsentVotersFromFirstProposer(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
@@ -35,7 +35,7 @@
 	c.advance(3*time.Second, 0)
 	require.True(t, c.members[joined].IsSynced())
 	voters := c.members[joined].View().EffectiveVoters()
-	require.True(t, containsMember(voters, "seed-m0"), "the newcomer replaced m2, so m0 got its vote back")
+	require.True(t, containsMember(voters, "seed-m0"), "the newcomer replaced m2, so m0 must get its vote back")
 	c.unreachable = []int{1, 2} // m2 has left and the head is lost; m0 is back
 	c.advance(6*time.Second, 1, 2)
 	assert.True(t, c.members[0].IsSynced())
--- a/internal/controlplane/replica/join.go
+++ b/internal/controlplane/replica/join.go
@@ -10,16 +10,16 @@
 	"pumiceline/internal/message"
 )
 
-// joinRequest is the newest request of a machine that asks to join the chain.
+// joinRequest is the newest request of a machine to join the chain.
 type joinRequest struct {
 	member  message.Member
-	view    message.ViewNumber // the newest view that the machine knew
-	firstAt time.Duration      // when the machine began to ask; its requests have not timed out since
-	lastAt  time.Duration      // when the newest request came
+	view    message.ViewNumber // the newest view that the machine had received
+	firstAt time.Duration      // when the first of its requests arrived that have not timed out since
+	lastAt  time.Duration      // when the newest request arrived
 }
 
-// requestToJoin asks all members known for membership; their responses also bring the newest view. A member that shuts
-// down withdraws its earlier requests instead.
+// requestToJoin asks all known members for admission. Members with a newer view also send it in response. A replica
+// that shuts down withdraws its earlier requests instead.
 func (r *Replica) requestToJoin() {
 	if r.leaving {
 		r.sendJoinRequest(&message.JoinRequest{Withdrawn: true})
@@ -29,7 +29,7 @@
 	r.sendJoinRequest(&message.JoinRequest{DiskStalled: r.diskStalled, Diskless: r.options.Diskless})
 }
 
-// sendJoinRequest sends a request to every address known.
+// sendJoinRequest sends a request to the addresses of the seeds and of the members and voters.
 func (r *Replica) sendJoinRequest(request *message.JoinRequest) {
 	addresses := slices.Clone(r.options.Seeds)
 	for _, member := range membersAndVoters(r.control.View) {
@@ -43,7 +43,7 @@
 }
 
 func (r *Replica) onJoinRequest(m *message.Message) {
-	if m.View < r.control.View.Number { // answered also outside the chain: the sender may know of no other machine
+	if m.View < r.control.View.Number { // done outside the chain too: the sender may have no other address
 		r.announceView(senderOf(m))
 	}
 	if m.JoinRequest.Withdrawn {
@@ -75,7 +75,7 @@
 	return r.IsMember() && !r.isInChain(m.From)
 }
 
-// recordFirstJoinRequest records when an identity that had never been a member asked to join for the first time.
+// recordFirstJoinRequest records the first join request of an identity that has never been a member.
 func (r *Replica) recordFirstJoinRequest(identity message.MemberID) {
 	record, view := r.detector.record(identity), r.control.View
 	known := append(membersAndVoters(view), replacedMembers(view)...)
@@ -84,13 +84,13 @@
 	}
 }
 
-// isCurrent reports whether a join request still counts.
+// isCurrent reports whether a join request has not timed out.
 func (r *Replica) isCurrent(request joinRequest) bool {
 	return r.now-request.lastAt <= joinRequestTimeout
 }
 
-// joiningMembers returns the machines that ask to join and could be admitted, in the order of their identities. It drops
-// the requests that do not count any more.
+// joiningMembers returns the machines that could be admitted by their join requests, in the order of their identities.
+// It drops requests that have timed out.
 func (r *Replica) joiningMembers(suspected []message.MemberID) []message.Member {
 	var joining []message.Member
 	isFirst := r.isFirstProposer()
@@ -99,12 +99,13 @@
 		case !r.isCurrent(request):
 			delete(r.detector.joinRequests, identity)
 		case request.view < r.control.View.Number:
-			// It does not know the current view. Perhaps no message reaches it: as a member it would stop every change.
+			// The machine has not received the current view, so messages may not reach it. As a member it would block every
+			// change.
 		case !isFirst && r.now-request.firstAt < admissionFallbackTimeout:
-			// The first proposer admits it, if it hears it.
+			// Admission is left to the first proposer, which admits the machine if it receives its requests.
 		case r.conflictsWithMember(request.member, suspected):
-			// Only one process can have an address, so the member with that address is gone. It is admitted once that member
-			// is suspected, and leaves the chain.
+			// Only one process can have an address, so the member with that address is gone. The machine is admitted once that
+			// member is suspected and leaves the chain.
 		default:
 			member := request.member
 			member.SinceView = r.control.View.Number + 1
--- a/internal/controlplane/replica/join_test.go
+++ b/internal/controlplane/replica/join_test.go
@@ -10,8 +10,8 @@
 	"pumiceline/internal/message"
 )
 
-// A joining member that hears nobody is not admitted to the chain, where it would hold up every change.
-func TestJoin_RejectsMemberThatHearsNobody(t *testing.T) {
+// A machine that receives no messages is not admitted: as a member it would block every change.
+func TestJoin_RejectsMachineThatReceivesNoMessages(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
 	c.dropMessage = func(m *message.Message) bool { return m.ToAddress == address(3) }
@@ -32,10 +32,10 @@
 	c.advance(3 * time.Second)
 	assert.True(t, c.members[1].IsSynced())
 	assert.Equal(t, uint64(5), c.members[1].CommittedState().Version)
-	assert.Equal(t, -1, indexOfMember(c.members[0].View().Members, "seed-m1"), "the old identity is out")
+	assert.Equal(t, -1, indexOfMember(c.members[0].View().Members, "seed-m1"), "the old identity must be removed")
 }
 
-// A member that was asked to stop while its join request was in flight ended, and was admitted after that.
+// A machine must not stop while its join request is in flight: it could be admitted after its process has ended.
 func TestReplica_CanStopWaitsForJoinRequestsInFlight(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
@@ -51,8 +51,8 @@
 	assert.False(t, containsMember(membersAndVoters(c.members[0].View()), c.members[joined].Identity()))
 }
 
-// The earlier requests of a machine are void as soon as it withdraws them.
-func TestJoin_WithdrawnRequestIsVoid(t *testing.T) {
+// A withdrawal removes the earlier join requests of a machine.
+func TestJoin_WithdrawalRemovesRequests(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
 	joined := c.addMachine(0, 1, 2)
@@ -63,8 +63,9 @@
 	assert.Empty(t, c.members[0].detector.joinRequests)
 }
 
-// A member that the head did not hear was admitted by another proposer and removed by the head, again and again.
-func TestJoin_RejectsMemberThatHeadDoesNotHear(t *testing.T) {
+// A machine whose messages do not reach the head must not be admitted by another proposer. Otherwise the head would
+// remove it again, repeatedly.
+func TestJoin_RejectsMemberThatCannotReachHead(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.advance(2 * time.Second)
 	head := c.members[0].View().Members[0].Address
--- a/internal/controlplane/replica/lease.go
+++ b/internal/controlplane/replica/lease.go
@@ -6,32 +6,32 @@
 	"pumiceline/internal/message"
 )
 
-// tokenViewShift is how many bits a fencing token has below the number of its view. With the view above them, the tokens
-// rise from view to view.
+// tokenViewShift is the number of low bits in a fencing token. The view number is stored above them, so tokens increase
+// from view to view.
 const tokenViewShift = 24
 
-// leaseState is the member's part in the lease on the controller role. The voters grant it, each to one member at a
-// time and for LeaseDuration; whoever has the grants of a majority holds it.
+// leaseState is this member's state in the lease protocol for the controller role. Each voter grants the lease to one
+// member at a time, for LeaseDuration. The member with grants from a majority holds the lease.
 type leaseState struct {
 	duration  time.Duration
-	startedAt time.Duration // of this process
+	startedAt time.Duration // start time of this process
 
 	// As a grantor.
 	grantedTo      message.MemberID
 	grantedAddress string // of grantedTo
 	grantExpiresAt time.Duration
-	renewalSeenAt  time.Duration // when another member's request for renewal came; 0: never, or the lease was released since
+	renewalSeenAt  time.Duration // when another member's renewal request last arrived; 0: never, or released since
 
 	// As a candidate and holder.
-	token                message.FencingToken // of the lease held; 0: none
+	token                message.FencingToken // token of the lease that this member holds; 0: none
 	expiresAt            time.Duration
 	heldSince            time.Duration
-	requestID            uint64 // of the newest request
+	requestID            uint64 // ID of the newest request
 	requestedToken       message.FencingToken
 	requestedAt          time.Duration
-	hasRequested         bool                      // some request was sent, at requestedAt
-	grantedBy            map[message.MemberID]bool // who has granted the newest request
-	highestRejectedToken message.FencingToken      // the highest token that rejections reported
+	hasRequested         bool                      // a request was sent at requestedAt
+	grantedBy            map[message.MemberID]bool // voters that have granted the newest request
+	highestRejectedToken message.FencingToken      // the highest token in a rejection
 }
 
 func newLeaseState(now time.Duration, options Options) leaseState {
@@ -41,11 +41,11 @@
 // Lease is a lease that this member holds on the controller role.
 type Lease struct {
 	Token     message.FencingToken
-	HeldSince time.Duration // held from then on without a gap, over all renewals
+	HeldSince time.Duration // start of the uninterrupted holding, over all renewals
 	ExpiresAt time.Duration
 }
 
-// Lease returns the lease that this member holds at now; ok is false where it holds none.
+// Lease returns the lease that this member holds at now; ok is false if it holds none.
 func (r *Replica) Lease(now time.Duration) (lease Lease, ok bool) {
 	if r.lease.token == 0 || now >= r.lease.expiresAt {
 		return Lease{}, false
@@ -53,7 +53,7 @@
 	return Lease{Token: r.lease.token, HeldSince: r.lease.heldSince, ExpiresAt: r.lease.expiresAt}, true
 }
 
-// LeaseHolderAddress returns the internal address of the lease holder; ok is false where this member knows of none.
+// LeaseHolderAddress returns the internal address of the lease holder; ok is false if this member knows of no holder.
 func (r *Replica) LeaseHolderAddress() (address string, ok bool) {
 	if _, held := r.Lease(r.now); held {
 		return r.options.Self.Address, true
@@ -62,7 +62,7 @@
 	return l.grantedAddress, l.grantedTo != "" && r.now < l.grantExpiresAt && l.grantedTo != r.control.Identity
 }
 
-// tickLease renews the lease, requests it where it is vacant, or releases it where this member may not hold it.
+// tickLease renews the lease, requests it if it is vacant, or releases it if this member may not hold it.
 func (r *Replica) tickLease() {
 	l := &r.lease
 	if l.token != 0 && r.now >= l.expiresAt {
@@ -81,15 +81,15 @@
 	r.requestLease()
 }
 
-// canHoldLease reports whether this member may be the controller: a healthy and complete member that does not leave, nor
-// yields to durable members.
+// canHoldLease reports whether this member may be the controller. It must be a complete member, its disk must not be
+// stalled, and it must neither be leaving nor yield to durable members.
 func (r *Replica) canHoldLease() bool {
 	mustYield := r.options.Diskless && !r.isDisklessSystem()
 	return r.IsMember() && r.control.Complete && !r.leaving && !r.diskStalled && !mustYield
 }
 
-// canRequestLease reports whether the lease has been vacant for long enough. The members become candidates one after the
-// other from the tail on, so that the head, which orders all changes, is the last.
+// canRequestLease reports whether the lease has been vacant for long enough. The members become candidates in order
+// from the tail to the head, so that the head, which orders all changes, is the last candidate.
 func (r *Replica) canRequestLease() bool {
 	l := &r.lease
 	vacantSince := max(l.grantExpiresAt, r.noGrantBefore())
@@ -100,13 +100,14 @@
 	return r.now >= vacantSince+time.Duration(membersBehind)*candidateDelay
 }
 
-// noGrantBefore returns the time before which this member grants no new lease. When it starts, or enters a view, a lease
-// that it does not know of may last for up to LeaseDuration.
+// noGrantBefore returns the time before which this member grants no new lease. When it starts or enters a view, a lease
+// unknown to it may still be valid for up to LeaseDuration.
 func (r *Replica) noGrantBefore() time.Duration {
 	return max(r.lease.startedAt, r.viewEnteredAt) + r.lease.duration
 }
 
-// requestLease asks for the lease held once more, or for a new one with a token above all that this member knows of.
+// requestLease requests a renewal of the lease held, or a new lease with a token above every token known to this
+// member.
 func (r *Replica) requestLease() {
 	l := &r.lease
 	l.hasRequested, l.requestedAt = true, r.now
@@ -118,20 +119,20 @@
 		l.requestedToken = max(lowest, r.control.LeaseToken, l.highestRejectedToken) + 1
 	}
 	request := &message.LeaseRequest{Token: l.requestedToken, RequestID: l.requestID, Renewal: l.token != 0}
-	// Members without a vote get it too: a renewal shows them that the lease is not vacant.
+	// Members without a vote receive the request too: a renewal shows them that the lease is not vacant.
 	for _, member := range membersAndVoters(r.control.View) {
 		r.send(member, message.Message{LeaseRequest: request})
 	}
 }
 
-// releaseLease gives the lease back, so that a successor need not wait until it expires.
+// releaseLease releases the lease, so that the next holder need not wait for its expiry.
 func (r *Replica) releaseLease() {
 	if r.lease.token == 0 {
 		return
 	}
 	release := &message.LeaseRelease{Token: r.lease.token}
 	r.lease.token = 0
-	r.lease.requestID++ // grants in flight must not revive the lease
+	r.lease.requestID++ // so that grants in flight are ignored and cannot restore the lease
 	for _, member := range membersAndVoters(r.control.View) {
 		r.send(member, message.Message{LeaseRelease: release})
 	}
@@ -139,17 +140,18 @@
 
 // onLeaseRequest grants the lease, renews it, or rejects the request.
 //
-// Nothing is granted or renewed once a next view is accepted. When that view is decided, a majority of this one's voters
-// has accepted it, so no lease of this view is granted from then on; and the voters of the next view enter it later than
-// that, and grant nothing new for LeaseDuration. A lease counts from before it was requested, so it has expired by then,
-// and no two members hold leases of two views at a time.
+// A voter grants and renews nothing after it has accepted a next view. Once that view is decided, a majority of the
+// current voters has accepted it, so no majority can grant a lease of the current view from then on. The voters of the
+// next view enter it after the decision, and grant nothing new for LeaseDuration. The holder of a lease of the current
+// view counts its duration from the time of its request, so that lease has expired by then. So two members never hold
+// leases of two views at the same time.
 func (r *Replica) onLeaseRequest(m *message.Message) {
 	if m.View != r.control.View.Number {
 		return
 	}
 	l, request := &r.lease, m.LeaseRequest
 	if request.Renewal && m.From != r.control.Identity {
-		l.renewalSeenAt = r.now // a member that was away, or has no vote, would take the lease for vacant otherwise
+		l.renewalSeenAt = r.now // without it, a member that was unreachable or has no vote would consider the lease vacant
 	}
 	if !r.isVoter() || r.control.AcceptedView.Number != 0 {
 		return
@@ -166,24 +168,25 @@
 	r.sendAfterSync(senderOf(m), message.Message{LeaseGrant: grant})
 }
 
-// canGrant reports whether this voter may grant a request.
+// canGrant reports whether this voter may grant a candidate's request.
 func (r *Replica) canGrant(candidate message.MemberID, request *message.LeaseRequest) bool {
 	l := &r.lease
 	isGranted := r.now < l.grantExpiresAt
 	isHolder := isGranted && l.grantedTo == candidate
-	// A holder that restarted has lost its lease, but only one process can have its identity: it may get a new one.
+	// A holder that restarted has lost its lease. Only one process can have its identity, so it may get a new lease.
 	isVacant := isHolder || !isGranted && r.now >= r.noGrantBefore()
 	if !request.Renewal {
 		return isVacant && request.Token > r.control.LeaseToken
 	}
-	// A grantor that was away renews a lease that it did not grant, once it has granted nothing for LeaseDuration: the
-	// token shows that no majority with it granted a later one. Otherwise a holder would lose its lease though a majority
-	// is alive, when enough grantors had been away one after the other.
+	// A grantor that was unreachable may renew a lease that it did not grant, if no grant of its own is valid and
+	// noGrantBefore has passed. The token shows that no majority with this grantor has granted a later lease. Otherwise a
+	// holder would lose its lease although a majority is alive, once enough grantors had been unreachable one after
+	// another.
 	return isVacant && request.Token >= r.control.LeaseToken
 }
 
-// onLeaseGrant counts the grants of the newest request; a majority of them makes this member the holder. The lease
-// counts from the request, so it expires for the holder before it does for any grantor.
+// onLeaseGrant counts the grants of the newest request; with a majority this member holds the lease. The lease duration
+// is counted from the request, so the lease expires for the holder before it does for any grantor.
 func (r *Replica) onLeaseGrant(m *message.Message) {
 	l, grant := &r.lease, m.LeaseGrant
 	if m.View != r.control.View.Number || grant.RequestID != l.requestID || !r.hasVote(m.From) {
@@ -204,7 +207,7 @@
 	l.expiresAt = l.requestedAt + l.duration - leaseSafetyMargin
 }
 
-// onLeaseRelease ends the grant for a lease that its holder gave back.
+// onLeaseRelease ends the grant of a lease that its holder released.
 func (r *Replica) onLeaseRelease(m *message.Message) {
 	l := &r.lease
 	if !r.isVoter() {
--- a/internal/controlplane/replica/lease_test.go
+++ b/internal/controlplane/replica/lease_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/message"
 )
 
-// leaseHolders returns all members that take themselves for the lease holder now.
+// leaseHolders returns all members that currently hold the lease by their own state.
 func leaseHolders(c *testCluster) []int {
 	return lo.FilterMap(c.members, func(m *Replica, i int) (int, bool) {
 		_, ok := m.Lease(c.now)
@@ -19,7 +19,7 @@
 	})
 }
 
-// leaseHolder returns the first member that holds the lease, -1 where none does.
+// leaseHolder returns the first member that holds the lease, or -1 if none does.
 func leaseHolder(c *testCluster) int {
 	for i, member := range c.members {
 		if _, ok := member.Lease(c.now); ok {
@@ -29,9 +29,9 @@
 	return -1
 }
 
-// Five members, two of which are partitioned from two others; the fifth accepts a view of the first two and itself, and
-// misses the decision. The holder of the old view and a holder of the new one must not overlap, however slow the proposals
-// are.
+// Of five members, two are partitioned from two others. The fifth accepts a view with the first two and itself, but
+// does not receive the decision. A lease of the old view and one of the new view must not be held at the same time,
+// however slow the proposals are.
 func TestLease_HasOneHolderDuringViewChange(t *testing.T) {
 	c := newTolerantCluster(t, 5, 2)
 	c.advance(5 * time.Second)
@@ -55,7 +55,7 @@
 	assert.True(t, decided)
 }
 
-// Request IDs are counted from the incarnation, so late responses to an earlier one match no request of this one.
+// Request IDs start at the incarnation, so late responses to an earlier incarnation match no request of this one.
 func TestIncarnation_IgnoresResponsesToEarlierIncarnation(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(5 * time.Second)
@@ -82,9 +82,9 @@
 	assert.False(t, started.HasMajority())
 }
 
-// A grantor that was away, or restarted, renews the lease again. Otherwise a holder loses it though a majority is alive,
-// when enough grantors have been away one after the other.
-func TestLease_IsRenewedByGrantorsThatWereAway(t *testing.T) {
+// A grantor that was paused or restarted must renew the lease again. Otherwise the holder loses it although a majority
+// is alive, once enough grantors have been paused one after another.
+func TestLease_IsRenewedByReturningGrantors(t *testing.T) {
 	c := newTolerantCluster(t, 4, 1)
 	c.advance(5 * time.Second)
 	index := leaseHolder(c)
@@ -100,7 +100,7 @@
 	}
 	after, _ := c.members[index].Lease(c.now)
 	assert.Equal(t, before.Token, after.Token)
-	assert.Equal(t, before.HeldSince, after.HeldSince, "it was held without a gap")
+	assert.Equal(t, before.HeldSince, after.HeldSince, "the lease must be held without interruption")
 }
 
 func TestLease_HasOneHolderAndRisingTokens(t *testing.T) {
@@ -111,15 +111,15 @@
 	lease, _ := c.members[first].Lease(c.now)
 	c.advance(8*time.Second, first)
 	_, ok := c.members[first].Lease(c.now)
-	assert.False(t, ok, "a holder that stood still finds its lease over by the steady clock")
+	assert.False(t, ok, "the lease of a paused holder must expire by its monotonic clock")
 	second := leaseHolder(c)
 	require.GreaterOrEqual(t, second, 0)
 	next, _ := c.members[second].Lease(c.now)
 	assert.Greater(t, next.Token, lease.Token)
 }
 
-// Found by the simulation: grants in flight revived a lease after its release.
-func TestLease_LateGrantsDoNotReviveIt(t *testing.T) {
+// Grants that arrive after the release of a lease must not restore it.
+func TestLease_LateGrantsDoNotRestoreIt(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(5 * time.Second)
 	index := leaseHolder(c)
@@ -138,7 +138,7 @@
 	assert.False(t, ok)
 }
 
-// Found by the simulation: a holder that restarted renewed under its old token.
+// A holder that restarted must not get a new lease with its old token.
 func TestLease_RestartedHolderNeedsHigherToken(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(5 * time.Second)
@@ -154,7 +154,8 @@
 	assert.False(t, out.AfterSync[0].LeaseGrant.Granted)
 }
 
-// A member without a vote that got no renewals requested the lease that another one held, and took a grantor from it.
+// Renewals must reach members without a vote too. Otherwise such a member requests the lease that another one holds,
+// and may take a grantor from the holder.
 func TestLease_RenewalReachesMembersWithoutVote(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.advance(2 * time.Second)
--- a/internal/controlplane/replica/next_view_test.go
+++ b/internal/controlplane/replica/next_view_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/message"
 )
 
-// A replacement that got a vote while the lost member kept its own would make four voters, of which three must be alive.
+// A replacement must take the vote of the lost member. Otherwise there are four voters, of which three must be alive.
 func TestNextView_ReplacementTakesVoteOfLostMember(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
@@ -27,14 +27,15 @@
 	assert.Equal(t, []string{"fresh-m3", "seed-m0", "seed-m1"}, identities(view.EffectiveVoters()))
 	assert.True(t, c.members[joined].IsSynced())
 
-	// A second loss right after it leaves a majority.
+	// A second loss right after the replacement leaves a majority.
 	c.unreachable = []int{1, 2}
 	c.advance(4*time.Second, 1, 2)
 	c.put(0, 0, testDocument(5, "x"))
 	assert.Len(t, c.responses, 1)
 }
 
-// While one member was lost and another left, the replacement was not admitted: the others lost their majority for good.
+// A replacement must be admitted while one member is lost and another is leaving. Otherwise the rest permanently loses
+// its majority.
 func TestNextView_AdmitsReplacementBesideLeavingMember(t *testing.T) {
 	c := newClusterWithoutThird(t)
 	c.members[0].SetLeaving()
@@ -42,14 +43,14 @@
 	joined := c.addMachine(0, 1)
 	c.advance(2*time.Second, 2)
 	require.True(t, c.members[joined].IsSynced())
-	assert.False(t, c.members[0].IsMember(), "it leaves once two others hold the state")
+	assert.False(t, c.members[0].IsMember(), "it must leave once two others hold the state")
 	c.unreachable = []int{0, 2}
 	c.advance(2*time.Second, 0, 2)
 	c.put(1, 5, testDocument(6, "y"))
 	assert.Len(t, c.responses, 2)
 }
 
-// The only complete member of a view stays in it though it was asked to stop.
+// The only complete member of a view stays in it although it was asked to stop.
 func TestNextView_KeepsOnlyCompleteMember(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
@@ -60,14 +61,14 @@
 	c.restartWithEmptyDisk(2, "second-m2")
 	c.unreachable = nil
 	c.members[0].SetLeaving()
-	c.dropMessage = func(m *message.Message) bool { // nothing of the state gets through
+	c.dropMessage = func(m *message.Message) bool { // the state reaches no other member
 		return m.Replicate != nil || m.CatchUp != nil
 	}
 	c.advance(3 * time.Second)
 	assert.True(t, c.members[0].IsMember())
 }
 
-// A partitioned member keeps its vote: it may return while one of the others loses its disk.
+// A partitioned member keeps its vote: it may return while another member loses its disk.
 func TestNextView_PartitionedMemberKeepsVote(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
@@ -77,7 +78,7 @@
 	require.Len(t, c.responses, 1)
 	require.Len(t, c.members[0].View().Members, 2)
 	require.Len(t, c.members[0].View().EffectiveVoters(), 3)
-	c.restartWithEmptyDisk(0, "second-m0") // and the third member is back
+	c.restartWithEmptyDisk(0, "second-m0") // while the third member returns
 	c.unreachable = nil
 	c.advance(4 * time.Second)
 	c.get(2)
@@ -86,8 +87,8 @@
 	assert.Len(t, c.members[1].View().Members, 3)
 }
 
-// Found by the simulation: where the address of a lost member was taken by a machine that could not be admitted yet, the
-// chain fell to one member, and a change was acknowledged on one disk.
+// If a machine that cannot be admitted yet takes the address of a lost member, the chain must not shrink to one member.
+// Otherwise a change is acknowledged on one disk.
 func TestNextView_ChainIsLongerThanTolerance(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
@@ -98,7 +99,7 @@
 	c.unreachable = nil
 	c.dropMessage = func(m *message.Message) bool {
 		isForWipedMember := m.ToAddress == address(2)
-		isLostJoinRequest := m.JoinRequest != nil && m.FromAddress == address(1) // it votes, but is not admitted yet
+		isLostJoinRequest := m.JoinRequest != nil && m.FromAddress == address(1) // m1 votes, but is not admitted yet
 		return isForWipedMember || isLostJoinRequest
 	}
 	for range 60 {
@@ -114,14 +115,14 @@
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
 	c.advance(2*time.Second, 1)
-	require.Len(t, c.members[0].View().Members, 2, "in well under two seconds")
+	require.Len(t, c.members[0].View().Members, 2, "the suspected member must be removed within two seconds")
 	c.put(0, 0, testDocument(5, "x"))
-	require.Len(t, c.responses, 1, "the rest can still take changes")
+	require.Len(t, c.responses, 1, "the remaining members must acknowledge changes")
 	c.advance(2 * time.Second)
 	require.Len(t, c.members[0].View().Members, 3)
-	assert.Equal(t, uint64(5), c.members[1].CommittedState().Version, "it got what it missed")
+	assert.Equal(t, uint64(5), c.members[1].CommittedState().Version, "the readmitted member must receive the missed change")
 	view := c.members[0].View()
-	assert.Equal(t, message.MemberID("seed-m1"), view.Members[2].Identity, "a member that returns stands at the tail")
+	assert.Equal(t, message.MemberID("seed-m1"), view.Members[2].Identity, "a returning member must be the tail")
 }
 
 func TestNextView_RemovesLeavingMemberAtOnce(t *testing.T) {
@@ -133,8 +134,8 @@
 	assert.False(t, c.members[2].IsMember())
 }
 
-// The settings do not give the zones of the seeds. They are in the view, so that a restarted member knows the zone also of
-// a lost member, which it has never heard.
+// The settings do not contain the zones of the seeds, so a view must add them. Otherwise a restarted member does not
+// know the zone of a lost member that never sent it a message.
 func TestNextView_AddsZonesOfSeeds(t *testing.T) {
 	c := newTestCluster(t, 3)
 	for i, member := range c.members {
@@ -144,11 +145,11 @@
 	c.advance(2 * time.Second)
 	zones := lo.Map(c.members[0].View().Members, func(m message.Member, _ int) string { return m.Zone })
 	assert.ElementsMatch(t, []string{"a", "b", "c"}, zones)
-	assert.Equal(t, message.ViewNumber(2), c.members[0].View().Number, "once is enough")
+	assert.Equal(t, message.ViewNumber(2), c.members[0].View().Number, "the zones must be added by a single view change")
 }
 
-// Four voters tolerate one loss, as three do; with the fourth member on standby a second loss after the first leaves a
-// majority.
+// Four voters tolerate one loss, as three do. With three voters and a standby member, a second loss after the first
+// still leaves a majority.
 func TestNextView_SecondLossLeavesMajority(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.advance(2 * time.Second)
@@ -163,7 +164,7 @@
 	assert.Len(t, c.responses, 1)
 }
 
-// A member was removed again after its restart, as its monitors went on reporting that it leaves.
+// A restarted member must not be removed again because its monitors still report that it is leaving.
 func TestNextView_RemovesRestartedMemberOnce(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.advance(2 * time.Second)
--- a/internal/controlplane/replica/output.go
+++ b/internal/controlplane/replica/output.go
@@ -2,29 +2,29 @@
 
 import "pumiceline/internal/message"
 
-// Output is what a step asks the caller to do, in this order: send Immediate; write Control and Chain where they are
-// set and sync them; then send AfterSync. Outputs are carried out in the order in which they were returned.
+// Output tells the caller what to do after a step, in this order: send Immediate; write and sync Control and Chain, if
+// they are set; send AfterSync. The caller must carry out outputs in the order in which they were returned.
 type Output struct {
 	Immediate []message.Message
 	Control   *message.ControlState
 	Chain     *message.ChainState
-	// AppendedRecords lead from the chain state of the output before to Chain. Without any, Chain has to be written
-	// completely.
+	// AppendedRecords are the changes from the previous output's chain state to Chain. If there are none, Chain must be
+	// written in full.
 	AppendedRecords []message.ChangeRecord
 	AfterSync       []message.Message
 }
 
-// pendingOutput collects the output of a step.
+// pendingOutput accumulates the output of a step.
 type pendingOutput struct {
 	immediate       []message.Message
 	afterSync       []message.Message
 	controlDirty    bool
 	chainDirty      bool
-	chainReplaced   bool // by a snapshot or for another view, so that appendedRecords do not lead to it
+	chainReplaced   bool // by a snapshot or for another view, so appendedRecords do not describe the difference
 	appendedRecords []message.ChangeRecord
 }
 
-// takeOutput returns what was collected since the last call.
+// takeOutput returns the output accumulated since the last call.
 func (r *Replica) takeOutput() Output {
 	pending := r.output
 	r.output = pendingOutput{}
@@ -48,7 +48,7 @@
 	r.output.immediate = append(r.output.immediate, r.addressed(to, m))
 }
 
-// sendAfterSync sends a message once all that was changed so far is on disk.
+// sendAfterSync sends a message once all state changes so far are synced.
 func (r *Replica) sendAfterSync(to message.Member, m message.Message) {
 	r.output.afterSync = append(r.output.afterSync, r.addressed(to, m))
 }
@@ -61,7 +61,7 @@
 	return m
 }
 
-// senderOf returns the sender of a message, as far as the message describes it.
+// senderOf returns the sender of a message with the fields that the message contains.
 func senderOf(m *message.Message) message.Member {
 	return message.Member{Identity: m.From, Address: m.FromAddress, Zone: m.FromZone}
 }
--- a/internal/controlplane/replica/proposer.go
+++ b/internal/controlplane/replica/proposer.go
@@ -13,19 +13,19 @@
 	active         bool
 	number         message.ProposalNumber
 	value          message.View
-	revocable      bool // the value came from nextView, so the proposal is given up when nextView no longer returns it
+	revocable      bool // the value came from nextView; the proposal is abandoned if nextView no longer returns it
 	accepting      bool // phase 2 has begun: Accept was sent
 	promises       map[message.MemberID]bool
 	acceptances    map[message.MemberID]bool
-	acceptedNumber message.ProposalNumber // the highest one of the accepted proposals that the promises report
+	acceptedNumber message.ProposalNumber // the highest number of an accepted proposal in the promises
 	startedAt      time.Duration
-	highestCounter uint64 // of all proposal numbers seen
+	highestCounter uint64 // highest counter of all proposal numbers seen
 }
 
-// isFirstProposer reports whether this member is the first of those that may propose.
+// isFirstProposer reports whether no member before this one in the chain may propose.
 func (r *Replica) isFirstProposer() bool { return r.proposerRank() == 0 }
 
-// proposerRank returns how many members that may propose stand before this one in the chain.
+// proposerRank returns how many members before this one in the chain may propose.
 func (r *Replica) proposerRank() int {
 	suspected := r.suspectedMembers()
 	rank := 0
@@ -40,9 +40,9 @@
 	return rank
 }
 
-// canPropose reports whether this member may start a proposal. It must be complete, so that it may become the head of
-// the chain that it proposes. It waits for minViewAge to know which others are complete, and after a pause of its process
-// for suspicionTimeout to know which are alive.
+// canPropose reports whether this member may start a proposal. It must be complete, so that it can be the head of the
+// chain that it proposes. It waits for minViewAge, to learn which others are complete, and after a pause of its process
+// for suspicionTimeout, to learn which others are alive.
 func (r *Replica) canPropose() bool {
 	if resumed := r.detector.resumedAt; resumed.known && r.now-resumed.at < suspicionTimeout {
 		return false
@@ -50,7 +50,7 @@
 	return r.IsMember() && r.now-r.viewEnteredAt >= minViewAge && r.control.Complete && !r.leaving && !r.diskStalled
 }
 
-// tickProposal starts a proposal when a view change is wanted, or an accepted view has not been decided, for long enough.
+// tickProposal starts a proposal if a view change has been wanted, or an accepted view undecided, for long enough.
 func (r *Replica) tickProposal() {
 	wantedSince := &r.timers.viewChangeWantedSince
 	if !r.canPropose() {
@@ -78,7 +78,7 @@
 	r.proposal.revocable = isWanted
 }
 
-// proposalDelay returns how long this member leaves a proposal to the members that should propose before it.
+// proposalDelay returns how long this member waits for higher-ranked members to propose first.
 func (r *Replica) proposalDelay() time.Duration {
 	delay := time.Duration(r.proposerRank()) * proposalRankDelay
 	if r.options.Diskless && r.hasDurablePeer() {
@@ -87,7 +87,7 @@
 	return delay
 }
 
-// hasDurablePeer reports whether another member, one with a disk, may propose.
+// hasDurablePeer reports whether another member that has a disk may propose.
 func (r *Replica) hasDurablePeer() bool {
 	suspected := r.suspectedMembers()
 	return lo.ContainsBy(r.control.View.Members, func(m message.Member) bool {
@@ -95,8 +95,8 @@
 	})
 }
 
-// prepare starts phase 1 with a number above all that were seen. Its own promise is synced before the number is sent:
-// a proposer that restarted in between would use the number again, for another value.
+// prepare starts phase 1 with a number above all numbers seen. This member's own promise is synced before the number is
+// sent. Otherwise the proposer could restart after sending the number and use it again for another value.
 func (r *Replica) prepare(value message.View) {
 	counter := max(r.proposal.highestCounter, r.control.HighestProposal.Counter) + 1
 	r.proposal = proposal{
@@ -111,8 +111,9 @@
 	}
 }
 
-// onPrepareResponse counts the promises. The value of the highest accepted proposal that they report replaces this
-// member's own, as it may have been decided already; with a majority of promises phase 2 begins.
+// onPrepareResponse counts the promises. If promises contain accepted proposals, the value of the one with the highest
+// number replaces this member's own value, as it may have been decided already. With a majority of promises phase 2
+// begins.
 func (r *Replica) onPrepareResponse(m *message.Message) {
 	p, response := &r.proposal, m.PrepareResponse
 	if !r.isResponseFromVoter(m, response.Proposal) || p.accepting {
@@ -139,14 +140,14 @@
 	}
 }
 
-// isStillWanted reports whether the view that a proposal was started for is still wanted: a suspected member may have
-// been heard again meanwhile.
+// isStillWanted reports whether the proposed view is still wanted. It may not be, for example if a suspected member has
+// sent messages again since the proposal started.
 func (r *Replica) isStillWanted(value message.View) bool {
 	wanted, isWanted := r.nextView()
 	return isWanted && sameMembers(wanted.Members, value.Members) && sameMembers(wanted.Voters, value.Voters)
 }
 
-// onAcceptResponse counts the acceptances; a majority of them decides the view.
+// onAcceptResponse counts the acceptances. A majority of them decides the view.
 func (r *Replica) onAcceptResponse(m *message.Message) {
 	p, response := &r.proposal, m.AcceptResponse
 	if !r.isResponseFromVoter(m, response.Proposal) || !p.accepting {
@@ -167,7 +168,7 @@
 	return m.View == r.control.View.Number && r.hasVote(m.From) && r.proposal.active && number == r.proposal.number
 }
 
-// announceDecided enters a decided view and announces it to the members and voters of the old view and the new one.
+// announceDecided enters a decided view and announces it to the members and voters of the old and the new view.
 func (r *Replica) announceDecided(view message.View) {
 	recipients := membersAndVoters(r.control.View, view)
 	r.enterView(view)
--- a/internal/controlplane/replica/proposer_test.go
+++ b/internal/controlplane/replica/proposer_test.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/message"
 )
 
-// A proposer that restarts after its number was sent must not use the same one for another value.
+// A proposer that restarts after sending its number must not use the number again for another value.
 func TestProposer_SyncsNumberBeforeSendingPrepare(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
@@ -18,7 +18,7 @@
 	head.prepare(message.View{Number: 2})
 	out := head.takeOutput()
 	require.NotNil(t, out.Control)
-	require.NotEmpty(t, out.AfterSync, "Prepare waits for the disk")
+	require.NotEmpty(t, out.AfterSync, "Prepare must be sent after the sync")
 	assert.Equal(t, out.AfterSync[0].Prepare.Proposal, out.Control.HighestProposal)
 	restarted := New(head.options, testValidator, c.now, *out.Control, head.chain)
 	restarted.prepare(message.View{Number: 2})
@@ -47,10 +47,11 @@
 	c.put(0, 0, testDocument(5, "x"))
 	c.put(0, 7, testDocument(9, "y"))
 	c.get(0)
-	assert.Empty(t, c.responses, "neither an acknowledgement nor a rejection nor a read")
+	assert.Empty(t, c.responses, "a minority must not acknowledge, reject or answer a read")
 }
 
-// After a pause all machines count as alive, the lost ones too: a proposal at once moved votes to those.
+// After a pause every machine counts as alive, including failed ones. A proposal right after the pause would move
+// votes to failed machines.
 func TestProposer_WaitsAfterPause(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(2 * time.Second)
--- a/internal/controlplane/replica/replica.go
+++ b/internal/controlplane/replica/replica.go
@@ -1,17 +1,18 @@
-// Package replica implements a coordinator's part in the replicated control state as a deterministic state machine. It
-// knows no network, disk or clock: Step takes a message and Tick the time, and both return an Output whose messages the
-// caller sends and whose records it syncs.
+// Package replica implements one coordinator's replica of the control state as a deterministic state machine. It uses
+// no network, disk or clock: Step takes a message and Tick the time, and both return an Output whose messages the
+// caller sends and whose records the caller syncs.
 //
 // Three protocols work together:
 //
 //   - Chain replication (van Renesse and Schneider, "Chain Replication for Supporting High Throughput and
-//     Availability", OSDI 2004) carries the configuration along a chain of members. The head orders changes, each member
-//     syncs a change before it forwards it, and the acknowledgement travels back from the tail.
+//     Availability", OSDI 2004) replicates the configuration along a chain of members. The head orders changes, each
+//     member syncs a change before it forwards it, and the acknowledgement returns from the tail to the head.
 //   - Single-decree Paxos (Lamport, "Paxos Made Simple") decides each membership change. The members of the chain, and
 //     the voters that decide, form a numbered view; the voters of view n choose view n+1.
 //   - Leases with fencing tokens, granted by a majority of the voters, elect one controller.
 //
-// A failure detector based on heartbeats proposes whom to remove from the chain and whom to admit; it decides nothing.
+// A failure detector based on heartbeats records which members are suspected and which machines ask to join. The
+// proposer of a view change uses its records.
 package replica
 
 import (
@@ -20,33 +21,33 @@
 	"pumiceline/internal/message"
 )
 
-// Options do not change while the process runs.
+// Options are the settings of a replica. They do not change while the process runs.
 type Options struct {
-	Self          message.Member // its identity is used only where the disk is empty
+	Self          message.Member // its identity is used only if the disk is empty
 	Seeds         []string       // internal addresses of the members of the first view
-	Tolerance     int            // number of members that may be lost at one time
+	Tolerance     int            // number of members that may be lost at the same time
 	LeaseDuration time.Duration
 	FirstStart    bool // the whole system starts for the first time, with the seeds as members
-	Diskless      bool // the machine has no disk: it joins only where no member has one
+	Diskless      bool // the machine has no disk; it joins only if no member has one
 	// Incarnation is drawn at random when the process starts. Request IDs are counted from it, so that no response to an
 	// earlier incarnation matches a request of this one.
 	Incarnation uint64
 }
 
-// Replica is the state machine. It has one owner and no locks.
+// Replica is the state machine. It has no locks, so only one goroutine may use it.
 type Replica struct {
 	options  Options
 	validate Validator
 	now      time.Duration // latest time passed to Step or Tick
-	ticked   bool          // Tick was called; before that the time since New shows no pause
+	ticked   bool          // Tick was called; a delay before the first Tick is not a pause
 
-	// The records as they are on disk once the outputs are synced.
+	// The state that is on disk once the outputs are synced.
 	control message.ControlState
 	chain   message.ChainState
 	output  pendingOutput
 
-	// All below is lost in a restart.
-	viewEnteredAt time.Duration // when the view was entered, or the process started with that view on its disk
+	// The fields below are volatile: a restart loses them.
+	viewEnteredAt time.Duration // when the view was entered, or when the process started with that view on its disk
 	detector      failureDetector
 	timers        membershipTimers
 	proposal      proposal
@@ -56,11 +57,11 @@
 
 	leaving         bool
 	lastJoinRequest time.Duration
-	diskStalled     bool // as SetDiskStalled was called last
+	diskStalled     bool // last value passed to SetDiskStalled
 }
 
-// New returns a replica that goes on from the records found on disk; the zero states stand for an empty disk. The time
-// now and all later ones are of the process's monotonic clock.
+// New returns a replica with the state found on disk; zero states mean an empty disk. The time now and all later times
+// are of the process's monotonic clock.
 func New(options Options, validate Validator, now time.Duration, control message.ControlState, chain message.ChainState) *Replica {
 	r := &Replica{options: options, validate: validate, now: now, control: control, chain: chain, viewEnteredAt: now}
 	if control.Identity == "" {
@@ -77,8 +78,8 @@
 	return r
 }
 
-// initialControlState returns the state of a member with an empty disk. On the first start of the system the seeds form
-// the first view, under identities that every member derives from their addresses.
+// initialControlState returns the control state of a member with an empty disk. On the first start of the system the
+// seeds form the first view, with identities that every member derives from their addresses.
 func initialControlState(options Options) message.ControlState {
 	state := message.ControlState{Identity: options.Self.Identity}
 	if !options.FirstStart {
@@ -94,14 +95,14 @@
 	return state
 }
 
-// SetLeaving starts a graceful shutdown: the other members remove this one from the chain, and it releases its lease.
+// SetLeaving starts a graceful shutdown. The other members remove this one from the chain, and it releases its lease.
 func (r *Replica) SetLeaving() { r.leaving = true }
 
 // SetDiskStalled sets whether a write to the disk has been in progress for too long. A member with a stalled disk is
 // unhealthy: it is removed from the chain, proposes no view, and gives up the lease.
 func (r *Replica) SetDiskStalled(stalled bool) { r.diskStalled = stalled }
 
-// Tick does what is due at now. The caller ticks the replica every 50 ms.
+// Tick runs the periodic work that is due at now. The caller ticks the replica every 50 ms.
 func (r *Replica) Tick(now time.Duration) Output {
 	r.detectPause(now)
 	r.now, r.ticked = now, true
@@ -113,11 +114,11 @@
 	return r.takeOutput()
 }
 
-// Step takes a message that arrived at now.
+// Step handles a message that arrived at now.
 func (r *Replica) Step(now time.Duration, m *message.Message) Output {
 	r.detectPause(now)
 	r.now = max(r.now, now)
-	if m.To != "" && m.To != r.control.Identity { // for a member that had this address before
+	if m.To != "" && m.To != r.control.Identity { // addressed to a former process at this address
 		r.announceNewerView(m)
 		return r.takeOutput()
 	}
@@ -127,7 +128,8 @@
 	return r.takeOutput()
 }
 
-// detectPause resets the failure detector when this process was paused: it does not know then who was alive meanwhile.
+// detectPause resets the failure detector if this process was paused: it cannot tell which members were alive during
+// the pause.
 func (r *Replica) detectPause(now time.Duration) {
 	if r.ticked && now-r.now > pauseThreshold {
 		r.detector.reset(now, now-r.now)
--- a/internal/controlplane/replica/status.go
+++ b/internal/controlplane/replica/status.go
@@ -13,21 +13,21 @@
 // View returns the newest view known.
 func (r *Replica) View() message.View { return r.control.View }
 
-// CommittedState returns the newest state known to be acknowledged; its sequence is 0 where none is.
+// CommittedState returns the newest state known to be committed; its sequence is 0 if there is none.
 func (r *Replica) CommittedState() message.ChainState { return r.link.committedState }
 
-// IsMember reports whether the replica belongs to the chain of the newest view that it knows.
+// IsMember reports whether the replica belongs to the chain of its newest view.
 func (r *Replica) IsMember() bool { return r.position() >= 0 }
 
-// IsComplete reports whether the replica holds all that was acknowledged in the views before its own.
+// IsComplete reports whether the replica holds every change acknowledged in the views before its current one.
 func (r *Replica) IsComplete() bool { return r.control.Complete }
 
-// IsSynced reports whether the replica holds the state of its view.
+// IsSynced reports whether the replica is a member and its state agrees with its predecessor's in this view.
 func (r *Replica) IsSynced() bool { return r.IsMember() && r.link.synced }
 
-// ServingUntil returns until when the member may serve its state to proxies: for a while after it asked a majority of
-// the voters whether its view is the newest, and they confirmed it. What it serves then is no older than what had been
-// acknowledged when it asked. The result is 0 where it may serve nothing.
+// ServingUntil returns the time until which the member may serve its state to proxies, or 0 if it may not. That time
+// is confirmLifetime after the start of the last successful view confirmation by a majority of the voters. The state
+// served is at least as new as the state that had been acknowledged at that start.
 func (r *Replica) ServingUntil() time.Duration {
 	if !r.IsSynced() || !r.link.committedInView || !r.confirmation.confirmed {
 		return 0
@@ -40,7 +40,7 @@
 	return r.IsMember() && r.confirmation.confirmed && r.now < r.confirmation.confirmedAt+confirmLifetime
 }
 
-// WaitingFor describes for operators what keeps the member from taking part; it is empty where nothing does.
+// WaitingFor tells operators what the member is waiting for, or returns an empty string if it waits for nothing.
 func (r *Replica) WaitingFor() string {
 	switch {
 	case r.control.AcceptedView.Number != 0:
@@ -57,8 +57,8 @@
 	return ""
 }
 
-// CanStop reports whether a leaving member may end its process: it is outside the chain, and no join request by which it
-// could be admitted again is still in flight.
+// CanStop reports whether a leaving member may end its process. It must be outside the chain, and no join request that
+// could still cause its admission may be in flight.
 func (r *Replica) CanStop() bool {
 	return r.leaving && !r.IsMember() && r.now-r.lastJoinRequest >= withdrawalTimeout
 }
--- a/internal/controlplane/replica/suspicion.go
+++ b/internal/controlplane/replica/suspicion.go
@@ -6,7 +6,7 @@
 	"pumiceline/internal/message"
 )
 
-// reportKind is what a monitor reports of a member.
+// reportKind is the kind of a monitor's report on a member.
 type reportKind int
 
 const (
@@ -15,7 +15,7 @@
 	reportLate
 )
 
-// reportKey identifies one statement of a message.SuspicionReport: what a reporter says of a member.
+// reportKey identifies one entry of a message.SuspicionReport: its kind, the member concerned and the reporter.
 type reportKey struct {
 	kind     reportKind
 	member   message.MemberID
@@ -42,8 +42,8 @@
 	}
 }
 
-// reportSuspicions sends the other members a report on those that this one monitors, where any is suspected, leaving or
-// late.
+// reportSuspicions reports monitored members that are suspected, leaving or late to the other members that are not
+// suspected.
 func (r *Replica) reportSuspicions() {
 	report := r.suspicions()
 	if len(report.Suspected)+len(report.Leaving)+len(report.Late) == 0 {
@@ -62,34 +62,35 @@
 	report := &message.SuspicionReport{}
 	for _, member := range r.detector.monitored {
 		record := r.detector.lookup(member.Identity)
-		timeSinceHeard := r.now - record.lastHeard.at
+		elapsed := r.now - record.timeoutStart.at
 		switch {
-		case record.health.unhealthy || timeSinceHeard > suspicionTimeout:
+		case record.health.unhealthy || elapsed > suspicionTimeout:
 			report.Suspected = append(report.Suspected, member.Identity)
 		case record.health.leaving:
 			report.Leaving = append(report.Leaving, member.Identity)
-		case timeSinceHeard > lateTimeout:
+		case elapsed > lateTimeout:
 			report.Late = append(report.Late, member.Identity)
 		}
 	}
 	return report
 }
 
-// suspectedMembers returns the members of the chain that are suspected, from the tail to the head: by a current report,
-// because this member has not heard them, or because another process has their address. Reports of members that are
-// suspected themselves do not count, so where two suspect one another the one nearer to the head stays.
+// suspectedMembers returns the suspected members of the chain, from the tail to the head. A member is suspected
+// because of a current report, because this member received no message from it for too long, or because another
+// process has its address. Reports from suspected members are ignored, so if two members suspect each other, the one
+// nearer to the head stays.
 func (r *Replica) suspectedMembers() []message.MemberID {
 	var suspected []message.MemberID
 	for _, member := range slices.Backward(r.control.View.Members) {
 		isReported := r.isReported(reportSuspected, member.Identity, suspected)
-		if isReported || r.isAddressTaken(member) || !r.hasHeardFrom(member) {
+		if isReported || r.isAddressTaken(member) || !r.hasRecentMessage(member) {
 			suspected = append(suspected, member.Identity)
 		}
 	}
 	return suspected
 }
 
-// isReported reports whether some reporter that is not excluded has a current report of a member.
+// isReported reports whether there is a current report of that kind on a member by a reporter that is not excluded.
 func (r *Replica) isReported(kind reportKind, member message.MemberID, excluded []message.MemberID) bool {
 	for report, at := range r.detector.reports {
 		isMatch := report.kind == kind && report.member == member
@@ -100,17 +101,19 @@
 	return false
 }
 
-// hasHeardFrom reports whether this member itself has heard another one within unmonitoredSuspicionTimeout, if need be
-// without being its monitor: every member asks all voters to confirm its view, so each voter hears all members, and each
-// member hears all voters. Two members without a vote need not hear each other; as a rule there is one at most. This finds
-// a failed member whose monitors have all failed with it.
-func (r *Replica) hasHeardFrom(member message.Member) bool {
-	lastHeard := r.detector.lookup(member.Identity).lastHeard
-	return r.isSelf(member) || r.now-lastHeard.at <= unmonitoredSuspicionTimeout
+// hasRecentMessage reports whether this member received a message from another one within unmonitoredSuspicionTimeout. It
+// detects a failed member whose monitors have all failed too. It also works between members that do not monitor each
+// other: every member asks all voters to confirm its view, so each voter receives messages from all members, and each
+// member receives responses from all voters. Two members without a vote may receive no messages from each other, but
+// as a rule there is at most one such member.
+func (r *Replica) hasRecentMessage(member message.Member) bool {
+	timeoutStart := r.detector.lookup(member.Identity).timeoutStart
+	return r.isSelf(member) || r.now-timeoutStart.at <= unmonitoredSuspicionTimeout
 }
 
-// isAddressTaken reports whether another process has the member's address: a later member, or one that has asked to join
-// more than once (a single request may be an old one). Only one process can have an address, so the member is gone.
+// isAddressTaken reports whether another process has the member's address: a member since a later view, or a machine
+// that has asked to join more than once (a single request may be delayed from before). Only one process can have an
+// address, so the member is gone.
 func (r *Replica) isAddressTaken(member message.Member) bool {
 	if r.isSelf(member) {
 		return false
--- a/internal/controlplane/replica/timeouts.go
+++ b/internal/controlplane/replica/timeouts.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// The intervals and time-outs of the protocol. The package is ticked every 50 ms, so all are multiples of that. They are
-// chosen so that a member that fails is replaced in the chain in well under two seconds.
+// The intervals and time-outs of the protocol. A replica is ticked every 50 ms, so all of them are multiples of that.
+// They are chosen so that a failed member is removed from the chain in well under two seconds.
 
 // Failure detection: see failure_detector.go.
 const (
-	// monitorsPerMember is to how many members each one sends its heartbeats.
+	// monitorsPerMember is the number of members to which each member sends its heartbeats.
 	monitorsPerMember = 3
 
 	heartbeatInterval = 200 * time.Millisecond
@@ -15,93 +15,95 @@
 	lateTimeout = 450 * time.Millisecond
 	// suspicionTimeout is the time without a message after which a monitor suspects a member: four heartbeats are missing.
 	suspicionTimeout = 900 * time.Millisecond
-	// unmonitoredSuspicionTimeout is the time without a message after which a member is suspected though no monitor
-	// reports it. It is longer than suspicionTimeout and the delivery of a report, so it takes effect only where the
+	// unmonitoredSuspicionTimeout is the time without a message after which a member is suspected although no monitor
+	// reports it. It is longer than suspicionTimeout and the delivery of a report, so it takes effect only if the
 	// monitors have failed too.
 	unmonitoredSuspicionTimeout = 1600 * time.Millisecond
-	// reportTimeout is how long a suspicion report counts. A monitor repeats it every heartbeatInterval, so two may be lost.
+	// reportTimeout is how long a report is valid. A monitor repeats it every heartbeatInterval, so two may be lost.
 	reportTimeout = 600 * time.Millisecond
-	// pauseThreshold is the time between two ticks beyond which this process itself was paused: six ticks are missing.
+	// pauseThreshold is the time without a tick or message after which this process counts as paused: six ticks are
+	// missing.
 	pauseThreshold = 300 * time.Millisecond
-	// identityRetention is how long the history of a member that sends nothing any more is kept.
+	// identityRetention is how long the history of a member is kept after its last message.
 	identityRetention = 5 * time.Minute
 )
 
 // Joining and leaving: see join.go and next_view.go.
 const (
-	// joinRequestTimeout is how long a join request counts. It is repeated every heartbeatInterval, so two may be lost.
+	// joinRequestTimeout is how long a join request is valid. It is repeated every heartbeatInterval, so two may be lost.
 	joinRequestTimeout = 700 * time.Millisecond
-	// newcomerTimeout is how long a newcomer waits for its admission where it is not certain which member it came to
-	// replace. A member that failed is suspected by then.
+	// newcomerTimeout is how long a newcomer waits for admission if it is uncertain which member it replaces. A failed
+	// member is suspected by then.
 	newcomerTimeout = 2 * suspicionTimeout
 	// newcomerPeriod is how long after its first join request a machine counts as a newcomer. It is also how long a member
 	// that lost its vote to a newcomer cannot receive another vote: it was probably replaced, and is about to be stopped.
 	newcomerPeriod = 10 * time.Second
-	// plannedReplacementLead bounds how long before its predecessor is stopped a planned replacement is started.
+	// plannedReplacementLead bounds how long a planned replacement is started before its predecessor is stopped.
 	plannedReplacementLead = 3 * time.Second
-	// leavingPeriod bounds how long a member that was asked to stop takes until its process has ended.
+	// leavingPeriod bounds the time from the request to stop a member to the end of its process.
 	leavingPeriod = 5 * time.Second
-	// withdrawalTimeout bounds the time from the last join request of a member to its admission: the request counts for
-	// joinRequestTimeout, and a proposal that was started with it may need a second attempt.
+	// withdrawalTimeout bounds the time from the last join request of a machine to its admission: the request is valid for
+	// joinRequestTimeout, and a proposal based on it may need a second attempt.
 	withdrawalTimeout = joinRequestTimeout + 2*proposalTimeout
-	// admissionFallbackTimeout is how long the other members leave the admission of a joining member to the first proposer.
-	// One that the first proposer does not hear would be removed by it again at once.
+	// admissionFallbackTimeout is how long the other members leave the admission of a machine to the first proposer. A
+	// machine whose messages do not reach the first proposer would be removed by it again at once.
 	admissionFallbackTimeout = 5 * time.Second
-	// initialStartPeriod follows the first start of the system: a machine that joins in it replaces no other.
+	// initialStartPeriod is the time after the first start of the system during which joining machines replace no others.
 	initialStartPeriod = 2 * time.Second
-	// observerInterval is how often a member that only wants to know the view asks for it, and how often the first proposer
-	// announces it to those outside.
+	// observerInterval is how often a diskless machine that cannot join asks for the view, and how often the first
+	// proposer announces the view outside the chain.
 	observerInterval = 1 * time.Second
-	// durableMemberTimeout is how long the first view waits for members that have a disk before it counts as diskless.
+	// durableMemberTimeout is how long the first view waits for members with a disk before the system counts as diskless.
 	durableMemberTimeout = 3 * time.Second
 )
 
 // View changes: see proposer.go and next_view.go.
 const (
-	// minViewAge is how long a view lasts at least: within two heartbeats it is known who is complete in it.
+	// minViewAge is the minimum duration of a view: after two heartbeats the proposer knows which members are complete.
 	minViewAge = 2 * heartbeatInterval
-	// proposalRankDelay is how long a member waits for each one before it in the chain to propose first. It is longer than a
-	// proposal takes where nothing fails, so that two members seldom compete.
+	// proposalRankDelay is how long a member waits for each proposer before it in the chain. It is longer than a proposal
+	// without failures takes, so two proposers seldom compete.
 	proposalRankDelay = 350 * time.Millisecond
-	// disklessProposalDelay is how much longer a diskless member waits where a durable one could propose, as only a durable
-	// one can remove the diskless members in the same step.
+	// disklessProposalDelay is the additional delay of a diskless member if a durable one may propose, as only a durable
+	// proposer can remove the diskless members in the same view change.
 	disklessProposalDelay = 2 * time.Second
 	// acceptedViewTimeout is how long an accepted view may stay undecided before another member proposes it.
 	acceptedViewTimeout = 500 * time.Millisecond
-	// proposalTimeout is how long a proposal may take (two round trips and two syncs) before it is started anew.
+	// proposalTimeout is how long a proposal may take (two round trips and two syncs) before a new attempt.
 	proposalTimeout = 400 * time.Millisecond
-	// incompleteChainTimeout is how long suspected members are kept in the chain while too few others are complete. Nothing
-	// is acknowledged meanwhile.
+	// incompleteChainTimeout is how long suspected members are kept in the chain while too few others are complete.
+	// Nothing is acknowledged during that time.
 	incompleteChainTimeout = 2 * time.Second
 )
 
 // Replication and reads: see chain_replication.go, config_requests.go and view_confirmation.go.
 const (
-	// replicateRetryInterval is how long an unacknowledged state waits before it is sent again.
+	// replicateRetryInterval is the time after which an unacknowledged state is sent again.
 	replicateRetryInterval = 150 * time.Millisecond
-	// requestTimeout is the age at which a pending request is dropped: the member that relays it does not wait any more.
+	// requestTimeout is the age at which a pending request is dropped: its relay no longer waits for it.
 	requestTimeout = 1500 * time.Millisecond
-	// maxPendingRequests bounds the queue at the head and the tail; relays repeat what is dropped.
+	// maxPendingRequests bounds the queue at the head and the tail. Relays repeat dropped requests.
 	maxPendingRequests = 64
 
 	// confirmInterval is how often a member asks the voters whether its view is the newest.
 	confirmInterval = 350 * time.Millisecond
-	// confirmRetryInterval is how long a voter that has not answered waits before it is asked again.
+	// confirmRetryInterval is the time after which a voter that has not answered is asked again.
 	confirmRetryInterval = 100 * time.Millisecond
-	// confirmTimeout ends a confirmation that no majority answers: the relays of the requests in it ask again.
+	// confirmTimeout ends a confirmation without a majority. The relays repeat the requests that depended on it.
 	confirmTimeout = 1500 * time.Millisecond
-	// confirmLifetime is how long after a confirmation was started a member serves proxies on its strength: two intervals,
-	// so one may fail.
+	// confirmLifetime is how long a confirmation allows a member to serve proxies, counted from its start. It is longer
+	// than two intervals, so one confirmation may fail.
 	confirmLifetime = 800 * time.Millisecond
 )
 
 // The controller lease: see lease.go.
 const (
-	// leaseRenewalInterval lets a lease of two seconds survive three lost renewals.
+	// leaseRenewalInterval is the time between two renewals: a lease of two seconds survives three lost renewals.
 	leaseRenewalInterval = 400 * time.Millisecond
-	// candidateDelay staggers the candidates for a vacant lease: each waits this long for every member behind it in the
-	// chain, so the tail is the first.
+	// candidateDelay staggers the candidates for a vacant lease: each waits this long for every member after it in the
+	// chain, so the tail is the first candidate.
 	candidateDelay = 300 * time.Millisecond
-	// leaseSafetyMargin is how much earlier a lease ends for its holder than for the grantors: clocks may drift.
+	// leaseSafetyMargin is how much earlier a lease expires for its holder than for the grantors, because clocks may
+	// drift.
 	leaseSafetyMargin = 100 * time.Millisecond
 )
--- a/internal/controlplane/replica/view.go
+++ b/internal/controlplane/replica/view.go
@@ -8,7 +8,7 @@
 	"pumiceline/internal/message"
 )
 
-// InitialView returns the view that a system starts with. Its members have no zones yet: see addsSeedZones.
+// InitialView returns the first view of a system. Its members have no zones yet: see addsSeedZones.
 func InitialView(seeds []string) message.View {
 	view := message.View{Number: 1}
 	for _, address := range seeds {
@@ -19,14 +19,15 @@
 	return view
 }
 
-// quorumSize returns how many voters are a majority.
+// quorumSize returns the number of voters in a majority.
 func (r *Replica) quorumSize() int { return len(r.control.View.EffectiveVoters())/2 + 1 }
 
-// minVoters returns how many voters a view should have at least: the tolerated number may be lost for good, and a
-// majority is left.
+// minVoters returns the minimum number of voters that a view should have: a majority remains after the tolerated number
+// is permanently lost.
 func (r *Replica) minVoters() int { return 2*r.options.Tolerance + 1 }
 
-// minChainLength returns how many members the chain has at least: each change is on one disk more than may be lost.
+// minChainLength returns the minimum length of the chain, so that each change is on one more disk than may be lost. A
+// chain that is already shorter keeps at least its length.
 func (r *Replica) minChainLength() int {
 	return min(r.options.Tolerance+1, len(r.control.View.Members))
 }
@@ -39,10 +40,10 @@
 	return containsMember(r.control.View.EffectiveVoters(), identity)
 }
 
-// isSelf reports whether a member is this one.
+// isSelf reports whether a member is this replica.
 func (r *Replica) isSelf(member message.Member) bool { return member.Identity == r.control.Identity }
 
-// position returns the replica's position in the chain, -1 where it is no member.
+// position returns the replica's position in the chain, or -1 if it is not a member.
 func (r *Replica) position() int { return indexOfMember(r.control.View.Members, r.control.Identity) }
 
 // isInChain reports whether a member belongs to the chain of the newest view.
@@ -57,7 +58,7 @@
 	return position >= 0 && position == len(r.control.View.Members)-1
 }
 
-// enterView makes a decided view the current one, unless it is an older one.
+// enterView makes a decided view the current one, if it is newer.
 func (r *Replica) enterView(view message.View) {
 	if view.Number <= r.control.View.Number {
 		return
@@ -78,14 +79,14 @@
 	r.resetReplication()
 }
 
-// isCompleteIn reports whether this member, as it is now, is complete in a later view. It is not where it was outside the
-// chain in between: changes may have been acknowledged without it.
+// isCompleteIn reports whether this member remains complete in a later view. It does not if it was outside the chain in
+// between: changes may have been acknowledged without it.
 func (r *Replica) isCompleteIn(view message.View) bool {
 	at := indexOfMember(view.Members, r.control.Identity)
 	return at >= 0 && r.control.Complete && view.Members[at].SinceView <= r.control.View.Number
 }
 
-// announceNewerView sends the newest view to a sender that knows only an older one.
+// announceNewerView sends the newest view to the sender of a message from an older view.
 func (r *Replica) announceNewerView(m *message.Message) {
 	if m.View < r.control.View.Number && m.ViewAnnouncement == nil && m.JoinRequest == nil && m.FromAddress != "" {
 		r.announceView(senderOf(m))
@@ -105,7 +106,7 @@
 	return indexOfMember(members, identity) >= 0
 }
 
-// removeMember returns the members without one.
+// removeMember returns the members except one.
 func removeMember(members []message.Member, identity message.MemberID) []message.Member {
 	return lo.Reject(members, func(m message.Member, _ int) bool { return m.Identity == identity })
 }
@@ -119,8 +120,8 @@
 	return lo.UniqBy(all, func(m message.Member) message.MemberID { return m.Identity })
 }
 
-// sameMembers reports whether a and b have the same members, in whatever order: a new order alone is no reason for
-// another view.
+// sameMembers reports whether a and b have the same members in any order. A different order alone does not justify a
+// view change.
 func sameMembers(a, b []message.Member) bool {
 	identities := func(members []message.Member) []message.MemberID {
 		return lo.Map(members, func(m message.Member, _ int) message.MemberID { return m.Identity })
--- a/internal/controlplane/replica/view_confirmation.go
+++ b/internal/controlplane/replica/view_confirmation.go
@@ -6,31 +6,31 @@
 	"pumiceline/internal/message"
 )
 
-// viewConfirmation asks the voters whether the view is still the newest, as ReadIndex of Raft asks the followers
-// (Ongaro's thesis, section 6.4). A majority of confirmations shows that no later view had been decided when the
+// viewConfirmation asks the voters whether the view is still the newest, as ReadIndex in Raft asks the followers
+// (Ongaro's thesis, section 6.4). Confirmations from a majority show that no later view had been decided when the
 // request was sent, so the member may answer reads and reject changes. One confirmation serves all callbacks that were
 // waiting when it started.
 type viewConfirmation struct {
-	requestID     uint64   // of the confirmation in progress
-	callbacks     []func() // run when the confirmation in progress succeeds; nil: none is in progress
+	requestID     uint64   // ID of the confirmation in progress
+	callbacks     []func() // run when the confirmation in progress succeeds; nil if none is in progress
 	nextCallbacks []func() // for the next confirmation
 	confirmedBy   map[message.MemberID]bool
 	sentAt        time.Duration // when requests were last sent
-	startedAt     time.Duration // of the confirmation in progress, else of the last one
+	startedAt     time.Duration // start of the confirmation in progress, otherwise of the last one
 
-	confirmed   bool          // some confirmation has succeeded in this view
+	confirmed   bool          // a confirmation has succeeded in this view
 	confirmedAt time.Duration // start of the last confirmation that succeeded
 }
 
-// cancel drops all callbacks, as the view that they need is over. The request ID is not used again, so late responses
-// match nothing.
+// cancel drops all callbacks, as they depend on a view that is no longer current. The request ID is not reused, so late
+// responses do not match a later confirmation.
 func (c *viewConfirmation) cancel() {
 	c.callbacks, c.nextCallbacks, c.confirmedBy = nil, nil, nil
 	c.confirmed = false
 }
 
-// whenViewConfirmed runs a callback when a majority has confirmed the view. It is dropped where none does within
-// confirmTimeout, or another view begins.
+// whenViewConfirmed runs a callback once a majority has confirmed the view. The callback is dropped if its confirmation
+// takes longer than confirmTimeout, or if another view is entered.
 func (r *Replica) whenViewConfirmed(callback func()) {
 	r.confirmation.nextCallbacks = append(r.confirmation.nextCallbacks, callback)
 	if r.confirmation.callbacks == nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// startConfirmation starts a confirmation for all callbacks that wait. A confirmation in progress cannot serve them: its
-// requests were sent before the callbacks came, so it does not show that no view was decided in between.
+// startConfirmation starts a confirmation for all waiting callbacks. An earlier confirmation cannot serve them: its
+// requests were sent before the callbacks were added, so it does not rule out that a view was decided in between.
 func (r *Replica) startConfirmation() {
 	c := &r.confirmation
 	if len(c.nextCallbacks) == 0 {
@@ -62,8 +62,8 @@
 	}
 }
 
-// onConfirmRequest answers as a voter. Nothing has to be synced for it: an acceptance that is not synced yet has not
-// been sent either, so no view was decided by it.
+// onConfirmRequest answers as a voter. The response need not wait for a sync: an acceptance that is not synced yet has
+// not been sent either, so it has not contributed to the decision on a view.
 func (r *Replica) onConfirmRequest(m *message.Message) {
 	if m.View != r.control.View.Number || !r.isVoter() {
 		return
@@ -94,8 +94,8 @@
 	r.startConfirmation()
 }
 
-// tickConfirmation repeats the requests of the confirmation in progress, or gives it up. Where none is in progress it
-// starts one every confirmInterval, so that the member may go on serving proxies.
+// tickConfirmation repeats the requests of the confirmation in progress, or abandons it after confirmTimeout. If none
+// is in progress it starts one every confirmInterval, so that the member may continue to serve proxies.
 func (r *Replica) tickConfirmation() {
 	c := &r.confirmation
 	switch {
--- a/internal/controlplane/replica/voters.go
+++ b/internal/controlplane/replica/voters.go
@@ -12,28 +12,28 @@
 
 // voterSelection selects the voters of the next view. It has three aims:
 //
-//   - A lost member does not keep its vote beside its replacement. A voter whose address another process has is lost for
-//     certain. Otherwise a newcomer gets the vote of the member that it probably came to replace: one of its zone that
-//     is leaving or suspected, else one of another zone that is.
-//   - The vote of a suspected member goes to a live member that has none, so that losses one after another leave a
-//     majority as long as there is such a member.
-//   - The number of voters is odd where there could be more than minVoters: an even number tolerates no more losses than
-//     the odd one below it.
+//   - A lost member and its replacement do not both have a vote. A voter whose address another process has is certainly
+//     lost. Otherwise a newcomer receives the vote of the member that it probably replaces: a leaving or suspected
+//     member of its zone if there is one, otherwise one of another zone.
+//   - The vote of a suspected member goes to a live member without a vote, so that a majority survives successive
+//     losses as long as there is such a member.
+//   - The number of voters is odd if there could be more than minVoters: an even number tolerates no more losses than
+//     the odd number below it.
 type voterSelection struct {
-	minVoters int              // the tolerated number of them may be lost for good, and a majority is left
-	voters    []message.Member // at first of the current view
-	present   []message.Member // members of the next chain that are alive and stay
+	minVoters int              // a majority of them remains after the tolerated number is permanently lost
+	voters    []message.Member // initially those of the current view
+	present   []message.Member // live members that are in the next chain
 	replaced  []message.ReplacedVoter
-	canGrow   bool // no member is late, so no new member is about to turn out to be the replacement of one
+	canGrow   bool // no member is late, so no standby member may soon be needed to replace one
 
 	isLeaving        func(message.Member) bool
-	timeSinceMessage func(message.Member) time.Duration         // of a voter that is not present
-	newcomerAge      func(message.Member) (time.Duration, bool) // time since the first join request; false: no newcomer
-	canReceiveVote   func(message.Member) bool                  // whether a member may have the vote of any suspected one
+	timeSinceMessage func(message.Member) time.Duration         // time since the last message from an absent voter
+	newcomerAge      func(message.Member) (time.Duration, bool) // age since the first join request; false: no newcomer
+	canReceiveVote   func(message.Member) bool                  // reports whether it may receive any suspected one's vote
 }
 
-// nextVoters returns the voters of the next view. The most certain transfers come first, as each uses up a vote and a
-// member without one.
+// nextVoters returns the voters of the next view. The most certain transfers come first, because each uses up one vote
+// and one standby member.
 func (s *voterSelection) nextVoters() []message.Member {
 	s.transferByAddress()
 	s.transferToNewcomers()
@@ -45,14 +45,14 @@
 	return s.voters
 }
 
-// standbyMembers returns the present members that have no vote and do not leave.
+// standbyMembers returns the present members that have no vote and are not leaving.
 func (s *voterSelection) standbyMembers() []message.Member {
 	return lo.Reject(s.present, func(m message.Member, _ int) bool {
 		return containsMember(s.voters, m.Identity) || s.isLeaving(m)
 	})
 }
 
-// eligibleStandbys returns the standby members that may have the vote of any suspected member.
+// eligibleStandbys returns the standby members that may receive the vote of any suspected member.
 func (s *voterSelection) eligibleStandbys() []message.Member {
 	return lo.Filter(s.standbyMembers(), func(m message.Member, _ int) bool { return s.canReceiveVote(m) })
 }
@@ -61,19 +61,19 @@
 	return containsMember(s.present, voter.Identity)
 }
 
-// leavingVoters returns the voters that shut down.
+// leavingVoters returns the voters that are shutting down.
 func (s *voterSelection) leavingVoters() []message.Member {
 	return lo.Filter(s.voters, func(m message.Member, _ int) bool { return s.isLeaving(m) })
 }
 
-// absentVoters returns the voters that are neither present nor known to leave, the longest silent first.
+// absentVoters returns the voters that are neither present nor leaving, those with the oldest last message first.
 func (s *voterSelection) absentVoters() []message.Member {
 	absent := lo.Reject(s.voters, func(m message.Member, _ int) bool { return s.isPresent(m) || s.isLeaving(m) })
 	sort.SliceStable(absent, func(i, j int) bool { return s.timeSinceMessage(absent[i]) > s.timeSinceMessage(absent[j]) })
 	return absent
 }
 
-// transferVote gives the vote of one member to another.
+// transferVote transfers the vote of one member to another.
 func (s *voterSelection) transferVote(from, to message.Member) {
 	s.voters[indexOfMember(s.voters, from.Identity)] = to
 	if from.Address != to.Address && !s.isPresent(from) && !s.isLeaving(from) {
@@ -81,7 +81,7 @@
 	}
 }
 
-// transferByAddress gives the vote of a member to the process that has its address now.
+// transferByAddress transfers the vote of a member to the process that has its address now.
 func (s *voterSelection) transferByAddress() {
 	for _, standby := range s.standbyMembers() {
 		hasAddress := func(m message.Member) bool { return m.Address == standby.Address }
@@ -91,7 +91,7 @@
 	}
 }
 
-// transferToNewcomers gives each newcomer the vote of the member that it probably came to replace.
+// transferToNewcomers transfers to each newcomer the vote of the member that it probably replaces.
 func (s *voterSelection) transferToNewcomers() {
 	for _, standby := range s.standbyMembers() {
 		age, isNewcomer := s.newcomerAge(standby)
@@ -109,8 +109,9 @@
 	}
 }
 
-// certainPredecessor returns the voter of a newcomer's zone that it almost certainly came to replace: one that leaves, or
-// a suspected one where no other member or voter of the zone is left.
+// certainPredecessor returns the voter of a newcomer's zone that the newcomer almost certainly replaces. It is a
+// leaving voter if the newcomer's age is at most plannedReplacementLead, or else an absent voter that is the only
+// other member or voter of the zone.
 func (s *voterSelection) certainPredecessor(newcomer message.Member) (message.Member, bool) {
 	isOfZone := func(m message.Member) bool { return m.Zone == newcomer.Zone }
 	if age, _ := s.newcomerAge(newcomer); age <= plannedReplacementLead {
@@ -125,8 +126,8 @@
 	return absent, ok && !hasOthers
 }
 
-// likelyPredecessors returns the voters that a newcomer of some age may have come to replace, the likeliest first. A
-// newcomer that came just before a member was asked to stop probably replaces that member; a suspected one may only be
+// likelyPredecessors returns the voters that a newcomer of the given age may replace, the likeliest first. A newcomer
+// that joined just before a member was asked to stop probably replaces that member. A suspected member may only be
 // partitioned, and needs its vote when it returns.
 func (s *voterSelection) likelyPredecessors(newcomerAge time.Duration) []message.Member {
 	if newcomerAge <= plannedReplacementLead {
@@ -135,7 +136,7 @@
 	return append(s.absentVoters(), s.leavingVoters()...)
 }
 
-// transferToStandbys gives the votes of suspected members, and then those of leaving ones, to members without a vote.
+// transferToStandbys transfers the votes of absent voters, and then those of leaving voters, to standby members.
 func (s *voterSelection) transferToStandbys() {
 	for _, voter := range append(s.absentVoters(), s.leavingVoters()...) {
 		standbys := s.eligibleStandbys()
@@ -146,12 +147,13 @@
 	}
 }
 
-// preferZone returns the first of some members that is of a zone, else the first one.
+// preferZone returns the first member of the given zone, or the first member if there is none.
 func preferZone(members []message.Member, zone string) message.Member {
 	return lo.FindOrElse(members, members[0], func(m message.Member) bool { return m.Zone == zone })
 }
 
-// restoreReplacedVoters gives votes of leaving members that are still theirs back to replaced voters.
+// restoreReplacedVoters transfers the remaining votes of leaving members back to replaced voters (see
+// wasReplacedInsteadOf).
 func (s *voterSelection) restoreReplacedVoters() {
 	for _, leaving := range s.leavingVoters() {
 		replaced, ok := lo.Find(s.replaced, func(replaced message.ReplacedVoter) bool {
@@ -163,8 +165,9 @@
 	}
 }
 
-// wasReplacedInsteadOf reports whether the newcomer that has the vote of a replaced voter of another zone turns out to
-// have come for a member that leaves: that one is of the newcomer's zone.
+// wasReplacedInsteadOf reports whether a newcomer received the vote of a replaced voter although it probably replaces
+// the leaving member: the newcomer and the leaving member are of the same zone, and the replaced voter is of another
+// one.
 func (s *voterSelection) wasReplacedInsteadOf(replaced message.ReplacedVoter, leaving message.Member) bool {
 	newcomer, isVoter := lo.Find(s.voters, func(m message.Member) bool {
 		return m.Identity == replaced.ReplacedBy && m.Identity != leaving.Identity
@@ -175,8 +178,8 @@
 	return isVoter && isNewcomer && newcomer.Zone == leaving.Zone && isOfOtherZone && !hasVote
 }
 
-// addVoters gives standby members votes of their own: up to minVoters at once, and beyond that so many that the number
-// of voters is odd.
+// addVoters gives additional votes to standby members. It adds up to minVoters voters at once. Beyond that it adds only
+// eligible standby members, and only if canGrow is set, so that the number of voters is odd.
 func (s *voterSelection) addVoters() {
 	for _, standby := range s.standbyMembers() {
 		if len(s.voters) < s.minVoters {
@@ -193,8 +196,8 @@
 	s.voters = append(s.voters, standbys...)
 }
 
-// dropLeavingVoters drops the votes that leaving members still have, as long as more than minVoters are left. Otherwise
-// they keep them, as they may only be restarted.
+// dropLeavingVoters drops the remaining votes of leaving members while there are more than minVoters voters. Otherwise
+// they keep their votes, as they may only be restarting.
 func (s *voterSelection) dropLeavingVoters() {
 	for _, leaving := range s.leavingVoters() {
 		if len(s.voters) > s.minVoters {
@@ -203,8 +206,8 @@
 	}
 }
 
-// dropAbsentVoters drops the votes of suspected members as long as more than minVoters are left. Where an even number of
-// voters, still above minVoters, is left, the last of them loses its vote too.
+// dropAbsentVoters drops the votes of absent voters while there are more than minVoters voters. If the remaining
+// number is even and still above minVoters, the last voter loses its vote too.
 func (s *voterSelection) dropAbsentVoters() {
 	for _, absent := range s.absentVoters() {
 		if len(s.voters) > s.minVoters {
@@ -220,8 +223,8 @@
 // maxReplacedVoters bounds how many replaced voters a view keeps.
 const maxReplacedVoters = 4
 
-// remainingReplaced returns the replaced voters that have not got a vote again, and whose address no voter has, the
-// latest last. Diskless ones that yielded to durable members are left out: they never vote again.
+// remainingReplaced returns the replaced voters that have not received a vote again and whose address no voter has, the
+// most recently replaced last. It omits diskless voters that yielded to durable members: they never vote again.
 func (s *voterSelection) remainingReplaced(yieldsToDurableMembers func(message.Member) bool) []message.ReplacedVoter {
 	replaced := lo.Reject(s.replaced, func(r message.ReplacedVoter, _ int) bool {
 		return yieldsToDurableMembers(r.Member) || lo.ContainsBy(s.voters, func(m message.Member) bool {
@@ -235,8 +238,9 @@
 	return lo.Map(view.ReplacedVoters, func(r message.ReplacedVoter, _ int) message.Member { return r.Member })
 }
 
-// needsVoteTransfer reports whether votes should move though no report or request asks for it: a voter is outside the
-// chain though another member could have its vote, or the number of voters is not what it should be.
+// needsVoteTransfer reports whether votes should change although there is no report or join request. This is so if a
+// voter is outside the chain and its vote could be transferred or dropped, or if the number of voters is not the
+// intended one.
 func (r *Replica) needsVoteTransfer() bool {
 	view := r.control.View
 	voters := view.EffectiveVoters()
--- a/internal/controlplane/replica/voters_test.go
+++ b/internal/controlplane/replica/voters_test.go
@@ -10,7 +10,8 @@
 	"pumiceline/internal/message"
 )
 
-// voterCase is a question to the voter selection. Members are named by their zone and a number: "a1".
+// voterCase is an input of the voter selection and its expected result. Members are named by their zone and a number:
+// "a1".
 type voterCase struct {
 	name             string
 	voters           []string
@@ -18,7 +19,7 @@
 	leaving          []string
 	newcomerAge      map[string]time.Duration // time since their first join requests
 	timeSinceMessage map[string]time.Duration
-	replaced         map[string]string // voters that were replaced, and by whom
+	replaced         map[string]string // replaced voters, and the members that replaced them
 	minVoters        int
 	canGrow          bool
 	want             []string
@@ -68,7 +69,7 @@
 		voters: []string{"a1", "b1", "c1"}, present: []string{"a1", "b1"}, minVoters: 3,
 		want: []string{"a1", "b1", "c1"},
 	}, {
-		name:   "the longest silent voter loses its vote first",
+		name:   "the voter with the oldest last message loses its vote first",
 		voters: []string{"a1", "b1", "c1", "d1", "e1"}, present: []string{"a1", "b1", "c1", "f1"}, minVoters: 5,
 		timeSinceMessage: map[string]time.Duration{"d1": time.Second, "e1": time.Minute},
 		want:             []string{"a1", "b1", "c1", "d1", "f1"},
@@ -78,7 +79,7 @@
 		newcomerAge: map[string]time.Duration{"c2": justNow},
 		want:        []string{"a1", "b1", "c2"},
 	}, {
-		name:   "a newcomer to a zone with another member waits, as that one may be about to leave",
+		name:   "a newcomer gets no vote yet if its zone has another member, which may be about to leave",
 		voters: []string{"a1", "b1", "c1"}, present: []string{"a1", "b1", "a2"}, minVoters: 3,
 		newcomerAge: map[string]time.Duration{"a2": justNow},
 		want:        []string{"a1", "b1", "c1"},
@@ -88,27 +89,27 @@
 		newcomerAge: map[string]time.Duration{"a2": newcomerTimeout},
 		want:        []string{"a2", "b1", "c1"},
 	}, {
-		name:   "a newcomer that has asked for long replaces a suspected member, not one that is restarted now",
+		name:   "an established newcomer replaces a suspected member rather than a restarting one",
 		voters: []string{"a1", "b1", "c1"}, present: []string{"a1", "b1", "d2"}, minVoters: 3, leaving: []string{"a1"},
 		newcomerAge: map[string]time.Duration{"d2": longAgo},
 		want:        []string{"a1", "b1", "d2"},
 	}, {
-		name:   "two newcomers do not get the same vote, nor one of them two",
+		name:   "only one of two newcomers gets the vote of a suspected member",
 		voters: []string{"a1", "b1", "c1"}, present: []string{"a1", "b1", "c2", "c3"}, minVoters: 3,
 		newcomerAge: map[string]time.Duration{"c2": longAgo, "c3": longAgo},
 		want:        []string{"a1", "b1", "c2"},
 	}, {
-		name:   "a partitioned member gets its vote back when the one leaves that the newcomer came to replace",
+		name:   "a partitioned member gets its vote back when the member that the newcomer replaces is leaving",
 		voters: []string{"a1", "b1", "a2"}, present: []string{"b1", "a2", "a1"}, minVoters: 3, leaving: []string{"a1"},
 		newcomerAge: map[string]time.Duration{"a2": longAgo}, replaced: map[string]string{"c1": "a2"},
 		want: []string{"c1", "b1", "a2"},
 	}, {
-		name:   "a newcomer that is restarted itself keeps its vote",
+		name:   "a restarting newcomer keeps its vote",
 		voters: []string{"a1", "b1", "c2"}, present: []string{"a1", "b1", "c2"}, minVoters: 3, leaving: []string{"c2"},
 		newcomerAge: map[string]time.Duration{"c2": longAgo}, replaced: map[string]string{"d1": "c2"},
 		want: []string{"a1", "b1", "c2"},
 	}, {
-		name:   "a member that is only restarted keeps its vote",
+		name:   "a restarting member keeps its vote",
 		voters: []string{"a1", "b1", "d1"}, present: []string{"a1", "b1", "d1"}, minVoters: 3, leaving: []string{"a1"},
 		replaced: map[string]string{"c1": "d1"},
 		want:     []string{"a1", "b1", "d1"},
@@ -121,7 +122,7 @@
 		voters: []string{"a1", "b1", "c1"}, present: []string{"a1", "b1", "c1", "d1", "e1"}, minVoters: 3,
 		want: []string{"a1", "b1", "c1"},
 	}, {
-		name:   "the number of voters becomes odd again when a suspected one is dropped",
+		name:   "the number of voters is odd after a suspected voter is dropped",
 		voters: []string{"a1", "b1", "c1", "d1", "e1"}, present: []string{"a1", "b1", "c1", "d1"}, minVoters: 3, canGrow: true,
 		want: []string{"a1", "b1", "c1"},
 	}, {
@@ -137,11 +138,12 @@
 	}
 }
 
-// A member whose disk was lost, or whose address another process has, is gone for certain.
+// A member whose address another process has is certainly gone, for example after its disk was lost. Its vote must go
+// to the new process.
 func TestVoterSelection_AddressHasOneVote(t *testing.T) {
 	s := voterCase{voters: []string{"a1", "b1", "c1"}, present: []string{"a1", "b1"}, minVoters: 3}.selection()
 	wiped := message.Member{Identity: "c1 anew", Address: "at-c1", Zone: "c"}
 	s.present = append(s.present, wiped)
 	assert.Contains(t, s.nextVoters(), wiped)
-	assert.Empty(t, s.remainingReplaced(func(message.Member) bool { return false }), "the old identity is not kept")
+	assert.Empty(t, s.remainingReplaced(func(message.Member) bool { return false }), "the old identity must not be kept")
 }
