--- a/internal/controlplane/replica/agreement_model_test.go
+++ b/internal/controlplane/replica/agreement_model_test.go
@@ -134,5 +134,5 @@
 			return
 		}
 	}
-	t.Fatal("two views were decided with no seed")
+	t.Fatal("no seed led to two decided views")
 }
--- a/internal/controlplane/replica/chain_replication_test.go
+++ b/internal/controlplane/replica/chain_replication_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/message"
 )
 
-func TestReplication_ChangeAndAcknowledgementTravelTheChain(t *testing.T) {
+func TestReplication_PassesChangeAndAcknowledgementAlongChain(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
 	c.transcript = nil
@@ -26,8 +26,8 @@
 	}
 }
 
-// A snapshot that arrives after a later change must not replace the newer state.
-func TestReplication_StateOnlyGrowsWithinView(t *testing.T) {
+// A snapshot that arrives after a later change must not set the tail back to the older state, not even after a restart.
+func TestReplication_IgnoresOlderSnapshotOfView(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
 	c.put(0, 0, testDocument(5, "x"))
--- a/internal/controlplane/replica/config_requests_test.go
+++ b/internal/controlplane/replica/config_requests_test.go
@@ -10,7 +10,7 @@
 )
 
 // Before a read or a rejection is answered, a majority must confirm the view.
-func TestConfigRequest_ReadsAndRejectionsAskMajority(t *testing.T) {
+func TestConfigRequest_ReadsAndRejectionsNeedMajority(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
 	c.put(0, 0, testDocument(5, "x"))
--- a/internal/controlplane/replica/durability.go
+++ b/internal/controlplane/replica/durability.go
@@ -17,7 +17,7 @@
 	return member.Diskless || r.detector.lookup(member.Identity).disk == diskAbsent
 }
 
-// mayBeDiskless reports whether a member has no disk, or is a seed whose first heartbeat has not arrived yet.
+// mayBeDiskless reports whether a member has no disk, or is in the initial view and has not sent a heartbeat yet.
 func (r *Replica) mayBeDiskless(member message.Member) bool {
 	if r.isSelf(member) {
 		return r.options.Diskless
--- a/internal/controlplane/replica/heartbeat.go
+++ b/internal/controlplane/replica/heartbeat.go
@@ -64,16 +64,16 @@
 	r.detector.record(m.From).recordHeartbeat(m.Heartbeat, m.View, m.FromZone, r.now)
 }
 
-// isIsolated reports whether less than a majority of the voters has sent this member a message within
-// suspicionTimeout. Its own messages may still reach others.
+// isIsolated reports whether fewer voters than a majority have sent this member a message within suspicionTimeout. Its
+// own messages may still reach others.
 func (r *Replica) isIsolated() bool {
 	if r.now-r.viewEnteredAt < suspicionTimeout {
 		return false
 	}
-	recent := lo.CountBy(r.control.View.EffectiveVoters(), func(m message.Member) bool {
+	recentVoters := lo.CountBy(r.control.View.EffectiveVoters(), func(m message.Member) bool {
 		return r.isSelf(m) || r.detector.lookup(m.Identity).timeoutStart.isWithin(suspicionTimeout, r.now)
 	})
-	return recent < r.quorumSize()
+	return recentVoters < r.quorumSize()
 }
 
 // announceOutsideChain announces the view outside the chain if this member is the first proposer. Voters and replaced
--- a/internal/controlplane/replica/join.go
+++ b/internal/controlplane/replica/join.go
@@ -14,12 +14,12 @@
 type joinRequest struct {
 	member  message.Member
 	view    message.ViewNumber // the newest view that the machine had received
-	firstAt time.Duration      // when the first of its requests arrived that have not timed out since
+	firstAt time.Duration      // when its requests began; none has timed out since then
 	lastAt  time.Duration      // when the newest request arrived
 }
 
-// requestToJoin asks all known members for admission. Members with a newer view also send it in response. A replica
-// that shuts down withdraws its earlier requests instead.
+// requestToJoin asks all known members for admission. A recipient with a newer view also sends that view in response. A
+// replica that shuts down withdraws its earlier requests instead.
 func (r *Replica) requestToJoin() {
 	if r.leaving {
 		r.sendJoinRequest(&message.JoinRequest{Withdrawn: true})
--- a/internal/controlplane/replica/join_test.go
+++ b/internal/controlplane/replica/join_test.go
@@ -65,7 +65,7 @@
 
 // A machine whose messages do not reach the head must not be admitted by another proposer. Otherwise the head would
 // remove it again, repeatedly.
-func TestJoin_RejectsMemberThatCannotReachHead(t *testing.T) {
+func TestJoin_RejectsMachineThatCannotReachHead(t *testing.T) {
 	c := newTestCluster(t, 4)
 	c.advance(2 * time.Second)
 	head := c.members[0].View().Members[0].Address
--- a/internal/controlplane/replica/lease_test.go
+++ b/internal/controlplane/replica/lease_test.go
@@ -36,7 +36,7 @@
 	c := newTolerantCluster(t, 5, 2)
 	c.advance(5 * time.Second)
 	require.Equal(t, []int{4}, leaseHolders(c), "the tail is the first candidate")
-	apart := func(a, b string) bool {
+	isPartitioned := func(a, b string) bool {
 		left := []string{"m0", "m1"}
 		right := []string{"m3", "m4"}
 		return lo.Contains(left, a) && lo.Contains(right, b) || lo.Contains(left, b) && lo.Contains(right, a)
@@ -46,7 +46,7 @@
 		decided = decided || m.AcceptResponse != nil && m.FromAddress == "m2"
 		rightProposes := m.Prepare != nil && m.FromAddress == "m3"
 		fromLeft := decided && m.ToAddress == "m2" && (m.FromAddress == "m0" || m.FromAddress == "m1")
-		return apart(m.FromAddress, m.ToAddress) || rightProposes || fromLeft
+		return isPartitioned(m.FromAddress, m.ToAddress) || rightProposes || fromLeft
 	}
 	for range 300 {
 		c.advance(testTick)
--- a/internal/controlplane/replica/member_record.go
+++ b/internal/controlplane/replica/member_record.go
@@ -51,7 +51,7 @@
 	lastMessage        instant // when its last message arrived
 	wasMember          bool    // it was a member or voter of an earlier view
 	firstJoinRequest   instant // unknown if it had been a member before
-	lastJoinRequest    instant // a member sends one when it is new, restarted, or removed from the chain
+	lastJoinRequest    instant // when its last request arrived: it is new, restarted, or removed from the chain
 	announcedLeaving   instant // when it last announced its shutdown; unknown if it has rejoined since
 	lostVoteToNewcomer instant // when a newcomer of its zone received its vote
 }
--- a/internal/controlplane/replica/next_view.go
+++ b/internal/controlplane/replica/next_view.go
@@ -70,9 +70,9 @@
 	return current.Number == 1 && lo.EveryBy(current.Members, hasNoZone) && lo.NoneBy(next.Members, hasNoZone)
 }
 
-// canRemoveSuspected reports whether the suspected members may be removed from the chain. They may if more of the other
-// members are complete than the tolerance. Otherwise removal waits for the others to catch up, but for at most
-// incompleteChainTimeout, as nothing is acknowledged in the meantime.
+// canRemoveSuspected reports whether the suspected members may be removed from the chain. They may if the
+// number of complete members among the others exceeds the tolerance. Otherwise removal waits for the others to catch
+// up, but for at most incompleteChainTimeout, as nothing is acknowledged in the meantime.
 func (r *Replica) canRemoveSuspected(alive []message.Member) bool {
 	since := r.timers.suspectedSince
 	return !since.known || r.toleratesLossOf(alive) || r.now-since.at >= incompleteChainTimeout
@@ -87,8 +87,8 @@
 	return alive
 }
 
-// toleratesLossOf reports whether more of the given members are complete than the tolerance, so that at least one
-// complete member remains after the tolerated losses.
+// toleratesLossOf reports whether the number of complete members among the given ones exceeds the tolerance, so that at
+// least one complete member remains after the tolerated losses.
 func (r *Replica) toleratesLossOf(members []message.Member) bool {
 	return lo.CountBy(members, r.isComplete) > r.options.Tolerance
 }
--- a/internal/controlplane/replica/proposer_test.go
+++ b/internal/controlplane/replica/proposer_test.go
@@ -31,9 +31,9 @@
 	head := c.members[0]
 	head.prepare(message.View{Number: 2, Members: head.View().Members})
 	head.takeOutput()
-	for _, stranger := range []message.MemberID{"a", "b", "c"} {
+	for _, nonVoter := range []message.MemberID{"a", "b", "c"} {
 		promise := &message.PrepareResponse{Proposal: head.proposal.number}
-		head.Step(c.now, &message.Message{From: stranger, To: head.Identity(), View: 1, PrepareResponse: promise})
+		head.Step(c.now, &message.Message{From: nonVoter, To: head.Identity(), View: 1, PrepareResponse: promise})
 	}
 	assert.False(t, head.proposal.accepting)
 }
--- a/internal/controlplane/replica/status.go
+++ b/internal/controlplane/replica/status.go
@@ -22,7 +22,7 @@
 // IsComplete reports whether the replica holds every change acknowledged in the views before its current one.
 func (r *Replica) IsComplete() bool { return r.control.Complete }
 
-// IsSynced reports whether the replica is a member and its state agrees with its predecessor's in this view.
+// IsSynced reports whether the replica is a member and holds the state that is replicated in its view.
 func (r *Replica) IsSynced() bool { return r.IsMember() && r.link.synced }
 
 // ServingUntil returns the time until which the member may serve its state to proxies, or 0 if it may not. That time
--- a/internal/controlplane/replica/voters.go
+++ b/internal/controlplane/replica/voters.go
@@ -24,7 +24,7 @@
 	voters    []message.Member // initially those of the current view
 	present   []message.Member // live members that are in the next chain
 	replaced  []message.ReplacedVoter
-	canGrow   bool // no member is late, so no standby member may soon be needed to replace one
+	canGrow   bool // no member is late: a new member could turn out to be the replacement of a late one
 
 	isLeaving        func(message.Member) bool
 	timeSinceMessage func(message.Member) time.Duration         // time since the last message from an absent voter
