--- a/internal/controlplane/storage/ring.go
+++ b/internal/controlplane/storage/ring.go
@@ -1,4 +1,4 @@
-// Package storage keeps a coordinator's state in a ring of preallocated segment files: the newest record of each kind,
+// Package storage keeps a coordinator's state in a ring of fixed-size segment files: the newest record of each kind,
 // and for a kind the records appended to its newest one. It works like a write-ahead log that is compacted whenever it
 // rotates to the next segment, which then begins with the newest record of every kind.
 //
