--- a/internal/controlplane/replica/chain_replication_test.go
+++ b/internal/controlplane/replica/chain_replication_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/message"
 )
 
-func TestReplication_ChangeAndAcknowledgementTravelTheChain(t *testing.T) {
+func TestReplication_PassesChangeAndAcknowledgementAlongChain(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
 	c.transcript = nil
@@ -26,8 +26,8 @@
 	}
 }
 
-// Found by the simulation: a snapshot that was overtaken by a change set the tail back.
-func TestReplication_StateOnlyGrowsWithinView(t *testing.T) {
+// A snapshot that arrives after a later change must not set the tail back to the older state, not even after a restart.
+func TestReplication_IgnoresOlderSnapshotOfView(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
 	c.put(0, 0, testDocument(5, "x"))
@@ -43,5 +43,5 @@
 	assert.Equal(t, uint64(6), tail.chain.Version)
 	restarted := New(tail.options, testValidator, 0, tail.control, tail.chain)
 	restarted.Step(c.now, late)
-	assert.Equal(t, uint64(6), restarted.chain.Version, "nor after a restart")
+	assert.Equal(t, uint64(6), restarted.chain.Version, "the state does not go back after a restart either")
 }
--- a/internal/controlplane/replica/config_requests_test.go
+++ b/internal/controlplane/replica/config_requests_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestConfigRequest_ReadsAndRejectionsAskMajority(t *testing.T) {
+// Before a read or a rejection is answered, a majority must confirm the view.
+func TestConfigRequest_ReadsAndRejectionsNeedMajority(t *testing.T) {
 	c := newTestCluster(t, 3)
 	c.advance(time.Second)
 	c.put(0, 0, testDocument(5, "x"))
