--- a/internal/controlplane/discovery/discovery.go
+++ b/internal/controlplane/discovery/discovery.go
@@ -1,5 +1,5 @@
-// Package discovery reads the platform's list of backends over HTTP, and makes and applies differences between two
-// readings of it.
+// Package discovery reads the platform's list of backends over HTTP, and computes and applies the difference between
+// two versions of the list.
 package discovery
 
 import (
@@ -8,17 +8,17 @@
 	"pumiceline/internal/message"
 )
 
-// BackendList is the list of backends as it was read at one time. It is not changed after its digest was set.
+// BackendList is the list of backends as read at one time. Its backends do not change after SetDigest.
 type BackendList struct {
 	Backends   []message.Backend // in the order of their IDs
 	Digest     uint64            // of the backends; see SetDigest
-	ObservedAt time.Time         // when the reading began
+	ObservedAt time.Time         // when the read from the platform began
 	Revision   message.BackendsRevision
-	Pages      int // calls to the platform that the reading took; 0 where another process read it
+	Pages      int // pages of the platform's list, one call each; 0 if another process read the list
 }
 
-// IsNewerThan reports whether the list is to replace other, which may be nil. Lists of one lease holder are ordered by their
-// revisions, others by when they were read.
+// IsNewerThan reports whether the list replaces other, which may be nil. Lists published under the same lease are
+// ordered by their revisions, all others by when they were read.
 func (l *BackendList) IsNewerThan(other *BackendList) bool {
 	if !other.IsKnown() {
 		return true
@@ -29,5 +29,5 @@
 	return l.ObservedAt.After(other.ObservedAt)
 }
 
-// IsKnown reports whether the list was ever read; a nil one was not.
+// IsKnown reports whether the list was ever read. A nil list was not.
 func (l *BackendList) IsKnown() bool { return l != nil && !l.ObservedAt.IsZero() }
--- a/internal/controlplane/discovery/discovery_test.go
+++ b/internal/controlplane/discovery/discovery_test.go
@@ -20,8 +20,8 @@
 		list, other *BackendList
 		want        bool
 	}{
-		{"nothing known", list(0, 0, 0), nil, true},
-		{"the zero list", list(0, 0, 0), &BackendList{}, true},
+		{"no other list", list(0, 0, 0), nil, true},
+		{"the other is the zero list", list(0, 0, 0), &BackendList{}, true},
 		{"read later", list(time.Millisecond, 0, 0), list(0, 0, 0), true},
 		{"read at the same time", list(0, 0, 0), list(0, 0, 0), false},
 		{"same reading, later revision", list(0, 7, 2), list(0, 7, 1), true},
@@ -30,7 +30,7 @@
 		{"later revision, read earlier by another clock", list(-time.Millisecond, 7, 3), list(0, 7, 2), true},
 		{"another lease, read later", list(time.Millisecond, 8, 1), list(0, 7, 9), true},
 		{"another lease, read earlier", list(-time.Millisecond, 8, 1), list(0, 7, 9), false},
-		{"own reading, later", list(time.Millisecond, 0, 0), list(0, 7, 9), true},
+		{"without a revision, read later", list(time.Millisecond, 0, 0), list(0, 7, 9), true},
 	} {
 		assert.Equal(t, c.want, c.list.IsNewerThan(c.other), c.name)
 	}
--- a/internal/controlplane/discovery/reader.go
+++ b/internal/controlplane/discovery/reader.go
@@ -13,7 +13,7 @@
 	"pumiceline/internal/message"
 )
 
-// Limits of a reading.
+// Limits of one read of the list.
 const (
 	readTimeout  = 900 * time.Millisecond // for all pages together
 	maxPageBytes = 8 << 20
@@ -25,7 +25,7 @@
 // stateDraining is the state of a backend that takes no new requests.
 const stateDraining = "draining"
 
-// Reader reads the list from the platform. Several goroutines may use it.
+// Reader reads the list from the platform. It is safe for concurrent use.
 type Reader struct {
 	address string
 	client  *http.Client
@@ -37,7 +37,7 @@
 	return &Reader{address: address, client: &http.Client{Transport: transport}}
 }
 
-// page is one page of the list. The fields are pointers to distinguish a missing key from an empty value.
+// page is one page of the list. The fields are pointers, to distinguish a missing key from an empty value.
 type page struct {
 	Backends *[]pageEntry `json:"backends"`
 	NextPage *string      `json:"nextPage"` // null: this is the last
@@ -58,7 +58,7 @@
 	} `json:"models"`
 }
 
-// Read reads all pages. A list that breaks off or is malformed is an error: the caller keeps the list that it has.
+// Read reads all pages. An incomplete or malformed list is an error, and the caller keeps the list that it has.
 func (r *Reader) Read(ctx context.Context) (*BackendList, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -82,7 +82,7 @@
 	return nil, errors.Errorf("the list has more than %d pages", maxPages)
 }
 
-// readPage requests the page of a token, which the page before it gave. The first page has none.
+// readPage requests one page. token is the NextPage of the page before it; the first page has an empty token.
 func (r *Reader) readPage(ctx context.Context, token string) (*page, error) {
 	address := "http://" + r.address + "/backends"
 	if token != "" {
@@ -107,11 +107,11 @@
 	return parsePage(body)
 }
 
-// parsePage decodes a page. The error names the first entry that lacks what every entry must have.
+// parsePage decodes a page. The error names the first entry without an ID, a service or an address.
 func parsePage(body []byte) (*page, error) {
 	var decoded page
 	if err := json.Unmarshal(body, &decoded); err != nil {
-		return nil, errors.Wrap(err, "the list is no whole JSON")
+		return nil, errors.Wrap(err, "the list is not valid JSON")
 	}
 	if decoded.Backends == nil {
 		return nil, errors.New("the list has no backends")
--- a/internal/controlplane/discovery/reader_test.go
+++ b/internal/controlplane/discovery/reader_test.go
@@ -41,7 +41,7 @@
 		name, body, want string
 		status           int
 	}{
-		{"cut short", `{"backends":[{"id":"a"`, "no whole JSON", http.StatusOK},
+		{"cut short", `{"backends":[{"id":"a"`, "the list is not valid JSON", http.StatusOK},
 		{"no backends", `{"nextPage":null}`, "has no backends", http.StatusOK},
 		{"no address", `{"backends":[{"id":"a","service":"s"}],"nextPage":null}`,
 			"backends[0]: id, service and address must be given", http.StatusOK},
@@ -63,7 +63,7 @@
 	f.Add([]byte(`{"backends":[{"id":"a","service":"s","address":"1:1"}],"nextPage":null}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if parsed, err := parsePage(text); (parsed == nil) == (err == nil) {
-			t.Fatal("a page or an error, not both")
+			t.Fatal("exactly one of page and error must be set")
 		}
 	})
 }
--- a/internal/controlplane/discovery/update.go
+++ b/internal/controlplane/discovery/update.go
@@ -10,9 +10,9 @@
 	"pumiceline/internal/message"
 )
 
-// SetDigest sorts the backends by ID and sets the digest of their encoding, which identifies a list: equal lists of all
-// processes have the same one. It is never 0, which stands for no list. Whoever fills a list calls it before it shares
-// the list.
+// SetDigest sorts the backends by ID and sets the digest of their encoding. The digest identifies a list: equal lists
+// have the same digest in all processes. It is 0, which stands for no list, only if the encoding fails. SetDigest
+// must be called after a list is filled and before it is shared.
 func (l *BackendList) SetDigest() {
 	slices.SortFunc(l.Backends, func(a, b message.Backend) int { return cmp.Compare(a.ID, b.ID) })
 	update := message.BackendUpdate{Backends: l.Backends}
@@ -24,12 +24,12 @@
 	l.Digest = xxhash.Sum64(encoded) | 1
 }
 
-// FullUpdate returns an update that brings a receiver without a list to this one.
+// FullUpdate returns the update to this list for a receiver without a list.
 func (l *BackendList) FullUpdate() *message.BackendUpdate {
 	return &message.BackendUpdate{Digest: l.Digest, Backends: l.Backends}
 }
 
-// UpdateSince returns an update that brings a receiver from the older list base to this one.
+// UpdateSince returns the update to this list for a receiver that has the older list base.
 func (l *BackendList) UpdateSince(base *BackendList) *message.BackendUpdate {
 	update := &message.BackendUpdate{Digest: l.Digest, Base: base.Digest}
 	before := map[message.BackendID]*message.Backend{}
@@ -49,15 +49,16 @@
 	return update
 }
 
-// isEqual compares the encodings, as receivers get only these: a change of the warm-up time alone is no change.
+// isEqual compares the encodings, as receivers get only these. The encoding does not contain the warm-up time, so a
+// change of it alone is no change.
 func isEqual(a, b *message.Backend) bool {
 	encodedA, errA := a.MarshalMsg(nil)
 	encodedB, errB := b.MarshalMsg(nil)
 	return errA == nil && errB == nil && bytes.Equal(encodedA, encodedB)
 }
 
-// ApplyUpdate returns the list that an update leads to from base, which may be nil. ok is false where the update builds
-// on another list, or does not lead to the one whose digest it names: then the receiver must request a full update. The
+// ApplyUpdate applies an update to base, which may be nil. ok is false if the update builds on another list, or if
+// the digest of the result differs from the one in the update: the receiver must then request a full update. The
 // result has no ObservedAt yet.
 func ApplyUpdate(base *BackendList, update *message.BackendUpdate) (list *BackendList, ok bool) {
 	if update.Base == 0 {
--- a/internal/controlplane/discovery/update_test.go
+++ b/internal/controlplane/discovery/update_test.go
@@ -10,12 +10,12 @@
 )
 
 func listOf(entries ...message.Backend) *BackendList {
-	t := &BackendList{Backends: entries}
-	t.SetDigest()
-	return t
+	list := &BackendList{Backends: entries}
+	list.SetDigest()
+	return list
 }
 
-func TestApplyUpdate_LeadsToSameTable(t *testing.T) {
+func TestApplyUpdate_ResultEqualsNewerList(t *testing.T) {
 	a, b, c := message.Backend{ID: "a"}, message.Backend{ID: "b"}, message.Backend{ID: "c"}
 	loaded := b
 	loaded.Models = []message.LoadedModel{{Name: "m"}}
@@ -35,5 +35,5 @@
 	assert.Equal(t, after.Digest, full.Digest)
 	update.Removed = nil
 	_, ok = ApplyUpdate(before, update)
-	assert.False(t, ok, "an update that leads to another list")
+	assert.False(t, ok, "the result has another digest than the update names")
 }
--- a/internal/controlplane/distribution/backend_history.go
+++ b/internal/controlplane/distribution/backend_history.go
@@ -5,8 +5,8 @@
 	"pumiceline/internal/message"
 )
 
-// maxBackendHistory is how many earlier lists of backends the hub keeps to make updates from. A subscriber that is further
-// behind gets the full list.
+// maxBackendHistory is how many earlier lists of backends the hub keeps to make updates from. A subscriber that is
+// further behind gets the full list.
 const maxBackendHistory = 24
 
 // backendHistory holds the newest list of backends and those before it.
@@ -16,7 +16,7 @@
 	updates map[uint64]*message.BackendUpdate // to the newest, by the digest that they build on
 }
 
-// set sets the newest list and reports whether it differs from the one before. One that is not newer is ignored.
+// set sets the newest list and reports whether it differs from the one before. It ignores a list that is not newer.
 func (h *backendHistory) set(list *discovery.BackendList) bool {
 	if !list.IsNewerThan(h.newest) {
 		return false
@@ -33,8 +33,8 @@
 	return isChanged
 }
 
-// updateFrom returns the update for a subscriber that has the list of that digest: the full list where that list is not
-// kept any more. It is made once for all subscribers.
+// updateFrom returns the update for a subscriber that has the list with the given digest, or the full list if that
+// one is not kept any more. Each update is built once and shared by all subscribers.
 func (h *backendHistory) updateFrom(digest uint64) *message.BackendUpdate {
 	if cached := h.updates[digest]; cached != nil {
 		return cached
--- a/internal/controlplane/distribution/config_copy.go
+++ b/internal/controlplane/distribution/config_copy.go
@@ -7,8 +7,8 @@
 	"pumiceline/internal/message"
 )
 
-// maxExpandedBytes bounds the document that a delta may expand to, against a malformed one. Configurations are smaller:
-// coordinators accept up to replica.MaxDocumentBytes.
+// maxExpandedBytes bounds the size of the document that a delta expands to, in case the delta is malformed.
+// Configurations are smaller: coordinators accept up to replica.MaxDocumentBytes.
 const maxExpandedBytes = 16 << 20
 
 // ConfigCopy is a subscriber's copy of the committed configuration. Its sequence never decreases. The zero value is
@@ -30,8 +30,8 @@
 // Sequence is that of the configuration in the copy; 0: there is none.
 func (c *ConfigCopy) Sequence() uint64 { return c.sequence }
 
-// Apply applies an update, which may be nil, and returns the full document where it is newer than the copy. An update
-// that does not apply leaves the copy as it is, and the full document is requested next.
+// Apply applies an update, which may be nil, and returns the full document if it is newer than the copy. A delta that
+// does not apply leaves the copy as it is, and the full document is requested next.
 func (c *ConfigCopy) Apply(update *message.ConfigUpdate) (document []byte, isNewer bool) {
 	if update == nil || update.Sequence <= c.sequence {
 		return nil, false
--- a/internal/controlplane/distribution/config_copy_test.go
+++ b/internal/controlplane/distribution/config_copy_test.go
@@ -10,7 +10,8 @@
 	"pumiceline/internal/message"
 )
 
-// A subscriber that has an earlier configuration gets a delta, and requests the full document where that does not apply.
+// A subscriber that has an earlier configuration gets a delta. If the delta does not apply, it requests the full
+// document.
 func TestConfigCopy_AppliesDeltas(t *testing.T) {
 	hub := newServingHub(t)
 	routes := strings.Repeat(`{"name":"route","host":"h.example","pathStart":"/a/"},`, 100)
@@ -38,5 +39,5 @@
 	require.True(t, isNewer)
 	assert.Equal(t, second.Document, document)
 	_, isNewer = copied.Apply(&first)
-	assert.False(t, isNewer, "it never goes backward")
+	assert.False(t, isNewer, "the sequence never decreases")
 }
--- a/internal/controlplane/distribution/config_history.go
+++ b/internal/controlplane/distribution/config_history.go
@@ -25,7 +25,7 @@
 	return h.recent[len(h.recent)-1].Sequence
 }
 
-// add appends a configuration and reports whether it is newer than all before it; one that is not is ignored.
+// add appends a configuration and reports whether it is newer than all before it. It ignores one that is not newer.
 func (h *configHistory) add(update message.ConfigUpdate) bool {
 	if len(h.recent) > 0 && update.Sequence <= h.newestSequence() {
 		return false
@@ -36,8 +36,9 @@
 	return true
 }
 
-// updateFrom returns the update for a subscriber that has the configuration of that sequence: a delta where that
-// configuration is still known and the delta is smaller, else the full document. It is made once for all subscribers.
+// updateFrom returns the update for a subscriber that has the configuration with the given sequence: a delta if that
+// configuration is still kept and the delta is smaller, else the full document. Each update is built once and shared
+// by all subscribers.
 func (h *configHistory) updateFrom(sequence uint64) *message.ConfigUpdate {
 	if cached := h.updates[sequence]; cached != nil {
 		return cached
@@ -59,8 +60,8 @@
 	return update
 }
 
-// documentDigest is the first half of the document's SHA-256. Subscribers compare it, as a delta that is applied to another
-// document than it was made for may expand without an error.
+// documentDigest is the first half of the document's SHA-256. Subscribers compare it, because a delta that is applied
+// to another document than it was made for may expand to a wrong document without an error.
 func documentDigest(document []byte) []byte {
 	sum := sha256.Sum256(document)
 	return sum[:sha256.Size/2]
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -1,9 +1,10 @@
-// Package distribution brings the committed configuration, the list of backends and the total loads to every proxy by
+// Package distribution sends the committed configuration, the list of backends and the total loads to every proxy by
 // long polling. A subscriber (a proxy, or a coordinator that polls the lease holder) sends the versions that it has
-// together with its own demand and loads; the response carries what is newer, and waits while there is nothing.
+// together with its own demand and loads. The response carries what is newer; the server delays it while nothing is.
 //
-// Hub is the server and Poller the client. Loads that must be fresher than a poll travel beside it as load reports and
-// load queries (Hub.HandleLoadReport). Package inflight holds the pure part: the table of loads and its deltas.
+// Hub is the server and Poller the client. Loads that must be fresher than a poll are sent separately, as load
+// reports and load queries (Hub.HandleLoadReport). Package inflight holds the pure part: the table of loads and its
+// deltas.
 package distribution
 
 import (
@@ -22,16 +23,17 @@
 	pollCheckInterval = 50 * time.Millisecond
 )
 
-// Status is what a hub needs to know of its coordinator's membership.
+// Status is the part of its coordinator's membership that a hub needs.
 type Status struct {
-	// ServingUntil is when the member stops serving unless a majority of the voters confirms its view again before. The
-	// hub compares it with the time of each response, so that a process that was paused sends nothing outdated.
+	// ServingUntil is when the member stops serving, unless a majority of the voters confirms its view again before
+	// then. The hub compares it with the time of each response, so that a process that was paused sends nothing
+	// outdated.
 	ServingUntil time.Time
 	Members      []message.Member
 }
 
-// Hub is the long-poll server of a coordinator. One goroutine, Run, owns its state and works through a queue of commands;
-// all methods may be called from any goroutine. Once Run has ended commands are dropped, and methods that return a value
+// Hub is the long-poll server of a coordinator. One goroutine, Run, owns its state and executes a queue of commands.
+// All methods are safe for concurrent use. Once Run has ended, commands are dropped, and methods that return a value
 // return the zero value.
 type Hub struct {
 	commands      chan func(*state)
@@ -59,7 +61,7 @@
 	return h
 }
 
-// Run works through the commands and answers pending polls until ctx ends.
+// Run executes the commands and answers pending polls until ctx ends.
 func (h *Hub) Run(ctx context.Context) {
 	defer close(h.ended)
 	s := &state{subscriptions: newSubscriptionTable(), inFlight: inflight.NewTable()}
@@ -80,11 +82,11 @@
 // SetStatus sets until when the member serves, and the members of its view.
 func (h *Hub) SetStatus(status Status) { h.status.Store(&status) }
 
-// SetOnUnmetDemand sets what is called when a poll reports requests that wait for a model or were rejected for lack of it.
-// The call is made by the hub's goroutine and must not wait.
+// SetOnUnmetDemand sets the function to call when a poll reports requests that wait for a model or were rejected for
+// lack of it. The hub's goroutine calls it, so it must not block.
 func (h *Hub) SetOnUnmetDemand(notify func()) { h.onUnmetDemand.Store(&notify) }
 
-// Config returns the newest committed configuration, nil where none is known.
+// Config returns the newest committed configuration, or nil if none is known.
 func (h *Hub) Config() *message.ConfigUpdate { return h.config.Load() }
 
 // SetConfig sets the newest committed configuration. Pending polls get it at once.
@@ -97,8 +99,8 @@
 	})
 }
 
-// SetBackends sets the list of backends. A list that is not newer than the present one is ignored; pending polls get a list
-// that differs at once.
+// SetBackends sets the list of backends. A list that is not newer than the present one is ignored; pending polls get
+// a list that differs at once.
 func (h *Hub) SetBackends(list *discovery.BackendList) {
 	h.send(func(s *state) {
 		if s.backends.set(list) {
@@ -107,25 +109,26 @@
 	})
 }
 
-// SetTotals sets the totals over all proxies, as the lease holder gave them.
+// SetTotals sets the totals over all proxies, as received from the lease holder.
 func (h *Hub) SetTotals(totals Totals) {
 	h.send(func(s *state) { s.totals = clusterTotals{Totals: totals, receivedAt: time.Now()} })
 }
 
 // UseOwnTotals is called in place of SetTotals at the lease holder. There the totals are the sums over the hub's own
-// subscribers, as all other coordinators are among these, and pendingModelLoads are those that its placer has started.
+// subscribers, as all other coordinators are among these. pendingModelLoads are the loads that its controller has
+// started.
 func (h *Hub) UseOwnTotals(pendingModelLoads []message.PendingModelLoad) {
 	h.send(func(s *state) {
 		s.totals = clusterTotals{Totals: Totals{PendingModelLoads: pendingModelLoads}, receivedAt: time.Now()}
 	})
 }
 
-// Backends returns the newest list of backends, nil before the first.
+// Backends returns the newest list of backends, or nil before the first.
 func (h *Hub) Backends() *discovery.BackendList {
 	return readState(h, func(s *state) *discovery.BackendList { return s.backends.newest })
 }
 
-// Proxies returns how many proxies there are, as far as is known here.
+// Proxies returns the number of proxies: the larger of the lease holder's count and the hub's own.
 func (h *Hub) Proxies() int {
 	return readState(h, func(s *state) int { return s.countProxies(time.Now()) })
 }
--- a/internal/controlplane/distribution/hub_test.go
+++ b/internal/controlplane/distribution/hub_test.go
@@ -41,9 +41,9 @@
 }
 
 func backendList(id message.BackendID, observed time.Time) *discovery.BackendList {
-	t := &discovery.BackendList{ObservedAt: observed, Backends: []message.Backend{{ID: id, Service: "s", Address: "a"}}}
-	t.SetDigest()
-	return t
+	list := &discovery.BackendList{ObservedAt: observed, Backends: []message.Backend{{ID: id, Service: "s", Address: "a"}}}
+	list.SetDigest()
+	return list
 }
 
 func TestHub_SendsOnlyNewerVersions(t *testing.T) {
@@ -73,7 +73,8 @@
 	assert.Equal(t, "m", response.Members[0].Address)
 }
 
-// A process that was paused or partitioned finds by the clock that its time to serve is over, whatever its last status.
+// A process that was paused or partitioned may get no newer status. It stops serving when its clock passes
+// ServingUntil.
 func TestHub_StopsServingAtServingUntil(t *testing.T) {
 	hub := newServingHub(t)
 	hub.SetConfig(message.ConfigUpdate{Sequence: 1})
@@ -139,15 +140,15 @@
 	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 20, "c": 30}, inFlight)
 	report(10, 21, 0)
 	sent, inFlight = pollFrom(copied.Version())
-	assert.Equal(t, 1, sent, "a small change is not sent, the end of a load is")
+	assert.Equal(t, 1, sent, "a change below the threshold is not sent, a load that became 0 is")
 	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 20}, inFlight)
 	report(10, 30, 5)
 	sent, inFlight = pollFrom(7)
-	assert.Equal(t, 3, sent, "a subscriber that missed a response gets all")
+	assert.Equal(t, 3, sent, "a subscriber with another version gets all loads")
 	assert.Equal(t, map[message.BackendID]int{"a": 10, "b": 30, "c": 5}, inFlight)
 }
 
-// A call that comes when the hub has ended returns, and brings nothing.
+// After Run has ended, calls do not block and return zero values.
 func TestHub_CallsReturnAfterEnd(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	hub := NewHub()
--- a/internal/controlplane/distribution/inflight/delta.go
+++ b/internal/controlplane/distribution/inflight/delta.go
@@ -6,8 +6,8 @@
 	"pumiceline/internal/message"
 )
 
-// A backend's load is sent again only when it differs by at least so much from what the receiver has. Smaller changes are
-// frequent, and hardly ever change which backend is picked.
+// Thresholds: a backend's load is sent again only when it differs by at least this much from what the receiver has.
+// Smaller changes are frequent, and hardly ever change which backend is picked.
 const (
 	// A change of the requests in flight counts when it reaches both minInFlightChange, in requests, and
 	// minInFlightChangeShare of the number that was sent last.
@@ -20,7 +20,7 @@
 // Delta is what a receiver needs to bring its copy of the total loads up to date.
 type Delta struct {
 	Loads    []message.BackendLoad // present values; both counts 0: nothing is in flight there any more
-	Complete bool                  // Loads is everything: the receiver drops what it has
+	Complete bool                  // Loads has all loads: the receiver discards its copy first
 	Version  uint64                // of the totals after this delta; never 0
 }
 
@@ -29,7 +29,8 @@
 	return Delta{Loads: response.TotalLoads, Complete: response.LoadsComplete, Version: response.LoadVersion}
 }
 
-// DeltaEncoder makes the deltas for one receiver, of which it remembers what was sent last. The zero value is ready.
+// DeltaEncoder makes the deltas for one receiver. It stores what was last sent to that receiver. The zero value is
+// ready.
 type DeltaEncoder struct {
 	version uint64
 	sent    map[message.BackendID]message.BackendLoad
@@ -58,7 +59,8 @@
 		}
 	}
 	if delta.Complete || len(delta.Loads) > 0 {
-		// Random, so that a receiver that moves to another hub does not by chance have the version sent last there; never 0.
+		// Versions are random: with counters, a receiver that moves to another hub could have the version that was
+		// sent last there, and would get a delta to loads that it does not have. A version is never 0.
 		e.version = rand.Uint64() | 1
 	}
 	delta.Version = e.version
@@ -78,7 +80,7 @@
 
 func abs(x int) int { return max(x, -x) }
 
-// DeltaDecoder is a receiver's copy of the total loads. The zero value is ready.
+// DeltaDecoder is a receiver's copy of the total loads. The zero value is an empty copy.
 type DeltaDecoder struct {
 	version uint64
 	loads   map[message.BackendID]message.BackendLoad
@@ -87,7 +89,7 @@
 // Version returns the version of the copy, to be sent with the next request; 0 before the first delta.
 func (d *DeltaDecoder) Version() uint64 { return d.version }
 
-// Apply applies a delta and returns the loads of all backends, in no particular order.
+// Apply applies a delta and returns the loads of all backends, in unspecified order.
 func (d *DeltaDecoder) Apply(delta Delta) []message.BackendLoad {
 	if delta.Complete || d.loads == nil {
 		d.loads = map[message.BackendID]message.BackendLoad{}
--- a/internal/controlplane/distribution/inflight/delta_test.go
+++ b/internal/controlplane/distribution/inflight/delta_test.go
@@ -15,13 +15,13 @@
 		want          bool
 	}{
 		{"nothing changed", load("b", 10, 100), load("b", 10, 100), false},
-		{"one request", load("b", 1, 0), load("b", 2, 0), false},
-		{"two of few", load("b", 10, 0), load("b", 12, 0), true},
-		{"two of many", load("b", 100, 0), load("b", 102, 0), false},
-		{"fifteen of a hundred", load("b", 100, 0), load("b", 85, 0), true},
+		{"one request more", load("b", 1, 0), load("b", 2, 0), false},
+		{"2 of 10 requests more", load("b", 10, 0), load("b", 12, 0), true},
+		{"2 of 100 requests more", load("b", 100, 0), load("b", 102, 0), false},
+		{"15 of 100 requests less", load("b", 100, 0), load("b", 85, 0), true},
 		{"the last request ends", load("b", 1, 0), load("b", 0, 0), true},
-		{"prompts below the threshold", load("b", 1, 100), load("b", 1, 159), false},
-		{"prompts at the threshold", load("b", 1, 100), load("b", 1, 40), true},
+		{"queued prefill changes below the threshold", load("b", 1, 100), load("b", 1, 159), false},
+		{"queued prefill changes by the threshold", load("b", 1, 100), load("b", 1, 40), true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			assert.Equal(t, c.want, isSignificantChange(c.last, c.current))
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestDeltaEncoder_SendsNothingTwice(t *testing.T) {
+func TestDeltaEncoder_SendsUnchangedLoadsOnce(t *testing.T) {
 	var encoder DeltaEncoder
 	var decoder DeltaDecoder
 	totals := []message.BackendLoad{load("a", 3, 0), load("b", 0, 200)}
--- a/internal/controlplane/distribution/inflight/table.go
+++ b/internal/controlplane/distribution/inflight/table.go
@@ -1,8 +1,8 @@
-// Package inflight keeps and transfers the load of backends: how many requests the proxies have in flight at each, and
-// how many milliseconds of prompts wait there to be read (the queued prefill).
+// Package inflight keeps and transfers the load of backends: how many requests the proxies have in flight at each,
+// and how many milliseconds of prefill are queued there (the queued prefill).
 //
-// It is pure: it takes the time from its caller and knows no network. Nothing in it is safe for concurrent use; the hub's
-// goroutine, or the mutex of whoever decodes, owns it.
+// It is pure: it takes the time from its caller and does no I/O. Its types are not safe for concurrent use: the hub's
+// goroutine owns the table and the encoders, and the owner of a decoder guards it with a mutex.
 package inflight
 
 import (
@@ -11,13 +11,14 @@
 	"pumiceline/internal/message"
 )
 
-// entryLifetime is how long a load counts after it was last reported. Proxies report all their loads again well within it
-// (package loads), so that only the loads of a proxy that has ended, or cannot reach the coordinator, expire.
+// entryLifetime is how long a load counts after it was last reported. Proxies report all their loads again well
+// within this time (package loads), so that loads expire only if their proxy has ended or cannot reach the
+// coordinator.
 const entryLifetime = 4 * time.Second
 
-// Table holds what each reporter (a proxy) has in flight at each backend, by its latest report. It is soft state: it may
-// be lost at any time and fills again as proxies report. Entries are present values, not differences, so a report that
-// arrives twice counts once.
+// Table holds what each reporter (a proxy) has in flight at each backend, by its latest report. It is soft state: it
+// may be lost at any time, and fills again as proxies report. Entries are absolute values, not differences, so a
+// report that arrives twice counts once.
 type Table struct {
 	entries map[message.BackendID]map[string]entry // by backend, then by reporter
 }
@@ -31,7 +32,8 @@
 // NewTable makes an empty table.
 func NewTable() *Table { return &Table{entries: map[message.BackendID]map[string]entry{}} }
 
-// Replace records what a reporter has in flight now, at all backends: at those that loads do not name it has nothing.
+// Replace records what a reporter has in flight now at all backends. It has nothing at backends that loads do not
+// name.
 func (t *Table) Replace(reporter string, loads []message.BackendLoad, now time.Time) {
 	for backend := range t.entries {
 		t.remove(backend, reporter)
--- a/internal/controlplane/distribution/inflight/table_test.go
+++ b/internal/controlplane/distribution/inflight/table_test.go
@@ -27,7 +27,7 @@
 	assert.NotContains(t, table.entries, message.BackendID("b2"), "a backend without load has no entry")
 }
 
-func TestTable_ExpiresSilentReporters(t *testing.T) {
+func TestTable_ExpiresLoadsWithoutNewReport(t *testing.T) {
 	now := time.Unix(100, 0)
 	table := NewTable()
 	table.Update("p1", []message.BackendLoad{load("b1", 2, 30)}, now)
--- a/internal/controlplane/distribution/load_query.go
+++ b/internal/controlplane/distribution/load_query.go
@@ -7,9 +7,9 @@
 	"pumiceline/internal/message"
 )
 
-// HandleLoadReport records what a proxy has in flight and answers its load query where the report has one (its ID is not
-// 0); reply is then called once, on a goroutine of its own. A member answers whether or not it serves: loads are hints,
-// and nothing that must be consistent is decided by them.
+// HandleLoadReport records what a proxy has in flight. If the report has a load query (its ID is not 0), reply is
+// called once with the response, on a goroutine of its own. A member answers even while it does not serve: loads are
+// hints, and no decision that must be consistent depends on them.
 func (h *Hub) HandleLoadReport(proxy string, report *message.LoadReport, reply func(*message.Message)) {
 	h.send(func(s *state) {
 		now := time.Now()
@@ -25,7 +25,7 @@
 	})
 }
 
-// loadResponse carries what the other proxies have in flight at the backends that hold the model of the query.
+// loadResponse returns what the other proxies have in flight at the backends that hold the model of the query.
 func (s *state) loadResponse(proxy string, report *message.LoadReport, now time.Time) *message.LoadResponse {
 	response := &message.LoadResponse{ID: report.ID}
 	if !s.backends.newest.IsKnown() {
@@ -40,7 +40,7 @@
 	return response
 }
 
-// modelIndex finds the backends that hold a model or an adapter. It is rebuilt when it is used with another list.
+// modelIndex finds the backends that hold a model or an adapter. It is rebuilt when it is used with a different list.
 type modelIndex struct {
 	list    *discovery.BackendList // that the index was built from
 	byModel map[modelKey][]message.BackendID
--- a/internal/controlplane/distribution/load_query_test.go
+++ b/internal/controlplane/distribution/load_query_test.go
@@ -15,7 +15,7 @@
 	return message.BackendLoad{Backend: backend, InFlight: inFlight, QueuedPrefillMs: queuedPrefillMs}
 }
 
-// The queries are for a model, an adapter, and a model that no backend holds.
+// The queries are for a model, for an adapter, and for a model of another service, which no backend holds.
 func TestHub_AnswersLoadQueriesByModel(t *testing.T) {
 	hub := NewHub()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -30,7 +30,7 @@
 		assert.Equal(t, uint64(7), response.ID)
 		return response
 	}
-	assert.True(t, query("p1", message.LoadReport{Service: "s", Model: "m"}).Unknown, "without a list nothing is known")
+	assert.True(t, query("p1", message.LoadReport{Service: "s", Model: "m"}).Unknown, "no list of backends yet")
 	list := &discovery.BackendList{ObservedAt: time.Now(), Backends: []message.Backend{
 		{ID: "b1", Service: "s", Models: []message.LoadedModel{{Name: "m", Adapters: []string{"a1"}}}},
 		{ID: "b2", Service: "s", Models: []message.LoadedModel{{Name: "m"}}},
--- a/internal/controlplane/distribution/poll.go
+++ b/internal/controlplane/distribution/poll.go
@@ -7,8 +7,8 @@
 	"pumiceline/internal/message"
 )
 
-// unavailableWait is how long the answer to a poll is delayed while the member does not serve. After a change of the view
-// a majority confirms the member within this time, so that most subscribers need not fail over to another.
+// unavailableWait is how long the answer to a poll is delayed while the member does not serve. After a change of the
+// view a majority confirms the member within this time, so most subscribers need not fail over to another member.
 const unavailableWait = 200 * time.Millisecond
 
 // pendingPoll is a poll that has not been answered.
@@ -19,7 +19,7 @@
 	reply      func(*message.Message)
 }
 
-// maxWait is how long the subscriber lets the hub wait while there is nothing newer.
+// maxWait is how long the hub may delay the answer while there is nothing newer.
 func (p *pendingPoll) maxWait() time.Duration {
 	return time.Duration(p.request.MaxWaitMs) * time.Millisecond
 }
@@ -30,8 +30,9 @@
 	go p.reply(&message.Message{PollResponse: response})
 }
 
-// HandlePoll takes a poll. reply is called once, on a goroutine of its own: at once where there is something newer than
-// the request's versions, else when there is, at the latest after the request's MaxWaitMs.
+// HandlePoll takes a poll. reply is called once, on a goroutine of its own: as soon as there is something newer than
+// the request's versions, and at the latest after the request's MaxWaitMs. While the member does not serve, the reply
+// is Unavailable, delayed by up to unavailableWait.
 func (h *Hub) HandlePoll(subscriber string, request message.PollRequest, reply func(*message.Message)) {
 	receivedAt := time.Now()
 	h.send(func(s *state) {
@@ -94,7 +95,7 @@
 	return s.backends.newest.IsKnown() && s.backends.newest.Digest != request.BackendDigest
 }
 
-// response carries what is newer than the request's versions, and the totals over all proxies.
+// response returns what is newer than the request's versions, and the totals over all proxies.
 func (s *state) response(poll *pendingPoll, now time.Time) *message.PollResponse {
 	response := &message.PollResponse{}
 	if s.hasNewerConfig(&poll.request) {
@@ -114,7 +115,8 @@
 	return response
 }
 
-// addTotalLoads adds the total loads, as a delta where the subscriber has the version that was sent to it last.
+// addTotalLoads adds the total loads: a delta if the subscriber has the version that was sent to it last, else all of
+// them.
 func (s *state) addTotalLoads(response *message.PollResponse, poll *pendingPoll, now time.Time) {
 	totals := s.totalLoads(now)
 	known := s.subscriptions.bySubscriber[poll.subscriber]
--- a/internal/controlplane/distribution/poller.go
+++ b/internal/controlplane/distribution/poller.go
@@ -11,7 +11,8 @@
 )
 
 const (
-	// responseMargin is how much longer than the poll's maximum wait a response may take; then the poll has failed.
+	// responseMargin is how much longer than the poll's maximum wait a response may take before the poll counts as
+	// failed.
 	responseMargin = 800 * time.Millisecond
 	// failoverDelay is the pause before the next server is polled after one has failed.
 	failoverDelay = 80 * time.Millisecond
@@ -21,7 +22,7 @@
 	noServerDelay = 250 * time.Millisecond
 )
 
-// Subscriber is what a Poller polls for. Its methods may be called from several goroutines.
+// Subscriber provides the requests of a Poller and takes the responses. Its methods must be safe for concurrent use.
 type Subscriber interface {
 	// PollRequest returns the versions that the subscriber has, and its demand and loads.
 	PollRequest() message.PollRequest
@@ -29,23 +30,24 @@
 	Apply(response *message.PollResponse, sent time.Time)
 	// Addresses returns the servers to poll, the preferred first. It may return none.
 	Addresses() []string
-	// SetMembers takes the coordinators as a server knows them.
+	// SetMembers takes the members of the view of the server that responded.
 	SetMembers(members []message.Member)
 }
 
-// Poller is the long-poll client: it keeps one poll pending at the preferred server that answers, and fails over to the
-// next where that does not.
+// Poller is the long-poll client. It keeps one poll pending at the preferred server, and fails over to the next one
+// when a server does not answer or is unavailable.
 type Poller struct {
 	identity     message.MemberID
 	subscriber   Subscriber
 	client       *transport.Client
 	maxWait      time.Duration
 	current      atomic.Pointer[string] // address of the server that answered last; PollNow uses it too
-	serverIndex  int                    // in the subscriber's addresses, modulo their number; 0: the preferred
+	serverIndex  int                    // in the subscriber's addresses, modulo their number; 0: the preferred server
 	failedOverAt time.Time
 }
 
-// NewPoller makes a poller that polls under an identity; a server waits for at most maxWait while there is nothing newer.
+// NewPoller makes a poller that polls under an identity. maxWait is how long a server may delay its answer while
+// there is nothing newer.
 func NewPoller(identity message.MemberID, subscriber Subscriber, maxWait time.Duration) *Poller {
 	return &Poller{identity: identity, subscriber: subscriber, client: transport.NewClient(), maxWait: maxWait}
 }
@@ -70,7 +72,7 @@
 	}
 }
 
-// pollServer makes one long poll and reports whether the server could answer it.
+// pollServer makes one long poll. It reports whether the server answered and is serving.
 func (p *Poller) pollServer(ctx context.Context, address string) bool {
 	request := p.subscriber.PollRequest()
 	request.MaxWaitMs = int(p.maxWait.Milliseconds())
@@ -92,9 +94,9 @@
 	return true
 }
 
-// PollNow makes a poll without a wait at the server that answered last, beside the one that is pending there: it brings
-// the subscriber's demand and loads to the server at once. It does nothing before any server has answered. A failure is
-// ignored, as Run finds it too.
+// PollNow sends a poll without a wait to the server that answered last, in addition to the pending one. It reports
+// the subscriber's demand and loads to the server at once. It does nothing before any server has answered. A failure
+// is ignored, because Run notices it too.
 func (p *Poller) PollNow(ctx context.Context) {
 	address := p.current.Load()
 	if address == nil {
@@ -110,8 +112,9 @@
 	}
 }
 
-// ObservedAt returns when the list of backends of a response, whose request was sent at sent, was read from the platform,
-// by the receiver's clock. It is the earliest possible time, as it takes the request to have arrived at once.
+// ObservedAt returns when the list of backends in a response was read from the platform, by the receiver's clock.
+// sent is when the request was sent. The result is the earliest possible time, as it assumes that the request arrived
+// without delay.
 func ObservedAt(response *message.PollResponse, sent time.Time) time.Time {
 	return sent.Add(time.Duration(response.WaitedMs-response.BackendsAgeMs) * time.Millisecond)
 }
--- a/internal/controlplane/distribution/poller_test.go
+++ b/internal/controlplane/distribution/poller_test.go
@@ -53,12 +53,12 @@
 func TestPoller_FailsOverToServingHub(t *testing.T) {
 	unavailable, serving := newUnavailableHub(t), newServingHub(t)
 	serving.SetConfig(message.ConfigUpdate{Sequence: 8})
-	dead, err := net.Listen("tcp", "127.0.0.1:0")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	deadAddress := dead.Addr().String()
-	dead.Close()
+	closedAddress := closed.Addr().String()
+	closed.Close()
 	s := &recordingSubscriber{
-		addresses: []string{deadAddress, serve(t, unavailable), serve(t, serving)},
+		addresses: []string{closedAddress, serve(t, unavailable), serve(t, serving)},
 		applied:   make(chan *message.PollResponse, 1),
 	}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controlplane/distribution/subscriptions.go
+++ b/internal/controlplane/distribution/subscriptions.go
@@ -12,7 +12,8 @@
 const (
 	// subscriptionLifetime is how long after its last poll a subscriber's proxies are counted.
 	subscriptionLifetime = 5 * time.Second
-	// reportLifetime is how long after its last poll its loads and its requests waiting and in flight count.
+	// reportLifetime is how long after its last poll a subscriber's loads, and its requests waiting and in flight,
+	// are counted.
 	reportLifetime = 2 * time.Second
 )
 
@@ -31,7 +32,7 @@
 
 // subscription is what one subscriber reported with its latest poll, and what was sent to it.
 type subscription struct {
-	proxies  int // how many it speaks for
+	proxies  int // number of proxies that it reports for
 	lastPoll time.Time
 	loads    []message.BackendLoad
 	demand   []message.ModelDemand // of its requests waiting and in flight; arrivals are in subscriptionTable.demand
@@ -47,7 +48,7 @@
 	return &subscriptionTable{bySubscriber: map[string]*subscription{}, demand: map[modelKey]*message.ModelDemand{}}
 }
 
-// record keeps what a subscriber reports with a poll.
+// record stores what a subscriber reports with a poll.
 func (t *subscriptionTable) record(subscriber string, request *message.PollRequest, now time.Time) {
 	known := t.bySubscriber[subscriber]
 	if known == nil {
@@ -63,7 +64,7 @@
 	}
 }
 
-// demandOf returns the sum for a model, which it makes where there is none.
+// demandOf returns the sum for a model, and adds an empty one if there is none.
 func (t *subscriptionTable) demandOf(service string, model message.ModelName) *message.ModelDemand {
 	key := modelKey{service, model}
 	sum := t.demand[key]
@@ -74,7 +75,8 @@
 	return sum
 }
 
-// countProxies returns how many proxies the subscribers speak for. It removes subscriptions that have expired.
+// countProxies returns the number of proxies that the subscribers report for. It removes subscriptions that have
+// expired.
 func (t *subscriptionTable) countProxies(now time.Time) int {
 	count := 0
 	for subscriber, known := range t.bySubscriber {
@@ -105,8 +107,8 @@
 	return slices.Collect(maps.Values(sums))
 }
 
-// drainDemand returns the demand by model: arrivals and rejections since the last call, and the requests that wait and
-// run now.
+// drainDemand returns the demand by model: arrivals and rejections since the last call, and the requests that are
+// waiting and in flight now.
 func (t *subscriptionTable) drainDemand(now time.Time) []message.ModelDemand {
 	for _, known := range t.bySubscriber {
 		if now.Sub(known.lastPoll) > reportLifetime {
--- a/internal/controlplane/distribution/totals.go
+++ b/internal/controlplane/distribution/totals.go
@@ -6,11 +6,11 @@
 	"pumiceline/internal/message"
 )
 
-// Totals is what the lease holder knows of all proxies together.
+// Totals are the lease holder's totals over all proxies.
 type Totals struct {
 	Loads             []message.BackendLoad      // of requests, by backend; nil: not known
-	Proxies           int                        // how many proxies there are; 0: not known
-	PendingModelLoads []message.PendingModelLoad // loads of models onto backends, in progress at the lease holder's placer
+	Proxies           int                        // number of proxies; 0: not known
+	PendingModelLoads []message.PendingModelLoad // model loads that the lease holder's controller has in progress
 }
 
 // clusterTotals are the totals that a hub sends to its subscribers.
@@ -29,13 +29,13 @@
 	return remaining
 }
 
-// countProxies is the larger of the lease holder's count and the own one. The holder's may be older, and the own one
-// lacks proxies that poll other coordinators.
+// countProxies returns the larger of the lease holder's count and the hub's own. The lease holder's may be older, and
+// the hub's own lacks the proxies that poll other coordinators.
 func (s *state) countProxies(now time.Time) int {
 	return max(s.totals.Proxies, s.subscriptions.countProxies(now))
 }
 
-// totalLoads are those of the lease holder; while it gave none, the sums over the own subscribers.
+// totalLoads returns the lease holder's total loads, or the sums over the hub's own subscribers while there are none.
 func (s *state) totalLoads(now time.Time) []message.BackendLoad {
 	if s.totals.Loads != nil {
 		return s.totals.Loads
