--- a/internal/controlplane/coordinator/coordination_loop.go
+++ b/internal/controlplane/coordinator/coordination_loop.go
@@ -129,14 +129,14 @@
 
 // candidates returns whom the relay may ask.
 func (l *coordinationLoop) candidates() relay.Candidates {
-	candidates := relay.Candidates{InTouch: true}
+	candidates := relay.Candidates{IsConnected: true}
 	if s := l.membership(); s != nil {
 		candidates.Voters = s.view.EffectiveVoters()
-		candidates.InTouch = !s.isMember || s.hasMajority
+		candidates.IsConnected = !s.isMember || s.hasMajority
 	}
 	if status := l.status.Load(); status != nil {
 		candidates.Issuer = status.Issuer
-		candidates.InTouch = candidates.InTouch || status.HearsOne
+		candidates.IsConnected = candidates.IsConnected || status.HearsOne
 	}
 	return candidates
 }
--- a/internal/controlplane/relay/exchange.go
+++ b/internal/controlplane/relay/exchange.go
@@ -20,28 +20,28 @@
 	start     time.Time
 	responses chan *message.Message
 	requests  []*request
-	last      *request    // that was sent last
-	next      *time.Timer // when somebody is asked again
-	declined  bool        // the last one asked has declined, and a voter is to be asked next
-	resends   int         // of a watch
+	last      *request    // the request that was sent last
+	next      *time.Timer // fires when the next target is to be asked
+	declined  bool        // the last target has declined, so a voter is asked next
+	resends   int         // how often a watch was sent again
 }
 
-// request is what one target was asked. It is sent again, with the same ID, until the target declines.
+// request is the call as sent to one target. It is sent again with the same ID, until the target declines.
 type request struct {
 	id       uint64
 	target   message.Member
-	sentAt   time.Time // the last time
-	sent     int       // how often
-	declined bool      // the target said that it is not the issuer and did nothing
+	sentAt   time.Time // when it was sent last
+	sent     int       // how often it was sent
+	declined bool      // the target responded that it is not the issuer and did nothing
 }
 
-// isVoid reports whether nothing was done by the request and never will be. A target that declined after the request was
-// sent to it several times said so of one of them only.
-func (q *request) isVoid() bool { return q.declined && q.sent == 1 }
+// isNotExecuted reports whether the request was certainly not executed and never will be. This is not certain if it was
+// sent several times, even if its target declined: the response is to one copy, and another may have been executed.
+func (q *request) isNotExecuted() bool { return q.declined && q.sent == 1 }
 
 func newExchange(r *Relay, call message.Call) *exchange {
 	e := &exchange{relay: r, call: call, start: time.Now(), responses: make(chan *message.Message, responseQueueLength)}
-	e.next = time.NewTimer(e.silence())
+	e.next = time.NewTimer(e.retryInterval())
 	return e
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// run asks until there is an answer or time is up.
+// run sends requests until there is an answer, the call times out or ctx ends.
 func (e *exchange) run(ctx context.Context) (message.Answer, error) {
 	deadline := time.NewTimer(e.timeout())
 	defer deadline.Stop()
@@ -63,7 +63,7 @@
 		select {
 		case m := <-e.responses:
 			if answer := m.CallResponse.Answer; answer != nil {
-				e.learnAnswerer(m)
+				e.setHintToAnswerer(m)
 				return *answer, nil
 			}
 			e.handleDeclined(m)
@@ -73,36 +73,36 @@
 		case <-e.next.C:
 			e.askNext()
 		case <-deadline.C:
-			return message.Answer{}, e.outcome()
+			return message.Answer{}, e.unansweredError()
 		case <-ctx.Done():
-			return message.Answer{}, e.outcome()
+			return message.Answer{}, e.unansweredError()
 		}
 	}
 }
 
 func (e *exchange) isWatch() bool { return e.call.Kind == message.CallWatch }
 
-// silence is how long to wait for the targets that were asked.
-func (e *exchange) silence() time.Duration {
+// retryInterval is how long to wait for a response before the next request.
+func (e *exchange) retryInterval() time.Duration {
 	if e.isWatch() {
 		return watchResendInterval
 	}
-	return callSilence
+	return callRetryInterval
 }
 
 func (e *exchange) timeout() time.Duration {
 	return callTimeout + time.Duration(e.call.WaitMs)*time.Millisecond
 }
 
-// outcome is the error of a call without an answer.
-func (e *exchange) outcome() error {
-	if !e.isWatch() && lo.EveryBy(e.requests, (*request).isVoid) {
+// unansweredError is the error of a call without an answer. For a watch it is always ErrOutcomeUnknown.
+func (e *exchange) unansweredError() error {
+	if !e.isWatch() && lo.EveryBy(e.requests, (*request).isNotExecuted) {
 		return coordinationapi.ErrNotExecuted
 	}
 	return coordinationapi.ErrOutcomeUnknown
 }
 
-// handleDeclined takes a response without an answer: it is followed to the issuer that it names.
+// handleDeclined takes a response without an answer, and asks the issuer that it names.
 func (e *exchange) handleDeclined(m *message.Message) {
 	asked, ok := lo.Find(e.requests, func(q *request) bool { return q.id == m.CallResponse.ID })
 	if !ok {
@@ -111,30 +111,31 @@
 	asked.declined = true
 	issuer := m.CallResponse.Issuer
 	if isKnown(issuer) {
-		e.relay.hint.learn(issuer)
+		e.relay.hint.set(issuer)
 	} else {
-		e.relay.hint.forget(asked.target.Identity)
+		e.relay.hint.clearIfNames(asked.target.Identity)
 	}
 	switch {
 	case isKnown(issuer) && issuer.Identity != asked.target.Identity && !e.isAskedWithin(minRepeatInterval, issuer):
 		e.ask(issuer)
 	case e.isWatch() && e.hasOpenRequest():
-		// the issuer that was asked may keep the watch
+		// no voter is asked: another target, which may be the issuer, has not declined and may hold the watch
 	case asked == e.last:
 		e.declined = true
 		e.next.Reset(declinedDelay)
 	}
 }
 
-// learnAnswerer keeps in mind that the sender of an answer is the issuer.
-func (e *exchange) learnAnswerer(m *message.Message) {
+// setHintToAnswerer sets the hint to the sender of an answer, which is the issuer.
+func (e *exchange) setHintToAnswerer(m *message.Message) {
 	if asked, ok := lo.Find(e.requests, func(q *request) bool { return q.id == m.CallResponse.ID }); ok {
-		e.relay.hint.learn(asked.target)
+		e.relay.hint.set(asked.target)
 	}
 }
 
-// ask sends the call to a target, and waits for it. A target that has not declined gets the request that it had. Where no
-// time is left for an answer nothing is sent: it would only leave the outcome open.
+// ask sends the call to a target and restarts the timer for the next one. A target that was asked before and has not
+// declined gets the same request again. With less than minAnswerTime left nothing is sent: an answer would come too
+// late, and a request without a response makes the outcome unknown.
 func (e *exchange) ask(target message.Member) {
 	if time.Since(e.start) > e.timeout()-minAnswerTime {
 		return
@@ -147,10 +148,10 @@
 	q.target, q.sentAt, q.sent = target, time.Now(), q.sent+1
 	e.last, e.declined = q, false
 	e.relay.send(target, q.id, e.remainingCall())
-	e.next.Reset(e.silence())
+	e.next.Reset(e.retryInterval())
 }
 
-// remainingCall is the call with what is left of its waiting time.
+// remainingCall returns the call with the rest of its waiting time.
 func (e *exchange) remainingCall() message.Call {
 	call := e.call
 	call.WaitMs = max(0, call.WaitMs-time.Since(e.start).Milliseconds())
--- a/internal/controlplane/relay/issuer_hint.go
+++ b/internal/controlplane/relay/issuer_hint.go
@@ -6,37 +6,38 @@
 	"pumiceline/internal/message"
 )
 
-// issuerHint is the newest that a relay heard of who the issuer is: from the membership of its own coordinator or from a
-// response. It may be wrong; whoever is asked by it says so.
+// issuerHint is the member that a relay takes for the issuer, by its newest information: from its own coordinator or
+// from a response. The hint may be wrong; a target that is not the issuer declines.
 type issuerHint struct {
 	mutex   sync.Mutex
 	issuer  message.Member // without an identity: not known
-	own     message.Member // what the own coordinator said last
-	changed chan struct{}  // closed when another issuer is hinted at
+	ownHint message.Member // the issuer that the own coordinator named last
+	changed chan struct{}  // closed when the hint changes to another issuer
 }
 
-// newest returns the hint after a look at what the own coordinator says now, which counts when it has changed.
+// newest returns the hint. own is the issuer that the own coordinator names now; it becomes the hint if it is known
+// and differs from the one named last.
 func (h *issuerHint) newest(own message.Member) (message.Member, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	if own != h.own {
-		h.own = own
+	if own != h.ownHint {
+		h.ownHint = own
 		if isKnown(own) {
-			h.set(own)
+			h.setLocked(own)
 		}
 	}
 	return h.issuer, isKnown(h.issuer)
 }
 
-// learn takes the word of a response.
-func (h *issuerHint) learn(issuer message.Member) {
+// set sets the hint to the issuer that a response names.
+func (h *issuerHint) set(issuer message.Member) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.set(issuer)
+	h.setLocked(issuer)
 }
 
-// forget drops the hint if it names a member that is not the issuer.
-func (h *issuerHint) forget(identity message.MemberID) {
+// clearIfNames clears the hint if it names this member, which has declined a call.
+func (h *issuerHint) clearIfNames(identity message.MemberID) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if h.issuer.Identity == identity {
@@ -44,15 +45,15 @@
 	}
 }
 
-// nextChange returns a channel that is closed when another issuer is hinted at.
+// nextChange returns a channel that is closed when the hint changes to another issuer.
 func (h *issuerHint) nextChange() <-chan struct{} {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.changed
 }
 
-// set changes the hint. The caller holds the mutex.
-func (h *issuerHint) set(issuer message.Member) {
+// setLocked changes the hint. The caller holds the mutex.
+func (h *issuerHint) setLocked(issuer message.Member) {
 	isOther := issuer.Identity != h.issuer.Identity
 	h.issuer = issuer
 	if isOther {
--- a/internal/controlplane/relay/relay.go
+++ b/internal/controlplane/relay/relay.go
@@ -1,6 +1,7 @@
-// Package relay brings the calls of applications from the coordinator that received them to the issuer, which may be
-// any coordinator, and brings the answers back. It finds the issuer by asking, follows what those asked know of it, and
-// repeats what is lost. For a call that got no answer it knows whether nothing was done or the outcome is open.
+// Package relay forwards the calls of applications from the coordinator that received them to the issuer, which may
+// be any coordinator, and returns the answers. It finds the issuer by sending the call to coordinators and following
+// the issuer that they name, and sends again what is lost. For a call without an answer it reports whether the call
+// was certainly not executed, or its outcome is unknown.
 package relay
 
 import (
@@ -14,18 +15,21 @@
 )
 
 const (
-	// callTimeout is how long a call waits for its answer, and a watch beyond its own waiting time. An application turns
-	// to another machine after a second of silence.
+	// callTimeout is how long a call waits for its answer. A watch waits this long in addition to its own waiting
+	// time. An application without a response fails over to another machine after a second.
 	callTimeout = 850 * time.Millisecond
-	// callSilence is how long a target of a call may be silent before another one is asked.
-	callSilence = 120 * time.Millisecond
-	// watchResendInterval is how often a watch is sent again. The issuer keeps one without an event: it is silent.
+	// callRetryInterval is how long a call waits for a response of its last target before another one is asked.
+	callRetryInterval = 120 * time.Millisecond
+	// watchResendInterval is how often a watch is sent again. The issuer holds a watch without a response until there
+	// is an event, so a lost request looks like one that is held.
 	watchResendInterval = 300 * time.Millisecond
-	// declinedDelay is how long a call rests after a target that does not know the issuer.
+	// declinedDelay is the pause before a voter is asked, after a target that declined without naming another issuer
+	// to ask.
 	declinedDelay = 30 * time.Millisecond
-	// minAnswerTime is how long before its end a call asks for the last time.
+	// minAnswerTime is the shortest time left for an answer with which a request is still sent.
 	minAnswerTime = 50 * time.Millisecond
-	// minRepeatInterval is how soon a target is asked again because another one names it as the issuer.
+	// minRepeatInterval is the shortest time after which a target is asked again because another one names it as the
+	// issuer.
 	minRepeatInterval = 20 * time.Millisecond
 )
 
@@ -35,34 +39,34 @@
 	maxWatches = 512
 )
 
-// Options of a relay. All are needed.
+// Options of a relay. All are required.
 type Options struct {
 	Self        message.Member
-	Incarnation uint64 // IDs of requests are counted from it, so that a response to an earlier process matches none of this
-	// Send sends a message and forgets it. The address of Self leads to this process. Any goroutine calls it, and the
-	// message is not changed afterwards.
+	Incarnation uint64 // request IDs count up from it, so that responses to an earlier process match no request
+	// Send sends a message without a delivery guarantee. The address of Self is this process. Send is called from any
+	// goroutine, and the message is not changed afterwards.
 	Send func(address string, m *message.Message)
-	// Candidates returns whom to ask. Any goroutine calls it.
+	// Candidates returns the coordinators that may be asked. It is called from any goroutine.
 	Candidates func() Candidates
 }
 
-// Candidates are the coordinators that may be the issuer, or know it.
+// Candidates are the coordinators that may be the issuer, or may name it.
 type Candidates struct {
-	Issuer  message.Member // without an identity: not known
-	Voters  []message.Member
-	InTouch bool // this coordinator hears the others; without it nothing is sent
+	Issuer      message.Member // without an identity: not known
+	Voters      []message.Member
+	IsConnected bool // this coordinator receives messages of the others; if not, calls fail at once and nothing is sent
 }
 
-// Relay is a coordinationapi.Caller. Several goroutines may use it.
+// Relay is a coordinationapi.Caller. It is safe for concurrent use.
 type Relay struct {
 	options Options
 	lastID  atomic.Uint64
 	hint    issuerHint
 
 	mutex   sync.Mutex
-	waiting map[uint64]chan<- *message.Message // where responses go, by the ID of the request
-	calls   int                                // that wait, watches excepted
-	watches int                                // that wait
+	waiting map[uint64]chan<- *message.Message // takes the responses to a request, by its ID
+	calls   int                                // number of waiting calls, without watches
+	watches int                                // number of waiting watches
 
 	meter meter
 }
@@ -77,8 +81,9 @@
 	return r
 }
 
-// Call carries out a call. The error is coordinationapi.ErrNotExecuted, ErrTooManyCalls or ErrOutcomeUnknown; the last one
-// also where ctx ends first.
+// Call forwards a call and returns its answer. The error is coordinationapi.ErrNotExecuted, ErrTooManyCalls or
+// ErrOutcomeUnknown. If ctx ends first, it is ErrOutcomeUnknown or, if every request was certainly not executed,
+// ErrNotExecuted.
 func (r *Relay) Call(ctx context.Context, call message.Call) (message.Answer, error) {
 	start := time.Now()
 	answer, err := r.carryOut(ctx, call)
@@ -88,7 +93,7 @@
 
 func (r *Relay) carryOut(ctx context.Context, call message.Call) (message.Answer, error) {
 	candidates := r.options.Candidates()
-	if !candidates.InTouch || len(candidates.Voters) == 0 {
+	if !candidates.IsConnected || len(candidates.Voters) == 0 {
 		return message.Answer{}, coordinationapi.ErrNotExecuted
 	}
 	if !r.admit(call.Kind) {
@@ -100,8 +105,8 @@
 	return e.run(ctx)
 }
 
-// HandleResponse takes a message with a CallResponse. Any goroutine may call it; it never blocks. Responses to an earlier
-// process, and those that nobody waits for any more, are dropped.
+// HandleResponse takes a message with a CallResponse. It is safe for concurrent use and never blocks. It drops
+// responses to an earlier process, and to calls that have ended.
 func (r *Relay) HandleResponse(m *message.Message) {
 	if m.CallResponse == nil || m.To != r.options.Self.Identity {
 		return
@@ -111,16 +116,16 @@
 	if responses, ok := r.waiting[m.CallResponse.ID]; ok {
 		select {
 		case responses <- m:
-		default: // as good as lost on the network
+		default: // the queue is full: the response is dropped, as if lost on the network
 		}
 	}
 }
 
-// Refresh has waiting calls turn to another issuer at once if Options.Candidates names one now. Else they notice when they ask the
-// next time. Any goroutine may call it; it never blocks.
+// Refresh makes waiting calls ask another issuer at once if Options.Candidates names a new one. Without it they
+// notice the new issuer with their next request. It is safe for concurrent use and never blocks.
 func (r *Relay) Refresh() { r.hint.newest(r.options.Candidates().Issuer) }
 
-// admit counts a call that is to wait. It reports false where too many wait already.
+// admit adds a call to the waiting ones. It reports false if too many wait already.
 func (r *Relay) admit(kind message.CallKind) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -145,7 +150,7 @@
 	}
 }
 
-// register returns the ID of a new request whose responses go to the channel. The caller unregisters it.
+// register returns the ID of a new request whose responses go to the channel. The caller must unregister it.
 func (r *Relay) register(responses chan<- *message.Message) uint64 {
 	id := r.lastID.Add(1)
 	r.mutex.Lock()
--- a/internal/controlplane/relay/relay_test.go
+++ b/internal/controlplane/relay/relay_test.go
@@ -36,10 +36,10 @@
 	call   message.Call
 }
 
-// respond is what a member does with a request: nil stands for silence.
+// respond returns a member's response to a request; nil: there is none.
 type respond func(request sentRequest) *message.CallResponse
 
-// network plays the other coordinators. It runs in a synctest bubble, with its clock.
+// network is a fake network with the other coordinators. It runs in a synctest bubble, with its clock.
 type network struct {
 	relay   *Relay
 	start   time.Time
@@ -53,7 +53,7 @@
 // newNetwork makes a relay in touch with three voters besides itself, none of which responds.
 func newNetwork() *network {
 	n := &network{start: time.Now(), members: map[message.MemberID]respond{}}
-	n.candidates = Candidates{Voters: []message.Member{self, far, near, remote}, InTouch: true}
+	n.candidates = Candidates{Voters: []message.Member{self, far, near, remote}, IsConnected: true}
 	n.relay = New(Options{
 		Self: self, Incarnation: 7000, Send: n.send, Candidates: n.currentCandidates,
 	})
@@ -93,14 +93,14 @@
 	return &message.CallResponse{Answer: &answer}
 }
 
-func names(issuer message.Member) respond {
+func redirectsTo(issuer message.Member) respond {
 	return func(sentRequest) *message.CallResponse { return &message.CallResponse{Issuer: issuer} }
 }
 
-func knowsNone(sentRequest) *message.CallResponse { return &message.CallResponse{} }
+func declinesWithoutHint(sentRequest) *message.CallResponse { return &message.CallResponse{} }
 
-// silentUntil responds to the requests from a time on.
-func silentUntil(at time.Duration, then respond) respond {
+// unresponsiveUntil does not respond to requests before a time, and then as given.
+func unresponsiveUntil(at time.Duration, then respond) respond {
 	return func(r sentRequest) *message.CallResponse {
 		if r.at < at {
 			return nil
@@ -158,15 +158,15 @@
 	})
 }
 
-func TestHintsAreFollowedAtOnceAndKept(t *testing.T) {
+func TestHintIsFollowedAtOnceAndKeptForNextCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		n.members["near"], n.members["far"] = names(far), answers
+		n.members["near"], n.members["far"] = redirectsTo(far), answers
 		for range 2 {
 			_, err := n.relay.Call(t.Context(), acquire)
 			require.NoError(t, err)
 		}
-		assert.Equal(t, []message.MemberID{"near", "far", "far"}, n.targets(), "a voter in the own zone is asked, and knows")
+		assert.Equal(t, []message.MemberID{"near", "far", "far"}, n.targets(), "a voter in the own zone names the issuer")
 		assert.Equal(t, 3*roundTrip, n.elapsed())
 	})
 }
@@ -175,18 +175,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Voters = []message.Member{near}
-		n.members["near"], n.members["far"] = names(far), answers
+		n.members["near"], n.members["far"] = redirectsTo(far), answers
 		_, err := n.relay.Call(t.Context(), acquire)
 		require.NoError(t, err)
 	})
 }
 
-func TestNewestHintCounts(t *testing.T) {
+func TestNewestHintIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Issuer = near
-		n.members["near"], n.members["far"], n.members["remote"] = names(far), answers, answers
-		for range 2 { // the own coordinator has said nothing new since the response
+		n.members["near"], n.members["far"], n.members["remote"] = redirectsTo(far), answers, answers
+		for range 2 { // the own coordinator names the same issuer as before the response
 			_, err := n.relay.Call(t.Context(), acquire)
 			require.NoError(t, err)
 		}
@@ -197,11 +197,11 @@
 	})
 }
 
-func TestVotersAreAskedInTurnWhileNoneKnowsAnIssuer(t *testing.T) {
+func TestVotersAreAskedInTurnWhileNoneNamesAnIssuer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		for _, m := range n.candidates.Voters {
-			n.members[m.Identity] = knowsNone
+			n.members[m.Identity] = declinesWithoutHint
 		}
 		_, err := n.relay.Call(t.Context(), acquire)
 		require.ErrorIs(t, err, coordinationapi.ErrNotExecuted)
@@ -213,7 +213,7 @@
 	})
 }
 
-func TestSilentIssuerAndVotersAreAskedAlternately(t *testing.T) {
+func TestUnresponsiveIssuerAndVotersAreAskedAlternately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Issuer = far
@@ -221,11 +221,11 @@
 		require.ErrorIs(t, err, coordinationapi.ErrOutcomeUnknown)
 		assert.Equal(t, callTimeout, n.elapsed())
 		targets := n.targets()
-		assert.Equal(t, []message.MemberID{"far", "near", "far", "remote", "far", "self", "far"}, targets, "none in the last moments")
+		assert.Equal(t, []message.MemberID{"far", "near", "far", "remote", "far", "self", "far"}, targets, "none without time for an answer")
 		for i, r := range n.sent {
-			assert.Equal(t, time.Duration(i)*callSilence, r.at)
+			assert.Equal(t, time.Duration(i)*callRetryInterval, r.at)
 		}
-		assert.Equal(t, n.sent[0].id, n.sent[2].id, "a repeated request has its ID")
+		assert.Equal(t, n.sent[0].id, n.sent[2].id, "a repeated request has the same ID")
 		assert.NotEqual(t, n.sent[0].id, n.sent[1].id, "another target has another ID")
 		n.assertNothingWaits(t)
 	})
@@ -235,25 +235,25 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Issuer = far
-		n.members["near"], n.members["far"] = names(far), silentUntil(100*time.Millisecond, answers)
+		n.members["near"], n.members["far"] = redirectsTo(far), unresponsiveUntil(100*time.Millisecond, answers)
 		_, err := n.relay.Call(t.Context(), acquire)
 		require.NoError(t, err)
 		assert.Equal(t, []message.MemberID{"far", "near", "far"}, n.targets())
-		assert.Equal(t, callSilence+2*roundTrip, n.elapsed())
+		assert.Equal(t, callRetryInterval+2*roundTrip, n.elapsed())
 	})
 }
 
-func TestNewIssuerIsFoundAfterTheOldOneDied(t *testing.T) {
+func TestNewIssuerIsFoundAfterTheOldOneFailed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Issuer = far
 		n.members["near"] = func(r sentRequest) *message.CallResponse {
 			if r.at < 400*time.Millisecond {
-				return names(far)(r)
+				return redirectsTo(far)(r)
 			}
-			return names(remote)(r)
+			return redirectsTo(remote)(r)
 		}
-		n.members["remote"] = silentUntil(400*time.Millisecond, answers)
+		n.members["remote"] = unresponsiveUntil(400*time.Millisecond, answers)
 		got, err := n.relay.Call(t.Context(), acquire)
 		require.NoError(t, err)
 		assert.Equal(t, answer, got)
@@ -261,11 +261,11 @@
 	})
 }
 
-func TestRedirectLoopsAreNotFollowedWithoutRest(t *testing.T) {
+func TestRedirectLoopsAreFollowedWithPauses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Voters = []message.Member{near, far}
-		n.members["near"], n.members["far"] = names(far), names(near)
+		n.members["near"], n.members["far"] = redirectsTo(far), redirectsTo(near)
 		_, err := n.relay.Call(t.Context(), acquire)
 		require.ErrorIs(t, err, coordinationapi.ErrNotExecuted)
 		assert.Less(t, len(n.sent), 2*int(callTimeout/declinedDelay))
@@ -275,7 +275,7 @@
 func TestVoterOutsideARedirectLoopIsAsked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		n.members["near"], n.members["far"], n.members["remote"] = names(far), names(near), answers
+		n.members["near"], n.members["far"], n.members["remote"] = redirectsTo(far), redirectsTo(near), answers
 		_, err := n.relay.Call(t.Context(), acquire)
 		require.NoError(t, err)
 		assert.Equal(t, []message.MemberID{"near", "far", "remote"}, n.targets())
@@ -288,7 +288,7 @@
 		n := newNetwork()
 		n.candidates.Issuer = far
 		for _, m := range n.candidates.Voters {
-			n.members[m.Identity] = knowsNone
+			n.members[m.Identity] = declinesWithoutHint
 		}
 		for range 2 {
 			_, err := n.relay.Call(t.Context(), acquire)
@@ -302,7 +302,7 @@
 func TestMemberThatAnsweredIsAskedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		n.members["near"], n.members["remote"], n.members["far"] = knowsNone, knowsNone, answers
+		n.members["near"], n.members["remote"], n.members["far"] = declinesWithoutHint, declinesWithoutHint, answers
 		_, err := n.relay.Call(t.Context(), acquire)
 		require.NoError(t, err)
 		before := len(n.sent)
@@ -317,7 +317,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Issuer = near
-		n.members["near"], n.members["far"], n.members["remote"], n.members["self"] = names(near), names(near), names(near), names(near)
+		n.members["near"], n.members["far"] = redirectsTo(near), redirectsTo(near)
+		n.members["remote"], n.members["self"] = redirectsTo(near), redirectsTo(near)
 		_, err := n.relay.Call(t.Context(), acquire)
 		require.ErrorIs(t, err, coordinationapi.ErrNotExecuted)
 		for i := range n.sent[1:] {
@@ -328,32 +329,32 @@
 	})
 }
 
-func TestOutcomeIsUnknownWhereOneRequestHadNoResponse(t *testing.T) {
+func TestOutcomeIsUnknownIfOneRequestHadNoResponse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		for _, m := range n.candidates.Voters {
-			n.members[m.Identity] = knowsNone
+			n.members[m.Identity] = declinesWithoutHint
 		}
-		n.members["remote"] = silentUntil(100*time.Millisecond, knowsNone)
+		n.members["remote"] = unresponsiveUntil(100*time.Millisecond, declinesWithoutHint)
 		_, err := n.relay.Call(t.Context(), acquire)
 		require.ErrorIs(t, err, coordinationapi.ErrOutcomeUnknown)
 	})
 }
 
-func TestOneResponseToARepeatedRequestDoesNotSettleBoth(t *testing.T) {
+func TestOneDeclineOfARepeatedRequestLeavesOutcomeUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		n.candidates = Candidates{Issuer: far, Voters: []message.Member{far}, InTouch: true}
-		n.members["far"] = silentUntil(callSilence, knowsNone)
+		n.candidates = Candidates{Issuer: far, Voters: []message.Member{far}, IsConnected: true}
+		n.members["far"] = unresponsiveUntil(callRetryInterval, declinesWithoutHint)
 		_, err := n.relay.Call(t.Context(), acquire)
 		require.ErrorIs(t, err, coordinationapi.ErrOutcomeUnknown)
 	})
 }
 
-func TestNothingIsSentOutOfTouchOrWithoutVoters(t *testing.T) {
+func TestNothingIsSentWhileDisconnectedOrWithoutVoters(t *testing.T) {
 	for name, candidates := range map[string]Candidates{
-		"out of touch": {Issuer: far, Voters: []message.Member{far}},
-		"no voters":    {InTouch: true},
+		"disconnected": {Issuer: far, Voters: []message.Member{far}},
+		"no voters":    {IsConnected: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -387,7 +388,7 @@
 		got, err := n.relay.Call(t.Context(), acquire)
 		require.NoError(t, err)
 		assert.Equal(t, answer, got)
-		for range 2 * responseQueueLength { // nobody reads them: HandleResponse may not block
+		for range 2 * responseQueueLength { // the call has ended, so HandleResponse must not block
 			n.relay.HandleResponse(responseTo(n.sent[0], answers(n.sent[0])))
 		}
 		n.assertNothingWaits(t)
@@ -400,7 +401,7 @@
 		n.candidates.Issuer = far
 		n.members["far"] = func(r sentRequest) *message.CallResponse {
 			for range 2 * responseQueueLength {
-				n.relay.HandleResponse(responseTo(r, names(far)(r)))
+				n.relay.HandleResponse(responseTo(r, redirectsTo(far)(r)))
 			}
 			return answers(r)
 		}
@@ -421,7 +422,7 @@
 	})
 }
 
-func TestCallsAndWatchesAreBoundedApart(t *testing.T) {
+func TestCallsAndWatchesHaveSeparateLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.relay.options.Send = func(string, *message.Message) {}
--- a/internal/controlplane/relay/stats.go
+++ b/internal/controlplane/relay/stats.go
@@ -20,23 +20,23 @@
 	significantFigures = 2
 )
 
-// Stats says what a relay has done since it was made.
+// Stats are the figures of a relay since it was made.
 type Stats struct {
 	Calls          []CallCount   `json:"calls"`        // by kind, then status
-	Latencies      []CallLatency `json:"latencies"`    // by kind; without watches, which wait on purpose
+	Latencies      []CallLatency `json:"latencies"`    // by kind; without watches, which wait for events
 	WaitingCalls   int           `json:"waitingCalls"` // without watches
 	WaitingWatches int           `json:"waitingWatches"`
-	Requests       uint64        `json:"requests"` // that were sent, repeated ones included
+	Requests       uint64        `json:"requests"` // requests sent, including repeated ones
 }
 
 // CallCount counts the calls of a kind that were answered with a status.
 type CallCount struct {
 	Kind   KindName `json:"kind"`
-	Status int      `json:"status"` // of HTTP; 429, 503 and 504 are the relay's own
+	Status int      `json:"status"` // HTTP status; 429, 503 and 504 come from the relay itself
 	Count  uint64   `json:"count"`
 }
 
-// CallLatency is how long calls of a kind waited for their answer. Calls without an answer are not among them.
+// CallLatency is how long calls of a kind waited for their answer. Calls without an answer are not counted.
 type CallLatency struct {
 	Kind     KindName `json:"kind"`
 	MedianMs float64  `json:"p50Ms"`
@@ -51,7 +51,7 @@
 	message.CallPut: "put", message.CallGet: "get", message.CallWatch: "watch",
 }
 
-// Stats returns what the relay has done so far. Any goroutine may call it.
+// Stats returns the figures so far. It is safe for concurrent use.
 func (r *Relay) Stats() Stats {
 	stats := r.meter.stats()
 	r.mutex.Lock()
@@ -69,7 +69,7 @@
 	latencies map[message.CallKind]*hdrhistogram.Histogram // in microseconds
 }
 
-// outcome is what calls are counted by.
+// outcome is the key by which calls are counted.
 type outcome struct {
 	kind   message.CallKind
 	status int
--- a/internal/controlplane/relay/stats_test.go
+++ b/internal/controlplane/relay/stats_test.go
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestStatsShowWhatWaits(t *testing.T) {
+func TestStatsCountWaitingCallsAndWatches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.relay.options.Send = func(string, *message.Message) {}
@@ -81,7 +81,7 @@
 	})
 }
 
-func TestStatsKeepTheirKeys(t *testing.T) {
+func TestStatsKeepTheirJSONKeys(t *testing.T) {
 	encoded, err := json.Marshal(Stats{
 		Calls:        []CallCount{{Kind: "put", Status: 412, Count: 3}},
 		Latencies:    []CallLatency{{Kind: "put", MedianMs: 1.5, P99Ms: 9}},
--- a/internal/controlplane/relay/targets.go
+++ b/internal/controlplane/relay/targets.go
@@ -9,7 +9,8 @@
 	"pumiceline/internal/message"
 )
 
-// probeEvery is how many times a watch is sent to a silent issuer before a voter is asked too, which may know another one.
+// probeEvery is how many times a watch is sent again before a voter is asked too. An issuer that holds the watch and
+// one that has failed both send no response; the voter may know of a new issuer.
 const probeEvery = 2
 
 // askFirst asks the issuer if one is known, else a voter.
@@ -22,18 +23,19 @@
 	e.askVoter(candidates)
 }
 
-// followHint asks an issuer that another call, or the own coordinator, has just found. One that was asked lately still has
-// its time, so that hints that contradict each other do not make all calls ask at once again and again.
+// followHint asks the new issuer after a change of the hint. An issuer that was asked within the retry interval is
+// not asked again: otherwise hints that contradict each other would make every waiting call send a request with each
+// change.
 func (e *exchange) followHint() {
 	issuer, ok := e.relay.hint.newest(e.relay.options.Candidates().Issuer)
-	if ok && !e.isAskedWithin(e.silence(), issuer) {
+	if ok && !e.isAskedWithin(e.retryInterval(), issuer) {
 		e.ask(issuer)
 	}
 }
 
-// askNext asks again after silence, or after a target that does not know the issuer.
+// askNext asks the next target: when no response has come in time, or after the last target has declined.
 func (e *exchange) askNext() {
-	e.next.Reset(e.silence())
+	e.next.Reset(e.retryInterval())
 	candidates := e.relay.options.Candidates()
 	issuer, ok := e.relay.hint.newest(candidates.Issuer)
 	switch {
@@ -56,9 +58,9 @@
 	}
 }
 
-// askVoter asks the voter that was not asked for longest; of those never asked one in the own zone before others, and
-// this coordinator itself last, as it has no hint for itself. The rest of the order varies from call to call. The issuer that
-// is known is passed over unless there is no other.
+// askVoter asks the voter that was not asked for the longest time. Among voters that were never asked, those in the
+// own zone come first, and this coordinator comes last, as the issuer that it knows is in the hint already. The rest
+// of the order varies from call to call. The hinted issuer is skipped unless it is the only voter.
 func (e *exchange) askVoter(candidates Candidates) {
 	issuer, _ := e.relay.hint.newest(candidates.Issuer)
 	voters := lo.Filter(candidates.Voters, func(m message.Member, _ int) bool { return m.Identity != issuer.Identity })
@@ -78,7 +80,7 @@
 	}))
 }
 
-// distance orders voters that were asked equally long ago.
+// distance orders voters that were asked equally long ago, as is the case if none was asked yet.
 func (e *exchange) distance(m message.Member) int {
 	self := e.relay.options.Self
 	switch {
--- a/internal/controlplane/relay/watch_test.go
+++ b/internal/controlplane/relay/watch_test.go
@@ -15,19 +15,19 @@
 
 var watch = message.Call{Kind: message.CallWatch, Group: "g.", After: 5, WaitMs: 2000}
 
-// keepsWatch is an issuer that answers a watch at a time.
-func (n *network) keepsWatch(until time.Duration) respond {
+// answersWatchAt is an issuer that holds a watch and answers it at a given time.
+func (n *network) answersWatchAt(until time.Duration) respond {
 	return func(r sentRequest) *message.CallResponse {
 		time.AfterFunc(until-r.at, func() { n.relay.HandleResponse(responseTo(r, answers(r))) })
 		return nil
 	}
 }
 
-func TestWatchIsSentAgainWithWhatIsLeft(t *testing.T) {
+func TestWatchIsSentAgainWithRemainingWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		n.candidates = Candidates{Issuer: far, Voters: []message.Member{far}, InTouch: true}
-		n.members["far"] = n.keepsWatch(1500 * time.Millisecond)
+		n.candidates = Candidates{Issuer: far, Voters: []message.Member{far}, IsConnected: true}
+		n.members["far"] = n.answersWatchAt(1500 * time.Millisecond)
 		_, err := n.relay.Call(t.Context(), watch)
 		require.NoError(t, err)
 		assert.Equal(t, 1500*time.Millisecond, n.elapsed())
@@ -40,11 +40,11 @@
 	})
 }
 
-func TestWatchIsNotTakenFromAnIssuerThatKeepsIt(t *testing.T) {
+func TestWatchStaysAtIssuerThatHoldsIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
-		n.members["near"], n.members["remote"], n.members["self"] = names(far), names(far), names(far)
-		n.members["far"] = n.keepsWatch(2 * time.Second)
+		n.members["near"], n.members["remote"], n.members["self"] = redirectsTo(far), redirectsTo(far), redirectsTo(far)
+		n.members["far"] = n.answersWatchAt(2 * time.Second)
 		_, err := n.relay.Call(t.Context(), watch)
 		require.NoError(t, err)
 		assert.Equal(t, 2*time.Second, n.elapsed())
@@ -56,8 +56,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Issuer = far
-		n.members["near"], n.members["self"] = names(remote), names(remote)
-		n.members["remote"] = n.keepsWatch(1200 * time.Millisecond)
+		n.members["near"], n.members["self"] = redirectsTo(remote), redirectsTo(remote)
+		n.members["remote"] = n.answersWatchAt(1200 * time.Millisecond)
 		_, err := n.relay.Call(t.Context(), watch)
 		require.NoError(t, err)
 		assert.Equal(t, 1200*time.Millisecond, n.elapsed())
@@ -68,7 +68,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Issuer = far
-		n.members["remote"] = n.keepsWatch(400 * time.Millisecond)
+		n.members["remote"] = n.answersWatchAt(400 * time.Millisecond)
 		time.AfterFunc(200*time.Millisecond, func() { n.setIssuer(remote) })
 		_, err := n.relay.Call(t.Context(), watch)
 		require.NoError(t, err)
@@ -84,7 +84,7 @@
 			n.relay.Refresh()
 		},
 		"that another call got": func(n *network) {
-			n.relay.hint.learn(remote)
+			n.relay.hint.set(remote)
 		},
 	} {
 		for _, call := range []message.Call{watch, acquire} {
@@ -104,16 +104,16 @@
 	}
 }
 
-func TestHintsThatContradictDoNotMakeCallsAskAgainAndAgain(t *testing.T) {
+func TestContradictingHintsDoNotMultiplyRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Issuer = far
 		for i := range 100 {
-			time.AfterFunc(time.Duration(i)*time.Millisecond, func() { n.relay.hint.learn([]message.Member{far, remote}[i%2]) })
+			time.AfterFunc(time.Duration(i)*time.Millisecond, func() { n.relay.hint.set([]message.Member{far, remote}[i%2]) })
 		}
 		_, err := n.relay.Call(t.Context(), acquire)
 		require.Error(t, err)
-		assert.LessOrEqual(t, len(n.sent), 2*int(callTimeout/callSilence))
+		assert.LessOrEqual(t, len(n.sent), 2*int(callTimeout/callRetryInterval))
 	})
 }
 
@@ -121,15 +121,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Issuer = far
-		n.members["far"], n.members["near"] = knowsNone, names(remote)
-		n.members["remote"] = n.keepsWatch(100 * time.Millisecond)
+		n.members["far"], n.members["near"] = declinesWithoutHint, redirectsTo(remote)
+		n.members["remote"] = n.answersWatchAt(100 * time.Millisecond)
 		_, err := n.relay.Call(t.Context(), watch)
 		require.NoError(t, err)
 		assert.Equal(t, 100*time.Millisecond, n.elapsed())
 	})
 }
 
-func TestWatchWithoutAnAnswerEndsAfterItsTime(t *testing.T) {
+func TestWatchWithoutAnswerTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Issuer = far
@@ -141,11 +141,11 @@
 	})
 }
 
-func TestWatchThatAllDeclineEndsWithAnOutcomeThatIsNotKnown(t *testing.T) {
+func TestWatchThatAllDeclineHasUnknownOutcome(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		for _, m := range n.candidates.Voters {
-			n.members[m.Identity] = knowsNone
+			n.members[m.Identity] = declinesWithoutHint
 		}
 		_, err := n.relay.Call(t.Context(), watch)
 		require.ErrorIs(t, err, coordinationapi.ErrOutcomeUnknown)
@@ -153,7 +153,7 @@
 	})
 }
 
-func TestWatchEndsWhenItsClientHasGone(t *testing.T) {
+func TestWatchEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		n.candidates.Issuer = far
