--- a/internal/controlplane/placement/executor/backend_client.go
+++ b/internal/controlplane/placement/executor/backend_client.go
@@ -15,10 +15,11 @@
 )
 
 const (
-	// CommandTimeout bounds one command. The lease under which it is sent must last beyond it.
+	// CommandTimeout bounds one command. The lease must last longer than that after the command is sent, so that no
+	// command is in progress after the lease.
 	CommandTimeout   = 500 * time.Millisecond
 	reportTimeout    = 700 * time.Millisecond
-	reportIdleTime   = 3 * time.Second // a connection for reports is kept for so long
+	reportIdleTime   = 3 * time.Second // how long an idle connection for reports is kept
 	maxResponseBytes = 4 << 20
 )
 
@@ -29,17 +30,17 @@
 	backendHeader = "Target-Backend"
 )
 
-// Report is a backend's own report. It may be some hundred milliseconds old.
+// Report is a backend's own report of its state. It may be some hundred milliseconds old.
 type Report struct {
 	Models       []message.LoadedModel
 	IsExecuting  bool   // a command is in progress
 	CommandCount uint64 // commands accepted since the backend started
 }
 
-// Operation is what a command does.
+// Operation is the operation of a command.
 type Operation string
 
-// The operations, as they are on the wire.
+// The operations, as sent to backends.
 const (
 	LoadModel   Operation = "model_load"
 	UnloadModel Operation = "model_unload"
@@ -50,8 +51,8 @@
 	Operation Operation         `json:"operation"`
 	Model     message.ModelName `json:"model"`
 	Adapter   string            `json:"adapter,omitempty"`
-	// IfRevision is the command count for which the command is meant: at any other the backend answers Conflict. It is a
-	// pointer as 0, the count of a backend that has just started, has to be sent.
+	// IfRevision is the command count that the command requires: with any other count the backend answers Conflict.
+	// It is a pointer to distinguish 0, the count of a backend that has just started, from no condition.
 	IfRevision   *uint64              `json:"ifRevision,omitempty"`
 	Owner        string               `json:"owner"`
 	FencingToken message.FencingToken `json:"fenceNo"`
@@ -62,14 +63,14 @@
 
 // The answers to commands.
 const (
-	Accepted   Answer = iota // it has begun
-	AlreadyMet               // the backend is already as the command asks
+	Accepted   Answer = iota // the backend has begun to carry it out
+	AlreadyMet               // the backend is already in the requested state
 	Conflict                 // another command is in progress, or the command count differs
 	Rejected                 // it will not be carried out
-	Unknown                  // there was no answer: it may have been accepted
+	Unknown                  // there was no answer; the backend may have accepted it
 )
 
-// String names the answer as logs have it.
+// String returns the name of the answer for logs.
 func (a Answer) String() string {
 	switch a {
 	case Accepted:
@@ -86,11 +87,11 @@
 	return strconv.Itoa(int(a))
 }
 
-// BackendClient calls the control interface of backends. It may be used by several goroutines.
+// BackendClient calls the control interface of backends. It is safe for concurrent use.
 //
-// Reports share one connection a backend, which is kept for reportIdleTime. Each command has a connection of its own:
-// responses carry no ID, so that on a shared connection a late response to an earlier request would be taken for the
-// command's.
+// The reports of a backend share one connection, which is kept for reportIdleTime. Each command has a connection of
+// its own. Responses carry no ID: on a shared connection, a late response to an earlier request would be taken for
+// the response to the command.
 type BackendClient struct{ reports, commands *http.Client }
 
 // NewBackendClient makes a client without connections.
@@ -103,7 +104,7 @@
 	}
 }
 
-// FetchReport asks a backend what it holds.
+// FetchReport requests a backend's report.
 func (c *BackendClient) FetchReport(ctx context.Context, backend message.Backend) (*Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -160,7 +161,7 @@
 	if err != nil {
 		return Rejected
 	}
-	request.GetBody = nil // without it the transport cannot send the request again
+	request.GetBody = nil // without GetBody the transport cannot send the request again
 	request.Header.Set("Content-Type", "application/json")
 	response, err := c.commands.Do(request)
 	if err != nil {
--- a/internal/controlplane/placement/executor/backend_client_test.go
+++ b/internal/controlplane/placement/executor/backend_client_test.go
@@ -14,12 +14,12 @@
 	"pumiceline/internal/message"
 )
 
-// rawBackend answers requests on its sockets by a function, and counts them by path.
+// rawBackend passes the requests on its connections to serve, which writes the responses, and counts them by path.
 type rawBackend struct {
 	listener net.Listener
 	mutex    sync.Mutex
 	received map[string]int
-	serve    func(connection net.Conn, request *http.Request, earlier int) // earlier: requests on this connection before
+	serve    func(connection net.Conn, request *http.Request, earlier int) // earlier: requests on this connection so far
 }
 
 func newRawBackend(t *testing.T, serve func(net.Conn, *http.Request, int)) (*rawBackend, message.Backend) {
@@ -69,14 +69,14 @@
 	accepted = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
 )
 
-// A second response to a report request, which arrived after the command was sent on the same connection, was taken for the
-// command's: its status 200 means that the backend holds the model already.
-func TestBackendClient_LateReportIsNoAnswerToCommand(t *testing.T) {
+// Regression test: commands and reports shared a connection. A second response to a report request, which arrived
+// after the command was sent, was taken for the response to the command. Its status 200 stands for AlreadyMet.
+func TestBackendClient_LateReportIsNotTakenForCommandResponse(t *testing.T) {
 	_, target := newRawBackend(t, func(connection net.Conn, request *http.Request, earlier int) {
 		switch {
 		case request.URL.Path == "/report":
 			_, _ = connection.Write([]byte(fullReport))
-		case earlier > 0: // a second response to the request before
+		case earlier > 0: // a second response to the previous request
 			_, _ = connection.Write([]byte(fullReport + accepted))
 		default:
 			_, _ = connection.Write([]byte(accepted))
@@ -112,7 +112,7 @@
 			_, _ = connection.Write([]byte(fullReport))
 		})
 		client := NewBackendClient()
-		_, err := client.FetchReport(context.Background(), target) // so that there is an idle connection
+		_, err := client.FetchReport(context.Background(), target) // leaves an idle connection
 		require.NoError(t, err)
 		answer := client.SendCommand(context.Background(), target, Command{Operation: LoadModel, Model: "m"})
 		assert.Equal(t, Unknown, answer, name)
--- a/internal/controlplane/placement/executor/execution.go
+++ b/internal/controlplane/placement/executor/execution.go
@@ -14,10 +14,12 @@
 )
 
 const (
-	// removalNoticeTime is the time between OnModelsChanged without a model and that model's unload command. Proxies that
-	// learn of the change in it send no more requests for the model; the backend rejects those of the others.
+	// removalNoticeTime is the time between OnModelsChanged without a model and that model's unload command. Proxies
+	// that receive the change within it send no more requests for the model. The backend rejects the requests of
+	// other proxies.
 	removalNoticeTime = 80 * time.Millisecond
-	// conflictBackoff is the pause after a conflict: another command is in progress, or the last report was outdated.
+	// conflictBackoff is the pause after a conflict, when another command is in progress or the last report was
+	// outdated, and after a command without an answer.
 	conflictBackoff = 300 * time.Millisecond
 	// maxAttempts bounds the attempts to send one command.
 	maxAttempts = 8
@@ -33,22 +35,22 @@
 	idlePollInterval   = 200 * time.Millisecond
 	idleTimeout        = 20 * time.Second
 	unloadPollInterval = 70 * time.Millisecond
-	unloadTimeout      = 20 * time.Second // running requests have to end first
+	unloadTimeout      = 20 * time.Second // the backend finishes running requests first
 	loadPollInterval   = 150 * time.Millisecond
-	loadTimeout        = 15 * time.Second // beyond the expected load time
+	loadTimeout        = 15 * time.Second // in addition to the expected load time
 	firstLoadPollShare = 0.9              // share of the expected load time that passes before the first poll
 )
 
-// errNotIdle is returned for a backend that did not report in time that it is idle and has carried out the commands that
-// it accepted.
-var errNotIdle = errors.New("backend is not idle in time")
+// errNotIdle is returned if a backend does not report in time that it is idle and has carried out the commands that it
+// accepted.
+var errNotIdle = errors.New("backend did not become idle in time")
 
 // execution is one run of an executor.
 type execution struct {
 	*Executor
 	task         *planner.Task
-	models       []message.LoadedModel // that the backend holds, as far as is known
-	commandCount uint64                // commands that the backend has accepted, as far as is known; see Command.IfRevision
+	models       []message.LoadedModel // models at the backend, by its last report and the commands sent since
+	commandCount uint64                // commands accepted, by report and answers since; see Command.IfRevision
 }
 
 func (x *execution) backendID() message.BackendID { return x.task.Backend.ID }
@@ -58,12 +60,12 @@
 	return backend.Holds(name)
 }
 
-// anyCommandCount, as minCommandCount, takes any report.
+// anyCommandCount, as minCommandCount, accepts every report.
 const anyCommandCount = 0
 
-// pollOptions say how pollIdle polls.
+// pollOptions are the options of pollIdle.
 type pollOptions struct {
-	minCommandCount uint64 // of the report: reports lag, and one with a lower count is from before the last command
+	minCommandCount uint64 // reports lag: one with a lower count is from before the last command, and is ignored
 	interval        time.Duration
 	timeout         time.Duration
 }
@@ -73,7 +75,7 @@
 	return x.pollIdle(ctx, pollOptions{minCommandCount: minCommandCount, interval: idlePollInterval, timeout: idleTimeout})
 }
 
-// pollIdle polls until the backend is idle, and takes over the models and the command count of its report. The error is
+// pollIdle polls until the backend is idle, and stores the models and the command count of its report. The error is
 // errNotIdle after the time-out.
 func (x *execution) pollIdle(ctx context.Context, p pollOptions) error {
 	deadline := time.Now().Add(p.timeout)
@@ -93,8 +95,8 @@
 	return errNotIdle
 }
 
-// send sends a command once, on the condition that the backend's state is still the one that is known here. The error is
-// ErrFenced without a lease; a load beyond the capacity is not sent either.
+// send sends a command once, on the condition that the backend's command count is still x.commandCount. Without a
+// lease it sends nothing and returns ErrFenced. A load beyond the capacity is not sent either.
 func (x *execution) send(ctx context.Context, operation Operation, name message.ModelName) (Answer, error) {
 	token, ok := x.LeaseToken()
 	if !ok {
@@ -120,8 +122,9 @@
 	return answer, nil
 }
 
-// sendWithRetry sends a command until it is accepted or already met. After Conflict and Unknown it reads the backend's
-// state again: the next attempt is for the state with all that was carried out meanwhile.
+// sendWithRetry sends a command until it is accepted or already met. After Conflict and Unknown it reads the
+// backend's state again, so that the condition of the next attempt includes all commands that were carried out
+// meanwhile.
 func (x *execution) sendWithRetry(ctx context.Context, operation Operation, name message.ModelName) (Answer, error) {
 	for range maxAttempts {
 		answer, err := x.send(ctx, operation, name)
@@ -211,8 +214,8 @@
 	return x.awaitIdle(ctx, x.commandCount)
 }
 
-// loadAdapter loads an adapter beside its model. It gives up without an error after maxAttempts: the next plan has it
-// again where it is still wanted.
+// loadAdapter loads an adapter beside its model. After maxAttempts it gives up without an error: the next plan
+// includes the adapter again if there is still demand for it.
 func (x *execution) loadAdapter(ctx context.Context, adapter message.ModelName) error {
 	if !x.holds(adapter.Base()) || x.holds(adapter) {
 		return nil
@@ -251,8 +254,8 @@
 	return nil
 }
 
-// withAdapter returns the models with one more adapter. It shares nothing that it changes with its argument, as that was
-// handed to OnModelsChanged.
+// withAdapter returns the models with one more adapter. It does not modify its argument, which may have been passed to
+// OnModelsChanged and may be in use there.
 func withAdapter(models []message.LoadedModel, adapter message.ModelName) []message.LoadedModel {
 	changed := slices.Clone(models)
 	for i := range changed {
--- a/internal/controlplane/placement/executor/executor_test.go
+++ b/internal/controlplane/placement/executor/executor_test.go
@@ -20,14 +20,14 @@
 	"pumiceline/internal/message"
 )
 
-// fakeBackend carries out commands as backends do, and records them in lines.
+// fakeBackend carries out commands as backends do, and records each as a line.
 type fakeBackend struct {
 	mutex  sync.Mutex
 	models map[message.ModelName][]string
 	count  uint64
 	inUse  bool
 	lines  []string
-	before func(b *fakeBackend, command Command) int // a status in place of the usual one; 0: the usual
+	before func(b *fakeBackend, command Command) int // returns a status to answer with; 0: the command is carried out
 }
 
 func (b *fakeBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -87,7 +87,7 @@
 	_ = json.NewEncoder(w).Encode(map[string]any{"models": models, "inUse": b.inUse, "callCount": b.count})
 }
 
-// run carries a task out at the backend. token may be nil: then the lease is held.
+// run carries out a task at the backend. If token is nil, the lease is held.
 func (b *fakeBackend) run(t *testing.T, task planner.Task, token TokenFunc) ([]message.LoadedModel, error) {
 	t.Helper()
 	server := httptest.NewServer(b)
@@ -120,7 +120,8 @@
 	}, b.lines)
 }
 
-// Found on the bench (LIMIT): a load cut off midway was not on the list by which the next was planned.
+// Regression test: a load that was cut off midway was missing from the list of models by which the next load was
+// planned, so that load went beyond the capacity.
 func TestExecutor_SendsNoLoadBeyondCapacity(t *testing.T) {
 	b := &fakeBackend{models: map[message.ModelName][]string{"m": {}, "n": {}}}
 	_, err := b.run(t, planner.Task{Load: "o"}, nil)
@@ -143,8 +144,8 @@
 	assert.Equal(t, []string{"model_unload n if 0: 202"}, b.lines)
 }
 
-// A command of the previous lease holder that arrives in between makes the count differ: the executor reads the report
-// again.
+// A command of the previous lease holder that arrives between the report and the command changes the command count. The
+// executor then reads the report again.
 func TestExecutor_ReadsStateAfterConflict(t *testing.T) {
 	b := &fakeBackend{models: map[message.ModelName][]string{"m": {}}}
 	once := true
--- a/internal/controlplane/placement/planner/adapter_placement.go
+++ b/internal/controlplane/placement/planner/adapter_placement.go
@@ -13,32 +13,33 @@
 const (
 	// recentAdapterDemand is how long after its last request an adapter counts as requested.
 	recentAdapterDemand = 20 * time.Second
-	// recentlyUnserved is the decaying number of unserved requests (Demand.Unserved) above which an adapter counts as
+	// recentlyUnserved is the decaying count of unserved requests (Demand.Unserved) above which an adapter counts as
 	// requested.
 	recentlyUnserved = 0.05
 	// busyAdapterValue is the value, in requests a second, from which an adapter gets more than one replica.
 	busyAdapterValue = 0.3
 	// adapterSwapCost is what the swap of one adapter for another costs, in requests a second.
 	adapterSwapCost = 0.05
-	// idleAdapterValue and loadedAdapterValue are the values of an adapter without requests, in requests a second: of one
-	// that could be loaded, and of one that is.
+	// idleAdapterValue is the value of an adapter without requests that could be loaded, and loadedAdapterValue that
+	// of one that is loaded, in requests a second.
 	idleAdapterValue   = 0.01
 	loadedAdapterValue = 0.008
 )
 
-// adapterDemand is the demand for an adapter. A replica of an adapter is one loaded at one backend.
+// adapterDemand is the demand for an adapter. An adapter has one replica at each backend that has it loaded.
 type adapterDemand struct {
 	model       message.ModelName
 	adapter     string
-	isRequested bool    // lately
+	isRequested bool    // it was requested recently; see adapterDemandFor
 	value       float64 // of one more replica, in requests a second
 }
 
 // name is the adapter's full name.
 func (d adapterDemand) name() message.ModelName { return d.model.WithAdapter(d.adapter) }
 
-// placeAdapters loads adapters beside their models: those that are requested, and for busy models all that fit. An adapter
-// loads within milliseconds, but the first request for one that is not there has to wait. A backend gets one task.
+// placeAdapters loads adapters beside their models: those that are requested, and for busy models all that fit. An
+// adapter loads within milliseconds, but the first request for an adapter that is not loaded has to wait. A backend
+// gets at most one task.
 func (p *servicePlan) placeAdapters() {
 	tasks := map[*Backend]*Task{}
 	for _, demand := range p.adapterDemands() {
@@ -61,7 +62,8 @@
 	}
 }
 
-// addAdapter adds an adapter to a backend's task, in place of another where there is no room; else it does nothing.
+// addAdapter adds an adapter to a backend's task. If there is no room, it evicts another adapter, or does nothing if
+// none may be evicted.
 func (p *servicePlan) addAdapter(backend *Backend, task *Task, demand adapterDemand) {
 	if !p.hasAdapterRoom(backend, task, demand) {
 		evicted, ok := p.adapterToEvict(backend, task, demand)
@@ -165,8 +167,8 @@
 	return replicas
 }
 
-// adapterBackend returns, of the backends that hold the model and may take the adapter, the one with the fewest adapters;
-// nil: there is none.
+// adapterBackend returns, of the backends that hold the model and can take the adapter, the one with the fewest
+// adapters, or nil if there is none.
 func (p *servicePlan) adapterBackend(demand adapterDemand, tasks map[*Backend]*Task) *Backend {
 	var best *Backend
 	fewest := 0
@@ -211,9 +213,9 @@
 	return usedMB+p.capacity.sizeMB(demand.name()) <= p.service.Runtime.WeightCapacityMB
 }
 
-// adapterToEvict returns the least valuable adapter of the backend. ok is false where none has a lower value, by the same
-// hysteresis as for models, than the one that should replace it; nothing is evicted for an adapter that was not requested
-// lately.
+// adapterToEvict returns the least valuable adapter of the backend. ok is false if the value of none is lower, by the
+// same hysteresis as for models, than that of the adapter to load. Nothing is evicted for an adapter that was not
+// requested recently.
 func (p *servicePlan) adapterToEvict(backend *Backend, task *Task, demand adapterDemand) (_ message.ModelName, ok bool) {
 	if !demand.isRequested {
 		return "", false
--- a/internal/controlplane/placement/planner/capacity.go
+++ b/internal/controlplane/placement/planner/capacity.go
@@ -5,8 +5,8 @@
 	"pumiceline/internal/message"
 )
 
-// Capacity is what fits into a backend of a service. It bounds the weights of models and adapters together, in MB, and the
-// number of adapters.
+// Capacity is the capacity of a backend of a service. It bounds the size of the weights of models and adapters
+// together, in MB, and the number of adapters.
 type Capacity struct{ Runtime *configuration.Runtime }
 
 // UsedMB returns the size of loaded models with their adapters.
@@ -18,7 +18,7 @@
 	return used
 }
 
-// loadedMB is the size of a loaded model with its adapters. The size of a model that the configuration does not have is
+// loadedMB is the size of a loaded model with its adapters. The size of a model that is not in the configuration is
 // unknown, so it counts as the full capacity, and nothing is loaded beside it.
 func (c Capacity) loadedMB(loaded message.LoadedModel) float64 {
 	model, ok := c.model(loaded.Name)
--- a/internal/controlplane/placement/planner/demand.go
+++ b/internal/controlplane/placement/planner/demand.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// fastTimeConstant and slowTimeConstant are those of the averages of the rate. The fast one follows a rise at once, the
-	// slow one keeps a model for which requests come every few seconds.
+	// fastTimeConstant and slowTimeConstant are the time constants of the two averages of the rate. The fast average
+	// follows a rise at once. The slow one stays above zero for a model with a request every few seconds, so that the
+	// model is kept.
 	fastTimeConstant = 3 * time.Second
 	slowTimeConstant = 25 * time.Second
-	// durationTimeConstant is that of the averages from which the mean duration of requests is derived.
+	// durationTimeConstant is the time constant of the averages from which the mean duration of requests is derived.
 	durationTimeConstant = 20 * time.Second
 	// defaultDuration is the mean duration of requests where it cannot be derived, as there are fewer than minDurationRate
 	// requests a second.
@@ -20,14 +21,14 @@
 	minDurationRate = 0.3
 	// maxDuration bounds the mean duration: otherwise a few long requests would make the model need many replicas.
 	maxDuration = 3 * time.Second
-	// demandExpiry is how long after its last request a model or adapter has an entry.
+	// demandExpiry is how long after its last request the entry of a model or adapter is kept.
 	demandExpiry = 10 * time.Minute
 )
 
 // Demand is the demand for one model, the requests for its adapters included, or for one adapter.
 type Demand struct {
 	FastRate    float64 // requests a second, averaged by fastTimeConstant
-	SlowRate    float64 // the same by slowTimeConstant
+	SlowRate    float64 // requests a second, averaged by slowTimeConstant
 	InFlight    int     // requests in flight, as last reported
 	Waiting     int     // requests that wait for it, as last reported
 	Unserved    float64 // requests rejected for lack of it; the count decays by fastTimeConstant
@@ -77,7 +78,8 @@
 func (t *DemandTable) Update(now time.Time, reports []message.ModelDemand) {
 	elapsedS := now.Sub(t.updated).Seconds()
 	if t.updated.IsZero() || elapsedS <= 0 {
-		// The first reports are over an unknown time. A short one would turn a few requests into a very high rate.
+		// The first reports cover an unknown time. If it were assumed to be short, a few requests would give a very
+		// high rate.
 		elapsedS = fastTimeConstant.Seconds()
 	}
 	t.updated = now
@@ -126,7 +128,7 @@
 	s.waiting += report.Waiting
 }
 
-// valueAt returns the value for a service and name, which it makes where there is none.
+// valueAt returns the value for a service and name, and adds a zero value if there is none.
 func valueAt[T any](table map[string]map[message.ModelName]*T, service string, name message.ModelName) *T {
 	values := table[service]
 	if values == nil {
@@ -155,7 +157,7 @@
 	}
 }
 
-// average moves an exponentially weighted moving average towards a value that held for elapsedS seconds:
+// average updates an exponentially weighted moving average by a value that applied for elapsedS seconds:
 //
 //	keep = exp(-elapsed / timeConstant);  average*keep + value*(1-keep)
 func average(average, value, elapsedS float64, timeConstant time.Duration) float64 {
--- a/internal/controlplane/placement/planner/demand_test.go
+++ b/internal/controlplane/placement/planner/demand_test.go
@@ -35,7 +35,7 @@
 func TestDemandTable_MeanSeconds(t *testing.T) {
 	table := NewDemandTable()
 	assert.InDelta(t, defaultDuration.Seconds(), table.MeanSeconds("s", "m"), 1e-9, "nothing was reported")
-	updateFor(table, start, 10*durationTimeConstant, // the first update, of an unknown span, has faded
+	updateFor(table, start, 10*durationTimeConstant, // long enough that the first update has hardly any weight
 		message.ModelDemand{Service: "s", Model: "m", Arrivals: 1.2, InFlight: 6},
 		message.ModelDemand{Service: "s", Model: "slow", Arrivals: 0.1, InFlight: 50},
 		message.ModelDemand{Service: "s", Model: "rare", Arrivals: 0.01, InFlight: 6})
@@ -55,7 +55,7 @@
 	assert.True(t, table.IsEmpty("other"))
 }
 
-func TestDemandTable_ForgetsAfterExpiry(t *testing.T) {
+func TestDemandTable_DropsEntriesAfterExpiry(t *testing.T) {
 	table := NewDemandTable()
 	table.Update(start, []message.ModelDemand{{Service: "s", Model: "m", Arrivals: 1}})
 	table.Update(start.Add(demandExpiry), nil)
--- a/internal/controlplane/placement/planner/load_rate_limit.go
+++ b/internal/controlplane/placement/planner/load_rate_limit.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Margins of the rate limit.
+// Safety margins of the rate limit.
 const (
 	// loadStartSlack is the longest time from a load command until its load starts.
 	loadStartSlack = 300 * time.Millisecond
 	// extraLoads is how many loads beyond the rate may be started in a window. The deployment's rule tolerates three; two are
-	// a reserve for loads that were expected to come from a backend's own disk and come from the weight store.
+	// a reserve for loads that were expected to read a backend's own disk, but read the weight store.
 	extraLoads = 1
 	// burstShare is the share of a window's loads that may start within one second.
 	burstShare = 0.4
@@ -24,9 +24,9 @@
 	Window       time.Duration // over which loads are counted
 }
 
-// LoadRateLimiter keeps a lease holder to the LoadRateLimit of a service, by a sliding window. A new lease holder does not
-// know how many loads its predecessor has started. So the loads of each second are bounded too, by a burst: the
-// predecessor has started at most a burst in each second of the window.
+// LoadRateLimiter keeps a lease holder within the LoadRateLimit of a service, by a sliding window. A new lease holder
+// has no record of the loads that its predecessor started. Therefore the loads of each second are also bounded, by a
+// burst: the predecessor has started at most one burst in each second of the window.
 type LoadRateLimiter struct {
 	leaseStart time.Time
 	starts     []time.Time // of loads within the window, in order
@@ -40,8 +40,8 @@
 // RecordStart records a load that has started.
 func (l *LoadRateLimiter) RecordStart(now time.Time) { l.starts = append(l.starts, now) }
 
-// Available returns how many more loads may be commanded now, which may be negative. pending is how many loads tasks are
-// about to command, or have commanded without an answer.
+// Available returns how many more loads may be commanded now, which may be negative. pending is the number of loads
+// that running tasks have yet to command, or have commanded without an answer so far.
 //
 //	maxLoads  = max(1, floor(PerSecond * Window * ExcessFactor) + extraLoads)
 //	burst     = max(1, ceil(burstShare * maxLoads))
--- a/internal/controlplane/placement/planner/load_rate_limit_test.go
+++ b/internal/controlplane/placement/planner/load_rate_limit_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Two lease holders, one after the other, start as many loads as they may at any time; no sliding window has more than the
+// Two lease holders, one after the other, start loads as soon as they may. No sliding window has more loads than the
 // deployment's rule allows.
-func TestLoadRateLimiter_KeepsLimitOverLeaseHandover(t *testing.T) {
+func TestLoadRateLimiter_RespectsLimitOverLeaseHandover(t *testing.T) {
 	const window, excess = 5 * time.Second, 1.1
 	for _, perSecond := range []float64{0.2, 2.1, 2.8, 12, 24, 40} {
 		for _, handover := range []time.Duration{0, 700 * time.Millisecond, 2300 * time.Millisecond, 6 * time.Second} {
@@ -49,6 +49,6 @@
 	assert.LessOrEqual(t, available(time.Second), 0)
 	assert.Positive(t, available(3500*time.Millisecond))
 	assert.Greater(t, available(4500*time.Millisecond), available(3500*time.Millisecond))
-	assert.Equal(t, 54, available(6*time.Second), "the bound on a second")
+	assert.Equal(t, 54, available(6*time.Second), "the burst of one second")
 	assert.Equal(t, 50, l.Available(start.Add(6*time.Second), limit, 4))
 }
--- a/internal/controlplane/placement/planner/model_placement.go
+++ b/internal/controlplane/placement/planner/model_placement.go
@@ -10,19 +10,20 @@
 )
 
 const (
-	// evictionHysteresis is how many times as large as the loss at its backend the value of a new replica must be. Rates over
-	// some seconds vary by a third; with a lower factor replicas of similar value would evict each other again and again.
+	// evictionHysteresis is the smallest ratio of the value of a new replica to the loss at its backend. Rates over
+	// some seconds vary by a third; with a lower ratio, replicas of similar value would evict each other again and
+	// again.
 	evictionHysteresis = 2.0
-	// storeLoadLoss is the loss of a load from the weight store, in requests a second. It takes several times as long as
-	// one from the backend's own disk and counts against the service's rate limit.
+	// storeLoadLoss is the loss of a load from the weight store, in requests a second. Such a load takes several
+	// times as long as one from the backend's own disk, and counts against the service's rate limit.
 	storeLoadLoss = 0.25
 	// inFlightLoss is the loss, in requests a second, for each request that runs at the backend: a load slows it down.
 	inFlightLoss = 0.004
 	// neighbourLoss is the loss for each other model that stays at the backend, as a share of that model's rate: during a
-	// load the backend takes no commands, so that no adapter of that model can be loaded there.
+	// load the backend takes no commands, so no adapter of that model can be loaded there.
 	neighbourLoss = 0.01
-	// cachedLoadShare is the share of the time of a load from the weight store that one from the backend's own disk takes
-	// at most.
+	// cachedLoadShare is the longest time of a load from the backend's own disk, as a share of the time of a load
+	// from the weight store.
 	cachedLoadShare = 0.25
 )
 
@@ -44,16 +45,17 @@
 	return demands
 }
 
-// placeModels places one replica of each model that is below its target. Before any demand was reported it places none:
-// the platform's own placement is the best guess then.
+// placeModels places one replica of each model that is below its target. Before any demand was reported it places none,
+// because the platform's own placement is the best guess then.
 func (p *servicePlan) placeModels() {
 	if p.in.Demand.IsEmpty(p.service.Name) {
 		return
 	}
 	for _, demand := range p.replicaDemands() {
 		best := p.bestSite(demand.model)
-		// storeLoadLoss is part of the loss of a load from the weight store. It must count once, not times the hysteresis. A
-		// cached load, whose loss does not have it, gains as much by this.
+		// For a load from the weight store the loss includes storeLoadLoss. It must count once, not
+		// evictionHysteresis times, so it is subtracted once. The loss of a load from the backend's own disk does not
+		// include it, so there the subtraction lowers the required value.
 		if best == nil || demand.value <= evictionHysteresis*best.loss-storeLoadLoss {
 			continue
 		}
@@ -68,7 +70,7 @@
 	loss      float64 // in requests a second
 }
 
-// bestSite returns the site with the least loss, nil where there is none.
+// bestSite returns the site with the smallest loss, or nil if there is none.
 func (p *servicePlan) bestSite(model configuration.Model) *site {
 	var best *site
 	for _, backend := range p.backends {
@@ -86,8 +88,8 @@
 	return best
 }
 
-// siteAt chooses what has to be evicted from a backend so that a model fits, the least valuable first. ok is false where
-// it would not fit into the empty backend.
+// siteAt chooses the models to evict from a backend so that a model fits, those with the smallest loss first. ok is
+// false if the model would not even fit into the empty backend.
 func (p *servicePlan) siteAt(backend *Backend, model configuration.Model) (_ site, ok bool) {
 	freeMB := p.service.Runtime.WeightCapacityMB - p.capacity.UsedMB(backend.Models)
 	held := slices.Clone(backend.Models)
@@ -116,7 +118,7 @@
 	return s, true
 }
 
-// placeAt returns the task for a site, and counts its replicas and load for the rest of the plan.
+// placeAt returns the task for a site, and updates the replica counts and the loads allowed for the rest of the plan.
 func (p *servicePlan) placeAt(s *site, model configuration.Model) Task {
 	s.backend.Busy = true
 	for _, evicted := range s.evictions {
--- a/internal/controlplane/placement/planner/planner.go
+++ b/internal/controlplane/placement/planner/planner.go
@@ -1,10 +1,11 @@
-// Package planner decides which backend holds which models and adapters. It is pure: it takes what the backends hold, what
-// is requested and the time, and returns the tasks that should start now. Package executor carries them out.
+// Package planner decides which backend holds which models and adapters. It is pure: its input is what the backends
+// hold, the demand and the time, and its output is the tasks that should start now. Package executor carries them
+// out.
 //
-// A plan is made for each service by itself, greedily: every model has a target number of replicas (target.go); the
-// missing replicas are placed in the order of their marginal value, each at the backend where it costs least, if its
-// value outweighs what has to be evicted there (value.go, model_placement.go). Adapters are placed beside their models
-// (adapter_placement.go). All values and losses are in requests a second.
+// Each service is planned separately, by a greedy algorithm. Every model has a target number of replicas (target.go).
+// Missing replicas are placed in descending order of their marginal value, each at the backend with the smallest
+// loss, if the value exceeds that loss by a factor (value.go, model_placement.go). Adapters are placed beside their
+// models (adapter_placement.go). All values and losses are in requests a second.
 package planner
 
 import (
@@ -24,8 +25,8 @@
 // Backend is a backend as the planner sees it.
 type Backend struct {
 	message.Backend
-	Busy   bool                       // it gets no task: it carries one out, or its last one has just failed
-	Cached map[message.ModelName]bool // models on its own disk, as it has held them before: they load faster from there
+	Busy   bool                       // it gets no task: it is carrying one out, or its last one has just failed
+	Cached map[message.ModelName]bool // models that it has held before: it loads them from its own disk, which is faster
 }
 
 // hasModel reports whether the backend holds a model.
@@ -33,7 +34,8 @@
 	return slices.ContainsFunc(b.Models, func(held message.LoadedModel) bool { return held.Name == model })
 }
 
-// Task is what one backend has to do, in the order of the fields: unload models, load one, unload and load adapters.
+// Task is the work for one backend, in the order of the fields: unload models, load a model, unload adapters, load
+// adapters.
 type Task struct {
 	Backend        message.Backend
 	Service        string
@@ -43,12 +45,12 @@
 	FromCache      bool              // the load is read from the backend's own disk, not from the weight store
 	UnloadAdapters []message.ModelName
 	LoadAdapters   []message.ModelName
-	Capacity       Capacity // by which each load is checked again before it is commanded
+	Capacity       Capacity // each load is checked against it again before its command is sent
 	Reason         string
 }
 
-// Input is what a plan is made from. Plan modifies it: it marks the backends that get a task as busy and counts down the
-// loads allowed.
+// Input is the input of Plan. Plan modifies it: it marks the backends that get a task as busy, and decrements
+// ModelLoadsAllowed for each load.
 type Input struct {
 	Now               time.Time
 	Services          map[string]*configuration.Service
@@ -64,14 +66,15 @@
 	in         *Input
 	service    *configuration.Service
 	capacity   Capacity
-	backends   []*Backend // those of the service that stay
+	backends   []*Backend // backends of the service that are neither draining nor about to end
 	replicas   map[message.ModelName]int
 	targets    map[message.ModelName]int     // how many replicas there should be
-	shiftRates map[message.ModelName]float64 // highest rate, in requests a second, of the models whose demand may shift to it
+	shiftRates map[message.ModelName]float64 // highest rate, in requests a second, of the models whose demand may shift
 	tasks      []Task
 }
 
-// Plan returns the tasks that should start now, for each service the most valuable first.
+// Plan returns the tasks that should start now: service by service, adapter tasks first, then model tasks in
+// descending order of value.
 func Plan(in *Input) []Task {
 	var tasks []Task
 	names := make([]string, 0, len(in.Services))
@@ -80,7 +83,7 @@
 			names = append(names, name)
 		}
 	}
-	slices.Sort(names) // the same input gives the same plan
+	slices.Sort(names) // in a fixed order, so that the same input gives the same plan
 	for _, name := range names {
 		p := newServicePlan(in, in.Services[name])
 		// Adapters first: they load within milliseconds, while a model's load keeps its backend busy for seconds.
@@ -91,8 +94,8 @@
 	return tasks
 }
 
-// newServicePlan counts the replicas and sets the targets. Replicas at backends that leave are not counted, so that their
-// models are placed elsewhere in time.
+// newServicePlan counts the replicas and sets the targets. Replicas at backends that are draining or about to end are
+// not counted, so that their models are placed elsewhere before these backends are gone.
 func newServicePlan(in *Input, service *configuration.Service) *servicePlan {
 	p := &servicePlan{
 		in: in, service: service, capacity: Capacity{service.Runtime}, replicas: map[message.ModelName]int{},
--- a/internal/controlplane/placement/planner/planner_test.go
+++ b/internal/controlplane/placement/planner/planner_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// models are those that a backend holds.
+// models are the models that a backend holds.
 type models []message.ModelName
 
 // fleet is a service of backends with capacity for two models each, and ten models m0 to m9.
@@ -84,7 +84,7 @@
 	return out
 }
 
-// Found on the bench: only replicas were evicted before the first request came.
+// Regression test: plans that were made before the first request did nothing but evict replicas.
 func TestPlan_LoadsNothingBeforeAnyDemand(t *testing.T) {
 	f := newFleet(models{"m0", "m1"}, models{"m0", "m2"}, models{"m3", "m4"})
 	assert.Empty(t, loads(f.plan(10)))
@@ -104,10 +104,10 @@
 	f.request(20*time.Second, map[message.ModelName]float64{"m0": 12})
 	found := loads(f.plan(10))
 	assert.Contains(t, found, "m0")
-	assert.Contains(t, found, "m1", "and so does the next one in the configured list, ahead of its demand")
+	assert.Contains(t, found, "m1", "the next model in the configured list gets one too, ahead of its demand")
 }
 
-func TestPlan_KeepsToModelLoadsAllowed(t *testing.T) {
+func TestPlan_RespectsModelLoadsAllowed(t *testing.T) {
 	f := newFleet(models{"m0", "m1"}, models{"m2", "m3"}, models{"m4", "m5"})
 	for _, model := range []message.ModelName{"m6", "m7", "m8"} {
 		f.reportWaiting(model, 1)
@@ -170,7 +170,7 @@
 	assert.Len(t, tasks[0].UnloadAdapters, 1)
 }
 
-func TestPlan_KeepsToCapacity(t *testing.T) {
+func TestPlan_RespectsCapacity(t *testing.T) {
 	f := newFleet(models{"m0", "m1"}, models{"m2", "m3"}, models{"m4"})
 	f.runtime.Models[0].Adapters = 3
 	f.request(5*time.Second, map[message.ModelName]float64{"m0": 9, "m5": 2, "m6": 1, "m7": 0.5})
@@ -189,8 +189,8 @@
 	}
 }
 
-// Found on the bench: a model was loaded for requests that waited, they were sent to it, and in the next plan a busy model
-// took its place; the backend rejected the requests that had not begun.
+// Regression test: a model was loaded for waiting requests, and the requests were sent to its backend. The next plan
+// evicted the model for a busy one, and the backend rejected the requests that it had not begun.
 func TestPlan_KeepsModelWithRequestsInFlight(t *testing.T) {
 	f := newFleet(models{"m0", "m1"}, models{"m4", "m7"})
 	f.request(20*time.Second, map[message.ModelName]float64{"m0": 12, "m4": 0.9})
@@ -208,11 +208,11 @@
 	f.demand.Update(f.now, report[:2])
 	tasks := f.plan(10)
 	assert.Equal(t, "b1", loads(tasks)["m0"])
-	assert.Equal(t, []message.ModelName{"m7"}, tasks[0].Unload, "once it is idle it goes first")
+	assert.Equal(t, []message.ModelName{"m7"}, tasks[0].Unload, "an idle model is evicted first")
 }
 
-// Found on the bench: replicas of busy models evicted each other again and again, as rates over some seconds vary by a
-// third; each swap costs a load, and both replicas meanwhile.
+// Regression test: replicas of busy models evicted each other again and again, as rates over some seconds vary by a
+// third. Each swap costs a load, and neither replica is available during it.
 func TestPlan_SimilarValuesDoNotEvictEachOther(t *testing.T) {
 	f := newFleet(models{"m0", "m4"}, models{"m0", "m7"})
 	f.request(20*time.Second, map[message.ModelName]float64{"m0": 4, "m4": 6.6, "m7": 4})
--- a/internal/controlplane/placement/planner/target.go
+++ b/internal/controlplane/placement/planner/target.go
@@ -12,7 +12,8 @@
 	recentDemand = 20 * time.Second
 	// busyRate is the rate, in requests a second, from which a model gets more than one replica.
 	busyRate = 0.8
-	// minBusyReplicas is how many a busy model gets at least, so that the loss of one backend does not take it away.
+	// minBusyReplicas is how many replicas a busy model gets at least, so that a replica is left after the loss of
+	// one backend.
 	minBusyReplicas = 2
 	// inFlightPerReplica is how many requests in flight one replica should carry.
 	inFlightPerReplica = 2.0
@@ -22,8 +23,9 @@
 	maxReplicaShare = 0.6
 )
 
-// setTargets sets how many replicas each model should have: enough for its own rate, and for the rates of the models
-// before it in the configured list, as demand shifts along that list from time to time and a load takes seconds.
+// setTargets sets how many replicas each model should have: enough for its own rate, and for the rates of the
+// shiftDistance models before it in the configured list. Demand shifts along that list from time to time, and a load
+// takes seconds, so replicas that are loaded only after a shift would come too late.
 //
 //	target = min(ceil(maxReplicaShare * backends), max(recent, replicasFor(rate), replicasFor(rates before it)))
 //
@@ -52,8 +54,8 @@
 	return !event.IsZero() && now.Sub(event) < span
 }
 
-// rateOf returns the rate of requests for a model, in requests a second. Before any demand was reported, a model that has
-// more than one replica is taken to be busy: the platform has placed it so.
+// rateOf returns the rate of requests for a model, in requests a second. Before any demand was reported, a model with
+// more than one replica counts as busy, because the platform has placed several.
 func (p *servicePlan) rateOf(model message.ModelName) float64 {
 	if !p.in.Demand.IsEmpty(p.service.Name) {
 		demand := p.demandFor(model)
@@ -65,7 +67,7 @@
 	return 0
 }
 
-// replicasFor returns how many replicas a model needs at a rate, 0 where that is not busy. By Little's law the requests in
+// replicasFor returns how many replicas a model needs at a rate; 0 below busyRate. By Little's law the requests in
 // flight are rate * mean duration.
 func (p *servicePlan) replicasFor(model message.ModelName, rate float64) int {
 	if rate < busyRate {
--- a/internal/controlplane/placement/planner/value.go
+++ b/internal/controlplane/placement/planner/value.go
@@ -8,14 +8,15 @@
 
 // Weights of values and losses, in requests a second.
 const (
-	// shiftDiscount is the share of the rate of the models before it that a model is expected to get.
+	// shiftDiscount is the share of its shift rate (see servicePlan.shiftRates) that a model is expected to get.
 	shiftDiscount = 0.3
 	// unservedValue is the value of a replica for each request that waits for the model or was rejected for lack of it.
 	unservedValue = 2.0
-	// firstReplicaValue is the value of a model's only replica beside its rate: without it each request waits for a load.
+	// firstReplicaValue is the value of a model's only replica in addition to its rate: without that replica each
+	// request waits for a load.
 	firstReplicaValue = 0.03
-	// recentRequestValue is the further value of an only replica whose model was requested within recentRequest, as more
-	// requests probably follow.
+	// recentRequestValue is the additional value of an only replica whose model was requested within recentRequest,
+	// as more requests probably follow.
 	recentRequestValue = 0.5
 	recentRequest      = 3 * time.Second
 	// surplusDiscount is the share of its value that a replica above the target keeps.
@@ -47,8 +48,8 @@
 //	the only one:      expectedRate + unservedValue*(waiting + in flight + unserved) + firstReplicaValue
 //	                   + recentRequestValue, if requested within recentRequest
 //
-// Requests in flight count for an only replica, as those that were sent to the backend a moment ago and have not begun
-// would be rejected there.
+// For the only replica, requests in flight count too: the backend would reject those that were sent to it a moment
+// ago and that it has not begun.
 func (p *servicePlan) evictionLoss(model message.ModelName) float64 {
 	demand := p.demandFor(model)
 	replicas := p.replicas[model]
@@ -58,8 +59,8 @@
 	if replicas > 1 {
 		return p.expectedRate(model) / float64(replicas)
 	}
-	needing := float64(demand.Waiting+demand.InFlight) + demand.Unserved
-	loss := p.expectedRate(model) + unservedValue*needing + firstReplicaValue
+	affectedRequests := float64(demand.Waiting+demand.InFlight) + demand.Unserved
+	loss := p.expectedRate(model) + unservedValue*affectedRequests + firstReplicaValue
 	if isWithin(recentRequest, demand.LastRequest, p.in.Now) {
 		loss += recentRequestValue
 	}
