--- a/internal/controlplane/coordinator/api.go
+++ b/internal/controlplane/coordinator/api.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// decisionTimeout is how long a request waits for its response before it is answered without one. The operator's client
-	// tries another member after a second.
+	// decisionTimeout is how long a request waits for the replica's response before the client gets errNotDecided. The
+	// operator's client tries another member after a second.
 	decisionTimeout = 930 * time.Millisecond
-	// resubmitInterval is how often a request without a response is given to the replica again.
+	// resubmitInterval is how often a request without a response is submitted to the replica again.
 	resubmitInterval = 220 * time.Millisecond
 )
 
 const maxConfigBody = 8 << 20 // bytes
 
-// errNotDecided is returned for a request that no member decided in time. It may have been applied all the same, so the client
+// errNotDecided is returned for a request that was not decided in time. It may still have been applied, so the client
 // sends it again unchanged.
 var errNotDecided = errors.New("not decided yet: ask again")
 
-// operatorAPI is the operator's HTTP API: GET, PUT and PATCH on /config, GET on /status. It shares its address with the API
-// of applications, to which it passes their calls.
+// operatorAPI is the operator's HTTP API: GET, PUT and PATCH on /config, and GET on /status. It shares its address
+// with the API of applications, and passes their calls on to it.
 type operatorAPI struct {
 	loop         *replicaLoop
 	node         string
@@ -68,8 +68,8 @@
 	writeConfigResponse(w, r, result)
 }
 
-// statusOfUndecided is the status for a request that was not decided in time. A change may still be applied, so it is not answered
-// with 503, which promises that nothing was done.
+// statusOfUndecided is the status for a request that was not decided in time. A change may still be applied, so its
+// status is 504: with 503 the API promises that nothing was done.
 func statusOfUndecided(method string) int {
 	if method == http.MethodGet {
 		return http.StatusServiceUnavailable
@@ -77,8 +77,8 @@
 	return http.StatusGatewayTimeout
 }
 
-// statusOfBodyError is the status for a body that was not read whole. One over maxConfigBody is also over what a replica keeps,
-// which answers 413 for it too.
+// statusOfBodyError is the status for a body that could not be read completely. A body over maxConfigBody gets 413.
+// It is also over the size that a replica accepts, which answers 413 too.
 func statusOfBodyError(err error) int {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -97,11 +97,11 @@
 	if len(result.Body) == 0 {
 		result.Body = []byte("{}")
 	}
-	_, _ = w.Write(result.Body) // a client that has gone sends its request again
+	_, _ = w.Write(result.Body) // a client that has disconnected sends its request again
 }
 
-// submit gives the request to the replica, which forwards it to the member that decides it. As messages may be lost it
-// does so every resubmitInterval until a response comes. The error is errNotDecided.
+// submit passes the request to the replica, which forwards it to the member that decides it. As messages may be lost,
+// it repeats this every resubmitInterval until a response arrives. The error is errNotDecided.
 func (a *operatorAPI) submit(r *http.Request, request *message.ConfigRequest) (*message.ConfigResponse, error) {
 	id, results := a.loop.pending.register()
 	defer a.loop.pending.unregister(id)
--- a/internal/controlplane/coordinator/api_test.go
+++ b/internal/controlplane/coordinator/api_test.go
@@ -14,19 +14,19 @@
 	"pumiceline/internal/message"
 )
 
-// brokenBody is a body whose client disconnects.
+// brokenBody is a request body whose client disconnects.
 type brokenBody struct{}
 
 func (brokenBody) Read([]byte) (int, error) { return 0, errors.New("connection reset") }
 
-func TestOperatorAPI_BodyThatIsNotReadWhole(t *testing.T) {
+func TestOperatorAPI_TooLargeOrIncompleteBody(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		body io.Reader
 		want int
 	}{
 		{"too large", bytes.NewReader(make([]byte, maxConfigBody+1)), http.StatusRequestEntityTooLarge},
-		{"broken off", brokenBody{}, http.StatusBadRequest},
+		{"client disconnects", brokenBody{}, http.StatusBadRequest},
 	} {
 		response := httptest.NewRecorder()
 		(&operatorAPI{}).ServeHTTP(response, httptest.NewRequest(http.MethodPut, "/config", c.body))
@@ -34,8 +34,8 @@
 	}
 }
 
-// 503 promises that nothing was done; a change that was not decided in time may still be applied.
-func TestOperatorAPI_UndecidedChangeIsNotPromisedToBeVoid(t *testing.T) {
+// 503 promises that nothing was done, but a change that was not decided in time may still be applied.
+func TestOperatorAPI_StatusOfUndecidedRequest(t *testing.T) {
 	for method, want := range map[string]int{
 		http.MethodGet: http.StatusServiceUnavailable,
 		http.MethodPut: http.StatusGatewayTimeout, http.MethodPatch: http.StatusGatewayTimeout,
--- a/internal/controlplane/coordinator/backends.go
+++ b/internal/controlplane/coordinator/backends.go
@@ -12,8 +12,8 @@
 	"pumiceline/internal/message"
 )
 
-// observedModels are the models that a backend itself reported to a placement task. They are newer than what discovery
-// lists, which lags by up to Platform.MaxLag, and take precedence until discovery has certainly caught up.
+// observedModels are the models that a backend itself reported to a placement task. They are newer than the models that
+// discovery lists, which lag by up to Platform.MaxLag. They take precedence until discovery has certainly caught up.
 type observedModels struct {
 	models []message.LoadedModel
 	at     time.Time
@@ -41,7 +41,7 @@
 	c.publishBackends()
 }
 
-// publishBackends gives the hub the backends as discovery listed them, with the models that were observed since.
+// publishBackends passes the backends to the hub as discovery listed them, with the models that were observed since.
 func (c *controller) publishBackends() {
 	if c.listed == nil {
 		return
@@ -63,8 +63,8 @@
 	c.loop.hub.SetBackends(merged)
 }
 
-// nextRevision returns the revision of the next list. A member that does not hold the lease publishes lists without one: they
-// are ordered by when they were read.
+// nextRevision returns the revision of the next list. A member without the lease publishes lists without a revision:
+// they are ordered by when they were read.
 func (c *controller) nextRevision() message.BackendsRevision {
 	if c.leaseToken == 0 {
 		return message.BackendsRevision{}
@@ -73,7 +73,8 @@
 	return message.BackendsRevision{Token: c.leaseToken, Number: c.revision}
 }
 
-// onModelsObserved takes the models that a backend reported to a task. Reports of tasks of a lost lease are ignored.
+// onModelsObserved takes the models that a backend reported to a task. It ignores them if this member has lost the
+// lease.
 func (c *controller) onModelsObserved(backend message.BackendID, models []message.LoadedModel, now time.Time) {
 	if c.leaseToken == 0 {
 		return
@@ -85,9 +86,11 @@
 	}
 }
 
-// isAwaited reports whether a backend has got a model that requests wait for. Only that is published at once: each list makes
-// all proxies and coordinators poll anew, with their demand and loads, and the next poll of discovery is never far. An unload may
-// so reach proxies after its command; the backend then rejects what they send (Not-Run), and they send it elsewhere.
+// isAwaited reports whether a backend now has a model that requests wait for. Only such a change is published at
+// once; others wait for the next poll of discovery, which comes soon. The reason is that each published list answers
+// the pending polls of all proxies and coordinators, which then poll again with their demand and loads. Therefore
+// proxies may get to know of an unload only after its command. The backend then rejects their requests for that model
+// (Not-Run), and they send them elsewhere.
 func (c *controller) isAwaited(id message.BackendID, before, after []message.LoadedModel) bool {
 	if c.listed == nil {
 		return false
@@ -103,7 +106,7 @@
 	})
 }
 
-// placementBackends returns the backends as the planner needs them.
+// placementBackends returns the backends as input for the planner.
 func (c *controller) placementBackends(now time.Time) []planner.Backend {
 	backends := make([]planner.Backend, 0, len(c.listed.Backends))
 	for _, entry := range c.listed.Backends {
--- a/internal/controlplane/coordinator/backends_test.go
+++ b/internal/controlplane/coordinator/backends_test.go
@@ -13,7 +13,8 @@
 	"pumiceline/internal/message"
 )
 
-// What a task saw at a backend counts until discovery has certainly caught up, and as long as a task runs there.
+// The models that a task observed at a backend take precedence until discovery has certainly caught up, and while a
+// task runs there.
 func TestController_ObservedModelsPrecedeDiscovery(t *testing.T) {
 	const maxLag = 800 * time.Millisecond
 	hub := distribution.NewHub()
@@ -45,14 +46,14 @@
 	assert.False(t, hub.Backends().Backends[0].Holds("m"), "discovery has caught up")
 }
 
-// What a task of a lost lease reports is not used.
+// Models that are reported by a task of a lost lease are ignored.
 func TestController_IgnoresObservationsWithoutLease(t *testing.T) {
 	c := newController(&replicaLoop{}, &bootstrap.Settings{})
 	c.onModelsObserved("b", []message.LoadedModel{{Name: "m"}}, time.Now())
 	assert.Empty(t, c.observed)
 }
 
-// A model that requests wait for reaches the proxies at once, other changes with the next poll of discovery.
+// A model that requests wait for is published at once. Other changes are published with the next poll of discovery.
 func TestController_PublishesAwaitedModelsAtOnce(t *testing.T) {
 	hub := distribution.NewHub()
 	go hub.Run(t.Context())
@@ -70,7 +71,7 @@
 	c.onModelsObserved("b", both, now)
 	assert.True(t, hub.Backends().Backends[0].Holds("awaited"))
 	c.onModelsObserved("b", both[:1], now)
-	assert.True(t, hub.Backends().Backends[0].Holds("awaited"), "an unload waits for the next poll")
+	assert.True(t, hub.Backends().Backends[0].Holds("awaited"), "an unload is published with the next poll")
 	c.onBackendsRead(list(now.Add(time.Millisecond)), nil)
 	assert.False(t, hub.Backends().Backends[0].Holds("awaited"))
 }
--- a/internal/controlplane/coordinator/call_log.go
+++ b/internal/controlplane/coordinator/call_log.go
@@ -10,14 +10,14 @@
 	"pumiceline/internal/logkey"
 )
 
-// callLog logs each call to the control address at debug level, and counts those in flight: so that a call that was not
-// answered, was answered with another status than the caller's page allows, or was cut by a shutdown can be told apart.
+// callLog logs each call to the control address at debug level, and counts the calls in flight. The log shows whether
+// a call was not answered, was answered with a status that the API does not allow, or was cut by a shutdown.
 type callLog struct {
 	next     http.Handler
 	inFlight atomic.Int64
 }
 
-// ServeHTTP has next answer the call, and logs it also where next panics to cut the connection.
+// ServeHTTP lets next answer the call, and logs the call even if next panics to cut the connection.
 func (l *callLog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	l.inFlight.Add(1)
 	arrived := time.Now()
@@ -32,7 +32,7 @@
 	l.next.ServeHTTP(recorder, r)
 }
 
-// statusRecorder notes the status of a response; 0: none was sent.
+// statusRecorder records the status of a response; 0: none was sent.
 type statusRecorder struct {
 	http.ResponseWriter
 	status int
@@ -46,7 +46,7 @@
 	r.ResponseWriter.WriteHeader(status)
 }
 
-// Write sends a part of the body, after status 200 where none was sent.
+// Write sends a part of the body. Without a status sent before, the status is 200.
 func (r *statusRecorder) Write(part []byte) (int, error) {
 	if r.status == 0 {
 		r.status = http.StatusOK
@@ -54,5 +54,5 @@
 	return r.ResponseWriter.Write(part)
 }
 
-// Unwrap gives http.ResponseController the server's own writer.
+// Unwrap returns the server's own writer, for http.ResponseController.
 func (r *statusRecorder) Unwrap() http.ResponseWriter { return r.ResponseWriter }
--- a/internal/controlplane/coordinator/controller.go
+++ b/internal/controlplane/coordinator/controller.go
@@ -20,42 +20,44 @@
 	controllerTick   = 100 * time.Millisecond
 	eventQueueLength = 64
 
-	// leaseHolderPollInterval is how often the lease holder polls discovery at most, see pollInterval.
+	// leaseHolderPollInterval is the shortest interval at which the lease holder polls discovery; see pollInterval.
 	leaseHolderPollInterval = 400 * time.Millisecond
-	// pollIntervalPerPage is the interval for each page of the list: its calls are priced, and share the platform's limit.
+	// pollIntervalPerPage is the poll interval for each page of the list. Each page is one call, which is priced and
+	// counts against the platform's rate limit, so longer lists are polled less often.
 	pollIntervalPerPage = 150 * time.Millisecond
-	// maxPollDrainShare bounds the interval by a share of Bounds.Drain, within which proxies have to know that a backend
-	// leaves: the reading, and the way to the proxies, have to fit in beside it.
+	// maxPollDrainShare bounds the poll interval by a share of Bounds.Drain. Proxies must get the information that a
+	// backend is draining within Bounds.Drain, so the rest of it must suffice to read the list and to send it to the
+	// proxies.
 	maxPollDrainShare = 0.25
-	// staleMargin is how long after the time for the lease holder's next backends another member polls discovery itself,
-	// every memberPollInterval.
+	// staleMargin is how overdue the lease holder's next list of backends must be before another member polls discovery
+	// itself, every memberPollInterval.
 	staleMargin        = 900 * time.Millisecond
 	memberPollInterval = 1 * time.Second
 
 	// leaseHolderPollWait is how long the lease holder may keep a poll of another member open.
 	leaseHolderPollWait = 400 * time.Millisecond
-	// failedTaskBackoff is how long a backend whose task failed gets no other one.
+	// failedTaskBackoff is how long a backend whose task failed gets no other task.
 	failedTaskBackoff = 1500 * time.Millisecond
 )
 
-// controller polls discovery and places models while this member holds the controller lease; else it gets both from the
-// lease holder. One goroutine (run) owns its tables; polls and tasks run in goroutines of their own and report through
-// the event queue.
+// controller polls discovery and places models while this member holds the controller lease. Without the lease it
+// gets the backends from the lease holder, and places nothing. One goroutine (run) owns its tables. Polls and tasks
+// run in goroutines of their own and report through the event queue.
 type controller struct {
 	loop     *replicaLoop
 	settings *bootstrap.Settings
 	events   chan func(now time.Time) // results of polls and tasks, run by the controller's goroutine
 
-	leaseToken message.FencingToken // of the lease under which the tables were filled; 0: not held
+	leaseToken message.FencingToken // of the lease under which the tables were filled; 0: no lease is held
 	leaseStart time.Time
 
 	reader   *discovery.Reader
 	polling  bool // a poll of discovery is in progress
 	lastPoll time.Time
 	cadence  pollCadence
-	listed   *discovery.BackendList               // as discovery listed it last; nil: never
-	observed map[message.BackendID]observedModels // what tasks saw at backends since
-	revision uint64                               // of the list that was published last under leaseToken
+	listed   *discovery.BackendList               // the last list that was read from discovery; nil: none yet
+	observed map[message.BackendID]observedModels // models that tasks have observed at backends since
+	revision uint64                               // revision of the last list published under leaseToken
 
 	config         *configuration.Config
 	configSequence uint64
@@ -78,7 +80,7 @@
 	}
 }
 
-// run works until ctx ends.
+// run runs the controller until ctx ends.
 func (c *controller) run(ctx context.Context) {
 	poller := distribution.NewPoller(c.loop.self.Identity, &leaseHolderSubscriber{loop: c.loop}, leaseHolderPollWait)
 	go poller.Run(ctx)
@@ -97,7 +99,7 @@
 			return
 		case event := <-c.events:
 			event(time.Now())
-		case <-unmetDemand: // the lease holder itself collects demand from its hub with every tick
+		case <-unmetDemand: // the lease holder needs no poll: it collects the demand from its own hub with every tick
 			if _, holds := c.lease(time.Now()); !holds {
 				go poller.PollNow(ctx)
 			}
@@ -108,7 +110,7 @@
 	}
 }
 
-// lease returns the membership snapshot, and whether this member holds the controller lease at now.
+// lease returns the membership snapshot, and whether this member holds the controller lease at the time now.
 func (c *controller) lease(now time.Time) (snapshot *membershipSnapshot, holds bool) {
 	s := c.loop.snapshot.Load()
 	return s, s != nil && s.leaseToken != 0 && now.Before(s.leaseUntil)
@@ -136,8 +138,8 @@
 	}
 }
 
-// pollWithoutLease polls discovery at a member that gets no fresh backends from the lease holder. Proxies poll members
-// only, so others need none.
+// pollWithoutLease polls discovery if this member gets no fresh backends from the lease holder. A coordinator that is
+// not a member of the view needs no backends, as proxies poll members only.
 func (c *controller) pollWithoutLease(
 	ctx context.Context, s *membershipSnapshot, list *discovery.BackendList, now time.Time,
 ) {
@@ -149,7 +151,7 @@
 	}
 }
 
-// pollInterval is how often the lease holder polls discovery:
+// pollInterval is the interval at which the lease holder polls discovery:
 //
 //	pollIntervalPerPage * pages, from leaseHolderPollInterval to maxPollDrainShare * Drain
 func (c *controller) pollInterval() time.Duration {
@@ -160,14 +162,14 @@
 	return max(leaseHolderPollInterval, min(longest, time.Duration(c.listed.Pages)*pollIntervalPerPage))
 }
 
-// pollCadence is how often the lease holder has polled discovery of late, as another member sees it.
+// pollCadence is another member's estimate of the interval at which the lease holder polls discovery.
 type pollCadence struct {
-	newest time.Time // when the newest list was read
-	last   time.Duration
+	newest time.Time     // when the newest list was read
+	last   time.Duration // time between the last two lists
 }
 
-// observe takes the newest list that is known here; nil: none is. The same reading, received again, seems to be some
-// milliseconds younger or older (see distribution.ObservedAt): it is not another one.
+// observe takes the newest list that this member has; nil: none. When the same list is received again, its estimated
+// read time differs by some milliseconds (see distribution.ObservedAt). Such a list does not count as a new one.
 func (p *pollCadence) observe(list *discovery.BackendList) {
 	if !list.IsKnown() || list.ObservedAt.Sub(p.newest) < leaseHolderPollInterval/2 {
 		return
@@ -178,15 +180,17 @@
 	p.newest = list.ObservedAt
 }
 
-// interval is the time between the last two lists, from leaseHolderPollInterval to memberPollInterval: a longer one is a gap.
+// interval is the time between the last two lists, at least leaseHolderPollInterval. A time beyond memberPollInterval
+// is a gap in the polling, and counts as memberPollInterval.
 func (p *pollCadence) interval() time.Duration {
 	return max(leaseHolderPollInterval, min(p.last, memberPollInterval))
 }
 
-// handoverDelay is how long a new lease holder sends no placement commands. A predecessor sends none after its lease (see
-// commandToken), but a process that is frozen while it sends one may send it when it resumes; the deployment tolerates
-// that for Bounds.Thaw. Where backends check fencing tokens, only the predecessor's last command has to end before.
-// Elsewhere two lease holders must not both send commands within Bounds.Lease.
+// handoverDelay is how long a new lease holder sends no placement commands. A predecessor sends none after its lease
+// (see commandToken). But a process that is frozen while it sends a command may send it when it resumes, which the
+// deployment tolerates for Bounds.Thaw. If backends check fencing tokens, the delay needs to cover only the
+// predecessor's last command. Otherwise it covers Bounds.Lease: two lease holders must not both send commands within
+// that time.
 func (c *controller) handoverDelay() time.Duration {
 	if c.settings.Bounds.ChecksFencingTokens {
 		return executor.CommandTimeout + c.settings.Bounds.Thaw
@@ -194,7 +198,7 @@
 	return c.settings.Bounds.Lease + c.settings.Bounds.Thaw
 }
 
-// onLeaseLost cancels all tasks: commandToken would stop their next commands anyhow.
+// onLeaseLost cancels all tasks. Even without this they could send no more commands, as commandToken refuses the token.
 func (c *controller) onLeaseLost() {
 	if c.leaseToken == 0 {
 		return
@@ -207,8 +211,8 @@
 	logrus.Info("controller lease lost")
 }
 
-// onLeaseAcquired empties the tables, as they are from an earlier lease. The new rate limiters assume that the predecessor
-// started as many loads as it was allowed.
+// onLeaseAcquired clears the tables, as their contents are from an earlier lease. The new rate limiters assume that the
+// predecessor started as many loads as it was allowed to.
 func (c *controller) onLeaseAcquired(s *membershipSnapshot) {
 	c.leaseToken, c.leaseStart, c.revision = s.leaseToken, s.leaseStart, 0
 	c.demand = planner.NewDemandTable()
@@ -218,8 +222,9 @@
 	logrus.WithField(logkey.Token, s.leaseToken).Info("controller lease acquired")
 }
 
-// commandToken returns a function that gives the fencing token to a placement command. It refuses as soon as the lease
-// of that token does not last beyond the command's own timeout, so that no command outlives the lease.
+// commandToken returns a function that returns the fencing token for a placement command. The function refuses it
+// unless the lease of that token lasts longer than the command's own timeout, so that no command is in progress after
+// the lease.
 func (c *controller) commandToken(token message.FencingToken) executor.TokenFunc {
 	return func() (message.FencingToken, bool) {
 		now := time.Now()
--- a/internal/controlplane/coordinator/controller_test.go
+++ b/internal/controlplane/coordinator/controller_test.go
@@ -12,8 +12,8 @@
 	"pumiceline/internal/message"
 )
 
-// A new lease holder waits for the span that the rule on lease holders names, and for less where backends check fencing
-// tokens themselves.
+// A new lease holder waits for Bounds.Lease and Bounds.Thaw. It waits for less if backends check fencing tokens
+// themselves.
 func TestController_HandoverDelay(t *testing.T) {
 	bounds := bootstrap.Bounds{Lease: 3 * time.Second, Thaw: 300 * time.Millisecond}
 	unchecked := &controller{settings: &bootstrap.Settings{Bounds: bounds}}
@@ -36,7 +36,7 @@
 		{"lease expired", &membershipSnapshot{leaseToken: token, leaseUntil: time.Now().Add(-time.Second)}, false},
 		{"lease ends within the command's timeout",
 			&membershipSnapshot{leaseToken: token, leaseUntil: time.Now().Add(executor.CommandTimeout)}, false},
-		{"a later lease", &membershipSnapshot{leaseToken: token + 1, leaseUntil: time.Now().Add(time.Hour)}, false},
+		{"another, later lease held", &membershipSnapshot{leaseToken: token + 1, leaseUntil: time.Now().Add(time.Hour)}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -49,7 +49,7 @@
 	}
 }
 
-// A longer list costs more calls, so it is polled less often, as far as the drain notice allows.
+// A list with more pages takes more calls, so it is polled less often, within the bound from the drain notice.
 func TestController_PollIntervalFollowsPages(t *testing.T) {
 	for _, c := range []struct {
 		pages int
@@ -70,12 +70,12 @@
 	}
 }
 
-// Another member learns from the lists how often the lease holder polls.
+// Another member estimates from the lists that it gets how often the lease holder polls.
 func TestPollCadence(t *testing.T) {
 	read := time.Now()
 	var cadence pollCadence
 	cadence.observe(nil)
-	assert.Equal(t, leaseHolderPollInterval, cadence.interval(), "nothing known")
+	assert.Equal(t, leaseHolderPollInterval, cadence.interval(), "no list yet")
 	for range 2 {
 		cadence.observe(&discovery.BackendList{ObservedAt: read})
 		cadence.observe(&discovery.BackendList{ObservedAt: read.Add(3 * time.Millisecond)})
@@ -84,5 +84,5 @@
 	}
 	assert.Equal(t, 800*time.Millisecond, cadence.interval())
 	cadence.observe(&discovery.BackendList{ObservedAt: read.Add(time.Minute)})
-	assert.Equal(t, memberPollInterval, cadence.interval(), "a gap is no cadence")
+	assert.Equal(t, memberPollInterval, cadence.interval(), "a gap in the polling")
 }
--- a/internal/controlplane/coordinator/coordination_bounds_test.go
+++ b/internal/controlplane/coordinator/coordination_bounds_test.go
@@ -12,8 +12,9 @@
 	"pumiceline/internal/message"
 )
 
-// The largest state that applications can make fits into a segment: else every member would retry its write for good.
-func TestCoordinationState_LargestFitsIntoASegment(t *testing.T) {
+// The largest state that applications can create must fit into a segment. Otherwise every member would retry its
+// write forever, without success.
+func TestCoordinationState_LargestStateFitsIntoSegment(t *testing.T) {
 	store := coordination.New(coordination.Options{})
 	name := func(i int) string { return fmt.Sprintf("%06d", i) + strings.Repeat("x", coordination.MaxNameBytes-6) }
 	for i := 0; ; i++ {
--- a/internal/controlplane/coordinator/coordination_loop.go
+++ b/internal/controlplane/coordinator/coordination_loop.go
@@ -18,38 +18,40 @@
 )
 
 const (
-	// idleTickInterval is how often the member is ticked while there are no calls.
+	// idleTickInterval is the tick interval of the member while there are no calls.
 	idleTickInterval = 500 * time.Millisecond
-	// historyFactor is how many times the time that watches may be away is kept of the history of keys: a watch may also wait,
-	// and members count ages from their own receipt.
+	// historyFactor is the ratio of the time for which the history of keys is kept to Bounds.History, the time for
+	// which a watching client may be away. It is above 1 because a watch may also wait, and because each member
+	// counts ages from when it received a change itself.
 	historyFactor = 3
 )
 
-// coordinationLoop owns this machine's part in the coordination of applications: one goroutine (run) feeds the member messages and
-// ticks, and carries its outputs out in the order in which they were returned. The member counts time from started.
+// coordinationLoop owns this machine's member in the coordination of applications. One goroutine (run) passes
+// messages and ticks to the member, and carries out its outputs in the order in which they were returned. The member
+// counts time from started.
 type coordinationLoop struct {
 	member     *epoch.Member
 	started    time.Time
 	inbox      chan *message.Message
-	leaving    chan struct{} // closed when the process was asked to stop
+	leaving    chan struct{} // closed when the process is asked to stop
 	sender     *transport.Sender
 	writer     *coordinationWriter
 	relay      *relay.Relay
 	self       message.Member
-	membership func() *membershipSnapshot // nil result: not known yet
+	membership func() *membershipSnapshot // returns nil while the membership is not known
 	status     atomic.Pointer[coordinationStatus]
 
 	loggedEpoch message.Epoch // the newest epoch that was logged
 	loggedGroup uint64        // the newest group that was logged
 }
 
-// coordinationStatus is what the rest of the process may know of the member, as of its last step.
+// coordinationStatus is the status of the member after its last step, for the rest of the process.
 type coordinationStatus struct {
 	epoch.Status
 	canStop bool
 }
 
-// newCoordinationLoop makes the member from what is found on disk, together with the parts that carry out its outputs.
+// newCoordinationLoop makes the member from its state on disk, and the parts that carry out its outputs.
 func newCoordinationLoop(
 	self message.Member, settings *bootstrap.Settings, sender *transport.Sender, membership func() *membershipSnapshot,
 ) (*coordinationLoop, error) {
@@ -69,15 +71,15 @@
 	l.relay = relay.New(relay.Options{
 		Self: self, Incarnation: newIncarnation(), Send: l.sendCall, Candidates: l.candidates,
 	})
-	// The first group is on disk before anybody can hear of this member.
+	// The first group is synced here, before any other process can receive a message from this member.
 	out := l.member.Tick(0)
 	l.writer.write([]epoch.Output{out})
 	l.publish()
 	return l, nil
 }
 
-// initialAcceptors returns the first group of acceptors: the voters of the first view. It is nil on a machine that was not one of
-// them from the start.
+// initialAcceptors returns the first group of acceptors: the voters of the first view. It is nil unless this is the
+// first start of a machine that is one of them.
 func initialAcceptors(self message.Member, settings *bootstrap.Settings) *message.AcceptorGroup {
 	if !settings.FirstStart {
 		return nil
@@ -90,7 +92,7 @@
 	return &message.AcceptorGroup{Number: 1, View: view.Number, Acceptors: view.Voters}
 }
 
-// canStop reports whether a member that leaves is not needed any more.
+// canStop reports whether the member, after it was asked to leave, is not needed any more.
 func (l *coordinationLoop) canStop() bool {
 	status := l.status.Load()
 	return status == nil || status.canStop
@@ -105,8 +107,8 @@
 		m.StateRequest != nil || m.StateResponse != nil || m.IssuerHandOver != nil
 }
 
-// deliver queues a message for the member, or hands a response to the call that waits for it. Any goroutine may call it. Where the
-// inbox is full the message is lost, as on a busy network.
+// deliver queues a message for the member, or passes a response to the call that waits for it. It is safe for
+// concurrent use. If the inbox is full, the message is dropped, as on a congested network.
 func (l *coordinationLoop) deliver(m *message.Message) {
 	if m.CallResponse != nil {
 		l.relay.HandleResponse(m)
@@ -127,7 +129,7 @@
 	l.sender.Send(address, m)
 }
 
-// candidates returns whom the relay may ask.
+// candidates returns the coordinators that the relay may ask.
 func (l *coordinationLoop) candidates() relay.Candidates {
 	candidates := relay.Candidates{IsConnected: true}
 	if s := l.membership(); s != nil {
@@ -188,8 +190,8 @@
 	}
 }
 
-// route passes messages of the member on: those for other processes to the sender, and responses for this one to the relay. It
-// returns those for the member itself, which the caller steps or queues.
+// route passes the member's messages to other processes to the sender, and its responses to this process to the
+// relay. It returns the messages to the member itself, which the caller steps or queues.
 func (l *coordinationLoop) route(messages []message.Message) (local []*message.Message) {
 	for i := range messages {
 		m := &messages[i]
@@ -205,15 +207,16 @@
 	return local
 }
 
-// onSynced sends the messages whose records are on disk. The writer calls it from its goroutine. Where the inbox is full it waits:
-// a lost message of the member to itself would delay a round until it is repeated. The loop never waits for the writer.
+// onSynced sends the messages whose records are synced. The writer calls it from its goroutine. If the inbox is full
+// it waits: a lost message of the member to itself would delay a round until it is repeated. The loop never waits for
+// the writer, so there is no deadlock.
 func (l *coordinationLoop) onSynced(messages []message.Message) {
 	for _, m := range l.route(messages) {
 		l.inbox <- m
 	}
 }
 
-// publish makes the status of the member known to the rest of the process, and returns how often it is to be ticked.
+// publish publishes the status of the member to the rest of the process, and returns the tick interval.
 func (l *coordinationLoop) publish() time.Duration {
 	status := &coordinationStatus{Status: l.member.Status(), canStop: l.member.CanStop()}
 	previous := l.status.Swap(status)
--- a/internal/controlplane/coordinator/coordination_status.go
+++ b/internal/controlplane/coordinator/coordination_status.go
@@ -4,20 +4,20 @@
 	"pumiceline/internal/controlplane/relay"
 )
 
-// CoordinationStatus is how a coordinator sees the coordination of applications.
+// CoordinationStatus is the state of the coordination of applications as one coordinator knows it.
 type CoordinationStatus struct {
-	IsIssuer       bool        `json:"issues"`         // it decides the calls of applications
-	Issuer         string      `json:"issuer"`         // internal address of the one that does; empty: not known
-	Epoch          uint64      `json:"epoch"`          // counter of the newest epoch that it has promised
+	IsIssuer       bool        `json:"issues"`         // this coordinator is the issuer: it decides the calls of applications
+	Issuer         string      `json:"issuer"`         // internal address of the issuer; empty: not known
+	Epoch          uint64      `json:"epoch"`          // counter of the newest epoch that this coordinator has promised
 	Group          uint64      `json:"group"`          // number of the newest group of acceptors that it knows
-	Acceptors      []string    `json:"acceptors"`      // "identity address" each
-	Takeovers      int         `json:"takeovers"`      // how often it became the issuer since its start
-	WaitingWatches int         `json:"waitingWatches"` // at the issuer
+	Acceptors      []string    `json:"acceptors"`      // "identity address" of each
+	Takeovers      int         `json:"takeovers"`      // how often this coordinator became the issuer since its start
+	WaitingWatches int         `json:"waitingWatches"` // watches that wait at this coordinator, if it is the issuer
 	IsIdle         bool        `json:"idle"`           // there have been no calls for a while
-	Relay          relay.Stats `json:"relay"`          // of the calls that applications made here
+	Relay          relay.Stats `json:"relay"`          // figures on the calls that this coordinator received from applications
 }
 
-// describe returns the status for operators; nil before the first step.
+// describe returns the status for operators, or nil before the first step.
 func (l *coordinationLoop) describe() *CoordinationStatus {
 	s := l.status.Load()
 	if s == nil {
--- a/internal/controlplane/coordinator/coordination_writer.go
+++ b/internal/controlplane/coordinator/coordination_writer.go
@@ -10,24 +10,26 @@
 	"pumiceline/internal/message"
 )
 
-// The coordination state of applications has a ring of its own, so that neither its syncs nor its size hold up the control state.
+// The coordination state of applications has a ring of its own, so that neither its syncs nor its size delay the
+// control state.
 const (
 	coordinationDir          = "coordination"
 	coordinationSegmentBytes = 4 << 20
-	// maxAppendedWrites is how many writes are appended until the state is written in full again. It bounds how much a start
-	// has to read.
+	// maxAppendedWrites is how many writes are appended before the state is written in full again. It bounds how much
+	// is read at a start.
 	maxAppendedWrites = 2048
 )
 
-// Kinds of records in the ring of the coordination state. Of records that are written together the ring keeps those of the higher
-// kind first: a promise of an epoch is never kept without the state that was written under it.
+// Kinds of records in the ring of the coordination state. If a crash leaves only a part of the records that are
+// written together, it leaves those of the higher kinds: an epoch record is never kept without the state that was
+// written with it.
 const (
 	epochRecord             storage.Kind = 1 // a message.CoordinationRecord
 	coordinationStateRecord storage.Kind = 2 // a message.CoordinationState, with message.CoordinationWrites appended
 )
 
-// openCoordinationState opens the ring of the coordination state in the state folder, and reads it. An empty dir stands for a
-// machine without a disk.
+// openCoordinationState opens the ring of the coordination state in the state folder, and reads the state. An empty
+// dir stands for a machine without a disk.
 func openCoordinationState(dir string) (*storage.Ring, epoch.Stored, error) {
 	if dir == "" {
 		return nil, epoch.Stored{}, nil
@@ -41,7 +43,7 @@
 	return ring, stored, err
 }
 
-// readCoordinationState decodes what a ring holds.
+// readCoordinationState decodes the state in a ring.
 func readCoordinationState(ring *storage.Ring) (stored epoch.Stored, err error) {
 	if record := ring.Newest(epochRecord); record != nil {
 		if _, err := stored.Record.UnmarshalMsg(record); err != nil {
@@ -68,20 +70,20 @@
 	*syncQueue[epoch.Output]
 	ring *storage.Ring // nil on a machine without a disk
 
-	appended int // writes appended since the state was written in full; of the goroutine that runs run
+	appended int // writes appended since the state was written in full; owned by the goroutine of run
 }
 
-// newCoordinationWriter makes a writer. It hands messages to send once their records are synced.
+// newCoordinationWriter makes a writer. It calls send with messages once their records are synced.
 func newCoordinationWriter(ring *storage.Ring, send func([]message.Message)) *coordinationWriter {
 	w := &coordinationWriter{ring: ring}
 	w.syncQueue = newSyncQueue(w.write, func(out *epoch.Output) { send(out.AfterSync) })
 	return w
 }
 
-// coordinationBatch is the records of some outputs, to be written together. Of the epoch record only the newest counts.
+// coordinationBatch is the records of several outputs, to be written together. Only the newest epoch record is written.
 type coordinationBatch struct {
 	record *message.CoordinationRecord
-	state  *message.CoordinationState // nil: the writes lead on from what is stored
+	state  *message.CoordinationState // nil: the writes extend the stored state
 	writes []message.CoordinationWrite
 }
 
@@ -136,8 +138,8 @@
 	return w.writeComplete(batch, records)
 }
 
-// writeComplete writes the state in full, together with other records. Where the batch has no complete state, the one on disk is
-// extended by what was appended to it and by the batch.
+// writeComplete writes the state in full, together with other records. If the batch has no complete state, the state
+// on disk is extended by the writes that were appended to it and by those of the batch.
 func (w *coordinationWriter) writeComplete(batch *coordinationBatch, records map[storage.Kind][]byte) error {
 	var stored epoch.Stored
 	if batch.state != nil {
--- a/internal/controlplane/coordinator/coordination_writer_test.go
+++ b/internal/controlplane/coordinator/coordination_writer_test.go
@@ -25,7 +25,7 @@
 	return epoch.Output{Writes: []message.CoordinationWrite{write}}
 }
 
-// newCoordinationLog returns a log and the output that begins it.
+// newCoordinationLog returns a log and its first output, which has a complete state.
 func newCoordinationLog() (*coordinationLog, epoch.Output) {
 	group := message.AcceptorGroup{Number: 1, View: 1, Acceptors: []message.Member{{Identity: "a", Address: "a:1"}}}
 	l := &coordinationLog{position: message.CoordinationPosition{Group: 1}}
@@ -33,7 +33,7 @@
 	return l, epoch.Output{State: state, Record: &message.CoordinationRecord{Identity: "a"}}
 }
 
-// What a restart reads back is the newest state that was written, wherever the process ended.
+// After a restart at any point, the state that is read is the newest that was written.
 func TestCoordinationWriter_RestartReadsNewestState(t *testing.T) {
 	dir := t.TempDir()
 	ring, _, err := openCoordinationState(dir)
@@ -59,7 +59,7 @@
 	}
 }
 
-// A complete state makes everything before it void, also writes of the same batch.
+// A complete state replaces everything before it, including earlier writes of the same batch.
 func TestCoordinationWriter_CompleteStateReplacesWrites(t *testing.T) {
 	dir := t.TempDir()
 	ring, _, err := openCoordinationState(dir)
@@ -76,7 +76,7 @@
 	assert.Equal(t, uint64(100), epoch.Replay(stored).LastNumber)
 }
 
-// Each batch of outputs is synced before the messages that wait for it are sent, in order.
+// The messages of a batch of outputs are sent only after its records are synced, in the order of the outputs.
 func TestSyncQueue_SendsInOrderAfterTheWrite(t *testing.T) {
 	var steps []string
 	done := make(chan struct{})
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -1,10 +1,10 @@
 // Package coordinator assembles a machine's part in the control plane. One process runs
 //
-//   - the replica loop, which owns the replica state machine (package replica) and carries out what it returns,
+//   - the replica loop, which owns the replica state machine (package replica) and carries out its outputs,
 //   - the state writer, which syncs the replica's records to the ring of files (package storage),
 //   - the hub that proxies poll for configuration, backends and loads (package distribution),
-//   - the coordination loop, which owns this machine's part in the coordination of applications (package epoch), and the relay
-//     that brings their calls to the issuer,
+//   - the coordination loop, which owns this machine's member in the coordination of applications (package epoch), and the
+//     relay that forwards their calls to the issuer,
 //   - the HTTP API for the operator (/config and /status) and for applications (package coordinationapi), and
 //   - the controller, which polls discovery and places models while this member holds the controller lease.
 //
@@ -34,8 +34,9 @@
 // LeaseDuration is how long a grant of the controller lease lasts.
 const LeaseDuration = 2 * time.Second
 
-// Limits of a graceful shutdown. The member first waits for its removal from the view, for at most maxRemovalWait and
-// maxRemovalShare of the grace time; the rest of the grace time is for the listeners.
+// Limits of a graceful shutdown. The member first waits for its removal from the view, for at most the shorter of
+// maxRemovalWait and maxRemovalShare of the grace time. The rest of the grace time is for the shutdown of the HTTP
+// server.
 const (
 	maxRemovalWait      = 4 * time.Second
 	maxRemovalShare     = 0.6
@@ -45,8 +46,8 @@
 
 const readHeaderTimeout = 3 * time.Second
 
-// Run runs the coordinator until ctx ends, then leaves the view and stops serving. It returns only when the process is
-// about to exit: the state writer and the transport run until then, and every record that they had not synced counts
+// Run runs the coordinator until ctx ends, then leaves the view and stops serving. The caller must exit the process
+// when Run returns: the state writers and the transport still run then. Records that are not synced at the exit count
 // as never written.
 func Run(ctx context.Context, settings *bootstrap.Settings) error {
 	self := message.Member{
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// newReplicaLoop makes the replica from what was found on disk, together with the parts that carry out its outputs.
+// newReplicaLoop makes the replica from its state on disk, and the parts that carry out its outputs.
 func newReplicaLoop(self message.Member, settings *bootstrap.Settings, stored *storedState) *replicaLoop {
 	options := replica.Options{
 		Self: self, Seeds: SeedAddresses(settings), Tolerance: settings.Tolerance, LeaseDuration: LeaseDuration,
@@ -111,7 +112,7 @@
 	return l
 }
 
-// serveCalls starts the HTTP server at the control address. The caller shuts it down.
+// serveCalls starts the HTTP server at the control address. The caller must shut it down.
 func serveCalls(calls *callLog, address string) (*http.Server, error) {
 	server := &http.Server{Handler: calls, ReadHeaderTimeout: readHeaderTimeout}
 	listener, err := net.Listen("tcp", address)
@@ -126,9 +127,10 @@
 	return server, nil
 }
 
-// awaitRemoval asks for the member's removal from the view and waits for it. The others remove the member only once enough
-// of them are complete; until then it goes on as a member. One that is outside the view waits until no join request of
-// its own can be admitted any more. The only member of a view stops at once, as nobody can remove it.
+// awaitRemoval asks for the member's removal from the view and waits for it. The other members remove it only once
+// enough of them have the complete state; until then it stays a member. A coordinator outside the view waits until
+// none of its own join requests can be admitted any more. The only member of a view stops at once, as no other member
+// could remove it.
 func awaitRemoval(loop *replicaLoop, grace time.Duration) {
 	close(loop.leaving)
 	close(loop.coordination.leaving)
--- a/internal/controlplane/coordinator/lease_holder_subscriber.go
+++ b/internal/controlplane/coordinator/lease_holder_subscriber.go
@@ -11,15 +11,15 @@
 	"pumiceline/internal/message"
 )
 
-// noConfigWanted, as the sequence that a poller has, is above all others, so that no response has a configuration: a
-// coordinator gets it along the replication chain.
+// noConfigWanted is the sequence of the configuration that a coordinator reports with its polls. It is above all
+// others, so that no response has a configuration: a coordinator gets the configuration along the replication chain.
 const noConfigWanted = math.MaxUint64
 
 // leaseHolderSubscriber polls the lease holder for the backends and the total loads, which this coordinator's hub passes
-// on to its proxies, and reports what the hub gathered from them.
+// on to its proxies, and reports the demand and loads that the hub has collected from them.
 type leaseHolderSubscriber struct {
 	loop  *replicaLoop
-	mutex sync.Mutex // reports of unmet demand (Poller.PollNow) run beside the polls
+	mutex sync.Mutex // guards what follows: reports of unmet demand (Poller.PollNow) run concurrently with the polls
 
 	digest   uint64 // of backends; 0: none
 	backends *discovery.BackendList
@@ -38,8 +38,8 @@
 // SetMembers does nothing: a coordinator knows the members from its view.
 func (s *leaseHolderSubscriber) SetMembers([]message.Member) {}
 
-// PollRequest returns the versions that are known here, the demand gathered from proxies since the last poll, and their
-// present loads.
+// PollRequest returns the versions that this coordinator has, the demand collected from proxies since the last poll,
+// and their present loads.
 func (s *leaseHolderSubscriber) PollRequest() message.PollRequest {
 	reported := s.loop.hub.CollectDemand()
 	s.mutex.Lock()
--- a/internal/controlplane/coordinator/pending_results.go
+++ b/internal/controlplane/coordinator/pending_results.go
@@ -7,21 +7,22 @@
 	"pumiceline/internal/message"
 )
 
-// pendingResults brings configuration responses to the API requests that wait for them.
+// pendingResults passes configuration responses to the API requests that wait for them.
 type pendingResults struct {
 	mutex   sync.Mutex
 	waiting map[uint64]chan *message.ConfigResponse
 	lastID  atomic.Uint64
 }
 
-// newPendingResults numbers requests from incarnation, so that a response to an earlier process matches none of this.
+// newPendingResults makes a table that numbers requests from incarnation, so that responses to an earlier process
+// match no request of this one.
 func newPendingResults(incarnation uint64) *pendingResults {
 	p := &pendingResults{waiting: map[uint64]chan *message.ConfigResponse{}}
 	p.lastID.Store(incarnation)
 	return p
 }
 
-// register returns the ID of a new request and the channel on which its response comes. The caller unregisters it.
+// register returns the ID of a new request and the channel that gets its response. The caller must unregister the ID.
 func (p *pendingResults) register() (uint64, chan *message.ConfigResponse) {
 	id, result := p.lastID.Add(1), make(chan *message.ConfigResponse, 1)
 	p.mutex.Lock()
@@ -36,7 +37,8 @@
 	delete(p.waiting, id)
 }
 
-// resolve hands a response to its request. It is dropped where the request has one already, or waits no more.
+// resolve passes a response to its request. It drops the response if the request has one already, or does not wait
+// any more.
 func (p *pendingResults) resolve(result *message.ConfigResponse) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/controlplane/coordinator/placement_tasks.go
+++ b/internal/controlplane/coordinator/placement_tasks.go
@@ -17,17 +17,17 @@
 // runningTask is a placement task that an executor carries out at a backend. A backend has at most one.
 type runningTask struct {
 	task         planner.Task
-	expectedDone time.Time // when its load should be complete
+	expectedDone time.Time // when its model load should be complete
 	cancel       context.CancelFunc
 	loadStarted  bool // the backend has accepted the load command, or may have
 }
 
-// hasLoaded reports whether the backend has been seen with the task's model.
+// hasLoaded reports whether the task's model was observed at the backend.
 func (t *runningTask) hasLoaded(seen observedModels) bool {
 	return lo.ContainsBy(seen.models, func(m message.LoadedModel) bool { return m.Name == t.task.Load })
 }
 
-// placeModels starts the tasks that the planner wants now.
+// placeModels runs the planner and starts the tasks that it returns.
 func (c *controller) placeModels(ctx context.Context, now time.Time) {
 	reported := c.loop.hub.CollectDemand()
 	c.demand.Update(now, reported.Models)
@@ -46,7 +46,8 @@
 	}
 }
 
-// refreshConfig parses the newest acknowledged configuration where it has changed. It reports whether there is one.
+// refreshConfig parses the newest acknowledged configuration if it has changed. It reports whether a configuration is
+// known.
 func (c *controller) refreshConfig() bool {
 	update := c.loop.hub.Config()
 	if update == nil {
@@ -57,7 +58,7 @@
 	}
 	config, err := configuration.Parse(update.Document)
 	if err != nil {
-		logrus.WithError(err).Error("parse configuration failed, the previous one stays in force")
+		logrus.WithError(err).Error("parsing the configuration failed; the previous one stays in force")
 		return c.config != nil
 	}
 	c.config, c.configSequence = config, update.Sequence
@@ -107,7 +108,7 @@
 	return c.loadLimiters[service]
 }
 
-// startTask carries a task out in the background. It ends by itself, with ctx, or when the lease is lost.
+// startTask starts a task in the background. The task ends when it is done, when ctx ends, or when the lease is lost.
 func (c *controller) startTask(ctx context.Context, task planner.Task, now time.Time) {
 	id := task.Backend.ID
 	taskCtx, cancel := context.WithCancel(ctx)
@@ -132,7 +133,7 @@
 	}()
 }
 
-// onLoadStarted counts a load against the service's rate limit. Loads from the backend's own disk are free.
+// onLoadStarted counts a load against the service's rate limit. Loads from the backend's own disk do not count.
 func (c *controller) onLoadStarted(backend message.BackendID, now time.Time) {
 	running := c.running[backend]
 	if running == nil {
--- a/internal/controlplane/coordinator/replica_loop.go
+++ b/internal/controlplane/coordinator/replica_loop.go
@@ -21,40 +21,41 @@
 	inboxLength  = 1024
 )
 
-// replicaLoop owns the replica: one goroutine (run) feeds it messages and ticks, and carries its outputs out in the
+// replicaLoop owns the replica. One goroutine (run) passes messages and ticks to it, and carries out its outputs in the
 // order in which they were returned. The replica counts time from started.
 type replicaLoop struct {
 	replica *replica.Replica
 	started time.Time
 	inbox   chan *message.Message
-	leaving chan struct{} // closed when the process was asked to stop
+	leaving chan struct{} // closed when the process is asked to stop
 	sender  *transport.Sender
 	writer  *stateWriter
 	hub     *distribution.Hub
 	pending *pendingResults
 	tasks   taskList
 	self    message.Member
-	// coordination is this machine's part in the coordination of applications, which shares the connections to other processes.
+	// coordination is this machine's member in the coordination of applications. It uses the same connections to
+	// other processes.
 	coordination *coordinationLoop
 	snapshot     atomic.Pointer[membershipSnapshot]
 
-	publishedSequence uint64             // of the configuration that the hub was given last
+	publishedSequence uint64             // of the configuration that was last passed to the hub
 	loggedView        message.ViewNumber // the newest view that was logged
 }
 
-// membershipSnapshot is what the rest of the process may know of the replica, as of its last step.
+// membershipSnapshot is the state of the replica after its last step, for the rest of the process.
 type membershipSnapshot struct {
 	view         message.View
 	isMember     bool
 	canStop      bool                  // it was asked to stop, and is neither in the view nor about to be admitted
 	leaseHolder  string                // internal address of the controller lease's holder; empty: not known
-	leaseToken   message.FencingToken  // fencing token of the lease where this member holds it, else 0
+	leaseToken   message.FencingToken  // fencing token of the lease if this member holds it, else 0
 	leaseStart   time.Time             // since when this member has held the lease without a gap; only with leaseToken
 	leaseUntil   time.Time             // when the lease expires; only with leaseToken
 	sequence     uint64                // of the newest acknowledged change
 	version      configuration.Version // the operator's, after that change
 	hasMajority  bool
-	isDurable    bool      // what the voters accept outlasts the loss of all power and of the tolerated number of disks
+	isDurable    bool      // state that the voters accept survives a loss of all power and of the tolerated number of disks
 	servingUntil time.Time // until when it may serve its configuration to proxies
 	waitingFor   string    // what keeps the member from taking part, for operators; empty: nothing
 }
@@ -75,11 +76,11 @@
 	}
 }
 
-// deliver queues a message for the replica, or hands a configuration response to the request that waits for it. Any
-// goroutine may call it. Where the inbox is full the message is lost, as on a busy network.
+// deliver queues a message for the replica, or passes a configuration response to the request that waits for it. It
+// is safe for concurrent use. If the inbox is full, the message is dropped, as on a congested network.
 func (l *replicaLoop) deliver(m *message.Message) {
 	if m.ConfigResponse != nil {
-		if m.To == l.self.Identity { // else it is for an earlier process at this address
+		if m.To == l.self.Identity { // otherwise it is for an earlier process at this address
 			l.pending.resolve(m.ConfigResponse)
 		}
 		return
@@ -113,8 +114,9 @@
 	}
 }
 
-// applyOutput carries out the output of a step. Messages from the replica to itself are stepped at once. Without records to sync,
-// and with all earlier ones synced, no message has to wait for the writer.
+// applyOutput carries out the output of a step. Messages from the replica to itself are stepped at once. The output
+// goes through the writer if it has records to sync, or if it has AfterSync messages while earlier records are not
+// synced yet: the messages may rely on these records, which a crash could still lose.
 func (l *replicaLoop) applyOutput(out replica.Output) {
 	local := l.route(out.Immediate)
 	hasRecords := out.Control != nil || out.Chain != nil
@@ -129,8 +131,9 @@
 	}
 }
 
-// route passes messages of the replica on: those for other processes to the sender, and configuration responses for this
-// one to the requests that wait for them. It returns those for the replica itself, which the caller steps or queues.
+// route passes the replica's messages to other processes to the sender, and its configuration responses to this
+// process to the requests that wait for them. It returns the messages to the replica itself, which the caller steps
+// or queues.
 func (l *replicaLoop) route(messages []message.Message) (local []*message.Message) {
 	for i := range messages {
 		m := &messages[i]
@@ -146,16 +149,16 @@
 	return local
 }
 
-// onSynced sends the messages whose records are on disk. The state writer calls it from its goroutine. Where the inbox is
-// full it waits, unlike deliver: a lost message of the replica to itself, such as the tail's own acknowledgement, would
-// delay a change until the replica repeats it. The loop never waits for the writer, so there is no deadlock.
+// onSynced sends the messages whose records are synced. The state writer calls it from its goroutine. If the inbox is
+// full it waits, unlike deliver: a lost message of the replica to itself, such as the tail's own acknowledgement,
+// would delay a change until the replica repeats it. The loop never waits for the writer, so there is no deadlock.
 func (l *replicaLoop) onSynced(messages []message.Message) {
 	for _, m := range l.route(messages) {
 		l.inbox <- m
 	}
 }
 
-// publish makes the state of the replica known to the rest of the process: by the snapshot and the hub.
+// publish publishes the state of the replica to the rest of the process, by the snapshot and the hub.
 func (l *replicaLoop) publish() {
 	s := l.takeSnapshot()
 	if committed := l.replica.CommittedState(); committed.Sequence > l.publishedSequence {
--- a/internal/controlplane/coordinator/residency.go
+++ b/internal/controlplane/coordinator/residency.go
@@ -8,28 +8,29 @@
 	"pumiceline/internal/message"
 )
 
-// residencyHistory remembers which models each backend has held. It loads them again from its own disk instead of the
-// weight store, also after a restart under another ID. Every coordinator keeps the history, so that a new lease holder
-// has it at once.
+// residencyHistory records which models each backend has held. A backend loads them again from its own disk instead
+// of the weight store, also after a restart under another ID. Every coordinator keeps the history, so that a new
+// lease holder has it at once.
 type residencyHistory struct {
 	machines map[machine]*residency
 	lastSeen time.Time // when the newest recorded list was observed
 }
 
-// residency is what one machine has held.
+// residency is the models that one machine has held.
 type residency struct {
 	models     map[message.ModelName]bool
 	lastListed time.Time
 }
 
-// residencyRetention is how long the history of a machine that is not listed any more is kept: a backend that restarts
-// is back within minutes, and one that is replaced has another address and an empty disk.
+// residencyRetention is how long the history of a machine is kept after it was last listed. A backend that restarts
+// is listed again within minutes. One that is replaced has another address and an empty disk, so its history is of no
+// use.
 const residencyRetention = 30 * time.Minute
 
-// machine identifies a backend across its restarts, each of which gives it another ID.
+// machine identifies a backend across restarts, each of which gives the backend another ID.
 type machine struct{ service, address string }
 
-// record adds the models of a list; one that is not newer than the last is skipped.
+// record adds the models of a list. It skips a list that is not newer than the last one recorded.
 func (h *residencyHistory) record(list *discovery.BackendList) {
 	if !list.IsKnown() || !list.ObservedAt.After(h.lastSeen) {
 		return
--- a/internal/controlplane/coordinator/residency_test.go
+++ b/internal/controlplane/coordinator/residency_test.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/message"
 )
 
-// A backend that restarts under another ID at the same address still has on its disk what it held before.
+// A backend that restarts under another ID at the same address still has its earlier models on its disk.
 func TestResidencyHistory_SurvivesBackendRestart(t *testing.T) {
 	start := time.Now()
 	list := func(after time.Duration, id message.BackendID, models ...message.ModelName) *discovery.BackendList {
@@ -30,8 +30,8 @@
 	assert.Empty(t, history.modelsOf(message.Backend{ID: "b-1", Service: "another", Address: "a:1"}))
 }
 
-// The history of a machine that is gone does not stay for ever.
-func TestResidencyHistory_ForgetsMachinesThatAreGone(t *testing.T) {
+// The history of a machine that is not listed any more is dropped after residencyRetention.
+func TestResidencyHistory_DropsMachinesNotListedAnyMore(t *testing.T) {
 	start := time.Now()
 	var history residencyHistory
 	listed := func(after time.Duration, backends ...message.Backend) {
--- a/internal/controlplane/coordinator/state.go
+++ b/internal/controlplane/coordinator/state.go
@@ -11,21 +11,23 @@
 	"pumiceline/internal/message"
 )
 
-// Kinds of records on disk. Of records that are written together the ring keeps those of the higher kind first: the
-// control state says that the chain state is complete, so it must never be kept without it.
+// Kinds of records on disk. If a crash leaves only a part of the records that are written together, it leaves those
+// of the higher kinds. The control state says that the chain state is complete, so it must never be kept without the
+// chain state.
 const (
 	controlRecord storage.Kind = 1 // a message.ControlState
 	chainRecord   storage.Kind = 2 // a message.ChainState, with message.ChangeRecords appended
 )
 
-// storedState is what a start finds on disk.
+// storedState is the state that a process finds on disk when it starts.
 type storedState struct {
 	ring    *storage.Ring // nil on a machine without a disk
 	control message.ControlState
 	chain   message.ChainState
 }
 
-// openState opens the state folder and reads it. An empty dir stands for a machine without a disk: it has no state.
+// openState opens the state folder and reads the state. An empty dir stands for a machine without a disk, which has
+// no state.
 func openState(dir string) (*storedState, error) {
 	if dir == "" {
 		return &storedState{}, nil
@@ -45,8 +47,8 @@
 	return stored, nil
 }
 
-// syncUntilDurable returns once what the ring holds is durable. A disk that fails or stalls just then delays the start: a
-// member must not speak of state that a loss of power could still take from it.
+// syncUntilDurable returns once the contents of the ring are durable. A disk that fails or stalls here delays the
+// start: a member must not send messages about state that it could still lose in a power failure.
 func syncUntilDurable(ring *storage.Ring) {
 	for attempt := 1; ; attempt++ {
 		err := ring.SyncFound()
@@ -69,7 +71,7 @@
 	return errors.Wrap(err, "decode the control state on disk")
 }
 
-// readChain reads the chain state and extends it by the changes appended since.
+// readChain reads the chain state and applies the changes that were appended to it.
 func (s *storedState) readChain() error {
 	if record := s.ring.Newest(chainRecord); record != nil {
 		if _, err := s.chain.UnmarshalMsg(record); err != nil {
@@ -102,7 +104,7 @@
 	return records, nil
 }
 
-// framesBytes returns how many bytes records take in the ring.
+// framesBytes returns how many bytes the records take in the ring.
 func framesBytes(records [][]byte) int {
 	size := 0
 	for _, record := range records {
@@ -111,7 +113,7 @@
 	return size
 }
 
-// encodeRecords encodes the states that are given; a nil one is left out.
+// encodeRecords encodes the given states. It omits a state that is nil.
 func encodeRecords(control *message.ControlState, chain *message.ChainState) (map[storage.Kind][]byte, error) {
 	records := map[storage.Kind][]byte{}
 	if control != nil {
--- a/internal/controlplane/coordinator/state_writer.go
+++ b/internal/controlplane/coordinator/state_writer.go
@@ -6,8 +6,8 @@
 	"pumiceline/internal/message"
 )
 
-// maxAppendedChanges is how many changes are appended until the chain state is written in full again. It bounds how much a
-// start has to read.
+// maxAppendedChanges is how many changes are appended before the chain state is written in full again. It bounds how
+// much is read at a start.
 const maxAppendedChanges = 256
 
 // stateWriter syncs the replica's records in order, and sends the messages that wait for them.
@@ -15,19 +15,19 @@
 	*syncQueue[replica.Output]
 	ring *storage.Ring // nil on a machine without a disk
 
-	// Of the goroutine that runs run.
-	chain    *message.ChainState // as of the newest output that was taken from the queue
+	// Owned by the goroutine of run.
+	chain    *message.ChainState // as of the newest output taken from the queue
 	appended int                 // changes appended since the chain state was written in full
 }
 
-// newStateWriter makes a writer for a ring that holds chain. It hands messages to send once their records are synced.
+// newStateWriter makes a writer for a ring that holds chain. It calls send with messages once their records are synced.
 func newStateWriter(ring *storage.Ring, chain *message.ChainState, send func([]message.Message)) *stateWriter {
 	w := &stateWriter{ring: ring, chain: chain}
 	w.syncQueue = newSyncQueue(w.write, func(out *replica.Output) { send(out.AfterSync) })
 	return w
 }
 
-// write syncs the records of some outputs. It retries until they are synced: no output may be skipped.
+// write syncs the records of several outputs. It retries until they are synced, as no output may be skipped.
 func (w *stateWriter) write(outputs []replica.Output) {
 	if w.ring == nil {
 		return
@@ -39,11 +39,11 @@
 	retryUntilSynced(func() error { return w.tryWrite(batch) })
 }
 
-// writeBatch is the records of some outputs, to be written together. Of the control state only the newest counts.
+// writeBatch is the records of several outputs, to be written together. Only the newest control state is written.
 type writeBatch struct {
 	control       *message.ControlState // nil: unchanged
 	changes       []message.ChangeRecord
-	replacesChain bool // the chain state was replaced, as by a snapshot, not only extended by changes
+	replacesChain bool // the chain state was replaced, for example by a snapshot, and not only extended by changes
 }
 
 func (b *writeBatch) isEmpty() bool {
--- a/internal/controlplane/coordinator/state_writer_test.go
+++ b/internal/controlplane/coordinator/state_writer_test.go
@@ -15,7 +15,7 @@
 	"pumiceline/internal/message"
 )
 
-// Records as version e42614a wrote them.
+// Records as written by the earlier version e42614a.
 const (
 	oldControl = "87a169a36e2d32a17683a16e07a16d9285a169a8736565642d613a31a161a3613a31a17aa27a31a176c2a1730185a169a36e2d32a161a3623a31a17aa27a32a176c2a17303a17a03a163c3a17082a17204a170a8736565642d613a31a16282a17200a170a0a16183a16e00a16d90a17a00a174ce07000001"
 	oldChain   = "86a17707a17302a164c41030313233343536373839616263646566a17609a163c4277b2276657273696f6e223a392c22726f75746573223a5b5d2c227365727669636573223a5b5d7da1689283a17605a16200a164c4106161616161616161616161616161616183a17609a16205a164c41062626262626262626262626262626262"
@@ -39,14 +39,14 @@
 	require.NoError(t, ring.Write(map[storage.Kind][]byte{controlRecord: control, chainRecord: chain}))
 	stored := openDir(t, dir)
 	assert.Equal(t, message.ViewNumber(7), stored.control.View.Number)
-	assert.Equal(t, stored.control.View.Members, stored.control.View.EffectiveVoters(), "its members are its voters")
+	assert.Equal(t, stored.control.View.Members, stored.control.View.EffectiveVoters(), "a view without voters: its members are the voters")
 	assert.True(t, stored.control.Complete)
 	assert.Equal(t, uint64(9), stored.chain.Version)
 	assert.Len(t, stored.chain.History, 2)
 	assert.Zero(t, stored.chain.Horizon)
 }
 
-// extend makes the next change on top of a state: one of its routes gets another time-out.
+// extend makes the next change to a state: one route gets another time-out.
 func extend(t *testing.T, state *message.ChainState) (message.ChainState, message.ChangeRecord) {
 	t.Helper()
 	version := state.Version + 1
@@ -73,7 +73,7 @@
 	return next, record
 }
 
-// What a restart reads back is the newest state that was written, wherever the process ended.
+// After a restart at any point, the state that is read is the newest that was written.
 func TestStateWriter_RestartReadsNewestState(t *testing.T) {
 	dir := t.TempDir()
 	stored := openDir(t, dir)
@@ -86,7 +86,7 @@
 		out := replica.Output{Chain: &written, AppendedRecords: []message.ChangeRecord{record}}
 		switch i % 97 {
 		case 0:
-			out.AppendedRecords = nil // replaced, as by a snapshot
+			out.AppendedRecords = nil // the chain state is replaced, as by a snapshot
 		case 1:
 			out.Control = &message.ControlState{Identity: message.MemberID(fmt.Sprint(i))}
 		}
@@ -100,7 +100,8 @@
 	}
 }
 
-// A record is about as large as what it changes, however many changes there were, and the chain state does not grow.
+// The size of a record depends only on the size of its change, not on the number of earlier changes. The chain state
+// does not grow with the number of changes.
 func TestChainState_SizeIsBounded(t *testing.T) {
 	var state message.ChainState
 	sizes := map[int]int{}
@@ -121,10 +122,10 @@
 	assert.Less(t, records[9000], 600)
 	assert.Equal(t, state.History[0].Base, state.Horizon)
 	first := &message.ConfigRequest{Method: "PUT", IfMatch: "0", Body: []byte(`{"version":1,"routes":[],"services":[]}`)}
-	assert.Zero(t, configuration.Validate(&state, first).Status, "it may have been taken before the horizon")
+	assert.Zero(t, configuration.Validate(&state, first).Status, "the change may have been applied before the horizon")
 }
 
-func TestOpenState_NamesMalformedChange(t *testing.T) {
+func TestOpenState_ErrorNamesMalformedChange(t *testing.T) {
 	dir := t.TempDir()
 	stored := openDir(t, dir)
 	w := newStateWriter(stored.ring, &stored.chain, func([]message.Message) {})
--- a/internal/controlplane/coordinator/status.go
+++ b/internal/controlplane/coordinator/status.go
@@ -12,7 +12,7 @@
 	"pumiceline/internal/message"
 )
 
-// Status is how a coordinator sees the system. It is the body of GET /status.
+// Status is the state of the system as one coordinator knows it. It is the body of GET /status.
 type Status struct {
 	Node        string                `json:"node"`
 	Identity    message.MemberID      `json:"identity"`
@@ -21,20 +21,20 @@
 	Voters      []string              `json:"voters"`  // a majority of them decides on the next view
 	IsMember    bool                  `json:"member"`
 	HasMajority bool                  `json:"hasMajority"` // a majority confirmed its view within the last 0.8 s
-	IsServing   bool                  `json:"serves"`      // it hands out configurations to proxies
-	WaitingFor  string                `json:"waitsFor"`    // what keeps it from taking part; empty: nothing
+	IsServing   bool                  `json:"serves"`      // it sends configurations to proxies
+	WaitingFor  string                `json:"waitsFor"`    // what it waits for before it can take part; empty: nothing
 	Sequence    uint64                `json:"sequence"`    // number of changes acknowledged
-	Version     configuration.Version `json:"version"`     // the operator's, in force
+	Version     configuration.Version `json:"version"`     // the operator's version of the configuration in force
 	LeaseHolder string                `json:"leaseHolder"` // internal address; empty: not known
-	LeaseToken  message.FencingToken  `json:"leaseToken"`  // 0 where another member holds it
+	LeaseToken  message.FencingToken  `json:"leaseToken"`  // 0 unless this member holds the lease
 	Proxies     int                   `json:"proxies"`
 	Backends    int                   `json:"backends"`
 	Tasks       []Task                `json:"tasks"` // of placement, at the lease holder
-	// Coordination is that of applications; nil where the coordinator is of a version without it.
+	// Coordination is the coordination of applications; nil if the coordinator is of a version without it.
 	Coordination *CoordinationStatus `json:"coordination,omitempty"`
 }
 
-// Task is a placement task that runs at a backend, and why.
+// Task is a placement task that runs at a backend, and its reason.
 type Task struct {
 	Backend  message.BackendID   `json:"backend"`
 	Load     message.ModelName   `json:"load,omitempty"`
@@ -43,8 +43,8 @@
 	Reason   string              `json:"reason"`
 }
 
-// taskList is a copy of the controller's running tasks for the status API. The controller sets it; any goroutine may read
-// it.
+// taskList is a copy of the controller's running tasks for the status API. The controller sets it. It is safe for
+// concurrent use.
 type taskList struct{ tasks atomic.Pointer[[]Task] }
 
 func (t *taskList) set(running map[message.BackendID]*runningTask) {
@@ -78,7 +78,7 @@
 		status.Backends = len(list.Backends)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(status) // a client that has gone asks again
+	_ = json.NewEncoder(w).Encode(status) // a client that has disconnected asks again
 }
 
 func describeMembers(members []message.Member) []string {
--- a/internal/controlplane/coordinator/status_test.go
+++ b/internal/controlplane/coordinator/status_test.go
@@ -14,7 +14,7 @@
 	"pumiceline/internal/message"
 )
 
-// The status of a partitioned coordinator shows that it serves no proxy, and what it waits for.
+// The status of a partitioned coordinator says that it does not serve proxies, and what it waits for.
 func TestStatus_PartitionedCoordinator(t *testing.T) {
 	hub := distribution.NewHub()
 	go hub.Run(t.Context())
@@ -32,7 +32,7 @@
 	assert.Equal(t, "a majority of the voters", status.WaitingFor)
 }
 
-// A response to a request of an earlier process, or to another process at this address, reaches no request.
+// Responses to requests of an earlier process, or to another process at this address, are dropped.
 func TestPendingResults_IgnoreResponsesToEarlierProcesses(t *testing.T) {
 	loop := &replicaLoop{self: message.Member{Identity: "n-2", Address: "a:1"}, pending: newPendingResults(1000)}
 	id, waiting := loop.pending.register()
--- a/internal/controlplane/coordinator/stored_test.go
+++ b/internal/controlplane/coordinator/stored_test.go
@@ -19,8 +19,8 @@
 	"pumiceline/internal/message"
 )
 
-// The state folder in testdata was stored by an earlier version, cef8855, and is never rewritten. What follows is
-// what it holds, field by field.
+// The state folder in testdata was stored by the earlier version cef8855 and is never rewritten. These are its
+// contents, field by field.
 var (
 	storedControl = message.ControlState{
 		Identity: "node-a-00112233",
@@ -67,7 +67,7 @@
 	}
 )
 
-// storedDocument is the configuration of a version: of its only route the time-out differs.
+// storedDocument is the configuration of a version. Versions differ in the time-out of the only route.
 func storedDocument(version, timeoutMs int) string {
 	return fmt.Sprintf(`{"services":[{"name":"s","maxConns":10}],"routes":[{"name":"r","host":"h.example","pathStart":"/p/",`+
 		`"kind":"changing","timeoutMs":%d,"service":"s"}],"version":%d}`, timeoutMs, version)
@@ -116,7 +116,7 @@
 	assert.Equal(t, storedControl.AcceptedProposal, read.AcceptedProposal)
 	assert.Equal(t, storedControl.AcceptedView, read.AcceptedView)
 	assert.Equal(t, storedControl.LeaseToken, read.LeaseToken)
-	assert.Equal(t, storedControl, read, "a field that is not named above")
+	assert.Equal(t, storedControl, read, "a field that is not compared above")
 }
 
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
@@ -164,7 +164,7 @@
 	assert.EqualValues(t, 39, chain.Horizon)
 }
 
-// A state that an earlier version stored is also what today's code would store: the records have the same bytes.
+// The present code stores a state in the same bytes as the earlier version.
 func TestWritesStateAsStoredByEarlierVersion(t *testing.T) {
 	stored, err := openState(unpackState(t))
 	require.NoError(t, err)
@@ -175,8 +175,8 @@
 	assert.Equal(t, ring.Newest(chainRecord), records[chainRecord])
 }
 
-// A change that an earlier version applied and stored is recognized when it is sent again: the digest of a request is
-// stored, so it must stay what it was.
+// A change that an earlier version applied and stored is recognized when its request is sent again. The digest of the
+// request is stored, so the computation of the digest must not change.
 func TestRecognizesRequestsStoredByEarlierVersion(t *testing.T) {
 	stored, err := openState(unpackState(t))
 	require.NoError(t, err)
@@ -188,7 +188,8 @@
 	}
 }
 
-// A replica goes on with what an earlier version stored: as the same member of the same view, with the same state.
+// A replica starts from the state that an earlier version stored: as the same member of the same view, with the same
+// state.
 func TestReplicaStartsFromStateStoredByEarlierVersion(t *testing.T) {
 	stored, err := openState(unpackState(t))
 	require.NoError(t, err)
--- a/internal/controlplane/coordinator/sync_queue.go
+++ b/internal/controlplane/coordinator/sync_queue.go
@@ -10,23 +10,24 @@
 
 const (
 	writeRetryDelay = 50 * time.Millisecond
-	// diskStallThreshold is how long a write may take until the disk counts as stalled, and the member as unhealthy.
+	// diskStallThreshold is how long a write may take before the disk counts as stalled, and the member as unhealthy.
 	diskStallThreshold = 600 * time.Millisecond
 )
 
-// syncQueue carries out the outputs of a state machine in order: it syncs their records, and then sends the messages that wait
-// for them. One goroutine (run) writes; outputs that come meanwhile are written together as the next batch.
+// syncQueue carries out the outputs of a state machine in order: it syncs their records, and then sends the messages
+// that wait for them. One goroutine (run) writes. Outputs that are enqueued during a write are written together as
+// the next batch.
 type syncQueue[O any] struct {
 	write  func([]O)     // returns once the records of the outputs are synced
 	send   func(*O)      // sends the messages that wait for an output's records
-	signal chan struct{} // holds one signal: the queue is not empty
+	signal chan struct{} // has a signal when the queue may be non-empty; capacity 1
 
 	mutex  sync.Mutex // guards what follows
 	queue  []O
-	isBusy bool // outputs that were taken from the queue are not carried out yet
+	isBusy bool // outputs that were taken from the queue are being carried out
 
 	started   time.Time
-	busySince atomic.Int64 // start of the present write, in nanoseconds after started; 0: idle
+	busySince atomic.Int64 // start of the write in progress, in nanoseconds after started; 0: none
 }
 
 func newSyncQueue[O any](write func([]O), send func(*O)) *syncQueue[O] {
@@ -44,14 +45,16 @@
 	}
 }
 
-// isIdle reports whether every output has been carried out. Only the goroutine that calls enqueue may rely on it.
+// isIdle reports whether every output has been carried out. Only the goroutine that calls enqueue may rely on the
+// result: in any other, an output may be enqueued right after the call.
 func (q *syncQueue[O]) isIdle() bool {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	return len(q.queue) == 0 && !q.isBusy
 }
 
-// isStalled reports whether the present write has taken longer than diskStallThreshold. Any goroutine may call it.
+// isStalled reports whether the write in progress has taken longer than diskStallThreshold. It is safe for concurrent
+// use.
 func (q *syncQueue[O]) isStalled() bool {
 	since := q.busySince.Load()
 	return since != 0 && time.Since(q.started)-time.Duration(since) > diskStallThreshold
@@ -65,7 +68,7 @@
 		q.queue = nil
 		q.isBusy = true
 		q.mutex.Unlock()
-		q.busySince.Store(int64(time.Since(q.started)) + 1) // never 0, which stands for idle
+		q.busySince.Store(int64(time.Since(q.started)) + 1) // never 0, which stands for no write
 		q.write(outputs)
 		q.busySince.Store(0)
 		for i := range outputs {
@@ -77,7 +80,7 @@
 	}
 }
 
-// retryUntilSynced repeats a write until it succeeds: no output may be skipped.
+// retryUntilSynced repeats a write until it succeeds, as no output may be skipped.
 func retryUntilSynced(write func() error) {
 	for attempt := 1; ; attempt++ {
 		err := write()
