--- a/internal/controlplane/coordinator/backends.go
+++ b/internal/controlplane/coordinator/backends.go
@@ -89,7 +89,7 @@
 // isAwaited reports whether a backend now has a model that requests wait for. Only such a change is published at
 // once; others wait for the next poll of discovery, which comes soon. The reason is that each published list answers
 // the pending polls of all proxies and coordinators, which then poll again with their demand and loads. Therefore
-// proxies may get to know of an unload only after its command. The backend then rejects their requests for that model
+// proxies may receive an unload only after its command. The backend then rejects their requests for that model
 // (Not-Run), and they send them elsewhere.
 func (c *controller) isAwaited(id message.BackendID, before, after []message.LoadedModel) bool {
 	if c.listed == nil {
--- a/internal/controlplane/coordinator/coordination_status.go
+++ b/internal/controlplane/coordinator/coordination_status.go
@@ -6,7 +6,7 @@
 
 // CoordinationStatus is the state of the coordination of applications as one coordinator knows it.
 type CoordinationStatus struct {
-	IsIssuer       bool        `json:"issues"`         // this coordinator is the issuer: it decides the calls of applications
+	IsIssuer       bool        `json:"issues"`         // it is the issuer, which decides the calls of applications
 	Issuer         string      `json:"issuer"`         // internal address of the issuer; empty: not known
 	Epoch          uint64      `json:"epoch"`          // counter of the newest epoch that this coordinator has promised
 	Group          uint64      `json:"group"`          // number of the newest group of acceptors that it knows
@@ -14,7 +14,7 @@
 	Takeovers      int         `json:"takeovers"`      // how often this coordinator became the issuer since its start
 	WaitingWatches int         `json:"waitingWatches"` // watches that wait at this coordinator, if it is the issuer
 	IsIdle         bool        `json:"idle"`           // there have been no calls for a while
-	Relay          relay.Stats `json:"relay"`          // figures on the calls that this coordinator received from applications
+	Relay          relay.Stats `json:"relay"`          // figures on the calls received from applications
 }
 
 // describe returns the status for operators, or nil before the first step.
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -3,8 +3,8 @@
 //   - the replica loop, which owns the replica state machine (package replica) and carries out its outputs,
 //   - the state writer, which syncs the replica's records to the ring of files (package storage),
 //   - the hub that proxies poll for configuration, backends and loads (package distribution),
-//   - the coordination loop, which owns this machine's member in the coordination of applications (package epoch), and the
-//     relay that forwards their calls to the issuer,
+//   - the coordination loop, which owns this machine's member in the coordination of applications (package epoch), and
+//     the relay that forwards their calls to the issuer,
 //   - the HTTP API for the operator (/config and /status) and for applications (package coordinationapi), and
 //   - the controller, which polls discovery and places models while this member holds the controller lease.
 //
--- a/internal/controlplane/coordinator/replica_loop.go
+++ b/internal/controlplane/coordinator/replica_loop.go
@@ -55,9 +55,9 @@
 	sequence     uint64                // of the newest acknowledged change
 	version      configuration.Version // the operator's, after that change
 	hasMajority  bool
-	isDurable    bool      // state that the voters accept survives a loss of all power and of the tolerated number of disks
+	isDurable    bool      // accepted state survives a loss of all power and of the tolerated number of disks
 	servingUntil time.Time // until when it may serve its configuration to proxies
-	waitingFor   string    // what keeps the member from taking part, for operators; empty: nothing
+	waitingFor   string    // what the member waits for before it can take part, for operators; empty: nothing
 }
 
 func (l *replicaLoop) now() time.Duration { return time.Since(l.started) }
--- a/internal/controlplane/distribution/config_copy.go
+++ b/internal/controlplane/distribution/config_copy.go
@@ -27,7 +27,7 @@
 	return c.sequence
 }
 
-// Sequence is that of the configuration in the copy; 0: there is none.
+// Sequence is the sequence of the configuration in the copy; 0: there is none.
 func (c *ConfigCopy) Sequence() uint64 { return c.sequence }
 
 // Apply applies an update, which may be nil, and returns the full document if it is newer than the copy. A delta that
--- a/internal/controlplane/distribution/hub.go
+++ b/internal/controlplane/distribution/hub.go
@@ -1,6 +1,7 @@
 // Package distribution sends the committed configuration, the list of backends and the total loads to every proxy by
 // long polling. A subscriber (a proxy, or a coordinator that polls the lease holder) sends the versions that it has
-// together with its own demand and loads. The response carries what is newer; the server delays it while nothing is.
+// together with its own demand and loads. The response has what is newer; the server delays it while there is nothing
+// newer.
 //
 // Hub is the server and Poller the client. Loads that must be fresher than a poll are sent separately, as load
 // reports and load queries (Hub.HandleLoadReport). Package inflight holds the pure part: the table of loads and its
--- a/internal/controlplane/distribution/inflight/delta.go
+++ b/internal/controlplane/distribution/inflight/delta.go
@@ -17,7 +17,7 @@
 	minQueuedPrefillChangeMs = 60
 )
 
-// Delta is what a receiver needs to bring its copy of the total loads up to date.
+// Delta is the difference that brings a receiver's copy of the total loads up to date.
 type Delta struct {
 	Loads    []message.BackendLoad // present values; both counts 0: nothing is in flight there any more
 	Complete bool                  // Loads has all loads: the receiver discards its copy first
--- a/internal/controlplane/placement/executor/executor_test.go
+++ b/internal/controlplane/placement/executor/executor_test.go
@@ -27,7 +27,7 @@
 	count  uint64
 	inUse  bool
 	lines  []string
-	before func(b *fakeBackend, command Command) int // returns a status to answer with; 0: the command is carried out
+	intercept func(b *fakeBackend, command Command) int // returns a status to answer with; 0: the command is carried out
 }
 
 func (b *fakeBackend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -52,8 +52,8 @@
 }
 
 func (b *fakeBackend) execute(command Command) int {
-	if b.before != nil {
-		if status := b.before(b, command); status != 0 {
+	if b.intercept != nil {
+		if status := b.intercept(b, command); status != 0 {
 			return status
 		}
 	}
@@ -149,7 +149,7 @@
 func TestExecutor_ReadsStateAfterConflict(t *testing.T) {
 	b := &fakeBackend{models: map[message.ModelName][]string{"m": {}}}
 	once := true
-	b.before = func(b *fakeBackend, command Command) int {
+	b.intercept = func(b *fakeBackend, command Command) int {
 		if once {
 			once = false
 			b.count++
--- a/internal/controlplane/placement/planner/adapter_placement.go
+++ b/internal/controlplane/placement/planner/adapter_placement.go
@@ -18,7 +18,7 @@
 	recentlyUnserved = 0.05
 	// busyAdapterValue is the value, in requests a second, from which an adapter gets more than one replica.
 	busyAdapterValue = 0.3
-	// adapterSwapCost is what the swap of one adapter for another costs, in requests a second.
+	// adapterSwapCost is the cost of replacing one adapter by another, in requests a second.
 	adapterSwapCost = 0.05
 	// idleAdapterValue is the value of an adapter without requests that could be loaded, and loadedAdapterValue that
 	// of one that is loaded, in requests a second.
@@ -201,7 +201,8 @@
 	return count
 }
 
-// hasAdapterRoom reports whether one more adapter fits beside what the backend holds and its task loads.
+// hasAdapterRoom reports whether one more adapter fits beside the models and adapters that the backend holds and its
+// task loads.
 func (p *servicePlan) hasAdapterRoom(backend *Backend, task *Task, demand adapterDemand) bool {
 	if adapterCount(backend, task) >= p.service.Runtime.AdapterSlots {
 		return false
--- a/internal/controlplane/placement/planner/demand.go
+++ b/internal/controlplane/placement/planner/demand.go
@@ -15,8 +15,8 @@
 	slowTimeConstant = 25 * time.Second
 	// durationTimeConstant is the time constant of the averages from which the mean duration of requests is derived.
 	durationTimeConstant = 20 * time.Second
-	// defaultDuration is the mean duration of requests where it cannot be derived, as there are fewer than minDurationRate
-	// requests a second.
+	// defaultDuration is the mean duration of requests if there are fewer than minDurationRate requests a second, too
+	// few to derive it.
 	defaultDuration = 600 * time.Millisecond
 	minDurationRate = 0.3
 	// maxDuration bounds the mean duration: otherwise a few long requests would make the model need many replicas.
@@ -61,7 +61,7 @@
 	return Demand{}
 }
 
-// IsEmpty reports whether there was no request for any model of a service lately.
+// IsEmpty reports whether no model of a service was requested within demandExpiry.
 func (t *DemandTable) IsEmpty(service string) bool { return len(t.entries[service]) == 0 }
 
 // MeanSeconds is how many seconds a request for a model takes on average, by Little's law: requests in flight divided by
@@ -74,7 +74,7 @@
 	return min(maxDuration.Seconds(), entry.meanInFlight/entry.meanRate)
 }
 
-// Update takes what was reported since the last update.
+// Update adds the reports since the last update.
 func (t *DemandTable) Update(now time.Time, reports []message.ModelDemand) {
 	elapsedS := now.Sub(t.updated).Seconds()
 	if t.updated.IsZero() || elapsedS <= 0 {
@@ -103,7 +103,7 @@
 	}
 }
 
-// demandSample is what one update reports of one model or adapter.
+// demandSample is the sum of the reports of one update on one model or adapter.
 type demandSample struct {
 	arrivals, unserved float64
 	inFlight, waiting  int
--- a/internal/controlplane/placement/planner/model_placement.go
+++ b/internal/controlplane/placement/planner/model_placement.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// site is a backend that could take a model, and what has to be evicted for it.
+// site is a backend that could take a model, and the models to evict for it.
 type site struct {
 	backend   *Backend
 	evictions []message.ModelName
--- a/internal/controlplane/placement/planner/value.go
+++ b/internal/controlplane/placement/planner/value.go
@@ -41,7 +41,7 @@
 	return p.expectedRate(model) / float64(p.replicas[model]+1)
 }
 
-// evictionLoss is what is lost, in requests a second, when one of a model's replicas is evicted:
+// evictionLoss is the loss, in requests a second, if one of a model's replicas is evicted:
 //
 //	above the target:  surplusDiscount * expectedRate / replicas
 //	one of several:    expectedRate / replicas
--- a/internal/controlplane/relay/relay.go
+++ b/internal/controlplane/relay/relay.go
@@ -18,7 +18,7 @@
 	// callTimeout is how long a call waits for its answer. A watch waits this long in addition to its own waiting
 	// time. An application without a response fails over to another machine after a second.
 	callTimeout = 850 * time.Millisecond
-	// callRetryInterval is how long a call waits for a response of its last target before another one is asked.
+	// callRetryInterval is how long a call waits for a response of its last target before another target is asked.
 	callRetryInterval = 120 * time.Millisecond
 	// watchResendInterval is how often a watch is sent again. The issuer holds a watch without a response until there
 	// is an event, so a lost request looks like one that is held.
--- a/internal/controlplane/relay/relay_test.go
+++ b/internal/controlplane/relay/relay_test.go
@@ -50,7 +50,7 @@
 	candidates Candidates
 }
 
-// newNetwork makes a relay in touch with three voters besides itself, none of which responds.
+// newNetwork makes a connected relay with three other voters, none of which responds.
 func newNetwork() *network {
 	n := &network{start: time.Now(), members: map[message.MemberID]respond{}}
 	n.candidates = Candidates{Voters: []message.Member{self, far, near, remote}, IsConnected: true}
