--- a/internal/controlplane/coordinator/api.go
+++ b/internal/controlplane/coordinator/api.go
@@ -68,8 +68,8 @@
 	writeConfigResponse(w, r, result)
 }
 
-// statusOfUndecided is the status for a request that was not decided in time. A change may still be applied, so its
-// status is 504: with 503 the API promises that nothing was done.
+// statusOfUndecided is the status for a request that was not decided in time: 503 for a read and 504 for a change. A
+// change may still be applied, and with 503 the API promises that nothing was done.
 func statusOfUndecided(method string) int {
 	if method == http.MethodGet {
 		return http.StatusServiceUnavailable
--- a/internal/controlplane/coordinator/controller_test.go
+++ b/internal/controlplane/coordinator/controller_test.go
@@ -36,7 +36,7 @@
 		{"lease expired", &membershipSnapshot{leaseToken: token, leaseUntil: time.Now().Add(-time.Second)}, false},
 		{"lease ends within the command's timeout",
 			&membershipSnapshot{leaseToken: token, leaseUntil: time.Now().Add(executor.CommandTimeout)}, false},
-		{"another, later lease held", &membershipSnapshot{leaseToken: token + 1, leaseUntil: time.Now().Add(time.Hour)}, false},
+		{"a later lease held", &membershipSnapshot{leaseToken: token + 1, leaseUntil: time.Now().Add(time.Hour)}, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/controlplane/coordinator/coordinator.go
+++ b/internal/controlplane/coordinator/coordinator.go
@@ -35,8 +35,7 @@
 const LeaseDuration = 2 * time.Second
 
 // Limits of a graceful shutdown. The member first waits for its removal from the view, for at most the shorter of
-// maxRemovalWait and maxRemovalShare of the grace time. The rest of the grace time is for the shutdown of the HTTP
-// server.
+// maxRemovalWait and maxRemovalShare of the grace time. The rest of the grace time is for closing the listeners.
 const (
 	maxRemovalWait      = 4 * time.Second
 	maxRemovalShare     = 0.6
--- a/internal/controlplane/coordinator/state_writer_test.go
+++ b/internal/controlplane/coordinator/state_writer_test.go
@@ -39,7 +39,7 @@
 	require.NoError(t, ring.Write(map[storage.Kind][]byte{controlRecord: control, chainRecord: chain}))
 	stored := openDir(t, dir)
 	assert.Equal(t, message.ViewNumber(7), stored.control.View.Number)
-	assert.Equal(t, stored.control.View.Members, stored.control.View.EffectiveVoters(), "a view without voters: its members are the voters")
+	assert.Equal(t, stored.control.View.Members, stored.control.View.EffectiveVoters(), "the members are the voters")
 	assert.True(t, stored.control.Complete)
 	assert.Equal(t, uint64(9), stored.chain.Version)
 	assert.Len(t, stored.chain.History, 2)
--- a/internal/controlplane/placement/executor/executor_test.go
+++ b/internal/controlplane/placement/executor/executor_test.go
@@ -22,11 +22,11 @@
 
 // fakeBackend carries out commands as backends do, and records each as a line.
 type fakeBackend struct {
-	mutex  sync.Mutex
-	models map[message.ModelName][]string
-	count  uint64
-	inUse  bool
-	lines  []string
+	mutex     sync.Mutex
+	models    map[message.ModelName][]string
+	count     uint64
+	inUse     bool
+	lines     []string
 	intercept func(b *fakeBackend, command Command) int // returns a status to answer with; 0: the command is carried out
 }
 
