--- a/internal/controlplane/relay/relay_test.go
+++ b/internal/controlplane/relay/relay_test.go
@@ -221,7 +221,7 @@
 		require.ErrorIs(t, err, coordinationapi.ErrOutcomeUnknown)
 		assert.Equal(t, callTimeout, n.elapsed())
 		targets := n.targets()
-		assert.Equal(t, []message.MemberID{"far", "near", "far", "remote", "far", "self", "far"}, targets, "none too late for an answer")
+		assert.Equal(t, []message.MemberID{"far", "near", "far", "remote", "far", "self", "far"}, targets, "none within minAnswerTime")
 		for i, r := range n.sent {
 			assert.Equal(t, time.Duration(i)*callRetryInterval, r.at)
 		}
