--- a/internal/standalone/affinity/affinity.go
+++ b/internal/standalone/affinity/affinity.go
@@ -1,7 +1,7 @@
-// Package affinity maps affinity keys to their home servers, where a server that executed a request of the same key
-// recently needs less work for it. It is pure, and all balancers that know the same servers agree without
-// communication: homes are found by weighted rendezvous hashing, so that a server that joins or leaves moves its own
-// keys and no others. Nothing is stored by key.
+// Package affinity maps affinity keys to home servers: a server that recently executed a request with the same key
+// needs less work for the next one. The package is pure, and all balancers with the same list of servers agree without
+// communication. Homes are found by weighted rendezvous hashing, so that a server that joins or leaves moves only its
+// own keys. No state is kept by key.
 package affinity
 
 import (
@@ -12,26 +12,27 @@
 	"pumiceline/internal/splitmix"
 )
 
-// Member is a server. It gets keys in proportion to its weight; one whose weight is not positive and finite gets none.
+// Member is a server. It gets keys in proportion to its weight; a server whose weight is not positive and finite gets
+// none.
 type Member struct {
 	ID     uint32
 	Weight float64
 }
 
-// slotCount is the number of parts that keys are divided into. The homes of a slot are computed on first use and kept
-// until the members change. The number must not depend on the members: a balancer that has seen more of them would
-// differ from one that has just started.
+// slotCount is the number of slots that keys are hashed to. The homes of a slot are computed on first use and kept
+// until the members change. The number must not depend on the members: a balancer that had seen more members before
+// would otherwise map keys differently from one that has just started.
 const slotCount = 16 << 10
 
 type slot struct {
 	homes   [2]uint32
-	version uint32 // of the members for which it was computed; 0: never
+	version uint32 // Table.version for which homes were computed; 0: never
 }
 
 // Table maps keys to homes. The zero Table has no members. It is not safe for concurrent use.
 type Table struct {
 	members []Member
-	slots   []slot // nil until the first key
+	slots   []slot // nil until the first call of Homes
 	version uint32 // counts changes of members
 }
 
@@ -46,7 +47,7 @@
 	}
 	t.members = next
 	t.version++
-	if t.version == 0 { // overflow: slots of 2^32 changes ago would count as computed for these members
+	if t.version == 0 { // overflow: slots computed 2^32 changes ago would be taken for up to date
 		t.slots, t.version = nil, 1
 	}
 }
@@ -68,9 +69,9 @@
 	return s.homes, true
 }
 
-// rank returns the two members with the least score for a slot. The score is an exponential random variable with the
-// member's weight as its rate, derived from slot and member alone; each member has the least as often as its share of
-// the total weight.
+// rank returns the two members with the lowest scores for a slot. A member's score is an exponential random variable
+// with the member's weight as its rate, derived from slot and member alone. So the fraction of slots in which a member
+// has the lowest score is its share of the total weight.
 func (t *Table) rank(slot uint64) (homes [2]uint32) {
 	best := [2]float64{math.Inf(1), math.Inf(1)}
 	for _, m := range t.members {
--- a/internal/standalone/affinity/affinity_test.go
+++ b/internal/standalone/affinity/affinity_test.go
@@ -24,7 +24,7 @@
 	return members
 }
 
-// Keys are divided by weight.
+// Each server is the first home of a share of the keys that is proportional to its weight.
 func TestHomes_FollowWeights(t *testing.T) {
 	for _, n := range []int{3, 12, 200} {
 		members := testMembers(n)
@@ -43,7 +43,7 @@
 	}
 }
 
-// A server that leaves moves only its own keys, to what were their second homes.
+// When a server leaves, only its own keys move, each to its second home.
 func TestHomes_MoveOnlyKeysOfLeavingServer(t *testing.T) {
 	for _, n := range []int{3, 12, 200} {
 		members := testMembers(n)
@@ -62,8 +62,8 @@
 	}
 }
 
-// Balancers that learn of servers in another order agree, and so does one that has known other servers, at any number
-// of changes.
+// The homes depend only on the current members: not on their order, nor on the members that the table had before, also
+// when the version counter overflows in between.
 func TestHomes_DependOnlyOnMembers(t *testing.T) {
 	for _, n := range []int{3, 12, 200} {
 		members := testMembers(n)
@@ -72,7 +72,7 @@
 		slices.Reverse(reversed)
 		for _, list := range [][]Member{testMembers(300), members[:1], nil, reversed} {
 			if got := homesOf(changed, list); len(list) == n && got != want {
-				t.Errorf("%d members: other homes in another order and after other members", n)
+				t.Errorf("%d members: the homes differ after other members and in reversed order", n)
 			}
 		}
 	}
--- a/internal/standalone/concurrency/limit_test.go
+++ b/internal/standalone/concurrency/limit_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
-// Under a limit below one, an attempt is in flight for that fraction of the time on average.
+// The average number of attempts in flight is the limit, also below one, where an attempt is in flight for that
+// fraction of the time.
 func TestAdmits_LimitBelowOneLeavesPauses(t *testing.T) {
 	for _, limit := range []float64{0.1, 0.25, 0.5, 1, 3} {
 		const attemptTime, end = 100.0, 1_000_000
-		var ends []float64 // of the attempts in flight
+		var ends []float64 // end times of the attempts in flight
 		last, inFlightSum := -1e9, 0.0
 		for now := 0.0; now < end; now++ {
 			for len(ends) > 0 && ends[0] <= now {
@@ -26,9 +27,9 @@
 	}
 }
 
-// One response changes no limit by more than half, none leaves the bounds, and in equilibrium no limit tolerates more
-// than half of its responses with congestion: where hundreds of balancers share a few small servers, that is the flood
-// that the limit must stop.
+// One response changes a limit by at most half, and no limit falls below MinLimit. In equilibrium no limit below one
+// tolerates congestion in more than half of its responses: with hundreds of balancers on a few small servers, a higher
+// share is the flood that the limit must stop.
 func TestStepsAreBounded(t *testing.T) {
 	for limit := MinLimit; limit < 1000; limit *= 1.3 {
 		decreased, increased, fast := Decrease(limit), Increase(limit), IncreaseFast(limit)
@@ -41,11 +42,12 @@
 		}
 	}
 	if limit := IncreaseFast(math.Inf(1)); !math.IsInf(limit, 1) {
-		t.Errorf("no limit increases to %v", limit)
+		t.Errorf("an infinite limit increases to %v", limit)
 	}
 }
 
-// What a group may have in flight at the start is bounded by its servers, however many balancers there are.
+// The headroom of all balancers of a group at the start is bounded by the number of servers, but each balancer has at
+// least 1.
 func TestLimitToUsage_BoundsStartOfGroup(t *testing.T) {
 	for _, c := range []struct {
 		servers, groupSize int
--- a/internal/standalone/latencybaseline/baseline.go
+++ b/internal/standalone/latencybaseline/baseline.go
@@ -1,24 +1,24 @@
-// Package latencybaseline estimates the unloaded latency of responses, that is without queueing, from the latencies of
-// all responses. It is pure: the caller's clock is the only one that it knows.
+// Package latencybaseline estimates the unloaded latency of responses, which is their latency without queueing, from
+// the latencies of all responses. It is pure: the only time it uses is the one that the caller passes.
 package latencybaseline
 
 import "slices"
 
-// A running quantile follows the latencies, and its recent minimum is the estimate: queues come and go, and while they
-// last they only add to latencies.
+// The estimate is the recent minimum of a running quantile of the latencies: queueing comes and goes, and while it
+// lasts it can only add to latencies.
 const (
 	quantile        = 0.8
-	step            = 0.03      // share of its value by which the running quantile follows one response
-	warmupSamples   = 20        // responses before there is an estimate: the running quantile begins with theirs
+	step            = 0.03      // fraction of its value by which one response moves the running quantile, see Quantile
+	warmupSamples   = 20        // responses before there is an estimate: their quantile is the initial running quantile
 	samplePeriod    = 1_000_000 // microseconds between two samples of the running quantile for the minimum
-	growthPerSecond = 0.01      // by which the minimum grows: so a latency that rose and stays is the estimate in the end
+	growthPerSecond = 0.01      // growth of the minimum, so that it reaches a permanently higher latency in the end
 )
 
-// Quantile is the rule by which an estimate of a quantile follows samples, one at a time (stochastic approximation).
-// After each sample the estimate moves by a fraction of itself: up by Share*Step if the sample is not below it, else
-// down by (1-Share)*Step. Both balance where Share of the samples are below.
+// Quantile updates an estimate of a quantile with one sample at a time (stochastic approximation). Each sample moves
+// the estimate by a fraction of itself: up by Share*Step if the sample is not below the estimate, else down by
+// (1-Share)*Step. The moves balance where a fraction Share of the samples is below the estimate.
 type Quantile struct {
-	Share float64 // of the samples that are below the quantile: 0.5 is the median
+	Share float64 // fraction of the samples below the quantile: 0.5 is the median
 	Step  float64
 }
 
@@ -34,14 +34,14 @@
 // safe for concurrent use.
 type Estimator struct {
 	samples   int
-	first     [warmupSamples]float64 // the first latencies
-	running   float64                // quantile of the latencies; the latest one until the first ones are there
+	first     [warmupSamples]float64 // the first latencies, see warmUp
+	running   float64                // running quantile of the latencies; the latest latency during the warm-up
 	minimum   float64                // recent minimum of running: the estimate
-	sampledAt int64                  // when running was sampled last for the minimum, in microseconds
+	sampledAt int64                  // when minimum was last updated from running, in microseconds
 }
 
-// Observe takes the latency of a response, in any unit, at now, in microseconds. Values that are not positive are
-// ignored.
+// Observe adds the latency of a response, in any unit, at the time now, in microseconds. Latencies that are not
+// positive are ignored.
 func (e *Estimator) Observe(now int64, latency float64) {
 	if !(latency > 0) {
 		return
@@ -56,8 +56,8 @@
 	}
 }
 
-// warmUp takes one of the first latencies. The estimate begins with their quantile as a whole: a running one that began
-// with the very first of them would leave it only step by step.
+// warmUp adds one of the first latencies. The running quantile starts at the quantile of all of them: if it started at
+// the very first latency, it would move away from it only step by step.
 func (e *Estimator) warmUp(now int64, latency float64) {
 	e.first[e.samples], e.running = latency, latency
 	e.samples++
@@ -70,7 +70,7 @@
 	e.minimum, e.sampledAt = e.running, now
 }
 
-// Restore returns an Estimator with an estimate that another one has come to, or without one if baseline is not
+// Restore returns an Estimator that starts with the baseline of another one, or without an estimate if baseline is not
 // positive.
 func Restore(baseline float64) Estimator {
 	if !(baseline > 0) {
--- a/internal/standalone/loadpolling/polling.go
+++ b/internal/standalone/loadpolling/polling.go
@@ -1,32 +1,34 @@
-// Package loadpolling schedules the polling of servers for their load, where load reports come no other way. It is
-// pure.
+// Package loadpolling schedules load polls of servers, for deployments in which servers send no load reports otherwise.
+// It is pure.
 package loadpolling
 
-// A poll costs its server work, and the deployment a little each. Servers renew their figures two or three times per
-// second, and the reports are smoothed over seconds, so that one per second is as good as more.
+// A poll costs its server some work, and the deployment as a whole a little. Servers update their load figures two or
+// three times per second, and balancers smooth the reports over seconds, so that polling more than once per second
+// gains nothing.
 const (
 	minInterval      = 1_000_000 // microseconds between two polls of one server by one balancer
-	minGroupInterval = 500_000   // the same by all balancers together: each of N polls after N times as long
-	pollsPerRequest  = 0.05      // the most polls that a balancer sends per request that it has
-	jitter           = 0.1       // of the interval, by which polls come early or late
+	minGroupInterval = 500_000   // the same by all N balancers together: each polls every N of these intervals
+	pollsPerRequest  = 0.05      // upper bound on the polls of a balancer per request that it gets
+	jitter           = 0.1       // fraction of the interval by which polls come early or late
 )
 
-// Interval is the time between two polls of one server by one balancer, in microseconds. servers is how many it knows,
-// balancers how many share them, and rate its requests per second.
+// Interval returns the time between two polls of one server by one balancer, in microseconds. servers is the number of
+// servers that the balancer polls, balancers the number of balancers that share them, and rate the balancer's requests
+// per second.
 func Interval(servers, balancers int, rate float64) int64 {
 	interval := max(minInterval, minGroupInterval*float64(balancers))
 	return int64(max(interval, 1e6*float64(servers)/(pollsPerRequest*max(1, rate))))
 }
 
-// Schedule is the schedule of one server's polls. The zero Schedule has none planned.
+// Schedule is the schedule of one server's polls. In the zero Schedule no poll is planned.
 type Schedule struct {
 	next    int64 // time of the next poll, in microseconds
 	planned bool
 }
 
-// Due reports whether the server is to be polled now, at now in microseconds, and plans the next poll if so. random is
-// a random number from 0 to 1: the first poll comes at random within an interval, so that balancers that start together
-// do not poll together, and later ones are jittered.
+// Due reports whether the server is to be polled at now, in microseconds, and plans the next poll if so. random is a
+// random number from 0 to 1. The first poll comes at a random time within an interval, so that balancers that start
+// together do not poll together; later polls are jittered.
 func (s *Schedule) Due(now, interval int64, random float64) bool {
 	if !s.planned {
 		s.next, s.planned = now+int64(random*float64(min(interval, minInterval))), true
--- a/internal/standalone/requestclass/table.go
+++ b/internal/standalone/requestclass/table.go
@@ -1,6 +1,6 @@
-// Package requestclass numbers the classes of requests across reloads of the settings. Policy and admission control identify a
-// class by its number, so that a number must mean the same class for as long as a request of it is in flight. The package has
-// no I/O, clock or lock: the owner of a Table serializes the calls.
+// Package requestclass numbers the classes of requests across reloads of the settings. Policy and admission control
+// identify a class by its number, so a number must mean the same class for as long as a request of that class is in
+// flight. The package has no I/O, clock or lock: the owner of a Table serializes the calls.
 package requestclass
 
 import (
@@ -10,25 +10,25 @@
 	"pumiceline/internal/standalone/settings"
 )
 
-// MaxClasses is how many numbers there are.
+// MaxClasses is the maximum number of class numbers.
 const MaxClasses = 256
 
-// ErrTooManyClasses is the error of Plan for settings that need more than MaxClasses numbers.
+// ErrTooManyClasses is returned by Plan for settings that need more than MaxClasses numbers.
 var ErrTooManyClasses = errors.New("too many classes, those with requests in flight included")
 
 // Table maps classes to numbers and counts the requests in flight of each. The zero value has no classes.
 type Table struct {
 	slots   []slot         // by number
-	numbers map[string]int // of the classes of the settings, by name
+	numbers map[string]int // numbers of the classes in the settings, by name
 }
 
-// slot is a class number.
+// slot is the state of one class number.
 type slot struct {
 	class    settings.Class
 	inFlight int // requests of the class
 }
 
-// Acquire starts a request of the class with a name. ok is false if the settings have no such class now.
+// Acquire starts a request of the class with this name. ok is false if the current settings have no such class.
 func (t *Table) Acquire(name string) (number uint8, class settings.Class, ok bool) {
 	n, ok := t.numbers[name]
 	if !ok {
@@ -41,12 +41,12 @@
 // Release ends a request that Acquire started.
 func (t *Table) Release(number uint8) { t.slots[number].inFlight-- }
 
-// Len returns how many numbers have been assigned, MaxClasses at most.
+// Len returns how many numbers have been assigned, at most MaxClasses.
 func (t *Table) Len() int { return len(t.slots) }
 
-// Plan assigns numbers to the classes of new settings: a name keeps its number; a new name gets the lowest number that neither
-// a class of the new settings nor a request in flight needs. Numbers that are not needed keep their old class. It returns the
-// classes by number, for Apply, and does not change the table.
+// Plan assigns numbers to the classes of new settings. A name keeps its number; a new name gets the lowest number that
+// neither a class of the new settings nor a request in flight needs. Numbers that are no longer needed keep their old
+// class. Plan returns the classes by number, for Apply, and does not change the table.
 func (t *Table) Plan(next []settings.Class) ([]settings.Class, error) {
 	plan, needed := t.current()
 	numbers := t.numbersByName()
@@ -84,8 +84,9 @@
 	return classes, needed
 }
 
-// numbersByName returns the number of each name. If two numbers have the same name, it is that of the class in the settings;
-// the other one belongs to requests in flight from before the class was removed and added again.
+// numbersByName returns the number of each name. If two numbers have the same name, the result has the number of the
+// class in the settings; the other number belongs to requests in flight from before the class was removed and added
+// again.
 func (t *Table) numbersByName() map[string]int {
 	numbers := map[string]int{}
 	for n, s := range t.slots {
@@ -96,7 +97,7 @@
 	return numbers
 }
 
-// Apply applies a plan that Plan made since the last Apply, for the classes of next.
+// Apply applies a plan that Plan made for next since the last Apply.
 func (t *Table) Apply(plan, next []settings.Class) {
 	for n, class := range plan {
 		if n == len(t.slots) {
--- a/internal/standalone/requestclass/table_test.go
+++ b/internal/standalone/requestclass/table_test.go
@@ -30,8 +30,8 @@
 	table.Apply(plan, list)
 }
 
-// A removed class with a request in flight keeps its number, and has the same one when it is added again with other semantics;
-// a number that is not needed is assigned again.
+// A removed class with a request in flight keeps its number, and has the same number when it is added again with other
+// semantics. A number that is no longer needed is assigned again.
 func TestTable_KeepsNumbersOfRequestsInFlight(t *testing.T) {
 	var table Table
 	applySettings(t, &table, newClasses("a", "b"))
@@ -46,7 +46,7 @@
 	next := append(newClasses("c"), settings.Class{Name: "b", Semantics: "side_effect"})
 	applySettings(t, &table, next)
 	if m, class, ok := table.Acquire("b"); !ok || m != n || class.Semantics != "side_effect" {
-		t.Errorf("added again as %d %+v %v", m, class, ok)
+		t.Errorf("class b was added again as number %d, class %+v, ok %v", m, class, ok)
 	}
 	table.Release(n)
 	table.Release(n)
@@ -58,7 +58,8 @@
 	}
 }
 
-// For any sequence of reloads and requests: no number has two classes while a request of one is in flight, and numbers stay few.
+// For any sequence of reloads and requests, no number has two classes while a request of one of them is in flight, and
+// the table has no more numbers than there are names.
 func TestTable_NumbersAreUnambiguous(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
@@ -73,7 +74,7 @@
 				if n, class, ok := table.Acquire(name); ok {
 					for _, other := range inFlight[n] {
 						if other != name {
-							t.Fatalf("%d is the number of %s and %s", n, other, name)
+							t.Fatalf("number %d is used for both %s and %s", n, other, name)
 						}
 					}
 					if class.Name != name {
--- a/internal/standalone/subset/subset.go
+++ b/internal/standalone/subset/subset.go
@@ -1,13 +1,15 @@
-// Package subset selects the part of a fleet that a proxy keeps to, from the membership and the proxy's own number
-// among its peers, without communication: deterministic aperture, as in Finagle. The servers of each zone stand on a
-// ring of length 1, each as wide as its share of the zone's size; the proxy with number i begins at the fractional part
-// of i times the golden ratio and keeps to the arc from there. It spreads its load evenly over the arc, so that a
-// server at an end of it, which the arc covers in part, is meant to get that part of its load.
+// Package subset selects the servers that one proxy sends requests to, from the membership and the proxy's ordinal
+// among its peers, without communication: deterministic aperture, as in Finagle. The servers of each zone form a ring
+// of length 1, on which each server is as wide as its share of the zone's total size. The arc of the proxy with ordinal
+// i starts at the fractional part of i times the golden ratio. The proxy is meant to spread its load evenly over its
+// arc, so that a server at an end of the arc, which is covered only in part, gets only that part of a whole server's
+// load.
 //
-// The multiples of an irrational number spread evenly, whichever run of numbers the proxies of a zone have, or every
-// fourth of them: a point of the ring is covered by the arcs of n proxies n times the arc's length, give or take 4 and
-// 2 more for each tenfold of n (TestCoverageIsEven). Where servers are so wide that arcs are extended to cover the least
-// number of them, some are covered more often. The package is pure: no clock, no randomness, no state.
+// The multiples of an irrational number spread evenly for any run of consecutive ordinals, and also if only every
+// fourth ordinal is in the zone. With n proxies, each point of the ring is covered by n times the arc's length of arcs;
+// the deviation is at most 4, plus 2 for each tenfold of n (TestCoverageIsEven). Where servers are so wide that arcs
+// are extended to cover the minimum number of servers, some servers are covered more often. The package is pure: no
+// clock, no randomness, no state.
 package subset
 
 import (
@@ -23,7 +25,7 @@
 	ID   uint32
 	Zone uint8
 	Cell uint16
-	Size float64 // compares capacities; where no server of a zone has a positive size, all are alike
+	Size float64 // relative capacity; if no server of a zone has a positive size, all count as equal
 }
 
 // Member is a server of a proxy's subset.
@@ -38,15 +40,16 @@
 // minWidth is less than the width of any server on a ring: rounding errors below it are ignored.
 const minWidth = 1e-12
 
-// StartPosition is where on each ring the proxy with this number begins, from 0 to under 1.
+// StartPosition returns the position on each ring, from 0 to under 1, at which the arc of the proxy with this ordinal
+// starts.
 func StartPosition(ordinal int) float64 {
 	_, fraction := math.Modf(float64(ordinal) * goldenRatio)
 	return fraction
 }
 
-// ArcLength is the length of the arc with which a proxy that sends rate requests per second to a zone keeps each
-// server's connection in use: with perServer requests per second for each, and minServers servers at least. It is at
-// most 1, which covers all.
+// ArcLength returns the length of the arc of a proxy that sends rate requests per second to a zone. The arc is so short
+// that the connection to each covered server stays in use, with perServer requests per second for each, but it covers
+// at least minServers servers. The length is at most 1, which covers all servers.
 func ArcLength(rate, perServer float64, servers, minServers int) float64 {
 	if servers <= minServers || perServer <= 0 {
 		return 1
@@ -54,13 +57,14 @@
 	return min(1, max(float64(minServers), rate/perServer)/float64(servers))
 }
 
-// Select returns the subset of the proxy with this number, ring by ring in the order of their zones, each from the
-// start of the arc. arc is the length of the arc, from 0 to 1; in a zone in which it covers fewer than minServers
-// servers, it is extended. The order of servers is changed; the same servers in any order give the same subset at every
-// proxy.
+// Select returns the subset of the proxy with this ordinal, zone by zone in ascending order and, within a zone, from
+// the start of the arc. arc is the length of the arc, from 0 to 1; in a zone in which it covers fewer than minServers
+// servers, it is extended. Select sorts servers in place; its result does not depend on their original order, so that
+// proxies agree whatever the order in which each of them lists the servers.
 func Select(servers []Server, ordinal int, arc float64, minServers int) []Member {
-	// Cells stay together, so that a deduplicated request finds a second server of its cell. Their order on the ring,
-	// and that of servers within them, does not depend on the order in which they were listed.
+	// The servers of a cell are adjacent on the ring, so that a deduplicated request finds a second server of its cell
+	// in the subset. The order of the cells on the ring, and of the servers within a cell, is by hash and does not
+	// depend on the order in which they were listed.
 	slices.SortFunc(servers, func(a, b Server) int {
 		return cmp.Or(cmp.Compare(a.Zone, b.Zone),
 			cmp.Compare(splitmix.Mix(uint64(a.Cell)), splitmix.Mix(uint64(b.Cell))),
@@ -79,7 +83,7 @@
 	return members
 }
 
-// ring is the servers of one zone.
+// ring holds the servers of one zone.
 type ring struct {
 	servers   []Server
 	totalSize float64
@@ -93,7 +97,7 @@
 	return r
 }
 
-// width is the part of the ring that server i has.
+// width returns the fraction of the ring that server i occupies.
 func (r *ring) width(i int) float64 {
 	if r.totalSize <= 0 {
 		return 1 / float64(len(r.servers))
@@ -111,7 +115,7 @@
 	return index, before
 }
 
-// selectArc returns what the arc from start covers, with minServers servers at least.
+// selectArc returns the servers that the arc from start covers, and at least minServers servers.
 func (r *ring) selectArc(start, arc float64, minServers int) []Member {
 	if arc >= 1 || len(r.servers) <= minServers {
 		return r.all()
@@ -126,7 +130,7 @@
 			available -= before
 		}
 		if available <= minWidth {
-			continue // all of it lies before the start
+			continue // the arc starts at the end of this server, or the server has no width
 		}
 		covered := min(available, remaining)
 		if len(members) < minServers {
@@ -135,7 +139,7 @@
 		members = append(members, Member{ID: r.servers[i].ID, Coverage: covered / r.width(i)})
 		remaining = max(0, remaining-available)
 	}
-	if remaining > minWidth { // the arc ends in the server that it began in
+	if remaining > minWidth { // the arc goes around the ring and ends in the server in which it starts
 		members[0].Coverage = min(1, members[0].Coverage+remaining/r.width(first))
 	}
 	return members
--- a/internal/standalone/subset/subset_test.go
+++ b/internal/standalone/subset/subset_test.go
@@ -37,8 +37,8 @@
 	return widths
 }
 
-// The members of a subset add up to the arc, none is in it twice, and the order in which servers are listed makes no
-// difference.
+// The members of a subset add up to the arc, no server is in it twice, and the order in which servers are listed makes
+// no difference.
 func TestSelect_CoversArc(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := drawServers(t, 20)
@@ -53,20 +53,20 @@
 			covered += m.Coverage * width[m.ID]
 		}
 		if math.Abs(covered-arc) > 1e-6 {
-			t.Fatalf("the members cover %v of the ring, the arc is %v", covered, arc)
+			t.Fatalf("the members cover %v of the ring, want the arc of %v", covered, arc)
 		}
 		rand.New(rand.NewPCG(1, uint64(ordinal))).Shuffle(len(servers), func(i, j int) {
 			servers[i], servers[j] = servers[j], servers[i]
 		})
 		if again := Select(servers, ordinal, arc, 4); !slices.Equal(members, again) {
-			t.Fatalf("in another order: %v, then %v", members, again)
+			t.Fatalf("after shuffling the servers: %v, then %v", members, again)
 		}
 	})
 }
 
-// A server is in as many subsets as its share of the arcs, give or take the bound of the package comment. Where the servers are
-// so wide that an arc covers fewer than minServers of them, it is extended, so that some are in more subsets; the extension
-// takes nothing from any server.
+// The subsets that cover a server add up to its share of all arcs, within the bound of the package comment. Where the
+// servers are so wide that an arc covers fewer than minServers of them, the arc is extended: some servers are then in
+// more subsets, but the extension takes no coverage from any server.
 func TestCoverageIsEven(t *testing.T) {
 	const minServers = 4
 	worst := 0.0
@@ -94,7 +94,8 @@
 	t.Logf("at most %.2f of the bound", worst)
 }
 
-// checkExtension checks a subset with minServers servers at least against that of the same arc without an extension.
+// checkExtension compares members, the subset of an arc without an extension, with extended, the subset of the same arc
+// with at least minServers servers.
 func checkExtension(t *rapid.T, members, extended []Member, minServers int) {
 	t.Helper()
 	if len(members) >= minServers && !slices.Equal(members[minServers:], extended[minServers:]) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// When one server of equals leaves, a proxy's subset changes at its ends alone.
+// If one of several servers of equal size leaves, only servers at the ends of a proxy's arc change: at most 4 members.
 func TestLeavingServerChangesFewMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		servers := drawServers(t, 30)
@@ -132,12 +133,12 @@
 			delete(before, m.ID)
 		}
 		if changed += len(before); changed > 4 {
-			t.Fatalf("%d members of a subset changed with one server", changed)
+			t.Fatalf("%d members of a subset changed when one server left", changed)
 		}
 	})
 }
 
-// All servers of small zones are selected; without servers there is an empty subset.
+// In a zone of at most minServers servers all are selected; without servers the subset is empty.
 func TestSelect_SmallZones(t *testing.T) {
 	servers := []Server{{ID: 1}, {ID: 2, Zone: 1}, {ID: 3, Zone: 1}, {ID: 4, Zone: 1}}
 	if members := Select(servers, 7, 0.01, 4); len(members) != 4 || members[0] != (Member{1, 1}) ||
@@ -149,7 +150,7 @@
 	}
 }
 
-// A proxy with more requests keeps to a longer arc.
+// The arc grows with the rate of requests, from minServers servers up to the whole ring.
 func TestArcLength(t *testing.T) {
 	for _, c := range []struct {
 		rate    float64
