--- a/internal/standalone/policy/admission_test.go
+++ b/internal/standalone/policy/admission_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// A queue shows before its responses are late: the limit decreases when three in ten take over half of the latency
-// target, and holds when one in ten does.
+// A queue at the servers must lower the limit before responses are late: the limit decreases when three in
+// ten responses take over half of the latency target, and stays when one in ten does.
 func TestLimitDecreasesBeforeResponsesAreLate(t *testing.T) {
 	for _, c := range []struct {
 		slow      int // of ten responses
@@ -31,12 +31,13 @@
 	}
 }
 
-// Where responses take most of the latency target without any queue, because of work or of waits for other services,
-// that is no congestion: taken for it, it decreased the limit until 94% was rejected by idle servers. The same scenario
-// at any scale is judged alike, a queue on top of it shows, and what is late is congestion in any case. Without any,
-// the limit follows the load within 200 responses, from 10 as after a start: it took six seconds, in which half was
-// rejected.
-func TestUnloadedLatencyIsNoCongestion(t *testing.T) {
+// Guards against taking a high unloaded latency for congestion: where responses take most of the latency
+// target without any queue, because of processing or of waits for other services, the limit once decreased
+// until idle servers rejected 94% of the requests. The result must not depend on the time scale. A queue on
+// top of the unloaded latency, and any response past the target, must still lower the limit. Without
+// congestion the limit follows the load within 200 responses, starting at 10 as after a start: it once took
+// six seconds, in which half of the requests were rejected.
+func TestHighUnloadedLatencyIsNotCongestion(t *testing.T) {
 	for _, scale := range []float64{0.25, 1, 4} {
 		for _, c := range []struct {
 			unloaded, queueing float64 // in latency targets
@@ -65,8 +66,9 @@
 	}
 }
 
-// A warming-up server is slow by itself: its responses are no sign of congestion. Taken for one, they decreased the
-// limit during a release until more was rejected than sent, and clients that retried kept it so.
+// A warming-up server is slow itself, so its responses are no congestion signals. When they counted as
+// signals, they decreased the limit during a release until more requests were rejected than sent, and client
+// retries kept it low.
 func TestWarmingUpServersDoNotDecreaseLimit(t *testing.T) {
 	for _, c := range []struct{ warmingUp, decreases bool }{{true, false}, {false, true}} {
 		b, err := New(Settings{Classes: []Class{{LatencyTarget: 1e6, ClientTimeout: 4e6}}}, 1)
@@ -80,15 +82,15 @@
 			ended := Event{Outcome: o, Elapsed: 900_000}
 			b.adjustLimit(&request{class: &b.settings.Classes[0]}, &attempt{server: s}, &ended)
 			if (b.concurrencyLimit < before) != c.decreases {
-				t.Errorf("warming up %v, outcome %d: the limit went from %v to %v", c.warmingUp, o, before, b.concurrencyLimit)
+				t.Errorf("warming up %v, outcome %d: the limit changed from %v to %v", c.warmingUp, o, before, b.concurrencyLimit)
 			}
 		}
 	}
 }
 
-// Attempts that time out early because their clients had little time are no sign of congestion, and say nothing about a
-// server; ones that took long are a sign.
-func TestTimeoutsOfClientsWithLittleTimeAreNoSignal(t *testing.T) {
+// Attempts that time out early because their clients had little time left are no congestion signals and say
+// nothing about the server; time-outs after a long time are signals.
+func TestEarlyClientTimeoutsDoNotSignalCongestion(t *testing.T) {
 	for _, c := range []struct {
 		elapsed  Time
 		isSignal bool
@@ -114,7 +116,7 @@
 	}
 }
 
-// servedRun is one balancer whose attempts are all served after attemptTime. Nothing happens between two steps.
+// servedRun runs one balancer whose attempts are all served after attemptTime. Time advances only in step.
 type servedRun struct {
 	balancer    *Balancer
 	now         Time
@@ -124,7 +126,7 @@
 	served      int
 }
 
-// servedAttempt is an attempt in flight, which is served at a time.
+// servedAttempt is an attempt in flight, which is served at the time at.
 type servedAttempt struct {
 	at, elapsed Time
 	id          uint64
@@ -143,7 +145,7 @@
 	}
 }
 
-// step advances the clock, fires the timers that are due and then serves the attempts that are.
+// step advances the clock, fires the timers that are due and then ends the attempts that are due.
 func (r *servedRun) step(d Time) {
 	r.now += d
 	for i := 0; i < len(r.timers); {
@@ -167,9 +169,10 @@
 	}
 }
 
-// One of 400 balancers with 90 servers of a few places each: one attempt of each balancer would be more than the
-// servers can take. While every response is a sign of congestion it has far less than one in flight on average, and
-// once none is it sends all that arrives.
+// One of 400 balancers shares 90 servers that each process a few requests at a time: one attempt in flight
+// from each balancer is more than the servers can take. While every response signals congestion, the balancer
+// must have far less than one attempt in flight on average; once none does, it must send all requests that
+// arrive.
 func TestLimitFallsBelowOneAttempt(t *testing.T) {
 	const stepTime = 5000
 	settings := testSettings()
@@ -181,7 +184,7 @@
 	run := &servedRun{balancer: b, now: 1_000_000_000, attemptTime: 600_000} // the latency target is 500,000
 	run.handle(Event{Kind: MembershipFull, Members: testMembers(90)})
 	id := uint64(0)
-	serveFor := func(d Time) (meanInFlight float64) { // with 20 requests per second
+	serveFor := func(d Time) (meanInFlight float64) { // at 20 requests per second
 		inFlightSum := 0
 		for end := run.now + d; run.now < end; run.step(stepTime) {
 			if run.now%50_000 == 0 {
@@ -194,7 +197,7 @@
 	}
 	serveFor(20e6)
 	if mean := serveFor(20e6); mean > 0.5 {
-		t.Errorf("%.2f attempts in flight on average while all responses are signs of congestion", mean)
+		t.Errorf("%.2f attempts in flight on average while all responses signal congestion", mean)
 	}
 	run.attemptTime = 20_000
 	serveFor(20e6)
@@ -205,7 +208,8 @@
 	}
 }
 
-// arrive hands the balancer a request and returns its SendAttempt or RejectRequest; the zero Action: it is queued.
+// arrive sends the balancer a request and returns its SendAttempt or RejectRequest; the zero Action if the
+// request is queued.
 func (b *Balancer) arrive(id uint64, bodyPending bool) Action {
 	arrived := Event{Kind: RequestArrived, ID: id, ClientTimeout: 4e6, BodyPending: bodyPending}
 	for _, a := range b.Handle(b.now, &arrived, nil) {
@@ -218,8 +222,8 @@
 
 const pendingBodies = 20
 
-// newBalancerWithPendingBodies returns a balancer with a limit of 5 and three servers, which was handed the requests 1
-// to pendingBodies while their clients still send the bodies, and the server of each.
+// newBalancerWithPendingBodies returns a balancer with a limit of 5 and three servers that has sent the
+// requests 1 to pendingBodies while their clients still send the bodies, and the server of each request.
 func newBalancerWithPendingBodies(t *testing.T) (b *Balancer, servers map[uint64]uint32) {
 	t.Helper()
 	b = newBalancer(t, testSettings(), testMembers(3))
@@ -235,8 +239,8 @@
 	return b, servers
 }
 
-// Requests whose clients are still sending are with no server: they do not count against the limit and make no server
-// look stalled.
+// Requests whose clients are still sending the body are not at a server yet: they do not count against the
+// limit and must not make a server look stalled.
 func TestPendingBodiesDoNotCountAgainstLimit(t *testing.T) {
 	b, _ := newBalancerWithPendingBodies(t)
 	if b.inFlight != 0 {
@@ -245,15 +249,15 @@
 	b.now += slowFactor*100_000 + 1_000_000
 	b.refresh()
 	if n := b.EjectedServers(); n != 0 {
-		t.Errorf("%d servers are taken for stalled while clients send", n)
+		t.Errorf("%d servers count as stalled while clients send bodies", n)
 	}
 	if a := b.arrive(100, false); a.Kind != SendAttempt {
 		t.Errorf("a request beside ones with pending bodies: %+v", a)
 	}
 }
 
-// Requests count against the limit from the last byte of their bodies on, and once, also where their clients took so long
-// that a server would be stalled by then.
+// Requests count against the limit once, from the last byte of their bodies on, even if their clients took so
+// long that a server with an attempt in flight would count as stalled.
 func TestBodySentCountsAgainstLimit(t *testing.T) {
 	b, _ := newBalancerWithPendingBodies(t)
 	b.now += slowFactor*100_000 + 1_000_000
@@ -273,7 +277,7 @@
 	}
 }
 
-// A server that is gone is kept while its only attempts are ones with pending bodies.
+// A server that is gone is kept while its only attempts have pending bodies.
 func TestGoneServersAreKeptWhileAllBodiesArePending(t *testing.T) {
 	b, _ := newBalancerWithPendingBodies(t)
 	for _, s := range b.members {
@@ -281,12 +285,13 @@
 	}
 	b.refresh()
 	if len(b.members) != 3 {
-		t.Errorf("%d servers are left while clients send", len(b.members))
+		t.Errorf("%d servers are left while clients send bodies", len(b.members))
 	}
 }
 
-// Servers that are gone are kept until the attempts with pending bodies have ended, and nothing is left of them then.
-func TestGoneServersAreKeptForPendingBodies(t *testing.T) {
+// Servers that are gone are kept until the attempts with pending bodies have ended; then servers and counts
+// are removed completely.
+func TestGoneServersAreRemovedAfterPendingBodies(t *testing.T) {
 	b, servers := newBalancerWithPendingBodies(t)
 	b.now += slowFactor*100_000 + 1_000_000
 	b.refresh()
@@ -306,7 +311,7 @@
 	}
 	b.refresh()
 	if len(b.members) != 3 {
-		t.Errorf("%d servers are left while clients send", len(b.members))
+		t.Errorf("%d servers are left while clients send bodies", len(b.members))
 	}
 	for id, server := range servers {
 		b.Handle(b.now, &Event{Kind: AttemptEnded, ID: id, Server: server, Outcome: ConnectFailed, Final: true}, nil)
@@ -314,7 +319,7 @@
 	}
 	b.Handle(b.now, &Event{Kind: RequestAbandoned, ID: 100}, nil)
 	for _, s := range b.members {
-		if s.inFlight == 1 && s.uploading == 0 { // request 100's, which was cancelled and has not ended
+		if s.inFlight == 1 && s.uploading == 0 { // request 100: cancelled, but its attempt has not ended
 			b.observeOutcome(s, &attempt{server: s, cost: 1}, &Event{Outcome: Canceled})
 		}
 	}
@@ -324,12 +329,12 @@
 	}
 }
 
-// An attempt that is in flight for longer than any response without a queue takes is a sign of congestion then, not
-// when its response comes. Noticed only by its responses, a queue that grows to seconds is noticed seconds late, and
-// the limit is as high as before for as long.
+// An attempt that has been in flight for longer than any response without a queue takes must signal
+// congestion at that time, not when its response comes. If only responses signalled, a queue of several
+// seconds would be noticed seconds late, and the limit would stay high until then.
 func TestOverdueAttemptsDecreaseLimit(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(4))
-	// No server is stalled, and the limit does not follow the attempts in flight.
+	// These values keep servers from counting as stalled and LimitToUsage from changing the limit.
 	b.medianAttemptTime, b.limitFrozenUntil = 1e6, b.now+60e6
 	b.concurrencyLimit = 40
 	for id := range uint64(40) {
@@ -338,12 +343,13 @@
 	}
 	b.Handle(b.now+3*b.settings.Classes[0].LatencyTarget, &Event{Kind: TimerFired, ID: timerRefresh}, nil)
 	if b.concurrencyLimit >= 40 {
-		t.Errorf("40 attempts are in flight for three times the latency target, and the limit is %v", b.concurrencyLimit)
+		t.Errorf("40 attempts have been in flight for three times the latency target, but the limit is %v", b.concurrencyLimit)
 	}
 }
 
-// Balancers that start together, before any of them knows the latency, send no server more than it can do in time. A
-// flood drives servers that slow down under load to where they stay slow, and is taken for the unloaded latency.
+// Balancers that start at the same time, before any of them knows the latency, must send no server more than
+// it can do in time. A flood makes servers that slow down under load stay slow, and their latency under load
+// would be taken for the unloaded latency.
 func TestSimultaneousStartsOverloadNoServer(t *testing.T) {
 	const balancers, servers, each = 60, 20, 10
 	sent := 0
--- a/internal/standalone/policy/affinity_test.go
+++ b/internal/standalone/policy/affinity_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// affinityFixture is a balancer without an effective concurrency limit, whose servers have open connections, so that
-// none is preferred for that.
+// affinityFixture is a balancer without an effective concurrency limit. All its servers have open
+// connections, so that none is preferred for its connections.
 type affinityFixture struct {
 	*Balancer
 	t      *testing.T
@@ -21,7 +21,7 @@
 	return &affinityFixture{Balancer: b, t: t}
 }
 
-// send sends a request with an affinity key, which stays in flight, and returns its server.
+// send sends a request with an affinity key, which stays in flight, and returns the server that it went to.
 func (f *affinityFixture) send(key uint64) uint32 {
 	f.t.Helper()
 	f.lastID++
@@ -37,7 +37,7 @@
 
 const affinityKeys = 299
 
-// serveKeys sends a request of each key in turn, which is answered at once, and returns the servers.
+// serveKeys sends one request of each key, answers it at once, and returns the server of each key.
 func (f *affinityFixture) serveKeys() (servers [affinityKeys]uint32) {
 	f.t.Helper()
 	for k := range servers {
@@ -48,8 +48,9 @@
 	return servers
 }
 
-// Requests of one key go to one server, the same at every balancer. While a server drains, is stalled or ejected, each
-// of its keys is served at its second home; then the keys return. No other key moves.
+// Requests with the same key go to one server, the same at every balancer. While a server is draining,
+// stalled or ejected, each of its keys is served at its second home; afterwards the keys return to it. No
+// other key moves.
 func TestRequestsOfOneKeyGoToOneServer(t *testing.T) {
 	settings := testSettings()
 	settings.KeyAffinity = true
@@ -75,18 +76,18 @@
 			first, second := f.serveKeys(), f.serveKeys()
 			for k := range before {
 				if before[k] != s.id && first[k] != before[k] || first[k] == s.id || first[k] != second[k] {
-					t.Errorf("key %d went from %d to %d and %d, removed is %d", k, before[k], first[k], second[k], s.id)
+					t.Errorf("key %d moved from %d to %d, then %d; the removed server is %d", k, before[k], first[k], second[k], s.id)
 				}
 			}
 			if c.restore(); f.serveKeys() != before {
-				t.Error("keys did not come back")
+				t.Error("keys did not return to their home")
 			}
 		})
 	}
 }
 
-// Without the setting, keys have no home: of two rounds over all keys no more than chance goes to the same server
-// twice.
+// Without KeyAffinity keys have no home: in two rounds over all keys no more keys go to the same server twice
+// than by chance.
 func TestKeysHaveNoHomeWithoutKeyAffinity(t *testing.T) {
 	const servers = 12
 	f := newAffinityFixture(t, testSettings(), testMembers(servers))
@@ -102,8 +103,9 @@
 	}
 }
 
-// Attempts in flight spread by listed size, also where nothing is reported. A key with by far the most requests
-// overloads no server: what its home cannot take goes to its second home and then to all.
+// Attempts in flight are spread by listed size, also without load reports. A key with by far the most
+// requests must not overload a server: requests that its first home cannot take go to its second home and
+// then to all servers.
 func TestHotKeyOverloadsNoServer(t *testing.T) {
 	settings := testSettings()
 	settings.ReportDelivery, settings.SizesKnown, settings.ReportColumns = ReportsNone, true, nil
--- a/internal/standalone/policy/balancer.go
+++ b/internal/standalone/policy/balancer.go
@@ -1,21 +1,23 @@
 // Package policy makes the decisions of one HTTP load balancer in a group of them: which server gets a
-// request, when to retry, when to reject, and when to subscribe to discovery. What is a server here is a
-// backend to the packages that send the requests and to the admin API; gRFC A58 calls it an endpoint.
+// request, when to retry, when to reject, and when to subscribe to discovery. What this package calls a
+// server is called a backend in the packages that send the requests and in the admin API, and an endpoint in
+// gRFC A58.
 //
-// A Balancer is a state machine. Create one with New, then call Handle with each event in the order it
-// happened; Handle appends the actions that follow to the caller's buffer. The package has no clock and no
-// goroutines and does no I/O: the caller's `now` is the only time it knows, in microseconds from any fixed
-// origin, never going back. All times are in microseconds unless a comment says otherwise. Timers are actions
-// too (SetTimer), answered by TimerFired events.
+// A Balancer is a state machine. Create one with New, then call Handle with each event in the order in which
+// events happen; Handle appends the actions that follow to the caller's buffer. The package has no clock and
+// no goroutines and does no I/O. The only time that it uses is the caller's `now`, in microseconds from any
+// fixed origin, which must never go back. All times are in microseconds unless a comment says otherwise.
+// Timers are actions too (SetTimer), answered by TimerFired events.
 //
-// A Balancer is not safe for concurrent use. Balancers share nothing; run as many as you like. Equal
-// settings, seeds and events give equal actions: iteration is over slices in the order of listing, never over
-// maps.
+// A Balancer is not safe for concurrent use. Balancers share no state, so any number of them can run in
+// parallel. Equal settings, seeds and events give equal actions: where the order matters, iteration is over
+// slices in the order of listing, not over maps.
 //
 // The files, by concern: request (from arrival to response), queue (waiting requests), dispatch (attempts),
 // retry (when a retry is safe and the budget allows it), schedule (weighted round robin and the choice of a
 // server), weights (gRFC A58), slowstart (gRFC A100), locality (zones), outlier (ejection), admission
-// (concurrency limit), membership and subscription (discovery), snapshot (state for a successor process).
+// (adapting the concurrency limit), startlimit (the initial limit), overdue (congestion signals of attempts
+// in flight), membership and subscription (discovery), snapshot (state for a successor process).
 package policy
 
 import (
@@ -29,7 +31,7 @@
 	"pumiceline/internal/standalone/loadpolling"
 )
 
-// Balancer decides for one load balancer. See the package comment.
+// Balancer makes the decisions of one load balancer. See the package comment.
 type Balancer struct {
 	settings Settings
 	rng      *rand.Rand
@@ -41,28 +43,29 @@
 
 	// Servers.
 	servers             map[ServerID]*server
-	members             []*server // the same in the order of listing, for iteration
+	members             []*server // the same servers in the order of listing, for iteration
 	affinity            affinity.Table
-	zoneConnectFailures [256]int // attempts in a row that could not connect, by zone
+	zoneConnectFailures [256]int // consecutive attempts that could not connect, by zone
 	ejectedOrStalled    int      // servers that are ejected or stalled
 	remoteZoneShare     float64  // fraction of their weight that servers of other zones keep
 	instanceTypes       []capacityStats
 	overall             capacityStats // over all instance types
 	discovery           subscription
 
-	// Schedule: each server gets a turn every 1/weight of virtual time, the earliest deadline first.
+	// Schedule: each server gets a turn every 1/weight of virtual time, in the order of deadlines (earliest
+	// deadline first).
 	schedule    edf.Queue[server]
 	virtualTime float64   // deadline of the latest turn
 	skipped     []*server // scratch buffer of pick
 
 	// Admission.
-	concurrencyLimit  float64 // the most attempts in flight
+	concurrencyLimit  float64 // maximum number of attempts in flight
 	inFlight          int     // attempts in flight at servers that are not stalled
 	congestion        float64 // moving average: share of recent responses that signalled congestion
-	startedAt         Time    // when the limit was first set, see limitStart
-	startArrivals     float64 // requests since, until a class's unloaded latency is known
+	startedAt         Time    // when the limit was first set, see setInitialLimit
+	startArrivals     float64 // requests since startedAt, until the unloaded latency of a class is known
 	lastAttemptEnd    Time
-	limitFrozenUntil  Time                        // before it LimitToUsage is not applied
+	limitFrozenUntil  Time                        // until then LimitToUsage is not applied
 	medianAttemptTime float64                     // microseconds, of attempts with a cost of 1; 0: unknown
 	unloadedLatency   []latencybaseline.Estimator // by class
 
@@ -78,7 +81,7 @@
 	tenantTokens  []float64 // quota left, by tenant
 }
 
-// rngStream is the second word of the generator's seed, the same for all balancers.
+// rngStream is the second word of the random generator's seed, the same for all balancers.
 const rngStream = 0x9e3779b97f4a7c15
 
 // New returns a balancer for the given settings. The seed determines all its random choices.
@@ -91,8 +94,8 @@
 	return b, nil
 }
 
-// ApplySettings replaces the settings, or none with an error. Open requests keep their class and number of
-// attempts.
+// ApplySettings replaces the settings; on an error it changes nothing. Open requests keep their class and
+// number of attempts.
 func (b *Balancer) ApplySettings(settings Settings) error {
 	if err := settings.validate(); err != nil {
 		return err
@@ -109,7 +112,7 @@
 // Handle processes the next event, which happens at now, and appends the actions that follow to actions.
 func (b *Balancer) Handle(now Time, ev *Event, actions []Action) []Action {
 	b.now, b.actions = max(now, b.now), actions
-	if !b.started { // not in New: the clock is known from the first event on
+	if !b.started { // not in New: the first event gives the time
 		b.started, b.refreshedAt = true, b.now
 		b.setTimer(timerRefresh, b.jitter(refreshPeriod))
 		b.scheduleSubscribe()
@@ -155,7 +158,7 @@
 	b.emit(Action{Kind: SetTimer, ID: id, After: max(1, after)})
 }
 
-// onTimer ignores IDs of unknown purpose.
+// onTimer handles a timer by the purpose in its ID. IDs of unknown purpose are ignored.
 func (b *Balancer) onTimer(id uint64) {
 	switch id & (1<<timerKindBits - 1) {
 	case timerRefresh:
@@ -177,8 +180,8 @@
 	arrivalRateTimeConstant = 2       // seconds
 )
 
-// refresh brings weights, budgets and the concurrency limit up to date. Only its timer calls it, so that a
-// request costs no pass over all servers.
+// refresh updates weights, budgets and the concurrency limit. It is called only by its timer and not for each
+// request, so that handling a request needs no pass over all servers.
 func (b *Balancer) refresh() {
 	elapsed := float64(b.now-b.refreshedAt) / 1e6 // seconds
 	b.refreshedAt = b.now
--- a/internal/standalone/policy/dispatch.go
+++ b/internal/standalone/policy/dispatch.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// dispatch sends r to a server, or queues it where no server can take it; a request that may not be sent any
-// more is rejected or failed. It reports whether r was sent.
+// dispatch sends r to a server, or queues it if no server can take it. A request for which another attempt is
+// not allowed, or would come too late, is rejected or failed. dispatch reports whether r was sent.
 func (b *Balancer) dispatch(r *request) bool {
 	if !b.mayAttempt(r) || r.inFlight == 0 && b.lacksTime(r) {
 		b.rejectOrFail(r)
@@ -17,18 +17,19 @@
 	return false
 }
 
-// minTimeShare is the fraction of an attempt's expected time that must be left for it to be worth sending.
+// minTimeShare is the fraction of an attempt's expected time that must be left before the deadline for the
+// attempt to be sent.
 const minTimeShare = 0.8
 
-// lacksTime reports whether r has less time left than an attempt will most likely take. Such an attempt would
-// be work for a response that nobody waits for any more, and then for the client's retry: under load,
+// lacksTime reports whether r has less time left than an attempt will most likely take. Its response would
+// come after the client has given up, and the client's retry would cause the same work again: under load,
 // time-outs that cause retries can keep servers busy with nothing else.
 func (b *Balancer) lacksTime(r *request) bool {
 	return float64(r.deadline-b.now) < minTimeShare*b.medianAttemptTime*timeFactor(r.cost)
 }
 
-// timeFactor is the expected time of an attempt with this cost, relative to one with a cost of 1: half of an
-// attempt's time is taken to be fixed and half to grow with its cost.
+// timeFactor returns the expected time of an attempt with this cost, relative to an attempt with a cost of 1.
+// Half of an attempt's time is assumed to be fixed and half to grow with its cost.
 func timeFactor(cost float64) float64 { return (1 + cost) / 2 }
 
 // send starts an attempt of r on s.
@@ -45,7 +46,7 @@
 	s.uploading++
 	b.chargeSlowStart(s, r.cost)
 	if b.now-s.lastSentAt >= b.settings.Limits.ConnIdleTimeout {
-		s.openConns = s.inFlight // the server has closed the idle ones
+		s.openConns = s.inFlight // the server has closed the idle connections
 	}
 	s.lastSentAt = b.now
 	if !r.bodyPending {
@@ -55,8 +56,8 @@
 	b.emit(Action{Kind: SendAttempt, ID: r.id, Server: s.id, SendBefore: sendBefore})
 }
 
-// countInFlight counts an attempt whose request its server has completely: from now on its time is the
-// server's.
+// countInFlight counts attempt a as in flight at its server, which has received the complete request: from
+// now on the time of the attempt is the server's and not the client's.
 func (b *Balancer) countInFlight(a *attempt) {
 	s := a.server
 	a.bodyPending, a.countedAt = false, b.now
@@ -66,7 +67,7 @@
 	}
 	s.inFlight++
 	s.openConns = max(s.openConns, s.inFlight)
-	if !s.stalled { // the attempts of a stalled server are counted when it stops being stalled
+	if !s.stalled { // countEnded counts the attempts of a stalled server when it recovers
 		b.inFlight++
 	}
 	b.updateSchedule(s)
--- a/internal/standalone/policy/events.go
+++ b/internal/standalone/policy/events.go
@@ -9,33 +9,33 @@
 const (
 	RequestArrived    EventKind = iota + 1 // ID, Class, Tenant, AffinityKey, Work, ClientTimeout, BodyPending, ClientRetry
 	AttemptEnded                           // ID, Attempt, Server, Outcome, Elapsed, Final, Report
-	ResponseStarted                        // ID: the response is streaming to the client, no deadline applies any more
-	BodySent                               // ID, Attempt: the last byte of a request with BodyPending was sent
-	RequestAbandoned                       // ID: the client left, or its response is overdue
-	TimerFired                             // ID: as given with SetTimer
+	ResponseStarted                        // ID: the response streams to the client, without a deadline
+	BodySent                               // ID, Attempt: all of a request with BodyPending was sent
+	RequestAbandoned                       // ID: the client has disconnected, or its response is overdue
+	TimerFired                             // ID: that of the SetTimer
 	LoadPolled                             // Server, Outcome, Elapsed, Report
 	MembershipFull                         // Members: the complete membership
 	MembershipCached                       // Members: a complete membership that may be outdated
 	MembershipDelta                        // Members: changed entries only
 	DiscoveryFailed                        // a call to discovery failed or the subscription broke
-	DiscoveryTimedOut                      // like DiscoveryFailed, but changes may have been missed: subscribe again soon
+	DiscoveryTimedOut                      // like DiscoveryFailed, but changes may be missed: subscribe soon
 )
 
-// Event is something that happened. Report and Members need to stay valid only during the call of Handle.
+// Event is something that happened. Report and Members need to stay valid only until Handle returns.
 type Event struct {
 	Kind          EventKind
 	Outcome       Outcome
-	Final         bool // the request has its response
-	BodyPending   bool // the client is still sending the body; BodySent follows when a server has it
-	ClientRetry   bool // the client marked the request as a retry; for admission control in front, not used here
+	Final         bool // the client has its response
+	BodyPending   bool // the client is still sending the body; BodySent follows when a server has all of it
+	ClientRetry   bool // the client marked the request as a retry; used only by admission control
 	Attempt       uint8
 	Class         uint8 // index into Settings.Classes
 	Tenant        uint32
 	Server        ServerID
 	ID            uint64
-	AffinityKey   uint64 // what the request is about; 0: unknown
+	AffinityKey   uint64 // identifies what the request is about; 0: unknown
 	Work          Time   // expected work on a standard core; 0: unknown
-	ClientTimeout Time   // how long the client still waits
+	ClientTimeout Time   // remaining time that the client waits
 	Elapsed       Time
 	Report        []float32 // values in the order of Settings.ReportColumns; empty: none
 	Members       []Member
@@ -52,11 +52,11 @@
 	TimedOut                       // no response within the time-out
 	ConnectFailed                  // no connection within the time-out
 	ConnectionReset                // the connection broke
-	Canceled                       // by this side
-	NotSent                        // nothing was written
+	Canceled                       // canceled on this side, not by the server
+	NotSent                        // no byte was written to a server
 )
 
-// outcomeNames are the outcomes as they are in log records.
+// outcomeNames are the outcomes as they appear in log records.
 var outcomeNames = [...]string{
 	OK:              "ok",
 	ErrorResponse:   "error response",
@@ -68,7 +68,7 @@
 	NotSent:         "not sent",
 }
 
-// String returns the outcome as it is in log records.
+// String returns the outcome as it appears in log records.
 func (o Outcome) String() string {
 	if int(o) < len(outcomeNames) {
 		return outcomeNames[o]
@@ -88,11 +88,12 @@
 const (
 	ModeGone     Mode = iota // not listed any more
 	ModeReady                // takes requests
-	ModeDraining             // finishes what it has
+	ModeDraining             // finishes the requests that it has
 )
 
-// ServerID identifies a server in events and actions. The caller assigns it: the same at every balancer of the group and
-// after a restart, as the home servers of affinity keys and the snapshot for a successor depend on it.
+// ServerID identifies a server in events and actions. The caller assigns it. It must be the same at every
+// balancer of the group and after a restart, since the home servers of affinity keys and the snapshot for a
+// successor process depend on it.
 type ServerID = uint32
 
 // Member is a server as discovery lists it.
@@ -102,14 +103,14 @@
 	Cell         uint16   `json:"Cell"`
 	InstanceType uint16   `json:"Kind"` // servers of one type have equal capacity
 	Mode         Mode     `json:"Mode"`
-	Size         float64  `json:"Size"`    // compares capacities, see Settings.SizesKnown
-	StartedAt    Time     `json:"UpSince"` // the latest start; 0: long ago
+	Size         float64  `json:"Size"`    // relative capacity, see Settings.SizesKnown
+	StartedAt    Time     `json:"UpSince"` // latest start of its process; 0: long ago
 }
 
-// maxSize bounds Member.Size: a listed size that is not below it is taken for a mistake.
+// maxSize bounds Member.Size: a listed size that is not below it is taken for an error and ignored.
 const maxSize = 1e9
 
-// relativeSize is Size where that is plausible, else 1.
+// relativeSize returns Size if it is plausible, else 1.
 func (m *Member) relativeSize() float64 {
 	if m.Size > 0 && m.Size < maxSize {
 		return m.Size
--- a/internal/standalone/policy/example_test.go
+++ b/internal/standalone/policy/example_test.go
@@ -6,7 +6,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// A balancer is given two servers, a request and the outcome of its attempt.
+// A balancer gets two servers, a request and the outcome of its attempt.
 func Example() {
 	b, err := policy.New(policy.Settings{
 		Classes: []policy.Class{
--- a/internal/standalone/policy/helpers_test.go
+++ b/internal/standalone/policy/helpers_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// testSettings are the settings of a small group, unlike those of any deployment.
+// testSettings returns settings of a small group, which differ from those of any deployment.
 func testSettings() Settings {
 	return Settings{
 		Classes: []Class{
@@ -22,7 +22,7 @@
 	}
 }
 
-// newBalancer returns a balancer that knows members, at time 1e9.
+// newBalancer returns a balancer with these members, at time 1e9.
 func newBalancer(t testing.TB, settings Settings, members []Member) *Balancer {
 	t.Helper()
 	b, err := New(settings, 1)
@@ -33,7 +33,7 @@
 	return b
 }
 
-// testMembers returns n ready servers of one zone and type, numbered from 100.
+// testMembers returns n ready servers of one zone and instance type, with IDs from 100.
 func testMembers(n int) []Member {
 	var members []Member
 	for i := range n {
@@ -42,17 +42,17 @@
 	return members
 }
 
-// advance moves the balancer's clock on and lets its refresh period pass.
+// advance advances the balancer's clock by d and fires its refresh timer.
 func (b *Balancer) advance(d Time) {
 	b.Handle(b.now+d, &Event{Kind: TimerFired, ID: timerRefresh}, nil)
 }
 
-// loadReport is a load report in the columns of testSettings.
+// loadReport returns a load report with the columns of testSettings.
 func loadReport(qps, utilization, eps float32) []float32 { return []float32{qps, utilization, eps} }
 
-func assertNear(t *testing.T, what string, got, want, within float64) {
+func assertNear(t *testing.T, name string, got, want, within float64) {
 	t.Helper()
 	if !(math.Abs(got-want) <= within) {
-		t.Errorf("%s is %v, want %v within %v", what, got, want, within)
+		t.Errorf("%s is %v, want %v within %v", name, got, want, within)
 	}
 }
--- a/internal/standalone/policy/invariants_test.go
+++ b/internal/standalone/policy/invariants_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// ruleChecker checks a run's actions against the rules, from nothing but the balancer's events and earlier actions.
+// ruleChecker checks the actions of a run against the service rules, using only the balancer's events and
+// earlier actions.
 type ruleChecker struct {
 	t          *testing.T
 	settings   Settings
@@ -50,7 +51,7 @@
 	c.t.Fatalf("run %d at %d: %s", c.run, c.now, fmt.Sprintf(format, a...))
 }
 
-// checkActions checks the actions that follow an event and takes note of them.
+// checkActions checks the actions that follow an event and records them.
 func (c *ruleChecker) checkActions(actions []Action) {
 	for i := range actions {
 		switch a := &actions[i]; a.Kind {
@@ -93,7 +94,8 @@
 	c.checkSlowStart(s)
 }
 
-// checkRetry checks that another attempt of r on s, after an earlier one, keeps the semantics of its class.
+// checkRetry checks that another attempt of r on s after an earlier attempt conforms to the semantics of its
+// class.
 func (c *ruleChecker) checkRetry(r *checkedRequest, earlier *checkedAttempt, a *Action, s *checkedServer) {
 	if !earlier.mayHaveExecuted || r.class.Semantics == Idempotent {
 		return
@@ -104,7 +106,7 @@
 		c.fatalf("non-idempotent request %d sent again", a.ID)
 	case c.now >= windowEnd:
 		c.fatalf("deduplicated request %d sent again past its window", a.ID)
-	case a.SendBefore <= c.now || a.SendBefore >= windowEnd: // connecting takes time
+	case a.SendBefore <= c.now || a.SendBefore >= windowEnd: // connecting may delay the write
 		c.fatalf("deduplicated request %d sent at %d may be written until %d", a.ID, earlier.sentAt, a.SendBefore)
 	case r.class.DedupScope == DedupPerZone && earlier.zone != s.member.Zone:
 		c.fatalf("deduplicated request %d left its zone", a.ID)
@@ -130,8 +132,9 @@
 	r.answered = true
 }
 
-// checkSlowStart counts what this one balancer sends a server that warms up: within the overload time no more than its
-// part of what all may send, and two requests more, for the random first budget and for rounding up a token.
+// checkSlowStart checks how many requests this balancer sends to a server that warms up: within the overload
+// time at most its part of what all balancers may send, plus two requests, for the random initial budget and
+// for rounding up a token.
 func (c *ruleChecker) checkSlowStart(s *checkedServer) {
 	rules := &c.settings.Rules
 	age := c.now - s.member.StartedAt
@@ -157,21 +160,21 @@
 // warmServerRate is the capacity that every server of the random runs reports, in requests per second.
 const warmServerRate = 20
 
-// Random runs, with ordinary and odd orders of events, keep the rules. What servers do is drawn at random: there is no
-// model of service, only a check of the rules.
+// Runs with random events, in usual and unusual orders, must keep the rules. The behaviour of servers is
+// random: there is no model of service times.
 func TestRandomRunsKeepRules(t *testing.T) {
 	for run := range 300 {
 		newRandomRun(t, run).play()
 	}
 }
 
-// randomRun draws events for one balancer.
+// randomRun generates random events for one balancer.
 type randomRun struct {
 	*ruleChecker
 	balancer *Balancer
 	rng      *rand.Rand
 	nextID   uint64
-	open     []uint64 // requests not ended yet
+	open     []uint64 // requests that have not ended
 }
 
 func newRandomRun(t *testing.T, run int) *randomRun {
@@ -207,11 +210,11 @@
 		r.drawEvent()
 	}
 	if r.settings.SubscribeDiscovery && r.subscribes == 0 {
-		r.fatalf("discovery was never called")
+		r.fatalf("the balancer never called discovery")
 	}
 }
 
-// handle hands the balancer an event and checks the actions that follow.
+// handle passes an event to the balancer and checks the actions that follow.
 func (r *randomRun) handle(ev Event) {
 	r.checkActions(r.balancer.Handle(r.now, &ev, nil))
 }
@@ -254,8 +257,8 @@
 	}
 }
 
-// endAttempts ends attempts that are at their limit, and others at random. An unanswered request past its deadline and
-// the grace is an error.
+// endAttempts ends attempts that are at their limit, and others at random. It fails the test if a request has
+// no response after its deadline and the grace.
 func (r *randomRun) endAttempts() {
 	open := r.open[:0]
 	for _, id := range r.open {
@@ -276,7 +279,7 @@
 	r.open = open
 }
 
-// endAttempt ends attempt i of a request in a random way, or by time-out at its limit.
+// endAttempt ends attempt i of a request with a random outcome, or with a time-out at its limit.
 func (r *randomRun) endAttempt(id uint64, i int) {
 	q := r.requests[id]
 	a := &q.attempts[i]
@@ -300,7 +303,7 @@
 	}
 }
 
-// drawEvent hands over a random event, or none.
+// drawEvent passes a random event to the balancer, or none.
 func (r *randomRun) drawEvent() {
 	switch k := r.rng.IntN(40); {
 	case k < 24:
@@ -324,7 +327,7 @@
 		r.handle(Event{Kind: RequestAbandoned, ID: 1 << 50})
 	case k == 32 && len(r.open) > 0:
 		id := r.open[r.rng.IntN(len(r.open))]
-		r.requests[id].answered = true // the client left: any further action for the request is an error
+		r.requests[id].answered = true // disconnected: any further action for the request is an error
 		r.handle(Event{Kind: RequestAbandoned, ID: id})
 	}
 }
@@ -342,7 +345,7 @@
 	r.handle(Event{Kind: RequestArrived, ID: id, Class: uint8(class), ClientTimeout: timeout})
 }
 
-// redeploy restarts all servers within the last second.
+// redeploy lists all servers as started within the last second.
 func (r *randomRun) redeploy() {
 	var members []Member
 	for i := range 16 {
--- a/internal/standalone/policy/loadpolling_test.go
+++ b/internal/standalone/policy/loadpolling_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Servers are polled only where that is allowed and reports come no other way, each about once a second, a draining one
-// never, far less often by each of hundreds; the reports set weights as reports in responses do.
+// Servers are polled only if polls are allowed and reports come no other way: each server about once per
+// second, a draining server never, and far less often by each of hundreds of balancers. Polled reports set
+// weights just as reports in responses do.
 func TestLoadPolls(t *testing.T) {
 	for name, c := range map[string]struct {
 		allowed         bool
@@ -33,7 +34,7 @@
 				}
 			}
 		}
-		b.Handle(b.now, &Event{Kind: LoadPolled, Server: 999, Report: []float32{0.5, 10, 0}}, nil) // gone meanwhile
+		b.Handle(b.now, &Event{Kind: LoadPolled, Server: 999, Report: []float32{0.5, 10, 0}}, nil) // not listed
 		if n, m := polled[100], polled[101]; min(n, m) < c.atLeast || max(n, m) > c.atMost || polled[102] != 0 {
 			t.Errorf("%s: polled %v", name, polled)
 		}
--- a/internal/standalone/policy/locality.go
+++ b/internal/standalone/policy/locality.go
@@ -3,36 +3,37 @@
 import "math"
 
 const (
-	// homeZoneUtilization is the utilization of the home zone above which requests leave it, where crossing
-	// zones has no price. The price is added to it.
+	// homeZoneUtilization is the utilization of the home zone above which requests are sent to other zones if
+	// that has no price. Prices.CrossZone is added to it.
 	homeZoneUtilization = 0.5
-	// maxHomeZoneUtilization bounds that sum: above it requests leave at any price.
+	// maxHomeZoneUtilization bounds that sum: above it requests are sent to other zones at any price.
 	maxHomeZoneUtilization = 0.8
-	// homeZoneRange is the utilization above that threshold at which the remote share is full.
+	// homeZoneRange is how far the utilization must be above that threshold for the remote share to be 1.
 	homeZoneRange = 0.3
 	// remoteZoneAdvantage is how much lower the other zones' utilization must be for the remote share to be
-	// full.
+	// 1.
 	remoteZoneAdvantage = 0.1
 
-	// maxZoneConnectFailures is the number of failures to connect in a row in one zone that point to the zone
-	// and not to its servers. Beyond it the zone loses weight, so that its servers need not be found
-	// unreachable one by one.
+	// maxZoneConnectFailures is the number of consecutive failures to connect in one zone up to which they
+	// are blamed on its servers. Further failures point to the zone: it loses weight, so that its servers
+	// need not be found unreachable one by one.
 	maxZoneConnectFailures = 3
 )
 
-// zoneLoad is the utilization of several servers, weighted by their weight.
+// zoneLoad is the utilization of several servers: utilization is the sum weighted by server weight.
 type zoneLoad struct{ utilization, weight float64 }
 
-// mean is the mean utilization; weight must be positive.
+// mean returns the mean utilization; weight must be positive.
 func (l zoneLoad) mean() float64 { return l.utilization / l.weight }
 
 // zoneLoads are the loads of the home zone and of all others together.
 type zoneLoads struct{ home, remote zoneLoad }
 
-// updateRemoteZoneShare moves the fraction of their weight that servers of other zones keep: 0 while the home
-// zone has headroom, since crossing zones has a price, and more the less headroom it has, as long as the
-// others are less utilized. It moves with a time constant of 1 s: reports are old and every balancer reacts
-// to the same ones, so that with faster moves the zones would be overloaded in turn. elapsed is in seconds.
+// updateRemoteZoneShare updates remoteZoneShare, the fraction of their weight that servers of other zones
+// keep. It is 0 while the home zone has headroom, since crossing zones has a price, and grows as the headroom
+// shrinks, as long as the other zones are less utilized. It changes with a time constant of 1 s: reports are
+// old and every balancer reacts to the same reports, so faster changes would overload the zones in turn.
+// elapsed is in seconds.
 func (b *Balancer) updateRemoteZoneShare(elapsed float64) {
 	loads := b.zoneLoads()
 	target := 0.0
@@ -63,7 +64,7 @@
 		}
 		weight := b.baseWeight(s)
 		if s.reportWeight == 0 {
-			continue // baseWeight has found its reports expired
+			continue // baseWeight has just discarded its expired reports
 		}
 		load.utilization += weight * s.utilizationSum / s.reportWeight
 		load.weight += weight
@@ -73,7 +74,7 @@
 
 func (b *Balancer) isHomeZone(s *server) bool { return int(s.zone) == b.settings.Zone }
 
-// zoneFactor scales the weight of s by its zone.
+// zoneFactor returns the factor on the weight of s that depends on its zone.
 func (b *Balancer) zoneFactor(s *server) float64 {
 	factor := 1 / (1 + float64(max(0, b.zoneConnectFailures[s.zone]-maxZoneConnectFailures)))
 	if !b.isHomeZone(s) {
--- a/internal/standalone/policy/locality_test.go
+++ b/internal/standalone/policy/locality_test.go
@@ -26,7 +26,8 @@
 	assertNear(t, "remote share when all are full", shareAt(0.95, 0.95), 0, 1e-3)
 }
 
-// A lost zone shows first as failures to connect: its servers must not be found unreachable one by one.
+// An unreachable zone first shows as failures to connect: the balancer must not have to find its servers
+// unreachable one by one.
 func TestUnreachableZoneLosesWeight(t *testing.T) {
 	members := testMembers(20)
 	for i := range members {
@@ -57,8 +58,9 @@
 	}
 }
 
-// A scheduled server whose reports have expired says nothing about its zone.
-func TestExpiredReportsLeaveZoneShareANumber(t *testing.T) {
+// The expired reports of a scheduled server must not count in the load of its zone: their sums are 0, and 0/0
+// would make the remote zone share and the weights NaN.
+func TestExpiredReportsDoNotMakeZoneShareNaN(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(2))
 	for _, s := range b.members {
 		b.addReport(s, loadReport(50, 0.5, 0))
@@ -71,7 +73,7 @@
 	}
 	for _, s := range b.members {
 		if math.IsNaN(s.weight) || s.reportWeight != 0 {
-			t.Errorf("weight %v, weight of reports %v", s.weight, s.reportWeight)
+			t.Errorf("weight %v, sum of report weights %v", s.weight, s.reportWeight)
 		}
 	}
 }
--- a/internal/standalone/policy/membership.go
+++ b/internal/standalone/policy/membership.go
@@ -2,7 +2,7 @@
 
 import "pumiceline/internal/standalone/affinity"
 
-// onMembership applies a membership, or changes to it.
+// onMembership applies a complete membership, or changes to it.
 func (b *Balancer) onMembership(ev *Event) {
 	for _, s := range b.members {
 		s.listed = s.listed && ev.Kind == MembershipDelta
@@ -12,7 +12,7 @@
 	}
 	var ready []affinity.Member
 	for _, s := range b.members {
-		b.updateSchedule(s) // a server that is not listed any more gets no further turn
+		b.updateSchedule(s) // removes a server that is no longer listed from the schedule
 		if s.isReady() {
 			ready = append(ready, affinity.Member{ID: s.id, Weight: s.size})
 		}
@@ -22,12 +22,12 @@
 		b.onSubscribed()
 	}
 	b.updateMeans()
-	b.limitStart()
+	b.setInitialLimit()
 }
 
 // applyMember applies one entry. A server that is draining or gone is removed from the schedule at once. A
-// new one gets its first turn at a random time within its interval, so that balancers do not all send to it
-// first.
+// new server gets its first turn at a random time within its interval, so that balancers do not all send to
+// it first.
 func (b *Balancer) applyMember(m *Member) {
 	s := b.servers[m.Server]
 	if m.Mode == ModeGone {
@@ -53,7 +53,7 @@
 	b.updateSchedule(s)
 }
 
-// addServer adds a server, which is taken to be warm and like the others until discovery or reports say
+// addServer adds a server. It counts as warm and as an average server until discovery or reports say
 // otherwise.
 func (b *Balancer) addServer(id ServerID) *server {
 	warmedUp := -b.settings.Rules.WarmupTime
@@ -64,7 +64,7 @@
 	return s
 }
 
-// setStartedAt notes when the server's process was started. Reports of a previous process are discarded.
+// setStartedAt records when the server's process was started. Reports of a previous process are discarded.
 func (b *Balancer) setStartedAt(s *server, startedAt Time, isNew bool) {
 	s.startedAt = startedAt
 	if !isNew {
@@ -76,8 +76,7 @@
 	}
 }
 
-// instanceTypeIndex returns the index of an instance type in b.instanceTypes, to which it is added if it is
-// new.
+// instanceTypeIndex returns the index of an instance type in b.instanceTypes and adds a new type to it.
 func (b *Balancer) instanceTypeIndex(instanceType uint16) int {
 	for i := range b.instanceTypes {
 		if b.instanceTypes[i].instanceType == instanceType {
@@ -88,8 +87,8 @@
 	return len(b.instanceTypes) - 1
 }
 
-// removeGoneServers forgets servers that are gone and have no attempts. Such a server is in no schedule and
-// not stalled.
+// removeGoneServers removes servers that are no longer listed and have no attempts. Such a server is not in
+// the schedule and not stalled.
 func (b *Balancer) removeGoneServers() {
 	kept := b.members[:0]
 	for _, s := range b.members {
--- a/internal/standalone/policy/membership_test.go
+++ b/internal/standalone/policy/membership_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Servers that drain or are gone get nothing from the moment that discovery says so.
-func TestDrainingServersGetNothing(t *testing.T) {
+// Servers that are draining or gone get no requests from the moment at which discovery says so.
+func TestDrainingServersGetNoRequests(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(3))
 	b.Handle(b.now, &Event{Kind: MembershipDelta, Members: []Member{{Server: 100, Mode: ModeDraining},
 		{Server: 101, Mode: ModeGone}}}, nil)
--- a/internal/standalone/policy/outlier.go
+++ b/internal/standalone/policy/outlier.go
@@ -2,33 +2,33 @@
 
 import "pumiceline/internal/standalone/latencybaseline"
 
-// Outlier detection, in the sense of gRFC A50: a server that by its outcomes cannot serve is ejected from the
-// schedule for a time. A50's ejection by success rate or failure percentage is not used; failing servers lose
-// weight instead, see healthFactor.
+// Outlier detection, in the sense of gRFC A50: a server whose outcomes show that it cannot serve is ejected
+// from the schedule for a time. A50's ejection by success rate or failure percentage is not used; failing
+// servers lose weight instead, see healthFactor.
 const (
-	// maxConnectFailures is the number of attempts that must fail to connect without a response in between
-	// before a server is ejected.
+	// maxConnectFailures is the number of failures to connect, without a response in between, after which a
+	// server is ejected.
 	maxConnectFailures = 2
-	// maxTimeouts is the number of attempts that must time out without a response in between before a server
-	// is ejected.
+	// maxTimeouts is the number of time-outs, without a response in between, after which a server is ejected.
 	maxTimeouts = 4
 	// timeoutFactor is how many times the median an attempt must have taken for its time-out to count: a
-	// client with little time says nothing about the server.
+	// short client deadline says nothing about the server.
 	timeoutFactor = 2
-	// slowFactor is how many times the median a server's recent attempts must have taken for it to count as
-	// slow, and how many times the median may pass without an outcome until it counts as stalled. Instance
-	// types differ by less, and single requests by more only now and then.
+	// slowFactor is how many times the median a server's recent attempts must take for the server to count as
+	// slow, and how many times the median may pass without an outcome until it counts as stalled. The
+	// difference between instance types is smaller, and single requests take longer only occasionally.
 	slowFactor = 4
-	// minRestartTime is how long, in microseconds, a server must not have responded to be taken for
-	// restarted. No process is back sooner. Without it, after a network fault that resets connections all
-	// servers would be taken for warming up.
+	// minRestartTime is how long, in microseconds, a server must not have responded before it is taken for
+	// restarted; no process restarts faster. Without it, a network fault that resets connections would make
+	// all servers count as warming up.
 	minRestartTime = 1_000_000
 	// idleConnTimeout is how long, in microseconds, an unused connection is kept. Servers accept a limited
-	// number: those that one balancer does not use are missing to the others.
+	// number of connections: those that one balancer keeps without using them are not available to the
+	// others.
 	idleConnTimeout = 2_000_000
 )
 
-// The duration of a server's first ejection, and the most that it grows to as ejections follow each other, in
+// The duration of a server's first ejection, and the maximum to which it grows with consecutive ejections, in
 // microseconds (gRFC A50: base_ejection_time and max_ejection_time).
 const (
 	unreachableEjection    = 500_000
@@ -42,15 +42,15 @@
 const (
 	failureGain      = 0.15 // weight of the latest outcome in server.failureRate
 	relativeGain     = 0.5  // weight of the latest attempt in server.relativeLatency
-	maxRelativeTime  = 10   // the most that one attempt counts in server.relativeLatency
+	maxRelativeTime  = 10   // upper bound on one attempt's ratio in server.relativeLatency
 	minAttemptMedian = 1    // microseconds; 0 stands for an unknown median
 )
 
-// attemptMedian is the rule by which medianAttemptTime follows the attempts.
+// attemptMedian updates medianAttemptTime with each attempt.
 var attemptMedian = latencybaseline.Quantile{Share: 0.5, Step: 0.06}
 
-// EjectedServers is the number of servers listed as ready that get no turns, because this balancer has
-// ejected them or found them stalled.
+// EjectedServers returns the number of servers listed as ready that get no turns because this balancer has
+// ejected them or considers them stalled.
 func (b *Balancer) EjectedServers() (count int) {
 	for _, s := range b.members {
 		if s.isReady() && (s.ejected || s.stalled) {
@@ -61,12 +61,12 @@
 }
 
 // mayEject reports whether less than half of the servers are ejected or stalled (gRFC A50:
-// max_ejection_percent). Otherwise the cause is common to all servers, and the load of the ejected ones would
-// bring down the rest.
+// max_ejection_percent). If half of them are, the cause is common to all servers, and the load of the ejected
+// servers would overload the rest.
 func (b *Balancer) mayEject() bool { return 2*b.ejectedOrStalled < len(b.members) }
 
-// eject takes s out of the schedule until a probation attempt, for a time that doubles from first to longest
-// while ejections follow each other.
+// eject removes s from the schedule until a probation attempt. The duration starts at first and doubles with
+// each consecutive ejection, up to longest.
 func (b *Balancer) eject(s *server, first, longest Time) {
 	if s.ejected {
 		return
@@ -79,8 +79,8 @@
 	s.ejectedUntil = b.now + b.jitter(s.ejectionTime)
 }
 
-// endProbation notes that s has responded. After failures to connect its slow start begins, as in gRFC A100
-// when a connection becomes ready.
+// endProbation records that s has responded. If s is on probation after failures to connect and had not
+// responded for minRestartTime, its slow start begins, as in gRFC A100 when a connection becomes ready.
 func (b *Balancer) endProbation(s *server) {
 	if s.onProbation && s.unreachable && b.now-s.answeredAt >= minRestartTime {
 		b.beginSlowStart(s, b.now)
@@ -89,7 +89,7 @@
 	s.timeouts, s.connectFailures, s.answeredAt = 0, 0, b.now
 }
 
-// observeOutcome updates what is known about s from the outcome of attempt a.
+// observeOutcome updates the state of s with the outcome of attempt a.
 func (b *Balancer) observeOutcome(s *server, a *attempt, ev *Event) {
 	b.countEnded(s)
 	if b.settings.ReportDelivery == ReportsInResponses {
@@ -117,7 +117,8 @@
 	b.updateSchedule(s)
 }
 
-// countEnded takes an ended attempt out of the counts. Those of a server that was stalled count again.
+// countEnded removes an ended attempt from the counts. If the server was stalled, it no longer is, and its
+// other attempts count again.
 func (b *Balancer) countEnded(s *server) {
 	s.inFlight--
 	b.inFlight--
@@ -127,13 +128,13 @@
 		if !s.ejected {
 			b.ejectedOrStalled--
 		}
-		// One more, as examineServer took out this attempt as well, and b.inFlight-- did again.
+		// One more, as this attempt was subtracted twice: by examineServer, and by b.inFlight-- above.
 		b.inFlight += s.inFlight + 1
 	}
 }
 
-// observeRejection ejects a server that is draining without notice or whose queue is full: more requests
-// would only be rejected as well.
+// observeRejection ejects a server after a rejection: it is draining before discovery has said so, or its
+// queue is full, and it would reject more requests as well.
 func (b *Balancer) observeRejection(s *server) {
 	b.endProbation(s)
 	if b.mayEject() {
@@ -152,9 +153,9 @@
 	}
 }
 
-// observeConnectFailure ejects a server that cannot be reached, also beyond the bound of mayEject: nothing
-// can be gained by sending to it. A single failure is not enough: a server that responds on other connections
-// has not restarted, and would be taken for warming up.
+// observeConnectFailure ejects a server that cannot be reached, also beyond the bound of mayEject, since
+// requests to it cannot succeed. A single failure is not enough: a server that responds on other connections
+// has not restarted, but after an ejection would be taken for warming up.
 func (b *Balancer) observeConnectFailure(s *server) {
 	b.zoneConnectFailures[s.zone]++
 	s.openConns = min(s.openConns, s.inFlight)
@@ -165,8 +166,9 @@
 }
 
 // observeLatency compares the time of an attempt, in microseconds, with the median of all servers at its
-// cost, and returns the ratio. A median is not moved by single slow servers and grows when all are slow. Of
-// an attempt that timed out only a lower bound is known: where that is below the median, it says nothing.
+// cost, and returns the ratio. The median does not move because of single slow servers, and grows when all
+// servers are slow. For an attempt that timed out only a lower bound of its time is known: a bound below the
+// median is ignored.
 func (b *Balancer) observeLatency(s *server, cost, elapsed float64, timedOut bool) (ratio float64) {
 	if b.medianAttemptTime == 0 {
 		b.medianAttemptTime = max(minAttemptMedian, elapsed)
@@ -182,11 +184,11 @@
 	return ratio
 }
 
-// healthFactor scales the weight of a server that this balancer finds slow or failing:
+// healthFactor returns the factor on the weight of a server that this balancer finds slow or failing:
 //
-//	1 / (1 + errorUtilizationPenalty*failureRate^2), over relativeLatency from slowFactor on
+//	1 / (1 + errorUtilizationPenalty*failureRate^2), divided by relativeLatency from slowFactor on
 //
-// Load reports come with successful responses only, so they show such a server late or never.
+// Load reports come only with successful responses, so they show such a server late or never.
 func (s *server) healthFactor() float64 {
 	factor := 1 / (1 + errorUtilizationPenalty*s.failureRate*s.failureRate)
 	if s.relativeLatency < slowFactor {
@@ -196,8 +198,8 @@
 }
 
 // examineServer is called for each server by refresh: it finds stalled servers, closes unused connections and
-// ends ejections. A stalled server gets no turn until an attempt ends: a hung process keeps its connections
-// open, so nothing but the missing responses shows it.
+// ends ejections. A stalled server gets no turn until one of its attempts ends: a hung process keeps its
+// connections open, so only the missing responses show that it hangs.
 func (b *Balancer) examineServer(s *server) {
 	if !s.stalled && s.inFlight > 0 && b.medianAttemptTime > 0 && b.mayEject() &&
 		float64(b.now-s.waitingSince) > slowFactor*b.medianAttemptTime {
--- a/internal/standalone/policy/outlier_test.go
+++ b/internal/standalone/policy/outlier_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Slowness of all servers must not eject most of them.
+// If all servers are slow, at most half of them may be removed from the schedule.
 func TestCommonSlownessEjectsFew(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(40))
 	b.medianAttemptTime = 10_000
@@ -15,7 +15,7 @@
 	}
 }
 
-// A hung server keeps its connections; only its missing responses show it.
+// A hung server keeps its connections open, so only its missing responses show that it hangs.
 func TestHungServerGetsFewAttempts(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(10))
 	for id := range uint64(500) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// A server that was unreachable for a moment has not restarted: taken for warming up, a network that resets some of all
-// connections would hold back all servers.
+// A server that was unreachable only for a moment has not restarted. If it counted as warming up, a network
+// fault that resets some connections of every server would restrict the load of all servers.
 func TestBriefUnreachabilityIsNoRestart(t *testing.T) {
 	for _, c := range []struct {
 		unreachable Time
@@ -58,8 +58,9 @@
 	}
 }
 
-// A server whose attempts all time out is ejected after a few, although each of them makes room there; a response in
-// between clears it. When it goes, it is no longer counted as ejected.
+// A server whose attempts all time out is ejected after a few time-outs, although each of them frees capacity
+// at the server; a response in between resets the count. A server that is removed no longer counts as
+// ejected.
 func TestServerIsEjectedAfterTimeouts(t *testing.T) {
 	for _, responds := range []bool{false, true} {
 		b := newBalancer(t, testSettings(), testMembers(10))
@@ -87,8 +88,8 @@
 	}
 }
 
-// A server whose attempts fail or break, without a report that would show it, loses weight, and has it back once it
-// serves.
+// A server whose attempts fail or are reset, without a report that shows it, loses weight, and regains it
+// once it serves requests.
 func TestFailuresReduceWeight(t *testing.T) {
 	for _, outcome := range []Outcome{ErrorResponse, ConnectionReset} {
 		b := newBalancer(t, testSettings(), testMembers(1))
@@ -112,12 +113,12 @@
 	}
 }
 
-// A server is ejected after failures to connect, gets a single attempt on probation, and starts slowly when that
-// succeeds.
+// A server is ejected after failures to connect, gets a single attempt on probation, and enters slow start
+// when that attempt succeeds.
 func TestUnreachableServerReturnsWithSlowStart(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(1))
 	s := b.members[0]
-	// A response in between shows that the server is there: a connection that fails now and then is no restart.
+	// A response in between shows that the server is running: an occasional failure to connect is no restart.
 	for _, o := range []Outcome{ConnectFailed, OK, ConnectFailed, ErrorResponse} {
 		s.inFlight++
 		b.inFlight++
@@ -150,7 +151,7 @@
 	}
 }
 
-// A server that is ejected while it is stalled, or the other way round, counts once against the bound of mayEject.
+// A server that is both ejected and stalled, in either order, counts once against the bound of mayEject.
 func TestEjectedAndStalledServerCountsOnce(t *testing.T) {
 	for _, stalledFirst := range []bool{true, false} {
 		b := newBalancer(t, testSettings(), testMembers(4))
@@ -175,12 +176,12 @@
 		}
 		b.countEnded(s)
 		if s.stalled || b.ejectedOrStalled != 1 {
-			t.Errorf("still ejected, counted %d times", b.ejectedOrStalled)
+			t.Errorf("ejected and no longer stalled, but counted %d times", b.ejectedOrStalled)
 		}
 		b.now = s.ejectedUntil
 		b.examineServer(s)
 		if b.ejectedOrStalled != 0 {
-			t.Errorf("neither, counted %d times", b.ejectedOrStalled)
+			t.Errorf("neither ejected nor stalled, but counted %d times", b.ejectedOrStalled)
 		}
 	}
 }
--- a/internal/standalone/policy/overdue.go
+++ b/internal/standalone/policy/overdue.go
@@ -1,32 +1,34 @@
 package policy
 
-// detectOverdue takes an attempt that has been in flight for longer than a response without congestion takes
-// as a congestion signal now. Its response would signal it only once the queue is served, while the limit
-// stays as it is. One attempt signals at a time, the oldest: all those of a queue together would bring the
-// limit down to the least before the first effect shows.
+// detectOverdue counts an attempt as a congestion signal while it is still in flight, once it has taken
+// longer than a response without congestion. Its response would be a signal only after the queue has been
+// served, and the limit would stay unchanged until then. Each call counts only one attempt, the oldest that
+// has not been counted: if all attempts in a queue counted at once, they would lower the limit to its minimum
+// before the first decrease shows an effect.
 //
-// This is so only while most of the servers with attempts in flight have such an attempt. Where a few have,
-// these hang or are slow by themselves, and the limit is for all of them together.
+// An attempt is counted only while most of the busy servers have overdue attempts. If only a few servers have
+// them, these servers hang or are slow themselves, and the limit covers all servers together.
 func (b *Balancer) detectOverdue() {
 	overdue := b.overdueAttempts()
-	if !b.isGeneral(overdue) {
+	if !b.affectsMostServers(overdue) {
 		return
 	}
 	var oldest *overdueAttempt
 	for i := range overdue {
 		o := &overdue[i]
-		if !o.overdue && (oldest == nil || o.isBefore(oldest)) {
+		if !o.signalledOverdue && (oldest == nil || o.isBefore(oldest)) {
 			oldest = o
 		}
 	}
 	if oldest != nil {
-		oldest.overdue = true
+		oldest.signalledOverdue = true
 		b.applySignal(true)
 	}
 }
 
-// isGeneral reports whether most of the servers with attempts in flight have one of these.
-func (b *Balancer) isGeneral(overdue []overdueAttempt) bool {
+// affectsMostServers reports whether most of the servers with attempts in flight have one of the overdue
+// attempts.
+func (b *Balancer) affectsMostServers(overdue []overdueAttempt) bool {
 	servers := map[*server]bool{}
 	for i := range overdue {
 		servers[overdue[i].server] = true
@@ -40,7 +42,8 @@
 	requestID uint64
 }
 
-// isBefore orders attempts by when their servers had them. Ties are broken so that a run can be repeated.
+// isBefore orders attempts by when their servers received them. Ties are broken by request ID, as the order
+// of a map must not decide: equal events must give equal actions.
 func (o *overdueAttempt) isBefore(other *overdueAttempt) bool {
 	if o.countedAt != other.countedAt {
 		return o.countedAt < other.countedAt
@@ -48,8 +51,8 @@
 	return o.requestID < other.requestID
 }
 
-// overdueAttempts returns the attempts in flight that would signal congestion if their responses came now.
-// Some may have signalled it already.
+// overdueAttempts returns the attempts in flight that would signal congestion if their responses came now,
+// including those that have been counted as a signal before.
 func (b *Balancer) overdueAttempts() []overdueAttempt {
 	var overdue []overdueAttempt
 	for id, r := range b.requests {
@@ -66,14 +69,14 @@
 	return overdue
 }
 
-// showsCongestion reports whether the time that the attempt takes can show congestion, and not its client
-// or a server that is slow by itself.
+// showsCongestion reports whether the attempt's time so far can show congestion. It cannot while the client
+// is still sending, or at a server that is itself stalled, warming up or slow.
 func (a *attempt) showsCongestion() bool {
 	s := a.server
 	return !a.bodyPending && !s.stalled && !s.warmingUp && s.relativeLatency < slowFactor
 }
 
-// busyServers returns how many servers have attempts in flight.
+// busyServers returns how many servers have attempts in flight and are not stalled.
 func (b *Balancer) busyServers() (count int) {
 	for _, s := range b.members {
 		if s.inFlight > 0 && !s.stalled {
--- a/internal/standalone/policy/overdue_test.go
+++ b/internal/standalone/policy/overdue_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// An attempt that is in flight for longer than a response without a queue takes signals congestion then, and once. One whose
-// response streams, whose client still sends, or whose server is hung, warming up or slow by itself, does not.
+// An attempt that is in flight for longer than a response without a queue takes signals congestion once, at
+// that time. An attempt gives no signal if its response streams, if its client still sends the body, or if
+// its server is hung, warming up or slow itself.
 func TestOverdueAttemptSignalsCongestionOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		change  func(*Balancer, *request)
@@ -46,12 +47,13 @@
 	}
 }
 
-// Attempts that are overdue at a few servers show that these hang or are slow; at most of them, a queue everywhere.
-func TestOverdueAttemptsSignalWhereTheyAreGeneral(t *testing.T) {
+// If only a few servers have overdue attempts, these servers hang or are slow; if most servers have them,
+// requests queue at all servers, which is congestion.
+func TestOverdueAttemptsSignalOnlyIfAtMostServers(t *testing.T) {
 	const servers = 5
 	for _, c := range []struct {
 		name    string
-		overdue int // servers with an overdue attempt; the others have got theirs just now
+		overdue int // servers with an overdue attempt; the others have an attempt that was just sent
 		signals int // attempts that signal congestion
 	}{
 		{"none", 0, 0},
@@ -63,7 +65,7 @@
 			b := newBalancer(t, testSettings(), testMembers(servers))
 			b.concurrencyLimit, b.medianAttemptTime = 100, 1e6
 			target := b.settings.Classes[0].LatencyTarget
-			for id := range uint64(servers) { // each server gets one
+			for id := range uint64(servers) { // each server gets one attempt
 				if int(id) == c.overdue {
 					b.now += target
 				}
@@ -74,12 +76,12 @@
 			if c.overdue == servers {
 				b.now += target
 			}
-			for range 2 * servers { // one signals at a time
+			for range 2 * servers { // each call counts one attempt
 				b.detectOverdue()
 			}
 			signalled := 0
 			for _, r := range b.requests {
-				if r.attempts[0].overdue {
+				if r.attempts[0].signalledOverdue {
 					signalled++
 				}
 			}
--- a/internal/standalone/policy/queue.go
+++ b/internal/standalone/policy/queue.go
@@ -4,16 +4,16 @@
 
 const (
 	// queueCheckPeriod is the time in microseconds between two checks of the queue for requests whose time in
-	// it is over.
+	// the queue has expired.
 	queueCheckPeriod = 10_000
-	// minQueueDivisor is the divisor of the latency target that gives the time that a request may be queued
-	// for however long its attempt will take.
+	// minQueueDivisor sets the minimum time that a request may be queued, however long its attempt will take:
+	// the latency target divided by it.
 	minQueueDivisor = 8
 )
 
-// enqueue queues r until a server can take it and the concurrency limit allows. It is rejected at once where
-// there is nothing to wait for, too many requests are open, or its time in the queue ends before the next
-// check.
+// enqueue queues r until a server can take it and the concurrency limit allows it. r is rejected or failed at
+// once if all servers are draining or gone, too many requests are open, or its time in the queue ends before
+// the next check.
 func (b *Balancer) enqueue(r *request) {
 	r.queuedUntil = b.queueDeadline(r)
 	if b.hasNoReadyServer() || b.hasTooManyRequests() || b.now+queueCheckPeriod > r.queuedUntil {
@@ -25,10 +25,10 @@
 	b.armQueueTimer()
 }
 
-// queueDeadline is how long r stays in the queue. Its response must still reach the client in time, and one
-// past the latency target has little value: so two attempt times before the target the wait is over. A
-// request that no server can have executed is rejected while the client has half of its time left for a retry
-// elsewhere.
+// queueDeadline returns until when r stays in the queue. Its response must still reach the client in time,
+// and a response past the latency target has little value, so r leaves the queue two attempt times before the
+// target. A request that no server can have executed is rejected while the client still has half of its time
+// left for a retry elsewhere.
 func (b *Balancer) queueDeadline(r *request) Time {
 	margin := queueCheckPeriod + 2*b.settings.BatchPeriod
 	target := r.class.LatencyTarget
@@ -40,14 +40,14 @@
 	return deadline
 }
 
-// hasNoReadyServer reports whether servers are known and all of them are draining or gone: there is nothing
-// to wait for.
+// hasNoReadyServer reports whether the membership has servers and all of them are draining or gone, so that
+// queueing is useless.
 func (b *Balancer) hasNoReadyServer() bool {
 	return len(b.members) > 0 && !slices.ContainsFunc(b.members, (*server).isReady)
 }
 
-// hasTooManyRequests reports whether more than half of the allowed requests are open. The other half is for
-// requests that can be sent at once.
+// hasTooManyRequests reports whether more than half of the allowed number of requests are open. The other
+// half is reserved for requests that can be sent at once.
 func (b *Balancer) hasTooManyRequests() bool {
 	limit := b.settings.Limits.MaxOpenRequests
 	return limit > 0 && 2*len(b.requests) > limit
@@ -61,7 +61,8 @@
 	}
 }
 
-// expireQueued rejects queued requests whose time in the queue is over and drops those that ended otherwise.
+// expireQueued rejects queued requests whose time in the queue has expired and removes those that have ended
+// otherwise.
 func (b *Balancer) expireQueued() {
 	kept := b.queue[:0]
 	for _, r := range b.queue {
@@ -98,8 +99,8 @@
 	}
 }
 
-// nextQueued returns the index of the open request with the highest priority; -1 if there is none. Of equals
-// it is the newest, which is the most likely to be answered in time.
+// nextQueued returns the index of the open request with the highest priority; -1 if there is none. Among
+// equals it is the newest, which is the most likely to be answered in time.
 func (b *Balancer) nextQueued() int {
 	best := -1
 	for i, r := range b.queue {
@@ -114,7 +115,7 @@
 //
 //	medianAttemptTime * (1 + queued/concurrencyLimit)
 //
-// times a random factor from 0.5 to 1.5, so that rejected clients do not come back together; at most
+// times a random factor from 0.5 to 1.5, so that rejected clients do not return at the same time; at most
 // MaxRetryAfter.
 func (b *Balancer) retryAfter() Time {
 	wait := max(b.medianAttemptTime, queueCheckPeriod) * (1 + float64(len(b.queue))/b.concurrencyLimit)
--- a/internal/standalone/policy/queue_test.go
+++ b/internal/standalone/policy/queue_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// A queued request is rejected in good time when no server comes.
+// A queued request is rejected before its deadline if no server becomes available.
 func TestQueuedRequestIsRejectedBeforeDeadline(t *testing.T) {
 	b := newBalancer(t, testSettings(), nil)
 	out := b.Handle(b.now, &Event{Kind: RequestArrived, ID: 1, ClientTimeout: 400_000}, nil)
@@ -18,8 +18,8 @@
 	t.Error("not rejected before the deadline")
 }
 
-// A request that can be sent nowhere is rejected while its client has half of its time left, also where the latency
-// target equals the client time-out.
+// A request that no server can take is rejected while its client has half of its time left, also if the
+// latency target equals the client time-out.
 func TestQueuedAtMostHalfOfClientTimeout(t *testing.T) {
 	settings := testSettings()
 	settings.Classes[0].LatencyTarget = settings.Classes[0].ClientTimeout
@@ -40,7 +40,7 @@
 	}
 }
 
-// Where every server is draining or gone, a request is rejected at once, with a Retry-After; before the first
+// If every server is draining or gone, a request is rejected at once, with a Retry-After; before the first
 // membership it is queued.
 func TestRejectsAtOnceWithoutReadyServers(t *testing.T) {
 	for _, c := range []struct {
@@ -66,8 +66,8 @@
 	}
 }
 
-// When there is no capacity for all, requests within a tenant's quota have priority over what another sends beyond its
-// own.
+// When there is no capacity for all requests, requests within a tenant's quota have priority over requests
+// beyond another tenant's quota.
 func TestRequestsOverQuotaHaveLowerPriority(t *testing.T) {
 	settings := testSettings()
 	settings.Tenants = []Tenant{{QuotaPerS: 20}, {QuotaPerS: 20}}
@@ -81,7 +81,7 @@
 		b.Handle(b.now, &Event{Kind: RequestArrived, ID: id, Tenant: tenant, ClientTimeout: 2e6}, nil)
 	}
 	for range 60 {
-		arrive(0) // three times its quota of a second
+		arrive(0) // three times its quota of one second
 	}
 	arrive(1)
 	last := b.queue[len(b.queue)-1]
@@ -90,7 +90,7 @@
 	}
 }
 
-// Rejected clients get a Retry-After: never over what they respect, longer the more is queued, and randomized.
+// The Retry-After of rejected clients is at most MaxRetryAfter, grows with the queue, and is randomized.
 func TestRetryAfterGrowsWithQueue(t *testing.T) {
 	settings := testSettings()
 	settings.Limits.MaxRetryAfter = 2_500_000
--- a/internal/standalone/policy/request.go
+++ b/internal/standalone/policy/request.go
@@ -1,6 +1,6 @@
 package policy
 
-// request is a request that has arrived. It is kept until it is answered and all its attempts have ended.
+// request is a request that has arrived. It is kept until it is done and all its attempts have ended.
 type request struct {
 	id              uint64
 	class           *Class
@@ -24,23 +24,23 @@
 
 // attempt is one send of a request to a server.
 type attempt struct {
-	server          *server
-	serverID        ServerID
-	zone            uint8
-	cell            uint16
-	inFlight        bool
-	mayHaveExecuted bool // true until an outcome proves the opposite, so also while it is in flight
-	bodyPending     bool // its client is still sending the body: it counts in no load or limit yet
-	overdue         bool // it has signalled congestion while in flight, see detectOverdue
-	sentAt          Time
-	countedAt       Time // when its server had all of it
-	cost            float64
-}
-
-// onRequestArrived accepts a request, which is sent, queued or rejected.
+	server           *server
+	serverID         ServerID
+	zone             uint8
+	cell             uint16
+	inFlight         bool
+	mayHaveExecuted  bool // true until an outcome proves otherwise, also while in flight
+	bodyPending      bool // its client is still sending the body: not counted as load or against the limit
+	signalledOverdue bool // it was counted as a congestion signal while in flight, see detectOverdue
+	sentAt           Time
+	countedAt        Time // when its server had received all of the request
+	cost             float64
+}
+
+// onRequestArrived handles a new request, which is sent, queued or rejected.
 func (b *Balancer) onRequestArrived(ev *Event) {
 	if b.requests[ev.ID] != nil || int(ev.Class) >= len(b.settings.Classes) {
-		return // a repeated ID or an unknown class: there is no sensible action
+		return // a repeated ID or an unknown class: a caller error, ignored
 	}
 	b.arrivals++
 	if b.isStarting() {
@@ -75,7 +75,7 @@
 // meanWorkSamples is the number of requests that meanWork averages over.
 const meanWorkSamples = 256
 
-// relativeCost returns work in mean requests, 1 where it is unknown.
+// relativeCost returns work in units of the mean work of a request; 1 if it is unknown.
 func (b *Balancer) relativeCost(work Time) float64 {
 	if work <= 0 {
 		return 1
@@ -88,8 +88,9 @@
 	return w / b.meanWork
 }
 
-// priorityOf returns the value of r per unit of work. What a tenant sends beyond its quota has a low value:
-// it must not displace what others send within theirs when there is no capacity for all.
+// priorityOf returns the value of r per unit of work. Requests beyond a tenant's quota have a low value: when
+// there is no capacity for all requests, they must not displace requests that other tenants send within their
+// quotas.
 func (b *Balancer) priorityOf(r *request, tenant uint32) float64 {
 	priority := r.class.Value
 	if !b.settings.ValuePerWork {
@@ -110,8 +111,8 @@
 	return true
 }
 
-// refillTenantTokens adds this balancer's part of each tenant's quota for elapsed seconds, up to one second's
-// worth.
+// refillTenantTokens adds this balancer's part of each tenant's quota for elapsed seconds, up to the quota of
+// one second.
 func (b *Balancer) refillTenantTokens(elapsed float64) {
 	for i, tenant := range b.settings.Tenants {
 		rate := tenant.QuotaPerS / float64(b.settings.GroupSize)
@@ -119,15 +120,15 @@
 	}
 }
 
-// onResponseStarted notes that the response streams to the client: from here no deadline applies and no other
-// attempt can answer.
+// onResponseStarted records that the response streams to the client: from now on no deadline applies and no
+// other attempt can answer the request.
 func (b *Balancer) onResponseStarted(ev *Event) {
 	if r := b.requests[ev.ID]; r != nil {
 		r.streaming = true
 	}
 }
 
-// onBodySent notes that a server has all of a request with BodyPending.
+// onBodySent records that a server has received all of a request with BodyPending.
 func (b *Balancer) onBodySent(ev *Event) {
 	r := b.requests[ev.ID]
 	if r == nil || int(ev.Attempt) >= len(r.attempts) || !r.attempts[ev.Attempt].bodyPending {
@@ -155,7 +156,7 @@
 	}
 	a.inFlight = false
 	if a.bodyPending {
-		b.countInFlight(a) // observeOutcome takes it out again
+		b.countInFlight(a) // observeOutcome subtracts it again
 	}
 	r.inFlight--
 	b.lastAttemptEnd = b.now
@@ -181,8 +182,8 @@
 	}
 }
 
-// rejectOrFail gives r its final response when no attempt in flight can: a rejection where the client may
-// safely retry, else a failure.
+// rejectOrFail sends the final response to r, unless r is done or an attempt in flight can still answer it: a
+// rejection if the client may safely retry, else a failure.
 func (b *Balancer) rejectOrFail(r *request) {
 	if r.done || r.inFlight > 0 {
 		return
@@ -208,7 +209,7 @@
 	b.recycle(r)
 }
 
-// recycle forgets r once nothing refers to it any more.
+// recycle deletes r once it is no longer in use, and keeps it for reuse.
 func (b *Balancer) recycle(r *request) {
 	if !r.done || r.inFlight > 0 || r.queued || b.requests[r.id] != r {
 		return
--- a/internal/standalone/policy/retry.go
+++ b/internal/standalone/policy/retry.go
@@ -3,20 +3,20 @@
 import "math"
 
 const (
-	// attemptLimit is the most attempts of a request that Limits.MaxAttempts can allow, and its default.
+	// attemptLimit is the upper bound on Limits.MaxAttempts, and its default.
 	attemptLimit = 8
-	// unusedWindowDivisor is the divisor of a dedup window that gives its last part, in which nothing is
-	// retried.
+	// unusedWindowDivisor sets the last part of a dedup window, in which nothing is retried: the window
+	// divided by it.
 	unusedWindowDivisor = 8
 )
 
-// The retry budget: attempts after one that may have executed add work, and when all servers are slow they
-// make them slower. So they are limited to a fraction of the arrivals. An attempt that was not executed cost
-// little and needs no token. (The system's proxy has another budget, by a sliding window over all proxies:
-// balancer.RetryBudget.)
+// The retry budget: a retry after an attempt that may have been executed adds work, and when all servers are
+// slow it makes them slower. So such retries are limited to a fraction of the arrivals. An attempt that was
+// not executed cost little, and a retry after it needs no token. (The system's proxy has another budget, by a
+// sliding window over all proxies: balancer.RetryBudget.)
 const (
 	retryRatio = 0.2  // tokens gained with each arrival
-	retryBurst = 10.0 // the most tokens
+	retryBurst = 10.0 // maximum number of tokens
 )
 
 // takeRetryToken takes a token for a retry after a, if one is needed; false means that the budget is used up.
@@ -42,8 +42,8 @@
 	return b.now < r.retryDeadline()
 }
 
-// mayAttemptOn reports whether r may have another attempt on s. A deduplicated request stays in the scope of
-// those servers that recognize its earlier attempts.
+// mayAttemptOn reports whether r may have another attempt on s. A deduplicated request may go only to servers
+// that recognize all of its earlier attempts that may have been executed.
 func (b *Balancer) mayAttemptOn(r *request, s *server) bool {
 	if !b.mayAttempt(r) || !s.isReady() {
 		return false
@@ -59,7 +59,7 @@
 	return true
 }
 
-// sharesDedupScope reports whether s recognizes an execution of a.
+// sharesDedupScope reports whether s recognizes that a was executed before.
 func (a *attempt) sharesDedupScope(s *server, scope DedupScope) bool {
 	switch scope {
 	case DedupPerZone:
@@ -70,10 +70,11 @@
 	return true
 }
 
-// retryDeadline is when another attempt must not be written any more: math.MaxInt64 for idempotent requests,
-// 0 once a non-idempotent one may have been executed. The scope of a deduplicated request forgets its key a
-// DedupWindow after the attempt was sent. A server may start the new attempt some time after that is sent, so
-// the last part of the window is not used.
+// retryDeadline returns the time from which another attempt must not be written: math.MaxInt64 for idempotent
+// requests, 0 once a non-idempotent request may have been executed. The servers of a DedupScope discard the
+// key of a deduplicated request a DedupWindow after the attempt was sent, and a later attempt would be
+// executed again. A server may start the new attempt some time after it is sent, so the last part of the
+// window is not used.
 func (r *request) retryDeadline() Time {
 	deadline := Time(math.MaxInt64)
 	for i := range r.attempts {
--- a/internal/standalone/policy/retry_test.go
+++ b/internal/standalone/policy/retry_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// earlierAttempt is what an earlier attempt of a request has come to.
+// earlierAttempt is the outcome of an earlier attempt of a request.
 type earlierAttempt struct {
 	name              string
 	outcome           Outcome
@@ -19,7 +19,7 @@
 	semantics Semantics
 	scope     DedupScope
 	age       Time // of the earlier attempt
-	hedging   bool // is allowed
+	hedging   bool // hedging is allowed
 }
 
 const testDedupWindow = 4_000_000
@@ -29,7 +29,7 @@
 		testDedupWindow, c.hedging)
 }
 
-// mayRetryOn reports whether another attempt is allowed on the server of an index into retryMembers.
+// mayRetryOn reports whether another attempt is allowed on the server with this index in retryMembers.
 func (c *retryCase) mayRetryOn(server int) bool {
 	switch {
 	case c.earlier.inFlight && !c.hedging:
@@ -50,15 +50,15 @@
 
 func retryMembers() []Member {
 	return []Member{
-		{Server: 1, Zone: 0, Cell: 0, Mode: ModeReady}, // the earlier attempt's
+		{Server: 1, Zone: 0, Cell: 0, Mode: ModeReady}, // server of the earlier attempt
 		{Server: 2, Zone: 0, Cell: 0, Mode: ModeReady}, // same zone and cell
 		{Server: 3, Zone: 0, Cell: 1, Mode: ModeReady}, // same zone
 		{Server: 4, Zone: 1, Cell: 2, Mode: ModeReady}, // elsewhere
 	}
 }
 
-// A request is executed again only where its class allows: every outcome of an earlier attempt, times class, scope, age
-// of the attempt and whether hedging is allowed.
+// A request is executed again only if its class allows it: all outcomes of an earlier attempt, combined with
+// semantics, scope, age of the attempt and whether hedging is allowed.
 func TestRetriesKeepExecutionSemantics(t *testing.T) {
 	const window = testDedupWindow
 	for _, earlier := range []earlierAttempt{
@@ -111,7 +111,8 @@
 	}
 }
 
-// checkFinalResponse checks the response to a request whose only attempt ends in the outcome past the deadline.
+// checkFinalResponse checks the response to a request whose only attempt ends with the outcome after the
+// deadline.
 func (c *retryCase) checkFinalResponse(t *testing.T, b *Balancer) {
 	t.Helper()
 	s := b.members[0]
@@ -123,11 +124,12 @@
 	actions := b.Handle(b.now, &ended, nil)
 	if len(actions) != 1 || (actions[0].Kind == RejectRequest) != c.mayReject() ||
 		actions[0].Kind != RejectRequest && actions[0].Kind != FailRequest {
-		t.Errorf("%s: past the deadline it was answered with %v", c, actions)
+		t.Errorf("%s: the response after the deadline is %v", c, actions)
 	}
 }
 
-// A request that has less time left than an attempt takes is sent to no server, on its arrival or as a retry.
+// A request that has less time left than an attempt takes is not sent to a server, neither on arrival nor as
+// a retry.
 func TestRequestsThatLackTimeAreNotSent(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(3))
 	b.medianAttemptTime = 100_000
--- a/internal/standalone/policy/schedule.go
+++ b/internal/standalone/policy/schedule.go
@@ -2,24 +2,27 @@
 
 import "math"
 
-// The choice of a server looks at the next few turns of the schedule, then further ahead for an idle
-// connection: among many servers a server's next turn comes only after its idle connections were closed.
+// pick examines the next few turns of the schedule, and then looks further ahead for an idle connection: with
+// many servers, a server's next turn comes only after its idle connections have been closed.
 const (
 	maxCandidates         = 16  // turns of servers that the request may use
 	maxIdleConnCandidates = 128 // further turns, for warm servers with an idle connection
 )
 
-// A server that executed a request of the same affinity key recently needs less than half of the work, so a
-// request goes elsewhere only if far more is in flight at its home servers. In units of loadScore:
+// A server that recently executed a request with the same affinity key needs less than half of the work, so a
+// request is sent elsewhere only if its home servers have far more in flight. The penalties of other servers,
+// in units of loadScore:
 const (
 	minAffinityPenalty     = 10.0
-	affinityPenaltyPerLoad = 1.0 // times the mean load score; half of the penalty for the second home
+	affinityPenaltyPerLoad = 1.0 // times the mean load score; the second home has half of the penalty
 )
 
 const (
-	// newConnPenalty is in units of loadScore: a new connection costs time, and servers accept only so many.
+	// newConnPenalty is in units of loadScore: a new connection costs time, and servers accept a limited
+	// number.
 	newConnPenalty = 1
-	// sameServerPenalty is that of a server that had an attempt of the request: only where there is no other.
+	// sameServerPenalty is the penalty of a server that already had an attempt of the request: it is picked
+	// only if there is no other.
 	sameServerPenalty = 1000
 )
 
@@ -32,8 +35,8 @@
 }
 
 // updateSchedule adds s to the schedule or removes it, by isSchedulable. A server that missed turns while it
-// was not in the schedule gets its next one at a random time within its own interval: made up for, they would
-// be a burst.
+// was not in the schedule gets its next turn at a random time within its own interval: if it made up for the
+// missed turns, it would get a burst.
 func (b *Balancer) updateSchedule(s *server) {
 	isSchedulable := b.isSchedulable(s)
 	switch {
@@ -47,9 +50,9 @@
 	}
 }
 
-// setWeight changes the weight of s. The time to its next turn is rescaled: with a deadline of the old
-// weight, a server whose weight rises again from almost nothing would wait for ages, and one whose weight
-// falls would come too soon.
+// setWeight changes the weight of s and rescales the time to its next turn. With the deadline of the old
+// weight, a server whose weight rises again from almost nothing would wait very long for its next turn, and a
+// server whose weight falls would get it too soon.
 func (b *Balancer) setWeight(s *server, weight float64) {
 	if weight == s.weight {
 		return
@@ -64,11 +67,11 @@
 	b.updateSchedule(s)
 }
 
-// pick returns the server for r, or nil if there is none: a home server of the affinity key, else the server
-// with the least load score among the next turns that r may use, of equals the earliest due. The server's
-// next turn comes 1/weight later (gRFC A58). Turns that are skipped keep their deadline, so that in the long
-// run the shares are those of the weights. Once a score is no more than the affinity penalty, no server but a
-// home can have a lower one.
+// pick returns the server for r, or nil if there is none: a home server of the affinity key, or else the
+// server with the lowest load score among the next turns that r may use; of equal scores, the earliest turn.
+// The server's next turn comes 1/weight later (gRFC A58). Skipped turns keep their deadline, so that the
+// long-run shares follow the weights. The search stops at a score of no more than the affinity penalty: no
+// server but a home can have a lower one.
 func (b *Balancer) pick(r *request) *server {
 	best, bestScore := b.pickHome(r)
 	skipped := b.skipped[:0]
@@ -96,9 +99,9 @@
 	return best
 }
 
-// pickIdleConn returns the warm server with an idle connection whose load score is the least and below
-// bestScore, or best if there is none. Servers that warm up get requests in their turns only: slow start
-// bounds what they are sent.
+// pickIdleConn returns the warm server with an idle connection that has the lowest load score below
+// bestScore, or best if there is none. Servers that warm up get requests only in their turns, since slow
+// start bounds what they are sent.
 func (b *Balancer) pickIdleConn(r *request, best *server, bestScore float64) *server {
 	for _, item := range b.schedule.Front(maxIdleConnCandidates) {
 		s := item.Value
@@ -133,12 +136,12 @@
 	return best, bestScore
 }
 
-// loadScore ranks s for r; the least is the best:
+// loadScore returns the score of s for r; the lowest score is the best:
 //
 //	2*inFlight*relativeWorkTime + newConnPenalty + affinity penalty + sameServerPenalty
 //
-// with each penalty where it applies. An idle server with an open connection has 0; an attempt in flight at a
-// mean server counts for two new connections.
+// with each penalty only where it applies. An idle server with an open connection has a score of 0; an
+// attempt in flight at a mean server counts as much as two new connections.
 func (b *Balancer) loadScore(r *request, s *server) float64 {
 	score := 2 * float64(s.inFlight) * s.relativeWorkTime
 	if s.inFlight >= s.openConns {
--- a/internal/standalone/policy/schedule_test.go
+++ b/internal/standalone/policy/schedule_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// pickServers picks n times and returns the servers.
+// pickServers calls pick n times and returns the IDs of the servers.
 func pickServers(b *Balancer, n int) (servers []uint32) {
 	for range n {
 		servers = append(servers, b.pick(unboundedRequest(b)).id)
@@ -45,7 +45,7 @@
 	last := map[uint32]int{}
 	for i, id := range pickServers(b, 1000) {
 		if at, ok := last[id]; ok && i-at != 10 {
-			t.Fatalf("server %d waited %d turns among ten equals", id, i-at)
+			t.Fatalf("server %d got its next turn after %d turns, want 10", id, i-at)
 		}
 		last[id] = i
 	}
@@ -58,7 +58,7 @@
 	}
 	pickServers(b, 95)
 	s := b.members[3]
-	b.setWeight(s, 1e-3) // falls to almost nothing, then returns at twice the others
+	b.setWeight(s, 1e-3) // falls to almost nothing, then rises to twice that of the others
 	pickServers(b, 200)
 	b.setWeight(s, 2)
 	run, longest, count := 0, 0, 0
@@ -94,12 +94,13 @@
 			count++
 		}
 	}
-	if count < 4 { // its own three or four, and the turn that was skipped
+	if count < 4 { // three or four regular turns, and the skipped turn
 		t.Errorf("the skipped server got %d of 20 turns", count)
 	}
 }
 
-// Two attempts in flight at a server with twice the capacity are no more of a queue than one elsewhere.
+// A server with four times the capacity gets a lower load score with 3 attempts in flight than the slower
+// server with 2.
 func TestLoadScoreIsRelativeToCapacity(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(2))
 	b.now += 60_000_000
@@ -116,8 +117,8 @@
 	}
 }
 
-// Beyond the first turns only a warm server's idle connection is worth a turn out of order: not a server without one,
-// nor a warming-up one.
+// After the first turns, only a warm server with an idle connection is picked out of order: not a server
+// without an idle connection, nor a server that is warming up.
 func TestLaterTurnsAreForIdleConnections(t *testing.T) {
 	for name, c := range map[string]struct {
 		openConns, inFlight int
@@ -129,7 +130,7 @@
 		"warming up":      {1, 0, true, false},
 	} {
 		b := newBalancer(t, testSettings(), testMembers(100))
-		for i, s := range b.members { // due in the order of their listing
+		for i, s := range b.members { // deadlines in the order of listing
 			s.Deadline = float64(i) / 100
 			b.schedule.Fix(&s.Item)
 			b.setWeight(s, 1)
@@ -166,8 +167,8 @@
 	}
 }
 
-// BenchmarkPick shows what a pick costs where no connection is idle, which is the worst case: all candidates are looked
-// at.
+// BenchmarkPick measures a pick if no connection is idle, which is the worst case: all candidates are
+// examined.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{12, 200, 10_000} {
 		b.Run(fmt.Sprintf("servers=%d", n), func(b *testing.B) {
--- a/internal/standalone/policy/server.go
+++ b/internal/standalone/policy/server.go
@@ -5,7 +5,8 @@
 	"pumiceline/internal/standalone/loadpolling"
 )
 
-// server is what this balancer knows about one server. It is scheduled while it may get turns.
+// server is the state that this balancer keeps about one server. The server is in the schedule while it may
+// get turns.
 type server struct {
 	edf.Item[server]
 
@@ -24,7 +25,7 @@
 	reportWeight                   float64 // sum of the reports' weights
 	lastReport                     parsedReport
 	lastReportAt                   Time
-	nonEmptySince                  Time // A58: since when reports are valid; 0: none yet, or they expired
+	nonEmptySince                  Time // A58: when valid reports began; 0: none yet, or they expired
 	polling                        loadpolling.Schedule
 
 	// Slow start.
@@ -34,14 +35,14 @@
 
 	// Weight.
 	weight           float64 // in use
-	relativeWorkTime float64 // time for a piece of work, relative to a mean server
+	relativeWorkTime float64 // time for the same work, relative to a mean server
 
 	// Attempts.
 	inFlight     int
 	uploading    int // attempts whose clients are still sending the body
-	openConns    int // connections that should be open: the caller keeps them, this is an estimate
+	openConns    int // estimated number of open connections; the caller keeps the connections
 	lastSentAt   Time
-	waitingSince Time // since when attempts are in flight with none ending
+	waitingSince Time // since then attempts are in flight and none has ended
 
 	// Outlier detection.
 	relativeLatency float64 // moving average of attempt times, relative to the median of all servers
@@ -49,12 +50,12 @@
 	timeouts        int     // attempts that timed out since the last response
 	connectFailures int     // attempts that could not connect since the last response
 	answeredAt      Time    // of the last response
-	stalled         bool    // attempts are in flight and none has ended for long, see examineServer
+	stalled         bool    // attempts are in flight and none has ended for a long time, see examineServer
 	ejected         bool    // out of the schedule until ejectedUntil
 	ejectedUntil    Time
-	ejectionTime    Time // duration of the latest ejection; it grows with each in a row
+	ejectionTime    Time // duration of the latest ejection; it grows with consecutive ejections
 	unreachable     bool // ejected because of failures to connect
-	onProbation     bool // back from ejection for a single attempt, whose outcome decides
+	onProbation     bool // may get one attempt after an ejection, whose outcome ends or renews the ejection
 }
 
 // isReady reports whether discovery lists s as ready.
--- a/internal/standalone/policy/settings.go
+++ b/internal/standalone/policy/settings.go
@@ -6,23 +6,24 @@
 	"math"
 )
 
-// Time is a moment or a duration in microseconds. Moments count from any fixed origin that the caller chooses.
+// Time is a moment or a duration in microseconds. Moments count from any fixed origin that the caller
+// chooses.
 type Time = int64
 
-// Semantics is what executing a request more than once may do.
+// Semantics says how often a request may be executed.
 type Semantics uint8
 
-// What the classes of a deployment have.
+// The semantics of request classes.
 const (
 	Idempotent    Semantics = iota // may be executed any number of times
-	Deduplicated                   // carries an idempotency key: servers of one DedupScope execute it once within a window
+	Deduplicated                   // has an idempotency key: executed once per DedupScope and DedupWindow
 	NonIdempotent                  // must never be executed twice
 )
 
 // DedupScope is the set of servers that recognize each other's executions of a Deduplicated request.
 type DedupScope uint8
 
-// The scopes, from the widest to the narrowest.
+// The scopes, from widest to narrowest.
 const (
 	DedupEverywhere DedupScope = iota // all servers
 	DedupPerZone                      // the servers of one zone
@@ -33,9 +34,9 @@
 type Class struct {
 	Semantics     Semantics
 	DedupScope    DedupScope // for Deduplicated
-	DedupWindow   Time       // for Deduplicated: how long the scope remembers a key
+	DedupWindow   Time       // for Deduplicated: how long the scope keeps a key
 	LatencyTarget Time       // a response within this time earns the full value
-	ClientTimeout Time       // the longest that a client waits
+	ClientTimeout Time       // the longest time that a client waits
 	Value         float64    // of one request, or of one unit of work where Settings.ValuePerWork is set
 }
 
@@ -50,7 +51,7 @@
 	ColumnEPS                             // errors per second
 )
 
-// parsedReport is what a load report says in the columns that are used.
+// parsedReport holds the values of a load report in the columns that are used.
 type parsedReport struct{ qps, utilization, eps float64 }
 
 // ReportDelivery is how load reports reach the balancer.
@@ -63,19 +64,20 @@
 	ReportsByPolling                         // servers answer load polls, see PollLoad
 )
 
-// Rules are the service rules of the deployment: what every balancer must keep, and what is guaranteed about servers.
+// Rules are the service rules of the deployment: requirements on every balancer, and guarantees about the
+// servers.
 type Rules struct {
-	ResponseGrace   Time    // a final response may come this long after the client's time-out
-	SubscribeWithin Time    // the longest time without a subscription until the next call to discovery; 0: 10 s
-	WarmupTime      Time    // from a server's start until it has its full capacity, at the latest
-	InitialCapacity float64 // fraction of its capacity that a server has from the start, at least
-	// A server that warms up becomes overloaded when it is sent more than OverloadFactor times its present capacity for
-	// OverloadTime. Factor 0: it never does.
+	ResponseGrace   Time    // a final response may come at most this long after the client's time-out
+	SubscribeWithin Time    // longest time without a subscription until the next call; 0: 10 s
+	WarmupTime      Time    // longest time from a server's start until it has its full capacity
+	InitialCapacity float64 // minimum fraction of its capacity that a server has from its start
+	// A server that warms up becomes overloaded when it is sent more than OverloadFactor times its present
+	// capacity for OverloadTime. Factor 0: it never becomes overloaded.
 	OverloadFactor float64
 	OverloadTime   Time
 }
 
-// Limits are what the deployment allows.
+// Limits are the limits and permissions of the deployment.
 type Limits struct {
 	MaxAttempts     int  // of one request, at most 8; 0: 8
 	MaxOpenRequests int  // requests open at once; 0: no limit
@@ -83,15 +85,16 @@
 	AllowLoadPolls  bool
 	AllowHedging    bool // an attempt may start while another one of the request is in flight
 	ConnIdleTimeout Time // servers close connections that are idle for this long
-	MaxRetryAfter   Time // the longest Retry-After that clients respect; 0: they are given none
+	MaxRetryAfter   Time // the longest Retry-After that clients respect; 0: rejections have no Retry-After
 }
 
-// Prices are what the deployment charges for choices of a balancer, as fractions of the value of all requests.
+// Prices are the costs that the deployment charges for decisions of a balancer, as fractions of the value of
+// all requests.
 type Prices struct {
-	CrossZone float64 // if all first attempts went to another zone
+	CrossZone float64 // cost if all first attempts went to another zone
 }
 
-// Tenant is a customer with a quota of the service.
+// Tenant is a customer of the service with a quota.
 type Tenant struct {
 	QuotaPerS float64 // requests per second within the quota, over all balancers
 }
@@ -103,15 +106,15 @@
 	ReportColumns      []ReportColumn // of a load report, in order
 	ReportDelivery     ReportDelivery
 	SubscribeDiscovery bool    // discovery sends the membership only to subscribers
-	SizesKnown         bool    // Member.Size compares the capacities of servers; else weights ignore it
+	SizesKnown         bool    // Member.Size is the relative capacity of servers; if false, weights ignore it
 	ValuePerWork       bool    // Class.Value is for one unit of work
-	KeyAffinity        bool    // a server that executed a request of the same AffinityKey recently needs less work for it
+	KeyAffinity        bool    // a server does less work for an AffinityKey that it recently had
 	OverQuotaValue     float64 // factor on the value of a tenant's requests beyond its quota
 	GroupSize          int     // balancers that share the servers, this one included; 0: 1
 	Ordinal            int     // of this balancer among them, from 0
 	Zone               int     // of this balancer
 	Zones              int     // number of zones
-	BatchPeriod        Time    // events closer together than this may be handed over together
+	BatchPeriod        Time    // events that are closer together than this may be delivered together
 	Rules              Rules
 	Limits             Limits
 	Prices             Prices
@@ -143,10 +146,10 @@
 
 const (
 	defaultSubscribeWithin = 10_000_000 // microseconds
-	noOverloadFactor       = 1e6        // no server becomes overloaded; maxWarmupLoad still bounds what one is sent
+	noOverloadFactor       = 1e6        // no overload; maxWarmupLoad still bounds what is sent
 )
 
-// applyDefaults replaces what is not set.
+// applyDefaults sets the defaults of settings that are not set.
 func (s *Settings) applyDefaults() {
 	s.GroupSize = max(1, s.GroupSize)
 	if s.Rules.SubscribeWithin == 0 {
@@ -160,7 +163,8 @@
 	}
 }
 
-// parseReport returns the used columns of a load report; ok is false if it is incomplete or has impossible values.
+// parseReport returns the used columns of a load report; ok is false if it is incomplete or has impossible
+// values.
 func (s *Settings) parseReport(values []float32) (report parsedReport, ok bool) {
 	if len(values) < len(s.ReportColumns) || len(values) == 0 {
 		return report, false
--- a/internal/standalone/policy/settings_test.go
+++ b/internal/standalone/policy/settings_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// New settings hold for requests that arrive from then on. An open request keeps its class and attempts, and what was
-// learned about servers stays.
+// New settings apply to requests that arrive afterwards. An open request keeps its class and number of
+// attempts, and the learned state of servers stays.
 func TestApplySettings_AffectsNewRequests(t *testing.T) {
 	idempotent := Class{Semantics: Idempotent, LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}
 	nonIdempotent := Class{Semantics: NonIdempotent, LatencyTarget: 1e6, ClientTimeout: 4e6, Value: 1}
@@ -60,7 +60,7 @@
 	arrive(2)
 	b.Handle(2, &Event{Kind: RequestArrived, ID: 3, Class: 1, Tenant: 1, Work: 1000, ClientTimeout: 4e6}, nil)
 	if len(b.servers) != 3 || b.servers[server.id] != server || server.failureRate != failureRate {
-		t.Error("what was learned about servers is lost")
+		t.Error("the learned state of servers is lost")
 	}
 	if !fail(1, 0) || !fail(1, 1) || fail(1, 2) {
 		t.Error("the open request did not get the attempts of its settings")
--- a/internal/standalone/policy/slowstart.go
+++ b/internal/standalone/policy/slowstart.go
@@ -9,27 +9,27 @@
 // Parameters of gRFC A100 (slow start). Window and floor are Rules.WarmupTime and Rules.InitialCapacity.
 const (
 	aggression      = 1.0 // A100's default: the weight rises linearly
-	slowStartMinAge = 1e6 // microseconds: a younger server counts as a second old
+	slowStartMinAge = 1e6 // microseconds: a younger server counts as one second old
 )
 
-// A100's factor is relative to the weights of the other servers: when most of them warm up, as after a
-// restart of all, it protects none. So a token budget bounds what this balancer sends each warming-up server
-// in absolute terms.
+// A100's factor is relative to the weights of the other servers: when most servers warm up, as after a
+// restart of all, it protects none of them. So a token budget bounds the requests that this balancer sends to
+// each warming-up server in absolute terms.
 const (
-	// burstMargin is how many times the square root of the number of requests in an overload time the budget
-	// leaves free. That many requests arrive more than the mean now and then, as balancers send at random
-	// times (the standard deviation of a Poisson distribution), and a few more can overload a warming-up
-	// server.
+	// burstMargin is the part of the overload bound that the budget leaves free, in multiples of the square
+	// root of the number of requests in an overload time. Balancers send at random times, so the number of
+	// requests exceeds its mean by that much now and then (the square root is the standard deviation of a
+	// Poisson distribution), and a few more requests can overload a warming-up server.
 	burstMargin = 3
 	// maxWarmupLoad bounds the budget in multiples of the guaranteed capacity. It is over 1, as most servers
-	// are warm before they must be; beyond it a server could not respond in time.
+	// are warm before they must be; with more than this a server could not respond in time.
 	maxWarmupLoad = 2.4
 	// freeRequestCost is the cost, in mean requests, up to which a request may overdraw the budget.
 	freeRequestCost = 2
 )
 
-// beginSlowStart starts the slow start of s. In a large group a balancer may send less than one request in
-// the whole window; a random first budget spreads the first requests of all balancers.
+// beginSlowStart starts the slow start of s. In a large group one balancer may send less than one request to
+// s in the whole window; a random initial budget spreads the first requests of all balancers.
 func (b *Balancer) beginSlowStart(s *server, readySince Time) {
 	s.readySince = readySince
 	s.warmingUp = b.now-readySince < b.settings.Rules.WarmupTime
@@ -54,7 +54,8 @@
 	s.slowStartTokens = min(burst, s.slowStartTokens+rate*elapsed)
 }
 
-// slowStartFactor is A100's factor on the weight of s, see wrr.SlowStart.Factor; 1 where it does not warm up.
+// slowStartFactor returns A100's factor on the weight of s, see wrr.SlowStart.Factor; 1 if s does not warm
+// up.
 func (b *Balancer) slowStartFactor(s *server) float64 {
 	if !s.warmingUp {
 		return 1
@@ -67,8 +68,8 @@
 	return slowStart.Factor(float64(b.now - s.readySince))
 }
 
-// guaranteedCapacity is the fraction of its capacity that s has at least: it grows linearly from the initial
-// capacity over the warm-up time.
+// guaranteedCapacity returns the minimum fraction of its capacity that s has: it grows linearly from the
+// initial capacity over the warm-up time.
 func (b *Balancer) guaranteedCapacity(s *server) float64 {
 	if !s.warmingUp {
 		return 1
@@ -78,8 +79,9 @@
 	return min(1, rules.InitialCapacity+(1-rules.InitialCapacity)*max(0, age))
 }
 
-// slowStartRate is this balancer's part of what a warming-up server may be sent, in mean requests per second.
-// The number n of requests that all balancers send within the overload time solves
+// slowStartRate returns this balancer's part of the rate at which a warming-up server may be sent requests,
+// in mean requests per second. The number n of requests that all balancers send within the overload time
+// solves
 //
 //	n + burstMargin*sqrt(n) = overload, with overload = OverloadFactor * capacity * OverloadTime
 //
@@ -92,16 +94,16 @@
 	return min(root*root/overloadTime, maxWarmupLoad*capacity) / float64(b.settings.GroupSize)
 }
 
-// chargeSlowStart takes the cost of an attempt from the budget of s, whatever its outcome will be.
+// chargeSlowStart subtracts the cost of an attempt from the budget of s, whatever its outcome will be.
 func (b *Balancer) chargeSlowStart(s *server, cost float64) {
 	if s.warmingUp {
 		s.slowStartTokens -= max(1, cost)
 	}
 }
 
-// exceedsSlowStartBudget reports whether a request with this cost may not be sent to s now. One that costs up
-// to freeRequestCost may overdraw the budget; then s gets no turn until the budget has recovered, see
-// isSchedulable.
+// exceedsSlowStartBudget reports whether a request with this cost may not be sent to s now. A request that
+// costs up to freeRequestCost may overdraw the budget; s then gets no turn until the budget has recovered,
+// see isSchedulable.
 func (b *Balancer) exceedsSlowStartBudget(s *server, cost float64) bool {
 	return s.warmingUp && cost > max(freeRequestCost, s.slowStartTokens)
 }
--- a/internal/standalone/policy/slowstart_test.go
+++ b/internal/standalone/policy/slowstart_test.go
@@ -28,8 +28,9 @@
 	assertNear(t, "scaled mean weight", s.weight, 8*0.25, 1e-9)
 }
 
-// The budgets of all balancers together stay below what overloads a warming-up server, by more than its own square root
-// while only a few requests overload it.
+// The budgets of all balancers together stay below the load that overloads a warming-up server, by at least
+// twice their square root: the number of requests varies randomly, and few requests suffice to overload the
+// server.
 func TestSlowStartBudgetStaysBelowOverload(t *testing.T) {
 	settings := testSettings()
 	settings.GroupSize = 25
@@ -52,8 +53,8 @@
 	}
 }
 
-// Most servers are warm long before they must be: held near their guaranteed capacity, a whole fleet that was restarted
-// could not serve the traffic.
+// Most servers are warm long before the warm-up time ends: if a whole fleet that was restarted were held near
+// its guaranteed capacity, it could not serve the traffic.
 func TestSlowStartBudgetExceedsGuaranteedCapacity(t *testing.T) {
 	settings := testSettings()
 	settings.Rules.OverloadFactor = 100
--- a/internal/standalone/policy/snapshot.go
+++ b/internal/standalone/policy/snapshot.go
@@ -7,9 +7,9 @@
 	"pumiceline/internal/standalone/latencybaseline"
 )
 
-// Snapshot is what a balancer has learned, for its successor. Times are on the clock of the calls of Handle, which both
-// must share. One process hands it to another, which may be of another version: the JSON keys are the stored form and
-// must not change with the fields' names.
+// Snapshot is the learned state of a balancer, for its successor. Its times are on the clock of the calls of
+// Handle, which both balancers must share. One process hands it to another, which may be of another version:
+// the JSON keys are the stored form and must not change when fields are renamed.
 type Snapshot struct {
 	At                Time               `json:"At"`
 	ArrivalRate       float64            `json:"ArrivalRate"`
@@ -33,7 +33,8 @@
 	MeanWeight   float64 `json:"Mean"`
 }
 
-// ServerSnapshot is what was learned about one server. The sums are those of its load reports, exponentially decaying.
+// ServerSnapshot is the learned state of one server. The sums are those of its load reports, exponentially
+// decaying.
 type ServerSnapshot struct {
 	Server          ServerID `json:"Server"`
 	StartedAt       Time     `json:"UpSince"`
@@ -50,12 +51,13 @@
 	FailureRate     float64  `json:"Faults"`
 }
 
-// limitFreezeTime is how long, in microseconds, LimitToUsage is not applied to a restored concurrency limit: this
-// balancer begins with no attempts in flight, and would bring the limit down while requests still move over to it.
+// limitFreezeTime is how long, in microseconds, LimitToUsage is not applied to a restored concurrency limit:
+// this balancer begins with no attempts in flight, and would lower the limit while requests are still moving
+// to it from its predecessor.
 const limitFreezeTime = 500_000
 
-// Bounds of plausible values in a snapshot. One beyond them is refused: a moving average that was restored as NaN, for
-// one, would be NaN for ever.
+// Bounds of plausible values in a snapshot. A snapshot with values beyond them is refused: a moving average
+// that is restored as NaN, for example, would stay NaN.
 const (
 	maxStoredValue   = 1e9
 	maxStoredLimit   = 1e6 // an unbounded limit is stored as this
@@ -65,7 +67,7 @@
 	maxClockAhead    = 60e6 // microseconds
 )
 
-// Snapshot returns what this balancer has learned so far.
+// Snapshot returns the learned state of this balancer.
 func (b *Balancer) Snapshot() *Snapshot {
 	snapshot := &Snapshot{At: b.now, ArrivalRate: b.arrivalRate, MeanWork: b.meanWork,
 		MedianAttemptTime: b.medianAttemptTime, ConcurrencyLimit: math.Min(b.concurrencyLimit, maxStoredLimit),
@@ -102,8 +104,9 @@
 		RelativeLatency: s.relativeLatency, FailureRate: s.failureRate}
 }
 
-// Restore takes over what another balancer has learned about the servers that both know in the same state. It reports
-// whether it did: a snapshot with any impossible value changes nothing.
+// Restore applies a snapshot of another balancer. The state of a server is applied only if both balancers
+// list the server with the same start time. Restore reports whether it applied the snapshot: one with any
+// impossible value changes nothing.
 func (b *Balancer) Restore(now Time, snapshot *Snapshot) bool {
 	if b.now = max(now, b.now); !snapshot.isValid(b.now) {
 		return false
@@ -141,7 +144,7 @@
 	s.relativeLatency, s.failureRate = stored.RelativeLatency, stored.FailureRate
 }
 
-// isValid reports whether every value is one that a balancer can have come to.
+// isValid reports whether every value is one that a balancer can have reached.
 func (s *Snapshot) isValid(now Time) bool {
 	if s.At > now || !areWithin(maxStoredValue, s.ArrivalRate, s.MeanWork, s.MedianAttemptTime, s.ConcurrencyLimit,
 		s.Overall.MeanWeight, s.Overall.MeanSize) || !areWithin(1, s.RemoteZoneShare) ||
@@ -177,16 +180,16 @@
 	return true
 }
 
-// TableSizes is what a balancer holds in memory.
+// TableSizes are the sizes of the tables that a balancer holds in memory.
 type TableSizes struct {
 	OpenRequests   int // not answered, or with attempts in flight
 	QueuedRequests int // of these, in the queue
-	FreeRequests   int // kept for reuse, as many as were ever open at once
+	FreeRequests   int // kept for reuse, at most as many as were ever open at once
 	Servers        int
 	InstanceTypes  int
 }
 
-// TableSizes returns what this balancer holds in memory.
+// TableSizes returns the sizes of the tables that this balancer holds in memory.
 func (b *Balancer) TableSizes() TableSizes {
 	return TableSizes{OpenRequests: len(b.requests), QueuedRequests: len(b.queue), FreeRequests: len(b.freeRequests),
 		Servers: len(b.servers), InstanceTypes: len(b.instanceTypes)}
--- a/internal/standalone/policy/snapshot_test.go
+++ b/internal/standalone/policy/snapshot_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// The predecessor serves a request every 10 ms from restoreStart on, the last of them until restoreEnd.
+// The predecessor serves one request every 10 ms from restoreStart on, the last of them until restoreEnd.
 const (
 	restoreStart    = Time(1e12)
 	restoreRequests = 400
 	restoreEnd      = restoreStart + restoreRequests*10_000 + 5000
 )
 
-// newRestoreBalancer returns a balancer that knows three servers at restoreStart, of which the third was started at
+// newRestoreBalancer returns a balancer with three servers at restoreStart, of which the third was started at
 // startedAt.
 func newRestoreBalancer(t *testing.T, startedAt Time) *Balancer {
 	t.Helper()
@@ -49,9 +49,9 @@
 	return b
 }
 
-// A balancer that restores a snapshot, which was written as JSON, has the weights, slow starts, budgets and limit of
-// its predecessor.
-func TestRestore_TakesOverWhatWasLearned(t *testing.T) {
+// A balancer that restores a snapshot, after a round trip through JSON, has the weights, slow starts, budgets
+// and limit of its predecessor.
+func TestRestore_AppliesLearnedState(t *testing.T) {
 	old := newPredecessor(t)
 	text, err := json.Marshal(old.Snapshot())
 	if err != nil {
@@ -76,14 +76,14 @@
 	}
 }
 
-func TestRestore_TakesNothingOfRestartedServer(t *testing.T) {
+func TestRestore_SkipsRestartedServer(t *testing.T) {
 	old := newPredecessor(t)
 	b := newRestoreBalancer(t, restoreStart+1)
 	if !b.Restore(restoreEnd, old.Snapshot()) {
 		t.Fatal("not restored")
 	}
 	if b.servers[3].readySince != restoreStart+1 || b.servers[3].reportWeight != 0 {
-		t.Error("restored what was learned about a previous process")
+		t.Error("restored the learned state of a previous process")
 	}
 }
 
@@ -106,7 +106,7 @@
 			t.Errorf("%s: restored", name)
 		}
 		if before.At = b.now; !reflect.DeepEqual(before, b.Snapshot()) {
-			t.Errorf("%s: something was changed", name)
+			t.Errorf("%s: the refused snapshot changed the state", name)
 		}
 	}
 }
--- a/internal/standalone/policy/startlimit.go
+++ b/internal/standalone/policy/startlimit.go
@@ -2,15 +2,16 @@
 
 import "math"
 
-// startPerServer is how many attempts all balancers together may have in flight at each server before any
-// of them has had a response. A server that takes tens of requests at a time is not slowed down by that.
-const startPerServer = 9.0
+// initialAttemptsPerServer is how many attempts all balancers together may have in flight at each server
+// before any of them has had a response. A server that processes tens of requests at a time is not slowed
+// down by that.
+const initialAttemptsPerServer = 9.0
 
-// limitStart gives a balancer that starts its part of what the servers may be sent before their latency is
-// known. From there the limit follows the responses.
-func (b *Balancer) limitStart() {
+// setInitialLimit sets the limit of a balancer that starts: its part of the attempts that the servers may be
+// sent before their latency is known. From then on the limit adapts to the responses.
+func (b *Balancer) setInitialLimit() {
 	if math.IsInf(b.concurrencyLimit, 1) && len(b.members) > 0 {
-		b.concurrencyLimit = max(1, startPerServer*float64(len(b.members))/float64(b.settings.GroupSize))
+		b.concurrencyLimit = max(1, initialAttemptsPerServer*float64(len(b.members))/float64(b.settings.GroupSize))
 		b.startedAt = b.now
 	}
 }
@@ -25,8 +26,9 @@
 	return true
 }
 
-// observeUnloadedLatency takes a response's time. When the first class comes to be known the start is
-// over, and the limit has room for what arrives while a request takes that time (Little's law).
+// observeUnloadedLatency adds a response's time to the estimate of its class. When the unloaded latency of
+// the first class becomes known, the start is over, and the limit is raised at least to the number of
+// requests that arrive during that latency (Little's law).
 func (b *Balancer) observeUnloadedLatency(class uint8, elapsed float64) {
 	estimator := &b.unloadedLatency[class]
 	_, wasKnown := estimator.Baseline()
--- a/internal/standalone/policy/startlimit_test.go
+++ b/internal/standalone/policy/startlimit_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// All balancers of a group together begin with so many attempts for each server, and each with one at least.
-func TestLimitStart(t *testing.T) {
+// The initial limits of all balancers of a group together are initialAttemptsPerServer for each server, but
+// each balancer has a limit of at least 1.
+func TestSetInitialLimit(t *testing.T) {
 	for _, c := range []struct {
 		servers, group int
 		want           float64
@@ -32,7 +33,9 @@
 	}
 }
 
-// Once a latency is known the limit has room for what arrives while a request takes so long, though it was small at the start.
+// Once the unloaded latency is known, the limit grows to the number of requests that arrive during that
+// latency, however small the initial limit was. When the latency of another class becomes known, the limit is
+// not raised again.
 func TestLimitGrowsToArrivalsOnceLatencyIsKnown(t *testing.T) {
 	settings := testSettings()
 	settings.GroupSize = 100
--- a/internal/standalone/policy/stored_test.go
+++ b/internal/standalone/policy/stored_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// snapshotSample is the content of testdata/learnt.json.
+// snapshotSample returns the content of testdata/learnt.json.
 func snapshotSample() Snapshot {
 	return Snapshot{
 		At: 1_700_000_000_000_000, ArrivalRate: 120.5, MeanWork: 2500.25, MedianAttemptTime: 52_000.5,
@@ -33,8 +33,8 @@
 	}
 }
 
-// A process hands what its balancer has learned to its successor, which may be of another version. The file is what an
-// earlier version stored: every field is read from the same key, and written under it.
+// A process hands the learned state of its balancer to its successor, which may be of another version. The
+// file was stored by an earlier version: every field must be read from the same key, and written under it.
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/learnt.json")
 	if err != nil {
@@ -56,7 +56,7 @@
 	}
 }
 
-// A balancer that restores what an earlier version stored has each of its values.
+// A balancer that restores the state stored by an earlier version has each of its values.
 func TestRestoresStateStoredByEarlierVersion(t *testing.T) {
 	stored := snapshotSample()
 	settings := Settings{Classes: []Class{{ClientTimeout: 4e6, Value: 1}, {ClientTimeout: 2e6, Value: 1}},
@@ -78,7 +78,7 @@
 		t.Fatal("not restored")
 	}
 	want := snapshotSample()
-	// The mean over all instance types has no type and no load.
+	// Restore applies neither the type nor the sums of load of the overall capacity.
 	want.Overall.InstanceType, want.Overall.QPS, want.Overall.Utilization = 0, 0, 0
 	if got := b.Snapshot(); !reflect.DeepEqual(*got, want) {
 		t.Errorf("restored %+v\nwant     %+v", *got, want)
--- a/internal/standalone/policy/subscription.go
+++ b/internal/standalone/policy/subscription.go
@@ -6,32 +6,33 @@
 // subscribers.
 type subscription struct {
 	pending       bool // a call is in flight
-	nextCallAt    Time // timers that fire before it belong to plans that were replaced
+	nextCallAt    Time // a timer that fires before it belongs to a plan that was replaced
 	active        bool // discovery has answered, and the subscription has not broken since
-	started       bool // discovery has answered once
-	changesMissed bool // the subscription timed out, so that changes may have been missed
+	started       bool // discovery has answered at least once
+	changesMissed bool // the latest failure was a time-out, so changes may have been missed
 	failures      int  // calls that failed in a row
 }
 
-// Calls to discovery are delayed at random so that they do not come together after a start or a failure
-// common to all balancers. The spread of the delay is
+// Calls to discovery are delayed at random so that they do not come at the same time after a start or a
+// failure common to all balancers. The spread of the delay is
 //
 //	SubscribeWithin/firstCallDivisor * groupFactor * 2^failures, at most maxCallSpread*SubscribeWithin
 //
-// with groupFactor = GroupSize/baseGroupSize from 1 to maxGroupSpread. At the start it is the spread after
-// one failure. A subscription that broke counts as none: it may have broken in place of sending a change,
-// which then counts as known about 2 s after it was made, whether or not this balancer has called by then.
+// with groupFactor = GroupSize/baseGroupSize from 1 to maxGroupSpread. At the start the spread is that after
+// one failure. A broken subscription does not count as a failure and so gets the shortest spread: it may have
+// broken when a change was to be sent, and this balancer counts as knowing a change about 2 s after it was
+// made, whether or not it has called discovery by then.
 const (
 	firstCallDivisor      = 8
 	baseGroupSize         = 100
 	maxGroupSpread        = 2
-	maxCallSpread         = 2           // after failures the rules allow four times SubscribeWithin
-	maxSpreadAfterTimeout = 2_000_000.0 // microseconds: the most spread where changes may have been missed
+	maxCallSpread         = 2           // after failures the service rules allow four times SubscribeWithin
+	maxSpreadAfterTimeout = 2_000_000.0 // microseconds: maximum spread if changes may have been missed
 )
 
-// scheduleSubscribe plans a call to discovery at a random time within a spread, which doubles with each
-// further failure and grows with the group, as discovery's capacity does not. There is one plan at a time: if
-// a failed call left two behind, an outage would multiply the calls.
+// scheduleSubscribe plans a call to discovery at a random time within a spread. The spread doubles with each
+// further failure, and grows with the group, as discovery's capacity does not. Only one plan exists at a
+// time: if a failed call left two plans, an outage would multiply the calls.
 func (b *Balancer) scheduleSubscribe() {
 	if !b.settings.SubscribeDiscovery {
 		return
@@ -56,7 +57,8 @@
 	b.setTimer(timerSubscribe, wait)
 }
 
-// subscribe calls discovery if the planned time has come, and plans another call in case it is not answered.
+// subscribe calls discovery if the planned time has come, and plans another call in case this one is not
+// answered.
 func (b *Balancer) subscribe() {
 	if b.discovery.active || b.now < b.discovery.nextCallAt || !b.settings.SubscribeDiscovery {
 		return
@@ -66,7 +68,7 @@
 	b.subscribeAfter(b.jitter(b.settings.Rules.SubscribeWithin * 2 / 3))
 }
 
-// onSubscribed notes that discovery has answered.
+// onSubscribed records that discovery has answered a call.
 func (b *Balancer) onSubscribed() {
 	if b.discovery.pending {
 		b.discovery.pending, b.discovery.active, b.discovery.failures = false, true, 0
@@ -74,8 +76,9 @@
 	}
 }
 
-// onDiscoveryFailed plans the next call after one that failed, or after a subscription broke. The failure of
-// an earlier call leaves the plan alone: failures could put the next call off for ever.
+// onDiscoveryFailed plans the next call after a call failed or a subscription broke. The failure of an
+// earlier call does not change the plan: otherwise repeated failures could postpone the next call
+// indefinitely.
 func (b *Balancer) onDiscoveryFailed(ev *Event) {
 	if !b.discovery.pending && !b.discovery.active {
 		return
--- a/internal/standalone/policy/subscription_test.go
+++ b/internal/standalone/policy/subscription_test.go
@@ -5,27 +5,27 @@
 	"testing"
 )
 
-// discoveryRun is a group of balancers with a discovery that answers calls one after the other, callsPerS a second, and
-// fails those that would wait for over a second.
+// discoveryRun is a group of balancers with a discovery service that answers calls one after the other,
+// callsPerS per second, and fails calls that would wait for over a second.
 type discoveryRun struct {
 	balancers []*Balancer
 	callsPerS Time
-	busyUntil Time // discovery is
+	busyUntil Time // discovery answers earlier calls until then
 	pending   []dueEvent
 
 	callsBySecond      map[Time]int
-	failed, subscribed int  // calls that failed, balancers that are subscribed
-	lastSubscribedAt   Time // when the last one was
+	failed, subscribed int  // number of failed calls and of subscribed balancers
+	lastSubscribedAt   Time // when the last balancer was subscribed
 }
 
-// dueEvent is an event that is to happen to a balancer.
+// dueEvent is an event that will be delivered to a balancer at a time.
 type dueEvent struct {
 	at       Time
 	balancer int
 	event    Event
 }
 
-// newDiscoveryRun starts some balancers of a group at the same time.
+// newDiscoveryRun starts some of the balancers of a group at the same time.
 func newDiscoveryRun(t *testing.T, group, starting int, callsPerS Time) *discoveryRun {
 	t.Helper()
 	settings := testSettings()
@@ -42,7 +42,7 @@
 	return run
 }
 
-// handle hands a balancer an event and carries out the actions that concern discovery.
+// handle passes an event to a balancer and executes the actions that concern discovery.
 func (r *discoveryRun) handle(balancer int, now Time, event Event) {
 	for _, a := range r.balancers[balancer].Handle(now, &event, nil) {
 		switch {
@@ -65,7 +65,7 @@
 	r.pending = append(r.pending, dueEvent{r.busyUntil, balancer, Event{Kind: MembershipFull}})
 }
 
-// runUntilSubscribed lets the pending events happen until all balancers are subscribed or nothing is pending.
+// runUntilSubscribed delivers the pending events until all balancers are subscribed or no event is pending.
 func (r *discoveryRun) runUntilSubscribed() {
 	for len(r.pending) > 0 && r.subscribed < len(r.balancers) {
 		slices.SortFunc(r.pending, func(a, b dueEvent) int { return int(a.at - b.at) })
@@ -82,7 +82,7 @@
 	}
 }
 
-// peak is the most calls of a second.
+// peak returns the maximum number of calls in one second.
 func (r *discoveryRun) peak() (peak int) {
 	for _, n := range r.callsBySecond {
 		peak = max(peak, n)
@@ -90,8 +90,8 @@
 	return peak
 }
 
-// Most balancers of a group start together. They alone must not overload discovery, and every one is subscribed as soon
-// as the rule demands.
+// Most balancers of a group start at the same time. Their calls alone must not overload discovery, and every
+// balancer must be subscribed within the time that the rule demands.
 func TestSimultaneousStartsSpreadDiscoveryCalls(t *testing.T) {
 	for name, c := range map[string]struct {
 		group, starting    int // balancers
@@ -113,7 +113,7 @@
 	}
 }
 
-// The first calls of balancers that start together are spread over time, and none comes too late.
+// The first calls of balancers that start at the same time are spread, and no call comes too late.
 func TestFirstDiscoveryCallsAreSpread(t *testing.T) {
 	settings := testSettings()
 	settings.SubscribeDiscovery = true
@@ -139,8 +139,8 @@
 	}
 }
 
-// While discovery is down each balancer's calls become rarer. A failed call that left two plans behind would double
-// them.
+// While discovery is down, each balancer calls it less and less often. If a failed call left two plans for
+// the next call, the calls would double each time.
 func TestDiscoveryCallsBackOffOnFailure(t *testing.T) {
 	for _, within := range []Time{8_000_000, 0} {
 		settings := testSettings()
@@ -183,7 +183,8 @@
 	}
 }
 
-// A subscription may break in place of sending a change, so the next call must not wait as long as one after a failed call.
+// A subscription may break when a change was to be sent, so the next call must not wait as long as after a
+// failed call.
 func TestBrokenSubscriptionIsRenewedSoon(t *testing.T) {
 	for _, c := range []struct {
 		group  int
--- a/internal/standalone/policy/weights.go
+++ b/internal/standalone/policy/weights.go
@@ -4,18 +4,18 @@
 
 // Parameters of gRFC A58 (weighted round robin by load reports); times in microseconds.
 //
-// The system's proxy has weights of its own (internal/dataplane/balancer, weight.go): its backends send no
-// reports, so it takes rate and utilization from its own attempts, with other parameters. Shared are the
-// formulas that are the same to the bit, in package wrr.
+// The system's proxy computes its weights in internal/dataplane/balancer (weight.go): its backends send no
+// reports, so it derives rate and utilization from its own attempts, with other parameters. Formulas that are
+// the same to the bit are shared, in package wrr.
 const (
-	errorUtilizationPenalty = 10.0        // A58's default is 1; here an error costs all of the work
-	blackoutPeriod          = 2_000_000   // A58's default is 10 s; mixing in the mean steadies first reports
+	errorUtilizationPenalty = 10.0        // A58's default is 1; here an error wastes all of the work
+	blackoutPeriod          = 2_000_000   // A58's default is 10 s; mixing in the mean smooths early reports
 	weightExpiration        = 180_000_000 // A58's default
 )
 
 const (
-	reportTimeConstant = 3e6  // of the decaying sums of reports, in microseconds: single reports are noisy
-	meanReportWeight   = 0.3  // the mean weight is mixed in as a report of a server with this utilization
+	reportTimeConstant = 3e6  // of the decaying sums of reports, in microseconds: one report is noisy
+	meanReportWeight   = 0.3  // the mean weight is mixed in like a report with this utilization
 	minWeight          = 1e-6 // of a server in the schedule, whose turns are 1/weight apart
 	minMeanEvidence    = 0.5  // summed utilization above which an instance type has a mean weight of its own
 )
@@ -26,7 +26,7 @@
 	maxRelativeWorkTime = 4
 )
 
-// capacityStats are the mean capacity of the servers of one instance type, or of all.
+// capacityStats describe the mean capacity of the servers of one instance type, or of all servers.
 type capacityStats struct {
 	instanceType     uint16
 	qps, utilization float64 // sums over the servers
@@ -34,8 +34,8 @@
 	meanWeight       float64 // requests per second at full utilization; 0: unknown
 }
 
-// addReport processes a load report. A report with impossible values is ignored, and one without requests or
-// load says nothing about capacity (A58): such a server keeps the mean weight.
+// addReport processes a load report. A report with impossible values is ignored. So is a report without
+// requests or load, which says nothing about capacity (A58): such a server keeps the mean weight.
 func (b *Balancer) addReport(s *server, values []float32) {
 	report, ok := b.settings.parseReport(values)
 	if !ok || report.qps <= 0 || report.utilization <= 0 {
@@ -47,7 +47,7 @@
 	elapsed := b.now - s.lastReportAt
 	s.lastReportAt = b.now
 	if report == s.lastReport {
-		return // the server has not renewed its figures yet: counted again, a sample would weigh double
+		return // the server has not updated its figures: the same sample must not count twice
 	}
 	s.lastReport = report
 	decay := wrr.Decay(float64(elapsed), reportTimeConstant)
@@ -57,17 +57,17 @@
 	s.reportWeight = s.reportWeight*decay + 1
 }
 
-// discardReports forgets all reports of s, which restarts the blackout period.
+// discardReports discards all reports of s, which restarts the blackout period.
 func (s *server) discardReports() {
 	s.qpsSum, s.utilizationSum, s.epsSum, s.reportWeight, s.nonEmptySince = 0, 0, 0, 0, 0
 }
 
-// weightPeriods has its times in microseconds.
+// weightPeriods are the periods of package wrr, in microseconds.
 var weightPeriods = wrr.Periods{Expiration: weightExpiration, Blackout: blackoutPeriod}
 
-// baseWeight is the A58 weight of s in requests per second at full utilization, or the mean weight in the
-// blackout period and after expiration. A single report is a noisy sample of a short time, so the weight is
-// that of the decaying sums, with a little of the mean mixed in, m being meanReportWeight:
+// baseWeight returns the A58 weight of s in requests per second at full utilization, or the mean weight in
+// the blackout period and after expiration. A single report is a noisy sample of a short time, so the weight
+// is computed from the decaying sums, with a little of the mean mixed in; m is meanReportWeight:
 //
 //	(qps + m*mean) / (utilization + m + eps/qps*errorUtilizationPenalty)
 func (b *Balancer) baseWeight(s *server) float64 {
@@ -88,8 +88,8 @@
 		qps+meanReportWeight*mean, utilization+meanReportWeight, errorShare, errorUtilizationPenalty)
 }
 
-// expectedWeight is the mean weight of servers like s: of its instance type if that is known, else of all
-// servers, scaled by listed size.
+// expectedWeight returns the mean weight of servers like s: that of its instance type if it is known, else
+// that of all servers, scaled by listed size.
 func (b *Balancer) expectedWeight(s *server) float64 {
 	if ofType := &b.instanceTypes[s.instanceType]; ofType.meanWeight > 0 {
 		return ofType.meanWeight
@@ -101,7 +101,8 @@
 		}
 		return b.overall.meanWeight
 	}
-	// Nothing was reported yet. Sizes still compare servers; the mean is what each would get of the traffic.
+	// Nothing has been reported yet. Listed sizes still give relative capacities; the mean is each server's
+	// fair share of the traffic.
 	weight := b.fairShare()
 	if hasSizes {
 		weight *= s.size / b.overall.meanSize
@@ -109,17 +110,17 @@
 	return weight
 }
 
-// fairShare is a server's part of all traffic in requests per second, if all balancers have as much as this
-// one.
+// fairShare returns a server's part of all traffic in requests per second, assuming that every balancer has
+// as much traffic as this one.
 func (b *Balancer) fairShare() float64 {
 	return max(1, b.arrivalRate*float64(b.settings.GroupSize)) / float64(max(1, len(b.members)))
 }
 
-// refreshWeight brings the weight and relative work time of s up to date.
+// refreshWeight updates the weight and relative work time of s.
 func (b *Balancer) refreshWeight(s *server) {
 	capacity := b.baseWeight(s) * s.healthFactor()
 	if mean := b.overall.meanWeight; capacity > 0 {
-		if mean == 0 { // without reports, sizes alone compare servers
+		if mean == 0 { // without reports, only listed sizes differ
 			mean = b.fairShare()
 		}
 		s.relativeWorkTime = max(minRelativeWorkTime, min(mean/capacity, maxRelativeWorkTime))
@@ -130,7 +131,7 @@
 
 // updateMeans computes the mean weight of each instance type and of all servers: the ratio of summed rates to
 // summed utilization, which unlike a mean of ratios is not distorted by the noise of idle servers. Servers
-// that warm up or have not reported are left out; the last means stay when nothing else is known.
+// that warm up or have not reported are left out. Without new data the last means are kept.
 func (b *Balancer) updateMeans() {
 	var all capacityStats
 	listed, totalSize := 0.0, 0.0
--- a/internal/standalone/policy/weights_test.go
+++ b/internal/standalone/policy/weights_test.go
@@ -14,7 +14,7 @@
 	b.addReport(s, loadReport(20, 0.5, 1))
 	assertNear(t, "weight in blackout", b.baseWeight(s), 7, 0)
 	b.now += blackoutPeriod
-	// One report, with the mean mixed in as a report of a server with utilization meanReportWeight.
+	// A single report, with the mean mixed in like a report with a utilization of meanReportWeight.
 	want := (20 + meanReportWeight*7) / (0.5 + meanReportWeight + 1.0/20*errorUtilizationPenalty)
 	assertNear(t, "weight after blackout", b.baseWeight(s), want, 1e-9)
 
@@ -42,7 +42,8 @@
 	}
 }
 
-// A server that fails fast looks efficient: low utilization for many requests. The penalty must outweigh that.
+// A server that fails fast looks efficient, with a low utilization for many requests. The error penalty must
+// outweigh that.
 func TestErrorsOutweighLowUtilization(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(2))
 	failing, healthy := b.members[0], b.members[1]
