--- a/internal/standalone/admission/controller.go
+++ b/internal/standalone/admission/controller.go
@@ -1,23 +1,25 @@
-// Package admission decides which requests may be forwarded now, which are queued, and which are rejected: fair
-// queueing over tenants by their shares, within a tenant over classes by their value, and within those over clients,
-// under a limit on the work in flight that adapts to the measured latency.
+// Package admission decides which requests may be forwarded now, which are queued, and which are rejected. It applies
+// fair queueing over tenants by their shares, within a tenant over classes by their value, and within a class over
+// clients, under a limit on the work in flight that adapts to the measured latency.
 //
-// A Controller is a state machine like policy.Balancer: it has no clock, no goroutine and no I/O. The caller's now,
-// in microseconds and never going back, is the only time that it knows. Which backend gets a request, whether it is
-// retried, and rejections for lack of backends are decided by the policy. The Controller bounds the work in flight, so
+// A Controller is a state machine like policy.Balancer: it has no clock, no goroutine and no I/O. The only time that it
+// uses is the caller's now, in microseconds, which must not go back. The policy decides which backend gets a
+// request, whether it is retried, and when to reject for lack of backends. The Controller bounds the work in flight, so
 // that requests queue here and not at the backends: here their order is fair, and a rejection is harmless, as nothing
 // has been sent.
 //
 // A tenant's requests are queued in lanes: one for each class, one for requests that return at their Retry-After, and
-// one for each class past the tenant's quota. A lane has a fixed number of queues, and a client's requests are all in
-// one of them, by a hash. So fairQueue orders three levels: tenants, the lanes of a tenant, and the queues of a lane.
+// one for each class beyond the tenant's quota. A lane has a fixed number of queues; a hash assigns all requests of a
+// client to one of them. So fairQueue is used on three levels: tenants, the lanes of a tenant, and the queues of a
+// lane.
 //
 // Memory is bounded by the settings alone: there is an entry for each request that is queued or in flight, clients have
 // no state of their own, and reservations for rejected requests are kept as sums.
 //
 // controller.go has the Controller and the events of a request, settings.go the settings and reload.go their change,
 // entry.go the table of requests, queue.go the queues and fairqueue.go their order, limit.go the concurrency limit,
-// retryafter.go the reservations for rejected requests, evict.go the choice when the queue is full.
+// retryafter.go the reservations for rejected requests, and evict.go the choice of the request to reject when the queue
+// is full.
 package admission
 
 import (
@@ -27,14 +29,14 @@
 	"pumiceline/internal/splitmix"
 )
 
-// Request is a request that has arrived. Tenant and Class are indexes in the settings.
+// Request is a request that has arrived. Tenant and Class are indexes into the settings.
 type Request struct {
 	Tenant   int
 	Class    int
-	Client   uint64 // a hash that identifies the client, such as of its address
-	Work     Time   // the client's hint, in microseconds on a standard core; 0: none, Class.Work counts
+	Client   uint64 // a hash that identifies the client, for example of its address
+	Work     Time   // the client's hint, in microseconds on a standard core; 0: none, Class.Work is used
 	Deadline Time   // when the client's time-out ends
-	IsRetry  bool   // the client says that it has sent the request before
+	IsRetry  bool   // the client has marked the request as a retry
 }
 
 // Kind is the kind of a Decision.
@@ -46,60 +48,61 @@
 	Reject                 // answer it at once with a rejection
 )
 
-// Reason is why a request is rejected. Clients see its String, and it is a part of log keys.
+// Reason is why a request is rejected. Its String is sent to clients and is part of log keys.
 type Reason uint8
 
-// Why a request is rejected.
+// The reasons of rejections.
 const (
-	QueueFull            Reason = iota // the queue is full, and its tenant has its share of it
-	TooLate                            // it could not be served within its client's time
-	RetryBudgetExhausted               // its tenant's clients send more retries than they may
+	QueueFull            Reason = iota // the queue is full, see evictionVictim, or its tenant has been removed
+	TooLate                            // it could not be served within its client's time or its latency target
+	RetryBudgetExhausted               // its tenant's clients send more retries than the budget allows
 	reasonCount
 )
 
-// String returns the reason as clients see it.
+// String returns the reason in the form that is sent to clients.
 func (r Reason) String() string { return [reasonCount]string{"no room", "too late", "repeats"}[r] }
 
-// Decision is a decision about a request that was queued, or has just arrived.
+// Decision is the decision on a request that was queued or has just arrived.
 type Decision struct {
 	Ticket     Ticket
 	Kind       Kind
 	Reason     Reason // of a rejection
-	RetryAfter Time   // of a rejection: after what time there should be capacity; 0: unknown
+	RetryAfter Time   // of a rejection: the time until there should be capacity; 0: unknown
 }
 
-// TenantStats counts what a tenant got.
+// TenantStats are the statistics of one tenant.
 type TenantStats struct {
 	Arrived, Admitted, Finished uint64
 	Rejected                    [reasonCount]uint64
 	AdmittedWork                float64 // in microseconds on a standard core
-	Queued                      int     // now
+	Queued                      int     // requests queued now
 	Reserved                    uint64  // rejections with a RetryAfter
 	Returned                    uint64  // retries that came at their RetryAfter
-	ReturnsAdmitted             uint64  // and were admitted
+	ReturnsAdmitted             uint64  // returned retries that were admitted
 }
 
-// State is what a Controller limits.
+// State is the current limit of a Controller and its use.
 type State struct {
 	Limit    float64 // on the work in flight, in requests of mean work
 	InFlight int     // requests that are admitted and not finished
-	Queued   int     // requests that wait
+	Queued   int     // requests that are queued
 }
 
 const (
-	// rateInterval is how often the rates of admission are updated, in microseconds.
+	// rateInterval is the interval at which the admission rates are updated, in microseconds.
 	rateInterval = 100_000
-	// rateTimeConstant is the time constant of their exponential smoothing, in microseconds.
+	// rateTimeConstant is the time constant of the exponential smoothing of these rates, in microseconds.
 	rateTimeConstant = 1e6
-	// meanWorkSamples is the number of requests over which the moving average of work is taken.
+	// meanWorkSamples is the number of requests that the moving average of work covers.
 	meanWorkSamples = 1024
-	// maxWorkRatio bounds the ratio of a request's work to the mean, and its inverse: a client must neither gain capacity
-	// by a hint that is too low nor wait for ever for one that is too high.
+	// maxWorkRatio bounds the ratio of a request's work to the mean, and its inverse: a client must neither gain
+	// capacity by a hint that is too low nor wait indefinitely because of a hint that is too high.
 	maxWorkRatio = 16
-	// minWaitDivisor: a request may be queued for its class's latency target divided by this even where the expected
-	// latency leaves less.
+	// minWaitDivisor sets the minimum time that a request may be queued, even if the expected latency leaves less: its
+	// class's latency target divided by this.
 	minWaitDivisor = 8
-	// maxElapsedSlots bounds the reservation slots that pass in one update, far over the number that there can be.
+	// maxElapsedSlots bounds the number of reservation slots that pass in one update. It is far above the number of
+	// slots that can exist.
 	maxElapsedSlots = 1 << 20
 )
 
@@ -118,13 +121,13 @@
 	inFlight     int
 	inFlightWork float64
 
-	meanWork          float64 // moving average of a request's work
-	admitRate         float64 // admitted work a microsecond, smoothed
-	admittedSinceTick float64 // work
-	lastTick          Time    // of the rates; a multiple of reservationSlot after the first event
+	meanWork          float64 // moving average of the work of a request
+	admitRate         float64 // admitted work per microsecond, smoothed
+	admittedSinceTick float64 // work admitted since lastTick
+	lastTick          Time    // last update of the rates; a multiple of reservationSlot after the first event
 
 	salt          uint64 // of the hash that assigns clients to queues
-	saltRotatedAt Time   // 0: no event yet
+	saltRotatedAt Time   // time of the latest change of salt; 0: no event yet
 }
 
 // tenant is one tenant's state. Work is in microseconds on a standard core.
@@ -134,13 +137,13 @@
 	queues            [][]entryList // by lane and bucket: the queued entries
 	queued            int
 	queuedWork        float64
-	admitRate         float64 // admitted work a microsecond, smoothed
-	admittedSinceTick float64 // work
+	admitRate         float64 // admitted work per microsecond, smoothed
+	admittedSinceTick float64 // work admitted since Controller.lastTick
 
 	retryTokens     float64 // retries that its clients may send now, up to Settings.RetryBurst
-	quotaTokens     float64 // requests within its quota now
+	quotaTokens     float64 // requests that it may send now within its quota
 	quotaRefilledAt Time
-	reservedWork    []float64 // work reserved for rejected requests, by reservation slot; the first slot is the present one
+	reservedWork    []float64 // work reserved for rejected requests, by slot; the first slot is the present one
 	stats           TenantStats
 }
 
@@ -154,8 +157,9 @@
 	return c, nil
 }
 
-// Submit reports a request: it is admitted, queued or rejected, and others may be rejected to make room for it. The
-// actions that follow are appended to out; the request's own, if it has one already, has the ticket that is returned.
+// Submit reports a new request, which is admitted, queued or rejected; a queued request may be rejected to make room
+// for it. All decisions that follow are appended to out. If there is one on the new request, it has the ticket that is
+// returned.
 func (c *Controller) Submit(now Time, r Request, out []Decision) (Ticket, []Decision) {
 	out = c.advanceTo(now, out)
 	t := &c.tenants[r.Tenant]
@@ -187,7 +191,7 @@
 	return ticket, c.admitQueued(out)
 }
 
-// initialise fills in a new request's entry.
+// initialise sets the entry of a new request.
 func (c *Controller) initialise(e *entry, r Request) {
 	class := &c.settings.Classes[r.Class]
 	work := float64(r.Work)
@@ -197,9 +201,9 @@
 	e.work = math.Min(math.Max(work, c.meanWork/maxWorkRatio), c.meanWork*maxWorkRatio)
 	c.meanWork += (e.work - c.meanWork) / meanWorkSamples
 	e.tenant, e.lane, e.client, e.arrivedAt = int32(r.Tenant), int32(r.Class), r.Client, c.now
-	// If requests were queued until their deadlines, all would be past the latency target once the queue is full. So a
-	// request is queued only while it can be served within the target, or for a part of the target where the expected
-	// latency alone is over it.
+	// If requests were queued until their deadlines, all responses would be past the latency target once the queue is
+	// full. So a request is queued only while it can be served within the target, or for a part of the target if the
+	// expected latency alone exceeds it.
 	latency := c.expectedLatency(e.work)
 	e.admitBy = r.Deadline - Time(c.settings.RequiredTimeFactor*latency)
 	if target := float64(class.LatencyTarget); target > 0 {
@@ -207,8 +211,9 @@
 	}
 }
 
-// chargeRetry takes a retry token of the tenant for a retry, and adds RetryRatio of one for a first attempt. It returns
-// false for a retry without a token. A retry at the time of a reservation needs none and goes to the returning lane.
+// chargeRetry takes a retry token of the tenant for a retry, and adds RetryRatio of a token for a first attempt. It
+// returns false for a retry if there is no token. A retry at the time of a reservation needs no token and goes to the
+// returning lane.
 func (c *Controller) chargeRetry(t *tenant, e *entry, isRetry bool) bool {
 	e.isReturning = isRetry && t.takeReservation(e.work)
 	switch {
@@ -225,8 +230,8 @@
 	return true
 }
 
-// takeQuotaToken counts a request against its tenant's rate and reports whether it is within the rate: a token bucket
-// with the burst of one second.
+// takeQuotaToken counts a request against its tenant's quota and reports whether it is within the quota: a token bucket
+// with a burst of one second.
 func (c *Controller) takeQuotaToken(tenantIndex int) bool {
 	t, rate := &c.tenants[tenantIndex], c.settings.Tenants[tenantIndex].Rate
 	if rate == 0 {
@@ -242,7 +247,7 @@
 }
 
 // Finish reports the end of an admitted request. served says whether a backend has responded; only then is the time in
-// flight a sample for the concurrency limit. A request that is not in flight, or not any more, is ignored.
+// flight a sample for the concurrency limit. A request that is not, or no longer, in flight is ignored.
 func (c *Controller) Finish(now Time, ticket Ticket, served bool, out []Decision) []Decision {
 	out = c.advanceTo(now, out)
 	index := c.lookup(ticket)
@@ -273,7 +278,7 @@
 	return c.admitQueued(out)
 }
 
-// Tick advances the time. It should be called each 10 to 100 ms while anything is queued.
+// Tick advances the time. It should be called every 10 to 100 ms while anything is queued.
 func (c *Controller) Tick(now Time, out []Decision) []Decision {
 	return c.admitQueued(c.advanceTo(now, out))
 }
@@ -285,12 +290,12 @@
 	return stats
 }
 
-// State returns the limit, and how much is in flight and queued now.
+// State returns the limit and the number of requests that are in flight and queued.
 func (c *Controller) State() State {
 	return State{Limit: c.limit.value, InFlight: c.inFlight, Queued: c.queued}
 }
 
-// NextTick returns when Tick is due at the latest; 0: nothing is queued, and Tick is not needed.
+// NextTick returns the time at which Tick must be called at the latest; 0: nothing is queued, and Tick is not needed.
 func (c *Controller) NextTick() Time {
 	if len(c.admitByHeap) == 0 {
 		return 0
@@ -298,7 +303,7 @@
 	return max(c.now, c.entries[c.admitByHeap[0]].admitBy) + 1
 }
 
-// advanceTo advances the time: it updates the rates and rejects queued requests that could not be served any more.
+// advanceTo advances the time: it updates the rates and rejects queued requests whose admitBy has passed.
 func (c *Controller) advanceTo(now Time, out []Decision) []Decision {
 	c.now = max(c.now, now)
 	if c.saltRotatedAt == 0 {
@@ -316,7 +321,7 @@
 	return out
 }
 
-// updateRates updates the rates of admission, and moves the reservations on by the slots that have passed.
+// updateRates updates the admission rates and drops the reservations of slots that have passed.
 func (c *Controller) updateRates() {
 	elapsed := float64(c.now - c.lastTick)
 	if elapsed < rateInterval {
@@ -335,8 +340,8 @@
 	c.lastTick += Time(slots) * reservationSlot
 }
 
-// hasCapacity reports whether a request may be admitted now. If nothing is in flight any request may: else one of more
-// work than the limit would never be admitted.
+// hasCapacity reports whether a request may be admitted now. If nothing is in flight, any request may: otherwise a
+// request with more work than the limit would never be admitted.
 func (c *Controller) hasCapacity(work float64) bool {
 	return c.inFlight == 0 || c.inFlightWork+work <= c.limit.value*c.meanWork
 }
@@ -356,7 +361,7 @@
 	return out
 }
 
-// admit admits a request that is not in a queue, or not any more.
+// admit admits a request that is not, or no longer, in a queue.
 func (c *Controller) admit(index int32, out []Decision) []Decision {
 	e := &c.entries[index]
 	e.state, e.admittedAt = stateInFlight, c.now
@@ -373,7 +378,7 @@
 	return append(out, Decision{Ticket: c.ticket(index), Kind: Admit})
 }
 
-// reject rejects a request that is not in a queue, or not any more, and frees its entry.
+// reject rejects a request that is not, or no longer, in a queue, and frees its entry.
 func (c *Controller) reject(index int32, reason Reason, out []Decision) []Decision {
 	e := &c.entries[index]
 	t := &c.tenants[e.tenant]
--- a/internal/standalone/admission/controller_test.go
+++ b/internal/standalone/admission/controller_test.go
@@ -22,7 +22,7 @@
 	queuedBefore := len(h.queued)
 	urgent := h.submit(Request{Deadline: h.now + 100*ms})
 	if a := h.decided[urgent]; a.Kind != Reject || a.Reason != TooLate || len(h.queued) != queuedBefore {
-		t.Errorf("%+v", a)
+		t.Errorf("a request with too little time left: %+v", a)
 	}
 	// A queued request is rejected when admitBy has passed, and not before.
 	last := h.submit(Request{Deadline: h.now + 30*sec})
@@ -33,7 +33,7 @@
 	h.now = due
 	h.record(h.controller.Tick(h.now, nil))
 	if !h.queued[last] {
-		t.Error("rejected before its time")
+		t.Error("rejected before admitBy has passed")
 	}
 	if next := h.controller.NextTick(); next != due+1 {
 		t.Errorf("tick is due at %d, want %d", next, due+1)
@@ -41,11 +41,12 @@
 	h.now++
 	h.record(h.controller.Tick(h.now, nil))
 	if a := h.decided[last]; a.Kind != Reject || a.Reason != TooLate {
-		t.Errorf("past its time: %+v", a)
+		t.Errorf("after admitBy has passed: %+v", a)
 	}
 }
 
-// After the head of the queue is canceled the next request is admitted, and the canceled one has no decision.
+// After the head of the queue is canceled, the next request is admitted, and there is no decision on the canceled
+// request.
 func TestController_CancelOfQueueHead(t *testing.T) {
 	h := newHarness(t, testSettings(1))
 	var all []Ticket
@@ -54,25 +55,25 @@
 	}
 	h.record(h.controller.Cancel(h.now, all[4], nil))
 	h.record(h.controller.Cancel(h.now, all[4], nil))
-	h.record(h.controller.Cancel(h.now, all[0], nil)) // it is in flight: nothing happens
+	h.record(h.controller.Cancel(h.now, all[0], nil)) // it is in flight and not queued: ignored
 	delete(h.queued, all[4])
 	h.finishOldest()
 	if h.decided[all[5]].Kind != Admit || h.queued[all[5]] {
-		t.Error("the next was not admitted")
+		t.Error("the request after the canceled one was not admitted")
 	}
 	h.finishOldest()
 	h.finishOldest()
 	if _, ok := h.decided[all[4]]; ok || h.decided[all[6]].Kind != Admit {
-		t.Error("the canceled request was decided, or the last was not")
+		t.Error("there is a decision on the canceled request, or the last request was not admitted")
 	}
-	h.record(h.controller.Finish(h.now, all[0], true, nil)) // a second end of a request
+	h.record(h.controller.Finish(h.now, all[0], true, nil)) // a repeated end of a request: ignored
 	if state := h.controller.State(); state.InFlight != 4 && state.InFlight != len(h.inFlight) || state.Queued != 0 {
 		t.Errorf("%d in flight, %d queued", state.InFlight, state.Queued)
 	}
 }
 
-// Each request is from a new client: memory is bounded by MaxQueued, and not by the number of clients.
-func TestController_MillionClientsNeedNoMemory(t *testing.T) {
+// Each request is from a new client: memory must be bounded by MaxQueued and not grow with the number of clients.
+func TestController_MemoryIsIndependentOfClients(t *testing.T) {
 	s := testSettings(1, 3)
 	h := newHarness(t, s)
 	var out []Decision
@@ -87,26 +88,26 @@
 		}
 	}
 	if n := len(h.controller.entries); n > s.MaxQueued+8 {
-		t.Errorf("%d entries for %d that may be queued", n, s.MaxQueued)
+		t.Errorf("%d entries, but only %d requests may be queued", n, s.MaxQueued)
 	}
 }
 
-// Whatever the events are, each request has one decision, something is in flight while one is queued (work
-// conservation), entries and queues agree with each other, and no request is queued past its admitBy.
+// For any events, each request has one decision, something is in flight while a request is queued (work conservation),
+// entries and queues agree with each other, and no request is queued past its admitBy.
 func TestController_Invariants(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		s := testSettings(rapid.SliceOfN(rapid.SampledFrom([]float64{0, 0.1, 1, 1, 10}), 1, 5).Draw(rt, "shares")...)
-		s.MaxQueued, s.QueuesPerClass = rapid.IntRange(1, 20).Draw(rt, "waiting"), rapid.IntRange(1, 4).Draw(rt, "buckets")
+		s.MaxQueued, s.QueuesPerClass = rapid.IntRange(1, 20).Draw(rt, "maxQueued"), rapid.IntRange(1, 4).Draw(rt, "queuesPerClass")
 		h := newHarness(t, s)
 		var all []Ticket
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
-			h.now += Time(rapid.SampledFrom([]int{0, 1, 10 * ms, 400 * ms, 20 * sec}).Draw(rt, "pass"))
-			switch rapid.IntRange(0, 5).Draw(rt, "what") {
+			h.now += Time(rapid.SampledFrom([]int{0, 1, 10 * ms, 400 * ms, 20 * sec}).Draw(rt, "elapsed"))
+			switch rapid.IntRange(0, 5).Draw(rt, "event") {
 			case 0, 1, 2:
 				r := Request{Tenant: rapid.IntRange(0, len(s.Tenants)-1).Draw(rt, "tenant"), Class: rapid.IntRange(0, 1).Draw(rt, "class"),
-					Client: uint64(rapid.IntRange(0, 9).Draw(rt, "client")), IsRetry: rapid.Bool().Draw(rt, "repeat"),
+					Client: uint64(rapid.IntRange(0, 9).Draw(rt, "client")), IsRetry: rapid.Bool().Draw(rt, "isRetry"),
 					Work:     Time(rapid.SampledFrom([]int{0, 1, 100 * ms, 1 << 40}).Draw(rt, "work")),
-					Deadline: h.now + Time(rapid.SampledFrom([]int{-sec, 0, 100 * ms, 60 * sec}).Draw(rt, "left"))}
+					Deadline: h.now + Time(rapid.SampledFrom([]int{-sec, 0, 100 * ms, 60 * sec}).Draw(rt, "timeLeft"))}
 				if r.Deadline == 0 {
 					r.Deadline = 1
 				}
@@ -117,7 +118,7 @@
 				}
 			case 4:
 				if len(all) > 0 {
-					a := all[rapid.IntRange(0, len(all)-1).Draw(rt, "abandon")]
+					a := all[rapid.IntRange(0, len(all)-1).Draw(rt, "canceled")]
 					delete(h.queued, a)
 					h.record(h.controller.Cancel(h.now, a, nil))
 				}
@@ -166,7 +167,7 @@
 	}
 }
 
-// BenchmarkController measures one request, from arrival to end, with others queued.
+// BenchmarkController measures one request, from arrival to end, while others are queued.
 func BenchmarkController(b *testing.B) {
 	for _, queued := range []int{0, 10, 10_000} {
 		b.Run(fmt.Sprint("queued=", queued), func(b *testing.B) {
--- a/internal/standalone/admission/entry.go
+++ b/internal/standalone/admission/entry.go
@@ -1,9 +1,9 @@
 package admission
 
-// Ticket identifies a request from Submit to its end. 0 identifies none.
+// Ticket identifies a request from Submit to its end. No request has ticket 0.
 type Ticket uint64
 
-// noIndex is no entry, tenant or class.
+// noIndex stands for the absence of an entry, tenant or class.
 const noIndex = -1
 
 // States of an entry.
@@ -19,13 +19,13 @@
 	state       uint8
 	isReturning bool  // a retry that came at its Retry-After
 	tenant      int32 // its index in the settings
-	lane        int32 // of the tenant
+	lane        int32 // index of the lane in the tenant
 	bucket      int32 // number of the queue within the lane
-	next, prev  int32 // in the queue; next of a free entry is the next free one
+	next, prev  int32 // neighbours in the queue; next of a free entry is the next free entry
 	heapIndex   int32 // in admitByHeap
 	client      uint64
 	work        float64 // expected, in microseconds on a standard core
-	admitBy     Time    // the last moment at which it may be admitted
+	admitBy     Time    // latest time at which it may be admitted
 	arrivedAt   Time
 	admittedAt  Time
 }
--- a/internal/standalone/admission/fairness_test.go
+++ b/internal/standalone/admission/fairness_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Five tenants are backlogged with requests of very different work: over each stretch of work each gets its share,
-// within the bound of start-time fair queueing.
+// Five tenants are backlogged with requests of very different work: in each interval each tenant gets its share, within
+// the bound of start-time fair queueing.
 func TestController_BackloggedTenantsGetTheirShares(t *testing.T) {
 	shares := []float64{1, 2, 3, 4, 10}
 	s := testSettings(shares...)
@@ -19,7 +19,7 @@
 	fill := func() {
 		for i := range shares {
 			for h.controller.tenants[i].queued < 20 {
-				// One tenant has ten thousand clients, the others one each.
+				// The first tenant has ten thousand clients, the others one each.
 				client := uint64(1)
 				if i == 0 {
 					client = g.Uint64N(10_000)
@@ -34,7 +34,7 @@
 		h.now += 1000
 		h.finishOldest()
 		fill()
-		if step%2000 != 1999 { // some ten seconds of a small proxy
+		if step%2000 != 1999 { // measure every 2000 steps, some ten seconds of a small proxy
 			continue
 		}
 		sum, total := 0.0, 0.0
@@ -51,11 +51,11 @@
 			}
 		}
 	}
-	t.Logf("shares are off by %.4f at the most", maxDeviation)
+	t.Logf("shares deviate by at most %.4f", maxDeviation)
 }
 
-// One tenant sends twenty times the capacity, and another a tenth of its share: the second must wait no longer than the
-// requests in flight take.
+// One tenant sends twenty times the capacity, another a tenth of its share: the second tenant must not wait for more
+// than the requests in flight.
 func TestController_FloodDoesNotDelayOtherTenants(t *testing.T) {
 	h := newHarness(t, testSettings(0.77, 0.23))
 	worst := 0
@@ -87,10 +87,10 @@
 	}
 }
 
-// A tenant that was idle while another was served gets its share from then on, no more and no less.
+// A tenant that was idle while another was served gets its share from then on, without credit for the idle time.
 func TestController_IdleTenantGainsNoCredit(t *testing.T) {
 	h := newHarness(t, testSettings(1, 1))
-	work := func(steps int, both bool) (float64, float64) {
+	serve := func(steps int, both bool) (float64, float64) {
 		a, b := h.controller.tenants[0].stats.AdmittedWork, h.controller.tenants[1].stats.AdmittedWork
 		for range steps {
 			for i := 0; i < 2 && (i == 0 || both); i++ {
@@ -103,16 +103,16 @@
 		}
 		return h.controller.tenants[0].stats.AdmittedWork - a, h.controller.tenants[1].stats.AdmittedWork - b
 	}
-	work(100_000, false)
-	a, b := work(200, true)
+	serve(100_000, false)
+	a, b := serve(200, true)
 	if math.Abs(a/b-1) > 0.06 {
-		t.Errorf("after the idle time the second got %.0f, the first %.0f", b, a)
+		t.Errorf("after the idle time the second tenant got %.0f, the first %.0f", b, a)
 	}
 }
 
-// One tenant fills the queue with requests of a class of little value: one of a valuable class is queued, and
-// admitted soon.
-func TestController_ValuableClassPassesFlood(t *testing.T) {
+// A tenant fills the queue with requests of a class of low value: a request of a valuable class must still be queued,
+// and admitted soon.
+func TestController_FloodDoesNotDelayValuableClass(t *testing.T) {
 	s := testSettings(1, 1)
 	s.MaxQueued = 50
 	h := newHarness(t, s)
@@ -122,20 +122,20 @@
 	ticket := h.submit(Request{Tenant: 0, Class: 1, Client: 3})
 	for turns := 0; h.queued[ticket]; turns++ {
 		if turns > 3 {
-			t.Fatal("a policy is queued behind quotes")
+			t.Fatal("a request of the valuable class is queued behind those of the other class")
 		}
 		h.now += ms
 		h.finishOldest()
 	}
 	if a := h.decided[ticket]; a.Kind != Admit {
-		t.Errorf("a policy was rejected: %v", a.Reason)
+		t.Errorf("a request of the valuable class was rejected: %v", a.Reason)
 	}
 	if queued := h.controller.State().Queued; queued > 50 {
 		t.Errorf("%d queued, at most 50 may be", queued)
 	}
 }
 
-// A tenant without a share gets only capacity that no other uses, and its requests are the first to be evicted.
+// A tenant with a share of 0 gets only capacity that no other tenant uses, and its requests are evicted first.
 func TestController_TenantWithoutShare(t *testing.T) {
 	s := testSettings(0, 1)
 	s.MaxQueued = 10
@@ -144,7 +144,7 @@
 		h.submit(Request{Tenant: 0})
 	}
 	if got := h.controller.Stats(0).Admitted; got != 4 {
-		t.Errorf("alone, it had %d admitted", got)
+		t.Errorf("alone, the tenant without a share had %d requests admitted, want 4", got)
 	}
 	for range 10 {
 		h.submit(Request{Tenant: 1})
@@ -152,26 +152,27 @@
 	if a, b := h.controller.tenants[0].queued, h.controller.tenants[1].queued; a != 0 || b != 10 {
 		t.Errorf("%d and %d queued", a, b)
 	}
-	for range 3000 { // tags of a flow without a weight must not spoil the others' in the long run
+	for range 3000 { // tags of a flow with a weight of 0 must not affect other flows in the long run
 		h.submit(Request{Tenant: 0})
 		h.now += ms
 		h.finishOldest()
 	}
 	if s := h.controller.Stats(1); s.Admitted != 10 {
-		t.Errorf("the other had %d admitted", s.Admitted)
+		t.Errorf("the other tenant had %d requests admitted, want 10", s.Admitted)
 	}
 }
 
-// A tenant sends three times its rate: the requests within the rate are admitted, at the cost of those past it.
+// A tenant sends three times its quota: the requests within the quota are queued or admitted, at the expense of those
+// beyond it.
 func TestController_OverQuotaComesLast(t *testing.T) {
 	s := testSettings(1)
 	s.Tenants[0].Rate, s.MaxQueued = 20, 30
 	h := newHarness(t, s)
 	within, accepted := 0, 0
-	for step := range 3000 { // a request each 16 ms, an end each 25 ms: 60 and 40 a second
+	for step := range 3000 { // a request every 16.7 ms, an end every 25 ms: 60 and 40 per second
 		before := h.controller.tenants[0].quotaTokens
 		ticket := h.submit(Request{Client: uint64(step), Deadline: h.now + 2*sec})
-		if within20 := h.controller.tenants[0].quotaTokens < before; within20 || before >= 1 {
+		if tookToken := h.controller.tenants[0].quotaTokens < before; tookToken || before >= 1 {
 			within++
 			if a := h.decided[ticket]; h.queued[ticket] || a.Kind == Admit {
 				accepted++
@@ -183,6 +184,6 @@
 		}
 	}
 	if within < 900 || accepted < within*98/100 {
-		t.Errorf("of %d within the rate %d were queued or admitted", within, accepted)
+		t.Errorf("of %d requests within the quota %d were queued or admitted", within, accepted)
 	}
 }
--- a/internal/standalone/admission/fairqueue.go
+++ b/internal/standalone/admission/fairqueue.go
@@ -2,23 +2,23 @@
 
 import "container/heap"
 
-// fairQueue is start-time fair queueing over flows (Goyal, Vin, Cheng, "Start-time Fair Queueing", SIGCOMM 1996): the
-// flow whose next request has the least start tag is served next. Over any time in which two flows are both
-// backlogged, what they got, each divided by its weight, differs by at most the largest request of the one over its
-// weight and that of the other over its. A flow that was idle joins at the present virtual time, or at the finish tag
-// of its last request if that is later: it gains no credit while it is idle. Fair queues are nested: a flow's next
-// request may be the one that a fair queue below it serves next.
+// fairQueue implements start-time fair queueing over flows (Goyal, Vin, Cheng, "Start-time Fair Queueing", SIGCOMM
+// 1996): the flow whose next request has the lowest start tag is served next. Over any time in which two flows are both
+// backlogged, the service that each gets, divided by its weight, differs by at most the sum of the largest request of
+// each flow divided by that flow's weight. A flow that was idle joins at the present virtual time, or at the finish tag
+// of its last request if that is later: it gains no credit while it is idle. Fair queues are nested: the next request
+// of a flow may be the next request of a fair queue below it.
 type fairQueue struct {
 	flows        []flow
 	heap         []int32 // backlogged flows by start tag, then by number
-	virtualTime  float64 // the start tag of what was served last
+	virtualTime  float64 // start tag of the request that was served last
 	activeWeight float64 // the sum of the weights of backlogged flows
-	epoch        uint32  // counts the times that nothing was backlogged: tags from before mean nothing
+	epoch        uint32  // counts the times that the last backlogged flow became idle: earlier tags are invalid
 }
 
-// flow is one of the parties that share a fairQueue.
+// flow is one of the flows that share a fairQueue.
 type flow struct {
-	weight    float64 // its share of the service against the other flows' weights
+	weight    float64 // share of the service, relative to the weights of the other flows
 	start     float64 // start tag of the next request
 	finish    float64 // finish tag of the last request that was served
 	queued    int     // requests; the flow is backlogged while there are any
@@ -27,13 +27,13 @@
 }
 
 const (
-	// minWeight stands for a weight of zero: the flow gets next to nothing while another one is backlogged.
+	// minWeight replaces a weight of zero: such a flow gets next to no service while another flow is backlogged.
 	minWeight = 1e-6
-	// rebaseAt is the virtual time from which tags are moved back, before float64 loses fractions of a microsecond.
+	// rebaseAt is the virtual time above which all tags are reduced, before float64 loses fractions of a microsecond.
 	rebaseAt = 1e14
 )
 
-// positiveWeight returns a weight of a flow that is not zero.
+// positiveWeight returns x, or minWeight if x is lower.
 func positiveWeight(x float64) float64 { return max(x, minWeight) }
 
 func newFairQueue(flows int) fairQueue {
@@ -44,7 +44,7 @@
 	return q
 }
 
-// next returns the flow that is served next; there must be a backlogged one.
+// next returns the flow that is served next. At least one flow must be backlogged.
 func (q *fairQueue) next() int32 { return q.heap[0] }
 
 // push adds a request to flow i.
@@ -90,7 +90,7 @@
 	}
 }
 
-// deactivate removes a flow with no requests from the heap.
+// deactivate removes a flow without requests from the heap.
 func (q *fairQueue) deactivate(i int32) {
 	f := &q.flows[i]
 	at, last := int(f.heapIndex), len(q.heap)-1
@@ -107,7 +107,7 @@
 	}
 }
 
-// rebase moves all tags back by the virtual time.
+// rebase subtracts the virtual time from all tags, and sets it to 0.
 func (q *fairQueue) rebase() {
 	for i := range q.flows {
 		f := &q.flows[i]
@@ -116,7 +116,7 @@
 	q.virtualTime = 0
 }
 
-// The methods of heap.Interface. Of container/heap only Fix is used: its Push and Pop would allocate.
+// The methods of heap.Interface. Only Fix of container/heap is used, since its Push and Pop would allocate.
 
 func (q *fairQueue) Len() int { return len(q.heap) }
 func (q *fairQueue) Push(any) {}
--- a/internal/standalone/admission/harness_test.go
+++ b/internal/standalone/admission/harness_test.go
@@ -7,8 +7,8 @@
 
 const ms, sec = 1000, 1_000_000
 
-// testSettings returns settings with two classes, tenants with these shares and a fixed limit of four requests, so
-// that the test decides when the next request is admitted.
+// testSettings returns settings with two classes, tenants with these shares and a fixed limit of four requests, so that
+// the test decides when the next request is admitted.
 func testSettings(shares ...float64) Settings {
 	s := Defaults()
 	s.Classes = []Class{{Name: "quote", Value: 1, Work: 100 * ms}, {Name: "policy", Value: 5, Work: 100 * ms}}
@@ -19,8 +19,8 @@
 	return s
 }
 
-// harness drives a Controller as a listener would: it keeps the tickets of what is admitted until the test finishes it,
-// and fails the test where a request has two decisions.
+// harness drives a Controller as a listener does. It keeps the tickets of admitted requests until the test finishes
+// them, and fails the test if a request has two decisions.
 type harness struct {
 	t          testing.TB
 	controller *Controller
@@ -65,7 +65,7 @@
 	return ticket
 }
 
-// finishOldest finishes the request that has been in flight for longest.
+// finishOldest finishes the request that has been in flight the longest.
 func (h *harness) finishOldest() {
 	t := h.inFlight[0]
 	h.inFlight = h.inFlight[1:]
--- a/internal/standalone/admission/limit.go
+++ b/internal/standalone/admission/limit.go
@@ -3,44 +3,45 @@
 import "math"
 
 const (
-	// latencyTolerance is how many times the baseline the latency may be before the limit shrinks.
+	// latencyTolerance is the ratio of the recent latency to the baseline above which the limit decreases.
 	latencyTolerance = 1.4
-	// minLimitSamples is how many measurements a change of the limit needs at least.
+	// minLimitSamples is the minimum number of samples for a change of the limit.
 	minLimitSamples = 16
-	// limitInUse is the part of the limit in flight from which the limit counts as in use.
+	// limitInUse is the fraction of the limit that must be in flight for the limit to count as in use.
 	limitInUse = 0.7
-	// samplesDivisor: a change of the limit needs a sample for every so many requests of the limit, if that is more than
-	// minLimitSamples.
+	// samplesDivisor: a change of the limit needs limit/samplesDivisor samples, if that is more than minLimitSamples.
 	samplesDivisor = 4
-	// maxShrinkFactor bounds how far one change lowers the limit.
+	// maxShrinkFactor is the lower bound of the gradient. As a change goes half of the way, it lowers the limit by a
+	// quarter at most.
 	maxShrinkFactor = 0.5
-	// growthDivisor: a limit in use grows by its square root divided by this.
+	// growthDivisor: the target of a limit in use is raised by the limit's square root divided by growthDivisor; a
+	// change goes half of the way to the target.
 	growthDivisor = 2
 )
 
-// Divisors of the step by which the baseline approaches a sample.
+// Divisors of the difference between a sample and the baseline by which the baseline moves.
 const (
-	baselineFallDivisor      = 4    // a lower sample
-	baselineRiseDivisor      = 128  // a higher one, while the limit is not in use
-	baselineRiseInUseDivisor = 8192 // a higher one, while it is
+	baselineFallDivisor      = 4    // for a lower sample
+	baselineRiseDivisor      = 128  // for a higher sample, while the limit is not in use
+	baselineRiseInUseDivisor = 8192 // for a higher sample, while the limit is in use
 )
 
-// concurrencyLimit is a limit on the work in flight, in requests of mean work, that adapts by the gradient between
-// the latency where nothing queues and the recent one (as in Netflix's concurrency-limits, 2018): where the two
-// differ, requests queue at the backends. The limit grows by a part of its root while it is in use, to find out
+// concurrencyLimit is a limit on the work in flight, in requests of mean work. It adapts by the gradient between the
+// latency without queueing and the recent latency (as in Netflix's concurrency-limits, 2018): if the two differ,
+// requests queue at the backends. While it is in use, the limit also grows by a part of its square root, to find out
 // whether there is more capacity. Latencies are per unit of work, so that requests of different work can be compared.
-// Means of some tens of requests are compared, as single ones vary too much.
+// Means of some tens of requests are compared, since the latencies of single requests vary too much.
 type concurrencyLimit struct {
 	value    float64
 	min, max float64
 
-	baseline float64 // latency per unit of work where nothing queues; 0: nothing is measured yet
+	baseline float64 // latency per unit of work without queueing; 0: not measured yet
 	recent   float64 // smoothed latency per unit of work
-	sum      float64 // of the samples since the limit was last changed
+	sum      float64 // sum of the samples since the limit was last changed
 	count    int     // number of these samples
 }
 
-// setBounds sets the bounds and brings the limit within them.
+// setBounds sets the bounds of the limit and clamps its value to them.
 func (l *concurrencyLimit) setBounds(lower, upper float64) {
 	l.min, l.max = lower, upper
 	l.value = math.Min(math.Max(l.value, lower), upper)
@@ -67,8 +68,8 @@
 	l.value = math.Min(math.Max((l.value+next)/2, l.min), l.max)
 }
 
-// updateBaseline moves the baseline quickly down and slowly up, most slowly while the limit is in use: latency that
-// comes from queueing must not become the baseline.
+// updateBaseline moves the baseline quickly down and slowly up, most slowly while the limit is in use: latency caused
+// by queueing must not become the baseline.
 func (l *concurrencyLimit) updateBaseline(mean float64, isInUse bool) {
 	switch {
 	case mean < l.baseline:
@@ -80,13 +81,13 @@
 	}
 }
 
-// adaptLimit adapts the limit to the latency of a request that was served, per unit of its work.
+// adaptLimit adapts the limit to the latency per unit of work of a request that was served.
 func (c *Controller) adaptLimit(latency float64) {
 	isInUse := c.queued > 0 || c.inFlightWork > limitInUse*c.limit.value*c.meanWork
 	c.limit.observe(latency, isInUse)
 }
 
-// expectedLatency returns how long a request of this work is expected to be in flight. Before anything is measured that
+// expectedLatency returns how long a request of this work is expected to be in flight. Before the first measurement it
 // is the work itself.
 func (c *Controller) expectedLatency(work float64) float64 {
 	if c.limit.recent == 0 {
--- a/internal/standalone/admission/limit_test.go
+++ b/internal/standalone/admission/limit_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// With a model of a service that executes 20 requests at once and queues the rest, the limit settles near 20, from
-// above and from below.
+// With a service that executes 20 requests at once and queues the rest, the limit settles near 20, from a higher and
+// from a lower initial limit.
 func TestController_LimitFindsCapacity(t *testing.T) {
 	for _, start := range []float64{4, 1000} {
 		s := testSettings(1)
@@ -41,7 +41,7 @@
 			h.record(h.controller.Tick(h.now, nil))
 		}
 		if limit := h.controller.State().Limit; limit < 18 || limit > 70 {
-			t.Errorf("from %v the limit settles at %.1f where 20 execute at once", start, limit)
+			t.Errorf("from %v the limit settles at %.1f, but the service executes 20 requests at once", start, limit)
 		}
 		if got := h.controller.Stats(0).AdmittedWork / 118e6 / 20; got < 0.85 {
 			t.Errorf("from %v: only %.2f of the capacity is used", start, got)
--- a/internal/standalone/admission/queue.go
+++ b/internal/standalone/admission/queue.go
@@ -6,7 +6,7 @@
 	"pumiceline/internal/splitmix"
 )
 
-// entryList is a doubly linked list of entries, by their next and prev. Both ends are noIndex if it is empty.
+// entryList is a doubly linked list of entries, linked by next and prev. Both ends are noIndex if it is empty.
 type entryList struct{ head, tail int32 }
 
 // enqueue adds a request to its client's queue in its lane, and to admitByHeap.
@@ -28,7 +28,7 @@
 	heap.Fix((*byAdmitBy)(c), int(e.heapIndex))
 }
 
-// makeQueues makes the queues of a lane, if it has none yet: most lanes never need them.
+// makeQueues allocates the queues of a lane on its first use, as most lanes are never used.
 func (t *tenant) makeQueues(lane int32, queues int) {
 	if t.buckets == nil {
 		t.buckets, t.queues = make([]fairQueue, len(t.lanes.flows)), make([][]entryList, len(t.lanes.flows))
@@ -70,7 +70,7 @@
 	e.prev, e.next = noIndex, noIndex
 }
 
-// dequeue removes a queued request that is admitted: it must be the next in fair order.
+// dequeue removes a queued request that is admitted. It must be the next request in fair order.
 func (c *Controller) dequeue(index int32) {
 	e := &c.entries[index]
 	t := &c.tenants[e.tenant]
@@ -111,8 +111,8 @@
 	}
 }
 
-// byAdmitBy is a Controller as the heap.Interface of its admitByHeap: the queued requests by the last moment at which
-// they may be admitted. Of container/heap only Fix is used: its Push and Pop would allocate.
+// byAdmitBy implements heap.Interface for Controller.admitByHeap: the queued requests, ordered by the latest time at
+// which they may be admitted. Only Fix of container/heap is used, since its Push and Pop would allocate.
 type byAdmitBy Controller
 
 func (h *byAdmitBy) Len() int { return len(h.admitByHeap) }
--- a/internal/standalone/admission/reload.go
+++ b/internal/standalone/admission/reload.go
@@ -9,12 +9,12 @@
 	"pumiceline/internal/splitmix"
 )
 
-// returningValueFactor is the weight of the returning lane, in values of the most valuable class: capacity is reserved
-// for its requests.
+// returningValueFactor is the weight of the returning lane, relative to the value of the most valuable class. The
+// weight is high because capacity is reserved for the requests of this lane.
 const returningValueFactor = 8.0
 
-// Numbers of a tenant's lanes: first one for each class, then that of requests that return at their Retry-After, then one
-// for each class past the tenant's quota.
+// The lanes of a tenant are numbered in this order: one for each class, one for requests that return at their
+// Retry-After, then one for each class beyond the tenant's quota.
 
 func laneCount(classes int) int                      { return 2*classes + 1 }
 func returningLane(classes int) int32                { return int32(classes) }
@@ -22,7 +22,7 @@
 func isOverQuotaLane(classes int, lane int32) bool   { return lane > int32(classes) }
 func classOfOverQuota(classes int, lane int32) int32 { return lane - int32(classes) - 1 }
 
-// useSettings replaces the settings and makes empty queues for them.
+// useSettings replaces the settings and resets tenants and queues to empty ones.
 func (c *Controller) useSettings(settings Settings) {
 	c.settings = settings
 	c.tenants = make([]tenant, len(settings.Tenants))
@@ -60,8 +60,8 @@
 	return lanes
 }
 
-// ApplySettings replaces the settings completely or not at all. Requests in flight stay; queued ones are queued again
-// in the order of their arrival, or rejected where their tenant is gone or the queue is full.
+// ApplySettings replaces the settings, or changes nothing if next is invalid. Requests in flight stay in flight. Queued
+// requests are queued again in the order of their arrival, or rejected if their tenant is gone or the queue is full.
 func (c *Controller) ApplySettings(now Time, next Settings, out []Decision) ([]Decision, error) {
 	if err := next.Check(); err != nil {
 		return out, fmt.Errorf("admission settings: %w", err)
@@ -107,8 +107,8 @@
 	return queued
 }
 
-// moveEntries gives the entries the indexes of new settings. A queued entry whose tenant is gone has tenant noIndex
-// then.
+// moveEntries maps the tenants and lanes of the entries to the indexes of the new settings. A queued entry whose tenant
+// is gone gets the tenant noIndex.
 func (c *Controller) moveEntries(mapping indexMapping) {
 	for i := range c.entries {
 		e := &c.entries[i]
@@ -122,7 +122,8 @@
 	}
 }
 
-// indexMapping has the indexes of the old tenants and classes in new settings, noIndex for those that are gone.
+// indexMapping maps the tenants and classes of old settings to their indexes in new settings, or to noIndex if they are
+// gone.
 type indexMapping struct {
 	tenants    []int32
 	classes    []int32
@@ -148,7 +149,7 @@
 	return m
 }
 
-// indexOr returns the index of a name, or noIndex.
+// indexOr returns the index of a name, or noIndex if the name is not in indexes.
 func indexOr(indexes map[string]int32, name string) int32 {
 	if index, ok := indexes[name]; ok {
 		return index
@@ -156,7 +157,7 @@
 	return noIndex
 }
 
-// lane returns the new lane for an old one. Requests of a class that is gone move to the returning lane, so that they
+// lane returns the new lane for an old lane. Requests of a class that is gone move to the returning lane, so that they
 // are served first.
 func (m *indexMapping) lane(old int32) int32 {
 	oldClasses := len(m.classes)
--- a/internal/standalone/admission/reload_test.go
+++ b/internal/standalone/admission/reload_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-// New settings with other shares, a shorter queue and one tenant less: requests in flight stay, queued ones keep
+// New settings change the shares, shorten the queue and remove a tenant: requests in flight stay, queued requests keep
 // their order or are rejected, and invalid settings change nothing.
 func TestController_ApplySettingsWithFullQueue(t *testing.T) {
 	s := testSettings(1, 1, 1)
--- a/internal/standalone/admission/retryafter_test.go
+++ b/internal/standalone/admission/retryafter_test.go
@@ -13,22 +13,22 @@
 	for range 50 {
 		if a, ok := h.decided[h.submit(Request{IsRetry: true})]; ok && a.Kind == Reject {
 			if a.Reason != RetryBudgetExhausted {
-				t.Errorf("%v", a.Reason)
+				t.Errorf("rejected with reason %v", a.Reason)
 			}
 			rejected++
 		}
 	}
-	// Five of the burst; retries at the time of a reservation do not count against it.
+	// RetryBurst allows five retries; retries at the time of a reservation need no token.
 	if got := int(h.controller.Stats(0).Rejected[RetryBudgetExhausted]); got != rejected || rejected < 30 {
 		t.Errorf("%d of 50 retries rejected, %d counted", rejected, got)
 	}
 	if a := h.submit(Request{Tenant: 1, IsRetry: true}); !h.queued[a] {
-		t.Error("one tenant's retries use up another's budget")
+		t.Error("the retries of one tenant use up the budget of another")
 	}
 }
 
 // simulateReturns simulates an overload in which rejected clients return once, as retries, at their Retry-After or
-// after a fixed time, and returns the part of them that was then admitted.
+// after a fixed time. It returns the fraction of the returned clients that was admitted.
 func simulateReturns(t *testing.T, overload float64, fixed Time) float64 {
 	t.Helper()
 	s := testSettings(1)
@@ -84,7 +84,7 @@
 	return float64(admitted) / float64(max(1, returned))
 }
 
-// A client that returns at its Retry-After is admitted. The figures are in docs/admission.md.
+// Clients that return at their Retry-After are admitted. The figures are in docs/admission.md.
 func TestController_RetryAfterFindsCapacity(t *testing.T) {
 	for _, overload := range []float64{2, 10} {
 		atRetryAfter, fixed := simulateReturns(t, overload, 0), simulateReturns(t, overload, sec)
--- a/internal/standalone/admission/settings.go
+++ b/internal/standalone/admission/settings.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Time is a moment or a duration in microseconds.
+// Time is a point in time or a duration, in microseconds.
 type Time = int64
 
 const second Time = 1_000_000
@@ -10,54 +10,54 @@
 // Tenant is a customer of the service.
 type Tenant struct {
 	Name  string
-	Share float64 // weight against the other tenants; 0: only capacity that no other tenant uses
-	Rate  float64 // quota at this proxy, in requests a second; 0: none, all requests are within the quota
+	Share float64 // weight relative to the other tenants; 0: only capacity that no other tenant uses
+	Rate  float64 // quota at this proxy, in requests per second; 0: no quota, all requests are within it
 }
 
 // Class is a class of requests.
 type Class struct {
 	Name          string
-	Value         float64 // weight of a unit of its work against the other classes of a tenant
+	Value         float64 // weight of a unit of its work, relative to the other classes of a tenant
 	Work          Time    // expected work of a request without a hint, in microseconds on a standard core
 	LatencyTarget Time    // a response within this time has the full value; 0: only the deadline counts
 }
 
-// Settings are what operators set, in deploy/door.toml, which names the keys. The defaults are those of Defaults.
+// Settings are set by operators in deploy/door.toml, which names the keys. The defaults are those of Defaults.
 type Settings struct {
 	Tenants []Tenant
 	Classes []Class
-	// OverQuotaFactor is the value of a request past its tenant's quota, as a part of its class's value; 0 to 1. It is
-	// the deployment's, not from the file.
+	// OverQuotaFactor is the value of a request beyond its tenant's quota, as a fraction of its class's value; 0 to 1.
+	// It comes from the deployment and not from the file.
 	OverQuotaFactor float64
 
-	// MaxQueued is how many requests may be queued in all; at least 1, 2048 by default.
+	// MaxQueued is the maximum number of queued requests in all; at least 1, 2048 by default.
 	MaxQueued int
 	// QueuesPerClass is the number of queues that the clients of one tenant and class share; at least 1, 32 by default.
 	QueuesPerClass int
 	// MinLimit and MaxLimit bound the concurrency limit, in requests of mean work; 4 and 4096 by default. Both are at
-	// least 1; with equal ones the limit is fixed.
+	// least 1; if they are equal, the limit is fixed.
 	MinLimit, MaxLimit float64
-	// InitialLimit is the concurrency limit before anything is measured; 64 by default.
+	// InitialLimit is the concurrency limit before the first measurement; 64 by default.
 	InitialLimit float64
-	// RequiredTimeFactor is the part of its expected latency that a request must have left when it is admitted; with
-	// less it is rejected. 0: it is admitted up to its deadline. 0.8 by default.
+	// RequiredTimeFactor is the fraction of its expected latency that a request must have left before its deadline when
+	// it is admitted; with less it is rejected. 0: it is admitted up to its deadline. 0.8 by default.
 	RequiredTimeFactor float64
 
-	// RetryRatio is how many retries the clients of a tenant may send, as a part of its first attempts; 0.3 by default.
-	// 0: RetryBurst retries in all.
+	// RetryRatio is the number of retries that the clients of a tenant may send per first attempt; 0.3 by default. 0:
+	// RetryBurst retries in total.
 	RetryRatio float64
-	// RetryBurst is how many retries they may send at once; 20 by default. Under 1: none.
+	// RetryBurst is the number of retries that they may send at once; 20 by default. Under 1: no retries.
 	RetryBurst float64
 	// MaxRetryAfter is the longest Retry-After; 2.5 s by default, at least reservationSlot (100 ms).
 	MaxRetryAfter Time
-	// SaltRotation is the time after which clients are assigned to queues anew, so that no two share a queue for ever;
-	// 10 s by default, at least 1 s.
+	// SaltRotation is the time after which clients are assigned to other queues, so that no two clients share a queue
+	// permanently; 10 s by default, at least 1 s.
 	SaltRotation Time
 	// Seed makes the assignment of clients to queues different at each proxy.
 	Seed uint64
 }
 
-// Defaults returns settings for a proxy of some hundreds of requests a second, without Tenants and Classes.
+// Defaults returns settings for a proxy with some hundreds of requests per second, without Tenants and Classes.
 func Defaults() Settings {
 	return Settings{
 		OverQuotaFactor:    0.1,
@@ -81,12 +81,12 @@
 	maxQueuedBound    = 1 << 20
 	maxQueuesPerClass = 4096
 	maxTimeFactor     = 10
-	maxSetting        = 1e12 // of shares, rates, values and limits
+	maxSetting        = 1e12 // upper bound of shares, rates, values and limits
 	maxTime           = 3600 * second
 )
 
-// SettingError says which setting is invalid. Key is its name in the deployment file; that of a tenant or class is
-// "tenants.N.field" or "classes.N.field" with its index in the settings.
+// SettingError reports an invalid setting. Key is its name in the deployment file; for a tenant or class it is
+// "tenants.N.field" or "classes.N.field", where N is the index in the settings.
 type SettingError struct {
 	Key    string
 	Reason string
@@ -100,7 +100,7 @@
 	return &SettingError{Key: key, Reason: fmt.Sprintf(format, args...)}
 }
 
-// isAmount reports whether x is neither negative nor too large; NaN is not.
+// isAmount reports whether x is from 0 to maxSetting; NaN is not.
 func isAmount(x float64) bool { return x >= 0 && x <= maxSetting }
 
 // Check returns a *SettingError for the first invalid setting, or nil.
@@ -114,7 +114,7 @@
 	return s.checkClasses()
 }
 
-// checkLimits checks the settings that are not of a tenant or class.
+// checkLimits checks the settings other than those of single tenants and classes.
 func (s *Settings) checkLimits() error {
 	switch {
 	case len(s.Classes) == 0 || len(s.Classes) > maxClasses:
--- a/internal/standalone/policy/actions.go
+++ b/internal/standalone/policy/actions.go
@@ -24,6 +24,6 @@
 	Server     ServerID
 	ID         uint64
 	After      Time
-	SendBefore Time // of a SendAttempt: no byte may be written from then on, or it could execute twice; 0: no limit
+	SendBefore Time // of a SendAttempt: no write from then on, or it could execute twice; 0: no limit
 	Text       string
 }
