--- a/internal/standalone/admission/fairness_test.go
+++ b/internal/standalone/admission/fairness_test.go
@@ -150,7 +150,7 @@
 		h.submit(Request{Tenant: 1})
 	}
 	if a, b := h.controller.tenants[0].queued, h.controller.tenants[1].queued; a != 0 || b != 10 {
-		t.Errorf("%d and %d queued", a, b)
+		t.Errorf("%d and %d queued, want 0 of the tenant without a share and 10 of the other", a, b)
 	}
 	for range 3000 { // tags of a flow with a weight of 0 must not affect other flows in the long run
 		h.submit(Request{Tenant: 0})
--- a/internal/standalone/affinity/affinity.go
+++ b/internal/standalone/affinity/affinity.go
@@ -70,8 +70,8 @@
 }
 
 // rank returns the two members with the lowest scores for a slot. A member's score is an exponential random variable
-// with the member's weight as its rate, derived from slot and member alone. So the fraction of slots in which a member
-// has the lowest score is its share of the total weight.
+// with the member's weight as its rate, derived only from the slot and the member. So the fraction of slots in which a
+// member has the lowest score is its share of the total weight.
 func (t *Table) rank(slot uint64) (homes [2]uint32) {
 	best := [2]float64{math.Inf(1), math.Inf(1)}
 	for _, m := range t.members {
--- a/internal/standalone/loadpolling/polling.go
+++ b/internal/standalone/loadpolling/polling.go
@@ -3,8 +3,8 @@
 package loadpolling
 
 // A poll costs its server some work, and the deployment as a whole a little. Servers update their load figures two or
-// three times per second, and balancers smooth the reports over seconds, so that polling more than once per second
-// gains nothing.
+// three times per second, and balancers smooth the reports over seconds, so more than one poll per second gains
+// nothing.
 const (
 	minInterval      = 1_000_000 // microseconds between two polls of one server by one balancer
 	minGroupInterval = 500_000   // the same by all N balancers together: each polls every N of these intervals
--- a/internal/standalone/policy/actions.go
+++ b/internal/standalone/policy/actions.go
@@ -16,8 +16,8 @@
 	CloseIdleConns                           // Server
 )
 
-// Action is something that the caller must do. Attempts of a request are numbered from 0 in the order of
-// their SendAttempts.
+// Action is something that the caller must do. The attempts of a request are numbered from 0 in the order of
+// its SendAttempts.
 type Action struct {
 	Kind       ActionKind
 	Attempt    uint8
--- a/internal/standalone/policy/admission_test.go
+++ b/internal/standalone/policy/admission_test.go
@@ -26,7 +26,7 @@
 			b.adjustLimit(&request{class: &b.settings.Classes[0]}, &attempt{server: s}, &ev)
 		}
 		if decreases := b.concurrencyLimit < 50; decreases != c.decreases {
-			t.Errorf("%d of 10 slow: limit %v", c.slow, b.concurrencyLimit)
+			t.Errorf("%d of 10 responses slow: limit %v, started at 50", c.slow, b.concurrencyLimit)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	server      uint32
 }
 
-// handle hands the balancer an event, starts its attempts and sets its timers.
+// handle passes an event to the balancer, starts its attempts and sets its timers.
 func (r *servedRun) handle(ev Event) {
 	for _, a := range r.balancer.Handle(r.now, &ev, nil) {
 		switch a.Kind {
@@ -252,7 +252,7 @@
 		t.Errorf("%d servers count as stalled while clients send bodies", n)
 	}
 	if a := b.arrive(100, false); a.Kind != SendAttempt {
-		t.Errorf("a request beside ones with pending bodies: %+v", a)
+		t.Errorf("a request while others have pending bodies: %+v", a)
 	}
 }
 
@@ -263,7 +263,7 @@
 	b.now += slowFactor*100_000 + 1_000_000
 	b.refresh()
 	if a := b.arrive(100, false); a.Kind != SendAttempt {
-		t.Errorf("a request beside ones with pending bodies: %+v", a)
+		t.Errorf("a request while others have pending bodies: %+v", a)
 	}
 	for id := uint64(1); id <= 4; id++ {
 		b.Handle(b.now, &Event{Kind: BodySent, ID: id}, nil)
@@ -296,7 +296,7 @@
 	b.now += slowFactor*100_000 + 1_000_000
 	b.refresh()
 	if a := b.arrive(100, false); a.Kind != SendAttempt {
-		t.Errorf("a request beside ones with pending bodies: %+v", a)
+		t.Errorf("a request while others have pending bodies: %+v", a)
 	}
 	for id := uint64(1); id <= 4; id++ {
 		b.Handle(b.now, &Event{Kind: BodySent, ID: id}, nil)
@@ -325,7 +325,7 @@
 	}
 	b.refresh()
 	if b.inFlight != 0 || b.ejectedOrStalled != 0 || len(b.members) != 0 {
-		t.Errorf("left over: %d in flight, %d ejected or stalled, %d servers", b.inFlight, b.ejectedOrStalled, len(b.members))
+		t.Errorf("not removed: %d in flight, %d ejected or stalled, %d servers", b.inFlight, b.ejectedOrStalled, len(b.members))
 	}
 }
 
@@ -347,7 +347,7 @@
 	}
 }
 
-// Balancers that start at the same time, before any of them knows the latency, must send no server more than
+// Balancers that start at the same time, before any latency has been measured, must send no server more than
 // it can do in time. A flood makes servers that slow down under load stay slow, and their latency under load
 // would be taken for the unloaded latency.
 func TestSimultaneousStartsOverloadNoServer(t *testing.T) {
--- a/internal/standalone/policy/affinity_test.go
+++ b/internal/standalone/policy/affinity_test.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// Without KeyAffinity keys have no home: in two rounds over all keys no more keys go to the same server twice
-// than by chance.
+// Without KeyAffinity keys have no home: in two rounds over all keys, no more keys than by chance go to the
+// same server twice.
 func TestKeysHaveNoHomeWithoutKeyAffinity(t *testing.T) {
 	const servers = 12
 	f := newAffinityFixture(t, testSettings(), testMembers(servers))
--- a/internal/standalone/policy/events.go
+++ b/internal/standalone/policy/events.go
@@ -86,7 +86,7 @@
 
 // The modes, with the numbers of the link.
 const (
-	ModeGone     Mode = iota // not listed any more
+	ModeGone     Mode = iota // no longer listed
 	ModeReady                // takes requests
 	ModeDraining             // finishes the requests that it has
 )
--- a/internal/standalone/policy/locality.go
+++ b/internal/standalone/policy/locality.go
@@ -3,15 +3,14 @@
 import "math"
 
 const (
-	// homeZoneUtilization is the utilization of the home zone above which requests are sent to other zones if
-	// that has no price. Prices.CrossZone is added to it.
+	// homeZoneUtilization is the utilization of the home zone above which requests are sent to other zones,
+	// if crossing zones has no price. Prices.CrossZone is added to it.
 	homeZoneUtilization = 0.5
 	// maxHomeZoneUtilization bounds that sum: above it requests are sent to other zones at any price.
 	maxHomeZoneUtilization = 0.8
 	// homeZoneRange is how far the utilization must be above that threshold for the remote share to be 1.
 	homeZoneRange = 0.3
-	// remoteZoneAdvantage is how much lower the other zones' utilization must be for the remote share to be
-	// 1.
+	// remoteZoneAdvantage is how much lower the other zones' utilization must be for a remote share of 1.
 	remoteZoneAdvantage = 0.1
 
 	// maxZoneConnectFailures is the number of consecutive failures to connect in one zone up to which they
@@ -20,7 +19,8 @@
 	maxZoneConnectFailures = 3
 )
 
-// zoneLoad is the utilization of several servers: utilization is the sum weighted by server weight.
+// zoneLoad is the load of several servers: the sum of their utilizations, weighted by server weight, and the
+// sum of the weights.
 type zoneLoad struct{ utilization, weight float64 }
 
 // mean returns the mean utilization; weight must be positive.
--- a/internal/standalone/policy/membership_test.go
+++ b/internal/standalone/policy/membership_test.go
@@ -10,7 +10,7 @@
 	for id := range uint64(20) {
 		actions := b.Handle(b.now, &Event{Kind: RequestArrived, ID: id, ClientTimeout: 1e6}, nil)
 		if len(actions) == 0 || actions[0].Kind != SendAttempt || actions[0].Server != 102 {
-			t.Fatalf("request %d: %v", id, actions)
+			t.Fatalf("request %d was not sent to the only ready server: %v", id, actions)
 		}
 	}
 }
--- a/internal/standalone/policy/overdue_test.go
+++ b/internal/standalone/policy/overdue_test.go
@@ -27,14 +27,14 @@
 			sentAt, target := b.now, b.settings.Classes[0].LatencyTarget
 			b.now = sentAt + target/2
 			if b.detectOverdue(); b.concurrencyLimit != 100 {
-				t.Errorf("limit %v within the time that a response takes", b.concurrencyLimit)
+				t.Errorf("limit %v within the time of a response without congestion", b.concurrencyLimit)
 			}
 			b.now = sentAt + target
 			b.detectOverdue()
 			once := b.concurrencyLimit
 			b.now += target
 			if b.detectOverdue(); (once < 100) != c.signals || b.concurrencyLimit != once {
-				t.Errorf("limit %v, then %v", once, b.concurrencyLimit)
+				t.Errorf("limit %v after the target, then %v", once, b.concurrencyLimit)
 			}
 			if !c.signals {
 				return
--- a/internal/standalone/policy/queue_test.go
+++ b/internal/standalone/policy/queue_test.go
@@ -61,7 +61,7 @@
 			}
 		}
 		if got.Kind != c.want || got.Kind == RejectRequest && got.After <= 0 {
-			t.Errorf("mode %d: %+v", c.mode, got)
+			t.Errorf("servers with mode %d: action %+v", c.mode, got)
 		}
 	}
 }
--- a/internal/standalone/policy/schedule_test.go
+++ b/internal/standalone/policy/schedule_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// A server with four times the capacity gets a lower load score with 3 attempts in flight than the slower
+// A server with four times the capacity gets a lower load score with 3 attempts in flight than the other
 // server with 2.
 func TestLoadScoreIsRelativeToCapacity(t *testing.T) {
 	b := newBalancer(t, testSettings(), testMembers(2))
--- a/internal/standalone/policy/snapshot.go
+++ b/internal/standalone/policy/snapshot.go
@@ -8,7 +8,7 @@
 )
 
 // Snapshot is the learned state of a balancer, for its successor. Its times are on the clock of the calls of
-// Handle, which both balancers must share. One process hands it to another, which may be of another version:
+// Handle, which both balancers must share. One process passes it to another, which may be of another version:
 // the JSON keys are the stored form and must not change when fields are renamed.
 type Snapshot struct {
 	At                Time               `json:"At"`
--- a/internal/standalone/policy/snapshot_test.go
+++ b/internal/standalone/policy/snapshot_test.go
@@ -59,7 +59,7 @@
 	}
 	var snapshot Snapshot
 	if err := json.Unmarshal(text, &snapshot); err != nil || !reflect.DeepEqual(&snapshot, old.Snapshot()) {
-		t.Errorf("%v: %s", err, text)
+		t.Errorf("the snapshot changed in a round trip through JSON, error %v: %s", err, text)
 	}
 	b := newRestoreBalancer(t, restoreStart-5e6)
 	if !b.Restore(restoreEnd, &snapshot) {
@@ -72,7 +72,7 @@
 		b.medianAttemptTime != old.medianAttemptTime || b.servers[1].qpsSum != old.servers[1].qpsSum ||
 		!b.servers[3].warmingUp ||
 		b.overall.meanWeight == 0 || b.servers[3].readySince != old.servers[3].readySince {
-		t.Errorf("%+v became %+v", snapshot, b.Snapshot())
+		t.Errorf("snapshot %+v was restored as %+v", snapshot, b.Snapshot())
 	}
 }
 
@@ -103,7 +103,7 @@
 		b := newRestoreBalancer(t, restoreStart-5e6)
 		before := b.Snapshot()
 		if b.Restore(restoreEnd, &bad) {
-			t.Errorf("%s: restored", name)
+			t.Errorf("%s: the snapshot was restored", name)
 		}
 		if before.At = b.now; !reflect.DeepEqual(before, b.Snapshot()) {
 			t.Errorf("%s: the refused snapshot changed the state", name)
--- a/internal/standalone/policy/stored_test.go
+++ b/internal/standalone/policy/stored_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// A process hands the learned state of its balancer to its successor, which may be of another version. The
+// A process passes the learned state of its balancer to its successor, which may be of another version. The
 // file was stored by an earlier version: every field must be read from the same key, and written under it.
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/learnt.json")
--- a/internal/standalone/subset/subset.go
+++ b/internal/standalone/subset/subset.go
@@ -6,7 +6,7 @@
 // load.
 //
 // The multiples of an irrational number spread evenly for any run of consecutive ordinals, and also if only every
-// fourth ordinal is in the zone. With n proxies, each point of the ring is covered by n times the arc's length of arcs;
+// fourth ordinal is in the zone. With n proxies and arcs of length a, each point of the ring is covered by n*a arcs;
 // the deviation is at most 4, plus 2 for each tenfold of n (TestCoverageIsEven). Where servers are so wide that arcs
 // are extended to cover the minimum number of servers, some servers are covered more often. The package is pure: no
 // clock, no randomness, no state.
--- a/internal/standalone/subset/subset_test.go
+++ b/internal/standalone/subset/subset_test.go
@@ -47,7 +47,7 @@
 		members := Select(servers, ordinal, arc, 4)
 		for _, m := range members {
 			if m.Coverage <= 0 || m.Coverage > 1+1e-9 || seen[m.ID] {
-				t.Fatalf("member %+v", m)
+				t.Fatalf("coverage out of range or repeated member: %+v", m)
 			}
 			seen[m.ID] = true
 			covered += m.Coverage * width[m.ID]
@@ -91,7 +91,7 @@
 			}
 		}
 	})
-	t.Logf("at most %.2f of the bound", worst)
+	t.Logf("the largest deviation is %.2f of the bound", worst)
 }
 
 // checkExtension compares members, the subset of an arc without an extension, with extended, the subset of the same arc
@@ -102,7 +102,7 @@
 		t.Fatalf("the arc covers %d servers, but is extended from %v to %v", len(members), members, extended)
 	}
 	if len(extended) < minServers {
-		t.Fatalf("%d servers, want %d at least", len(extended), minServers)
+		t.Fatalf("%d servers, want at least %d", len(extended), minServers)
 	}
 	for i, m := range members {
 		if extended[i].ID != m.ID || extended[i].Coverage < m.Coverage {
@@ -143,7 +143,7 @@
 	servers := []Server{{ID: 1}, {ID: 2, Zone: 1}, {ID: 3, Zone: 1}, {ID: 4, Zone: 1}}
 	if members := Select(servers, 7, 0.01, 4); len(members) != 4 || members[0] != (Member{1, 1}) ||
 		members[3].Coverage != 1 {
-		t.Errorf("all of two small zones: %v", members)
+		t.Errorf("want all servers of two small zones, got %v", members)
 	}
 	if members := Select(nil, 7, 0.5, 4); len(members) != 0 {
 		t.Errorf("without servers: %v", members)
