--- a/internal/standalone/policy/startlimit.go
+++ b/internal/standalone/policy/startlimit.go
@@ -11,7 +11,8 @@
 // sent before their latency is known. From then on the limit adapts to the responses.
 func (b *Balancer) setInitialLimit() {
 	if math.IsInf(b.concurrencyLimit, 1) && len(b.members) > 0 {
-		b.concurrencyLimit = max(1, initialAttemptsPerServer*float64(len(b.members))/float64(b.settings.GroupSize))
+		b.concurrencyLimit = max(1,
+			initialAttemptsPerServer*float64(len(b.members))/float64(b.settings.GroupSize))
 		b.startedAt = b.now
 	}
 }
