--- a/internal/controlplane/epoch/acceptor.go
+++ b/internal/controlplane/epoch/acceptor.go
@@ -4,7 +4,7 @@
 	"pumiceline/internal/message"
 )
 
-// onEpochPrepare promises to accept no write of an earlier epoch, unless a later one was promised.
+// onEpochPrepare promises to accept no write of an earlier epoch, or rejects the request if a later epoch was promised.
 func (m *Member) onEpochPrepare(received *message.Message) {
 	request := received.EpochPrepare
 	response := &message.EpochPrepareResponse{Epoch: request.Epoch, Group: request.Group}
@@ -21,7 +21,7 @@
 	m.sendAfterSync(senderOf(received), message.Message{EpochPrepareResponse: response})
 }
 
-// promise promises an epoch. Whatever this member does under an earlier one ends.
+// promise promises an epoch. It ends this member's own term as issuer or candidacy under an earlier epoch.
 func (m *Member) promise(epoch message.Epoch) {
 	m.record.Promised = epoch
 	m.output.recordDirty = true
@@ -33,7 +33,8 @@
 	}
 }
 
-// onStateWrite accepts what an issuer writes, if it was promised no later epoch and the writes lead on from its own state.
+// onStateWrite accepts an issuer's writes if this member has promised no later epoch and the writes continue from its
+// own state.
 func (m *Member) onStateWrite(received *message.Message) {
 	write := received.StateWrite
 	if write.Epoch.Less(m.record.Promised) || write.Position.Group < m.group.Number {
@@ -43,7 +44,7 @@
 	if m.record.Promised != write.Epoch {
 		m.promise(write.Epoch)
 	}
-	m.follower.heard(write, m.now)
+	m.follower.recordWrite(write, m.now)
 	m.acceptWrite(write)
 	response := &message.StateWriteResponse{
 		Epoch: write.Epoch, Round: write.Round, Promised: m.record.Promised, Position: m.position, Leaving: m.leaving,
@@ -52,7 +53,7 @@
 	m.sendAfterSync(senderOf(received), message.Message{StateWriteResponse: response})
 }
 
-// rejectWrite tells an issuer that its epoch or its group is over.
+// rejectWrite tells an issuer that its epoch or its group was superseded.
 func (m *Member) rejectWrite(received *message.Message) {
 	write := received.StateWrite
 	response := &message.StateWriteResponse{
@@ -65,7 +66,7 @@
 	m.send(senderOf(received), message.Message{StateWriteResponse: response})
 }
 
-// acceptWrite applies the writes that lead on from the present position, or takes over a complete state that is newer.
+// acceptWrite applies the writes that continue from the current position, or adopts a complete state that is newer.
 func (m *Member) acceptWrite(write *message.StateWrite) {
 	if write.State != nil && m.position.Less(write.State.Position) {
 		m.adoptState(*write.State, false)
@@ -81,7 +82,7 @@
 	}
 }
 
-// applyWrite applies a write that leads on from the present position.
+// applyWrite applies a write whose previous position is the current one.
 func (m *Member) applyWrite(write *message.CoordinationWrite) {
 	for _, change := range write.Changes {
 		if change.NextGroup != nil {
@@ -93,7 +94,8 @@
 	m.enterPosition(write)
 }
 
-// enterPosition goes to the position of a write whose changes are in force.
+// enterPosition moves to the position of a write whose changes have been applied, and to the group that it starts, if
+// any.
 func (m *Member) enterPosition(write *message.CoordinationWrite) {
 	m.position = write.Position
 	if write.Group != nil {
@@ -102,7 +104,8 @@
 	}
 }
 
-// adoptState replaces the state. After a restart the holds of locks begin anew, as the clock that counted them is lost.
+// adoptState replaces the state. After a restart each lock hold starts again with its full duration, because the
+// monotonic clock that measured it is lost.
 func (m *Member) adoptState(state message.CoordinationState, restarted bool) {
 	m.position, m.group, m.nextGroup = state.Position, state.Group, state.NextGroup
 	m.learnGroup(m.group)
@@ -116,14 +119,14 @@
 	return state
 }
 
-// learnGroup notes a group that this member hears of.
+// learnGroup records a group that a message or a write named, if it is newer than the newest one known.
 func (m *Member) learnGroup(group message.AcceptorGroup) {
 	if group.Number > m.newestGroup.Number {
 		m.newestGroup = group
 	}
 }
 
-// onStateRequest sends the complete state to the candidate that was promised its epoch.
+// onStateRequest sends the complete state to the candidate whose epoch this member promised last.
 func (m *Member) onStateRequest(received *message.Message) {
 	if received.StateRequest.Epoch != m.record.Promised {
 		return
--- a/internal/controlplane/epoch/candidate.go
+++ b/internal/controlplane/epoch/candidate.go
@@ -10,13 +10,13 @@
 	"pumiceline/internal/message"
 )
 
-// candidatePhase is how far a candidate has come.
+// candidatePhase is the phase of a candidacy.
 type candidatePhase int
 
 const (
-	phaseQuery   candidatePhase = iota // it asks whether the acceptors have an issuer
-	phasePrepare                       // it collects promises
-	phaseFetch                         // it fetches the newest state that the promises reported
+	phaseQuery   candidatePhase = iota // asks whether the acceptors have an issuer
+	phasePrepare                       // collects promises
+	phaseFetch                         // fetches the newest state that the promises reported
 )
 
 // candidate is a member's attempt to become the issuer.
@@ -28,13 +28,13 @@
 	epoch     message.Epoch // from phasePrepare on
 	group     message.AcceptorGroup
 	promises  map[message.MemberID]message.CoordinationPosition // by acceptor: the position that it reported
-	sources   map[message.MemberID]message.Member               // who reported it
-	newest    message.CoordinationPosition                      // of phaseFetch: the newest that was reported
-	isHandOff bool                                              // the issuer of the group before goes on in this one
+	sources   map[message.MemberID]message.Member               // the acceptors that reported a position
+	newest    message.CoordinationPosition                      // in phaseFetch: the newest position that was reported
+	isHandOff bool                                              // the issuer of the previous group continues in this one
 }
 
-// startQuery asks the acceptors whether they would promise a new epoch, so that a member that is cut off does not interrupt an
-// issuer that the others hear.
+// startQuery asks the acceptors whether they have an issuer before any epoch is prepared (a pre-vote). Without it a
+// member that was cut off from the issuer would depose one that the other acceptors still follow.
 func (m *Member) startQuery() {
 	m.options.Incarnation++
 	m.follower.issuer = message.Member{}
@@ -54,7 +54,7 @@
 	if c == nil || c.phase != phaseQuery || response.RequestID != c.requestID {
 		return
 	}
-	if c.group.Number != m.newestGroup.Number { // the acceptors asked are not the present ones
+	if c.group.Number != m.newestGroup.Number { // the queried acceptors are no longer the current ones
 		m.candidate = nil
 		return
 	}
@@ -68,12 +68,13 @@
 		m.candidate = nil
 		m.follower.waitingSince = m.now
 		m.follower.issuer = c.queried[withIssuer[0].Identity].Issuer
-		m.follower.idle = !containsMember(m.newestGroup.Acceptors, m.options.Self.Identity) // the group goes on without it
+		// A member outside the group expects no heartbeats.
+		m.follower.idle = !containsMember(m.newestGroup.Acceptors, m.options.Self.Identity)
 	}
 }
 
-// prepare starts phase 1 for a group under a new epoch. The own promise is synced before the epoch is sent: a member that
-// restarted in between would use the epoch twice.
+// prepare starts phase 1 for a group under a new epoch. The member's own promise is synced before the epoch is sent: if
+// the member sent the epoch first and restarted before the sync, it would use the same epoch twice.
 func (m *Member) prepare(group message.AcceptorGroup) {
 	m.follower.issuer = message.Member{}
 	counter := m.record.Promised.Counter
@@ -96,9 +97,9 @@
 	}
 }
 
-// collectPromises asks the acceptors of a group to promise the candidate's epoch. Those of the group that this member's state
-// belongs to are asked too: where nobody holds a state of the newer group, the older one has to be led to its end again. A
-// promise that was given holds for every group.
+// collectPromises asks the acceptors of a group to promise the candidate's epoch. It also asks the acceptors of the
+// group that this member's state belongs to: if no acceptor holds a state of the newer group, the candidate has to
+// become the issuer of the older group and complete the change to the newer one. A promise holds for every group.
 func (m *Member) collectPromises(group message.AcceptorGroup) {
 	c := m.candidate
 	c.phase, c.startedAt, c.group = phasePrepare, m.now, group
@@ -109,8 +110,8 @@
 	}
 }
 
-// onEpochPrepareResponse counts the promises. A majority of them has the newest state of the group among it, as each write that
-// was answered was accepted by a majority.
+// onEpochPrepareResponse counts the promises. A majority of promises includes an acceptor with the newest state of the
+// group, because each write that was answered had been accepted by a majority.
 func (m *Member) onEpochPrepareResponse(received *message.Message) {
 	c, response := m.candidate, received.EpochPrepareResponse
 	m.learnGroup(response.Current)
@@ -144,13 +145,14 @@
 	return promised >= quorum(group)
 }
 
-// hasState reports whether one of those that have promised holds a state of a group. It has all then that was accepted in the
-// groups before.
+// hasState reports whether an acceptor that has promised holds a state of a group. Such a state includes everything
+// that was accepted in the earlier groups.
 func (c *candidate) hasState(group message.AcceptorGroup) bool {
 	return lo.SomeBy(lo.Values(c.promises), func(p message.CoordinationPosition) bool { return p.Group == group.Number })
 }
 
-// fetchNewestState fetches the newest state that was reported, unless this member holds it.
+// fetchNewestState fetches the newest state that was reported. If this member holds it already, it becomes the issuer
+// at once.
 func (m *Member) fetchNewestState() {
 	c := m.candidate
 	newest := m.options.Self.Identity
@@ -168,7 +170,7 @@
 	m.send(c.sources[newest], message.Message{StateRequest: &message.StateRequest{Epoch: c.epoch}})
 }
 
-// onStateResponse takes the newest state over.
+// onStateResponse adopts the newest state and becomes the issuer.
 func (m *Member) onStateResponse(received *message.Message) {
 	c, response := m.candidate, received.StateResponse
 	if c == nil || c.phase != phaseFetch || response.Epoch != c.epoch || response.State.Position != c.newest {
@@ -178,14 +180,14 @@
 		m.adoptState(response.State, false)
 		m.output.stateReplaced = true
 	}
-	if m.position.Group > c.group.Number { // the state is of a later group than the one that was to be led
+	if m.position.Group > c.group.Number { // the state belongs to a later group than the one prepared
 		m.prepare(m.newestGroup)
 		return
 	}
 	m.becomeIssuer()
 }
 
-// abandonCandidacy ends an attempt that was rejected because of a later epoch.
+// abandonCandidacy ends a candidacy that was rejected because an acceptor had promised a later epoch.
 func (m *Member) abandonCandidacy(promised message.Epoch) {
 	if m.record.Promised.Less(promised) {
 		m.promise(promised)
@@ -194,7 +196,7 @@
 	m.follower.awaitIssuer(m.now)
 }
 
-// tickCandidate gives up an attempt that takes too long; the next one starts when it is due again.
+// tickCandidate ends a candidacy that takes too long and makes the next one due after queryTimeout.
 func (m *Member) tickCandidate() {
 	c := m.candidate
 	if c == nil {
@@ -206,19 +208,19 @@
 	}
 	if m.now-c.startedAt >= limit {
 		m.candidate = nil
-		if m.issuer != nil { // it was on its way to the next group
+		if m.issuer != nil { // the candidacy was for the next group
 			m.stepDown(message.Member{})
 		}
 		m.follower.retryElection(m.now)
 	}
 }
 
-// retryElection makes the next attempt due one queryTimeout from now, at the earliest.
+// retryElection makes the next candidacy due queryTimeout from now, at the earliest.
 func (f *follower) retryElection(now time.Duration) {
 	f.waitingSince = now - issuerTimeout + queryTimeout
 }
 
-// onIssuerHandOver becomes the issuer in place of one that shuts down.
+// onIssuerHandOver starts a candidacy at once on behalf of an issuer that hands over its role.
 func (m *Member) onIssuerHandOver(received *message.Message) {
 	isCurrent := received.IssuerHandOver.Epoch == m.record.Promised
 	if isCurrent && m.isAcceptor() && m.issuer == nil && m.candidate == nil && !m.leaving {
--- a/internal/controlplane/epoch/cluster_test.go
+++ b/internal/controlplane/epoch/cluster_test.go
@@ -14,19 +14,19 @@
 // tickInterval is how often the members of a test cluster are ticked.
 const tickInterval = 50 * time.Millisecond
 
-// relayMember is the relay that the calls of the tests come from.
+// relayMember is the relay that sends the calls of the tests.
 var relayMember = message.Member{Identity: "relay", Address: "relay"}
 
-// cluster is members that exchange messages without a delay, on disks that sync at once. Messages of one step are delivered in
-// order, each to its end before the next.
+// cluster runs members that exchange messages without delay and whose disks sync at once. Messages are delivered one at
+// a time, in the order in which they were queued.
 type cluster struct {
 	t       *testing.T
 	now     time.Duration
 	members map[message.MemberID]*Member
 	disks   map[message.MemberID]*Stored
-	blocked map[message.MemberID]bool // members that no message reaches, and from which none comes
-	drops   func(m *message.Message) bool
-	answers map[uint64]*message.CallResponse // by call ID: the newest response with an answer
+	blocked map[message.MemberID]bool        // members that are partitioned from all others
+	drops   func(m *message.Message) bool    // reports whether to lose a message; nil: none
+	answers map[uint64]*message.CallResponse // by call ID: the last response that has an answer
 	queue   []message.Message
 	lastID  uint64
 }
@@ -43,7 +43,7 @@
 	return members
 }
 
-// newCluster starts members that are the first group of acceptors.
+// newCluster starts members that form the first group of acceptors.
 func newCluster(t *testing.T, names ...string) *cluster {
 	t.Helper()
 	c := &cluster{
@@ -57,7 +57,7 @@
 	return c
 }
 
-// start starts a member, with what is on its disk.
+// start starts a member with the content of its disk.
 func (c *cluster) start(name string, initial *message.AcceptorGroup) {
 	self := testMember(name)
 	if c.disks[self.Identity] == nil {
@@ -70,7 +70,7 @@
 // restart ends a member's process and starts it again.
 func (c *cluster) restart(name string) { c.start(name, nil) }
 
-// run lets time pass.
+// run advances the time in ticks of tickInterval.
 func (c *cluster) run(duration time.Duration) {
 	for end := c.now + duration; c.now < end; {
 		c.now += tickInterval
@@ -139,7 +139,7 @@
 	c.deliverAll()
 }
 
-// call submits a call to the members in turn until one answers it.
+// call submits a call to the members, one after another, until one of them answers it.
 func (c *cluster) call(call message.Call) message.Answer {
 	c.t.Helper()
 	c.lastID++
@@ -159,7 +159,7 @@
 	return message.Answer{}
 }
 
-// issuer returns the member that is the issuer.
+// issuer returns the issuer, blocked members excepted.
 func (c *cluster) issuer() *Member {
 	c.t.Helper()
 	for name, m := range c.members {
--- a/internal/controlplane/epoch/follower.go
+++ b/internal/controlplane/epoch/follower.go
@@ -7,41 +7,43 @@
 	"pumiceline/internal/message"
 )
 
-// follower is what a member knows of the issuer.
+// follower is a member's view of the issuer.
 type follower struct {
-	issuer       message.Member // the one that was heard last; without an identity: none is known
-	heardAt      time.Duration
-	hasHeard     bool          // an issuer was heard since the start
+	issuer       message.Member // as last reported; without an identity: none is known
+	lastWriteAt  time.Duration
+	hasLastWrite bool          // lastWriteAt is set
 	idle         bool          // no heartbeats are expected: there have been no calls for a while
-	waitingSince time.Duration // since when an issuer has been awaited; it starts the time-out anew
+	waitingSince time.Duration // start of the election time-out
 }
 
-// heard notes a message of an issuer.
-func (f *follower) heard(write *message.StateWrite, now time.Duration) {
-	f.issuer, f.heardAt, f.hasHeard = write.Issuer, now, true
+// recordWrite records a write that an issuer sent.
+func (f *follower) recordWrite(write *message.StateWrite, now time.Duration) {
+	f.issuer, f.lastWriteAt, f.hasLastWrite = write.Issuer, now, true
 	f.idle, f.waitingSince = write.Idle, now
 }
 
-// awaitIssuer expects a message of an issuer from now on: one that was promised its epoch is about to begin.
+// awaitIssuer restarts the election time-out while another member, which has a later epoch, is expected to become the
+// issuer.
 func (f *follower) awaitIssuer(now time.Duration) {
-	f.issuer, f.hasHeard = message.Member{}, false
+	f.issuer, f.hasLastWrite = message.Member{}, false
 	f.idle, f.waitingSince = false, now
 }
 
-// isIssuerAlive reports whether an issuer was heard a moment ago.
+// isIssuerAlive reports whether a write of an issuer arrived within issuerAliveTime.
 func (f *follower) isIssuerAlive(now time.Duration) bool {
-	return f.hasHeard && !f.idle && now-f.heardAt <= issuerAliveTime
+	return f.hasLastWrite && !f.idle && now-f.lastWriteAt <= issuerAliveTime
 }
 
-// wake expects heartbeats again after a call has come: the issuer hears of it, or there is none.
-func (m *Member) wake() {
+// expectHeartbeats ends the idle state after a call and restarts the election time-out. The call reaches the issuer
+// too, which then resumes its heartbeats. If no heartbeat arrives there is no issuer, and an election follows.
+func (m *Member) expectHeartbeats() {
 	if m.follower.idle {
 		m.follower.idle = false
 		m.follower.waitingSince = m.now
 	}
 }
 
-// electionDue reports whether it is this member's turn to look for a new issuer.
+// electionDue reports whether this member should start a candidacy now.
 func (m *Member) electionDue() bool {
 	if m.follower.idle || m.issuer != nil || m.candidate != nil || !m.isAcceptor() {
 		return false
@@ -56,14 +58,16 @@
 	return m.now-m.follower.waitingSince >= timeout
 }
 
-// isAcceptor reports whether this member is an acceptor of the newest group that it knows, or of that of its own state: the newer
-// group may have been named by an issuer that was lost before anybody else entered it.
+// isAcceptor reports whether this member is an acceptor of the newest group that it knows, or of the group of its own
+// state. The latter counts because an issuer may have announced the newer group and failed before any other member had
+// a state of it.
 func (m *Member) isAcceptor() bool {
 	self := m.options.Self.Identity
 	return containsMember(m.newestGroup.Acceptors, self) || containsMember(m.group.Acceptors, self)
 }
 
-// electionRank returns how many acceptors are to try before this one: those between the last issuer and it.
+// electionRank returns how many acceptors may start a candidacy before this one: those between the last issuer and this
+// member in the order of the group.
 func (m *Member) electionRank() int {
 	indexOf := func(identity message.MemberID) int {
 		return slices.IndexFunc(m.newestGroup.Acceptors, func(a message.Member) bool { return a.Identity == identity })
@@ -75,17 +79,17 @@
 	return (indexOf(m.options.Self.Identity) - indexOf(m.record.Promised.Issuer) - 1 + count) % count
 }
 
-// tickFollower looks for a new issuer when the present one has not been heard for too long.
+// tickFollower starts a candidacy when the election time-out is over or a change of the group needs an issuer.
 func (m *Member) tickFollower() {
 	if m.hasLongMismatch() {
-		m.wake()
+		m.expectHeartbeats()
 	}
 	if m.electionDue() {
 		m.startQuery()
 	}
 }
 
-// observeMismatch notes since when the voters of the view have not been the acceptors.
+// observeMismatch records since when the voters of the view differ from the acceptors.
 func (m *Member) observeMismatch() {
 	mismatched := m.wantedAcceptors() != nil
 	if mismatched && !m.membership.mismatched {
@@ -94,12 +98,14 @@
 	m.membership.mismatched = mismatched
 }
 
-// hasLongMismatch reports whether the group has needed a change for so long that an issuer is needed for it alone.
+// hasLongMismatch reports whether the voters have differed from the acceptors for groupMismatchDelay. An issuer is then
+// needed to change the group, even without calls.
 func (m *Member) hasLongMismatch() bool {
 	return m.membership.mismatched && m.isAcceptor() && m.now-m.membership.mismatchSince >= groupMismatchDelay
 }
 
-// wantedAcceptors returns the voters of a newer view than that of the group, if they are others than its acceptors.
+// wantedAcceptors returns the voters of the view if the view is newer than that of the group and they differ from its
+// acceptors.
 func (m *Member) wantedAcceptors() []message.Member {
 	current := m.newestGroup
 	isNewer := current.Number > 0 && m.membership.view > current.View
@@ -109,7 +115,7 @@
 	return m.membership.voters
 }
 
-// onEpochQuery says whether this member would promise a new epoch, without promising anything.
+// onEpochQuery reports whether this member has an issuer, its promised epoch and its newest group. It promises nothing.
 func (m *Member) onEpochQuery(received *message.Message) {
 	response := &message.EpochQueryResponse{
 		RequestID: received.EpochQuery.RequestID, Promised: m.record.Promised, Group: m.newestGroup,
--- a/internal/controlplane/epoch/group.go
+++ b/internal/controlplane/epoch/group.go
@@ -6,7 +6,7 @@
 	"pumiceline/internal/message"
 )
 
-// isNextGroupReady reports whether the acceptors are to be changed and a majority of the new ones holds the present state.
+// isNextGroupReady reports whether the acceptors have to change and a majority of the new ones holds the current state.
 func (m *Member) isNextGroupReady() bool {
 	l, wanted := m.issuer, m.wantedAcceptors()
 	if wanted == nil || !l.established || l.inFlight != nil {
@@ -15,7 +15,7 @@
 	return m.acceptedBy(wanted, l.round) >= len(wanted)/2+1
 }
 
-// closeGroup writes the last write of the group, which names the next one.
+// closeGroup starts the last write of the group, which names the next group.
 func (m *Member) closeGroup() {
 	m.nextGroup = &message.AcceptorGroup{
 		Number: m.group.Number + 1, View: m.membership.view, Acceptors: m.wantedAcceptors(),
@@ -35,8 +35,8 @@
 	return next
 }
 
-// enterNextGroup has a majority of the next group promise the epoch. Another issuer may have led that group already, so its
-// newest state has to be found first, as in any election.
+// enterNextGroup asks the acceptors of the next group to promise the epoch. Another issuer may already have written in
+// that group, so the newest state has to be found first, as in any election.
 func (m *Member) enterNextGroup() {
 	m.issuer.established = false
 	m.candidate = newCandidate(m.issuer.epoch)
@@ -44,14 +44,15 @@
 	m.collectPromises(*m.nextGroup)
 }
 
-// mustHandOver reports whether another member has to become the issuer: this one leaves, or is no acceptor.
+// mustHandOver reports whether another member has to become the issuer, because this one shuts down or is not an
+// acceptor.
 func (m *Member) mustHandOver() bool {
 	isOutside := !containsMember(m.group.Acceptors, m.options.Self.Identity)
 	return m.issuer.established && (m.leaving || isOutside)
 }
 
-// handOver ends the epoch in favour of an acceptor that holds the present state and does not leave itself. Without one this member
-// goes on until its process ends.
+// handOver ends the epoch in favour of an acceptor that holds the current state and is not shutting down. If there is
+// none, this member continues to decide calls until its process ends.
 func (m *Member) handOver() {
 	l := m.issuer
 	successor, found := lo.Find(m.group.Acceptors, func(a message.Member) bool {
--- a/internal/controlplane/epoch/handoff_calls_test.go
+++ b/internal/controlplane/epoch/handoff_calls_test.go
@@ -10,26 +10,26 @@
 	"pumiceline/internal/message"
 )
 
-// A hand-over to the next group that fails ends the epoch like any other failure: calls that were not decided are declined, and
-// none is decided when the member becomes the issuer again, when its caller has long turned elsewhere.
-func TestMember_FailedHandOverDeclinesTheCallsThatWait(t *testing.T) {
+// A failed change to the next group ends the epoch, and undecided calls are rejected. If they stayed queued, the member
+// would decide them when it becomes the issuer again, after their callers have turned to another member.
+func TestMember_FailedHandOverRejectsUndecidedCalls(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	require.Equal(t, coordination.StatusOK, c.call(putCall("g.1", "x", 0)).Status)
 	name := c.issuerName()
 	m := c.members[message.MemberID(name)]
 	c.start("d", nil)
 	c.setVoters(2, "a", "b", "c", "d")
-	declined := 0
+	rejected := 0
 	c.drops = func(sent *message.Message) bool {
 		if sent.CallResponse != nil && sent.CallResponse.Answer == nil && string(sent.From) == name {
-			declined++
+			rejected++
 		}
 		isClosing := sent.StateWrite != nil && len(sent.StateWrite.Writes) > 0 && m.nextGroup != nil
 		if isClosing && len(m.calls.queued) == 0 { // a call comes while the last write of the group is in flight
 			m.calls.queued = append(m.calls.queued, pendingCall{
 				key: callKey{relayMember.Identity, 99}, relay: relayMember, call: putCall("g.1", "late", 1),
 			})
-			m.calls.known[callKey{relayMember.Identity, 99}] = true
+			m.calls.unanswered[callKey{relayMember.Identity, 99}] = true
 		}
 		return sent.EpochPrepare != nil && string(sent.From) == name
 	}
@@ -39,14 +39,15 @@
 			break
 		}
 	}
-	require.Nil(t, m.issuer, "the hand-over failed")
+	require.Nil(t, m.issuer, "the failed hand-over ends the epoch")
 	assert.Empty(t, m.calls.queued)
-	assert.Empty(t, m.calls.known)
-	assert.Equal(t, 1, declined)
+	assert.Empty(t, m.calls.unanswered)
+	assert.Equal(t, 1, rejected)
 }
 
-// The answer of an acceptor that had entered the group before the issuer did may arrive after the issuer has entered it too.
-func TestMember_LateWordOfTheGroupThatItLeadsDoesNotEndAnEpoch(t *testing.T) {
+// An acceptor that entered a group before the issuer may name that group in an answer which arrives after the issuer
+// has entered it too. The issuer must not step down.
+func TestMember_LateAnswerNamingTheCurrentGroupDoesNotEndTheEpoch(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	require.Equal(t, coordination.StatusOK, c.call(putCall("g.1", "x", 0)).Status)
 	m := c.issuer()
--- a/internal/controlplane/epoch/handoff_test.go
+++ b/internal/controlplane/epoch/handoff_test.go
@@ -12,19 +12,20 @@
 	"pumiceline/internal/message"
 )
 
-// others returns the names of some members but one, in order.
+// others returns the names except one, in the same order.
 func others(names []string, without string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(name string) bool { return name == without })
 }
 
-// setVoters tells all members of a view.
+// setVoters sets the view and its voters at all members.
 func (c *cluster) setVoters(view int, names ...string) {
 	for _, m := range c.members {
 		m.SetVoters(message.ViewNumber(view), testMembers(names...))
 	}
 }
 
-// enterNextGroupAlone has the issuer be the only one that enters group 2: its writes there are lost.
+// enterNextGroupAlone runs until the issuer has entered group 2. Its writes in that group are lost, so no other member
+// enters it.
 func (c *cluster) enterNextGroupAlone(issuer string) {
 	c.t.Helper()
 	c.drops = func(m *message.Message) bool { return m.StateWrite != nil && m.StateWrite.Position.Group == 2 }
@@ -37,8 +38,9 @@
 	require.FailNow(c.t, "the issuer did not enter the next group")
 }
 
-// All lose power while only the former issuer, which is no acceptor of the new group, has synced the first write of it.
-func TestMember_AllRestartAfterOnlyALeavingIssuerEnteredTheNextGroup(t *testing.T) {
+// All members restart when only the former issuer, which is not an acceptor of the new group, has synced the group's
+// first write. The new group must still become available with the earlier writes.
+func TestMember_AllRestartAfterOnlyTheFormerIssuerEnteredTheNextGroup(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	require.Equal(t, coordination.StatusOK, c.call(putCall("g.1", "x", 0)).Status)
 	leaving := c.issuerName()
@@ -54,15 +56,16 @@
 	assert.Equal(t, "x", c.call(getCall("g.1")).Value)
 }
 
-// An acceptor hears of the next group from the issuer, which is lost for good before anybody else has a state of that group.
-func TestMember_IssuerIsLostAfterItNamedAGroupThatNobodyElseEntered(t *testing.T) {
+// The issuer names the next group to the acceptors and then fails permanently, before any other member has a state of
+// that group. The remaining acceptors must still elect an issuer.
+func TestMember_IssuerFailsAfterOnlyItEnteredTheNextGroup(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	require.Equal(t, coordination.StatusOK, c.call(putCall("g.1", "x", 0)).Status)
 	lost := c.issuerName()
 	c.start("d", nil)
 	c.setVoters(2, "a", "b", "c", "d")
 	c.enterNextGroupAlone(lost)
-	for _, name := range others([]string{"a", "b", "c"}, lost) { // they ask it who leads
+	for _, name := range others([]string{"a", "b", "c"}, lost) { // the responses name the next group
 		c.queue = append(c.queue, message.Message{
 			From: message.MemberID(name), FromAddress: name, To: message.MemberID(lost), EpochQuery: &message.EpochQuery{},
 		})
@@ -73,7 +76,8 @@
 	assert.Equal(t, "x", c.call(getCall("g.1")).Value)
 }
 
-// An issuer without calls, whose group has nobody else that could notice, still takes in those that join the view.
+// The issuer of a group of one is idle, and there is no other acceptor to start an election. It must still change the
+// group to the voters of a new view.
 func TestMember_IdleSingleAcceptorTakesInNewVoters(t *testing.T) {
 	c := newCluster(t, "a")
 	c.run(smallGroupPeriod)
@@ -89,9 +93,9 @@
 	assert.Equal(t, "x", c.call(getCall("g.1")).Value)
 }
 
-// The state that a candidate asked for must not be older than the position that was promised, as that of a response to an
-// earlier request under the same epoch is.
-func TestMember_OldStateResponseIsNotTakenForTheNewestState(t *testing.T) {
+// A candidate must not adopt a state that is older than the newest position reported with the promises. A late response
+// to an earlier request under the same epoch carries such a state.
+func TestMember_CandidateDoesNotAdoptAnOldStateResponse(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	require.Equal(t, coordination.StatusOK, c.call(putCall("g.1", "x", 0)).Status)
 	former := c.issuerName()
@@ -109,5 +113,5 @@
 		From: message.MemberID(former), To: message.MemberID(candidateName),
 		StateResponse: &message.StateResponse{Epoch: m.candidate.epoch, State: old},
 	})
-	assert.Nil(t, m.issuer, "it does not lead with an older state than was promised")
+	assert.Nil(t, m.issuer, "the candidate must not become the issuer with an older state than was reported")
 }
--- a/internal/controlplane/epoch/issuer.go
+++ b/internal/controlplane/epoch/issuer.go
@@ -8,42 +8,42 @@
 	"pumiceline/internal/message"
 )
 
-// issuer is the state of a member that has the promises of a majority for its epoch.
+// issuer is the state of a member to which a majority has promised its epoch.
 type issuer struct {
 	epoch       message.Epoch
-	established bool // its first write was accepted by a majority, so it decides calls
+	established bool // a majority has accepted its first write, so it decides calls
 	round       uint64
 	inFlight    *round // nil: none
 	acks        map[message.MemberID]ack
-	quorumAt    time.Duration // when a majority answered last
+	quorumAt    time.Duration // when a majority last accepted a round
 	roundAt     time.Duration // when the last round was started
 	lastCallAt  time.Duration
-	idle        bool                        // the acceptors were told that no heartbeats follow
-	recent      []message.CoordinationWrite // the newest writes, for acceptors that have missed some
+	idle        bool                        // the acceptors are told that no heartbeats follow
+	recent      []message.CoordinationWrite // the newest writes, sent to acceptors that missed some
 
-	formerAcceptors []message.Member // of the group before, which are told of the present one
+	formerAcceptors []message.Member // of the previous group; they receive rounds until formerUntil
 	formerUntil     time.Duration
 }
 
-// ack is what an acceptor answered last.
+// ack is what an acceptor answered last, and when the issuer last sent it the writes that it lacks.
 type ack struct {
-	round      uint64        // the newest round that it accepted
-	stateSent  time.Duration // when it was last sent what it lacks
-	wasStateTo bool          // stateSent is set
-	isLeaving  bool          // it shuts down
+	round          uint64        // the newest round that it accepted
+	missingSentAt  time.Duration // when missing writes or the state were last sent to it
+	hasSentMissing bool          // missingSentAt is set
+	isLeaving      bool          // it is shutting down
 }
 
-// round is one write or question that is sent to the acceptors.
+// round is one write, or one request without a write to confirm the epoch, that is sent to the acceptors.
 type round struct {
 	number    uint64
 	startedAt time.Duration
-	sentAt    time.Duration               // to those that have not accepted it
+	sentAt    time.Duration               // last time, to the members that have not accepted it
 	writes    []message.CoordinationWrite // at most one
 	answers   []pendingAnswer             // released once a majority has accepted the round
 }
 
-// becomeIssuer starts phase 2: it writes the newest state back under its own epoch. Until a majority has accepted that, it
-// answers nothing.
+// becomeIssuer starts phase 2: the candidate writes the newest state back under its own epoch. It answers no call
+// before a majority has accepted that write.
 func (m *Member) becomeIssuer() {
 	c := m.candidate
 	m.candidate = nil
@@ -51,7 +51,7 @@
 	m.issuer = &issuer{
 		epoch: c.epoch, acks: map[message.MemberID]ack{}, quorumAt: m.now, roundAt: m.now, lastCallAt: m.now,
 	}
-	if previous != nil { // it goes on in the next group
+	if previous != nil { // the same issuer continues in the next group
 		m.issuer.round, m.issuer.recent, m.issuer.lastCallAt = previous.round, previous.recent, previous.lastCallAt
 		m.issuer.formerAcceptors, m.issuer.formerUntil = m.group.Acceptors, m.now+formerAcceptorPeriod
 	} else {
@@ -69,7 +69,8 @@
 	m.startRound(&write, nil)
 }
 
-// startRound sends a write, or where it is nil a question, to the acceptors. The changes of the write are in force here.
+// startRound sends a write to the acceptors, or a request to confirm the epoch if the write is nil. The caller has
+// already applied the changes of the write to this member's store.
 func (m *Member) startRound(write *message.CoordinationWrite, answers []pendingAnswer) {
 	l := m.issuer
 	l.round++
@@ -87,14 +88,14 @@
 	for _, recipient := range m.recipients() {
 		m.sendRound(recipient)
 	}
-	// The issuer is an acceptor like the others: it counts once its own disk has the write.
+	// The issuer is an acceptor like the others: its acceptance counts only once its own disk has synced the write.
 	m.sendAfterSync(m.options.Self, message.Message{StateWriteResponse: &message.StateWriteResponse{
 		Epoch: l.epoch, Round: l.round, Promised: l.epoch, Position: m.position, Accepted: true,
 	}})
 }
 
-// recipients returns the other members that rounds are sent to: the acceptors, those that are to become acceptors, and for a
-// while those that were.
+// recipients returns the other members that rounds are sent to: the current acceptors, the wanted ones, and until
+// formerUntil the former ones.
 func (m *Member) recipients() []message.Member {
 	members := append([]message.Member(nil), m.group.Acceptors...)
 	members = append(members, m.wantedAcceptors()...)
@@ -114,7 +115,7 @@
 	}})
 }
 
-// onStateWriteResponse counts an acceptor's answer to a round, and sends it what it lacks.
+// onStateWriteResponse counts an acceptor's acceptance of a round, or sends the acceptor the writes that it lacks.
 func (m *Member) onStateWriteResponse(received *message.Message) {
 	l, response := m.issuer, received.StateWriteResponse
 	if l == nil || response.Epoch != l.epoch {
@@ -143,24 +144,26 @@
 	m.completeRound()
 }
 
-// onSuperseded handles the answer of an acceptor that has entered a later group. Where this member's state names that group it
-// is on its way there itself, and a majority of the old group can still accept its writes. The answer may come after this member
-// has entered that group.
+// onSuperseded handles the answer of an acceptor that has entered a later group. The issuer steps down, with two
+// exceptions:
+//   - Its state already names the next group. It is changing to that group itself, and a majority of the old group can
+//     still accept its writes.
+//   - It has entered that group in the meantime, and the answer is late.
 func (m *Member) onSuperseded(later message.AcceptorGroup) {
 	if m.nextGroup == nil && later.Number > m.group.Number {
 		m.stepDown(message.Member{})
 	}
 }
 
-// sendMissing sends an acceptor what leads from its position to the present one: the writes that it has missed, or the complete
-// state.
+// sendMissing sends an acceptor the writes between its position and the current one, or the complete state if they are
+// no longer kept.
 func (m *Member) sendMissing(to message.Member, position message.CoordinationPosition) {
 	l := m.issuer
 	acknowledged := l.acks[to.Identity]
-	if acknowledged.wasStateTo && m.now-acknowledged.stateSent < resendInterval {
+	if acknowledged.hasSentMissing && m.now-acknowledged.missingSentAt < resendInterval {
 		return
 	}
-	acknowledged.stateSent, acknowledged.wasStateTo = m.now, true
+	acknowledged.missingSentAt, acknowledged.hasSentMissing = m.now, true
 	l.acks[to.Identity] = acknowledged
 	request := &message.StateWrite{Epoch: l.epoch, Round: l.round, Position: m.position, Issuer: m.options.Self, Idle: l.idle}
 	for i := range l.recent {
@@ -196,12 +199,13 @@
 	m.continueIssuing()
 }
 
-// acceptedBy returns how many of some members have accepted a round.
+// acceptedBy returns how many of the members have accepted a round.
 func (m *Member) acceptedBy(members []message.Member, number uint64) int {
 	return lo.CountBy(members, func(a message.Member) bool { return m.issuer.acks[a.Identity].round >= number })
 }
 
-// continueIssuing does what comes after a round: it goes on to the next group, hands over, or decides the calls that have come.
+// continueIssuing takes the next step when no round is in flight: it enters the next group, hands over, closes the
+// group, or decides the queued calls.
 func (m *Member) continueIssuing() {
 	switch {
 	case m.nextGroup != nil:
@@ -218,10 +222,11 @@
 // hasQuorum reports whether a majority has accepted a round within quorumTimeout.
 func (l *issuer) hasQuorum(now time.Duration) bool { return now-l.quorumAt < quorumTimeout }
 
-// tickIssuer repeats what got no answer, sends heartbeats, and steps down without a majority.
+// tickIssuer resends the round in flight, sends heartbeats, and steps down if no majority accepts a round in
+// quorumTimeout.
 func (m *Member) tickIssuer() {
 	l := m.issuer
-	if l == nil || m.candidate != nil { // with a candidacy it is on its way to the next group
+	if l == nil || m.candidate != nil { // a candidacy of the issuer is for the next group
 		return
 	}
 	m.expireWatches()
@@ -237,7 +242,7 @@
 	}
 }
 
-// resendRound sends the round in flight again to those that have not accepted it.
+// resendRound sends the round in flight again to the members that have not accepted it.
 func (m *Member) resendRound() {
 	l := m.issuer
 	if m.now-l.inFlight.sentAt < resendInterval {
@@ -251,8 +256,8 @@
 	}
 }
 
-// sendHeartbeat asks the acceptors to confirm the epoch when there was nothing else to send. Without calls it tells them that no
-// more heartbeats follow.
+// sendHeartbeat asks the acceptors to confirm the epoch if no round was started for heartbeatInterval. After
+// idleTimeout without calls it tells them that no more heartbeats follow.
 func (m *Member) sendHeartbeat() {
 	l := m.issuer
 	if m.issuer == nil || l.inFlight != nil || m.candidate != nil || m.now-l.roundAt < heartbeatInterval {
@@ -266,13 +271,14 @@
 	m.startRound(nil, nil)
 }
 
-// stepDown ends this member's epoch. Calls that were not decided are answered with the issuer that it knows; those whose round
-// is in flight get no answer, as it is not known whether a majority accepts it.
+// stepDown ends this member's epoch. Undecided calls are rejected with the issuer that the member knows. Calls whose
+// round is in flight get no answer, because it is unknown whether a majority accepts the round: a rejection would say
+// that the call had no effect, and an answer that it had.
 func (m *Member) stepDown(successor message.Member) {
 	m.issuer = nil
 	m.candidate = nil
 	m.follower.issuer = successor
-	m.follower.hasHeard = false
+	m.follower.hasLastWrite = false
 	m.follower.idle, m.follower.waitingSince = false, m.now
 	m.rejectCalls()
 }
--- a/internal/controlplane/epoch/member_test.go
+++ b/internal/controlplane/epoch/member_test.go
@@ -11,19 +11,19 @@
 	"pumiceline/internal/message"
 )
 
-func TestMember_FirstCallMakesAnIssuerThatAnswersIt(t *testing.T) {
+func TestMember_FirstCallStartsAnElectionAndIsAnswered(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.run(time.Second)
 	for _, m := range c.members {
-		assert.True(t, m.Status().IsIdle, "no calls, no messages")
+		assert.True(t, m.Status().IsIdle, "no election without calls")
 		assert.Zero(t, m.Status().Promised)
 	}
 	assert.Equal(t, message.Answer{Status: coordination.StatusOK, Revision: 1}, c.call(putCall("g.1", "x", 0)))
 	assert.Equal(t, message.Answer{Status: coordination.StatusOK, Revision: 1, Value: "x"}, c.call(getCall("g.1")))
 }
 
-// A new issuer knows everything that an earlier one has answered.
-func TestMember_NewIssuerKnowsWhatWasAnswered(t *testing.T) {
+// A new issuer has the effects of all calls that an earlier issuer answered.
+func TestMember_NewIssuerHasTheEffectsOfAnsweredCalls(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	granted := c.call(acquireCall("l", "first", 10*time.Second))
 	require.Equal(t, coordination.StatusOK, granted.Status)
@@ -40,7 +40,7 @@
 	assert.Greater(t, later.Token, granted.Token)
 }
 
-// An issuer that is cut off, or was paused, answers nothing: neither a change nor a read nor a rejection.
+// An issuer that is cut off from the majority, or was paused, answers no call: no change, no read and no rejection.
 func TestMember_IssuerWithoutMajorityAnswersNothing(t *testing.T) {
 	calls := map[string]message.Call{
 		"put": putCall("g.1", "y", 1), "rejected put": putCall("g.1", "z", 7), "read": getCall("g.1"),
@@ -62,7 +62,7 @@
 	}
 }
 
-// A write that a deposed issuer had made alone is replaced when it hears of the new one.
+// A write that only the deposed issuer itself accepted is replaced once it receives a write of the new issuer.
 func TestMember_UnacceptedWriteOfDeposedIssuerIsReplaced(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	require.Equal(t, coordination.StatusOK, c.call(putCall("g.1", "x", 0)).Status)
@@ -81,7 +81,7 @@
 	assert.Equal(t, message.Revision(2), answer.Revision)
 }
 
-// submitBlocked steps a call into a member that is cut off.
+// submitBlocked passes a call directly to a member that is partitioned.
 func (c *cluster) submitBlocked(name string, call message.Call) {
 	c.lastID++
 	out := c.members[message.MemberID(name)].Step(c.now, &message.Message{
@@ -92,7 +92,7 @@
 	c.deliverAll()
 }
 
-func TestMember_AllRestartAndGoOnWithWhatWasAnswered(t *testing.T) {
+func TestMember_StateSurvivesARestartOfAllMembers(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	number := c.call(message.Call{Kind: message.CallNumber}).Number
 	token := c.call(acquireCall("l", "first", 5*time.Second)).Token
@@ -102,14 +102,14 @@
 	}
 	assert.Greater(t, c.call(message.Call{Kind: message.CallNumber}).Number, number)
 	assert.Equal(t, "x", c.call(getCall("g.1")).Value)
-	assert.Equal(t, coordination.StatusHeld, c.call(acquireCall("l", "second", time.Second)).Status, "its hold begins anew")
+	assert.Equal(t, coordination.StatusHeld, c.call(acquireCall("l", "second", time.Second)).Status, "its full hold restarts")
 	c.run(6 * time.Second)
 	assert.Greater(t, c.call(acquireCall("l", "second", time.Second)).Token, token)
 	events := c.call(watchCall("g.", 0, 0))
 	assert.Equal(t, message.Revision(1), events.Revision)
 }
 
-func TestMember_WatchIsAnsweredWithThePutItWaitsFor(t *testing.T) {
+func TestMember_WatchIsAnsweredWithTheNextPut(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	require.Equal(t, message.Revision(1), c.call(putCall("g.1", "x", 0)).Revision)
 	id := c.submit(c.issuerName(), watchCall("g.", 1, 5*time.Second))
@@ -120,7 +120,7 @@
 	assert.Equal(t, []message.KeyEvent{{Key: "g.2", Value: "y", Revision: 2}}, c.answers[id].Answer.Events)
 }
 
-func TestMember_WatchWithoutEventIsAnsweredWhenItsTimeIsOver(t *testing.T) {
+func TestMember_WatchWithoutEventIsAnsweredAtItsDeadline(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	require.Equal(t, message.Revision(1), c.call(putCall("g.1", "x", 0)).Revision)
 	id := c.submit(c.issuerName(), watchCall("g.", 1, time.Second))
@@ -131,7 +131,7 @@
 	assert.Equal(t, message.Answer{Status: coordination.StatusOK, Revision: 1}, *c.answers[id].Answer)
 }
 
-// A relay repeats a call until it has an answer; the call is decided once.
+// A relay repeats a call until it has an answer. The call must be decided only once.
 func TestMember_RepeatedCallIsDecidedOnce(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.call(message.Call{Kind: message.CallNumber})
@@ -142,7 +142,8 @@
 	assert.Equal(t, first, c.answers[id].Answer.Number)
 }
 
-// The group follows the voters of the view, also without calls, and an acceptor that has left counts no more.
+// The acceptors change to the voters of the view even without calls. A former acceptor is not needed for a majority
+// afterwards.
 func TestMember_GroupFollowsVoters(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	require.Equal(t, message.Revision(1), c.call(putCall("g.1", "x", 0)).Revision)
@@ -164,8 +165,8 @@
 	assert.Contains(t, []string{"c", "d", "e"}, c.issuerName())
 }
 
-// Three members of the first group, then two others, then again others: each group takes over what was answered before.
-func TestMember_GroupChangesAgainAndAgain(t *testing.T) {
+// The group changes four times, by one acceptor each time. Each group has the effects of all calls answered before.
+func TestMember_GroupChangesRepeatedly(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	require.Equal(t, message.Revision(1), c.call(putCall("g.1", "v1", 0)).Revision)
 	groups := [][]string{{"b", "c", "d"}, {"c", "d", "e"}, {"d", "e", "f"}, {"e", "f", "g"}}
@@ -197,8 +198,9 @@
 	assert.NotEqual(t, former, c.issuerName())
 }
 
-// Two of three are told to stop at the same time, and the third is lost: there is an issuer until one of the two has ended.
-func TestMember_LeavingMembersGoOnWithoutOthers(t *testing.T) {
+// Two of three members shut down at the same time while the third is lost. The two must still elect an issuer and
+// answer calls until one of them ends.
+func TestMember_LeavingMembersStayAvailableWithoutOthers(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	c.call(message.Call{Kind: message.CallNumber})
 	issuer := c.issuerName()
@@ -228,11 +230,12 @@
 	c.run(10 * time.Second)
 	assert.Zero(t, sent)
 	c.call(message.Call{Kind: message.CallNumber})
-	assert.Equal(t, issuer, c.issuerName(), "the next call finds the same issuer")
+	assert.Equal(t, issuer, c.issuerName(), "the same issuer answers the next call")
 }
 
-// The acceptors that are asked for a promise do not have to know the group that the candidate knows.
-func TestMember_IgnorantCandidateFindsTheNewestGroup(t *testing.T) {
+// Member a is partitioned during a change of the group and remains an acceptor of the old group only. Once it is
+// connected again, it must learn the newer group and must not become the issuer.
+func TestMember_AcceptorOfTheOldGroupLearnsTheNewestGroup(t *testing.T) {
 	c := newCluster(t, "a", "b", "c")
 	require.Equal(t, message.Revision(1), c.call(putCall("g.1", "x", 0)).Revision)
 	c.blocked["a"] = true
--- a/internal/controlplane/epoch/output.go
+++ b/internal/controlplane/epoch/output.go
@@ -2,9 +2,9 @@
 
 import "pumiceline/internal/message"
 
-// Output is what a step asks the caller to do, in this order: send Immediate; store Record where it is set, and State (the
-// complete state, which makes all that was stored before void) or Writes (appended to what is stored); sync; then send
-// AfterSync. Outputs are carried out in the order in which they were returned.
+// Output lists the work of the caller after a step, in this order: send Immediate; store Record if it is set, and State
+// (the complete state, which replaces the stored state and writes) or Writes (appended to the stored ones); sync; then
+// send AfterSync. The caller carries outputs out in the order in which they were returned.
 type Output struct {
 	Immediate []message.Message
 	Record    *message.CoordinationRecord
@@ -23,11 +23,11 @@
 	immediate     []message.Message
 	afterSync     []message.Message
 	recordDirty   bool
-	stateReplaced bool // writes do not lead to the state from what is stored
+	stateReplaced bool // the stored state and writes do not lead to the state; store it whole
 	writes        []message.CoordinationWrite
 }
 
-// takeOutput returns what was collected since the last call.
+// takeOutput returns the output collected since the last call.
 func (m *Member) takeOutput() Output {
 	pending := m.output
 	m.output = pendingOutput{}
@@ -50,7 +50,7 @@
 	m.output.immediate = append(m.output.immediate, m.addressed(to, body))
 }
 
-// sendAfterSync sends a message once all that was changed so far is on disk.
+// sendAfterSync sends a message once all changes made so far are synced to disk.
 func (m *Member) sendAfterSync(to message.Member, body message.Message) {
 	m.output.afterSync = append(m.output.afterSync, m.addressed(to, body))
 }
@@ -62,7 +62,7 @@
 	return body
 }
 
-// senderOf returns the sender of a message, as far as the message describes it.
+// senderOf returns the sender of a message, with the fields that the message has of it.
 func senderOf(received *message.Message) message.Member {
 	return message.Member{Identity: received.From, Address: received.FromAddress, Zone: received.FromZone}
 }
--- a/internal/controlplane/epoch/status.go
+++ b/internal/controlplane/epoch/status.go
@@ -2,20 +2,20 @@
 
 import "pumiceline/internal/message"
 
-// Status is how a member sees the coordination group, for operators and tests.
+// Status is a member's view of the coordination group, for operators and tests.
 type Status struct {
 	IsIssuer  bool
 	Issuer    message.Member // as far as this member knows; without an identity: none is known
 	Promised  message.Epoch
 	Position  message.CoordinationPosition
-	Group     message.AcceptorGroup // the newest that it knows
-	HearsOne  bool                  // it is the issuer, or heard it a moment ago
+	Group     message.AcceptorGroup // the newest group that this member knows
+	HearsOne  bool                  // it is an issuer with a majority, or the issuer it follows is alive
 	IsIdle    bool                  // there have been no calls for a while
-	Takeovers int                   // how often this member became the issuer since its start
-	Waiting   int                   // watches that wait for an event here
+	Takeovers int                   // how often this member has become the issuer since its start
+	Waiting   int                   // number of watches that wait for an event at this member
 }
 
-// Status returns the present status.
+// Status returns the current status.
 func (m *Member) Status() Status {
 	status := Status{
 		IsIssuer: m.issuer != nil && m.issuer.established, Issuer: m.follower.issuer, Promised: m.record.Promised,
--- a/internal/controlplane/epoch/timeouts.go
+++ b/internal/controlplane/epoch/timeouts.go
@@ -2,43 +2,45 @@
 
 import "time"
 
-// The intervals and time-outs of the protocol. The package is ticked every 50 ms, so all are multiples of that. A false alarm
-// costs a few round trips and no correctness, so they are short.
+// Intervals and time-outs of the protocol. The caller calls Tick every 50 ms, so all are multiples of 50 ms. They are
+// short because an unnecessary election costs only a few round trips and does not affect correctness.
 const (
 	// heartbeatInterval is how often an issuer without calls asks the acceptors to confirm its epoch.
 	heartbeatInterval = 150 * time.Millisecond
-	// issuerTimeout is the time without a message of the issuer after which an acceptor looks for a new one.
+	// issuerTimeout is the time without a message of the issuer after which an acceptor starts a candidacy.
 	issuerTimeout = 450 * time.Millisecond
-	// issuerAliveTime is how long after a message of the issuer an acceptor counts it as alive when others ask.
+	// issuerAliveTime is how long after a write of the issuer an acceptor reports to candidates that it has an issuer.
 	issuerAliveTime = 300 * time.Millisecond
-	// rankDelay is how much longer each acceptor waits than the one before it. An election takes less where nothing fails, so
-	// two seldom compete.
+	// rankDelay is how much longer each acceptor waits than the one before it in the order. Without failures an election
+	// takes less than rankDelay, so two candidates rarely compete.
 	rankDelay = 150 * time.Millisecond
-	// leavingDelay is how much longer an acceptor waits that shuts down: others go on without it.
+	// leavingDelay is the additional time that an acceptor waits while it shuts down, so that another one becomes the
+	// issuer.
 	leavingDelay = 600 * time.Millisecond
-	// queryTimeout is how long an acceptor waits for the answers of the others before it asks again.
+	// queryTimeout is how long a candidate waits for the answers to its query before it sends another one.
 	queryTimeout = 150 * time.Millisecond
-	// prepareTimeout is how long a candidate waits for promises and for the newest state before it starts anew.
+	// prepareTimeout is how long a candidate waits for promises and for the newest state before it starts over.
 	prepareTimeout = 300 * time.Millisecond
-	// quorumTimeout is how long an issuer goes on without an answer of a majority before it steps down.
+	// quorumTimeout is how long an issuer waits for a majority to accept a round before it steps down.
 	quorumTimeout = 500 * time.Millisecond
 	// resendInterval is how long a write waits for an acceptor's answer before it is sent again.
 	resendInterval = 100 * time.Millisecond
 	// idleTimeout is the time without calls after which an issuer stops its heartbeats until the next call.
 	idleTimeout = 10 * time.Second
-	// groupMismatchDelay is how long a difference between the voters of the view and the acceptors may last before an idle
-	// member sees to it that there is an issuer.
+	// groupMismatchDelay is how long the voters of the view may differ from the acceptors before an idle acceptor expects
+	// heartbeats again, so that an issuer is elected to change the group.
 	groupMismatchDelay = 1500 * time.Millisecond
-	// smallGroupPeriod is how long after its start a member answers no calls while the group has fewer acceptors than the
-	// tolerance asks for: others are joining then.
+	// smallGroupPeriod is how long after its start a member decides no calls if the group has fewer acceptors than the
+	// tolerance requires, as others may still be joining.
 	smallGroupPeriod = 3 * time.Second
-	// formerAcceptorPeriod is how long after a change of the group its former acceptors are told of it.
+	// formerAcceptorPeriod is how long after a change of the group the issuer still sends rounds to the former acceptors,
+	// so that they learn of the change.
 	formerAcceptorPeriod = 2 * time.Second
-	// watchResendTimeout is how long a waiting watch is kept that its relay does not send again.
+	// watchResendTimeout is how long a waiting watch is kept after its relay last sent it.
 	watchResendTimeout = 1200 * time.Millisecond
 )
 
-// Bounds of what an issuer keeps in memory.
+// Bounds of the calls, answers and writes that an issuer keeps in memory, and of the changes in one write.
 const (
 	maxQueuedCalls     = 4096
 	maxWaitingWatches  = 2048
