--- a/internal/coordinationclient/backoff.go
+++ b/internal/coordinationclient/backoff.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Pauses between the attempts of a call.
+// Bounds of the pause between two attempts of a call.
 const (
 	firstPause = 10 * time.Millisecond
 	maxPause   = 500 * time.Millisecond
 )
 
-// backoff doubles pauses, each with a random half so that callers don't come in step.
+// backoff doubles the pause after each attempt. Half of each pause is random, so that callers do not retry in step.
 type backoff struct{ pause time.Duration }
 
 func newBackoff() *backoff { return &backoff{pause: firstPause} }
--- a/internal/coordinationclient/client.go
+++ b/internal/coordinationclient/client.go
@@ -1,10 +1,12 @@
-// Package coordinationclient is the library by which applications use the system's locks, elections, numbers, keys and
-// watches. It calls the control addresses of the coordinators, and another one after a failure, a 5xx, a 429 or a second of
-// silence, with pauses that grow, until there is a clear answer or its patience is over.
+// Package coordinationclient is the library with which applications use the system's locks, elections, numbers, keys
+// and watches. It calls the control addresses of the coordinators. After a failure, a 5xx other than 507, a 429 or a
+// second without a response it calls the next address, after a pause that grows with each attempt. It stops when there
+// is a definite answer or the time limit of the call has passed.
 //
-// A hold of a lock counts from the moment at which the last successful call was sent, on the monotonic clock of this process.
-// That clock stands still while the whole machine is suspended; where that happens, what the lock protects must check
-// the fencing token.
+// The duration of a hold of a lock is measured from the time at which the last successful call was sent, on the
+// monotonic clock of this process. That clock does not advance while the machine is suspended, so a holder may use the
+// lock after its hold has ended. On machines that may be suspended, the resource that the lock protects must check the
+// fencing token.
 package coordinationclient
 
 import (
@@ -16,30 +18,31 @@
 )
 
 const (
-	// silenceTimeout is how long a coordinator may be silent before another one is called. A watch adds its waiting time.
-	silenceTimeout = time.Second
-	// defaultPatience is how long a call is repeated where the options say nothing.
+	// responseTimeout is how long a coordinator may take to respond before the next one is called. A watch adds its
+	// waiting time.
+	responseTimeout = time.Second
+	// defaultPatience is how long a call is repeated if Options.Patience is 0.
 	defaultPatience = 5 * time.Second
-	// maxResponseBytes bounds a response. That to a watch carries many events.
+	// maxResponseBytes bounds the body of a response. The response to a watch may carry many events.
 	maxResponseBytes = 16 << 20
 )
 
 // Options of a client.
 type Options struct {
 	Addresses  []string      // control addresses (host:port) of the coordinators, at least one
-	Patience   time.Duration // how long a call without a clear answer is repeated; 0: 5 s
-	HTTPClient *http.Client  // nil: one of its own
+	Patience   time.Duration // how long a call without a definite answer is repeated; 0: 5 s
+	HTTPClient *http.Client  // nil: a client with its own transport
 }
 
-// Client calls the coordinators. Several goroutines may use it.
+// Client calls the coordinators. It is safe for concurrent use.
 type Client struct {
 	addresses []string
 	patience  time.Duration
 	http      *http.Client
-	current   atomic.Uint64 // the address that is called, modulo their number; it changes with each failure
+	current   atomic.Uint64 // index of the address in use, modulo their number; advances after each failure
 }
 
-// New returns a client. The error says what is wrong with the options.
+// New returns a client, or an error if the options are invalid.
 func New(options Options) (*Client, error) {
 	if len(options.Addresses) == 0 {
 		return nil, errors.New("addresses: at least one control address must be given")
--- a/internal/coordinationclient/client_test.go
+++ b/internal/coordinationclient/client_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOptionsAreChecked(t *testing.T) {
+func TestNewRejectsInvalidOptions(t *testing.T) {
 	_, err := New(Options{})
 	require.ErrorContains(t, err, "addresses")
 	_, err = New(Options{Addresses: []string{"a"}, Patience: -1})
@@ -23,13 +23,13 @@
 		first    script
 		earliest time.Duration // of the call to the other coordinator
 	}{
-		"refused connection": {refuse, 0},
-		"reset connection":   {reset, 0},
-		"500":                {reply(500, ``, 0), 0},
-		"503":                {reply(503, `{}`, 0), 0},
-		"504":                {reply(504, `{}`, 0), 0},
-		"429":                {reply(429, `{}`, 0), 0},
-		"a second's silence": {staySilent, time.Second},
+		"refused connection":       {refuse, 0},
+		"reset connection":         {reset, 0},
+		"500":                      {reply(500, ``, 0), 0},
+		"503":                      {reply(503, `{}`, 0), 0},
+		"504":                      {reply(504, `{}`, 0), 0},
+		"429":                      {reply(429, `{}`, 0), 0},
+		"no response for a second": {neverRespond, time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -38,22 +38,22 @@
 				got, err := counter.Next(t.Context())
 				require.NoError(t, err)
 				assert.EqualValues(t, 7, got)
-				assert.GreaterOrEqual(t, n.seen()[1].at, c.earliest)
-				assert.LessOrEqual(t, n.seen()[1].at, c.earliest+firstPause)
+				assert.GreaterOrEqual(t, n.recordedAttempts()[1].at, c.earliest)
+				assert.LessOrEqual(t, n.recordedAttempts()[1].at, c.earliest+firstPause)
 				_, err = counter.Next(t.Context())
 				require.NoError(t, err)
-				assert.Equal(t, "b", n.seen()[2].address, "the next call goes to the one that answered")
+				assert.Equal(t, "b", n.recordedAttempts()[2].address, "the next call goes to the address that answered")
 			})
 		})
 	}
 }
 
-func TestPausesGrowAndPatienceEnds(t *testing.T) {
+func TestPausesGrowUntilTheTimeLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, client := newNetwork(nil)
 		_, err := client.NewCounter("n").Next(t.Context())
 		require.ErrorIs(t, err, ErrNotExecuted)
-		attempts := n.seen()
+		attempts := n.recordedAttempts()
 		assert.Less(t, len(attempts), 40)
 		assert.LessOrEqual(t, time.Since(n.start), defaultPatience)
 		last := attempts[len(attempts)-1].at - attempts[len(attempts)-2].at
@@ -67,14 +67,14 @@
 		a, b script
 		want error
 	}{
-		"all refused or 503":          {refuse, reply(503, `{}`, 0), ErrNotExecuted},
-		"429":                         {reply(429, `{}`, 0), reply(429, `{}`, 0), ErrNotExecuted},
-		"one reset":                   {inTurn(reset, refuse), refuse, ErrOutcomeUnknown},
-		"one 504":                     {refuse, inTurn(reply(504, `{}`, 0), refuse), ErrOutcomeUnknown},
-		"one silent":                  {inTurn(staySilent, refuse), refuse, ErrOutcomeUnknown},
-		"one 500":                     {inTurn(reply(500, ``, 0), refuse), refuse, ErrOutcomeUnknown},
-		"one 502":                     {reply(502, ``, 0), refuse, ErrOutcomeUnknown},
-		"a body that is not in order": {reply(200, `{`, 0), refuse, ErrInvalidResponse},
+		"all refused or 503":      {refuse, reply(503, `{}`, 0), ErrNotExecuted},
+		"429":                     {reply(429, `{}`, 0), reply(429, `{}`, 0), ErrNotExecuted},
+		"one reset":               {inTurn(reset, refuse), refuse, ErrOutcomeUnknown},
+		"one 504":                 {refuse, inTurn(reply(504, `{}`, 0), refuse), ErrOutcomeUnknown},
+		"one without a response":  {inTurn(neverRespond, refuse), refuse, ErrOutcomeUnknown},
+		"one 500":                 {inTurn(reply(500, ``, 0), refuse), refuse, ErrOutcomeUnknown},
+		"one 502":                 {reply(502, ``, 0), refuse, ErrOutcomeUnknown},
+		"a body that is not JSON": {reply(200, `{`, 0), refuse, ErrInvalidResponse},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -94,14 +94,14 @@
 			var rejected *RejectedError
 			require.ErrorAs(t, err, &rejected)
 			assert.Equal(t, RejectedError{Status: status, Text: "why"}, *rejected)
-			assert.Len(t, n.seen(), 1)
+			assert.Len(t, n.recordedAttempts(), 1)
 		})
 	}
 }
 
 func TestCallEndsWithItsContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, client := newNetwork(map[string]script{"a": staySilent})
+		n, client := newNetwork(map[string]script{"a": neverRespond})
 		ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 		defer cancel()
 		_, err := client.NewCounter("n").Next(ctx)
@@ -111,7 +111,7 @@
 	})
 }
 
-func TestNumbersRise(t *testing.T) {
+func TestNumbersIncrease(t *testing.T) {
 	client := newSystem(t, 3)
 	counter := client.NewCounter("n/1")
 	last := uint64(0)
--- a/internal/coordinationclient/counter.go
+++ b/internal/coordinationclient/counter.go
@@ -8,16 +8,16 @@
 	"pumiceline/internal/message"
 )
 
-// Counter gives numbers that never repeat. Several goroutines may use it.
+// Counter issues numbers that never repeat. It is safe for concurrent use.
 type Counter struct {
 	client *Client
 	name   message.KeyName
 }
 
-// NewCounter returns a counter by its name.
+// NewCounter returns the counter of a name.
 func (c *Client) NewCounter(name message.KeyName) *Counter { return &Counter{client: c, name: name} }
 
-// Next returns a number above all that were given under the name before the call. Numbers may be skipped.
+// Next returns a number that is larger than all numbers issued under the name before the call. Numbers may be skipped.
 func (c *Counter) Next(ctx context.Context) (uint64, error) {
 	answer, err := c.client.do(ctx, request{
 		method: http.MethodPost, path: "/numbers/" + url.PathEscape(string(c.name)), body: struct{}{},
--- a/internal/coordinationclient/election.go
+++ b/internal/coordinationclient/election.go
@@ -10,20 +10,22 @@
 	"pumiceline/internal/message"
 )
 
-// campaignInterval is how often a candidate asks for the leadership that another one has.
+// campaignInterval is how often a candidate tries to acquire the leadership while another one holds it.
 const campaignInterval = 500 * time.Millisecond
 
 // Election lets one of several candidates lead at a time. It is a lock that the leader keeps renewing.
 type Election struct{ lock *Lock }
 
-// NewElection returns an election by its name, for one candidate; names of candidates must differ. The term is how long a
-// leader that has died still counts as one, as NewLock's duration is.
+// NewElection returns the election of a name, for one candidate. The names of candidates must differ. The term is how
+// long the leadership lasts without renewal, so a leader that has crashed blocks other candidates for that long. It has
+// the same range as the duration of NewLock.
 func (c *Client) NewElection(name message.LockName, candidate message.OwnerName, term time.Duration) *Election {
 	return &Election{lock: c.NewLock(name, candidate, term)}
 }
 
-// Campaign waits until the candidate leads. The leadership is kept until it is lost or given back with Keeper.Release, or ctx
-// ends. The error is that of ctx, a *RejectedError, or ErrInvalidResponse; all others lead to another attempt.
+// Campaign waits until the candidate is the leader. The returned keeper renews the leadership until it is lost, it is
+// released with Keeper.Release, or ctx ends. The error is that of ctx, a *RejectedError, or ErrInvalidResponse; after
+// any other error Campaign tries again.
 func (e *Election) Campaign(ctx context.Context) (*Keeper, error) {
 	for {
 		hold, err := e.lock.Acquire(ctx)
--- a/internal/coordinationclient/errors.go
+++ b/internal/coordinationclient/errors.go
@@ -8,33 +8,34 @@
 	"pumiceline/internal/message"
 )
 
-// Errors of calls. They are wrapped with what was called and what went wrong last.
+// Errors of calls. They are wrapped with the name or the path that was called; the first two also wrap the last
+// failure.
 var (
-	// ErrNotExecuted says that no coordinator carried the call out, and that none will.
+	// ErrNotExecuted means that no coordinator has executed the call and none will.
 	ErrNotExecuted = errors.New("the call was not executed")
-	// ErrOutcomeUnknown says that the call had no clear answer: it may have been carried out.
+	// ErrOutcomeUnknown means that the call got no definite answer, so it may or may not be executed.
 	ErrOutcomeUnknown = errors.New("the outcome of the call is not known")
-	// ErrHeld says that another owner holds the lock.
+	// ErrHeld means that another owner holds the lock.
 	ErrHeld = errors.New("another owner holds the lock")
-	// ErrLost says that a hold of a lock is over: its time has passed, it was released, or another owner has the lock.
+	// ErrLost means that a hold of a lock has ended: it expired, it was released, or another owner has the lock.
 	ErrLost = errors.New("the lock is not held any more")
-	// ErrNotFound says that the key was never put.
+	// ErrNotFound means that the key was never put.
 	ErrNotFound = errors.New("the key was never put")
-	// ErrInvalidResponse says that a coordinator's response cannot be read.
+	// ErrInvalidResponse means that the body of a coordinator's response cannot be decoded.
 	ErrInvalidResponse = errors.New("the response is not in order")
 )
 
-// RevisionMismatchError says that a put was rejected because the key has another revision than the put builds on.
+// RevisionMismatchError means that a put was rejected because the revision of the key differs from the expected one.
 type RevisionMismatchError struct {
-	Revision message.Revision // that the key has; 0: it was never put
+	Revision message.Revision // current revision of the key; 0: it was never put
 }
 
 func (e *RevisionMismatchError) Error() string {
 	return fmt.Sprintf("the key is at revision %d", e.Revision)
 }
 
-// RejectedError says that a call was rejected with a status that the package has no error for: it was not in order, or the
-// state is as large as it may get (507). Nothing was done.
+// RejectedError means that a call was rejected with a status for which the package has no other error: the request was
+// invalid, or the state has reached its maximum size (507). The call was not executed.
 type RejectedError struct {
 	Status int
 	Text   string // the coordinator's explanation
--- a/internal/coordinationclient/exchange.go
+++ b/internal/coordinationclient/exchange.go
@@ -15,31 +15,32 @@
 	"pumiceline/internal/ctxtime"
 )
 
-// request is a call as it is sent.
+// request is an HTTP request to a coordinator.
 type request struct {
 	method string
 	path   string        // with the query
 	body   any           // nil: none
-	wait   time.Duration // how long the coordinator may wait with its response, beyond silenceTimeout
-	until  time.Time     // it is repeated until then; zero: as long as the client's patience lasts
+	wait   time.Duration // how long the coordinator may delay its response, in addition to responseTimeout
+	until  time.Time     // repeated at most until then; zero: for the client's patience from now on
 }
 
-// response is a clear answer.
+// response is a definite answer.
 type response struct {
 	status int
 	body   []byte
-	sentAt time.Time // when the request was sent that it answers
+	sentAt time.Time // when the answered request was sent
 }
 
-// unclearError is an attempt without a clear answer.
-type unclearError struct {
-	isVoid bool // nothing was done and never will be
-	cause  error
+// attemptError is the failure of an attempt without a definite answer.
+type attemptError struct {
+	isNotExecuted bool // the attempt was not executed and never will be
+	cause         error
 }
 
-func (e *unclearError) Error() string { return e.cause.Error() }
+func (e *attemptError) Error() string { return e.cause.Error() }
 
-// do sends a request to one coordinator after the other until there is a clear answer.
+// do sends a request to one coordinator after another until there is a definite answer. The error is ErrNotExecuted
+// only if no attempt can have been executed.
 func (c *Client) do(ctx context.Context, r request) (response, error) {
 	body, err := encodeBody(r.body)
 	if err != nil {
@@ -48,18 +49,18 @@
 	if r.until.IsZero() {
 		r.until = time.Now().Add(c.patience)
 	}
-	isVoid := true
+	notExecuted := true
 	for pause := newBackoff(); ; {
 		address := c.current.Load()
-		answer, unclear := c.attempt(ctx, c.addresses[address%uint64(len(c.addresses))], r, body)
-		if unclear == nil {
+		answer, failure := c.attempt(ctx, c.addresses[address%uint64(len(c.addresses))], r, body)
+		if failure == nil {
 			return answer, nil
 		}
-		c.current.CompareAndSwap(address, address+1) // unless another call has left it already
-		isVoid = isVoid && unclear.isVoid
+		c.current.CompareAndSwap(address, address+1) // unless another call has advanced it already
+		notExecuted = notExecuted && failure.isNotExecuted
 		delay := pause.next()
 		if ctx.Err() != nil || time.Now().Add(delay).After(r.until) || ctxtime.Sleep(ctx, delay) != nil {
-			return response{}, noAnswer(isVoid, r, unclear.cause)
+			return response{}, noAnswerError(notExecuted, r, failure.cause)
 		}
 	}
 }
@@ -72,59 +73,60 @@
 	return encoded, errors.Wrap(err, "encode the call")
 }
 
-func noAnswer(isVoid bool, r request, cause error) error {
+func noAnswerError(notExecuted bool, r request, cause error) error {
 	kind := ErrOutcomeUnknown
-	if isVoid {
+	if notExecuted {
 		kind = ErrNotExecuted
 	}
 	return fmt.Errorf("%s %s: %w: %w", r.method, r.path, kind, cause)
 }
 
-// attempt sends a request once.
-func (c *Client) attempt(ctx context.Context, address string, r request, body []byte) (response, *unclearError) {
-	ctx, cancel := context.WithTimeout(ctx, r.wait+silenceTimeout)
+// attempt sends a request to one address.
+func (c *Client) attempt(ctx context.Context, address string, r request, body []byte) (response, *attemptError) {
+	ctx, cancel := context.WithTimeout(ctx, r.wait+responseTimeout)
 	defer cancel()
 	httpRequest, err := http.NewRequestWithContext(ctx, r.method, "http://"+address+r.path, bytes.NewReader(body))
 	if err != nil {
-		return response{}, &unclearError{isVoid: true, cause: err}
+		return response{}, &attemptError{isNotExecuted: true, cause: err}
 	}
 	httpRequest.Header.Set("Content-Type", "application/json")
 	answer := response{sentAt: time.Now()}
 	httpResponse, err := c.http.Do(httpRequest)
 	if err != nil {
-		return response{}, &unclearError{isVoid: isDialError(err), cause: err}
+		return response{}, &attemptError{isNotExecuted: isDialError(err), cause: err}
 	}
 	defer httpResponse.Body.Close()
 	answer.status = httpResponse.StatusCode
 	answer.body, err = io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	switch {
 	case isNotExecuted(answer.status):
-		return response{}, &unclearError{isVoid: true, cause: errors.Errorf("%s answered with %d", address, answer.status)}
+		return response{}, &attemptError{isNotExecuted: true, cause: errors.Errorf("%s answered with %d", address, answer.status)}
 	case err != nil:
-		return response{}, &unclearError{cause: err}
-	case !isClear(answer.status):
-		return response{}, &unclearError{cause: errors.Errorf("%s answered with %d", address, answer.status)}
+		return response{}, &attemptError{cause: err}
+	case !isDefinite(answer.status):
+		return response{}, &attemptError{cause: errors.Errorf("%s answered with %d", address, answer.status)}
 	}
 	return answer, nil
 }
 
-// isDialError reports whether there was no connection, so that nothing was sent.
+// isDialError reports whether no connection was established, so that the request was not sent.
 func isDialError(err error) bool {
 	var operation *net.OpError
 	return errors.As(err, &operation) && operation.Op == "dial"
 }
 
-// isNotExecuted reports whether a status promises that nothing was done and never will be, at this coordinator.
+// isNotExecuted reports whether a status guarantees that this coordinator has not executed the request and never will.
 func isNotExecuted(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// isClear reports whether a status is an answer of the system. A 507 is: the state is as large as it may get everywhere.
-func isClear(status int) bool {
+// isDefinite reports whether a status is a definite answer. A 507 is one, although it is a 5xx: the state has reached
+// its maximum size at every coordinator, so another one would give the same answer.
+func isDefinite(status int) bool {
 	return status < http.StatusInternalServerError || status == http.StatusInsufficientStorage
 }
 
-// decode reads the body of a 200.
+// decode decodes the JSON body of the response.
 func (r response) decode(into any) error {
 	if err := json.Unmarshal(r.body, into); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalidResponse, err)
@@ -132,7 +134,7 @@
 	return nil
 }
 
-// rejected is the error for a status that a call knows no other error for.
+// rejected returns the error for a status for which the call has no other error.
 func (r response) rejected() error {
 	var explanation struct {
 		Error string `json:"error"`
--- a/internal/coordinationclient/fake_test.go
+++ b/internal/coordinationclient/fake_test.go
@@ -15,7 +15,7 @@
 	"pumiceline/internal/fake/fakecoordination"
 )
 
-// newSystem starts a fake system with real addresses, and returns a client of it.
+// newSystem starts a fake coordination service that listens on real addresses, and returns a client of it.
 func newSystem(t *testing.T, addresses int) *Client {
 	t.Helper()
 	system, err := fakecoordination.Start(addresses)
@@ -28,13 +28,14 @@
 
 // attempt is a request that reached the fake network.
 type attempt struct {
-	at      time.Duration // since the network was made
+	at      time.Duration // since the network was created
 	address string
 	method  string
 	body    string
 }
 
-// network is an http.RoundTripper without sockets, for synctest bubbles. Each address has a script.
+// network is an http.RoundTripper without sockets, for use in synctest bubbles. Each address has a script; an address
+// without one refuses connections.
 type network struct {
 	start    time.Time
 	scripts  map[string]script
@@ -70,13 +71,13 @@
 	}
 	n.attempts = append(n.attempts, attempt{time.Since(n.start), r.URL.Host, r.Method, string(body)})
 	n.mutex.Unlock()
-	if play := n.scripts[r.URL.Host]; play != nil {
-		return play(count, r)
+	if respond := n.scripts[r.URL.Host]; respond != nil {
+		return respond(count, r)
 	}
 	return refuse(count, r)
 }
 
-func (n *network) seen() []attempt {
+func (n *network) recordedAttempts() []attempt {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	return append([]attempt(nil), n.attempts...)
@@ -94,12 +95,12 @@
 	}
 }
 
-// inTurn plays one script a request, the last one for all that follow.
+// inTurn uses one script per request, and the last one for all further requests.
 func inTurn(scripts ...script) script {
 	return func(n int, r *http.Request) (*http.Response, error) { return scripts[min(n, len(scripts)-1)](n, r) }
 }
 
-func staySilent(_ int, r *http.Request) (*http.Response, error) {
+func neverRespond(_ int, r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
--- a/internal/coordinationclient/hold.go
+++ b/internal/coordinationclient/hold.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/message"
 )
 
-// Hold is the time for which a lock is held. Several goroutines may use it.
+// Hold is a lock that is held until a time. It is safe for concurrent use.
 type Hold struct {
 	lock  *Lock
 	token message.FencingToken
@@ -19,22 +19,23 @@
 	until time.Time // zero: released, or lost to another owner
 }
 
-// Token returns the fencing token. What the lock protects should reject tokens below the highest that it has seen.
+// Token returns the fencing token. The resource that the lock protects should reject tokens below the highest one that
+// it has seen.
 func (h *Hold) Token() message.FencingToken { return h.token }
 
-// Until returns when the hold ends unless it is renewed; the zero time where it was released or is lost.
+// Until returns when the hold ends unless it is renewed, or the zero time if it was released or lost.
 func (h *Hold) Until() time.Time {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	return h.until
 }
 
-// IsHeld reports whether the hold lasts now.
+// IsHeld reports whether the hold has not ended yet.
 func (h *Hold) IsHeld() bool { return time.Now().Before(h.Until()) }
 
-// Renew lets the hold last for the lock's duration from now on. It is repeated until the hold ends at most. The error is
-// ErrLost where the lock is not held any more; a renewal that was answered after the end counts for nothing. After any other
-// error the hold lasts until Until.
+// Renew extends the hold to the lock's duration from now on. It repeats the call at most until the hold ends. The error
+// is ErrLost if the lock is no longer held; a renewal that is answered after the end of the hold has no effect. After
+// any other error the hold ends at Until, as before.
 func (h *Hold) Renew(ctx context.Context) error {
 	until := h.Until()
 	if !time.Now().Before(until) {
@@ -52,7 +53,7 @@
 	return h.extend(sentAt.Add(h.lock.duration))
 }
 
-// extend moves the end, unless the hold is over by now.
+// extend sets a later end, unless the hold has ended in the meantime.
 func (h *Hold) extend(until time.Time) error {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// lost ends the hold.
+// lost ends the hold and returns ErrLost.
 func (h *Hold) lost() error {
 	h.end()
 	return errors.Wrapf(ErrLost, "lock %s", h.lock.name)
@@ -78,8 +79,8 @@
 	h.until = time.Time{}
 }
 
-// Release gives the lock back. The hold is over at once, whatever the error; without an answer others get the lock when its
-// time has passed. A renewal that is under way counts for nothing.
+// Release releases the lock. The hold ends at once, even if an error is returned. If the call is not executed, the lock
+// becomes free when the hold expires at the coordinators. A renewal that is in flight has no effect.
 func (h *Hold) Release(ctx context.Context) error {
 	h.end()
 	return h.lock.Release(ctx, h.token)
--- a/internal/coordinationclient/keeper.go
+++ b/internal/coordinationclient/keeper.go
@@ -7,45 +7,45 @@
 	"github.com/pkg/errors"
 )
 
-// renewalsPerHold is how many renewals fit into the duration of a hold: one that fails leaves time for another.
+// renewalsPerHold is the number of renewals in the duration of a hold. If one fails, there is time for another.
 const renewalsPerHold = 3
 
 // Keeper renews a hold in the background until it is lost or released.
 type Keeper struct {
 	hold   *Hold
-	over   chan struct{} // closed by the goroutine when it ends
+	done   chan struct{} // closed when the renewing goroutine ends
 	cancel context.CancelFunc
 }
 
-// Keep renews the hold in the background. The caller ends that with Release. Where ctx ends the keeper is over; the hold is
-// renewed no more and runs out.
+// Keep renews the hold in the background until the caller calls Release. If ctx ends, the keeper stops: the hold is not
+// renewed any more and expires.
 func (h *Hold) Keep(ctx context.Context) *Keeper {
 	ctx, cancel := context.WithCancel(ctx)
-	k := &Keeper{hold: h, over: make(chan struct{}), cancel: cancel}
+	k := &Keeper{hold: h, done: make(chan struct{}), cancel: cancel}
 	go k.run(ctx)
 	return k
 }
 
-// Hold returns the hold that is kept.
+// Hold returns the hold that the keeper renews.
 func (k *Keeper) Hold() *Hold { return k.hold }
 
-// Over returns a channel that is closed when the hold is over. A process that was frozen sees it late: ask Hold().IsHeld()
-// right before what must not be done without the lock.
-func (k *Keeper) Over() <-chan struct{} { return k.over }
+// Over returns a channel that is closed when the hold has ended, Release is called or ctx ends. A process that was
+// paused sees this late, so check Hold().IsHeld() right before each operation that needs the lock.
+func (k *Keeper) Over() <-chan struct{} { return k.done }
 
-// Release ends the renewals and gives the lock back, as Hold.Release does.
+// Release stops the renewals and releases the lock, as Hold.Release does.
 func (k *Keeper) Release(ctx context.Context) error {
 	k.cancel()
-	<-k.over
+	<-k.done
 	return k.hold.Release(ctx)
 }
 
-// run renews the hold. A renewal lasts no longer than the hold, so the end is not noticed late.
+// run renews the hold. A renewal call is cancelled when the hold ends, so the end is not noticed late.
 func (k *Keeper) run(ctx context.Context) {
-	defer close(k.over)
+	defer close(k.done)
 	interval := k.hold.lock.duration / renewalsPerHold
 	for k.hold.IsHeld() {
-		if !k.rest(ctx, interval) {
+		if !k.wait(ctx, interval) {
 			return
 		}
 		if err := k.hold.Renew(ctx); errors.Is(err, ErrLost) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// rest waits for a time, or to the end of the hold. It returns false where ctx ends.
-func (k *Keeper) rest(ctx context.Context, interval time.Duration) bool {
+// wait waits for the interval, or until the hold ends if that is earlier. It returns false if ctx ends first.
+func (k *Keeper) wait(ctx context.Context, interval time.Duration) bool {
 	timer := time.NewTimer(min(interval, time.Until(k.hold.Until())))
 	defer timer.Stop()
 	select {
--- a/internal/coordinationclient/key.go
+++ b/internal/coordinationclient/key.go
@@ -11,17 +11,17 @@
 	"pumiceline/internal/message"
 )
 
-// Key is a small value with a revision. Several goroutines may use it.
+// Key is a key with a small value and a revision. It is safe for concurrent use.
 type Key struct {
 	client *Client
 	name   message.KeyName
 }
 
-// NewKey returns a key by its name. The keys whose names are alike up to the first dot are a group: they share one count of
-// revisions, and a watch.
+// NewKey returns the key of a name. Keys whose names are equal up to and including the first dot form a group: they
+// share one sequence of revisions and can be watched together.
 func (c *Client) NewKey(name message.KeyName) *Key { return &Key{client: c, name: name} }
 
-// Entry is what a key holds.
+// Entry is the value of a key with its revision.
 type Entry struct {
 	Value    string
 	Revision message.Revision
@@ -29,8 +29,8 @@
 
 func (k *Key) path() string { return "/cells/" + url.PathEscape(string(k.name)) }
 
-// Get returns what the key holds: the newest put that was acknowledged before the call, or a later one. The error is
-// ErrNotFound where the key was never put.
+// Get returns the entry of the newest put that was acknowledged before the call, or of a later one. The error is
+// ErrNotFound if the key was never put.
 func (k *Key) Get(ctx context.Context) (Entry, error) {
 	answer, err := k.client.do(ctx, request{method: http.MethodGet, path: k.path()})
 	if err != nil {
@@ -53,18 +53,19 @@
 // putBody is the body of a put.
 type putBody struct {
 	Value      string            `json:"value"`
-	IfRevision *message.Revision `json:"ifRevision,omitempty"` // nil: whatever revision the key has
+	IfRevision *message.Revision `json:"ifRevision,omitempty"` // nil: any
 }
 
-// Put sets the key where its revision is ifRevision, or where it was never put and ifRevision is 0, and returns the new
-// revision. The value must be one that was never put to the key: a put without a clear answer is sent again, and is known by
-// its value. The error is a *RevisionMismatchError where the key has another revision; the put has not taken effect then and
-// never will. After ErrOutcomeUnknown it may have, and the same put may be tried again.
+// Put sets the key if its revision is ifRevision, or if it was never put and ifRevision is 0, and returns the new
+// revision. The value must never have been put to the key before: a put without a definite answer is sent again, and
+// the coordinators recognise the repeat by its value. The error is a *RevisionMismatchError if the key has another
+// revision; the put has not taken effect then and never will. After ErrOutcomeUnknown it may have taken effect, and the
+// same put may be tried again.
 func (k *Key) Put(ctx context.Context, value string, ifRevision message.Revision) (message.Revision, error) {
 	return k.put(ctx, putBody{Value: value, IfRevision: &ifRevision})
 }
 
-// Set is Put whatever revision the key has.
+// Set puts a value regardless of the key's revision. The rules of Put for the value apply.
 func (k *Key) Set(ctx context.Context, value string) (message.Revision, error) {
 	return k.put(ctx, putBody{Value: value})
 }
--- a/internal/coordinationclient/key_test.go
+++ b/internal/coordinationclient/key_test.go
@@ -13,7 +13,7 @@
 	"pumiceline/internal/message"
 )
 
-func TestKeyIsPutOnTheRevisionThatWasRead(t *testing.T) {
+func TestPutRequiresTheExpectedRevision(t *testing.T) {
 	client := newSystem(t, 2)
 	key := client.NewKey("g1.a/b é")
 	_, err := key.Get(t.Context())
@@ -35,7 +35,7 @@
 	assert.Equal(t, Entry{Value: "two", Revision: second}, entry)
 }
 
-func TestKeyIsSetWhateverItsRevision(t *testing.T) {
+func TestSetIgnoresTheRevision(t *testing.T) {
 	client := newSystem(t, 1)
 	key := client.NewKey("g.a")
 	first, err := key.Set(t.Context(), "one")
@@ -45,16 +45,16 @@
 	assert.Greater(t, second, first)
 }
 
-func TestPutWithoutAClearAnswerIsSentAgainWithTheSameValue(t *testing.T) {
+func TestPutWithoutADefiniteAnswerIsRepeatedUnchanged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, client := newNetwork(map[string]script{"a": inTurn(staySilent, reset), "b": inTurn(reply(504, `{}`, 0), reply(200, `{"revision":9}`, 0))})
+		n, client := newNetwork(map[string]script{"a": inTurn(neverRespond, reset), "b": inTurn(reply(504, `{}`, 0), reply(200, `{"revision":9}`, 0))})
 		revision, err := client.NewKey("g.k").Put(t.Context(), "v", 8)
 		require.NoError(t, err)
 		assert.EqualValues(t, 9, revision)
-		for _, a := range n.seen() {
+		for _, a := range n.recordedAttempts() {
 			assert.JSONEq(t, `{"value":"v","ifRevision":8}`, a.body)
 		}
-		assert.Len(t, n.seen(), 4)
+		assert.Len(t, n.recordedAttempts(), 4)
 	})
 }
 
@@ -105,7 +105,7 @@
 	})
 }
 
-func TestWatchReadsAnewWhereTheHistoryIsGone(t *testing.T) {
+func TestWatchIsResetAfterHistoryWasDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, client := newNetwork(map[string]script{"a": inTurn(
 			reply(410, `{}`, 0),
@@ -125,10 +125,10 @@
 	})
 }
 
-func TestWatchGoesOnThroughFailuresOfCoordinators(t *testing.T) {
+func TestWatchRetriesAfterCoordinatorFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		event := reply(200, `{"events":[{"name":"g.a","value":"v","revision":6}],"revision":6}`, 0)
-		_, client := newNetwork(map[string]script{"a": inTurn(staySilent, refuse), "b": func(n int, r *http.Request) (*http.Response, error) {
+		_, client := newNetwork(map[string]script{"a": inTurn(neverRespond, refuse), "b": func(n int, r *http.Request) (*http.Response, error) {
 			if n < 30 {
 				return reset(n, r)
 			}
@@ -142,7 +142,7 @@
 
 func TestWatchEndsWithItsContextAndWithRejections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, client := newNetwork(map[string]script{"a": staySilent})
+		_, client := newNetwork(map[string]script{"a": neverRespond})
 		ctx, cancel := context.WithTimeout(t.Context(), 700*time.Millisecond)
 		defer cancel()
 		_, err := client.NewWatch("g.", 5).Next(ctx)
--- a/internal/coordinationclient/lock.go
+++ b/internal/coordinationclient/lock.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/message"
 )
 
-// Lock is a lock as one owner uses it. Several goroutines may use it.
+// Lock is a named lock, used on behalf of one owner. It is safe for concurrent use.
 type Lock struct {
 	client   *Client
 	name     message.LockName
@@ -19,14 +19,14 @@
 	duration time.Duration
 }
 
-// NewLock returns a lock by its name. The owner must differ from that of each other process and each other use of the lock: who
-// asks under the name of the holder is taken for the holder. The duration is how long a hold lasts without renewal, from 1 ms to
-// 10 min; it is cut to whole milliseconds.
+// NewLock returns the lock of a name. The owner must be unique to the process and to each use of the lock: a caller
+// with the name of the holder is granted the lock as the holder. The duration is how long a hold lasts without renewal,
+// from 1 ms to 10 min; it is truncated to whole milliseconds.
 func (c *Client) NewLock(name message.LockName, owner message.OwnerName, duration time.Duration) *Lock {
 	return &Lock{client: c, name: name, owner: owner, duration: duration.Truncate(time.Millisecond)}
 }
 
-// lockBody is the body of the calls of a lock. Its fields are the union of theirs.
+// lockBody is the body of all calls of a lock; each call sets the fields that it needs.
 type lockBody struct {
 	Owner  message.OwnerName     `json:"owner"`
 	Token  *message.FencingToken `json:"fenceNo,omitempty"`
@@ -35,8 +35,9 @@
 
 func (l *Lock) path() string { return "/locks/" + url.PathEscape(string(l.name)) }
 
-// Acquire takes the lock, or takes it again with more time and a new fencing token where this owner holds it. The error is
-// ErrHeld where another owner has it. After ErrOutcomeUnknown it may be held until the duration has passed.
+// Acquire acquires the lock. If this owner holds it already, the hold is extended and gets a new fencing token. The
+// error is ErrHeld if another owner holds the lock. After ErrOutcomeUnknown the lock may be held until the duration has
+// passed.
 func (l *Lock) Acquire(ctx context.Context) (*Hold, error) {
 	answer, err := l.client.do(ctx, request{
 		method: http.MethodPost, path: l.path(), body: lockBody{Owner: l.owner, HoldMs: l.duration.Milliseconds()},
@@ -53,8 +54,8 @@
 	return nil, answer.rejected()
 }
 
-// Renew renews a hold that is known by its fencing token only, as after a restart of the owner: it counts from now on. The error
-// is ErrLost where it is over.
+// Renew renews a hold of which only the fencing token is known, for example after a restart of the owner. The error is
+// ErrLost if the hold has ended.
 func (l *Lock) Renew(ctx context.Context, token message.FencingToken) (*Hold, error) {
 	sentAt, err := l.renew(ctx, token, time.Time{})
 	if err != nil {
@@ -63,8 +64,8 @@
 	return l.holdSince(sentAt, token)
 }
 
-// renew sends a renewal, until a time at most, and returns when the one that succeeded was sent. The error is ErrLost where
-// the lock is lost.
+// renew sends a renewal, repeats it at most until the given time, and returns when the successful attempt was sent. The
+// error is ErrLost if the lock is no longer held.
 func (l *Lock) renew(ctx context.Context, token message.FencingToken, until time.Time) (time.Time, error) {
 	body := lockBody{Owner: l.owner, Token: &token, HoldMs: l.duration.Milliseconds()}
 	answer, err := l.client.do(ctx, request{method: http.MethodPut, path: l.path(), body: body, until: until})
@@ -79,7 +80,8 @@
 	return answer.sentAt, nil
 }
 
-// Release gives back a hold that is known by its fencing token. Without an answer others get the lock when its time has passed.
+// Release releases a hold of which only the fencing token is known. If the call is not executed, the lock becomes free
+// when the hold expires.
 func (l *Lock) Release(ctx context.Context, token message.FencingToken) error {
 	body := lockBody{Owner: l.owner, Token: &token}
 	answer, err := l.client.do(ctx, request{method: http.MethodDelete, path: l.path(), body: body})
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// newHold returns the hold that an answer grants.
+// newHold returns the hold that a response grants.
 func (l *Lock) newHold(answer response) (*Hold, error) {
 	var granted struct {
 		Token message.FencingToken `json:"fenceNo"`
@@ -103,10 +105,10 @@
 	return l.holdSince(answer.sentAt, granted.Token)
 }
 
-// holdSince returns the hold that counts from the sending of a call, unless it is over by now.
+// holdSince returns the hold of a call that was sent at sentAt, or ErrLost if its duration has passed already.
 func (l *Lock) holdSince(sentAt time.Time, token message.FencingToken) (*Hold, error) {
 	hold := &Hold{lock: l, token: token, until: sentAt.Add(l.duration)}
-	if !hold.IsHeld() { // the answer came too late
+	if !hold.IsHeld() { // the answer arrived after the end of the hold
 		return nil, errors.Wrapf(ErrLost, "lock %s", l.name)
 	}
 	return hold, nil
--- a/internal/coordinationclient/lock_test.go
+++ b/internal/coordinationclient/lock_test.go
@@ -34,19 +34,19 @@
 	assert.Greater(t, two.Token(), again.Token())
 	require.ErrorIs(t, one.Renew(t.Context()), ErrLost)
 	assert.False(t, one.IsHeld())
-	require.NoError(t, one.Release(t.Context()), "a release that comes late changes nothing")
+	require.NoError(t, one.Release(t.Context()), "a late release must have no effect")
 	assert.True(t, two.IsHeld())
 	require.NoError(t, two.Renew(t.Context()))
 }
 
-func TestHoldCountsFromTheSendingOfTheLastGoodCall(t *testing.T) {
+func TestHoldIsMeasuredFromTheSendingOfTheSuccessfulAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		slow := reply(200, granted, 400*time.Millisecond)
-		n, client := newNetwork(map[string]script{"a": inTurn(staySilent, slow), "b": slow})
+		n, client := newNetwork(map[string]script{"a": inTurn(neverRespond, slow), "b": slow})
 		got, err := client.NewLock("l", "o", hold).Acquire(t.Context())
 		require.NoError(t, err)
-		sent := n.seen()[1].at
-		assert.Equal(t, sent+hold, got.Until().Sub(n.start), "from the attempt that was answered, not from its answer")
+		sent := n.recordedAttempts()[1].at
+		assert.Equal(t, sent+hold, got.Until().Sub(n.start), "measured from the sending of the answered attempt, not from its answer")
 		time.Sleep(time.Second)
 		renewed := time.Since(n.start)
 		require.NoError(t, got.Renew(t.Context()))
@@ -54,7 +54,7 @@
 	})
 }
 
-func TestGrantThatArrivesAfterTheHoldIsNone(t *testing.T) {
+func TestGrantThatArrivesAfterTheEndOfTheHoldIsLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, client := newNetwork(map[string]script{"a": reply(200, granted, 200*time.Millisecond)})
 		_, err := client.NewLock("l", "o", 150*time.Millisecond).Acquire(t.Context())
@@ -62,7 +62,7 @@
 	})
 }
 
-func TestRenewalThatIsLateCountsForNothing(t *testing.T) {
+func TestLateRenewalHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, client := newNetwork(map[string]script{"a": inTurn(reply(200, granted, 0), reply(200, `{}`, 300*time.Millisecond))})
 		got, err := client.NewLock("l", "o", hold).Acquire(t.Context())
@@ -70,15 +70,15 @@
 		time.Sleep(hold - 200*time.Millisecond)
 		require.ErrorIs(t, got.Renew(t.Context()), ErrLost)
 		assert.False(t, got.IsHeld())
-		assert.Equal(t, hold, time.Since(n.start), "nothing is waited for beyond the end")
+		assert.Equal(t, hold, time.Since(n.start), "Renew must return when the hold ends")
 		require.ErrorIs(t, got.Renew(t.Context()), ErrLost)
-		assert.Len(t, n.seen(), 2, "a hold that is over is not renewed")
+		assert.Len(t, n.recordedAttempts(), 2, "a hold that has ended must not be renewed")
 	})
 }
 
-func TestRenewalWithoutAnAnswerLeavesTheHoldAsItWas(t *testing.T) {
+func TestRenewalWithoutAnAnswerDoesNotChangeTheHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, client := newNetwork(map[string]script{"a": inTurn(reply(200, granted, 0), staySilent), "b": staySilent})
+		n, client := newNetwork(map[string]script{"a": inTurn(reply(200, granted, 0), neverRespond), "b": neverRespond})
 		got, err := client.NewLock("l", "o", hold).Acquire(t.Context())
 		require.NoError(t, err)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
@@ -89,7 +89,7 @@
 	})
 }
 
-func TestHoldIsTakenUpByItsToken(t *testing.T) {
+func TestHoldIsResumedByItsToken(t *testing.T) {
 	client := newSystem(t, 1)
 	lock := client.NewLock("l", "o", hold)
 	acquired, err := lock.Acquire(t.Context())
@@ -105,19 +105,19 @@
 	require.ErrorIs(t, err, ErrLost)
 }
 
-func TestDurationIsCutToWhatIsSent(t *testing.T) {
+func TestDurationIsTruncatedToWholeMilliseconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, client := newNetwork(map[string]script{"a": reply(200, granted, 0)})
 		got, err := client.NewLock("l", "o", 1999*time.Microsecond).Acquire(t.Context())
 		require.NoError(t, err)
 		assert.Equal(t, time.Millisecond, got.Until().Sub(n.start))
-		assert.JSONEq(t, `{"owner":"o","holdMs":1}`, n.seen()[0].body)
+		assert.JSONEq(t, `{"owner":"o","holdMs":1}`, n.recordedAttempts()[0].body)
 	})
 }
 
-func TestHoldIsOverWhenTheReleaseIsSent(t *testing.T) {
+func TestHoldEndsWhenTheReleaseIsSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		_, client := newNetwork(map[string]script{"a": inTurn(reply(200, granted, 0), staySilent)})
+		_, client := newNetwork(map[string]script{"a": inTurn(reply(200, granted, 0), neverRespond)})
 		got, err := client.NewLock("l", "o", hold).Acquire(t.Context())
 		require.NoError(t, err)
 		go func() { _ = got.Release(t.Context()) }()
@@ -127,7 +127,7 @@
 	})
 }
 
-func TestRenewalThatOvertakesAReleaseCountsForNothing(t *testing.T) {
+func TestRenewalInFlightDuringAReleaseHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, client := newNetwork(map[string]script{"a": inTurn(
 			reply(200, granted, 0), reply(200, `{}`, 100*time.Millisecond), reply(200, `{}`, 0),
@@ -153,21 +153,21 @@
 		assert.True(t, keeper.Hold().IsHeld())
 		require.NoError(t, keeper.Release(t.Context()))
 		<-keeper.Over()
-		attempts := n.seen()
+		attempts := n.recordedAttempts()
 		assert.Equal(t, "DELETE", attempts[len(attempts)-1].method)
 		assert.InDelta(t, 10*renewalsPerHold, len(attempts), 2)
 		time.Sleep(10 * hold)
-		assert.Len(t, n.seen(), len(attempts), "no renewal after the release")
+		assert.Len(t, n.recordedAttempts(), len(attempts), "no renewal after the release")
 	})
 }
 
-func TestKeeperIsOverWhenTheHoldIs(t *testing.T) {
+func TestKeeperEndsWithTheHold(t *testing.T) {
 	for name, c := range map[string]struct {
 		renewal script
 		at      time.Duration
 	}{
 		"another owner has the lock": {reply(409, `{}`, 0), hold / renewalsPerHold},
-		"no coordinator answers":     {staySilent, hold},
+		"no coordinator answers":     {neverRespond, hold},
 		"all coordinators fail":      {reply(503, `{}`, 0), hold},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -187,7 +187,7 @@
 func TestKeeperSurvivesTheLossOfACoordinator(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, client := newNetwork(map[string]script{
-			"a": inTurn(reply(200, granted, 0), staySilent), "b": reply(200, `{}`, time.Millisecond),
+			"a": inTurn(reply(200, granted, 0), neverRespond), "b": reply(200, `{}`, time.Millisecond),
 		})
 		got, err := client.NewLock("l", "o", hold).Acquire(t.Context())
 		require.NoError(t, err)
@@ -195,7 +195,7 @@
 		time.Sleep(5 * hold)
 		assert.True(t, keeper.Hold().IsHeld())
 		require.NoError(t, keeper.Release(t.Context()))
-		assert.NotEmpty(t, n.seen())
+		assert.NotEmpty(t, n.recordedAttempts())
 	})
 }
 
@@ -211,7 +211,7 @@
 	select {
 	case <-elected:
 		t.Fatal("two leaders")
-	case <-time.After(50 * time.Millisecond): // a second leader would show by now
+	case <-time.After(50 * time.Millisecond): // a second leader would have been elected by now
 	}
 	require.NoError(t, first.Release(t.Context()))
 	second := <-elected
@@ -227,7 +227,7 @@
 		defer cancel()
 		_, err := client.NewElection("e", "c", hold).Campaign(ctx)
 		require.ErrorIs(t, err, context.DeadlineExceeded)
-		assert.Len(t, n.seen(), 10)
+		assert.Len(t, n.recordedAttempts(), 10)
 
 		_, client = newNetwork(map[string]script{"a": reply(400, `{"error":"owner is empty"}`, 0)})
 		_, err = client.NewElection("e", "", hold).Campaign(t.Context())
--- a/internal/coordinationclient/watch.go
+++ b/internal/coordinationclient/watch.go
@@ -16,7 +16,7 @@
 const (
 	// watchWait is how long one request of a watch waits for an event.
 	watchWait = 2 * time.Second
-	// emptyGroupInterval is how often a group without any put is looked at.
+	// emptyGroupInterval is how often a group without any put is polled.
 	emptyGroupInterval = 500 * time.Millisecond
 )
 
@@ -27,41 +27,42 @@
 	Revision message.Revision `json:"revision"`
 }
 
-// Batch is what a watch reports at a time.
+// Batch is one report of a watch.
 type Batch struct {
-	// Events are all puts above the revision of the batch before, up to Revision, with rising revisions.
+	// Events are all puts after the revision of the previous batch, up to and including Revision, in order of revision.
 	Events   []Event          `json:"events"`
 	Revision message.Revision `json:"revision"` // from which NewWatch can resume
-	// IsReset says that puts up to Revision may be missing: read the keys anew. It is set in the first batch of a watch that
-	// starts from 0, and where the history did not reach back.
+	// IsReset means that puts up to Revision may be missing, so the keys have to be read again. It is set in the first
+	// batch of a watch that starts from 0, and after the coordinators have dropped the events that the watch had to report
+	// next.
 	IsReset bool `json:"reset,omitempty"`
 }
 
-// Watch reports the puts to a group of keys. One goroutine uses it.
+// Watch reports the puts to a group of keys. It is not safe for concurrent use.
 type Watch struct {
 	client   *Client
 	group    message.KeyGroup
 	revision message.Revision
-	isStale  bool // the history does not reach back to revision
+	isStale  bool // events after revision have been dropped
 }
 
-// NewWatch returns a watch of a group, which is the part of its keys' names up to the first dot, dot included. It
-// reports what follows after a revision; with 0 it begins at the present one.
+// NewWatch returns a watch of a group. The name of a group is the part of its keys' names up to and including the first
+// dot. The watch reports the puts after a revision; with 0 it starts at the current revision.
 func (c *Client) NewWatch(group message.KeyGroup, after message.Revision) *Watch {
 	return &Watch{client: c, group: group, revision: after}
 }
 
-// Next waits for events, or for the reset of the watch, and returns them. It goes on through failures of coordinators; the
+// Next waits for events, or for a reset of the watch, and returns them. It retries after failures of coordinators; the
 // error is that of ctx, a *RejectedError or ErrInvalidResponse.
 func (w *Watch) Next(ctx context.Context) (Batch, error) {
 	for ctx.Err() == nil {
 		batch, err := w.poll(ctx)
 		switch {
 		case errors.Is(err, ErrNotExecuted) || errors.Is(err, ErrOutcomeUnknown):
-			// the client has rested between its attempts
+			// poll again at once: the client has paused between its attempts
 		case err != nil:
 			return Batch{}, err
-		case batch.IsReset && batch.Revision == 0: // there is no key yet
+		case batch.IsReset && batch.Revision == 0: // the group has no key yet
 			if err := ctxtime.Sleep(ctx, emptyGroupInterval); err != nil {
 				return Batch{}, err
 			}
@@ -72,7 +73,7 @@
 	return Batch{}, ctx.Err()
 }
 
-// poll sends one request.
+// poll sends one watch request.
 func (w *Watch) poll(ctx context.Context) (Batch, error) {
 	after := w.revision
 	if w.isStale {
