--- a/internal/controlplane/coordinationapi/fuzz_test.go
+++ b/internal/controlplane/coordinationapi/fuzz_test.go
@@ -13,7 +13,8 @@
 	"pumiceline/internal/message"
 )
 
-// FuzzBodyIsRejectedOrWithinLimits puts any body to any call that has one: what reaches the caller keeps the limits.
+// FuzzBodyIsRejectedOrWithinLimits sends arbitrary bodies with each call that has one. Calls that reach the Caller must
+// be within the limits.
 func FuzzBodyIsRejectedOrWithinLimits(f *testing.F) {
 	for _, body := range []string{
 		`{"owner":"a","holdMs":3000,"fenceNo":41}`, `{"value":"v","ifRevision":0}`, `{"holdMs":1e9}`, `null`, `{"owner":"\ud800"}`, "\xff",
@@ -31,7 +32,8 @@
 	})
 }
 
-// FuzzPathIsRejectedOrWithinLimits puts any path and query to the watch and to a read.
+// FuzzPathIsRejectedOrWithinLimits sends GET requests with arbitrary paths and queries. Calls that reach the Caller
+// must be within the limits.
 func FuzzPathIsRejectedOrWithinLimits(f *testing.F) {
 	for _, path := range []string{"/watch/g1.?after=1&waitMs=2", "/cells/%2F", "/cells/%", "/watch/.", "/watch/a.?after=%31&after=2;", "//locks/a"} {
 		f.Add(path)
@@ -39,7 +41,7 @@
 	f.Fuzz(func(t *testing.T, path string) {
 		target, err := url.ParseRequestURI(path)
 		if err != nil {
-			t.Skip("no HTTP server takes it")
+			t.Skip("not a valid request URI")
 		}
 		caller := &fakeCaller{answer: message.Answer{Status: coordination.StatusOK}}
 		recorder := httptest.NewRecorder()
--- a/internal/controlplane/coordinationapi/handler.go
+++ b/internal/controlplane/coordinationapi/handler.go
@@ -1,12 +1,12 @@
-// Package coordinationapi is the HTTP API by which applications use locks, numbers, keys and watches:
+// Package coordinationapi is the HTTP API through which applications use locks, numbers, keys and watches:
 //
 //	POST, PUT, DELETE /locks/ID     acquire, renew, release a lock
-//	POST              /numbers/ID   a number above all that were given under the name
+//	POST              /numbers/ID   a number above all numbers issued under the name
 //	PUT, GET          /cells/ID     put and get a key
 //	GET               /watch/GROUP  the puts to a group of keys after a revision (?after=&waitMs=)
 //
-// It checks requests, passes them to a Caller, and writes the answers. An ID is one segment of the path; it may be
-// percent-encoded.
+// It validates requests, passes them to a Caller as calls, and writes the answers. An ID is one segment of the path; it
+// may be percent-encoded.
 package coordinationapi
 
 import (
@@ -23,15 +23,15 @@
 
 // Errors of a Caller.
 var (
-	// ErrNotExecuted says that the call was not carried out and never will be.
+	// ErrNotExecuted means that the call was not executed and never will be.
 	ErrNotExecuted = errors.New("not executed: no issuer can be reached now")
-	// ErrTooManyCalls says that too many calls wait already. The call was not carried out and never will be.
+	// ErrTooManyCalls means that too many calls are waiting already. The call was not executed and never will be.
 	ErrTooManyCalls = errors.New("not executed: too many calls wait")
-	// ErrOutcomeUnknown says that the call may have been carried out, or may be yet.
+	// ErrOutcomeUnknown means that the call may have been executed, or may still be executed later.
 	ErrOutcomeUnknown = errors.New("no answer in time: the outcome is not known")
 )
 
-// Caller carries out calls. Its errors are, or wrap, those above; any other counts as ErrOutcomeUnknown.
+// Caller executes calls. Its errors are, or wrap, those above; any other error is treated as ErrOutcomeUnknown.
 type Caller interface {
 	Call(ctx context.Context, call message.Call) (message.Answer, error)
 }
@@ -39,7 +39,7 @@
 // maxBodyBytes bounds the body of a request.
 const maxBodyBytes = 64 << 10
 
-// retryAfterSeconds is the Retry-After of a call that was not executed.
+// retryAfterSeconds is the Retry-After header of the response to a call that was not executed.
 const retryAfterSeconds = "0.2"
 
 // Path prefixes of the resources.
@@ -50,10 +50,10 @@
 	watchPrefix   = "/watch/"
 )
 
-// parser makes a call of a request for the resource with a name. The error is for the client.
+// parser converts a request for the named resource to a call. The text of the error is sent to the client.
 type parser func(name string, r *http.Request, body []byte) (message.Call, error)
 
-// resource is a kind of resource and what can be done with it.
+// resource is a kind of resource with its methods.
 type resource struct {
 	prefix  string
 	methods []method
@@ -71,7 +71,7 @@
 	{watchPrefix, []method{{http.MethodGet, parseWatch}}},
 }
 
-// Handler answers the calls of applications. Several goroutines may use it.
+// Handler answers the calls of applications. It is safe for concurrent use.
 type Handler struct {
 	caller Caller
 }
@@ -79,12 +79,13 @@
 // NewHandler returns a handler that passes calls to caller.
 func NewHandler(caller Caller) *Handler { return &Handler{caller: caller} }
 
-// Serves reports whether a path, as in http.Request.URL.Path, is one of this API. The handler answers others with 404.
+// Serves reports whether a path, as in http.Request.URL.Path, belongs to this API. The handler answers other paths with
+// 404.
 func Serves(path string) bool {
 	return lo.SomeBy(resources, func(r resource) bool { return strings.HasPrefix(path, r.prefix) })
 }
 
-// ServeHTTP answers one call. Requests that are not in order are answered with a 4xx, and nothing is done.
+// ServeHTTP answers one call. An invalid request is answered with a 4xx and is not passed to the Caller.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	call, err := readCall(w, r)
 	if err != nil {
@@ -99,7 +100,7 @@
 	writeAnswer(w, call.Kind, answer)
 }
 
-// readCall reads the request whole, so that its connection can be kept, and makes a call of it.
+// readCall reads the complete body, so that the connection can be reused, and converts the request to a call.
 func readCall(w http.ResponseWriter, r *http.Request) (message.Call, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
--- a/internal/controlplane/coordinationapi/handler_test.go
+++ b/internal/controlplane/coordinationapi/handler_test.go
@@ -17,7 +17,7 @@
 	"pumiceline/internal/message"
 )
 
-// fakeCaller answers every call alike and keeps the calls.
+// fakeCaller gives every call the same answer and records the calls.
 type fakeCaller struct {
 	answer message.Answer
 	err    error
@@ -66,7 +66,7 @@
 		{"put with unknown fields", "PUT", "/cells/g1.2d", `{"value":"","ifRevision":0,"more":[1]}`,
 			message.Call{Kind: message.CallPut, Key: "g1.2d"},
 			message.Answer{Status: coordination.StatusRevisionMismatch, Revision: 922}, `{"revision":922}`},
-		{"put whatever the revision", "PUT", "/cells/g1.2d", `{"value":"5c0e"}`,
+		{"put without a revision", "PUT", "/cells/g1.2d", `{"value":"5c0e"}`,
 			message.Call{Kind: message.CallPut, Key: "g1.2d", Value: "5c0e", IfAny: true},
 			message.Answer{Status: ok, Revision: 931}, `{"revision":931}`},
 		{"put to a full state", "PUT", "/cells/g1.2d", `{"value":"v","ifRevision":0}`,
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestRequestsThatAreNotInOrderAreRejected(t *testing.T) {
+func TestInvalidRequestsAreRejected(t *testing.T) {
 	long := strings.Repeat("n", coordination.MaxNameBytes+1)
 	for _, c := range []struct {
 		name, method, target, body string
@@ -153,12 +153,12 @@
 			response := serve(caller, c.method, c.target, c.body)
 			assert.Equal(t, c.status, response.Code)
 			assert.Contains(t, response.Body.String(), c.text)
-			assert.Empty(t, caller.calls, "nothing may be done")
+			assert.Empty(t, caller.calls, "an invalid request must not reach the Caller")
 		})
 	}
 }
 
-func TestOtherMethodsAreRejectedWithThoseAllowed(t *testing.T) {
+func TestUnsupportedMethodsAreRejectedWithAllowHeader(t *testing.T) {
 	for _, c := range []struct{ method, target, allow string }{
 		{"GET", "/locks/a", "POST, PUT, DELETE"},
 		{"PATCH", "/locks/a", "POST, PUT, DELETE"},
@@ -173,7 +173,7 @@
 	}
 }
 
-func TestErrorsOfTheCallerSayWhetherTheCallWasExecuted(t *testing.T) {
+func TestCallerErrorsMapToStatusCodes(t *testing.T) {
 	for _, c := range []struct {
 		err        error
 		status     int
@@ -190,7 +190,7 @@
 	}
 }
 
-func TestAnswerWithAnUnknownStatusIsNoAnswer(t *testing.T) {
+func TestAnswerWithAnUnknownStatusIsAnUnknownOutcome(t *testing.T) {
 	for _, status := range []message.CallStatus{0, 99, 299, 503, 10000} {
 		response := serve(&fakeCaller{answer: message.Answer{Status: status}}, "POST", "/numbers/a", `{}`)
 		assert.Equal(t, http.StatusGatewayTimeout, response.Code)
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestConnectionIsKeptAfterErrorsAndUnreadBodies(t *testing.T) {
+func TestConnectionIsReusedAfterErrorsAndUnreadBodies(t *testing.T) {
 	server := httptest.NewServer(NewHandler(&fakeCaller{answer: message.Answer{Status: coordination.StatusOK}}))
 	defer server.Close()
 	opened := 0
--- a/internal/controlplane/coordinationapi/request.go
+++ b/internal/controlplane/coordinationapi/request.go
@@ -15,10 +15,10 @@
 	"pumiceline/internal/message"
 )
 
-// maxWatchWait is how long a watch may wait for an event. A longer one is shortened to it.
+// maxWatchWait is the maximum time that a watch waits for an event. Longer times are reduced to it.
 const maxWatchWait = 30 * time.Second
 
-// requestError is a request that is not in order. Nothing was done.
+// requestError is the error for an invalid request. No call was made.
 type requestError struct {
 	status int
 	text   string
@@ -99,7 +99,7 @@
 	return call, err
 }
 
-// parseNumber needs nothing from the body, which may be empty.
+// parseNumber accepts an empty body or a JSON object, whose fields it ignores.
 func parseNumber(name string, _ *http.Request, body []byte) (message.Call, error) {
 	if len(body) > 0 {
 		if _, err := parseFields(body); err != nil {
@@ -131,7 +131,7 @@
 	return message.Call{Kind: message.CallGet, Key: message.KeyName(name)}, nil
 }
 
-// parseWatch takes the group from the path, and the rest from the query, where a missing parameter stands for 0.
+// parseWatch takes the group from the path and the other parameters from the query. A missing parameter is 0.
 func parseWatch(name string, r *http.Request, _ []byte) (message.Call, error) {
 	if strings.Index(name, ".") != len(name)-1 {
 		return message.Call{}, invalid("a watch names a group of keys: all up to the first dot of their names, the dot included")
@@ -165,7 +165,7 @@
 	return number, nil
 }
 
-// fields are the fields of a JSON object. Those that a call does not know are passed over.
+// fields are the fields of a JSON object. Fields that a call does not use are ignored.
 type fields map[string]json.RawMessage
 
 func parseFields(body []byte) (fields, error) {
@@ -179,7 +179,7 @@
 	return parsed, nil
 }
 
-// text returns a field that must be there as a string.
+// text returns a field that must be present and a string.
 func (f fields) text(name string) (string, error) {
 	var value *string
 	if err := json.Unmarshal(f.get(name), &value); err != nil {
@@ -191,13 +191,13 @@
 	return *value, nil
 }
 
-// has reports whether a field is there.
+// has reports whether a field is present, null included.
 func (f fields) has(name string) bool {
 	_, ok := f[name]
 	return ok
 }
 
-// count returns a field that must be there as a whole number that is not negative.
+// count returns a field that must be present and a non-negative integer.
 func (f fields) count(name string) (uint64, error) {
 	var value *uint64
 	if err := json.Unmarshal(f.get(name), &value); err != nil {
@@ -209,7 +209,7 @@
 	return *value, nil
 }
 
-// get returns a field as JSON; a missing one is null.
+// get returns a field as JSON, or null if it is missing.
 func (f fields) get(name string) json.RawMessage {
 	if raw, ok := f[name]; ok {
 		return raw
--- a/internal/controlplane/coordinationapi/response.go
+++ b/internal/controlplane/coordinationapi/response.go
@@ -54,7 +54,8 @@
 	writeJSON(w, status, errorBody{Error: err.Error()})
 }
 
-// StatusOfError returns the HTTP status for an error of a Caller. A 503 or 429 promises that nothing was done.
+// StatusOfError returns the HTTP status for an error of a Caller. A 503 or 429 guarantees that the call was not
+// executed.
 func StatusOfError(err error) int {
 	switch {
 	case errors.Is(err, ErrNotExecuted):
@@ -65,7 +66,7 @@
 	return http.StatusGatewayTimeout
 }
 
-// writeCallError answers a call that the Caller has no answer to.
+// writeCallError answers a call for which the Caller returned an error.
 func writeCallError(w http.ResponseWriter, err error) {
 	status := StatusOfError(err)
 	if status != http.StatusGatewayTimeout {
@@ -74,7 +75,8 @@
 	writeJSON(w, status, errorBody{Error: err.Error()})
 }
 
-// writeAnswer writes the answer of an issuer. One with a status that this version does not know says nothing certain.
+// writeAnswer writes the answer of an issuer. If this version does not know the status of the answer, it reports an
+// unknown outcome, because it cannot tell whether the call was executed.
 func writeAnswer(w http.ResponseWriter, kind message.CallKind, answer message.Answer) {
 	body := bodyOfAnswer(kind, answer)
 	if body == nil {
@@ -119,15 +121,15 @@
 	case message.CallWatch:
 		events := lo.Map(answer.Events, func(e message.KeyEvent, _ int) eventBody { return eventBody(e) })
 		return watchBody{Events: events, Revision: answer.Revision}
-	default: // renewed, released
+	default: // renew, release
 		return emptyBody{}
 	}
 }
 
-// writeJSON writes a whole response. A client that has gone sends its call again.
+// writeJSON writes a complete response. It ignores write errors: a client that lost the connection repeats its call.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	encoded, err := json.Marshal(body)
-	if err != nil { // no body here can cause it
+	if err != nil { // not expected: every body type of this package can be marshalled
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
