--- a/internal/controlplane/coordination/benchmark_test.go
+++ b/internal/controlplane/coordination/benchmark_test.go
@@ -27,7 +27,7 @@
 	return store
 }
 
-// BenchmarkExecute measures a call of each kind with the maintenance of a batch of one.
+// BenchmarkExecute measures one call of each kind, including one call of Maintain.
 func BenchmarkExecute(b *testing.B) {
 	const start, interval = time.Minute, 2 * time.Millisecond // between two calls
 	var locks [64]message.LockName
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkApply measures what an acceptor does for a put.
+// BenchmarkApply measures the work of an acceptor for one put and one trim.
 func BenchmarkApply(b *testing.B) {
 	store := newBusyStore(b)
 	revision := store.groups["g1."].revision
@@ -76,7 +76,7 @@
 	}
 }
 
-// BenchmarkSnapshot measures the copy of a large state.
+// BenchmarkSnapshot measures a snapshot of a large state.
 func BenchmarkSnapshot(b *testing.B) {
 	store := newBusyStore(b)
 	b.ReportAllocs()
--- a/internal/controlplane/coordination/bounds.go
+++ b/internal/controlplane/coordination/bounds.go
@@ -6,30 +6,30 @@
 	"pumiceline/internal/message"
 )
 
-// Bounds of calls. A call beyond them is invalid.
+// Bounds of calls. A call that exceeds them is invalid.
 const (
-	MaxNameBytes  = 128              // of the name of a lock, an owner, a key or a group
-	MaxValueBytes = 4096             // of the value of a key
-	MaxHold       = 10 * time.Minute // for which a lock is granted or renewed
+	MaxNameBytes  = 128              // length of the name of a lock, an owner, a key or a group
+	MaxValueBytes = 4096             // length of the value of a key
+	MaxHold       = 10 * time.Minute // longest time for which a lock is granted or renewed
 )
 
-// Bounds of the state. A call that would exceed them is answered StatusInsufficientMemory and changes nothing.
+// Bounds of the state. A call that would exceed them is answered with StatusInsufficientMemory and changes nothing.
 const (
-	// MaxStateBytes bounds the size of the groups in a snapshot: of the present values of their keys, and of their history.
+	// MaxStateBytes bounds the size of the groups in a snapshot: the current values of their keys plus their history.
 	MaxStateBytes = 2 << 20
-	// MaxHolds bounds how many locks are held at a time.
+	// MaxHolds bounds the number of holds, including expired holds that Maintain has not released yet.
 	MaxHolds = 4096
 	// MaxEvents bounds the events in the history of all groups of keys.
 	MaxEvents = 4 * eventBudget
 )
 
 const (
-	// eventBudget and eventBytesBudget are how much history is kept beyond Options.HistoryRetention, so that a repeated put is
-	// recognised long after the first.
+	// eventBudget and eventBytesBudget are the number and the size of events up to which the history is kept even when it
+	// is older than Options.HistoryRetention. The longer history makes it possible to recognise late repeats of a put.
 	eventBudget      = 8192
 	eventBytesBudget = MaxStateBytes / 2
-	// eventOverheadBytes is what a key with its value takes at most in a snapshot beside the two, and groupOverheadBytes
-	// what a group takes beside its name and its keys.
+	// eventOverheadBytes is the maximum size in a snapshot of a key with its value, without the bytes of the two.
+	// groupOverheadBytes is the maximum size of a group, without its name and its keys.
 	eventOverheadBytes = 24
 	groupOverheadBytes = 48
 	// maxEventsPerAnswer and maxEventBytesPerAnswer bound the answer to a watch.
--- a/internal/controlplane/coordination/bounds_test.go
+++ b/internal/controlplane/coordination/bounds_test.go
@@ -9,7 +9,7 @@
 	"pumiceline/internal/message"
 )
 
-func TestExecute_AnswersCallsBeyondTheBoundsWithInvalid(t *testing.T) {
+func TestExecute_RejectsCallsBeyondTheBounds(t *testing.T) {
 	longest := strings.Repeat("n", MaxNameBytes)
 	tooLong := longest + "n"
 	longestHold := MaxHold.Milliseconds()
--- a/internal/controlplane/coordination/exploration_test.go
+++ b/internal/controlplane/coordination/exploration_test.go
@@ -19,15 +19,16 @@
 	allKinds  = slices.Concat(lockKinds, keyKinds, []message.CallKind{message.CallNumber})
 )
 
-// exploration visits every world that can be reached in a number of actions. Worlds with the same course before them are
-// visited once.
+// exploration visits every world that can be reached in a number of actions. Worlds with the same key have the same
+// possible futures, so they are visited only once.
 type exploration struct {
 	seed    maphash.Seed
-	visited map[uint64]int // the most actions that were left at a visit, by the hash of the world's key
-	trace   []action       // to the world that is visited
+	visited map[uint64]int // by the hash of the world's key: the largest depth left at a visit
+	trace   []action       // the actions that lead to the visited world
 }
 
-// explore visits a world and all that follow it, and returns what rule was broken, with the trace that leads there.
+// explore visits a world and all that follow from it. It returns the first violated rule with the trace that leads to
+// it.
 func (e *exploration) explore(w *world, depth int) error {
 	hash := maphash.String(e.seed, w.key())
 	if left, isVisited := e.visited[hash]; isVisited && left >= depth {
@@ -51,7 +52,7 @@
 	return nil
 }
 
-// key describes all that the further course of a world depends on. Times are relative to now.
+// key describes everything on which the possible futures of a world depend. Times are relative to now.
 func (w *world) key() string {
 	var text strings.Builder
 	fmt.Fprint(&text, w.bounds.ticks-w.now, w.bounds.restarts, w.epoch, w.issuer, w.checks)
@@ -79,14 +80,14 @@
 		inFlight = append(inFlight, w.describe(request))
 	}
 	for _, reply := range w.replies {
-		if w.callers[reply.attempt.caller].waitsFor == reply.attempt { // the others are ignored
+		if w.callers[reply.attempt.caller].waitsFor == reply.attempt { // callers ignore all other replies
 			inFlight = append(inFlight, fmt.Sprint(w.describe(reply.attempt), reply.answer))
 		}
 	}
 	slices.Sort(inFlight)
 	fmt.Fprint(&text, "|", inFlight)
 	for i, caller := range w.callers {
-		fmt.Fprint(&text, "|", w.describe(caller.waitsFor), caller.calls, caller.repeats, caller.deaths,
+		fmt.Fprint(&text, "|", w.describe(caller.waitsFor), caller.calls, caller.repeats, caller.crashes,
 			caller.revisions, caller.watched, caller.puts, caller.token)
 		if w.isHolder(i) {
 			fmt.Fprint(&text, " holds ", caller.holdsUntil-w.now)
@@ -95,7 +96,8 @@
 	return text.String()
 }
 
-// describe returns what matters of an attempt: when it was sent and what had been seen only while its caller waits for it.
+// describe returns the part of an attempt on which the future depends. The sending time and the results seen before
+// count only while its caller waits for the attempt.
 func (w *world) describe(attempt attempt) string {
 	if attempt.number == 0 {
 		return "none"
@@ -107,15 +109,15 @@
 	return text
 }
 
-func TestExploration_BreaksNoRule(t *testing.T) {
+func TestExploration_ViolatesNoRule(t *testing.T) {
 	tests := []struct {
 		name   string
 		bounds worldBounds
 		depth  int
 	}{
-		{"locks", worldBounds{kinds: lockKinds, ticks: 4, calls: 3, repeats: 1, deaths: 1, restarts: 1, issuers: 2}, 6},
+		{"locks", worldBounds{kinds: lockKinds, ticks: 4, calls: 3, repeats: 1, crashes: 1, restarts: 1, issuers: 2}, 6},
 		{"keys", worldBounds{kinds: keyKinds, ticks: 0, calls: 3, repeats: 1, restarts: 1, issuers: 2}, 5},
-		{"all", worldBounds{kinds: allKinds, ticks: 3, calls: 3, repeats: 1, deaths: 1, restarts: 1, issuers: 2}, 4},
+		{"all", worldBounds{kinds: allKinds, ticks: 3, calls: 3, repeats: 1, crashes: 1, restarts: 1, issuers: 2}, 4},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -129,13 +131,14 @@
 const (
 	walkSteps = 120
 	walkSeeds = 200
-	// rareActions is how much rarer than the others actions are that happen once or twice in a world.
+	// rareActions is how many times rarer than other actions the rare ones are. Each of them happens only a few times in a
+	// world.
 	rareActions = 20
 )
 
-// walk lets things happen at random and returns the first rule that is broken.
+// walk applies random actions and returns the first violated rule.
 func walk(defect defect, kinds []message.CallKind, seed uint64) error {
-	w := newWorld(defect, worldBounds{kinds: kinds, ticks: 12, calls: 16, repeats: 8, deaths: 2, restarts: 4, issuers: 6})
+	w := newWorld(defect, worldBounds{kinds: kinds, ticks: 12, calls: 16, repeats: 8, crashes: 2, restarts: 4, issuers: 6})
 	w.ignoresStates = defect != noDefect
 	random := rand.New(rand.NewPCG(seed, 1))
 	for range walkSteps {
@@ -150,18 +153,18 @@
 	return nil
 }
 
-// pickAction picks an action at random; those that happen a few times in a world are rarer.
+// pickAction picks a random action. Changes of the issuer, restarts and crashes are picked rarely.
 func pickAction(random *rand.Rand, actions []action) action {
 	for {
 		picked := actions[random.IntN(len(actions))]
-		isRare := picked.kind == changeIssuer || picked.kind == restartMember || picked.kind == callerDies
+		isRare := picked.kind == changeIssuer || picked.kind == restartMember || picked.kind == callerCrashes
 		if !isRare || random.IntN(rareActions) == 0 {
 			return picked
 		}
 	}
 }
 
-func TestWalks_BreakNoRule(t *testing.T) {
+func TestWalks_ViolateNoRule(t *testing.T) {
 	for _, kinds := range [][]message.CallKind{lockKinds, keyKinds, allKinds} {
 		for seed := range walkSeeds {
 			require.NoError(t, walk(noDefect, kinds, uint64(seed)), "seed %d", seed)
@@ -169,13 +172,13 @@
 	}
 }
 
-// The defects that break a rule from the callers' view must be found from it.
+// Defects that violate a rule visible to callers must be found by checking only the callers' answers.
 func TestWalks_FindPlantedDefects(t *testing.T) {
 	tests := map[defect][]message.CallKind{
-		countFromBeforeReceipt: lockKinds, ignoreRenewals: lockKinds, releaseAnyToken: lockKinds,
-		releaseAnyOwner: lockKinds, keepToken: lockKinds, forgetTokens: lockKinds, endHoldsOnRestore: lockKinds,
-		forgetNumbers: allKinds, refuseRepeatedPuts: keyKinds,
-		ignoreIfRevision: keyKinds, nameGroupRevision: keyKinds, forgetRepeatedPuts: keyKinds,
+		measureFromBeforeReceipt: lockKinds, ignoreRenewals: lockKinds, releaseAnyToken: lockKinds,
+		releaseAnyOwner: lockKinds, keepToken: lockKinds, loseTokens: lockKinds, endHoldsOnRestore: lockKinds,
+		loseNumbers: allKinds, rejectRepeatedPuts: keyKinds,
+		ignoreIfRevision: keyKinds, reportGroupRevision: keyKinds, loseRepeatedPuts: keyKinds,
 	}
 	for d, kinds := range tests {
 		t.Run(d.String(), func(t *testing.T) {
--- a/internal/controlplane/coordination/fuzz_test.go
+++ b/internal/controlplane/coordination/fuzz_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/message"
 )
 
-// fuzzInput reads numbers and names from the bytes of a fuzz test; at their end all are 0.
+// fuzzInput reads numbers and names from the bytes of a fuzz test. After the last byte it returns zeros.
 type fuzzInput struct{ bytes []byte }
 
 func (i *fuzzInput) byte() byte {
@@ -23,7 +23,7 @@
 	return first
 }
 
-// number is small mostly, and any 64 bits sometimes.
+// number returns a one-byte number in most cases, otherwise any 64-bit number.
 func (i *fuzzInput) number() uint64 {
 	first := i.byte()
 	if first != 0xff || len(i.bytes) < 8 {
@@ -34,7 +34,7 @@
 	return value
 }
 
-// name is one of a few mostly, and any bytes sometimes.
+// name returns one of a few names in half of the cases, otherwise arbitrary bytes.
 func (i *fuzzInput) name() string {
 	names := []string{"", "a", "b", "g.", "g.a", "g.b", "h.a", "g", ".", "..", "g.a.b"}
 	first := int(i.byte())
@@ -83,7 +83,7 @@
 	})
 }
 
-// checkResult checks what must hold of every result.
+// checkResult checks the invariants of a result.
 func checkResult(t *testing.T, call *message.Call, before *message.CoordinationState, result Result, hasEvents bool) {
 	t.Helper()
 	known := []message.CallStatus{
@@ -99,7 +99,7 @@
 	}
 	require.Contains(t, known, result.Answer.Status)
 	if result.Answer.Status != StatusOK {
-		require.Empty(t, result.Changes, "a call that is not done changes nothing")
+		require.Empty(t, result.Changes, "a rejected call must not change anything")
 	}
 	require.LessOrEqual(t, len(result.Changes), 1)
 	for _, change := range result.Changes {
@@ -112,7 +112,7 @@
 	}
 }
 
-// checkInvariants compares what the store counts with what it holds.
+// checkInvariants compares the counters and indexes of the store with its content.
 func checkInvariants(t *testing.T, s *Store) {
 	t.Helper()
 	require.Len(t, s.locks.holds, s.locks.byEnd.Len())
@@ -121,7 +121,7 @@
 	presentBytes, historyBytes, count := 0, 0, 0
 	for name, group := range s.groups {
 		presentBytes += groupBytes(name)
-		require.Equal(t, group.revision-group.horizon, message.Revision(len(group.history)), "no gap")
+		require.Equal(t, group.revision-group.horizon, message.Revision(len(group.history)), "revisions without a gap")
 		for i, event := range group.history {
 			require.Equal(t, group.horizon+1+message.Revision(i), event.Revision)
 			require.Equal(t, name, GroupOf(event.Key))
--- a/internal/controlplane/coordination/history.go
+++ b/internal/controlplane/coordination/history.go
@@ -7,22 +7,22 @@
 	"pumiceline/internal/message"
 )
 
-// eventLog knows the events in the histories of all groups by their age and by what was put.
+// eventLog indexes the events in the histories of all groups by their age and by the put.
 type eventLog struct {
-	byAge     []loggedEvent // in the order of receipt; events that were dropped since may be among them
-	count     int           // of the events kept
+	byAge     []loggedEvent // in the order of receipt; may include events that have been dropped
+	count     int           // number of events kept
 	bytes     int           // size of the events kept
 	revisions map[putID]message.Revision
 }
 
-// loggedEvent is an event with its age.
+// loggedEvent refers to an event and records its age.
 type loggedEvent struct {
 	group      *keyGroup
 	revision   message.Revision
 	receivedAt time.Duration // on this member's clock
 }
 
-// putID identifies a put: applications put no value to a key twice, but for repeating a call.
+// putID identifies a put. Applications put a value to a key only once, so a second put with the same value is a repeat.
 type putID struct {
 	key   message.KeyName
 	value string
@@ -30,10 +30,10 @@
 
 func newEventLog() eventLog { return eventLog{revisions: map[putID]message.Revision{}} }
 
-// isDropped reports whether the event is not in its group's history any more.
+// isDropped reports whether the event has been dropped from its group's history.
 func (e *loggedEvent) isDropped() bool { return e.revision <= e.group.horizon }
 
-// addEvent appends an event to its group's history. Its age counts from now.
+// addEvent appends an event to its group's history. Its age is measured from now.
 func (s *Store) addEvent(now time.Duration, group *keyGroup, event message.KeyEvent) {
 	group.history = append(group.history, event)
 	log := &s.events
@@ -43,7 +43,7 @@
 	log.bytes += eventBytes(event.Key, event.Value)
 }
 
-// trimHistory drops the oldest events while there are more than the budget allows and they are older than the retention.
+// trimHistory drops the oldest events as long as the budget is exceeded and they are older than the retention.
 func (s *Store) trimHistory(now time.Duration) (changes []message.CoordinationChange) {
 	log := &s.events
 	var trimmed []*keyGroup
@@ -69,7 +69,7 @@
 	return changes
 }
 
-// exceedsEventBudget reports whether events are to be dropped as soon as they are old enough.
+// exceedsEventBudget reports whether events older than the retention have to be dropped.
 func (s *Store) exceedsEventBudget() bool {
 	return s.events.count > s.limits.eventBudget || s.events.bytes > s.limits.eventBytesBudget
 }
@@ -84,28 +84,29 @@
 	s.events.compact()
 }
 
-// dropEvents drops the events of a group up to a horizon from its history.
+// dropEvents removes the events up to a horizon from the history of a group.
 func (s *Store) dropEvents(group *keyGroup, horizon message.Revision) {
 	if horizon <= group.horizon {
 		return
 	}
 	dropped := group.history[:group.firstAbove(horizon)]
 	for _, event := range dropped {
-		s.events.forget(event)
+		s.events.remove(event)
 	}
 	group.history = group.history[len(dropped):]
 	clear(dropped)
 	group.horizon = horizon
 }
 
-// forget removes an event that is dropped. Its value cannot have been put again: it was recognised until now.
-func (l *eventLog) forget(event message.KeyEvent) {
+// remove removes a dropped event from the index. The entry of its value belongs to this event: until now a second put
+// of the value was recognised as a repeat and created no event.
+func (l *eventLog) remove(event message.KeyEvent) {
 	delete(l.revisions, putID{event.Key, event.Value})
 	l.count--
 	l.bytes -= eventBytes(event.Key, event.Value)
 }
 
-// compact removes events that were dropped from the order of age once they are the most of it.
+// compact removes the dropped events from byAge once they are more than half of it.
 func (l *eventLog) compact() {
 	if len(l.byAge) > 2*l.count {
 		l.byAge = slices.DeleteFunc(l.byAge, func(e loggedEvent) bool { return e.isDropped() })
--- a/internal/controlplane/coordination/history_test.go
+++ b/internal/controlplane/coordination/history_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/message"
 )
 
-// newFullStore returns a store with one event more than the budget, put one a second from 0 on.
+// newFullStore returns a store with one event more than the budget. The puts are one second apart, starting at 0.
 func newFullStore(t *testing.T) *Store {
 	t.Helper()
 	store := newStore(Options{HistoryRetention: testRetention}, smallLimits())
@@ -22,7 +22,7 @@
 	return store
 }
 
-func TestMaintain_DropsEventsThatAreOldAndBeyondTheBudget(t *testing.T) {
+func TestMaintain_DropsOldEventsBeyondTheBudget(t *testing.T) {
 	store := newFullStore(t)
 	assert.Empty(t, store.Maintain(testRetention), "not older than the retention")
 	want := []message.CoordinationChange{{Trim: &message.HistoryTrim{Group: "g.", Horizon: 1}}}
@@ -50,7 +50,7 @@
 	assert.Equal(t, want, store.Maintain(time.Hour))
 }
 
-func TestTrim_KeepsThePresentValues(t *testing.T) {
+func TestTrim_KeepsCurrentValues(t *testing.T) {
 	store := newTestStore()
 	store.Execute(0, put("g.a", "1", 0))
 	store.Execute(0, put("g.b", "2", 0))
@@ -58,13 +58,13 @@
 	store.Apply(0, message.CoordinationChange{Trim: &message.HistoryTrim{Group: "g.", Horizon: 3}})
 	assert.Equal(t, read("1", 1), store.Execute(0, get("g.a")).Answer)
 	assert.Equal(t, read("3", 3), store.Execute(0, get("g.b")).Answer)
-	assert.Equal(t, atRevision(StatusOK, 1), store.Execute(0, put("g.a", "1", 0)).Answer, "it is still recognised")
-	assert.Equal(t, atRevision(StatusRevisionMismatch, 3), store.Execute(0, put("g.b", "2", 0)).Answer, "it is forgotten")
+	assert.Equal(t, atRevision(StatusOK, 1), store.Execute(0, put("g.a", "1", 0)).Answer, "the current value is still recognised as a repeat")
+	assert.Equal(t, atRevision(StatusRevisionMismatch, 3), store.Execute(0, put("g.b", "2", 0)).Answer, "the old value is no longer recognised")
 	assert.Equal(t, atRevision(StatusOK, 4), store.Execute(0, put("g.a", "4", 1)).Answer)
 	assert.Equal(t, 1, store.events.count)
 }
 
-func TestTrim_BeyondTheGroupOrOfNoneIsHarmless(t *testing.T) {
+func TestTrim_IsLimitedToTheEventsOfAnExistingGroup(t *testing.T) {
 	store := newTestStore()
 	store.Execute(0, put("g.a", "1", 0))
 	store.Execute(0, put("g.a", "2", 1))
@@ -76,8 +76,9 @@
 	checkInvariants(t, store)
 }
 
-// An acceptor that becomes the issuer has events in its order of age that an earlier issuer dropped.
-func TestMaintain_OfNewIssuerPassesOverDroppedEvents(t *testing.T) {
+// When an acceptor becomes the issuer, its byAge list may still have events that an earlier issuer dropped. Maintain
+// must skip them.
+func TestMaintain_SkipsEventsDroppedByAnEarlierIssuer(t *testing.T) {
 	store := newStore(Options{HistoryRetention: testRetention}, smallLimits())
 	for i := range store.limits.eventBudget + 2 {
 		key := message.KeyName(fmt.Sprintf("g%d.a", i%2))
@@ -89,9 +90,9 @@
 	assert.Equal(t, want, store.Maintain(time.Hour))
 }
 
-// An acceptor that never trims by itself, and whose order of age differs from the issuer's after a restore, does not
-// collect events that are gone.
-func TestTrim_LeavesNoDroppedEventsInTheOrderOfAge(t *testing.T) {
+// An acceptor never trims by itself, and after a restore its byAge list is in another order than the issuer's. Dropped
+// events must not accumulate in the list.
+func TestTrim_DoesNotAccumulateDroppedEvents(t *testing.T) {
 	issuer := newStore(Options{HistoryRetention: testRetention}, smallLimits())
 	acceptor := newStore(issuer.options, issuer.limits)
 	revisions := map[message.KeyName]message.Revision{}
--- a/internal/controlplane/coordination/keys.go
+++ b/internal/controlplane/coordination/keys.go
@@ -7,14 +7,14 @@
 	"pumiceline/internal/message"
 )
 
-// groupSeparator ends the group in the name of a key.
+// groupSeparator ends the group's part of a key's name.
 const groupSeparator = "."
 
-// keyGroup is a group of keys, which share one count of revisions.
+// keyGroup is a group of keys that share one sequence of revisions.
 type keyGroup struct {
 	name     message.KeyGroup
-	revision message.Revision // of the newest put; the puts of a group have the revisions from 1 on, without gaps
-	horizon  message.Revision // events up to it have been dropped from history
+	revision message.Revision // of the newest put; the puts of a group have revisions 1, 2, 3, ... without gaps
+	horizon  message.Revision // events up to this revision have been dropped from history
 	keys     map[message.KeyName]keyState
 	history  []message.KeyEvent // puts above horizon, in order
 }
@@ -25,9 +25,9 @@
 	revision message.Revision
 }
 
-// GroupOf returns the group of a key: its name up to and including the first dot. A key without a dot is the only one of a
-// group that has the key's whole name. As that name has no dot, and that of every other group ends in one, the two kinds
-// cannot collide.
+// GroupOf returns the group of a key: its name up to and including the first dot. A key without a dot forms a group of
+// its own, named like the key. Names of the two kinds of groups cannot collide, because only names of the first kind
+// have a dot.
 func GroupOf(key message.KeyName) message.KeyGroup {
 	before, _, isDotted := strings.Cut(string(key), groupSeparator)
 	if !isDotted {
@@ -39,7 +39,8 @@
 // isGroup reports whether a name can be that of a group.
 func isGroup(name message.KeyGroup) bool { return GroupOf(message.KeyName(name)) == name }
 
-// group returns a group of keys; the result is empty where no key of it was ever put.
+// group returns a group of keys. If none of its keys was ever put, it returns an empty group that is not part of the
+// store.
 func (s *Store) group(name message.KeyGroup) *keyGroup {
 	if group := s.groups[name]; group != nil {
 		return group
@@ -47,8 +48,8 @@
 	return &keyGroup{name: name}
 }
 
-// put sets a key whose revision is the one that the call builds on. A value that was put to the key before, as far as the
-// history and the key itself know, is the same put repeated: it gets the revision that it got the first time.
+// put sets a key if its revision is the expected one. If the value is the key's current value or is in the history of
+// the key, the call is a repeat of that put and is answered with the revision that the put got the first time.
 func (s *Store) put(call *message.Call) Result {
 	group := s.group(GroupOf(call.Key))
 	if revision, isRepeated := s.firstRevision(group, call.Key, call.Value); isRepeated {
@@ -67,10 +68,10 @@
 	}
 }
 
-// sizeAfterPut returns the size of all groups with their history as a put would make it.
+// sizeAfterPut returns the size that all groups with their history would have after a put.
 func (s *Store) sizeAfterPut(group *keyGroup, call *message.Call) int {
 	size := s.groupBytes + s.events.bytes
-	size += 2 * eventBytes(call.Key, call.Value) // as the present value and in the history
+	size += 2 * eventBytes(call.Key, call.Value) // once as the current value and once in the history
 	if present, exists := group.keys[call.Key]; exists {
 		size -= eventBytes(call.Key, present.value)
 	}
@@ -80,7 +81,7 @@
 	return size
 }
 
-// firstRevision returns the revision that a value of a key got, where it is known.
+// firstRevision returns the revision that the put of a value to a key got, if the put is still known.
 func (s *Store) firstRevision(
 	group *keyGroup, key message.KeyName, value string,
 ) (revision message.Revision, isKnown bool) {
@@ -100,7 +101,7 @@
 	return Result{Answer: message.Answer{Status: StatusOK, Value: present.value, Revision: present.revision}}
 }
 
-// applyPut makes an event the newest one of its key and group.
+// applyPut applies a put, which becomes the newest one of its key and group.
 func (s *Store) applyPut(now time.Duration, event message.KeyEvent) {
 	group := s.addGroup(GroupOf(event.Key))
 	group.revision = event.Revision
@@ -108,7 +109,7 @@
 	s.addEvent(now, group, event)
 }
 
-// addGroup returns a group, which it makes where there is none.
+// addGroup returns a group and creates it if necessary.
 func (s *Store) addGroup(name message.KeyGroup) *keyGroup {
 	group := s.groups[name]
 	if group == nil {
@@ -119,7 +120,7 @@
 	return group
 }
 
-// setKey sets the present value of a key.
+// setKey sets the current value of a key.
 func (s *Store) setKey(group *keyGroup, event message.KeyEvent) {
 	if previous, exists := group.keys[event.Key]; exists {
 		s.groupBytes -= eventBytes(event.Key, previous.value)
--- a/internal/controlplane/coordination/keys_test.go
+++ b/internal/controlplane/coordination/keys_test.go
@@ -44,12 +44,12 @@
 			{call: put("g.a", "x", 0), answer: atRevision(StatusOK, 1)},
 			{call: get("g.a"), answer: read("x", 1)},
 		}},
-		{"names revision 0 of a key that does not exist", []step{
+		{"reports revision 0 for a key that does not exist", []step{
 			{call: put("g.a", "x", 3), answer: atRevision(StatusRevisionMismatch, 0)},
 			{call: get("g.a"), answer: status(StatusNotFound)},
 			{call: watch("g.", 0, 0), answer: atRevision(StatusOK, 0)},
 		}},
-		{"counts revisions for each group", []step{
+		{"has one sequence of revisions per group", []step{
 			{call: put("g.a", "1", 0), answer: atRevision(StatusOK, 1)},
 			{call: put("g.b", "2", 0), answer: atRevision(StatusOK, 2)},
 			{call: put("h.a", "3", 0), answer: atRevision(StatusOK, 1)},
@@ -58,17 +58,17 @@
 			{call: get("g.a"), answer: read("5", 3)},
 			{call: get("g.b"), answer: read("2", 2)},
 		}},
-		{"names the key's own revision in a mismatch, not the group's", []step{
+		{"reports the key's own revision in a mismatch, not the group's", []step{
 			{call: put("g.a", "1", 0), answer: atRevision(StatusOK, 1)},
 			{call: put("g.b", "2", 0), answer: atRevision(StatusOK, 2)},
 			{call: put("g.a", "3", 2), answer: atRevision(StatusRevisionMismatch, 1)},
 			{call: put("g.a", "4", 0), answer: atRevision(StatusRevisionMismatch, 1)},
 		}},
-		{"tells the same value of two keys apart", []step{
+		{"distinguishes the same value of two keys", []step{
 			{call: put("g.a", "1", 0), answer: atRevision(StatusOK, 1)},
 			{call: put("g.b", "1", 0), answer: atRevision(StatusOK, 2)},
 		}},
-		{"gives a repeated put its first revision, whatever it builds on", []step{
+		{"answers a repeated put with its first revision, whatever ifRevision is", []step{
 			{call: put("g.a", "1", 0), answer: atRevision(StatusOK, 1)},
 			{call: put("g.a", "2", 1), answer: atRevision(StatusOK, 2)},
 			{call: put("g.a", "1", 0), answer: atRevision(StatusOK, 1)},
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestPut_BeyondTheSizeOfTheStateDoesNothing(t *testing.T) {
+func TestPut_BeyondTheSizeOfTheStateChangesNothing(t *testing.T) {
 	store := newTestStore()
 	value := strings.Repeat("x", MaxValueBytes-8)
 	accepted := 0
@@ -97,14 +97,14 @@
 		}
 		require.Equal(t, atRevision(StatusOK, message.Revision(accepted+1)), result.Answer)
 	}
-	// Each put takes its key and value twice: as the present one and in the history.
+	// Each put stores its key and value twice: as the current value and in the history.
 	assert.InDelta(t, MaxStateBytes/(2*MaxValueBytes), accepted, 8)
 	assert.Equal(t, StatusOK, store.Execute(0, put("g.0", value+"00000000", 0)).Answer.Status, "a repeated put needs no memory")
 	assert.Equal(t, StatusOK, store.Execute(0, get("g.7")).Answer.Status)
 }
 
-// The key's present value gives way to the new one, which also goes into the history.
-func TestPut_ReplacesThePresentValueInTheSizeOfTheState(t *testing.T) {
+// A put replaces the current value in the size of the state and adds the new value to the history.
+func TestPut_ReplacesTheCurrentValueInTheSizeOfTheState(t *testing.T) {
 	limits := defaultLimits()
 	size := eventBytes("g.a", "1")
 	limits.stateBytes = groupBytes("g.") + 3*size
@@ -117,8 +117,9 @@
 	assert.Equal(t, atRevision(StatusOK, 3), store.Execute(0, put("g.a", "3", 2)).Answer)
 }
 
-// Without this, a state full of large values would never drop any event, as their number is far below its budget.
-func TestPut_WithLargeValuesGoesOnOnceOldEventsAreDropped(t *testing.T) {
+// With large values the state is full long before the number of events reaches its budget. Events must then be dropped
+// because of their size, or no put would succeed any more.
+func TestPut_WithLargeValuesSucceedsOnceOldEventsAreDropped(t *testing.T) {
 	store := newTestStore()
 	value := strings.Repeat("x", MaxValueBytes-8)
 	revision := message.Revision(0)
@@ -131,8 +132,9 @@
 	}
 }
 
-// The budget of events is below their bound: what is too young to be dropped stays, and puts are refused instead.
-func TestPut_IsRefusedRatherThanYoungEventsDropped(t *testing.T) {
+// If the number of events reaches its bound before any event is old enough to be dropped, the store keeps the events
+// and rejects puts.
+func TestPut_IsRejectedBeforeRecentEventsAreDropped(t *testing.T) {
 	store := newStore(Options{HistoryRetention: testRetention}, smallLimits())
 	bound := store.limits.events
 	for i := range bound {
--- a/internal/controlplane/coordination/locks.go
+++ b/internal/controlplane/coordination/locks.go
@@ -7,15 +7,15 @@
 	"pumiceline/internal/message"
 )
 
-// lockTable holds the locks that are held. A lock without a hold is free: its fencing tokens rise all the same, because one
-// counter serves all locks.
+// lockTable keeps the holds of locks. A lock without a hold is free and has no record. Its fencing tokens still
+// increase from hold to hold, because all locks share one counter.
 type lockTable struct {
 	lastToken message.FencingToken
 	holds     map[message.LockName]*hold
 	byEnd     edf.Queue[hold]
 }
 
-// hold is a lock that is held, or was until it expired.
+// hold is the hold of a lock. It may have expired.
 type hold struct {
 	edf.Item[hold]
 	grant  message.LockHold
@@ -24,10 +24,10 @@
 
 func newLockTable() lockTable { return lockTable{holds: map[message.LockName]*hold{}} }
 
-// isExpired reports whether the hold is over.
+// isExpired reports whether the hold has ended.
 func (h *hold) isExpired(now time.Duration) bool { return now >= h.endsAt }
 
-// current returns the hold on a lock, nil where the lock is free.
+// current returns the unexpired hold of a lock, or nil if the lock is free.
 func (t *lockTable) current(now time.Duration, lock message.LockName) *hold {
 	if held := t.holds[lock]; held != nil && !held.isExpired(now) {
 		return held
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// acquire grants a lock that is free or that the caller holds already. Each grant has a token of its own, so that what an
-// owner sent under an earlier one cannot end a later one.
+// acquire grants a lock that is free or that the caller holds already. Each grant has its own token, so that a late
+// release with an earlier token cannot end a later grant of the same owner.
 func (t *lockTable) acquire(now time.Duration, call *message.Call, maxHolds int) Result {
 	held := t.current(now, call.Lock)
 	if held != nil && held.grant.Owner != call.Owner {
@@ -57,14 +57,15 @@
 	return grantResult(grant)
 }
 
-// prolongedMs returns how long a hold lasts from now on when its owner asks for holdMs: no shorter than it would last anyway. A
-// call may arrive late, after one that asked for a longer time, and its owner counts on the latter.
+// prolongedMs returns how long a hold lasts from now on when its owner asks for holdMs, which is at least the remaining
+// time. Without that minimum a call that arrives after a later call for a longer time would shorten the hold, although
+// its owner relies on the longer time.
 func (h *hold) prolongedMs(now time.Duration, holdMs int64) int64 {
 	return max(holdMs, remainingMs(h.endsAt-now))
 }
 
-// renew prolongs the caller's hold, counted from now. A hold that has expired stays so, even where nobody has got the lock
-// since.
+// renew extends the caller's hold to HoldMs from now. An expired hold is not renewed, even if no other owner has
+// acquired the lock since.
 func (t *lockTable) renew(now time.Duration, call *message.Call) Result {
 	held := t.current(now, call.Lock)
 	if held == nil || held.grant.Owner != call.Owner {
@@ -79,8 +80,8 @@
 	return grantResult(renewed)
 }
 
-// release ends the caller's hold. Only the newest token counts: a release that arrives late must not end a hold that its
-// owner got since.
+// release ends the caller's hold. It requires the newest token: a release that arrives late must not end a hold that
+// its owner has acquired since. A release without a matching hold is answered with StatusOK and changes nothing.
 func (t *lockTable) release(call *message.Call) Result {
 	held := t.holds[call.Lock]
 	if held == nil || held.grant.Owner != call.Owner || held.grant.Token != call.Token {
@@ -92,7 +93,7 @@
 	}
 }
 
-// releaseExpired ends the holds that are over.
+// releaseExpired removes the expired holds.
 func (t *lockTable) releaseExpired(now time.Duration) (changes []message.CoordinationChange) {
 	for t.byEnd.Len() > 0 && t.byEnd.Peek().isExpired(now) {
 		change := releaseChange(t.byEnd.Peek())
@@ -102,7 +103,7 @@
 	return changes
 }
 
-// applyHold grants or renews a hold, which counts from now.
+// applyHold grants or renews a hold, whose duration is measured from now.
 func (t *lockTable) applyHold(now time.Duration, grant message.LockHold) {
 	t.setHold(grant, now+milliseconds(grant.HoldMs))
 }
@@ -125,7 +126,7 @@
 	}
 }
 
-// applyRelease ends a hold, unless a newer one has taken its place.
+// applyRelease ends a hold, unless a hold with a newer token has replaced it.
 func (t *lockTable) applyRelease(release message.LockRelease) {
 	held := t.holds[release.Lock]
 	if held == nil || held.grant.Token != release.Token {
@@ -135,7 +136,7 @@
 	delete(t.holds, release.Lock)
 }
 
-// grantResult returns the result of a call that gets or renews a hold.
+// grantResult returns the result of a call that is granted a hold or a renewal.
 func grantResult(grant message.LockHold) Result {
 	return Result{
 		Answer:  message.Answer{Status: StatusOK, Token: grant.Token},
--- a/internal/controlplane/coordination/locks_test.go
+++ b/internal/controlplane/coordination/locks_test.go
@@ -19,28 +19,28 @@
 		{"grants a free lock", []step{
 			{at: 0, call: acquire("l", "one", 1000), answer: granted(1)},
 		}},
-		{"counts tokens over all locks", []step{
+		{"uses one sequence of tokens for all locks", []step{
 			{at: 0, call: acquire("l", "one", 1000), answer: granted(1)},
 			{at: 0, call: acquire("k", "two", 1000), answer: granted(2)},
 		}},
-		{"is refused until the hold is over, to the nanosecond", []step{
+		{"is rejected until the hold has ended, to the nanosecond", []step{
 			{at: time.Second, call: acquire("l", "one", 1000), answer: granted(1)},
 			{at: 2*time.Second - 1, call: acquire("l", "two", 1000), answer: status(StatusHeld)},
 			{at: 2 * time.Second, call: acquire("l", "two", 1000), answer: granted(2)},
 		}},
-		{"gives the holder a higher token and its new time from now on", []step{
+		{"grants the holder a higher token and the new duration from now on", []step{
 			{at: 0, call: acquire("l", "one", 2000), answer: granted(1)},
 			{at: time.Second, call: acquire("l", "one", 2000), answer: granted(2)},
 			{at: 3*time.Second - 1, call: acquire("l", "two", 1000), answer: status(StatusHeld)},
 			{at: 3 * time.Second, call: acquire("l", "two", 1000), answer: granted(3)},
 		}},
-		{"does not shorten the holder's time when a call with a shorter one comes late", []step{
+		{"does not shorten the hold when a call with a shorter duration arrives late", []step{
 			{at: 0, call: acquire("l", "one", 10000), answer: granted(1)},
 			{at: time.Second, call: acquire("l", "one", 2000), answer: granted(2)},
 			{at: 10*time.Second - 1, call: acquire("l", "two", 1000), answer: status(StatusHeld)},
 			{at: 10 * time.Second, call: acquire("l", "two", 1000), answer: granted(3)},
 		}},
-		{"gives a token above that of a hold that was given back", []step{
+		{"grants a higher token than that of a released hold", []step{
 			{at: 0, call: acquire("l", "one", 1000), answer: granted(1)},
 			{at: 0, call: release("l", "one", 1), answer: status(StatusOK)},
 			{at: 0, call: acquire("l", "one", 1000), answer: granted(2)},
@@ -56,7 +56,7 @@
 		name  string
 		steps []step
 	}{
-		{"counts from now, with its own time", []step{
+		{"extends the hold from now, with its own duration", []step{
 			{at: 0, call: acquire("l", "one", 1000), answer: granted(1)},
 			{at: time.Second - 1, call: renew("l", "one", 1, 3000), answer: granted(1)},
 			{at: 4*time.Second - 2, call: acquire("l", "two", 1000), answer: status(StatusHeld)},
@@ -68,23 +68,23 @@
 			{at: 10*time.Second - 1, call: acquire("l", "two", 1000), answer: status(StatusHeld)},
 			{at: 10 * time.Second, call: acquire("l", "two", 1000), answer: granted(2)},
 		}},
-		{"is refused where nobody holds the lock", []step{
+		{"is rejected if the lock is free", []step{
 			{at: 0, call: renew("l", "one", 1, 1000), answer: status(StatusHeld)},
 		}},
-		{"is refused after the end of the hold, though the lock is free", []step{
+		{"is rejected after the end of the hold, although the lock is free", []step{
 			{at: 0, call: acquire("l", "one", 1000), answer: granted(1)},
 			{at: time.Second, call: renew("l", "one", 1, 1000), answer: status(StatusHeld)},
 		}},
-		{"is refused to another owner", []step{
+		{"is rejected for another owner", []step{
 			{at: 0, call: acquire("l", "one", 1000), answer: granted(1)},
 			{at: 0, call: renew("l", "two", 1, 1000), answer: status(StatusHeld)},
 		}},
-		{"is refused after the hold was given back", []step{
+		{"is rejected after the hold was released", []step{
 			{at: 0, call: acquire("l", "one", 1000), answer: granted(1)},
 			{at: 0, call: release("l", "one", 1), answer: status(StatusOK)},
 			{at: 0, call: renew("l", "one", 1, 1000), answer: status(StatusHeld)},
 		}},
-		{"takes the tokens of the same hold only", []step{
+		{"accepts only the tokens of the current hold", []step{
 			{at: 0, call: acquire("l", "one", 1000), answer: granted(1)},
 			{at: time.Second, call: acquire("l", "one", 1000), answer: granted(2)},
 			{at: time.Second, call: acquire("l", "one", 1000), answer: granted(3)},
@@ -125,7 +125,7 @@
 			{at: 0, call: release("l", "one", 2), answer: status(StatusOK)},
 			{at: 0, call: acquire("l", "two", 1000), answer: granted(3)},
 		}},
-		{"of an expired hold that nobody took over since is done", []step{
+		{"of an expired hold is answered with success", []step{
 			{at: 0, call: acquire("l", "one", 1000), answer: granted(1)},
 			{at: time.Minute, call: release("l", "one", 1), answer: status(StatusOK)},
 		}},
@@ -150,7 +150,7 @@
 	assert.Len(t, store.Snapshot(0).Holds, 1)
 }
 
-// A renewal keeps the token, so a release at the old end would end the renewed hold.
+// A renewal keeps the token. If Maintain released the hold at its old end, the release would end the renewed hold.
 func TestMaintain_KeepsRenewedHolds(t *testing.T) {
 	store := newTestStore()
 	store.Execute(0, acquire("l", "one", 1000))
@@ -167,7 +167,7 @@
 	assert.Len(t, store.Snapshot(0).Holds, 1)
 }
 
-func TestAcquire_BeyondTheNumberOfHoldsDoesNothing(t *testing.T) {
+func TestAcquire_BeyondTheNumberOfHoldsChangesNothing(t *testing.T) {
 	store := newTestStore()
 	for i := range MaxHolds {
 		require.Equal(t, StatusOK, store.Execute(0, acquire(message.LockName(fmt.Sprint(i)), "one", 1000)).Answer.Status)
@@ -176,7 +176,7 @@
 	result := store.Execute(0, acquire("another", "one", 1000))
 	assert.Equal(t, answerStatus(StatusInsufficientMemory), result)
 	assert.Equal(t, before, store.Snapshot(0))
-	assert.Equal(t, StatusOK, store.Execute(0, acquire("7", "one", 1000)).Answer.Status, "a lock that is held already")
+	assert.Equal(t, StatusOK, store.Execute(0, acquire("7", "one", 1000)).Answer.Status, "a held lock needs no new hold")
 	store.Maintain(time.Second)
 	assert.Equal(t, StatusOK, store.Execute(time.Second, acquire("another", "one", 1000)).Answer.Status)
 }
--- a/internal/controlplane/coordination/model_test.go
+++ b/internal/controlplane/coordination/model_test.go
@@ -20,18 +20,18 @@
 	modelSeeds   = 100
 )
 
-// replicaModel runs an issuer and acceptors against the reference. Acceptors apply the changes late, members restart and are
-// restored from one another, and the issuer changes.
+// replicaModel compares an issuer and acceptors with the reference. Acceptors apply changes late, members restart and
+// are restored from the issuer, and the issuer changes.
 type replicaModel struct {
 	pick      func(n int) int // chooses one of 0 to n-1
 	now       time.Duration
 	reference reference
 	members   []*modelMember
 	issuer    int
-	values    int // put so far
+	values    int // number of values put so far
 }
 
-// modelMember is a member with its clock and the changes that are on their way to it.
+// modelMember is a member with its clock and the changes that are in flight to it.
 type modelMember struct {
 	machine  machine
 	expected referenceMember
@@ -42,7 +42,7 @@
 func newReplicaModel(defect defect, pick func(n int) int) *replicaModel {
 	limits := smallLimits()
 	limits.answerEvents, limits.eventBytesBudget = 3, 600
-	limits.stateBytes = []int{500, 1500}[pick(2)] // the bytes are reached first, or the events
+	limits.stateBytes = []int{500, 1500}[pick(2)] // one reaches the limit of bytes first, the other that of events
 	m := &replicaModel{pick: pick}
 	m.reference = reference{limits: limits, horizons: map[message.KeyGroup]message.Revision{}}
 	for i := range modelMembers {
@@ -55,7 +55,7 @@
 	return m
 }
 
-// step does one thing at random and checks what it leads to.
+// step performs one random operation and checks its result.
 func (m *replicaModel) step() error {
 	member := m.members[m.pick(modelMembers)]
 	switch m.pick(12) {
@@ -100,7 +100,7 @@
 		after := message.Revision(m.pick(len(m.reference.puts) + 2))
 		return watch(GroupOf(key), after, int64(m.pick(2)))
 	}
-	if m.pick(3) == 0 { // one that was put before, perhaps
+	if m.pick(3) == 0 { // a value that may have been put before
 		return put(key, fmt.Sprint(m.pick(m.values+1)), message.Revision(m.pick(len(m.reference.puts)+1)))
 	}
 	m.values++
@@ -132,7 +132,7 @@
 	return m.checkSnapshots()
 }
 
-// send puts changes of the issuer on their way to the others.
+// send queues changes of the issuer for the other members.
 func (m *replicaModel) send(changes []message.CoordinationChange) {
 	for i, member := range m.members {
 		if i != m.issuer {
@@ -141,7 +141,7 @@
 	}
 }
 
-// maintain lets the issuer drop what is over, and checks that it dropped this and nothing else.
+// maintain calls Maintain at the issuer and checks that it drops all expired holds and old events, and nothing else.
 func (m *replicaModel) maintain() error {
 	issuer := m.members[m.issuer]
 	now := m.timeOf(issuer)
@@ -160,7 +160,7 @@
 		bytes > m.reference.limits.eventBytesBudget {
 		for i, put := range m.reference.puts {
 			if m.reference.isKept(put) && now-issuer.expected.receivedAt[i] > testRetention {
-				return errors.Errorf("%d events are kept, with the old %+v", events, put)
+				return errors.Errorf("%d events are kept, including the old %+v", events, put)
 			}
 		}
 	}
@@ -168,7 +168,7 @@
 	return m.checkSnapshots()
 }
 
-// checkMaintenance checks one change that Maintain made, and makes it in the reference.
+// checkMaintenance checks one change that Maintain made, and applies it to the reference.
 func (m *replicaModel) checkMaintenance(issuer *modelMember, now time.Duration, change message.CoordinationChange) error {
 	if release := change.Release; release != nil {
 		hold, exists := m.reference.hold(release.Lock)
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// deliver lets a member apply all changes that are on their way to it.
+// deliver applies all changes that are in flight to a member.
 func (m *replicaModel) deliver(member *modelMember) {
 	now := m.timeOf(member)
 	for _, change := range member.pending {
@@ -207,7 +207,7 @@
 	member.pending = nil
 }
 
-// restore gives an acceptor the issuer's state.
+// restore replaces an acceptor's state with the issuer's.
 func (m *replicaModel) restore(member *modelMember) {
 	issuer := m.members[m.issuer]
 	if member == issuer {
@@ -215,7 +215,7 @@
 	}
 	snapshot := issuer.machine.Snapshot(m.timeOf(issuer))
 	expected := m.reference.snapshot(&issuer.expected, m.timeOf(issuer))
-	m.now += time.Duration(m.pick(2)) * 300 * time.Millisecond // the time that the message takes
+	m.now += time.Duration(m.pick(2)) * 300 * time.Millisecond // the delay of the message
 	now := m.timeOf(member)
 	member.machine.Restore(now, snapshot, false)
 	member.pending = nil
@@ -225,7 +225,7 @@
 	}
 }
 
-// restart restores a member from its own disk; its clock begins anew.
+// restart restores a member from its own disk. Its clock starts again at 0.
 func (m *replicaModel) restart(member *modelMember) {
 	m.deliver(member)
 	snapshot := member.machine.Snapshot(m.timeOf(member))
@@ -285,7 +285,7 @@
 	return nil
 }
 
-// The model must fail for each planted defect, and for none without one.
+// The model must fail with each planted defect, and must not fail without a defect.
 func TestModel_FindsPlantedDefects(t *testing.T) {
 	for d := range defectCount {
 		t.Run("defect: "+d.String(), func(t *testing.T) {
--- a/internal/controlplane/coordination/numbers.go
+++ b/internal/controlplane/coordination/numbers.go
@@ -2,8 +2,8 @@
 
 import "pumiceline/internal/message"
 
-// nextNumber returns a number above all that were given. One counter serves all names, so that a name needs no record;
-// the numbers of a name have gaps.
+// nextNumber returns a number above all numbers issued so far. All names share one counter, so that names need no
+// record. The numbers of one name therefore have gaps.
 func (s *Store) nextNumber() Result {
 	number := s.lastNumber + 1
 	return Result{
--- a/internal/controlplane/coordination/planted_defects_test.go
+++ b/internal/controlplane/coordination/planted_defects_test.go
@@ -8,7 +8,7 @@
 	"pumiceline/internal/message"
 )
 
-// machine is what a member does with its state: a Store, or one with a planted defect.
+// machine is the interface of a Store. A defectiveStore implements it too.
 type machine interface {
 	Execute(now time.Duration, call message.Call) Result
 	Apply(now time.Duration, change message.CoordinationChange)
@@ -18,46 +18,46 @@
 	HasEvents(call message.Call) bool
 }
 
-// defect is a fault of the store. One is planted to show that a check finds it: a check that cannot fail checks nothing.
+// defect is a fault of the store. Each one is planted to show that the checks find it.
 type defect int
 
 const (
-	noDefect               defect = iota
-	countFromBeforeReceipt        // a hold counts from one second before its receipt
-	ignoreRenewals                // an acceptor applies no renewal
-	renewExpiredHolds             // a hold that is over is renewed where nobody got the lock since
-	releaseAnyToken               // a release ends a hold whatever its token
-	releaseAnyOwner               // a release ends a hold whoever asks
-	keepToken                     // the present holder gets the lock again with the same token
-	forgetTokens                  // a restored store has forgotten the tokens of locks that are free
-	forgetNumbers                 // an acceptor applies no number
-	endHoldsOnRestore             // a restored hold is over
-	keepTimeOnRestart             // a hold is not begun anew after a restart
-	roundTimeLeftDown             // a snapshot says that less is left than there is
-	refuseRepeatedPuts            // a repeated put is answered 412
-	ignoreIfRevision              // a put takes effect whatever it builds on
-	nameGroupRevision             // a 412 names the revision of the group
-	forgetRepeatedPuts            // a restored store knows no put but the newest of each key
-	skipCutOffEvents              // a cut-off answer to a watch names the group's revision
-	reportBeyondHorizon           // a watch gets the events that are left instead of a 410
-	dropYoungEvents               // events are dropped regardless of their age
-	neverWakeWatches              // a waiting watch is not executed again
+	noDefect                 defect = iota
+	measureFromBeforeReceipt        // a hold is measured from one second before its receipt
+	ignoreRenewals                  // an acceptor does not apply renewals
+	renewExpiredHolds               // an expired hold is renewed if no other owner has acquired the lock
+	releaseAnyToken                 // a release ends a hold regardless of the token
+	releaseAnyOwner                 // a release ends a hold regardless of the owner
+	keepToken                       // the holder acquires the lock again with the same token
+	loseTokens                      // a restored store loses the tokens of free locks
+	loseNumbers                     // an acceptor does not apply numbers
+	endHoldsOnRestore               // a restored hold has ended
+	keepTimeOnRestart               // after a restart a hold lasts for its remaining time only
+	roundTimeLeftDown               // a snapshot reports less remaining time than there is
+	rejectRepeatedPuts              // a repeated put is answered 412
+	ignoreIfRevision                // a put takes effect at any revision of the key
+	reportGroupRevision             // a 412 reports the revision of the group
+	loseRepeatedPuts                // a restored store recognises only the newest put of each key as a repeat
+	skipTruncatedEvents             // a truncated answer to a watch reports the group's revision
+	reportBeyondHorizon             // a watch gets the remaining events instead of a 410
+	dropRecentEvents                // events are dropped regardless of their age
+	neverResumeWatches              // a waiting watch is never executed again
 	defectCount
 )
 
 var defectNames = map[defect]string{
-	countFromBeforeReceipt: "count a hold from before its receipt", ignoreRenewals: "ignore renewals",
-	renewExpiredHolds: "renew expired holds", releaseAnyToken: "release whatever the token",
-	releaseAnyOwner: "release whoever asks", keepToken: "keep the token", forgetTokens: "forget tokens",
-	forgetNumbers: "forget numbers", endHoldsOnRestore: "end holds on restore",
-	keepTimeOnRestart: "keep the time left on restart", roundTimeLeftDown: "round the time left down",
-	refuseRepeatedPuts: "refuse repeated puts", ignoreIfRevision: "ignore the revision that a put builds on",
-	nameGroupRevision: "name the group's revision", forgetRepeatedPuts: "forget repeated puts",
-	skipCutOffEvents: "skip cut-off events", reportBeyondHorizon: "report beyond the horizon",
-	dropYoungEvents: "drop young events", neverWakeWatches: "never wake watches",
+	measureFromBeforeReceipt: "measure a hold from before its receipt", ignoreRenewals: "ignore renewals",
+	renewExpiredHolds: "renew expired holds", releaseAnyToken: "release regardless of the token",
+	releaseAnyOwner: "release regardless of the owner", keepToken: "keep the token", loseTokens: "lose tokens",
+	loseNumbers: "lose numbers", endHoldsOnRestore: "end holds on restore",
+	keepTimeOnRestart: "keep the remaining time on restart", roundTimeLeftDown: "round the remaining time down",
+	rejectRepeatedPuts: "reject repeated puts", ignoreIfRevision: "ignore the expected revision of a put",
+	reportGroupRevision: "report the group's revision", loseRepeatedPuts: "lose repeated puts",
+	skipTruncatedEvents: "skip truncated events", reportBeyondHorizon: "report beyond the horizon",
+	dropRecentEvents: "drop recent events", neverResumeWatches: "never resume watches",
 }
 
-// String is the name of the defect.
+// String returns the name of the defect.
 func (d defect) String() string { return defectNames[d] }
 
 // defectiveStore is a store with a planted defect.
@@ -66,10 +66,10 @@
 	defect defect
 }
 
-// newMachine returns a store, with the defect where there is one.
+// newMachine returns a store with the defect, if any.
 func newMachine(defect defect, limits limits) machine {
 	store := newStore(Options{HistoryRetention: testRetention}, limits)
-	if defect == dropYoungEvents {
+	if defect == dropRecentEvents {
 		store.options.HistoryRetention = -1
 	}
 	if defect == noDefect {
@@ -91,13 +91,13 @@
 		call.Kind, call.Token = message.CallRenew, held.grant.Token
 	case s.defect == ignoreIfRevision && call.Kind == message.CallPut:
 		call.IfRevision = s.group(GroupOf(call.Key)).keys[call.Key].revision
-	case s.defect == refuseRepeatedPuts && call.Kind == message.CallPut:
+	case s.defect == rejectRepeatedPuts && call.Kind == message.CallPut:
 		if group := s.group(GroupOf(call.Key)); isRepeatedPut(s.Store, call) {
 			return Result{Answer: atRevision(StatusRevisionMismatch, group.keys[call.Key].revision)}
 		}
 	}
 	result := s.Store.Execute(now, call)
-	s.spoilResult(now, &call, &result)
+	s.applyResultDefect(now, &call, &result)
 	return result
 }
 
@@ -106,21 +106,21 @@
 	return isRepeated
 }
 
-// spoilResult plants the defects that show in what a call has led to.
-func (s *defectiveStore) spoilResult(now time.Duration, call *message.Call, result *Result) {
+// applyResultDefect applies the defects that affect the result of a call.
+func (s *defectiveStore) applyResultDefect(now time.Duration, call *message.Call, result *Result) {
 	answer := &result.Answer
 	switch s.defect {
-	case countFromBeforeReceipt:
+	case measureFromBeforeReceipt:
 		for _, change := range result.Changes {
 			if change.Hold != nil {
 				s.Apply(now, change)
 			}
 		}
-	case nameGroupRevision:
+	case reportGroupRevision:
 		if answer.Status == StatusRevisionMismatch {
 			answer.Revision = s.group(GroupOf(call.Key)).revision
 		}
-	case skipCutOffEvents:
+	case skipTruncatedEvents:
 		if len(answer.Events) > 0 {
 			answer.Revision = s.group(call.Group).revision
 		}
@@ -134,9 +134,9 @@
 
 func (s *defectiveStore) Apply(now time.Duration, change message.CoordinationChange) {
 	switch {
-	case s.defect == countFromBeforeReceipt && change.Hold != nil:
+	case s.defect == measureFromBeforeReceipt && change.Hold != nil:
 		now -= time.Second
-	case s.defect == forgetNumbers && change.Number != 0:
+	case s.defect == loseNumbers && change.Number != 0:
 		return
 	case s.defect == ignoreRenewals && change.Hold != nil && s.locks.holds[change.Hold.Lock] != nil:
 		if s.locks.holds[change.Hold.Lock].grant.Token == change.Hold.Token {
@@ -160,7 +160,7 @@
 	switch s.defect {
 	case keepTimeOnRestart:
 		restarted = false
-	case forgetTokens:
+	case loseTokens:
 		state.LastToken = 0
 	}
 	s.Store.Restore(now, state, restarted)
@@ -169,16 +169,16 @@
 		for _, held := range s.locks.holds {
 			held.endsAt = now
 		}
-	case forgetRepeatedPuts:
+	case loseRepeatedPuts:
 		clear(s.events.revisions)
 	}
 }
 
 func (s *defectiveStore) HasEvents(call message.Call) bool {
-	return s.defect != neverWakeWatches && s.Store.HasEvents(call)
+	return s.defect != neverResumeWatches && s.Store.HasEvents(call)
 }
 
-// cloneMachine returns an independent copy.
+// cloneMachine returns a deep copy.
 func cloneMachine(m machine) machine {
 	if defective, ok := m.(*defectiveStore); ok {
 		return &defectiveStore{Store: cloneStore(defective.Store), defect: defective.defect}
--- a/internal/controlplane/coordination/reference_test.go
+++ b/internal/controlplane/coordination/reference_test.go
@@ -7,8 +7,8 @@
 	"pumiceline/internal/message"
 )
 
-// reference is a second implementation of the rules, as plain as possible: lists that are searched, and every put ever made.
-// It keeps what all members share; the times that a member counts are in referenceMember.
+// reference is a second implementation of the rules, as simple as possible: it searches lists and keeps every put ever
+// made. It has the state that all members share; the times that a member measures are in referenceMember.
 type reference struct {
 	limits     limits
 	lastToken  message.FencingToken
@@ -18,13 +18,13 @@
 	horizons   map[message.KeyGroup]message.Revision
 }
 
-// referenceMember is what one member counts on its own clock.
+// referenceMember is the state that one member measures on its own clock.
 type referenceMember struct {
 	holdEnds   map[message.LockName]time.Duration
-	receivedAt []time.Duration // of reference.puts
+	receivedAt []time.Duration // by index of reference.puts
 }
 
-// hold returns the record of a lock, whether it has expired or not.
+// hold returns the hold of a lock, which may have expired.
 func (r *reference) hold(lock message.LockName) (record message.LockHold, exists bool) {
 	for _, record := range r.holds {
 		if record.Lock == lock {
@@ -63,12 +63,12 @@
 	return newest, exists
 }
 
-// isKept reports whether a put is in the history still.
+// isKept reports whether a put is still in the history.
 func (r *reference) isKept(put message.KeyEvent) bool {
 	return put.Revision > r.horizons[GroupOf(put.Key)]
 }
 
-// size returns the number of events in the history, their size, and the size of the groups with the present values.
+// size returns the number of events in the history, their size, and the size of the groups with the current values.
 func (r *reference) size() (events, eventBytes, presentBytes int) {
 	for _, put := range r.puts {
 		if put.Revision == 1 {
@@ -86,8 +86,8 @@
 	return events, eventBytes, presentBytes
 }
 
-// execute returns the answer that a member must give to a valid call at a time of its clock, and makes its changes. waits is
-// true for a watch that has no answer yet.
+// execute returns the answer that a member must give to a valid call at a time of its clock, and applies the changes.
+// waits is true for a watch that has no answer yet.
 func (r *reference) execute(m *referenceMember, now time.Duration, call message.Call) (answer message.Answer, waits bool) {
 	switch call.Kind {
 	case message.CallAcquire:
@@ -146,7 +146,7 @@
 	return granted(record.Token)
 }
 
-// prolongedMs returns how long a hold lasts that its owner asks for again: a call never shortens it.
+// prolongedMs returns how long a hold lasts from now on when its owner asks for it again. A call never shortens a hold.
 func (m *referenceMember) prolongedMs(now time.Duration, call message.Call) int64 {
 	left := m.holdEnds[call.Lock] - now
 	leftMs := left.Milliseconds()
@@ -201,7 +201,7 @@
 	return message.Answer{Status: StatusOK, Events: events, Revision: events[len(events)-1].Revision}, false
 }
 
-// snapshot returns the state as a member must report it.
+// snapshot returns the snapshot that a member must return.
 func (r *reference) snapshot(m *referenceMember, now time.Duration) message.CoordinationState {
 	state := message.CoordinationState{
 		LastToken: r.lastToken, LastNumber: r.lastNumber,
--- a/internal/controlplane/coordination/snapshot.go
+++ b/internal/controlplane/coordination/snapshot.go
@@ -8,9 +8,9 @@
 	"pumiceline/internal/message"
 )
 
-// Snapshot returns the complete state but for Position, Group and NextGroup, which are not the store's. LeftMs of each hold
-// is what is left at now. It shares no memory with the store. All lists are sorted, so the snapshots of two members that
-// applied the same changes differ in LeftMs only.
+// Snapshot returns the complete state except Position, Group and NextGroup, which do not belong to the store. LeftMs of
+// each hold is its remaining time at now. The snapshot shares no memory with the store. All lists are sorted, so the
+// snapshots of two members that applied the same changes differ only in LeftMs.
 func (s *Store) Snapshot(now time.Duration) message.CoordinationState {
 	return message.CoordinationState{
 		LastToken: s.locks.lastToken, LastNumber: s.lastNumber,
@@ -18,7 +18,7 @@
 	}
 }
 
-// snapshot returns the holds by the names of their locks.
+// snapshot returns the holds, sorted by the names of their locks.
 func (t *lockTable) snapshot(now time.Duration) []message.LockHold {
 	holds := make([]message.LockHold, 0, len(t.holds))
 	for _, held := range t.holds {
@@ -30,12 +30,13 @@
 	return holds
 }
 
-// remainingMs returns a time in milliseconds, rounded up: a hold that is handed over must not end earlier.
+// remainingMs returns a time in whole milliseconds, rounded up. Rounded down, a hold that is passed to another member
+// would end there too early.
 func remainingMs(left time.Duration) int64 {
 	return (max(0, left) + time.Millisecond - 1).Milliseconds()
 }
 
-// snapshotGroups returns the groups of keys by their names.
+// snapshotGroups returns the groups of keys, sorted by name.
 func (s *Store) snapshotGroups() []message.KeyGroupState {
 	groups := make([]message.KeyGroupState, 0, len(s.groups))
 	for _, group := range s.groups {
@@ -48,7 +49,7 @@
 	return groups
 }
 
-// snapshotKeys returns the newest event of each key by the names of the keys.
+// snapshotKeys returns the newest event of each key, sorted by the names of the keys.
 func (g *keyGroup) snapshotKeys() []message.KeyEvent {
 	keys := make([]message.KeyEvent, 0, len(g.keys))
 	for name, key := range g.keys {
@@ -58,9 +59,9 @@
 	return keys
 }
 
-// Restore replaces the state. A hold goes on for LeftMs from now on, or, where restarted is true, for its complete HoldMs:
-// the state is read from this member's own disk after a restart then, and how long ago it was written is not known. Events
-// begin their age anew.
+// Restore replaces the state. A hold lasts for LeftMs from now on. If restarted is true, the state was read from this
+// member's own disk after a restart. It is then unknown how long ago the state was written, so a hold lasts for its
+// complete HoldMs. The age of events is measured from now.
 func (s *Store) Restore(now time.Duration, state message.CoordinationState, restarted bool) {
 	*s = *newStore(s.options, s.limits)
 	s.lastNumber = state.LastNumber
--- a/internal/controlplane/coordination/snapshot_test.go
+++ b/internal/controlplane/coordination/snapshot_test.go
@@ -43,7 +43,8 @@
 	return 0
 }
 
-// The bound of the size counts what a snapshot takes on the wire and on disk, so many small groups or keys do not pass it.
+// The size of the state includes the overhead of each group and key on the wire and on disk. Otherwise a snapshot of
+// many small groups or keys would exceed MaxStateBytes.
 func TestSnapshot_OfFullStoreIsWithinTheSizeOfTheState(t *testing.T) {
 	longest := strings.Repeat("n", MaxNameBytes-9)
 	tests := map[string]func(i int) message.Call{
@@ -98,21 +99,21 @@
 	assert.Equal(t, atRevision(StatusOK, 1), store.Execute(0, put("g.a", "1", 0)).Answer)
 }
 
-func TestRestore_GoesOnWhereTheSnapshotWasTaken(t *testing.T) {
+func TestRestore_ContinuesFromTheSnapshot(t *testing.T) {
 	store, restored := newFullStore(t), newTestStore()
 	store.Execute(0, acquire("l", "one", 3000))
 	store.Execute(0, release("l", "one", 1))
 	store.Execute(0, number())
 	store.Maintain(time.Hour)
 	restored.Restore(0, store.Snapshot(time.Hour), false)
-	assert.Equal(t, granted(2), restored.Execute(0, acquire("l", "two", 1000)).Answer, "tokens go on without a hold")
+	assert.Equal(t, granted(2), restored.Execute(0, acquire("l", "two", 1000)).Answer, "tokens continue without a hold")
 	assert.Equal(t, uint64(2), restored.Execute(0, number()).Answer.Number)
 	assert.Equal(t, answerStatus(StatusInvalid), restored.Execute(0, watch("g.", 10, 0)))
 	assert.Equal(t, atRevision(StatusOK, 2), restored.Execute(0, put("g.a", "1", 0)).Answer, "repeated puts are recognised")
 	assert.Equal(t, atRevision(StatusOK, 10), restored.Execute(0, put("g.a", "10", 9)).Answer)
 }
 
-func TestRestore_BeginsTheAgeOfEventsAnew(t *testing.T) {
+func TestRestore_RestartsTheAgeOfEvents(t *testing.T) {
 	store := newFullStore(t)
 	restored := newStore(store.options, store.limits)
 	restored.Restore(time.Hour, store.Snapshot(time.Minute), false)
--- a/internal/controlplane/coordination/store.go
+++ b/internal/controlplane/coordination/store.go
@@ -1,11 +1,12 @@
-// Package coordination holds the state that applications coordinate by: locks with fencing tokens, numbers that never
-// repeat, and small keys with revisions and watches. It is a deterministic state machine: it knows no network, disk or clock,
-// and package epoch replicates what it decides.
+// Package coordination keeps the state with which applications coordinate: locks with fencing tokens, numbers that
+// never repeat, and small keys with revisions and watches. It is a deterministic state machine that uses no network,
+// disk or clock. Package epoch replicates its changes.
 //
-// One member at a time, the issuer, executes calls on its store; the acceptors apply the changes that result, in the same
-// order. What a call decides depends on the state and on the time; what a change does depends on the state alone, but for
-// the ends of holds and the ages of events, which each member counts on its own clock from its own receipt. A receipt is
-// never before the call that led to it was sent, so no member ends a hold before its holder does.
+// One member at a time, the issuer, executes calls on its store. The acceptors apply the resulting changes in the same
+// order. The result of a call depends on the state and the time. The effect of a change depends on the state alone,
+// except for the ends of holds and the ages of events, which each member measures on its own clock from its own receipt
+// of the change. A change is never received before the call that caused it was sent, and the holder measures its hold
+// from the sending of the call. So no member ends a hold before its holder does.
 package coordination
 
 import (
@@ -17,35 +18,35 @@
 // Statuses of answers.
 const (
 	StatusOK                 message.CallStatus = 200
-	StatusInvalid            message.CallStatus = 400 // out of bounds, or events after a revision that was never given
+	StatusInvalid            message.CallStatus = 400 // out of bounds, or a watch after a revision that no put has yet
 	StatusNotFound           message.CallStatus = 404 // the key was never put
-	StatusHeld               message.CallStatus = 409 // another holds the lock, or the caller's hold is over
+	StatusHeld               message.CallStatus = 409 // another owner holds the lock, or the caller's hold has ended
 	StatusHistoryGone        message.CallStatus = 410 // events after the watch's revision have been dropped
-	StatusRevisionMismatch   message.CallStatus = 412 // the key has another revision than the put builds on
-	StatusInsufficientMemory message.CallStatus = 507 // the state is as large as it may get
+	StatusRevisionMismatch   message.CallStatus = 412 // the key's revision is not the one that the put expects
+	StatusInsufficientMemory message.CallStatus = 507 // the state has reached its maximum size
 )
 
 // Options do not change while the process runs.
 type Options struct {
-	HistoryRetention time.Duration // how long at least the events of keys are kept for watches
+	HistoryRetention time.Duration // minimum time for which the events of keys are kept for watches
 }
 
-// Store is the state. It has one owner and no locks. Times are of the owner's monotonic clock.
+// Store is the state. It is not safe for concurrent use. All times are of the member's monotonic clock.
 type Store struct {
 	options    Options
 	limits     limits
 	locks      lockTable
-	lastNumber uint64 // the newest number of all names
+	lastNumber uint64 // the last number issued, shared by all names
 	groups     map[message.KeyGroup]*keyGroup
-	groupBytes int // size of all groups with the present values of their keys
+	groupBytes int // size of all groups with the current values of their keys
 	events     eventLog
 }
 
-// Result is what a call leads to.
+// Result is the result of a call.
 type Result struct {
 	Answer  message.Answer
-	Changes []message.CoordinationChange // made by the call; they are in force in the store already
-	Waits   bool                         // a watch without an event to report: there is no answer yet
+	Changes []message.CoordinationChange // made by the call and already applied to the store
+	Waits   bool                         // the call is a watch without an event to report, so there is no answer yet
 }
 
 // New returns an empty store.
@@ -58,9 +59,9 @@
 	}
 }
 
-// Execute decides a call on the present state, applies its changes and returns its answer with them. The time must have been
-// read after the call was received: a hold would end too early otherwise. The answer rests on all changes made so far, and
-// must not be given before they are committed, also where the call itself changes nothing.
+// Execute decides a call on the current state, applies its changes and returns its answer with them. The time must have
+// been read after the call was received, otherwise a hold would end too early. The answer depends on all changes made
+// so far, so it must not be sent before they are committed, even if the call itself changes nothing.
 func (s *Store) Execute(now time.Duration, call message.Call) Result {
 	if !isWithinBounds(&call) {
 		return answerStatus(StatusInvalid)
@@ -93,8 +94,8 @@
 	return answerStatus(StatusInvalid)
 }
 
-// Apply applies a change that another member decided, or that is read from disk. A hold that it grants counts from now. A
-// change of the acceptor group is not the store's and does nothing.
+// Apply applies a change that another member decided or that was read from disk. The duration of a hold that it grants
+// is measured from now. A change of the acceptor group does not concern the store and is ignored.
 func (s *Store) Apply(now time.Duration, change message.CoordinationChange) {
 	switch {
 	case change.Hold != nil:
@@ -110,14 +111,14 @@
 	}
 }
 
-// Maintain drops expired holds and old events, and returns these changes, which are in force already. The issuer calls it
+// Maintain drops expired holds and old events. It returns the changes, which are already applied. The issuer calls it
 // with each batch of calls.
 func (s *Store) Maintain(now time.Duration) []message.CoordinationChange {
 	changes := s.locks.releaseExpired(now)
 	return append(changes, s.trimHistory(now)...)
 }
 
-// answerStatus returns a result that changes nothing and says nothing but a status.
+// answerStatus returns a result without changes whose answer has only a status.
 func answerStatus(status message.CallStatus) Result {
 	return Result{Answer: message.Answer{Status: status}}
 }
--- a/internal/controlplane/coordination/store_test.go
+++ b/internal/controlplane/coordination/store_test.go
@@ -38,17 +38,17 @@
 
 func number() message.Call { return message.Call{Kind: message.CallNumber} }
 
-// watchAll asks for all events that a group has had after the first.
+// watchAll returns a watch of all events of a group after the first one.
 func watchAll(group message.KeyGroup) message.Call { return watch(group, 1, 0) }
 
-// smallLimits are limits that few calls reach.
+// smallLimits returns limits that a few calls reach.
 func smallLimits() limits {
 	limits := defaultLimits()
 	limits.holds, limits.events, limits.eventBudget, limits.answerEvents = 3, 32, 8, 5
 	return limits
 }
 
-// step is a call at a time with the answer that it must get. The times of a table rise.
+// step is a call at a time with the expected answer. The times of a table must not decrease.
 type step struct {
 	at     time.Duration
 	call   message.Call
@@ -56,8 +56,8 @@
 	waits  bool
 }
 
-// runSteps executes the steps on one store, checks each answer, and that an acceptor which applies the changes has the
-// same state in the end.
+// runSteps executes the steps on one store and checks each answer. It also checks that an acceptor which applies the
+// changes has the same state at the end.
 func runSteps(t *testing.T, steps []step) {
 	t.Helper()
 	issuer, acceptor := newTestStore(), newTestStore()
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestApply_OfAnOlderNumberOrTokenLowersNothing(t *testing.T) {
+func TestApply_OfAnOlderNumberOrTokenDoesNotLowerTheCounters(t *testing.T) {
 	store := newTestStore()
 	store.Execute(0, number())
 	store.Execute(0, number())
@@ -122,7 +122,7 @@
 	assert.Equal(t, granted(3), store.Execute(time.Second, acquire("l", "two", 3000)).Answer)
 }
 
-// The acceptor group is not the store's.
+// The acceptor group is not part of the store's state.
 func TestApply_OfAnAcceptorGroupDoesNothing(t *testing.T) {
 	store := newTestStore()
 	before := store.Snapshot(0)
--- a/internal/controlplane/coordination/traps_test.go
+++ b/internal/controlplane/coordination/traps_test.go
@@ -11,9 +11,9 @@
 	"pumiceline/internal/message"
 )
 
-// The tests in this file are named after failures of a coordination service that its state machine must rule out.
+// The tests in this file reproduce known failures of coordination services, which the state machine must rule out.
 
-// execute executes a call at an issuer and applies its changes to acceptors, each at its own time.
+// execute executes a call at an issuer and applies its changes to acceptors, at each one's own time.
 func execute(issuer *Store, now time.Duration, call message.Call, acceptors map[*Store]time.Duration) message.Answer {
 	result := issuer.Execute(now, call)
 	for acceptor, at := range acceptors {
@@ -24,10 +24,10 @@
 	return result.Answer
 }
 
-// A caller counts its hold from when it sent the call. An acceptor whose clock began an hour earlier, and to which the hold
-// came 300 ms late, becomes the issuer: it must not grant the lock before the caller's time is over, nor keep it for longer
-// than the delay.
-func TestNewIssuerGrantsLockWhileItsHolderCounts(t *testing.T) {
+// A holder measures its hold from the sending of its call. An acceptor whose clock is an hour ahead receives the hold
+// 300 ms late and becomes the issuer. It must not grant the lock before the holder's time has passed, and must grant it
+// once the delay has passed too.
+func TestNewIssuerGrantsLockOnlyAfterItsHolderEnds(t *testing.T) {
 	const sentAt, received, applied = 10 * time.Second, 10*time.Second + time.Millisecond, 10*time.Second + 300*time.Millisecond
 	const ahead = time.Hour
 	issuer, acceptor := newTestStore(), newTestStore()
@@ -38,8 +38,9 @@
 	assert.Equal(t, granted(2), acceptor.Execute(applied+3*time.Second+ahead, acquire("l", "two", 3000)).Answer)
 }
 
-// A renewal prolongs the hold at the acceptors too.
-func TestNewIssuerKnowsNoRenewal(t *testing.T) {
+// A renewal must extend the hold at the acceptors too. Otherwise an acceptor that becomes the issuer grants the lock
+// too early.
+func TestNewIssuerHonoursRenewals(t *testing.T) {
 	issuer, acceptor := newTestStore(), newTestStore()
 	execute(issuer, 0, acquire("l", "one", 3000), map[*Store]time.Duration{acceptor: 0})
 	at := 2 * time.Second
@@ -47,8 +48,9 @@
 	assert.Equal(t, StatusHeld, acceptor.Execute(at+3*time.Second-1, acquire("l", "two", 3000)).Answer.Status)
 }
 
-// The time left goes to a newcomer in whole milliseconds: rounded down, its hold would end too early.
-func TestNewcomerEndsHoldBeforeItsHolder(t *testing.T) {
+// A new member receives the remaining time of a hold in whole milliseconds. If it were rounded down, the new member
+// would end the hold before its holder does.
+func TestNewMemberDoesNotEndHoldBeforeItsHolder(t *testing.T) {
 	issuer, newcomer := newTestStore(), newTestStore()
 	issuer.Execute(0, acquire("l", "one", 3000))
 	takenAt := 100*time.Microsecond + time.Second
@@ -57,9 +59,10 @@
 	assert.Equal(t, granted(2), newcomer.Execute(2*time.Second, acquire("l", "two", 3000)).Answer)
 }
 
-// After a restart nobody knows how long ago the state was written, so each hold begins anew. (What was left then would be no
-// less than what is left now, so this is cautious: no caller can see the difference but by waiting.)
-func TestRestartedMemberCountsTimeLeftOnDisk(t *testing.T) {
+// After a restart it is unknown how long ago the state was written, so each hold lasts for its full duration again.
+// This is more than necessary, as the remaining time on disk is never less than the remaining time now. Callers only
+// wait longer.
+func TestRestartedMemberRestartsHoldsWithFullDuration(t *testing.T) {
 	store, restarted := newTestStore(), newTestStore()
 	store.Execute(0, acquire("l", "one", 3000))
 	onDisk := store.Snapshot(2 * time.Second)
@@ -69,8 +72,8 @@
 	assert.Equal(t, granted(2), restarted.Execute(3*time.Second, acquire("l", "two", 3000)).Answer)
 }
 
-// The holder's time is over, and another member might have granted the lock since: no renewal.
-func TestExpiredHoldComesBackToLife(t *testing.T) {
+// An expired hold must not be renewed, because another member may have granted the lock in the meantime.
+func TestExpiredHoldIsNotRenewed(t *testing.T) {
 	store := newTestStore()
 	store.Execute(0, acquire("l", "one", 3000))
 	assert.Equal(t, StatusHeld, store.Execute(3*time.Second, renew("l", "one", 1, 3000)).Answer.Status)
@@ -78,8 +81,9 @@
 	assert.Equal(t, StatusHeld, store.Execute(3*time.Second, renew("l", "one", 1, 3000)).Answer.Status)
 }
 
-// A caller gives its lock back, gets no answer, takes the lock again, and then the first call arrives.
-func TestLateReleaseEndsNewerHoldOfSameOwner(t *testing.T) {
+// A caller releases its lock, gets no answer and acquires the lock again. Then the release arrives. It must not end the
+// new hold.
+func TestLateReleaseDoesNotEndNewerHoldOfSameOwner(t *testing.T) {
 	store := newTestStore()
 	first := store.Execute(0, acquire("l", "one", 3000)).Answer.Token
 	second := store.Execute(0, acquire("l", "one", 3000)).Answer.Token
@@ -89,8 +93,9 @@
 	assert.Equal(t, granted(second), store.Execute(0, renew("l", "one", second, 3000)).Answer)
 }
 
-// A renewal under an earlier hold must not prolong the newer one, which another life of the owner may have got.
-func TestLateRenewalProlongsNewerHoldOfSameOwner(t *testing.T) {
+// A late renewal of an earlier hold must not extend a newer hold of the same owner, which the owner may have acquired
+// after a restart of its process.
+func TestLateRenewalDoesNotExtendNewerHoldOfSameOwner(t *testing.T) {
 	store := newTestStore()
 	store.Execute(0, acquire("l", "one", 3000))
 	store.Execute(time.Second, release("l", "one", 1))
@@ -99,8 +104,9 @@
 	assert.Equal(t, granted(3), store.Execute(4*time.Second, acquire("l", "two", 3000)).Answer)
 }
 
-// Tokens go on when no lock is held, after all members lost power, and at a member that only applies.
-func TestTokensAndNumbersRepeatAfterRestart(t *testing.T) {
+// Tokens and numbers must continue when no lock is held, after a restart of all members, and at a member that only
+// applies changes.
+func TestTokensAndNumbersDoNotRepeatAfterRestart(t *testing.T) {
 	issuer, acceptor := newTestStore(), newTestStore()
 	at := map[*Store]time.Duration{acceptor: 0}
 	execute(issuer, 0, acquire("l", "one", 3000), at)
@@ -116,9 +122,9 @@
 	}
 }
 
-// A call that is answered 400, 404, 409, 410, 412 or 507 has changed nothing, so there is nothing that could take effect
+// A call that is answered with 400, 404, 409, 410, 412 or 507 must not change anything, so that it cannot take effect
 // later.
-func TestRefusedCallTakesEffect(t *testing.T) {
+func TestRejectedCallChangesNothing(t *testing.T) {
 	store := newStore(Options{HistoryRetention: testRetention}, smallLimits())
 	for i := range 3 {
 		store.Execute(0, acquire(message.LockName(fmt.Sprint("l", i)), "one", 3000))
@@ -129,7 +135,7 @@
 	store.Apply(0, message.CoordinationChange{Trim: &message.HistoryTrim{Group: "g.", Horizon: 2}})
 	store.Execute(0, put("g.a", "32", 32))
 	store.Execute(0, put("g.a", "33", 33))
-	refused := []struct {
+	rejected := []struct {
 		call   message.Call
 		status message.CallStatus
 	}{
@@ -144,16 +150,17 @@
 		{watch("g.", 99, 9000), StatusInvalid},
 	}
 	before := store.Snapshot(0)
-	for _, refused := range refused {
-		result := store.Execute(0, refused.call)
-		assert.Equal(t, refused.status, result.Answer.Status, "%+v", refused.call)
-		assert.Empty(t, result.Changes, "%+v", refused.call)
+	for _, test := range rejected {
+		result := store.Execute(0, test.call)
+		assert.Equal(t, test.status, result.Answer.Status, "%+v", test.call)
+		assert.Empty(t, result.Changes, "%+v", test.call)
 	}
 	assert.Equal(t, before, store.Snapshot(0))
 }
 
-// A put whose answer was lost is sent again through another machine, after others overwrote it and all lost power.
-func TestRepeatedPutIsRefusedThoughItTookEffect(t *testing.T) {
+// The answer of a put is lost, another put replaces its value, and all members restart. When the first put is sent
+// again, it must be recognised as a repeat: a 412 would tell the caller that it never took effect.
+func TestRepeatedPutGetsItsFirstRevision(t *testing.T) {
 	issuer, acceptor := newTestStore(), newTestStore()
 	at := map[*Store]time.Duration{acceptor: 0}
 	first := put("g.a", "mine", 0)
@@ -168,8 +175,9 @@
 	}
 }
 
-// The group has later revisions than the key: a 412 that names one of them would name none that a put gave the key.
-func TestMismatchNamesRevisionOfAnotherKey(t *testing.T) {
+// A 412 must report the revision of the key. The group's revision may belong to another key, so no put of this key
+// would have it.
+func TestMismatchReportsRevisionOfTheKey(t *testing.T) {
 	store := newTestStore()
 	store.Execute(0, put("g.a", "1", 0))
 	store.Execute(0, put("g.b", "2", 0))
@@ -177,8 +185,9 @@
 	assert.Equal(t, atRevision(StatusRevisionMismatch, 0), store.Execute(0, put("g.c", "4", 2)).Answer)
 }
 
-// A refused put can never take effect later: the revision that it builds on, once passed, does not come back.
-func TestRefusedPutTakesEffectWhenRepeatedLate(t *testing.T) {
+// A rejected put must not take effect when it is repeated: once the key has passed the expected revision, it never has
+// it again.
+func TestRejectedPutStaysRejectedWhenRepeated(t *testing.T) {
 	store := newTestStore()
 	store.Execute(0, put("g.a", "1", 0))
 	store.Execute(0, put("g.a", "2", 1))
@@ -189,8 +198,8 @@
 	}
 }
 
-// Restores, restarts and dropped history leave no gap in the revisions of a group and never give one twice.
-func TestRevisionIsGivenTwiceOrSkipped(t *testing.T) {
+// Restores, restarts and dropped history must neither skip nor repeat a revision of a group.
+func TestRevisionsAreNeitherRepeatedNorSkipped(t *testing.T) {
 	store := newStore(Options{HistoryRetention: testRetention}, smallLimits())
 	for i := range 500 {
 		now := time.Duration(i) * testRetention
@@ -205,8 +214,9 @@
 	}
 }
 
-// A watcher resumes at a restarted member from a revision that it was given just before: nothing ages in between.
-func TestWatcherLosesHistoryInRestart(t *testing.T) {
+// A watcher resumes at a restarted member from a revision that it received shortly before. The restart must not make
+// events old enough to be dropped.
+func TestWatcherCanResumeAfterRestart(t *testing.T) {
 	store := newFullStore(t)
 	store.Execute(time.Minute, put("g.a", "next", 9))
 	restarted := newStore(store.options, store.limits)
@@ -217,8 +227,8 @@
 	assert.Equal(t, StatusOK, restarted.Execute(testRetention, watch("g.", 1, 9000)).Answer.Status)
 }
 
-// A watcher that follows a group while history is dropped, answers are cut off and members change sees each put once.
-func TestWatcherSkipsPuts(t *testing.T) {
+// A watcher must see each put once, although history is dropped, answers are truncated and the issuer changes.
+func TestWatcherSeesEachPutOnce(t *testing.T) {
 	issuer := newStore(Options{HistoryRetention: testRetention}, smallLimits())
 	const puts = 300
 	seen := message.Revision(1)
@@ -233,7 +243,7 @@
 				require.Equal(t, message.KeyEvent{Key: "g.a", Value: fmt.Sprint(seen), Revision: seen + 1}, event)
 				seen++
 			}
-			require.Equal(t, seen, answer.Revision, "all up to it was reported")
+			require.Equal(t, seen, answer.Revision, "all puts up to the revision were reported")
 		}
 		if i%50 == 20 {
 			next := newStore(issuer.options, issuer.limits)
--- a/internal/controlplane/coordination/watches.go
+++ b/internal/controlplane/coordination/watches.go
@@ -6,7 +6,7 @@
 	"pumiceline/internal/message"
 )
 
-// watch reports the events of a group above a revision, or waits for the first.
+// watch reports the events of a group after a revision. If there are none and the call has a waiting time, it waits.
 func (s *Store) watch(call *message.Call) Result {
 	group := s.group(call.Group)
 	switch {
@@ -30,13 +30,13 @@
 	return watchResult(slices.Clone(events), revision)
 }
 
-// HasEvents reports whether a waiting watch has something to report now, so that the issuer executes it again. It costs one
-// look-up.
+// HasEvents reports whether a waiting watch has events to report, so that the issuer should execute it again. It costs
+// one map look-up.
 func (s *Store) HasEvents(call message.Call) bool {
 	return call.After == 0 || call.After != s.group(call.Group).revision
 }
 
-// countForAnswer returns how many of the events, of which the oldest come first, fit into one answer.
+// countForAnswer returns how many of the events fit into one answer, starting with the oldest.
 func (s *Store) countForAnswer(events []message.KeyEvent) int {
 	bytes := 0
 	for i, event := range events {
--- a/internal/controlplane/coordination/watches_test.go
+++ b/internal/controlplane/coordination/watches_test.go
@@ -30,16 +30,16 @@
 		answer message.Answer
 		waits  bool
 	}{
-		{name: "after 0 tells the present revision at once", call: watch("g.", 0, 9000), answer: atRevision(StatusOK, 3)},
+		{name: "after 0 returns the current revision at once", call: watch("g.", 0, 9000), answer: atRevision(StatusOK, 3)},
 		{name: "after 0 in a group without keys", call: watch("x.", 0, 9000), answer: atRevision(StatusOK, 0)},
 		{name: "reports all events above the first", call: watch("g.", 1, 9000), answer: reported(1)},
 		{name: "reports the newest event", call: watch("g.", 2, 9000), answer: reported(2)},
 		{name: "waits for the next event", call: watch("g.", 3, 1), waits: true},
 		{name: "ends without an event", call: watch("g.", 3, 0), answer: atRevision(StatusOK, 3)},
-		{name: "ends without an event where the wait is negative", call: watch("g.", 3, -1), answer: atRevision(StatusOK, 3)},
-		{name: "after a revision that was not given yet", call: watch("g.", 4, 9000), answer: status(StatusInvalid)},
+		{name: "ends without an event if the waiting time is negative", call: watch("g.", 3, -1), answer: atRevision(StatusOK, 3)},
+		{name: "after a revision that no put has yet", call: watch("g.", 4, 9000), answer: status(StatusInvalid)},
 		{name: "after a revision in a group without keys", call: watch("x.", 1, 9000), answer: status(StatusInvalid)},
-		{name: "of a key in place of a group", call: watch("g.a", 1, 9000), answer: status(StatusInvalid)},
+		{name: "of a key instead of a group", call: watch("g.a", 1, 9000), answer: status(StatusInvalid)},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -54,15 +54,15 @@
 	store.Execute(0, put("g.a", "1", 0))
 	assert.False(t, store.HasEvents(waiting))
 	store.Execute(0, put("h.a", "1", 0))
-	assert.False(t, store.HasEvents(waiting), "of another group")
+	assert.False(t, store.HasEvents(waiting), "a put to another group is no event")
 	store.Execute(0, put("g.a", "1", 0))
-	assert.False(t, store.HasEvents(waiting), "a repeated put is none")
+	assert.False(t, store.HasEvents(waiting), "a repeated put is no event")
 	store.Execute(0, put("g.b", "2", 0))
 	assert.True(t, store.HasEvents(waiting))
 	assert.False(t, store.Execute(0, waiting).Waits)
 }
 
-func TestWatch_IsCutOffWhereTheNextOneGoesOn(t *testing.T) {
+func TestWatch_ContinuesAfterATruncatedAnswer(t *testing.T) {
 	tests := []struct {
 		name  string
 		value string
@@ -86,14 +86,15 @@
 					require.Equal(t, after+1, event.Revision)
 					after++
 				}
-				require.Equal(t, after, answer.Revision, "the revision of a cut-off answer is that of its last event")
+				require.Equal(t, after, answer.Revision, "a truncated answer has the revision of its last event")
 			}
 			assert.Equal(t, 4, answers)
 		})
 	}
 }
 
-// An answer that waits to be released must not change when old events are dropped.
+// The issuer keeps an answer until its round is accepted. The answer must not change when events are dropped in the
+// meantime.
 func TestWatch_AnswerSharesNoMemoryWithTheHistory(t *testing.T) {
 	store := newTestStore()
 	store.Execute(0, put("g.a", "1", 0))
--- a/internal/controlplane/coordination/world_checks_test.go
+++ b/internal/controlplane/coordination/world_checks_test.go
@@ -10,27 +10,27 @@
 	"pumiceline/internal/message"
 )
 
-// worldChecks is what was given to callers, as far as the rules need it.
+// worldChecks records the answers that callers received and the committed puts, and checks the rules against them.
 type worldChecks struct {
-	tokens    map[message.FencingToken]int // with the caller that got it
+	tokens    map[message.FencingToken]int // by token: the caller that received it
 	maxTokens [worldCallers]message.FencingToken
 	numbers   map[uint64]bool
-	committed []message.KeyEvent // puts that a majority holds, in order
+	committed []message.KeyEvent // puts that a majority has applied, in order
 	acked     map[message.Revision]ackedPut
-	refused   map[string]bool // values whose puts were answered 412
+	rejected  map[string]bool // values whose puts were answered with 412
 	newest    message.Revision
 	newestOf  map[message.KeyName]message.Revision
 }
 
-// ackedPut is a put that was answered 200.
+// ackedPut is a put that was answered with 200.
 type ackedPut struct {
 	event      message.KeyEvent
 	ifRevision message.Revision
 }
 
-// seenBefore is what had been given when a call was sent: the answer must not lag behind it.
+// seenBefore records the newest results that callers had received when a call was sent. Its answer must not be older.
 type seenBefore struct {
-	token       message.FencingToken // that the other caller got
+	token       message.FencingToken // the highest token of the other caller
 	number      uint64
 	revision    message.Revision // of the group
 	keyRevision message.Revision
@@ -39,18 +39,18 @@
 func newWorldChecks() worldChecks {
 	return worldChecks{
 		tokens: map[message.FencingToken]int{}, numbers: map[uint64]bool{}, acked: map[message.Revision]ackedPut{},
-		refused: map[string]bool{}, newestOf: map[message.KeyName]message.Revision{},
+		rejected: map[string]bool{}, newestOf: map[message.KeyName]message.Revision{},
 	}
 }
 
 func (c *worldChecks) clone() worldChecks {
 	clone := *c
 	clone.tokens, clone.numbers, clone.acked = maps.Clone(c.tokens), maps.Clone(c.numbers), maps.Clone(c.acked)
-	clone.refused, clone.newestOf = maps.Clone(c.refused), maps.Clone(c.newestOf)
+	clone.rejected, clone.newestOf = maps.Clone(c.rejected), maps.Clone(c.newestOf)
 	return clone
 }
 
-// seen returns what has been given when a caller sends a call.
+// seen returns the newest results that callers have received when a caller sends a call.
 func (c *worldChecks) seen(caller int, call *message.Call) seenBefore {
 	seen := seenBefore{
 		token: c.maxTokens[1-caller], revision: c.newest, keyRevision: c.newestOf[call.Key],
@@ -61,7 +61,8 @@
 	return seen
 }
 
-// commit notes the puts in a state that a majority holds. Nothing is dropped from the history in a small world.
+// commit records the puts in a state that a majority holds, and checks that no committed put was lost and no rejected
+// put took effect. The history of a small world is never trimmed.
 func (c *worldChecks) commit(state message.CoordinationState) error {
 	var puts []message.KeyEvent
 	if len(state.KeyGroups) > 0 {
@@ -71,7 +72,7 @@
 		return errors.Errorf("LOST: puts %+v were committed, now there are %+v", c.committed, puts)
 	}
 	for _, put := range puts {
-		if c.refused[put.Value] {
+		if c.rejected[put.Value] {
 			return errors.Errorf("REFUSED: %+v takes effect", put)
 		}
 	}
@@ -79,7 +80,7 @@
 	return nil
 }
 
-// answered checks an answer that a caller takes.
+// answered checks an answer that a caller accepts.
 func (c *worldChecks) answered(attempt attempt, answer message.Answer) error {
 	switch attempt.call.Kind {
 	case message.CallAcquire:
@@ -117,7 +118,7 @@
 func (c *worldChecks) put(attempt attempt, answer message.Answer) error {
 	call := attempt.call
 	if answer.Status == StatusRevisionMismatch {
-		c.refused[call.Value] = true
+		c.rejected[call.Value] = true
 		if answer.Revision != 0 && c.find(call.Key, answer.Revision) == nil {
 			return errors.Errorf("MIXED: a 412 names revision %d of %s", answer.Revision, call.Key)
 		}
@@ -178,12 +179,12 @@
 	return nil
 }
 
-// shown checks a value that is shown to a caller.
+// shown checks a value that a caller receives.
 func (c *worldChecks) shown(event message.KeyEvent) error {
 	if put := c.find(event.Key, event.Revision); put == nil || *put != event {
 		return errors.Errorf("MIXED: %+v is shown, and %+v is committed", event, put)
 	}
-	if c.refused[event.Value] {
+	if c.rejected[event.Value] {
 		return errors.Errorf("REFUSED: %+v is shown", event)
 	}
 	return nil
@@ -209,7 +210,7 @@
 	return nil
 }
 
-// checkStates compares the members that have applied all of the log.
+// checkStates compares the states of the members that have applied the complete log.
 func (w *world) checkStates() error {
 	issuer := sharedState(w.members[w.issuer].machine)
 	for i, member := range w.members {
@@ -223,7 +224,7 @@
 	return nil
 }
 
-// sharedState returns a state without what is left of holds, which each member counts for itself.
+// sharedState returns a state without the remaining times of holds, which each member measures on its own clock.
 func sharedState(m machine) message.CoordinationState {
 	state := m.Snapshot(0)
 	for i := range state.Holds {
--- a/internal/controlplane/coordination/world_test.go
+++ b/internal/controlplane/coordination/world_test.go
@@ -12,10 +12,11 @@
 	"pumiceline/internal/message"
 )
 
-// A small world for exploration: three members, of which a majority must hold each write before its answer is given, two
-// callers, one lock, two keys of one group and the numbers. Member 0 is the first issuer. Another one takes over by continuing
-// from the newest state that it and one more member hold; what neither of the two has is lost. Each thing that may happen is
-// an action; the explorers choose among them.
+// A world is a small model of the system for exhaustive and random exploration. It has three members, two callers, one
+// lock, two keys of one group and the numbers. A majority of the members must apply each write before its answer is
+// released. Member 0 is the first issuer. A new issuer continues from the newer state of itself and one other member;
+// writes that neither of the two has are lost. Each possible event is an action; exploration and walks choose among the
+// actions.
 
 const (
 	worldMembers = 3
@@ -26,54 +27,54 @@
 	worldGroup   = "g."
 )
 
-// worldBounds say how often things happen in a world.
+// worldBounds bounds the actions in a world.
 type worldBounds struct {
-	kinds    []message.CallKind // that callers call
+	kinds    []message.CallKind // kinds of the calls
 	ticks    int
 	calls    int // of each caller
-	repeats  int // of each caller: a call is sent again before it was answered
-	deaths   int // of each caller: it forgets what it called and held
+	repeats  int // of each caller: a call is sent again before it is answered
+	crashes  int // of each caller: it loses its call and its hold
 	restarts int // of all members
-	issuers  int // in turn
+	issuers  int // number of epochs
 }
 
-// world is the state of everything. Times are in ticks.
+// world is the complete state of the model. Times are in ticks.
 type world struct {
 	bounds   worldBounds
 	now      int
 	members  [worldMembers]worldMember
 	epoch    int        // counts the issuers from 1
 	issuer   int        // the member
-	log      []logEntry // of the present epoch, as its issuer wrote it
+	log      []logEntry // of the current epoch, as its issuer wrote it
 	released int        // entries of log whose answers were released
-	requests []attempt  // on their way, in any order
+	requests []attempt  // in flight, in any order
 	replies  []reply
 	callers  [worldCallers]worldCaller
 	checks   worldChecks
 
-	ignoresStates bool // judge by what callers see, and not by what members hold
+	ignoresStates bool // check only the answers to callers, not the states of members
 }
 
-// worldMember is a member and how much of the log it has applied.
+// worldMember is a member and its position in the log.
 type worldMember struct {
 	machine machine
-	epoch   int // whose state it holds; where that is not the present one, it gets the issuer's state first
+	epoch   int // epoch of its state; if it is not the current one, sync first restores the issuer's state
 	applied int // entries of that epoch's log
 	clock   int // ahead of world.now
 }
 
-// logEntry is a write with the answer that waits for it.
+// logEntry is a write with the answer that is released once a majority has applied it.
 type logEntry struct {
 	changes []message.CoordinationChange
 	attempt attempt
 	answer  message.Answer
 }
 
-// attempt is a call as it was sent once.
+// attempt is one sending of a call.
 type attempt struct {
 	caller, number, sentAt int
 	call                   *message.Call
-	seen                   seenBefore // when the call was sent; of a put, for the first time
+	seen                   seenBefore // when the call was sent; for a put, when it was first sent
 }
 
 type reply struct {
@@ -81,16 +82,16 @@
 	answer  message.Answer
 }
 
-// worldCaller is a caller. It takes itself to be the holder from a 200 on until it gives the lock back, or until its hold has
-// passed since it sent its last good call.
+// worldCaller is a caller. It considers itself the holder from a 200 until it releases the lock, or until the duration
+// of the hold has passed since it sent its last successful call.
 type worldCaller struct {
-	waitsFor               attempt // number 0: for none
-	calls, repeats, deaths int
-	token                  message.FencingToken
-	holdsUntil             int
-	revisions              [2]message.Revision // of the keys, as far as it knows
-	watched                message.Revision
-	puts                   int
+	waitsFor                attempt // number 0: none
+	calls, repeats, crashes int
+	token                   message.FencingToken
+	holdsUntil              int
+	revisions               [2]message.Revision // of the keys, the newest that it has received
+	watched                 message.Revision
+	puts                    int
 }
 
 type actionKind int
@@ -98,9 +99,9 @@
 const (
 	sendCall actionKind = iota
 	repeatCall
-	callerDies
-	executeRequest // the issuer executes it, and nobody else knows
-	completeCall   // the issuer executes it, a member applies it, and the caller gets the answer, at once
+	callerCrashes
+	executeRequest // the issuer executes a request; no other member applies it yet
+	completeCall   // the issuer executes a request, a member applies it, and the caller gets the answer, in one action
 	syncMember
 	deliverReply
 	changeIssuer
@@ -109,16 +110,16 @@
 )
 
 var actionNames = map[actionKind]string{
-	sendCall: "send", repeatCall: "repeat", callerDies: "caller dies", executeRequest: "execute", completeCall: "complete",
+	sendCall: "send", repeatCall: "repeat", callerCrashes: "caller crashes", executeRequest: "execute", completeCall: "complete",
 	syncMember: "sync", deliverReply: "reply", changeIssuer: "change issuer", restartMember: "restart", passTick: "tick",
 }
 
-// action is one thing that may happen.
+// action is one possible event.
 type action struct {
 	kind   actionKind
 	index  int // of the caller, request, member or reply
 	call   *message.Call
-	member int // that applies, of completeCall; that gives its state, of changeIssuer
+	member int // completeCall: the member that applies; changeIssuer: the member that provides its state
 }
 
 // String describes the action in a trace.
@@ -147,14 +148,14 @@
 	return &clone
 }
 
-// isCurrent reports whether a member holds a state of the present epoch.
+// isCurrent reports whether a member holds a state of the current epoch.
 func (w *world) isCurrent(member int) bool { return w.members[member].epoch == w.epoch }
 
 func (w *world) timeOf(member int) time.Duration {
 	return time.Duration(w.now+w.members[member].clock) * worldTick
 }
 
-// actions returns all that may happen next.
+// actions returns all possible next actions.
 func (w *world) actions() (actions []action) {
 	for i := range w.callers {
 		actions = append(actions, w.callerActions(i)...)
@@ -181,7 +182,7 @@
 	return actions
 }
 
-// memberActions returns what a member may do that is not the issuer.
+// memberActions returns the possible actions of a member that is not the issuer.
 func (w *world) memberActions(index int) (actions []action) {
 	if !w.isCurrent(index) || w.members[index].applied < len(w.log) {
 		actions = append(actions, action{kind: syncMember, index: index})
@@ -203,8 +204,8 @@
 	if isWaiting && caller.repeats < w.bounds.repeats {
 		actions = append(actions, action{kind: repeatCall, index: index})
 	}
-	if (isWaiting || w.isHolder(index)) && caller.deaths < w.bounds.deaths {
-		actions = append(actions, action{kind: callerDies, index: index})
+	if (isWaiting || w.isHolder(index)) && caller.crashes < w.bounds.crashes {
+		actions = append(actions, action{kind: callerCrashes, index: index})
 	}
 	if isWaiting || caller.calls == w.bounds.calls {
 		return actions
@@ -246,12 +247,12 @@
 	return nil
 }
 
-// isHolder reports whether a caller takes itself to be the holder of the lock.
+// isHolder reports whether a caller considers itself the holder of the lock.
 func (w *world) isHolder(index int) bool {
 	return w.callers[index].token != 0 && w.now < w.callers[index].holdsUntil
 }
 
-// apply lets an action happen, and returns what rule was broken by it.
+// apply performs an action and returns the rule that it violated, if any.
 func (w *world) apply(a action) error {
 	switch a.kind {
 	case sendCall:
@@ -264,9 +265,9 @@
 			seen = w.checks.seen(a.index, call)
 		}
 		w.transmit(a.index, call, seen)
-	case callerDies:
+	case callerCrashes:
 		caller := &w.callers[a.index]
-		caller.deaths++
+		caller.crashes++
 		caller.waitsFor, caller.token = attempt{}, 0
 	case executeRequest:
 		w.execute(a.index)
@@ -288,7 +289,7 @@
 		w.now++
 	}
 	if w.isHolder(0) && w.isHolder(1) {
-		return errors.New("ONE: both callers count themselves holder")
+		return errors.New("ONE: both callers consider themselves the holder")
 	}
 	if w.ignoresStates {
 		return nil
@@ -304,11 +305,11 @@
 	}
 	w.transmit(index, call, w.checks.seen(index, call))
 	if call.Kind == message.CallRelease {
-		caller.waitsFor, caller.token = attempt{}, 0 // it waits for no answer
+		caller.waitsFor, caller.token = attempt{}, 0 // it does not wait for an answer
 	}
 }
 
-// transmit sends a call, perhaps again. Answers to earlier attempts are ignored from now on.
+// transmit sends a call, for the first time or again. Answers to earlier attempts are ignored from now on.
 func (w *world) transmit(index int, call *message.Call, seen seenBefore) {
 	caller := &w.callers[index]
 	number := 10*caller.calls + caller.repeats
@@ -316,7 +317,7 @@
 	w.requests = append(w.requests, caller.waitsFor)
 }
 
-// execute lets the issuer execute a request.
+// execute executes a request at the issuer.
 func (w *world) execute(index int) {
 	attempt := w.requests[index]
 	w.requests = slices.Delete(w.requests, index, index+1)
@@ -330,7 +331,7 @@
 	issuer.applied = len(w.log)
 }
 
-// complete executes a request, lets a member apply it, and delivers its answer.
+// complete executes a request, applies it at a member, and delivers its answer.
 func (w *world) complete(a action) error {
 	attempt := w.requests[a.index]
 	w.execute(a.index)
@@ -344,7 +345,7 @@
 	return w.apply(action{kind: deliverReply, index: last})
 }
 
-// sync lets a member apply what it has missed. With the issuer it is a majority, so the answers are released.
+// sync brings a member up to date with the log. The member and the issuer are a majority, so the answers are released.
 func (w *world) sync(index int) error {
 	member, issuer := &w.members[index], &w.members[w.issuer]
 	if !w.isCurrent(index) {
@@ -372,18 +373,18 @@
 	w.replies = slices.Delete(w.replies, index, index+1)
 	caller := &w.callers[reply.attempt.caller]
 	if caller.waitsFor.number != reply.attempt.number {
-		return nil // it waits for another one now
+		return nil // the caller waits for another attempt
 	}
 	caller.waitsFor = attempt{}
 	if err := w.checks.answered(reply.attempt, reply.answer); err != nil {
 		return err
 	}
-	w.use(caller, reply)
+	w.handleAnswer(caller, reply)
 	return nil
 }
 
-// use is what a caller does with an answer.
-func (w *world) use(caller *worldCaller, reply reply) {
+// handleAnswer updates a caller with an answer.
+func (w *world) handleAnswer(caller *worldCaller, reply reply) {
 	call, answer := reply.attempt.call, reply.answer
 	holdsUntil := reply.attempt.sentAt + worldHold
 	switch call.Kind {
@@ -405,7 +406,8 @@
 	}
 }
 
-// changeIssuer lets a member continue from the newer state of itself and another one. Answers on their way still arrive.
+// changeIssuer makes a member the issuer, which continues from the newer state of itself and another member. Replies in
+// flight may still arrive.
 func (w *world) changeIssuer(index, other int) {
 	issuer, source := &w.members[index], &w.members[other]
 	if cmp.Or(cmp.Compare(source.epoch, issuer.epoch), cmp.Compare(source.applied, issuer.applied)) > 0 {
@@ -416,7 +418,7 @@
 	issuer.epoch, issuer.applied = w.epoch, 0
 }
 
-// restart lets a member read its state from its disk; its clock begins anew.
+// restart restores a member's state from its disk. Its clock starts again at 0.
 func (w *world) restart(index int) {
 	w.bounds.restarts--
 	member := &w.members[index]
--- a/internal/coordinationclient/errors.go
+++ b/internal/coordinationclient/errors.go
@@ -8,8 +8,7 @@
 	"pumiceline/internal/message"
 )
 
-// Errors of calls. They are wrapped with the name or the path that was called; the first two also wrap the last
-// failure.
+// Errors of calls. They are wrapped with details of the call or of its last failure.
 var (
 	// ErrNotExecuted means that no coordinator has executed the call and none will.
 	ErrNotExecuted = errors.New("the call was not executed")
--- a/internal/coordinationclient/exchange.go
+++ b/internal/coordinationclient/exchange.go
@@ -33,8 +33,8 @@
 
 // attemptError is the failure of an attempt without a definite answer.
 type attemptError struct {
-	isNotExecuted bool // the attempt was not executed and never will be
-	cause         error
+	notExecuted bool // the attempt was not executed and never will be
+	cause       error
 }
 
 func (e *attemptError) Error() string { return e.cause.Error() }
@@ -57,7 +57,7 @@
 			return answer, nil
 		}
 		c.current.CompareAndSwap(address, address+1) // unless another call has advanced it already
-		notExecuted = notExecuted && failure.isNotExecuted
+		notExecuted = notExecuted && failure.notExecuted
 		delay := pause.next()
 		if ctx.Err() != nil || time.Now().Add(delay).After(r.until) || ctxtime.Sleep(ctx, delay) != nil {
 			return response{}, noAnswerError(notExecuted, r, failure.cause)
@@ -87,20 +87,20 @@
 	defer cancel()
 	httpRequest, err := http.NewRequestWithContext(ctx, r.method, "http://"+address+r.path, bytes.NewReader(body))
 	if err != nil {
-		return response{}, &attemptError{isNotExecuted: true, cause: err}
+		return response{}, &attemptError{notExecuted: true, cause: err}
 	}
 	httpRequest.Header.Set("Content-Type", "application/json")
 	answer := response{sentAt: time.Now()}
 	httpResponse, err := c.http.Do(httpRequest)
 	if err != nil {
-		return response{}, &attemptError{isNotExecuted: isDialError(err), cause: err}
+		return response{}, &attemptError{notExecuted: isDialError(err), cause: err}
 	}
 	defer httpResponse.Body.Close()
 	answer.status = httpResponse.StatusCode
 	answer.body, err = io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	switch {
 	case isNotExecuted(answer.status):
-		return response{}, &attemptError{isNotExecuted: true, cause: errors.Errorf("%s answered with %d", address, answer.status)}
+		return response{}, &attemptError{notExecuted: true, cause: errors.Errorf("%s answered with %d", address, answer.status)}
 	case err != nil:
 		return response{}, &attemptError{cause: err}
 	case !isDefinite(answer.status):
--- a/internal/coordinationclient/lock_test.go
+++ b/internal/coordinationclient/lock_test.go
@@ -46,7 +46,7 @@
 		got, err := client.NewLock("l", "o", hold).Acquire(t.Context())
 		require.NoError(t, err)
 		sent := n.recordedAttempts()[1].at
-		assert.Equal(t, sent+hold, got.Until().Sub(n.start), "measured from the sending of the answered attempt, not from its answer")
+		assert.Equal(t, sent+hold, got.Until().Sub(n.start), "from the sending of the attempt, not from its answer")
 		time.Sleep(time.Second)
 		renewed := time.Since(n.start)
 		require.NoError(t, got.Renew(t.Context()))
