--- a/internal/controlplane/coordination/benchmark_test.go
+++ b/internal/controlplane/coordination/benchmark_test.go
@@ -18,8 +18,8 @@
 	for i := range 2 * eventBudget {
 		now := time.Duration(i) * testRetention / eventBudget
 		key := message.KeyName(fmt.Sprintf("g%d.k%d", i%30, i%300))
-		present := store.Execute(now, get(key)).Answer.Revision
-		if answer := store.Execute(now, put(key, fmt.Sprintf("%016x", i), present)).Answer; answer.Status != StatusOK {
+		current := store.Execute(now, get(key)).Answer.Revision
+		if answer := store.Execute(now, put(key, fmt.Sprintf("%016x", i), current)).Answer; answer.Status != StatusOK {
 			b.Fatal(answer)
 		}
 		store.Maintain(now)
--- a/internal/controlplane/coordination/fuzz_test.go
+++ b/internal/controlplane/coordination/fuzz_test.go
@@ -118,9 +118,9 @@
 	require.Len(t, s.locks.holds, s.locks.byEnd.Len())
 	require.LessOrEqual(t, len(s.locks.holds), s.limits.holds)
 	require.LessOrEqual(t, s.events.count, s.limits.events)
-	presentBytes, historyBytes, count := 0, 0, 0
+	currentBytes, historyBytes, count := 0, 0, 0
 	for name, group := range s.groups {
-		presentBytes += groupBytes(name)
+		currentBytes += groupBytes(name)
 		require.Equal(t, group.revision-group.horizon, message.Revision(len(group.history)), "revisions without a gap")
 		for i, event := range group.history {
 			require.Equal(t, group.horizon+1+message.Revision(i), event.Revision)
@@ -129,14 +129,14 @@
 			historyBytes += eventBytes(event.Key, event.Value)
 			count++
 		}
-		for key, present := range group.keys {
-			require.LessOrEqual(t, present.revision, group.revision)
-			presentBytes += eventBytes(key, present.value)
+		for key, current := range group.keys {
+			require.LessOrEqual(t, current.revision, group.revision)
+			currentBytes += eventBytes(key, current.value)
 		}
 	}
-	require.Equal(t, presentBytes, s.groupBytes)
+	require.Equal(t, currentBytes, s.groupBytes)
 	require.Equal(t, historyBytes, s.events.bytes)
 	require.Equal(t, count, s.events.count)
 	require.Len(t, s.events.revisions, count)
-	require.LessOrEqual(t, presentBytes+historyBytes, s.limits.stateBytes)
+	require.LessOrEqual(t, currentBytes+historyBytes, s.limits.stateBytes)
 }
--- a/internal/controlplane/coordination/keys.go
+++ b/internal/controlplane/coordination/keys.go
@@ -55,8 +55,8 @@
 	if revision, isRepeated := s.firstRevision(group, call.Key, call.Value); isRepeated {
 		return Result{Answer: message.Answer{Status: StatusOK, Revision: revision}}
 	}
-	if present := group.keys[call.Key]; !call.IfAny && present.revision != call.IfRevision {
-		return Result{Answer: message.Answer{Status: StatusRevisionMismatch, Revision: present.revision}}
+	if current := group.keys[call.Key]; !call.IfAny && current.revision != call.IfRevision {
+		return Result{Answer: message.Answer{Status: StatusRevisionMismatch, Revision: current.revision}}
 	}
 	if s.events.count >= s.limits.events || s.sizeAfterPut(group, call) > s.limits.stateBytes {
 		return answerStatus(StatusInsufficientMemory)
@@ -72,8 +72,8 @@
 func (s *Store) sizeAfterPut(group *keyGroup, call *message.Call) int {
 	size := s.groupBytes + s.events.bytes
 	size += 2 * eventBytes(call.Key, call.Value) // once as the current value and once in the history
-	if present, exists := group.keys[call.Key]; exists {
-		size -= eventBytes(call.Key, present.value)
+	if current, exists := group.keys[call.Key]; exists {
+		size -= eventBytes(call.Key, current.value)
 	}
 	if group.revision == 0 {
 		size += groupBytes(group.name)
@@ -85,8 +85,8 @@
 func (s *Store) firstRevision(
 	group *keyGroup, key message.KeyName, value string,
 ) (revision message.Revision, isKnown bool) {
-	if present, exists := group.keys[key]; exists && present.value == value {
-		return present.revision, true
+	if current, exists := group.keys[key]; exists && current.value == value {
+		return current.revision, true
 	}
 	revision, isKnown = s.events.revisions[putID{key, value}]
 	return revision, isKnown
@@ -94,11 +94,11 @@
 
 // get reads a key.
 func (s *Store) get(key message.KeyName) Result {
-	present, exists := s.group(GroupOf(key)).keys[key]
+	current, exists := s.group(GroupOf(key)).keys[key]
 	if !exists {
 		return answerStatus(StatusNotFound)
 	}
-	return Result{Answer: message.Answer{Status: StatusOK, Value: present.value, Revision: present.revision}}
+	return Result{Answer: message.Answer{Status: StatusOK, Value: current.value, Revision: current.revision}}
 }
 
 // applyPut applies a put, which becomes the newest one of its key and group.
--- a/internal/controlplane/coordination/model_test.go
+++ b/internal/controlplane/coordination/model_test.go
@@ -185,7 +185,7 @@
 	for i, put := range m.reference.puts {
 		isDropped := GroupOf(put.Key) == change.Trim.Group && put.Revision <= change.Trim.Horizon && m.reference.isKept(put)
 		if isDropped && now-issuer.expected.receivedAt[i] <= testRetention {
-			return errors.Errorf("dropped the young event %+v", put)
+			return errors.Errorf("dropped the recent event %+v", put)
 		}
 	}
 	m.reference.horizons[change.Trim.Group] = change.Trim.Horizon
--- a/internal/controlplane/coordination/reference_test.go
+++ b/internal/controlplane/coordination/reference_test.go
@@ -69,10 +69,10 @@
 }
 
 // size returns the number of events in the history, their size, and the size of the groups with the current values.
-func (r *reference) size() (events, eventBytes, presentBytes int) {
+func (r *reference) size() (events, eventBytes, currentBytes int) {
 	for _, put := range r.puts {
 		if put.Revision == 1 {
-			presentBytes += len(GroupOf(put.Key)) + groupOverheadBytes
+			currentBytes += len(GroupOf(put.Key)) + groupOverheadBytes
 		}
 		size := len(put.Key) + len(put.Value) + eventOverheadBytes
 		if r.isKept(put) {
@@ -80,10 +80,10 @@
 			eventBytes += size
 		}
 		if newest, _ := r.newest(put.Key); newest == put {
-			presentBytes += size
+			currentBytes += size
 		}
 	}
-	return events, eventBytes, presentBytes
+	return events, eventBytes, currentBytes
 }
 
 // execute returns the answer that a member must give to a valid call at a time of its clock, and applies the changes.
@@ -166,16 +166,16 @@
 	if !call.IfAny && newest.Revision != call.IfRevision {
 		return atRevision(StatusRevisionMismatch, newest.Revision)
 	}
-	events, eventBytes, presentBytes := r.size()
+	events, eventBytes, currentBytes := r.size()
 	size := len(call.Key) + len(call.Value) + eventOverheadBytes
 	revision := message.Revision(len(r.ofGroup(GroupOf(call.Key))) + 1)
 	if revision == 1 {
-		presentBytes += len(GroupOf(call.Key)) + groupOverheadBytes
+		currentBytes += len(GroupOf(call.Key)) + groupOverheadBytes
 	}
 	if exists {
-		presentBytes -= len(newest.Key) + len(newest.Value) + eventOverheadBytes
+		currentBytes -= len(newest.Key) + len(newest.Value) + eventOverheadBytes
 	}
-	if events == r.limits.events || eventBytes+presentBytes+2*size > r.limits.stateBytes {
+	if events == r.limits.events || eventBytes+currentBytes+2*size > r.limits.stateBytes {
 		return status(StatusInsufficientMemory)
 	}
 	r.puts = append(r.puts, message.KeyEvent{Key: call.Key, Value: call.Value, Revision: revision})
@@ -185,16 +185,16 @@
 
 func (r *reference) watch(call message.Call) (answer message.Answer, waits bool) {
 	puts := r.ofGroup(call.Group)
-	present := message.Revision(len(puts))
+	current := message.Revision(len(puts))
 	switch {
 	case call.After == 0:
-		return atRevision(StatusOK, present), false
-	case call.After > present:
+		return atRevision(StatusOK, current), false
+	case call.After > current:
 		return status(StatusInvalid), false
 	case call.After < r.horizons[call.Group]:
 		return status(StatusHistoryGone), false
-	case call.After == present:
-		return atRevision(StatusOK, present), call.WaitMs > 0
+	case call.After == current:
+		return atRevision(StatusOK, current), call.WaitMs > 0
 	}
 	events := puts[call.After:]
 	events = events[:min(len(events), r.limits.answerEvents)]
--- a/internal/controlplane/coordination/watches_test.go
+++ b/internal/controlplane/coordination/watches_test.go
@@ -36,7 +36,7 @@
 		{name: "reports the newest event", call: watch("g.", 2, 9000), answer: reported(2)},
 		{name: "waits for the next event", call: watch("g.", 3, 1), waits: true},
 		{name: "ends without an event", call: watch("g.", 3, 0), answer: atRevision(StatusOK, 3)},
-		{name: "ends without an event if the waiting time is negative", call: watch("g.", 3, -1), answer: atRevision(StatusOK, 3)},
+		{name: "ends without an event if the wait is negative", call: watch("g.", 3, -1), answer: atRevision(StatusOK, 3)},
 		{name: "after a revision that no put has yet", call: watch("g.", 4, 9000), answer: status(StatusInvalid)},
 		{name: "after a revision in a group without keys", call: watch("x.", 1, 9000), answer: status(StatusInvalid)},
 		{name: "of a key instead of a group", call: watch("g.a", 1, 9000), answer: status(StatusInvalid)},
--- a/internal/controlplane/coordination/world_test.go
+++ b/internal/controlplane/coordination/world_test.go
@@ -110,7 +110,7 @@
 )
 
 var actionNames = map[actionKind]string{
-	sendCall: "send", repeatCall: "repeat", callerCrashes: "caller crashes", executeRequest: "execute", completeCall: "complete",
+	sendCall: "send", repeatCall: "repeat", callerCrashes: "crash", executeRequest: "execute", completeCall: "complete",
 	syncMember: "sync", deliverReply: "reply", changeIssuer: "change issuer", restartMember: "restart", passTick: "tick",
 }
 
@@ -367,7 +367,7 @@
 	return nil
 }
 
-// deliver gives a reply to its caller.
+// deliver delivers a reply to its caller.
 func (w *world) deliver(index int) error {
 	reply := w.replies[index]
 	w.replies = slices.Delete(w.replies, index, index+1)
--- a/internal/coordinationclient/counter.go
+++ b/internal/coordinationclient/counter.go
@@ -28,9 +28,9 @@
 	if answer.status != http.StatusOK {
 		return 0, answer.rejected()
 	}
-	var given struct {
+	var body struct {
 		Number uint64 `json:"value"`
 	}
-	err = answer.decode(&given)
-	return given.Number, err
+	err = answer.decode(&body)
+	return body.Number, err
 }
