--- a/internal/controlplane/coordinator/coordination_loop.go
+++ b/internal/controlplane/coordinator/coordination_loop.go
@@ -136,7 +136,7 @@
 	}
 	if status := l.status.Load(); status != nil {
 		candidates.Issuer = status.Issuer
-		candidates.InTouch = candidates.InTouch || status.HearsOne
+		candidates.InTouch = candidates.InTouch || status.HasIssuer
 	}
 	return candidates
 }
--- a/internal/controlplane/epoch/status.go
+++ b/internal/controlplane/epoch/status.go
@@ -9,7 +9,7 @@
 	Promised  message.Epoch
 	Position  message.CoordinationPosition
 	Group     message.AcceptorGroup // the newest group that this member knows
-	HearsOne  bool                  // it is an issuer with a majority, or the issuer it follows is alive
+	HasIssuer bool                  // it is an issuer with a majority, or the issuer it follows is alive
 	IsIdle    bool                  // there have been no calls for a while
 	Takeovers int                   // how often this member has become the issuer since its start
 	Waiting   int                   // number of watches that wait for an event at this member
@@ -20,11 +20,11 @@
 	status := Status{
 		IsIssuer: m.issuer != nil && m.issuer.established, Issuer: m.follower.issuer, Promised: m.record.Promised,
 		Position: m.position, Group: m.newestGroup, IsIdle: m.follower.idle, Takeovers: m.takeovers,
-		Waiting: len(m.calls.watches), HearsOne: m.follower.isIssuerAlive(m.now),
+		Waiting: len(m.calls.watches), HasIssuer: m.follower.isIssuerAlive(m.now),
 	}
 	if m.issuer != nil {
 		status.Issuer, status.IsIdle = m.options.Self, m.issuer.idle
-		status.HearsOne = m.issuer.hasQuorum(m.now)
+		status.HasIssuer = m.issuer.hasQuorum(m.now)
 	}
 	return status
 }
