--- a/internal/controlplane/coordination/keys_test.go
+++ b/internal/controlplane/coordination/keys_test.go
@@ -134,7 +134,7 @@
 
 // If the number of events reaches its bound before any event is old enough to be dropped, the store keeps the events
 // and rejects puts.
-func TestPut_IsRejectedBeforeRecentEventsAreDropped(t *testing.T) {
+func TestPut_IsRejectedInsteadOfDroppingRecentEvents(t *testing.T) {
 	store := newStore(Options{HistoryRetention: testRetention}, smallLimits())
 	bound := store.limits.events
 	for i := range bound {
--- a/internal/controlplane/epoch/candidate.go
+++ b/internal/controlplane/epoch/candidate.go
@@ -196,7 +196,7 @@
 	m.follower.awaitIssuer(m.now)
 }
 
-// tickCandidate ends a candidacy that takes too long and makes the next one due after queryTimeout.
+// tickCandidate ends a candidacy that takes too long. The next one starts when it is due again.
 func (m *Member) tickCandidate() {
 	c := m.candidate
 	if c == nil {
--- a/internal/controlplane/epoch/follower.go
+++ b/internal/controlplane/epoch/follower.go
@@ -34,8 +34,9 @@
 	return f.hasLastWrite && !f.idle && now-f.lastWriteAt <= issuerAliveTime
 }
 
-// expectHeartbeats ends the idle state after a call and restarts the election time-out. The call reaches the issuer
-// too, which then resumes its heartbeats. If no heartbeat arrives there is no issuer, and an election follows.
+// expectHeartbeats ends the idle state and restarts the election time-out, after a call or when the group needs a
+// change. An issuer that is alive resumes its heartbeats for the same reason. If none arrives there is no issuer, and
+// an election follows.
 func (m *Member) expectHeartbeats() {
 	if m.follower.idle {
 		m.follower.idle = false
--- a/internal/controlplane/epoch/member.go
+++ b/internal/controlplane/epoch/member.go
@@ -75,7 +75,7 @@
 type membership struct {
 	view          message.ViewNumber
 	voters        []message.Member
-	volatile      bool          // writes that a majority of the voters accepted may be lost in a power loss
+	volatile      bool          // writes accepted by a majority of the voters may be lost if all lose power
 	mismatchSince time.Duration // since when the voters have differed from the acceptors
 	mismatched    bool
 }
--- a/internal/controlplane/epoch/timeouts.go
+++ b/internal/controlplane/epoch/timeouts.go
@@ -17,7 +17,8 @@
 	// leavingDelay is the additional time that an acceptor waits while it shuts down, so that another one becomes the
 	// issuer.
 	leavingDelay = 600 * time.Millisecond
-	// queryTimeout is how long a candidate waits for the answers to its query before it sends another one.
+	// queryTimeout is how long a candidate waits for the answers to its query. A candidacy that failed is repeated after
+	// the same time at the earliest.
 	queryTimeout = 150 * time.Millisecond
 	// prepareTimeout is how long a candidate waits for promises and for the newest state before it starts over.
 	prepareTimeout = 300 * time.Millisecond
