--- a/internal/coordinationclient/client.go
+++ b/internal/coordinationclient/client.go
@@ -21,25 +21,25 @@
 	// responseTimeout is how long a coordinator may take to respond before the next one is called. A watch adds its
 	// waiting time.
 	responseTimeout = time.Second
-	// defaultPatience is how long a call is repeated if Options.Patience is 0.
-	defaultPatience = 5 * time.Second
+	// defaultRetryTimeout is how long a call is repeated if Options.Patience is 0.
+	defaultRetryTimeout = 5 * time.Second
 	// maxResponseBytes bounds the body of a response. The response to a watch may carry many events.
 	maxResponseBytes = 16 << 20
 )
 
 // Options of a client.
 type Options struct {
-	Addresses  []string      // control addresses (host:port) of the coordinators, at least one
-	Patience   time.Duration // how long a call without a definite answer is repeated; 0: 5 s
-	HTTPClient *http.Client  // nil: a client with its own transport
+	Addresses    []string      // control addresses (host:port) of the coordinators, at least one
+	RetryTimeout time.Duration // how long a call without a definite answer is repeated; 0: 5 s
+	HTTPClient   *http.Client  // nil: a client with its own transport
 }
 
 // Client calls the coordinators. It is safe for concurrent use.
 type Client struct {
-	addresses []string
-	patience  time.Duration
-	http      *http.Client
-	current   atomic.Uint64 // index of the address in use, modulo their number; advances after each failure
+	addresses    []string
+	retryTimeout time.Duration
+	http         *http.Client
+	current      atomic.Uint64 // index of the address in use, modulo their number; advances after each failure
 }
 
 // New returns a client, or an error if the options are invalid.
@@ -47,12 +47,12 @@
 	if len(options.Addresses) == 0 {
 		return nil, errors.New("addresses: at least one control address must be given")
 	}
-	if options.Patience < 0 {
+	if options.RetryTimeout < 0 {
 		return nil, errors.New("patience: must not be negative")
 	}
-	c := &Client{addresses: options.Addresses, patience: options.Patience, http: options.HTTPClient}
-	if c.patience == 0 {
-		c.patience = defaultPatience
+	c := &Client{addresses: options.Addresses, retryTimeout: options.RetryTimeout, http: options.HTTPClient}
+	if c.retryTimeout == 0 {
+		c.retryTimeout = defaultRetryTimeout
 	}
 	if c.http == nil {
 		c.http = &http.Client{Transport: http.DefaultTransport.(*http.Transport).Clone()}
--- a/internal/coordinationclient/client_test.go
+++ b/internal/coordinationclient/client_test.go
@@ -13,7 +13,7 @@
 func TestNewRejectsInvalidOptions(t *testing.T) {
 	_, err := New(Options{})
 	require.ErrorContains(t, err, "addresses")
-	_, err = New(Options{Addresses: []string{"a"}, Patience: -1})
+	_, err = New(Options{Addresses: []string{"a"}, RetryTimeout: -1})
 	require.ErrorContains(t, err, "patience")
 }
 
@@ -55,7 +55,7 @@
 		require.ErrorIs(t, err, ErrNotExecuted)
 		attempts := n.recordedAttempts()
 		assert.Less(t, len(attempts), 40)
-		assert.LessOrEqual(t, time.Since(n.start), defaultPatience)
+		assert.LessOrEqual(t, time.Since(n.start), defaultRetryTimeout)
 		last := attempts[len(attempts)-1].at - attempts[len(attempts)-2].at
 		assert.GreaterOrEqual(t, last, maxPause/2)
 		assert.LessOrEqual(t, last, maxPause)
--- a/internal/coordinationclient/exchange.go
+++ b/internal/coordinationclient/exchange.go
@@ -21,7 +21,7 @@
 	path   string        // with the query
 	body   any           // nil: none
 	wait   time.Duration // how long the coordinator may delay its response, in addition to responseTimeout
-	until  time.Time     // repeated at most until then; zero: for the client's patience from now on
+	until  time.Time     // repeated at most until then; zero: for the client's retryTimeout
 }
 
 // response is a definite answer.
@@ -47,7 +47,7 @@
 		return response{}, err
 	}
 	if r.until.IsZero() {
-		r.until = time.Now().Add(c.patience)
+		r.until = time.Now().Add(c.retryTimeout)
 	}
 	notExecuted := true
 	for pause := newBackoff(); ; {
--- a/internal/coordinationclient/fake_test.go
+++ b/internal/coordinationclient/fake_test.go
@@ -21,7 +21,7 @@
 	system, err := fakecoordination.Start(addresses)
 	require.NoError(t, err)
 	t.Cleanup(system.Close)
-	client, err := New(Options{Addresses: system.Addresses(), Patience: 2 * time.Second})
+	client, err := New(Options{Addresses: system.Addresses(), RetryTimeout: 2 * time.Second})
 	require.NoError(t, err)
 	return client
 }
