--- a/internal/coordinationclient/keeper.go
+++ b/internal/coordinationclient/keeper.go
@@ -29,9 +29,9 @@
 // Hold returns the hold that the keeper renews.
 func (k *Keeper) Hold() *Hold { return k.hold }
 
-// Over returns a channel that is closed when the hold has ended, Release is called or ctx ends. A process that was
+// Done returns a channel that is closed when the hold has ended, Release is called or ctx ends. A process that was
 // paused sees this late, so check Hold().IsHeld() right before each operation that needs the lock.
-func (k *Keeper) Over() <-chan struct{} { return k.done }
+func (k *Keeper) Done() <-chan struct{} { return k.done }
 
 // Release stops the renewals and releases the lock, as Hold.Release does.
 func (k *Keeper) Release(ctx context.Context) error {
--- a/internal/demo/election.go
+++ b/internal/demo/election.go
@@ -64,7 +64,7 @@
 			return
 		}
 		e.addLeader(name, keeper.Hold())
-		<-keeper.Over()
+		<-keeper.Done()
 		if ctx.Err() == nil {
 			continue
 		}
