--- a/internal/controlplane/coordination/history.go
+++ b/internal/controlplane/coordination/history.go
@@ -7,7 +7,7 @@
 	"pumiceline/internal/message"
 )
 
-// eventLog indexes the events in the histories of all groups by their age and by the put.
+// eventLog indexes the events in the histories of all groups by age, and by key and value.
 type eventLog struct {
 	byAge     []loggedEvent // in the order of receipt; may include events that have been dropped
 	count     int           // number of events kept
--- a/internal/controlplane/coordination/keys.go
+++ b/internal/controlplane/coordination/keys.go
@@ -36,7 +36,7 @@
 	return message.KeyGroup(key[:len(before)+len(groupSeparator)])
 }
 
-// isGroup reports whether a name can be that of a group.
+// isGroup reports whether a name is a valid name of a group.
 func isGroup(name message.KeyGroup) bool { return GroupOf(message.KeyName(name)) == name }
 
 // group returns a group of keys. If none of its keys was ever put, it returns an empty group that is not part of the
--- a/internal/controlplane/coordination/locks.go
+++ b/internal/controlplane/coordination/locks.go
@@ -15,7 +15,7 @@
 	byEnd     edf.Queue[hold]
 }
 
-// hold is the hold of a lock. It may have expired.
+// hold is the grant of a lock to an owner until a time. It may have expired.
 type hold struct {
 	edf.Item[hold]
 	grant  message.LockHold
@@ -57,8 +57,8 @@
 	return grantResult(grant)
 }
 
-// prolongedMs returns how long a hold lasts from now on when its owner asks for holdMs, which is at least the remaining
-// time. Without that minimum a call that arrives after a later call for a longer time would shorten the hold, although
+// prolongedMs returns how long a hold lasts from now on when its owner asks for holdMs: at least as long as it would
+// last anyway. Otherwise a delayed call that arrives after a call for a longer time would shorten the hold, although
 // its owner relies on the longer time.
 func (h *hold) prolongedMs(now time.Duration, holdMs int64) int64 {
 	return max(holdMs, remainingMs(h.endsAt-now))
--- a/internal/controlplane/coordination/store.go
+++ b/internal/controlplane/coordination/store.go
@@ -31,7 +31,7 @@
 	HistoryRetention time.Duration // minimum time for which the events of keys are kept for watches
 }
 
-// Store is the state. It is not safe for concurrent use. All times are of the member's monotonic clock.
+// Store is the state machine. It is not safe for concurrent use. All times are of the member's monotonic clock.
 type Store struct {
 	options    Options
 	limits     limits
--- a/internal/controlplane/epoch/candidate.go
+++ b/internal/controlplane/epoch/candidate.go
@@ -220,7 +220,7 @@
 	f.waitingSince = now - issuerTimeout + queryTimeout
 }
 
-// onIssuerHandOver starts a candidacy at once on behalf of an issuer that hands over its role.
+// onIssuerHandOver starts a candidacy at once when an issuer hands over to this member.
 func (m *Member) onIssuerHandOver(received *message.Message) {
 	isCurrent := received.IssuerHandOver.Epoch == m.record.Promised
 	if isCurrent && m.isAcceptor() && m.issuer == nil && m.candidate == nil && !m.leaving {
