--- a/internal/coordinationclient/exchange.go
+++ b/internal/coordinationclient/exchange.go
@@ -100,7 +100,9 @@
 	answer.body, err = io.ReadAll(io.LimitReader(httpResponse.Body, maxResponseBytes))
 	switch {
 	case isNotExecuted(answer.status):
-		return response{}, &attemptError{notExecuted: true, cause: errors.Errorf("%s answered with %d", address, answer.status)}
+		return response{}, &attemptError{
+			notExecuted: true, cause: errors.Errorf("%s answered with %d", address, answer.status),
+		}
 	case err != nil:
 		return response{}, &attemptError{cause: err}
 	case !isDefinite(answer.status):
