--- a/internal/controlplane/coordination/history_test.go
+++ b/internal/controlplane/coordination/history_test.go
@@ -58,8 +58,8 @@
 	store.Apply(0, message.CoordinationChange{Trim: &message.HistoryTrim{Group: "g.", Horizon: 3}})
 	assert.Equal(t, read("1", 1), store.Execute(0, get("g.a")).Answer)
 	assert.Equal(t, read("3", 3), store.Execute(0, get("g.b")).Answer)
-	assert.Equal(t, atRevision(StatusOK, 1), store.Execute(0, put("g.a", "1", 0)).Answer, "current value: a repeat")
-	assert.Equal(t, atRevision(StatusRevisionMismatch, 3), store.Execute(0, put("g.b", "2", 0)).Answer, "dropped: no repeat")
+	assert.Equal(t, atRevision(StatusOK, 1), store.Execute(0, put("g.a", "1", 0)).Answer, "current value")
+	assert.Equal(t, atRevision(StatusRevisionMismatch, 3), store.Execute(0, put("g.b", "2", 0)).Answer, "dropped value")
 	assert.Equal(t, atRevision(StatusOK, 4), store.Execute(0, put("g.a", "4", 1)).Answer)
 	assert.Equal(t, 1, store.events.count)
 }
--- a/internal/controlplane/epoch/member_test.go
+++ b/internal/controlplane/epoch/member_test.go
@@ -102,7 +102,7 @@
 	}
 	assert.Greater(t, c.call(message.Call{Kind: message.CallNumber}).Number, number)
 	assert.Equal(t, "x", c.call(getCall("g.1")).Value)
-	assert.Equal(t, coordination.StatusHeld, c.call(acquireCall("l", "second", time.Second)).Status, "its full hold restarts")
+	assert.Equal(t, coordination.StatusHeld, c.call(acquireCall("l", "second", time.Second)).Status, "full hold restarts")
 	c.run(6 * time.Second)
 	assert.Greater(t, c.call(acquireCall("l", "second", time.Second)).Token, token)
 	events := c.call(watchCall("g.", 0, 0))
