--- a/internal/controlplane/coordination/reference_test.go
+++ b/internal/controlplane/coordination/reference_test.go
@@ -7,8 +7,8 @@
 	"pumiceline/internal/message"
 )
 
-// reference is a second implementation of the rules, as plain as possible: lists that are searched, and every put ever made.
-// It keeps what all members share; the times that a member counts are in referenceMember.
+// reference is a second implementation of the rules, as simple as possible: it searches lists and keeps every put ever
+// made. It has the state that all members share; the times that a member measures are in referenceMember.
 type reference struct {
 	limits     limits
 	lastToken  message.FencingToken
@@ -18,13 +18,13 @@
 	horizons   map[message.KeyGroup]message.Revision
 }
 
-// referenceMember is what one member counts on its own clock.
+// referenceMember is the state that one member measures on its own clock.
 type referenceMember struct {
 	holdEnds   map[message.LockName]time.Duration
-	receivedAt []time.Duration // of reference.puts
+	receivedAt []time.Duration // by index of reference.puts
 }
 
-// hold returns the record of a lock, whether it has expired or not.
+// hold returns the hold of a lock, which may have expired.
 func (r *reference) hold(lock message.LockName) (record message.LockHold, exists bool) {
 	for _, record := range r.holds {
 		if record.Lock == lock {
@@ -63,16 +63,16 @@
 	return newest, exists
 }
 
-// isKept reports whether a put is in the history still.
+// isKept reports whether a put is still in the history.
 func (r *reference) isKept(put message.KeyEvent) bool {
 	return put.Revision > r.horizons[GroupOf(put.Key)]
 }
 
-// size returns the number of events in the history, their size, and the size of the groups with the present values.
-func (r *reference) size() (events, eventBytes, presentBytes int) {
+// size returns the number of events in the history, their size, and the size of the groups with the current values.
+func (r *reference) size() (events, eventBytes, currentBytes int) {
 	for _, put := range r.puts {
 		if put.Revision == 1 {
-			presentBytes += len(GroupOf(put.Key)) + groupOverheadBytes
+			currentBytes += len(GroupOf(put.Key)) + groupOverheadBytes
 		}
 		size := len(put.Key) + len(put.Value) + eventOverheadBytes
 		if r.isKept(put) {
@@ -80,14 +80,14 @@
 			eventBytes += size
 		}
 		if newest, _ := r.newest(put.Key); newest == put {
-			presentBytes += size
+			currentBytes += size
 		}
 	}
-	return events, eventBytes, presentBytes
+	return events, eventBytes, currentBytes
 }
 
-// execute returns the answer that a member must give to a valid call at a time of its clock, and makes its changes. waits is
-// true for a watch that has no answer yet.
+// execute returns the answer that a member must give to a valid call at a time of its clock, and applies the changes.
+// waits is true for a watch that has no answer yet.
 func (r *reference) execute(m *referenceMember, now time.Duration, call message.Call) (answer message.Answer, waits bool) {
 	switch call.Kind {
 	case message.CallAcquire:
@@ -146,7 +146,7 @@
 	return granted(record.Token)
 }
 
-// prolongedMs returns how long a hold lasts that its owner asks for again: a call never shortens it.
+// prolongedMs returns how long a hold lasts from now on when its owner asks for it again. A call never shortens a hold.
 func (m *referenceMember) prolongedMs(now time.Duration, call message.Call) int64 {
 	left := m.holdEnds[call.Lock] - now
 	leftMs := left.Milliseconds()
@@ -166,16 +166,16 @@
 	if !call.IfAny && newest.Revision != call.IfRevision {
 		return atRevision(StatusRevisionMismatch, newest.Revision)
 	}
-	events, eventBytes, presentBytes := r.size()
+	events, eventBytes, currentBytes := r.size()
 	size := len(call.Key) + len(call.Value) + eventOverheadBytes
 	revision := message.Revision(len(r.ofGroup(GroupOf(call.Key))) + 1)
 	if revision == 1 {
-		presentBytes += len(GroupOf(call.Key)) + groupOverheadBytes
+		currentBytes += len(GroupOf(call.Key)) + groupOverheadBytes
 	}
 	if exists {
-		presentBytes -= len(newest.Key) + len(newest.Value) + eventOverheadBytes
+		currentBytes -= len(newest.Key) + len(newest.Value) + eventOverheadBytes
 	}
-	if events == r.limits.events || eventBytes+presentBytes+2*size > r.limits.stateBytes {
+	if events == r.limits.events || eventBytes+currentBytes+2*size > r.limits.stateBytes {
 		return status(StatusInsufficientMemory)
 	}
 	r.puts = append(r.puts, message.KeyEvent{Key: call.Key, Value: call.Value, Revision: revision})
@@ -185,23 +185,23 @@
 
 func (r *reference) watch(call message.Call) (answer message.Answer, waits bool) {
 	puts := r.ofGroup(call.Group)
-	present := message.Revision(len(puts))
+	current := message.Revision(len(puts))
 	switch {
 	case call.After == 0:
-		return atRevision(StatusOK, present), false
-	case call.After > present:
+		return atRevision(StatusOK, current), false
+	case call.After > current:
 		return status(StatusInvalid), false
 	case call.After < r.horizons[call.Group]:
 		return status(StatusHistoryGone), false
-	case call.After == present:
-		return atRevision(StatusOK, present), call.WaitMs > 0
+	case call.After == current:
+		return atRevision(StatusOK, current), call.WaitMs > 0
 	}
 	events := puts[call.After:]
 	events = events[:min(len(events), r.limits.answerEvents)]
 	return message.Answer{Status: StatusOK, Events: events, Revision: events[len(events)-1].Revision}, false
 }
 
-// snapshot returns the state as a member must report it.
+// snapshot returns the snapshot that a member must return.
 func (r *reference) snapshot(m *referenceMember, now time.Duration) message.CoordinationState {
 	state := message.CoordinationState{
 		LastToken: r.lastToken, LastNumber: r.lastNumber,
--- a/internal/controlplane/coordinator/coordination_loop.go
+++ b/internal/controlplane/coordinator/coordination_loop.go
@@ -138,7 +138,7 @@
 	}
 	if status := l.status.Load(); status != nil {
 		candidates.Issuer = status.Issuer
-		candidates.IsConnected = candidates.IsConnected || status.HearsOne
+		candidates.IsConnected = candidates.IsConnected || status.HasIssuer
 	}
 	return candidates
 }
