--- a/internal/singleton/choose.go
+++ b/internal/singleton/choose.go
@@ -8,15 +8,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// candidateFilter narrows the choice of a holder.
+// candidateFilter restricts the choice of a holder.
 type candidateFilter struct {
 	exclude string         // instance that must not be chosen; empty: none
-	granted map[string]int // by instance, roles granted in this tick, which the state does not show yet
+	granted map[string]int // by instance, number of roles granted in this tick, which the state does not include yet
 }
 
-// chooseHolder returns the instance that should hold a role next; empty: none is eligible. Where an operator has set a
-// desired holder it is that one or none. Else it is the one that holds the fewest roles, then the one in the zone that
-// holds the fewest, then the newest build, then the first by rendezvous hashing, which differs from role to role.
+// chooseHolder returns the instance that should hold a role next, or an empty string if none is eligible. If an
+// operator has set a desired holder, only that instance is considered. Otherwise it prefers the instance that holds the
+// fewest roles, then the one in the zone that holds the fewest, then the newest build, then the first by rendezvous
+// hashing, whose order differs from role to role.
 func (m *LeaseManager) chooseHolder(now Time, role string, s *State, filter candidateFilter) string {
 	if desired := s.Assignments[role].DesiredHolder; desired != "" {
 		if desired != filter.exclude && m.isEligible(now, desired, role) {
@@ -43,24 +44,24 @@
 	return best
 }
 
-// isEligible says whether an instance may be granted a role at now.
+// isEligible reports whether an instance may be granted a role at now.
 func (m *LeaseManager) isEligible(now Time, name, role string) bool {
 	i := m.instances[name]
 	return i != nil && (len(i.heartbeat.Roles) == 0 || slices.Contains(i.heartbeat.Roles, role)) && !i.heartbeat.Leaving &&
 		m.isResponsive(now, i) && now >= m.penalizedUntil[name]
 }
 
-// isResponsive says whether an instance sent a heartbeat within the last half of a lease duration. That is stricter than
-// heartbeatTimeoutLeases: a grant to an instance that has just died would leave the role without a holder for a whole
-// lease.
+// isResponsive reports whether an instance sent a heartbeat within the last half of a lease duration. That is stricter
+// than heartbeatTimeoutLeases: a grant to an instance that has just crashed would leave the role without a holder for a
+// whole lease duration.
 func (m *LeaseManager) isResponsive(now Time, i *instance) bool {
 	return now-i.receivedAt < m.settings.LeaseDuration/2
 }
 
-// heldRoles counts the roles that are held.
+// heldRoles counts the roles that have a holder.
 type heldRoles struct {
 	byInstance map[string]int
-	byZone     map[string]int // of the instances that the lease manager knows
+	byZone     map[string]int // counts only instances that the lease manager knows
 }
 
 func (m *LeaseManager) countHeldRoles(s *State, granted map[string]int) heldRoles {
--- a/internal/singleton/doc.go
+++ b/internal/singleton/doc.go
@@ -1,22 +1,24 @@
 // Package singleton assigns each singleton role of a fleet to at most one instance at a time, with leases and fencing
-// tokens. It is a pure state machine: events go in, commands and responses come out; it has no clock, no network, no
-// disk and no goroutines. Its parts run in different places:
+// tokens. It is a pure state machine: callers pass in events and carry out the commands and responses that it returns.
+// It has no clock, no network, no disk and no goroutines. Its parts run in different places:
 //
-//   - State is what a quorum of members agrees on, one Command of the replicated log after the other. It is the same at
-//     every member that has applied as many of them.
-//   - LeaseManager runs at the member that leads. It decides who is granted which role and whose lease has expired.
-//   - Holder runs at each instance. It stops acting on a role before any other instance may be granted it.
-//   - FencingGuard runs where effects arrive. It rejects what a former holder sends when the lease did not stop it.
+//   - State is the replicated state: the result of all Commands of the replicated log so far. It is the same at every
+//     member that has applied the same number of commands.
+//   - LeaseManager runs at the leader. It decides which instance is granted which role and which leases have expired.
+//   - Holder runs at each instance. It stops acting on a role before any other instance can be granted the role.
+//   - FencingGuard runs at the receivers of effects. It rejects the effects of a former holder that sends them although
+//     its lease has ended.
 //
-// A value of any type of this package belongs to one goroutine, or is guarded by its owner's lock.
+// The types of this package are not safe for concurrent use: each value belongs to one goroutine, or is guarded by a
+// lock of its owner.
 package singleton
 
-// Time is a moment or a length of time on one process's monotonic clock, in microseconds. Moments are never compared
-// between processes: at the holder a lease runs from when it sent the heartbeat that renewed it, at the lease manager from
-// when it received that heartbeat, which is later.
+// Time is a point in time or a duration on one process's monotonic clock, in microseconds. Points in time are never
+// compared between processes: the holder counts a lease from when it sent the heartbeat that renewed the lease, the
+// lease manager from when it received that heartbeat, which is later.
 type Time int64
 
-// Lengths of time.
+// Durations.
 const (
 	millisecond Time = 1_000
 	second           = 1_000 * millisecond
--- a/internal/singleton/explore_test.go
+++ b/internal/singleton/explore_test.go
@@ -8,31 +8,31 @@
 	"testing"
 )
 
-// scenario is what an exploration starts from.
+// scenario is the configuration of an exploration.
 type scenario struct {
 	name         string
 	fault        plantedFault
 	withEffects  bool
 	desiresOther bool // an operator wants the second instance as the holder
 	shorterLease bool
-	depth        int // events
+	depth        int // maximum number of events
 }
 
-// exploration is a breadth-first search of all models that a scenario leads to.
+// exploration is a breadth-first search of all models that can be reached in a scenario.
 type exploration struct {
 	nodes []node
 	seen  map[uint64]bool // by hash
 }
 
 type node struct {
-	model  *model // nil once its successors are known
+	model  *model // nil once its successors have been computed
 	parent int    // index among the nodes; -1: none
 	event  string
 	hash   uint64
 }
 
-// explore visits every model within the scenario's depth. It returns how many it visited and the events that lead to the
-// first violation; nil: there is none.
+// explore visits every model within the scenario's depth. It returns the number of models that it visited and the
+// events that lead to the first violation, or nil if there is none.
 func explore(sc scenario) (visited int, trace []string) {
 	e := &exploration{nodes: []node{{model: newModel(sc), parent: -1}}, seen: map[uint64]bool{}}
 	for first, depth := 0, 0; depth < sc.depth && first < len(e.nodes); depth++ {
@@ -47,8 +47,8 @@
 	return len(e.nodes), nil
 }
 
-// expand returns the successors of the nodes from first to before last, in the order of their parents whoever computes
-// them first.
+// expand returns the successors of the nodes from first to before last. They are in the order of their parents,
+// whichever goroutine computes them first.
 func (e *exploration) expand(first, last int) [][]node {
 	const chunk = 256
 	found := make([][]node, last-first)
@@ -72,10 +72,11 @@
 	return found
 }
 
-// add appends the nodes that were not seen yet, up to the first that violates an invariant, whose index it returns; -1: none.
+// add appends the nodes that were not seen yet, up to the first that violates an invariant. It returns the index of
+// that node, or -1 if there is none.
 func (e *exploration) add(nodes []node) (violating int) {
 	for _, n := range nodes {
-		if e.seen[n.hash] && n.model.violation == "" { // a violation is no part of the hash
+		if e.seen[n.hash] && n.model.violation == "" { // a violation is not part of the hash
 			continue
 		}
 		e.seen[n.hash] = true
@@ -87,7 +88,7 @@
 	return -1
 }
 
-// trace is the events that lead to a node, and its violation at the end.
+// trace returns the events that lead to a node, followed by its violation.
 func (e *exploration) trace(at int) []string {
 	events := []string{e.nodes[at].model.violation}
 	for ; e.nodes[at].parent >= 0; at = e.nodes[at].parent {
@@ -97,13 +98,13 @@
 	return events
 }
 
-// No order of losses, delays, freezes and changes of the leader lets two instances act at once, or an effect be carried
-// out after one with a higher token; and each planted fault is found.
+// No order of losses, delays, freezes and leader changes lets two instances act at the same time, or lets an effect be
+// carried out after one with a higher token. Each planted fault is found.
 func TestModel_AllInterleavings(t *testing.T) {
 	for _, sc := range []scenario{
-		{name: "changes of the leader", depth: 17},
+		{name: "leader changes", depth: 17},
 		{name: "effects", withEffects: true, depth: 17},
-		{name: "another is desired", desiresOther: true, depth: 17},
+		{name: "desired holder", desiresOther: true, depth: 17},
 		{name: "shorter lease", shorterLease: true, depth: 18},
 		{name: "no fencing", fault: noFencing, withEffects: true, depth: 17},
 		{name: "no margin for drift", fault: noDriftMargin, depth: 16},
@@ -112,7 +113,7 @@
 		{name: "lease from the response", fault: leaseFromResponse, depth: 16},
 		{name: "acts after release", fault: actsAfterRelease, desiresOther: true, depth: 16},
 		{name: "shortens the lease at once", fault: shortensLeaseAtOnce, shorterLease: true, depth: 18},
-		{name: "forgets a longer lease", fault: forgetsLongerLease, shorterLease: true, depth: 18},
+		{name: "ignores a longer lease", fault: ignoresLongerLease, shorterLease: true, depth: 18},
 	} {
 		t.Run(sc.name, func(t *testing.T) {
 			visited, trace := explore(sc)
--- a/internal/singleton/fencing.go
+++ b/internal/singleton/fencing.go
@@ -2,39 +2,40 @@
 
 import "fmt"
 
-// Effect identifies an effect of a role on a system outside the fleet. A receiver accepts it only if it has accepted no
-// newer one.
+// Effect identifies an effect of a role on a system outside the fleet. A receiver accepts it only if it is newer than
+// every effect of the role that the receiver has accepted.
 type Effect struct {
 	Role   string       `json:"work"`
 	Token  FencingToken `json:"token"`
 	Serial uint64       `json:"serial"` // from 1, in the order in which the token's holder sent them
 }
 
-// isNewerThan orders the effects of one role.
+// isNewerThan reports whether e comes after other, an effect of the same role.
 func (e Effect) isNewerThan(other Effect) bool {
 	return e.Token > other.Token || e.Token == other.Token && e.Serial > other.Serial
 }
 
-// FencingGuard remembers, at a receiver of effects, the latest effect of each role. It belongs where the effects are stored
-// and has to last as long as they do. Its JSON form is what to store.
+// FencingGuard records, at a receiver of effects, the latest effect of each role. Store it, in its JSON form, together
+// with the effects, and keep it as long as they are kept: a lost guard would accept late effects of former holders
+// again.
 type FencingGuard struct {
 	Latest map[string]Effect `json:"known"` // by role
 }
 
-// StaleEffectError is the error of an effect that arrived after a newer one, or again.
+// StaleEffectError is the error of an effect that arrived after a newer one, or a second time.
 type StaleEffectError struct {
 	Effect Effect
 	Latest Effect
 }
 
-// Error names both tokens, so that the sender's log shows by whom it was replaced.
+// Error names both tokens, so that the sender's log shows which token replaced its own.
 func (e *StaleEffectError) Error() string {
 	return fmt.Sprintf("%s: token %d, serial %d comes after token %d, serial %d", e.Effect.Role,
 		e.Effect.Token, e.Effect.Serial, e.Latest.Token, e.Latest.Serial)
 }
 
-// Admit returns nil for an effect that may be carried out, and remembers it. The error of one that may not is a
-// *StaleEffectError, or ErrTooManyRoles where it is of a new role and MaxRoles are remembered.
+// Admit records an effect that may be carried out and returns nil. Otherwise it returns a *StaleEffectError, or
+// ErrTooManyRoles if the effect is of a new role and MaxRoles roles are recorded.
 func (g *FencingGuard) Admit(e Effect) error {
 	latest, known := g.Latest[e.Role]
 	switch {
--- a/internal/singleton/fencing_test.go
+++ b/internal/singleton/fencing_test.go
@@ -13,13 +13,13 @@
 		admits bool
 	}{
 		{"first", Effect{"w", 1, 1}, true},
-		{"one was lost", Effect{"w", 1, 3}, true},
+		{"gap in the serials", Effect{"w", 1, 3}, true},
 		{"lower serial", Effect{"w", 1, 2}, false},
 		{"same serial", Effect{"w", 1, 3}, false},
 		{"higher token", Effect{"w", 2, 1}, true},
 		{"lower token", Effect{"w", 1, 9}, false},
 		{"another role", Effect{"v", 1, 1}, true},
-		{"neither token nor serial", Effect{"u", 0, 0}, false},
+		{"zero token and serial", Effect{"u", 0, 0}, false},
 	} {
 		err := guard.Admit(c.effect)
 		if (err == nil) != c.admits {
--- a/internal/singleton/holder.go
+++ b/internal/singleton/holder.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Holder is an instance's side of the leases: which ones it holds, and until when it may act on them.
+// Holder keeps track, at an instance, of the leases that the instance holds and until when it may act on them.
 type Holder struct {
 	opts    HolderOptions
 	leaving bool
@@ -16,21 +16,21 @@
 type HolderOptions struct {
 	Settings    Settings
 	Name        string
-	Incarnation Incarnation // not used by any other process of this name
+	Incarnation Incarnation // unique among the processes with this name
 	Zone        string      // failure domain
 	Build       uint64      // a newer one is preferred
 }
 
-// localLease is a lease as its holder knows it. All times are of the instance's clock.
+// localLease is a lease as its holder sees it. All times are of the instance's clock.
 type localLease struct {
 	token       FencingToken
-	confirmedAt Time // when the latest heartbeat whose response renewed it was sent
+	confirmedAt Time // when the latest heartbeat whose response renewed the lease was sent
 	expiresAt   Time
 	steps       uint64 // completed
 	serial      uint64 // of the latest effect
 	releasing   bool   // to be released once no step is in progress
 	inStep      bool   // a step is in progress
-	released    bool   // given back or lost: nothing more is done with this token
+	released    bool   // released or lost: the instance no longer acts with this token
 }
 
 // NewHolder returns the Holder of an instance that holds no lease yet.
@@ -38,7 +38,7 @@
 	return &Holder{opts: opts, leases: map[string]*localLease{}}
 }
 
-// StartLeaving has the instance release each lease as soon as another instance is eligible for the role.
+// StartLeaving makes the instance release each lease as soon as another instance is eligible for the role.
 func (h *Holder) StartLeaving() { h.leaving = true }
 
 // Heartbeat returns the heartbeat to send now.
@@ -52,8 +52,8 @@
 	return b
 }
 
-// HandleResponse takes in the response to the heartbeat that was sent at sentAt. Leases run from sentAt, however late the
-// response arrives: the lease manager counts from when it received that heartbeat, which is no earlier.
+// HandleResponse processes the response to the heartbeat that was sent at sentAt. Leases run from sentAt, however late
+// the response arrives: the lease manager counts from when it received that heartbeat, which is no earlier.
 func (h *Holder) HandleResponse(sentAt Time, response HeartbeatResponse) {
 	h.dropEndedLeases(sentAt, response.Leases)
 	for _, renewal := range response.Leases {
@@ -61,8 +61,8 @@
 	}
 }
 
-// dropEndedLeases ends the leases that a response does not list. A response that was overtaken, to a heartbeat sent before
-// the one that confirmed a lease, says nothing of that lease.
+// dropEndedLeases ends the leases that a response does not list. Responses may arrive out of order: a lease that was
+// confirmed by a heartbeat sent at sentAt or later is kept, because this response says nothing about it.
 func (h *Holder) dropEndedLeases(sentAt Time, renewals []LeaseRenewal) {
 	for role, l := range h.leases {
 		isListed := slices.ContainsFunc(renewals, func(r LeaseRenewal) bool { return r.Role == role && r.Token == l.token })
@@ -70,15 +70,15 @@
 			continue
 		}
 		if l.inStep {
-			l.released = true // removed once its step has ended
+			l.released = true // a later response removes the lease, once its step has ended
 		} else {
 			delete(h.leases, role)
 		}
 	}
 }
 
-// renew takes in one lease of a response. A lease with a newer token than the known one replaces that, but not while a step
-// is in progress: the end of that step, which began under the older token, would count as progress of the newer lease.
+// renew processes one lease of a response. A lease with a newer token replaces the known one, but not while a step is
+// in progress: the end of that step, which began under the older token, would count as progress of the newer lease.
 func (h *Holder) renew(sentAt Time, renewal LeaseRenewal) {
 	l := h.leases[renewal.Role]
 	if l == nil || renewal.Token > l.token && !l.inStep {
@@ -96,7 +96,8 @@
 	}
 }
 
-// BeginStep begins a step of a role at now. It is false where the lease is not held, has expired or is to be released.
+// BeginStep begins a step of a role at now. It returns false if the lease is not held, has expired or is to be
+// released, or if a step of the role is in progress.
 func (h *Holder) BeginStep(now Time, role string) bool {
 	l := h.leases[role]
 	if l == nil || l.released || l.inStep || l.releasing || now >= l.expiresAt {
@@ -106,8 +107,8 @@
 	return true
 }
 
-// NextEffect returns the identity of a step's next effect; call it right before that effect is sent. It is false once the
-// lease has expired or is lost: the step has to stop there.
+// NextEffect returns the identity of a step's next effect; call it right before that effect is sent. It returns false
+// once the lease has expired or is lost: the step has to stop there.
 func (h *Holder) NextEffect(now Time, role string) (Effect, bool) {
 	l := h.leases[role]
 	if l == nil || !l.inStep || l.released || now >= l.expiresAt {
@@ -117,7 +118,7 @@
 	return Effect{role, l.token, l.serial}, true
 }
 
-// EndStep ends a step. Only one that was completed counts as progress.
+// EndStep ends a step. Only a completed step counts as progress.
 func (h *Holder) EndStep(role string, completed bool) {
 	l := h.leases[role]
 	if l == nil {
@@ -143,6 +144,6 @@
 	return active
 }
 
-// IsEmpty says whether no lease is left here. Until then the lease manager may still count one as held: a released lease
-// stays until a response shows that its release is committed.
+// IsEmpty reports whether the instance has no lease left. As long as it has one, the lease manager may still count the
+// role as held: a released lease stays until a response shows that its release is committed.
 func (h *Holder) IsEmpty() bool { return len(h.leases) == 0 }
--- a/internal/singleton/leaseclient/client.go
+++ b/internal/singleton/leaseclient/client.go
@@ -1,7 +1,7 @@
 // Package leaseclient runs singleton roles at an instance: it sends heartbeats to the members, keeps the leases that they
 // grant, and runs the steps of the roles that this instance holds. It gives a singleton.Holder its clock and network.
 //
-// Goroutines: Run sends the heartbeats; one goroutine a role runs its steps. Run waits for them.
+// Goroutines: Run sends the heartbeats; one goroutine per role runs its steps. Run waits for them.
 package leaseclient
 
 import (
@@ -22,9 +22,9 @@
 // returns ErrLeaseLost without a call.
 type Perform func(do func(singleton.Effect) error) error
 
-// Step is one step of a role. It has to return, and to do nothing more, soon after ctx ends, which is after a lease
-// duration at the latest. A step that returns an error made no progress: after a lease duration without progress the role
-// goes to another instance. A step that found nothing to do has made progress.
+// Step is one step of a role. It must return, and do nothing more, soon after ctx ends; ctx ends after a lease duration
+// at the latest. A step that returns an error made no progress: after a lease duration without progress the role goes
+// to another instance. A step that found nothing to do has made progress.
 type Step func(ctx context.Context, perform Perform) error
 
 // ErrLeaseLost is what Perform returns once the role is no longer held.
@@ -34,8 +34,8 @@
 type Options struct {
 	Fleet       string
 	Name        string                // of this instance
-	Incarnation singleton.Incarnation // not used by any other process of this name
-	Addr        string                // where other instances reach this one; empty: nowhere
+	Incarnation singleton.Incarnation // unique among the processes with this name
+	Addr        string                // for other instances; empty: they can't reach this one
 	Zone        string                // failure domain
 	Build       uint64                // a newer one is preferred
 	Members     map[uint64]string     // addresses by ID
@@ -48,12 +48,12 @@
 // Times as fractions and multiples of the lease duration.
 const (
 	heartbeatsPerLease = 10 // of an instance that holds a lease
-	// idleHeartbeatInterval: an instance without leases sends one heartbeat where a holder sends this many. There may be
-	// hundreds of such instances, and the leader answers all of them.
+	// idleHeartbeatInterval is how many heartbeats a holder sends for each one that an instance without leases sends.
+	// There may be hundreds of such instances, and the leader responds to all of them.
 	idleHeartbeatInterval     = 2
 	heartbeatTimeoutsPerLease = 4  // a heartbeat fails after a lease duration divided by this
 	stepsPerLease             = 10 // of a role, at most
-	drainLeases               = 3  // how many lease durations an instance that stops waits for others to take over
+	drainLeases               = 3  // how many lease durations a stopping instance waits for others to take over
 )
 
 const (
@@ -67,7 +67,7 @@
 	startedAt    time.Time
 	lease        time.Duration // Settings.LeaseDuration
 	http         *http.Client
-	heartbeatDue chan struct{} // asks for a heartbeat at once
+	heartbeatDue chan struct{} // requests a heartbeat at once
 
 	mu              sync.Mutex
 	holder          *singleton.Holder
@@ -77,7 +77,7 @@
 	holders         map[string]singleton.HolderEndpoint // by role, as of the latest response
 }
 
-// New returns a client that holds nothing yet.
+// New returns a client that holds no lease yet.
 func New(opts Options) (*Client, error) {
 	if err := opts.Settings.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -101,7 +101,7 @@
 	}, nil
 }
 
-// now is the instance's clock. It is monotonic, and goes on while the process is frozen.
+// now returns the time of the instance's clock. It is monotonic, and continues while the process is frozen.
 func (c *Client) now() singleton.Time {
 	return singleton.Time(float64(time.Since(c.startedAt).Microseconds()) * c.opts.ClockRate)
 }
@@ -113,14 +113,14 @@
 	return c.holder.ActiveLeases(c.now())
 }
 
-// HolderLocation is where a role's holder is reached. It is zero where none is known.
+// HolderLocation is the address and the token of a role's holder. It is zero if no holder is known.
 type HolderLocation struct {
 	Addr    string
 	Token   singleton.FencingToken
 	IsLocal bool // this instance is the holder and may act on the lease now
 }
 
-// LocateHolder returns where the holder of a role is reached, as far as is known.
+// LocateHolder returns where the holder of a role can be reached, as far as is known.
 func (c *Client) LocateHolder(role string) HolderLocation {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -128,16 +128,16 @@
 		return HolderLocation{Addr: c.opts.Addr, Token: token, IsLocal: true}
 	}
 	endpoint := c.holders[role]
-	if endpoint.Addr == c.opts.Addr { // this instance's own lease, which is over: there is no holder yet
+	if endpoint.Addr == c.opts.Addr { // this instance's own lease, which has ended: no other holder is known yet
 		return HolderLocation{}
 	}
 	return HolderLocation{Addr: endpoint.Addr, Token: endpoint.Token}
 }
 
-// Run sends heartbeats and runs steps until ctx ends, and then until other instances have taken over, for three lease
-// durations at most.
+// Run sends heartbeats and runs steps until ctx ends. It then continues until other instances have taken over, for
+// three lease durations at most.
 func (c *Client) Run(ctx context.Context) {
-	running, cancel := context.WithCancel(context.WithoutCancel(ctx)) // outlives ctx by the time to hand over
+	running, cancel := context.WithCancel(context.WithoutCancel(ctx)) // outlives ctx by the time that the handover takes
 	defer cancel()
 	var roles sync.WaitGroup
 	for role, step := range c.opts.Steps {
@@ -157,9 +157,9 @@
 	c.http.CloseIdleConnections()
 }
 
-// holdsNothing says whether the members know that this instance holds no lease. It is not enough to have stopped: until
-// they know, no other instance may start.
-func (c *Client) holdsNothing() bool {
+// holdsNoLease reports whether the members know that this instance holds no lease. It is not enough that its steps have
+// stopped: until the members know, no other instance may start.
+func (c *Client) holdsNoLease() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.holder.IsEmpty()
--- a/internal/singleton/leaseclient/effectsender.go
+++ b/internal/singleton/leaseclient/effectsender.go
@@ -20,8 +20,8 @@
 const (
 	OutcomeSent     Outcome = "sent"    // the request is in flight
 	OutcomeAccepted Outcome = "taken"   // the receiver carried it out
-	OutcomeRejected Outcome = "refused" // the receiver knows a newer one
-	OutcomeUnknown  Outcome = "unknown" // the receiver may have carried it out or not
+	OutcomeRejected Outcome = "refused" // the receiver has accepted a newer one, or this one already
+	OutcomeUnknown  Outcome = "unknown" // the receiver may or may not have carried it out
 )
 
 // HistoryRecord is a line of a history of effects. Its JSON form is stored.
@@ -34,10 +34,10 @@
 // SenderHeader is the header of an effect's request with the name of the instance that sent it.
 const SenderHeader = "X-From"
 
-const maxReasonBytes = 1 << 10 // of a receiver's error message
+const maxReasonBytes = 1 << 10 // of the error message of a receiver
 
-// EffectSender returns a step that sends one effect to the receiver at a URL, in the name of an instance. It writes each
-// effect to history twice, a HistoryRecord a line: before it is sent, and with its outcome.
+// EffectSender returns a step that sends one effect to the receiver at a URL, under the name of an instance. It writes
+// each effect to history twice, as one HistoryRecord per line: before it is sent, and with its outcome.
 func EffectSender(receiverURL, instance string, history io.Writer) Step {
 	record := func(e singleton.Effect, outcome Outcome) error {
 		return json.NewEncoder(history).Encode(HistoryRecord{e, time.Now().UnixNano(), outcome})
@@ -63,7 +63,7 @@
 	if err != nil {
 		return OutcomeUnknown, fmt.Errorf("send effect: %w", err)
 	}
-	req.GetBody = nil // not sent again by the transport: a second copy would be rejected and look like a fault of the holder
+	req.GetBody = nil // no retry by the transport: a second copy would be rejected and look like a fault of the holder
 	req.Header.Set(SenderHeader, instance)
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
--- a/internal/singleton/leaseclient/heartbeat.go
+++ b/internal/singleton/leaseclient/heartbeat.go
@@ -17,21 +17,22 @@
 
 const maxResponseBytes = 1 << 20
 
-// sendHeartbeats sends heartbeats until stop ends and then until this instance holds nothing, for drainLeases at most. The
-// requests themselves are under running: one that is in flight when stop ends has to complete, as it may renew a lease.
+// sendHeartbeats sends heartbeats until stop ends, and then until this instance holds no lease, for drainLeases at
+// most. The requests themselves use running: a request that is in flight when stop ends has to complete, as it may
+// renew a lease.
 func (c *Client) sendHeartbeats(stop, running context.Context) {
 	ticker := time.NewTicker(c.lease / heartbeatsPerLease)
 	defer ticker.Stop()
-	var deadline time.Time // once stop has ended
+	var deadline time.Time // set once stop has ended
 	for i := 0; ; i++ {
-		if !c.holdsNothing() || stop.Err() != nil || i%idleHeartbeatInterval == 0 {
+		if !c.holdsNoLease() || stop.Err() != nil || i%idleHeartbeatInterval == 0 {
 			c.sendHeartbeat(running)
 		}
 		if stop.Err() != nil {
 			if deadline.IsZero() {
 				deadline = time.Now().Add(drainLeases * c.lease)
 			}
-			if c.holdsNothing() || time.Now().After(deadline) {
+			if c.holdsNoLease() || time.Now().After(deadline) {
 				return
 			}
 		}
@@ -42,7 +43,7 @@
 	}
 }
 
-// requestHeartbeat asks sendHeartbeats for a heartbeat at once. It does not wait.
+// requestHeartbeat makes sendHeartbeats send a heartbeat at once. It does not block.
 func (c *Client) requestHeartbeat() {
 	select {
 	case c.heartbeatDue <- struct{}{}:
@@ -50,8 +51,8 @@
 	}
 }
 
-// sendHeartbeat sends a heartbeat to the member that is assumed to lead and takes in its response. After a failure the next
-// heartbeat goes to the leader that the member named, or to the member with the next ID.
+// sendHeartbeat sends a heartbeat to the member that is assumed to lead and processes its response. After a failure the
+// next heartbeat goes to the leader that the member named, or to the member with the next ID.
 func (c *Client) sendHeartbeat(ctx context.Context) {
 	c.mu.Lock()
 	sentAt := c.now()
@@ -69,7 +70,7 @@
 	defer c.mu.Unlock()
 	if err != nil {
 		c.opts.Log.Debug("heartbeat failed", "member", member, "error", err)
-		if c.leaderIndex = slices.Index(c.memberIDs, reply.leader); c.leaderIndex < 0 { // it named none that is known
+		if c.leaderIndex = slices.Index(c.memberIDs, reply.leader); c.leaderIndex < 0 { // it named no known member
 			c.leaderIndex = (index + 1) % len(c.memberIDs)
 		}
 		return
@@ -77,7 +78,7 @@
 	c.handleResponse(sentAt, reply.response)
 }
 
-// handleResponse takes in the response to the heartbeat that was sent at sentAt. The caller holds c.mu.
+// handleResponse processes the response to the heartbeat that was sent at sentAt. The caller holds c.mu.
 func (c *Client) handleResponse(sentAt singleton.Time, response singleton.HeartbeatResponse) {
 	if response.Reason != c.rejectionReason && response.Reason != "" {
 		c.opts.Log.Warn("instance is granted nothing", "instance", c.opts.Name, "reason", response.Reason)
@@ -92,10 +93,10 @@
 	}
 }
 
-// heartbeatReply is what a member replied.
+// heartbeatReply is a member's reply to a heartbeat.
 type heartbeatReply struct {
 	response singleton.HeartbeatResponse
-	leader   uint64 // of a member that does not lead: the leader's ID; 0: it knows none
+	leader   uint64 // from a member that does not lead: the leader's ID; 0: the member knows none
 }
 
 // postHeartbeat sends an encoded heartbeat to a member.
@@ -115,7 +116,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		reply.leader, _ = strconv.ParseUint(resp.Header.Get(singleton.LeaderHeader), 10, 64) // 0 without a number
+		reply.leader, _ = strconv.ParseUint(resp.Header.Get(singleton.LeaderHeader), 10, 64) // 0 if not a number
 		return reply, fmt.Errorf("heartbeat to %s: status %s", member, resp.Status)
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(&reply.response); err != nil {
--- a/internal/singleton/leaseclient/steps.go
+++ b/internal/singleton/leaseclient/steps.go
@@ -7,7 +7,7 @@
 	"pumiceline/internal/singleton"
 )
 
-// runRole runs the steps of a role, one after another, while its lease is held, until ctx ends.
+// runRole runs the steps of a role one after another while its lease is held, until ctx ends.
 func (c *Client) runRole(ctx context.Context, role string, step Step) {
 	ticker := time.NewTicker(c.lease / stepsPerLease)
 	defer ticker.Stop()
@@ -29,7 +29,7 @@
 	return c.holder.BeginStep(c.now(), role)
 }
 
-// runStep runs a step that was begun, for a lease duration at most: by then its lease has expired.
+// runStep runs a step that has begun. It limits the step to a lease duration: by then its lease has expired.
 func (c *Client) runStep(ctx context.Context, role string, step Step) {
 	ctx, cancel := context.WithTimeout(ctx, c.lease)
 	defer cancel()
@@ -39,7 +39,7 @@
 		c.opts.Log.Warn("step failed", "instance", c.opts.Name, "role", role, "error", err)
 	}
 	if !stillHeld {
-		c.requestHeartbeat() // the lease is released or lost: the next holder need not wait for it to expire
+		c.requestHeartbeat() // the lease is released or lost: the next holder does not have to wait until it expires
 	}
 }
 
@@ -52,7 +52,7 @@
 }
 
 // performer returns the Perform of a role's step. The lease may still end between the check here and the arrival of the
-// effect: the receiver's FencingGuard rejects it then.
+// effect: then the receiver's FencingGuard rejects the effect.
 func (c *Client) performer(role string) Perform {
 	return func(do func(singleton.Effect) error) error {
 		c.mu.Lock()
--- a/internal/singleton/leaseclient/stored_test.go
+++ b/internal/singleton/leaseclient/stored_test.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/singleton"
 )
 
-// The history in testdata was stored by an earlier version, cef8855, and is never written anew.
+// The history in testdata was written by an earlier version, cef8855. It must not be regenerated.
 func TestReadsHistoryStoredByEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "history.jsonl"))
 	if err != nil {
--- a/internal/singleton/leasemanager.go
+++ b/internal/singleton/leasemanager.go
@@ -6,16 +6,17 @@
 	"slices"
 )
 
-// LeaseManager grants roles and expires leases at the member that leads. It has its knowledge of instances and progress
-// from heartbeats alone, anew after each change of the leader; at its start every lease counts as just renewed.
+// LeaseManager grants roles and expires leases at the leader. It knows instances and their progress only from the
+// heartbeats that it has received itself: a new leader starts without this knowledge, and counts every lease as just
+// renewed.
 type LeaseManager struct {
 	settings           Settings
 	instances          map[string]*instance // by name
 	leases             map[string]lease     // by role
 	penalizedUntil     map[string]Time      // by instance, until when it is granted nothing
-	seenExpirations    map[string]int       // by instance, as of the latest tick, to notice a further expiration
+	seenExpirations    map[string]int       // by instance, as of the latest tick, to detect a further expiration
 	lastExpiration     map[string]Time      // by instance with expirations
-	inheritedLeasesEnd Time                 // by then every lease that an earlier leader granted has ended
+	inheritedLeasesEnd Time                 // by then every lease granted by an earlier leader has ended
 }
 
 // instance is a process that sends heartbeats.
@@ -24,17 +25,17 @@
 	receivedAt Time
 }
 
-// lease is what the lease manager knows of a lease besides the Assignment.
+// lease is the state of a lease that the Assignment does not contain.
 type lease struct {
 	token        FencingToken
 	steps        uint64
 	lastProgress Time
-	notBefore    Time // it does not expire earlier: a leader with longer leases may have granted it
-	ending       bool // its expiration was proposed and may be in the log already: it must not be renewed any more
+	notBefore    Time // it does not expire earlier: an earlier leader with a longer lease duration may have granted it
+	ending       bool // its expiration was proposed and may already be in the log: it must no longer be renewed
 }
 
-// NewLeaseManager returns the lease manager of a member that begins to lead at now. The state must include every command
-// that was committed under earlier leaders.
+// NewLeaseManager returns the lease manager of a member that starts to lead at now. The state must include every
+// command that was committed under earlier leaders.
 func NewLeaseManager(settings Settings, s *State, now Time) *LeaseManager {
 	m := &LeaseManager{
 		settings:           settings,
@@ -50,22 +51,22 @@
 			m.leases[role] = lease{token: a.Token, lastProgress: now, notBefore: m.inheritedLeasesEnd}
 		}
 	}
-	for name, n := range s.Expirations { // the state does not say when they were: the penalty starts anew
+	for name, n := range s.Expirations { // the state does not record when they happened: the penalty starts again
 		m.seenExpirations[name], m.penalizedUntil[name], m.lastExpiration[name] = n, now+settings.penalty(n), now
 	}
 	return m
 }
 
-// Instances returns the names of those that sent a heartbeat within a lease, sorted.
+// Instances returns the sorted names of the instances that sent a heartbeat within the last lease duration.
 func (m *LeaseManager) Instances() []string { return slices.Sorted(maps.Keys(m.instances)) }
 
-// TimeSinceProgress is how long ago the holder of a role made progress, as far as this lease manager knows.
+// TimeSinceProgress returns how long ago the holder of a role made progress, as far as this lease manager knows.
 func (m *LeaseManager) TimeSinceProgress(now Time, role string) Time {
 	return now - m.leases[role].lastProgress
 }
 
-// HandleHeartbeat takes in a heartbeat that was received at now. It returns the commands to propose and the response, which
-// may be sent only once a quorum has confirmed, after now, that this member still leads.
+// HandleHeartbeat processes a heartbeat that was received at now. It returns the commands to propose and the response,
+// which may be sent only once a quorum has confirmed, after now, that this member still leads.
 func (m *LeaseManager) HandleHeartbeat(now Time, heartbeat Heartbeat, s *State) ([]Command, HeartbeatResponse) {
 	if reason := m.rejectionReason(now, heartbeat); reason != "" {
 		return nil, HeartbeatResponse{Reason: reason}
@@ -75,7 +76,7 @@
 	return releases, m.response(now, heartbeat, s, releases)
 }
 
-// rejectionReason says why an instance is not admitted; empty: it is.
+// rejectionReason returns why an instance is not admitted, or an empty string if it is admitted.
 func (m *LeaseManager) rejectionReason(now Time, heartbeat Heartbeat) string {
 	known := m.instances[heartbeat.Name]
 	switch {
@@ -89,8 +90,9 @@
 	return ""
 }
 
-// handleLeaseReports renews the leases whose holder made progress and returns the releases to propose. A report of a lease
-// that the instance no longer holds is skipped: the response does not list it, by which the instance learns that it ended.
+// handleLeaseReports renews the leases whose holder made progress and returns the releases to propose. It skips the
+// report of a lease that the instance no longer holds: the response does not list that lease, which tells the instance
+// that it ended.
 func (m *LeaseManager) handleLeaseReports(now Time, heartbeat Heartbeat, s *State) (releases []Command) {
 	for _, report := range heartbeat.Leases {
 		a := s.Assignments[report.Role]
@@ -102,7 +104,7 @@
 				Reason: "given back by " + heartbeat.Name})
 			continue
 		}
-		// Progress renews a lease, heartbeats alone do not: a holder that is stuck has to be replaced.
+		// Progress renews a lease, heartbeats alone do not: a stuck holder has to be replaced.
 		if l := m.leases[report.Role]; !l.ending && (l.token != report.Token || report.Steps > l.steps) {
 			m.leases[report.Role] = lease{token: report.Token, steps: report.Steps, lastProgress: now, notBefore: l.notBefore}
 		}
@@ -110,7 +112,8 @@
 	return releases
 }
 
-// response lists the leases that the sender of a heartbeat holds, without those that it has just released.
+// response returns the response to a heartbeat. It lists the leases that the sender holds and that may be renewed,
+// without those that it has just released.
 func (m *LeaseManager) response(now Time, heartbeat Heartbeat, s *State, releases []Command) (response HeartbeatResponse) {
 	isReleased := func(role string) bool {
 		return slices.ContainsFunc(releases, func(c Command) bool { return c.Role == role })
@@ -136,7 +139,8 @@
 	return response
 }
 
-// holderAddr is where other instances reach the holder; empty: nowhere, or it is not known.
+// holderAddr returns the address at which other instances reach the holder, or an empty string if it has none or the
+// address is not known.
 func (m *LeaseManager) holderAddr(a Assignment) string {
 	if i := m.instances[a.Holder]; i != nil && i.heartbeat.Incarnation == a.Incarnation {
 		return i.heartbeat.Addr
@@ -144,16 +148,17 @@
 	return ""
 }
 
-// isRenewable is false where the lease is about to expire. It is also false while this leader's lease duration is not
-// committed: the next leader would not know for how long it has to wait until the lease has ended.
+// isRenewable reports whether a response may renew a role's lease. It may not if the lease is ending or has run out, or
+// if this lease manager does not track the current token yet. It also may not while this leader's lease duration is not
+// committed: the next leader would not know how long it has to wait until the lease has ended.
 func (m *LeaseManager) isRenewable(now Time, role string, s *State) bool {
 	l := m.leases[role]
 	return l.token == s.Assignments[role].Token && !l.ending && now-l.lastProgress < m.settings.LeaseDuration &&
 		s.LeaseDuration >= m.settings.LeaseDuration
 }
 
-// shouldRelease says whether the holder that sent the heartbeat should release the role: it is leaving and another instance
-// is eligible, or an operator wants another one that is.
+// shouldRelease reports whether the holder that sent the heartbeat should release the role: either it is leaving and
+// another instance is eligible, or an operator has set another desired holder, which is eligible.
 func (m *LeaseManager) shouldRelease(now Time, role string, heartbeat Heartbeat, s *State) bool {
 	if heartbeat.Leaving && m.chooseHolder(now, role, s, candidateFilter{exclude: heartbeat.Name}) != "" {
 		return true
@@ -162,7 +167,8 @@
 	return desired != "" && desired != heartbeat.Name && m.isEligible(now, desired, role)
 }
 
-// Tick returns the commands that are due at now: ends of leases, and grants of the roles that nobody holds.
+// Tick returns the commands that are due at now: expirations of leases, grants of roles without a holder, and changes
+// of expiration counts, desired holders and the lease duration.
 func (m *LeaseManager) Tick(now Time, s *State) []Command {
 	m.removeTimedOutInstances(now)
 	commands := m.updatePenalties(now, s)
@@ -186,16 +192,18 @@
 	}
 }
 
-// updatePenalties starts the penalty of each instance with a further expiration, and returns the commands that forget the
-// expirations of instances that have had none for minExpirationMemory and twice their penalty.
-func (m *LeaseManager) updatePenalties(now Time, s *State) (forget []Command) {
+// updatePenalties starts the penalty of each instance with a further expiration. It returns the commands that reset the
+// expirations of instances whose latest expiration is longer ago than minExpirationRetention and than twice their
+// penalty.
+func (m *LeaseManager) updatePenalties(now Time, s *State) (resets []Command) {
 	for name, n := range s.Expirations {
 		if n > m.seenExpirations[name] {
 			m.penalizedUntil[name], m.lastExpiration[name] = now+m.settings.penalty(n), now
 		}
 		m.seenExpirations[name] = n
-		if now-m.lastExpiration[name] > max(minExpirationMemory, 2*m.settings.penalty(n)) {
-			forget = append(forget, Command{Kind: CommandForgetExpirations, Instance: name, Reason: "no lease has expired for long"})
+		if now-m.lastExpiration[name] > max(minExpirationRetention, 2*m.settings.penalty(n)) {
+			resets = append(resets, Command{Kind: CommandResetExpirations, Instance: name,
+				Reason: "no lease has expired for long"})
 		}
 	}
 	for name := range m.seenExpirations {
@@ -205,11 +213,12 @@
 			delete(m.lastExpiration, name)
 		}
 	}
-	return forget
+	return resets
 }
 
-// leaseDurationChange proposes the settings' lease duration: a longer one before any such lease is granted, a shorter one
-// once all longer leases have ended. Until it is committed every new leader waits for the longer ones.
+// leaseDurationChange returns the command that sets the lease duration to that of the settings, if it is due: a longer
+// one before any such lease is granted, a shorter one once all longer leases have ended. Until a shorter one is
+// committed, every new leader waits for the longer leases to end.
 func (m *LeaseManager) leaseDurationChange(now Time, s *State) []Command {
 	desired := m.settings.LeaseDuration
 	if s.LeaseDuration < desired || s.LeaseDuration > desired && now >= m.inheritedLeasesEnd {
@@ -218,8 +227,8 @@
 	return nil
 }
 
-// checkLease expires the lease of a role whose holder made no progress for a lease duration. It proposes that at each tick
-// from then on, as a proposal may be lost.
+// checkLease returns the command that expires the lease of a role whose holder made no progress for a lease duration.
+// From then on it returns the command at each tick, as a proposal may be lost.
 func (m *LeaseManager) checkLease(now Time, role string, s *State) []Command {
 	a, l := s.Assignments[role], m.leases[role]
 	if l.token != a.Token { // granted just now: the lease starts
@@ -234,7 +243,8 @@
 	return []Command{{Kind: CommandExpire, Role: role, Token: a.Token, Reason: m.expiryReason(now, a)}}
 }
 
-// assignRole grants a role that nobody holds, or withdraws a desired holder that is not eligible.
+// assignRole grants a role that has no holder. If no instance is eligible, it withdraws a desired holder that is not
+// eligible.
 func (m *LeaseManager) assignRole(now Time, role string, s *State, granted map[string]int) []Command {
 	delete(m.leases, role)
 	a := s.Assignments[role]
@@ -249,7 +259,7 @@
 	return nil
 }
 
-// expiryReason says why a lease expired, for the log.
+// expiryReason returns why a lease expired, for the log.
 func (m *LeaseManager) expiryReason(now Time, a Assignment) string {
 	i := m.instances[a.Holder]
 	switch {
@@ -263,7 +273,7 @@
 	return a.Holder + " is silent"
 }
 
-// isHeldBy says whether the sender of a heartbeat, in its present incarnation, holds the role.
+// isHeldBy reports whether the sender of a heartbeat, in its present incarnation, holds the role.
 func (a Assignment) isHeldBy(heartbeat Heartbeat) bool {
 	return a.Holder == heartbeat.Name && a.Incarnation == heartbeat.Incarnation
 }
--- a/internal/singleton/leasemanager_test.go
+++ b/internal/singleton/leasemanager_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// fleet is a lease manager with a log that commits at once and instances whose heartbeats always arrive, to test what the
-// lease manager decides.
+// fleet is a lease manager with a log that commits at once and instances whose heartbeats always arrive. It tests the
+// decisions of the lease manager.
 type fleet struct {
 	settings   Settings
 	now        Time
 	state      *State
 	manager    *LeaseManager
-	heartbeats map[string]Heartbeat // by instance that runs
+	heartbeats map[string]Heartbeat // by running instance
 	stuck      map[string]bool      // instances that make no progress
 	steps      uint64
 	applied    []string // commands that changed the state
@@ -40,7 +40,7 @@
 	f.heartbeats["a"], f.heartbeats["b"] = Heartbeat{Incarnation: 1}, Heartbeat{Incarnation: 1}
 	f.run(300_000)
 	if f.state.Assignments["w"].Holder == "" {
-		t.Fatal("nobody holds the role")
+		t.Fatal("no instance holds the role")
 	}
 	return f
 }
@@ -64,8 +64,8 @@
 	}
 }
 
-// sendHeartbeat sends an instance's heartbeat, and at once a second one that releases the leases that the response wants
-// back, as no step is in progress.
+// sendHeartbeat sends an instance's heartbeat. As no step is in progress, it sends at once a second one that releases
+// the leases that the response asks to release.
 func (f *fleet) sendHeartbeat(name string) {
 	heartbeat := f.heartbeats[name]
 	heartbeat.Name, heartbeat.Leases = name, nil
@@ -106,7 +106,7 @@
 	return sum
 }
 
-func TestLeaseManager_SpreadsRolesAndReassignsThoseOfLeaving(t *testing.T) {
+func TestLeaseManager_SpreadsRolesAndReassignsThemWhenHolderLeaves(t *testing.T) {
 	f := newFleet("w1", "w2", "w3", "w4")
 	f.heartbeats["a"] = Heartbeat{Incarnation: 1, Zone: "x", Build: 1}
 	f.heartbeats["b"] = Heartbeat{Incarnation: 1, Zone: "y", Build: 2}
@@ -120,7 +120,7 @@
 	f.run(500_000)
 	got := f.holders()
 	if strings.Contains(got, "=a") || strings.Contains(got, "=c") != strings.Contains(got, "w4=c") || strings.Contains(got, "= ") {
-		t.Errorf("a left: %s", got)
+		t.Errorf("after a left: %s", got)
 	}
 }
 
@@ -135,18 +135,19 @@
 			grants++
 		}
 	}
-	// Without penalties there would be a grant a second; with them at 1, 2, 4, 8 and 16 s for each.
+	// Without penalties there would be one grant per second. With penalties an instance is granted nothing for 1, 2, 4,
+	// 8 and then 16 s after its expirations.
 	if n := f.countExpirations(); grants < 4 || grants > 10 || n < grants-1 {
 		t.Errorf("%d grants to holders without progress, %d expirations: %v", grants, n, f.applied)
 	}
 	f.stuck = map[string]bool{}
 	f.run(40e6)
 	if f.holders() == "w=" {
-		t.Error("nobody is granted the role after all penalties are over")
+		t.Error("the role has no holder after all penalties have ended")
 	}
 	f.run(800e6)
 	if len(f.state.Expirations) != 0 {
-		t.Errorf("expirations are never forgotten: %v", f.state.Expirations)
+		t.Errorf("expirations are never reset: %v", f.state.Expirations)
 	}
 }
 
@@ -166,10 +167,10 @@
 	if f.holders() != "w="+desired {
 		t.Errorf("the role was released for an instance that does not run: %s", f.holders())
 	}
-	delete(f.heartbeats, desired) // it dies: the absent desired holder must not keep the role unassigned
+	delete(f.heartbeats, desired) // it crashes: the absent desired holder must not keep the role unassigned
 	f.run(2e6)
 	if f.holders() != "w="+other {
-		t.Errorf("%s is dead: %+v", desired, f.state.Assignments["w"])
+		t.Errorf("after %s crashed: %+v", desired, f.state.Assignments["w"])
 	}
 }
 
@@ -182,7 +183,7 @@
 	second := Heartbeat{Name: name, Incarnation: 9}
 	_, response := f.manager.HandleHeartbeat(f.now, second, f.state)
 	if !strings.Contains(response.Reason, "another process of the name "+name) {
-		t.Errorf("admitted while the first runs: %+v", response)
+		t.Errorf("second incarnation admitted while the first runs: %+v", response)
 	}
 	token := f.state.Assignments["w"].Token
 	delete(f.heartbeats, name)
@@ -190,6 +191,6 @@
 	f.heartbeats[name] = second
 	f.run(4e6)
 	if a := f.state.Assignments["w"]; a.Holder != name || a.Incarnation != 9 || a.Token <= token {
-		t.Errorf("after the first's lease has expired: %+v", a)
+		t.Errorf("second incarnation, after the lease of the first expired: %+v", a)
 	}
 }
--- a/internal/singleton/model_test.go
+++ b/internal/singleton/model_test.go
@@ -9,14 +9,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// model is two instances, the lease manager of the member that leads, the log, and a receiver of effects. Each event that
-// may come late or not at all does so, in every order. An instance without events for a while stands for one that is frozen,
-// partitioned or slow.
+// model consists of two instances, the leader's lease manager, the log, and a receiver of effects. Each event that may
+// be late or lost is explored as late and as lost, in every order. An instance without events for a while represents an
+// instance that is frozen, partitioned or slow.
 type model struct {
 	fault         plantedFault
 	settings      Settings
 	shorterLease  bool // the next leader has half the lease duration in its settings
-	withEffects   bool // effects are sent and the leader stays; else the reverse, as both together are too many states
+	withEffects   bool // effects are sent and the leader does not change; else the reverse: both have too many states
 	ticks         Time
 	state         *State
 	proposed      []Command // not committed yet
@@ -27,7 +27,7 @@
 	responses     [2]*HeartbeatResponse // in flight
 	effects       []Effect              // in flight
 	guard         *FencingGuard
-	latestToken   FencingToken // the highest token of which an effect was carried out
+	latestToken   FencingToken // the highest token of an effect that was carried out
 	leaderChanges int
 	violation     string // of an invariant; empty: none
 }
@@ -40,11 +40,11 @@
 	noFencing
 	noDriftMargin         // the holder assumes that clocks run equally fast
 	renewsWithoutProgress // a heartbeat without progress renews the lease
-	renewsEndingLease     // a lease is renewed though its end is in the log
-	leaseFromResponse     // the lease runs from when the response came
-	actsAfterRelease      // the holder goes on with a released lease
-	shortensLeaseAtOnce   // a shorter lease is agreed on while longer ones run
-	forgetsLongerLease    // a leader with a shorter lease ignores those that the leader before it granted
+	renewsEndingLease     // a lease is renewed although its expiration is in the log
+	leaseFromResponse     // the holder counts the lease from when the response arrived
+	actsAfterRelease      // the holder keeps acting on a released lease
+	shortensLeaseAtOnce   // a shorter lease duration is committed while longer leases run
+	ignoresLongerLease    // a leader with a shorter lease duration ignores the longer leases that its predecessor granted
 )
 
 // role is the only role of the model.
@@ -52,8 +52,8 @@
 
 const longestLease = 8
 
-// In a tick the lease manager's clock, which is fast, advances by 4 and an instance's, which is slow, by 2, where a true
-// clock advances by 3: each is off by a third.
+// In each tick a true clock advances by 3. The lease manager's clock, which is fast, advances by 4, and an instance's,
+// which is slow, by 2: each is off by a third.
 func (m *model) managerNow() Time { return 4 * m.ticks }
 func (m *model) holderNow() Time  { return 2 * m.ticks }
 
@@ -83,7 +83,7 @@
 	return m
 }
 
-// Parts of a model. A copy shares with the original those that the event does not change.
+// Parts of a model. A copy shares with the original the parts that the event does not change.
 const (
 	copyState = 1 << iota
 	copyManager
@@ -125,8 +125,9 @@
 	return &c
 }
 
-// hash identifies a model by all that its future depends on: times by how long ago they were, as far as that matters,
-// tokens by how far they are behind, steps by how far they are ahead of what the lease manager knows.
+// hash identifies a model by all that its future behavior depends on: times by how long ago they were, as far as that
+// matters, tokens by how far they are behind the latest, steps by how far they are ahead of those that the lease
+// manager knows.
 func (m *model) hash() uint64 {
 	d := digest{buf: make([]byte, 0, 256), token: m.state.Assignments[role].Token, steps: m.manager.leases[role].steps}
 	m.hashLeader(&d)
@@ -196,7 +197,7 @@
 	}
 }
 
-// digest is what a hash is made of.
+// digest collects the input of a hash.
 type digest struct {
 	buf   []byte
 	token FencingToken // the latest
@@ -216,7 +217,7 @@
 func (d *digest) addSteps(steps uint64)   { d.add(int(steps - d.steps)) }
 func (d *digest) addAge(moment, now Time) { d.add(int(min(now-moment, longestLease))) }
 
-// activeLeases are the leases on which an instance would act.
+// activeLeases returns the leases on which an instance would act.
 func (m *model) activeLeases(i int) map[string]FencingToken {
 	l := m.holders[i].leases[role]
 	if m.fault == actsAfterRelease && l != nil && m.holderNow() < l.expiresAt {
@@ -225,7 +226,8 @@
 	return m.holders[i].ActiveLeases(m.holderNow())
 }
 
-// propose appends commands that are not proposed already, three in all at most, to bound the number of models.
+// propose appends commands that are not proposed already. It keeps three proposals at most, to bound the number of
+// models.
 func (m *model) propose(commands ...Command) {
 	for _, c := range commands {
 		if len(m.proposed) < 3 && !slices.Contains(m.proposed, c) {
@@ -247,12 +249,12 @@
 	return append(all, m.effectArrivals()...)
 }
 
-// after is the model after an event that changes some of its parts. It checks that one instance at most acts.
+// after returns the model after an event that changes some of its parts. It checks that at most one instance acts.
 func (m *model) after(event string, parts int, change func(c *model)) successor {
 	c := m.clone(parts)
 	change(c)
 	if x, y := c.activeLeases(0), c.activeLeases(1); len(x) > 0 && len(y) > 0 {
-		c.violation = fmt.Sprintf("two act at once, with tokens %d and %d", x[role], y[role])
+		c.violation = fmt.Sprintf("two instances act at the same time, with tokens %d and %d", x[role], y[role])
 	}
 	return successor{event, c}
 }
@@ -270,7 +272,7 @@
 		maxLeaderChanges = 2
 	}
 	if m.leaderChanges < maxLeaderChanges && !m.withEffects {
-		all = append(all, m.after("another member leads, proposals are lost", 0, (*model).changeLeader))
+		all = append(all, m.after("the leader changes, proposals are lost", 0, (*model).changeLeader))
 	}
 	return all
 }
@@ -286,7 +288,7 @@
 	if m.shorterLease {
 		m.settings.LeaseDuration = longestLease / 2
 	}
-	if m.fault == forgetsLongerLease {
+	if m.fault == ignoresLongerLease {
 		m.state = &State{Assignments: m.state.Assignments, Expirations: m.state.Expirations}
 	}
 	m.proposed = nil
@@ -299,14 +301,14 @@
 
 func (m *model) instanceEvents(i int) (all []successor) {
 	name := m.holders[i].opts.Name
-	if m.heartbeats[i] == nil { // a response that has not come by then is lost
+	if m.heartbeats[i] == nil { // a response that is still in flight is lost
 		all = append(all, m.after(name+" sends a heartbeat", 0, func(c *model) { c.sendHeartbeat(i) }))
 	}
 	if m.heartbeats[i] != nil {
-		all = append(all, m.after(name+"'s heartbeat comes", copyManager, func(c *model) { c.receiveHeartbeat(i) }))
+		all = append(all, m.after(name+"'s heartbeat arrives", copyManager, func(c *model) { c.receiveHeartbeat(i) }))
 	}
 	if m.responses[i] != nil {
-		all = append(all, m.after(name+"'s response comes", copyHolder<<i, func(c *model) { c.receiveResponse(i) }))
+		all = append(all, m.after(name+"'s response arrives", copyHolder<<i, func(c *model) { c.receiveResponse(i) }))
 	}
 	if l := m.holders[i].leases[role]; l != nil && len(m.effects) < 2 && l.steps < m.manager.leases[role].steps+2 {
 		all = append(all, m.after(name+" completes a step", copyHolder<<i, func(c *model) { c.completeStep(i) }))
@@ -354,10 +356,10 @@
 	m.holders[i].EndStep(role, true)
 }
 
-// effectArrivals are the arrivals of the effects in flight, in any order.
+// effectArrivals returns the arrivals of the effects in flight, in any order.
 func (m *model) effectArrivals() (all []successor) {
 	for k, e := range m.effects {
-		all = append(all, m.after(fmt.Sprint("effect ", e, " comes"), copyGuard, func(c *model) {
+		all = append(all, m.after(fmt.Sprint("effect ", e, " arrives"), copyGuard, func(c *model) {
 			c.effects = slices.Delete(c.effects, k, k+1)
 			c.receiveEffect(e)
 		}))
--- a/internal/singleton/settings.go
+++ b/internal/singleton/settings.go
@@ -9,14 +9,14 @@
 type Settings struct {
 	Roles          []string // the roles that exist, in the order in which they are assigned
 	LeaseDuration  Time     // a holder that makes no progress for this long loses its role
-	MaxClockDrift  float64  // share by which a clock may run too fast or too slow
+	MaxClockDrift  float64  // fraction by which a clock may run too fast or too slow
 	PenaltyBackoff Time     // an instance whose lease expired is granted nothing for this long; doubled with each expiration
 }
 
-// Limits of what a member keeps. Names and counts come from the network, so each of them is bounded.
+// Limits on the state that a member keeps. Names and counts come from the network, so each of them is bounded.
 const (
 	MaxRoles     = 64
-	MaxInstances = 4096 // known to a lease manager; further ones are granted nothing
+	MaxInstances = 4096 // that a lease manager keeps; further ones are granted nothing
 
 	maxRoleNameBytes    = 64
 	maxTrackedInstances = 1024 // instances whose expirations are counted
@@ -24,10 +24,10 @@
 )
 
 const (
-	// heartbeatTimeoutLeases is for how many lease durations an instance may send no heartbeat until it is forgotten.
+	// heartbeatTimeoutLeases is the number of lease durations without a heartbeat after which an instance is removed.
 	heartbeatTimeoutLeases = 1
-	// minExpirationMemory is for how long expirations are remembered at least after an instance's latest.
-	minExpirationMemory = 10 * minute
+	// minExpirationRetention is the minimum time for which expirations are kept after an instance's latest one.
+	minExpirationRetention = 10 * minute
 )
 
 // Bounds of the settings.
@@ -67,14 +67,15 @@
 	return nil
 }
 
-// HoldTime is for how long after it sent a heartbeat an instance may act, where remaining of the lease was left when the
-// heartbeat was received. With a clock that is slow by MaxClockDrift this ends before the lease does by a clock that is
-// fast by as much: HoldTime/(1-MaxClockDrift) = remaining/(1+MaxClockDrift).
+// HoldTime returns for how long after it sent a heartbeat an instance may act, if the given remaining time of the lease
+// was left when the heartbeat was received. With a clock that is slow by MaxClockDrift this ends before the lease does
+// by a clock that is fast by as much: HoldTime/(1-MaxClockDrift) = remaining/(1+MaxClockDrift).
 func (s *Settings) HoldTime(remaining Time) Time {
 	return Time(float64(remaining) * (1 - s.MaxClockDrift) / (1 + s.MaxClockDrift))
 }
 
-// penalty is for how long an instance with n expirations, at least one, is granted nothing: PenaltyBackoff times 2^(n-1).
+// penalty returns for how long an instance with n expirations, at least one, is granted nothing: PenaltyBackoff times
+// 2^(n-1).
 func (s *Settings) penalty(n int) Time {
 	return s.PenaltyBackoff << min(n, maxExpirationCount) >> 1
 }
--- a/internal/singleton/state.go
+++ b/internal/singleton/state.go
@@ -6,8 +6,8 @@
 	"fmt"
 )
 
-// State is the outcome of all commands of the replicated log, the same at every member that has applied as many of them.
-// Its JSON form is the snapshot that is stored.
+// State is the result of all commands of the replicated log so far. It is the same at every member that has applied the
+// same number of them. Its JSON form is the snapshot that is stored.
 type State struct {
 	Assignments   map[string]Assignment `json:"works"`            // by role
 	Expirations   map[string]int        `json:"lapses,omitempty"` // by instance, how many of its leases expired
@@ -22,27 +22,28 @@
 	DesiredHolder string       `json:"want,omitempty"`  // instance that an operator wants as the next holder
 }
 
-// FencingToken numbers the grants of a role. An effect with a lower token than the receiver has seen is rejected.
+// FencingToken numbers the grants of a role. A receiver rejects an effect with a lower token than it has seen.
 type FencingToken uint64
 
-// Incarnation distinguishes the processes that ran under one instance's name. Each draws its own at random.
+// Incarnation distinguishes the processes that ran under one instance's name. Each process draws its own at random.
 type Incarnation uint64
 
-// CommandKind is what a command does. The values are stored.
+// CommandKind is the operation of a command. The values are stored.
 type CommandKind string
 
 // The kinds of commands.
 const (
-	// CommandGrant gives the role to Instance, if its token is still Token.
+	// CommandGrant gives the role to Instance, if the role's token is still Token.
 	CommandGrant CommandKind = "grant"
 	// CommandExpire ends the lease of the holder with Token, which made no progress, and counts the expiration.
 	CommandExpire CommandKind = "expire"
-	// CommandRelease ends the lease of the holder with Token: the holder gave it back, or an operator took it away.
+	// CommandRelease ends the lease of the holder with Token: the holder released it, or an operator revoked it.
 	CommandRelease CommandKind = "free"
-	// CommandSetDesiredHolder records that an operator wants Instance to hold the role; empty: withdraws that.
+	// CommandSetDesiredHolder records that an operator wants Instance to hold the role. An empty Instance withdraws
+	// that.
 	CommandSetDesiredHolder CommandKind = "want"
-	// CommandForgetExpirations resets the count of Instance's expirations.
-	CommandForgetExpirations CommandKind = "spare"
+	// CommandResetExpirations resets the count of Instance's expirations.
+	CommandResetExpirations CommandKind = "spare"
 	// CommandSetLeaseDuration allows this leader and later ones to grant leases of up to LeaseDuration.
 	CommandSetLeaseDuration CommandKind = "term"
 )
@@ -63,7 +64,7 @@
 	ErrStaleToken = errors.New("the token is no longer the role's latest")
 	// ErrUnknownCommand is the error of a command of a kind that this build does not know.
 	ErrUnknownCommand = errors.New("unknown kind of command")
-	// ErrTooManyRoles is the error of a command for a new role where MaxRoles are known.
+	// ErrTooManyRoles is the error of a command for a new role when the state already has MaxRoles.
 	ErrTooManyRoles = errors.New("too many roles")
 )
 
@@ -81,9 +82,10 @@
 	return s, nil
 }
 
-// Apply carries out a command. A command that was applied before, or whose precondition no longer holds, changes nothing
-// and returns ErrStaleToken: a leader proposes commands again that may have been lost. With ErrUnknownCommand and
-// ErrTooManyRoles nothing changes either: the result has to be the same at all members, also at those of an older build.
+// Apply carries out a command. A leader proposes commands again that may have been lost: a grant, expiration or release
+// that was applied before, or whose precondition no longer holds, changes nothing and returns ErrStaleToken. With
+// ErrUnknownCommand and ErrTooManyRoles nothing changes either: the result has to be the same at all members, also at
+// those of an older build.
 func (s *State) Apply(c Command) error {
 	switch c.Kind {
 	case CommandGrant:
@@ -94,7 +96,7 @@
 		a := s.Assignments[c.Role]
 		a.DesiredHolder = c.Instance
 		return s.put(c.Role, a)
-	case CommandForgetExpirations:
+	case CommandResetExpirations:
 		delete(s.Expirations, c.Instance)
 		return nil
 	case CommandSetLeaseDuration:
@@ -105,7 +107,7 @@
 	}
 }
 
-// applyGrant takes the next token for the new holder. The desired holder has been served once it is the holder.
+// applyGrant gives the new holder the next token. If the new holder is the desired one, the desired holder is cleared.
 func (s *State) applyGrant(c Command) error {
 	a := s.Assignments[c.Role]
 	if a.Token != c.Token {
@@ -118,7 +120,7 @@
 	return s.put(c.Role, granted)
 }
 
-// applyLeaseEnd keeps the role's token: the next grant takes a higher one.
+// applyLeaseEnd removes the holder but keeps the role's token: the next grant takes a higher one.
 func (s *State) applyLeaseEnd(c Command) error {
 	a := s.Assignments[c.Role]
 	if a.Token != c.Token || a.Holder == "" {
@@ -137,7 +139,7 @@
 	}
 }
 
-// put stores an assignment, unless it is that of a role too many.
+// put stores an assignment, unless its role is new and exceeds MaxRoles.
 func (s *State) put(role string, a Assignment) error {
 	if s.Assignments[role] = a; len(s.Assignments) > MaxRoles {
 		delete(s.Assignments, role)
--- a/internal/singleton/state_test.go
+++ b/internal/singleton/state_test.go
@@ -41,11 +41,11 @@
 		err = s.Apply(Command{Kind: CommandSetDesiredHolder, Role: fmt.Sprint(i), Instance: "a"})
 	}
 	if len(s.Assignments) != MaxRoles || !errors.Is(err, ErrTooManyRoles) {
-		t.Errorf("%d roles are kept, %v", len(s.Assignments), err)
+		t.Errorf("%d roles are stored, %v", len(s.Assignments), err)
 	}
 }
 
-func TestState_SurvivesSnapshot(t *testing.T) {
+func TestState_SnapshotRoundTrip(t *testing.T) {
 	s := NewState()
 	for _, c := range []Command{
 		{Kind: CommandSetLeaseDuration, LeaseDuration: 2e6},
--- a/internal/singleton/stored_test.go
+++ b/internal/singleton/stored_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// The files in testdata were stored by an earlier version, cef8855, and are never written anew.
+// The files in testdata were written by an earlier version, cef8855. They must not be regenerated.
 
-// readSample reads a file of testdata without the line's end.
+// readSample reads a file of testdata without the line break at its end.
 func readSample(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -44,7 +44,8 @@
 	}
 }
 
-// A command of each kind is read from the log that an earlier version stored and does what it did there.
+// A command of each kind from the log that an earlier version stored is decoded and has the same effect as in that
+// version.
 func TestAppliesCommandsStoredByEarlierVersion(t *testing.T) {
 	s := NewState()
 	lines := bytes.Split(readSample(t, "commands.jsonl"), []byte("\n"))
@@ -58,7 +59,7 @@
 		{Command{Kind: CommandExpire, Role: "w", Token: 1, Reason: "no progress"}, Assignment{Token: 1, DesiredHolder: "b"}},
 		{Command{Kind: CommandGrant, Role: "w", Instance: "b", Incarnation: 9, Token: 1, Reason: "an operator wants it"}, Assignment{Token: 2, Holder: "b", Incarnation: 9}},
 		{Command{Kind: CommandRelease, Role: "w", Token: 2, Reason: "given back"}, Assignment{Token: 2}},
-		{Command{Kind: CommandForgetExpirations, Instance: "z", Reason: "none for long"}, Assignment{}},
+		{Command{Kind: CommandResetExpirations, Instance: "z", Reason: "none for long"}, Assignment{}},
 	}
 	if len(lines) != len(steps) {
 		t.Fatalf("%d lines", len(lines))
@@ -86,7 +87,7 @@
 	}
 }
 
-// An instance and a member of different versions understand each other.
+// An instance and a member of different versions can exchange messages.
 func TestReadsHeartbeatAndResponseOfEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
 		file string
