--- a/internal/singleton/raftmember/adminclient.go
+++ b/internal/singleton/raftmember/adminclient.go
@@ -15,24 +15,24 @@
 
 const maxReasonBytes = 1 << 10 // of the leader's error message
 
-// AdminClient is an operator's access to the members of a fleet.
+// AdminClient sends an operator's requests to the members of a fleet.
 type AdminClient struct {
 	Fleet   string            // the fleet's name
 	Members map[uint64]string // addresses by ID
 }
 
-// ErrNoLeader is the error of a request where no member leads.
+// ErrNoLeader is the error of a request when no member leads.
 var ErrNoLeader = errors.New("no member leads")
 
 // FleetStatus is the status of all members.
 type FleetStatus struct {
 	HasQuorum   bool              `json:"quorum"` // a majority follows one leader
 	Members     map[uint64]Status `json:"members"`
-	Unreachable map[uint64]string `json:"silent,omitempty"` // by member, why it has no Status
+	Unreachable map[uint64]string `json:"silent,omitempty"` // by member, the error of its status request
 }
 
-// Status asks all members at once. It returns at the end of ctx at the latest; members that have not answered by then
-// count as unreachable.
+// Status requests the status of all members at once. It returns at the end of ctx at the latest; members that have not
+// responded by then count as unreachable.
 func (c *AdminClient) Status(ctx context.Context) FleetStatus {
 	type result struct {
 		id     uint64
@@ -72,7 +72,7 @@
 	return s, err
 }
 
-// hasQuorum says whether more than half of the fleet's members follow one leader.
+// hasQuorum reports whether more than half of the fleet's members follow one leader.
 func (f *FleetStatus) hasQuorum(members int) bool {
 	followers := map[uint64]int{} // by leader
 	for _, s := range f.Members {
@@ -86,8 +86,8 @@
 	return false
 }
 
-// MostCurrent is the status of a member that takes itself for the leader; without one, that of the member that has applied
-// most entries; zero where no member answered.
+// MostCurrent returns the status of a member that considers itself the leader. If there is none it returns that of the
+// member that has applied the most entries, or zero if no member responded.
 func (f *FleetStatus) MostCurrent() (best Status) {
 	for id, s := range f.Members {
 		if s.Leader == id {
@@ -105,13 +105,14 @@
 	return c.postToLeader(ctx, rolesPath+url.PathEscape(role)+releaseSuffix)
 }
 
-// SetDesiredHolder has a role go to an instance once the holder has completed its step; empty: withdraws that.
+// SetDesiredHolder makes a role go to an instance once the current holder has completed its step. An empty instance
+// withdraws that.
 func (c *AdminClient) SetDesiredHolder(ctx context.Context, role, instance string) error {
 	query := "?" + instanceQuery + "=" + url.QueryEscape(instance)
 	return c.postToLeader(ctx, rolesPath+url.PathEscape(role)+desiredHolderSuffix+query)
 }
 
-// postToLeader sends a request to the leader. It returns ErrNoLeader where there is none.
+// postToLeader sends a request to the leader. It returns ErrNoLeader if there is none.
 func (c *AdminClient) postToLeader(ctx context.Context, path string) error {
 	fleet := c.Status(ctx)
 	leader := fleet.MostCurrent()
--- a/internal/singleton/raftmember/apply.go
+++ b/internal/singleton/raftmember/apply.go
@@ -11,8 +11,8 @@
 	"pumiceline/internal/singleton"
 )
 
-// applyEntry applies a committed entry: a change of raft's own configuration, a command, or the empty entry by which a new
-// leader begins its term.
+// applyEntry applies a committed entry: a change of raft's own configuration, a command, or the empty entry with which
+// a new leader begins its term.
 func (m *Member) applyEntry(e *pb.Entry) error {
 	m.applied = e.GetIndex()
 	switch {
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// applyCommand applies the command of an entry. One that can't be read is of a newer build: like one of an unknown kind,
-// it changes nothing at any member of this build.
+// applyCommand applies the command of an entry. A command that can't be decoded is from a newer build: like a command
+// of an unknown kind, it changes nothing at any member of this build.
 func (m *Member) applyCommand(e *pb.Entry) {
 	var c singleton.Command
 	if err := json.Unmarshal(e.GetData(), &c); err != nil {
@@ -55,9 +55,9 @@
 	}
 }
 
-// startLeaseManagerIfLeading starts the lease manager where this member leads and has applied the first entry of its own
-// term: by then it has applied every entry that was committed under earlier leaders. It must not grant or renew a lease
-// earlier, as the role might have a holder that it does not know of.
+// startLeaseManagerIfLeading starts the lease manager if this member leads and has applied the first entry of its own
+// term: by then it has applied every entry that was committed under earlier leaders. If it granted or renewed a lease
+// earlier, the role might have a holder that this member does not know of.
 func (m *Member) startLeaseManagerIfLeading(appliedTerm uint64) {
 	status := m.node.BasicStatus()
 	if m.leaseManager != nil || status.RaftState != raft.StateLeader || appliedTerm != status.GetTerm() {
@@ -67,7 +67,7 @@
 	m.opts.Log.Info("lease manager started", "member", m.opts.ID, "term", appliedTerm)
 }
 
-// restoreSnapshot replaces the state by that of a snapshot.
+// restoreSnapshot replaces the state with that of a snapshot.
 func (m *Member) restoreSnapshot(snapshot *pb.Snapshot) error {
 	state, err := singleton.DecodeState(snapshot.GetData())
 	if err != nil {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// snapshotIfDue replaces the applied log by a snapshot every SnapshotInterval entries.
+// snapshotIfDue replaces the applied log with a snapshot every SnapshotInterval entries.
 func (m *Member) snapshotIfDue() error {
 	if m.applied-m.snapshotIndex < m.opts.SnapshotInterval {
 		return nil
--- a/internal/singleton/raftmember/cluster_test.go
+++ b/internal/singleton/raftmember/cluster_test.go
@@ -24,7 +24,7 @@
 
 var testSettings = singleton.Settings{Roles: []string{testRole}, LeaseDuration: 1e6, MaxClockDrift: 0.2}
 
-// cluster is three members in this process. Their disks last while they stop and start.
+// cluster is a fleet of three members in this process. Their disks are kept while they stop and start.
 type cluster struct {
 	t                *testing.T
 	snapshotInterval uint64
@@ -45,7 +45,7 @@
 	c := &cluster{t: t, snapshotInterval: snapshotInterval, addrs: map[uint64]string{}, dirs: map[uint64]string{},
 		volatileDir: t.TempDir(), running: map[uint64]runningMember{}}
 	for id := uint64(1); id <= clusterSize; id++ {
-		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.6.%d:0", id)) // an address of its own: no other connection takes the port
+		ln, err := net.Listen("tcp", fmt.Sprintf("127.0.6.%d:0", id)) // its own address: no other connection takes the port
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -123,9 +123,9 @@
 	return dir
 }
 
-// request sends a request to a member and decodes the response into into, unless that is nil. It is false where that fails
-// or takes 2 s.
-func (c *cluster) request(method, addr, path string, body, into any) bool {
+// request sends a request to a member and decodes the response body into response, unless that is nil. It returns false
+// if that fails or takes longer than 2 s.
+func (c *cluster) request(method, addr, path string, body, response any) bool {
 	text, err := json.Marshal(body)
 	if err != nil {
 		c.t.Fatal(err)
@@ -142,15 +142,15 @@
 		return false
 	}
 	defer resp.Body.Close()
-	return resp.StatusCode/100 == 2 && (into == nil || json.NewDecoder(resp.Body).Decode(into) == nil)
+	return resp.StatusCode/100 == 2 && (response == nil || json.NewDecoder(resp.Body).Decode(response) == nil)
 }
 
-// eventually polls until a condition holds; the bound is for a slow machine.
-func (c *cluster) eventually(what string, condition func() bool) {
+// eventually polls until a condition holds. The bound of 30 s allows for a slow machine.
+func (c *cluster) eventually(description string, condition func() bool) {
 	c.t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); !condition(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			c.t.Fatalf("not within 30 s: %s", what)
+			c.t.Fatalf("not within 30 s: %s", description)
 		}
 	}
 }
@@ -194,7 +194,7 @@
 	}
 }
 
-// setDesiredHolder has a member propose a desired holder.
+// setDesiredHolder makes a member propose a desired holder.
 func (c *cluster) setDesiredHolder(instance string) {
 	c.t.Helper()
 	c.eventually("a desired holder is proposed", func() bool {
@@ -207,7 +207,7 @@
 	})
 }
 
-// awaitAgreement waits until all running members have applied as much and the role has the desired holder.
+// awaitAgreement waits until all running members have applied the same index and the role has the desired holder.
 func (c *cluster) awaitAgreement(desiredHolder string) (a singleton.Assignment) {
 	c.t.Helper()
 	c.eventually("all members agree", func() bool {
--- a/internal/singleton/raftmember/freshness.go
+++ b/internal/singleton/raftmember/freshness.go
@@ -11,33 +11,34 @@
 	"path/filepath"
 )
 
-// A store that goes back in time looks like any other: nothing in it says what was written after it was copied. Two things
-// can tell. The peers know what they had from the member, if they ran then (see Member.announce). And a mark outside of the
-// disk, in a file system in memory, has the number of the store's latest write: while the machine runs, a store that lacks
-// that write is an older copy, and one that has it proves by itself that it is the newest.
+// A store that was rolled back to an older copy looks like any other: nothing in it shows what was written after the
+// copy was made. Two sources can show it. The peers know what the member acknowledged to them, if they ran then (see
+// Member.announce). And a mark outside of the disk, in a file system in memory, records the number of the store's
+// latest write: while the machine runs, a store that lacks that write is an older copy, and a store that has it is
+// proven to be the newest.
 
-// bootIDFile names the machine's present start. A mark from before it proves nothing: the disk may have gone back while the
-// machine was down, and a folder that is not in memory would keep the mark.
+// bootIDFile identifies the current boot of the machine. A mark of an earlier boot proves nothing: the disk may have
+// been rolled back while the machine was down, and a folder that is not in memory would keep the mark.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// freshness is what is known of a store when it is opened.
+// freshness is whether a store is proven to be the newest when it is opened.
 type freshness int
 
 const (
-	freshnessUnknown freshness = iota // there is no mark of this start of the machine
-	freshnessProven                   // the store has every write that the mark knows of
+	freshnessUnknown freshness = iota // there is no mark of the current boot of the machine
+	freshnessProven                   // the store has every write that the mark records
 )
 
-// freshnessMark is the mark of one store. The zero value is a mark that is never there.
+// freshnessMark is the mark of one store. The zero value is a mark that never exists.
 type freshnessMark struct{ path string }
 
-// markContent is what a mark holds, as text of one line.
+// markContent is the content of a mark, a text of one line.
 type markContent struct {
 	bootID string
-	writes uint64 // of the store, all of its starts together
+	writes uint64 // of the store, over all of its starts
 }
 
-// newFreshnessMark returns the mark of the store in dir. Without a volatile folder there is none.
+// newFreshnessMark returns the mark of the store in dir. Without a volatile folder the mark never exists.
 func newFreshnessMark(volatileDir, dir string) (freshnessMark, error) {
 	if volatileDir == "" {
 		return freshnessMark{}, nil
@@ -50,7 +51,8 @@
 	return freshnessMark{path: filepath.Join(volatileDir, "pumiceline-member-"+hex.EncodeToString(digest[:8]))}, nil
 }
 
-// check compares a store that has had so many writes with the mark. It returns ErrStaleDisk where the mark knows a later one.
+// check compares a store that has had the given number of writes with the mark. It returns ErrStaleDisk if the mark
+// records a later write.
 func (f freshnessMark) check(writes uint64) (freshness, error) {
 	if f.path == "" {
 		return freshnessUnknown, nil
@@ -64,7 +66,7 @@
 	}
 	var mark markContent
 	if _, err := fmt.Sscan(string(text), &mark.bootID, &mark.writes); err != nil || mark.bootID != bootID() {
-		return freshnessUnknown, nil // torn, or of an earlier start of the machine
+		return freshnessUnknown, nil // torn, or of an earlier boot of the machine
 	}
 	if writes < mark.writes {
 		return freshnessUnknown, fmt.Errorf("write %d of the store, where write %d is known: %w", writes, mark.writes, ErrStaleDisk)
@@ -72,8 +74,9 @@
 	return freshnessProven, nil
 }
 
-// update notes a write that the store has synced. It must return before anything that the write allows is sent. Where the
-// mark can't be written it is removed, so that the next start asks the peers.
+// update records a write that the store has synced. It must return before anything that the write allows is sent:
+// otherwise, after a crash, an older copy without that write would match the mark and count as the newest. If the mark
+// can't be written it is removed, so that the next start asks the peers.
 func (f freshnessMark) update(writes uint64) error {
 	if f.path == "" {
 		return nil
@@ -88,7 +91,7 @@
 	return nil
 }
 
-// bootID is the machine's present start; empty where the system does not tell.
+// bootID returns the ID of the machine's current boot, or "unknown" if the system does not provide it.
 func bootID() string {
 	text, err := os.ReadFile(bootIDFile)
 	if err != nil {
--- a/internal/singleton/raftmember/freshness_test.go
+++ b/internal/singleton/raftmember/freshness_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-// A member on an older copy of its disk, beside one that did not run when the newer entries were agreed on: these two must
-// not agree without them. The third, which knows, rejects the older copy.
-func TestMember_OldDiskBesideStoppedMember(t *testing.T) {
+// A member on an older copy of its disk runs with a member that was stopped when newer entries were committed: these
+// two must not form a quorum without those entries. The third member, which has the entries, rejects the older copy.
+func TestMember_OldDiskWithoutCurrentMember(t *testing.T) {
 	c := newCluster(t, 0)
 	c.startAll()
 	c.runInstance()
@@ -28,18 +28,18 @@
 	c.stop(1)
 	c.stop(2)
 	c.start(3)
-	rounds := messageSignal{message: "member waits for a quorum to accept its disk", seen: make(chan struct{}, 1)}
+	rounds := messageSignal{message: "member waits for its peers to accept its disk", seen: make(chan struct{}, 1)}
 	options := c.options(2, olderCopy)
 	options.Log = slog.New(rounds)
 	old := startMember(t, c.addrs[2], options)
 	defer old.cancel()
-	for range 5 { // each is a round of announcements: both have long started
+	for range 5 { // each is a round of announcements: by the last one both members have long started
 		select {
 		case <-rounds.seen:
 		case err := <-old.result:
 			t.Fatalf("the member on the older copy ended: %v", err)
 		case <-time.After(20 * time.Second):
-			t.Fatal("the member on the older copy takes part")
+			t.Fatal("the member on the older copy has stopped announcing itself: it takes part")
 		}
 	}
 	c.start(1)
@@ -49,7 +49,7 @@
 			t.Error(err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("the older copy is accepted by a member that knows of the newer entries")
+		t.Error("the older copy is accepted by a member that has the newer entries")
 	}
 	c.setDesiredHolder("again")
 	if a := c.awaitAgreement("again"); a.Token == 0 {
@@ -57,8 +57,8 @@
 	}
 }
 
-// While the machine runs the mark alone shows that a store is an older copy, or the newest.
-func TestMember_MarkShowsOlderCopy(t *testing.T) {
+// While the machine runs, the mark alone shows whether a store is an older copy or the newest.
+func TestMember_MarkDetectsOlderCopy(t *testing.T) {
 	c := newCluster(t, 0)
 	c.startAll()
 	c.runInstance()
@@ -82,13 +82,13 @@
 		t.Errorf("older copy: %v", err)
 	}
 	c.writeStore(3, newest)
-	c.stop(1) // with one of two peers alone a proven disk is enough
+	c.stop(1) // a proven disk needs only one of the two peers
 	c.start(3)
 	c.setDesiredHolder("again")
 	c.awaitAgreement("again")
 }
 
-// Without a mark every other member has to accept a disk, unless the operator says that it is the newest.
+// Without a mark every other member has to accept a disk, unless the operator sets TrustDisk.
 func TestMember_UnprovenDiskNeedsEveryMember(t *testing.T) {
 	c := newCluster(t, 0)
 	c.startAll()
@@ -98,7 +98,7 @@
 	c.stop(1)
 	c.stop(3)
 	options := c.openOptions(3)
-	options.VolatileDir = t.TempDir() // the machine has restarted
+	options.VolatileDir = t.TempDir() // no mark, as after a restart of the machine
 	waiting, err := Open(options)
 	if err != nil {
 		t.Fatal(err)
@@ -140,7 +140,7 @@
 			t.Errorf("%s: %v, %v", c.name, got, err)
 		}
 	}
-	for name, text := range map[string]string{"torn": bootID(), "before the machine restarted": "other 9\n", "empty": ""} {
+	for name, text := range map[string]string{"torn": bootID(), "earlier boot of the machine": "other 9\n", "empty": ""} {
 		if err := os.WriteFile(mark.path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -150,7 +150,7 @@
 	}
 }
 
-// openOptions are options with which Open can be called directly.
+// openOptions returns options with which Open can be called directly.
 func (c *cluster) openOptions(id uint64) Options {
 	options := c.options(id, c.dirs[id])
 	options.Log = slog.New(slog.DiscardHandler)
--- a/internal/singleton/raftmember/handshake.go
+++ b/internal/singleton/raftmember/handshake.go
@@ -13,11 +13,11 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// Raft is safe only while no member forgets its vote or an entry that it acknowledged. A disk that was restored from a
-// backup, or lost, lacks both. Each member therefore records how far its peers' disks have come, and a member that starts
-// takes part only once its peers have checked its disk.
+// Raft is safe only while no member loses its vote or an entry that it acknowledged. A disk that was restored from a
+// backup, or replaced by an empty one, lacks both. Each member therefore records how far its peers' disks have
+// advanced, and a member that starts takes part only once its peers have checked its disk.
 
-// diskProgress is how far a member's disk has come, as far as is known. A disk that is behind it is an older copy.
+// diskProgress is how far a member's disk is known to have advanced. A disk that is behind it is an older copy.
 type diskProgress struct {
 	StartCount uint64 `json:"boot"`  // how often the member has started
 	Nonce      uint64 `json:"nonce"` // of the process of that start; 0: not known
@@ -29,7 +29,7 @@
 // nonce.
 type startID struct{ count, nonce uint64 }
 
-// String is the form of startHeader.
+// String returns the value of startHeader.
 func (s startID) String() string { return fmt.Sprintf("%d %d", s.count, s.nonce) }
 
 func parseStartID(header string) (s startID, err error) {
@@ -37,21 +37,23 @@
 	return s, err
 }
 
-// Hello is what a member announces of its disk when it starts.
+// Hello is the announcement of a member that starts: its ID and the progress of its disk.
 type Hello struct {
 	ID uint64 `json:"id"`
 	diskProgress
 }
 
 var (
-	// ErrStaleDisk is the reason to refuse a member: its disk lacks what it acknowledged, or it was started elsewhere.
+	// ErrStaleDisk is the reason to refuse a member: its disk lacks something that the member acknowledged, or another
+	// process was started with its ID.
 	ErrStaleDisk = errors.New("the member's disk is older than what it acknowledged, or another process uses its name")
-	// ErrRefused is the error of a member that ends because a peer refused its Hello.
+	// ErrRefused is the error of a member that stops because a peer refused its Hello.
 	ErrRefused = errors.New("refused by a peer")
 )
 
-// validateStart returns ErrStaleDisk where a member that announces started must not take part, as p is known of its disk.
-// With the same start count and another nonce it is a second process on a copy of the disk; a nonce of 0 is not known.
+// validateStart returns ErrStaleDisk if a member that announces started must not take part, where p is the known
+// progress of its disk. The same start count with another nonce means a second process on a copy of the disk; a nonce
+// of 0 is not known.
 func (p diskProgress) validateStart(started diskProgress) error {
 	isOtherProcess := started.StartCount == p.StartCount && p.Nonce != 0 && started.Nonce != p.Nonce
 	if started.StartCount < p.StartCount || isOtherProcess || started.Term < p.Term ||
@@ -62,8 +64,9 @@
 	return nil
 }
 
-// announce sends Hello to the peers until as many have accepted it as acceptancesNeeded says. Each compares it with what it
-// has seen of this member's disk itself; a single refusal is an ErrRefused. Where ctx ends first it returns nil.
+// announce sends Hello to the peers until acceptancesNeeded of them have accepted it. Each peer compares it with what
+// it has recorded of this member's disk itself; after a single refusal announce returns ErrRefused. If ctx ends first
+// it returns nil.
 func (m *Member) announce(ctx context.Context) error {
 	hello, err := json.Marshal(Hello{ID: m.opts.ID, diskProgress: m.store.progress(m.nonce)})
 	if err != nil {
@@ -82,7 +85,7 @@
 			m.opts.Log.Info("member takes part", "member", m.opts.ID, "start", m.store.startCount, "accepted_by", acceptedBy)
 			return nil
 		}
-		m.opts.Log.Warn("member waits for a quorum to accept its disk", "member", m.opts.ID, "accepted_by", acceptedBy,
+		m.opts.Log.Warn("member waits for its peers to accept its disk", "member", m.opts.ID, "accepted_by", acceptedBy,
 			"needed", needed)
 		select {
 		case <-ctx.Done():
@@ -110,7 +113,8 @@
 	return nil
 }
 
-// observeAcceptance takes in what a peer says of its own disk. A proven disk needs no guard.
+// observeAcceptance processes the response of a peer that accepted the Hello, which describes the peer's own disk. A
+// member with a proven disk needs no guard.
 func (m *Member) observeAcceptance(id uint64, text string) {
 	if m.store.freshness == freshnessProven || text == "" {
 		return
@@ -123,7 +127,7 @@
 	m.guard.observe(response)
 }
 
-// acceptHello checks a peer's disk and records how far it has come. The error is ErrStaleDisk.
+// acceptHello checks a peer's disk and records how far it has advanced. It returns ErrStaleDisk for an older copy.
 func (m *Member) acceptHello(h Hello) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -134,8 +138,9 @@
 	return nil
 }
 
-// observeMessage records how far the disk of a raft message's sender has come. It returns ErrStaleDisk where another start
-// of the sender, no earlier one, is known: two processes with one ID must not both vote.
+// observeMessage records how far the disk of a raft message's sender has advanced. It returns ErrStaleDisk if a later
+// start of the sender is known, or another process with the same start count: two processes with one ID must not both
+// vote.
 func (m *Member) observeMessage(msg *pb.Message, sender startID) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -144,7 +149,7 @@
 		return fmt.Errorf("start %d, where start %d is known: %w", sender.count, seen.StartCount, ErrStaleDisk)
 	}
 	next := seen
-	next.StartCount, next.Nonce = sender.count, sender.nonce // a quorum may have accepted its Hello without this member
+	next.StartCount, next.Nonce = sender.count, sender.nonce // other peers may have accepted its Hello without this member
 	next.advance(msg)
 	if next != seen {
 		m.peerProgress[msg.GetFrom()] = next
@@ -153,10 +158,10 @@
 	return nil
 }
 
-// advance moves p on to a message's term and to the index that the message acknowledges.
+// advance moves p forward to the term of a message and to the index that the message acknowledges.
 func (p *diskProgress) advance(msg *pb.Message) {
 	if msg.GetType() == pb.MessageType_MsgPreVote || msg.GetType() == pb.MessageType_MsgPreVoteResp {
-		return // these name a term that nobody has entered
+		return // these carry a term that no member has entered
 	}
 	if msg.GetTerm() > p.Term {
 		p.Term, p.Index = msg.GetTerm(), 0
@@ -166,8 +171,8 @@
 	}
 }
 
-// persistProgress stores the peers' progress if a term or a start in it is new. An index alone can wait for that: it is
-// stored with the next change.
+// persistProgress stores the peers' progress if it has a new term or a new start. A new index alone is stored with the
+// next such change.
 func (m *Member) persistProgress() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/singleton/raftmember/http.go
+++ b/internal/singleton/raftmember/http.go
@@ -22,16 +22,16 @@
 	helloPath           = "/v1/hello"
 	statusPath          = "/v1/status"
 	metricsPath         = "/v1/metrics"
-	rolesPath           = "/v1/works/" // with the role's name and one of the suffixes behind it
+	rolesPath           = "/v1/works/" // followed by the role's name and one of the suffixes
 	desiredHolderSuffix = "/want"
 	releaseSuffix       = "/free"
 
-	instanceQuery = "who" // key of the query: the desired holder
+	instanceQuery = "who" // query parameter: the desired holder
 )
 
 const maxInstanceNameBytes = 64
 
-// handler serves members, instances and operators.
+// handler serves requests of members, instances and operators.
 func (m *Member) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+raftPath, m.handleRaftMessage)
@@ -44,7 +44,7 @@
 	return m.requireFleet(mux)
 }
 
-// requireFleet rejects POSTs of another fleet.
+// requireFleet rejects POSTs from another fleet.
 func (m *Member) requireFleet(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if fleet := r.Header.Get(singleton.FleetHeader); r.Method == http.MethodPost && fleet != m.opts.Fleet {
@@ -56,7 +56,7 @@
 	})
 }
 
-// handleRaftMessage queues a message for the raft loop. Its response says nothing of whether it was processed.
+// handleRaftMessage queues a message for the raft loop. Its response does not say whether the message was processed.
 func (m *Member) handleRaftMessage(w http.ResponseWriter, r *http.Request) {
 	msg := &pb.Message{}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
@@ -79,11 +79,11 @@
 	}
 	select {
 	case m.received <- msg:
-	default: // lost, as on a network
+	default: // the queue is full: the message is lost, as on a network
 	}
 }
 
-// handleHello accepts or rejects a peer that starts. It responds once an acceptance is on disk.
+// handleHello accepts or rejects a peer that starts. It responds to an accepted peer once the acceptance is on disk.
 func (m *Member) handleHello(w http.ResponseWriter, r *http.Request) {
 	var h Hello
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&h); err != nil || m.peers[h.ID] == nil {
@@ -123,17 +123,17 @@
 	}
 }
 
-// heartbeatResult is what a member has to say to a heartbeat.
+// heartbeatResult is the result of processing a heartbeat.
 type heartbeatResult struct {
 	response singleton.HeartbeatResponse
 	isLeader bool   // a quorum has confirmed, after the heartbeat was received, that this member leads; else no response
-	leader   uint64 // as this member knows it; 0: none
+	leader   uint64 // ID of the leader that this member knows; 0: none
 }
 
-// processHeartbeat has the lease manager process a heartbeat and waits for the leadership check. It is false where ctx
+// processHeartbeat passes a heartbeat to the lease manager and waits for the leadership check. It returns false if ctx
 // ended first.
 func (m *Member) processHeartbeat(ctx context.Context, heartbeat singleton.Heartbeat) (result heartbeatResult, ok bool) {
-	checked := make(chan bool, 1) // has room for the one result: the loop never waits for this goroutine
+	checked := make(chan bool, 1) // has room for the one result: the raft loop never waits for this goroutine
 	if !m.runOnLoop(ctx, func() {
 		result.leader = m.leader
 		if m.leaseManager == nil || len(m.checks.waiting) >= maxWaitingHeartbeats {
@@ -155,8 +155,8 @@
 	}
 }
 
-// rejectAsFollower answers that this member does not lead. It names the leader by its ID, as each client may have another
-// address for it, such as that of a relay in a fault test.
+// rejectAsFollower responds that this member does not lead. It names the leader by its ID, as each client may have
+// another address for it, such as that of a relay in a fault test.
 func (m *Member) rejectAsFollower(w http.ResponseWriter, leader uint64) {
 	if leader != 0 && leader != m.opts.ID {
 		w.Header().Set(singleton.LeaderHeader, strconv.FormatUint(leader, 10))
@@ -183,7 +183,8 @@
 	})
 }
 
-// proposeForOperator proposes the command that build returns for a role's assignment. An error of build is answered 409.
+// proposeForOperator proposes the command that build returns for a role's assignment. If build fails, the response is
+// 409.
 func (m *Member) proposeForOperator(ctx context.Context, w http.ResponseWriter, role string,
 	build func(singleton.Assignment) (singleton.Command, error)) {
 	isKnown := slices.Contains(m.opts.Settings.Roles, role)
--- a/internal/singleton/raftmember/leadershipcheck.go
+++ b/internal/singleton/raftmember/leadershipcheck.go
@@ -6,13 +6,13 @@
 	"go.etcd.io/raft/v3"
 )
 
-// leadershipChecks have a quorum confirm that this member still leads, before a response to a heartbeat is sent (ReadIndex,
-// section 6.4 of Ongaro's thesis). One check is in flight at a time; callbacks that are added meanwhile wait for the next,
-// as a check says nothing of the time after its start. Owned by the raft loop.
+// leadershipChecks make a quorum confirm that this member still leads, before a response to a heartbeat is sent
+// (ReadIndex, section 6.4 of Ongaro's thesis). One check is in flight at a time; callbacks that are added meanwhile
+// wait for the next, as a check proves nothing about the time after its start. Owned by the raft loop.
 type leadershipChecks struct {
 	waiting  []func(isLeader bool) // for the next check
 	inFlight *leadershipCheck      // nil: none
-	lastID   uint64                // of a check
+	lastID   uint64                // ID of the latest check
 }
 
 type leadershipCheck struct {
@@ -22,10 +22,10 @@
 	index     uint64 // once confirmed: the callbacks are called when the entry of this index is applied
 }
 
-// add has callback called, by the raft loop, with the result of a check that has not started yet.
+// add registers a callback. The raft loop calls it with the result of a check that has not started yet.
 func (c *leadershipChecks) add(callback func(isLeader bool)) { c.waiting = append(c.waiting, callback) }
 
-// start starts a check for all callbacks that wait, unless one is in flight.
+// start starts a check for all waiting callbacks, unless a check is in flight.
 func (c *leadershipChecks) start(node *raft.RawNode) {
 	if len(c.waiting) == 0 || c.inFlight != nil {
 		return
@@ -36,7 +36,7 @@
 	node.ReadIndex(indexKey(c.lastID))
 }
 
-// confirm takes in raft's confirmations, and ends the check in flight once its index is applied.
+// confirm processes raft's confirmations, and ends the check in flight once its index is applied.
 func (c *leadershipChecks) confirm(confirmations []raft.ReadState, applied uint64) {
 	if c.inFlight == nil {
 		return
--- a/internal/singleton/raftmember/member.go
+++ b/internal/singleton/raftmember/member.go
@@ -1,7 +1,8 @@
-// Package raftmember is a member of the small group that agrees on who holds which singleton role. The consensus algorithm
-// is go.etcd.io/raft; this package gives it a disk, a transport and a clock, and applies its log to a singleton.State.
+// Package raftmember implements a member of the small raft group that agrees on the holder of each singleton role. The
+// consensus algorithm is go.etcd.io/raft; this package gives it a disk, a transport and a clock, and applies its log to
+// a singleton.State.
 //
-// Members, instances and operators speak HTTP/1.1 over TCP:
+// Members, instances and operators communicate over HTTP/1.1 on TCP:
 //
 //	POST /v1/beat                   a singleton.Heartbeat as JSON; 200 with a singleton.HeartbeatResponse once a quorum has
 //	                                confirmed that this member leads
@@ -14,12 +15,12 @@
 //	POST /v1/raft                   one raftpb.Message; X-Start names the sender's start, and 409 says that a later start of
 //	                                its ID is known
 //
-// Every POST names its fleet in X-Fleet and is answered 403 by a member of another fleet: where an address has passed from
-// one fleet to another, members of both would else take part in one raft group. A member that does not lead answers 503,
-// with the leader's ID in X-Leader if it knows one.
+// Every POST names its fleet in X-Fleet, and a member of another fleet responds 403: otherwise members of two fleets
+// would take part in one raft group after an address has moved from one fleet to the other. A member that does not lead
+// responds 503, with the leader's ID in X-Leader if it knows it.
 //
 // Goroutines: the raft loop owns the raft node, the state and the lease manager. HTTP handlers reach them through
-// runOnLoop. One goroutine a peer sends what is queued for it. Run waits for all of them.
+// runOnLoop. One goroutine per peer sends the messages that are queued for it. Run waits for all of them.
 package raftmember
 
 import (
@@ -45,34 +46,35 @@
 	ID      uint64            // this member's among Members, from 1
 	Members map[uint64]string // addresses by ID, its own included
 	Dir     string            // folder of its store
-	// VolatileDir is a folder in memory that keeps the mark by which the store is known to be the newest when the process
-	// starts again. Empty: each start has to be accepted by every other member.
+	// VolatileDir is a folder in memory for the mark that proves the store to be the newest when the process starts
+	// again. Empty: every other member has to accept each start.
 	VolatileDir string
-	// TrustDisk has the member start as if its store were proven to be the newest. It is for an operator who knows that it
-	// is, where a member that would have to accept it does not come back.
+	// TrustDisk makes the member start as if its store were proven to be the newest. It is for an operator who knows
+	// that it is, when a member that would have to accept it does not come back.
 	TrustDisk bool
 	Settings  singleton.Settings
 	Log       *slog.Logger
-	// SnapshotInterval is how many entries are applied between two snapshots; 0: 2,000. A quarter of as many stays in
-	// memory, so that a member that is a little behind needs no snapshot.
+	// SnapshotInterval is the number of entries applied between two snapshots; 0: 2,000. A quarter of that number stays
+	// in memory, so that a member that is a little behind needs no snapshot.
 	SnapshotInterval uint64
 }
 
-// Limits of what is queued and received. Messages beyond them are lost, as on a network; heartbeats are answered 503.
+// Limits on queues and requests. Messages beyond them are lost, as on a network; heartbeats are answered 503.
 const (
 	maxReceived          = 1024    // messages for the raft loop
 	maxQueuedPerPeer     = 256     // messages to a peer
 	maxBodyBytes         = 4 << 20 // of a request
-	maxWaitingHeartbeats = 4096    // that wait for a leadership check
+	maxWaitingHeartbeats = 4096    // heartbeats that wait for a leadership check
 )
 
 // Snapshots.
 const (
 	defaultSnapshotInterval = 2000 // entries
-	keptIntervalDivisor     = 4    // part of SnapshotInterval that stays in memory behind a snapshot
+	keptIntervalDivisor     = 4    // SnapshotInterval divided by this is how many entries before a snapshot stay in memory
 )
 
-// Connections. The server's idle time-out is the longer one, so that a peer does not send on a connection that ends.
+// Connections. The server's idle time-out is longer than the peers', so that a peer does not send on a connection that
+// the server is closing.
 const (
 	maxIdleConnsPerPeer = 4
 	peerIdleTimeout     = 10 * time.Second
@@ -82,20 +84,20 @@
 
 // Timing of raft, in ticks.
 const (
-	electionTicks  = 10 // without a message from the leader until a member starts an election
+	electionTicks  = 10 // time without a message from the leader after which a member starts an election
 	heartbeatTicks = 2
 	requestTicks   = 10 // time-out of a request to a peer
 
-	ticksPerLease   = 50 // an election, of some electionTicks, has to be over well within a lease
+	ticksPerLease   = 50 // an election takes a few electionTicks and has to end well within a lease
 	minTickInterval = 5 * time.Millisecond
 	maxTickInterval = 100 * time.Millisecond
 )
 
-// Member takes part in the agreement. Create it with Open and call Run once.
+// Member is one member of the raft group. Create it with Open and call Run once.
 type Member struct {
 	opts         Options
 	store        *store
-	nonce        uint64 // tells this process apart from another that runs with a copy of its disk
+	nonce        uint64 // distinguishes this process from another that runs with a copy of its disk
 	tickInterval time.Duration
 	startedAt    time.Time
 	received     chan *pb.Message
@@ -104,13 +106,13 @@
 	peers        map[uint64]*peer
 	client       *http.Client
 
-	mu            sync.Mutex // held also while peerProgress is written: an older state must not overwrite a newer one
+	mu            sync.Mutex // also held while peerProgress is stored: an older version must not overwrite a newer one
 	peerProgress  map[uint64]diskProgress
 	progressDirty bool
 
 	// Owned by the raft loop.
 	guard         voteGuard
-	isCaughtUp    bool // the log has come as far as the guard requires
+	isCaughtUp    bool // the log has reached the position that the guard requires
 	node          *raft.RawNode
 	confState     *pb.ConfState
 	state         *singleton.State
@@ -123,8 +125,8 @@
 	holderChanges uint64 // since the start
 }
 
-// Open opens a member's store, creating it where there is none, and counts the start. It returns a
-// *singleton.SettingError for settings that can't be used, else errors of the file and of its contents.
+// Open opens a member's store, creating it if there is none, and counts the start. It returns a *singleton.SettingError
+// for settings that can't be used, otherwise errors of the file and of its contents.
 func Open(opts Options) (*Member, error) {
 	if err := opts.Settings.Validate(); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -186,11 +188,12 @@
 	return m.restoreSnapshot(snapshot)
 }
 
-// now is the member's clock. It is monotonic.
+// now returns the time of the member's clock. It is monotonic.
 func (m *Member) now() singleton.Time { return singleton.Time(time.Since(m.startedAt).Microseconds()) }
 
-// Run serves on ln and takes part until ctx ends. An error says why the member had to stop by itself: its disk failed, it
-// was refused (ErrRefused) or it was started elsewhere (ErrStartedElsewhere). It closes ln and the store.
+// Run serves on ln and takes part in the raft group until ctx ends. An error says why the member had to stop by itself:
+// its disk failed, a peer refused it (ErrRefused) or it was started elsewhere (ErrStartedElsewhere). It closes ln and
+// the store.
 func (m *Member) Run(ctx context.Context, ln net.Listener) (err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	server := &http.Server{Handler: m.handler(), ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: serverIdleTimeout,
@@ -217,7 +220,7 @@
 	if err := m.announce(ctx); err != nil || ctx.Err() != nil {
 		return err
 	}
-	if err := m.spendVote(); err != nil {
+	if err := m.storeSelfVote(); err != nil {
 		return err
 	}
 	if err := m.startNode(); err != nil {
--- a/internal/singleton/raftmember/member_test.go
+++ b/internal/singleton/raftmember/member_test.go
@@ -13,8 +13,8 @@
 	"go.etcd.io/bbolt"
 )
 
-// The log is compacted, and a member that was stopped for long gets a snapshot. All that was committed is there after every
-// member has restarted, and at a member that got it by a snapshot alone.
+// The log is compacted, and a member that was stopped for a long time gets a snapshot. All that was committed remains
+// available after every member has restarted, also at a member that received it only in a snapshot.
 func TestMember_CompactsAndRestoresSnapshots(t *testing.T) {
 	c := newCluster(t, 40)
 	c.startAll()
@@ -48,7 +48,7 @@
 	c.awaitAgreement("without-1")
 }
 
-// storedEntryCount is how many entries the log of a stopped member has on disk.
+// storedEntryCount returns how many entries the log of a stopped member has on disk.
 func storedEntryCount(t *testing.T, dir string) (n int) {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(dir, storeFile), 0o600, &bbolt.Options{ReadOnly: true})
@@ -87,7 +87,7 @@
 					t.Error(err)
 				}
 			case <-time.After(20 * time.Second):
-				t.Error("takes part")
+				t.Error("the member takes part")
 			}
 		})
 	}
@@ -96,7 +96,7 @@
 	c.awaitAgreement("again")
 }
 
-// Of two processes with one ID the first ends once the second takes part; the other members go on.
+// Of two processes with one ID the first stops once the second takes part; the other members continue.
 func TestMember_EndsWhenStartedElsewhere(t *testing.T) {
 	c := newCluster(t, 0)
 	c.startAll()
@@ -123,35 +123,35 @@
 	c.awaitAgreement("after")
 }
 
-// A member of another fleet that announces itself at this fleet's addresses is rejected: it never takes part, and neither
-// it nor a member of this fleet ends because of it.
+// A member of another fleet that announces itself at this fleet's addresses is rejected: it never takes part, and
+// neither it nor a member of this fleet stops because of it.
 func TestMember_RejectsAnotherFleet(t *testing.T) {
 	c := newCluster(t, 0)
 	c.startAll()
 	c.runInstance()
 	c.setDesiredHolder("before")
-	// The stranger logs each round of announcements after which no quorum has accepted it.
-	rounds := messageSignal{message: "member waits for a quorum to accept its disk", seen: make(chan struct{}, 1)}
-	stranger := startMember(t, "127.0.6.8:0", Options{Fleet: "g", ID: 3, Dir: t.TempDir(), Log: slog.New(rounds),
+	// The outsider logs each round of announcements after which not enough peers have accepted it.
+	rounds := messageSignal{message: "member waits for its peers to accept its disk", seen: make(chan struct{}, 1)}
+	outsider := startMember(t, "127.0.6.8:0", Options{Fleet: "g", ID: 3, Dir: t.TempDir(), Log: slog.New(rounds),
 		Members: map[uint64]string{1: c.addrs[1], 2: c.addrs[2], 3: "127.0.6.8:1"}})
 	for range 3 {
 		select {
 		case <-rounds.seen:
-		case err := <-stranger.result:
-			t.Fatalf("the stranger ended by itself: %v", err)
+		case err := <-outsider.result:
+			t.Fatalf("the outsider ended by itself: %v", err)
 		case <-time.After(20 * time.Second):
-			t.Fatal("the stranger has stopped announcing itself")
+			t.Fatal("the outsider has stopped announcing itself")
 		}
 	}
-	stranger.cancel()
-	if err := <-stranger.result; err != nil {
-		t.Errorf("the stranger: %v", err)
+	outsider.cancel()
+	if err := <-outsider.result; err != nil {
+		t.Errorf("the outsider: %v", err)
 	}
 	c.setDesiredHolder("after")
 	c.awaitAgreement("after")
 }
 
-// messageSignal is a log handler that signals each record with a message.
+// messageSignal is a log handler that signals each record with the given message.
 type messageSignal struct {
 	message string
 	seen    chan struct{}
@@ -165,7 +165,7 @@
 	}
 	select {
 	case s.seen <- struct{}{}:
-	default: // the test has seen enough, or is about to read the last one
+	default: // the test no longer reads, or has yet to read the last one
 	}
 	return nil
 }
--- a/internal/singleton/raftmember/metrics.go
+++ b/internal/singleton/raftmember/metrics.go
@@ -26,7 +26,7 @@
 		"Time since the holder's latest progress; at the leader only.", []string{"work"}, nil)
 )
 
-// statusCollector is a Status as metrics. It implements prometheus.Collector.
+// statusCollector exports a Status as metrics. It implements prometheus.Collector.
 type statusCollector Status
 
 // Describe implements prometheus.Collector.
--- a/internal/singleton/raftmember/olddisk_model_test.go
+++ b/internal/singleton/raftmember/olddisk_model_test.go
@@ -13,42 +13,42 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The model runs the raft library and this package's rules for starting members, without network and disk. Members run in
-// phases, in each of which some of them are up; messages between them are delivered in any order, or lost. One member, the
-// same in all of a run, may start on any older copy of its disk. What any member has applied must never be applied
-// otherwise.
+// The model runs the raft library and this package's rules for starting members, without network and disk. A run has
+// phases, in each of which some of the members are up; messages between them are delivered in any order, or lost. One
+// member, the same throughout a run, may start on any older copy of its disk. An index must never be applied with
+// another entry than the one that any member has applied there.
 
 // modelDisk is what a member has synced.
 type modelDisk struct {
-	hard       *pb.HardState
-	entries    []*pb.Entry
-	startCount uint64
-	known      map[uint64]diskProgress
-	isMarked   bool // the mark outside of the disk is there
+	hard         *pb.HardState
+	entries      []*pb.Entry
+	startCount   uint64
+	peerProgress map[uint64]diskProgress
+	isMarked     bool // the mark outside of the disk exists
 }
 
 func (d modelDisk) copy() modelDisk {
 	d.entries = slices.Clone(d.entries)
-	d.known = maps.Clone(d.known)
+	d.peerProgress = maps.Clone(d.peerProgress)
 	return d
 }
 
-// modelMember is a member that is up. Its node is nil until enough others have accepted its disk.
+// modelMember is a member that is up. Its node is nil until enough other members have accepted its disk.
 type modelMember struct {
-	id       uint64
-	nonce    uint64
-	disk     *modelDisk
-	mem      *raft.MemoryStorage
-	node     *raft.RawNode
-	known    map[uint64]diskProgress // what it has seen of its peers' disks
-	accepted map[uint64]bool
-	guard    voteGuard
-	isProven bool
+	id           uint64
+	nonce        uint64
+	disk         *modelDisk
+	mem          *raft.MemoryStorage
+	node         *raft.RawNode
+	peerProgress map[uint64]diskProgress // as it has recorded it in memory
+	accepted     map[uint64]bool
+	guard        voteGuard
+	isProven     bool
 }
 
 // modelRules are the rules of the package, or planted defects.
 type modelRules struct {
-	acceptedByQuorum bool // a quorum accepts a member, whatever its disk
+	acceptedByQuorum bool // a member needs acceptances from a quorum only, whatever its disk
 	marksAtStart     bool // a disk is marked as the newest before it is accepted
 }
 
@@ -58,18 +58,18 @@
 }
 
 type model struct {
-	rng     *rand.Rand
-	members uint64
-	rules   modelRules
-	disks   map[uint64]*modelDisk
-	up      map[uint64]*modelMember
-	flying  []modelMessage
-	applied map[uint64]string // by index
-	copies  []modelDisk       // earlier disks of the member whose disk may go back
-	victim  uint64
-	failure error
+	rng          *rand.Rand
+	members      uint64
+	rules        modelRules
+	disks        map[uint64]*modelDisk
+	up           map[uint64]*modelMember
+	inFlight     []modelMessage
+	applied      map[uint64]string // by index
+	earlierDisks []modelDisk       // earlier disks of the member rollbackID
+	rollbackID   uint64            // the member whose disk may be rolled back
+	failure      error
 
-	stepping *modelMember // the member that a message is delivered to
+	receiving *modelMember // the member that a message is being delivered to
 }
 
 const modelStepsPerPhase = 250
@@ -78,13 +78,13 @@
 	m := &model{rng: rand.New(rand.NewPCG(seed, 1)), members: members, rules: rules, disks: map[uint64]*modelDisk{},
 		up: map[uint64]*modelMember{}, applied: map[uint64]string{}}
 	for id := uint64(1); id <= members; id++ {
-		m.disks[id] = &modelDisk{hard: &pb.HardState{}, known: map[uint64]diskProgress{}}
+		m.disks[id] = &modelDisk{hard: &pb.HardState{}, peerProgress: map[uint64]diskProgress{}}
 	}
-	m.victim = 1 + m.rng.Uint64N(members)
+	m.rollbackID = 1 + m.rng.Uint64N(members)
 	return m
 }
 
-// run plays some phases. The first has all members, as the first start of a fleet has.
+// run runs the given number of phases. All members are up in the first, as at the first start of a fleet.
 func (m *model) run(phases int) error {
 	for phase := range phases {
 		chosen := m.rng.Perm(int(m.members))
@@ -98,12 +98,12 @@
 		if m.failure != nil {
 			return fmt.Errorf("phase %d: %w", phase, m.failure)
 		}
-		m.copies = append(m.copies, m.disks[m.victim].copy())
+		m.earlierDisks = append(m.earlierDisks, m.disks[m.rollbackID].copy())
 	}
 	return nil
 }
 
-// beginPhase stops the members that are not chosen and starts those that are.
+// beginPhase stops the members that are not chosen, and some that are, and starts the chosen ones that are not up.
 func (m *model) beginPhase(chosen []int) {
 	for _, id := range slices.Sorted(maps.Keys(m.up)) {
 		if !slices.Contains(chosen, int(id-1)) || m.rng.IntN(2) == 0 {
@@ -118,13 +118,13 @@
 }
 
 func (m *model) start(id uint64) {
-	isOld := id == m.victim && len(m.copies) > 0 && m.rng.IntN(2) == 0
-	if isOld {
-		older := m.copies[m.rng.IntN(len(m.copies))].copy()
+	isRolledBack := id == m.rollbackID && len(m.earlierDisks) > 0 && m.rng.IntN(2) == 0
+	if isRolledBack {
+		older := m.earlierDisks[m.rng.IntN(len(m.earlierDisks))].copy()
 		m.disks[id] = &older
 	}
 	disk := m.disks[id]
-	isProven := disk.isMarked && !isOld && m.rng.IntN(2) == 0 // else the machine has restarted too
+	isProven := disk.isMarked && !isRolledBack && m.rng.IntN(2) == 0 // else the machine has restarted as well
 	disk.isMarked = isProven || m.rules.marksAtStart
 	disk.startCount++
 	mem := raft.NewMemoryStorage()
@@ -132,23 +132,23 @@
 		_ = mem.SetHardState(disk.hard) // a MemoryStorage returns no error
 	}
 	_ = mem.Append(disk.entries)
-	m.up[id] = &modelMember{id: id, nonce: m.rng.Uint64(), disk: disk, mem: mem, known: maps.Clone(disk.known),
-		accepted: map[uint64]bool{}, isProven: isProven}
+	m.up[id] = &modelMember{id: id, nonce: m.rng.Uint64(), disk: disk, mem: mem,
+		peerProgress: maps.Clone(disk.peerProgress), accepted: map[uint64]bool{}, isProven: isProven}
 }
 
 func (m *model) step(step int) {
 	if len(m.up) == 0 {
 		return
 	}
-	member := m.up[m.anyUp()]
-	defer m.endOnPanic(member)
+	member := m.up[m.randomUp()]
+	defer m.handlePanic(member)
 	switch {
 	case member.node == nil:
 		m.announce(member)
 	case step%40 == 0:
-		_ = member.node.Propose([]byte(fmt.Sprint(m.rng.Uint64()))) // an error: it does not lead
+		_ = member.node.Propose([]byte(fmt.Sprint(m.rng.Uint64()))) // an error means that it does not lead
 		m.handleReady(member)
-	case len(m.flying) > 0 && m.rng.IntN(4) > 0:
+	case len(m.inFlight) > 0 && m.rng.IntN(4) > 0:
 		m.deliver()
 	case member.guard.mayCampaign(member.logEnd()):
 		member.node.Tick()
@@ -156,23 +156,23 @@
 	}
 }
 
-// endOnPanic has the process of the member end whose disk may go back where the raft library finds its log too short: that
-// is safe. With any other member it is a failure.
-func (m *model) endOnPanic(member *modelMember) {
+// handlePanic handles a panic of the raft library, which finds a log that is too short. At the member whose disk may be
+// rolled back that is safe: its process ends. At any other member it is a failure.
+func (m *model) handlePanic(member *modelMember) {
 	cause := recover()
 	if cause == nil {
 		return
 	}
-	if m.stepping != nil {
-		member, m.stepping = m.stepping, nil
+	if m.receiving != nil {
+		member, m.receiving = m.receiving, nil
 	}
-	if member.id != m.victim {
+	if member.id != m.rollbackID {
 		m.failure = fmt.Errorf("raft at member %d: %v", member.id, cause)
 	}
 	delete(m.up, member.id)
 }
 
-func (m *model) anyUp() uint64 {
+func (m *model) randomUp() uint64 {
 	ids := slices.Sorted(maps.Keys(m.up))
 	return ids[m.rng.IntN(len(ids))]
 }
@@ -182,7 +182,7 @@
 	return s.logEnd()
 }
 
-// announce has the members that are up check a member's disk, as Member.announce does.
+// announce makes the members that are up check a member's disk, as Member.announce does.
 func (m *model) announce(member *modelMember) {
 	last, _ := member.mem.LastIndex()
 	hello := diskProgress{StartCount: member.disk.startCount, Nonce: member.nonce, Term: member.disk.hard.GetTerm(), Index: last}
@@ -191,12 +191,12 @@
 		if id == member.id || member.accepted[id] {
 			continue
 		}
-		if peer.known[member.id].validateStart(hello) != nil {
+		if peer.peerProgress[member.id].validateStart(hello) != nil {
 			delete(m.up, member.id) // the process ends
 			return
 		}
-		peer.known[member.id] = hello
-		peer.disk.known = maps.Clone(peer.known)
+		peer.peerProgress[member.id] = hello
+		peer.disk.peerProgress = maps.Clone(peer.peerProgress)
 		member.accepted[id] = true
 		if !member.isProven {
 			member.guard.observe(HelloResponse{HighestTerm: peer.disk.hard.GetTerm(), logPosition: peer.logEnd()})
@@ -207,14 +207,14 @@
 		disk = freshnessProven
 	}
 	if len(member.accepted) >= acceptancesNeeded(int(m.members), disk) {
-		m.takePart(member)
+		m.startNode(member)
 	}
 }
 
-func (m *model) takePart(member *modelMember) {
-	if spent := member.guard.spentVote(member.id, member.disk.hard); !member.isProven && spent != nil {
-		member.disk.hard = spent
-		_ = member.mem.SetHardState(spent)
+func (m *model) startNode(member *modelMember) {
+	if selfVote := member.guard.selfVote(member.id, member.disk.hard); !member.isProven && selfVote != nil {
+		member.disk.hard = selfVote
+		_ = member.mem.SetHardState(selfVote)
 	}
 	node, err := raft.NewRawNode(&raft.Config{ID: member.id, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
 		Storage: member.mem, MaxSizePerMsg: maxMessageBytes, MaxInflightMsgs: maxMessagesInFlight, CheckQuorum: true,
@@ -236,39 +236,40 @@
 	m.handleReady(member)
 }
 
-// deliver delivers or loses one of the messages under way.
+// deliver takes one of the messages in flight and delivers or drops it.
 func (m *model) deliver() {
-	at := m.rng.IntN(len(m.flying))
-	flying := m.flying[at]
-	m.flying = slices.Delete(m.flying, at, at+1)
-	member := m.up[flying.msg.GetTo()]
+	at := m.rng.IntN(len(m.inFlight))
+	message := m.inFlight[at]
+	m.inFlight = slices.Delete(m.inFlight, at, at+1)
+	member := m.up[message.msg.GetTo()]
 	if member == nil || member.node == nil || m.rng.IntN(20) == 0 {
 		return
 	}
-	from := flying.msg.GetFrom()
-	seen := member.known[from]
-	if flying.sender.count < seen.StartCount || flying.sender.count == seen.StartCount && flying.sender.nonce != seen.Nonce {
-		if sender := m.up[from]; sender != nil && sender.nonce == flying.sender.nonce {
+	from := message.msg.GetFrom()
+	seen := member.peerProgress[from]
+	if message.sender.count < seen.StartCount ||
+		message.sender.count == seen.StartCount && message.sender.nonce != seen.Nonce {
+		if sender := m.up[from]; sender != nil && sender.nonce == message.sender.nonce {
 			delete(m.up, from) // ErrStartedElsewhere
 		}
 		return
 	}
 	next := seen
-	next.StartCount, next.Nonce = flying.sender.count, flying.sender.nonce
-	next.advance(flying.msg)
-	member.known[from] = next
+	next.StartCount, next.Nonce = message.sender.count, message.sender.nonce
+	next.advance(message.msg)
+	member.peerProgress[from] = next
 	if next.Term != seen.Term || next.StartCount != seen.StartCount {
-		member.disk.known = maps.Clone(member.known)
+		member.disk.peerProgress = maps.Clone(member.peerProgress)
 	}
-	m.stepping = member
-	if member.guard.mayReceive(flying.msg, member.logEnd()) {
-		_ = member.node.Step(flying.msg) // an error: the message is dropped
+	m.receiving = member
+	if member.guard.mayReceive(message.msg, member.logEnd()) {
+		_ = member.node.Step(message.msg) // after an error the message is dropped
 	}
 	m.handleReady(member)
-	m.stepping = nil
+	m.receiving = nil
 }
 
-// handleReady syncs, sends and applies.
+// handleReady syncs, sends and applies what the raft node has ready.
 func (m *model) handleReady(member *modelMember) {
 	defer func() { member.disk.isMarked = member.disk.isMarked || member.guard.mayCampaign(member.logEnd()) }()
 	for member.node.HasReady() && m.failure == nil {
@@ -284,7 +285,7 @@
 		}
 		for _, msg := range ready.Messages {
 			sent := proto.Clone(msg).(*pb.Message)
-			m.flying = append(m.flying, modelMessage{sent, startID{member.disk.startCount, member.nonce}})
+			m.inFlight = append(m.inFlight, modelMessage{sent, startID{member.disk.startCount, member.nonce}})
 		}
 		for _, entry := range ready.CommittedEntries {
 			m.apply(member, entry)
@@ -313,7 +314,7 @@
 
 var errModelDiverged = errors.New("members diverge")
 
-// discardLogger discards the log of the raft library, and turns its panics into those of the test.
+// discardLogger discards the log of the raft library, and panics where the library asks for it.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)            {}
@@ -333,7 +334,7 @@
 	panic(fmt.Sprintf(f, v...))
 }
 
-// runModel plays one seed.
+// runModel runs the model with one seed and returns the number of applied entries.
 func runModel(seed, members uint64, rules modelRules) (applied int, err error) {
 	m := newModel(seed, members, rules)
 	err = m.run(16)
@@ -342,7 +343,7 @@
 
 const modelSeeds = 300
 
-func TestModel_DiskThatGoesBackLosesNothing(t *testing.T) {
+func TestModel_RolledBackDiskIsSafe(t *testing.T) {
 	for _, members := range []uint64{3, 5} {
 		applied := 0
 		for seed := range uint64(modelSeeds) {
@@ -353,7 +354,7 @@
 			applied += n
 		}
 		if applied < modelSeeds*8 {
-			t.Errorf("%d members: %d entries applied in %d runs: the model hardly agrees on anything", members, applied, modelSeeds)
+			t.Errorf("%d members: %d entries applied in %d runs, which is too few", members, applied, modelSeeds)
 		}
 		t.Logf("%d members: %d entries applied in %d runs", members, applied, modelSeeds)
 	}
--- a/internal/singleton/raftmember/raftlogger.go
+++ b/internal/singleton/raftmember/raftlogger.go
@@ -5,9 +5,9 @@
 	"log/slog"
 )
 
-// raftLogger implements raft.Logger. Warnings and errors keep their level; raft's info, a few lines for each election, is
-// logged at debug. Raft panics after Fatal and Panic, when its state is inconsistent: going on could lose what was
-// committed.
+// raftLogger implements raft.Logger. Warnings and errors keep their level; raft's info, a few lines for each election,
+// is logged at debug. Fatal and Panic panic: raft calls them when its state is inconsistent, and continuing could lose
+// what was committed.
 type raftLogger struct{ log *slog.Logger }
 
 func (l raftLogger) Debug(v ...any)                   { l.log.Debug(fmt.Sprint(v...)) }
--- a/internal/singleton/raftmember/raftloop.go
+++ b/internal/singleton/raftmember/raftloop.go
@@ -33,7 +33,7 @@
 		MaxUncommittedEntriesSize: maxUncommittedBytes,
 		CheckQuorum:               true,
 		PreVote:                   true,
-		DisableProposalForwarding: true, // what one leader decided must not take effect under another
+		DisableProposalForwarding: true, // a command that one leader decided on must not take effect under another
 		Logger:                    raftLogger{m.opts.Log},
 	})
 	if err != nil {
@@ -52,20 +52,20 @@
 	return nil
 }
 
-// spendVote stores the vote that the guard counts as given.
-func (m *Member) spendVote() error {
+// storeSelfVote stores the vote for itself with which a member starts whose disk is not proven; see voteGuard.selfVote.
+func (m *Member) storeSelfVote() error {
 	if m.store.freshness == freshnessProven {
 		return nil
 	}
 	stored, _, _ := m.store.mem.InitialState() // a MemoryStorage returns no error
-	spent := m.guard.spentVote(m.opts.ID, stored)
-	if spent == nil {
+	selfVote := m.guard.selfVote(m.opts.ID, stored)
+	if selfVote == nil {
 		return nil
 	}
-	return m.store.save(spent, nil, nil)
+	return m.store.save(selfVote, nil, nil)
 }
 
-// markWhenCaughtUp has the store marked as the newest once its log has come as far as the guard requires.
+// markWhenCaughtUp marks the store as the newest once its log has reached the position that the guard requires.
 func (m *Member) markWhenCaughtUp() error {
 	if m.isCaughtUp || !m.guard.mayCampaign(m.store.logEnd()) {
 		return nil
@@ -77,7 +77,7 @@
 	return nil
 }
 
-// loop drives the raft node until ctx ends or the member must not go on.
+// loop drives the raft node until ctx ends or an error stops the member.
 func (m *Member) loop(ctx context.Context) error {
 	ticker := time.NewTicker(m.tickInterval)
 	defer ticker.Stop()
@@ -100,7 +100,7 @@
 			return err
 		case msg := <-m.received:
 			if m.guard.mayReceive(msg, m.store.logEnd()) {
-				_ = m.node.Step(msg) // an error is that of a message that raft does not take from a peer: dropped
+				_ = m.node.Step(msg) // an error means that raft does not accept the message from a peer: it is dropped
 			}
 		case call := <-m.calls:
 			call()
@@ -115,7 +115,8 @@
 	return nil
 }
 
-// runOnLoop has the raft loop run f and waits for that. It is false where ctx ended before the loop received f.
+// runOnLoop makes the raft loop run f and waits until f has returned. It returns false if ctx ended before the loop
+// received f.
 func (m *Member) runOnLoop(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	select {
@@ -134,8 +135,8 @@
 	}
 }
 
-// propose proposes commands for the log. What raft drops, the lease manager proposes again at a later tick if it still
-// holds.
+// propose proposes commands for the log. If raft drops a command, the lease manager returns it again at a later tick or
+// heartbeat if it is still due; an operator's command is lost.
 func (m *Member) propose(commands ...singleton.Command) {
 	for _, c := range commands {
 		text, err := json.Marshal(c)
@@ -148,8 +149,9 @@
 	}
 }
 
-// handleReady handles a raft.Ready in the order that raft requires: first the disk, then the messages, then the state. A
-// message that left before what it acknowledges is on the disk would acknowledge what a crash then loses.
+// handleReady handles a raft.Ready in the order that raft requires: first the disk, then the messages, then the state.
+// If a message were sent before the entry or vote that it acknowledges is on disk, a crash could lose what was
+// acknowledged.
 func (m *Member) handleReady() error {
 	ready := m.node.Ready()
 	if err := m.store.save(ready.HardState, ready.Entries, ready.Snapshot); err != nil {
@@ -174,8 +176,8 @@
 	return m.snapshotIfDue()
 }
 
-// observeLeader takes in a change of the leader or of the term. Either stops the lease manager: before it decides again
-// this member has to apply an entry of the new term.
+// observeLeader handles a change of the leader or of the term. Either stops the lease manager: before this member
+// decides again, it has to apply an entry of the new term.
 func (m *Member) observeLeader(ready raft.Ready) {
 	if s := ready.SoftState; s != nil && (s.Lead != m.leader || s.RaftState != raft.StateLeader) {
 		m.stopLeaseManager()
--- a/internal/singleton/raftmember/status.go
+++ b/internal/singleton/raftmember/status.go
@@ -17,11 +17,11 @@
 	Assignments map[string]singleton.Assignment `json:"works"`   // by role
 	// ProgressAgeMs is the time since each role's holder made progress; at the leader only.
 	ProgressAgeMs map[string]int64 `json:"age_ms,omitempty"`
-	Instances     []string         `json:"instances,omitempty"` // that sent a heartbeat of late; at the leader only
+	Instances     []string         `json:"instances,omitempty"` // that sent a heartbeat recently; at the leader only
 	HolderChanges uint64           `json:"changes"`             // since this member started
 }
 
-// status is false where ctx ended before the raft loop could be read.
+// status returns the member's status. It returns false if ctx ended before the raft loop could be read.
 func (m *Member) status(ctx context.Context) (Status, bool) {
 	s := Status{ID: m.opts.ID, Assignments: map[string]singleton.Assignment{}}
 	ok := m.runOnLoop(ctx, func() {
--- a/internal/singleton/raftmember/storage.go
+++ b/internal/singleton/raftmember/storage.go
@@ -17,13 +17,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// store is what a member must not lose, on disk: its vote and term, the log since the latest snapshot, that snapshot, how
-// often it has started, and its peers' progress. Term, vote, log and snapshot are in memory (mem) too, where raft reads
-// them.
+// store keeps on disk what a member must not lose: its vote and term, the log since the latest snapshot, that snapshot,
+// how often it has started, and its peers' progress. Term, vote, log and snapshot are also in memory (mem), where raft
+// reads them.
 //
-// Format: a bbolt file. Bucket "meta" holds "hard" (raftpb.HardState), "snapshot" (raftpb.Snapshot), "boot" (the start count),
-// "writes" (the number of transactions) and "known" (JSON: diskProgress by member). Bucket "log" holds raftpb.Entry by
-// index. Numbers have 8 bytes, big endian.
+// Format: a bbolt file. Bucket "meta" holds "hard" (raftpb.HardState), "snapshot" (raftpb.Snapshot), "boot" (the start
+// count), "writes" (the number of transactions) and "known" (JSON: diskProgress by member). Bucket "log" holds
+// raftpb.Entry by index. Numbers have 8 bytes, big endian.
 //
 // Owned by the raft loop, except for loadPeerProgress and savePeerProgress, which Member.mu guards.
 type store struct {
@@ -32,17 +32,17 @@
 	startCount uint64    // this start included
 	freshness  freshness // of the file, when it was opened
 
-	stored atomic.Pointer[HelloResponse] // what is on the disk, for any goroutine
+	stored atomic.Pointer[HelloResponse] // term and end of the log on disk, for any goroutine
 
-	writeMutex sync.Mutex // held from a transaction to its mark; guards what follows
+	writeMutex sync.Mutex // held from a transaction until it is marked; guards the fields below
 	mark       freshnessMark
-	isMarked   bool // writes are marked: the file is known to be the newest
+	isMarked   bool // writes update the mark: the file is known to be the newest
 }
 
 const (
 	storeFile   = "member.db"
-	lockTimeout = time.Second // for another process that has the file open
-	keyBytes    = 8           // of a number: an index or the start count
+	lockTimeout = time.Second // how long to wait for another process that has the file open
+	keyBytes    = 8           // of a number: an index, the start count or the write count
 )
 
 var (
@@ -56,7 +56,8 @@
 	peerProgressKey = []byte("known")
 )
 
-// openStore opens a member's file, loads it and counts the start. It returns ErrStaleDisk where the mark knows a later write.
+// openStore opens a member's file, loads it and counts the start. It returns ErrStaleDisk if the mark records a later
+// write.
 func openStore(dir, volatileDir string) (*store, error) {
 	mark, err := newFreshnessMark(volatileDir, dir)
 	if err != nil {
@@ -96,8 +97,9 @@
 	return err
 }
 
-// startMarking marks the file as the newest from now on. Before the other members have accepted the file, and the member has
-// what they had, a mark would prove an older copy to be the newest at the next start.
+// startMarking marks the file as the newest from now on. The other members must have accepted the file before, and the
+// member must have caught up with their logs: otherwise the mark would prove an older copy to be the newest at the next
+// start.
 func (s *store) startMarking() error {
 	s.writeMutex.Lock()
 	s.isMarked = true
@@ -105,7 +107,7 @@
 	return s.commit(func(*bbolt.Tx) error { return nil })
 }
 
-// commit runs a transaction, counts it and marks the count.
+// commit runs a transaction, counts it and records the count in the mark.
 func (s *store) commit(change func(*bbolt.Tx) error) error {
 	s.writeMutex.Lock()
 	defer s.writeMutex.Unlock()
@@ -127,7 +129,7 @@
 	return s.mark.update(writes)
 }
 
-// readNumber reads a number of 8 bytes; 0 where there is none.
+// readNumber reads a number of 8 bytes. It returns 0 if there is none.
 func readNumber(bucket *bbolt.Bucket, key []byte) uint64 {
 	if text := bucket.Get(key); len(text) == keyBytes {
 		return binary.BigEndian.Uint64(text)
@@ -197,7 +199,7 @@
 	return s.mem.Append(entries)
 }
 
-// save stores what a raft.Ready wants on disk before its messages are sent, in one transaction.
+// save stores in one transaction the parts of a raft.Ready that have to be on disk before its messages are sent.
 func (s *store) save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	if raft.IsEmptyHardState(hard) && len(entries) == 0 && raft.IsEmptySnap(snapshot) {
 		return nil
@@ -222,7 +224,7 @@
 	return s.updateMemory(hard, entries, snapshot)
 }
 
-// updateMemory updates the copy that raft reads to what was stored.
+// updateMemory updates the copy in memory, which raft reads, to the stored data.
 func (s *store) updateMemory(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	if !raft.IsEmptySnap(snapshot) {
 		if err := s.mem.ApplySnapshot(snapshot); err != nil && !errors.Is(err, raft.ErrSnapOutOfDate) {
@@ -241,14 +243,15 @@
 	return nil
 }
 
-// publish makes known what is on the disk. Of the raft loop, or before it runs.
+// publish makes the term and the end of the log on disk available to other goroutines. It is called by the raft loop,
+// or before that runs.
 func (s *store) publish() {
 	hard, _, _ := s.mem.InitialState() // a MemoryStorage returns no error
 	s.stored.Store(&HelloResponse{HighestTerm: hard.GetTerm(), logPosition: s.logEnd()})
 }
 
-// compact replaces the log up to an index by a snapshot of the state there. The last keep entries before that index stay in
-// memory.
+// compact replaces the log up to an index with a snapshot of the state at that index. The last keep entries before the
+// index stay in memory.
 func (s *store) compact(index, keep uint64, conf *pb.ConfState, state []byte) error {
 	snapshot, err := s.mem.CreateSnapshot(index, conf, state)
 	if err != nil {
@@ -269,7 +272,7 @@
 	return nil
 }
 
-// loadPeerProgress reads how far the peers' disks have come, by member.
+// loadPeerProgress reads how far the peers' disks have advanced, by member.
 func (s *store) loadPeerProgress() (map[uint64]diskProgress, error) {
 	progress := map[uint64]diskProgress{}
 	err := s.db.View(func(tx *bbolt.Tx) error {
@@ -295,14 +298,14 @@
 	return nil
 }
 
-// progress is how far this disk has come, at the start of the process with a nonce.
+// progress returns how far this disk has advanced, for the process with the given nonce.
 func (s *store) progress(nonce uint64) diskProgress {
 	hard, _, _ := s.mem.InitialState() // a MemoryStorage returns no error
 	last, _ := s.mem.LastIndex()
 	return diskProgress{StartCount: s.startCount, Nonce: nonce, Term: hard.GetTerm(), Index: last}
 }
 
-// logEnd is where the log ends.
+// logEnd returns the position of the log's last entry.
 func (s *store) logEnd() logPosition {
 	last, _ := s.mem.LastIndex() // a MemoryStorage returns no error
 	term, err := s.mem.Term(last)
@@ -312,13 +315,13 @@
 	return logPosition{Term: term, Index: last}
 }
 
-// writeError is the error of any write that failed: a full disk fails the first one that it meets, and operators look for
-// these words.
-func writeError(what string, err error) error {
-	return fmt.Errorf("%s can't be kept: %w", what, err)
+// writeError returns the error of a failed write. All writes use the same words, because operators search for them and
+// a full disk may fail any write first.
+func writeError(data string, err error) error {
+	return fmt.Errorf("%s can't be kept: %w", data, err)
 }
 
-// indexKey is a number as a key, in the order of the numbers.
+// indexKey encodes a number as a key. The keys have the order of the numbers.
 func indexKey(index uint64) []byte { return binary.BigEndian.AppendUint64(nil, index) }
 
 func putMessage(bucket *bbolt.Bucket, key []byte, m proto.Message) error {
@@ -329,7 +332,8 @@
 	return bucket.Put(key, text)
 }
 
-// putSnapshot stores a snapshot and deletes the log that it replaces: after a start the log begins behind it.
+// putSnapshot stores a snapshot and deletes the log that it replaces: after a restart the log begins after the
+// snapshot.
 func putSnapshot(meta, log *bbolt.Bucket, snapshot *pb.Snapshot) error {
 	if err := putMessage(meta, snapshotKey, snapshot); err != nil {
 		return err
@@ -337,8 +341,8 @@
 	return deleteEntries(log, 0, snapshot.GetMetadata().GetIndex()+1)
 }
 
-// putEntries stores entries in place of those that the log has from the first one's index on. Raft replaces only entries
-// that were not committed.
+// putEntries stores entries and deletes those that the log has from the first one's index on. Raft replaces only
+// entries that were not committed.
 func putEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
 	if len(entries) == 0 {
 		return nil
@@ -354,9 +358,9 @@
 	return nil
 }
 
-// deleteEntries deletes the entries with an index from from on and below before.
+// deleteEntries deletes the entries with an index of at least from and below before.
 func deleteEntries(log *bbolt.Bucket, from, before uint64) error {
-	var keys [][]byte // a cursor that deletes as it goes skips some
+	var keys [][]byte // collected first: a cursor that deletes during the iteration skips some
 	c := log.Cursor()
 	for k, _ := c.Seek(indexKey(from)); k != nil && binary.BigEndian.Uint64(k) < before; k, _ = c.Next() {
 		keys = append(keys, append([]byte(nil), k...))
--- a/internal/singleton/raftmember/storage_test.go
+++ b/internal/singleton/raftmember/storage_test.go
@@ -8,8 +8,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Whichever write a failing disk meets first, its error has the words that operators look for.
-func TestStore_FailedWritesSayWhatIsLost(t *testing.T) {
+// Whichever write a failing disk fails first, its error has the words that operators search for.
+func TestStore_FailedWritesHaveOperatorText(t *testing.T) {
 	s, err := openStore(t.TempDir(), "")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/singleton/raftmember/stored_test.go
+++ b/internal/singleton/raftmember/stored_test.go
@@ -17,9 +17,10 @@
 	"pumiceline/internal/singleton"
 )
 
-// The stores in testdata were stored by an earlier version, cef8855, and are never written anew. log.db is that of a
-// member with no snapshot: the entries of the three members, then a command of each kind. snapshot.db is that of a member
-// with a snapshot of the same state at index 10, two further commands, and what it knows of the others' disks.
+// The stores in testdata were written by an earlier version, cef8855. They must not be regenerated. log.db is the store
+// of a member with no snapshot: the entries that add the three members, then a command of each kind. snapshot.db is
+// that of a member with a snapshot of the same state at index 10, two further commands, and the progress of the other
+// members' disks.
 
 // storedCommands are the commands in both logs, from index 4 on.
 var storedCommands = []singleton.Command{
@@ -67,7 +68,7 @@
 	3: {StartCount: 2, Nonce: 11, Term: 4, Index: 9},
 }
 
-// unpackStore unpacks a store from testdata into a member's folder.
+// unpackStore unpacks a store from testdata into a folder.
 func unpackStore(t *testing.T, name string) (dir string) {
 	t.Helper()
 	packed, err := os.Open(filepath.Join("testdata", name+".gz"))
@@ -90,7 +91,7 @@
 	return dir
 }
 
-// openStored opens a member over a stored store, as the member 2 of three.
+// openStored opens member 2 of three on a store from testdata.
 func openStored(t *testing.T, name string) *Member {
 	t.Helper()
 	m, err := Open(Options{
@@ -105,7 +106,8 @@
 	return m
 }
 
-// checkHardState checks term, vote and commit index, and how often the member has started: once before it was stored.
+// checkHardState checks term, vote, commit index and start count. The member had started once when the store was
+// written.
 func checkHardState(t *testing.T, m *Member) {
 	t.Helper()
 	hard, _, err := m.store.mem.InitialState()
@@ -123,7 +125,7 @@
 	}
 }
 
-// storedEntries are the entries of a store from an index on.
+// storedEntries returns the entries of a store. It checks that they run from the given index to 12.
 func storedEntries(t *testing.T, m *Member, from uint64) []*pb.Entry {
 	t.Helper()
 	first, err := m.store.mem.FirstIndex()
@@ -144,7 +146,7 @@
 	return entries
 }
 
-// checkCommands compares entries with the commands that were stored from an index on.
+// checkCommands compares entries with storedCommands, beginning at the given one.
 func checkCommands(t *testing.T, entries []*pb.Entry, from int) {
 	t.Helper()
 	if len(entries) != len(storedCommands)-from {
@@ -242,9 +244,9 @@
 	applyEntries(t, m, entries)
 }
 
-// What members say to each other and to operators has the form that an earlier version has: the members of a fleet are
-// brought to a new version one after the other.
-func TestWritesAsEarlierVersion(t *testing.T) {
+// Messages between members, and from members to operators, have the same format as in an earlier version: the members
+// of a fleet are upgraded one after the other.
+func TestEncodingMatchesEarlierVersion(t *testing.T) {
 	status := Status{
 		ID: 2, Leader: 3, Term: 5, Applied: 12, Assignments: map[string]singleton.Assignment{"roster": {Token: 2, Holder: "instance-b", Incarnation: 9, DesiredHolder: "instance-c"}},
 		ProgressAgeMs: map[string]int64{"roster": 40}, Instances: []string{"instance-b"}, HolderChanges: 6,
--- a/internal/singleton/raftmember/transport.go
+++ b/internal/singleton/raftmember/transport.go
@@ -18,9 +18,9 @@
 // startHeader is the header with the sending member's start, as startID.String writes it.
 const startHeader = "X-Start"
 
-const maxReplyBytes = 4 << 10 // of the error text of a peer
+const maxReplyBytes = 4 << 10 // of a peer's response
 
-// ErrStartedElsewhere is the error of a member that ends because another process runs with its ID.
+// ErrStartedElsewhere is the error of a member that stops because another process runs with its ID.
 var ErrStartedElsewhere = errors.New("the member has been started elsewhere")
 
 // peer is another member.
@@ -29,15 +29,15 @@
 	queue chan []byte // encoded raft messages, for sendQueued
 }
 
-// enqueue queues a raft message for its receiver. Where the queue is full the message is lost, as on a network.
+// enqueue queues a raft message for its receiver. If the queue is full the message is lost, as on a network.
 func (m *Member) enqueue(msg *pb.Message) {
 	p := m.peers[msg.GetTo()]
 	text, err := proto.Marshal(msg)
 	if p == nil || err != nil {
 		return
 	}
-	// Raft sends a peer nothing else until the snapshot's end is reported. Whether it arrived shows in what the peer
-	// acknowledges next.
+	// Raft sends the peer no further entries until it is told that the snapshot has been sent. Whether the snapshot
+	// arrived shows in the peer's next acknowledgement.
 	if msg.GetType() == pb.MessageType_MsgSnap {
 		m.node.ReportSnapshot(msg.GetTo(), raft.SnapshotFinish)
 	}
@@ -48,14 +48,15 @@
 	}
 }
 
-// sendQueued sends the messages to a peer until ctx ends, one at a time: those that are not lost keep their order.
+// sendQueued sends the queued messages to a peer until ctx ends, one at a time: those that are not lost keep their
+// order.
 func (m *Member) sendQueued(ctx context.Context, p *peer) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case text := <-p.queue:
-			reply, _ := m.post(ctx, p.addr, raftPath, text) // an error is a loss
+			reply, _ := m.post(ctx, p.addr, raftPath, text) // after an error the message is lost
 			if reply.status == http.StatusConflict {
 				m.fail(fmt.Errorf("member %d: %w: %s", m.opts.ID, ErrStartedElsewhere, reply.text))
 			}
@@ -63,7 +64,7 @@
 	}
 }
 
-// fail has the raft loop end with an error, the first of several.
+// fail ends the raft loop with an error. Of several errors the first counts.
 func (m *Member) fail(err error) {
 	select {
 	case m.fatal <- err:
@@ -71,7 +72,7 @@
 	}
 }
 
-// reply is a peer's response to a request; zero where none came.
+// reply is a peer's response to a request; zero if there was none.
 type reply struct {
 	status int
 	text   string
--- a/internal/singleton/raftmember/voteguard.go
+++ b/internal/singleton/raftmember/voteguard.go
@@ -4,8 +4,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 )
 
-// logPosition is where a log ends. A log that ends at a later position is more up to date, as in the raft paper's
-// section 5.4.1.
+// logPosition is the position of a log's last entry. A log that ends at a later position is more up to date, as in
+// section 5.4.1 of the raft paper.
 type logPosition struct {
 	Term  uint64 `json:"last_term"`
 	Index uint64 `json:"last_index"`
@@ -15,21 +15,22 @@
 	return p.Term < other.Term || p.Term == other.Term && p.Index < other.Index
 }
 
-// HelloResponse is what a member that accepts a Hello says of its own disk. Members of earlier versions respond without a
-// body, which stands for the zero value.
+// HelloResponse is the response of a member that accepts a Hello; it describes the member's own disk. Members of
+// earlier versions respond without a body, which stands for the zero value.
 type HelloResponse struct {
 	HighestTerm uint64 `json:"highest_term"`
 	logPosition
 }
 
-// acceptancesNeeded returns how many peers of a group of that size have to accept a Hello.
+// acceptancesNeeded returns how many peers have to accept a Hello in a group of the given size.
 //
-// A disk that is proven to be the newest needs a quorum together with the member itself: it says that no second process
-// uses the member's ID.
+// A disk that is proven to be the newest needs acceptances from enough peers to form a quorum with the member itself.
+// They confirm that no second process uses the member's ID.
 //
-// Any other disk may lack entries and votes that the member acknowledged, and every other member has to accept it. Each
-// quorum in which the member acknowledged an entry then has a member that has accepted the Hello; either it led, knows
-// what was acknowledged and rejects the Hello, or the entry is in its log and voteGuard counts with it.
+// Any other disk may lack entries and votes that the member acknowledged, and every other member has to accept it. For
+// each entry that the member acknowledged, one of the others was in the quorum that acknowledged it. Either that member
+// led, knows what was acknowledged and rejects the Hello, or the entry is in its log and voteGuard takes it into
+// account.
 func acceptancesNeeded(members int, disk freshness) int {
 	if disk == freshnessProven {
 		return members / 2
@@ -37,9 +38,10 @@
 	return members - 1
 }
 
-// voteGuard keeps a member whose disk is not proven from electing a leader, itself included, that lacks what it may have
-// acknowledged earlier: until its own log has come as far as those of all members at its start, candidates need such a log.
-// The zero value holds back nothing.
+// voteGuard keeps a member whose disk is not proven from electing a leader, itself included, that lacks entries that
+// the member may have acknowledged earlier. A candidate's log has to reach the end of the furthest log that any other
+// member had at the start of this member, and this member becomes a candidate only once its own log does. The zero
+// value restricts nothing.
 type voteGuard struct {
 	highestTerm uint64      // of the members that responded
 	required    logPosition // the end of the furthest log among them
@@ -56,8 +58,8 @@
 // mayCampaign reports whether a member whose log ends at own may become a candidate.
 func (g *voteGuard) mayCampaign(own logPosition) bool { return !own.isBefore(g.required) }
 
-// mayReceive reports whether a member whose log ends at own may react to a message. Raft itself then compares a candidate's
-// log with the member's own.
+// mayReceive reports whether a member whose log ends at own may process a message. Raft itself then compares a
+// candidate's log with the member's own.
 func (g *voteGuard) mayReceive(msg *pb.Message, own logPosition) bool {
 	switch msg.GetType() {
 	case pb.MessageType_MsgVote, pb.MessageType_MsgPreVote:
@@ -70,9 +72,10 @@
 	}
 }
 
-// spentVote returns the term and vote with which a member starts whose disk is not proven, nil where they are those on the
-// disk: it may have voted in any term up to the highest one, so it votes for nobody else in that.
-func (g *voteGuard) spentVote(id uint64, stored *pb.HardState) *pb.HardState {
+// selfVote returns the term and vote with which a member starts whose disk is not proven, or nil if those on the disk
+// remain. The member may have voted in any term up to the highest one, and the vote may be missing on its disk. It
+// starts in the highest term with a vote for itself, so that it votes for no other candidate in that term.
+func (g *voteGuard) selfVote(id uint64, stored *pb.HardState) *pb.HardState {
 	term := max(g.highestTerm, stored.GetTerm())
 	if term == 0 || term == stored.GetTerm() && stored.GetVote() != 0 {
 		return nil
--- a/internal/singleton/raftmember/voteguard_test.go
+++ b/internal/singleton/raftmember/voteguard_test.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// Until the member's log has come as far as the furthest one of the others, it elects nobody whose log has not.
-func TestVoteGuard_HoldsBackVotesForShorterLogs(t *testing.T) {
+// A member with an unproven disk does not vote for a candidate whose log ends before the furthest log of the other
+// members, and does not campaign before its own log has reached that position.
+func TestVoteGuard_RejectsCandidatesWithShorterLogs(t *testing.T) {
 	guard := voteGuard{}
 	guard.observe(HelloResponse{HighestTerm: 4, logPosition: logPosition{Term: 3, Index: 9}})
 	guard.observe(HelloResponse{HighestTerm: 5, logPosition: logPosition{Term: 2, Index: 30}})
@@ -42,8 +43,8 @@
 		{"longer log of an earlier term", pb.MessageType_MsgPreVote, logPosition{2, 40}, behind, false},
 		{"same log", pb.MessageType_MsgVote, logPosition{3, 9}, behind, true},
 		{"shorter log of a later term", pb.MessageType_MsgPreVote, logPosition{4, 2}, behind, true},
-		{"told to become a candidate", pb.MessageType_MsgTimeoutNow, logPosition{}, behind, false},
-		{"told to become a candidate, caught up", pb.MessageType_MsgTimeoutNow, logPosition{}, caughtUp, true},
+		{"TimeoutNow", pb.MessageType_MsgTimeoutNow, logPosition{}, behind, false},
+		{"TimeoutNow, caught up", pb.MessageType_MsgTimeoutNow, logPosition{}, caughtUp, true},
 		{"entries", pb.MessageType_MsgApp, logPosition{}, behind, true},
 	} {
 		msg := &pb.Message{Type: c.kind.Enum(), LogTerm: proto.Uint64(c.log.Term), Index: proto.Uint64(c.log.Index)}
@@ -52,14 +53,14 @@
 		}
 	}
 	if guard.mayCampaign(behind) || !guard.mayCampaign(caughtUp) {
-		t.Error("a member may campaign once its log has caught up, and not before")
+		t.Error("a member may campaign if and only if its log has caught up")
 	}
-	if unbound := (voteGuard{}); !unbound.mayCampaign(logPosition{}) {
-		t.Error("a guard that has observed nothing holds something back")
+	if unused := (voteGuard{}); !unused.mayCampaign(logPosition{}) {
+		t.Error("a guard without observations prevents a campaign")
 	}
 }
 
-func TestVoteGuard_SpendsVoteOfHighestTerm(t *testing.T) {
+func TestVoteGuard_SelfVoteInHighestTerm(t *testing.T) {
 	const self = 2
 	for _, c := range []struct {
 		name        string
@@ -75,13 +76,13 @@
 	} {
 		guard := voteGuard{highestTerm: c.highest}
 		stored := &pb.HardState{Term: proto.Uint64(c.term), Vote: proto.Uint64(c.vote), Commit: proto.Uint64(3)}
-		spent := guard.spentVote(self, stored)
-		if (spent != nil) != c.wantChanged {
-			t.Errorf("%s: %v", c.name, spent)
+		selfVote := guard.selfVote(self, stored)
+		if (selfVote != nil) != c.wantChanged {
+			t.Errorf("%s: %v", c.name, selfVote)
 			continue
 		}
-		if spent != nil && (spent.GetTerm() != c.wantTerm || spent.GetVote() != self || spent.GetCommit() != 3) {
-			t.Errorf("%s: %v", c.name, spent)
+		if selfVote != nil && (selfVote.GetTerm() != c.wantTerm || selfVote.GetVote() != self || selfVote.GetCommit() != 3) {
+			t.Errorf("%s: %v", c.name, selfVote)
 		}
 	}
 }
