--- a/internal/singleton/explore_test.go
+++ b/internal/singleton/explore_test.go
@@ -47,8 +47,8 @@
 	return len(e.nodes), nil
 }
 
-// expand returns the successors of the nodes from first to before last. They are in the order of their parents,
-// whichever goroutine computes them first.
+// expand returns the successors of e.nodes[first:last]. They are in the order of their parents, whichever goroutine
+// computes them first.
 func (e *exploration) expand(first, last int) [][]node {
 	const chunk = 256
 	found := make([][]node, last-first)
--- a/internal/singleton/leaseclient/client.go
+++ b/internal/singleton/leaseclient/client.go
@@ -18,8 +18,8 @@
 	"pumiceline/internal/singleton"
 )
 
-// Perform carries out an effect of a step: it calls do with the effect's identity if the lease is still held, else it
-// returns ErrLeaseLost without a call.
+// Perform carries out an effect of a step. If the lease is still held it calls do with the effect's identity, otherwise
+// it returns ErrLeaseLost without calling do.
 type Perform func(do func(singleton.Effect) error) error
 
 // Step is one step of a role. It must return, and do nothing more, soon after ctx ends; ctx ends after a lease duration
@@ -28,7 +28,7 @@
 type Step func(ctx context.Context, perform Perform) error
 
 // ErrLeaseLost is what Perform returns once the role is no longer held.
-var ErrLeaseLost = errors.New("the lease is over")
+var ErrLeaseLost = errors.New("the lease is no longer held")
 
 // Options are the configuration of a Client.
 type Options struct {
--- a/internal/singleton/model_test.go
+++ b/internal/singleton/model_test.go
@@ -10,13 +10,13 @@
 )
 
 // model consists of two instances, the leader's lease manager, the log, and a receiver of effects. Each event that may
-// be late or lost is explored as late and as lost, in every order. An instance without events for a while represents an
-// instance that is frozen, partitioned or slow.
+// be late or lost is explored as on time, as late and as lost, in every order. An instance without events for a while
+// represents an instance that is frozen, partitioned or slow.
 type model struct {
 	fault         plantedFault
 	settings      Settings
 	shorterLease  bool // the next leader has half the lease duration in its settings
-	withEffects   bool // effects are sent and the leader does not change; else the reverse: both have too many states
+	withEffects   bool // effects are sent and the leader does not change; else the reverse: both give too many states
 	ticks         Time
 	state         *State
 	proposed      []Command // not committed yet
--- a/internal/singleton/raftmember/freshness.go
+++ b/internal/singleton/raftmember/freshness.go
@@ -12,8 +12,8 @@
 )
 
 // A store that was rolled back to an older copy looks like any other: nothing in it shows what was written after the
-// copy was made. Two sources can show it. The peers know what the member acknowledged to them, if they ran then (see
-// Member.announce). And a mark outside of the disk, in a file system in memory, records the number of the store's
+// copy was made. Two sources can reveal the rollback. The peers that ran then know what the member acknowledged to them
+// (see Member.announce). And a mark outside of the disk, in a file system in memory, records the number of the store's
 // latest write: while the machine runs, a store that lacks that write is an older copy, and a store that has it is
 // proven to be the newest.
 
@@ -21,7 +21,7 @@
 // been rolled back while the machine was down, and a folder that is not in memory would keep the mark.
 const bootIDFile = "/proc/sys/kernel/random/boot_id"
 
-// freshness is whether a store is proven to be the newest when it is opened.
+// freshness is the result of comparing a store with its mark when the store is opened.
 type freshness int
 
 const (
--- a/internal/singleton/raftmember/handshake.go
+++ b/internal/singleton/raftmember/handshake.go
@@ -51,7 +51,7 @@
 	ErrRefused = errors.New("refused by a peer")
 )
 
-// validateStart returns ErrStaleDisk if a member that announces started must not take part, where p is the known
+// validateStart returns ErrStaleDisk if a member that announces the progress started must not take part. p is the known
 // progress of its disk. The same start count with another nonce means a second process on a copy of the disk; a nonce
 // of 0 is not known.
 func (p diskProgress) validateStart(started diskProgress) error {
@@ -82,7 +82,8 @@
 		}
 		acceptedBy := slices.Sorted(maps.Keys(accepted))
 		if len(accepted) >= needed {
-			m.opts.Log.Info("member takes part", "member", m.opts.ID, "start", m.store.startCount, "accepted_by", acceptedBy)
+			m.opts.Log.Info("member takes part in the raft group", "member", m.opts.ID, "start", m.store.startCount,
+				"accepted_by", acceptedBy)
 			return nil
 		}
 		m.opts.Log.Warn("member waits for its peers to accept its disk", "member", m.opts.ID, "accepted_by", acceptedBy,
--- a/internal/singleton/raftmember/http.go
+++ b/internal/singleton/raftmember/http.go
@@ -100,7 +100,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(m.store.stored.Load()) // fails where the peer has disconnected
+	_ = json.NewEncoder(w).Encode(m.store.stored.Load()) // fails if the peer has disconnected
 }
 
 // handleHeartbeat responds once a quorum has confirmed, after the heartbeat was received, that this member still leads.
@@ -119,7 +119,7 @@
 		m.rejectAsFollower(w, result.leader)
 	default:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(result.response) // fails where the client has disconnected
+		_ = json.NewEncoder(w).Encode(result.response) // fails if the client has disconnected
 	}
 }
 
--- a/internal/singleton/raftmember/member.go
+++ b/internal/singleton/raftmember/member.go
@@ -10,14 +10,14 @@
 //	GET  /v1/metrics                the same as Prometheus metrics
 //	POST /v1/works/{work}/want?who= sets the role's desired holder; 202 once it is proposed
 //	POST /v1/works/{work}/free      releases the role's lease; 202 once it is proposed
-//	POST /v1/hello                  Hello as JSON, from a member that starts; 409 where its disk is older than what it
+//	POST /v1/hello                  Hello as JSON, from a member that starts; 409 if its disk is older than what it
 //	                                acknowledged earlier
-//	POST /v1/raft                   one raftpb.Message; X-Start names the sender's start, and 409 says that a later start of
+//	POST /v1/raft                   one raftpb.Message; X-Start identifies the sender's start; 409 if a later start of
 //	                                its ID is known
 //
 // Every POST names its fleet in X-Fleet, and a member of another fleet responds 403: otherwise members of two fleets
 // would take part in one raft group after an address has moved from one fleet to the other. A member that does not lead
-// responds 503, with the leader's ID in X-Leader if it knows it.
+// responds 503, with the leader's ID in X-Leader if known.
 //
 // Goroutines: the raft loop owns the raft node, the state and the lease manager. HTTP handlers reach them through
 // runOnLoop. One goroutine per peer sends the messages that are queued for it. Run waits for all of them.
@@ -70,7 +70,7 @@
 // Snapshots.
 const (
 	defaultSnapshotInterval = 2000 // entries
-	keptIntervalDivisor     = 4    // SnapshotInterval divided by this is how many entries before a snapshot stay in memory
+	keptIntervalDivisor     = 4    // SnapshotInterval/keptIntervalDivisor entries before a snapshot stay in memory
 )
 
 // Connections. The server's idle time-out is longer than the peers', so that a peer does not send on a connection that
@@ -88,7 +88,7 @@
 	heartbeatTicks = 2
 	requestTicks   = 10 // time-out of a request to a peer
 
-	ticksPerLease   = 50 // an election takes a few electionTicks and has to end well within a lease
+	ticksPerLease   = 50 // an election takes a few times electionTicks and has to end well within a lease
 	minTickInterval = 5 * time.Millisecond
 	maxTickInterval = 100 * time.Millisecond
 )
--- a/internal/singleton/raftmember/olddisk_model_test.go
+++ b/internal/singleton/raftmember/olddisk_model_test.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// handlePanic handles a panic of the raft library, which finds a log that is too short. At the member whose disk may be
-// rolled back that is safe: its process ends. At any other member it is a failure.
+// handlePanic handles a panic of the raft library, such as the one over a log that is too short. At the member whose
+// disk may be rolled back it is safe: the process of that member ends. At any other member it is a failure.
 func (m *model) handlePanic(member *modelMember) {
 	cause := recover()
 	if cause == nil {
--- a/internal/singleton/raftmember/raftloop.go
+++ b/internal/singleton/raftmember/raftloop.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// storeSelfVote stores the vote for itself with which a member starts whose disk is not proven; see voteGuard.selfVote.
+// storeSelfVote stores voteGuard.selfVote, with which a member starts if its disk is not proven.
 func (m *Member) storeSelfVote() error {
 	if m.store.freshness == freshnessProven {
 		return nil
--- a/internal/singleton/raftmember/status.go
+++ b/internal/singleton/raftmember/status.go
@@ -48,5 +48,5 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(s) // fails where the client has disconnected
+	_ = json.NewEncoder(w).Encode(s) // fails if the client has disconnected
 }
--- a/internal/singleton/raftmember/storage.go
+++ b/internal/singleton/raftmember/storage.go
@@ -199,7 +199,7 @@
 	return s.mem.Append(entries)
 }
 
-// save stores in one transaction the parts of a raft.Ready that have to be on disk before its messages are sent.
+// save stores, in one transaction, the parts of a raft.Ready that have to be on disk before its messages are sent.
 func (s *store) save(hard *pb.HardState, entries []*pb.Entry, snapshot *pb.Snapshot) error {
 	if raft.IsEmptyHardState(hard) && len(entries) == 0 && raft.IsEmptySnap(snapshot) {
 		return nil
@@ -341,7 +341,7 @@
 	return deleteEntries(log, 0, snapshot.GetMetadata().GetIndex()+1)
 }
 
-// putEntries stores entries and deletes those that the log has from the first one's index on. Raft replaces only
+// putEntries stores entries in place of those that the log has from the first one's index on. Raft replaces only
 // entries that were not committed.
 func putEntries(log *bbolt.Bucket, entries []*pb.Entry) error {
 	if len(entries) == 0 {
--- a/internal/singleton/raftmember/transport.go
+++ b/internal/singleton/raftmember/transport.go
@@ -36,8 +36,8 @@
 	if p == nil || err != nil {
 		return
 	}
-	// Raft sends the peer no further entries until it is told that the snapshot has been sent. Whether the snapshot
-	// arrived shows in the peer's next acknowledgement.
+	// Raft sends the peer no further entries until the snapshot is reported as sent. Whether it arrived shows in the
+	// peer's next acknowledgement.
 	if msg.GetType() == pb.MessageType_MsgSnap {
 		m.node.ReportSnapshot(msg.GetTo(), raft.SnapshotFinish)
 	}
--- a/internal/singleton/raftmember/voteguard.go
+++ b/internal/singleton/raftmember/voteguard.go
@@ -27,10 +27,10 @@
 // A disk that is proven to be the newest needs acceptances from enough peers to form a quorum with the member itself.
 // They confirm that no second process uses the member's ID.
 //
-// Any other disk may lack entries and votes that the member acknowledged, and every other member has to accept it. For
-// each entry that the member acknowledged, one of the others was in the quorum that acknowledged it. Either that member
-// led, knows what was acknowledged and rejects the Hello, or the entry is in its log and voteGuard takes it into
-// account.
+// Any other disk may lack entries and votes that the member acknowledged, and every other member has to accept it. Each
+// quorum in which the member acknowledged an entry includes another member, which therefore checks the Hello. Either
+// that member led, knows what was acknowledged and rejects the Hello, or the entry is in its log and voteGuard takes it
+// into account.
 func acceptancesNeeded(members int, disk freshness) int {
 	if disk == freshnessProven {
 		return members / 2
@@ -47,7 +47,7 @@
 	required    logPosition // the end of the furthest log among them
 }
 
-// observe takes in the response of a member.
+// observe records the response of a member.
 func (g *voteGuard) observe(r HelloResponse) {
 	g.highestTerm = max(g.highestTerm, r.HighestTerm)
 	if g.required.isBefore(r.logPosition) {
@@ -72,9 +72,9 @@
 	}
 }
 
-// selfVote returns the term and vote with which a member starts whose disk is not proven, or nil if those on the disk
-// remain. The member may have voted in any term up to the highest one, and the vote may be missing on its disk. It
-// starts in the highest term with a vote for itself, so that it votes for no other candidate in that term.
+// selfVote returns the term and vote with which a member with an unproven disk starts, or nil if it starts with those
+// on the disk. The member may have voted in any term up to the highest one, and the vote may be missing on its disk. It
+// therefore starts in the highest term with a vote for itself, so that it votes for no other candidate in that term.
 func (g *voteGuard) selfVote(id uint64, stored *pb.HardState) *pb.HardState {
 	term := max(g.highestTerm, stored.GetTerm())
 	if term == 0 || term == stored.GetTerm() && stored.GetVote() != 0 {
