--- a/internal/standalone/backend/backend.go
+++ b/internal/standalone/backend/backend.go
@@ -1,10 +1,10 @@
-// Package backend talks to backends: a Pool keeps their connections, carries out one exchange at a time on each, and
-// says how the exchange ended.
+// Package backend sends requests to backends. A Pool manages the connections, runs one exchange of request and response
+// at a time on each, and reports the outcome of each exchange.
 //
-// backend.go has the types of an exchange; pool.go the Pool and the backends in it, connection.go the connections and
-// their reuse; exchange.go the steps of an exchange, request.go the writing of a request, response.go the reading of
-// a response, stream.go a response that is too large to be buffered; loadpoll.go and loadreport.go the backends'
-// load.
+// backend.go has the types of an exchange; pool.go the Pool and its backends, connection.go the connections and their
+// reuse; exchange.go the steps of an exchange, request.go the writing of a request, response.go the reading of a
+// response, stream.go the streaming of a response that is too large to be buffered; loadpoll.go and loadreport.go the
+// load that backends report.
 package backend
 
 import (
@@ -19,26 +19,26 @@
 )
 
 const (
-	// MaxBufferedBody is the largest body that is buffered: of a response, which is then served only if it is complete,
-	// and of a request, which can then be sent again. Larger bodies are streamed.
+	// MaxBufferedBody is the size of the largest body that is buffered. A buffered response is served only if it is
+	// complete; a buffered request can be sent again in a retry. Larger bodies are streamed.
 	MaxBufferedBody = 64 << 10
-	// MaxStreamedBody is the largest body of a request or response.
+	// MaxStreamedBody is the size of the largest body of a request or response.
 	MaxStreamedBody = 32 << 20
 )
 
 // ErrBodyTooLarge is the error of a body over MaxStreamedBody.
 var ErrBodyTooLarge = fmt.Errorf("the body is longer than %d bytes", int64(MaxStreamedBody))
 
-// Attempt is a request that is to be sent, with the conditions under which it still may be.
+// Attempt is a request to send, with the conditions under which it may be sent.
 type Attempt struct {
 	// Request is the client's request; its body is ignored, its context is the client's.
 	Request *http.Request
 	Body    Body
-	// WriteBy is when writing has to stop: backends remember idempotency keys for a limited time, so that a retry after
-	// that could be executed twice. Zero: there is no limit.
+	// WriteBy is the deadline for writing the request. Backends keep idempotency keys for a limited time: a retry written
+	// after that could be executed a second time. Zero: no deadline.
 	WriteBy time.Time
-	// ClientDisconnected reports whether the client has disconnected, where its context may not know yet. nil: the
-	// context knows.
+	// ClientDisconnected reports whether the client has disconnected, where its context may be canceled later than the
+	// disconnect. nil: the context alone is checked.
 	ClientDisconnected func() bool
 }
 
@@ -68,7 +68,7 @@
 	Length int64         // of a streamed response; -1: unknown
 }
 
-// exchangeError is an error with the outcome of the attempt that it ends.
+// exchangeError is an error that ends an attempt, with the attempt's outcome.
 type exchangeError struct {
 	outcome      policy.Outcome
 	cause        error
@@ -78,7 +78,7 @@
 func (e *exchangeError) Error() string { return e.cause.Error() }
 func (e *exchangeError) Unwrap() error { return e.cause }
 
-// leavesConnReusable reports whether err left the connection as it was.
+// leavesConnReusable reports whether the connection can be used for another request after err.
 func leavesConnReusable(err error) bool {
 	var e *exchangeError
 	return errors.As(err, &e) && e.connReusable
--- a/internal/standalone/backend/connection.go
+++ b/internal/standalone/backend/connection.go
@@ -16,13 +16,14 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// minIdleBeforeReuse is how long a connection is not used after a response. A faulty backend may send more than belongs
-// to the response, even a complete second response, some milliseconds late. That could not be distinguished from the
-// response to the next request, and another client would get it. After this time it has arrived, and the connection is
-// closed in place of being used. A new connection costs less than a wrong response.
+// minIdleBeforeReuse is how long a connection must be idle after a response before it is reused. A faulty backend may
+// send extra bytes, even a complete second response, some milliseconds after the response. On a reused connection the
+// proxy could not distinguish them from the response to the next request, and would send them to the wrong client.
+// After this time they have arrived, and takeIdle closes the connection instead of reusing it. A new connection costs
+// less than a wrong response.
 //
-// Measured on the operators' bench: of 48 such second responses the latest came after 5 ms; 10 ms in place of 6 ms cost
-// 0.03 of the score, 6 ms nothing measurable.
+// In the operators' benchmark, the latest of 48 such second responses arrived after 5 ms. A wait of 10 ms instead of
+// 6 ms cost 0.03 of the score; 6 ms cost nothing measurable.
 const minIdleBeforeReuse = 6 * time.Millisecond
 
 var (
@@ -30,19 +31,19 @@
 	errConnectionLimit = errors.New("all connections to backends are in use")
 )
 
-// conn is a connection to a backend. Between acquire and release it belongs to one exchange.
+// conn is a connection to a backend. Between acquire and release only one exchange uses it.
 type conn struct {
 	nc       net.Conn
 	source   *responseSource
 	limit    *io.LimitedReader // bounds the bytes read for one response
 	reader   *bufio.Reader
 	backend  *backendState
-	addr     string // the backend's when the connection was made
+	addr     string // the backend's address when the connection was made
 	lastUsed time.Time
 }
 
-// responseSource reads from a connection and records how responses are delimited, and whether the connection has ended:
-// a response that seems malformed may be one that broke off.
+// responseSource reads from a connection. It records how responses are delimited, and whether a read has failed or
+// reached the end: in that case a response that cannot be parsed may be truncated, and does not count as malformed.
 type responseSource struct {
 	io.Reader
 	scanner httpframing.Scanner
@@ -83,13 +84,13 @@
 	case ctx.Err() != nil:
 		return outcomeAfter(ctx, policy.NotSent)
 	case errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.EADDRNOTAVAIL):
-		return policy.NotSent // this host lacks descriptors or ports, which says nothing of the backend
+		return policy.NotSent // this host is out of descriptors or ports: the backend is not at fault
 	}
 	return policy.ConnectFailed
 }
 
-// reuseOrReserve returns an idle connection, or one that the caller has to make: it counts as open already and has no nc
-// yet.
+// reuseOrReserve returns an idle connection, or a conn whose nc is nil, for which the caller has to dial. The latter is
+// counted in openConns already.
 func (p *Pool) reuseOrReserve(id policy.ServerID) (*conn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -107,8 +108,8 @@
 	return &conn{backend: b, addr: b.addr}, nil
 }
 
-// takeIdle returns an idle connection that can be used, or nil, and closes those that it finds unusable. Called with mu
-// held.
+// takeIdle returns an idle connection that can be reused, or nil. It closes the connections that it finds unusable.
+// Called with mu held.
 func (p *Pool) takeIdle(b *backendState) *conn {
 	now := time.Now()
 	for {
@@ -118,9 +119,9 @@
 		}
 		c := b.idle[i]
 		b.idle = slices.Delete(b.idle, i, i+1)
-		// The backend closes a connection after IdleTimeout at the latest. A request that crosses that close ends in a
-		// reset, after which a request with an idempotency key may not be retried. If the backend has closed the
-		// connection already, or its process has ended, an end or a reset is there to be read.
+		// The backend closes a connection that has been idle for IdleTimeout, or earlier. A request sent at that moment
+		// ends in a reset, after which a request with an idempotency key may not be retried. If the backend has closed the
+		// connection already, or its process has ended, IsOpenAndEmpty finds the end of the stream or the reset.
 		if now.Sub(c.lastUsed) < p.maxIdleAge() && socket.IsOpenAndEmpty(c.nc) {
 			return c
 		}
@@ -129,8 +130,8 @@
 }
 
 // lastReusable returns the index of the most recently used connection that has been idle for minIdleBeforeReuse; -1 if
-// there is none. Taking the latest leaves connections that are not needed idle until they expire. idle is in the order
-// of the last use.
+// there is none. Since the most recently used is preferred, surplus connections stay idle and expire. idle is in the
+// order of the last use.
 func lastReusable(idle []*conn, now time.Time) int {
 	for i := len(idle) - 1; i >= 0; i-- {
 		if now.Sub(idle[i].lastUsed) >= minIdleBeforeReuse {
@@ -140,11 +141,11 @@
 	return -1
 }
 
-// maxIdleAge is how long a connection may be idle and still be used: less than IdleTimeout, so that no request crosses
-// the backend's close. Called with mu held.
+// maxIdleAge is how long a connection may be idle and still be reused. It is less than IdleTimeout, so that no request
+// is sent while the backend closes the connection. Called with mu held.
 func (p *Pool) maxIdleAge() time.Duration { return p.opts.IdleTimeout * 4 / 5 }
 
-// release takes a connection back after an exchange.
+// release returns a connection to the pool after an exchange, or closes it if it cannot be reused.
 func (p *Pool) release(c *conn, reusable bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -165,9 +166,9 @@
 	}
 }
 
-// closeExpired closes the connections that have been idle for too long to be used, and schedules itself while there are
-// others. takeIdle and release close those of a backend in use; without closeExpired a connection to a backend that gets
-// no more requests would keep its descriptor for ever.
+// closeExpired closes the connections that have been idle for too long to be reused, and schedules its next run while
+// other idle connections remain. takeIdle and release close expired connections only to the backend that is in use;
+// without closeExpired, a connection to a backend that gets no more requests would hold its descriptor forever.
 func (p *Pool) closeExpired() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standalone/backend/connection_test.go
+++ b/internal/standalone/backend/connection_test.go
@@ -46,12 +46,12 @@
 	pool.byID[1].idle[0].lastUsed = time.Now().Add(-pool.opts.IdleTimeout * 9 / 10)
 	exchangePost(t, pool)
 	if conns.Load() != 2 {
-		t.Errorf("%d connections, want 2: the first was near its idle close", conns.Load())
+		t.Errorf("%d connections, want 2: the first was near the backend's idle timeout", conns.Load())
 	}
 }
 
-// A connection on which a close or a second response may still be on its way is not reused, and the wait does not
-// delay a request: it gets a new connection.
+// A connection is not reused as long as a close or a second response may still arrive on it. A request does not wait
+// for that: it gets a new connection.
 func TestPool_ReusesConnectionsAfterMinIdle(t *testing.T) {
 	now := time.Now()
 	for _, c := range []struct {
@@ -80,7 +80,7 @@
 		}
 	}
 	if pool.openConns != 1 {
-		t.Errorf("%d connections are open after %d, 1 may be", pool.openConns, conns.Load())
+		t.Errorf("%d connections are open after %d were made, want 1", pool.openConns, conns.Load())
 	}
 }
 
@@ -88,15 +88,15 @@
 func ageIdleConnections(pool *Pool) {
 	pool.mu.Lock()
 	defer pool.mu.Unlock()
-	for _, d := range pool.byID {
-		for _, c := range d.idle {
+	for _, b := range pool.byID {
+		for _, c := range b.idle {
 			c.lastUsed = c.lastUsed.Add(-minIdleBeforeReuse)
 		}
 	}
 }
 
-// A second response that arrives within minIdleBeforeReuse reaches no client. Here it arrives when the next request
-// has just been written, too late for a check of the connection, and before that request's own response.
+// A second response that arrives within minIdleBeforeReuse is not sent to any client. Here it arrives just after the
+// next request has been written, too late for the check before reuse, and before the response to that request.
 func TestPool_DiscardsSecondResponse(t *testing.T) {
 	first, second := make(chan net.Conn, 1), make(chan struct{})
 	var begun atomic.Bool
@@ -123,7 +123,7 @@
 			t.Errorf("request %d: outcome %d, %v, %+v", i, res.Outcome, res.Err, res.Response)
 		}
 		if i == 1 {
-			ageIdleConnections(pool) // now the first connection is checked, and closed for the bytes on it
+			ageIdleConnections(pool) // now the first connection is checked, and closed because of the bytes on it
 		}
 	}
 	if conns.Load() != 2 {
@@ -131,25 +131,25 @@
 	}
 }
 
-// A connection that the policy does not close is closed by the pool once it is too old to be used; one used since is
-// not.
+// The pool closes a connection that has been idle for too long to be reused, also if the policy does not close it. A
+// connection that was used in the meantime stays open.
 func TestPool_ClosesExpiredConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		pool := NewPool(Options{DialTimeout: time.Second, IdleTimeout: 10 * time.Second, MaxConnections: 9,
 			Dial: func(context.Context, string, time.Time) (net.Conn, error) {
-				near, far := net.Pipe()
+				proxyEnd, backendEnd := net.Pipe()
 				go func() {
-					br := bufio.NewReader(far)
+					br := bufio.NewReader(backendEnd)
 					for {
 						r, err := http.ReadRequest(br)
 						if err != nil {
 							return
 						}
 						io.Copy(io.Discard, r.Body)
-						io.WriteString(far, okResponse)
+						io.WriteString(backendEnd, okResponse)
 					}
 				}()
-				return near, nil
+				return proxyEnd, nil
 			}}, slog.New(slog.DiscardHandler))
 		pool.SetBackend(1, "10.0.0.1:1", true)
 		for _, c := range []struct {
--- a/internal/standalone/backend/exchange.go
+++ b/internal/standalone/backend/exchange.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// unprocessedHeader marks an error response, with the value "1", to a request that the backend has not executed.
+// unprocessedHeader, with the value "1" in an error response, says that the backend has not executed the request.
 const unprocessedHeader = "X-Unprocessed"
 
 var (
@@ -20,12 +20,13 @@
 	errResponseTooLate    = errors.New("the streamed response came too late")
 )
 
-// Exchange sends a request to a backend and waits for the response until ctx ends: for a buffered response as a whole,
-// and for a streamed one until it is clear that it is one. The request is written once: http.Transport would send it
-// again by itself where a reused connection breaks, which is an attempt that the policy does not know of.
+// Exchange sends a request to a backend and waits for the response until ctx ends. It returns a buffered response once
+// it is complete, and a streamed response once it is clear that it has to be streamed. The request is written once:
+// http.Transport would by itself send it again after a reused connection breaks, an attempt that the policy would not
+// count.
 //
-// If the client disconnects before the request's last byte is written, the exchange is given up, even where the settings
-// forbid to cancel attempts: that rule is about requests that a backend may have begun to execute.
+// If the client disconnects before the request's last byte is written, the exchange is aborted, even if the settings
+// forbid canceling attempts: that rule applies to requests that a backend may have begun to execute.
 func (p *Pool) Exchange(ctx context.Context, id policy.ServerID, a Attempt) Result {
 	if a.Body.Stream != nil && a.Body.Stream.IsClaimed() {
 		return Result{Outcome: policy.NotSent, Err: errBodyConsumed}
@@ -47,12 +48,12 @@
 		s.startForwarding() // the stream releases the connection at its end
 		return result
 	}
-	p.release(c, stop() && reusable) // before the outcome is reported: an ended attempt has no connection in use
+	p.release(c, stop() && reusable) // before the outcome is reported: an ended attempt must not hold a connection
 	return result
 }
 
-// acquireForAttempt is acquire, which it cancels when the attempt ends, the client disconnects or WriteBy passes. After
-// the last two the outcome is policy.NotSent, as they say nothing of the backend.
+// acquireForAttempt calls acquire, and cancels it when the attempt ends, the client disconnects or WriteBy passes. In
+// the last two cases the outcome is policy.NotSent, since the backend is not at fault.
 func (p *Pool) acquireForAttempt(ctx context.Context, id policy.ServerID, a *Attempt) (*conn, error) {
 	acquireCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -68,7 +69,7 @@
 	return c, err
 }
 
-// exchange makes an exchange on a connection, and returns whether the connection can be used again.
+// exchange runs an exchange on a connection, and returns whether the connection can be used again.
 func (p *Pool) exchange(ctx context.Context, c *conn, a *Attempt) (result Result, reusable bool) {
 	if err := p.sendRequest(ctx, c, a); err != nil {
 		return failedResult(err), leavesConnReusable(err)
@@ -89,8 +90,8 @@
 	return result, reusable
 }
 
-// sendRequest writes the request, unless it may not be sent any more. Its errors are *exchangeError and mean that the
-// last byte was not written, so that the request has not been executed.
+// sendRequest writes the request if checkMaySend allows it. Its errors are *exchangeError and mean that the last byte
+// was not written, so that the request has not been executed.
 func (p *Pool) sendRequest(ctx context.Context, c *conn, a *Attempt) error {
 	head, err := encodeRequest(ctx, a.Request, a.Body)
 	if err != nil {
@@ -102,8 +103,8 @@
 	return c.send(ctx, a, head)
 }
 
-// checkMaySend returns an error if a request may not be sent any more: while its connection was made, the attempt may have
-// ended, the backend have begun to drain, WriteBy have passed or the client have disconnected.
+// checkMaySend returns an error if a request may no longer be sent. While its connection was being made, the attempt
+// may have ended, the backend may have begun to drain, WriteBy may have passed, or the client may have disconnected.
 func (p *Pool) checkMaySend(ctx context.Context, c *conn, a *Attempt) error {
 	switch {
 	case ctx.Err() != nil || !p.isReady(c.backend):
@@ -123,7 +124,7 @@
 	if err != nil {
 		outcome := outcomeAfter(ctx, policy.ConnectionReset)
 		if ctx.Err() == nil && !c.source.ended {
-			// The connection is intact, so that this is a response, though not a valid one: the backend may have executed
+			// The connection is intact, so this is an invalid response, not a truncated one: the backend may have executed
 			// the request.
 			p.warnMalformed("malformed response", c.backend, err)
 			outcome = policy.ErrorResponse
@@ -166,8 +167,8 @@
 	return policy.ErrorResponse // the backend may have executed the request
 }
 
-// outcomeAfter is the outcome of an attempt without a response: that which the end of ctx means, or, if ctx has not
-// ended, ifRunning.
+// outcomeAfter is the outcome of an attempt without a response: ifRunning if ctx has not ended, else the outcome for
+// the cause of its end.
 func outcomeAfter(ctx context.Context, ifRunning policy.Outcome) policy.Outcome {
 	cause := context.Cause(ctx)
 	switch {
--- a/internal/standalone/backend/exchange_test.go
+++ b/internal/standalone/backend/exchange_test.go
@@ -89,25 +89,25 @@
 		"504, unprocessed":      {"HTTP/1.1 504 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.Rejected},
 		"503, perhaps executed": {"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse},
 		"429":                   {"HTTP/1.1 429 No\r\nX-Unprocessed: 1\r\nContent-Length: 0\r\n\r\n", policy.ErrorResponse},
-		"nothing":               {"", policy.ConnectionReset},
+		"no response":           {"", policy.ConnectionReset},
 		"half a head":           {"HTTP/1.1 200 OK\r\nConte", policy.ConnectionReset},
 		"half a body":           {okResponse[:len(okResponse)-1], policy.ConnectionReset},
 		"half a chunk":          {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n9\r\n42", policy.ConnectionReset},
 		"delimited by close":    {"HTTP/1.1 200 OK\r\n\r\n42", policy.OK},
-		"other protocol":        {"HTTP/1.1 101 Switching Protocols\r\n\r\n", policy.ErrorResponse},
+		"protocol switch":       {"HTTP/1.1 101 Switching Protocols\r\n\r\n", policy.ErrorResponse},
 		"garbage":               {"\x00\x01\x02 garbage\r\n\r\n", policy.ErrorResponse},
-		"too long": {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MaxStreamedBody+1) +
+		"body too long": {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MaxStreamedBody+1) +
 			strings.Repeat("x", MaxBufferedBody), policy.ErrorResponse},
-		"long error":          {"HTTP/1.1 500 No\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("x", 400_000), policy.ErrorResponse},
-		"largest buffered":    {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), policy.OK},
-		"endless head":        {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10) + "\r\n\r\n", policy.ErrorResponse},
-		"endless interim":     {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), policy.ErrorResponse},
-		"two lengths":         {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n42", policy.ErrorResponse},
-		"a length twice":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n42", policy.ErrorResponse},
-		"bytes behind":        {okResponse + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", policy.OK},
-		"length and encoding": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", policy.ErrorResponse},
-		"3 GB to come":        {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n42", policy.ErrorResponse},
-		"malformed report":    {"HTTP/1.1 200 OK\r\nX-Backend-Load: garbage=,=\r\nContent-Length: 0\r\n\r\n", policy.OK},
+		"long error":               {"HTTP/1.1 500 No\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("x", 400_000), policy.ErrorResponse},
+		"largest buffered":         {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), policy.OK},
+		"endless head":             {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10) + "\r\n\r\n", policy.ErrorResponse},
+		"endless interim":          {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), policy.ErrorResponse},
+		"conflicting lengths":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n42", policy.ErrorResponse},
+		"repeated length":          {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n42", policy.ErrorResponse},
+		"bytes after the response": {okResponse + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", policy.OK},
+		"length and encoding":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", policy.ErrorResponse},
+		"length of 3 GB":           {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n42", policy.ErrorResponse},
+		"malformed report":         {"HTTP/1.1 200 OK\r\nX-Backend-Load: garbage=,=\r\nContent-Length: 0\r\n\r\n", policy.OK},
 	} {
 		addr, _, requests := serveBackend(t, func(_ int, conn net.Conn) bool {
 			io.WriteString(conn, c.text)
@@ -131,8 +131,8 @@
 	}
 }
 
-// A reused connection that breaks after the request was written is a reset, and the request is not written again:
-// http.Transport would, as it has an Idempotency-Key.
+// If a reused connection breaks after the request was written, the outcome is a reset, and the request is not written
+// again. http.Transport would write it again, because it has an Idempotency-Key.
 func TestPool_ExchangeWritesRequestOnce(t *testing.T) {
 	addr, conns, requests := serveBackend(t, func(n int, c net.Conn) bool {
 		if n == 0 {
@@ -152,17 +152,17 @@
 	}
 }
 
-// A connection that breaks before the last byte was written proves that the request was not executed; the policy may
-// then send a request with an idempotency key to any backend.
+// If a connection breaks before the last byte was written, the request was not executed, and the policy may send even a
+// request with an idempotency key to any backend.
 func TestPool_BreakBeforeLastByteIsConnectFailed(t *testing.T) {
 	pool := newTestPool("127.0.0.1:1", 9)
-	here, there := net.Pipe() // it has no buffer, so what is not read is not written
+	proxyEnd, backendEnd := net.Pipe() // a pipe has no buffer: bytes count as written only once they are read
 	go func() {
-		io.ReadFull(there, make([]byte, 10))
-		there.Close()
+		io.ReadFull(backendEnd, make([]byte, 10))
+		backendEnd.Close()
 	}()
 	attempt := &Attempt{Request: newPost(), Body: Body{Buffered: []byte("body")}}
-	res, reusable := pool.exchange(t.Context(), &conn{nc: here, backend: pool.byID[1]}, attempt)
+	res, reusable := pool.exchange(t.Context(), &conn{nc: proxyEnd, backend: pool.byID[1]}, attempt)
 	if res.Outcome != policy.ConnectFailed || reusable {
 		t.Errorf("outcome %d, %v, reusable %v", res.Outcome, res.Err, reusable)
 	}
@@ -196,8 +196,8 @@
 	}
 }
 
-// WriteBy is checked at the moment of the write, whatever was decided before: it may pass while the connection is
-// made, or while the backend reads the request slowly. The outcome does not count against the backend.
+// WriteBy is enforced during the write, not only before the attempt: it may pass while the connection is being made, or
+// while the backend reads the request slowly. The outcome does not count against the backend.
 func TestPool_WritesNothingAfterWriteBy(t *testing.T) {
 	for name, c := range map[string]struct {
 		connecting time.Duration // how long the dial takes
@@ -209,18 +209,21 @@
 		"passed while writing":    {0, 20, policy.NotSent},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			here, there := net.Pipe()
+			proxyEnd, backendEnd := net.Pipe()
 			pool := NewPool(Options{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConnections: 9,
-				Dial: func(context.Context, string, time.Time) (net.Conn, error) { time.Sleep(c.connecting); return here, nil }},
+				Dial: func(context.Context, string, time.Time) (net.Conn, error) {
+					time.Sleep(c.connecting)
+					return proxyEnd, nil
+				}},
 				slog.New(slog.DiscardHandler))
 			pool.SetBackend(1, "a", true)
 			got := 0
 			go func() {
 				for b := make([]byte, 1); got < c.reads; got++ {
-					if _, err := there.Read(b); err != nil {
+					if _, err := backendEnd.Read(b); err != nil {
 						return
 					} else if b[0] == '!' { // the body's last byte
-						_, _ = io.WriteString(there, okResponse)
+						_, _ = io.WriteString(backendEnd, okResponse)
 						return
 					}
 				}
@@ -233,15 +236,15 @@
 			if res.Outcome != c.want || c.connecting == 300*time.Millisecond && got > 0 || time.Since(start) > 300*time.Millisecond {
 				t.Errorf("%s: outcome %d (%v) after %v, %d bytes arrived", name, res.Outcome, res.Err, time.Since(start), got)
 			}
-			here.Close()
+			proxyEnd.Close()
 			time.Sleep(2 * time.Minute) // until the pool has closed the connection
 		})
 	}
 }
 
 // A backend that rejects a request before it has read it completely, and closes the connection with unread bytes,
-// resets it. Its response, which has arrived already, is read, or the last byte of the request was not written: both
-// prove that the request was not executed.
+// resets it. Either the response, which has arrived before the reset, is read, or the last byte of the request was not
+// written. Both prove that the request was not executed.
 func TestPool_ReadsEarlyRejection(t *testing.T) {
 	for name, size := range map[string]int{"short": 100, "largest buffered": MaxBufferedBody, "larger than all buffers": 20 << 20} {
 		proceed := make(chan struct{})
--- a/internal/standalone/backend/loadpoll.go
+++ b/internal/standalone/backend/loadpoll.go
@@ -12,9 +12,9 @@
 // loadReportPath is where a backend reports its load.
 const loadReportPath = "/status/load"
 
-// PollLoad asks a backend for its load and waits for the response until ctx ends. The result has a Report, unless the
-// backend has nothing to report yet, and an Err with every Outcome but OK. A poll uses a connection of the pool like a
-// request; it has no correlation id and no metric counts it.
+// PollLoad asks a backend for its load and waits for the response until ctx ends. With the Outcome OK the result has a
+// Report, or none if the backend has nothing to report yet; with every other Outcome it has an Err. A poll uses a
+// connection of the pool, as a request does, but it has no correlation ID and no metric counts it.
 func (p *Pool) PollLoad(ctx context.Context, id policy.ServerID) Result {
 	c, err := p.acquire(ctx, id)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return result
 }
 
-// pollLoad makes a load poll on a connection, and returns whether the connection can be used again.
+// pollLoad runs a load poll on a connection, and returns whether the connection can be used again.
 func (p *Pool) pollLoad(ctx context.Context, c *conn) (result Result, reusable bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+c.addr+loadReportPath, nil)
 	if err != nil {
--- a/internal/standalone/backend/loadpoll_test.go
+++ b/internal/standalone/backend/loadpoll_test.go
@@ -13,9 +13,9 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// A load poll returns a report, or why there is none. Its connection can be used for a request, unless nothing more
-// can be read after the response; a backend that does not respond holds it no longer than the context; one that is
-// draining is not polled.
+// A load poll returns a report, or the outcome and error that say why there is none. Its connection can be reused for
+// a request, unless the response was not read completely or more bytes followed it. A backend that does not respond
+// holds the connection no longer than the context. A draining backend is not polled.
 func TestPool_PollLoad(t *testing.T) {
 	response := func(status int, body string) string {
 		return fmt.Sprintf("HTTP/1.1 %d x\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
@@ -25,16 +25,16 @@
 		response string
 		outcome  policy.Outcome
 		report   []float32
-		keeps    bool // the connection can be used again
+		reusable bool // the connection can be used again
 	}{
 		"report":            {response(200, report), policy.OK, []float32{0.5, 12}, true},
 		"nothing to report": {response(200, "TEXT "), policy.OK, nil, true},
 		"error status":      {response(503, report), policy.ErrorResponse, nil, true},
 		"too large": {"HTTP/1.1 200 OK\r\nContent-Length: 999999\r\n\r\n" + strings.Repeat("x", 2*MaxBufferedBody),
 			policy.ErrorResponse, nil, false},
-		"bytes behind": {response(200, report) + "HTTP", policy.OK, []float32{0.5, 12}, false},
-		"no response":  {"", policy.TimedOut, nil, false},
-		"draining":     {"", policy.NotSent, nil, false},
+		"bytes after the response": {response(200, report) + "HTTP", policy.OK, []float32{0.5, 12}, false},
+		"no response":              {"", policy.TimedOut, nil, false},
+		"draining":                 {"", policy.NotSent, nil, false},
 	} {
 		addr, conns, requests := serveBackend(t, func(n int, conn net.Conn) bool {
 			if n > 0 {
@@ -45,7 +45,7 @@
 			if name == "no response" {
 				_, _ = conn.Read(make([]byte, 1)) // until the pool closes the connection
 			}
-			return c.keeps
+			return c.reusable
 		})
 		pool := newTestPool(addr, 9)
 		pool.SetBackend(1, addr, name != "draining")
@@ -56,7 +56,7 @@
 			name == "draining" && requests.Load() > 0 {
 			t.Errorf("%s: outcome %d, %v, %v", name, result.Outcome, result.Report, result.Err)
 		}
-		if c.keeps {
+		if c.reusable {
 			ageIdleConnections(pool)
 			if res := exchangePost(t, pool); res.Outcome != policy.OK || conns.Load() != 1 {
 				t.Errorf("%s: then a request has outcome %d on %d connections: %v", name, res.Outcome, conns.Load(), res.Err)
--- a/internal/standalone/backend/loadreport.go
+++ b/internal/standalone/backend/loadreport.go
@@ -10,7 +10,7 @@
 const (
 	// ReportHeader is the header of a response that carries the backend's load report.
 	ReportHeader = "X-Backend-Load"
-	// reportPrefix begins a load report.
+	// reportPrefix is the start of every load report.
 	reportPrefix = "TEXT "
 )
 
--- a/internal/standalone/backend/pool.go
+++ b/internal/standalone/backend/pool.go
@@ -11,14 +11,14 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// warningInterval is how often a malformed response or load report is logged at most.
+// warningInterval is the minimum time between two log records about malformed responses or load reports.
 const warningInterval = time.Second
 
 // Options configure a Pool.
 type Options struct {
-	// DialTimeout bounds the making of a connection.
+	// DialTimeout bounds the time to make a connection.
 	DialTimeout time.Duration
-	// IdleTimeout is the idle time after which backends close a connection. The pool uses a connection only while it has
+	// IdleTimeout is the idle time after which backends close a connection. The pool reuses a connection only if it has
 	// been idle for less than four fifths of that.
 	IdleTimeout time.Duration
 	// MaxConnections bounds the connections to all backends together.
@@ -31,10 +31,10 @@
 	Dial Dial
 }
 
-// Dial makes a connection to addr, or fails at the latest at deadline.
+// Dial makes a connection to addr, or fails at deadline at the latest.
 type Dial func(ctx context.Context, addr string, deadline time.Time) (net.Conn, error)
 
-// DialTCP is the Dial of the network.
+// DialTCP is the Dial for TCP.
 func DialTCP(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
 	dialer := net.Dialer{Deadline: deadline}
 	return dialer.DialContext(ctx, "tcp", addr)
@@ -43,16 +43,16 @@
 // Pool holds the backends and the connections to them. It is safe for concurrent use.
 type Pool struct {
 	log  *slog.Logger
-	opts Options // mu guards the time-outs and MaxConnections, the others do not change
+	opts Options // mu guards the timeouts and MaxConnections; the other fields do not change
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	reportColumns []string
 	byID          map[policy.ServerID]*backendState
 	openConns     int  // open connections, and those that are being made
 	reapScheduled bool // a timer will call closeExpired
 
-	lastWarning        time.Time // about a malformed response or report
-	suppressedWarnings int       // such warnings since that were not logged
+	lastWarning        time.Time // time of the last log record about a malformed response or report
+	suppressedWarnings int       // number of such warnings since then that were not logged
 }
 
 // backendState is a backend and its idle connections.
@@ -71,7 +71,7 @@
 	return &Pool{opts: opts, reportColumns: opts.ReportColumns, log: log, byID: map[policy.ServerID]*backendState{}}
 }
 
-// ApplySettings replaces the time-outs and the report columns. The new idle time-out applies to idle connections too.
+// ApplySettings replaces the timeouts and the report columns. The new idle timeout applies to idle connections too.
 func (p *Pool) ApplySettings(dialTimeout, idleTimeout time.Duration, reportColumns []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +102,7 @@
 	return p.reportColumns
 }
 
-// SetBackend sets where a backend listens and whether it may get new requests. An empty address removes it.
+// SetBackend sets a backend's address, and whether it may get new requests. An empty address removes the backend.
 func (p *Pool) SetBackend(id policy.ServerID, addr string, ready bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -119,7 +119,7 @@
 	if !ready {
 		p.closeIdle(b)
 	}
-	if addr == "" { // attempts in progress keep their pointer, and find that the backend is not ready
+	if addr == "" { // attempts in progress keep their *backendState, where ready is false
 		delete(p.byID, id)
 	}
 }
@@ -156,7 +156,7 @@
 }
 
 // warnMalformed logs that a backend's response or load report is malformed, at most once in warningInterval: a backend
-// with that fault has it in every response.
+// with that fault may send it in every response, which would fill the log.
 func (p *Pool) warnMalformed(message string, b *backendState, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standalone/backend/pool_test.go
+++ b/internal/standalone/backend/pool_test.go
@@ -12,7 +12,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// A backend whose every report is malformed must not fill the log.
+// A backend that sends only malformed reports must not fill the log.
 func TestPool_WarningsAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var log strings.Builder
@@ -28,7 +28,7 @@
 	})
 }
 
-// A drain takes effect at once, also for an attempt that has its connection already.
+// A drain takes effect at once, also for an attempt that already holds a connection.
 func TestPool_DrainingBackendGetsNoRequests(t *testing.T) {
 	addr, _, requests := serveBackend(t, func(_ int, c net.Conn) bool { io.WriteString(c, okResponse); return true })
 	pool := newTestPool(addr, 9)
@@ -47,7 +47,7 @@
 	}
 }
 
-// The limit is over all backends together: an idle connection is evicted, one in use is not.
+// The limit applies to all backends together. At the limit an idle connection is evicted; a connection in use is not.
 func TestPool_MaxConnections(t *testing.T) {
 	addr, _, _ := serveBackend(t, func(_ int, c net.Conn) bool { io.WriteString(c, okResponse); return true })
 	pool := newTestPool(addr, 1)
--- a/internal/standalone/backend/request.go
+++ b/internal/standalone/backend/request.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// TimeLeftHeader is the header with the time until a request's deadline, in milliseconds: a client's to the proxy, and
-	// the attempt's to the backend.
+	// TimeLeftHeader is the header with the time until a deadline, in milliseconds: in a client's request to the proxy the
+	// client's deadline, in a request to a backend the attempt's deadline.
 	TimeLeftHeader = "X-Time-Left-Ms"
 	// typicalHeadBytes is enough for nearly every request head.
 	typicalHeadBytes = 1 << 10
 )
 
 var (
-	errBodyConsumed = errors.New("the request's body was streamed to another attempt and is gone")
+	errBodyConsumed = errors.New("the request's body was streamed to another attempt and cannot be sent again")
 	errReadingBody  = errors.New("read the request's body")
 )
 
-// expiredDeadline is a write deadline that stops a write at once.
+// expiredDeadline is a deadline in the past: as a write deadline it stops a write at once.
 var expiredDeadline = time.Unix(1, 0)
 
-// headersNotCopied are the headers that encodeRequest writes itself, or that say how the body was delimited on its
-// way to the proxy.
+// headersNotCopied are the headers that encodeRequest writes itself, and those that delimited the body on the client's
+// connection.
 var headersNotCopied = map[string]bool{
 	"Host":              true,
 	"User-Agent":        true,
@@ -43,12 +43,12 @@
 	"Trailer":           true,
 }
 
-// encodeRequest returns a request's head and the buffered part of its body as they are written to the backend. The
-// head is not written by http.Request.Write, which copies the request and its headers first: that took a seventh of a
-// busy proxy's CPU.
+// encodeRequest returns a request's head and the buffered part of its body as they are written to the backend. It does
+// not use http.Request.Write, which first copies the request and its headers: that took a seventh of a busy proxy's
+// CPU.
 func encodeRequest(ctx context.Context, req *http.Request, body Body) ([]byte, error) {
 	target := requestTarget(req)
-	// net/http lets no line break through; a caller of another kind must not be able to add a header this way.
+	// net/http rejects line breaks here. Requests from other callers must not be able to inject a header either.
 	if strings.ContainsAny(target, " \r\n") || !httpguts.ValidHostHeader(req.Host) {
 		return nil, fmt.Errorf("encode the request: target %q or host %q", target, req.Host)
 	}
@@ -63,7 +63,7 @@
 	if err := req.Header.WriteSubset(&text, headersNotCopied); err != nil {
 		return nil, fmt.Errorf("encode the request: %w", err)
 	}
-	if agent := req.Header.Get("User-Agent"); agent != "" { // ReverseProxy sets an empty one if the client sent none
+	if agent := req.Header.Get("User-Agent"); agent != "" { // ReverseProxy sets an empty value if the client sent none
 		text.WriteString("User-Agent: " + strings.NewReplacer("\r", " ", "\n", " ").Replace(agent) + "\r\n")
 	}
 	writeTimeLeft(ctx, &text, body)
@@ -123,7 +123,7 @@
 
 // writeChunk writes a chunk of a body of unknown length.
 func writeChunk(text *bytes.Buffer, data []byte) {
-	if len(data) == 0 { // an empty chunk would be the end
+	if len(data) == 0 { // an empty chunk would end the body
 		return
 	}
 	fmt.Fprintf(text, "%x\r\n", len(data))
@@ -147,7 +147,7 @@
 	outcome := outcomeUnsent(ctx)
 	isDisconnected := a.Request.Context().Err() != nil
 	if isDisconnected || !a.canWrite() || errors.Is(err, errReadingBody) || errors.Is(err, errBodyConsumed) {
-		outcome = outcomeAfter(ctx, policy.NotSent) // the error says nothing of the backend
+		outcome = outcomeAfter(ctx, policy.NotSent) // the backend is not at fault
 	}
 	return &exchangeError{outcome: outcome, cause: fmt.Errorf("write the request: %w", err)}
 }
@@ -158,14 +158,14 @@
 	stopped := make(chan struct{})
 	stop := context.AfterFunc(client, func() {
 		defer close(stopped)
-		_ = c.nc.SetWriteDeadline(expiredDeadline) // fails only where writing does
+		_ = c.nc.SetWriteDeadline(expiredDeadline) // fails only if the write fails too
 	})
 	_, err := c.nc.Write(head)
 	if err == nil && a.Body.Stream != nil {
 		err = c.sendStream(client, a.Body)
 	}
 	if !stop() {
-		<-stopped // else it could set its deadline later, during the connection's next request
+		<-stopped // else the callback could set the deadline later, during the connection's next request
 	}
 	return err
 }
--- a/internal/standalone/backend/response.go
+++ b/internal/standalone/backend/response.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// maxHeadBytes bounds a response's head, with the interim responses before it.
+	// maxHeadBytes bounds a response's head, including the interim responses before it.
 	maxHeadBytes = 64 << 10
 	// maxInterimResponses bounds the number of interim (1xx) responses.
 	maxInterimResponses = 5
-	// maxPreallocatedBytes is how much memory is reserved for a body because of its Content-Length alone.
+	// maxPreallocatedBytes is the most memory that is reserved for a body because of its Content-Length alone.
 	maxPreallocatedBytes = 64 << 10
-	// streamAfterPause is how long the proxy buffers a response whose length is known to be over MaxBufferedBody before it
-	// forwards what has arrived. A response that fills the buffer sooner is forwarded at once.
-	streamAfterPause = 150 * time.Millisecond
-	// streamBeforeDeadline is how long before the attempt's end the proxy forwards the arrived part of a response of
-	// unknown length. Until then it may still turn out to be small enough to be buffered.
+	// streamDelay is how long the proxy buffers a response whose length is known to be over MaxBufferedBody before it
+	// forwards the part that has arrived. A response that fills the buffer sooner is forwarded at once.
+	streamDelay = 150 * time.Millisecond
+	// streamBeforeDeadline is how long before the attempt's deadline the proxy forwards the part of a response of unknown
+	// length that has arrived. Until then the response may turn out to be small enough to be buffered.
 	streamBeforeDeadline = 10 * time.Millisecond
 )
 
 var (
 	errErrorTooLong = errors.New("an error response is too long to be buffered")
-	errAmbiguousEnd = errors.New("the response's end can be read in two ways")
+	errAmbiguousEnd = errors.New("the response has ambiguous framing: its end can be determined in two ways")
 )
 
-// receivedResponse is a response that has been read: completely, or as far as shows that it is to be streamed.
+// receivedResponse is a response that has been read completely, or far enough to know that it has to be streamed.
 type receivedResponse struct {
 	status   int
 	response *Response
 	reusable bool // the connection can be used again
 }
 
-// readResponse reads one response. A response over the limits, or one that breaks off, is an error. deadline is when the
+// readResponse reads one response. A response over the limits and a truncated one are errors. deadline is when the
 // attempt ends.
 func (c *conn) readResponse(p *Pool, req *http.Request, deadline time.Time) (receivedResponse, error) {
 	c.limit.N = maxHeadBytes + MaxBufferedBody
@@ -48,9 +48,9 @@
 	if err != nil {
 		return receivedResponse{}, err
 	}
-	// The body is never closed: Close would read on to its end, which may never come.
+	// The body is never closed: Close would read on to its end, which may never arrive.
 	switch {
-	case resp.ContentLength > MaxStreamedBody: // rejected at once: to read so far could take minutes
+	case resp.ContentLength > MaxStreamedBody: // rejected now: reading up to the limit first could take minutes
 		return receivedResponse{}, ErrBodyTooLarge
 	case resp.ContentLength >= 0 && resp.ContentLength <= MaxBufferedBody:
 		return c.readBuffered(resp)
@@ -76,7 +76,7 @@
 	}
 }
 
-// readBuffered reads a response of a known length that is buffered.
+// readBuffered reads and buffers a response whose length is known.
 func (c *conn) readBuffered(resp *http.Response) (receivedResponse, error) {
 	var body bytes.Buffer
 	if n := min(resp.ContentLength, maxPreallocatedBytes); n > 0 {
@@ -92,17 +92,17 @@
 	}, nil
 }
 
-// readStream reads a response that is large, or of unknown length, until it is clear whether it is streamed. One of
-// unknown length that turns out to be small is buffered.
+// readStream reads a response that is large, or of unknown length, until it is clear whether it has to be streamed. A
+// response of unknown length that turns out to be small is buffered.
 func (c *conn) readStream(p *Pool, resp *http.Response, deadline time.Time) (receivedResponse, error) {
-	// A body that is delimited by the connection's end is complete if the connection is closed and not reset: the kernel
-	// of a backend that ends unexpectedly resets its connections.
+	// A body that is delimited by the connection's end is complete if the connection is closed and not reset: if a backend
+	// process ends unexpectedly, its kernel resets the connections.
 	endsWithConn := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	canReuse := func() bool { return !resp.Close && !endsWithConn && c.reader.Buffered() == 0 }
-	c.limit.N = math.MaxInt64 // the stream has a limit of its own
+	c.limit.N = math.MaxInt64 // the stream enforces its own limit, MaxStreamedBody
 	s := newStream(p, c, resp.Body, canReuse)
-	streamFrom := time.Now().Add(streamAfterPause)
-	if resp.ContentLength < 0 { // it may turn out to be small, and is then served only if it is complete
+	streamFrom := time.Now().Add(streamDelay)
+	if resp.ContentLength < 0 { // a response that turns out to be small is served only if it is complete
 		streamFrom = deadline.Add(-streamBeforeDeadline)
 	}
 	wake := time.AfterFunc(time.Until(streamFrom), s.wake)
@@ -113,7 +113,7 @@
 	case err == io.EOF:
 		response.Body = s.bytes()
 		return receivedResponse{status: resp.StatusCode, response: response, reusable: canReuse()}, nil
-	case err != nil: // nothing of it is forwarded yet, so that another attempt can be made
+	case err != nil: // nothing has been forwarded yet, so that another attempt can be made
 		return receivedResponse{}, err
 	case resp.StatusCode != http.StatusOK:
 		s.abandon()
--- a/internal/standalone/backend/response_test.go
+++ b/internal/standalone/backend/response_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// FuzzReadResponse reads truncated and garbled responses: an accepted one must be complete.
+// FuzzReadResponse reads truncated and garbled responses: an accepted response must be complete.
 func FuzzReadResponse(f *testing.F) {
 	for cut := 0; cut <= len(okResponse); cut += 5 {
 		f.Add([]byte(okResponse[:cut]))
@@ -21,10 +21,10 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		source := &responseSource{Reader: strings.NewReader(string(text))}
 		limit := &io.LimitedReader{R: source}
-		here, there := net.Pipe()
-		defer here.Close()
-		defer there.Close()
-		c := &conn{nc: here, source: source, limit: limit, reader: bufio.NewReader(limit), backend: &backendState{}}
+		proxyEnd, backendEnd := net.Pipe()
+		defer proxyEnd.Close()
+		defer backendEnd.Close()
+		c := &conn{nc: proxyEnd, source: source, limit: limit, reader: bufio.NewReader(limit), backend: &backendState{}}
 		got, err := c.readResponse(NewPool(Options{}, slog.New(slog.DiscardHandler)), newPost(), time.Now().Add(time.Minute))
 		status, response := got.status, got.response
 		if (err == nil) != (response != nil) || err == nil && (status < 200 || len(response.Body) > MaxBufferedBody) {
@@ -33,13 +33,13 @@
 		if err != nil {
 			return
 		}
-		if response.Stream != nil { // more than MaxBufferedBody of it came, so that it is streamed
+		if response.Stream != nil { // streamed, since more than MaxBufferedBody arrived
 			n, _ := io.Copy(io.Discard, response.Stream)
 			response.Stream.Close()
 			response.Body = make([]byte, n)
 		}
 		if len(response.Body) > len(text) {
-			t.Error("the body is longer than what came")
+			t.Error("the body is longer than the input")
 		}
 	})
 }
--- a/internal/standalone/backend/stream.go
+++ b/internal/standalone/backend/stream.go
@@ -9,21 +9,21 @@
 )
 
 const (
-	// streamStallTimeout is how long a peer may send or accept nothing in the middle of a streamed body.
+	// streamStallTimeout is how long a streamed body may make no progress, because the peer sends or accepts no bytes.
 	streamStallTimeout = 10 * time.Second
-	// copyBufferBytes is how much is read at a time.
+	// copyBufferBytes is the size of a single read.
 	copyBufferBytes = 16 << 10
 )
 
 // copyBuffers pools *[copyBufferBytes]byte.
 var copyBuffers = sync.Pool{New: func() any { return new([copyBufferBytes]byte) }}
 
-// errStreamClosed is the end of a stream that was closed or abandoned.
+// errStreamClosed is the error that ends a stream that was closed or abandoned.
 var errStreamClosed = errors.New("the stream was closed")
 
-// stream carries a response's body from the backend to the client. It buffers MaxBufferedBody at most, and then stops to
-// read until the client has accepted some of it, so that memory grows neither with the response nor with a slow client.
-// Its goroutine, pump, ends with the body, or after Close or abandon.
+// stream carries a response's body from the backend to the client. Once MaxBufferedBody bytes are buffered it stops
+// reading until the client has accepted some of them, so that neither a large response nor a slow client makes memory
+// grow. Its goroutine, pump, ends at the end of the body, or after Close or abandon.
 type stream struct {
 	conn     *conn
 	pool     *Pool
@@ -31,16 +31,16 @@
 	canReuse func() bool // reports whether the connection can be used again once the body has ended
 
 	mu         sync.Mutex
-	changed    sync.Cond // bytes came or went, or the stream ended
+	changed    sync.Cond // bytes were added or removed, the stream ended, or wake was called
 	buffered   []byte
 	err        error // the end of the body; io.EOF: it is complete; nil: it has not ended
 	closed     bool  // by Close or abandon
-	forwarding bool  // a client reads from it: the backend must not stall, and the stream releases the connection
+	forwarding bool  // a client reads: streamStallTimeout bounds reads, and the stream releases the connection
 
 	releaseOnce sync.Once
 }
 
-// newStream starts to read body. Either startForwarding or abandon must follow, unless the body has ended.
+// newStream starts to read body. Unless the body has ended, startForwarding or abandon must be called later.
 func newStream(p *Pool, c *conn, body io.Reader, canReuse func() bool) *stream {
 	s := &stream{conn: c, pool: p, body: body, canReuse: canReuse}
 	s.changed.L = &s.mu
@@ -86,14 +86,14 @@
 	if closed {
 		return errStreamClosed
 	}
-	if forwarding { // before that, the attempt's own end bounds the read
+	if forwarding { // until forwarding starts, the end of the attempt bounds the read
 		return s.conn.nc.SetReadDeadline(time.Now().Add(streamStallTimeout))
 	}
 	return nil
 }
 
-// end records the end of the body, and releases the connection if a client reads from the stream. Before that, the
-// attempt still has the connection.
+// end records the end of the body, and releases the connection if a client reads from the stream. Until a client reads,
+// the attempt holds the connection and releases it.
 func (s *stream) end(err error) {
 	s.mu.Lock()
 	s.err = err
@@ -106,7 +106,7 @@
 	}
 }
 
-// release gives the connection back to the pool, once.
+// release returns the connection to the pool. Later calls do nothing.
 func (s *stream) release(reusable bool) {
 	s.releaseOnce.Do(func() {
 		if reusable {
@@ -117,7 +117,7 @@
 }
 
 // waitBuffered waits until the body has ended, MaxBufferedBody bytes are buffered, or isEnough returns true for the
-// number that are. It returns that number, and the body's end if it has come.
+// number of buffered bytes. It returns that number, and the error that ended the body, nil if it has not ended.
 func (s *stream) waitBuffered(isEnough func(have int) bool) (have int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +127,7 @@
 	return len(s.buffered), s.err
 }
 
-// wake has waitBuffered ask isEnough again.
+// wake makes waitBuffered call isEnough again.
 func (s *stream) wake() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +146,7 @@
 	s.mu.Lock()
 	s.forwarding = true
 	ended, err := s.err != nil, s.err
-	if !ended { // the pump may be in a read without a deadline; if this fails, so does that read
+	if !ended { // pump may be in a read without a deadline; if SetReadDeadline fails, that read fails too
 		_ = s.conn.nc.SetReadDeadline(time.Now().Add(streamStallTimeout))
 	}
 	s.mu.Unlock()
@@ -163,7 +163,7 @@
 	s.changed.Broadcast()
 }
 
-// Read returns bytes that have arrived, and waits if there are none. The error of a body that broke off is not io.EOF.
+// Read returns bytes that have arrived, and waits if there are none. The error for a truncated body is not io.EOF.
 func (s *stream) Read(b []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -174,7 +174,7 @@
 		if s.err == io.EOF {
 			return 0, io.EOF
 		}
-		return 0, fmt.Errorf("the streamed response broke off: %w", s.err)
+		return 0, fmt.Errorf("the streamed response is incomplete: %w", s.err)
 	}
 	n := copy(b, s.buffered)
 	s.buffered = s.buffered[:copy(s.buffered, s.buffered[n:])]
@@ -182,7 +182,7 @@
 	return n, nil
 }
 
-// Close ends the stream. If the body has not ended it closes the connection.
+// Close ends the stream. If the body has not ended, Close closes the connection.
 func (s *stream) Close() error {
 	s.mu.Lock()
 	s.closed = true
--- a/internal/standalone/backend/stream_test.go
+++ b/internal/standalone/backend/stream_test.go
@@ -16,9 +16,9 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// checkOpenConnections checks how many connections the pool comes to have, all of them idle: one that is still to be closed
-// counts as open too. A connection is released just after the reader has seen the end of its response; one that is kept wrongly
-// would stay for the pool's idle time, a minute.
+// checkOpenConnections waits until the pool has want connections, all of them idle. A connection that is about to be
+// closed still counts as open, and a connection is released just after the reader has seen the end of its response. The
+// wait hides no connection that is kept wrongly: it would stay open for the pool's idle timeout, a minute.
 func checkOpenConnections(t *testing.T, pool *Pool, want int) {
 	t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
@@ -32,7 +32,7 @@
 	}
 }
 
-// serveOnce starts a backend that gives one response, and reports the result of writing it.
+// serveOnce starts a backend that sends one response, and reports the result of writing it.
 func serveOnce(t *testing.T, respond func(c net.Conn) error) (pool *Pool, written chan error) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -82,15 +82,15 @@
 	return nil
 }
 
-// A large response is streamed, in whatever form; one that breaks off ends with an error that is not io.EOF; its
-// connection is released where it can be used again, although the attempt has ended.
+// A large response is streamed, whatever its framing. A truncated one ends with an error that is not io.EOF. The
+// connection is released if it can be used again, although the attempt has ended.
 func TestPool_StreamedResponses(t *testing.T) {
 	const long = 300_000
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, c := range map[string]struct {
 		response func(c net.Conn) error
-		size     int // of the body; -1: it breaks off
-		open     int // connections in the end
+		size     int // of the body; -1: reading it must fail
+		open     int // connections open at the end
 	}{
 		"in pieces": {func(c net.Conn) error {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", long)
@@ -100,9 +100,9 @@
 			}
 			return nil
 		}, long, 1},
-		"pauses early": {func(c net.Conn) error {
+		"pause after the first byte": {func(c net.Conn) error {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nx", long)
-			time.Sleep(2 * streamAfterPause)
+			time.Sleep(2 * streamDelay)
 			io.WriteString(c, strings.Repeat("x", long-1))
 			return nil
 		}, long, 1},
@@ -114,22 +114,22 @@
 			_, err := io.WriteString(c, "0\r\nX-Trailer: a\r\n\r\n")
 			return err
 		}, 5_000_000, 1},
-		"ends with its connection": {func(c net.Conn) error {
+		"delimited by close": {func(c net.Conn) error {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"+strings.Repeat("x", long))
 			return errCloseConn
 		}, long, 0},
-		"breaks off": {func(c net.Conn) error {
+		"truncated": {func(c net.Conn) error {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", long, strings.Repeat("x", MaxBufferedBody))
 			time.Sleep(20 * time.Millisecond)
 			return errCloseConn
 		}, -1, 0},
-		"a chunk is missing": {func(c net.Conn) error {
+		"last chunk missing": {func(c net.Conn) error {
 			io.WriteString(c, chunked)
 			writeChunks(c, 3, 50_000)
 			time.Sleep(20 * time.Millisecond)
 			return errCloseConn
 		}, -1, 0},
-		"without an end": {func(c net.Conn) error {
+		"endless": {func(c net.Conn) error {
 			io.WriteString(c, chunked)
 			return writeChunks(c, MaxStreamedBody/50_000+9, 50_000)
 		}, -1, 0},
@@ -150,13 +150,13 @@
 	}
 }
 
-// A small response without a length is served only when it is complete, even if it is slow; one that never ends is a
-// time-out.
+// A small response without a length is served only when it is complete, even if it is slow. A response that does not
+// end before the deadline times out.
 func TestPool_SmallResponsesAreBuffered(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	pool, _ := serveOnce(t, func(c net.Conn) error {
 		io.WriteString(c, chunked+"1\r\nx\r\n")
-		time.Sleep(2 * streamAfterPause)
+		time.Sleep(2 * streamDelay)
 		io.WriteString(c, "1\r\ny\r\n0\r\n\r\n")
 		return nil
 	})
@@ -169,11 +169,11 @@
 		return err
 	})
 	if res := exchangeGet(t, pool, 200*time.Millisecond); res.Outcome != policy.TimedOut || pool.OpenConnections() != 0 {
-		t.Errorf("nothing of a body came: outcome %d, %v, %d connections", res.Outcome, res.Err, pool.OpenConnections())
+		t.Errorf("no byte of the body arrived: outcome %d, %v, %d connections", res.Outcome, res.Err, pool.OpenConnections())
 	}
 }
 
-// Where the client reads more slowly than the backend writes, the backend is blocked: the buffer does not grow with the
+// If the client reads more slowly than the backend writes, the backend is blocked: the buffer does not grow with the
 // response. Close disconnects the backend.
 func TestStream_SlowReadersBlockBackend(t *testing.T) {
 	pool, written := serveOnce(t, func(c net.Conn) error {
@@ -194,10 +194,10 @@
 		t.Errorf("%d bytes are buffered, %v", buffered, err)
 	}
 	if len(written) > 0 {
-		t.Error("32 MiB were written with nobody reading")
+		t.Error("the backend wrote 32 MiB although the client read nothing")
 	}
 	if _, err := io.CopyN(io.Discard, s, MaxStreamedBody/2); err != nil {
-		t.Errorf("half of it: %v", err)
+		t.Errorf("reading half of the body: %v", err)
 	}
 	s.Close()
 	if err := <-written; err == nil {
@@ -219,10 +219,10 @@
 	return h.Conn.Read(b)
 }
 
-// A response without a length ends with its connection if that is closed in order; a reset is no end, whether it
-// arrives together with the last bytes or after bytes have been forwarded, and whether the response is small or
-// large.
-func TestPool_ResetIsNoEndOfResponse(t *testing.T) {
+// A response without a length is complete if its connection is closed without a reset. After a reset it is incomplete,
+// whether the reset arrives together with the last bytes or after bytes have been forwarded, and whether the response
+// is small or large.
+func TestPool_ResetMakesResponseIncomplete(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n"
 	sizes := map[string]int{
 		"empty":            0,
