--- a/internal/standalone/discovery/decoder.go
+++ b/internal/standalone/discovery/decoder.go
@@ -13,8 +13,8 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// Update is one message of discovery, in its wire form: the complete list, or what changed since the version before.
-// Entries are decoded one by one, so that an invalid one costs only itself.
+// Update is the wire form of one message from discovery: the complete list, or the changes since the previous version.
+// Entries are decoded one by one, so that an invalid entry does not affect the others.
 type Update struct {
 	Version  uint64            `json:"seq"`
 	Complete bool              `json:"whole"`
@@ -23,7 +23,7 @@
 
 // Entry is one backend in its wire form.
 type Entry struct {
-	Host         string  `json:"host"` // its name
+	Host         string  `json:"host"` // the backend's name
 	Address      string  `json:"dial"` // IP address and port
 	Zone         string  `json:"site"`
 	InstanceType string  `json:"class"`
@@ -74,8 +74,8 @@
 
 var errInvalidName = errors.New("host is empty or too long")
 
-// Decoder decodes updates with the names of zones and instance types of the settings, and gives each backend the ID by which
-// the policy and the backend pool know it. It is not safe for concurrent use.
+// Decoder decodes updates with the zone and instance type names of the settings, and assigns each backend the ID that
+// the policy and the backend pool use for it. It is not safe for concurrent use.
 type Decoder struct {
 	zones, instanceTypes []string
 	ids                  map[string]policy.ServerID // by name
@@ -88,7 +88,8 @@
 		names: map[policy.ServerID]string{}}
 }
 
-// Decode decodes an update. Invalid entries are in DecodedUpdate.Invalid; the error is of a message that is no update.
+// Decode decodes an update. Invalid entries are in DecodedUpdate.Invalid. The error is for a message that is not an
+// Update.
 func (d *Decoder) Decode(message []byte) (DecodedUpdate, error) {
 	var u Update
 	if err := json.Unmarshal(message, &u); err != nil {
@@ -107,7 +108,7 @@
 	return decoded, nil
 }
 
-// entryName returns the name in an invalid entry, empty if that is what cannot be read.
+// entryName returns the name in an invalid entry, empty if the name itself cannot be read.
 func entryName(raw []byte) string {
 	var named struct {
 		Host string `json:"host"`
@@ -116,8 +117,8 @@
 	return named.Host
 }
 
-// assignIDs assigns IDs in the order of names, so that every proxy that reads the same list gives the same IDs to names
-// whose hashes collide.
+// assignIDs assigns IDs in the order of names, so that every proxy that reads the same list assigns the same IDs to
+// names whose hashes collide.
 func (d *Decoder) assignIDs(endpoints []Endpoint) {
 	byName := slices.Clone(endpoints)
 	slices.SortFunc(byName, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
@@ -129,7 +130,7 @@
 	}
 }
 
-// decodeEntry decodes an entry, without its ID. Of a deleted backend only the name is set.
+// decodeEntry decodes an entry, without its ID. For a deleted backend, only the name is set.
 func (d *Decoder) decodeEntry(raw []byte) (Endpoint, error) {
 	var entry Entry
 	if err := json.Unmarshal(raw, &entry); err != nil {
@@ -175,7 +176,7 @@
 		return m, fmt.Errorf("born_ms %v is out of range", entry.StartedAtMs)
 	}
 	instanceType := slices.Index(d.instanceTypes, entry.InstanceType)
-	if instanceType < 0 { // unknown types together count as one further type
+	if instanceType < 0 { // all unknown types count as one additional type
 		instanceType = len(d.instanceTypes)
 	}
 	m.Zone, m.Cell, m.InstanceType = uint8(max(0, zone)), uint16(entry.Cell), uint16(instanceType)
@@ -183,8 +184,8 @@
 	return m, nil
 }
 
-// id returns the ID of a name: its FNV-1a hash, so that it is the same at every proxy and after a restart. While the hash is
-// taken by another name, a zero byte is appended to the name.
+// id returns the ID of a name: its FNV-1a hash, so that it is the same at every proxy and after a restart. As long as
+// the hash is the ID of another name, a zero byte is appended to the hashed name.
 func (d *Decoder) id(name string) policy.ServerID {
 	if id, ok := d.ids[name]; ok {
 		return id
@@ -203,8 +204,8 @@
 	return id
 }
 
-// forget removes an ID and its name.
-func (d *Decoder) forget(id policy.ServerID) {
+// removeID removes an ID and its name.
+func (d *Decoder) removeID(id policy.ServerID) {
 	delete(d.ids, d.names[id])
 	delete(d.names, id)
 }
--- a/internal/standalone/discovery/decoder_test.go
+++ b/internal/standalone/discovery/decoder_test.go
@@ -8,13 +8,13 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// entryJSON is an entry of the list in its wire form.
+// entryJSON returns an entry of the list in its wire form.
 func entryJSON(name, health string) string {
 	return fmt.Sprintf(`{"host":%q,"dial":"127.1.0.1:7070","site":"a","class":"m2","block":3,"health":%q,`+
 		`"share":1.5,"born_ms":1700000000123}`, name, health)
 }
 
-// updateJSON is a message of discovery.
+// updateJSON returns a message from discovery in its wire form.
 func updateJSON(version int, complete bool, entries ...string) string {
 	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, version, complete, strings.Join(entries, ","))
 }
@@ -39,7 +39,7 @@
 	}
 }
 
-// An invalid entry costs only itself.
+// An invalid entry is left out, and the valid entries of the update are decoded.
 func TestDecoder_LeavesOutInvalidEntries(t *testing.T) {
 	valid := entryJSON("s-1", "SERVING")
 	for _, invalid := range []string{`7`, `{}`, entryJSON("", "SERVING"), entryJSON("s-2", "ODD"),
@@ -52,7 +52,7 @@
 	}
 }
 
-// Names whose hashes collide get different IDs, and the same ones whatever the order of the list.
+// Names whose hashes collide get different IDs, which do not depend on the order of the list.
 func TestDecoder_AssignsSameIDsInAnyOrder(t *testing.T) {
 	ids := func(names ...string) map[string]uint32 {
 		var entries []string
@@ -79,11 +79,11 @@
 		}
 	}
 	if alone := ids("s-1"); alone["s-1"] != a["s-1"] {
-		t.Error("an ID depends on what else is listed")
+		t.Error("the ID of a name without a collision depends on the other names")
 	}
 }
 
-// FuzzDecoder decodes truncated and garbled updates: what comes out must be within the settings.
+// FuzzDecoder decodes truncated and garbled updates: decoded endpoints must be valid for the settings.
 func FuzzDecoder(f *testing.F) {
 	complete := updateJSON(41, true, entryJSON("s-1", "SERVING"), entryJSON("s-2", "DELETED"))
 	for cut := 0; cut < len(complete); cut += 17 {
--- a/internal/standalone/discovery/maintenance.go
+++ b/internal/standalone/discovery/maintenance.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// maintenanceFile is the file of the shared folder that holds what operators disabled and enabled.
+	// maintenanceFile is the file in the shared folder that lists the backends that operators disabled and enabled.
 	maintenanceFile = "bans.json"
-	// maintenancePollInterval is how often the file is checked for changes by other processes. A backend that is disabled at
-	// one process gets no new requests from the others after this time.
+	// maintenancePollInterval is how often the file is checked for changes by other processes. After a backend is disabled
+	// at one process, the other processes stop sending it new requests within this time.
 	maintenancePollInterval = 50 * time.Millisecond
 )
 
-// ShareMaintenance has the watcher store what operators disable in folder, and restores what is stored there. Call it before
-// Start.
+// ShareMaintenance makes the watcher store the maintenance state in folder, and restores the state that is stored
+// there. Call it before Start.
 func (w *Watcher) ShareMaintenance(folder *hotrestart.SharedFolder) {
 	w.folder = folder
 	w.pollMaintenance()
 }
 
-// Disable keeps new requests from a backend until Enable. If it returns nil, the change is in force, and stored if there is a
-// shared folder. After maintenance.ErrUnknownBackend and maintenance.ErrTooManyDisabled nothing has changed; any other error
-// means that the change is in force but not stored.
+// Disable stops new requests to a backend until Enable is called. If it returns nil, the change is in effect, and
+// stored if there is a shared folder. After maintenance.ErrUnknownBackend and maintenance.ErrTooManyDisabled nothing
+// has changed; any other error means that the change is in effect but not stored.
 func (w *Watcher) Disable(name string) error {
 	return w.changeMaintenance(func(s *maintenance.State) error { return s.Disable(name) })
 }
 
-// Enable ends Disable; the backend starts cold. Errors are as those of Disable.
+// Enable reverts Disable. The backend counts as just started, that is, as cold. Errors are as for Disable.
 func (w *Watcher) Enable(name string) error {
 	now := time.Now().UnixMicro()
 	return w.changeMaintenance(func(s *maintenance.State) error { return s.Enable(name, now) })
@@ -52,7 +52,7 @@
 	return n
 }
 
-// RunMaintenance applies what other processes of this proxy store, until ctx ends.
+// RunMaintenance applies the state that other processes of this proxy store, until ctx ends.
 func (w *Watcher) RunMaintenance(ctx context.Context) {
 	if w.folder == nil {
 		return
@@ -69,7 +69,7 @@
 	}
 }
 
-// changeMaintenance applies a change to the state here and in the folder, and publishes it.
+// changeMaintenance applies a change to the state in memory and in the folder, and publishes it.
 func (w *Watcher) changeMaintenance(change func(*maintenance.State) error) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -86,7 +86,7 @@
 		}
 		return w.maintenance.Encode(), nil
 	})
-	if !changed { // the folder failed before change was called; it is to be in force even so
+	if !changed { // the folder failed before change was called: apply it in memory
 		changeErr = w.changeAndPublish(change)
 	}
 	if changeErr != nil {
@@ -122,8 +122,8 @@
 	w.publishMaintenance()
 }
 
-// restoreMaintenance replaces the maintenance state by a stored form. An invalid one is logged and ignored. Called with mu
-// held.
+// restoreMaintenance replaces the maintenance state by a stored form. An invalid one is logged and ignored. Called with
+// mu held.
 func (w *Watcher) restoreMaintenance(stored []byte) {
 	if len(stored) == 0 {
 		return
@@ -133,8 +133,8 @@
 	}
 }
 
-// publishMaintenance publishes the listed endpoints whose state differs from what was published last. It is called with mu
-// held.
+// publishMaintenance publishes the listed endpoints whose state differs from the last published one. It is called with
+// mu held.
 func (w *Watcher) publishMaintenance() {
 	var changed []policy.Member
 	for id, e := range w.endpoints {
--- a/internal/standalone/discovery/maintenance_test.go
+++ b/internal/standalone/discovery/maintenance_test.go
@@ -14,14 +14,14 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// latest is a Policy and Backends that keeps the latest state of each backend that it was notified of.
-type latest struct {
+// latestState is a Policy and Backends that records the last state of each backend that it was notified of.
+type latestState struct {
 	mu      sync.Mutex
 	members map[uint32]policy.Member
 	ready   map[uint32]bool
 }
 
-func (l *latest) UpdateMembers(kind policy.EventKind, members []policy.Member) {
+func (l *latestState) UpdateMembers(kind policy.EventKind, members []policy.Member) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, m := range members {
@@ -29,16 +29,17 @@
 	}
 }
 
-func (l *latest) SetBackend(id uint32, _ string, ready bool) {
+func (l *latestState) SetBackend(id uint32, _ string, ready bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ready[id] = ready
 }
 
-// newMaintainedWatcher returns a watcher that lists s-1 and s-2 and shares its maintenance state in dir, where that is given.
-func newMaintainedWatcher(t *testing.T, dir string) (*Watcher, *latest) {
+// newSharingWatcher returns a watcher that lists s-1 and s-2, and shares its maintenance state in dir unless dir is
+// empty.
+func newSharingWatcher(t *testing.T, dir string) (*Watcher, *latestState) {
 	t.Helper()
-	l := &latest{members: map[uint32]policy.Member{}, ready: map[uint32]bool{}}
+	l := &latestState{members: map[uint32]policy.Member{}, ready: map[uint32]bool{}}
 	w := NewWatcher(Options{Source: testSource, Backends: l, Log: slog.New(slog.DiscardHandler)})
 	if dir != "" {
 		w.ShareMaintenance(hotrestart.NewSharedFolder(dir, "n0"))
@@ -47,8 +48,8 @@
 	return w, l
 }
 
-// isDisabled reports whether a backend gets no new requests, of which policy and backends must have been notified alike.
-func (l *latest) isDisabled(t *testing.T, w *Watcher, name string) bool {
+// isDisabled reports whether a backend is disabled. It fails the test if policy and backends were notified differently.
+func (l *latestState) isDisabled(t *testing.T, w *Watcher, name string) bool {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,9 +61,9 @@
 	return disabled
 }
 
-// A backend is disabled once Disable returns, whatever the list says, also when it is removed and listed again.
+// A backend is disabled from the return of Disable on, whatever the list says, also if it is removed and listed again.
 func TestWatcher_DisableOutlastsListUpdates(t *testing.T) {
-	w, l := newMaintainedWatcher(t, "")
+	w, l := newSharingWatcher(t, "")
 	if err := w.Disable("nobody"); !errors.Is(err, maintenance.ErrUnknownBackend) {
 		t.Errorf("a backend that was never listed: %v", err)
 	}
@@ -91,10 +92,10 @@
 	if enabledAt <= 1700000009999000 {
 		t.Error("enabled without a new start time")
 	}
-	// Discovery may list it again with the old start time, which must not make it warm.
+	// Discovery may list it again with the old start time, which must not make it count as warm.
 	err := w.apply([]byte(updateJSON(5, false, entryJSON("s-1", "SERVING"))), false)
 	if err != nil || l.members[w.decoder.id("s-1")].StartedAt != enabledAt {
-		t.Error("the list made it warm")
+		t.Error("an older start time on the list replaced the time of Enable")
 	}
 	if err := w.Disable("s-1"); err != nil {
 		t.Error(err)
@@ -104,11 +105,11 @@
 	}
 }
 
-// Both processes of a hot restart apply a call to either, and one that starts later applies it too.
+// During a hot restart, a call to one process takes effect at both, and at a process that starts later.
 func TestWatcher_SharesMaintenanceState(t *testing.T) {
 	dir := t.TempDir()
-	a, latestA := newMaintainedWatcher(t, dir)
-	b, latestB := newMaintainedWatcher(t, dir)
+	a, latestA := newSharingWatcher(t, dir)
+	b, latestB := newSharingWatcher(t, dir)
 	if err := a.Disable("s-1"); err != nil {
 		t.Fatal(err)
 	}
@@ -122,9 +123,9 @@
 			t.Errorf("%s is not disabled at both", name)
 		}
 	}
-	c, latestC := newMaintainedWatcher(t, dir)
+	c, latestC := newSharingWatcher(t, dir)
 	if !latestC.isDisabled(t, c, "s-1") || !latestC.isDisabled(t, c, "s-2") {
-		t.Error("a process that starts later has not restored the state")
+		t.Error("a process that started later has not restored the state")
 	}
 	if err := c.Enable("s-1"); err != nil {
 		t.Fatal(err)
@@ -135,10 +136,10 @@
 	}
 }
 
-// An invalid file is ignored. Where the folder cannot be written, Disable is in force and returns an error.
+// An invalid file is ignored. If the folder cannot be written, Disable takes effect and returns an error.
 func TestWatcher_ToleratesFaultyFolder(t *testing.T) {
 	dir := t.TempDir()
-	a, _ := newMaintainedWatcher(t, dir)
+	a, _ := newSharingWatcher(t, dir)
 	if err := a.Disable("s-1"); err != nil {
 		t.Fatal(err)
 	}
@@ -153,7 +154,7 @@
 	if a.DisabledCount() != 1 {
 		t.Error("an invalid file enabled a backend")
 	}
-	b, l := newMaintainedWatcher(t, dir)
+	b, l := newSharingWatcher(t, dir)
 	if l.isDisabled(t, b, "s-1") {
 		t.Error("restored an invalid file")
 	}
--- a/internal/standalone/discovery/message_reader.go
+++ b/internal/standalone/discovery/message_reader.go
@@ -6,23 +6,23 @@
 	"io"
 )
 
-// maxMessageBytes is the size of the largest message of a watch that is read.
+// maxMessageBytes is the maximum size of a message of a watch.
 const maxMessageBytes = 8 << 20
 
 var errMessageTooLong = errors.New("message of the discovery watch is too long")
 
-// messageReader splits the stream of a watch into messages. A message is a JSON object, on one line or, if it is indented, on
-// several; an empty line between two messages is a heartbeat, which a json.Decoder would not report.
+// messageReader splits the stream of a watch into messages. A message is a JSON object, on one line or, if it is
+// indented, on several; an empty line between two messages is a heartbeat, which a json.Decoder would not report.
 type messageReader struct {
 	br      *bufio.Reader
 	message []byte
-	ended   bool // a message has just ended: the end of its line is no heartbeat
+	ended   bool // the last byte ended a message: the line break after it is not a heartbeat
 }
 
 func newMessageReader(r io.Reader) *messageReader { return &messageReader{br: bufio.NewReader(r)} }
 
-// next returns the next message, which is valid until the next call, or nil for a heartbeat. A line that does not begin a JSON
-// object is returned as it is, for the decoder to reject.
+// next returns the next message, which is valid until the next call, or nil for a heartbeat. A line that does not start
+// a JSON object is returned unchanged, for the decoder to reject.
 func (r *messageReader) next() ([]byte, error) {
 	r.message = r.message[:0]
 	depth, quoted, escaped := 0, false, false
--- a/internal/standalone/discovery/resubscribe_test.go
+++ b/internal/standalone/discovery/resubscribe_test.go
@@ -14,7 +14,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// startPolicy runs the policy of one of a group of proxies, which decides when to watch, until the test ends.
+// startPolicy runs the policy of one proxy of a group until the test ends. The policy decides when to start a watch.
 func startPolicy(t *testing.T, w *Watcher, groupSize int, seed uint64) Policy {
 	t.Helper()
 	set := policy.Settings{Classes: []policy.Class{{ClientTimeout: 1e6, LatencyTarget: 1e6, Value: 1}}, SubscribeDiscovery: true,
@@ -33,8 +33,9 @@
 // policySeeds is how many seeds of the policy each case is run with.
 const policySeeds = 30
 
-// Updates that a watch without heartbeats misses have to be known 6 s after its last byte. Watcher and policy must have started
-// the next watch a second before that, whatever the size of the group, and also if the last line was incomplete.
+// Updates that are missed by a watch without heartbeats must be received within 6 s of its last byte. Watcher and
+// policy must start the next watch one second before that, whatever the size of the group, and also if the last line
+// was incomplete.
 func TestWatcher_ReplacesTimedOutWatchSoon(t *testing.T) {
 	for _, group := range []int{1, 100, 300} {
 		for seed := range uint64(policySeeds) {
@@ -60,19 +61,19 @@
 				time.Sleep(30 * time.Second)
 				synctest.Wait()
 				if took := nextWatchAt.Sub(lastByteAt); calls < 2 || took > 5*time.Second {
-					t.Errorf("group of %d, seed %d: watched again %v after the last byte, %d calls", group, seed, took, calls)
+					t.Errorf("group of %d, seed %d: next watch started %v after the last byte, %d calls", group, seed, took, calls)
 				}
 			})
 		}
 	}
 }
 
-// After a reload the updates of the new source have to be known 4 s later, also where it rejects the first watch, and where the
-// policy restarts the first watch before it has brought anything.
+// After a reload, the updates of the new source must be received within 4 s, also if it rejects the first watch, and if
+// the policy restarts the first watch before it has received a message.
 func TestWatcher_RetriesNewSourceSoon(t *testing.T) {
 	for seed := range uint64(policySeeds) {
 		synctest.Test(t, func(t *testing.T) {
-			var movedAt, nextWatchAt time.Time
+			var sourceSetAt, nextWatchAt time.Time
 			var calls atomic.Int32
 			stoppedWatches := int32(seed % 2) // watches of the new source that the policy stops
 			newPolicy := func(w *Watcher) Policy { return startPolicy(t, w, 300, seed) }
@@ -101,7 +102,7 @@
 				io.Copy(io.Discard, conn)
 			})
 			time.Sleep(10 * time.Second)
-			movedAt = time.Now()
+			sourceSetAt = time.Now()
 			newSource := testSource
 			newSource.Address = "127.0.0.2:1"
 			w.SetSource(newSource)
@@ -110,8 +111,8 @@
 			}
 			time.Sleep(20 * time.Second)
 			synctest.Wait()
-			if took := nextWatchAt.Sub(movedAt); calls.Load() < stoppedWatches+2 || took > 3*time.Second+100*time.Millisecond {
-				t.Errorf("seed %d: watched again %v after the change, %d calls", seed, took, calls.Load())
+			if took := nextWatchAt.Sub(sourceSetAt); calls.Load() < stoppedWatches+2 || took > 3*time.Second+100*time.Millisecond {
+				t.Errorf("seed %d: next watch started %v after the change, %d calls", seed, took, calls.Load())
 			}
 		})
 	}
--- a/internal/standalone/discovery/stored_test.go
+++ b/internal/standalone/discovery/stored_test.go
@@ -10,14 +10,14 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// The folder holds what a process of an earlier version, of the proxy "n0", stored of disabled and enabled backends. Its
-// successor finds the file by its name, applies it, and writes its own state under the same name and keys.
+// testdata/folder holds the maintenance state that a process of the proxy "n0" stored with an earlier version. The
+// current version must find the file by its name, apply it, and write its own state under the same name and keys.
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/folder")); err != nil {
 		t.Fatal(err)
 	}
-	w, l := newMaintainedWatcher(t, dir)
+	w, l := newSharingWatcher(t, dir)
 	for name, want := range map[string]bool{"s-1": true, "s-2": false} {
 		if got := l.isDisabled(t, w, name); got != want {
 			t.Errorf("%s is disabled: %v, want %v", name, got, want)
@@ -43,7 +43,7 @@
 // storedName is the file in which an earlier version stored the disabled backends of the proxy "n0".
 const storedName = "pumiceline-08b37c07b558d673-bans.json"
 
-// A message of discovery as it was sent to an earlier version: every field is read.
+// Every field of a message that discovery sent to an earlier version is read.
 func TestReadsListSentToEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/list.json")
 	if err != nil {
--- a/internal/standalone/discovery/watch.go
+++ b/internal/standalone/discovery/watch.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	// heartbeatTimeout is how long a watch may bring no complete message and no heartbeat; discovery sends one every 2 s at
-	// least. It is the only way to detect a partition, which leaves the connection open. The platform allows 6 s from the last
-	// byte of a watch until its missed updates are known: this time-out, the policy's delay before the next call, and the
-	// call have to fit into that.
+	// heartbeatTimeout is how long a watch may receive neither a complete message nor a heartbeat. Discovery sends a
+	// heartbeat at least every 2 s. A partition leaves the connection open, so that only this timeout detects it. The
+	// platform allows 6 s from the last byte of a watch until the updates that it missed are received: this timeout,
+	// the policy's delay before the next call, and the call have to fit into that.
 	heartbeatTimeout = 2600 * time.Millisecond
-	// dialTimeout is long enough for one lost SYN to be sent again, which TCP does after a second.
+	// dialTimeout allows for one lost SYN, which TCP sends again after a second.
 	dialTimeout = 1500 * time.Millisecond
 )
 
 var errWatchStopped = errors.New("discovery watch stopped")
 
-// watch runs one watch and returns why it ended; it never returns nil. An error that wraps os.ErrDeadlineExceeded means that
-// the connection, the response or a heartbeat did not come in time.
+// watch runs one watch until it ends and returns the reason, never nil. An error that wraps os.ErrDeadlineExceeded
+// means that the connection, the response or a heartbeat did not arrive in time.
 func (w *Watcher) watch(ctx context.Context) error {
 	conn, err := w.dial(ctx, w.source.Address, time.Now().Add(dialTimeout))
 	if err != nil {
@@ -38,11 +38,12 @@
 	if err != nil {
 		return err
 	}
-	// The body is never closed: Close would read to its end, which comes only when discovery ends.
+	// The body is never closed: Close would read to its end, which arrives only when discovery stops.
 	return w.readStream(ctx, conn, newMessageReader(resp.Body))
 }
 
-// openStream asks for changes since the present version. The deadline of conn is that of the response's head.
+// openStream requests the changes since w.version. It sets a deadline on conn, by which the response's head must
+// arrive.
 func (w *Watcher) openStream(ctx context.Context, conn net.Conn) (*http.Response, error) {
 	url := "http://" + w.source.Address + "/v1/endpoints?stream=1&index=" + strconv.FormatUint(w.version, 10)
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
@@ -68,7 +69,7 @@
 // readStream applies the messages of a watch until it fails.
 func (w *Watcher) readStream(ctx context.Context, conn net.Conn, messages *messageReader) error {
 	for first := true; ; first = false {
-		// The deadline is that of a complete message: single bytes of one do not extend it.
+		// The deadline applies to a complete message: single bytes of a message do not extend it.
 		if err := conn.SetReadDeadline(time.Now().Add(heartbeatTimeout)); err != nil {
 			return fmt.Errorf("set discovery deadline: %w", err)
 		}
@@ -81,15 +82,15 @@
 		}
 		w.sourceUnconfirmed.Store(false)
 		if len(message) == 0 {
-			if first { // nothing has changed; the policy waits for a response to its call
+			if first { // nothing has changed, but the policy waits for a response to its call
 				w.policy.UpdateMembers(policy.MembershipDelta, nil)
 				w.hasSynced.Store(true)
 			}
 			continue
 		}
 		if err := w.apply(message, false); err != nil {
-			// The next message has only the changes after this one, so that the changes in this one, perhaps a drain, would
-			// never be applied. The watch ends, and the next one asks for the complete list.
+			// The next message has only later changes. The changes in this message, perhaps a drain, would never be applied.
+			// So the watch ends, and the next watch requests the complete list.
 			w.version = 0
 			return fmt.Errorf("apply discovery update: %w", err)
 		}
@@ -97,8 +98,9 @@
 	}
 }
 
-// apply applies an update to the list and publishes it: to the backends first, so that attempts that have not been sent yet do
-// not go to a draining backend. cached says that the update is the configuration's own list, which may be outdated.
+// apply applies an update to the list and publishes it: to the backend pool first, so that attempts that have not been
+// sent yet do not go to a draining backend. cached means that the update is the list in the configuration, which may be
+// outdated.
 func (w *Watcher) apply(message []byte, cached bool) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -135,8 +137,9 @@
 	}
 }
 
-// drainInvalid returns the listed endpoints among invalid entries as draining: the entry may have been to announce a drain, so
-// that the backend gets no new requests until its entry is valid again. Endpoints that are not listed are left out.
+// drainInvalid returns the listed endpoints that have invalid entries, as draining. An invalid entry may have announced
+// a drain, so the backend gets no new requests until its entry is valid again. Endpoints that are not listed are left
+// out.
 func (w *Watcher) drainInvalid(invalid []*EntryError) []Endpoint {
 	var draining []Endpoint
 	for _, entryErr := range invalid {
@@ -152,7 +155,7 @@
 	return draining
 }
 
-// applyEndpoint puts one endpoint on the list and returns what is to be published of it.
+// applyEndpoint adds, updates or removes one endpoint of the list, and returns the member to publish to the policy.
 func (w *Watcher) applyEndpoint(e *Endpoint) policy.Member {
 	if e.Member.Mode != policy.ModeGone {
 		w.maintenance.Observe(e.Name, e.Member.StartedAt)
@@ -166,7 +169,7 @@
 	return member
 }
 
-// removeMissing removes the endpoints that a complete list does not have.
+// removeMissing removes the listed endpoints that are missing in a complete update.
 func (w *Watcher) removeMissing(members []policy.Member) {
 	present := make(map[policy.ServerID]bool, len(members))
 	for _, m := range members {
@@ -180,9 +183,9 @@
 	}
 }
 
-// remove removes an endpoint and its ID. Each deployment brings new names, so that memory would grow if the old ones were kept.
+// remove removes an endpoint and its ID. Each deployment adds new names, so memory would grow if old names were kept.
 // An endpoint that is listed again gets the same ID.
 func (w *Watcher) remove(id policy.ServerID) {
 	delete(w.endpoints, id)
-	w.decoder.forget(id)
+	w.decoder.removeID(id)
 }
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -1,5 +1,5 @@
-// Package discovery keeps the endpoint list: it watches discovery for changes, gives each backend the ID by which the policy
-// knows it, and applies to the list what operators have disabled.
+// Package discovery maintains the endpoint list. It watches the discovery service for changes, assigns each backend the
+// ID that the policy uses for it, and marks backends that operators have disabled as draining.
 package discovery
 
 import (
@@ -17,17 +17,17 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// Policy is notified of the membership, and of watches that failed.
+// Policy is notified of membership changes, and of watches that failed.
 type Policy interface {
 	UpdateMembers(kind policy.EventKind, members []policy.Member)
 }
 
-// Backends is notified of the addresses of backends and of which of them may get new requests.
+// Backends is notified of the addresses of backends, and of whether each may get new requests.
 type Backends interface {
 	SetBackend(id policy.ServerID, addr string, ready bool)
 }
 
-// Source is a discovery service, and the names of the settings by which its list is decoded.
+// Source is a discovery service, with the zone and instance type names of the settings that decode its list.
 type Source struct {
 	Address       string
 	Zones         []string
@@ -46,8 +46,8 @@
 	Log      *slog.Logger
 }
 
-// Watcher keeps the endpoint list and watches discovery when the policy asks for it. Its methods are safe for concurrent use
-// once Run is called.
+// Watcher maintains the endpoint list, and watches discovery when the policy requests it. Its methods are safe for
+// concurrent use once Run is called.
 type Watcher struct {
 	dial     backend.Dial
 	policy   Policy // set by Start
@@ -60,14 +60,14 @@
 	nextSource        atomic.Pointer[Source]
 	hasEndpoints      atomic.Bool // see HasEndpoints
 	hasSynced         atomic.Bool // see HasSynced
-	sourceUnconfirmed atomic.Bool // no watch of a new source has brought a message, or ended by itself, since SetSource
+	sourceUnconfirmed atomic.Bool // since the source was changed, no watch has received a message or ended by itself
 	endpointCount     atomic.Int64
 
-	// The following two are written by Run, between watches, and by the one watch that is running.
+	// source and version are written by Run, between watches, and version also by the running watch.
 	source  Source
 	version uint64 // of the list from source; 0: none
 
-	mu                 sync.Mutex // guards what follows
+	mu                 sync.Mutex // guards the fields below
 	decoder            *Decoder
 	endpoints          map[policy.ServerID]listedEndpoint
 	maintenance        maintenance.State
@@ -91,8 +91,8 @@
 		restart: make(chan struct{}, 1), sourceChanged: make(chan struct{}, 1)}
 }
 
-// Start publishes the configuration's own endpoint list, in the form of discovery, and sets the policy that is notified of
-// updates. Call it once, before Run. cached may be empty.
+// Start publishes cached, the endpoint list in the configuration, in the wire form of Update, and sets the policy that
+// is notified of updates. Call it once, before Run. cached may be empty.
 func (w *Watcher) Start(p Policy, cached []byte) {
 	w.policy = p
 	if len(cached) == 0 {
@@ -105,14 +105,14 @@
 	}
 }
 
-// RestartWatch has Run start a watch in place of the present one. It returns at once.
+// RestartWatch makes Run stop the current watch and start a new one. It returns at once.
 func (w *Watcher) RestartWatch() { notify(w.restart) }
 
-// SetSource has Run watch another source from now on. It does not wait until the policy asks for a watch: the policy relies on
-// the present one, and the old source may send nothing more. It returns at once.
+// SetSource makes Run watch another source from now on. Run does not wait until the policy requests a watch: the policy
+// relies on the current watch, and the old source may send nothing more. SetSource returns at once.
 //
-// Where names of zones or instance types differ from before, the complete list is asked for again, since known backends were
-// decoded by the old names.
+// If only the zone or instance type names differ, the complete list is requested again too, since the listed backends
+// were decoded with the old names.
 func (w *Watcher) SetSource(s Source) {
 	w.nextSource.Store(&s)
 	notify(w.sourceChanged)
@@ -139,7 +139,7 @@
 type TableSizes struct {
 	Endpoints   int // listed backends
 	IDs         int // names of backends that have an ID
-	Maintenance int // backends that the maintenance state remembers
+	Maintenance int // backends in the maintenance state
 }
 
 // TableSizes returns how many entries the tables hold now.
@@ -149,7 +149,7 @@
 	return TableSizes{Endpoints: len(w.endpoints), IDs: len(w.decoder.ids), Maintenance: w.maintenance.Len()}
 }
 
-// Run watches whenever it is asked to, until ctx ends.
+// Run starts a watch after each RestartWatch, and after each SetSource with a different source, until ctx ends.
 func (w *Watcher) Run(ctx context.Context) {
 	stopWatch := func() {}
 	defer func() { stopWatch() }()
@@ -164,7 +164,7 @@
 				continue
 			}
 		}
-		stopWatch() // one watch at a time, since it writes the list
+		stopWatch() // only one watch may run at a time, since it writes the list
 		if next != nil {
 			w.useSource(next)
 		}
@@ -172,10 +172,11 @@
 	}
 }
 
-// useSource replaces the source. The list stays in use until the new source has sent its own. Versions of two sources are
-// independent, so that the new one is asked for its complete list, and not for changes since a version of the old one.
+// useSource replaces the source. The list stays in use until the new source has sent its complete list. The versions of
+// two sources are unrelated, so version 0 requests the complete list, and not the changes since a version of the old
+// source.
 func (w *Watcher) useSource(s *Source) {
-	w.log.Info("discovery moved", "from", w.source.Address, "to", s.Address)
+	w.log.Info("discovery source changed", "from", w.source.Address, "to", s.Address)
 	w.source, w.version = *s, 0
 	w.decoder.zones, w.decoder.instanceTypes = s.Zones, s.InstanceTypes
 	w.sourceUnconfirmed.Store(true) // stays set if RestartWatch stops the first watch of the new source
@@ -197,8 +198,8 @@
 	}
 }
 
-// reportWatchEnd notifies the policy that a watch ended by itself. A watch that timed out may have missed updates, and so may
-// one of a new source that has brought nothing yet: with DiscoveryTimedOut the policy asks again sooner.
+// reportWatchEnd notifies the policy that a watch ended by itself. Updates may have been missed if the watch timed out,
+// or if a new source has not sent a message yet: after DiscoveryTimedOut the policy requests the next watch sooner.
 func (w *Watcher) reportWatchEnd(err error) {
 	w.log.Warn("discovery watch ended", "error", err)
 	kind := policy.DiscoveryFailed
--- a/internal/standalone/discovery/watcher_test.go
+++ b/internal/standalone/discovery/watcher_test.go
@@ -20,7 +20,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// recorder is a Policy and Backends that keeps, in order, what it is notified of.
+// recorder is a Policy and Backends that records its notifications in order.
 type recorder struct {
 	mu    sync.Mutex
 	lines []string
@@ -40,7 +40,7 @@
 	r.lines = append(r.lines, fmt.Sprintf("%q %v", addr, ready))
 }
 
-// expect checks and forgets what was notified so far.
+// expect checks the notifications since the last call, and clears them.
 func (r *recorder) expect(t *testing.T, want ...string) {
 	t.Helper()
 	synctest.Wait()
@@ -52,13 +52,14 @@
 	r.lines = nil
 }
 
-// startWatcher starts a watcher whose requests are served by serve, which gets their target; nil refuses connections.
+// startWatcher starts a watcher. serve responds to a request with the given target; if it is nil, connections are
+// refused.
 func startWatcher(t *testing.T, r *recorder, cached string, serve func(target string, conn net.Conn)) *Watcher {
 	t.Helper()
 	return startWatcherFor(t, r, func(*Watcher) Policy { return r }, cached, serve)
 }
 
-// startWatcherFor is startWatcher with a policy of its own.
+// startWatcherFor is startWatcher with the policy that newPolicy returns.
 func startWatcherFor(t *testing.T, backends Backends, newPolicy func(*Watcher) Policy, cached string,
 	serve func(target string, conn net.Conn)) *Watcher {
 	t.Helper()
@@ -94,13 +95,13 @@
 	return w
 }
 
-// responseHead begins the response of a watch.
+// responseHead is the head of the response to a watch.
 const responseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // sendLine sends one line of a watch.
 func sendLine(conn net.Conn, text string) { fmt.Fprintf(conn, "%x\r\n%s\n\r\n", len(text)+1, text) }
 
-// A watch applies updates, confirms an unchanged list, and times out without heartbeats.
+// A watch applies updates, confirms an unchanged list, and times out if there are no heartbeats.
 func TestWatcher_AppliesUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r recorder
@@ -142,7 +143,8 @@
 	})
 }
 
-// Another source is watched at once and unasked, keeps the list, and is asked for its complete one.
+// SetSource starts a watch at once, without a request by the policy. The list is kept, and the complete list is
+// requested.
 func TestWatcher_SetSource(t *testing.T) {
 	otherSource := testSource
 	otherSource.Address = "127.0.0.2:1"
@@ -162,7 +164,7 @@
 		w.RestartWatch()
 		const address = `"127.1.0.1:7070" `
 		r.expect(t, address+"true", "cached 1", "delta 0")
-		w.SetSource(testSource) // the present one
+		w.SetSource(testSource) // the current source
 		r.expect(t)
 		w.SetSource(otherSource)
 		r.expect(t, address+"true", `"" false`, "full 1")
@@ -173,7 +175,7 @@
 	})
 }
 
-// The policy is notified whether a watch failed or timed out: after a time-out it must ask again sooner.
+// The policy is notified whether a watch failed or timed out: after a timeout it must request the next watch sooner.
 func TestWatcher_ReportsHowWatchEnded(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -182,7 +184,7 @@
 	}{
 		{"refused", nil, "failed 0"},
 		{"reset", func(string, net.Conn) {}, "failed 0"},
-		{"busy", func(_ string, conn net.Conn) { io.WriteString(conn, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }, "failed 0"},
+		{"503", func(_ string, conn net.Conn) { io.WriteString(conn, "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n") }, "failed 0"},
 		{"no response", func(_ string, conn net.Conn) { io.Copy(io.Discard, conn) }, "timed out 0"},
 		{"ended", func(_ string, conn net.Conn) { io.WriteString(conn, responseHead+"0\r\n\r\n") }, "failed 0"},
 		{"half a line", func(_ string, conn net.Conn) {
@@ -215,7 +217,7 @@
 	}
 }
 
-// Messages may be indented, span lines, come in chunks of any size, and have empty lines between and within them.
+// Messages may be indented, span lines, arrive in chunks of any size, and have empty lines between and within them.
 func TestWatcher_ReadsIndentedMessages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r recorder
@@ -226,10 +228,10 @@
 			}
 			return strings.Replace(out.String(), "[", "[\n\n", 1)
 		}
-		odd := strings.Replace(entryJSON("s-9", "SERVING"), `"class":"m2"`, `"class":"}\"{\\"`, 1) // brackets within a string
+		braces := strings.Replace(entryJSON("s-9", "SERVING"), `"class":"m2"`, `"class":"}\"{\\"`, 1) // brackets within a string
 		w := startWatcher(t, &r, "", func(_ string, conn net.Conn) {
 			io.WriteString(conn, responseHead)
-			all := indented(updateJSON(1, true, entryJSON("s-1", "SERVING"), odd)) + "\n\n" + updateJSON(2, false, entryJSON("s-9", "DELETED")) + "\n\n\n" +
+			all := indented(updateJSON(1, true, entryJSON("s-1", "SERVING"), braces)) + "\n\n" + updateJSON(2, false, entryJSON("s-9", "DELETED")) + "\n\n\n" +
 				indented(updateJSON(3, false, entryJSON("s-1", "DRAINING"))) + "\n"
 			for len(all) > 0 {
 				n := min(len(all), 1+len(all)%7)
@@ -244,8 +246,8 @@
 	})
 }
 
-// An invalid message may have had a drain, and the next one has only the changes after it: the watch ends, the list stays, and
-// the next watch asks for the complete one.
+// An invalid message may have announced a drain, and the next message has only later changes. So the watch ends, the
+// list is kept, and the next watch requests the complete list.
 func TestWatcher_InvalidMessageEndsWatch(t *testing.T) {
 	for _, bad := range []string{"garbage", `{"seq":"x"}`, "[]", `{"seq":42,"whole":false,"hosts":7}`, "}", `"text"`} {
 		synctest.Test(t, func(t *testing.T) {
@@ -271,8 +273,8 @@
 	}
 }
 
-// A listed backend whose entry is invalid may be draining: it gets no new requests until its entry is valid. One that is not
-// listed is left out.
+// A listed backend whose entry is invalid may be draining: it gets no new requests until its entry is valid. A backend
+// that is not listed is left out.
 func TestWatcher_DrainsListedBackendWithInvalidEntry(t *testing.T) {
 	for _, bad := range []string{
 		strings.Replace(entryJSON("s-1", "DRAINING"), `"site":"a"`, `"site":"elsewhere"`, 1),
