--- a/internal/standalone/config/config.go
+++ b/internal/standalone/config/config.go
@@ -1,5 +1,5 @@
 // Package config reads the proxy's configuration: the file that ROUTER_CONFIG names, and the environment variables that
-// override it. It applies defaults and rejects invalid values, with their keys.
+// override its values. It applies defaults, and rejects invalid values with errors that name their keys.
 package config
 
 import (
@@ -22,9 +22,9 @@
 	Discovery      string          // IP address and port of discovery; required
 	AdminListen    string          // IP address and port of the admin API; empty: there is none
 	ListenFD       int             // descriptor of an inherited listening socket (ROUTER_FD); 0: none, open one at Listen
-	SharedFolder   string          // that all processes of this proxy see (TMPDIR); empty: there is none
-	Seed           uint64          // of the policy's random numbers; from the clock if the file has none
-	Limits         Limits          // of the machine
+	SharedFolder   string          // folder that all processes of this proxy share (TMPDIR); empty: there is none
+	Seed           uint64          // seed of the policy's random numbers; from the clock if the file has none
+	Limits         Limits          // resources of the machine that the proxy may use
 	KnownEndpoints json.RawMessage // endpoint list to start with, in the form of discovery; checked by package discovery
 	Settings       settings.Settings
 	Policy         policy.Settings // made from Settings
@@ -32,15 +32,15 @@
 	document any // the file as decoded JSON, for Reload to compare its keys with those of the next one
 }
 
-// Limits are the resources of the machine that the proxy may use. While several processes of it run, they divide memory and
-// sockets. 0 stands for the default.
+// Limits are the resources of the machine that the proxy may use. Several processes of one proxy divide memory and
+// sockets among them. 0 stands for the default.
 type Limits struct {
 	Cores    float64 `json:"cores"`     // CPU cores; rounded up, the number of threads that run Go code; 1 by default
 	MemoryMB int     `json:"memory_mb"` // in MiB; at least minMemoryMB; 192 by default
 	Sockets  int     `json:"sockets"`   // at least minSockets; 1024 by default
 }
 
-// Defaults for keys that neither the file nor the environment has. Times are in microseconds, as in the settings.
+// Defaults of keys that are neither in the file nor in the environment. Times are in microseconds, as in the settings.
 const (
 	defaultName        = "pumiceline"
 	defaultCores       = 1
@@ -61,7 +61,7 @@
 
 // KeyError is the error of one key of the file, or of one environment variable.
 type KeyError struct {
-	Key string // with those of the objects around it: settings.Limits.DialTimeout
+	Key string // with the keys of the enclosing objects, such as settings.Limits.DialTimeout
 	Err error
 }
 
@@ -76,7 +76,7 @@
 	errNoFile  = errors.New("ROUTER_CONFIG: not set, and no file given")
 )
 
-// keyErrorf returns a *KeyError.
+// keyErrorf returns a *KeyError with a formatted cause.
 func keyErrorf(key, format string, args ...any) error {
 	return &KeyError{Key: key, Err: fmt.Errorf(format, args...)}
 }
@@ -136,7 +136,7 @@
 	return &f, nil
 }
 
-// applyEnvironment overrides the file by environment variables.
+// applyEnvironment overrides values of the file by environment variables.
 func (f *file) applyEnvironment(env func(string) string) {
 	for _, v := range []struct {
 		name  string
@@ -153,7 +153,7 @@
 	}
 }
 
-// check returns the configuration of the file whose text is given.
+// check checks the file and returns its configuration. text is the text of the file.
 func (f *file) check(text []byte, env func(string) string) (*Config, error) {
 	c := &Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, AdminListen: f.Operator, SharedFolder: env("TMPDIR"),
 		Limits: f.Limits, KnownEndpoints: f.Known}
@@ -198,7 +198,7 @@
 	return checkAddress("operator", c.AdminListen)
 }
 
-// checkAddress checks that a required key has an IP address and port.
+// checkAddress checks that a required key is set, to an IP address and port.
 func checkAddress(key, value string) error {
 	if value == "" {
 		return &KeyError{Key: key, Err: errMissing}
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// nameKey adds the key to the error of a value of the wrong JSON type, which encoding/json has in a field only.
+// nameKey replaces the error for a value of the wrong JSON type by one that names the key, without Go types.
 func nameKey(err error) error {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) && typeErr.Field != "" {
--- a/internal/standalone/config/config_test.go
+++ b/internal/standalone/config/config_test.go
@@ -16,7 +16,7 @@
 // emptyEnv is an environment without variables.
 func emptyEnv(string) string { return "" }
 
-// Values of the file and the environment, and defaults.
+// Values come from the file, from environment variables that override it, and from defaults.
 func TestParse_ValidConfiguration(t *testing.T) {
 	c, err := Parse([]byte(valid), func(name string) string {
 		return map[string]string{"ROUTER_LISTEN": "127.0.0.9:7071"}[name]
@@ -37,7 +37,7 @@
 	}
 }
 
-// A reload takes the address of discovery from the file, which the environment overrides at the start only.
+// A reload takes the address of discovery from the file: the environment overrides it only at the start.
 func TestReload_PrefersDiscoveryOfFile(t *testing.T) {
 	env := func(name string) string {
 		return map[string]string{"ROUTER_DISCOVERY": "127.9.0.1:8500", "ROUTER_LISTEN": "127.0.0.9:7071"}[name]
@@ -59,7 +59,7 @@
 	}
 }
 
-// An invalid or truncated file is rejected with the name of the key; classes may be added, removed and changed.
+// A reload rejects an invalid or truncated file, with the name of the key. Classes may be added, removed and changed.
 func TestReload_RejectsInvalidFile(t *testing.T) {
 	full := strings.Replace(valid, `"MayProbe":true`, `"TryLimit":3,"MayProbe":true`, 1)
 	current, err := Parse([]byte(full), emptyEnv)
@@ -91,7 +91,7 @@
 		{`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, ``, "limits: missing"},
 	} {
 		if !strings.Contains(full, c.from) {
-			t.Fatalf("%s is not there", c.from)
+			t.Fatalf("%s is not in the text", c.from)
 		}
 		if err := reload(strings.Replace(full, c.from, c.to, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%.40s to %.40s: %v", c.from, c.to, err)
@@ -107,7 +107,7 @@
 	}
 }
 
-// Each error names its key.
+// Each error names the key of the invalid value.
 func TestParse_NamesInvalidKey(t *testing.T) {
 	for _, c := range []struct{ from, to, want string }{
 		{`"127.0.0.4:7070"`, `""`, "listen: missing"},
@@ -140,7 +140,8 @@
 	}
 }
 
-// FuzzParse parses truncated and garbled configurations: none may panic, or be accepted without what serving needs.
+// FuzzParse parses truncated and garbled configurations: none may panic, or be accepted without the values that serving
+// needs.
 func FuzzParse(f *testing.F) {
 	for cut := 0; cut < len(valid); cut += 31 {
 		f.Add([]byte(valid[:cut]))
--- a/internal/standalone/config/reload.go
+++ b/internal/standalone/config/reload.go
@@ -7,11 +7,12 @@
 	"strings"
 )
 
-// Reload reads the configuration again while the proxy runs. Unlike Load, it prefers the discovery address of the file to that
-// of ROUTER_DISCOVERY, which was set at the start and cannot have changed since.
+// Reload reads the configuration again while the proxy runs. Unlike Load, it prefers the discovery address of the file
+// to that of ROUTER_DISCOVERY, which was set at the start and cannot have changed since.
 //
-// The file must have all keys that the current one has, except optionalKeys: in a file that was truncated or is being written a
-// missing key must not stand for its default. The number of attempts must be positive.
+// The file must have all keys that the current one has, except optionalKeys. A key may be missing because the file was
+// truncated or is still being written, and its default must not replace the current value then. The number of attempts
+// must not be negative, nor become 0 if it is positive now.
 func Reload(path string, env func(string) string, current *Config) (*Config, error) {
 	next, err := loadForReload(path, env)
 	if err != nil {
@@ -45,12 +46,12 @@
 	return f.check(text, env)
 }
 
-// optionalKeys are the keys, at any depth, that a configuration may have at one time and not at another.
+// optionalKeys are the keys, at any depth, that the next file may lack although the current one has them.
 var optionalKeys = map[string]bool{"seed": true, "known": true, "operator": true, "peers": true, "peers_all": true,
 	"peer_listen": true, "AimStretch": true, "PassesDeadline": true, "WarmKeys": true}
 
-// missingKey returns the path of a key that old has and next does not have, empty if there is none. Each element of a list in
-// next needs the keys that all elements of old's list have. path is that of old and next.
+// missingKey returns the path of a key that old has and next does not have, empty if there is none. Each element of a
+// list in next must have the keys that all elements of old's list have. path is the path of old and next in the file.
 func missingKey(old, next any, path string) string {
 	switch old := old.(type) {
 	case map[string]any:
@@ -100,7 +101,8 @@
 	return ""
 }
 
-// commonKeys returns an object with the keys that all objects of a list have, nil if the list has other elements or none.
+// commonKeys returns an object with the keys that all objects of a list have, nil if the list is empty or has other
+// elements.
 func commonKeys(list []any) map[string]any {
 	var common map[string]any
 	for i, element := range list {
--- a/internal/standalone/config/settings.go
+++ b/internal/standalone/config/settings.go
@@ -37,8 +37,8 @@
 	return err
 }
 
-// setLimitDefaults sets the defaults of absent times. They are the proxy's own: package settings, which the simulator's link
-// uses too, has none.
+// setLimitDefaults sets the defaults of durations that are absent. The defaults are for the proxy only: package
+// settings, which package simlink uses too, has none.
 func setLimitDefaults(l *settings.Limits) error {
 	for _, limit := range []struct {
 		key          string
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// checkClasses checks names and client time-outs of the classes; policy.New checks the rest.
+// checkClasses checks the names and client timeouts of the classes; policy.New checks the rest.
 func checkClasses(classes []settings.Class) error {
 	if len(classes) == 0 {
 		return &KeyError{Key: "settings.Classes", Err: errEmpty}
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// PolicySettings converts settings to those of the policy.
+// PolicySettings converts the settings into the settings of package policy.
 func PolicySettings(s *settings.Settings) (policy.Settings, error) {
 	set, err := s.Policy()
 	if err != nil {
@@ -89,7 +89,7 @@
 	return set, nil
 }
 
-// ReportColumns returns the names of the columns of load reports that the policy uses; none if it gets no reports.
+// ReportColumns returns the column names of the load reports for the policy; none if it gets no reports.
 func ReportColumns(s *settings.Settings, set *policy.Settings) []string {
 	if set.ReportDelivery == policy.ReportsNone || set.ReportDelivery == policy.ReportsByPolling && !set.Limits.AllowLoadPolls {
 		return nil
--- a/internal/standalone/config/stored_test.go
+++ b/internal/standalone/config/stored_test.go
@@ -9,7 +9,7 @@
 	"pumiceline/internal/standalone/settings"
 )
 
-// A configuration that was stored for an earlier version is read, with every key.
+// Every key of a configuration file that was written for an earlier version is read.
 func TestReadsConfigurationStoredByEarlierVersion(t *testing.T) {
 	got, err := Load("testdata/config.json", emptyEnv)
 	if err != nil {
@@ -33,7 +33,7 @@
 	}
 }
 
-// The environment variables that override the file have the names that an earlier version reads.
+// The environment variables that override the file have the same names as in earlier versions.
 func TestReadsVariablesOfEarlierVersion(t *testing.T) {
 	env := map[string]string{"ROUTER_CONFIG": "testdata/config.json", "ROUTER_NAME": "other", "ROUTER_LISTEN": "127.0.0.2:7070",
 		"ROUTER_DISCOVERY": "127.0.0.2:8500", "ROUTER_OPERATOR": "127.0.0.2:7071", "ROUTER_FD": "9", "TMPDIR": "/shared"}
--- a/internal/standalone/maintenance/state.go
+++ b/internal/standalone/maintenance/state.go
@@ -1,6 +1,6 @@
-// Package maintenance decides which backends get no new requests because operators have disabled them. A State is applied to
-// the entries of the endpoint list before they are published to the policy and the backend pool. It has no I/O, clock or lock:
-// its owner, discovery.Watcher, serializes the calls and passes the time.
+// Package maintenance holds which backends get no new requests because operators have disabled them. A State is applied
+// to the entries of the endpoint list before they are published to the policy and the backend pool. It uses no I/O,
+// clock or lock: its owner, discovery.Watcher, serializes the calls and passes the time.
 package maintenance
 
 import (
@@ -14,12 +14,13 @@
 )
 
 const (
-	// MaxBackends is how many backends a State remembers. A disabled one is remembered also when it is not listed any more; an
-	// enabled one is forgotten once MaxBackends others have been listed since.
+	// MaxBackends is the maximum number of backends in a State. A disabled backend is kept also when it is no longer
+	// listed. Adding a backend to a full State evicts the enabled one that was listed longest ago, so that an enabled
+	// backend is evicted at the latest once MaxBackends others have been listed since.
 	MaxBackends = 4096
-	// maxDisabled is how many of them may be disabled.
+	// maxDisabled is how many of the backends in a State may be disabled.
 	maxDisabled = MaxBackends / 2
-	// formatVersion is that of the stored form.
+	// formatVersion is the version of the stored form.
 	formatVersion = 1
 )
 
@@ -32,13 +33,14 @@
 // errUnknownFormat is the error of Restore for a stored form that Encode cannot have written.
 var errUnknownFormat = errors.New("unknown format or too many backends")
 
-// State is which backends are disabled, and since when others are enabled again. The zero value is ready for use.
+// State holds the backends that are disabled, and the times at which others were enabled again. The zero value is ready
+// for use.
 type State struct {
 	backends     map[string]*backendState
 	observations uint64 // number of calls of Observe
 }
 
-// backendState is what a State remembers of one backend.
+// backendState is the state of one backend.
 type backendState struct {
 	lastObserved uint64 // State.observations at the last Observe
 	disabled     bool
@@ -58,7 +60,7 @@
 	}
 }
 
-// add adds a backend, and evicts another one if there are MaxBackends.
+// add adds a backend, and first evicts another one if there are MaxBackends already.
 func (s *State) add(name string) *backendState {
 	if s.backends == nil {
 		s.backends = map[string]*backendState{}
@@ -71,10 +73,10 @@
 	return b
 }
 
-// Len returns the number of backends that are remembered, MaxBackends at most.
+// Len returns the number of backends in the State, at most MaxBackends.
 func (s *State) Len() int { return len(s.backends) }
 
-// evictOldest forgets the backend that was observed longest ago, of those that are not disabled.
+// evictOldest removes the backend that was observed longest ago among those that are not disabled.
 func (s *State) evictOldest() {
 	oldest := ""
 	for name, b := range s.backends {
@@ -85,7 +87,7 @@
 	delete(s.backends, oldest)
 }
 
-// Disable keeps new requests from a backend until the next Enable, however often it is called before.
+// Disable stops new requests to a backend until the next Enable, which reverts any number of Disable calls.
 func (s *State) Disable(name string) error {
 	b := s.backends[name]
 	switch {
@@ -98,7 +100,7 @@
 	return nil
 }
 
-// Enable ends Disable: the backend counts as started now. A backend that is not disabled stays as it is.
+// Enable reverts Disable: the backend counts as started at now. A backend that is not disabled stays unchanged.
 func (s *State) Enable(name string, now policy.Time) error {
 	b := s.backends[name]
 	if b == nil {
@@ -119,8 +121,8 @@
 	return n
 }
 
-// Apply returns what is to be published of a backend that is listed as m: a disabled one is draining, an enabled one has its
-// latest start time.
+// Apply returns the member to publish for a backend that is listed as m: a disabled backend is draining, and the start
+// time is the later one of the listed start and the last Enable.
 func (s *State) Apply(name string, m policy.Member) policy.Member {
 	b := s.backends[name]
 	if b == nil || m.Mode == policy.ModeGone {
@@ -133,7 +135,7 @@
 	return m
 }
 
-// storedState is the stored form of a State: what operators asked for and no more.
+// storedState is the stored form of a State: the effect of Disable and Enable, without the observations.
 type storedState struct {
 	Version   int                    `json:"version"`
 	Disabled  []string               `json:"banned"`
@@ -157,7 +159,8 @@
 	return encoded
 }
 
-// Restore replaces what operators asked for by a stored form, of this process or another. On an error the State stays.
+// Restore replaces the effect of Disable and Enable by a stored form, of this process or another. On an error the State
+// is unchanged.
 func (s *State) Restore(encoded []byte) error {
 	var stored storedState
 	if err := json.Unmarshal(encoded, &stored); err != nil {
@@ -179,7 +182,7 @@
 	return nil
 }
 
-// restoreBackend returns the state of a backend, which counts as observed now if it is not known.
+// restoreBackend returns the state of a backend. A backend that is not in the State is added, as observed now.
 func (s *State) restoreBackend(name string) *backendState {
 	if s.backends[name] == nil {
 		s.Observe(name, 0)
--- a/internal/standalone/maintenance/state_test.go
+++ b/internal/standalone/maintenance/state_test.go
@@ -10,17 +10,17 @@
 
 const ready, draining = policy.ModeReady, policy.ModeDraining
 
-// appliedMode is the mode of a backend that is listed with the given one.
+// appliedMode returns the published mode of a backend that is listed with the given mode.
 func appliedMode(s *State, name string, listed policy.Mode) policy.Mode {
 	return s.Apply(name, policy.Member{Mode: listed}).Mode
 }
 
-// A backend stays disabled whatever the list says until one Enable, however often it was disabled; then it counts as started at
-// the Enable, until the list has a later start.
+// A backend stays disabled, whatever the list says, until one Enable, which reverts any number of Disable calls. Then
+// it counts as started at that Enable, until the list has a later start time.
 func TestState_DisableAndEnable(t *testing.T) {
 	var s State
 	if !errors.Is(s.Disable("a"), ErrUnknownBackend) || !errors.Is(s.Enable("a", 1), ErrUnknownBackend) {
-		t.Error("a backend that was never listed")
+		t.Error("no ErrUnknownBackend for a backend that was never listed")
 	}
 	s.Observe("a", 100)
 	for range 10 {
@@ -47,7 +47,7 @@
 	}
 }
 
-// What one process encodes another restores; an invalid form changes nothing.
+// A state that one process encodes can be restored by another. An invalid form changes nothing.
 func TestState_EncodeAndRestore(t *testing.T) {
 	var a, b State
 	for _, name := range []string{"x", "y", "z"} {
--- a/internal/standalone/maintenance/stored_test.go
+++ b/internal/standalone/maintenance/stored_test.go
@@ -10,7 +10,8 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// The file is what an earlier version stored of the backends that operators disabled and enabled, for its successor.
+// testdata/suspended.json is the maintenance state as an earlier version stored it. The current version must read it,
+// and write it with the same bytes.
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/suspended.json")
 	if err != nil {
--- a/internal/standalone/settings/settings.go
+++ b/internal/standalone/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings holds the JSON form of a deployment's settings, and translates it into the settings of package
-// policy. The simulator's link and the proxy both read it here, so that a key means the same to both.
+// Package settings holds the JSON form of a deployment's settings, and converts it into the settings of package policy.
+// Both the proxy and package simlink, the adapter for the simulator, use it, so that each key has the same meaning in
+// both.
 package settings
 
 import (
@@ -9,8 +10,8 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// Settings is the settings object as it is written. Times are in microseconds. Unknown keys are ignored, absent ones
-// are zero. The JSON keys are the platform's and must not change with the fields' names.
+// Settings is the JSON form of the settings. Times are in microseconds. Unknown keys are ignored, absent ones are zero.
+// The platform defines the JSON keys: they must not change when a field is renamed.
 type Settings struct {
 	Classes        []Class     `json:"Classes"`
 	Tenants        []Tenant    `json:"Projects"`
@@ -24,9 +25,9 @@
 	Zone           int         `json:"Locality"`       // index into Zones
 	OverQuotaValue float64     `json:"OverShareWorth"` // factor on the value of requests beyond a tenant's quota
 	Prices         Prices      `json:"Prices"`
-	BatchPeriod    float64     `json:"Round"` // events closer together than this may be handed over together
+	BatchPeriod    float64     `json:"Round"` // events closer together than this may be delivered in one batch
 	Rules          Rules       `json:"Rules"`
-	SizeReporting  string      `json:"Weights"` // "silent" or empty: listed sizes do not compare servers
+	SizeReporting  string      `json:"Weights"` // "silent" or empty: listed sizes are not comparable between servers
 	ValueBasis     string      `json:"WorthBy"` // "work": values of classes are per unit of work
 	Zones          []string    `json:"Zones"`
 }
@@ -48,7 +49,7 @@
 	QuotaPerS float64 `json:"QuotaPerS"` // requests per second
 }
 
-// Limits are what the deployment allows.
+// Limits holds the limits and permissions of the deployment.
 type Limits struct {
 	AllowCancel     bool    `json:"Cancelling"`
 	DialTimeout     float64 `json:"DialTimeout"`
@@ -60,18 +61,18 @@
 	MaxAttempts     int     `json:"TryLimit"`
 }
 
-// LoadReports is what servers report about their load, and how.
+// LoadReports describes which load figures servers report, and how.
 type LoadReports struct {
 	Columns  []string `json:"Columns"` // "rps", "cpu" and "err_rps" are used
 	Delivery string   `json:"How"`     // "piggyback": in responses; "pull": by polling; else not at all
 }
 
-// Affinity is what the deployment says about affinity keys.
+// Affinity holds the settings for affinity keys.
 type Affinity struct {
 	KeyAffinity bool `json:"WarmKeys"` // a server that executed a request of the same key recently needs less work
 }
 
-// Prices are deductions from the result, as fractions of the value of all requests.
+// Prices are what the deployment charges for choices of a balancer, as fractions of the value of all requests.
 type Prices struct {
 	CrossZone float64 `json:"CrossZone"`
 }
@@ -86,14 +87,14 @@
 	OverloadFactor  float64 `json:"TipMultiple"`
 }
 
-// maxMicros is the longest duration that can be added to any moment without overflow.
+// maxMicros is the longest duration that can be added to any time without overflow.
 const maxMicros = 1e15
 
-// Micros converts a time as written, in microseconds, into a policy.Time of at most maxMicros. Negative ones become -1,
-// which policy.New refuses.
+// Micros converts a time of the JSON form, in microseconds, into a policy.Time of at most maxMicros. Negative times
+// become -1, which policy.New rejects.
 func Micros(v float64) policy.Time { return policy.Time(max(-1, min(v, maxMicros))) }
 
-// ParsePolicy reads the JSON text of the settings into those of package policy. policy.New validates their values.
+// ParsePolicy converts the JSON text of the settings into the settings of package policy. policy.New validates them.
 func ParsePolicy(text []byte) (policy.Settings, error) {
 	var s Settings
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -102,8 +103,8 @@
 	return s.Policy()
 }
 
-// Policy returns the settings of package policy. policy.New validates them; an error here names a text that its key
-// does not allow.
+// Policy returns the settings of package policy. policy.New validates them; an error of Policy names a string value
+// that its key does not allow.
 func (s *Settings) Policy() (policy.Settings, error) {
 	out := policy.Settings{
 		ReportColumns:      s.LoadReports.policyColumns(),
--- a/internal/standalone/settings/stored_test.go
+++ b/internal/standalone/settings/stored_test.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// settingsSample is the content of testdata/settings.json: every key, none with its zero value.
+// settingsSample returns the content of testdata/settings.json: it has every key, none with its zero value.
 func settingsSample() Settings {
 	s := Settings{
 		Classes: []Class{
@@ -38,8 +38,8 @@
 	return s
 }
 
-// The settings that the platform or a user stored for an earlier version are read, every field from its key, and
-// written under the same keys.
+// Settings that the platform or a user stored for an earlier version are read, every field from its key, and written
+// under the same keys.
 func TestReadsSettingsStoredByEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/settings.json")
 	if err != nil {
