--- a/internal/standalone/backend/exchange_test.go
+++ b/internal/standalone/backend/exchange_test.go
@@ -98,16 +98,16 @@
 		"garbage":               {"\x00\x01\x02 garbage\r\n\r\n", policy.ErrorResponse},
 		"body too long": {fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", MaxStreamedBody+1) +
 			strings.Repeat("x", MaxBufferedBody), policy.ErrorResponse},
-		"long error":               {"HTTP/1.1 500 No\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("x", 400_000), policy.ErrorResponse},
-		"largest buffered":         {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), policy.OK},
-		"endless head":             {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10) + "\r\n\r\n", policy.ErrorResponse},
-		"endless interim":          {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), policy.ErrorResponse},
-		"conflicting lengths":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n42", policy.ErrorResponse},
-		"repeated length":          {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n42", policy.ErrorResponse},
-		"bytes after the response": {okResponse + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", policy.OK},
-		"length and encoding":      {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", policy.ErrorResponse},
-		"length of 3 GB":           {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n42", policy.ErrorResponse},
-		"malformed report":         {"HTTP/1.1 200 OK\r\nX-Backend-Load: garbage=,=\r\nContent-Length: 0\r\n\r\n", policy.OK},
+		"long error":          {"HTTP/1.1 500 No\r\nContent-Length: 400000\r\n\r\n" + strings.Repeat("x", 400_000), policy.ErrorResponse},
+		"largest buffered":    {"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + strings.Repeat("x", 65536), policy.OK},
+		"endless head":        {"HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10) + "\r\n\r\n", policy.ErrorResponse},
+		"endless interim":     {strings.Repeat("HTTP/1.1 100 Continue\r\n\r\n", 50), policy.ErrorResponse},
+		"conflicting lengths": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\n42", policy.ErrorResponse},
+		"repeated length":     {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 2\r\n\r\n42", policy.ErrorResponse},
+		"extra bytes":         {okResponse + "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n", policy.OK},
+		"length and encoding": {"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n42\r\n0\r\n\r\n", policy.ErrorResponse},
+		"length of 3 GB":      {"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n42", policy.ErrorResponse},
+		"malformed report":    {"HTTP/1.1 200 OK\r\nX-Backend-Load: garbage=,=\r\nContent-Length: 0\r\n\r\n", policy.OK},
 	} {
 		addr, _, requests := serveBackend(t, func(_ int, conn net.Conn) bool {
 			io.WriteString(conn, c.text)
--- a/internal/standalone/discovery/resubscribe_test.go
+++ b/internal/standalone/discovery/resubscribe_test.go
@@ -73,7 +73,7 @@
 func TestWatcher_RetriesNewSourceSoon(t *testing.T) {
 	for seed := range uint64(policySeeds) {
 		synctest.Test(t, func(t *testing.T) {
-			var sourceSetAt, nextWatchAt time.Time
+			var setAt, nextWatchAt time.Time
 			var calls atomic.Int32
 			stoppedWatches := int32(seed % 2) // watches of the new source that the policy stops
 			newPolicy := func(w *Watcher) Policy { return startPolicy(t, w, 300, seed) }
@@ -102,7 +102,7 @@
 				io.Copy(io.Discard, conn)
 			})
 			time.Sleep(10 * time.Second)
-			sourceSetAt = time.Now()
+			setAt = time.Now()
 			newSource := testSource
 			newSource.Address = "127.0.0.2:1"
 			w.SetSource(newSource)
@@ -111,7 +111,7 @@
 			}
 			time.Sleep(20 * time.Second)
 			synctest.Wait()
-			if took := nextWatchAt.Sub(sourceSetAt); calls.Load() < stoppedWatches+2 || took > 3*time.Second+100*time.Millisecond {
+			if took := nextWatchAt.Sub(setAt); calls.Load() < stoppedWatches+2 || took > 3*time.Second+100*time.Millisecond {
 				t.Errorf("seed %d: next watch started %v after the change, %d calls", seed, took, calls.Load())
 			}
 		})
--- a/internal/standalone/discovery/watcher_test.go
+++ b/internal/standalone/discovery/watcher_test.go
@@ -228,7 +228,7 @@
 			}
 			return strings.Replace(out.String(), "[", "[\n\n", 1)
 		}
-		braces := strings.Replace(entryJSON("s-9", "SERVING"), `"class":"m2"`, `"class":"}\"{\\"`, 1) // brackets within a string
+		braces := strings.Replace(entryJSON("s-9", "SERVING"), `"class":"m2"`, `"class":"}\"{\\"`, 1) // brackets in a string
 		w := startWatcher(t, &r, "", func(_ string, conn net.Conn) {
 			io.WriteString(conn, responseHead)
 			all := indented(updateJSON(1, true, entryJSON("s-1", "SERVING"), braces)) + "\n\n" + updateJSON(2, false, entryJSON("s-9", "DELETED")) + "\n\n\n" +
