--- a/internal/standalone/backend/backend.go
+++ b/internal/standalone/backend/backend.go
@@ -34,8 +34,8 @@
 	// Request is the client's request; its body is ignored, its context is the client's.
 	Request *http.Request
 	Body    Body
-	// WriteBy is the deadline for writing the request. Backends keep idempotency keys for a limited time: a retry written
-	// after that could be executed a second time. Zero: no deadline.
+	// WriteBy is the deadline for writing the request, without the streamed part of its body. Backends keep idempotency
+	// keys for a limited time: a retry written after that could be executed a second time. Zero: no deadline.
 	WriteBy time.Time
 	// ClientDisconnected reports whether the client has disconnected, where its context may be canceled later than the
 	// disconnect. nil: the context alone is checked.
--- a/internal/standalone/backend/exchange.go
+++ b/internal/standalone/backend/exchange.go
@@ -17,13 +17,13 @@
 	errAttemptEnded       = errors.New("not sent: the attempt has ended or the backend is draining")
 	errClientDisconnected = errors.New("not sent: the client has disconnected")
 	errWriteByExceeded    = errors.New("not sent: the time for a retry has passed")
-	errResponseTooLate    = errors.New("the streamed response came too late")
+	errResponseTooLate    = errors.New("the streamed response arrived too late")
 )
 
 // Exchange sends a request to a backend and waits for the response until ctx ends. It returns a buffered response once
 // it is complete, and a streamed response once it is clear that it has to be streamed. The request is written once:
-// http.Transport would by itself send it again after a reused connection breaks, an attempt that the policy would not
-// count.
+// http.Transport would by itself send it again after a reused connection breaks, and the policy would not be notified
+// of that attempt.
 //
 // If the client disconnects before the request's last byte is written, the exchange is aborted, even if the settings
 // forbid canceling attempts: that rule applies to requests that a backend may have begun to execute.
--- a/internal/standalone/backend/exchange_test.go
+++ b/internal/standalone/backend/exchange_test.go
@@ -243,8 +243,8 @@
 }
 
 // A backend that rejects a request before it has read it completely, and closes the connection with unread bytes,
-// resets it. Either the response, which has arrived before the reset, is read, or the last byte of the request was not
-// written. Both prove that the request was not executed.
+// resets the connection. Either the response, which has arrived before the reset, is read, or the last byte of the
+// request was not written. Both prove that the request was not executed.
 func TestPool_ReadsEarlyRejection(t *testing.T) {
 	for name, size := range map[string]int{"short": 100, "largest buffered": MaxBufferedBody, "larger than all buffers": 20 << 20} {
 		proceed := make(chan struct{})
--- a/internal/standalone/backend/loadpoll.go
+++ b/internal/standalone/backend/loadpoll.go
@@ -9,10 +9,10 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// loadReportPath is where a backend reports its load.
+// loadReportPath is the path at which a backend reports its load.
 const loadReportPath = "/status/load"
 
-// PollLoad asks a backend for its load and waits for the response until ctx ends. With the Outcome OK the result has a
+// PollLoad requests a backend's load and waits for the response until ctx ends. With the Outcome OK the result has a
 // Report, or none if the backend has nothing to report yet; with every other Outcome it has an Err. A poll uses a
 // connection of the pool, as a request does, but it has no correlation ID and no metric counts it.
 func (p *Pool) PollLoad(ctx context.Context, id policy.ServerID) Result {
--- a/internal/standalone/backend/request.go
+++ b/internal/standalone/backend/request.go
@@ -48,7 +48,7 @@
 // CPU.
 func encodeRequest(ctx context.Context, req *http.Request, body Body) ([]byte, error) {
 	target := requestTarget(req)
-	// net/http rejects line breaks here. Requests from other callers must not be able to inject a header either.
+	// net/http rejects line breaks in both. Other callers of this package must not be able to inject a header with one.
 	if strings.ContainsAny(target, " \r\n") || !httpguts.ValidHostHeader(req.Host) {
 		return nil, fmt.Errorf("encode the request: target %q or host %q", target, req.Host)
 	}
@@ -132,7 +132,8 @@
 }
 
 // send writes the head with the buffered body, and then the streamed body as it arrives from the client. It stops when
-// the client disconnects or WriteBy passes. Its errors are *exchangeError.
+// the client disconnects. WriteBy bounds the write of the head with the buffered body; each part of a streamed body has
+// streamStallTimeout instead. Errors are *exchangeError.
 func (c *conn) send(ctx context.Context, a *Attempt, head []byte) error {
 	if !a.WriteBy.IsZero() {
 		if err := c.nc.SetWriteDeadline(a.WriteBy); err != nil {
@@ -154,15 +155,15 @@
 
 // writeUntilDisconnect writes a request and stops when the client disconnects.
 func (c *conn) writeUntilDisconnect(a *Attempt, head []byte) error {
-	client := a.Request.Context()
+	clientCtx := a.Request.Context()
 	stopped := make(chan struct{})
-	stop := context.AfterFunc(client, func() {
+	stop := context.AfterFunc(clientCtx, func() {
 		defer close(stopped)
 		_ = c.nc.SetWriteDeadline(expiredDeadline) // fails only if the write fails too
 	})
 	_, err := c.nc.Write(head)
 	if err == nil && a.Body.Stream != nil {
-		err = c.sendStream(client, a.Body)
+		err = c.sendStream(clientCtx, a.Body)
 	}
 	if !stop() {
 		<-stopped // else the callback could set the deadline later, during the connection's next request
@@ -171,7 +172,7 @@
 }
 
 // sendStream writes a streamed body as it arrives from the client.
-func (c *conn) sendStream(client context.Context, body Body) error {
+func (c *conn) sendStream(clientCtx context.Context, body Body) error {
 	if !body.Stream.Claim() {
 		return errBodyConsumed
 	}
@@ -192,7 +193,7 @@
 			}
 			data = chunk.Bytes()
 		}
-		if err := c.writePart(client, data); err != nil {
+		if err := c.writePart(clientCtx, data); err != nil {
 			return err
 		}
 		if readErr == io.EOF {
@@ -202,14 +203,14 @@
 }
 
 // writePart writes a part of a streamed body.
-func (c *conn) writePart(client context.Context, data []byte) error {
+func (c *conn) writePart(clientCtx context.Context, data []byte) error {
 	if len(data) == 0 {
 		return nil
 	}
 	if err := c.nc.SetWriteDeadline(time.Now().Add(streamStallTimeout)); err != nil {
 		return err
 	}
-	if client.Err() != nil { // its disconnect may have set the write deadline just before
+	if clientCtx.Err() != nil { // the disconnect may have set expiredDeadline just before, which was overwritten above
 		return errClientDisconnected
 	}
 	_, err := c.nc.Write(data)
--- a/internal/standalone/backend/response.go
+++ b/internal/standalone/backend/response.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return receivedResponse{}, err
 	}
-	// The body is never closed: Close would read on to its end, which may never arrive.
+	// The body is never closed: Close would read on to the end of the body, which may never arrive.
 	switch {
 	case resp.ContentLength > MaxStreamedBody: // rejected now: reading up to the limit first could take minutes
 		return receivedResponse{}, ErrBodyTooLarge
--- a/internal/standalone/config/reload.go
+++ b/internal/standalone/config/reload.go
@@ -10,9 +10,9 @@
 // Reload reads the configuration again while the proxy runs. Unlike Load, it prefers the discovery address of the file
 // to that of ROUTER_DISCOVERY, which was set at the start and cannot have changed since.
 //
-// The file must have all keys that the current one has, except optionalKeys. A key may be missing because the file was
+// The file must have all keys that the current one has, except optionalKeys: a key may be missing because the file was
 // truncated or is still being written, and its default must not replace the current value then. The number of attempts
-// must not be negative, nor become 0 if it is positive now.
+// must not be negative, and must not become 0 if it is positive now.
 func Reload(path string, env func(string) string, current *Config) (*Config, error) {
 	next, err := loadForReload(path, env)
 	if err != nil {
--- a/internal/standalone/discovery/message_reader.go
+++ b/internal/standalone/discovery/message_reader.go
@@ -16,7 +16,7 @@
 type messageReader struct {
 	br      *bufio.Reader
 	message []byte
-	ended   bool // the last byte ended a message: the line break after it is not a heartbeat
+	ended   bool // a message has just ended: the line break after it is not a heartbeat
 }
 
 func newMessageReader(r io.Reader) *messageReader { return &messageReader{br: bufio.NewReader(r)} }
--- a/internal/standalone/discovery/watch.go
+++ b/internal/standalone/discovery/watch.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		return err
 	}
-	// The body is never closed: Close would read to its end, which arrives only when discovery stops.
+	// The body is never closed: Close would read to the end of the body, which arrives only when discovery stops.
 	return w.readStream(ctx, conn, newMessageReader(resp.Body))
 }
 
@@ -184,7 +184,7 @@
 }
 
 // remove removes an endpoint and its ID. Each deployment adds new names, so memory would grow if old names were kept.
-// An endpoint that is listed again gets the same ID.
+// An endpoint that is listed again gets the same ID, unless its hash is also that of another name.
 func (w *Watcher) remove(id policy.ServerID) {
 	delete(w.endpoints, id)
 	w.decoder.removeID(id)
--- a/internal/standalone/discovery/watcher.go
+++ b/internal/standalone/discovery/watcher.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// HasEndpoints reports whether there is an endpoint list: an empty one counts only if it came from discovery.
+// HasEndpoints reports whether there is an endpoint list. An empty list counts only if discovery sent it.
 func (w *Watcher) HasEndpoints() bool { return w.hasEndpoints.Load() }
 
 // HasSynced reports whether discovery has confirmed or sent the list since the start.
--- a/internal/standalone/maintenance/state.go
+++ b/internal/standalone/maintenance/state.go
@@ -135,7 +135,7 @@
 	return m
 }
 
-// storedState is the stored form of a State: the effect of Disable and Enable, without the observations.
+// storedState is the stored form of a State: the disabled backends and the times of Enable, without the observations.
 type storedState struct {
 	Version   int                    `json:"version"`
 	Disabled  []string               `json:"banned"`
@@ -159,8 +159,8 @@
 	return encoded
 }
 
-// Restore replaces the effect of Disable and Enable by a stored form, of this process or another. On an error the State
-// is unchanged.
+// Restore replaces the disabled backends and the times of Enable by those of a stored form, which this process or
+// another has encoded. On an error the State is unchanged.
 func (s *State) Restore(encoded []byte) error {
 	var stored storedState
 	if err := json.Unmarshal(encoded, &stored); err != nil {
