--- a/internal/standalone/hotrestart/inherited_listener.go
+++ b/internal/standalone/hotrestart/inherited_listener.go
@@ -8,11 +8,12 @@
 	"syscall"
 )
 
-// inheritedListener is a listening socket that other processes have open too.
+// inheritedListener is a listening socket that other processes also have open.
 //
-// O_NONBLOCK is one flag for all processes that have the socket, and one that passes it on may clear it: Go's os.File.Fd does.
-// If another process then accepts the connection first, accept sleeps in the kernel until the next connection, and Close waits
-// for it, so that a process that was asked to stop would not end. The flag is therefore set again before each accept.
+// All these processes share the socket's O_NONBLOCK flag. A process that passes the socket on may clear it: Go's
+// os.File.Fd does. If another process then accepts a pending connection first, accept4 blocks in the kernel until the
+// next connection. Close waits for that call, so a process that was asked to stop would not end. The flag is therefore
+// set before each accept.
 type inheritedListener struct {
 	file   *os.File
 	raw    syscall.RawConn
@@ -35,7 +36,7 @@
 		file.Close()
 		return nil, fmt.Errorf("ROUTER_FD: %d is no listening socket: %w", fd, err)
 	}
-	defer probe.Close() // needed for its address and as a check only
+	defer probe.Close() // used only for its address and to check the descriptor
 	raw, err := file.SyscallConn()
 	if err != nil {
 		file.Close()
@@ -50,8 +51,8 @@
 	if err != nil {
 		return nil, &net.OpError{Op: "accept", Net: l.addr.Network(), Addr: l.addr, Err: err}
 	}
-	// net.FileConn duplicates the descriptor. If the process has no descriptor left for the copy, the connection is closed
-	// unread, and its client may safely send its request again.
+	// net.FileConn duplicates the descriptor. If the process has no descriptor left for the copy, the connection is
+	// closed before anything is read from it, so its client can safely retry.
 	file := os.NewFile(uintptr(fd), "client")
 	defer file.Close()
 	return net.FileConn(file)
@@ -72,7 +73,7 @@
 		}
 	})
 	switch {
-	case readErr != nil && l.closed.Load(): // the file's own error for that is not exported
+	case readErr != nil && l.closed.Load(): // the error of a closed os.File is not exported
 		return 0, net.ErrClosed
 	case readErr != nil:
 		return 0, readErr
@@ -82,7 +83,7 @@
 	return fd, nil
 }
 
-// Close ends Accept in this process. The socket goes on listening for others.
+// Close ends Accept in this process. The socket keeps listening for the other processes.
 func (l *inheritedListener) Close() error {
 	l.closed.Store(true)
 	return l.file.Close()
--- a/internal/standalone/hotrestart/inherited_listener_test.go
+++ b/internal/standalone/hotrestart/inherited_listener_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// openSharedSocket returns a listening socket, and a function that takes it over as one process after another would.
+// openSharedSocket returns a listening socket and a function that inherits it; each call acts as another process.
 func openSharedSocket(t *testing.T) (file *os.File, inherit func() net.Listener) {
 	t.Helper()
 	original, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +35,8 @@
 	}
 }
 
-// The socket goes on listening when one of the processes that inherited it closes its listener. Other descriptors are refused.
+// The socket keeps listening when one of the processes that inherited it closes its listener. A descriptor that is not
+// a listening socket is an error.
 func TestInheritedListener_LeavesSocketListening(t *testing.T) {
 	_, inherit := openSharedSocket(t)
 	first, second := inherit(), inherit()
@@ -64,8 +65,8 @@
 	}
 }
 
-// A socket that another process has made blocking, as Go does when it passes one on, must not hold up a listener that is closed
-// during Accept, nor lose a connection.
+// Another process may make the shared socket blocking, as Go does when it passes a socket on. Accept must still return
+// the next connection, and Close must still end a pending Accept.
 func TestInheritedListener_ClosesWhileSocketIsBlocking(t *testing.T) {
 	file, inherit := openSharedSocket(t)
 	ln := inherit()
--- a/internal/standalone/hotrestart/learned_state.go
+++ b/internal/standalone/hotrestart/learned_state.go
@@ -7,20 +7,22 @@
 )
 
 const (
-	// learnedStateFile is where the process that serves writes what its policy has learned while another one starts.
+	// learnedStateFile is the file to which the serving process writes its policy's learned state while another one
+	// starts.
 	learnedStateFile = "learnt.json"
 	// learnedStateHeader is the file's first line; it names the version of the format.
 	learnedStateHeader = "pumiceline learnt 1\n"
-	// learnedStateMaxAge is how old the state may be to be adopted. The serving process renews it every PollInterval.
+	// learnedStateMaxAge is the maximum age of a state that is adopted. The serving process rewrites it every
+	// PollInterval.
 	learnedStateMaxAge = 2 * time.Second
 )
 
-// errUnknownFormat is the error of a file with another header.
+// errUnknownFormat is the error for a file that does not begin with learnedStateHeader.
 var errUnknownFormat = errors.New("written in the format of another version")
 
-// Policy is the policy of a process, whose learned state another process can adopt: an *engine.Engine, except in tests.
+// Policy exports and imports the learned state of a process's policy. It is an *engine.Engine, except in tests.
 type Policy interface {
-	Snapshot() ([]byte, error) // nil: this policy has no such state
+	Snapshot() ([]byte, error) // nil: this policy has no learned state
 	Restore(state []byte, maxAge time.Duration) error
 }
 
@@ -35,8 +37,8 @@
 	})
 }
 
-// AdoptLearnedState restores the policy from what the serving process has published. Without such a state, or with one that
-// is too old or invalid, the policy starts cold, which is only logged.
+// AdoptLearnedState restores the policy from the state that the serving process has published. If there is none, the
+// policy starts cold. A state that is too old or invalid is logged and ignored, so the policy starts cold too.
 func (p *Process) AdoptLearnedState() {
 	if p.presence == nil {
 		return
--- a/internal/standalone/hotrestart/learned_state_test.go
+++ b/internal/standalone/hotrestart/learned_state_test.go
@@ -44,30 +44,31 @@
 	return p
 }
 
-// learntName is the file in which an earlier version of this proxy stored its learned state, learntAt the time in it.
+// storedStateFile is the name of the file in which an earlier version of this proxy stored its learned state.
+// storedStateTime is the state's time as it is written there.
 const (
-	learntName = "pumiceline-21e472b24144787f-learnt.json"
-	learntAt   = `"At":1700000900000000`
+	storedStateFile = "pumiceline-21e472b24144787f-learnt.json"
+	storedStateTime = `"At":1700000900000000`
 )
 
 // A process adopts the state that an earlier version stored, and stores its own under the same name and keys.
 func TestProcess_AdoptsStateLearnedByEarlierVersion(t *testing.T) {
-	stored, err := os.ReadFile(filepath.Join("testdata/learnt", learntName))
+	stored, err := os.ReadFile(filepath.Join("testdata/learnt", storedStateFile))
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	// State expires after two seconds, so its time, and nothing else, is moved to the present.
+	// The state expires after two seconds, so its time is replaced by the present. Nothing else is changed.
 	now := time.Now().UnixMicro()
-	recent := func(text []byte, at policy.Time) []byte {
+	withTime := func(text []byte, at policy.Time) []byte {
 		t.Helper()
 		number, err := json.Marshal(at)
-		if err != nil || !bytes.Contains(text, []byte(learntAt)) {
-			t.Fatalf("%v, or there is no %s in %s", err, learntAt, text)
+		if err != nil || !bytes.Contains(text, []byte(storedStateTime)) {
+			t.Fatalf("%v, or there is no %s in %s", err, storedStateTime, text)
 		}
-		return bytes.Replace(text, []byte(learntAt), append([]byte(`"At":`), number...), 1)
+		return bytes.Replace(text, []byte(storedStateTime), append([]byte(`"At":`), number...), 1)
 	}
-	if err := os.WriteFile(filepath.Join(dir, learntName), recent(stored, now), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, storedStateFile), withTime(stored, now), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p := startSuccessor(t, dir)
@@ -75,7 +76,7 @@
 	if err := p.publishLearnedState(); err != nil {
 		t.Fatal(err)
 	}
-	written, err := os.ReadFile(filepath.Join(dir, learntName))
+	written, err := os.ReadFile(filepath.Join(dir, storedStateFile))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,12 +87,12 @@
 	if err := json.Unmarshal([]byte(body), &l); err != nil || !hasHead || head != "pumiceline learnt 1" || l.At < now {
 		t.Fatalf("%q, %v, %+v", head, err, l)
 	}
-	if want := recent(stored, l.At); string(written) != string(want) {
+	if want := withTime(stored, l.At); string(written) != string(want) {
 		t.Errorf("written %s\nwant    %s", written, want)
 	}
 }
 
-// State that has expired is not adopted, and no error: the process starts cold.
+// Expired state is not adopted, which is not an error: the process starts cold.
 func TestProcess_StartsColdWithExpiredStateOfEarlierVersion(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.CopyFS(dir, os.DirFS("testdata/learnt")); err != nil {
@@ -102,7 +103,7 @@
 	if err := p.publishLearnedState(); err != nil {
 		t.Fatal(err)
 	}
-	written, err := os.ReadFile(filepath.Join(dir, learntName))
+	written, err := os.ReadFile(filepath.Join(dir, storedStateFile))
 	if err != nil || bytes.Contains(written, []byte(`"Usual":52000.5`)) || bytes.Contains(written, []byte(`"QPS":12.5`)) {
 		t.Errorf("%v: expired state was adopted: %s", err, written)
 	}
--- a/internal/standalone/hotrestart/presence.go
+++ b/internal/standalone/hotrestart/presence.go
@@ -10,14 +10,14 @@
 	"syscall"
 )
 
-// Stage is how far a process has come. Its values are bytes of the presence file.
+// Stage is the phase in which a process is. Its value is the first byte of the presence file.
 type Stage byte
 
 // Stages of a process, in order.
 const (
 	Starting Stage = 's'
 	Serving  Stage = 'r' // accepts connections
-	Draining Stage = 'e' // accepts none, completes the requests in flight
+	Draining Stage = 'e' // accepts no connections, completes the requests in flight
 )
 
 // ProcessState is what a process publishes in its presence file.
@@ -42,8 +42,8 @@
 		BackendConnections: binary.BigEndian.Uint32(b[5:])}
 }
 
-// Presence is this process's file in the shared folder. The process has an exclusive lock on it. The kernel releases the lock
-// when the process ends, however it ends, so that the others can detect a stale file.
+// Presence is this process's file in the shared folder. The process holds an exclusive lock on it. The kernel releases
+// the lock when the process ends, even by a crash, so that the other processes can detect a stale file.
 type Presence struct {
 	folder *SharedFolder
 	file   *os.File
@@ -92,7 +92,7 @@
 // Peers returns the states of the other running processes of the proxy, and removes the files of those that have ended.
 func (p *Presence) Peers() []ProcessState {
 	var states []ProcessState
-	paths, _ := filepath.Glob(p.folder.prefix + "process-*") // its only error is a bad pattern
+	paths, _ := filepath.Glob(p.folder.prefix + "process-*") // fails only for a malformed pattern
 	for _, path := range paths {
 		if path == p.path {
 			continue
@@ -104,7 +104,8 @@
 	return states
 }
 
-// readPeer returns the state in a presence file; false if its process has ended, in which case it removes the file.
+// readPeer returns the state in a presence file. It returns false if the file cannot be read or its process has ended.
+// In the latter case it removes the file.
 func readPeer(path string) (state ProcessState, ok bool) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -114,7 +115,7 @@
 	err = syscall.Flock(int(file.Fd()), syscall.LOCK_SH|syscall.LOCK_NB)
 	if errors.Is(err, syscall.EWOULDBLOCK) { // its process has the lock, and so is running
 		var b [stateBytes]byte
-		n, _ := file.ReadAt(b[:], 0) // of a failed read the length alone matters
+		n, _ := file.ReadAt(b[:], 0) // an error shows in n: the state is then incomplete
 		return decodeProcessState(b), n == stateBytes
 	}
 	if err == nil {
--- a/internal/standalone/hotrestart/presence_test.go
+++ b/internal/standalone/hotrestart/presence_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Processes of one proxy see each other's states. The file of one that has ended is ignored and removed.
+// Processes of one proxy see each other's states. The file of a process that has ended is ignored and removed.
 func TestPresence_SeesRunningPeersOnly(t *testing.T) {
 	dir := t.TempDir()
 	join := func(identity string) *Presence {
@@ -29,7 +29,7 @@
 	if got := b.Peers(); !slices.Equal(got, []ProcessState{{Stage: Starting}}) {
 		t.Errorf("b sees %v", got)
 	}
-	b.file.Close() // as the end of its process does: the lock is released, the file stays
+	b.file.Close() // like the end of its process: releases the lock and leaves the file
 	if got := a.Peers(); len(got) != 0 {
 		t.Errorf("a sees %v, but its peer has ended", got)
 	}
--- a/internal/standalone/hotrestart/process.go
+++ b/internal/standalone/hotrestart/process.go
@@ -3,10 +3,10 @@
 // a shared folder, divide the limits of the machine and the quotas of the proxy between them, and the old process publishes
 // what its policy has learned, so that the new one does not start cold.
 //
-// process.go has the Process, presence.go the presence files, learned_state.go what the policy has learned, shared_folder.go
-// the folder, inherited_listener.go the socket.
+// process.go has the Process, presence.go the presence files, learned_state.go the policy's learned state,
+// shared_folder.go the folder, inherited_listener.go the socket.
 //
-// Old and new versions of the program run side by side: names and formats of the files may not change.
+// Old and new versions of the program run side by side, so the names and formats of the files must not change.
 package hotrestart
 
 import (
@@ -21,14 +21,15 @@
 // PollInterval is how often a process publishes its state and reads that of the others.
 const PollInterval = 50 * time.Millisecond
 
-// memoryLimitFraction is the part of a process's memory that the garbage collector may use as its limit. The rest is for
-// memory that the Go runtime does not account for, such as socket buffers of the kernel.
+// memoryLimitFraction is the fraction of a process's memory that is set as the garbage collector's limit. The rest is
+// for memory that the Go runtime does not account for, such as socket buffers of the kernel.
 const memoryLimitFraction = 0.7
 
-// SocketUsage is how many sockets one or more processes have open: to clients and to backends.
+// SocketUsage is the number of sockets to clients and to backends that one or more processes have open.
 type SocketUsage struct{ Clients, Backends int }
 
-// Hooks connect a Process to the rest of the program. They are called while the Process is locked and must not call Poll.
+// Hooks connect a Process to the rest of the program. Poll calls them with the Process locked, so they must not call
+// Poll.
 type Hooks struct {
 	SocketUsage func() SocketUsage // of this process
 	// ShareQuotas is called at each poll with the number of processes that have requests, this one included.
@@ -36,12 +37,12 @@
 	Policy      Policy // whose learned state is published and adopted
 }
 
-// Process is this process as one of the processes of a proxy. While there are several, each may use an equal part of the
-// memory. Sockets are not divided in this way: each process may use those that the others do not, since clients move from
-// the old process to the new one.
+// Process represents this process among the processes of one proxy. They share the memory equally. Sockets are not
+// shared equally: each process may use the sockets that the others leave unused, because clients move from the old
+// process to the new one.
 type Process struct {
 	folder   *SharedFolder
-	presence *Presence // nil: not joined, other processes are not seen
+	presence *Presence // nil: not joined, so other processes are not visible
 	memoryMB int       // limit of all processes together
 	hooks    Hooks
 	log      *slog.Logger
@@ -49,12 +50,12 @@
 	stage       atomic.Int32                // a Stage
 	peerSockets atomic.Pointer[SocketUsage] // at the last poll; nil: none yet
 
-	mu        sync.Mutex // serializes Poll, which the start calls beside Run
+	mu        sync.Mutex // serializes Poll, which package server also calls while Run is running
 	processes int        // at the last poll
 }
 
 // NewProcess returns a process that is Starting and has not joined. memoryMB is the limit of all processes of the proxy
-// together. folder may be nil: then the process never sees others.
+// together. If folder is nil, the process never sees others.
 func NewProcess(folder *SharedFolder, memoryMB int, log *slog.Logger) *Process {
 	p := &Process{folder: folder, memoryMB: memoryMB, log: log}
 	p.SetStage(Starting)
@@ -130,7 +131,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.poll(); err != nil {
-		p.log.Error("poll of the other processes failed", "error", err)
+		p.log.Error("hot restart poll failed", "error", err)
 	}
 }
 
@@ -153,7 +154,7 @@
 // peerSummary is the state of the other processes together.
 type peerSummary struct {
 	processes    int
-	withRequests int  // processes that are past Starting
+	withRequests int  // processes that are past Starting, so may have requests
 	starting     bool // a process is Starting
 	sockets      SocketUsage
 }
@@ -183,8 +184,8 @@
 	return peers, nil
 }
 
-// shareMemory sets this process's memory limit when the number of processes has changed. When it has grown, it also returns
-// unused memory to the system, for the other process.
+// shareMemory sets this process's memory limit when the number of processes has changed. When the number has grown, it
+// also returns unused memory to the system for the new process.
 func (p *Process) shareMemory(processes int) {
 	if processes == p.processes {
 		return
@@ -196,7 +197,7 @@
 	p.processes = processes
 }
 
-// SetMemoryLimit sets the collector's limit for one of several processes that share memoryMB.
+// SetMemoryLimit sets the garbage collector's limit for one of several processes that share memoryMB.
 func SetMemoryLimit(memoryMB, processes int) {
 	debug.SetMemoryLimit(int64(memoryLimitFraction * float64(memoryMB) * (1 << 20) / float64(processes)))
 }
--- a/internal/standalone/hotrestart/process_test.go
+++ b/internal/standalone/hotrestart/process_test.go
@@ -14,12 +14,13 @@
 func (noLearnedState) Snapshot() ([]byte, error)           { return nil, nil }
 func (noLearnedState) Restore([]byte, time.Duration) error { return nil }
 
-// Each process sees what the others hold, and divides quotas by those that have requests and memory by all of them.
+// Each process sees how many sockets the others have open. It divides quotas by the number of processes that are past
+// Starting, and memory by the number of all processes.
 func TestProcess_SharesLimitsWithPeers(t *testing.T) {
 	memoryLimit := debug.SetMemoryLimit(-1)
 	t.Cleanup(func() { debug.SetMemoryLimit(memoryLimit) })
 	dir := t.TempDir()
-	quotas := map[string]int{} // number of processes that each one last shared its quotas with
+	quotas := map[string]int{} // by process: the argument of its last ShareQuotas call
 	join := func(name string, own SocketUsage) *Process {
 		t.Helper()
 		p := NewProcess(NewSharedFolder(dir, "proxy"), 100, slog.New(slog.DiscardHandler))
--- a/internal/standalone/hotrestart/shared_folder.go
+++ b/internal/standalone/hotrestart/shared_folder.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// maxFileBytes is the size of the largest file that is read.
+// maxFileBytes is the largest size of a file that Read accepts.
 const maxFileBytes = 4 << 20
 
 // SharedFolder is a folder that the processes of one proxy share. All file names begin with a hash of the proxy's identity, so
@@ -45,8 +45,8 @@
 	return content, nil
 }
 
-// Update atomically replaces a file's content by what change makes of it. Updates of the same file by several processes
-// are serialized by a lock on a second file. If change fails, its error is returned and the file stays.
+// Update atomically replaces a file's content by the result of change. Updates of the same file by several processes
+// are serialized by a lock on a second file. If change fails, Update returns its error and leaves the file unchanged.
 func (d *SharedFolder) Update(name string, change func(old []byte) ([]byte, error)) error {
 	return d.withLock(name, func() error {
 		old, err := d.Read(name)
@@ -68,7 +68,7 @@
 	})
 }
 
-// withLock runs f with the exclusive lock of a file among the processes of the proxy.
+// withLock runs f while it holds a file's lock, which excludes the other processes of the proxy.
 func (d *SharedFolder) withLock(name string, f func() error) error {
 	lock, err := os.OpenFile(d.prefix+name+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
@@ -81,14 +81,15 @@
 	return f()
 }
 
-// FileVersion identifies one content of a file: it changes whenever the file is replaced. The zero value stands for no file.
+// FileVersion identifies the content of a file: it changes whenever the file is replaced. The zero value means that
+// there is no file.
 type FileVersion struct {
 	inode     uint64
 	modified  time.Time
 	sizeBytes int64
 }
 
-// Version returns the present version of a file.
+// Version returns the current version of a file.
 func (d *SharedFolder) Version(name string) FileVersion {
 	info, err := os.Stat(d.prefix + name)
 	if err != nil {
--- a/internal/standalone/hotrestart/shared_folder_test.go
+++ b/internal/standalone/hotrestart/shared_folder_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Concurrent updates of a file are serialized, none is lost, and each gives the file another version.
+// Concurrent updates of a file are serialized, none is lost, and each changes the file's version.
 func TestSharedFolder_SerializesUpdates(t *testing.T) {
 	dir := t.TempDir()
 	const writers, updates = 4, 50
--- a/internal/standalone/hotrestart/stored_test.go
+++ b/internal/standalone/hotrestart/stored_test.go
@@ -9,13 +9,14 @@
 	"testing"
 )
 
-// storedIdentity is that of the proxy whose processes stored testdata/folder, and storedPrefix what its files' names begin with.
+// storedIdentity is the identity of the proxy whose processes wrote testdata/folder. storedPrefix is the prefix of its
+// file names.
 const (
 	storedIdentity = "proxy-1 127.0.0.1:7070"
 	storedPrefix   = "pumiceline-ad236b2ef305dcaa-"
 )
 
-// storedFolder copies testdata/folder, which an earlier version stored, to where it may be changed.
+// storedFolder copies testdata/folder, which an earlier version wrote, to a temporary folder.
 func storedFolder(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -58,11 +59,11 @@
 			}
 			defer p.Leave()
 			if got := p.Peers(); len(got) != 1 || got[0] != c.want {
-				t.Errorf("others are %+v, want %+v", got, c.want)
+				t.Errorf("peers are %+v, want %+v", got, c.want)
 			}
 			left, err := filepath.Glob(filepath.Join(dir, storedPrefix+"process-*"))
 			if err != nil || len(left) != 2 {
-				t.Errorf("%v, %v: the files of the processes that have ended are to be removed", left, err)
+				t.Errorf("%v, %v: want two files, those of the ended processes removed", left, err)
 			}
 			if err := p.Set(c.want); err != nil {
 				t.Fatal(err)
@@ -81,7 +82,7 @@
 	}
 }
 
-// The bytes of the stages are part of the stored form.
+// The bytes of the stages are part of the format of presence files and must not change.
 func TestStagesAreThoseStoredByEarlierVersion(t *testing.T) {
 	if Starting != 's' || Serving != 'r' || Draining != 'e' {
 		t.Errorf("%q, %q, %q", Starting, Serving, Draining)
