--- a/internal/standalone/engine/call.go
+++ b/internal/standalone/engine/call.go
@@ -6,22 +6,24 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// maxActions is the size of a call's buffer of actions. It is more than the policy can decide about one call: at most 8
-// attempts, as many cancels, one response. So a caller that does not read delays neither the engine nor other calls.
+// maxActions is the size of a call's buffer of actions. The policy decides at most 8 attempts, 8 cancels and one
+// response for a call, so they all fit. A caller that does not read its actions therefore delays neither the engine nor
+// other calls.
 const maxActions = 32
 
-// Request is what the policy is given of a new request.
+// Request describes a new request to the policy.
 type Request struct {
 	Class       uint8       // the class's number in the settings
 	Tenant      uint32      // the tenant's index in the settings
-	AffinityKey uint64      // what the request is about; 0: unknown
+	AffinityKey uint64      // hash of the session key; requests with the same key may need less work at the same server; 0: none
 	Work        policy.Time // expected work, in microseconds on a standard core; 0: unknown
-	Deadline    time.Time   // when the last attempt has to have ended
-	BodyPending bool        // the body is still coming; Call.BodySent follows
+	Deadline    time.Time   // by which the last attempt must have ended
+	BodyPending bool        // the client is still sending the body; Call.BodySent follows
 }
 
-// Call is one request in the policy. It ends with the first attempt that succeeds, a rejection or failure by the
-// policy, or Abandon; its other attempts still have outcomes to report. Its methods are safe for concurrent use.
+// Call is one request that the policy handles. It ends with the first attempt that succeeds, a rejection or failure by
+// the policy, or Abandon. The outcomes of its other attempts must still be reported. Its methods are safe for
+// concurrent use.
 type Call struct {
 	engine   *Engine
 	id       uint64
@@ -58,8 +60,8 @@
 	return c
 }
 
-// Actions brings what the policy decides for the call: SendAttempt, CancelAttempt, and at most one RejectRequest or
-// FailRequest.
+// Actions returns the channel of the policy's decisions for the call: SendAttempt, CancelAttempt, and at most one
+// RejectRequest or FailRequest.
 func (c *Call) Actions() <-chan policy.Action { return c.actions }
 
 // addAttempt adds a running attempt and returns its number. Called with the engine locked.
@@ -86,8 +88,9 @@
 
 // Finish reports the outcome of an attempt. It returns whether the attempt's response is the call's: the outcome is
 // OK and the call had not ended before. A second report of the same attempt is ignored. bodySentAt is when the last
-// byte of a request with BodyPending was sent, from which the server's time counts: a slow client is no slow server.
-// It may be zero.
+// byte of a request with BodyPending was sent. The elapsed time of the attempt is measured from then, so that a slow
+// upload by the client does not count as slowness of the server. If bodySentAt is zero, the time is measured from the
+// attempt's start.
 func (c *Call) Finish(attempt uint8, outcome policy.Outcome, report []float32, bodySentAt time.Time) bool {
 	e := c.engine
 	e.mu.Lock()
--- a/internal/standalone/engine/engine.go
+++ b/internal/standalone/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine runs the policy of one proxy. It owns a policy.Balancer, which has no clock, no goroutine and no
-// I/O: the engine hands it one event at a time, has its clock and its timers, and forwards each action to the call that
-// it belongs to, or to a hook. It knows nothing of HTTP, so that any protocol can use it.
+// Package engine runs the policy of one proxy. It owns a policy.Balancer, which has no clock, no goroutines and no I/O.
+// The engine passes it one event at a time, provides its clock and timers, and forwards each action to the call that it
+// belongs to, or to a hook. It does not depend on HTTP, so that any protocol can use it.
 //
-// engine.go has the Engine, call.go the calls, timer.go the timers, state.go the settings, snapshots and sizes.
+// engine.go has the Engine, call.go the calls, timer.go the timers, state.go the settings, snapshots and table sizes.
 package engine
 
 import (
@@ -14,7 +14,8 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// Policy makes the decisions: a *policy.Balancer, except in tests. Handle appends to actions what follows from event.
+// Policy makes the balancing decisions. It is a *policy.Balancer, except in tests. Handle processes an event and
+// appends the resulting actions to actions.
 type Policy interface {
 	Handle(now policy.Time, event *policy.Event, actions []policy.Action) []policy.Action
 }
@@ -22,9 +23,9 @@
 // Hooks carry out the actions that belong to no call. They are called with the engine locked: they must return at once
 // and must not call the engine.
 type Hooks struct {
-	SubscribeDiscovery func()                       // asks discovery for the membership
+	SubscribeDiscovery func()                       // subscribes to the membership at discovery
 	CloseIdleConns     func(server policy.ServerID) // closes the idle connections to a server
-	PollLoad           func(server policy.ServerID) // asks a server for its load; LoadPolled must follow. nil: no load polls
+	PollLoad           func(server policy.ServerID) // polls a server's load; LoadPolled must follow. nil: no load polls
 }
 
 // Engine serialises the events of one Policy. Its methods are safe for concurrent use. Run must run for timers to fire.
@@ -32,16 +33,16 @@
 	hooks Hooks
 	log   *slog.Logger
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields of this group
 	policy   Policy
 	actions  []policy.Action // a buffer for the policy's actions
 	calls    map[uint64]*Call
 	lastID   uint64
 	timers   timerQueue
 	timerSeq uint64
-	wake     chan struct{} // has a value when Run must look at the timers again
+	wake     chan struct{} // holds a value when Run must check the timers again
 
-	origin       time.Time // with its monotonic reading
+	origin       time.Time // time of creation, with its monotonic reading
 	originMicros policy.Time
 }
 
@@ -59,12 +60,13 @@
 	}
 }
 
-// now returns the policy's time: Unix time in microseconds, read once and advanced by the monotonic clock. A step of
-// the system's clock must not shift the policy's slow starts, ejections and dedup windows.
+// now returns the policy's time: Unix time in microseconds. The system clock is read once, by New, and advanced by the
+// monotonic clock, so that a step of the system clock does not shift the policy's slow starts, ejections and dedup
+// windows.
 func (e *Engine) now() policy.Time { return e.originMicros + time.Since(e.origin).Microseconds() }
 
-// Duration converts a duration of the policy, which is in microseconds. The packages of the policy and of its settings cannot:
-// they must not import package time (tools/purity).
+// Duration converts a duration of the policy, which is in microseconds. It is here because the packages of the policy
+// and of its settings must not import package time (checked by tools/purity).
 func Duration(t policy.Time) time.Duration { return time.Duration(t) * time.Microsecond }
 
 // TimeOf converts the policy's time.
@@ -85,16 +87,17 @@
 	})
 }
 
-// UpdateMembers reports what discovery said. kind is one of the policy's membership events.
+// UpdateMembers reports a membership update from discovery, or a failure of discovery, to the policy. kind is one of
+// the policy's membership events or discovery failures.
 func (e *Engine) UpdateMembers(kind policy.EventKind, members []policy.Member) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.dispatch(&policy.Event{Kind: kind, Members: members})
 }
 
-// dispatch gives the policy one event and executes the actions. A panic in the policy costs the decision and not the
-// process, which would end every request in flight: calls without a decision end at their deadline. Called with mu
-// held.
+// dispatch passes one event to the policy and executes the actions. It recovers from a panic in the policy, because the
+// end of the process would abort every request in flight. Only this decision is lost: calls that wait for it end at
+// their deadline. Called with mu held.
 func (e *Engine) dispatch(event *policy.Event) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/internal/standalone/engine/engine_test.go
+++ b/internal/standalone/engine/engine_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// scriptedPolicy responds to each event as a test asks, and records the events and their times.
+// scriptedPolicy responds to each event with a test's actions, and records the events and their times.
 type scriptedPolicy struct {
 	events  []policy.Event
 	times   []policy.Time
@@ -52,14 +52,14 @@
 	}
 	c.Abandon()
 	if len(s.events) != 3 || !s.events[1].Final || s.events[1].Server != 8 || !s.events[2].Final {
-		t.Errorf("the policy was given %+v", s.events)
+		t.Errorf("the policy handled %+v", s.events)
 	}
 	if len(c.engine.calls) != 0 {
 		t.Error("the call is not removed")
 	}
 }
 
-// Abandon is reported to the policy, and the cancels that follow are there when it returns.
+// Abandon is reported to the policy, and the resulting cancels are in Actions when it returns.
 func TestCall_AbandonDeliversCancels(t *testing.T) {
 	s := &scriptedPolicy{respond: func(ev *policy.Event) []policy.Action {
 		if ev.Kind == policy.RequestAbandoned {
@@ -77,7 +77,7 @@
 			t.Errorf("got %+v", a)
 		}
 	default:
-		t.Error("no cancel")
+		t.Error("no cancel in Actions after Abandon")
 	}
 }
 
@@ -111,7 +111,7 @@
 	})
 }
 
-// A panic in the policy must cost one decision, not every request in flight.
+// A panic in the policy loses one decision only. It must not end the process and with it every request in flight.
 func TestEngine_SurvivesPolicyPanic(t *testing.T) {
 	s := &scriptedPolicy{respond: func(ev *policy.Event) []policy.Action {
 		if ev.Kind == policy.DiscoveryFailed {
--- a/internal/standalone/engine/state.go
+++ b/internal/standalone/engine/state.go
@@ -9,7 +9,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// What a Policy may do beside Handle. A policy without one of these methods goes without.
+// Optional methods of a Policy. If a policy lacks one, the engine does without that feature.
 type (
 	reconfigurable interface {
 		ApplySettings(policy.Settings) error
@@ -28,7 +28,7 @@
 	}
 )
 
-// The policy in service has all of them.
+// policy.Balancer, which the proxy uses, has all of them.
 var _ interface {
 	Policy
 	reconfigurable
@@ -40,13 +40,13 @@
 
 // Errors of a policy without an optional method, and of a snapshot that it does not accept.
 var (
-	ErrNotReconfigurable = errors.New("this policy keeps the settings that it began with")
-	ErrNotRestorable     = errors.New("this policy takes over no snapshot")
-	ErrStaleSnapshot     = errors.New("the snapshot is too old")
-	ErrInvalidSnapshot   = errors.New("the snapshot has implausible numbers")
+	ErrNotReconfigurable = errors.New("policy does not support a change of its settings")
+	ErrNotRestorable     = errors.New("policy does not support restoring a snapshot")
+	ErrStaleSnapshot     = errors.New("snapshot is too old")
+	ErrInvalidSnapshot   = errors.New("snapshot has implausible values")
 )
 
-// ApplySettings replaces the policy's settings between two events. On an error it keeps those in force.
+// ApplySettings replaces the policy's settings between two events. On an error the current settings stay in force.
 func (e *Engine) ApplySettings(next policy.Settings) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -73,7 +73,7 @@
 	return text, nil
 }
 
-// Restore takes over a snapshot that is at most maxAge old. On an error the policy is as before.
+// Restore loads a snapshot into the policy if it is at most maxAge old. On an error the policy is unchanged.
 func (e *Engine) Restore(text []byte, maxAge time.Duration) error {
 	var snapshot policy.Snapshot
 	if err := json.Unmarshal(text, &snapshot); err != nil {
@@ -112,8 +112,8 @@
 	return sizes
 }
 
-// EjectedServers returns how many members the policy sends no requests to by its own decision (outlier ejection); 0
-// if the policy does not report it.
+// EjectedServers returns how many members get no requests because the policy has ejected them as outliers or found them
+// stalled; 0 if the policy does not report it.
 func (e *Engine) EjectedServers() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standalone/engine/timer.go
+++ b/internal/standalone/engine/timer.go
@@ -8,14 +8,14 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// noTimerWait is how long Run waits when no timer is set; setTimer wakes it before.
+// noTimerWait is how long Run waits when no timer is set; setTimer wakes it earlier.
 const noTimerWait = time.Hour
 
 // timer is a timer that the policy has set.
 type timer struct {
 	due time.Time
-	seq uint64 // timers that are due together fire in the order in which they were set
-	id  uint64 // the policy's
+	seq uint64 // timers due at the same time fire in the order in which they were set
+	id  uint64 // the policy's ID of the timer
 }
 
 // setTimer sets a timer and wakes Run if it is the next to fire. Called with mu held.
@@ -46,8 +46,9 @@
 	}
 }
 
-// fireDueTimers fires the timers that are due and returns when the next one is. A timer that the policy sets meanwhile
-// fires in the next pass, so that a policy that sets timers without end cannot hold the lock for ever.
+// fireDueTimers fires the timers that are due and returns when the next one is due. A timer that the policy sets
+// meanwhile fires in the next pass: otherwise a policy that sets a due timer in response to each timer would hold the
+// lock forever.
 func (e *Engine) fireDueTimers() time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
