--- a/internal/standalone/discoverycache/cache_test.go
+++ b/internal/standalone/discoverycache/cache_test.go
@@ -21,7 +21,7 @@
 	fleetFallbackSpread = time.Second
 )
 
-// cacheFleet is a fake discovery and the caches of a fleet, over loopback.
+// cacheFleet is a fake discovery and the caches of a fleet, connected over loopback.
 type cacheFleet struct {
 	t         *testing.T
 	discovery *fakestandalone.Discovery
@@ -32,7 +32,7 @@
 	watches    []time.Time    // when each watch of discovery began
 	holder     int            // the cache that has the lease; -1: none
 	token      uint64         // fencing token of its lease
-	selfTokens map[int]uint64 // tokens of caches that take themselves for the holder, rightly or not
+	selfTokens map[int]uint64 // by cache that considers itself the holder, even if it no longer is: its fencing token
 }
 
 // startCacheFleet runs caches until the test ends. Cache 0 has the lease.
@@ -73,7 +73,7 @@
 	return ln.Addr().String()
 }
 
-// holderAt returns the holder of the lease as cache i knows it.
+// holderAt returns the holder of the lease as cache i sees it.
 func (f *cacheFleet) holderAt(i int) Holder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -86,22 +86,22 @@
 	return Holder{Address: f.addrs[f.holder], Token: f.token, IsLocal: f.holder == i}
 }
 
-// change changes the lease under the lock, and forgets the watches so far.
-func (f *cacheFleet) change(change func()) {
+// changeLease runs a change of the lease with the lock held and clears the recorded watches.
+func (f *cacheFleet) changeLease(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 	f.watches = nil
 }
 
-// watchTimes returns when each watch of discovery since the last change began.
+// watchTimes returns when each watch of discovery since the last change of the lease began.
 func (f *cacheFleet) watchTimes() []time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.watches)
 }
 
-// lists returns a condition: cache i lists a host with this health, or does not list it if that is DELETED.
+// lists returns a condition: cache i lists a host with this health, or does not list the host if health is DELETED.
 func (f *cacheFleet) lists(host, health string) func(i int) bool {
 	return func(i int) bool {
 		resp, err := http.Get("http://" + f.addrs[i] + "/v1/endpoints")
@@ -123,14 +123,14 @@
 	}
 }
 
-// awaitAll waits until a condition holds of each cache, and returns how long that took.
-func (f *cacheFleet) awaitAll(what string, condition func(i int) bool) time.Duration {
+// awaitAll waits until a condition holds for each cache, and returns how long that took.
+func (f *cacheFleet) awaitAll(description string, condition func(i int) bool) time.Duration {
 	f.t.Helper()
 	started := time.Now()
 	for i := range fleetCaches {
 		for !condition(i) {
 			if time.Since(started) > 20*time.Second {
-				f.t.Fatalf("condition never held: %s, at cache %d", what, i)
+				f.t.Fatalf("condition never held: %s, at cache %d", description, i)
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -138,9 +138,9 @@
 	return time.Since(started)
 }
 
-// Of twenty caches only the lease holder watches discovery, and a drain reaches all of them soon. Without a holder each falls
-// back to discovery, not all at once. A new holder is followed again, and the old one, which still takes itself for the holder,
-// is not.
+// Of twenty caches only the lease holder watches discovery, and a drain reaches all of them. Without a holder each
+// cache falls back to discovery, and their watches are spread over time. A new holder is followed again. The old
+// holder, which still considers itself the holder, is not.
 func TestCache_FollowsLeaseHolder(t *testing.T) {
 	f := startCacheFleet(t, newEntry(1, discovery.HealthServing), newEntry(2, discovery.HealthServing))
 	f.awaitAll("the list", f.lists("s-1", discovery.HealthServing))
@@ -152,7 +152,7 @@
 	t.Logf("the drain reached all %d caches after %v", fleetCaches, took)
 
 	var lostAt time.Time
-	f.change(func() { f.holder, lostAt = -1, time.Now() })
+	f.changeLease(func() { f.holder, lostAt = -1, time.Now() })
 	f.awaitAll("fallback to discovery", func(i int) bool { return f.caches[i].FollowsDiscovery() })
 	f.discovery.Put(newEntry(2, discovery.HealthDeleted))
 	f.awaitAll("a change without holder", f.lists("s-2", discovery.HealthDeleted))
@@ -160,11 +160,12 @@
 	latest := watches[len(watches)-1].Sub(lostAt)
 	t.Logf("%d watches of discovery within %v of the loss of the holder", len(watches), latest)
 	if len(watches) < fleetCaches-1 || latest < fleetFallbackSpread/3 {
-		t.Errorf("%d watches of discovery, the latest %v after the loss: not all, or all at once", len(watches), latest)
+		t.Errorf("%d watches of discovery, the latest %v after the loss: want one of each cache, spread over time",
+			len(watches), latest)
 	}
 
 	const oldHolder, newHolder = 0, 7
-	f.change(func() { f.holder, f.token, f.selfTokens[oldHolder] = newHolder, 2, 1 })
+	f.changeLease(func() { f.holder, f.token, f.selfTokens[oldHolder] = newHolder, 2, 1 })
 	f.awaitAll("a new holder", func(i int) bool {
 		return i == newHolder || i == oldHolder || !f.caches[i].FollowsDiscovery()
 	})
--- a/internal/standalone/discoverycache/follow.go
+++ b/internal/standalone/discoverycache/follow.go
@@ -19,13 +19,14 @@
 
 var errWatchEnded = errors.New("source ended the watch")
 
-// holderUpdate is one line of a watch. DiscoveryVersion is set by caches only.
+// holderUpdate is one line of a watch. Only caches set DiscoveryVersion.
 type holderUpdate struct {
 	discovery.Update
 	DiscoveryVersion uint64 `json:"origin,omitempty"`
 }
 
-// follow watches a source until the watch ends or times out, which is an error, or another source is to be followed.
+// follow watches a source. It returns nil once another source is to be followed, and an error if the watch ends or
+// times out.
 func (c *Cache) follow(ctx context.Context, from source) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -55,16 +56,16 @@
 	if lines.Err() == nil {
 		return errWatchEnded
 	}
-	return fmt.Errorf("source silent or broken off: %w", lines.Err())
+	return fmt.Errorf("watch timed out or failed: %w", lines.Err())
 }
 
-// openWatch asks a source for its complete list and all changes after it.
+// openWatch requests a source's complete list and all changes after it.
 func openWatch(ctx context.Context, from source) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+from.address+from.path+"?stream=1&index=0", nil)
 	if err != nil {
 		return nil, fmt.Errorf("create watch request: %w", err)
 	}
-	transport := &http.Transport{DisableKeepAlives: true} // a watch has its connection to itself
+	transport := &http.Transport{DisableKeepAlives: true} // each watch has its own connection
 	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		return nil, fmt.Errorf("open watch: %w", err)
@@ -80,14 +81,14 @@
 	return resp, nil
 }
 
-// applyLine applies one line of a watch. The first line of a holder may be older than the copy: the holder may be behind the
-// source that was followed before.
+// applyLine applies one line of a watch. The first line of a holder may be older than the copy, because the holder may
+// be behind the source that was followed before.
 func (c *Cache) applyLine(line []byte, from source, first bool) error {
 	var u holderUpdate
 	if err := json.Unmarshal(line, &u); err != nil {
 		return fmt.Errorf("decode line of the watch: %w", err)
 	}
-	if !from.isDiscovery() { // the versions of another cache are its own
+	if !from.isDiscovery() { // another cache has its own versions
 		u.Version = u.DiscoveryVersion
 	}
 	return c.apply(u.Update, from, first && !from.isDiscovery())
--- a/internal/standalone/discoverycache/list.go
+++ b/internal/standalone/discoverycache/list.go
@@ -14,7 +14,7 @@
 
 // Errors of List.Apply.
 var (
-	// ErrStale means that an update is older than the list: it would undo drains that are known.
+	// ErrStale means that an update is older than the list. Applying it would undo drains that are already in the list.
 	ErrStale        = errors.New("update is older than the cached list")
 	errNoBase       = errors.New("update is incremental and no list is cached")
 	errDeletedEntry = errors.New("complete list has a deleted entry")
@@ -22,11 +22,11 @@
 
 // List is the endpoint list as it was received last, with the latest changes. It does no I/O and is not safe for concurrent use.
 //
-// Its versions are its own: each changed entry is one version. They start past those of any earlier process at the same
-// address, so that a client that asks with a version of an earlier process gets the complete list.
+// The list has its own versions: each change of an entry is one version. They start above those of any earlier process
+// at the same address, so that a client that sends a version of an earlier process gets the complete list.
 type List struct {
-	baseVersion      uint64 // before the first of changes
-	discoveryVersion uint64 // of discovery, that this is a copy of
+	baseVersion      uint64 // the version before the first of changes
+	discoveryVersion uint64 // the version of discovery that this is a copy of
 	loaded           bool
 	entries          []entry // in the order of their first appearance
 	changes          []json.RawMessage
@@ -45,8 +45,8 @@
 // DiscoveryVersion returns the version of discovery that the list is a copy of; false if there is none.
 func (l *List) DiscoveryVersion() (version uint64, ok bool) { return l.discoveryVersion, l.loaded }
 
-// Apply applies an update and reports whether anything changed. On an error the list stays. The update is mayBeStale if it is
-// the first one of a source other than discovery itself.
+// Apply applies an update and reports whether anything changed. On an error the list is unchanged. mayBeStale is set
+// for the first update of a source other than discovery: if it is older than the list, Apply returns ErrStale.
 func (l *List) Apply(u discovery.Update, mayBeStale bool) (changed bool, err error) {
 	if mayBeStale && l.loaded && u.Version < l.discoveryVersion {
 		return false, fmt.Errorf("apply version %d after %d: %w", u.Version, l.discoveryVersion, ErrStale)
@@ -73,7 +73,7 @@
 	return changed, nil
 }
 
-// parseEntries reads of an update's entries what the list needs to know.
+// parseEntries parses the fields of an update's entries that the list needs.
 func parseEntries(u discovery.Update) ([]entry, error) {
 	var entries []entry
 	for _, raw := range u.Entries {
@@ -93,7 +93,7 @@
 	return entries, nil
 }
 
-// deleteMissing deletes what a complete list does not have.
+// deleteMissing deletes the entries that are not in a complete list.
 func (l *List) deleteMissing(complete []entry) error {
 	for _, e := range slices.Clone(l.entries) {
 		if slices.ContainsFunc(complete, func(other entry) bool { return other.name == e.name }) {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// markDeleted returns an entry with its health changed to DELETED and all else as it was.
+// markDeleted returns an entry with its health changed to DELETED and its other fields unchanged.
 func markDeleted(raw json.RawMessage) (json.RawMessage, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil {
@@ -122,7 +122,7 @@
 	return deleted, nil
 }
 
-// put applies one entry, which is a change unless the list has it already.
+// put applies one entry and records a change, unless the list already has the same entry.
 func (l *List) put(e entry) {
 	i := slices.IndexFunc(l.entries, func(other entry) bool { return other.name == e.name })
 	switch {
@@ -138,7 +138,7 @@
 	l.changes = append(l.changes, e.raw)
 }
 
-// trimChanges drops the oldest changes over maxChanges.
+// trimChanges drops the oldest changes beyond maxChanges.
 func (l *List) trimChanges() {
 	if excess := len(l.changes) - maxChanges; excess > 0 {
 		l.baseVersion += uint64(excess)
@@ -146,7 +146,7 @@
 	}
 }
 
-// Since returns what changed after a version, or the complete list if the changes since then are not known.
+// Since returns the changes after a version, or the complete list if these changes are not kept or version is 0.
 func (l *List) Since(version uint64) discovery.Update {
 	latest := l.baseVersion + uint64(len(l.changes))
 	u := discovery.Update{Version: latest, Entries: []json.RawMessage{}}
--- a/internal/standalone/discoverycache/list_test.go
+++ b/internal/standalone/discoverycache/list_test.go
@@ -17,7 +17,8 @@
 		Cell: 1, Health: health, Size: 1}
 }
 
-// Whatever updates a source sends, complete or incremental, who follows the copy from any of its versions ends with the same list.
+// For any sequence of complete and incremental updates, a client that follows the list from any version ends with the
+// same list as the source.
 func TestList_FollowersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list, source, version := NewList(100), map[string]string{}, uint64(0)
--- a/internal/standalone/discoverycache/serve.go
+++ b/internal/standalone/discoverycache/serve.go
@@ -24,8 +24,9 @@
 
 // ServeHTTP implements http.Handler:
 //
-//	GET /v1/endpoints  as discovery does, for proxies; 503 while the copy is not fresh
-//	GET /v1/mirror     for other caches: lines name the version of discovery; 503 except at the lease holder
+//	GET /v1/endpoints  for proxies, in the format of discovery; 503 while the copy is not fresh
+//	GET /v1/mirror     for other caches, with the version of discovery in each line; 503 unless this is the
+//	                   lease holder and its copy is fresh
 func (c *Cache) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	h := &watchHandler{cache: c, w: w}
 	mayServe := c.IsFresh
@@ -55,8 +56,8 @@
 	h.stream(req, version, mayServe)
 }
 
-// isHolder reports whether this instance still holds the lease that it held when the request came. A holder whose lease has
-// ended sends nothing more.
+// isHolder reports whether this instance still holds the lease that it held when the request arrived, and its copy is
+// fresh. A holder whose lease has ended must not send anything more.
 func (h *watchHandler) isHolder() bool {
 	holder := h.cache.opts.Holder()
 	return holder.IsLocal && holder.Token == h.token && h.cache.IsFresh()
@@ -70,8 +71,9 @@
 	return json.NewEncoder(h.w).Encode(s.update)
 }
 
-// stream writes what changed after a version, then each change, and heartbeats between them, while mayServe returns true. Then
-// the response ends at once, so that the client chooses another source without waiting for a time-out.
+// stream writes the changes after a version, then each further change, and heartbeats between them. It checks mayServe
+// at each change and heartbeat. Once mayServe returns false, the response ends, so that the client chooses another
+// source without waiting for a timeout.
 func (h *watchHandler) stream(req *http.Request, version uint64, mayServe func() bool) {
 	next := h.cache.since(version)
 	controller, heartbeat := http.NewResponseController(h.w), time.NewTicker(heartbeatInterval/2)
--- a/internal/standalone/discoverycache/stored_test.go
+++ b/internal/standalone/discoverycache/stored_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// A cache follows a holder of an earlier version: it watches that one's address and path, compares its token, and applies its
-// lines.
+// A cache follows a holder of an earlier version: it watches the holder's address and path, compares the holder's
+// token, and applies its lines.
 func TestCache_FollowsHolderOfEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/lines.json")
 	if err != nil {
@@ -73,7 +73,7 @@
 			addr := holder.Listener.Addr().String()
 			cache := New(Options{Holder: func() Holder { return Holder{Address: addr, Token: 7} }}, time.UnixMicro(1))
 			if err := cache.follow(t.Context(), cache.chooseSource()); err == nil {
-				t.Fatal("the end of the watch is no error")
+				t.Fatal("follow returned no error at the end of the watch")
 			}
 			got := cache.since(0)
 			if got.update.Version = 0; !reflect.DeepEqual(got.update, c.want) || got.discoveryVersion != c.discoveryVersion {
--- a/internal/standalone/engine/call.go
+++ b/internal/standalone/engine/call.go
@@ -15,7 +15,7 @@
 type Request struct {
 	Class       uint8       // the class's number in the settings
 	Tenant      uint32      // the tenant's index in the settings
-	AffinityKey uint64      // hash of the session key; requests with the same key may need less work at the same server; 0: none
+	AffinityKey uint64      // hash of the session key; a server may need less work for a repeated key; 0: none
 	Work        policy.Time // expected work, in microseconds on a standard core; 0: unknown
 	Deadline    time.Time   // by which the last attempt must have ended
 	BodyPending bool        // the client is still sending the body; Call.BodySent follows
