--- a/internal/standalone/deployfile/admission.go
+++ b/internal/standalone/deployfile/admission.go
@@ -1,5 +1,5 @@
-// Package deployfile reads the operators' own files under deploy/, in strict TOML: each error names the file, line
-// and key. What the platform gives a proxy is read by package config.
+// Package deployfile reads the files under deploy/ that operators write, in strict TOML: each error names the file,
+// line and key. Package config reads the configuration that the platform gives a proxy.
 package deployfile
 
 import (
@@ -61,7 +61,7 @@
 	return parseAdmission(path, text, s, seed)
 }
 
-// parseAdmission is ReadAdmission for a text; path is its name for errors.
+// parseAdmission is ReadAdmission for the content of a file. path is used in errors only.
 func parseAdmission(path string, text []byte, s *settings.Settings, seed uint64) (admission.Settings, error) {
 	set := admission.Defaults()
 	file := newAdmissionFile(set)
@@ -102,7 +102,7 @@
 	}
 }
 
-// copyTo copies the values that are not of a tenant or class.
+// copyTo copies the values that do not belong to a tenant or class.
 func (f *admissionFile) copyTo(set *admission.Settings) {
 	set.MaxQueued = f.MaxQueued
 	set.QueuesPerClass = f.QueuesPerClass
@@ -149,7 +149,7 @@
 	return classes
 }
 
-// checkNames returns an error for a tenant or class in the file that the deployment does not have.
+// checkNames returns an error if the file names a tenant or class that the deployment does not have.
 func (f *admissionFile) checkNames(s *settings.Settings, keys keyLocator) error {
 	tenants, classes := map[string]bool{}, map[string]bool{}
 	for _, t := range s.Tenants {
@@ -186,8 +186,8 @@
 	return k.errorAt(keyInFile(invalid.Key, set), invalid.Reason)
 }
 
-// keyInFile returns the key in the file for one of admission.SettingError: a tenant's or class's setting is in the file
-// under its name.
+// keyInFile converts the key of an admission.SettingError to the key in the file. A SettingError identifies a tenant or
+// class by its index, the file by its name.
 func keyInFile(key string, set *admission.Settings) string {
 	parts := strings.Split(key, ".")
 	if len(parts) != 3 { // not "tenants.N.field" or "classes.N.field"
@@ -203,5 +203,5 @@
 	case "worth", "work", "aim":
 		return field + "." + set.Classes[index].Name
 	}
-	return key // of a setting that is not from this file
+	return key // the setting is not from this file
 }
--- a/internal/standalone/deployfile/admission_test.go
+++ b/internal/standalone/deployfile/admission_test.go
@@ -21,20 +21,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	written, err := parseAdmission("door.toml", text, deployment(), 7)
+	fromFile, err := parseAdmission("door.toml", text, deployment(), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	empty, err := parseAdmission("door.toml", nil, deployment(), 7)
+	defaults, err := parseAdmission("door.toml", nil, deployment(), 7)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if written.MaxQueued != empty.MaxQueued || written.MaxRetryAfter != empty.MaxRetryAfter || written.Tenants[1] != empty.Tenants[1] ||
-		written.Classes[1] != empty.Classes[1] || written.SaltRotation != empty.SaltRotation || written.RequiredTimeFactor != empty.RequiredTimeFactor {
-		t.Errorf("deploy/door.toml says %+v, without it %+v", written, empty)
+	if fromFile.MaxQueued != defaults.MaxQueued || fromFile.MaxRetryAfter != defaults.MaxRetryAfter ||
+		fromFile.Tenants[1] != defaults.Tenants[1] || fromFile.Classes[1] != defaults.Classes[1] ||
+		fromFile.SaltRotation != defaults.SaltRotation || fromFile.RequiredTimeFactor != defaults.RequiredTimeFactor {
+		t.Errorf("settings of deploy/door.toml are %+v, the defaults %+v", fromFile, defaults)
 	}
-	if empty.Tenants[0].Share != 254 || empty.Classes[1].Value != 5 {
-		t.Errorf("the deployment's shares and values: %+v", empty)
+	if defaults.Tenants[0].Share != 254 || defaults.Classes[1].Value != 5 {
+		t.Errorf("the deployment's shares and values: %+v", defaults)
 	}
 	set, err := parseAdmission("door.toml", []byte("[shares]\nkhan-air = 300.0\n[work]\nissue-policy = \"130ms\"\n[worth]\nquick-quote = 0.0"), deployment(), 7)
 	if err != nil || set.Tenants[1].Share != 300 || set.Classes[1].Work != 130_000 || set.Classes[0].Value != 0 || set.Classes[0].Work != defaultWorkMicros {
@@ -57,8 +58,8 @@
 		"waiting = 3\nwaiting = 4":        "d.toml",
 	} {
 		_, err := parseAdmission("d.toml", []byte(text), deployment(), 1)
-		var fault *tomlfile.Error
-		if !errors.As(err, &fault) || !strings.HasPrefix(err.Error(), want) {
+		var keyErr *tomlfile.Error
+		if !errors.As(err, &keyErr) || !strings.HasPrefix(err.Error(), want) {
 			t.Errorf("%q: %v, want %q", text, err, want)
 		}
 	}
--- a/internal/standalone/deployfile/fleet.go
+++ b/internal/standalone/deployfile/fleet.go
@@ -15,9 +15,10 @@
 	"pumiceline/internal/tomlfile"
 )
 
-// Fleet is deploy/fleet.toml: the members that agree on the fleet's singleton roles, and the roles.
+// Fleet is the content of deploy/fleet.toml: the members that agree on the holders of the fleet's singleton roles, and
+// the roles.
 type Fleet struct {
-	Name             string // sent with every request: members of another fleet refuse it
+	Name             string // sent with every request; members of another fleet reject it
 	Settings         singleton.Settings
 	Members          map[uint64]string // addresses by ID
 	Receivers        map[string]string // URLs to which the effects of a role go, by role
@@ -25,7 +26,7 @@
 	DiscoveryAddress string
 }
 
-// fleetFile is the form of deploy/fleet.toml.
+// fleetFile has the keys of deploy/fleet.toml.
 type fleetFile struct {
 	Name           string              `toml:"name"`
 	LeaseDuration  duration.Span       `toml:"lease"`
--- a/internal/standalone/deployfile/keylocator.go
+++ b/internal/standalone/deployfile/keylocator.go
@@ -2,7 +2,7 @@
 
 import "pumiceline/internal/tomlfile"
 
-// keyLocator makes errors that name the file, and the line of their key in it.
+// keyLocator creates errors that name the file, the key and the key's line in the file.
 type keyLocator struct {
 	path  string
 	index *tomlfile.KeyIndex
@@ -12,7 +12,7 @@
 	return &tomlfile.Error{File: k.path, Line: k.index.Line(key), Key: key, Reason: reason}
 }
 
-// checkUnits returns an error for a duration that is a bare number.
+// checkUnits returns an error if a duration is written as a number without a unit.
 func (k keyLocator) checkUnits(isDuration func(key string) bool) error {
 	for _, key := range k.index.BareNumbers {
 		if isDuration(key) {
--- a/internal/standalone/deployfile/stored_test.go
+++ b/internal/standalone/deployfile/stored_test.go
@@ -9,7 +9,7 @@
 	"pumiceline/internal/standalone/settings"
 )
 
-// A fleet's file that operators stored for an earlier version is read, with every key.
+// A fleet file that operators wrote for an earlier version is still read, with every key.
 func TestReadsFleetStoredByEarlierVersion(t *testing.T) {
 	got, err := ReadFleet("testdata/fleet.toml")
 	if err != nil {
@@ -27,8 +27,8 @@
 	}
 }
 
-// A file of admission control that operators stored for an earlier version is read, with every key. The sample has no default
-// value, so that a key that is not read is found.
+// An admission control file that operators wrote for an earlier version is still read, with every key. Each value in
+// the sample differs from its default, so that the test fails if a key is not read.
 func TestReadAdmission_StoredByEarlierVersion(t *testing.T) {
 	deployment := &settings.Settings{GroupSize: 2, OverQuotaValue: 0.2,
 		Tenants: []settings.Tenant{{Name: "steppe-tours", QuotaPerS: 254}, {Name: "khan-air", QuotaPerS: 76}},
--- a/internal/standalone/server/operations.go
+++ b/internal/standalone/server/operations.go
@@ -16,7 +16,7 @@
 	errNotAccepting = errors.New("not taking connections yet")
 )
 
-// startAdmin serves the admin API until running ends, where the configuration has an address for it.
+// startAdmin serves the admin API until running ends, if the configuration has an address for it.
 func (s *server) startAdmin(running, stop context.Context) error {
 	if s.cfg.AdminListen == "" {
 		return nil
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// ready returns nil when this process can serve, else the reason why not.
+// ready returns nil if this process can serve, and otherwise the reason why it cannot.
 func (s *server) ready(stop context.Context) error {
 	switch {
 	case stop.Err() != nil:
@@ -48,15 +48,16 @@
 	return nil
 }
 
-// registerGauges adds to the metrics what is read from the parts at each scrape.
+// registerGauges registers the gauges whose values are read from the proxy's parts at each scrape.
 func (s *server) registerGauges() {
 	s.metrics.RegisterGauges(metrics.Gauges{InFlight: s.clients.InFlight, Backends: s.watcher.EndpointCount,
 		Unhealthy:  func() int { return s.engine.EjectedServers() + s.watcher.DisabledCount() },
 		TableSizes: s.tableSizes})
 }
 
-// tableSizes returns the numbers of entries in tables by ID, host, address or class: the series of svc_kept. Each of them
-// decreases again with what it counts, or has a bound of its own; docs/runbook-standalone.md says which.
+// tableSizes returns the number of entries of each table that is keyed by ID, host, address or class: the series of
+// svc_kept. Each number falls again when the counted objects are removed, or has a fixed bound;
+// docs/runbook-standalone.md says which.
 func (s *server) tableSizes() map[string]int {
 	engine, backends, clients := s.engine.TableSizes(), s.backends.TableSizes(), s.clients.TableSizes()
 	discovery := s.watcher.TableSizes()
--- a/internal/standalone/server/reload.go
+++ b/internal/standalone/server/reload.go
@@ -33,11 +33,11 @@
 	cfg       *config.Config // in force; only reload replaces it
 }
 
-// reload reads the configuration and applies it completely or not at all. The file of admission control is read with it, and
-// also where the configuration is rejected.
+// reload reads the configuration and applies it completely or not at all. It also reloads the admission control file,
+// even if the configuration is rejected.
 func (r *reloader) reload(read ReadConfig) {
-	// Read without the lock: a read may block (a pipe), and shareQuotas needs the lock. cfg is safe to read, as only reload
-	// replaces it.
+	// Read without the lock: a read may block (a pipe), and shareQuotas needs the lock. It is safe to read r.cfg here,
+	// because only reload replaces it.
 	next, err := read(r.cfg)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -48,7 +48,7 @@
 	if err == nil {
 		return
 	}
-	// A half-written or invalid file must not stop a proxy that serves.
+	// An incompletely written or invalid file must not stop a running proxy.
 	r.log.Error("configuration not reloaded, previous one stays", "error", err)
 	if r.gate == nil {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// apply checks everything that can be wrong with a configuration before it changes anything.
+// apply validates the whole configuration before it changes anything.
 func (r *reloader) apply(next *config.Config) error {
 	err := r.clients.ApplySettings(&next.Settings, func(numbered *settings.Settings) error {
 		set, err := r.policySettings(numbered)
@@ -92,15 +92,15 @@
 	return nil
 }
 
-// policySettings converts settings to those of the policy. While several processes of this proxy serve, the group counts each
-// of them as a proxy, so that together they use the slow-start budgets and tenants' quotas of one.
+// policySettings converts settings to those of the policy. While several processes of this proxy serve, GroupSize
+// counts each of them as a proxy, so that together they use the slow-start budgets and tenants' quotas of one proxy.
 func (r *reloader) policySettings(s *settings.Settings) (policy.Settings, error) {
 	set, err := config.PolicySettings(s)
 	set.GroupSize = max(1, set.GroupSize) * max(1, r.processes)
 	return set, err
 }
 
-// shareQuotas applies the number of processes that serve to the policy.
+// shareQuotas tells the policy how many processes of this proxy serve.
 func (r *reloader) shareQuotas(processes int) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +139,7 @@
 	return names
 }
 
-// changedStartupKeys returns the keys that differ and are read at the start only.
+// changedStartupKeys returns the keys that differ between two configurations and take effect only at the start.
 func changedStartupKeys(old, next *config.Config) []string {
 	var keys []string
 	for _, k := range []struct {
--- a/internal/standalone/server/restart_test.go
+++ b/internal/standalone/server/restart_test.go
@@ -55,7 +55,7 @@
 // start starts a proxy that inherits the socket.
 func (c *restartCluster) start() *runningProxy {
 	c.t.Helper()
-	free := listen(c.t, "127.0.0.4") // an address of its own: a connection of another test can't take the port
+	free := listen(c.t, "127.0.0.4") // a separate IP address: a connection of another test can't take the port
 	admin := free.Addr().String()
 	fd, err := syscall.Dup(int(c.socket.Fd()))
 	if err != nil {
@@ -103,7 +103,7 @@
 	})
 }
 
-// startLoad has clients send requests in a closed loop until stop is called. None may fail.
+// startLoad runs clients that send requests in a closed loop until stop is called. Each failed request is a test error.
 func (c *restartCluster) startLoad(clients int) (stop func()) {
 	c.t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// Successors take over on one inherited socket under load: no request is rejected or lost, and a backend disabled at the old
-// process is disabled at the new one, also after the old one has ended and another restart has followed.
+// Successors take over on one inherited socket under load. No request is rejected or lost. A backend that is disabled
+// at the old process is disabled at the new one, also after the old one has ended and after a second restart.
 func TestRun_HotRestartUnderLoad(t *testing.T) {
 	c := newRestartCluster(t)
 	old := c.start()
@@ -170,7 +170,7 @@
 		old = next
 	}
 
-	// A successor that is stopped before it is ready leaves the old proxy as it is.
+	// A successor that is stopped before it is ready does not affect the old proxy.
 	aborted := c.start()
 	aborted.stop()
 	if err := <-aborted.ended; err != nil {
@@ -181,7 +181,7 @@
 	disabledServed, otherServed := disabled.Served(), other.Served()
 	waitUntil(t, "100 more requests served by another backend", func() bool { return other.Served() >= otherServed+100 })
 	if now := disabled.Served(); now != disabledServed {
-		t.Errorf("the disabled backend had %d more requests", now-disabledServed)
+		t.Errorf("the disabled backend served %d more requests", now-disabledServed)
 	}
 	if status, _ := c.callAdmin(old, "POST", "backends/toy-1/resume"); status != 200 {
 		t.Errorf("resume: %d", status)
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -28,7 +28,7 @@
 	// discoveryTimeout is how long a process that takes over from another waits for discovery to confirm the endpoint
 	// list before it serves with the configuration's own list.
 	discoveryTimeout = 3500 * time.Millisecond
-	// discoveryPollInterval is how often it checks whether discovery has.
+	// discoveryPollInterval is how often it checks whether discovery has confirmed the list.
 	discoveryPollInterval = 10 * time.Millisecond
 )
 
@@ -49,7 +49,7 @@
 	Dial(ctx context.Context, addr string, deadline time.Time) (net.Conn, error)
 }
 
-// tcp is the network of the machine.
+// tcp is the Network of a running proxy: TCP sockets of the host.
 type tcp struct{}
 
 // Listen implements Network.
@@ -62,7 +62,7 @@
 
 // server is one running proxy.
 type server struct {
-	cfg     *config.Config // as at the start; the reloader has the one in force
+	cfg     *config.Config // as read at the start; the reloader has the one in force
 	opts    Options
 	log     *slog.Logger
 	sockets socketBudget
@@ -147,8 +147,8 @@
 		s.watcher.ShareMaintenance(folder)
 	}
 	s.process = hotrestart.NewProcess(folder, s.cfg.Limits.MemoryMB, s.log)
-	if err := s.process.Join(); err != nil { // an unusable folder must not stop a proxy: it runs as if alone
-		s.log.Error("join of the other processes failed", "error", err)
+	if err := s.process.Join(); err != nil { // an unusable folder must not stop a proxy: it runs as the only process
+		s.log.Error("shared folder unusable, other processes are not visible", "error", err)
 	}
 }
 
@@ -182,7 +182,7 @@
 	s.process.Connect(hotrestart.Hooks{SocketUsage: s.socketUsage, ShareQuotas: s.shareQuotas, Policy: s.engine})
 }
 
-// listen opens the clients' listening socket, or takes the one that was passed on to this process.
+// listen opens the listening socket for clients, or uses the one that this process has inherited.
 func (s *server) listen() (net.Listener, error) {
 	if s.cfg.ListenFD != 0 {
 		return hotrestart.InheritListener(s.cfg.ListenFD)
@@ -192,7 +192,7 @@
 
 // run starts the goroutines and serves clients from ln until stop ends.
 func (s *server) run(stop context.Context, ln net.Listener) error {
-	// Not ended by stop: discovery and the policy's timers are needed until the last request has ended.
+	// running does not end with stop: discovery and the policy's timers are needed until the last request has ended.
 	running, cancel := context.WithCancel(context.WithoutCancel(stop))
 	defer cancel()
 	s.watcher.Start(s.engine, s.cfg.KnownEndpoints)
@@ -205,7 +205,7 @@
 	err := s.serveClients(stop, ln)
 	cancel()
 	s.background.Wait()
-	s.log.Info("ended", "error", err)
+	s.log.Info("proxy ended", "error", err)
 	return err
 }
 
@@ -217,7 +217,8 @@
 	if s.gate != nil {
 		s.background.Go(func() { s.gate.Run(running) })
 	}
-	// Not in background, which run waits for: reading a configuration file may block (a pipe) and must not delay the end.
+	// Not part of s.background, because run waits for that: reading a configuration file may block (a pipe) and must
+	// not delay the end of the process.
 	go s.reloadOnSignals(running)
 }
 
@@ -248,9 +249,10 @@
 	return s.clients.Serve(stop, ln)
 }
 
-// awaitEndpoints waits until discovery has sent or confirmed the endpoint list; false if stop ended before. Without that, this
-// process could send requests to backends of which the one that it takes over from knows that they are draining. If discovery
-// does not respond, the configuration's own list is used after discoveryTimeout; without one it goes on waiting.
+// awaitEndpoints waits until discovery has sent or confirmed the endpoint list. It returns false if stop ends first.
+// Without the wait, this process could send requests to backends that are draining, which the old process has learned
+// from discovery and the configuration's own list may not show. If discovery does not respond, the configuration's own
+// list is used after discoveryTimeout. Without such a list, awaitEndpoints continues to wait.
 func awaitEndpoints(stop context.Context, watcher *discovery.Watcher) bool {
 	timeout, ticker := time.NewTimer(discoveryTimeout), time.NewTicker(discoveryPollInterval)
 	defer timeout.Stop()
--- a/internal/standalone/server/server_test.go
+++ b/internal/standalone/server/server_test.go
@@ -31,22 +31,23 @@
 	return ln
 }
 
-// waitUntil polls a condition that other goroutines bring about; the test's own time limit ends a vain wait.
-func waitUntil(t *testing.T, what string, ok func() bool) {
+// waitUntil polls until other goroutines have made a condition true. If they never do, the time limit of go test ends
+// the test.
+func waitUntil(t *testing.T, description string, ok func() bool) {
 	t.Helper()
 	for !ok() {
 		if t.Context().Err() != nil {
-			t.Fatal("condition never held:", what)
+			t.Fatal("condition never held:", description)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// The example's configuration serves the example's backends, end to end: the proxy is ready only with an endpoint list, and a
-// request in flight when it is stopped is still answered.
+// A proxy with the example's configuration serves the example's backends, end to end. It becomes ready once it has an
+// endpoint list, and completes a request that is in flight when it is stopped.
 func TestRun_CompletesRequestInFlightAtStop(t *testing.T) {
 	const fakesHost = "127.0.0.1"
-	discovery, free := listen(t, fakesHost), listen(t, "127.0.0.2") // an address of its own: no other can take the port
+	discovery, free := listen(t, fakesHost), listen(t, "127.0.0.2") // a separate IP address: no other connection can take the port
 	cfg, err := config.Load(exampleConfig, func(name string) string {
 		return map[string]string{"ROUTER_LISTEN": free.Addr().String(), "ROUTER_DISCOVERY": discovery.Addr().String()}[name]
 	})
@@ -101,14 +102,14 @@
 	requestStop()
 	close(proceed)
 	if got := <-answered; !strings.HasPrefix(got, "200 OK toy-") || !strings.Contains(got, "POST /issue-policy?a=%zz with 4 bytes") {
-		t.Errorf("answer: %s", got)
+		t.Errorf("response: %s", got)
 	}
 	if err := <-ended; err != nil {
 		t.Errorf("Run: %v", err)
 	}
 }
 
-// A reload moves the watch to the address of discovery in the file; a file that is not usable changes nothing.
+// A reload moves the watch to the address of discovery in the file. An invalid file changes nothing.
 func TestRun_ReloadMovesDiscoveryWatch(t *testing.T) {
 	first, second, free := listen(t, "127.0.0.1"), listen(t, "127.0.0.1"), listen(t, "127.0.0.3")
 	watched := make(chan string, 9)
--- a/internal/standalone/server/soak_test.go
+++ b/internal/standalone/server/soak_test.go
@@ -24,7 +24,7 @@
 	"pumiceline/internal/standalone/maintenance"
 )
 
-// Addresses of a soak, on its network in memory.
+// Addresses in the soak's in-memory network.
 const (
 	soakDiscovery = "10.0.0.1:8500"
 	soakProxy     = "10.0.0.2:7070"
@@ -33,7 +33,7 @@
 
 const (
 	soakDuration = time.Hour
-	// soakSettleTime is the time after which all that was in flight or idle has ended.
+	// soakSettleTime is the time after which all requests in flight have ended and all idle connections are closed.
 	soakSettleTime = 20 * time.Second
 	// soakScrapes is how many scrapes a measurement takes.
 	soakScrapes = 5
@@ -58,8 +58,9 @@
 	client                 *http.Client
 }
 
-// An hour in which backends, classes, clients and watches come and go, on a fake clock: tables by ID, host, address or class are
-// no larger at its end than after its first tenth, nor are goroutines, connections and the heap.
+// The proxy runs for an hour on a fake clock while backends, classes, clients and watches are added and removed. At the
+// end, the tables by ID, host, address or class, the goroutines, the connections and the heap must not have grown by
+// more than growthTolerance since the end of the first tenth.
 func TestSoak_TablesDoNotGrow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fakes, stopFakes := context.WithCancel(t.Context())
@@ -78,12 +79,12 @@
 		if len(late) < 20 {
 			t.Errorf("only %d figures: %v", len(late), late)
 		}
-		for name, was := range early {
+		for name, earlyValue := range early {
 			if strings.Contains(name, "connections") && late[name] > 0 {
-				t.Errorf("%s: %v are idle for longer than they can be reused", name, late[name])
+				t.Errorf("%s: %v are still open after all idle connections should be closed", name, late[name])
 			}
-			if late[name] > was+growthTolerance(name, was) {
-				t.Errorf("%s grew from %v to %v", name, was, late[name])
+			if late[name] > earlyValue+growthTolerance(name, earlyValue) {
+				t.Errorf("%s grew from %v to %v", name, earlyValue, late[name])
 			}
 		}
 		sent, served, reloaded := s.sent.Load(), s.served.Load(), s.reloaded.Load()
@@ -190,8 +191,8 @@
 	return &next, err
 }
 
-// run sends requests for the duration of the soak, and changes backends and classes meanwhile. It returns the figures after
-// the first tenth.
+// run sends requests for the duration of the soak, and changes backends and classes meanwhile. It returns the figures
+// measured after the first tenth.
 func (s *soak) run() (early map[string]float64) {
 	start := time.Now()
 	for n := 1; time.Since(start) < soakDuration; n++ {
@@ -210,8 +211,8 @@
 	return early
 }
 
-// request sends the n-th request: some are canceled by the client, some have a body too long to be buffered, some are of a
-// class that a reload has added and another one will remove.
+// request sends the n-th request. Some requests are canceled by the client, some have a body too long to be buffered,
+// and some are of a class that one reload has added and the next one will remove.
 func (s *soak) request(n int) {
 	s.t.Helper()
 	timeout := 1500 * time.Millisecond
@@ -248,8 +249,8 @@
 	}
 }
 
-// measure returns the least of a few scrapes of each figure. On a busy machine single scrapes have more (goroutines of the
-// scrape that have not ended, entries of a sync.Pool); a leak is in every scrape.
+// measure returns the minimum of each figure over several scrapes. On a busy machine a single scrape may show more
+// (goroutines of the scrape that have not ended, entries of a sync.Pool). A leak shows in every scrape.
 func (s *soak) measure() map[string]float64 {
 	least := s.scrape()
 	for range soakScrapes - 1 {
@@ -260,7 +261,7 @@
 	return least
 }
 
-// scrape returns table sizes, goroutines and the heap as the admin API shows them once all has settled.
+// scrape returns table sizes, goroutines and the heap from the admin API after soakSettleTime.
 func (s *soak) scrape() map[string]float64 {
 	s.t.Helper()
 	time.Sleep(soakSettleTime)
@@ -289,15 +290,15 @@
 	return figures
 }
 
-// growthTolerance is how much more of a figure there may be at the end of the soak.
-func growthTolerance(name string, was float64) float64 {
+// growthTolerance is by how much a figure may grow between the first tenth and the end of the soak.
+func growthTolerance(name string, earlyValue float64) float64 {
 	switch name {
 	case "go_goroutines":
-		return 2 // of the scrape itself
+		return 2 // goroutines of the scrape itself
 	case "go_memstats_heap_alloc_bytes":
-		return 0.5 * was // the fake discovery keeps all its changes
+		return 0.5 * earlyValue // the fake discovery keeps all its changes
 	case `svc_kept{what="suspension_names"}`:
-		return maintenance.MaxBackends // which is its bound
+		return maintenance.MaxBackends // the bound of this table
 	}
 	return 0
 }
--- a/internal/standalone/server/sockets.go
+++ b/internal/standalone/server/sockets.go
@@ -8,23 +8,24 @@
 	// the admin API, discovery, a dial in progress and the runtime.
 	clientFraction  = 0.55
 	backendFraction = 0.35
-	// backendReserve is the part of backendFraction that clients never use, and backendHeadroom how much over the backend
-	// connections that are open now they leave unused. The rest of backendFraction they may use.
+	// Clients may also use the part of backendFraction that backends do not need. They always leave backendReserve
+	// unused, and at least backendHeadroom beyond the backend connections that are open now.
 	backendReserve  = 0.15
 	backendHeadroom = 0.08
 	// adminFraction is for the admin API, within minAdminSockets and maxAdminSockets.
 	adminFraction   = 1.0 / 32
 	minAdminSockets = 4
 	maxAdminSockets = 12
-	// guaranteedFraction is the part of clientFraction and of backendFraction that a process may use whatever the other
-	// processes of the proxy use: a successor must be able to serve beside a process that has used up the budget.
+	// guaranteedFraction is the part of clientFraction and of backendFraction that a process may always use, regardless
+	// of the other processes of the proxy: a successor must be able to serve beside a process that has used up the
+	// budget.
 	guaranteedFraction = 0.25
 )
 
 // socketBudget is the number of sockets that all processes of the proxy may have open together.
 type socketBudget float64
 
-// clientShare is the number of client sockets that are allowed in any case.
+// clientShare is the number of client sockets that are always allowed where there is no other process.
 func (b socketBudget) clientShare() int { return int(b * clientFraction) }
 
 // backendShare is the number of backend connections that are allowed where there is no other process.
@@ -35,15 +36,16 @@
 	return int(max(minAdminSockets, min(maxAdminSockets, b*adminFraction)))
 }
 
-// clientLimit is the number of client sockets allowed now: the clients' fraction, or more where backends do not use theirs,
-// less the client sockets of the other processes.
+// clientLimit is the number of client sockets allowed now: clientFraction, or more while backends do not use
+// backendFraction, minus the client sockets of the other processes, but at least guaranteedFraction of clientFraction.
 func (b socketBudget) clientLimit(backendConnections int, peers hotrestart.SocketUsage) int {
 	used := socketBudget(backendConnections+peers.Backends) + b*backendHeadroom
 	spare := b*(clientFraction+backendFraction) - max(b*backendReserve, used)
 	return max(int(max(b*clientFraction, spare))-peers.Clients, int(b*clientFraction*guaranteedFraction))
 }
 
-// backendLimit is the number of backend connections allowed now.
+// backendLimit is the number of backend connections allowed now: backendFraction minus the connections of the other
+// processes, but at least guaranteedFraction of it.
 func (b socketBudget) backendLimit(peers hotrestart.SocketUsage) int {
 	return max(b.backendShare()-peers.Backends, int(b*backendFraction*guaranteedFraction))
 }
--- a/internal/standalone/server/sockets_test.go
+++ b/internal/standalone/server/sockets_test.go
@@ -14,10 +14,10 @@
 		peers    hotrestart.SocketUsage
 		want     int
 	}{
-		{"idle backends lend all over their reserve", 0, hotrestart.SocketUsage{}, 750},
-		{"backends in use keep their headroom", 200, hotrestart.SocketUsage{}, 620},
-		{"clients keep their own fraction", 350, hotrestart.SocketUsage{}, 550},
-		{"sockets of peers are taken off", 100, hotrestart.SocketUsage{Clients: 200, Backends: 100}, 420},
+		{"clients use all but the reserve of idle backends", 0, hotrestart.SocketUsage{}, 750},
+		{"clients leave headroom over open backend connections", 200, hotrestart.SocketUsage{}, 620},
+		{"clients always have their own fraction", 350, hotrestart.SocketUsage{}, 550},
+		{"sockets of peers are subtracted", 100, hotrestart.SocketUsage{Clients: 200, Backends: 100}, 420},
 		{"a quarter is guaranteed", 0, hotrestart.SocketUsage{Clients: 900}, 137},
 	} {
 		t.Run(c.name, func(t *testing.T) {
