--- a/internal/standalone/deployfile/admission.go
+++ b/internal/standalone/deployfile/admission.go
@@ -17,8 +17,8 @@
 	"pumiceline/internal/tomlfile"
 )
 
-// admissionFile is deploy/door.toml, the settings of admission control. admission.Settings documents the fields; an absent
-// key has the value of admission.Defaults.
+// admissionFile is deploy/door.toml, the settings of admission control. admission.Settings documents the fields; an
+// absent key has the value of admission.Defaults.
 type admissionFile struct {
 	MaxQueued          int                      `toml:"waiting"`
 	QueuesPerClass     int                      `toml:"buckets"`
@@ -47,12 +47,13 @@
 	return key == maxRetryAfterKey || key == saltRotationKey || strings.HasPrefix(key, workKeyPrefix)
 }
 
-// defaultWorkMicros is the expected work of a request, in microseconds on a standard core, of a class that the file does not
-// name.
+// defaultWorkMicros is the expected work of a request of a class that the file does not name, in microseconds on a
+// standard core.
 const defaultWorkMicros = 100_000
 
 // ReadAdmission reads the file of admission control for a deployment's settings. A tenant without a share in the file
-// has its quota for a share, a class without a value that of the settings. An invalid file is a *tomlfile.Error.
+// has its quota as its share; a class without a value has the value in the settings. An invalid file is a
+// *tomlfile.Error.
 func ReadAdmission(path string, s *settings.Settings, seed uint64) (admission.Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -116,7 +117,7 @@
 	set.SaltRotation = admission.Time(f.SaltRotation)
 }
 
-// tenants returns the tenants of a deployment. A deployment without tenants has one.
+// tenants returns the tenants of a deployment, or one tenant without a name if it has none.
 func (f *admissionFile) tenants(s *settings.Settings) []admission.Tenant {
 	if len(s.Tenants) == 0 {
 		return []admission.Tenant{{Name: "", Share: 1}}
@@ -177,7 +178,7 @@
 	return nil
 }
 
-// locate returns the error of admission.Settings.Check with its place in the file.
+// locate adds the file, line and key to an error of admission.Settings.Check.
 func (k keyLocator) locate(err error, set *admission.Settings) error {
 	var invalid *admission.SettingError
 	if !errors.As(err, &invalid) {
--- a/internal/standalone/discoverycache/list.go
+++ b/internal/standalone/discoverycache/list.go
@@ -20,7 +20,8 @@
 	errDeletedEntry = errors.New("complete list has a deleted entry")
 )
 
-// List is the endpoint list as it was received last, with the latest changes. It does no I/O and is not safe for concurrent use.
+// List is the endpoint list as it was received last, with the latest changes. It does no I/O and is not safe for
+// concurrent use.
 //
 // The list has its own versions: each change of an entry is one version. They start above those of any earlier process
 // at the same address, so that a client that sends a version of an earlier process gets the complete list.
--- a/internal/standalone/discoverycache/stored_test.go
+++ b/internal/standalone/discoverycache/stored_test.go
@@ -18,8 +18,8 @@
 	entryDeleted = `{"host":"quote-01","dial":"10.0.0.1:80","site":"a","class":"std-8","block":5,"health":"DELETED","share":1.5,"born_ms":1700000000000}`
 )
 
-// The list is not stored on disk. The lease holder's cache sends it to the others line by line; testdata/lines.json holds such
-// lines as an earlier version sends them.
+// The list is not stored on disk. The lease holder's cache sends it to the others line by line; testdata/lines.json
+// holds such lines as an earlier version sends them.
 func TestReadsLinesSentByEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/lines.json")
 	if err != nil {
--- a/internal/standalone/engine/timer.go
+++ b/internal/standalone/engine/timer.go
@@ -71,7 +71,7 @@
 	return e.timers[0].due
 }
 
-// timerQueue is a heap.Interface of timers, by when they are due.
+// timerQueue is a heap.Interface of timers, ordered by due, then by seq.
 type timerQueue []timer
 
 func (q timerQueue) Len() int { return len(q) }
--- a/internal/standalone/hotrestart/inherited_listener.go
+++ b/internal/standalone/hotrestart/inherited_listener.go
@@ -21,8 +21,8 @@
 	closed atomic.Bool
 }
 
-// InheritListener wraps the listening socket that was inherited as a descriptor (ROUTER_FD). Closing the listener leaves the
-// socket open and listening for the other processes that hold it.
+// InheritListener wraps the listening socket that was inherited as a descriptor (ROUTER_FD). Closing the listener
+// leaves the socket open and listening for the other processes that hold it.
 func InheritListener(fd int) (net.Listener, error) {
 	if err := syscall.SetNonblock(fd, true); err != nil { // os.NewFile registers only non-blocking files with the poller
 		return nil, fmt.Errorf("ROUTER_FD: %d is no descriptor: %w", fd, err)
--- a/internal/standalone/hotrestart/presence.go
+++ b/internal/standalone/hotrestart/presence.go
@@ -10,7 +10,7 @@
 	"syscall"
 )
 
-// Stage is the phase in which a process is. Its value is the first byte of the presence file.
+// Stage is the current phase of a process. Its value is the first byte of the presence file.
 type Stage byte
 
 // Stages of a process, in order.
--- a/internal/standalone/hotrestart/process.go
+++ b/internal/standalone/hotrestart/process.go
@@ -1,7 +1,7 @@
 // Package hotrestart coordinates the processes of one proxy while a new version takes over from an old one. Both accept
-// connections from one listening socket, which the platform passes to each of them. They find each other by presence files in
-// a shared folder, divide the limits of the machine and the quotas of the proxy between them, and the old process publishes
-// what its policy has learned, so that the new one does not start cold.
+// connections from one listening socket, which the platform passes to each of them. They find each other by presence
+// files in a shared folder, divide the limits of the machine and the quotas of the proxy between them, and the old
+// process publishes what its policy has learned, so that the new one does not start cold.
 //
 // process.go has the Process, presence.go the presence files, learned_state.go the policy's learned state,
 // shared_folder.go the folder, inherited_listener.go the socket.
@@ -34,7 +34,7 @@
 	SocketUsage func() SocketUsage // of this process
 	// ShareQuotas is called at each poll with the number of processes that have requests, this one included.
 	ShareQuotas func(processes int) error
-	Policy      Policy // whose learned state is published and adopted
+	Policy      Policy // its learned state is published and adopted
 }
 
 // Process represents this process among the processes of one proxy. They share the memory equally. Sockets are not
@@ -62,7 +62,8 @@
 	return p
 }
 
-// Join makes this process visible to others and the others to it. Call it before Connect. Without a folder it does nothing.
+// Join makes this process visible to others and the others to it. Call it before Connect. Without a folder it does
+// nothing.
 func (p *Process) Join() error {
 	if p.folder == nil {
 		return nil
--- a/internal/standalone/hotrestart/shared_folder.go
+++ b/internal/standalone/hotrestart/shared_folder.go
@@ -13,8 +13,8 @@
 // maxFileBytes is the largest size of a file that Read accepts.
 const maxFileBytes = 4 << 20
 
-// SharedFolder is a folder that the processes of one proxy share. All file names begin with a hash of the proxy's identity, so
-// that several proxies may use one folder. It is safe for concurrent use.
+// SharedFolder is a folder that the processes of one proxy share. All file names begin with a hash of the proxy's
+// identity, so that several proxies may use one folder. It is safe for concurrent use.
 type SharedFolder struct {
 	prefix string // of the paths of all files
 }
--- a/internal/standalone/hotrestart/stored_test.go
+++ b/internal/standalone/hotrestart/stored_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// Presence files of processes of an earlier version are found by their names, distinguished from stale ones by their locks, and
-// read field by field.
+// Presence files of processes of an earlier version are found by their names, distinguished from stale ones by their
+// locks, and read field by field.
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
 		name, file string
--- a/internal/standalone/server/restart_test.go
+++ b/internal/standalone/server/restart_test.go
@@ -45,7 +45,7 @@
 		sharedFolder: t.TempDir(), fakes: fakes}
 }
 
-// runningProxy is a proxy in this process.
+// runningProxy is a proxy that runs in the test process.
 type runningProxy struct {
 	adminURL string
 	stop     context.CancelFunc
--- a/internal/standalone/server/server.go
+++ b/internal/standalone/server/server.go
@@ -1,5 +1,5 @@
-// Package server assembles the standalone proxy: it creates the parts from a configuration, connects them, and runs them until
-// it is stopped.
+// Package server assembles the standalone proxy: it creates the parts from a configuration, connects them, and runs
+// them until it is stopped.
 package server
 
 import (
@@ -35,21 +35,21 @@
 // Options are what Run takes besides the configuration. The zero value is valid.
 type Options struct {
 	ReloadSignals <-chan os.Signal // each signal reloads the configuration; nil: it is never reloaded
-	ReadConfig    ReadConfig       // reads it; required with ReloadSignals
+	ReadConfig    ReadConfig       // reads the configuration; required with ReloadSignals
 	AdmissionFile string           // path of the settings of admission control; empty: there is no admission control
 	Network       Network          // nil: TCP
 }
 
-// ReadConfig reads the configuration again, beside the one in use.
+// ReadConfig reads the configuration again. current is the one in use.
 type ReadConfig func(current *config.Config) (*config.Config, error)
 
-// Network is where the proxy listens and dials.
+// Network opens the listeners and connections of the proxy.
 type Network interface {
 	Listen(addr string) (net.Listener, error)
 	Dial(ctx context.Context, addr string, deadline time.Time) (net.Conn, error)
 }
 
-// tcp is the Network of a running proxy: TCP sockets of the host.
+// tcp is the default Network: TCP sockets of the host.
 type tcp struct{}
 
 // Listen implements Network.
@@ -109,7 +109,7 @@
 	return s.run(stop, ln)
 }
 
-// createGate creates admission control where there is a file for it.
+// createGate creates admission control if there is a file for it.
 func (s *server) createGate() error {
 	if s.opts.AdmissionFile == "" {
 		return nil
@@ -234,8 +234,8 @@
 	}
 }
 
-// serveClients accepts connections until stop ends and completes the requests in flight. A process that takes over waits for
-// the endpoint list first, and accepts nothing if stop ends before that.
+// serveClients accepts connections until stop ends and completes the requests in flight. A process that takes over
+// waits for the endpoint list first, and accepts nothing if stop ends before that.
 func (s *server) serveClients(stop context.Context, ln net.Listener) error {
 	if s.cfg.ListenFD != 0 && !awaitEndpoints(stop, s.watcher) {
 		return nil
--- a/internal/standalone/server/server_test.go
+++ b/internal/standalone/server/server_test.go
@@ -47,7 +47,7 @@
 // endpoint list, and completes a request that is in flight when it is stopped.
 func TestRun_CompletesRequestInFlightAtStop(t *testing.T) {
 	const fakesHost = "127.0.0.1"
-	discovery, free := listen(t, fakesHost), listen(t, "127.0.0.2") // a separate IP address: no other connection can take the port
+	discovery, free := listen(t, fakesHost), listen(t, "127.0.0.2") // a separate IP: no connection takes the port
 	cfg, err := config.Load(exampleConfig, func(name string) string {
 		return map[string]string{"ROUTER_LISTEN": free.Addr().String(), "ROUTER_DISCOVERY": discovery.Addr().String()}[name]
 	})
--- a/internal/standalone/server/sockets.go
+++ b/internal/standalone/server/sockets.go
@@ -4,12 +4,12 @@
 
 // Fractions of the socket budget (limits.sockets).
 const (
-	// clientFraction is for client sockets and backendFraction for connections to backends. The rest is for the listener,
-	// the admin API, discovery, a dial in progress and the runtime.
+	// clientFraction is for client sockets and backendFraction for connections to backends. The rest is for the
+	// listener, the admin API, discovery, a dial in progress and the runtime.
 	clientFraction  = 0.55
 	backendFraction = 0.35
-	// Clients may also use the part of backendFraction that backends do not need. They always leave backendReserve
-	// unused, and at least backendHeadroom beyond the backend connections that are open now.
+	// Clients may also use the part of backendFraction that backends do not need. Of backendFraction they leave
+	// unused at least backendReserve, and at least the open backend connections plus backendHeadroom.
 	backendReserve  = 0.15
 	backendHeadroom = 0.08
 	// adminFraction is for the admin API, within minAdminSockets and maxAdminSockets.
