--- a/internal/standalone/discoverycache/stored_test.go
+++ b/internal/standalone/discoverycache/stored_test.go
@@ -18,8 +18,8 @@
 	entryDeleted = `{"host":"quote-01","dial":"10.0.0.1:80","site":"a","class":"std-8","block":5,"health":"DELETED","share":1.5,"born_ms":1700000000000}`
 )
 
-// The list is not stored on disk. The lease holder's cache sends it to the others line by line; testdata/lines.json holds such
-// lines as an earlier version sends them.
+// The list is not stored on disk. The lease holder's cache sends it to the others line by line; testdata/lines.json
+// holds such lines as an earlier version sends them.
 func TestReadsLinesSentByEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/lines.json")
 	if err != nil {
@@ -44,8 +44,8 @@
 	}
 }
 
-// A cache follows a holder of an earlier version: it watches that one's address and path, compares its token, and applies its
-// lines.
+// A cache follows a holder of an earlier version: it watches the holder's address and path, compares the holder's
+// token, and applies its lines.
 func TestCache_FollowsHolderOfEarlierVersion(t *testing.T) {
 	text, err := os.ReadFile("testdata/lines.json")
 	if err != nil {
@@ -73,7 +73,7 @@
 			addr := holder.Listener.Addr().String()
 			cache := New(Options{Holder: func() Holder { return Holder{Address: addr, Token: 7} }}, time.UnixMicro(1))
 			if err := cache.follow(t.Context(), cache.chooseSource()); err == nil {
-				t.Fatal("the end of the watch is no error")
+				t.Fatal("follow returned no error at the end of the watch")
 			}
 			got := cache.since(0)
 			if got.update.Version = 0; !reflect.DeepEqual(got.update, c.want) || got.discoveryVersion != c.discoveryVersion {
