--- a/internal/standalone/admin/api.go
+++ b/internal/standalone/admin/api.go
@@ -1,6 +1,7 @@
-// Package admin is the admin API for operators: readiness, metrics, and disabling of backends. Each connection carries one
-// request, which is answered within a second whatever the load. The API has a few connections of its own, apart from those of
-// clients and backends. When all are in use, the oldest one without a complete request is closed for the next one.
+// Package admin is the admin API for operators: readiness, metrics, and disabling of backends. Each connection carries
+// one request, which is answered within a second at any load of the proxy. For this the API has a few connections of
+// its own, apart from those of clients and backends. When all are in use, the oldest one without a complete request is
+// closed to make room for a new one.
 package admin
 
 import (
@@ -19,18 +20,18 @@
 )
 
 const (
-	// requestTimeout is how long a complete request may take, from the start of its connection.
+	// requestTimeout bounds the time from the start of a connection to the last byte of its request.
 	requestTimeout = time.Second
-	// responseTimeout is how long a client may then take to read the response.
+	// responseTimeout is how long a client may take to read the response after that.
 	responseTimeout = 3 * time.Second
 	// maxBodyBytes and maxHeaderBytes bound the size of a request.
 	maxBodyBytes   = 4 << 10
 	maxHeaderBytes = 8 << 10
 )
 
-// Options are what an API needs.
+// Options configure an API.
 type Options struct {
-	Ready          func() error // nil when this process can serve, else the reason why not
+	Ready          func() error // returns nil if this process can serve, else the reason
 	Metrics        http.Handler
 	Disable        func(backend string) error // discovery.Watcher.Disable, except in tests
 	Enable         func(backend string) error // discovery.Watcher.Enable
@@ -76,14 +77,14 @@
 	return nil
 }
 
-// requireCompleteRequest passes only complete requests on to next: an incomplete one must have no effect.
+// requireCompleteRequest passes only complete requests to next: a request that is cut off must have no effect.
 func requireCompleteRequest(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBodyBytes)); err != nil {
 			http.Error(w, "the body is too long or did not come whole", http.StatusBadRequest)
 			return
 		}
-		if p := r.URL.EscapedPath(); path.Clean(p) != p { // the mux would redirect, which a client may take for success
+		if p := r.URL.EscapedPath(); path.Clean(p) != p { // the mux would redirect, and a client may mistake that for success
 			http.NotFound(w, r)
 			return
 		}
@@ -94,7 +95,8 @@
 	})
 }
 
-// maintenanceHandler disables or enables the backend that a request names. The result is shown to the operator.
+// maintenanceHandler returns a handler that calls change to disable or enable the backend that a request names. The
+// response to the operator contains result.
 func (a *API) maintenanceHandler(result string, change func(backend string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		backend := r.PathValue("id")
@@ -104,7 +106,7 @@
 			http.Error(w, err.Error(), http.StatusNotFound)
 		case errors.Is(err, maintenance.ErrTooManyDisabled):
 			http.Error(w, err.Error(), http.StatusConflict)
-		case err != nil: // in force here, but not known to the other processes and to a successor
+		case err != nil: // applied here, but not stored: other processes and a successor cannot read it
 			a.opts.Log.Error("maintenance state not stored", logkey.Backend, backend, "error", err)
 			http.Error(w, "in force here, but not written down: "+err.Error(), http.StatusInternalServerError)
 		default:
--- a/internal/standalone/admin/api_test.go
+++ b/internal/standalone/admin/api_test.go
@@ -63,7 +63,7 @@
 
 func get(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: op\r\n\r\n" }
 
-// Readiness, metrics, and requests that are rejected.
+// The API serves readiness and metrics, and rejects unknown paths, wrong methods and incomplete requests.
 func TestAPI_ServesReadinessAndMetrics(t *testing.T) {
 	var ready atomic.Bool
 	registry := metrics.New()
@@ -100,8 +100,9 @@
 	}
 }
 
-// Connections without a complete request, however many, do not delay others.
-func TestAPI_ClosesIncompleteRequestsForOthers(t *testing.T) {
+// Connections without a complete request do not delay other requests, even if there are many more of them than
+// MaxConnections.
+func TestAPI_EvictsIncompleteRequests(t *testing.T) {
 	addr := startAPI(t, Options{MaxConnections: 4, Ready: func() error { return nil }})
 	for i := range 50 {
 		c, err := net.Dial("tcp", addr)
@@ -120,11 +121,12 @@
 		}
 	}
 	if took := time.Since(start); took > requestTimeout {
-		t.Errorf("20 requests took %v: they waited for incomplete ones", took)
+		t.Errorf("20 requests took %v: they waited for incomplete requests to time out", took)
 	}
 }
 
-// A request names a backend by its escaped ID; a rejected request is a 4xx.
+// A request names a backend by its escaped ID. Unknown backends, paths and methods get a 4xx, and a change that cannot
+// be stored gets a 500.
 func TestAPI_DisablesAndEnablesBackends(t *testing.T) {
 	var mu sync.Mutex
 	disabled := map[string]bool{}
@@ -146,7 +148,7 @@
 	for _, c := range []struct {
 		request  string
 		status   int
-		disabled bool // s/1, afterwards
+		disabled bool // whether s/1 is disabled afterwards
 	}{
 		{"POST /v1/backends/s%2F1/suspend", 200, true}, {"POST /v1/backends/s%2F1/suspend", 200, true},
 		{"POST /v1/backends/nobody/suspend", 404, true}, {"POST /v1/backends//suspend", 404, true},
--- a/internal/standalone/admin/connlimit.go
+++ b/internal/standalone/admin/connlimit.go
@@ -7,8 +7,8 @@
 	"sync"
 )
 
-// connLimiter bounds the number of connections. At the limit, the oldest one whose request is not complete yet is closed for
-// the next one.
+// connLimiter bounds the number of connections. At the limit, it closes the oldest connection whose request is not
+// complete yet, to make room for a new one.
 type connLimiter struct {
 	limit int
 
@@ -16,14 +16,14 @@
 	conns []*conn // in the order of their arrival
 }
 
-// newConnLimiter returns a limiter of at least one connection.
+// newConnLimiter returns a limiter that allows limit connections, but at least one.
 func newConnLimiter(limit int) *connLimiter { return &connLimiter{limit: max(1, limit)} }
 
 // conn is one connection.
 type conn struct {
 	net.Conn
 	limiter         *connLimiter
-	requestComplete bool // guarded by limiter.mu; such a connection is not closed in favour of others
+	requestComplete bool // guarded by limiter.mu; if true, the connection is not closed to make room
 }
 
 // listener limits the connections of another listener.
@@ -47,7 +47,8 @@
 	}
 }
 
-// add adds a connection. It returns false at the limit if all connections have complete requests, which are answered soon.
+// add adds a connection and reports whether there was room. There is none if all connections up to the limit have
+// complete requests; those are answered soon.
 func (l *connLimiter) add(c *conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +57,7 @@
 		if oldest < 0 {
 			return false
 		}
-		l.conns[oldest].Conn.Close() // frees the descriptor; the connection's server goroutine ends by itself
+		l.conns[oldest].Conn.Close() // frees the descriptor; net/http's goroutine ends when its read fails
 		l.conns = slices.Delete(l.conns, oldest, oldest+1)
 	}
 	l.conns = append(l.conns, c)
@@ -71,13 +72,13 @@
 	}
 }
 
-// Close implements net.Conn. The connection does not count against the limit any more.
+// Close implements net.Conn. It also removes the connection from the limiter.
 func (c *conn) Close() error {
 	c.limiter.remove(c)
 	return c.Conn.Close()
 }
 
-// markRequestComplete notes that the request is complete, so that the connection is not closed in favour of others.
+// markRequestComplete records that the request is complete, so that the connection is not closed to make room.
 func (c *conn) markRequestComplete() {
 	c.limiter.mu.Lock()
 	defer c.limiter.mu.Unlock()
@@ -90,7 +91,8 @@
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// connFrom returns the connection of a request, nil in a request that did not come through this package's listener.
+// connFrom returns the connection of the request with context ctx, or nil if the request was not accepted by this
+// package's listener.
 func connFrom(ctx context.Context) *conn {
 	c, _ := ctx.Value(connKey{}).(*conn)
 	return c
--- a/internal/standalone/forwarder/attempts.go
+++ b/internal/standalone/forwarder/attempts.go
@@ -14,17 +14,18 @@
 	"pumiceline/internal/standalone/requestbody"
 )
 
-// attempts are the attempts of one request. Its methods are called by RoundTrip alone.
+// attempts holds the attempts of one request. Its methods are called on RoundTrip's goroutine only, except run,
+// exchange and reportBodySent, which run on goroutines of start.
 type attempts struct {
 	transport *Transport
 	call      *engine.Call
 	template  backend.Attempt        // what each attempt sends
 	cancels   []context.CancelFunc   // by the attempt's number
 	running   sync.WaitGroup         // attempts without an outcome
-	responses chan *backend.Response // has a buffer for the one response that Call.Finish accepts
+	responses chan *backend.Response // buffered for the one response that Call.Finish accepts
 }
 
-// newAttempts returns the attempts of a request, of which none has begun.
+// newAttempts returns the attempts of a request, none of them started.
 func newAttempts(t *Transport, call *engine.Call, req *http.Request, info *RequestInfo) *attempts {
 	return &attempts{
 		transport: t,
@@ -38,7 +39,7 @@
 	}
 }
 
-// start begins an attempt. Its outcome is reported to the engine exactly once, whatever happens.
+// start starts an attempt. Its outcome is reported to the engine exactly once, even if it is canceled or panics.
 func (a *attempts) start(ctx context.Context, action policy.Action) {
 	ctx, cancel := context.WithCancel(ctx)
 	a.cancels = append(a.cancels, cancel)
@@ -63,7 +64,7 @@
 	})
 }
 
-// run makes an attempt and reports its outcome.
+// run makes an attempt, reports its outcome, and passes on its response if the engine accepts it.
 func (a *attempts) run(ctx context.Context, action policy.Action, attempt backend.Attempt) {
 	result := a.exchange(ctx, action.Server, attempt)
 	if result.Err != nil {
@@ -74,13 +75,13 @@
 	switch {
 	case isFinal:
 		a.responses <- result.Response
-	case result.Response != nil && result.Response.Stream != nil: // another response came first
+	case result.Response != nil && result.Response.Stream != nil: // another attempt's response was accepted before
 		result.Response.Stream.Close()
 	}
 }
 
-// reportBodySent reports to the engine when a streamed body has been sent completely: until then the backend cannot work
-// on the request. done closes when the attempt has ended.
+// reportBodySent reports to the engine when a streamed body has been sent completely, since the backend cannot work on
+// the request before. done closes when the attempt has ended.
 func (a *attempts) reportBodySent(attempt uint8, stream *requestbody.Stream, done <-chan struct{}) {
 	select {
 	case <-stream.Ended():
@@ -91,7 +92,7 @@
 	}
 }
 
-// exchange makes one exchange and survives a panic: an attempt without an outcome would leave its request open.
+// exchange makes one exchange. It recovers from a panic, as an attempt without an outcome would leave its request open.
 func (a *attempts) exchange(ctx context.Context, id policy.ServerID, attempt backend.Attempt) (result backend.Result) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -109,8 +110,8 @@
 	}
 }
 
-// cancelPending carries out the actions that are left when the request has ended: it cancels attempts, and reports those
-// that the policy has decided on since as not sent.
+// cancelPending carries out the actions that are pending when the request has ended: it cancels attempts, and reports
+// attempts that are not started yet as not sent.
 func (a *attempts) cancelPending() {
 	for {
 		select {
@@ -127,14 +128,14 @@
 	}
 }
 
-// releaseWhenDone releases the attempts' context once no attempt needs it: where the settings forbid cancelling, attempts
-// run on after the response.
+// releaseWhenDone calls release, which frees the attempts' context, once all attempts have ended. If the settings
+// forbid canceling, attempts continue after the response.
 func (a *attempts) releaseWhenDone(release context.CancelFunc) {
 	go func() {
 		a.running.Wait()
 		release()
 		select {
-		case response := <-a.responses: // it came just after the client had disconnected
+		case response := <-a.responses: // accepted just after the client had disconnected
 			if response.Stream != nil {
 				response.Stream.Close()
 			}
--- a/internal/standalone/forwarder/loadpoller.go
+++ b/internal/standalone/forwarder/loadpoller.go
@@ -18,11 +18,11 @@
 }
 
 const (
-	// pollTimeout bounds a poll. The policy polls a backend again after a second at the earliest; a report that is half a
-	// second late is of no use, and the poll's connection is better free for requests.
+	// pollTimeout bounds a poll. The policy polls a backend again after a second at the earliest. A report that is half
+	// a second late is of no use to it, and the connection of the poll is needed for requests.
 	pollTimeout = 500 * time.Millisecond
-	// maxPolls is how many polls may be in flight, at most one for each backend: polls that hang must not use up the
-	// connections that requests need.
+	// maxPolls is how many polls may be in flight, at most one for each backend. Without a bound, polls that hang could
+	// use up the connections that requests need.
 	maxPolls = 16
 )
 
@@ -40,7 +40,7 @@
 	pending map[policy.ServerID]struct{} // backends that are being polled
 }
 
-// NewLoadPoller returns a LoadPoller that asks backends. SetEngine must be called before the first Poll.
+// NewLoadPoller returns a LoadPoller that polls backends. SetEngine must be called before the first Poll.
 func NewLoadPoller(backends LoadReporter, log *slog.Logger) *LoadPoller {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &LoadPoller{backends: backends, log: log, ctx: ctx, cancel: cancel, pending: map[policy.ServerID]struct{}{}}
@@ -49,8 +49,8 @@
 // SetEngine sets the engine that gets the reports.
 func (p *LoadPoller) SetEngine(e *engine.Engine) { p.engine = e }
 
-// Poll begins a poll of a backend and returns at once. If the backend is being polled already, or maxPolls are in
-// flight, there is no poll: the policy asks again.
+// Poll starts a poll of a backend and returns at once. It does nothing if the backend is being polled already, or if
+// maxPolls polls are in flight: the policy asks again.
 func (p *LoadPoller) Poll(id policy.ServerID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +83,7 @@
 	return len(p.pending)
 }
 
-// Close cancels the polls in flight and waits for their end. Poll has no effect afterwards.
+// Close cancels the polls in flight and waits until they have ended. Poll has no effect afterwards.
 func (p *LoadPoller) Close() {
 	p.cancel()
 	p.running.Wait()
--- a/internal/standalone/forwarder/loadpoller_test.go
+++ b/internal/standalone/forwarder/loadpoller_test.go
@@ -12,7 +12,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// fakeBackends are backends of which 1 reports its load and the others hang.
+// fakeBackends are backends for load polls: backend 1 reports its load, and all others hang until the poll times out.
 type fakeBackends struct{}
 
 func (fakeBackends) PollLoad(ctx context.Context, id uint32) backend.Result {
@@ -23,8 +23,8 @@
 	return backend.Result{Outcome: policy.TimedOut, Err: ctx.Err()}
 }
 
-// A report reaches the policy. Backends that hang have one poll each, a bounded number in all, until pollTimeout; no
-// poll outlives Close.
+// A load report reaches the policy. A backend that hangs has at most one poll in flight, all backends together at most
+// maxPolls, and each poll ends at pollTimeout. No poll is in flight after Close.
 func TestLoadPoller_BoundsPollsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var events []policy.Event
@@ -47,13 +47,13 @@
 		synctest.Wait()
 		if last := events[len(events)-1]; len(events) != maxPolls+1 || events[0].Outcome != policy.TimedOut || last.Kind != policy.LoadPolled ||
 			last.Server != 1 || last.Outcome != policy.OK || len(last.Report) != 2 || poller.InFlight() != 0 {
-			t.Errorf("%d in flight, the policy was given %d events and last %+v", poller.InFlight(), len(events), last)
+			t.Errorf("%d in flight, the policy got %d events, the last %+v", poller.InFlight(), len(events), last)
 		}
 		poller.Poll(200)
 		poller.Close()
 		poller.Poll(201)
 		if len(events) != maxPolls+2 || poller.InFlight() != 0 {
-			t.Errorf("after Close %d are in flight, %d events were given", poller.InFlight(), len(events))
+			t.Errorf("after Close %d polls are in flight, the policy got %d events", poller.InFlight(), len(events))
 		}
 	})
 }
--- a/internal/standalone/forwarder/response.go
+++ b/internal/standalone/forwarder/response.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// backendResponse returns a backend's response in the form that ReverseProxy copies to the client.
+// backendResponse converts a backend's response to the http.Response that ReverseProxy copies to the client.
 func backendResponse(req *http.Request, response *backend.Response) *http.Response {
 	if response.Stream != nil {
 		return streamedResponse(req, response)
@@ -18,9 +18,10 @@
 	return bufferedResponse(req, http.StatusOK, response.Header, response.Body)
 }
 
-// streamedResponse is a response that is copied while it comes. Its length is in the header alone, and not in
-// ContentLength: ReverseProxy flushes a response of unknown length after each write, which is needed here, as the next
-// bytes may take seconds.
+// streamedResponse returns a response that is copied to the client as it arrives. Its length, if known, is in the
+// header only; ContentLength is -1, because ReverseProxy flushes after each write only if the length is unknown.
+// Without the flush the client would get the bytes that have arrived together with the next ones, which may take
+// seconds.
 func streamedResponse(req *http.Request, response *backend.Response) *http.Response {
 	resp := bufferedResponse(req, http.StatusOK, response.Header, nil)
 	resp.ContentLength, resp.Body = -1, response.Stream
@@ -31,8 +32,8 @@
 	return resp
 }
 
-// rejectedResponse is the response to a request that the policy has rejected: nothing has executed it, so that its
-// client may send it again. retryAfter is when it should, in microseconds; 0: the response has no Retry-After.
+// rejectedResponse returns the response to a request that the policy has rejected. No backend has executed the request,
+// so its client may send it again, after retryAfter microseconds; 0: the response has no Retry-After.
 func rejectedResponse(req *http.Request, retryAfter policy.Time) *http.Response {
 	resp := textResponse(req, http.StatusServiceUnavailable, "busy\n")
 	if retryAfter > 0 {
@@ -50,7 +51,7 @@
 	return bufferedResponse(req, status, http.Header{"Content-Type": {"text/plain; charset=utf-8"}}, []byte(text))
 }
 
-// bufferedResponse is a response whose body is known. It changes and keeps header.
+// bufferedResponse returns a response with a complete body. It modifies header and uses it as the response's header.
 func bufferedResponse(req *http.Request, status int, header http.Header, body []byte) *http.Response {
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	return &http.Response{
--- a/internal/standalone/forwarder/transport_test.go
+++ b/internal/standalone/forwarder/transport_test.go
@@ -19,8 +19,8 @@
 
 type policyFunc func(ev *policy.Event) []policy.Action
 
-func (s policyFunc) Handle(_ policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
-	return append(out, s(ev)...)
+func (f policyFunc) Handle(_ policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
+	return append(out, f(ev)...)
 }
 
 type exchangerFunc func(ctx context.Context, server uint32) backend.Result
@@ -47,7 +47,7 @@
 	return policy.Action{Kind: policy.SendAttempt, ID: id, Server: server}
 }
 
-// sendThenOnFailure sends to backend 1 and responds to an outcome that is not final with an action.
+// sendThenOnFailure returns a policy that sends to backend 1, and answers an outcome that is not final with a.
 func sendThenOnFailure(a policy.Action) policyFunc {
 	return func(ev *policy.Event) []policy.Action {
 		switch {
@@ -64,7 +64,7 @@
 func TestTransport_Responses(t *testing.T) {
 	served := backend.Result{Outcome: policy.OK,
 		Response: &backend.Response{Header: http.Header{}, Body: []byte("42")}}
-	full := backend.Result{Outcome: policy.Rejected}
+	rejected := backend.Result{Outcome: policy.Rejected}
 	for name, c := range map[string]struct {
 		decide policyFunc
 		first  backend.Result
@@ -73,11 +73,11 @@
 		after  string
 	}{
 		"served":                     {sendThenOnFailure(policy.Action{}), served, 200, "42", ""},
-		"retried":                    {sendThenOnFailure(sendAttempt(0, 2)), full, 200, "42", ""},
-		"rejected":                   {sendThenOnFailure(policy.Action{Kind: policy.RejectRequest, After: 350_000}), full, 503, "busy\n", "0.350"},
-		"rejected, no Retry-After":   {sendThenOnFailure(policy.Action{Kind: policy.RejectRequest}), full, 503, "busy\n", ""},
-		"rejected, long Retry-After": {sendThenOnFailure(policy.Action{Kind: policy.RejectRequest, After: 9e6}), full, 503, "busy\n", "2.500"},
-		"failed":                     {sendThenOnFailure(policy.Action{Kind: policy.FailRequest}), full, 502, "no destination could answer\n", ""},
+		"retried":                    {sendThenOnFailure(sendAttempt(0, 2)), rejected, 200, "42", ""},
+		"rejected":                   {sendThenOnFailure(policy.Action{Kind: policy.RejectRequest, After: 350_000}), rejected, 503, "busy\n", "0.350"},
+		"rejected, no Retry-After":   {sendThenOnFailure(policy.Action{Kind: policy.RejectRequest}), rejected, 503, "busy\n", ""},
+		"rejected, long Retry-After": {sendThenOnFailure(policy.Action{Kind: policy.RejectRequest, After: 9e6}), rejected, 503, "busy\n", "2.500"},
+		"failed":                     {sendThenOnFailure(policy.Action{Kind: policy.FailRequest}), rejected, 502, "no destination could answer\n", ""},
 	} {
 		resp, err := roundTrip(t.Context(), c.decide, func(_ context.Context, server uint32) backend.Result {
 			if server == 1 {
@@ -96,23 +96,23 @@
 	}
 }
 
-// A request that arrives with no time left is rejected by the policy at once; that is its response, rather than a
-// time-out.
+// The policy rejects a request that arrives with no time left at once. The response must be that rejection (503), not a
+// time-out (504).
 func TestTransport_RejectionPrecedesExpiredDeadline(t *testing.T) {
-	refuses := policyFunc(func(ev *policy.Event) []policy.Action {
+	rejectAll := policyFunc(func(ev *policy.Event) []policy.Action {
 		return []policy.Action{{Kind: policy.RejectRequest, ID: ev.ID}}
 	})
 	late, cancel := context.WithDeadline(t.Context(), time.Now())
 	defer cancel()
 	for range 50 {
-		if resp, err := roundTrip(late, refuses, nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
+		if resp, err := roundTrip(late, rejectAll, nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("%v, %v", resp, err)
 		}
 	}
 }
 
-// Attempts end before the client's deadline, so that the policy's failure still reaches the client; a request on
-// which the policy does not decide is answered at the deadline.
+// Attempts end before the client's deadline, so that the policy's failure response still reaches the client. A request
+// that the policy leaves undecided gets a 504 at the deadline.
 func TestTransport_Deadlines(t *testing.T) {
 	wait := func(ctx context.Context, _ uint32) backend.Result {
 		<-ctx.Done()
@@ -137,7 +137,7 @@
 	}
 }
 
-// When the client disconnects its attempts are canceled, as the policy decides, and each of them still has an outcome.
+// When the client disconnects, the attempts that the policy cancels end, and each of them still reports an outcome.
 func TestTransport_DisconnectCancelsAttempts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		outcomes := 0
@@ -166,10 +166,10 @@
 	})
 }
 
-// An attempt that panics has an outcome; without one its request would stay open until the deadline.
-func TestTransport_PanickingAttemptIsAReset(t *testing.T) {
+// An attempt that panics reports an outcome. Without one its request would stay open until the deadline.
+func TestTransport_PanickingAttemptHasOutcome(t *testing.T) {
 	resp, err := roundTrip(t.Context(), sendThenOnFailure(policy.Action{Kind: policy.FailRequest}),
-		func(context.Context, uint32) backend.Result { panic("a fault") })
+		func(context.Context, uint32) backend.Result { panic("test panic") })
 	if err != nil || resp.StatusCode != http.StatusBadGateway {
 		t.Errorf("%v, %v", resp, err)
 	}
@@ -181,7 +181,8 @@
 	return e(a.Body)
 }
 
-// The policy gets BodySent when the last byte of a streamed body has been sent, and not if the body breaks off.
+// The policy gets BodySent when the last byte of a streamed body has been sent. It does not get it if the body breaks
+// off.
 func TestTransport_ReportsBodySentAtEndOfStream(t *testing.T) {
 	for name, isComplete := range map[string]bool{"complete": true, "broken off": false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -201,7 +202,7 @@
 				if _, err := io.Copy(io.Discard, body.Stream); err != nil {
 					return backend.Result{Outcome: policy.ConnectFailed}
 				}
-				time.Sleep(time.Millisecond) // the backend works on it
+				time.Sleep(time.Millisecond) // the backend executes the request
 				return backend.Result{Outcome: policy.OK, Response: &backend.Response{Header: http.Header{}}}
 			})
 			ctx, disconnect := context.WithCancel(WithRequestInfo(t.Context(), in))
@@ -215,7 +216,7 @@
 			}()
 			time.Sleep(10 * time.Second) // far longer than any response takes
 			if synctest.Wait(); len(events) != 1 {
-				t.Errorf("%s: while the body comes: %v", name, events)
+				t.Errorf("%s: events while the body is being sent: %v", name, events)
 			}
 			want := []policy.EventKind{policy.RequestArrived, policy.BodySent, policy.AttemptEnded}
 			if isComplete {
@@ -227,7 +228,7 @@
 			time.Sleep(time.Second)
 			synctest.Wait()
 			if isComplete && !slices.Equal(events, want) || !isComplete && slices.Contains(events, policy.BodySent) {
-				t.Errorf("%s: the policy was given %v, want %v", name, events, want)
+				t.Errorf("%s: the policy got %v, want %v", name, events, want)
 			}
 		})
 	}
--- a/internal/standalone/metrics/metrics.go
+++ b/internal/standalone/metrics/metrics.go
@@ -1,5 +1,5 @@
-// Package metrics has the proxy's metrics: one Prometheus registry for the process. Counters are incremented by the packages
-// that know of the event; gauges are read from their owners at each scrape.
+// Package metrics contains the proxy's metrics: one Prometheus registry for the process. Counters are incremented by
+// the package in which the event occurs; gauges are read from their owners at each scrape.
 package metrics
 
 import (
@@ -18,14 +18,14 @@
 	Canceled Outcome = iota // by its client; not counted
 	Served                  // with a backend's complete response
 	Rejected                // with a busy response of the proxy
-	Failed                  // with anything else, a response that broke off included
+	Failed                  // with any other response, or one that broke off
 	outcomeCount
 )
 
-// classLabel is the label of a request's class.
+// classLabel is the name of the label for a request's class.
 const classLabel = "group"
 
-// maxRemovedClasses is how many classes that have left the settings keep their series.
+// maxRemovedClasses is how many classes that were removed from the settings keep their series.
 const maxRemovedClasses = 64
 
 // Metrics are the metrics of a process. Create them with New. They are safe for concurrent use.
@@ -66,7 +66,7 @@
 	return v
 }
 
-// RequestEnded counts a request under the class that it came with.
+// RequestEnded counts a request under the class that its client named. Canceled requests are not counted.
 func (m *Metrics) RequestEnded(class string, outcome Outcome) {
 	if outcome > Canceled && outcome < outcomeCount {
 		m.requests[outcome].WithLabelValues(class).Inc()
@@ -76,7 +76,7 @@
 // AttemptSent counts an attempt whose last byte is written.
 func (m *Metrics) AttemptSent() { m.attempts.Inc() }
 
-// ConfigReloaded counts a reload, which was applied or rejected.
+// ConfigReloaded counts a reload of the configuration as applied or rejected.
 func (m *Metrics) ConfigReloaded(applied bool) {
 	if applied {
 		m.reloads.Inc()
@@ -85,8 +85,8 @@
 	}
 }
 
-// SetClasses sets the classes of the settings. The series of new ones start at 0; those of removed ones stay until more than
-// maxRemovedClasses have been removed since.
+// SetClasses sets the classes of the settings. The series of new classes start at 0. Those of removed classes stay
+// until more than maxRemovedClasses removed classes have series; then the ones removed first are deleted.
 func (m *Metrics) SetClasses(names []string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,8 +107,8 @@
 	}
 }
 
-// updateRemoved adds to removed the classes that are not in the settings any more, and deletes from it those that are again.
-// Called with mu held.
+// updateRemoved adds the classes that are no longer in the settings to m.removed, and deletes those that are in the
+// settings again. Called with mu held.
 func (m *Metrics) updateRemoved(present map[string]bool) {
 	for name, inSettings := range m.classes {
 		if inSettings && !present[name] {
@@ -140,7 +140,7 @@
 	return len(m.classes)
 }
 
-// Handler returns the handler of a scrape: all metrics in Prometheus's text format.
+// Handler returns the HTTP handler for scrapes. It serves all metrics in Prometheus's text format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{DisableCompression: true})
 }
--- a/internal/standalone/metrics/metrics_test.go
+++ b/internal/standalone/metrics/metrics_test.go
@@ -14,7 +14,8 @@
 	return w.Body.String()
 }
 
-// Series start at 0 with their class, outlast it, continue when it is back, and are bounded.
+// The series of a class start at 0, stay when the class is removed, and continue when it is added again. The number of
+// removed classes that keep series is bounded.
 func TestMetrics_SeriesOfClasses(t *testing.T) {
 	m := New()
 	m.RegisterGauges(Gauges{
--- a/internal/standalone/requestbody/stream_test.go
+++ b/internal/standalone/requestbody/stream_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-// breakingReader returns its text and then an error.
+// breakingReader returns its text and then err.
 type breakingReader struct {
 	text io.Reader
 	err  error
@@ -33,7 +33,7 @@
 	return n, err
 }
 
-func TestStream_EndSaysHowTheBodyEnded(t *testing.T) {
+func TestStream_EndReturnsTimeAndError(t *testing.T) {
 	broken := errors.New("broken off")
 	for name, c := range map[string]struct{ readErr, want error }{
 		"complete":   {io.EOF, nil},
@@ -45,7 +45,7 @@
 				time.Sleep(time.Second)
 				select {
 				case <-s.Ended():
-					t.Error("it has ended before it was read")
+					t.Error("the stream has ended before it was read")
 				default:
 				}
 				if _, err := io.ReadAll(s); !errors.Is(err, c.want) {
@@ -54,7 +54,7 @@
 				<-s.Ended()
 				readAt := time.Now()
 				time.Sleep(time.Second)
-				_, _ = s.Read(make([]byte, 1)) // does not move the end
+				_, _ = s.Read(make([]byte, 1)) // a later read does not change the end time
 				if at, err := s.End(); !at.Equal(readAt) || !errors.Is(err, c.want) {
 					t.Errorf("ended %v after the last read with %v, want %v", at.Sub(readAt), err, c.want)
 				}
@@ -84,7 +84,7 @@
 					defer close(returned)
 					s.WatchDeadline(done, margin, func() { got = "timeout" }, func(err error) { got = err.Error() })
 				}()
-				time.Sleep(5 * time.Second) // the time-out does not count before the last byte
+				time.Sleep(5 * time.Second) // the time-out starts at the last byte, not before
 				_, _ = io.ReadAll(s)
 				endedAt := time.Now()
 				if c.doneAt > 0 {
