--- a/internal/standalone/listener/accept.go
+++ b/internal/standalone/listener/accept.go
@@ -21,7 +21,7 @@
 
 // limitListener accepts client connections up to the limit of a connTracker. At the limit it evicts an open connection
 // for the new one; where none can be evicted, it closes the new one. Without the limit the process would run out of
-// file descriptors, and net/http would then stop accepting for up to a second, with regular clients in the queue.
+// file descriptors, and net/http would then stop accepting for up to a second while regular clients wait in the queue.
 type limitListener struct {
 	net.Listener
 	tracker   *connTracker
@@ -52,7 +52,7 @@
 			return nil, err
 		case l.tracker.count() < l.tracker.limit() || l.tracker.evict():
 			return &clientConn{Conn: nc}, nil
-		default: // nothing has been read from it, so its client may safely send its request again
+		default: // nothing has been read from nc, so its client may safely send its request again
 			nc.Close()
 		}
 	}
@@ -64,8 +64,9 @@
 	return err
 }
 
-// closeWhenDrained ends Accept once no connection is queued any more: the kernel resets those that are queued when the
-// listener is closed, with the requests on them. A listener without deadlines is closed at once.
+// closeWhenDrained ends Accept once no connection is queued any more. If the listener were closed earlier, the kernel
+// would reset the queued connections, and the requests on them would be lost. A listener without deadlines is closed at
+// once.
 func (l *limitListener) closeWhenDrained() {
 	l.draining.Store(true)
 	if d, ok := l.Listener.(deadlineListener); !ok || d.SetDeadline(time.Now().Add(drainAcceptInterval)) != nil {
--- a/internal/standalone/listener/accept_test.go
+++ b/internal/standalone/listener/accept_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// slowListener accepts no connection before proceed is closed, as in a proxy that is short of CPU, and notifies when
-// it is asked to drain or close.
+// slowListener accepts no connection before proceed is closed, as in a proxy that is short of CPU. It closes
+// drainStarted when it is told to drain or close.
 type slowListener struct {
 	*net.TCPListener
 	proceed      chan struct{}
@@ -34,17 +34,17 @@
 	return l.TCPListener.Close()
 }
 
-// Connections that are still queued in the kernel at the end of the accept grace are served.
+// Connections that are still queued in the kernel at the end of acceptGrace are served.
 func TestServer_ShutdownAcceptsQueuedConnections(t *testing.T) {
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	late := &slowListener{TCPListener: tcp.(*net.TCPListener), proceed: make(chan struct{}), drainStarted: make(chan struct{})}
+	slow := &slowListener{TCPListener: tcp.(*net.TCPListener), proceed: make(chan struct{}), drainStarted: make(chan struct{})}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	server := newTestServer(respondOK, 9)
-	go func() { ended <- server.Serve(ctx, late) }()
+	go func() { ended <- server.Serve(ctx, slow) }()
 	var clients []net.Conn
 	for i := range 5 {
 		client, err := net.Dial("tcp", tcp.Addr().String())
@@ -58,8 +58,8 @@
 		clients = append(clients, client)
 	}
 	stop()
-	<-late.drainStarted
-	close(late.proceed)
+	<-slow.drainStarted
+	close(slow.proceed)
 	for i, client := range clients {
 		if resp, err := http.ReadResponse(bufio.NewReader(client), nil); err != nil || resp.StatusCode != 200 {
 			t.Errorf("client %d: %v, %v", i, resp, err)
--- a/internal/standalone/listener/bench_test.go
+++ b/internal/standalone/listener/bench_test.go
@@ -9,8 +9,8 @@
 	"pumiceline/internal/standalone/metrics"
 )
 
-// BenchmarkMetrics compares the cost of a request through the server, without sockets, with that of the metrics that
-// it counts. The ratio within one run does not depend on the machine.
+// BenchmarkMetrics compares the cost of a request through the server, without sockets, with the cost of counting it in
+// the metrics. The ratio of the two within one run does not depend on the machine.
 func BenchmarkMetrics(b *testing.B) {
 	server := newTestServer(respondOK, 9)
 	b.Run("request", func(b *testing.B) {
--- a/internal/standalone/listener/body.go
+++ b/internal/standalone/listener/body.go
@@ -11,32 +11,34 @@
 	"pumiceline/internal/standalone/requestbody"
 )
 
-// Limits on a request's body. Only the time in reads counts: a client has to wait while the backend accepts nothing.
+// Limits on a request's body. Only the time spent in reads counts: while the backend accepts no data, the proxy does
+// not read, and the client has to wait.
 const (
-	// firstBytesTimeout is how long the first bytes may take.
+	// firstBytesTimeout is how long the first bytes of a body may take.
 	firstBytesTimeout = 2 * time.Second
-	// minBodyBytesPerSecond is the average rate required from there: half of what slow clients send.
+	// minBodyBytesPerSecond is the average rate required after firstBytesTimeout: half the rate of slow clients.
 	minBodyBytesPerSecond = 32_000
-	// maxBodyPause bounds a single pause, however much came before.
+	// maxBodyPause bounds a single pause, however many bytes have been received before.
 	maxBodyPause = 5 * time.Second
-	// bodyArrivedWithHead is the longest time that the proxy, when it is busy, takes to read a body that arrived together
-	// with its head. The client's time-out counts from the head then, and from the body's last byte if it took longer.
-	bodyArrivedWithHead = 50 * time.Millisecond
+	// bodyWithHeadReadTime is the longest time that a busy proxy takes to read a body that arrived together with its
+	// head. If reading the body takes no longer than that, the client's time-out counts from the head, otherwise from
+	// the body's last byte.
+	bodyWithHeadReadTime = 50 * time.Millisecond
 	// maxPreallocatedBytes is how much memory is reserved for a body because of its Content-Length alone.
 	maxPreallocatedBytes = 16 << 10
 )
 
 var (
-	// errIncompleteBody is the client's error for a body that broke off, stalled or was malformed.
+	// errIncompleteBody is the error that a client gets for a body that broke off, stalled or was malformed.
 	errIncompleteBody error = &requestError{http.StatusBadRequest, requestbody.ErrIncomplete.Error()}
 
-	// errBodyTooSlow is the error of a read from a client that sends less than the limits above ask for.
+	// errBodyTooSlow is the error of a read from a client that sends more slowly than the limits above allow.
 	errBodyTooSlow = errors.New("the body comes too slowly")
 )
 
-// readBody reads r's body into the head's info, up to backend.MaxBufferedBody; the rest of a longer one is left to
-// info.Stream. It returns the client's deadline, timeLeft after the request's last byte. For a stream that is not known
-// yet, and the deadline is that of a body that ends now.
+// readBody reads r's body into head.info. Of a body longer than backend.MaxBufferedBody it reads only the start and
+// leaves the rest to info.Stream. It returns the client's deadline, which is timeLeft after the request's last byte.
+// With a stream the last byte is still to come, and the deadline is provisional: that of a body that ends now.
 func readBody(w http.ResponseWriter, r *http.Request, head requestHead, receivedAt time.Time) (
 	deadline time.Time, err error) {
 	info, timeLeft := head.info, head.timeLeft
@@ -47,7 +49,7 @@
 	body := &pacedBody{body: http.MaxBytesReader(w, r.Body, backend.MaxStreamedBody), conn: http.NewResponseController(w)}
 	bufferLimit := int64(backend.MaxBufferedBody)
 	if r.ContentLength < 0 {
-		bufferLimit++ // of unknown length: only a read past MaxBufferedBody shows that the body ends there
+		bufferLimit++ // unknown length: only a read past MaxBufferedBody shows whether the body ends there
 	}
 	var buffered bytes.Buffer
 	if r.ContentLength > 0 {
@@ -61,18 +63,18 @@
 		info.Stream = requestbody.New(body, r.ContentLength, timeLeft)
 		return time.Now().Add(timeLeft), nil
 	}
-	if r.ContentLength > 0 { // the LimitReader may have stopped short of the body's own end
+	if r.ContentLength > 0 { // read up to the EOF: the LimitReader may have stopped before it
 		if _, err := io.Copy(io.Discard, body); err != nil {
 			return deadline, errIncompleteBody
 		}
 	}
-	if now := time.Now(); now.Sub(receivedAt) > bodyArrivedWithHead {
+	if now := time.Now(); now.Sub(receivedAt) > bodyWithHeadReadTime {
 		deadline = now.Add(timeLeft)
 	}
 	return deadline, nil
 }
 
-// pacedBody reads a client's body and fails where it comes more slowly than the limits above allow.
+// pacedBody reads a client's body and fails if it arrives more slowly than the limits above allow.
 type pacedBody struct {
 	body     io.Reader
 	conn     *http.ResponseController
@@ -80,7 +82,7 @@
 	readTime time.Duration // spent in reads so far
 }
 
-// Read reads with a deadline. It leaves the connection without one once the body has ended.
+// Read reads with a deadline on the connection, and removes the deadline once the body has ended.
 func (p *pacedBody) Read(b []byte) (int, error) {
 	earned := time.Duration(p.received) * time.Second / minBodyBytesPerSecond
 	allowance := min(firstBytesTimeout+earned-p.readTime, maxBodyPause)
@@ -95,7 +97,7 @@
 	p.readTime += time.Since(start)
 	p.received += int64(n)
 	if err != nil {
-		_ = p.conn.SetReadDeadline(time.Time{}) // fails only on a connection that is over
+		_ = p.conn.SetReadDeadline(time.Time{}) // fails only on a closed connection
 	}
 	return n, err
 }
--- a/internal/standalone/listener/body_test.go
+++ b/internal/standalone/listener/body_test.go
@@ -15,15 +15,15 @@
 	"pumiceline/internal/standalone/forwarder"
 )
 
-// readCompleteBody returns a transport that reads a streamed body, as an attempt would, and counts its bytes.
-func readCompleteBody(got *int, ended *error) roundTripperFunc {
+// readCompleteBody returns a transport that reads a streamed body, as an attempt would, and counts the body's bytes.
+func readCompleteBody(got *int, readErr *error) roundTripperFunc {
 	return func(r *http.Request) (*http.Response, error) {
 		in := forwarder.RequestInfoFrom(r.Context())
 		*got = len(in.Body)
 		if in.Stream != nil {
 			n, err := io.Copy(io.Discard, in.Stream)
 			*got += int(n)
-			if *ended = err; err != nil {
+			if *readErr = err; err != nil {
 				<-r.Context().Done()
 				return nil, context.Cause(r.Context())
 			}
@@ -32,16 +32,16 @@
 	}
 }
 
-// A body is served however long it takes while it averages minBodyBytesPerSecond after firstBytesTimeout. A request
-// whose body stalls, breaks off or is too large is ended. The clock is fake.
+// A request is served however long its body takes, as long as the body averages minBodyBytesPerSecond after
+// firstBytesTimeout. A request whose body stalls, breaks off or is too large is ended. The clock is fake.
 func TestRequestBody_PaceLimits(t *testing.T) {
 	for name, c := range map[string]struct {
 		size        int // of the complete body
 		chunked     bool
 		piece       int           // bytes in one write
 		pause       time.Duration // between two writes
-		sent        int           // before it stops; 0: all
-		disconnects bool          // there, rather than stalls
+		sent        int           // bytes sent before the client stops; 0: all
+		disconnects bool          // at that point, instead of stalling
 		status      int           // 0: the connection ends without a response
 		maxTime     time.Duration // until the response or the end
 	}{
@@ -59,8 +59,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				got, ended := 0, error(nil)
-				server := newTestServer(readCompleteBody(&got, &ended), 9)
+				got, readErr := 0, error(nil)
+				server := newTestServer(readCompleteBody(&got, &readErr), 9)
 				ln, stop := serveOnPipes(t, server)
 				conn, r := ln.dial()
 				begun := time.Now()
@@ -103,7 +103,7 @@
 					t.Errorf("%v, %v", resp, err)
 				}
 				if c.status == 200 && got != c.size {
-					t.Errorf("%d bytes of %d were forwarded, %v", got, c.size, ended)
+					t.Errorf("%d bytes of %d were forwarded, %v", got, c.size, readErr)
 				}
 				if took > c.maxTime {
 					t.Errorf("it took %v", took)
@@ -114,10 +114,10 @@
 					t.Error(err)
 				}
 				if server.InFlight() != 0 || len(server.openIDs.ids) != 0 || server.OpenSockets() != 0 {
-					t.Error("the request has left something behind")
+					t.Error("the ended request is still in flight, or its correlation id or socket is still open")
 				}
-				if c.disconnects && (ended == nil || got != c.sent) { // the attempt that reads must see the error
-					t.Errorf("the attempt read %d bytes, %v", got, ended)
+				if c.disconnects && (readErr == nil || got != c.sent) { // the attempt that reads the body must get the error
+					t.Errorf("the attempt read %d bytes, %v", got, readErr)
 				}
 			})
 		})
@@ -131,13 +131,13 @@
 		wait time.Duration
 	}{{10, 0}, {10, time.Second}, {100_000, time.Second}} {
 		synctest.Test(t, func(t *testing.T) {
-			var over time.Time
+			var endedAt time.Time
 			server := newTestServer(func(r *http.Request) (*http.Response, error) {
 				if in := forwarder.RequestInfoFrom(r.Context()); in.Stream != nil {
 					go io.Copy(io.Discard, in.Stream)
 				}
 				<-r.Context().Done()
-				if over = time.Now(); !errors.Is(context.Cause(r.Context()), context.DeadlineExceeded) {
+				if endedAt = time.Now(); !errors.Is(context.Cause(r.Context()), context.DeadlineExceeded) {
 					t.Errorf("ended by %v", context.Cause(r.Context()))
 				}
 				return respondOK(r)
@@ -154,8 +154,8 @@
 			if _, err := http.ReadResponse(r, nil); err != nil {
 				t.Error(err)
 			}
-			if got := over.Sub(begun); got != c.wait+480*time.Millisecond {
-				t.Errorf("%d bytes, the last after %v: over after %v", c.size, c.wait, got)
+			if got := endedAt.Sub(begun); got != c.wait+480*time.Millisecond {
+				t.Errorf("%d bytes, the last after %v: ended after %v", c.size, c.wait, got)
 			}
 			conn.Close()
 			if err := <-stop(); err != nil {
--- a/internal/standalone/listener/conn.go
+++ b/internal/standalone/listener/conn.go
@@ -16,14 +16,13 @@
 )
 
 const (
-	// lateReadGrace is the deadline of a read whose bytes are in the kernel's buffer already; it is far more than such a
-	// read takes.
+	// lateReadGrace bounds a read whose bytes are in the kernel's buffer already. It is far longer than such a read.
 	lateReadGrace = 50 * time.Millisecond
-	// laterHeadExtension is how much longer than the first head on a connection a later one may take.
+	// laterHeadExtension is how much longer a later head on a connection may take than the first one.
 	laterHeadExtension = 3 * time.Second
-	// lingerTimeout is how long a connection whose writing side is closed waits for its client to close the other.
+	// lingerTimeout is how long a connection whose writing side is closed stays open for its client to close it too.
 	lingerTimeout = 500 * time.Millisecond
-	// maxLingerBytes is how much is read and discarded meanwhile.
+	// maxLingerBytes is how many bytes are read and discarded during that time.
 	maxLingerBytes = 256 << 10
 	// minAbortAge is how far in the past a read deadline must be to be the one by which net/http aborts its background
 	// read (its aLongTimeAgo, one second after the Unix epoch). Any other deadline is at most seconds old.
@@ -33,33 +32,34 @@
 // Phases of a keep-alive connection. net/http sets the idle deadline and the deadline of the next head by the same
 // call; SetReadDeadline distinguishes them by the phase.
 const (
-	phaseActive   int32 = iota // it has a request, or has not had one yet
-	phaseIdle                  // it waits for its next request; the next deadline is the idle one
-	phaseNextHead              // its idle deadline is set; the next deadline is that of a later request's head
+	phaseActive   int32 = iota // it has a request, or has not had any yet
+	phaseIdle                  // it waits for its next request; the next deadline set is the idle deadline
+	phaseNextHead              // its idle deadline is set; the next deadline set is that of a later request's head
 )
 
-// clientConn is a client connection that closes without loss. Where the proxy closes it between two requests, no
-// request has been read from it, so that its client may safely send one again; and a close does not destroy the
-// response before it. It also records how the requests on it are delimited, which net/http hides from the handler.
+// clientConn is a client connection that the proxy can close without losing a request or a response. If the proxy
+// closes it between two requests, no later request has been read from it, so its client may safely send that request
+// again. A close does not discard the response written before it. A clientConn also records how the requests on it are
+// delimited, which net/http hides from the handler.
 type clientConn struct {
 	net.Conn
 
 	mu              sync.Mutex // guards the fields up to handledRequests
 	scanner         httpframing.Scanner
 	readInProgress  bool
-	endedByProxy    bool  // what a read returns from then on is discarded
+	endedByProxy    bool  // bytes read from then on are discarded
 	handledRequests int32 // requests that have reached the handler
 
-	readAborted atomic.Bool  // net/http has aborted its background read
+	readAborted atomic.Bool  // net/http has aborted its background read with a deadline in the past
 	phase       atomic.Int32 // one of the phases above
 	lingering   atomic.Bool  // it is closed for writing and waits for its client to close
 }
 
-// Read reads from the client and scans the request heads that pass. net/http calls it on one goroutine at a time, which
+// Read reads from the client and scans the bytes for request heads. net/http calls it on one goroutine at a time, which
 // need not be the handler's.
 //
 // A read whose deadline has passed still returns bytes that are in the kernel's buffer. A proxy that is short of CPU
-// reads late: without this it would close a connection as too slow whose request has arrived in time.
+// reads late. Without this it would close a connection as too slow although the request has arrived in time.
 func (c *clientConn) Read(b []byte) (int, error) {
 	c.mu.Lock()
 	c.readInProgress = true
@@ -91,9 +91,10 @@
 	return c.endedByProxy
 }
 
-// endIfIdle ends a connection in state http.StateNew or http.StateIdle and reports whether it did: not where any part of
-// a request has arrived, read or not. The check and the decision are one step under the lock, as a request may arrive
-// between them. The caller closes the connection.
+// endIfIdle marks a connection in state http.StateNew or http.StateIdle as ended, unless any part of a request has
+// arrived, whether it has been read or not. It reports whether it did. The check and the mark are one step under the
+// lock: otherwise Read could pass a request to net/http between them, and the response would find the connection
+// closed. The caller closes the connection.
 func (c *clientConn) endIfIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -105,8 +106,8 @@
 	return true
 }
 
-// end ends a connection in state http.StateNew or http.StateIdle, also where a part of a request has arrived, and
-// reports whether it did. The caller closes the connection.
+// end marks a connection in state http.StateNew or http.StateIdle as ended, even if a part of a request has arrived,
+// and reports whether it did. The caller closes the connection.
 func (c *clientConn) end() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,30 +118,31 @@
 	return true
 }
 
-// canEnd reports whether the connection is not ended yet and a read is in progress, which then returns the end to
-// net/http. Called with mu held.
+// canEnd reports whether the connection is not ended yet and a read is in progress. That read then returns the end of
+// the connection to net/http. Called with mu held.
 func (c *clientConn) canEnd() bool { return !c.endedByProxy && c.readInProgress }
 
-// closeGracefully closes a connection that endIfIdle or end has ended: the writing side first, and the connection once
-// the client has closed too, or at lingerUntil. Bytes that arrive meanwhile are discarded: a close with unread bytes
-// would have the kernel reset the connection.
+// closeGracefully closes a connection that endIfIdle or end has marked as ended: first its writing side, and the whole
+// connection when the client has closed too, or at lingerUntil. Bytes that arrive meanwhile are read and discarded,
+// because the kernel resets a connection that is closed with unread bytes.
 func (c *clientConn) closeGracefully(lingerUntil time.Time) {
 	c.lingering.Store(true)
-	// net/http's read in progress goes on until the client's end, and its error has net/http close the connection.
+	// net/http's read in progress continues until the client closes, and its error makes net/http close the connection.
 	if !c.closeWrite() || c.Conn.SetReadDeadline(lingerUntil) != nil {
 		c.Conn.Close()
 	}
 }
 
-// closeWrite closes the writing side and reports whether it could.
+// closeWrite closes the writing side and reports whether that succeeded.
 func (c *clientConn) closeWrite() bool {
 	half, ok := c.Conn.(interface{ CloseWrite() error })
 	return ok && half.CloseWrite() == nil
 }
 
-// Close is called by net/http after the last response, or where no request came in time. It lingers: bytes that are
-// unread, or that arrive before the client knows of the end, would have the kernel reset the connection and drop the
-// part of the response that is still in its send buffer.
+// Close is called by net/http after the last response, or if no request arrived in time. It lingers: it closes the
+// writing side, then reads and discards until the client closes too. Otherwise bytes that are unread, or that arrive
+// before the client sees the close, would make the kernel reset the connection and drop the part of the response that
+// is still in its send buffer.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	ended := c.endedByProxy
@@ -156,10 +158,11 @@
 	return c.Conn.Close()
 }
 
-// SetReadDeadline is called by net/http. A deadline long past aborts net/http's background read, which Read must not
-// extend then. The deadline of a connection's first head stays as it is, so that a client that sends half a head gets
-// an error soon. The head of a later request gets laterHeadExtension more: if the connection were closed while the
-// last bytes of the head are on the way, a request that its client has sent completely would be lost.
+// SetReadDeadline is called by net/http. With a deadline that is long past net/http aborts its background read; Read
+// must not extend such a deadline. The deadline of a connection's first head stays as it is, so that a client that
+// sends half a head gets an error soon. The head of a later request gets laterHeadExtension more: if the connection
+// were closed while the last bytes of the head are on the way, a request that its client has sent completely would be
+// lost.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.readAborted.Store(!t.IsZero() && time.Since(t) > minAbortAge)
 	switch {
@@ -179,15 +182,15 @@
 	return context.WithValue(ctx, connContextKey{}, nc)
 }
 
-// clientDisconnected reports whether a request's client has closed its connection, or its half of it. net/http detects
-// that by a background read of one byte: too late where the end arrives together with the request, and never where
-// further bytes follow the request, as the read returns one of those.
+// clientDisconnected reports whether a request's client has closed its connection, or its sending half. net/http
+// detects that by a background read of one byte. That is too late if the close arrives together with the request, and
+// detects nothing if further bytes follow the request, since the read returns one of those.
 func clientDisconnected(r *http.Request) bool {
 	c, ok := r.Context().Value(connContextKey{}).(*clientConn)
 	return ok && socket.HasPeerClosed(c.Conn)
 }
 
-// bodyFraming says how the client delimited a request's body. net/http hides both from the handler.
+// bodyFraming tells how the client delimited a request's body. net/http hides both fields from the handler.
 type bodyFraming struct {
 	hasTransferEncoding bool
 	hasContentLengthToo bool
--- a/internal/standalone/listener/conn_test.go
+++ b/internal/standalone/listener/conn_test.go
@@ -19,37 +19,37 @@
 	"pumiceline/internal/socket"
 )
 
-// pausingConn is a TCP connection that pauses where a test asks for it: in a read that has brought bytes, before it
-// returns. It notifies of the end of writing.
+// pausingConn is a TCP connection. While isPausing is set, a Read that has received bytes pauses before it returns. The
+// connection closes writeClosed when its writing side is closed.
 type pausingConn struct {
 	*net.TCPConn
 	isPausing     atomic.Bool
-	paused        chan struct{} // a value for each read that pauses
-	proceed       chan struct{} // lets one of them return
+	paused        chan struct{} // receives a value for each read that pauses
+	proceed       chan struct{} // each value lets one paused read return
 	writeClosed   chan struct{} // closed with CloseWrite or Close
 	isWriteClosed atomic.Bool
 }
 
-func (h *pausingConn) Read(b []byte) (int, error) {
-	n, err := h.TCPConn.Read(b)
-	if n > 0 && h.isPausing.Load() {
-		h.paused <- struct{}{}
-		<-h.proceed
+func (c *pausingConn) Read(b []byte) (int, error) {
+	n, err := c.TCPConn.Read(b)
+	if n > 0 && c.isPausing.Load() {
+		c.paused <- struct{}{}
+		<-c.proceed
 	}
 	return n, err
 }
 
-func (h *pausingConn) CloseWrite() error {
-	err := h.TCPConn.CloseWrite()
-	h.notifyWriteClosed()
+func (c *pausingConn) CloseWrite() error {
+	err := c.TCPConn.CloseWrite()
+	c.notifyWriteClosed()
 	return err
 }
 
-func (h *pausingConn) Close() error { err := h.TCPConn.Close(); h.notifyWriteClosed(); return err }
+func (c *pausingConn) Close() error { err := c.TCPConn.Close(); c.notifyWriteClosed(); return err }
 
-func (h *pausingConn) notifyWriteClosed() {
-	if h.isWriteClosed.CompareAndSwap(false, true) {
-		close(h.writeClosed)
+func (c *pausingConn) notifyWriteClosed() {
+	if c.isWriteClosed.CompareAndSwap(false, true) {
+		close(c.writeClosed)
 	}
 }
 
@@ -63,17 +63,17 @@
 	if err != nil {
 		return nil, err
 	}
-	h := &pausingConn{
+	c := &pausingConn{
 		TCPConn:     nc.(*net.TCPConn),
 		paused:      make(chan struct{}, 1),
 		proceed:     make(chan struct{}, 1),
 		writeClosed: make(chan struct{}),
 	}
-	if err := h.SetWriteBuffer(1 << 18); err != nil {
+	if err := c.SetWriteBuffer(1 << 18); err != nil {
 		return nil, err
 	}
-	l.conns <- h
-	return h, nil
+	l.conns <- c
+	return c, nil
 }
 
 // servePausing serves on a TCP socket and connects one client to it.
@@ -85,20 +85,20 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
-	hl := &pausingListener{ln, make(chan *pausingConn, 8)}
-	go func() { ended <- server.Serve(ctx, hl) }()
+	pl := &pausingListener{ln, make(chan *pausingConn, 8)}
+	go func() { ended <- server.Serve(ctx, pl) }()
 	nc, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close(); cancel() })
-	return nc.(*net.TCPConn), <-hl.conns, func() chan error { cancel(); return ended }
+	return nc.(*net.TCPConn), <-pl.conns, func() chan error { cancel(); return ended }
 }
 
-// A request that is read at the moment in which the proxy ends its connection is not forwarded: its response would
-// find no connection, and its client sends it again. This is a regression test for a race between the read, which had
-// the bytes, and the check for an idle connection.
-func TestClientConn_DiscardsRequestCrossingTheClose(t *testing.T) {
+// A request that is read while the proxy ends its connection must not be forwarded: its response would find the
+// connection closed, and its client sends it again. This is a regression test for a race between a read, which already
+// had the bytes of the request, and the check for an idle connection, which did not see them.
+func TestClientConn_DiscardsRequestReadDuringClose(t *testing.T) {
 	for name, end := range map[string]func(server *Server, stop func() chan error){
 		"eviction": func(server *Server, _ func() chan error) {
 			if !server.tracker.evict() {
@@ -131,7 +131,7 @@
 			serverConn.isPausing.Store(false)
 			serverConn.proceed <- struct{}{}
 			if _, err := br.ReadByte(); err == nil {
-				t.Error("the request that crossed the close was answered")
+				t.Error("the request that was read during the close was answered")
 			}
 			client.Close()
 			if err := <-stop(); err != nil {
@@ -144,8 +144,9 @@
 	}
 }
 
-// A response that the client has not read yet is not lost when the proxy closes the connection with unread bytes in
-// it: those would have the kernel reset the connection and drop the rest of the response.
+// A response that the client has not read yet is not lost when the proxy closes the connection while bytes of the
+// client are unread. Without lingering, those would make the kernel reset the connection and drop the rest of the
+// response.
 func TestClientConn_CloseKeepsUnreadResponse(t *testing.T) {
 	const size = 60_000
 	forwarded, proceed := make(chan struct{}), make(chan struct{})
@@ -169,7 +170,7 @@
 		t.Fatal(err)
 	}
 	close(proceed)
-	<-serverConn.writeClosed // the proxy has closed, and the client has read next to nothing
+	<-serverConn.writeClosed // the proxy has closed its writing side, and the client has read almost nothing
 	resp, err := http.ReadResponse(bufio.NewReader(client), nil)
 	if err != nil {
 		t.Fatal(err)
@@ -183,8 +184,8 @@
 	}
 }
 
-// A client whose idle connection is closed at shutdown sees an end and no reset, also when a request crosses the
-// close, and does not delay the shutdown.
+// A client whose idle connection is closed at shutdown reads EOF and gets no reset, even if it sends requests during
+// the close, and it does not delay the shutdown.
 func TestClientConn_IdleConnectionClosesGracefully(t *testing.T) {
 	server := newTestServerWith(respondOK, withSuccessor)
 	client, serverConn, stop := servePausing(t, server)
@@ -194,13 +195,13 @@
 	}
 	begin, ended := time.Now(), stop()
 	<-serverConn.writeClosed
-	for range 3 { // on a connection that was closed outright, the second write would fail
+	for range 3 { // on a connection that is closed without lingering, the second write would fail
 		if _, err := io.WriteString(client, quoteRequest); err != nil {
-			t.Errorf("sending across the close: %v", err)
+			t.Errorf("sending during the close: %v", err)
 		}
 		for wait := time.Now().Add(10 * time.Second); !isSendBufferEmpty(client); time.Sleep(time.Millisecond) {
 			if time.Now().After(wait) {
-				t.Fatal("what crosses the close is never read")
+				t.Fatal("the bytes sent during the close are never read")
 			}
 		}
 	}
@@ -218,15 +219,15 @@
 	if err != nil {
 		return true
 	}
-	left := 0
-	if err := raw.Control(func(fd uintptr) { left, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) }); err != nil {
+	unacked := 0
+	if err := raw.Control(func(fd uintptr) { unacked, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) }); err != nil {
 		return true
 	}
-	return left == 0
+	return unacked == 0
 }
 
-// The head of a later request may take laterHeadExtension longer than the first: if the connection were closed with
-// the last byte on its way, the request would be lost.
+// The head of a later request may take laterHeadExtension longer than the first. If the connection were closed while
+// the last byte is on its way, the request would be lost.
 func TestClientConn_LaterHeadsHaveLongerTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(respondOK, 10)
@@ -247,15 +248,15 @@
 			t.Error(err)
 		}
 		if took := time.Since(begin); took != headTimeout+laterHeadExtension {
-			t.Errorf("half a later head held its socket for %v", took)
+			t.Errorf("an incomplete later head kept its connection open for %v", took)
 		}
 		c.Close()
 		<-stop()
 	})
 }
 
-// lateConn is a connection whose reads notice an expired deadline before the bytes that have arrived, as in a proxy
-// that is short of CPU.
+// lateConn is a connection whose next read, if late is set, reports an expired deadline although bytes may have
+// arrived, as in a proxy that is short of CPU.
 type lateConn struct {
 	*net.TCPConn
 	late bool
@@ -269,8 +270,8 @@
 	return l.TCPConn.Read(b)
 }
 
-// Bytes that have arrived are read even if the deadline passed before the proxy came to read them. A read that
-// net/http itself has stopped is not extended.
+// Bytes that have arrived are read even if the deadline passed before the proxy read them. A read that net/http has
+// aborted is not extended.
 func TestClientConn_ReadsArrivedBytesPastDeadline(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -292,22 +293,22 @@
 	if _, err := io.WriteString(client, "GET"); err != nil {
 		t.Fatal(err)
 	}
-	for socket.IsOpenAndEmpty(nc) { // until it has arrived
+	for socket.IsOpenAndEmpty(nc) { // until the bytes have arrived
 		time.Sleep(time.Millisecond)
 	}
 	var b [8]byte
 	late.late = true
-	c.SetReadDeadline(time.Unix(1, 0)) // as net/http does to stop its own read
+	c.SetReadDeadline(time.Unix(1, 0)) // as net/http does to abort its background read
 	if n, err := c.Read(b[:]); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("a read that was stopped: %d, %v", n, err)
+		t.Errorf("an aborted read: %d, %v", n, err)
 	}
 	late.late = true
 	c.SetReadDeadline(time.Now().Add(time.Hour))
 	if n, err := c.Read(b[:]); n != 3 || err != nil {
-		t.Errorf("what has come: %d, %v", n, err)
+		t.Errorf("with bytes that have arrived: %d, %v", n, err)
 	}
 	late.late = true
 	if n, err := c.Read(b[:]); n != 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("nothing has come: %d, %v", n, err)
+		t.Errorf("without bytes: %d, %v", n, err)
 	}
 }
--- a/internal/standalone/listener/conntracker.go
+++ b/internal/standalone/listener/conntracker.go
@@ -17,27 +17,27 @@
 	mu     sync.Mutex
 	open   map[net.Conn]*connState
 	idle   int // in state http.StateIdle: between two requests
-	unused int // in state http.StateNew: have brought nothing yet
+	unused int // in state http.StateNew: no complete request head received yet
 }
 
-// connState is the state of an open connection, and since when it has it.
+// connState is the state of an open connection, and the time at which it entered the state.
 type connState struct {
 	state http.ConnState
 	since time.Time
 }
 
 const (
-	// unusedEvictionAge is how long a new connection may take for its first byte before it can be evicted.
+	// unusedEvictionAge is how long a new connection may take to send its first byte before it can be evicted.
 	unusedEvictionAge = 20 * time.Millisecond
-	// usedSocketsFraction is the part of the guaranteed sockets that may have had a request before responses begin to
-	// close their connections. The guaranteed sockets are 0.55 of the proxy's file descriptors (package server), so that
+	// usedSocketsFraction is the fraction of the guaranteed sockets that may have had a request before responses begin
+	// to close their connections. The guaranteed sockets are 0.55 of the proxy's file descriptors (package server), so
 	// this is about a quarter of all descriptors: three quarters of the third that the load balancer in front may use.
 	usedSocketsFraction = 0.45
 	// minIdleSockets is how many idle connections are kept open in any case.
 	minIdleSockets = 4
 )
 
-// newConnTracker returns a tracker whose limit is that many guaranteed sockets, or what limit returns if it is not nil.
+// newConnTracker returns a tracker whose limit is what limit returns, or guaranteed if limit is nil.
 func newConnTracker(guaranteed int, limit func() int) *connTracker {
 	if limit == nil {
 		limit = func() int { return guaranteed }
@@ -59,7 +59,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(nc)
+	t.untrack(nc)
 	if state == http.StateClosed || state == http.StateHijacked {
 		return
 	}
@@ -72,8 +72,8 @@
 	t.open[nc] = &connState{state: state, since: time.Now()}
 }
 
-// forget stops tracking a socket. Called with mu held.
-func (t *connTracker) forget(nc net.Conn) {
+// untrack stops tracking a socket. Called with mu held.
+func (t *connTracker) untrack(nc net.Conn) {
 	if tracked := t.open[nc]; tracked != nil {
 		switch tracked.state {
 		case http.StateIdle:
@@ -85,10 +85,10 @@
 	delete(t.open, nc)
 }
 
-// shouldShedKeepAlive reports whether so many keep-alive connections are open that responses should close theirs.
-// Clients that send one request and keep their connection would use up the connections that the load balancer in front
-// may open, a third of the descriptors, and no other client could connect. Below that, connections are kept: a client
-// that sends another request would need a new one, which costs most when CPU is short.
+// shouldShedKeepAlive reports whether so many keep-alive connections are open that responses should close their
+// connections. Otherwise clients that send one request and keep their connection could use up the connections that the
+// load balancer in front may open, a third of the descriptors, and no other client could connect. With fewer open,
+// connections are kept: a client that sends another request would need a new one, which costs most when CPU is short.
 func (t *connTracker) shouldShedKeepAlive() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -96,9 +96,10 @@
 }
 
 // evict closes one socket without a request and reports whether there was one: a socket that only lingers after its
-// close, else the longest unused, else the longest idle. Unused sockets may arrive by the hundred, and those of regular
-// clients must not be closed for them. A socket on which a request has begun stays: the rest of the request may be on
-// the way, and the request would be lost. The descriptor is free when evict returns.
+// close, else the longest unused, else the longest idle. Unused sockets come before idle ones because they may arrive
+// by the hundred, and must not displace the idle sockets of regular clients. A socket on which a request has begun
+// stays open: the rest of the request may be on the way, and the request would be lost. The descriptor is free when
+// evict returns.
 func (t *connTracker) evict() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -134,12 +135,12 @@
 // closeNow closes a socket without lingering. Called with mu held.
 func (t *connTracker) closeNow(c *clientConn) {
 	c.Conn.Close()
-	t.forget(c)
+	t.untrack(c)
 }
 
-// drain returns once all sockets are closed: each by its last response, or by drain if it has no request. One on
-// which a request has begun is not closed before lastResponse, as its client would have to send it again; from
-// lastResponse on drain closes those too.
+// drain returns once all sockets are closed. A socket with a request is closed after its last response; drain closes
+// those without a request. A socket on which a part of a request's head has arrived is not closed before lastResponse,
+// as its client would have to send the request again; from lastResponse on drain closes those too.
 func (t *connTracker) drain(lastResponse time.Time) {
 	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
@@ -148,7 +149,7 @@
 	}
 }
 
-// closeWithoutRequest is one pass of drain.
+// closeWithoutRequest makes one pass of drain over the open sockets.
 func (t *connTracker) closeWithoutRequest(lastResponse time.Time) {
 	now := time.Now()
 	isPastLast := !now.Before(lastResponse)
--- a/internal/standalone/listener/conntracker_test.go
+++ b/internal/standalone/listener/conntracker_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// At the limit the longest idle socket is evicted, and the new one is served.
+// At the limit the longest idle socket is evicted, and the new connection is served.
 func TestConnTracker_EvictsLongestIdle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(respondOK, 2)
@@ -43,8 +43,8 @@
 	})
 }
 
-// Sockets that bring nothing, or half a head, are closed in time; hundreds of unused ones do not displace a client
-// that has been served, and a client that sends a request in between is served.
+// Sockets that receive nothing, or half a head, are closed in time. Hundreds of unused sockets do not evict that of a
+// client that has been served, and the client's further requests in between are served.
 func TestConnTracker_EvictsUnusedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(respondOK, 10)
@@ -75,12 +75,12 @@
 		time.Sleep(headTimeout + time.Millisecond)
 		synctest.Wait()
 		if n := server.tracker.count(); n != 1 {
-			t.Errorf("%d sockets, want the regular one", n)
+			t.Errorf("%d sockets, want only that of the regular client", n)
 		}
 		time.Sleep(idleTimeout)
 		synctest.Wait()
 		if n := server.tracker.count(); n != 0 {
-			t.Errorf("%d sockets that have been idle for long", n)
+			t.Errorf("%d sockets are open after idleTimeout", n)
 		}
 		for _, c := range append(silent, regular, half) {
 			c.Close()
@@ -89,11 +89,11 @@
 	})
 }
 
-// When sockets that have had a request come near the limit, as clients that send one request leave them, responses
+// When clients that send one request leave so many connections open that usedSocketsFraction is exceeded, responses
 // close their connections. Unused sockets do not count.
 func TestConnTracker_ShedsKeepAlive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		server := newTestServer(respondOK, 20) // nine may be kept alive
+		server := newTestServer(respondOK, 20) // usedSocketsFraction: nine may be kept alive
 		ln, stop := serveOnPipes(t, server)
 		closed := 0
 		var conns []net.Conn
@@ -119,7 +119,7 @@
 		time.Sleep(idleTimeout + time.Second)
 		synctest.Wait()
 		if server.tracker.idleNow() != 0 {
-			t.Errorf("%d idle with no socket open", server.tracker.idleNow())
+			t.Errorf("%d sockets are counted as idle after idleTimeout", server.tracker.idleNow())
 		}
 		for _, c := range conns {
 			c.Close()
@@ -128,7 +128,7 @@
 	})
 }
 
-// The limit follows SocketLimit, up and down.
+// The limit is what SocketLimit returns now, also after it has grown.
 func TestConnTracker_FollowsLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limit := 3
@@ -173,7 +173,7 @@
 	})
 }
 
-// Where no socket can be evicted the new one is closed, and none with a request is.
+// If no socket can be evicted, the new one is closed. A socket with a request stays open.
 func TestConnTracker_ClosesNewConnectionWhenFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(func(r *http.Request) (*http.Response, error) { time.Sleep(time.Second); return respondOK(r) }, 1)
@@ -193,7 +193,7 @@
 	})
 }
 
-// idleNow returns how many sockets are idle, and unusedNow how many have brought nothing yet.
+// idleNow returns how many sockets are idle, and unusedNow how many have not had a request yet.
 func (t *connTracker) idleNow() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standalone/listener/correlation.go
+++ b/internal/standalone/listener/correlation.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// openIDSet is the set of the correlation ids of the requests in flight. A second request with the same id could not be
-// distinguished from the first by a backend or in a log.
+// openIDSet is the set of the correlation ids of the requests in flight. An id may be in flight only once: a backend or
+// a reader of the log could not distinguish a second request with the same id from the first.
 type openIDSet struct {
 	mu  sync.Mutex
 	ids map[string]struct{}
--- a/internal/standalone/listener/disconnect_test.go
+++ b/internal/standalone/listener/disconnect_test.go
@@ -21,28 +21,28 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// disconnectTest is a proxy between TCP sockets whose policy, listener and connections to the backend wait where a
-// test asks for it.
+// disconnectTest is a proxy between TCP sockets. A test can pause its policy, its listener and its connections to the
+// backend.
 type disconnectTest struct {
 	t             *testing.T
 	addr          string
 	engine        *engine.Engine
 	backends      *backend.Pool
 	server        *Server
-	arrived       chan struct{}                      // a value for each request that the policy is given
-	accept        chan struct{}                      // nil: connections are accepted at once; else one for each value
+	arrived       chan struct{}                      // receives a value for each request that arrives at the policy
+	accept        chan struct{}                      // nil: connections are accepted at once; else one per value
 	lastConn      atomic.Pointer[countingClientConn] // the connection accepted last
-	dialing       chan struct{}                      // a value for each connection that is being made to the backend
-	dial          func(net.Conn) (net.Conn, error)   // wraps or fails such a connection
+	dialing       chan struct{}                      // receives a value for each dial to the backend
+	dial          func(net.Conn) (net.Conn, error)   // wraps or fails a connection to the backend
 	written       atomic.Int64                       // bytes written to the backend
 	attemptsEnded atomic.Int64                       // attempts that have ended
 	lastOutcome   atomic.Uint32                      // of the last one
-	sendsAtOnce   bool                               // the policy sends each request; else only by sendLastRequest
+	sendsAtOnce   bool                               // the policy sends requests on arrival; else after sendLastRequest
 	lastRequest   atomic.Uint64                      // the request that arrived last
 }
 
-// Handle implements engine.Policy. No attempt is ever cancelled, as where the settings forbid it, and a full
-// membership event has it send the last request once more.
+// Handle implements engine.Policy. It never cancels an attempt, as if the settings forbade it. A MembershipFull event
+// makes it send the last request again.
 func (c *disconnectTest) Handle(_ policy.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	switch ev.Kind {
 	case policy.RequestArrived:
@@ -60,7 +60,7 @@
 	return out
 }
 
-// sendLastRequest has the policy send the last request.
+// sendLastRequest makes the policy send the last request.
 func (c *disconnectTest) sendLastRequest() { c.engine.UpdateMembers(policy.MembershipFull, nil) }
 
 // countingClientConn is an accepted connection that counts the bytes that the proxy has read from it.
@@ -88,9 +88,9 @@
 	if err != nil {
 		return nil, err
 	}
-	side := &countingClientConn{TCPConn: nc.(*net.TCPConn)}
-	l.c.lastConn.Store(side)
-	return side, nil
+	conn := &countingClientConn{TCPConn: nc.(*net.TCPConn)}
+	l.c.lastConn.Store(conn)
+	return conn, nil
 }
 
 // countingBackendConn counts the bytes written to a backend.
@@ -123,7 +123,7 @@
 	c.backends = backend.NewPool(backend.Options{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConnections: 9,
 		Dial: func(_ context.Context, addr string, by time.Time) (net.Conn, error) {
 			c.dialing <- struct{}{}
-			nc, err := backend.DialTCP(context.Background(), addr, by) // as a connection that is made at the moment of a cancel
+			nc, err := backend.DialTCP(context.Background(), addr, by) // as a dial that completes at the moment of a cancel
 			if err != nil {
 				return nil, err
 			}
@@ -176,17 +176,17 @@
 	return nc.(*net.TCPConn), int64(len(text))
 }
 
-// waitUntil waits until holds returns true; what names the event in the failure.
-func (c *disconnectTest) waitUntil(what string, holds func() bool) {
+// waitUntil waits until holds returns true. event is the name of what it waits for, for the failure message.
+func (c *disconnectTest) waitUntil(event string, holds func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(20 * time.Second); !holds(); runtime.Gosched() {
 		if time.Now().After(end) {
-			c.t.Fatalf("never: %s", what)
+			c.t.Fatalf("it never happened that %s", event)
 		}
 	}
 }
 
-// waitForDisconnect waits until the proxy's kernel knows that the client has disconnected.
+// waitForDisconnect waits until the client's disconnect has reached the proxy's socket.
 func (c *disconnectTest) waitForDisconnect() {
 	c.t.Helper()
 	c.waitUntil("the disconnect reaches the proxy's socket", func() bool {
@@ -203,8 +203,8 @@
 	})
 }
 
-// disconnectKinds are the ways in which a client may disconnect. net/http does not detect a disconnect behind bytes that it
-// has not read.
+// disconnectKinds are the ways in which a client may disconnect. net/http does not detect a disconnect that follows
+// bytes that it has not read.
 var disconnectKinds = map[string]func(c *disconnectTest, client *net.TCPConn, length int64){
 	"closed":      func(_ *disconnectTest, client *net.TCPConn, _ int64) { client.Close() },
 	"half closed": func(_ *disconnectTest, client *net.TCPConn, _ int64) { _ = client.CloseWrite() },
@@ -215,7 +215,7 @@
 	},
 	"reset behind bytes": func(c *disconnectTest, client *net.TCPConn, length int64) {
 		_, _ = io.WriteString(client, "GET /next")
-		c.waitUntil("a byte behind the request is read", func() bool {
+		c.waitUntil("a byte after the request is read", func() bool {
 			accepted := c.lastConn.Load()
 			return accepted != nil && accepted.readBytes.Load() > length
 		})
@@ -224,8 +224,8 @@
 	},
 }
 
-// Wherever a request waits, and however its client disconnects, no byte of it reaches a backend afterwards, even
-// where no attempt may be canceled.
+// After a client has disconnected in any way, no byte of its request reaches a backend, whatever the request was
+// waiting for, and even if no attempt may be canceled.
 func TestServer_ForwardsNothingAfterDisconnect(t *testing.T) {
 	for kind, disconnect := range disconnectKinds {
 		t.Run("queued in the policy, "+kind, func(t *testing.T) {
@@ -291,13 +291,13 @@
 				}
 				o.Gate = gate
 			})
-			running, end := context.WithCancel(t.Context())
-			defer end()
-			go gate.Run(running)
+			gateCtx, stopGate := context.WithCancel(t.Context())
+			defer stopGate()
+			go gate.Run(gateCtx)
 			other := &http.Request{RemoteAddr: "127.0.0.9:1"}
 			finish, _ := gate.admit(t.Context(), other, acceptedRequest{info: &forwarder.RequestInfo{}, deadline: time.Now().Add(time.Hour)})
 			client, n := c.send("body")
-			c.waitUntil("it is queued at the gate", func() bool { return c.server.TableSizes().GateQueue == 1 })
+			c.waitUntil("the request is queued at the gate", func() bool { return c.server.TableSizes().GateQueue == 1 })
 			disconnect(c, client, n)
 			c.waitForDisconnect()
 			finish(true)
@@ -305,7 +305,7 @@
 			c.checkNothingWritten()
 		})
 		if kind == "reset behind bytes" {
-			continue // it waits for a byte to be read, which does not happen before Accept
+			continue // this kind waits until a byte is read, which does not happen before Accept
 		}
 		t.Run("before it is accepted, "+kind, func(t *testing.T) {
 			c := newDisconnectTest(t, func(c *disconnectTest, _ *Options) { c.sendsAtOnce = true; c.accept = make(chan struct{}) })
@@ -313,7 +313,7 @@
 			disconnect(c, client, n)
 			c.accept <- struct{}{}
 			c.waitForDisconnect()
-			c.waitUntil("the connection is given up", func() bool { return c.server.OpenSockets() == 0 })
+			c.waitUntil("the proxy closes the connection", func() bool { return c.server.OpenSockets() == 0 })
 			c.waitForEnd()
 			c.checkNothingWritten()
 		})
@@ -327,7 +327,7 @@
 	}
 }
 
-// After a client disconnects while its request is being written to a backend that does not read, no more of it is
+// If a client disconnects while its request is being written to a backend that does not read, no more of the request is
 // written, and the outcome does not count against the backend.
 func TestServer_DisconnectStopsPartialWrite(t *testing.T) {
 	here, there := net.Pipe()
@@ -343,7 +343,7 @@
 	client.Close()
 	c.waitForDisconnect()
 	c.waitForEnd()
-	// Without the disconnect the attempt would end by its own time-out.
+	// Without the disconnect the attempt would end with its own time-out.
 	if n, outcome := c.written.Load(), policy.Outcome(c.lastOutcome.Load()); n != 100 || outcome != policy.NotSent {
 		t.Errorf("%d bytes written, of which 100 before the client disconnected; outcome %d", n, outcome)
 	}
--- a/internal/standalone/listener/gate.go
+++ b/internal/standalone/listener/gate.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	// gateTickInterval is how often Controller.Tick is called.
+	// gateTickInterval is the time between two calls of Controller.Tick.
 	gateTickInterval = 10 * time.Millisecond
 	// gateRejectMargin is how long before its deadline a queued request is rejected at the latest, so that the response
 	// still reaches its client.
@@ -24,12 +24,13 @@
 	gateStatsInterval = 10 * time.Second
 )
 
-// Gate is admission control for a Server: it owns an admission.Controller, keeps its clock, and has each request wait
-// for the controller's decision. It is safe for concurrent use; Run must run while requests come.
+// Gate is admission control for a Server. It owns an admission.Controller, provides its clock, and makes each request
+// wait for the controller's decision. It is safe for concurrent use; Run must be running while the server accepts
+// requests.
 type Gate struct {
 	log        *slog.Logger
-	clientSeed maphash.Seed // of the hash of a client's address; random, so that clients cannot provoke collisions
-	origin     time.Time    // of the controller's clock
+	clientSeed maphash.Seed // for hashing client addresses; random, so that clients cannot provoke collisions
+	origin     time.Time    // zero of the controller's clock
 
 	mu          sync.Mutex // guards what follows
 	controller  *admission.Controller
@@ -56,7 +57,7 @@
 	return g, nil
 }
 
-// useTenants starts the statistics of the tenants in set. Called with mu held.
+// useTenants starts new statistics for the tenants in set. Called with mu held.
 func (g *Gate) useTenants(set admission.Settings) {
 	g.tenantNames = g.tenantNames[:0]
 	for _, t := range set.Tenants {
@@ -65,8 +66,8 @@
 	g.loggedStats = make([]admission.TenantStats, len(g.tenantNames))
 }
 
-// now is the controller's clock, in microseconds of the monotonic clock. It is never 0, which a Controller takes for
-// "no event yet".
+// now returns the time of the controller's clock: monotonic microseconds since origin, plus 1. It is never 0, which a
+// Controller takes for "no event yet".
 func (g *Gate) now() admission.Time { return time.Since(g.origin).Microseconds() + 1 }
 
 // ApplySettings replaces the settings as a whole, or returns an error and keeps those in force.
@@ -101,7 +102,7 @@
 	}
 }
 
-// deliver passes decisions on to the requests that wait for them. Called with mu held.
+// deliver passes decisions to the requests that wait for them. Called with mu held.
 func (g *Gate) deliver(decisions []admission.Decision) {
 	for _, d := range decisions {
 		if decided := g.pending[d.Ticket]; decided != nil {
@@ -112,8 +113,8 @@
 	g.decisions = decisions[:0]
 }
 
-// admit waits until a request is admitted or rejected, or ctx ends. Once the request has ended, finish must be called
-// if it was admitted; it is nil otherwise.
+// admit waits until a request is admitted or rejected, or ctx ends. If the request is admitted, finish must be called
+// once it has ended; otherwise finish is nil, and rejection is the response.
 func (g *Gate) admit(ctx context.Context, r *http.Request, accepted acceptedRequest) (
 	finish func(served bool), rejection admission.Decision) {
 	ticket, decided := g.submit(r, accepted)
@@ -134,7 +135,7 @@
 	}, decision
 }
 
-// submit gives a request to the controller. Its decision comes on the channel.
+// submit submits a request to the controller. The decision arrives on the returned channel.
 func (g *Gate) submit(r *http.Request, accepted acceptedRequest) (admission.Ticket, <-chan admission.Decision) {
 	host, _, err := net.SplitHostPort(r.RemoteAddr)
 	if err != nil {
@@ -157,7 +158,8 @@
 	return ticket, decided
 }
 
-// withdraw takes back a request whose context has ended. It may have been admitted in the same moment.
+// withdraw cancels a request whose context has ended. If the controller has admitted it at the same moment, withdraw
+// finishes it instead, as not served.
 func (g *Gate) withdraw(ticket admission.Ticket, decided <-chan admission.Decision) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -172,14 +174,14 @@
 	}
 }
 
-// queueLength returns how many requests wait for a decision.
+// queueLength returns the number of requests that wait for a decision.
 func (g *Gate) queueLength() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return len(g.pending)
 }
 
-// logStats logs, for each tenant of which a request was rejected or is queued, the counts since the last call.
+// logStats logs the counts since the last call for each tenant that has had a request rejected or has one queued.
 func (g *Gate) logStats() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -210,7 +212,7 @@
 	}
 }
 
-// writeRejection answers a rejected request. No backend has seen it, so to send it again is harmless.
+// writeRejection answers a rejected request. No backend has seen the request, so its client may safely send it again.
 func writeRejection(w http.ResponseWriter, rejection admission.Decision) {
 	if rejection.RetryAfter > 0 {
 		w.Header().Set("Retry-After", forwarder.FormatRetryAfter(rejection.RetryAfter))
--- a/internal/standalone/listener/gate_test.go
+++ b/internal/standalone/listener/gate_test.go
@@ -50,20 +50,20 @@
 	return strings.Replace(text, "Left-Ms: 400", fmt.Sprint("Left-Ms: ", leftMs), 1)
 }
 
-// One tenant sends twenty times the capacity, another little: the 99th percentile of the other must be within 1.5
-// times of that without the flood, and all of its requests must be served.
+// One tenant sends twenty times the capacity while another sends little. The 99th percentile of the other's latency
+// must be at most 1.5 times that without the flood, and all of its requests must be served.
 func TestGate_FloodOfOneTenantDoesNotDelayAnother(t *testing.T) {
 	latencies := func(flood bool) (took []time.Duration, rejected int) {
-		late := 0
+		timedOut := 0
 		synctest.Test(t, func(t *testing.T) {
 			server, gate := newGatedServer(t, nil)
 			ln, stop := serveOnPipes(t, server)
-			running, end := context.WithCancel(context.Background())
-			var all sync.WaitGroup
-			all.Go(func() { gate.Run(running) })
+			gateCtx, stopGate := context.WithCancel(context.Background())
+			var wg sync.WaitGroup
+			wg.Go(func() { gate.Run(gateCtx) })
 			var mu sync.Mutex
 			request := func(id int, tenant string) {
-				all.Go(func() {
+				wg.Go(func() {
 					c, r := ln.dial()
 					defer c.Close()
 					begin := time.Now()
@@ -78,7 +78,7 @@
 					case tenant == "zenith":
 						rejected++
 					case resp.StatusCode == http.StatusGatewayTimeout:
-						late++ // admitted by the expected latency, and took longer
+						timedOut++ // admitted because of its expected latency, but took longer
 					case resp.StatusCode != http.StatusOK:
 						retryAfter := resp.Header.Get("Retry-After")
 						after, err := strconv.ParseFloat(retryAfter, 64)
@@ -101,32 +101,32 @@
 				time.Sleep(10 * time.Millisecond)
 			}
 			time.Sleep(3 * time.Second)
-			end()
-			all.Wait()
+			stopGate()
+			wg.Wait()
 			<-stop()
-			if late > id/100 {
-				t.Errorf("%d of %d requests were admitted too late", late, id)
+			if timedOut > id/100 {
+				t.Errorf("%d of %d requests were admitted too late", timedOut, id)
 			}
 		})
 		return took, rejected
 	}
 	p99 := func(d []time.Duration) time.Duration { slices.Sort(d); return d[len(d)*99/100] }
-	alone, _ := latencies(false)
-	beside, rejected := latencies(true)
-	if a, b := p99(alone), p99(beside); b > a*3/2 || rejected > 0 || len(beside) != len(alone) {
-		t.Errorf("alone %v, beside a flood %v; %d of %d served, %d rejected", a, b, len(beside), len(alone), rejected)
+	withoutFlood, _ := latencies(false)
+	withFlood, rejected := latencies(true)
+	if a, b := p99(withoutFlood), p99(withFlood); b > a*3/2 || rejected > 0 || len(withFlood) != len(withoutFlood) {
+		t.Errorf("p99 without a flood %v, with a flood %v; %d of %d served, %d rejected", a, b, len(withFlood), len(withoutFlood), rejected)
 	}
 }
 
-// Clients disconnect while they are queued, the settings change while the queue is full, and the server shuts down:
-// each client that stays gets one complete response, and the gate is empty at the end.
+// Clients disconnect while their requests are queued, the settings change while the queue is full, and the server shuts
+// down. Each client that stays connected gets one complete response, and the gate is empty at the end.
 func TestGate_AnswersEveryRequestOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, gate := newGatedServer(t, func(s *admission.Settings) { s.MaxQueued = 40 })
 		ln, stop := serveOnPipes(t, server)
-		running, end := context.WithCancel(context.Background())
-		var all sync.WaitGroup
-		all.Go(func() { gate.Run(running) })
+		gateCtx, stopGate := context.WithCancel(context.Background())
+		var wg sync.WaitGroup
+		wg.Go(func() { gate.Run(gateCtx) })
 		var mu sync.Mutex
 		status := map[int]int{}
 		for id := range 100 {
@@ -136,7 +136,7 @@
 				time.AfterFunc(50*time.Millisecond, func() { c.Close() })
 				continue
 			}
-			all.Go(func() {
+			wg.Go(func() {
 				defer c.Close()
 				resp, _, err := exchange(c, r, quoteRequestOf(id, []string{"acme", "zenith"}[id%2], 1400))
 				mu.Lock()
@@ -165,8 +165,8 @@
 		stopped := stop()
 		time.Sleep(3 * time.Second)
 		<-stopped
-		end()
-		all.Wait()
+		stopGate()
+		wg.Wait()
 		if n := status[200] + status[503]; n != 100-14 || status[200] < 10 || status[503] < 20 {
 			t.Errorf("answers: %v", status)
 		}
@@ -176,19 +176,19 @@
 	})
 }
 
-// A request that is not admitted in time is rejected before its client's deadline.
+// A request that is not admitted in time is rejected early enough that its client gets the response by its deadline.
 func TestGate_RejectsQueuedRequestsBeforeDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server, gate := newGatedServer(t, func(s *admission.Settings) { s.MinLimit, s.InitialLimit, s.MaxLimit = 1, 1, 1 })
 		ln, stop := serveOnPipes(t, server)
-		running, end := context.WithCancel(context.Background())
-		var all sync.WaitGroup
-		all.Go(func() { gate.Run(running) })
+		gateCtx, stopGate := context.WithCancel(context.Background())
+		var wg sync.WaitGroup
+		wg.Go(func() { gate.Run(gateCtx) })
 		var conns []net.Conn
 		for id := range 6 {
 			c, r := ln.dial()
 			conns = append(conns, c)
-			all.Go(func() {
+			wg.Go(func() {
 				begin := time.Now()
 				resp, _, err := exchange(c, r, quoteRequestOf(id, "acme", 250))
 				if took := time.Since(begin); err != nil || took > 260*time.Millisecond {
@@ -196,8 +196,8 @@
 				}
 			})
 		}
-		all.Go(func() { time.Sleep(time.Second); end() })
-		all.Wait()
+		wg.Go(func() { time.Sleep(time.Second); stopGate() })
+		wg.Wait()
 		for _, c := range conns {
 			c.Close()
 		}
--- a/internal/standalone/listener/handler.go
+++ b/internal/standalone/listener/handler.go
@@ -15,7 +15,7 @@
 // readyPath is the path of the readiness check.
 const readyPath = "/ready"
 
-// ServeHTTP answers one request: it checks the request, then serves it until the client's deadline.
+// ServeHTTP answers one request: it checks the request, then forwards it and waits until the client's deadline at most.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	rw := &responseWriter{
 		ResponseWriter:     w,
@@ -33,7 +33,7 @@
 		s.serveReady(rw)
 		return
 	}
-	if framing.hasTransferEncoding { // the scanner cannot find where the connection's next request would begin
+	if framing.hasTransferEncoding { // the scanner cannot find the start of a next request on the connection
 		rw.Header().Set("Connection", "close")
 	}
 	accepted, err := s.requests.read(rw, r, receivedAt, framing)
@@ -63,14 +63,14 @@
 		panic(p) // the client has disconnected: net/http closes the connection
 	}
 	s.opts.Log.Error("request handler panicked", "panic", p, "stack", string(debug.Stack()))
-	if rw.headSent { // the client would take an error text for a part of the response
+	if rw.headSent { // the client would mistake an error text for a part of the response
 		panic(http.ErrAbortHandler)
 	}
 	http.Error(rw, "internal error", http.StatusInternalServerError)
 }
 
-// isReadinessCheck reports whether r is a readiness check. A request with a service class is none: its class happens to
-// be called "ready".
+// isReadinessCheck reports whether r is a readiness check. A request to readyPath with a service class is not one: it
+// is a regular request of a class named "ready".
 func isReadinessCheck(r *http.Request) bool {
 	return r.URL.Path == readyPath && len(r.Header[classHeader]) == 0
 }
@@ -104,24 +104,24 @@
 // serveRequest serves a request that has passed the checks, and counts how it ended.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request, accepted acceptedRequest) {
 	info := accepted.info
-	client, disconnect := context.WithCancel(r.Context())
+	clientCtx, disconnect := context.WithCancel(r.Context())
 	defer disconnect()
 	info.ClientDisconnected = func() bool {
-		if client.Err() == nil && clientDisconnected(r) {
+		if clientCtx.Err() == nil && clientDisconnected(r) {
 			disconnect()
 		}
-		return client.Err() != nil
+		return clientCtx.Err() != nil
 	}
 	s.inFlight.Add(1)
 	outcome := metrics.Failed // stays if the handler panics
 	defer func() {
 		s.inFlight.Add(-1)
-		if client.Err() != nil {
+		if clientCtx.Err() != nil {
 			outcome = metrics.Canceled
 		}
 		s.opts.Metrics.RequestEnded(singleValue(r.Header, classHeader), outcome)
 	}()
-	ctx, cancel := s.requestContext(client, accepted)
+	ctx, cancel := s.requestContext(clientCtx, accepted)
 	defer cancel()
 	if info.Stream != nil {
 		defer s.abortIncompleteBody(w, info, &outcome)
@@ -160,11 +160,11 @@
 var errShutdown = fmt.Errorf("the proxy ends: %w", context.DeadlineExceeded)
 
 // requestContext returns a request's context. It ends at the client's deadline, which for a streamed body counts from
-// the last byte; when client ends, which is when the client disconnects; when a streamed body breaks off; and when the
-// last response of a shutdown is due.
-func (s *Server) requestContext(client context.Context, accepted acceptedRequest) (context.Context, context.CancelFunc) {
+// the last byte; when clientCtx ends, because the client has disconnected; when a streamed body breaks off; and when
+// the last response of a shutdown is due.
+func (s *Server) requestContext(clientCtx context.Context, accepted acceptedRequest) (context.Context, context.CancelFunc) {
 	info := accepted.info
-	ctx, cancelDeadline := forwarder.WithRequestInfo(client, info), func() {}
+	ctx, cancelDeadline := forwarder.WithRequestInfo(clientCtx, info), func() {}
 	if info.Stream == nil {
 		ctx, cancelDeadline = context.WithDeadline(ctx, accepted.deadline)
 	}
@@ -174,12 +174,12 @@
 			func() { cancel(context.DeadlineExceeded) },
 			func(err error) { cancel(err) })
 	}
-	stopWatching := context.AfterFunc(s.ended, func() { cancel(errShutdown) })
+	stopWatching := context.AfterFunc(s.abortCtx, func() { cancel(errShutdown) })
 	return ctx, func() { stopWatching(); cancel(nil); cancelDeadline() }
 }
 
-// abortIncompleteBody ends the reading of a streamed body when its request ends: an attempt that still reads it has to
-// stop, and the connection is not used again. A body that broke off makes the outcome a disconnect.
+// abortIncompleteBody aborts the read of a streamed body when its request ends: an attempt that still reads the body
+// must stop, and the connection is not used again. If the body broke off, it sets the outcome to that of a disconnect.
 func (s *Server) abortIncompleteBody(w http.ResponseWriter, info *forwarder.RequestInfo, outcome *metrics.Outcome) {
 	select {
 	case <-info.Stream.Ended():
@@ -187,6 +187,6 @@
 			*outcome = metrics.Canceled
 		}
 	default:
-		_ = http.NewResponseController(w).SetReadDeadline(time.Now()) // fails only on a connection that is over
+		_ = http.NewResponseController(w).SetReadDeadline(time.Now()) // fails only on a closed connection
 	}
 }
--- a/internal/standalone/listener/proxy.go
+++ b/internal/standalone/listener/proxy.go
@@ -10,12 +10,12 @@
 	"sync"
 )
 
-// rewriteRequest keeps the request's target as the client wrote it: parsing and writing it again would change unusual
+// rewriteRequest keeps the request's target as the client sent it: parsing and formatting it would change unusual
 // queries, and ReverseProxy drops parameters that it cannot parse.
 func rewriteRequest(pr *httputil.ProxyRequest) {
 	target := &url.URL{Opaque: pr.In.RequestURI}
 	if !strings.HasPrefix(pr.In.RequestURI, "/") || strings.HasPrefix(pr.In.RequestURI, "//") {
-		// An opaque URL cannot have this form: an absolute target ("http://...") or one that begins with "//".
+		// An opaque URL cannot express these targets: an absolute one ("http://...") or one that begins with "//".
 		target = &url.URL{
 			Path:       pr.In.URL.Path,
 			RawPath:    pr.In.URL.RawPath,
@@ -27,8 +27,8 @@
 	pr.Out.Header.Del("Upgrade") // a backend must not be asked for another protocol
 	pr.Out.Header.Del("Connection")
 	pr.Out.Header.Del("Expect") // the body has been read, or is being read
-	// A client that names these in Connection would have ReverseProxy drop them, and a request without its idempotency
-	// key could be carried out twice.
+	// ReverseProxy drops headers that a client names in Connection. These must be kept: a request without its
+	// idempotency key could be executed twice.
 	for _, name := range []string{correlationIDHeader, idempotencyKeyHeader, sessionKeyHeader} {
 		if v, ok := pr.In.Header[name]; ok {
 			pr.Out.Header[name] = v
@@ -36,7 +36,7 @@
 	}
 }
 
-// handleProxyError answers a request for which the transport returned an error in place of a response.
+// handleProxyError answers a request for which the transport returned an error instead of a response.
 func (s *Server) handleProxyError(w http.ResponseWriter, _ *http.Request, err error) {
 	if !errors.Is(err, context.Canceled) {
 		s.opts.Log.Error("request failed without a response", "error", err)
@@ -44,7 +44,7 @@
 	w.WriteHeader(http.StatusBadGateway)
 }
 
-// copyBufferBytes is enough to copy nearly every response in one piece.
+// copyBufferBytes is enough to copy almost every response with one read and one write.
 const copyBufferBytes = 16 << 10
 
 // bufferPool pools the buffers through which responses are copied to clients. Without a pool ReverseProxy allocates
--- a/internal/standalone/listener/request.go
+++ b/internal/standalone/listener/request.go
@@ -26,14 +26,14 @@
 	workHintHeader       = "X-Weight-Hint"        // the expected work, in microseconds on a standard core; optional
 	idempotencyKeyHeader = "Idempotency-Key"
 	sessionKeyHeader     = "X-Session-Key" // optional
-	retryHeader          = "X-Repeat"      // "1": the client sends a request again that was rejected; optional
+	retryHeader          = "X-Repeat"      // "1": the client repeats a request that was rejected; optional
 )
 
-// Values of settings.Class.Semantics by which a request needs a method or an idempotency key. Requests of any other
-// semantics are not retried; they are POSTs and need no key.
+// Values of settings.Class.Semantics for which a request needs another method than POST or an idempotency key. Requests
+// of any other semantics are not retried; they are POSTs and need no key.
 const (
 	semanticsPure  = "pure"  // has no effect: a GET
-	semanticsToken = "token" // is deduplicated by its idempotency key: a POST with one
+	semanticsToken = "token" // deduplicated by its idempotency key: a POST with a key
 )
 
 // maxWorkHintMicros is the largest work hint that is accepted: an hour.
@@ -52,7 +52,7 @@
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// requestReader reads and checks requests by the settings in force.
+// requestReader reads requests and checks them against the settings in force.
 type requestReader struct {
 	mu      sync.Mutex // guards what follows
 	classes requestclass.Table
@@ -62,7 +62,7 @@
 // acceptedRequest is a request that has passed the checks.
 type acceptedRequest struct {
 	info     *forwarder.RequestInfo
-	deadline time.Time // the client's; provisional while there is an info.Stream, as it counts from the last byte of that
+	deadline time.Time // the client's; provisional with an info.Stream, as it counts from the stream's last byte
 }
 
 // requestHead is a request's head that has passed the checks.
@@ -71,8 +71,8 @@
 	timeLeft time.Duration // how long the client waits, from the request's last byte
 }
 
-// applySettings replaces the settings unless apply, which is given them with the classes in the order of their numbers,
-// returns an error. Requests carry the new numbers only after apply has returned.
+// applySettings calls apply with the new settings, whose classes are in the order of their numbers, and then replaces
+// the settings unless apply returned an error. Requests carry the new numbers only after apply has returned.
 func (rr *requestReader) applySettings(next *settings.Settings, apply func(numbered *settings.Settings) error) error {
 	rr.mu.Lock()
 	defer rr.mu.Unlock()
@@ -93,7 +93,7 @@
 	return nil
 }
 
-// classNumbers returns how many class numbers are given out.
+// classNumbers returns how many class numbers have been assigned.
 func (rr *requestReader) classNumbers() int {
 	rr.mu.Lock()
 	defer rr.mu.Unlock()
@@ -128,7 +128,7 @@
 	rr.classes.Release(info.Class)
 }
 
-// read checks a request's head and reads its body, as far as it is buffered. Unless it returns an error, end must
+// read checks a request's head and reads the part of its body that is buffered. Unless it returns an error, end must
 // follow.
 func (rr *requestReader) read(w http.ResponseWriter, r *http.Request, receivedAt time.Time, framing bodyFraming) (
 	acceptedRequest, error) {
@@ -173,7 +173,7 @@
 	return requestHead{info: info, timeLeft: min(time.Duration(timeLeftMs)*time.Millisecond, classTimeout)}, nil
 }
 
-// parseWorkHint returns a request's work hint in microseconds; 0: it has none.
+// parseWorkHint returns a request's work hint in microseconds, or 0 if it has none.
 func parseWorkHint(h http.Header) (policy.Time, error) {
 	if len(h[workHintHeader]) == 0 {
 		return 0, nil
@@ -185,7 +185,7 @@
 	return policy.Time(hint), nil
 }
 
-// checkSemantics checks that a request has the method, and the idempotency key, that its class asks for.
+// checkSemantics checks that a request has the method and, if needed, the idempotency key that its class requires.
 func checkSemantics(class settings.Class, method string, h http.Header) error {
 	required := http.MethodPost
 	if class.Semantics == semanticsPure {
@@ -200,7 +200,7 @@
 	return nil
 }
 
-// checkFraming rejects a body whose end the proxy and a backend could read differently, and one that is too large.
+// checkFraming rejects a body of which the proxy and a backend could find different ends, and one that is too large.
 func checkFraming(r *http.Request, framing bodyFraming) error {
 	if framing.hasContentLengthToo {
 		return badRequestf("Content-Length and Transfer-Encoding do not go together")
@@ -214,7 +214,7 @@
 	return nil
 }
 
-// hashSessionKey returns a session key as a number, the same at every proxy; 0 for none.
+// hashSessionKey returns the hash of a session key, which is the same at every proxy, or 0 if there is no key.
 func hashSessionKey(key string) uint64 {
 	if key == "" {
 		return 0
@@ -222,7 +222,7 @@
 	return max(1, xxhash.Sum64String(key))
 }
 
-// singleValue returns a header's only value, or "" if there are several: a backend might use another one of them.
+// singleValue returns a header's only value, or "" if it has none or several: a backend might use another of several.
 func singleValue(h http.Header, name string) string {
 	if values := h[name]; len(values) == 1 {
 		return values[0]
--- a/internal/standalone/listener/request_test.go
+++ b/internal/standalone/listener/request_test.go
@@ -13,7 +13,8 @@
 	"pumiceline/internal/standalone/forwarder"
 )
 
-// A backend receives what the client wrote, unusual queries and paths included, and nothing about the client.
+// A backend receives the request target as the client sent it, unusual queries and paths included, and the client's
+// headers without Connection, Upgrade and X-Forwarded-For.
 func TestServer_ForwardsRequestsUnchanged(t *testing.T) {
 	for _, target := range []string{"/issue", "/issue?a=1;b=%zz&&c", "/issue/%2F/x%20y?", "/issue//a/../b?q=%", "//issue?x"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -28,7 +29,7 @@
 				}
 				deadline, _ := r.Context().Deadline()
 				if key := forwarder.RequestInfoFrom(r.Context()).AffinityKey; key != xxhash.Sum64String("7f3a") {
-					t.Errorf("key %x goes to the policy", key)
+					t.Errorf("the policy gets affinity key %x", key)
 				}
 				if left := time.Until(deadline); left != 480*time.Millisecond {
 					t.Errorf("%v left", left)
@@ -94,7 +95,7 @@
 			}
 			if strings.Contains(c.text, "Transfer-Encoding") {
 				if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil {
-					t.Errorf("%s: behind the response %q, %v", name, rest, err)
+					t.Errorf("%s: after the response %q, %v", name, rest, err)
 				}
 			}
 			if took := time.Since(begun); took > 2500*time.Millisecond {
@@ -116,7 +117,7 @@
 	}
 }
 
-// A chunked request is served and is the last on its connection: what follows it is not read.
+// A chunked request is served and is the last on its connection: a request that follows it is not served.
 func TestServer_ChunkedRequestIsLastOnConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		served := 0
@@ -136,7 +137,7 @@
 	})
 }
 
-// FuzzReadHead reads garbled headers: a request that is accepted must be within the settings.
+// FuzzReadHead reads arbitrary headers. A request that is accepted must conform to the settings.
 func FuzzReadHead(f *testing.F) {
 	f.Add("POST", "9b1f", "issue", "zenith", "480", "900", "5c0f")
 	f.Add("GET", "9b1f", "quote", "acme", "4294967296", "-1", "")
--- a/internal/standalone/listener/response.go
+++ b/internal/standalone/listener/response.go
@@ -10,16 +10,16 @@
 // writeStallTimeout is how long a client may accept nothing of a response.
 const writeStallTimeout = 10 * time.Second
 
-// responseWriter writes a response to a client that may be slow but must not stall. A short response is one write,
-// mostly into the kernel's buffers, and needs no deadline; each later write has one.
+// responseWriter writes a response to a client that may be slow but must not stall. The first write has no deadline: a
+// short response is one write, mostly into the kernel's buffers. Each later write has a deadline.
 type responseWriter struct {
 	http.ResponseWriter
 	conn        *http.ResponseController
 	headSent    bool // the response's head is written, or is being written
-	bodyStarted bool // a part of the body is
+	bodyStarted bool // a part of the body is written, or is being written
 	deadlineSet bool // the connection has a write deadline
-	// closeAfterResponse is Server.closeAfterResponse. It is read when the head is written: if a shutdown has begun since
-	// the request arrived, the response must announce that the connection closes. nil: there is no shutdown.
+	// closeAfterResponse is Server.closeAfterResponse. It is read when the head is written: if a shutdown has begun
+	// since the request arrived, the response must announce that the connection closes. nil: there is no shutdown.
 	closeAfterResponse *atomic.Bool
 }
 
@@ -57,7 +57,7 @@
 // clearWriteDeadline removes the write deadline: the connection may serve further requests.
 func (w *responseWriter) clearWriteDeadline() {
 	if w.deadlineSet {
-		_ = w.conn.SetWriteDeadline(time.Time{}) // fails only on a connection that is over
+		_ = w.conn.SetWriteDeadline(time.Time{}) // fails only on a closed connection
 	}
 }
 
--- a/internal/standalone/listener/response_test.go
+++ b/internal/standalone/listener/response_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// A client can distinguish a response that breaks off, or whose handler panics half-way, from a complete one.
-func TestServer_BrokenResponseIsVisible(t *testing.T) {
+// A client can distinguish a response that breaks off, or during which the handler panics, from a complete one.
+func TestServer_TruncatedResponseIsDetectable(t *testing.T) {
 	long := strings.Repeat("x", 300_000)
 	for _, breaks := range []string{"", "breaks off", "panics"} {
 		for _, length := range []string{"300000", ""} {
@@ -64,8 +64,8 @@
 	return 0, os.ErrDeadlineExceeded
 }
 
-// A client that stalls in a long response is disconnected; a short response sets no deadline, and none is left for
-// the next.
+// A write to a client that stalls in a long response fails after writeStallTimeout. A short response sets no write
+// deadline, and no deadline remains for the next response.
 func TestResponseWriter_StalledClientTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &stalledWriter{}
@@ -78,7 +78,7 @@
 			t.Errorf("%v after %v", err, time.Since(begun))
 		}
 		if a.clearWriteDeadline(); !s.deadline.IsZero() {
-			t.Error("a deadline is left")
+			t.Error("a write deadline remains")
 		}
 	})
 }
@@ -87,7 +87,7 @@
 
 func (b brokenBody) Read([]byte) (int, error) {
 	if b.panics {
-		panic("a fault")
+		panic("test panic")
 	}
-	return 0, errors.New("the backend is gone")
+	return 0, errors.New("the backend connection broke")
 }
--- a/internal/standalone/listener/server.go
+++ b/internal/standalone/listener/server.go
@@ -1,10 +1,11 @@
 // Package listener is the client side of the standalone proxy: it accepts client connections within a budget of
-// sockets, reads and checks each request, admits it through the gate if there is one, and hands it to a
+// sockets, reads and checks each request, admits it through the gate if there is one, and hands it to an
 // http.RoundTripper. On shutdown it finishes the requests that it has accepted before it closes their connections.
 //
-// One file holds one concern: server.go the Server and its options, handler.go the steps of one request, request.go
-// and body.go the reading and checking of its head and body, proxy.go and response.go the way to the transport and
-// back, accept.go, conn.go and socketbudget.go the connections, gate.go admission control, shutdown.go the end.
+// server.go contains the Server and its options, handler.go the steps of one request, request.go and body.go the
+// reading and checking of its head and body, correlation.go the correlation ids in flight, proxy.go the forwarding to
+// the transport, response.go the writing of the response, accept.go, conn.go and conntracker.go the connections,
+// gate.go admission control, and shutdown.go the shutdown.
 package listener
 
 import (
@@ -39,9 +40,9 @@
 	Settings *settings.Settings
 	// Transport answers the requests. Their contexts carry a forwarder.RequestInfo.
 	Transport http.RoundTripper
-	// Ready reports whether the proxy can serve; /ready answers by it.
+	// Ready reports whether the proxy can serve; it is the result of the readiness check.
 	Ready func() bool
-	// GuaranteedSockets is the number of client sockets that may always be open.
+	// GuaranteedSockets is how many client sockets may be open at any time.
 	GuaranteedSockets int
 	// SocketLimit returns how many client sockets may be open now, at least GuaranteedSockets. nil: GuaranteedSockets.
 	SocketLimit func() int
@@ -62,13 +63,13 @@
 	httpServer *http.Server
 	tracker    *connTracker
 	openIDs    *openIDSet
-	inFlight   atomic.Int64 // requests accepted and not ended
+	inFlight   atomic.Int64 // requests that are accepted and have not ended
 
 	longestDeadline    atomic.Int64    // of the classes in force, in nanoseconds
 	closeAfterResponse atomic.Bool     // set during shutdown: each response closes its connection
 	lastResponseAt     atomic.Int64    // when the last response is due, in Unix nanoseconds; 0: no shutdown
-	ended              context.Context // done at lastResponseAt; ends the contexts of requests in flight
-	end                context.CancelFunc
+	abortCtx           context.Context // done at lastResponseAt; ends the contexts of requests in flight
+	abortRequests      context.CancelFunc
 }
 
 // New returns a Server that does not listen yet.
@@ -82,7 +83,7 @@
 		tracker:  newConnTracker(opts.GuaranteedSockets, opts.SocketLimit),
 		openIDs:  newOpenIDSet(),
 	}
-	s.ended, s.end = context.WithCancel(context.Background())
+	s.abortCtx, s.abortRequests = context.WithCancel(context.Background())
 	s.longestDeadline.Store(int64(longestClientTimeout(opts.Settings)))
 	if err := s.ApplySettings(opts.Settings, func(*settings.Settings) error { return nil }); err != nil {
 		opts.Log.Error("settings have too many classes: every request is rejected", "error", err)
@@ -136,18 +137,18 @@
 // OpenSockets returns how many client sockets are open.
 func (s *Server) OpenSockets() int { return s.tracker.count() }
 
-// InFlight returns how many requests are accepted and not ended.
+// InFlight returns how many requests are accepted and have not ended.
 func (s *Server) InFlight() int { return int(s.inFlight.Load()) }
 
-// TableSizes are the numbers of entries in a Server's tables, for the admin API. Each returns to a small number once
-// the requests have ended.
+// TableSizes contains the numbers of entries in a Server's tables, for the admin API. Each returns to a small number
+// once the requests have ended.
 type TableSizes struct {
 	CorrelationIDs int // of requests in flight
-	ClassNumbers   int // given out by package requestclass
+	ClassNumbers   int // assigned by package requestclass
 	GateQueue      int // requests that wait for the gate's decision
 }
 
-// TableSizes returns how many entries the tables hold now.
+// TableSizes returns the numbers of entries in the tables now.
 func (s *Server) TableSizes() TableSizes {
 	sizes := TableSizes{CorrelationIDs: s.openIDs.size(), ClassNumbers: s.requests.classNumbers()}
 	if s.opts.Gate != nil {
--- a/internal/standalone/listener/server_test.go
+++ b/internal/standalone/listener/server_test.go
@@ -43,14 +43,14 @@
 	return New(opts)
 }
 
-// withSuccessor is an option: another process takes over at shutdown.
+// withSuccessor changes opts so that another process takes over at shutdown.
 func withSuccessor(opts *Options) { opts.HasSuccessor = func() bool { return true } }
 
 func respondOK(r *http.Request) (*http.Response, error) {
 	return &http.Response{StatusCode: 200, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("42")), Request: r}, nil
 }
 
-// gatewayTimeout is the response of a transport whose request has run out of time.
+// gatewayTimeout returns the response of a transport to a request that has timed out.
 func gatewayTimeout(r *http.Request) *http.Response {
 	return &http.Response{StatusCode: http.StatusGatewayTimeout, Header: http.Header{}, Body: http.NoBody, Request: r}
 }
@@ -75,14 +75,14 @@
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 func (l *pipeListener) dial() (net.Conn, *bufio.Reader) {
-	here, there := net.Pipe()
-	l.conns <- there
-	return here, bufio.NewReader(here)
+	clientEnd, serverEnd := net.Pipe()
+	l.conns <- serverEnd
+	return clientEnd, bufio.NewReader(clientEnd)
 }
 
 func newPipeListener() *pipeListener { return &pipeListener{make(chan net.Conn), make(chan struct{})} }
 
-// serveOnPipes serves until stop is called; the channel that stop returns brings the error of Serve.
+// serveOnPipes serves until stop is called. The channel that stop returns receives the result of Serve.
 func serveOnPipes(t *testing.T, server *Server) (ln *pipeListener, stop func() chan error) {
 	ln = newPipeListener()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -98,7 +98,7 @@
 	"X-Account: acme\r\nX-Time-Left-Ms: 400\r\n\r\n"
 
 func exchange(c net.Conn, r *bufio.Reader, text string) (*http.Response, string, error) {
-	go io.WriteString(c, text) // a pipe has no buffer, and a response may come before the last byte is written
+	go io.WriteString(c, text) // a pipe has no buffer, and the response may come before the last byte is written
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
 		return nil, "", err
@@ -107,10 +107,10 @@
 	return resp, string(body), err
 }
 
-// A panic in the transport must not cost the client its response.
+// If the transport panics, the client still gets a response.
 func TestServer_AnswersAfterPanic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ln, stop := serveOnPipes(t, newTestServer(func(*http.Request) (*http.Response, error) { panic("a fault") }, 9))
+		ln, stop := serveOnPipes(t, newTestServer(func(*http.Request) (*http.Response, error) { panic("test panic") }, 9))
 		c, r := ln.dial()
 		if resp, _, err := exchange(c, r, quoteRequest); err != nil || resp.StatusCode != 500 {
 			t.Errorf("%v, %v", resp, err)
@@ -138,8 +138,8 @@
 	})
 }
 
-// A class may be called "ready": a request with that class is forwarded, and one without a class is the readiness
-// check, which counts among the requests of its connection.
+// A class may be named "ready". A request to /ready with that class is forwarded; one without a class is the readiness
+// check, which also counts as a request of its connection.
 func TestServer_ClassNamedReady(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := testSettings()
@@ -195,8 +195,8 @@
 	})
 }
 
-// New settings apply to requests that arrive from then on: a new class is served, without a key where it may never be
-// retried; a removed class gets 400; settings that another part rejects change nothing.
+// New settings apply to requests that arrive after the change. A new class is served, without an idempotency key if its
+// requests are never retried; a removed class gets 400. Settings that another part rejects change nothing.
 func TestServer_ApplySettingsWithRequestsInFlight(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		forwarded, proceed := make(chan struct{}, 9), make(chan struct{})
@@ -217,8 +217,8 @@
 			}
 			return resp.StatusCode
 		}
-		old := make(chan int, 1)
-		go func() { old <- request("quote", "GET", "1") }()
+		oldStatus := make(chan int, 1)
+		go func() { oldStatus <- request("quote", "GET", "1") }()
 		<-forwarded
 		next := testSettings()
 		next.Classes = []settings.Class{{Name: "bind", Semantics: "side_effect", ClientTimeout: 1e6}, next.Classes[1]}
@@ -226,20 +226,20 @@
 			t.Error("a change that another part rejected was applied")
 		}
 		if got := request("bind", "POST", "2"); got != 400 {
-			t.Errorf("a class of settings that were rejected: %d", got)
+			t.Errorf("status of a class that only rejected settings contain: %d", got)
 		}
 		var numbered []settings.Class
 		if err := server.ApplySettings(next, func(s *settings.Settings) error { numbered = s.Classes; return nil }); err != nil {
 			t.Error(err)
 		}
 		if len(numbered) != 3 || numbered[0].Name != "quote" {
-			t.Errorf("the number of a request in flight went to another class: %+v", numbered)
+			t.Errorf("the class number of a request in flight was given to another class: %+v", numbered)
 		}
 		if server.InFlight() != 1 {
 			t.Errorf("%d requests are in flight", server.InFlight())
 		}
 		close(proceed)
-		if got := <-old; got != 200 {
+		if got := <-oldStatus; got != 200 {
 			t.Errorf("the request in flight got %d", got)
 		}
 		for class, want := range map[string]int{"bind": 200, "quote": 400} {
--- a/internal/standalone/listener/shutdown.go
+++ b/internal/standalone/listener/shutdown.go
@@ -10,15 +10,15 @@
 	"pumiceline/internal/standalone/settings"
 )
 
-// How the platform stops a proxy: SIGKILL comes no sooner after SIGTERM than the longest deadline of a request, of which
-// maxCountedDeadline counts at most, and killDelay.
+// How the platform stops a proxy: SIGKILL follows SIGTERM after at least the longest deadline of a request, of which
+// maxCountedDeadline counts at most, plus killDelay.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killDelay          = 700 * time.Millisecond
 	// killMargin is how long before the earliest SIGKILL the last response is due: time for scheduling and exit.
 	killMargin = 250 * time.Millisecond
-	// closeLead is how long before the last response each response starts to close its connection, so that a request
-	// accepted just before still has that long.
+	// closeLead is how long before the last response is due responses start to close their connections. A request that
+	// is accepted just before that start still has closeLead to be answered.
 	closeLead = time.Second
 )
 
@@ -26,22 +26,22 @@
 	// acceptGrace is how long new connections are still accepted after the request to stop: the load balancer in front
 	// notices the stop with some delay.
 	acceptGrace = 600 * time.Millisecond
-	// unusedShutdownAge is how long a new connection may take to bring its first request before shutdown counts it as
+	// unusedShutdownAge is how long a new connection may take to send its first byte before a shutdown treats it as
 	// unused.
 	unusedShutdownAge = acceptGrace / 2
-	// drainInterval is the time between two passes of drain.
+	// drainInterval is the time between two passes of connTracker.drain.
 	drainInterval = 20 * time.Millisecond
-	// lingerAfterLastResponse leaves the last connections some of the time before SIGKILL to close in order.
+	// lingerAfterLastResponse is how much of killMargin the last connections may use to close without a reset.
 	lingerAfterLastResponse = killMargin / 2
 )
 
-// shutdownSchedule says when the steps of a shutdown are due. Neither time is before the stop.
+// shutdownSchedule contains the times of the steps of a shutdown. Neither time is before the stop.
 type shutdownSchedule struct {
 	// closeFrom is when responses start to close their connections and idle connections are closed. Until then
-	// keep-alive connections are served: the load balancer in front sends new connections to another proxy, which may
-	// be stopping as well.
+	// keep-alive connections are served: a client whose connection is closed needs a new one, and the load balancer in
+	// front sends that to another proxy, which may be stopping as well.
 	closeFrom time.Time
-	// lastResponse is when every response must have been given.
+	// lastResponse is the time by which every response must have been sent.
 	lastResponse time.Time
 }
 
@@ -65,19 +65,20 @@
 	return longest
 }
 
-// shutDown accepts clients for acceptGrace more, or none if there is a successor, and returns once all client sockets
-// are closed. ended brings the result of the HTTP server.
+// shutDown accepts new connections for another acceptGrace, or none if there is a successor, and returns once all
+// client sockets are closed. ended delivers the result of the HTTP server.
 func (s *Server) shutDown(clients *limitListener, ended <-chan error) error {
 	stop := time.Now()
 	hasSuccessor := s.opts.HasSuccessor != nil && s.opts.HasSuccessor()
 	schedule := shutdownTimes(stop, time.Duration(s.longestDeadline.Load()))
-	if hasSuccessor { // it serves new connections, and the clients of the keep-alive ones as well
+	if hasSuccessor { // the successor serves new connections, also those of clients whose keep-alive ones are closed
 		schedule.closeFrom = stop
 	}
 	s.lastResponseAt.Store(schedule.lastResponse.UnixNano())
-	defer time.AfterFunc(time.Until(schedule.lastResponse), s.end).Stop()
-	// Before the listener is closed: Close of an inherited socket in blocking mode (see package hotrestart) waits until
-	// its Accept returns, and that takes a new connection, such as of a client whose response closed its old one.
+	defer time.AfterFunc(time.Until(schedule.lastResponse), s.abortRequests).Stop()
+	// closeAfterResponse must be set before the listener is closed. Close of an inherited socket in blocking mode (see
+	// package hotrestart) waits until its Accept returns, which takes a new connection, for example that of a client
+	// whose old connection was closed after a response. If all clients kept their connections, Close could block.
 	s.closeAfterResponse.Store(!schedule.closeFrom.After(stop))
 	if hasSuccessor {
 		clients.Close()
@@ -95,8 +96,8 @@
 	return nil
 }
 
-// capDeadline returns a deadline that is not after the last response of a shutdown: SIGKILL would come before a later
-// response.
+// capDeadline returns deadline, or the time of the last response of a shutdown if that is earlier: SIGKILL could come
+// before a later response.
 func (s *Server) capDeadline(deadline time.Time) time.Time {
 	if last := s.lastResponseAt.Load(); last != 0 && deadline.UnixNano() > last {
 		return time.Unix(0, last)
--- a/internal/standalone/listener/shutdown_test.go
+++ b/internal/standalone/listener/shutdown_test.go
@@ -16,7 +16,7 @@
 
 func TestShutdownTimes(t *testing.T) {
 	stop := time.Unix(1000, 0)
-	for _, c := range [][3]time.Duration{ // longest deadline; closeFrom and lastResponse after the stop
+	for _, c := range [][3]time.Duration{ // longest deadline; then closeFrom and lastResponse, from the stop
 		{3 * time.Second, 2450 * time.Millisecond, 3450 * time.Millisecond},
 		{9 * time.Second, 2450 * time.Millisecond, 3450 * time.Millisecond}, // at most 3 s count
 		{200 * time.Millisecond, 0, 650 * time.Millisecond},                 // no time for keep-alive: close at once
@@ -28,8 +28,8 @@
 	}
 }
 
-// At shutdown new connections are accepted for a while, responses close their connections, accepted requests are
-// finished, and connections without a request delay nothing.
+// At shutdown new connections are accepted for acceptGrace, responses close their connections, accepted requests are
+// finished, and connections without a request do not delay the end.
 func TestServer_ShutdownFinishesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		server := newTestServer(func(r *http.Request) (*http.Response, error) {
@@ -50,7 +50,7 @@
 		ended := stop()
 		time.Sleep(500 * time.Millisecond)
 		go request(ln.dial())
-		late, _ := ln.dial() // accepted just before the end of the accept grace, and never used
+		late, _ := ln.dial() // accepted just before the end of acceptGrace, and never used
 		defer late.Close()
 		begun := time.Now()
 		for range 2 {
@@ -68,8 +68,8 @@
 	})
 }
 
-// Without a successor, keep-alive connections, which the load balancer in front does not move, are served until
-// shortly before SIGKILL could come, and deadlines are capped to that; with a successor each response closes its
+// Without a successor, keep-alive connections, which the load balancer in front does not move, are served until shortly
+// before SIGKILL could come, and deadlines are capped to lastResponse. With a successor each response closes its
 // connection.
 func TestServer_ShutdownKeepsConnectionsUntilCloseFrom(t *testing.T) {
 	for _, successor := range []bool{false, true} {
@@ -97,12 +97,12 @@
 			stopped = time.Now()
 			ended := stop()
 			if successor && !closes(1) {
-				t.Error("with a successor, a response after the stop keeps its connection")
+				t.Error("with a successor, a response after the stop keeps its connection open")
 			}
 			if !successor {
-				time.Sleep(1900 * time.Millisecond) // well past the 0.6 s of new connections
+				time.Sleep(1900 * time.Millisecond) // well past acceptGrace, 0.6 s
 				if closes(1) || !closes(2) {        // answered at 2.2 s and at 2.5 s
-					t.Error("not kept at 2.2 s, or not closed from 2.45 s")
+					t.Error("the connection was not kept open at 2.2 s, or not closed after 2.45 s")
 				}
 			}
 			if err := <-ended; err != nil || time.Since(stopped) > 3450*time.Millisecond {
@@ -112,8 +112,8 @@
 	}
 }
 
-// A request that is not answered when SIGKILL comes is lost, and SIGKILL does not wait for deadlines over 3 s: each
-// request, also one whose body is still coming, is answered by lastResponse.
+// A request that is not answered before SIGKILL is lost, and SIGKILL does not wait for deadlines over 3 s. Each
+// request, also one whose body is still being sent, must therefore be answered by lastResponse.
 func TestServer_ShutdownCapsDeadlines(t *testing.T) {
 	for name, body := range map[string]string{
 		"complete":     "Content-Length: 2\r\n\r\n{}",
@@ -123,9 +123,9 @@
 			set := testSettings()
 			set.Classes[1].ClientTimeout = 12e6
 			server := newTestServerWith(func(r *http.Request) (*http.Response, error) {
-				<-r.Context().Done() // as forwarder.Transport, where the policy has not decided
+				<-r.Context().Done() // as forwarder.Transport does if the policy has not decided
 				if !errors.Is(context.Cause(r.Context()), context.DeadlineExceeded) {
-					t.Errorf("%s: it ends with %v", name, context.Cause(r.Context()))
+					t.Errorf("%s: the context ends with %v", name, context.Cause(r.Context()))
 				}
 				return gatewayTimeout(r), nil
 			}, func(opts *Options) { opts.Settings = set })
@@ -146,13 +146,13 @@
 	}
 }
 
-// A client that was sending a head at the stop is answered if the head is complete in time, and does not delay the
-// shutdown for ever if it is not.
+// A client that is sending a request head at the stop is answered if the head is complete in time. If it is not, the
+// shutdown still ends before SIGKILL could come.
 func TestServer_ShutdownWaitsForIncompleteHeads(t *testing.T) {
 	for name, c := range map[string]struct {
 		keepAlive bool // the connection had a request before
 		rest      bool // the rest of the head comes
-	}{"on a new connection": {false, true}, "on a kept one": {true, true}, "never complete": {true, false}} {
+	}{"on a new connection": {false, true}, "on a keep-alive connection": {true, true}, "never complete": {true, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			server := newTestServerWith(respondOK, withSuccessor)
 			ln, stop := serveOnPipes(t, server)
