--- a/internal/standalone/admin/api.go
+++ b/internal/standalone/admin/api.go
@@ -22,7 +22,7 @@
 const (
 	// requestTimeout bounds the time from the start of a connection to the last byte of its request.
 	requestTimeout = time.Second
-	// responseTimeout is how long a client may take to read the response after that.
+	// responseTimeout is how long a client may then take to read the response.
 	responseTimeout = 3 * time.Second
 	// maxBodyBytes and maxHeaderBytes bound the size of a request.
 	maxBodyBytes   = 4 << 10
@@ -84,7 +84,7 @@
 			http.Error(w, "the body is too long or did not come whole", http.StatusBadRequest)
 			return
 		}
-		if p := r.URL.EscapedPath(); path.Clean(p) != p { // the mux would redirect, and a client may mistake that for success
+		if p := r.URL.EscapedPath(); path.Clean(p) != p { // the mux would redirect, which a client may take for success
 			http.NotFound(w, r)
 			return
 		}
--- a/internal/standalone/forwarder/attempts.go
+++ b/internal/standalone/forwarder/attempts.go
@@ -81,7 +81,7 @@
 }
 
 // reportBodySent reports to the engine when a streamed body has been sent completely, since the backend cannot work on
-// the request before. done closes when the attempt has ended.
+// the request before that. done closes when the attempt has ended.
 func (a *attempts) reportBodySent(attempt uint8, stream *requestbody.Stream, done <-chan struct{}) {
 	select {
 	case <-stream.Ended():
--- a/internal/standalone/forwarder/transport.go
+++ b/internal/standalone/forwarder/transport.go
@@ -25,8 +25,8 @@
 	Exchange(ctx context.Context, id policy.ServerID, a backend.Attempt) backend.Result
 }
 
-// responseMargin is how long before the client's deadline attempts end, so that the response to the policy's final
-// decision reaches the client before it times out.
+// responseMargin is the time between the end of the last attempt and the client's deadline. It lets the response to the
+// policy's final decision reach the client before it times out.
 const responseMargin = 15 * time.Millisecond
 
 // Transport is an http.RoundTripper that makes exactly the attempts that the policy decides on. The context of a
--- a/internal/standalone/forwarder/transport_test.go
+++ b/internal/standalone/forwarder/transport_test.go
@@ -99,13 +99,13 @@
 // The policy rejects a request that arrives with no time left at once. The response must be that rejection (503), not a
 // time-out (504).
 func TestTransport_RejectionPrecedesExpiredDeadline(t *testing.T) {
-	rejectAll := policyFunc(func(ev *policy.Event) []policy.Action {
+	rejects := policyFunc(func(ev *policy.Event) []policy.Action {
 		return []policy.Action{{Kind: policy.RejectRequest, ID: ev.ID}}
 	})
 	late, cancel := context.WithDeadline(t.Context(), time.Now())
 	defer cancel()
 	for range 50 {
-		if resp, err := roundTrip(late, rejectAll, nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
+		if resp, err := roundTrip(late, rejects, nil); err != nil || resp.StatusCode != http.StatusServiceUnavailable {
 			t.Fatalf("%v, %v", resp, err)
 		}
 	}
--- a/internal/standalone/listener/body_test.go
+++ b/internal/standalone/listener/body_test.go
@@ -116,7 +116,7 @@
 				if server.InFlight() != 0 || len(server.openIDs.ids) != 0 || server.OpenSockets() != 0 {
 					t.Error("the ended request is still in flight, or its correlation id or socket is still open")
 				}
-				if c.disconnects && (readErr == nil || got != c.sent) { // the attempt that reads the body must get the error
+				if c.disconnects && (readErr == nil || got != c.sent) { // the reading attempt must get the error
 					t.Errorf("the attempt read %d bytes, %v", got, readErr)
 				}
 			})
--- a/internal/standalone/listener/conn.go
+++ b/internal/standalone/listener/conn.go
@@ -140,9 +140,9 @@
 }
 
 // Close is called by net/http after the last response, or if no request arrived in time. It lingers: it closes the
-// writing side, then reads and discards until the client closes too. Otherwise bytes that are unread, or that arrive
-// before the client sees the close, would make the kernel reset the connection and drop the part of the response that
-// is still in its send buffer.
+// writing side, then reads and discards until the client closes too, for lingerTimeout at most. Otherwise bytes that
+// are unread, or that arrive before the client sees the close, would make the kernel reset the connection and drop the
+// part of the response that is still in its send buffer.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	ended := c.endedByProxy
@@ -158,7 +158,7 @@
 	return c.Conn.Close()
 }
 
-// SetReadDeadline is called by net/http. With a deadline that is long past net/http aborts its background read; Read
+// SetReadDeadline is called by net/http. A deadline that is long past aborts net/http's background read; Read
 // must not extend such a deadline. The deadline of a connection's first head stays as it is, so that a client that
 // sends half a head gets an error soon. The head of a later request gets laterHeadExtension more: if the connection
 // were closed while the last bytes of the head are on the way, a request that its client has sent completely would be
--- a/internal/standalone/listener/disconnect_test.go
+++ b/internal/standalone/listener/disconnect_test.go
@@ -123,7 +123,7 @@
 	c.backends = backend.NewPool(backend.Options{DialTimeout: 5 * time.Second, IdleTimeout: time.Minute, MaxConnections: 9,
 		Dial: func(_ context.Context, addr string, by time.Time) (net.Conn, error) {
 			c.dialing <- struct{}{}
-			nc, err := backend.DialTCP(context.Background(), addr, by) // as a dial that completes at the moment of a cancel
+			nc, err := backend.DialTCP(context.Background(), addr, by) // as a dial that completes during a cancel
 			if err != nil {
 				return nil, err
 			}
@@ -297,7 +297,7 @@
 			other := &http.Request{RemoteAddr: "127.0.0.9:1"}
 			finish, _ := gate.admit(t.Context(), other, acceptedRequest{info: &forwarder.RequestInfo{}, deadline: time.Now().Add(time.Hour)})
 			client, n := c.send("body")
-			c.waitUntil("the request is queued at the gate", func() bool { return c.server.TableSizes().GateQueue == 1 })
+			c.waitUntil("the gate queues the request", func() bool { return c.server.TableSizes().GateQueue == 1 })
 			disconnect(c, client, n)
 			c.waitForDisconnect()
 			finish(true)
--- a/internal/standalone/listener/gate_test.go
+++ b/internal/standalone/listener/gate_test.go
@@ -114,7 +114,7 @@
 	withoutFlood, _ := latencies(false)
 	withFlood, rejected := latencies(true)
 	if a, b := p99(withoutFlood), p99(withFlood); b > a*3/2 || rejected > 0 || len(withFlood) != len(withoutFlood) {
-		t.Errorf("p99 without a flood %v, with a flood %v; %d of %d served, %d rejected", a, b, len(withFlood), len(withoutFlood), rejected)
+		t.Errorf("p99 %v without, %v with a flood; %d of %d served, %d rejected", a, b, len(withFlood), len(withoutFlood), rejected)
 	}
 }
 
--- a/internal/standalone/listener/handler.go
+++ b/internal/standalone/listener/handler.go
@@ -33,7 +33,7 @@
 		s.serveReady(rw)
 		return
 	}
-	if framing.hasTransferEncoding { // the scanner cannot find the start of a next request on the connection
+	if framing.hasTransferEncoding { // the scanner cannot find the start of the next request on the connection
 		rw.Header().Set("Connection", "close")
 	}
 	accepted, err := s.requests.read(rw, r, receivedAt, framing)
@@ -162,7 +162,8 @@
 // requestContext returns a request's context. It ends at the client's deadline, which for a streamed body counts from
 // the last byte; when clientCtx ends, because the client has disconnected; when a streamed body breaks off; and when
 // the last response of a shutdown is due.
-func (s *Server) requestContext(clientCtx context.Context, accepted acceptedRequest) (context.Context, context.CancelFunc) {
+func (s *Server) requestContext(clientCtx context.Context, accepted acceptedRequest) (
+	context.Context, context.CancelFunc) {
 	info := accepted.info
 	ctx, cancelDeadline := forwarder.WithRequestInfo(clientCtx, info), func() {}
 	if info.Stream == nil {
--- a/internal/standalone/listener/server.go
+++ b/internal/standalone/listener/server.go
@@ -42,7 +42,7 @@
 	Transport http.RoundTripper
 	// Ready reports whether the proxy can serve; it is the result of the readiness check.
 	Ready func() bool
-	// GuaranteedSockets is how many client sockets may be open at any time.
+	// GuaranteedSockets is the number of client sockets that may always be open.
 	GuaranteedSockets int
 	// SocketLimit returns how many client sockets may be open now, at least GuaranteedSockets. nil: GuaranteedSockets.
 	SocketLimit func() int
--- a/internal/standalone/listener/server_test.go
+++ b/internal/standalone/listener/server_test.go
@@ -110,7 +110,7 @@
 // If the transport panics, the client still gets a response.
 func TestServer_AnswersAfterPanic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ln, stop := serveOnPipes(t, newTestServer(func(*http.Request) (*http.Response, error) { panic("test panic") }, 9))
+		ln, stop := serveOnPipes(t, newTestServer(func(*http.Request) (*http.Response, error) { panic("in test") }, 9))
 		c, r := ln.dial()
 		if resp, _, err := exchange(c, r, quoteRequest); err != nil || resp.StatusCode != 500 {
 			t.Errorf("%v, %v", resp, err)
--- a/internal/standalone/listener/shutdown.go
+++ b/internal/standalone/listener/shutdown.go
@@ -17,8 +17,8 @@
 	killDelay          = 700 * time.Millisecond
 	// killMargin is how long before the earliest SIGKILL the last response is due: time for scheduling and exit.
 	killMargin = 250 * time.Millisecond
-	// closeLead is how long before the last response is due responses start to close their connections. A request that
-	// is accepted just before that start still has closeLead to be answered.
+	// closeLead is how long before lastResponse the responses start to close their connections. A request that is
+	// accepted just before that start still has closeLead to be answered.
 	closeLead = time.Second
 )
 
--- a/internal/standalone/listener/shutdown_test.go
+++ b/internal/standalone/listener/shutdown_test.go
@@ -152,7 +152,7 @@
 	for name, c := range map[string]struct {
 		keepAlive bool // the connection had a request before
 		rest      bool // the rest of the head comes
-	}{"on a new connection": {false, true}, "on a keep-alive connection": {true, true}, "never complete": {true, false}} {
+	}{"on a new connection": {false, true}, "on a reused connection": {true, true}, "never complete": {true, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			server := newTestServerWith(respondOK, withSuccessor)
 			ln, stop := serveOnPipes(t, server)
--- a/internal/standalone/metrics/metrics.go
+++ b/internal/standalone/metrics/metrics.go
@@ -18,7 +18,7 @@
 	Canceled Outcome = iota // by its client; not counted
 	Served                  // with a backend's complete response
 	Rejected                // with a busy response of the proxy
-	Failed                  // with any other response, or one that broke off
+	Failed                  // in any other way, also with a response that broke off
 	outcomeCount
 )
 
