--- a/internal/message/agreement.go
+++ b/internal/message/agreement.go
@@ -20,14 +20,14 @@
 	Proposal ProposalNumber `msg:"b"`
 }
 
-// PrepareResponse answers Prepare: with a promise and the proposal accepted so far, or, when Rejected, with the number
-// that was promised to another proposer.
+// PrepareResponse answers Prepare with a promise and the proposal accepted so far. When Rejected, it reports the higher
+// number that the voter has promised instead.
 type PrepareResponse struct {
 	Proposal         ProposalNumber `msg:"b"` // of the request
 	Rejected         bool           `msg:"r"`
 	HighestProposal  ProposalNumber `msg:"p"`  // the promised number; only when Rejected
 	AcceptedProposal ProposalNumber `msg:"ab"` // number of AcceptedView
-	AcceptedView     View           `msg:"a"`  // its number is 0 where none was accepted
+	AcceptedView     View           `msg:"a"`  // View.Number 0: none was accepted
 }
 
 // Accept starts phase 2: it asks to accept Value as the next view.
@@ -36,7 +36,7 @@
 	Value    View           `msg:"v"`
 }
 
-// AcceptResponse answers Accept. A proposer that has a majority of them, none Rejected, has decided the view.
+// AcceptResponse answers Accept. The view is decided once a majority of the voters has answered without Rejected.
 type AcceptResponse struct {
 	Proposal        ProposalNumber `msg:"b"` // of the request
 	Rejected        bool           `msg:"r"`
@@ -48,8 +48,9 @@
 	RequestID uint64 `msg:"r"`
 }
 
-// ConfirmResponse answers ConfirmRequest: the voter is in that view and has accepted no later one.
+// ConfirmResponse answers ConfirmRequest. Only a voter that is in the sender's view answers. Unless Rejected, it has
+// accepted no later view.
 type ConfirmResponse struct {
 	RequestID uint64 `msg:"r"`
-	Rejected  bool   `msg:"f"` // it is in that view, but has accepted a later one
+	Rejected  bool   `msg:"f"` // the voter has accepted a later view
 }
--- a/internal/message/agreement_test.go
+++ b/internal/message/agreement_test.go
@@ -16,7 +16,7 @@
 		{"higher counter", ProposalNumber{Counter: 2, Proposer: "a"}, ProposalNumber{Counter: 1, Proposer: "b"}, false},
 		{"same counter, lower proposer", ProposalNumber{Counter: 1, Proposer: "a"}, ProposalNumber{Counter: 1, Proposer: "b"}, true},
 		{"equal", ProposalNumber{Counter: 1, Proposer: "a"}, ProposalNumber{Counter: 1, Proposer: "a"}, false},
-		{"none is below all", ProposalNumber{}, ProposalNumber{Counter: 1}, true},
+		{"zero value is below every proposal number", ProposalNumber{}, ProposalNumber{Counter: 1}, true},
 	} {
 		t.Run(test.name, func(t *testing.T) { assert.Equal(t, test.want, test.a.Less(test.b)) })
 	}
--- a/internal/message/chain.go
+++ b/internal/message/chain.go
@@ -16,13 +16,13 @@
 	Digest   []byte `msg:"d"` // of that state
 }
 
-// SnapshotRequest asks the predecessor for its state, or, unless Full, only for its digest.
+// SnapshotRequest asks the predecessor for its state if Full is set, otherwise only for the digest of its state.
 type SnapshotRequest struct {
 	Full bool `msg:"w"`
 }
 
-// CatchUpRequest asks any complete member for its state. It lets the sender become complete before the state has come to
-// it along the chain, whose earlier members may be lost.
+// CatchUpRequest asks any complete member for its state. The sender can then become complete without waiting for the
+// state along the chain, where a member before it may have failed.
 type CatchUpRequest struct {
 	Digest []byte `msg:"d"` // of the sender's state
 }
@@ -30,5 +30,5 @@
 // CatchUp answers CatchUpRequest with the state of a complete member.
 type CatchUp struct {
 	Digest []byte      `msg:"d"`
-	State  *ChainState `msg:"s,omitempty"` // nil: the receiver holds that state already
+	State  *ChainState `msg:"s,omitempty"` // nil: the receiver already holds that state
 }
--- a/internal/message/coordination.go
+++ b/internal/message/coordination.go
@@ -1,21 +1,22 @@
 package message
 
-// LockName is what applications call a lock.
+// LockName is the name of a lock, chosen by applications.
 type LockName string
 
-// OwnerName is what an application calls itself as the holder of locks.
+// OwnerName is the name under which an application holds locks.
 type OwnerName string
 
-// KeyName is what applications call a key.
+// KeyName is the name of a key, chosen by applications.
 type KeyName string
 
-// KeyGroup is the part of a key's name up to and including the first dot. The keys of a group share one count of revisions.
+// KeyGroup is the part of a key's name up to and including the first dot. The keys of a group share one revision
+// counter.
 type KeyGroup string
 
-// Revision counts the puts of a group of keys from 1. 0 stands for a key that does not exist.
+// Revision numbers the puts in a group of keys, from 1. 0 stands for a key that does not exist.
 type Revision uint64
 
-// CallKind says what an application's call asks for.
+// CallKind is the operation that an application's call requests.
 type CallKind uint8
 
 // The kinds of calls.
@@ -38,11 +39,11 @@
 	HoldMs     int64        `msg:"h,omitempty"`
 	Key        KeyName      `msg:"n,omitempty"`
 	Value      string       `msg:"v,omitempty"`
-	IfRevision Revision     `msg:"r,omitempty"` // that the key must have; 0: it must not exist
-	IfAny      bool         `msg:"y,omitempty"` // of CallPut: whatever revision the key has, or none
+	IfRevision Revision     `msg:"r,omitempty"` // of CallPut: revision that the key must have; 0: the key must not exist
+	IfAny      bool         `msg:"y,omitempty"` // of CallPut: the put is unconditional, and IfRevision is ignored
 	Group      KeyGroup     `msg:"g,omitempty"` // of CallWatch
-	After      Revision     `msg:"a,omitempty"` // of CallWatch: events above it are wanted; 0: only the present revision
-	WaitMs     int64        `msg:"w,omitempty"` // of CallWatch: how long the answer may wait for an event
+	After      Revision     `msg:"a,omitempty"` // of CallWatch: asks for events above it; 0: only for the current revision
+	WaitMs     int64        `msg:"w,omitempty"` // of CallWatch: how long the answer may be delayed until there is an event
 }
 
 // CallStatus is the HTTP status that a call is answered with.
@@ -67,18 +68,18 @@
 
 // CallRequest carries a call from the coordinator that received it (the relay) to the issuer.
 type CallRequest struct {
-	ID   uint64 `msg:"i"` // chosen by the relay; a repeated request has the same one
+	ID   uint64 `msg:"i"` // chosen by the relay; a repeated request has the same ID
 	Call Call   `msg:"c"`
 }
 
 // CallResponse answers CallRequest.
 type CallResponse struct {
 	ID     uint64  `msg:"i"`
-	Answer *Answer `msg:"a,omitempty"` // nil: the sender is not the issuer and has done nothing
-	Issuer Member  `msg:"m"`           // the issuer as far as the sender knows; without an identity: it knows none
+	Answer *Answer `msg:"a,omitempty"` // nil: the sender is not the issuer and has not executed the call
+	Issuer Member  `msg:"m"`           // the issuer known to the sender; an empty identity: none
 }
 
-// Epoch is the term of one issuer. Epochs are ordered by the counter, then by the issuer; no member uses one twice.
+// Epoch is the term of one issuer. Epochs are ordered by the counter, then by the issuer. No member reuses an epoch.
 type Epoch struct {
 	Counter uint64   `msg:"c"`
 	Issuer  MemberID `msg:"i"`
@@ -96,16 +97,16 @@
 // numbered from 1; a group decides its successor (CoordinationState.NextGroup).
 type AcceptorGroup struct {
 	Number    uint64     `msg:"n"`
-	View      ViewNumber `msg:"v"` // whose voters the acceptors are
+	View      ViewNumber `msg:"v"` // the acceptors are the voters of this view
 	Acceptors []Member   `msg:"a"`
 }
 
-// CoordinationPosition orders the values that the coordination state has had: by group, then by epoch, then by sequence. Two
-// members at one position hold the same state.
+// CoordinationPosition identifies a version of the coordination state. Versions are ordered by group, then by epoch,
+// then by sequence. Two members at the same position hold the same state.
 type CoordinationPosition struct {
 	Group    uint64 `msg:"g"`
 	Epoch    Epoch  `msg:"e"`
-	Sequence uint64 `msg:"s"` // number of writes; it goes on from epoch to epoch
+	Sequence uint64 `msg:"s"` // number of writes so far; a new epoch continues the count
 }
 
 // Less reports whether p is before other.
@@ -119,7 +120,7 @@
 	return p.Sequence < other.Sequence
 }
 
-// CoordinationRecord is what an acceptor keeps on disk besides the state.
+// CoordinationRecord is the record that an acceptor keeps on disk besides the state.
 type CoordinationRecord struct {
 	Identity MemberID `msg:"i"`
 	Promised Epoch    `msg:"p"` // writes of earlier epochs are rejected
@@ -129,9 +130,9 @@
 type CoordinationState struct {
 	Position   CoordinationPosition `msg:"p"`
 	Group      AcceptorGroup        `msg:"g"`
-	NextGroup  *AcceptorGroup       `msg:"x,omitempty"` // the group that takes over: nothing else is written in this one any more
-	LastToken  FencingToken         `msg:"t"`           // the newest fencing token of all locks
-	LastNumber uint64               `msg:"u"`           // the newest number of all names
+	NextGroup  *AcceptorGroup       `msg:"x,omitempty"` // the group that takes over; nothing more is written in Group
+	LastToken  FencingToken         `msg:"t"`           // the newest fencing token, of any lock
+	LastNumber uint64               `msg:"u"`           // the newest number, under any name
 	Holds      []LockHold           `msg:"h"`
 	KeyGroups  []KeyGroupState      `msg:"k"`
 }
@@ -140,25 +141,25 @@
 type LockHold struct {
 	Lock       LockName     `msg:"l"`
 	Owner      OwnerName    `msg:"o"`
-	FirstToken FencingToken `msg:"f"` // with which the owner got the lock; it has held it without a gap since
-	Token      FencingToken `msg:"t"` // with which the owner asked for it last
-	HoldMs     int64        `msg:"d"` // how long the hold lasts from its last renewal on
-	LeftMs     int64        `msg:"m"` // of HoldMs, when the message was sent; a receiver counts it from the receipt
+	FirstToken FencingToken `msg:"f"` // of the owner's first grant; the owner has held the lock without a gap since
+	Token      FencingToken `msg:"t"` // of the owner's newest grant; a renewal keeps it
+	HoldMs     int64        `msg:"d"` // duration of the hold, from its last grant or renewal
+	LeftMs     int64        `msg:"m"` // remaining time when the message was sent; a receiver counts it from the receipt
 }
 
-// KeyGroupState is a group of keys and its newest events.
+// KeyGroupState is the state of a group of keys, with its newest events.
 type KeyGroupState struct {
 	Name     KeyGroup   `msg:"n"`
 	Revision Revision   `msg:"r"`
-	Horizon  Revision   `msg:"z"` // events up to it have been dropped from History
+	Horizon  Revision   `msg:"z"` // events up to this revision have been dropped from History
 	Keys     []KeyEvent `msg:"k"` // the newest event of each key
-	History  []KeyEvent `msg:"h"` // events above Horizon, rising
+	History  []KeyEvent `msg:"h"` // events above Horizon, in ascending order
 }
 
 // CoordinationChange is one change of the state. Exactly one field is set.
 type CoordinationChange struct {
 	Hold      *LockHold      `msg:"h,omitempty"` // a lock was granted or renewed
-	Release   *LockRelease   `msg:"r,omitempty"` // a lock was given back, or its hold expired
+	Release   *LockRelease   `msg:"r,omitempty"` // a lock was released, or its hold expired
 	Number    uint64         `msg:"u,omitempty"` // the newest number
 	Put       *KeyEvent      `msg:"p,omitempty"`
 	Trim      *HistoryTrim   `msg:"t,omitempty"`
@@ -174,14 +175,14 @@
 // HistoryTrim drops old events of a group.
 type HistoryTrim struct {
 	Group   KeyGroup `msg:"g"`
-	Horizon Revision `msg:"z"` // events up to it are dropped
+	Horizon Revision `msg:"z"` // events up to this revision are dropped
 }
 
-// CoordinationWrite is one write of the state: changes that lead from one position to the next. It is replicated and stored.
+// CoordinationWrite is one write to the state: the changes from one position to the next. It is replicated and stored.
 type CoordinationWrite struct {
 	Previous CoordinationPosition `msg:"v"`
 	Position CoordinationPosition `msg:"p"`
-	Group    *AcceptorGroup       `msg:"g,omitempty"` // set where Position is the first one in a group
+	Group    *AcceptorGroup       `msg:"g,omitempty"` // set if Position is the first one in a group
 	Changes  []CoordinationChange `msg:"c"`
 }
 
@@ -193,16 +194,16 @@
 // EpochQueryResponse answers EpochQuery.
 type EpochQueryResponse struct {
 	RequestID uint64        `msg:"r"`
-	HasIssuer bool          `msg:"h"` // the acceptor has just heard from an issuer, and would promise nothing
-	Issuer    Member        `msg:"m"` // the one that it heard from last
+	HasIssuer bool          `msg:"h"` // the acceptor has a live issuer, or is it, and would promise no epoch
+	Issuer    Member        `msg:"m"` // from which the acceptor last received a write, or the acceptor itself
 	Promised  Epoch         `msg:"p"`
-	Group     AcceptorGroup `msg:"g"` // the newest that it knows
+	Group     AcceptorGroup `msg:"g"` // the newest group that the acceptor knows
 }
 
 // EpochPrepare asks an acceptor to promise to accept no write of an earlier epoch.
 type EpochPrepare struct {
 	Epoch Epoch  `msg:"e"`
-	Group uint64 `msg:"g"` // the group that is to be led
+	Group uint64 `msg:"g"` // number of the acceptor group in which the sender wants to become the issuer
 }
 
 // EpochPrepareResponse answers EpochPrepare.
@@ -226,30 +227,31 @@
 	State CoordinationState `msg:"s"`
 }
 
-// StateWrite asks an acceptor to accept writes of an epoch. Without Writes and State it only asks whether the acceptor holds
-// Position and has promised no later epoch.
+// StateWrite asks an acceptor to accept writes of an epoch. Without Writes and State it only checks that the acceptor
+// holds Position and has promised no later epoch.
 type StateWrite struct {
 	Epoch    Epoch                `msg:"e"`
-	Round    uint64               `msg:"r"` // counts the issuer's writes and questions in the epoch
+	Round    uint64               `msg:"r"` // number of the issuer's round, with or without a write; rises in the epoch
 	Position CoordinationPosition `msg:"p"` // after Writes
 	Writes   []CoordinationWrite  `msg:"w,omitempty"`
-	State    *CoordinationState   `msg:"s,omitempty"` // the complete state at Position; then there are no Writes
+	State    *CoordinationState   `msg:"s,omitempty"` // the complete state at Position, in place of Writes
 	Issuer   Member               `msg:"m"`
-	Idle     bool                 `msg:"q"` // the issuer sends no more until the next call
+	Idle     bool                 `msg:"q"` // the issuer sends no heartbeats until the next call
 }
 
 // StateWriteResponse answers StateWrite.
 type StateWriteResponse struct {
 	Epoch    Epoch                `msg:"e"` // of the request
 	Round    uint64               `msg:"r"` // of the request
-	Accepted bool                 `msg:"a"` // the acceptor holds the position of the request, synced
-	Leaving  bool                 `msg:"l"` // the acceptor shuts down
+	Accepted bool                 `msg:"a"` // the acceptor has synced the state at the position of the request
+	Leaving  bool                 `msg:"l"` // the acceptor is shutting down
 	Promised Epoch                `msg:"p"`
-	Position CoordinationPosition `msg:"s"`           // that it holds
-	Group    *AcceptorGroup       `msg:"g,omitempty"` // of Position, where it is a later one than the request's
+	Position CoordinationPosition `msg:"s"`           // of the acceptor's state
+	Group    *AcceptorGroup       `msg:"g,omitempty"` // the acceptor's group, if it is later than that of the request
 }
 
-// IssuerHandOver asks an acceptor to become the issuer at once: the sender shuts down.
+// IssuerHandOver asks an acceptor to become the issuer at once, because the sender is shutting down or is no acceptor
+// of the current group.
 type IssuerHandOver struct {
 	Epoch Epoch `msg:"e"` // of the sender
 }
--- a/internal/message/distribution.go
+++ b/internal/message/distribution.go
@@ -2,20 +2,20 @@
 
 import "slices"
 
-// PollRequest asks a coordinator for what is newer than the versions that the sender has (long poll). It also reports
-// the sender's demand and load.
+// PollRequest is a long poll: it asks a coordinator for the configuration, backend list and total loads, as far as they
+// are newer than the sender's. It also reports the sender's demand and load.
 type PollRequest struct {
 	ID             uint64        `msg:"i"`
-	ConfigSequence uint64        `msg:"c"` // of the configuration that the sender has; 0: none
-	BackendDigest  uint64        `msg:"b"` // of the backend list that the sender has; 0: none
-	MaxWaitMs      int           `msg:"h"` // how long the coordinator may delay the response while nothing is newer
+	ConfigSequence uint64        `msg:"c"` // of the sender's configuration; 0: it has none
+	BackendDigest  uint64        `msg:"b"` // of the sender's backend list; 0: it has none
+	MaxWaitMs      int           `msg:"h"` // how long the coordinator may delay the response until something is newer
 	Demand         []ModelDemand `msg:"d"` // since the last poll
 	Loads          []BackendLoad `msg:"l"` // current values, not differences
-	Proxies        int           `msg:"p"` // how many proxies the sender speaks for
-	LoadVersion    uint64        `msg:"v"` // of the total loads that the sender has; 0: none
+	Proxies        int           `msg:"p"` // number of proxies whose demand and loads the request reports
+	LoadVersion    uint64        `msg:"v"` // of the sender's total loads; 0: it has none
 }
 
-// PollResponse carries what is newer than the versions in PollRequest.
+// PollResponse carries the data that is newer than the versions in PollRequest.
 type PollResponse struct {
 	ID                uint64             `msg:"i"`
 	Unavailable       bool               `msg:"u"` // no majority of the voters confirms the coordinator's view: poll another one
@@ -27,14 +27,15 @@
 	BackendsRevision  BackendsRevision   `msg:"v,omitempty"` // of that list
 	WaitedMs          int64              `msg:"h"`           // time between the arrival of the poll and this response
 	Proxies           int                `msg:"p"`           // number of proxies in the system
-	TotalLoads        []BackendLoad      `msg:"l"`           // loads of all proxies together: all of them, or those that have changed
+	TotalLoads        []BackendLoad      `msg:"l"`           // loads of all proxies together: all, or only changed ones
 	LoadsComplete     bool               `msg:"w"`           // TotalLoads has all backends with a load
-	LoadVersion       uint64             `msg:"lv"`          // of the total loads that TotalLoads leads to
+	LoadVersion       uint64             `msg:"lv"`          // of the total loads once TotalLoads is applied
 	PendingModelLoads []PendingModelLoad `msg:"o"`
 }
 
-// BackendsRevision orders the lists that one lease holder publishes, which may be several for one reading of the platform's list:
-// its placement tasks learn of models meanwhile. The zero value is that of a list that no lease holder has published.
+// BackendsRevision orders the backend lists that one lease holder publishes. It may publish several lists for one
+// reading of the platform's list, because its placement tasks observe changed models in between; the time of the reading cannot
+// order these. The zero value marks a list that was not published by a lease holder.
 type BackendsRevision struct {
 	Token  FencingToken `msg:"t"` // of the lease under which the list was published
 	Number uint64       `msg:"n"` // of the list under that lease, from 1
@@ -44,15 +45,15 @@
 type ConfigUpdate struct {
 	Sequence uint64 `msg:"s"`
 	Document []byte `msg:"d"` // empty where Delta is set
-	Base     uint64 `msg:"b"` // sequence of the configuration that Delta builds on
+	Base     uint64 `msg:"b"` // sequence of the configuration that Delta applies to
 	Delta    []byte `msg:"x"`
-	Digest   []byte `msg:"g"` // of the document that Delta makes
+	Digest   []byte `msg:"g"` // of the document that results from Delta
 }
 
 // BackendUpdate is the list of backends, or its changes since the list that the receiver has.
 type BackendUpdate struct {
 	Digest   uint64      `msg:"d"` // of the complete list
-	Base     uint64      `msg:"s"` // digest of the list that this builds on; 0: this is the complete list
+	Base     uint64      `msg:"s"` // digest of the list that the changes apply to; 0: this is the complete list
 	Backends []Backend   `msg:"b"` // all, or those that are new or changed
 	Removed  []BackendID `msg:"g"` // no longer on the list
 }
@@ -63,10 +64,10 @@
 	Service      string        `msg:"s"`
 	Address      string        `msg:"a"` // host:port
 	Zone         string        `msg:"z"`
-	Capacity     int           `msg:"c"` // requests that it runs at one time
+	Capacity     int           `msg:"c"` // requests that it runs concurrently
 	Draining     bool          `msg:"d"` // it takes no new requests
-	WarmUpLeftMs int           `msg:"-"` // time until it has warmed up; known only to whoever reads the platform's list
-	TimeLeftMs   int           `msg:"t"` // time until the platform takes it away; 0: not announced
+	WarmUpLeftMs int           `msg:"-"` // time until it has warmed up; not sent: known only to the list's reader
+	TimeLeftMs   int           `msg:"t"` // time until the platform removes it; 0: no removal is announced
 	Models       []LoadedModel `msg:"m"`
 }
 
@@ -98,7 +99,7 @@
 	Model    ModelName `msg:"m"`
 	Arrivals float64   `msg:"a"` // requests
 	Waiting  int       `msg:"w"` // requests queued for it now
-	Unserved float64   `msg:"x"` // requests rejected because no backend held it
+	Unserved float64   `msg:"x"` // requests rejected because no backend held the model
 	InFlight int       `msg:"r"` // requests in flight now
 }
 
@@ -106,11 +107,11 @@
 type BackendLoad struct {
 	Backend         BackendID `msg:"b"`
 	InFlight        int       `msg:"r"` // requests in flight
-	QueuedPrefillMs int       `msg:"q"` // prefill time of the requests whose response has sent no event yet
+	QueuedPrefillMs int       `msg:"q"` // prefill time of the requests whose response has no event yet
 }
 
-// LoadReport reports loads that have just changed. Where its ID is set it is a load query too: it asks for the loads that
-// the other proxies have put on the backends that hold a model.
+// LoadReport reports loads that have just changed. If its ID is set, it is also a load query: it asks for the loads
+// that the other proxies have put on the backends that hold a model.
 type LoadReport struct {
 	ID       uint64        `msg:"i"` // of the query; 0: it is only a report
 	Service  string        `msg:"s"` // of Model
@@ -119,8 +120,8 @@
 	Complete bool          `msg:"w"` // the sender has no load at any other backend
 }
 
-// LoadResponse answers the query of a LoadReport: the loads of all proxies but the sender of the query. Backends without a
-// load are left out.
+// LoadResponse answers the query of a LoadReport with the loads of all proxies except the sender of the query. Backends
+// without a load are left out.
 type LoadResponse struct {
 	ID      uint64        `msg:"i"`
 	Unknown bool          `msg:"u"` // the coordinator has no backend list
--- a/internal/message/lease.go
+++ b/internal/message/lease.go
@@ -1,6 +1,6 @@
 package message
 
-// LeaseRequest asks a voter for the controller lease, or renews it.
+// LeaseRequest asks a voter to grant the controller lease, or to renew it.
 type LeaseRequest struct {
 	Token     FencingToken `msg:"t"`
 	RequestID uint64       `msg:"r"`
@@ -14,7 +14,7 @@
 	Token     FencingToken `msg:"t"` // the highest token that the grantor has granted
 }
 
-// LeaseRelease gives the lease back before it expires.
+// LeaseRelease releases the lease before it expires.
 type LeaseRelease struct {
 	Token FencingToken `msg:"t"`
 }
--- a/internal/message/membership.go
+++ b/internal/message/membership.go
@@ -1,22 +1,24 @@
 package message
 
-// Member is a coordinator: an identity that is stored on its disk, and the address at which it is reached now.
+// Member is a coordinator: the identity stored on its disk, and its current address.
 type Member struct {
 	Identity  MemberID   `msg:"i"`
 	Address   string     `msg:"a"` // host:port for messages between processes
-	Zone      string     `msg:"z"` // failure domain; empty: not known yet
-	Diskless  bool       `msg:"v"` // a restart loses all that it holds
+	Zone      string     `msg:"z"` // failure domain; empty: not yet known
+	Diskless  bool       `msg:"v"` // a restart loses all its state
 	SinceView ViewNumber `msg:"s"` // the view since which it has been a member without interruption
 }
 
-// View is an agreed membership. The chain loses a member as soon as that one is suspected and gets it back when it
-// rejoins. The voters change less often: a suspected voter keeps its vote until a live member can take it.
+// View is an agreed membership. A member leaves the chain as soon as it is suspected, and returns when it rejoins. The
+// voters change less often: a suspected voter keeps its vote until the vote can be transferred to a live member, or
+// until there are enough voters without it.
 type View struct {
 	Number  ViewNumber `msg:"n"`
 	Members []Member   `msg:"m"` // the replication chain, the head first
-	// Voters decide on the next view by majority. Records of the first version have none: there the chain votes.
+	// Voters decide on the next view by majority. Records of the first version have none: their voters
+	// are the members of the chain.
 	Voters []Member `msg:"v"`
-	// ReplacedVoters are suspected members that lost their vote, the latest last.
+	// ReplacedVoters are suspected members that lost their vote, the most recent last.
 	ReplacedVoters []ReplacedVoter `msg:"dp"`
 }
 
@@ -28,35 +30,35 @@
 	return v.Voters
 }
 
-// ReplacedVoter is a member that lost its vote while it was suspected. Views are still announced to it. It gets a vote
-// back when the member that replaced it turns out to have come for another one that leaves.
+// ReplacedVoter is a member that lost its vote while it was suspected. Views are still announced to it. It gets a
+// vote back when the new member that took its vote turns out to replace a leaving member of another zone instead.
 type ReplacedVoter struct {
 	Member     Member   `msg:"m"`
-	ReplacedBy MemberID `msg:"b"` // the member that got the vote; empty: the vote was dropped
+	ReplacedBy MemberID `msg:"b"` // the member that got the vote; empty: the number of voters was reduced
 }
 
 // Heartbeat shows that the sender is alive, and carries its health. A member sends it to its monitors.
 type Heartbeat struct {
-	Complete    bool `msg:"c"` // it holds all that was acknowledged in earlier views
+	Complete    bool `msg:"c"` // it holds all changes acknowledged in earlier views
 	DiskStalled bool `msg:"d"` // a write to its disk has been in progress for too long
-	Leaving     bool `msg:"l"` // it shuts down gracefully
-	Diskless    bool `msg:"v"` // a restart loses all that it holds
-	Isolated    bool `msg:"i"` // it has not heard a majority of the voters for too long
+	Leaving     bool `msg:"l"` // it is shutting down gracefully
+	Diskless    bool `msg:"v"` // a restart loses all its state
+	Isolated    bool `msg:"i"` // it has received no messages from a majority of the voters for too long
 }
 
-// SuspicionReport is what a monitor reports of the members that it monitors.
+// SuspicionReport is the report of a monitor on the members that it monitors.
 type SuspicionReport struct {
-	Suspected []MemberID `msg:"m"` // not heard within the suspicion time-out, isolated, or with a stalled disk
+	Suspected []MemberID `msg:"m"` // no message within the suspicion time-out, isolated, or with a stalled disk
 	Leaving   []MemberID `msg:"l"` // shutting down gracefully, and still alive
-	Late      []MemberID `msg:"d"` // not heard within the shorter late time-out: two heartbeats are missing
+	Late      []MemberID `msg:"d"` // no message within the shorter late time-out: two heartbeats are missing
 }
 
-// JoinRequest asks for membership, or, of an observer, only for the newest view.
+// JoinRequest asks for membership or, from an observer, only for the newest view.
 type JoinRequest struct {
 	DiskStalled bool `msg:"d"`
-	Observer    bool `msg:"o"` // the sender only wants to know the newest view
+	Observer    bool `msg:"o"` // the sender asks only for the newest view
 	Diskless    bool `msg:"v"` // the sender may join only where no member has a disk
-	Withdrawn   bool `msg:"w"` // the sender shuts down: its earlier requests are void
+	Withdrawn   bool `msg:"w"` // the sender is shutting down and withdraws its earlier requests
 }
 
 // ViewAnnouncement carries a decided view.
--- a/internal/message/model_name.go
+++ b/internal/message/model_name.go
@@ -2,8 +2,7 @@
 
 import "strings"
 
-// ModelName names a model of a service or, where an adapter follows after a slash ("model/adapter"), an adapter of a base
-// model.
+// ModelName names a model of a service or, with an adapter after a slash ("model/adapter"), an adapter of a base model.
 type ModelName string
 
 // adapterSeparator separates the base model and the adapter in a name.
@@ -15,7 +14,7 @@
 	return ModelName(base)
 }
 
-// Adapter returns the adapter that is named, empty where none is.
+// Adapter returns the adapter in the name; empty: the name has none.
 func (n ModelName) Adapter() string {
 	_, adapter, _ := strings.Cut(string(n), adapterSeparator)
 	return adapter
--- a/internal/message/stored_test.go
+++ b/internal/message/stored_test.go
@@ -12,17 +12,17 @@
 	"github.com/tinylib/msgp/msgp"
 )
 
-// filler sets every field that is stored or sent, in the order of the types' declarations, to a value of its own. The
-// order, not the names, decides the values: a renamed field keeps its value, while two fields that are exchanged, or
-// whose keys are, do not.
+// filler sets every field that is stored or sent to a different value, in the order of the types' declarations. The
+// values depend on this order and not on the names: renaming a field changes no value, but swapping two fields, or
+// their keys, changes the values of both.
 type filler struct {
 	t     *testing.T
 	count int
-	// generation is the newest one whose fields are set.
+	// generation is the newest generation of fields that are set.
 	generation int
 }
 
-// Generations of fields: of the first samples, and of those that were stored since, each with the fields added meanwhile.
+// Generations of fields: those of the first samples, then those that were added for each later set of samples.
 const (
 	firstGeneration = iota
 	backendsRevisionGeneration
@@ -87,9 +87,9 @@
 	}
 }
 
-// storedRecords are the types whose encoding an earlier version, cef8855, stored in testdata: what coordinators keep on
-// disk, and the messages, with all that they can carry. The samples are never rewritten; the filler leaves out the fields
-// that were added later. Those are in samples of their own, see addedSamples.
+// storedRecords returns the types whose encoding by an earlier version, cef8855, is stored in testdata: the records
+// that coordinators keep on disk, and a message with all its possible contents. The samples are never rewritten. The
+// filler leaves out the fields that were added later: they have samples of their own, see addedSamples.
 func storedRecords() map[string]encodable {
 	return map[string]encodable{
 		"control-state.msgp": &ControlState{}, "chain-state.msgp": &ChainState{}, "change-record.msgp": &ChangeRecord{}, "message.msgp": &Message{},
@@ -111,9 +111,9 @@
 func TestReadsRecordsStoredByEarlierVersion(t *testing.T) {
 	for name, record := range storedRecords() {
 		t.Run(name, func(t *testing.T) {
-			text, err := os.ReadFile(filepath.Join("testdata", name))
+			encoded, err := os.ReadFile(filepath.Join("testdata", name))
 			require.NoError(t, err)
-			rest, err := record.UnmarshalMsg(text)
+			rest, err := record.UnmarshalMsg(encoded)
 			require.NoError(t, err)
 			assert.Empty(t, rest)
 			assert.Equal(t, filled(t, record), record)
@@ -121,7 +121,7 @@
 	}
 }
 
-// addedSample is a sample with fields that were added later.
+// addedSample is a sample that includes fields added after the first samples.
 type addedSample struct {
 	record     encodable
 	generation int
@@ -140,15 +140,15 @@
 func TestReadsAndWritesFieldsAddedLater(t *testing.T) {
 	for name, sample := range addedSamples() {
 		t.Run(name, func(t *testing.T) {
-			text, err := os.ReadFile(filepath.Join("testdata", name))
+			encoded, err := os.ReadFile(filepath.Join("testdata", name))
 			require.NoError(t, err)
 			record := sample.record
 			value := reflect.New(reflect.TypeOf(record).Elem())
 			(&filler{t: t, generation: sample.generation}).fill(value.Elem())
 			written, err := value.Interface().(encodable).MarshalMsg(nil)
 			require.NoError(t, err)
-			assert.True(t, bytes.Equal(text, written), "the encoding differs from the stored one")
-			rest, err := record.UnmarshalMsg(text)
+			assert.True(t, bytes.Equal(encoded, written), "the encoding differs from the stored one")
+			rest, err := record.UnmarshalMsg(encoded)
 			require.NoError(t, err)
 			assert.Empty(t, rest)
 			assert.Equal(t, value.Interface(), record)
@@ -156,21 +156,21 @@
 	}
 }
 
-// Lists of backends are identified by a digest of their encoding, so its bytes have to stay the same too.
+// A backend list is identified by a digest of its encoding, so the encoding must also stay the same byte for byte.
 func TestWritesRecordsAsStoredByEarlierVersion(t *testing.T) {
 	for name, record := range storedRecords() {
 		t.Run(name, func(t *testing.T) {
-			text, err := os.ReadFile(filepath.Join("testdata", name))
+			encoded, err := os.ReadFile(filepath.Join("testdata", name))
 			require.NoError(t, err)
 			written, err := filled(t, record).MarshalMsg(nil)
 			require.NoError(t, err)
-			assert.True(t, bytes.Equal(text, written), "the encoding differs from the one stored by the earlier version")
+			assert.True(t, bytes.Equal(encoded, written), "the encoding differs from the one stored by the earlier version")
 		})
 	}
 }
 
-// Without a tag the key is the field's name, and would change with a rename.
-func TestEveryFieldHasAKeyOfItsOwn(t *testing.T) {
+// Without a msg tag the key would be the field's name, so renaming the field would change the encoding.
+func TestEveryFieldHasAnExplicitKey(t *testing.T) {
 	seen := map[reflect.Type]bool{}
 	var check func(reflect.Type)
 	check = func(of reflect.Type) {
@@ -193,5 +193,5 @@
 	for _, sample := range addedSamples() {
 		check(reflect.TypeOf(sample.record))
 	}
-	assert.GreaterOrEqual(t, len(seen), 40, "a type that no record and no message reaches")
+	assert.GreaterOrEqual(t, len(seen), 40, "fewer types checked than expected: no record or message refers to some type")
 }
