--- a/internal/message/distribution.go
+++ b/internal/message/distribution.go
@@ -34,8 +34,8 @@
 }
 
 // BackendsRevision orders the backend lists that one lease holder publishes. It may publish several lists for one
-// reading of the platform's list, because its placement tasks observe changed models in between; the time of the reading cannot
-// order these. The zero value marks a list that was not published by a lease holder.
+// reading of the platform's list, because its placement tasks observe changed models in between; the time of the
+// reading cannot order these. The zero value marks a list that was not published by a lease holder.
 type BackendsRevision struct {
 	Token  FencingToken `msg:"t"` // of the lease under which the list was published
 	Number uint64       `msg:"n"` // of the list under that lease, from 1
--- a/internal/transport/client.go
+++ b/internal/transport/client.go
@@ -11,18 +11,19 @@
 	"pumiceline/internal/message"
 )
 
-// ErrDisconnected is returned for a request whose connection broke or was never open. The peer may have handled it.
+// ErrDisconnected is returned for a request whose connection broke or was never open. If it broke, the peer may still
+// have handled the request.
 var ErrDisconnected = errors.New("the connection broke")
 
 // Client sends requests to one peer at a time over a connection that is kept open. Several goroutines may use it: their
-// requests share the connection, and each response goes to its request by ID.
+// requests share the connection, and responses are matched to requests by ID.
 type Client struct {
-	dialMutex  sync.Mutex // held while a connection is opened: of two requests one opens it
-	writeMutex sync.Mutex // held while a frame is written, which may take up to writeTimeout
+	dialMutex  sync.Mutex // held while a connection is opened, so that concurrent requests open only one
+	writeMutex sync.Mutex // held while a frame is written, for up to writeTimeout
 
-	mutex   sync.Mutex // guards what follows; never held during I/O
+	mutex   sync.Mutex // guards the fields below; never held during I/O
 	address string
-	conn    net.Conn // to address; nil: none is open
+	conn    net.Conn // connection to address; nil: none is open
 	lastID  uint64
 	pending map[uint64]chan *message.Message // by request ID; a channel is closed when the connection breaks
 }
@@ -30,8 +31,8 @@
 // NewClient makes a client without a connection.
 func NewClient() *Client { return &Client{pending: map[uint64]chan *message.Message{}} }
 
-// Poll sends a request to the peer at an address, to which it opens a connection where needed, and waits for the
-// response. When ctx ends before that, it also closes the connection: the peer is taken to be unreachable.
+// Poll sends a request to the peer at an address and waits for the response. It opens a connection if there is none. If
+// ctx ends before the response arrives, Poll treats the peer as unreachable and closes the connection.
 func (c *Client) Poll(
 	ctx context.Context, address string, from message.MemberID, request message.PollRequest,
 ) (*message.PollResponse, error) {
@@ -61,7 +62,7 @@
 	return err == nil
 }
 
-// Connect opens a connection to the peer at an address, in place of one to another.
+// Connect opens a connection to the peer at an address, and closes one to any other address.
 func (c *Client) Connect(address string) error {
 	_, err := c.connectTo(address)
 	return err
@@ -77,7 +78,8 @@
 	}
 }
 
-// SendLoads sends a report without a query. It opens no connection: without one the error is ErrDisconnected.
+// SendLoads sends a report without a query. It does not open a connection: if there is none, it returns
+// ErrDisconnected.
 func (c *Client) SendLoads(address string, from message.MemberID, report message.LoadReport) error {
 	conn, err := c.openConn(address)
 	if err != nil {
@@ -90,14 +92,15 @@
 	return c.write(conn, frame)
 }
 
-// LoadQuery is a report with a query that was sent and whose response is awaited. Its sender calls Wait.
+// LoadQuery is a query that was sent with a report and has no response yet. The caller must call Wait, which also
+// removes the query from the pending requests.
 type LoadQuery struct {
 	client    *Client
 	id        uint64
 	responses chan *message.Message
 }
 
-// QueryLoads sends a report with a query. It opens no connection: without one the error is ErrDisconnected.
+// QueryLoads sends a report with a query. It does not open a connection: if there is none, it returns ErrDisconnected.
 func (c *Client) QueryLoads(address string, from message.MemberID, report message.LoadReport) (*LoadQuery, error) {
 	conn, err := c.openConn(address)
 	if err != nil {
@@ -116,7 +119,8 @@
 	return &LoadQuery{client: c, id: id, responses: responses}, nil
 }
 
-// Wait returns the response, or an error when ctx ends before it comes; the connection stays open then.
+// Wait returns the response, or an error if the connection breaks or ctx ends first. The connection stays open when ctx
+// ends.
 func (q *LoadQuery) Wait(ctx context.Context) (*message.LoadResponse, error) {
 	defer q.client.unregister(q.id)
 	select {
@@ -163,7 +167,7 @@
 	return nil
 }
 
-// openConn returns the open connection to the peer at an address, else ErrDisconnected.
+// openConn returns the open connection to the peer at an address, or ErrDisconnected if there is none.
 func (c *Client) openConn(address string) (net.Conn, error) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -173,7 +177,8 @@
 	return c.conn, nil
 }
 
-// connectTo returns the connection to the peer at an address, which it opens where needed. It closes one to another.
+// connectTo returns the connection to the peer at an address, and opens it if needed. It closes a connection to any
+// other address.
 func (c *Client) connectTo(address string) (net.Conn, error) {
 	if conn, err := c.openConn(address); err == nil {
 		return conn, nil
@@ -200,7 +205,7 @@
 	return conn, nil
 }
 
-// register returns the ID of a new request, and the channel on which its response comes.
+// register returns the ID of a new request, and the channel that receives its response.
 func (c *Client) register() (uint64, chan *message.Message) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -216,7 +221,7 @@
 	delete(c.pending, id)
 }
 
-// drop closes a connection. Where it is the present one, all pending requests end.
+// drop closes a connection. If it is the current one, all pending requests end with ErrDisconnected.
 func (c *Client) drop(conn net.Conn) {
 	conn.Close()
 	c.mutex.Lock()
@@ -231,8 +236,8 @@
 	}
 }
 
-// receive hands responses to their requests until the connection breaks. Those of requests that wait no more are
-// dropped.
+// receive delivers responses to their requests until the connection breaks. It drops a response whose request no longer
+// waits.
 func (c *Client) receive(conn net.Conn) {
 	reader := bufio.NewReaderSize(conn, readBufferBytes)
 	for {
@@ -247,14 +252,14 @@
 		}
 		c.mutex.Lock()
 		if responses, ok := c.pending[id]; ok {
-			responses <- m // has room: the request is removed with its first response
+			responses <- m // does not block: the buffer holds one, and the first response removes the request
 			delete(c.pending, id)
 		}
 		c.mutex.Unlock()
 	}
 }
 
-// responseID returns the ID of the request that a message responds to.
+// responseID returns the ID of the request that a message responds to; ok is false if it is no response.
 func responseID(m *message.Message) (id uint64, ok bool) {
 	switch {
 	case m.PollResponse != nil:
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -9,15 +9,16 @@
 	"pumiceline/internal/message"
 )
 
-// A frame is the length of a message as a big-endian number of four bytes, and the message.
+// A frame is the length of the encoded message as a big-endian number of four bytes, followed by the message.
 const (
 	lengthBytes       = 4
 	initialFrameBytes = 256 // most messages fit
 	maxFrameBytes     = 16 << 20
 )
 
-// ErrFrameTooLarge is returned by Decode for a frame over 16 MB. The connection is of no more use then.
-var ErrFrameTooLarge = errors.New("over the limit")
+// ErrFrameTooLarge is returned by Decode for a frame over 16 MiB. The body of the frame is left unread, so nothing more
+// can be decoded from the connection.
+var ErrFrameTooLarge = errors.New("over the size limit")
 
 // Encode returns the frame of a message.
 func Encode(m *message.Message) ([]byte, error) {
@@ -30,7 +31,8 @@
 	return frame, nil
 }
 
-// Decode reads one frame. At the end of the stream the error is io.EOF, and io.ErrUnexpectedEOF within a frame.
+// Decode reads one frame. The error is io.EOF if the stream ends before a frame, and io.ErrUnexpectedEOF or io.EOF if
+// it ends within one.
 func Decode(reader io.Reader) (*message.Message, error) {
 	var length [lengthBytes]byte
 	if _, err := io.ReadFull(reader, length[:]); err != nil {
--- a/internal/transport/sender.go
+++ b/internal/transport/sender.go
@@ -9,24 +9,25 @@
 	"pumiceline/internal/message"
 )
 
-// sendQueueLength is how many messages may wait for a peer.
+// sendQueueLength is how many messages may be queued for a peer.
 const sendQueueLength = 256
 
-// Sender sends messages to peers, each over one connection that is kept open. It has a goroutine per peer, which lives
-// as long as the process. Several goroutines may use it.
+// Sender sends messages to peers, over one connection per peer that is kept open. It starts a goroutine per peer, which
+// runs until the process ends. Several goroutines may use a Sender.
 type Sender struct {
 	handle Handler
 	mutex  sync.Mutex
 	queues map[string]chan []byte // frames, by the peer's address
 }
 
-// NewSender makes a sender. The handler takes what peers send back on their connections, and may be nil; its replies go
-// nowhere.
+// NewSender makes a sender. The handler handles the messages that peers send back on their connections, and may be nil.
+// Its replies are discarded.
 func NewSender(handle Handler) *Sender {
 	return &Sender{handle: handle, queues: map[string]chan []byte{}}
 }
 
-// Send queues a message for the peer at an address. It never blocks: where the queue is full the message is lost.
+// Send queues a message for the peer at an address. It never blocks: if the queue is full, the message is dropped. So
+// is a message that cannot be encoded.
 func (s *Sender) Send(address string, m *message.Message) {
 	frame, err := Encode(m)
 	if err != nil {
@@ -50,8 +51,8 @@
 	return queue
 }
 
-// sendLoop opens a connection whenever there is a frame to send. What was queued for an unreachable peer is discarded:
-// it would be out of date when the peer is back.
+// sendLoop opens a connection whenever there is a frame to send and none is open. Frames queued for an unreachable peer
+// are discarded: they would be out of date by the time the peer is reachable again.
 func (s *Sender) sendLoop(address string, queue chan []byte) {
 	for frame := range queue {
 		conn, err := dialer.Dial("tcp", address)
@@ -64,7 +65,7 @@
 	}
 }
 
-// writeFrames writes first and then what is queued until the connection breaks. The frame that fails is lost.
+// writeFrames writes first and then the queued frames until the connection breaks. A frame whose write fails is lost.
 func (s *Sender) writeFrames(conn net.Conn, first []byte, queue chan []byte) {
 	closed := make(chan struct{})
 	go func() {
--- a/internal/transport/server.go
+++ b/internal/transport/server.go
@@ -11,9 +11,8 @@
 	"pumiceline/internal/message"
 )
 
-// Handler takes a message. It may call reply, now or later and from any goroutine, to send one back on the connection
-// that the message came on; a reply on a connection that broke meanwhile is lost. Messages of one connection are handled
-// one after the other.
+// Handler handles a message. It may call reply, at any time and from any goroutine, to send a message back on the same
+// connection; the reply is lost if the connection has broken. The messages of one connection are handled one at a time.
 type Handler func(m *message.Message, reply func(*message.Message))
 
 // Serve accepts connections until the listener is closed. Open connections stay until the peer closes them.
@@ -23,7 +22,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // such as too many open files
+		if err != nil { // for example too many open files
 			time.Sleep(retryDelay)
 			continue
 		}
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,9 +1,9 @@
-// Package transport carries messages between the processes of the system over TCP. Messages may be lost, when a
-// connection breaks or a queue is full, but they are neither changed nor reordered on a connection. A sender
-// that needs a response repeats its request.
+// Package transport carries messages between the processes of the system over TCP. Messages are lost when a connection
+// breaks or a queue is full, but a connection neither changes nor reorders them. A sender that needs a response must
+// repeat its request.
 //
 // A Sender sends messages without waiting, to any number of peers. A Client sends requests to one peer at a time and
-// waits for their responses. Serve takes the messages of both.
+// waits for their responses. Serve receives the messages of both.
 package transport
 
 import (
@@ -25,19 +25,20 @@
 // readBufferBytes is the size of a connection's read buffer.
 const readBufferBytes = 4 << 10
 
-// dialer opens connections that break when the peer does not acknowledge, in place of keep-alive probes.
+// dialer opens connections that break when the peer does not acknowledge sent bytes within userTimeout. This replaces
+// keep-alive probes.
 var dialer = net.Dialer{Timeout: dialTimeout, KeepAlive: -1, Control: setUserTimeout}
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// Where the option is refused, writing still has its deadline.
+		// If the option cannot be set, writes still have their deadline.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
 
 // writeFrame writes a frame with a deadline.
 func writeFrame(conn net.Conn, frame []byte) error {
-	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // a closed connection shows in the write
+	_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // on a closed connection, the write reports the error
 	_, err := conn.Write(frame)
 	return err
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -13,7 +13,7 @@
 	"pumiceline/internal/message"
 )
 
-// listen opens a listener on loopback until the test ends.
+// listen opens a loopback listener that is closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,9 +42,9 @@
 	frame, err := Encode(&message.Message{From: "a", PollRequest: &message.PollRequest{ID: 1}})
 	require.NoError(f, err)
 	f.Add(frame)
-	f.Fuzz(func(t *testing.T, text []byte) {
-		if m, err := Decode(bytes.NewReader(text)); (m == nil) == (err == nil) {
-			t.Fatal("a message or an error, not both")
+	f.Fuzz(func(t *testing.T, encoded []byte) {
+		if m, err := Decode(bytes.NewReader(encoded)); (m == nil) == (err == nil) {
+			t.Fatal("Decode must return either a message or an error")
 		}
 	})
 }
@@ -72,7 +72,8 @@
 	assert.ErrorIs(t, err, ErrDisconnected)
 }
 
-// A peer responds to the first query only when it has read the second: the first response reaches neither query.
+// The peer responds to the first query, which is canceled by then, only after it has read the second. This late
+// response must not be delivered to the second query.
 func TestLoadQuery_LateResponseIsDropped(t *testing.T) {
 	listener := listen(t)
 	var first *message.LoadReport
@@ -89,7 +90,7 @@
 	address := listener.Addr().String()
 	client := NewClient()
 	_, err := client.QueryLoads(address, "p", message.LoadReport{})
-	require.ErrorIs(t, err, ErrDisconnected, "it opens no connection")
+	require.ErrorIs(t, err, ErrDisconnected, "QueryLoads must not open a connection")
 	require.NoError(t, client.Connect(address))
 	early, err := client.QueryLoads(address, "p", message.LoadReport{Model: "m1"})
 	require.NoError(t, err)
@@ -108,7 +109,7 @@
 	assert.False(t, client.IsConnected(address))
 }
 
-// While a frame is written to a peer that does not read, other calls do not wait for it.
+// Other calls must not block while a frame is being written to a peer that does not read.
 func TestClient_IsConnectedDuringSlowWrite(t *testing.T) {
 	listener := listen(t)
 	client := NewClient()
@@ -122,7 +123,7 @@
 	assert.False(t, client.IsConnected(listener.Addr().String()))
 }
 
-// Of several requests that find no connection one opens it.
+// Concurrent requests that find no open connection must open only one.
 func TestClient_ConcurrentConnectsShareAConnection(t *testing.T) {
 	listener := listen(t)
 	accepted := make(chan net.Conn, 16)
