--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -18,25 +18,25 @@
 // ErrNoFile is returned by Load when the environment names no settings file.
 var ErrNoFile = errors.New(EnvironmentVariable + " names no settings file")
 
-// Settings are what a process knows of its machine and of the system when it starts.
+// Settings describe the machine of a process and the system that it belongs to, as of its start.
 type Settings struct {
 	Node             string // name of the machine
 	Role             string
 	Zone             string // failure domain
 	Region           string
 	Zones            map[string]string // region by zone
-	IP               string            // on which the process listens for others of the system
-	ClientAddress    string            // listen address for clients; empty: none are served
+	IP               string            // listen address for other processes of the system
+	ClientAddress    string            // listen address for clients; empty: no clients are served
 	ReadinessAddress string            // listen address for readiness checks
 	ControlAddress   string            // listen address for the operator
-	FirstPort        int               // of the ports for traffic inside the system; only this one is used
+	FirstPort        int               // first port for traffic inside the system; only this one is used
 	LastPort         int
 	Seeds            []string // control addresses of the first coordinators
-	FirstStart       bool     // the system starts for the first time, with the seeds as its members
+	FirstStart       bool     // the system starts for the first time, and the seeds are its members
 	CountsForQuorum  bool     // not used
 	Limits           Limits
 	StateDir         string // empty: the machine has no disk
-	Tolerance        int    // machines that may be lost at one time
+	Tolerance        int    // number of machines that may be lost at the same time
 	Bounds           Bounds
 	Platform         Platform
 }
@@ -49,36 +49,37 @@
 	DiskMB    int
 }
 
-// Bounds are the figures of the deployment's rules. Ack, Apply, Quiet and ReuseAfter are read so that their keys are
-// checked, but nothing uses them.
+// Bounds are the limits that the deployment's rules set. Ack, Apply, Quiet and ReuseAfter are read only to check their
+// values; nothing uses them.
 type Bounds struct {
 	Ack         time.Duration // within which a change is acknowledged
 	Apply       time.Duration // within which an acknowledged change is in force at every proxy that reaches a coordinator
-	Drain       time.Duration // between the announcement that a backend leaves and its end
+	Drain       time.Duration // between the announcement that a backend is removed and its removal
 	GracePeriod time.Duration // between SIGTERM and SIGKILL
 	Lease       time.Duration // within which two lease holders must not both send commands to backends
-	Thaw        time.Duration // after a process was frozen, within which late effects of it are tolerated
+	Thaw        time.Duration // after a frozen process resumes, within which its late commands are tolerated
 	RetryWindow time.Duration // over which retries are counted
-	RetryRatio  float64       // retries that are allowed, as a part of the requests in the window
-	RetryExtra  float64       // retries that are allowed beyond that part, by all proxies together
+	RetryRatio  float64       // retries allowed in the window, as a fraction of its requests
+	RetryExtra  float64       // retries allowed beyond that fraction, for all proxies together
 	LoadWindow  time.Duration // over which loads from the weight store are counted
-	LoadExcess  float64       // factor by which they may exceed the allowed rate over the window
-	// ChecksFencingTokens says that backends reject commands with a lower fencing token than they have seen.
+	LoadExcess  float64       // factor by which these loads may exceed the allowed rate over the window
+	// ChecksFencingTokens reports whether backends reject commands whose fencing token is lower than the highest that
+	// they have seen.
 	ChecksFencingTokens bool
-	History             time.Duration // for which a watch of keys may be away and miss nothing
-	Quiet               time.Duration // see above
-	ReuseAfter          time.Duration // see above
+	History             time.Duration // for which a watch of keys may be interrupted without missing events
+	Quiet               time.Duration // not used
+	ReuseAfter          time.Duration // not used
 }
 
 // Platform says where and how the list of backends is read.
 type Platform struct {
 	Address           string
 	MaxCallsPerSecond float64       // of all processes together
-	MaxLag            time.Duration // by which the list may be behind the backends
+	MaxLag            time.Duration // by which the list may lag behind the state of the backends
 	IsPresent         bool          // the file names an address
 }
 
-// Load reads the file that the environment names. The error is ErrNoFile, or names the file and its faults.
+// Load reads the file that the environment variable names. The error is ErrNoFile, or names the file and its faults.
 func Load() (*Settings, error) {
 	path := os.Getenv(EnvironmentVariable)
 	if path == "" {
@@ -92,7 +93,8 @@
 	return settings, errors.Wrap(err, path)
 }
 
-// Parse reads settings from YAML. Where it is YAML, the error is a *docreader.Error with every faulty key.
+// Parse reads settings from YAML. If the text is valid YAML with faulty settings, the error is a *docreader.Error that
+// lists every faulty key.
 func Parse(text []byte) (*Settings, error) {
 	var document map[string]any
 	if err := yaml.Unmarshal(text, &document); err != nil {
@@ -106,7 +108,7 @@
 	return settings, nil
 }
 
-// Defaults of what a file does not give. Those of bounds are the figures of the smallest deployments known.
+// Defaults for keys that the file does not have. Those of Bounds are the values of the smallest known deployments.
 const (
 	defaultMemoryMB          = 256
 	defaultFileLimit         = 1024
@@ -156,12 +158,12 @@
 func readPorts(node docreader.Node) (first, last int) {
 	ports := node.Items()
 	if len(ports) != 2 {
-		node.AddFault("the first and the last port are wanted")
+		node.AddFault("must be a list of the first and the last port")
 		return 0, 0
 	}
 	first, last = int(ports[0].Number(0)), int(ports[1].Number(0))
 	if first <= 0 || last <= first {
-		node.AddFault("two ports in rising order are wanted")
+		node.AddFault("must be two positive ports in ascending order")
 	}
 	return first, last
 }
--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// sampleFile has an unknown key, and leaves out much.
+// sampleFile has an unknown key and omits many optional keys.
 const sampleFile = `
 node: "a-1"
 zone: "a"
@@ -31,7 +31,7 @@
 	assert.Equal(t, 0.25, settings.Bounds.RetryRatio)
 	assert.True(t, settings.Bounds.ChecksFencingTokens)
 	assert.Equal(t, 3.5, settings.Platform.MaxCallsPerSecond)
-	assert.Empty(t, settings.StateDir, "a machine without a disk has null there")
+	assert.Empty(t, settings.StateDir, "a null stateDir means that the machine has no disk")
 	assert.Equal(t, defaultGracePeriod, settings.Bounds.GracePeriod)
 }
 
@@ -39,7 +39,7 @@
 	_, err := Parse([]byte("ip: 3\nportRange: [9, 2]\nseedNodes: \"x\"\n"))
 	require.Error(t, err)
 	assert.Equal(t, "node: must be given; zone: must be given; ip: a text is wanted; ip: must be given; "+
-		"seedNodes: a list is wanted; portRange: two ports in rising order are wanted", err.Error())
+		"seedNodes: a list is wanted; portRange: must be two positive ports in ascending order", err.Error())
 	_, err = Parse([]byte("node: [unclosed"))
 	assert.ErrorContains(t, err, "not YAML")
 }
--- a/internal/bootstrap/stored_test.go
+++ b/internal/bootstrap/stored_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A settings file that was stored for an earlier version is read, with every key.
+// A settings file stored by an earlier version must still be read, with every key.
 func TestReadsSettingsStoredByEarlierVersion(t *testing.T) {
 	assert.Equal(t, "PUMICELINE_BOOT", EnvironmentVariable)
 	t.Setenv(EnvironmentVariable, "testdata/settings.yaml")
--- a/internal/docreader/docreader.go
+++ b/internal/docreader/docreader.go
@@ -1,8 +1,8 @@
 // Package docreader reads decoded JSON or YAML documents by path. It collects every fault together with the path of the
 // value, so that a document with several faults is reported at once.
 //
-// A reader walks from Root through Field and Items to the values. A value of the wrong type is a fault and reads as its
-// fallback, so readers need not check for errors before the end, when Findings.Err has them all.
+// A caller walks from Root through Field and Items to the values. A value of the wrong type is recorded as a fault and
+// reads as its fallback, so the caller needs only one check at the end: Findings.Err returns all faults.
 package docreader
 
 import (
@@ -29,7 +29,7 @@
 	f.all = append(f.all, Finding{Path: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// Err returns nil where nothing was found, else an *Error.
+// Err returns an *Error with all faults, or nil if there are none.
 func (f *Findings) Err() error {
 	if len(f.all) == 0 {
 		return nil
@@ -49,7 +49,7 @@
 	return strings.Join(lines, "; ")
 }
 
-// Node is a value of a document together with its path. It may be missing: IsPresent says so, and reading it gives the
+// Node is a value of a document together with its path. It may be missing, see IsPresent: reading it then gives the
 // fallback.
 type Node struct {
 	value     any
@@ -64,16 +64,16 @@
 	return Node{value: value, isPresent: true, findings: findings}
 }
 
-// Path returns where the node stands in the document.
+// Path returns the location of the node in the document, such as "routes[3].timeoutMs".
 func (n Node) Path() string { return n.path }
 
-// IsPresent reports whether the document has the node at all, be it null.
+// IsPresent reports whether the document has the node, even if its value is null.
 func (n Node) IsPresent() bool { return n.isPresent }
 
 // AddFault records a fault at the node.
 func (n Node) AddFault(format string, args ...any) { n.findings.Add(n.path, format, args...) }
 
-// Field returns a member of an object; a missing one is a node that is not present.
+// Field returns a member of an object. If there is no such member, the node is not present.
 func (n Node) Field(name string) Node {
 	path := name
 	if n.path != "" {
@@ -86,7 +86,7 @@
 	return field
 }
 
-// Keys returns the names of an object's members, in no order.
+// Keys returns the names of an object's members in unspecified order. Any other value has none.
 func (n Node) Keys() []string {
 	object, _ := n.value.(map[string]any)
 	keys := make([]string, 0, len(object))
@@ -96,7 +96,7 @@
 	return keys
 }
 
-// Items returns the elements of a list; anything else that is present and not null is a fault.
+// Items returns the elements of a list. A missing or null node has none; any other value is a fault.
 func (n Node) Items() []Node {
 	if n.isMissing() {
 		return nil
@@ -113,10 +113,10 @@
 	return nodes
 }
 
-// Text returns a string, or fallback where the node is missing.
+// Text returns a string, or fallback if the node is missing.
 func (n Node) Text(fallback string) string { return read[string](n, fallback, "a text is wanted") }
 
-// RequiredText returns a string that must be there and must not be empty.
+// RequiredText returns a string. A missing or empty one is a fault.
 func (n Node) RequiredText() string {
 	text := n.Text("")
 	if text == "" {
@@ -125,10 +125,10 @@
 	return text
 }
 
-// Bool returns a truth value, or fallback where the node is missing.
+// Bool returns a boolean, or fallback if the node is missing.
 func (n Node) Bool(fallback bool) bool { return read[bool](n, fallback, "true or false is wanted") }
 
-// Number returns a finite number, or fallback where the node is missing.
+// Number returns a finite number, or fallback if the node is missing.
 func (n Node) Number(fallback float64) float64 {
 	if n.isMissing() {
 		return fallback
@@ -144,7 +144,8 @@
 // isMissing reports whether the node is absent or null.
 func (n Node) isMissing() bool { return !n.isPresent || n.value == nil }
 
-// read returns the node's value, or fallback where it is missing or, with a fault, of another type.
+// read returns the node's value, or fallback if it is missing. For a value of another type it records the fault and
+// returns fallback.
 func read[T any](n Node, fallback T, fault string) T {
 	if n.isMissing() {
 		return fallback
--- a/internal/docreader/docreader_test.go
+++ b/internal/docreader/docreader_test.go
@@ -29,7 +29,7 @@
 	assert.NoError(t, findings.Err())
 }
 
-// Values of a wrong type read as their fallbacks, and each is reported with its path.
+// Each value of a wrong type must read as its fallback and be reported with its path.
 func TestNode_ReportsEveryFault(t *testing.T) {
 	findings := &Findings{}
 	root := Root(map[string]any{"text": 1, "number": "x", "flag": "x", "list": "x", "infinite": math.Inf(1)}, findings)
--- a/internal/logkey/logkey.go
+++ b/internal/logkey/logkey.go
@@ -1,6 +1,6 @@
-// Package logkey names the fields of log records, so that the same thing has the same key in every process of the
-// system and an operator can filter by it. The keys are part of what alerts may match on: a change of one belongs in the
-// changelog. The error of a record is logged by logrus.WithError, under "error".
+// Package logkey names the fields of log records, so that a field has the same key in every process of the system and
+// an operator can filter by it. Alerts may match on the keys, so a change of a key must be noted in the changelog. The
+// error of a record is logged by logrus.WithError, under "error".
 package logkey
 
 // The fields that log records may have.
@@ -9,17 +9,17 @@
 	Adapters = "adapters"
 	// Address is the host and port of a listener or peer.
 	Address = "address"
-	// Answer is how a backend answered a placement command.
+	// Answer is a backend's answer to a placement command.
 	Answer = "answer"
 	// Attempt is the number of an attempt of one operation, from 1.
 	Attempt = "attempt"
-	// Attempts is how many attempts a client request took.
+	// Attempts is the number of attempts that a client request took.
 	Attempts = "attempts"
 	// Backend is the id of a backend on the platform's list.
 	Backend = "backend"
-	// Candidates is how many backends could have taken a request.
+	// Candidates is the number of backends that could have taken a request.
 	Candidates = "candidates"
-	// Complete says whether the client was sent a complete response.
+	// Complete reports whether the client was sent a complete response.
 	Complete = "complete"
 	// Coordinator is the internal address of a coordinator.
 	Coordinator = "coordinator"
@@ -31,11 +31,11 @@
 	FirstEventMs = "first_event_ms"
 	// Group is the number of an acceptor group in the coordination of applications.
 	Group = "group"
-	// HasEvents says whether the response was a stream of events.
+	// HasEvents reports whether the response was a stream of events.
 	HasEvents = "has_events"
 	// InFlight is the number of requests of all proxies in flight at a backend.
 	InFlight = "in_flight"
-	// IsMember says whether the process belongs to the view.
+	// IsMember reports whether the process is a member of the view.
 	IsMember = "member"
 	// LatencyTargetMs is the latency target of a route.
 	LatencyTargetMs = "latency_target_ms"
@@ -53,9 +53,9 @@
 	Model = "model"
 	// Name is what a placement command loads or unloads: a model, or an adapter ("model/adapter").
 	Name = "name"
-	// Operation is what a placement command asks of a backend.
+	// Operation is the operation that a placement command requests from a backend.
 	Operation = "operation"
-	// OutputTokens is the number of tokens that a request asks for at most.
+	// OutputTokens is the maximum number of output tokens that a request asks for.
 	OutputTokens = "output_tokens"
 	// Path is the path and query of a call to the control address.
 	Path = "path"
@@ -69,9 +69,9 @@
 	QueuedMs = "queued_ms"
 	// QueuedPrefillMs is the estimated prefill time of the requests queued at a backend.
 	QueuedPrefillMs = "queued_prefill_ms"
-	// Reason is why the planner wants a placement task.
+	// Reason is the planner's reason for a placement task.
 	Reason = "reason"
-	// Rejection is why a request was rejected; empty: it was not.
+	// Rejection is the reason why a request was rejected; empty: it was not rejected.
 	Rejection = "rejection"
 	// Request is the ID of a client request.
 	Request = "request"
@@ -83,7 +83,7 @@
 	Seed = "seed"
 	// SentMs is the time from the arrival of a request until its last attempt began.
 	SentMs = "sent_ms"
-	// Status is the HTTP status of an answer; 0: none was sent.
+	// Status is the HTTP status of an answer; 0: no answer was sent.
 	Status = "status"
 	// Token is the fencing token of the controller lease.
 	Token = "token"
@@ -95,6 +95,6 @@
 	Version = "version"
 	// View is the number of a membership view.
 	View = "view"
-	// WaitReason is what a request waited for: none, model or capacity.
+	// WaitReason is the reason why a request waited: none, model or capacity.
 	WaitReason = "wait_reason"
 )
