--- a/internal/bootstrap/bootstrap_test.go
+++ b/internal/bootstrap/bootstrap_test.go
@@ -35,7 +35,7 @@
 	assert.Equal(t, defaultGracePeriod, settings.Bounds.GracePeriod)
 }
 
-func TestParse_NamesEveryFault(t *testing.T) {
+func TestParse_ReportsEveryFault(t *testing.T) {
 	_, err := Parse([]byte("ip: 3\nportRange: [9, 2]\nseedNodes: \"x\"\n"))
 	require.Error(t, err)
 	assert.Equal(t, "node: must be given; zone: must be given; ip: a text is wanted; ip: must be given; "+
--- a/internal/httpframing/scanner.go
+++ b/internal/httpframing/scanner.go
@@ -1,34 +1,34 @@
-// Package httpframing observes how the messages on an HTTP/1.1 connection are delimited (RFC 9112, section 6).
-// net/http removes a Content-Length beside a Transfer-Encoding, and the second of two equal Content-Lengths, without an
-// error, so that its user cannot detect either. The sender of such a message may take its end to be elsewhere than
-// net/http does, and have hidden another message in it (request smuggling).
+// Package httpframing observes how the messages on an HTTP/1.1 connection are delimited (RFC 9112, section 6). net/http
+// removes a Content-Length beside a Transfer-Encoding, and the second of two equal Content-Lengths, without an error,
+// so its users cannot detect either. The sender of such a message may place the end of the message elsewhere than
+// net/http does, and so hide another message in it (request smuggling).
 package httpframing
 
 import "bytes"
 
-// Scanner follows the bytes of one direction of a connection from head to head. It splits lines and skips bodies by
-// their length as net/http does; bytes that net/http rejects end the connection, so that it does not matter how the
-// Scanner reads them. It does not decode a Transfer-Encoding: after the first head with one it ignores all bytes. The
-// zero value is ready to use.
+// Scanner reads the bytes of one direction of a connection and finds the message heads in them. It splits lines and
+// skips bodies by their length as net/http does. Bytes that net/http rejects end the connection, so it does not matter
+// how the Scanner reads them. It does not decode a Transfer-Encoding: it ignores all bytes after the first head that
+// has one. The zero value is ready to use.
 type Scanner struct {
 	Heads int32 // complete heads so far
 	// TransferEncodingHead is the number of the head with a Transfer-Encoding, from 1; 0: none so far.
 	TransferEncodingHead int32
-	HasLengthAndEncoding bool // that head has a Content-Length as well
-	// AmbiguousHead is the number of the first head whose message's end can be read in two ways; 0: none so far.
+	HasLengthAndEncoding bool // the head of TransferEncodingHead also has a Content-Length
+	// AmbiguousHead is the number of the first head that delimits its message ambiguously, from 1; 0: none so far.
 	AmbiguousHead int32
 
-	inHead        bool   // a head has begun and not ended
+	inHead        bool   // a head has begun and not yet ended
 	name          []byte // the current line up to its colon
-	nameComplete  bool   // the colon has come, or the name is too long to matter
+	nameComplete  bool   // the colon was read, or the name is longer than those of interest
 	field         field  // the field of the current line
 	contentLength int64  // of the current head
 	lengthFields  int    // Content-Length fields of the current head
 	hasEncoding   bool   // the current head has a Transfer-Encoding
-	bodyRemaining int64  // bytes of the body to come
+	bodyRemaining int64  // bytes of the current body that are not read yet
 }
 
-// field is a header field that matters for framing.
+// field is a header field, as far as it matters for framing.
 type field uint8
 
 const (
@@ -43,13 +43,14 @@
 )
 
 const (
-	// maxNameLength is the length of the longest field name that matters.
+	// maxNameLength is the length of the longest field name that matters for framing.
 	maxNameLength = len("transfer-encoding")
 	// maxContentLength is the length from which further digits are ignored, well below an overflow of int64.
 	maxContentLength = 1 << 40
 )
 
-// AtMessageBoundary reports whether the bytes so far end with the end of a message.
+// AtMessageBoundary reports whether the bytes read so far end at the end of a message. After a head with a
+// Transfer-Encoding it is always false.
 func (s *Scanner) AtMessageBoundary() bool {
 	return !s.inHead && s.bodyRemaining == 0 && s.TransferEncodingHead == 0
 }
@@ -63,7 +64,7 @@
 			b = b[n:]
 			continue
 		}
-		if s.nameComplete && s.field == otherField { // nothing in the rest of the line matters
+		if s.nameComplete && s.field == otherField { // the rest of the line does not matter for framing
 			i := bytes.IndexByte(b, '\n')
 			if i < 0 {
 				return
@@ -93,7 +94,7 @@
 	}
 }
 
-// endName ends the name of a header field.
+// endName handles the end of a header field's name.
 func (s *Scanner) endName() {
 	s.nameComplete = true
 	switch {
@@ -105,7 +106,7 @@
 	}
 }
 
-// endLine ends a line; an empty one ends the head.
+// endLine handles the end of a line. An empty line ends the head.
 func (s *Scanner) endLine() {
 	isEmpty := len(s.name) == 0 && !s.nameComplete
 	s.name, s.nameComplete, s.field = s.name[:0], false, otherField
@@ -114,7 +115,7 @@
 	}
 }
 
-// endHead ends a head. The message's body follows.
+// endHead handles the end of a head. The message's body follows.
 func (s *Scanner) endHead() {
 	s.inHead = false
 	s.Heads++
--- a/internal/httpframing/scanner_test.go
+++ b/internal/httpframing/scanner_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// FuzzScanner compares the Scanner with what net/http reads from the same bytes, in pieces of any size.
+// FuzzScanner compares the Scanner with net/http on the same bytes. The Scanner receives them in pieces of any size.
 func FuzzScanner(f *testing.F) {
 	messages := "POST /issue HTTP/1.1\r\nHost: x\r\nX-Time-Left-Ms: 5\r\nContent-Length: 4\r\n\r\nbody" +
 		"GET /quote HTTP/1.1\r\nHost: x\r\n\r\n" + "POST / HTTP/1.1\r\nHost: x\r\n" +
@@ -48,16 +48,16 @@
 				return
 			}
 			if heads > got.Heads {
-				t.Fatalf("net/http reads head %d, and the scanner has found %d", heads, got.Heads)
+				t.Fatalf("net/http reads head %d, but the scanner has found only %d heads", heads, got.Heads)
 			}
 			if len(r.TransferEncoding) > 0 {
 				if got.TransferEncodingHead != heads {
-					t.Fatalf("head %d has an encoding that the scanner has not found", heads)
+					t.Fatalf("head %d has a Transfer-Encoding that the scanner has not found", heads)
 				}
 				return
 			}
 			if got.TransferEncodingHead == heads {
-				return // an encoding that net/http ignores; the listener rejects such a request
+				return // net/http ignores this Transfer-Encoding; the listener rejects such a request
 			}
 			if _, err := io.Copy(io.Discard, r.Body); err != nil {
 				return
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,5 +1,5 @@
-// Package process is what the commands of the system share from their start to their end: flags, logging, the settings
-// file and the signals of the platform.
+// Package process runs the commands of the system from start to exit. It handles what they share: flags, logging, the
+// settings file and the signals of the platform.
 package process
 
 import (
@@ -23,13 +23,14 @@
 	exitUsage   = 2
 )
 
-// environmentPrefix begins the variables that stand for flags, such as PUMICELINE_LOG_LEVEL.
+// environmentPrefix is the prefix of the environment variables that set flags, such as PUMICELINE_LOG_LEVEL.
 const environmentPrefix = "PUMICELINE"
 
-// Run is what a command does: it serves until ctx ends, then shuts down gracefully and returns.
+// Run is the body of a command. It serves until ctx ends, then shuts down gracefully and returns.
 type Run func(ctx context.Context, settings *bootstrap.Settings) error
 
-// Main runs a command to its end and exits. ctx of run ends with SIGTERM or an interrupt.
+// Main runs a command. The context of run ends on SIGTERM or an interrupt. If the command fails, Main exits the process
+// with a non-zero code.
 func Main(name string, run Run) {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	level := flags.String("log-level", "info", "lowest level that is logged: debug, info, warning or error")
@@ -53,8 +54,8 @@
 		return err
 	}
 	settings.ApplyRuntimeLimits()
-	// The platform sends SIGHUP when it has changed the settings file. None of what may change is read by the system's
-	// processes: a new file counts from the next start.
+	// The platform sends SIGHUP when it has changed the settings file. The processes use none of the settings that may
+	// change, so a new file takes effect at the next start. If SIGHUP were not ignored, it would end the process.
 	signal.Ignore(syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
--- a/internal/simlink/codec_test.go
+++ b/internal/simlink/codec_test.go
@@ -19,7 +19,7 @@
 	return b
 }
 
-// Records as the simulator sends them.
+// Records in the form in which the simulator sends them.
 const (
 	arrival  = "03fc 0003 000912295d3a91c4 0003a980 01 00000002 91f03b7c55d20a64 00002ee0 01"
 	finished = "0410 0003 000912295d3a91c4 00 03124a07 0003 00004844 01 02 3f000000 41680000"
@@ -75,17 +75,17 @@
 
 func TestDecoder_NamesMalformedRecords(t *testing.T) {
 	for name, c := range map[string]struct{ text, want string }{
-		"unknown code":       {"1234 0003", "unknown event code 4660"},
-		"truncated arrival":  {arrival[:35], "JobIn at byte 0"},
-		"truncated report":   {finished[:len(finished)-4], "Finished at byte 0"},
-		"unknown outcome":    {strings.Replace(finished, " 0003 00004844", " 0009 00004844", 1), "Finished"},
-		"catalog count":      {"044c 0000 ffffffff", "4294967295 entries do not fit"},
-		"catalog number":     {"044c 0010 00000000", "list number 16"},
-		"catalog never sent": {update, "names catalog 0"},
-		"list kind":          {catalog + "03f2 0003 09 0000 0000000000000029", "unknown kind 9"},
-		"settings":           {"03e8 0003 0000000000000001 00000001 7b", "settings"},
-		"settings length":    {"03e8 0003 0000000000000001 ffffffff 7b", "Spawn at byte 0"},
-		"half a code":        {"03", "record at byte 0"},
+		"unknown code":      {"1234 0003", "unknown event code 4660"},
+		"truncated arrival": {arrival[:35], "JobIn at byte 0"},
+		"truncated report":  {finished[:len(finished)-4], "Finished at byte 0"},
+		"unknown outcome":   {strings.Replace(finished, " 0003 00004844", " 0009 00004844", 1), "Finished"},
+		"catalog count":     {"044c 0000 ffffffff", "4294967295 entries do not fit"},
+		"catalog number":    {"044c 0010 00000000", "list number 16"},
+		"catalog not sent":  {update, "names catalog 0"},
+		"list kind":         {catalog + "03f2 0003 09 0000 0000000000000029", "unknown kind 9"},
+		"settings":          {"03e8 0003 0000000000000001 00000001 7b", "settings"},
+		"settings length":   {"03e8 0003 0000000000000001 ffffffff 7b", "Spawn at byte 0"},
+		"truncated code":    {"03", "record at byte 0"},
 	} {
 		_, err := decode(t, c.text)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
@@ -135,7 +135,7 @@
 				return
 			}
 			if d.Remaining() >= before {
-				t.Fatal("a record took no bytes")
+				t.Fatal("decoding a record consumed no bytes")
 			}
 		}
 	})
--- a/internal/simlink/decoder.go
+++ b/internal/simlink/decoder.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/standalone/settings"
 )
 
-// Codes of the records in a batch. The names in comments are the simulator's, which error messages bear.
+// Codes of the records in a batch. The names in comments are the simulator's; error messages use them.
 const (
 	codeSpawn            = 1000 // Spawn
 	codeMembership       = 1010 // DirectoryUpdate
@@ -40,18 +40,18 @@
 	workIsKnownBit = 1   // option of an arriving request
 )
 
-// errMalformed is the cause where a record is shorter than its fields, or a field is out of range.
+// errMalformed is the cause of an error if a record is shorter than its fields, or a field is out of range.
 var errMalformed = errors.New("truncated or malformed")
 
-// RecordKind determines what the host does with a decoded record.
+// RecordKind determines how the host handles a decoded record.
 type RecordKind uint8
 
 // The kinds of records.
 const (
-	Ignored        RecordKind = iota // nothing: a catalog or a peer message
+	Ignored        RecordKind = iota // a catalog or a peer message: nothing to do
 	SpawnInstance                    // start an instance with Seed and Settings
-	RemoveInstance                   // forget an instance
-	DeliverEvent                     // hand Event to the instance
+	RemoveInstance                   // discard an instance
+	DeliverEvent                     // deliver Event to the instance
 )
 
 // Record is one decoded record.
@@ -63,8 +63,8 @@
 	Event    policy.Event
 }
 
-// Decoder decodes records. It keeps the catalogs of members, which later records refer to, and reuses its buffers: a
-// Record is valid until the next call. It is not safe for concurrent use.
+// Decoder decodes records. It keeps the catalogs of members, because later records refer to them. It reuses its
+// buffers, so a Record is valid only until the next call. It is not safe for concurrent use.
 type Decoder struct {
 	catalogs  [maxCatalogs][]policy.Member
 	received  [maxCatalogs]bool
@@ -74,10 +74,10 @@
 	malformed bool // a read went past the end, or a field was out of range
 }
 
-// Reset starts on the body of a new batch.
+// Reset makes the decoder read the body of a new batch. Catalogs are kept.
 func (d *Decoder) Reset(body []byte) { d.body, d.offset, d.malformed = body, 0, false }
 
-// Remaining is the number of bytes that are not decoded yet.
+// Remaining returns the number of bytes that are not decoded yet.
 func (d *Decoder) Remaining() int { return len(d.body) - d.offset }
 
 // Next decodes the next record into r.
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// record decodes a record and returns the simulator's name for it. Reads past the end are noted in d.malformed.
+// record decodes a record and returns the simulator's name for it. A read past the end sets
+// d.malformed.
 func (d *Decoder) record(r *Record) (name string, err error) {
 	code := d.readUint16()
 	r.Event = policy.Event{}
@@ -204,7 +205,7 @@
 	d.take(int(d.readUint16()))
 }
 
-// catalog decodes a list of members, which replaces the one of the same number.
+// catalog decodes a list of members, which replaces any earlier list of the same number.
 func (d *Decoder) catalog() error {
 	number, count := d.readUint16(), d.readUint32()
 	if d.malformed {
@@ -213,7 +214,7 @@
 	if number >= maxCatalogs {
 		return fmt.Errorf("list number %d is over %d", number, maxCatalogs-1)
 	}
-	if uint64(count)*memberSize > uint64(d.Remaining()) { // checked before anything is allocated for it
+	if uint64(count)*memberSize > uint64(d.Remaining()) { // checked before any memory is allocated for a wrong count
 		return fmt.Errorf("%d entries do not fit in the %d bytes left", count, d.Remaining())
 	}
 	members := d.catalogs[number][:0]
@@ -265,7 +266,7 @@
 	return d.report[:count]
 }
 
-// take returns the next size bytes, or nil if they are not there.
+// take returns the next size bytes. If fewer are left, it sets d.malformed and returns nil.
 func (d *Decoder) take(size int) []byte {
 	if d.malformed || size < 0 || size > d.Remaining() {
 		d.malformed = true
--- a/internal/simlink/encoder.go
+++ b/internal/simlink/encoder.go
@@ -20,8 +20,8 @@
 	codeSubscribeDiscovery = 1100 // Observe
 )
 
-// AppendAction appends the record of one action of an instance to a reply's body and returns it. An action of an
-// unknown kind leaves no record.
+// AppendAction appends the record of one action of an instance to a reply's body and returns the body. It appends
+// nothing for an action of an unknown kind.
 func AppendAction(b []byte, instance uint16, a *policy.Action) []byte {
 	be := binary.BigEndian
 	header := func(code uint16) { b = be.AppendUint16(be.AppendUint16(b, code), instance) }
@@ -58,5 +58,5 @@
 	return b
 }
 
-// clampDuration is a duration as the link encodes it.
+// clampDuration limits a duration to the range of the protocol's unsigned 32 bits.
 func clampDuration(t policy.Time) uint32 { return uint32(max(0, min(t, math.MaxUint32))) }
--- a/internal/simlink/frame.go
+++ b/internal/simlink/frame.go
@@ -1,8 +1,9 @@
 // Package simlink translates between the binary frames of the operators' simulator and the types of package policy. It
-// makes no decisions.
+// only translates; decisions are made by the policy.
 //
-// The simulator sends batches: a header and records, each an event for one instance of the policy. Each batch is
-// answered by one reply: a header and the records of the actions that follow. All numbers are big-endian.
+// The simulator sends batches. A batch is a header and records; most records are an event for one instance of the
+// policy. Each batch is answered by one reply: a header and the records of the resulting actions. All numbers are
+// big-endian.
 package simlink
 
 import (
@@ -20,17 +21,17 @@
 	MaxBodySize     = 1 << 30
 )
 
-// minRecordSize is the size of a code and an instance, which every record begins with.
+// minRecordSize is the size of the code and the instance number with which every record begins.
 const minRecordSize = 4
 
 // BatchHeader precedes the records of a batch.
 type BatchHeader struct {
 	BodySize    uint32 // bytes that follow the header
 	RecordCount uint32
-	Now         policy.Time // when the events happen
+	Now         policy.Time // simulated time of the events
 }
 
-// ParseBatchHeader reads a header of BatchHeaderSize bytes. It refuses sizes and times that are out of range.
+// ParseBatchHeader reads a header of BatchHeaderSize bytes. It rejects sizes and times that are out of range.
 func ParseBatchHeader(b []byte) (BatchHeader, error) {
 	size, count := binary.BigEndian.Uint32(b), binary.BigEndian.Uint32(b[4:])
 	clock := binary.BigEndian.Uint64(b[8:])
--- a/internal/simlink/stored_test.go
+++ b/internal/simlink/stored_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// records returns the records of a stored sample, one a line.
+// records returns the records of a stored sample, which has one per line.
 func records(t *testing.T, path string) (all []string) {
 	t.Helper()
 	text, err := os.ReadFile(path)
@@ -26,7 +26,7 @@
 	return all
 }
 
-// Every kind of record is read as an earlier version read it, in each field.
+// Every field of every kind of record must be read as an earlier version read it.
 func TestReadsRecordsStoredByEarlierVersion(t *testing.T) {
 	members := []policy.Member{
 		{Server: 0x03124a07, Zone: 2, InstanceType: 4, Cell: 5, Mode: policy.ModeReady, Size: 1, StartedAt: 0x63},
@@ -69,8 +69,8 @@
 	}
 }
 
-// Outcomes and modes have the numbers of the link.
-func TestNumbersAreThoseOfEarlierVersion(t *testing.T) {
+// The numbers of outcomes and modes are part of the protocol and must not change.
+func TestOutcomeAndModeNumbersAreThoseOfEarlierVersion(t *testing.T) {
 	outcomes := []policy.Outcome{policy.OK, policy.ErrorResponse, policy.Rejected, policy.TimedOut,
 		policy.ConnectFailed, policy.ConnectionReset, policy.Canceled, policy.NotSent}
 	if want := []policy.Outcome{0, 1, 2, 3, 4, 5, 6, 7}; !slices.Equal(outcomes, want) {
@@ -82,7 +82,7 @@
 	}
 }
 
-// Every kind of action is written as an earlier version wrote it.
+// Every kind of action must be written as an earlier version wrote it.
 func TestWritesRecordsStoredByEarlierVersion(t *testing.T) {
 	actions := []policy.Action{
 		{Kind: policy.SendAttempt, ID: 0x000912295d3a91c4, Server: 0x03124a07, After: 80_000},
@@ -106,7 +106,7 @@
 	}
 }
 
-// A batch's header is read field by field.
+// Each field of a batch header must be read from the same bytes as in an earlier version.
 func TestReadsHeaderStoredByEarlierVersion(t *testing.T) {
 	header, err := ParseBatchHeader(decodeHex(t, "00010203 00000405 00060708090a0b0c"))
 	want := BatchHeader{BodySize: 0x00010203, RecordCount: 0x0405, Now: 0x00060708090a0b0c}
--- a/internal/socket/socket.go
+++ b/internal/socket/socket.go
@@ -1,5 +1,5 @@
 // Package socket queries the state of sockets in the kernel. It neither consumes bytes nor waits for a goroutine that
-// reads from the socket. A connection that is no socket, such as a net.Pipe in a test, counts as open and empty.
+// reads from the socket. A connection that is not a socket, such as a net.Pipe in a test, counts as open and empty.
 package socket
 
 import (
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// IsOpenAndEmpty reports whether a connection is open with nothing to read. One that the peer has closed or reset has
-// that to read.
+// IsOpenAndEmpty reports whether a connection is open and has nothing to read. If the peer has closed or reset it, the
+// end of the stream or the error counts as something to read.
 func IsOpenAndEmpty(nc net.Conn) bool {
 	isEmpty := false
 	isSocket, err := withDescriptor(nc, func(fd int) {
@@ -22,8 +22,8 @@
 	return !isSocket || err == nil && isEmpty
 }
 
-// HasPeerClosed reports whether the peer has closed a connection, or its half of it, also while bytes from before the
-// close are unread.
+// HasPeerClosed reports whether the peer has closed a connection or its sending half, even if bytes sent before the
+// close are still unread.
 func HasPeerClosed(nc net.Conn) bool {
 	isClosed := false
 	isSocket, err := withDescriptor(nc, func(fd int) {
@@ -32,15 +32,15 @@
 	return isSocket && (err != nil || isClosed)
 }
 
-// HasPendingConnection reports whether a connection is queued at a listener for Accept.
+// HasPendingConnection reports whether a connection waits in a listener's queue for Accept.
 func HasPendingConnection(ln net.Listener) bool {
 	isPending := false
 	isSocket, err := withDescriptor(ln, func(fd int) { isPending = pollNow(fd, unix.POLLIN)&unix.POLLIN != 0 })
 	return isSocket && err == nil && isPending
 }
 
-// withDescriptor calls f with the descriptor of a connection or listener, if it has one. An error means that it is
-// closed.
+// withDescriptor calls f with the file descriptor of a connection or listener, if it has one. An error means that the
+// connection or listener is closed.
 func withDescriptor(c any, f func(fd int)) (isSocket bool, err error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -50,11 +50,11 @@
 	if err != nil {
 		return true, err
 	}
-	// Control and not Read: Read would wait for a goroutine that is in a read of the same connection.
+	// Control rather than Read: Read would wait for a goroutine that is reading from the same connection.
 	return true, raw.Control(func(fd uintptr) { f(int(fd)) })
 }
 
-// pollNow returns which of these events hold for a descriptor now.
+// pollNow returns the poll events that a descriptor has now, without waiting.
 func pollNow(fd int, events int16) int16 {
 	fds := []unix.PollFd{{Fd: int32(fd), Events: events}}
 	if n, err := unix.Poll(fds, 0); err != nil || n <= 0 {
--- a/internal/socket/socket_test.go
+++ b/internal/socket/socket_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// IsOpenAndEmpty must not wait for the goroutine that reads from the connection: a proxy checks all its sockets in turn,
-// and an idle one would delay the others.
+// IsOpenAndEmpty must not wait for the goroutine that reads from the connection. A proxy checks all its sockets in
+// turn, so waiting at an idle one would delay the checks of the others.
 func TestIsOpenAndEmpty_DoesNotWaitForReader(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -23,9 +23,9 @@
 		_, err := c.Read(make([]byte, 1))
 		read <- err
 	}()
-	time.Sleep(10 * time.Millisecond) // the reader most likely reads by then; without one the test passes anyway
+	time.Sleep(10 * time.Millisecond) // the goroutine is most likely in Read by then; if not, the test passes anyway
 	if !IsOpenAndEmpty(c) {
-		t.Error("an open connection with nothing to read is not found to be so")
+		t.Error("IsOpenAndEmpty is false for an open connection with nothing to read")
 	}
 	c.Close()
 	<-read
--- a/internal/tomlfile/keyindex.go
+++ b/internal/tomlfile/keyindex.go
@@ -7,19 +7,19 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// KeyIndex has the keys of a file with their lines. A key has those of the tables around it before it, and the elements of lists
-// count from 0: "world.kinds.0.cores".
+// KeyIndex maps the keys of a file to their lines. A key is a full dotted path, with the keys of the enclosing tables;
+// list elements are numbered from 0: "world.kinds.0.cores".
 type KeyIndex struct {
 	lines map[string]int
-	// BareNumbers are the keys whose values are numbers. A duration among them lacks its unit.
+	// BareNumbers are the keys whose values are numbers. If one of them is a duration, its unit is missing.
 	BareNumbers []string
 }
 
-// IndexKeys returns the keys of a file. Of a text that is not valid TOML it returns those before the error.
+// IndexKeys returns the index of a file's keys. If the text is not valid TOML, the index has the keys before the error.
 func IndexKeys(text []byte) *KeyIndex {
 	index := &KeyIndex{lines: map[string]int{}}
-	elements := map[string]int{} // of each array of tables, so far
-	prefix := ""                 // of the present table
+	elements := map[string]int{} // number of elements so far, by array of tables
+	prefix := ""                 // key of the current table and a dot
 	var p unstable.Parser
 	p.Reset(text)
 	for p.NextExpression() {
@@ -54,7 +54,7 @@
 	return strings.Join(parts, "."), line
 }
 
-// add adds a key and those inside its value.
+// add adds a key and the keys inside its value.
 func (x *KeyIndex) add(p *unstable.Parser, key string, line int, value *unstable.Node) {
 	x.lines[key] = line
 	switch value.Kind {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Has reports whether a key, or one inside it, is in the file.
+// Has reports whether a key, or a key inside it, is in the file.
 func (x *KeyIndex) Has(key string) bool {
 	for k := range x.lines {
 		if k == key || strings.HasPrefix(k, key+".") {
@@ -83,7 +83,8 @@
 	return false
 }
 
-// Line returns the line of a key, or of the innermost one around it that is in the file; 0 if there is none.
+// Line returns the line of a key. If the file does not have it, Line returns the line of the innermost enclosing key
+// that the file has, or 0 if there is none.
 func (x *KeyIndex) Line(key string) int {
 	for key != "" {
 		if line := x.lines[key]; line > 0 {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -10,11 +10,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Error is an error of an operator's file, with its place.
+// Error is an error in an operator's file, with its location.
 type Error struct {
 	File   string
 	Line   int    // from 1; 0: the key is not in the file
-	Key    string // with those of the tables around it; empty: the error is not of one key
+	Key    string // full dotted path; empty: the error does not concern a single key
 	Reason string
 }
 
@@ -30,8 +30,8 @@
 	return place + ": " + e.Reason
 }
 
-// Decode decodes text into v, which holds the defaults. A key that v does not have and a value that does not fit are an
-// *Error. Path is the file's name for errors; the file is not read.
+// Decode decodes text into v, which holds the defaults. Every error is an *Error, for example for a key that v does not
+// have or a value that does not fit. path is the file's name in errors; the file itself is not read.
 func Decode(path string, text []byte, v any) error {
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(v); err != nil {
 		return decodeError(path, err)
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// decodeError returns the *Error for an error of the TOML library.
+// decodeError converts an error of the TOML library to an *Error.
 func decodeError(path string, err error) error {
 	var unknownKeys *toml.StrictMissingError
 	if errors.As(err, &unknownKeys) && len(unknownKeys.Errors) > 0 {
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -26,7 +26,7 @@
 	for key, want := range map[string]int{
 		"name": 1, "rate": 2, "world": 4, "world.span": 5, "world.sizes.1": 6, "world.kinds.0.cores": 9,
 		"world.kinds.1.limits.least": 12,
-		"world.kinds.0.absent":       8, // that of the table around it
+		"world.kinds.0.absent":       8, // line of the enclosing table
 		"world.absent.deep":          4,
 		"absent":                     0,
 	} {
@@ -40,7 +40,7 @@
 	index := IndexKeys([]byte(sample))
 	for key, want := range map[string]bool{"world": true, "world.kinds": true, "world.kinds.2": false, "world.spa": false} {
 		if got := index.Has(key); got != want {
-			t.Errorf("has %s: %v", key, got)
+			t.Errorf("Has(%s) is %v", key, got)
 		}
 	}
 	want := []string{"rate", "world.sizes.0", "world.kinds.0.cores", "world.kinds.1.limits.least"}
@@ -49,20 +49,20 @@
 	}
 }
 
-func TestIndexKeys_InvalidTextGivesWhatComesBefore(t *testing.T) {
+func TestIndexKeys_InvalidTextKeepsKeysBeforeError(t *testing.T) {
 	index := IndexKeys([]byte("a = 1\nb = = 2\nc = 3\n"))
 	if !index.Has("a") || index.Has("c") {
 		t.Errorf("indexed %v", index.lines)
 	}
 }
 
-func TestDecode_ErrorsNameTheirPlace(t *testing.T) {
+func TestDecode_ErrorsNameFileLineAndKey(t *testing.T) {
 	type decoded struct {
 		Name  string
 		World struct{ Span int }
 	}
 	for _, c := range []struct {
-		name, text, prefix string // the rest of a decoder's error is the library's
+		name, text, prefix string // the text after prefix comes from the TOML library
 	}{
 		{"unknown key", "name = \"a\"\n[world]\nspam = 1\n", "f.toml:3: world.spam: there is no such key"},
 		{"wrong type", "[world]\nspan = \"x\"\n", "f.toml:2: world.span: cannot decode TOML string"},
@@ -75,7 +75,7 @@
 				t.Fatalf("error %v", err)
 			}
 			if !strings.HasPrefix(err.Error(), c.prefix) {
-				t.Errorf("error %q, want one that begins with %q", err, c.prefix)
+				t.Errorf("error %q, want one with the prefix %q", err, c.prefix)
 			}
 		})
 	}
