--- a/internal/bootstrap/bootstrap.go
+++ b/internal/bootstrap/bootstrap.go
@@ -57,7 +57,7 @@
 	Drain       time.Duration // between the announcement that a backend is removed and its removal
 	GracePeriod time.Duration // between SIGTERM and SIGKILL
 	Lease       time.Duration // within which two lease holders must not both send commands to backends
-	Thaw        time.Duration // after a frozen process resumes, within which its late commands are tolerated
+	Thaw        time.Duration // after a frozen process resumes, within which its late effects are tolerated
 	RetryWindow time.Duration // over which retries are counted
 	RetryRatio  float64       // retries allowed in the window, as a fraction of its requests
 	RetryExtra  float64       // retries allowed beyond that fraction, for all proxies together
@@ -71,7 +71,7 @@
 	ReuseAfter          time.Duration // not used
 }
 
-// Platform says where and how the list of backends is read.
+// Platform describes where and how the list of backends is read.
 type Platform struct {
 	Address           string
 	MaxCallsPerSecond float64       // of all processes together
--- a/internal/httpframing/scanner.go
+++ b/internal/httpframing/scanner.go
@@ -28,7 +28,7 @@
 	bodyRemaining int64  // bytes of the current body that are not read yet
 }
 
-// field is a header field, as far as it matters for framing.
+// field classifies header fields by their role in framing.
 type field uint8
 
 const (
--- a/internal/message/coordination.go
+++ b/internal/message/coordination.go
@@ -186,7 +186,9 @@
 	Changes  []CoordinationChange `msg:"c"`
 }
 
-// EpochQuery asks an acceptor whether it would promise an epoch now. It changes nothing.
+// EpochQuery asks an acceptor whether it has a live issuer, like PreVote of Raft. It changes nothing. A member sends
+// EpochPrepare to replace a silent issuer only after a majority has answered that it has no live issuer. Without the
+// query, a member that alone receives no messages from the issuer would depose it.
 type EpochQuery struct {
 	RequestID uint64 `msg:"r"`
 }
@@ -194,7 +196,7 @@
 // EpochQueryResponse answers EpochQuery.
 type EpochQueryResponse struct {
 	RequestID uint64        `msg:"r"`
-	HasIssuer bool          `msg:"h"` // the acceptor has a live issuer, or is it, and would promise no epoch
+	HasIssuer bool          `msg:"h"` // the acceptor has a live issuer or is the issuer itself
 	Issuer    Member        `msg:"m"` // from which the acceptor last received a write, or the acceptor itself
 	Promised  Epoch         `msg:"p"`
 	Group     AcceptorGroup `msg:"g"` // the newest group that the acceptor knows
--- a/internal/message/membership.go
+++ b/internal/message/membership.go
@@ -15,8 +15,8 @@
 type View struct {
 	Number  ViewNumber `msg:"n"`
 	Members []Member   `msg:"m"` // the replication chain, the head first
-	// Voters decide on the next view by majority. Records of the first version have none: their voters
-	// are the members of the chain.
+	// Voters decide on the next view by majority. Records of the first version have none: their
+	// voters are the members of the chain.
 	Voters []Member `msg:"v"`
 	// ReplacedVoters are suspected members that lost their vote, the most recent last.
 	ReplacedVoters []ReplacedVoter `msg:"dp"`
@@ -31,7 +31,7 @@
 }
 
 // ReplacedVoter is a member that lost its vote while it was suspected. Views are still announced to it. It gets a
-// vote back when the new member that took its vote turns out to replace a leaving member of another zone instead.
+// vote back when the member that took its vote turns out to replace a leaving voter of the same zone as itself.
 type ReplacedVoter struct {
 	Member     Member   `msg:"m"`
 	ReplacedBy MemberID `msg:"b"` // the member that got the vote; empty: the number of voters was reduced
--- a/internal/simlink/decoder.go
+++ b/internal/simlink/decoder.go
@@ -93,8 +93,7 @@
 	return nil
 }
 
-// record decodes a record and returns the simulator's name for it. A read past the end sets
-// d.malformed.
+// record decodes a record and returns the simulator's name for it. A read past the end sets d.malformed.
 func (d *Decoder) record(r *Record) (name string, err error) {
 	code := d.readUint16()
 	r.Event = policy.Event{}
@@ -214,7 +213,7 @@
 	if number >= maxCatalogs {
 		return fmt.Errorf("list number %d is over %d", number, maxCatalogs-1)
 	}
-	if uint64(count)*memberSize > uint64(d.Remaining()) { // checked before any memory is allocated for a wrong count
+	if uint64(count)*memberSize > uint64(d.Remaining()) { // checked before memory is allocated for count entries
 		return fmt.Errorf("%d entries do not fit in the %d bytes left", count, d.Remaining())
 	}
 	members := d.catalogs[number][:0]
--- a/internal/simlink/frame.go
+++ b/internal/simlink/frame.go
@@ -1,7 +1,7 @@
 // Package simlink translates between the binary frames of the operators' simulator and the types of package policy. It
 // only translates; decisions are made by the policy.
 //
-// The simulator sends batches. A batch is a header and records; most records are an event for one instance of the
+// The simulator sends batches. A batch is a header and records; most records are events, each for one instance of the
 // policy. Each batch is answered by one reply: a header and the records of the resulting actions. All numbers are
 // big-endian.
 package simlink
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -20,14 +20,14 @@
 
 // Error implements error.
 func (e *Error) Error() string {
-	place := e.File
+	location := e.File
 	if e.Line > 0 {
-		place += ":" + strconv.Itoa(e.Line)
+		location += ":" + strconv.Itoa(e.Line)
 	}
 	if e.Key != "" {
-		place += ": " + e.Key
+		location += ": " + e.Key
 	}
-	return place + ": " + e.Reason
+	return location + ": " + e.Reason
 }
 
 // Decode decodes text into v, which holds the defaults. Every error is an *Error, for example for a key that v does not
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -70,8 +70,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			var v decoded
 			err := Decode("f.toml", []byte(c.text), &v)
-			var place *Error
-			if !errors.As(err, &place) || place.File != "f.toml" {
+			var fileError *Error
+			if !errors.As(err, &fileError) || fileError.File != "f.toml" {
 				t.Fatalf("error %v", err)
 			}
 			if !strings.HasPrefix(err.Error(), c.prefix) {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,6 +1,6 @@
-// Package transport carries messages between the processes of the system over TCP. Messages are lost when a connection
-// breaks or a queue is full, but a connection neither changes nor reorders them. A sender that needs a response must
-// repeat its request.
+// Package transport carries messages between the processes of the system over TCP. Messages may be lost when a
+// connection breaks or a queue is full, but a connection neither changes nor reorders them. A sender that needs a
+// response must repeat its request.
 //
 // A Sender sends messages without waiting, to any number of peers. A Client sends requests to one peer at a time and
 // waits for their responses. Serve receives the messages of both.
