--- a/internal/fake/fakecoordination/server.go
+++ b/internal/fake/fakecoordination/server.go
@@ -1,5 +1,5 @@
-// Package fakecoordination is a coordinator for tests of what applications use: the real HTTP API and state of locks, numbers
-// and keys, in one process, without replicas or disk.
+// Package fakecoordination provides a coordinator for tests of its clients. It has the real HTTP API and the real state
+// of locks, numbers and keys, but runs in one process, without replicas or disk.
 package fakecoordination
 
 import (
@@ -19,7 +19,7 @@
 // historyRetention is how long events are kept for watches.
 const historyRetention = time.Minute
 
-// Server listens on several control addresses, with one state behind them.
+// Server serves one state on several control addresses.
 type Server struct {
 	issuer    *issuer
 	addresses []string
@@ -45,21 +45,21 @@
 // Addresses returns the control addresses (host:port).
 func (s *Server) Addresses() []string { return s.addresses }
 
-// Close stops listening, cuts connections, and ends the watches that wait.
+// Close stops listening, closes all connections and ends the watches that wait.
 func (s *Server) Close() {
 	s.issuer.close()
 	for _, server := range s.servers {
-		_ = server.Close() // what is open is cut
+		_ = server.Close() // open connections too
 	}
 }
 
-// issuer decides calls alone. It is a coordinationapi.Caller.
+// issuer executes calls on its own state, without agreement with replicas. It implements coordinationapi.Caller.
 type issuer struct {
 	start time.Time
 
 	mutex   sync.Mutex
 	state   *coordination.Store
-	changed chan struct{} // closed by the next put, and when the server closes
+	changed chan struct{} // closed by the next call that changes the state, and when the server closes
 	closed  bool
 }
 
@@ -71,7 +71,7 @@
 	}
 }
 
-// Call decides a call; a watch without an event waits for the next put.
+// Call executes a call. A watch without an event waits for one, for at most the WaitMs of the call.
 func (i *issuer) Call(ctx context.Context, call message.Call) (message.Answer, error) {
 	timer := time.NewTimer(time.Duration(call.WaitMs) * time.Millisecond)
 	defer timer.Stop()
@@ -93,7 +93,8 @@
 	}
 }
 
-// execute decides a call now. Where it has to wait, that is for the channel, which is nil when the server closes.
+// execute executes a call now. If the result says that the call waits, the caller executes it again once the returned
+// channel is closed. The channel is nil if the server is closed.
 func (i *issuer) execute(call message.Call) (coordination.Result, <-chan struct{}) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/fake/fakestandalone/backend.go
+++ b/internal/fake/fakestandalone/backend.go
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// Backend is a fake backend that serves requests on a number of cores and reports its load. Its fields must not change once
-// it serves; the methods Set... may be called then. It is an http.Handler and safe for concurrent use.
+// Backend is a fake backend that serves requests on a number of cores and reports its load. Its exported fields must
+// not change once it serves; its Set methods may be called at any time. It is an http.Handler and safe for concurrent
+// use.
 type Backend struct {
 	Name  string
 	Cores int    // requests that are served at once; others are queued
-	Serve func() // what a core does for a request
+	Serve func() // called for each request, on a core that is in use until Serve returns
 
 	once              sync.Once
-	cores             chan struct{} // one element a core in use
+	cores             chan struct{} // one element per core in use
 	draining          atomic.Bool
 	served            atomic.Int64
 	loadQueries       atomic.Int64
 	inFlight          atomic.Int64
-	errorsPerThousand atomic.Int64 // requests
+	errorsPerThousand atomic.Int64 // share of requests that fail
 	meter             loadMeter
 }
 
@@ -32,28 +33,28 @@
 	perThousand     = 1000
 )
 
-// SleepAbout returns a Backend.Serve that takes mean on average, between half of it and one and a half.
+// SleepAbout returns a Backend.Serve that sleeps for a random time of 0.5 to 1.5 times mean.
 func SleepAbout(mean time.Duration) func() {
 	return func() { time.Sleep(mean/2 + rand.N(mean)) }
 }
 
-// SetDraining has the backend reject new requests, or accept them again.
+// SetDraining makes the backend reject new requests, or accept them again.
 func (b *Backend) SetDraining(on bool) { b.draining.Store(on) }
 
-// SetErrorRatio has the backend fail a share of its requests, from 0 to 1, without serving them.
+// SetErrorRatio makes the backend fail a share of its requests, from 0 to 1, without serving them.
 func (b *Backend) SetErrorRatio(ratio float64) { b.errorsPerThousand.Store(int64(ratio * perThousand)) }
 
-// Served is how many requests it has served.
+// Served returns the number of requests that were served.
 func (b *Backend) Served() int64 { return b.served.Load() }
 
-// InFlight is how many requests it serves or has queued now.
+// InFlight returns the number of requests that are being served or are queued.
 func (b *Backend) InFlight() int64 { return b.inFlight.Load() }
 
-// LoadQueries is how often it was asked for its load.
+// LoadQueries returns the number of requests for the load.
 func (b *Backend) LoadQueries() int64 { return b.loadQueries.Load() }
 
-// ServeHTTP responds as the protocol's backends do: 404 without an ID, 503 with X-Unprocessed while it drains, 500 on an
-// error, else 200 with a body that describes the request.
+// ServeHTTP responds as the protocol requires of a backend: 404 without a request ID, 503 with X-Unprocessed while it
+// drains, 500 for the share of requests that fail, else 200 with a body that describes the request.
 func (b *Backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	b.once.Do(func() { b.cores = make(chan struct{}, max(1, b.Cores)) })
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
--- a/internal/fake/fakestandalone/backend_test.go
+++ b/internal/fake/fakestandalone/backend_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestBackend_SpeaksProtocol(t *testing.T) {
+func TestBackend_ImplementsProtocol(t *testing.T) {
 	b := &Backend{Name: "d", Cores: 1, Serve: func() {}}
 	send := func(id string) *http.Response {
 		req := httptest.NewRequest(http.MethodPost, "/c?q", strings.NewReader("body"))
--- a/internal/fake/fakestandalone/discovery.go
+++ b/internal/fake/fakestandalone/discovery.go
@@ -14,11 +14,12 @@
 // keepAliveInterval is how often a watch without changes sends an empty line.
 const keepAliveInterval = 2 * time.Second
 
-// Discovery is a fake of discovery. Create it with NewDiscovery. It is an http.Handler and safe for concurrent use.
+// Discovery is a fake of the discovery service. Create it with NewDiscovery. It is an http.Handler and safe for
+// concurrent use.
 type Discovery struct {
 	mu      sync.Mutex
 	hosts   []discovery.Entry // the current list, in the order in which hosts were added
-	changes []discovery.Entry // change i made version i+1
+	changes []discovery.Entry // changes[i] led to version i+1
 	changed chan struct{}     // closed at the next change
 }
 
@@ -59,12 +60,12 @@
 // update is a line of a watch, and the response to a request for the list.
 type update struct {
 	Seq   int               `json:"seq"`   // the version
-	Full  bool              `json:"whole"` // Hosts is the list; else the changes since the line before
+	Full  bool              `json:"whole"` // Hosts is the full list; otherwise the changes since the previous line
 	Hosts []discovery.Entry `json:"hosts"`
 }
 
-// updateSince returns the changes after a version, or the full list where there is no such version, and a channel that is
-// closed at the next change.
+// updateSince returns the changes after a version, or the full list if the version is 0 or unknown, and a channel that
+// is closed at the next change.
 func (d *Discovery) updateSince(version int) (update, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,8 +78,8 @@
 	return u, d.changed
 }
 
-// ServeHTTP answers GET /v1/endpoints with the full list; with stream=1 and index=N it goes on with the changes after the
-// version N.
+// ServeHTTP answers GET /v1/endpoints with the full list. With stream=1 and index=N it answers with a watch: the
+// changes after version N, or the full list if N is 0 or unknown, and then every further change.
 func (d *Discovery) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	if req.URL.Path != "/v1/endpoints" {
 		http.NotFound(w, req)
@@ -88,10 +89,10 @@
 	query := req.URL.Query()
 	if query.Get("stream") != "1" {
 		u, _ := d.updateSince(0)
-		_ = json.NewEncoder(w).Encode(u) // fails where the client has disconnected
+		_ = json.NewEncoder(w).Encode(u) // fails if the client has disconnected
 		return
 	}
-	version, _ := strconv.Atoi(query.Get("index")) // 0 without a number: the full list
+	version, _ := strconv.Atoi(query.Get("index")) // 0, for the full list, if it is not a number
 	d.serveWatch(w, req, version)
 }
 
@@ -117,7 +118,7 @@
 			u, changed = d.updateSince(version)
 		case <-keepAlive.C:
 			fmt.Fprintln(w)
-			u.Hosts = nil // sent already
+			u.Hosts = nil // they were sent already
 		}
 	}
 }
--- a/internal/fake/fakestandalone/discovery_test.go
+++ b/internal/fake/fakestandalone/discovery_test.go
@@ -16,12 +16,12 @@
 	return discovery.Entry{Host: host, Address: "127.0.0.1:9", Zone: "a", InstanceType: "k", Health: health, Size: 1}
 }
 
-// A watch gets the full list, then each change once and in order, also those that come between two lines. One that starts
-// at a version gets the changes after it; one at an unknown version gets the full list.
+// A watch gets the full list, then each change once and in order, also the changes between two lines. A watch from a
+// known version gets the changes after that version; a watch from an unknown version gets the full list.
 func TestDiscovery_Watch(t *testing.T) {
 	d := NewDiscovery(newEntry("x", "SERVING"), newEntry("y", "SERVING"))
 	server := httptest.NewServer(d)
-	t.Cleanup(server.Close) // runs after the watches have ended, for which it waits
+	t.Cleanup(server.Close) // waits for the watches, which t.Context has ended by then
 	watch := func(index string) *bufio.Reader {
 		t.Helper()
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, server.URL+"/v1/endpoints?stream=1&index="+index, nil)
@@ -66,7 +66,7 @@
 	d.Put(newEntry("x", "DELETED"))
 	d.Put(newEntry("z", "SERVING"))
 	got := next(first)
-	if got != "delta x:DELETED z:SERVING" { // the two may come in one line or in two
+	if got != "delta x:DELETED z:SERVING" { // the two changes may be in one line or in two
 		if got != "delta x:DELETED" {
 			t.Errorf("%q", got)
 		}
--- a/internal/fake/fakestandalone/environment.go
+++ b/internal/fake/fakestandalone/environment.go
@@ -15,7 +15,7 @@
 type Environment struct {
 	Discovery *Discovery
 	Backends  []*Backend
-	Entries   []discovery.Entry // as they were listed first, by backend
+	Entries   []discovery.Entry // as listed at the start, by index of the backend
 
 	discoveryListener net.Listener
 	backendListeners  []net.Listener
@@ -26,7 +26,8 @@
 	readHeaderTimeout = 10 * time.Second
 )
 
-// NewEnvironment returns an environment whose backends are listed in the zones in turn, and call serve for each request.
+// NewEnvironment returns an environment with one backend per listener of backends. The backends are assigned to the
+// zones round-robin and call serve for each request.
 func NewEnvironment(discoveryListener net.Listener, backends []net.Listener, zones []string, serve func()) *Environment {
 	e := &Environment{Discovery: NewDiscovery(), discoveryListener: discoveryListener, backendListeners: backends}
 	for i, ln := range backends {
--- a/internal/fake/fakestandalone/loadgenerator.go
+++ b/internal/fake/fakestandalone/loadgenerator.go
@@ -27,8 +27,8 @@
 	Latencies                      *hdrhistogram.Histogram // of served requests, in microseconds
 }
 
-// LoadGenerator sends requests to a proxy at a steady rate that does not depend on the responses (open loop), so that slow
-// responses do not lower the load.
+// LoadGenerator sends requests to a proxy at a steady rate that does not depend on the responses (open loop), so that
+// slow responses do not lower the load.
 type LoadGenerator struct {
 	BaseURL           string // of the proxy: http://address
 	RequestsPerSecond float64
@@ -59,12 +59,12 @@
 		case <-timer.C:
 		}
 		number++
-		current := number // the loop goes on while the request is sent
+		current := number // number changes while the request is sent
 		inFlight.Go(func() { g.send(client, current) })
 	}
 }
 
-// pickClass draws a class by the shares.
+// pickClass draws a class; the probability of a class is its share.
 func (g *LoadGenerator) pickClass() (class RequestClass) {
 	x := rand.Float64()
 	for _, class = range g.Classes {
@@ -133,7 +133,7 @@
 	switch status {
 	case http.StatusOK:
 		g.stats.Served++
-		_ = g.stats.Latencies.RecordValue(max(1, latency.Microseconds())) // every deadline is within its range
+		_ = g.stats.Latencies.RecordValue(max(1, latency.Microseconds())) // every deadline is in range
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		g.stats.Rejected++
 	default:
--- a/internal/fake/fakestandalone/loadmeter.go
+++ b/internal/fake/fakestandalone/loadmeter.go
@@ -13,10 +13,10 @@
 	busy        time.Duration // of all cores, in this period
 	completed   int           // requests in this period, the failed ones among them
 	failed      int
-	latest      string // report, of the period before
+	latest      string // report of the previous period
 }
 
-// reportInterval is how often the values of a report are renewed.
+// reportInterval is the minimum length of a period.
 const reportInterval = time.Second
 
 // emptyReport is the report before the first period has ended.
@@ -38,8 +38,8 @@
 	m.failed++
 }
 
-// report returns the load as the text of the load header. Its values are those of the period before, renewed once a
-// reportInterval.
+// report returns the load as the text of the load header, with the values of the latest period that has ended. A period
+// ends with the first report that is at least reportInterval after its start.
 func (m *loadMeter) report(cores int) string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/fake/fakestandalone/memorynetwork.go
+++ b/internal/fake/fakestandalone/memorynetwork.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// MemoryNetwork is a network within the process, without sockets, so that tests with package testing/synctest can run on a
-// simulated clock. Its zero value has no listeners. It is safe for concurrent use.
+// MemoryNetwork is a network within the process. It has no sockets, so that tests with package testing/synctest can run
+// on a simulated clock. Its zero value has no listeners. It is safe for concurrent use.
 type MemoryNetwork struct {
 	mu        sync.Mutex
 	listeners map[string]*memoryListener // by address
@@ -19,7 +19,7 @@
 // clientAddr is the address of all clients.
 const clientAddr memoryAddr = "caller"
 
-// Listen opens a listener at an address. The error of an address that is in use is syscall.EADDRINUSE.
+// Listen opens a listener at an address. It fails with syscall.EADDRINUSE if the address is in use.
 func (n *MemoryNetwork) Listen(addr string) (net.Listener, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -34,8 +34,7 @@
 	return l, nil
 }
 
-// Dial connects to the listener at an address. Without a listener it returns syscall.ECONNREFUSED
-// without waiting.
+// Dial connects to the listener at an address. It fails with syscall.ECONNREFUSED at once if there is no listener.
 func (n *MemoryNetwork) Dial(ctx context.Context, addr string, deadline time.Time) (net.Conn, error) {
 	ctx, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
@@ -61,7 +60,7 @@
 type memoryListener struct {
 	network   *MemoryNetwork
 	addr      string
-	dialed    chan net.Conn // servers' ends
+	dialed    chan net.Conn // the servers' ends of new connections
 	closed    chan struct{}
 	closeOnce sync.Once
 }
@@ -87,10 +86,10 @@
 	return nil
 }
 
-// Addr is where it listens.
+// Addr implements net.Listener.
 func (l *memoryListener) Addr() net.Addr { return memoryAddr(l.addr) }
 
-// memoryConn is an end of a connection that knows the addresses.
+// memoryConn is one end of a connection, with the addresses of both ends.
 type memoryConn struct {
 	net.Conn
 	local, remote memoryAddr
--- a/internal/fake/fakestandalone/recorder.go
+++ b/internal/fake/fakestandalone/recorder.go
@@ -17,13 +17,13 @@
 	"pumiceline/internal/singleton/leaseclient"
 )
 
-// Recorder is a fake of an outside system that carries out effects with fencing tokens: POST /effects with a
-// singleton.Effect, 409 for a stale one. An effect is on disk before the response that accepts it, so that after a restart
-// the recorder rejects what it would have rejected before.
-// It is an http.Handler and safe for concurrent use.
+// Recorder is a fake of an external system that executes effects and checks their fencing tokens: a client sends a
+// singleton.Effect by POST /effects, and the response to a stale effect is 409. The recorder syncs an effect to disk
+// before it sends the response that accepts it. Otherwise a restarted recorder could accept an effect that is older
+// than one that it has acknowledged. It is an http.Handler and safe for concurrent use.
 type Recorder struct {
-	// Unfenced has it accept stale effects too, as a receiver would that can't compare tokens. It must not change once the
-	// recorder serves.
+	// Unfenced makes the recorder accept stale effects too, like a receiver that can't compare tokens. It must not
+	// change once the recorder serves.
 	Unfenced bool
 
 	mu       sync.Mutex
@@ -42,8 +42,8 @@
 
 const maxEffectBytes = 4 << 10
 
-// NewRecorder returns a recorder with the effects that a file has, a JSON object a line; it creates the file if it does not
-// exist. An incomplete last line is of an effect that was never acknowledged, and is removed.
+// NewRecorder returns a recorder with the effects of a file, which has one JSON object per line; it creates the file if
+// it does not exist. It removes an incomplete last line: the effect of that line was never acknowledged.
 func NewRecorder(path string) (*Recorder, error) {
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o600)
 	if err != nil {
@@ -63,14 +63,14 @@
 	for in := bufio.NewReader(r.file); ; {
 		line, err := in.ReadBytes('\n')
 		if err != nil {
-			break // the end, or an incomplete line before it
+			break // the end of the file, or an incomplete last line
 		}
 		var e AcceptedEffect
 		if err := json.Unmarshal(bytes.TrimSpace(line), &e); err != nil {
 			return fmt.Errorf("line at byte %d: %w", end, err)
 		}
 		end += int64(len(line))
-		_ = r.guard.Admit(e.Effect) // an error is that of a stale effect that was accepted unfenced
+		_ = r.guard.Admit(e.Effect) // fails only for an effect that was accepted unfenced
 		r.accepted = append(r.accepted, e)
 	}
 	if err := r.file.Truncate(end); err != nil {
@@ -83,14 +83,15 @@
 // Close closes the file.
 func (r *Recorder) Close() error { return r.file.Close() }
 
-// Accepted returns the accepted effects in their order.
+// Accepted returns the accepted effects in the order of their acceptance.
 func (r *Recorder) Accepted() []AcceptedEffect {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.accepted)
 }
 
-// Rejected returns why effects were rejected, each reason with both tokens, in their order.
+// Rejected returns the reasons for the rejections since the start, in order. The reason for a stale effect has both
+// tokens.
 func (r *Recorder) Rejected() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,7 +119,7 @@
 		return
 	}
 	accepted := AcceptedEffect{Effect: e, From: req.Header.Get(leaseclient.SenderHeader), At: time.Now()}
-	if err := r.store(accepted); err != nil { // it may be stored or not; sent again with this serial it may be rejected
+	if err := r.store(accepted); err != nil { // it may be stored or not; a retry with this serial may be rejected
 		http.Error(w, "not written down: "+err.Error(), http.StatusInternalServerError)
 		return
 	}
@@ -137,9 +138,9 @@
 	return r.file.Sync()
 }
 
-// FindViolations counts the accepted effects that must not have been accepted: of a lower token than one before, of another
-// sender than its token's others, or not in the order of its token's serials. It looks at nothing but the
-// accepted effects and their order, and describes the first violation.
+// FindViolations counts the accepted effects that should have been rejected. Such an effect has a lower token than an
+// earlier effect of its role, or it has the same token but another sender or a serial that is not higher.
+// FindViolations uses only the accepted effects and their order. It also returns a description of the first violation.
 func FindViolations(accepted []AcceptedEffect) (violations int, first string) {
 	latest := map[string]AcceptedEffect{} // by role
 	for _, e := range accepted {
@@ -157,7 +158,7 @@
 	return violations, first
 }
 
-// violatesOrder says whether an effect must not be accepted after another of its role.
+// violatesOrder reports whether an effect must not be accepted after a previous effect of its role.
 func (e AcceptedEffect) violatesOrder(previous AcceptedEffect) bool {
 	return e.Token < previous.Token ||
 		e.Token == previous.Token && (e.From != previous.From || e.Serial <= previous.Serial)
--- a/internal/fake/fakestandalone/recorder_stored_test.go
+++ b/internal/fake/fakestandalone/recorder_stored_test.go
@@ -13,8 +13,8 @@
 	"pumiceline/internal/singleton"
 )
 
-// The file in testdata was stored by an earlier version, cef8855, and is never written anew. The recorder reads it,
-// appends to it, and compares tokens with those in it.
+// The file in testdata was stored by an earlier version, cef8855, and must not be regenerated. The recorder reads the
+// file, appends to it, and compares the tokens of new effects with the stored ones.
 func TestRecorder_ReadsEffectsStoredByEarlierVersion(t *testing.T) {
 	stored, err := os.ReadFile(filepath.Join("testdata", "recorder-effects.jsonl"))
 	if err != nil {
@@ -39,7 +39,7 @@
 		{Effect: singleton.Effect{Role: "prices", Token: 2, Serial: 3}, From: "instance-d", At: at(287871083)},
 	}
 	if got := r.Accepted(); !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, not %+v", got, want)
+		t.Errorf("read %+v, want %+v", got, want)
 	}
 	var again []byte
 	for _, accepted := range want {
--- a/internal/fake/fakestandalone/recorder_test.go
+++ b/internal/fake/fakestandalone/recorder_test.go
@@ -11,8 +11,8 @@
 	"pumiceline/internal/singleton"
 )
 
-// A recorder knows after a restart what it accepted: stale effects stay rejected. An incomplete last line counts as never
-// acknowledged.
+// A recorder still rejects stale effects after a restart, as it reads the accepted effects from its file. It drops an
+// incomplete last line, whose effect was never acknowledged.
 func TestRecorder_Restart(t *testing.T) {
 	file := t.TempDir() + "/effects"
 	send := func(r *Recorder, e singleton.Effect) int {
@@ -54,6 +54,6 @@
 		t.Errorf("next effect after a restart: %d", status)
 	}
 	if n := len(second.Accepted()); n != 2 {
-		t.Errorf("%d effects are accepted", n)
+		t.Errorf("%d effects are accepted, want 2", n)
 	}
 }
--- a/internal/fake/fakestandalone/stored_test.go
+++ b/internal/fake/fakestandalone/stored_test.go
@@ -15,8 +15,8 @@
 	"pumiceline/internal/singleton"
 )
 
-// A recorder reads the effects that an earlier version stored, compares later ones with them, and appends its own in the same
-// form.
+// A recorder reads the effects that an earlier version stored, compares new effects with them, and appends new effects
+// in the same format.
 func TestReadsStateStoredByEarlierVersion(t *testing.T) {
 	stored, err := os.ReadFile("testdata/effects.jsonl")
 	if err != nil {
@@ -48,15 +48,15 @@
 		name, effect string
 		status       int
 	}{
-		{"of a token before the stored one", `{"work":"export","token":4,"serial":1}`, 409},
-		{"stored already", `{"work":"export","token":5,"serial":2}`, 409},
-		{"stored already, of another role", `{"work":"billing","token":4,"serial":9}`, 409},
-		{"next of the stored token", `{"work":"export","token":5,"serial":3}`, 200},
+		{"with a lower token than the stored one", `{"work":"export","token":4,"serial":1}`, 409},
+		{"that is stored already", `{"work":"export","token":5,"serial":2}`, 409},
+		{"of another role that is stored already", `{"work":"billing","token":4,"serial":9}`, 409},
+		{"with the stored token and the next serial", `{"work":"export","token":5,"serial":3}`, 200},
 	} {
 		w, req := httptest.NewRecorder(), httptest.NewRequest("POST", "/effects", strings.NewReader(c.effect))
 		req.Header.Set("X-From", "instance 4")
 		if r.ServeHTTP(w, req); w.Code != c.status {
-			t.Errorf("an effect %s: %d, want %d", c.name, w.Code, c.status)
+			t.Errorf("effect %s: %d, want %d", c.name, w.Code, c.status)
 		}
 	}
 	written, err := os.ReadFile(file)
--- a/internal/fake/fakesystem/backend.go
+++ b/internal/fake/fakesystem/backend.go
@@ -15,23 +15,23 @@
 	maxBodyBytes  = 1 << 20
 )
 
-// ResponsePrefix begins the body of a response that is no stream.
+// ResponsePrefix is the start of the body of a response that is not a stream.
 const ResponsePrefix = "done by "
 
 // Seal is the Server-Seal of the response to a request.
 func Seal(requestID string) string { return "seal-" + requestID }
 
-// Backend is a fake backend of one service. Its fields must not change once it was started.
+// Backend is a fake backend of one service. Its exported fields must not change after Start.
 type Backend struct {
 	ID            string
 	Service       string
 	Zone          string
 	Capacity      int           // requests that run at once
-	ModelLoadTime time.Duration // of a model; an adapter takes no time
-	StreamEvents  int           // of a response; 0: the response is no stream
-	WorkTime      time.Duration // of a request whose response is no stream
-	// StreamsByTokenCount has a response contain as many events as the request's Token-Count allows tokens, where it has
-	// that header, in place of StreamEvents.
+	ModelLoadTime time.Duration // of a model; an adapter is loaded at once
+	StreamEvents  int           // events of a response; 0: responses are not streams
+	WorkTime      time.Duration // of a request whose response is not a stream
+	// StreamsByTokenCount makes a stream contain one event per output token of the request's Token-Count header,
+	// instead of StreamEvents events. It has no effect if StreamEvents is 0 or the header is missing or malformed.
 	StreamsByTokenCount bool
 
 	address    string
@@ -40,13 +40,13 @@
 
 	mu         sync.Mutex
 	models     map[string][]string // adapters, by resident model
-	revision   uint64              // number of commands that were carried out
+	revision   uint64              // number of commands that were accepted with status 202
 	loading    bool                // a model is being loaded
 	running    int                 // requests
 	modelLoads int
 }
 
-// Start has the backend serve on loopback with the given resident models. Close ends it.
+// Start serves on loopback, with the given models resident, until Close.
 func (b *Backend) Start(executions *ExecutionCounter, models ...string) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// Close ends the backend at once.
+// Close stops the backend at once and closes its connections.
 func (b *Backend) Close() { _ = b.server.Close() }
 
 // ModelLoads returns how many models were loaded by command.
@@ -90,7 +90,7 @@
 	}
 }
 
-// report is the response of /report.
+// report is the response body of /report.
 type report struct {
 	Active    int             `json:"active"`
 	CallCount uint64          `json:"callCount"`
@@ -107,7 +107,7 @@
 		Active: b.running})
 }
 
-// serveRequest runs one request. Its response is a stream of events or a single text.
+// serveRequest runs one request. The response is a stream of events or a single text.
 func (b *Backend) serveRequest(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Request-Id")
 	w.Header().Set("Request-Id", id)
@@ -128,8 +128,8 @@
 	b.streamEvents(w, r)
 }
 
-// admit takes a place for a request, of a model unless its name is empty. A status other than 200 is a rejection: the
-// request does not run.
+// admit reserves capacity for a request. An empty name means that the request needs no model. Any status other than 200
+// rejects the request, which must not run then.
 func (b *Backend) admit(name string) (status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -167,11 +167,12 @@
 		case <-ticker.C:
 		}
 		fmt.Fprintf(w, "id: %d\ndata: word %d\n\n", event, event)
-		_ = http.NewResponseController(w).Flush() // fails where the client has disconnected, which ends the request's context
+		_ = http.NewResponseController(w).Flush() // fails if the client has disconnected; its context has ended then
 	}
 }
 
-// eventCount is the number of events of a stream. tokenCount is the request's Token-Count: tokens in, tokens out.
+// eventCount returns the number of events of a stream. tokenCount is the request's Token-Count: input and output
+// tokens.
 func (b *Backend) eventCount(tokenCount string) int {
 	var tokensIn, tokensOut int
 	if !b.StreamsByTokenCount {
--- a/internal/fake/fakesystem/backend_test.go
+++ b/internal/fake/fakesystem/backend_test.go
@@ -26,20 +26,21 @@
 	return response.StatusCode, string(text)
 }
 
-// What a backend reports, what it rejects before it runs, and what it runs.
-func TestBackend_SpeaksProtocol(t *testing.T) {
+// A backend serves requests, model commands and reports as the protocol defines. It rejects a request for a model that
+// is not resident and a request for another backend without running it.
+func TestBackend_ImplementsProtocol(t *testing.T) {
 	executions := NewExecutionCounter()
 	b := &Backend{ID: "b-1", Service: "s", Zone: "z", Capacity: 2, StreamEvents: 2}
 	require.NoError(t, b.Start(executions, "small"))
 	t.Cleanup(b.Close)
 	url := "http://" + b.address
 	var lines []string
-	record := func(what string, status int, body string) {
-		lines = append(lines, fmt.Sprintf("%s: %d %s", what, status, strings.ReplaceAll(strings.TrimSpace(body), "\n", "|")))
+	record := func(name string, status int, body string) {
+		lines = append(lines, fmt.Sprintf("%s: %d %s", name, status, strings.ReplaceAll(strings.TrimSpace(body), "\n", "|")))
 	}
-	call := func(what, method, path, body string, header ...string) {
+	call := func(name, method, path, body string, header ...string) {
 		status, text := send(t, method, url+path, body, header...)
-		record(what, status, text)
+		record(name, status, text)
 	}
 	call("stream", "POST", "/a", "", "Request-Id", "r1", "Model", "small")
 	call("model not resident", "POST", "/a", "", "Request-Id", "r2", "Model", "large")
--- a/internal/fake/fakesystem/executions.go
+++ b/internal/fake/fakesystem/executions.go
@@ -23,7 +23,7 @@
 	return &ExecutionCounter{executions: map[string][]Execution{}}
 }
 
-// begin records that a request starts to run. The caller calls end when it no longer does.
+// begin records that a request starts to run. The caller calls end when the run is over.
 func (c *ExecutionCounter) begin(requestID, backendID string) (end func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -43,7 +43,7 @@
 	return len(c.executions[requestID])
 }
 
-// All returns the executions of all requests, by request ID. It shares nothing with the counter.
+// All returns a copy of the executions of all requests, by request ID.
 func (c *ExecutionCounter) All() map[string][]Execution {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fake/fakesystem/models.go
+++ b/internal/fake/fakesystem/models.go
@@ -23,13 +23,13 @@
 	return resident
 }
 
-// isResident says whether a model is resident, with an adapter if one is named. The caller holds b.mu.
+// isResident reports whether a model is resident and, unless adapter is empty, has the adapter. The caller holds b.mu.
 func (b *Backend) isResident(model, adapter string) bool {
 	adapters, resident := b.models[model]
 	return resident && (adapter == "" || slices.Contains(adapters, adapter))
 }
 
-// operationUnload is the operation that removes a model or an adapter; any other loads it.
+// operationUnload is the operation that removes a model or an adapter. Any other operation loads one.
 const operationUnload = "model_unload"
 
 // modelCommand is the body of /order.
@@ -37,7 +37,7 @@
 	Operation  string  `json:"operation"`
 	Model      string  `json:"model"`
 	Adapter    string  `json:"adapter"`    // empty: the model itself
-	IfRevision *uint64 `json:"ifRevision"` // nil: whatever the revision
+	IfRevision *uint64 `json:"ifRevision"` // nil: any revision
 	Owner      string  `json:"owner"`
 	Fence      *uint64 `json:"fenceNo"`
 }
@@ -52,7 +52,7 @@
 	w.WriteHeader(b.execute(c))
 }
 
-// execute carries out a command and returns the status to respond with.
+// execute executes a command and returns the status of the response.
 func (b *Backend) execute(c modelCommand) (status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/fake/fakesystem/platform.go
+++ b/internal/fake/fakesystem/platform.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// Platform is a fake of the platform, which has the list of backends.
+// Platform is a fake of the platform, which serves the list of backends.
 type Platform struct {
 	Address string // set by Start
 
@@ -19,7 +19,7 @@
 	listRequests int
 }
 
-// Start has the platform serve on loopback. Close ends it.
+// Start serves on loopback until Close.
 func (p *Platform) Start(backends ...*Backend) error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,7 +31,7 @@
 	return nil
 }
 
-// Close ends the platform at once.
+// Close stops the platform at once and closes its connections.
 func (p *Platform) Close() { _ = p.server.Close() }
 
 // ListRequests returns how often the list was requested.
