--- a/internal/faulttest/clustertest/cachewatchers.go
+++ b/internal/faulttest/clustertest/cachewatchers.go
@@ -16,7 +16,7 @@
 	"pumiceline/internal/standalone/discovery"
 )
 
-// cacheWatchers watch all discovery caches, as proxies would, and record when each had which host first.
+// cacheWatchers watch all discovery caches, as proxies do, and record when each cache had each host first.
 type cacheWatchers struct {
 	mu   sync.Mutex
 	seen []map[string]time.Time // by cache and host
@@ -30,7 +30,7 @@
 }
 
 const (
-	watchRetryInterval = 50 * time.Millisecond // before a watch that ended is opened again
+	watchRetryInterval = 50 * time.Millisecond // before a watch that has ended is opened again
 	hostPollInterval   = 10 * time.Millisecond // of awaitHost
 	delayDigits        = 3                     // significant digits of a delay
 )
@@ -43,7 +43,7 @@
 	return w
 }
 
-// watch watches a cache until ctx ends. A watch that breaks goes on from the version that it had.
+// watch watches a cache until ctx ends. After a connection fails it continues from the latest version that it has.
 func (w *cacheWatchers) watch(ctx context.Context, cache int, addr string) {
 	for version := uint64(0); ctx.Err() == nil; {
 		version = w.watchOnce(ctx, cache, addr, version)
@@ -88,7 +88,7 @@
 	}
 }
 
-// awaitHost waits until all caches have a host, and returns how long after since that was.
+// awaitHost waits until all caches have a host, and returns the percentiles of their delays since a time.
 func (w *cacheWatchers) awaitHost(deadline time.Time, host string, since time.Time) (Percentiles, error) {
 	for {
 		delays, missing, err := w.delays(host, since)
@@ -106,7 +106,7 @@
 	}
 }
 
-// delays returns how long after since the caches had a host, in microseconds, and how many do not have it.
+// delays returns the time from since until each cache had a host, in microseconds, and how many caches do not have it.
 func (w *cacheWatchers) delays(host string, since time.Time) (delays *hdrhistogram.Histogram, missing int, err error) {
 	delays = hdrhistogram.New(1, time.Minute.Microseconds(), delayDigits)
 	w.mu.Lock()
--- a/internal/faulttest/clustertest/checker.go
+++ b/internal/faulttest/clustertest/checker.go
@@ -21,7 +21,7 @@
 
 const recorderPollInterval = 50 * time.Millisecond
 
-// watchRecorder reads the latest accepted effect of each role until ctx ends, as a user of the outside system would.
+// watchRecorder reads the latest accepted effect of each role until ctx ends, like a reader of the external system.
 func (c *cluster) watchRecorder(ctx context.Context) (reads []porcupine.Operation) {
 	ticker := time.NewTicker(recorderPollInterval)
 	defer ticker.Stop()
@@ -40,9 +40,10 @@
 	}
 }
 
-// isLinearizable checks what the instances and a reader observed of the recorder: whether there is an order of all effects
-// and reads, each between its request and its response, in which a receiver that compares tokens gives those responses
-// (Herlihy and Wing 1990). An effect without a response may have been carried out at any time since, or never.
+// isLinearizable checks the responses that the instances and a reader got from the recorder. It reports whether there
+// is an order of all effects and reads, each between its request and its response, in which a receiver that compares
+// tokens gives these responses (Herlihy and Wing 1990). An effect without a response may take place at any time after
+// its request, or never.
 func (c *cluster) isLinearizable(reads []porcupine.Operation) (bool, error) {
 	files, err := filepath.Glob(filepath.Join(c.dir, "*.history"))
 	if err != nil {
@@ -59,7 +60,7 @@
 	return porcupine.CheckOperations(fencedReceiver, all), nil
 }
 
-// readHistory reads the operations of an instance. Its last line may be incomplete: the instance was killed.
+// readHistory reads the operations of an instance. The last line may be incomplete, if the instance was killed.
 func readHistory(file string, client int) (operations []porcupine.Operation, err error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -83,8 +84,8 @@
 }
 
 // fencedReceiver is the model of a receiver that compares tokens. Its state is the latest accepted effect of a role. An
-// input without a token is a read, whose output is that state; the output of an effect is its outcome. It does not use
-// singleton.FencingGuard, so that a fault of that is found.
+// input without a token is a read, whose output is that state; the output of an effect is its outcome. The model does
+// not use singleton.FencingGuard, so that it finds faults of the guard.
 var fencedReceiver = porcupine.Model{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byRole := map[string][]porcupine.Operation{}
--- a/internal/faulttest/clustertest/cluster.go
+++ b/internal/faulttest/clustertest/cluster.go
@@ -18,15 +18,15 @@
 	"pumiceline/internal/singleton/raftmember"
 )
 
-// cluster is members, instances and a recorder on loopback. All but the recorder are processes of the built program. What
-// one process sends to another passes a relay.
+// cluster runs members, instances and a recorder on loopback. Members and instances are processes of the built program.
+// Connections between two of them, and from instances to the recorder, pass through relays.
 type cluster struct {
 	*faulttest.Harness
 	program      string // path of the built program
 	dir          string
 	lease        time.Duration
 	roles        []string
-	memberAddrs  []string // their own, behind the relays
+	memberAddrs  []string // the members' own addresses, behind the relays
 	relays       map[link]*faulttest.Relay
 	processes    map[string]*faulttest.Process
 	clockRates   map[string]float64 // of instances; absent: 1
@@ -35,7 +35,7 @@
 	recorderAddr string
 }
 
-// clusterOptions are what a cluster is made of.
+// clusterOptions are the parameters of a cluster.
 type clusterOptions struct {
 	program  string
 	members  int
@@ -49,7 +49,7 @@
 	pollInterval      = 20 * time.Millisecond // of waitFor
 )
 
-// Names of parties besides members and instances. The operator's requests pass no relays.
+// Names of parties besides members and instances. The operator's requests bypass the relays.
 const (
 	recorderName = "recorder"
 	operatorName = "operator"
@@ -58,10 +58,10 @@
 func memberName(i int) string   { return fmt.Sprint("member ", i+1) }
 func instanceName(i int) string { return fmt.Sprint("instance ", i+1) }
 
-// isMember says whether a party is a member, by its name.
+// isMember reports whether the name of a party is that of a member.
 func isMember(name string) bool { return strings.HasPrefix(name, "member") }
 
-// newCluster prepares a cluster, of which only the recorder runs. close ends it, also after an error.
+// newCluster prepares a cluster and starts only its recorder. The caller must call close, also after an error.
 func newCluster(opts clusterOptions) (*cluster, error) {
 	c := &cluster{
 		Harness:    faulttest.New(),
@@ -100,11 +100,11 @@
 	}
 	c.recorderAddr = ln.Addr().String()
 	c.server = &http.Server{Handler: c.recorder, ReadHeaderTimeout: readHeaderTimeout}
-	go c.server.Serve(ln) // close ends it
+	go c.server.Serve(ln) // until close
 	return nil
 }
 
-// close ends all that runs and removes the cluster's folder.
+// close ends all processes, relays and servers, and removes the cluster's folder.
 func (c *cluster) close() {
 	c.Close()
 	if c.server != nil {
@@ -116,18 +116,20 @@
 	os.RemoveAll(c.dir)
 }
 
-// addrKind is the kind of party that an address is for. Each kind has IP addresses of its own.
+// addrKind is the kind of party that an address is for. No two kinds share an IP address.
 type addrKind int
 
-// The kinds. A kind has 250 addresses, and caches, of which there may be more, those of two kinds.
+// The kinds. A kind has 250 addresses. Caches have 500, those of the kinds 0 and 1, as there may be more than 250
+// caches.
 const (
 	cacheAddrs  addrKind = 0
 	memberAddrs addrKind = 2
 	proxyAddrs  addrKind = 3
 )
 
-// reserveAddr returns an address with a free port for the i-th party of a kind. Its IP address is derived from the kind and
-// this process's ID: until the party listens there, no other connection and no other cluster takes the port.
+// reserveAddr returns an address with a free port for the i-th party of a kind. The IP address is derived from the
+// kind, i and this process's ID, so that no other connection and no other cluster takes the port before the party
+// listens there.
 func reserveAddr(kind addrKind, i int) (string, error) {
 	const kinds, addrsPerKind = 4, 250
 	pid := os.Getpid()
@@ -140,13 +142,13 @@
 	return ln.Addr().String(), nil
 }
 
-// link is the way from one party to another, by their names.
+// link is the network path from one party to another, by their names.
 type link struct{ from, to string }
 
-// String is the name of the link's relay in the history.
+// String returns the name of the link's relay in the history.
 func (l link) String() string { return l.from + " to " + l.to }
 
-// relayBetween is the relay of a link to the recorder or a member, started at first use.
+// relayBetween returns the relay of a link to the recorder or to a member. It starts the relay at first use.
 func (c *cluster) relayBetween(l link) (*faulttest.Relay, error) {
 	if r := c.relays[l]; r != nil {
 		return r, nil
@@ -164,7 +166,7 @@
 	return r, err
 }
 
-// relaysBetween are the relays that were started from any of some parties to any of others.
+// relaysBetween returns the started relays of the links whose parties match from and to.
 func (c *cluster) relaysBetween(from, to func(name string) bool) (found []*faulttest.Relay) {
 	for l, r := range c.relays {
 		if from(l.from) && to(l.to) {
@@ -174,8 +176,8 @@
 	return found
 }
 
-// addrOf is the address at which a link's first party reaches the other: that of the relay, but direct, the party's own,
-// for the operator.
+// addrOf returns the address at which l.from reaches l.to: the address of the link's relay, or, for the operator,
+// direct, which is l.to's own address.
 func (c *cluster) addrOf(l link, direct string) (string, error) {
 	if l.from == operatorName {
 		return direct, nil
@@ -187,7 +189,8 @@
 	return r.Addr(), nil
 }
 
-// writeFleetFile writes the fleet file of a party, in which every other party has the address of the relay to it.
+// writeFleetFile writes the fleet file of a party. It has the addresses of the relays to the other parties, not their
+// own.
 func (c *cluster) writeFleetFile(party string) error {
 	text := c.fleetFileHead()
 	for i, addr := range c.memberAddrs {
@@ -211,7 +214,7 @@
 	return c.storeFleetFile(party, text)
 }
 
-// fleetFileHead is the beginning of every fleet file, up to the members' addresses.
+// fleetFileHead returns the start of every fleet file, up to the members' addresses.
 func (c *cluster) fleetFileHead() string {
 	return fmt.Sprintf("name = %q\nlease = %q\ndamp = %q\n[members]\n", filepath.Base(c.dir), c.lease, c.lease)
 }
@@ -227,18 +230,19 @@
 	return filepath.Join(c.dir, strings.ReplaceAll(party, " ", "-")+".toml")
 }
 
-// memberDir is the folder of a member's store. It outlives the member's processes.
+// memberDir returns the folder of a member's store. It remains when the member's process ends.
 func (c *cluster) memberDir(i int) string { return filepath.Join(c.dir, fmt.Sprint("disk-", i+1)) }
 
-// volatileDir stands for the folder in memory of a member's machine, with the mark of the member's store.
+// volatileDir returns a folder that stands for an in-memory folder of the member's machine, which a restart of the
+// machine clears. It has the mark of the member's store.
 func (c *cluster) volatileDir(i int) string {
 	return filepath.Join(c.dir, fmt.Sprint("volatile-", i+1))
 }
 
-// historyFile is where an instance writes the history of its effects.
+// historyFile returns the path of the file to which an instance writes the history of its effects.
 func (c *cluster) historyFile(party string) string { return c.fleetFile(party) + ".history" }
 
-// command is the program with arguments.
+// command returns a command that runs the program with arguments.
 func (c *cluster) command(args ...string) *exec.Cmd { return exec.Command(c.program, args...) }
 
 func (c *cluster) startProcess(name string, args ...string) error {
@@ -249,7 +253,7 @@
 	return err
 }
 
-// startMember starts a process of a member, on the disk that the member has.
+// startMember starts a process of a member, with the member's existing store if it has one.
 func (c *cluster) startMember(i int) error {
 	name := memberName(i)
 	if err := c.writeFleetFile(name); err != nil {
@@ -258,8 +262,8 @@
 	return c.startMemberProcess(i, c.fleetFile(name))
 }
 
-// startMemberProcess starts a process of a member with a fleet file. It listens at its own address, also where the file has
-// a relay's in its place.
+// startMemberProcess starts a process of a member with a fleet file. The member listens at its own address, even if the
+// file has another address for it.
 func (c *cluster) startMemberProcess(i int, fleetFile string) error {
 	for _, dir := range []string{c.memberDir(i), c.volatileDir(i)} {
 		if err := os.MkdirAll(dir, 0o700); err != nil {
@@ -284,8 +288,8 @@
 		"--zone", fmt.Sprint("z", i%2), "--clock-rate", fmt.Sprint(rate), "--history", c.historyFile(name))
 }
 
-// status is the fleet's status as the command shows it to an operator. Its error is that of the command, which fails where
-// there is no quorum, or that of its output.
+// status returns the fleet's status as the status command shows it to an operator. It returns an error if the command
+// fails, as it does without a quorum, or if its output can't be decoded.
 func (c *cluster) status() (s raftmember.FleetStatus, err error) {
 	out, err := c.command("singleton", "status", "--json", "--fleet", c.fleetFile(operatorName)).Output()
 	if decodeErr := json.Unmarshal(out, &s); decodeErr != nil && err == nil {
@@ -294,7 +298,7 @@
 	return s, err
 }
 
-// lastAccepted is the latest effect of a role that the recorder accepted.
+// lastAccepted returns the latest effect of a role that the recorder accepted.
 func (c *cluster) lastAccepted(role string) (last fakestandalone.AcceptedEffect) {
 	for _, e := range c.recorder.Accepted() {
 		if e.Role == role {
--- a/internal/faulttest/clustertest/cluster_test.go
+++ b/internal/faulttest/clustertest/cluster_test.go
@@ -15,8 +15,8 @@
 	"pumiceline/internal/faulttest"
 )
 
-// program is the path of the program as it is now, built for these tests: a process that is frozen or killed has to be a
-// real one.
+// program is the path of the program, which TestMain builds from the current source: the tests need real processes that
+// they can freeze and kill.
 var program string
 
 func TestMain(m *testing.M) {
@@ -59,34 +59,34 @@
 	return c
 }
 
-// eventuallyTimeout is for a slow machine; it says nothing of how long a condition usually takes.
+// eventuallyTimeout is long enough for a slow machine. It is not the time that a condition usually takes.
 const eventuallyTimeout = 30 * time.Second
 
 // eventually waits until a condition holds.
-func eventually(t *testing.T, c *cluster, what string, condition func() bool) {
+func eventually(t *testing.T, c *cluster, description string, condition func() bool) {
 	t.Helper()
 	if !waitFor(time.Now().Add(eventuallyTimeout), condition) {
-		t.Fatalf("not within %v: %s\n%s", eventuallyTimeout, what, c)
+		t.Fatalf("not within %v: %s\n%s", eventuallyTimeout, description, c)
 	}
 }
 
-// holder is the instance whose effect was accepted last.
+// holder returns the instance whose effect was accepted last.
 func (c *cluster) holder() string { return c.lastAccepted(testRole).From }
 
 // awaitOtherHolder waits until an effect of another instance is accepted, and returns that instance.
 func awaitOtherHolder(t *testing.T, c *cluster, previous string) string {
 	t.Helper()
-	eventually(t, c, "another than "+previous+" holds the role", func() bool { return c.holder() != previous })
+	eventually(t, c, "an instance other than "+previous+" holds the role", func() bool { return c.holder() != previous })
 	return c.holder()
 }
 
-// memberLogs says whether a member's log has a text.
+// memberLogs reports whether a member's log has a text.
 func (c *cluster) memberLogs(i int, text string) bool {
 	return strings.Contains(c.processes[memberName(i)].Log(), text)
 }
 
-// The effect of a holder that was frozen with the effect in flight, and is thawed after another instance holds the role, is
-// rejected by its token. Without fencing it is accepted, and the checker finds that violation.
+// A holder is frozen while one of its effects is in flight, and another instance takes over the role. The late effect
+// is rejected by its token. Without fencing it is accepted, and the checker finds that violation.
 func TestCluster_LateEffectIsRejected(t *testing.T) {
 	for _, tt := range []struct {
 		name     string
@@ -105,7 +105,7 @@
 			if err := c.processes[old].Thaw(); err != nil {
 				t.Error(err)
 			}
-			time.Sleep(time.Second) // a lease: time for the old holder to send more, which must be rejected as well
+			time.Sleep(time.Second) // a lease: the old holder may send more effects, which must be rejected too
 			violations, first := fakestandalone.FindViolations(c.recorder.Accepted())
 			rejected := strings.Join(c.recorder.Rejected(), "\n")
 			if (violations > 0) != tt.unfenced || (rejected == "") != tt.unfenced ||
@@ -131,9 +131,9 @@
 	}
 }
 
-// A holder that sends heartbeats and makes no progress is replaced, every member logs that cause, and its late effect is
-// rejected. Another cause is logged for a holder whose heartbeat is half a lease late: the lease is long, as on a loaded
-// machine a heartbeat may be half a second late.
+// A holder that sends heartbeats but makes no progress is replaced, every member logs that cause, and its late effect
+// is rejected. The lease is long because a holder whose heartbeat is half a lease late is replaced with another cause
+// in the log, and on a loaded machine a heartbeat may be half a second late.
 func TestCluster_StuckHolderIsReplaced(t *testing.T) {
 	c := startCluster(t, 3, 5*time.Second, false)
 	old := c.holder()
@@ -161,9 +161,9 @@
 type failures struct {
 	*cluster
 	stopped    string // instance that was stopped
-	target     string // instance that an operator moved the role to
+	target     string // instance to which an operator moved the role
 	leader     int    // member that led and was killed
-	copiedDisk string // of the leader, when it was killed
+	copiedDisk string // copy of the leader's store when the leader was killed
 }
 
 // A cluster survives failures of instances and members, one after the other.
@@ -189,7 +189,7 @@
 	f.checkNoViolations(t)
 }
 
-// partitionHolder partitions the holder from all members: it stops by itself before another instance starts.
+// partitionHolder partitions the holder from all members: the holder stops by itself before another instance starts.
 func (f *failures) partitionHolder(t *testing.T) {
 	holder := f.holder()
 	for i := range f.memberAddrs {
@@ -201,9 +201,10 @@
 	}
 }
 
-// stopHolder stops the holder: it ends in order and has released its lease, which did not expire.
+// stopHolder stops the holder: the holder ends without an error and releases its lease, so that the lease does not
+// expire.
 func (f *failures) stopHolder(t *testing.T) {
-	time.Sleep(2 * time.Second) // until no penalty is left: else no instance is eligible
+	time.Sleep(2 * time.Second) // until no penalty is left: otherwise no instance is eligible
 	f.stopped = f.holder()
 	if err := f.processes[f.stopped].Stop(); err != nil {
 		t.Fatal(err)
@@ -229,7 +230,7 @@
 	eventually(t, f.cluster, f.target+" holds the role", func() bool { return f.holder() == f.target })
 }
 
-// readStatus checks that status and metrics show the role where it was moved.
+// readStatus checks that the status shows the target as the holder and the metrics show the role as held.
 func (f *failures) readStatus(t *testing.T) {
 	status, err := f.status()
 	if err != nil || !status.HasQuorum || status.MostCurrent().Assignments[testRole].Holder != f.target {
@@ -248,7 +249,7 @@
 	}
 }
 
-// killLeader kills the leader, which does not move the role.
+// killLeader kills the leader: the role must stay with its holder.
 func (f *failures) killLeader(t *testing.T) {
 	f.copiedDisk = filepath.Join(f.dir, "copy")
 	f.processes[memberName(f.leader)].Kill()
@@ -256,16 +257,17 @@
 		t.Fatalf("%v: %s", err, out)
 	}
 	before, killedAt := f.lastAccepted(testRole), time.Now()
-	eventually(t, f.cluster, "the role goes on without the leader", func() bool {
+	eventually(t, f.cluster, "effects are accepted without the leader", func() bool {
 		return f.lastAccepted(testRole).At.After(killedAt.Add(2 * time.Second))
 	})
 	if after := f.lastAccepted(testRole); after.Token != before.Token || after.From != f.target {
-		t.Errorf("the leader's death moved the role from %s: %+v, before %+v", f.target, after, before)
+		t.Errorf("the kill of the leader moved the role from %s: %+v, before %+v", f.target, after, before)
 	}
 }
 
-// restoreOldDisk starts a member on an older copy of its disk: it ends by itself. While the machine runs its mark shows that,
-// later the other members do.
+// restoreOldDisk starts a member on an older copy of its store: the member must end by itself. Until the machine
+// restarts, the mark in the volatile folder shows that the store is old; after that, the other members refuse the
+// member.
 func (f *failures) restoreOldDisk(t *testing.T) {
 	if err := f.startMember(f.leader); err != nil {
 		t.Fatal(err)
@@ -285,7 +287,7 @@
 		t.Fatal(err)
 	}
 	f.expectFailure(t, f.leader, "disk is older")
-	if err := os.RemoveAll(f.volatileDir(f.leader)); err != nil { // the machine has restarted
+	if err := os.RemoveAll(f.volatileDir(f.leader)); err != nil { // as a restart of the machine does
 		t.Fatal(err)
 	}
 	if err := f.startMember(f.leader); err != nil {
@@ -294,7 +296,7 @@
 	f.expectFailure(t, f.leader, "refused by a peer")
 }
 
-// expectFailure waits until a member has ended with an error that its log names.
+// expectFailure waits until a member has ended with an error, and checks that its log has the reason.
 func (f *failures) expectFailure(t *testing.T, member int, reason string) {
 	t.Helper()
 	process := f.processes[memberName(member)]
@@ -303,7 +305,8 @@
 	}
 }
 
-// fillDisk fills a member's disk: the member ends by itself with that error; once there is room it takes part again.
+// fillDisk fills a member's disk: the member ends by itself with that error. Restarted with room on its disk it takes
+// part again.
 func (f *failures) fillDisk(t *testing.T) {
 	if err := os.RemoveAll(f.memberDir(f.leader)); err != nil {
 		t.Fatal(err)
@@ -312,7 +315,7 @@
 	if err := f.processes[memberName(member)].FillDisk(); err != nil {
 		t.Fatal(err)
 	}
-	// A command for the member to write. The request fails if the member was needed for the quorum.
+	// A command that the member must write. The request fails if the quorum needs the member.
 	_ = f.command("singleton", "release", testRole, "--fleet", f.fleetFile(operatorName)).Run()
 	f.expectFailure(t, member, "can't be kept")
 	if err := f.startMember(member); err != nil {
@@ -324,7 +327,7 @@
 	})
 }
 
-// loseQuorum kills the second of three members: the holder stops and the status has no quorum.
+// loseQuorum kills a second of the three members: the holder stops, and the status command fails without a quorum.
 func (f *failures) loseQuorum(t *testing.T) {
 	member := (f.leader + 1) % 3
 	f.processes[memberName(member)].Kill()
--- a/internal/faulttest/clustertest/command_stored_test.go
+++ b/internal/faulttest/clustertest/command_stored_test.go
@@ -12,7 +12,7 @@
 	"pumiceline/internal/faulttest"
 )
 
-// The results of commands in testdata were stored by an earlier version, cef8855, and are never written anew.
+// The command results in testdata were stored by an earlier version, cef8855, and must not be regenerated.
 func TestReadsAndWritesCommandResultsStoredByEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
 		file string
@@ -43,7 +43,7 @@
 				t.Fatal(err)
 			}
 			if got := read.Elem().Interface(); !reflect.DeepEqual(got, c.want) {
-				t.Errorf("%+v, not %+v", got, c.want)
+				t.Errorf("read %+v, want %+v", got, c.want)
 			}
 			if again, err := json.MarshalIndent(c.want, "", " "); err != nil || !bytes.Equal(again, bytes.TrimSpace(text)) {
 				t.Errorf("written as %s, %v", again, err)
--- a/internal/faulttest/clustertest/discoverycache.go
+++ b/internal/faulttest/clustertest/discoverycache.go
@@ -22,8 +22,8 @@
 	Members      int // 1, 3, 5 or 7
 	Instances    int // each serves a cache of discovery's list
 	Lease        time.Duration
-	SteadyPeriod time.Duration // without faults, in which requests to discovery are counted; and the time after the kill
-	Proxies      int           // that ask a cache, under load; as many ask discovery itself
+	SteadyPeriod time.Duration // of counted requests to discovery without faults; and of load after the kill
+	Proxies      int           // that use a cache, under load; as many others use discovery directly
 }
 
 // DiscoveryCacheResult is the outcome of a run of discovery caches. Its JSON form is stored.
@@ -33,17 +33,17 @@
 	StartCalls    int64         `json:"start_calls"` // requests to discovery until then
 	SteadyCalls   int64         `json:"calm_calls"`  // requests to discovery in the steady period
 	UpdateDelay   Percentiles   `json:"change"`      // from a change at discovery until a cache's watcher has it
-	FailoverDelay Percentiles   `json:"new_owner"`   // from the holder's death until a cache's watcher has a later change
+	FailoverDelay Percentiles   `json:"new_owner"`   // from the holder's kill until a cache's watcher has a later change
 	FailoverCalls int64         `json:"lost_calls"`  // requests to discovery in that time
 	MemberMB      float64       `json:"member_mb"`   // mean resident memory
 	InstanceMB    float64       `json:"instance_mb"`
 	MemberCPU     float64       `json:"member_cpu"` // mean share of a core in the steady period
 	InstanceCPU   float64       `json:"instance_cpu"`
-	Direct        RequestCounts `json:"direct"`   // of proxies that ask discovery itself
-	Cached        RequestCounts `json:"mirrored"` // of proxies that ask a cache
+	Direct        RequestCounts `json:"direct"`   // of proxies that use discovery directly
+	Cached        RequestCounts `json:"mirrored"` // of proxies that use a cache
 }
 
-// RequestCounts counts the requests to some proxies by their result.
+// RequestCounts counts the requests to a group of proxies by their result.
 type RequestCounts struct {
 	Sent     int `json:"Asked"`
 	Served   int `json:"Served"`
@@ -69,8 +69,8 @@
 	updateTimeout       = 20 * time.Second
 	failoverTimeout     = 30 * time.Second
 	proxyReadyTimeout   = 20 * time.Second
-	stabilizationLeases = 5 // lease durations in which instances that took the first holder for dead return to it
-	proxiesPerCacheUser = 2 // every second proxy asks a cache, the others discovery itself
+	stabilizationLeases = 5 // lease durations until instances that considered the first holder failed return to it
+	proxiesPerCacheUser = 2 // every second proxy uses a cache, the others use discovery directly
 )
 
 // Names of the hosts that are added as changes.
@@ -89,8 +89,8 @@
 	result        *DiscoveryCacheResult
 	discovery     *fakestandalone.Discovery
 	directAddr    string       // of discovery, for proxies
-	fleetAddr     string       // of discovery, for instances, where requests are counted
-	fleetRequests atomic.Int64 // to discovery
+	fleetAddr     string       // of discovery, for instances; requests to it are counted
+	fleetRequests atomic.Int64 // to fleetAddr
 	members       []string     // names
 	instances     []string
 	cacheAddrs    []string // by instance
@@ -98,8 +98,8 @@
 	loads         []*fakestandalone.LoadGenerator // by proxy
 }
 
-// RunDiscoveryCache runs instances that each serve a cache of discovery's list, counts the requests to discovery, and kills
-// the instance that follows discovery for the others.
+// RunDiscoveryCache runs instances that each serve a cache of discovery's list, counts the requests to discovery, and
+// kills the instance that follows discovery for the others.
 func RunDiscoveryCache(program string, opts *DiscoveryCacheOptions) (*DiscoveryCacheResult, error) {
 	result := &DiscoveryCacheResult{Instances: opts.Instances}
 	c, err := newCluster(clusterOptions{program: program, members: opts.Members, lease: opts.Lease})
@@ -133,8 +133,8 @@
 	return result, nil
 }
 
-// startDiscovery starts the fakes of discovery and of backends, and a second listener of discovery that counts requests.
-// They end with ctx.
+// startDiscovery starts the fakes of discovery and of backends, and a second listener of discovery that counts
+// requests. They end with ctx.
 func (r *discoveryCacheRun) startDiscovery(ctx context.Context) error {
 	var listeners []net.Listener
 	for range 2 + testBackends {
@@ -160,7 +160,8 @@
 	return nil
 }
 
-// putHost adds a host to discovery's list, as a change to wait for: it drains, so no proxy sends anything there.
+// putHost adds a host to discovery's list, as a change that watchers wait for. The host is draining, so that no proxy
+// sends requests to it.
 func (r *discoveryCacheRun) putHost(name string) {
 	r.discovery.Put(discovery.Entry{Host: name, Address: "127.0.0.1:1", Zone: testZones[0], InstanceType: "std-8", Cell: 1,
 		Health: "DRAINING", Size: 1})
@@ -193,7 +194,7 @@
 	return nil
 }
 
-// writeDiscoveryFleetFile writes the one fleet file of all processes: there are no relays between them.
+// writeDiscoveryFleetFile writes the fleet file that all processes share, as there are no relays between them.
 func (r *discoveryCacheRun) writeDiscoveryFleetFile() error {
 	text := r.fleetFileHead()
 	for i, addr := range r.memberAddrs {
@@ -213,7 +214,7 @@
 	return r.startProcess(name, "singleton", "run", "--fleet", r.fleetFile(operatorName), "--name", name, "--mirror", addr)
 }
 
-// startProxies starts the proxies, of which every other asks a cache, and waits until each is ready.
+// startProxies starts the proxies, every second of which uses a cache, and waits until each is ready.
 func (r *discoveryCacheRun) startProxies() error {
 	count := proxiesPerCacheUser * r.opts.Proxies
 	for i := range count {
@@ -234,12 +235,12 @@
 	return nil
 }
 
-// isCacheUser says whether the i-th proxy asks a cache.
+// isCacheUser reports whether the i-th proxy uses a cache.
 func isCacheUser(i int) bool { return i%proxiesPerCacheUser == 1 }
 
 func proxyName(i int) string { return fmt.Sprint("proxy ", i+1) }
 
-// startProxy starts the i-th of count proxies, which asks discovery at an address, and returns where it listens.
+// startProxy starts the i-th of count proxies, with an address of discovery, and returns the address where it listens.
 func (r *discoveryCacheRun) startProxy(i, count int, discoveryAddr string) (addr string, err error) {
 	if addr, err = reserveAddr(proxyAddrs, i); err != nil {
 		return "", err
@@ -265,8 +266,9 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// startLoad sends requests to all proxies at the same time, so that those that ask a cache and those that ask discovery have
-// the same conditions. The returned function ends the load and waits for the last response; it may be called twice.
+// startLoad sends requests to all proxies at the same time, so that the proxies that use a cache and those that use
+// discovery directly have the same conditions. The returned function ends the load and waits for the last response; it
+// may be called twice.
 func (r *discoveryCacheRun) startLoad(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -279,8 +281,8 @@
 	}
 }
 
-// measureSteadyPeriod measures how long a change takes to reach the caches, and what the processes use while nothing else
-// happens.
+// measureSteadyPeriod measures how long a change takes to reach the caches, and the resource usage of the processes
+// without faults.
 func (r *discoveryCacheRun) measureSteadyPeriod() (err error) {
 	requestsBefore := r.fleetRequests.Load()
 	membersBefore, err := r.meanUsage(r.members)
@@ -313,10 +315,10 @@
 	return nil
 }
 
-// meanUsage is what one of some processes uses on average.
+// meanUsage is the mean resource usage of a group of processes.
 type meanUsage struct {
 	residentMB float64
-	cpuSeconds float64 // since its start
+	cpuSeconds float64 // since the start of each process
 }
 
 func (r *discoveryCacheRun) meanUsage(names []string) (mean meanUsage, err error) {
@@ -331,8 +333,8 @@
 	return mean, nil
 }
 
-// measureFailover kills the instance that follows discovery and measures how long a later change takes to reach the other
-// instances' caches.
+// measureFailover kills the instance that follows discovery and measures how long a later change takes to reach the
+// other instances' caches.
 func (r *discoveryCacheRun) measureFailover() error {
 	status, err := r.status()
 	if err != nil {
@@ -346,7 +348,7 @@
 	r.processes[r.instances[holder]].Kill()
 	killedAt := time.Now()
 	r.putHost(hostAfterKill)
-	r.watchers.markSeen(holder, hostAfterKill, killedAt) // its cache ended with it
+	r.watchers.markSeen(holder, hostAfterKill, killedAt) // its cache has ended with the instance
 	r.result.FailoverDelay, err = r.watchers.awaitHost(killedAt.Add(failoverTimeout), hostAfterKill, killedAt)
 	r.result.FailoverCalls = r.fleetRequests.Load() - requestsBefore
 	if err != nil {
--- a/internal/faulttest/clustertest/faults.go
+++ b/internal/faulttest/clustertest/faults.go
@@ -7,7 +7,8 @@
 	"pumiceline/internal/faulttest"
 )
 
-// faultInjector injects faults that it draws from a seed. The order of its draws is part of what a seed means.
+// faultInjector injects faults that it draws from a seed. A change of the order of its draws changes the faults of a
+// seed.
 type faultInjector struct {
 	*cluster
 	rand      *rand.Rand
@@ -15,14 +16,15 @@
 	instances int
 }
 
-// faultKind is a kind of fault that inject draws. The order of the kinds is part of what a seed means.
+// faultKind is a kind of fault that inject draws. A change of the order of the kinds changes the faults that a seed
+// draws.
 type faultKind int
 
 const (
 	freezeHolder               faultKind = iota
-	freezeHolderWithLateEffect           // an effect that it sent is held and arrives when the fault ends
-	holdHeartbeats                       // the members do not receive the holder's heartbeats, or it their responses
-	holdEffects                          // the holder is stuck: its effects do not arrive while its heartbeats do
+	freezeHolderWithLateEffect           // an effect that the holder sent is held and arrives when the fault ends
+	holdHeartbeats                       // hold the holder's heartbeats to the members, or the members' responses
+	holdEffects                          // the holder is stuck: its heartbeats arrive, but its effects do not
 	killHolder
 	killMembers
 	fillMemberDisk
@@ -30,8 +32,8 @@
 	faultKindCount = iota
 )
 
-// inject begins one fault, of the holder of a role or of a member, and returns what ends it. What a relay held arrives
-// then.
+// inject begins one fault, of the holder of a role or of a member, and returns the function that ends the fault. Data
+// that relays held arrives when the fault ends.
 func (f *faultInjector) inject() (end func()) {
 	role := f.roles[f.rand.IntN(len(f.roles))]
 	holder := f.lastAccepted(role).From // a fault of an instance that holds nothing would have no effect
@@ -41,7 +43,7 @@
 		return f.freeze(holder, func() {})
 	case freezeHolderWithLateEffect:
 		release := hold(faulttest.Upstream, f.relaysBetween(isNamed(holder), isNamed(recorderName)))
-		time.Sleep(f.lease / stepsToHold) // until the holder has sent an effect
+		time.Sleep(f.lease / effectWaitDivisor) // until the holder has sent an effect
 		return f.freeze(holder, release)
 	case holdHeartbeats:
 		return hold(faulttest.Direction(f.rand.IntN(2)), f.relaysBetween(isNamed(holder), isMember))
@@ -58,8 +60,9 @@
 	}
 }
 
-// stepsToHold is the part of a lease within which a holder surely sends an effect: it makes ten steps in a lease.
-const stepsToHold = 5
+// effectWaitDivisor is the divisor of the lease that gives the time within which a holder sends an effect. That time is
+// two steps of the holder, which makes ten steps in a lease.
+const effectWaitDivisor = 5
 
 // leases draws a time of least lease durations and up to spread more.
 func (f *faultInjector) leases(least, spread float64) time.Duration {
@@ -68,7 +71,7 @@
 
 func isNamed(name string) func(string) bool { return func(s string) bool { return s == name } }
 
-// hold has relays hold a direction until end is called.
+// hold makes relays hold a direction until end is called.
 func hold(direction faulttest.Direction, relays []*faulttest.Relay) (end func()) {
 	for _, r := range relays {
 		r.Set(direction, faulttest.Fault{Hold: true})
@@ -80,19 +83,19 @@
 	}
 }
 
-// recordError adds an error of the harness itself to the history. It is no failure of the run: the process that a fault is
-// for may have ended already.
+// recordError adds an error of the harness to the history. The run does not fail because of it: the process that a
+// fault affects may have ended already.
 func (f *faultInjector) recordError(err error) {
 	if err != nil {
 		f.Record("script", "%v", err)
 	}
 }
 
-// freeze freezes an instance. before is called at the end, before the instance is thawed.
-func (f *faultInjector) freeze(instance string, before func()) (end func()) {
+// freeze freezes an instance. When the fault ends, beforeThaw is called and then the instance is thawed.
+func (f *faultInjector) freeze(instance string, beforeThaw func()) (end func()) {
 	f.recordError(f.processes[instance].Freeze())
 	return func() {
-		before()
+		beforeThaw()
 		f.recordError(f.processes[instance].Thaw())
 	}
 }
@@ -108,7 +111,7 @@
 	}
 }
 
-// killMembers kills a member, or so many from it on that the others are no quorum.
+// killMembers kills the member first, or, in a third of the draws, as many members from it on as leave no quorum.
 func (f *faultInjector) killMembers(first int) (end func()) {
 	count := 1
 	if f.rand.IntN(3) == 0 {
@@ -127,7 +130,7 @@
 	}
 }
 
-// fillDisk has a member find its disk full, so that it ends by itself.
+// fillDisk makes the disk of a member full, so that the member ends by itself.
 func (f *faultInjector) fillDisk(member int) (end func()) {
 	f.recordError(f.processes[memberName(member)].FillDisk())
 	return func() {
@@ -136,7 +139,8 @@
 	}
 }
 
-// partition partitions a member from the others, in the direction in which it sends or in both.
+// partition partitions a member from the others: it holds the requests that the member sends, and in half of the draws
+// also those that the others send to it.
 func (f *faultInjector) partition(member int) (end func()) {
 	isPartitioned := isNamed(memberName(member))
 	endSending := hold(faulttest.Upstream, f.relaysBetween(isPartitioned, isMember))
--- a/internal/faulttest/clustertest/run.go
+++ b/internal/faulttest/clustertest/run.go
@@ -20,7 +20,7 @@
 	Instances   int
 	Roles       int
 	Lease       time.Duration
-	FaultPeriod time.Duration // for how long faults begin
+	FaultPeriod time.Duration // how long faults are injected
 	Unfenced    bool          // the recorder accepts stale effects too: the checker must find violations
 }
 
@@ -49,21 +49,22 @@
 
 const (
 	startTimeout = 30 * time.Second // until all roles are held
-	// recoveryLeases is within how many leases after the last fault every role has to be held again: a lease that expires,
-	// the penalty of an instance with several expirations, an election.
+	// recoveryLeases limits the time from the last fault's end until every role is held again, in lease durations. The
+	// time allows for the expiry of a lease, the penalty of an instance with several expirations, and an election.
 	recoveryLeases = 12
 	// A fault lasts between minFaultLeases lease durations and faultLeasesSpread more: some end before a lease expires.
 	minFaultLeases    = 0.3
 	faultLeasesSpread = 2.5
-	// seedStream is the second half of the generator's seed. It is part of what a seed means.
+	// seedStream is the second half of the generator's seed. Another value changes the faults that a seed draws.
 	seedStream = 27
 )
 
-// clockRates are what instances' clocks are drawn from: wrong by less than the drift that the fleet's file allows.
+// clockRates are the rates from which those of the instances' clocks are drawn. They deviate from 1 by less than the
+// drift that the fleet file allows.
 var clockRates = []float64{1, 1, 0.85, 1.15}
 
-// Run runs a cluster of processes of the program, with faults drawn from the seed, and checks the accepted effects. An
-// error is one of the harness; Result.Failures says what the cluster did wrong.
+// Run runs a cluster of processes of the program, with faults drawn from the seed, and checks the accepted effects. It
+// returns an error if the harness fails; Result.Failures describes the failures of the cluster.
 func Run(program string, opts *Options) (*Result, error) {
 	result := &Result{Seed: opts.Seed, LongestGapS: map[string]float64{}}
 	var roles []string
@@ -85,15 +86,15 @@
 		result.History = c.History()
 		return result, nil
 	}
-	watched := make(chan []porcupine.Operation, 1)
-	watching, stopWatching := context.WithCancel(context.Background())
+	reads := make(chan []porcupine.Operation, 1)
+	watchCtx, stopWatching := context.WithCancel(context.Background())
 	defer stopWatching()
-	go func() { watched <- c.watchRecorder(watching) }()
+	go func() { reads <- c.watchRecorder(watchCtx) }()
 	c.injectFaults(&faultInjector{cluster: c, rand: random, members: opts.Members, instances: opts.Instances}, opts)
 	c.awaitRecovery(result)
 	c.check(result)
 	stopWatching()
-	if result.Linearizable, err = c.isLinearizable(<-watched); err != nil {
+	if result.Linearizable, err = c.isLinearizable(<-reads); err != nil {
 		return result, err
 	}
 	if !result.Linearizable {
@@ -119,17 +120,18 @@
 	return nil
 }
 
-// allHeldSince says whether an effect of every role was accepted after a moment.
-func (c *cluster) allHeldSince(moment time.Time) bool {
+// allHeldSince reports whether an effect of every role was accepted after a time.
+func (c *cluster) allHeldSince(since time.Time) bool {
 	for _, role := range c.roles {
-		if !c.lastAccepted(role).At.After(moment) {
+		if !c.lastAccepted(role).At.After(since) {
 			return false
 		}
 	}
 	return true
 }
 
-// injectFaults injects one fault after the other for the fault period. Between two of them is a pause of one lease at most.
+// injectFaults injects one fault after the other for the fault period, with a pause of at most one lease after each
+// fault.
 func (c *cluster) injectFaults(f *faultInjector, opts *Options) {
 	ctx, cancel := context.WithTimeout(context.Background(), opts.FaultPeriod)
 	defer cancel()
--- a/internal/faulttest/clustertest/stored_test.go
+++ b/internal/faulttest/clustertest/stored_test.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/faulttest"
 )
 
-// Results are written under the keys under which an earlier version stored them, and read from there.
+// Results are read from and written to the JSON form in which an earlier version stored them.
 func TestReadsResultsStoredByEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
 		name, file string
--- a/internal/faulttest/datagramrelay.go
+++ b/internal/faulttest/datagramrelay.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// DatagramRelay forwards UDP datagrams to a target, and the responses back: each sender has a socket of its own towards the
-// target. Which datagrams are lost, duplicated or late is drawn from a seed, in the order in which they are received.
+// DatagramRelay forwards UDP datagrams to a target and the responses back to their senders. For each sender it has a
+// socket towards the target. It draws from a seed, in the order of receipt, which datagrams are lost, duplicated or
+// late.
 type DatagramRelay struct {
 	*faultControl
 	target   *net.UDPAddr
 	listener *net.UDPConn
-	delayed  chan struct{} // one element a delayed datagram
+	delayed  chan struct{} // one element per delayed datagram
 	closed   chan struct{}
 	running  sync.WaitGroup
 
@@ -26,7 +27,7 @@
 const (
 	maxSenders       = 256
 	maxDatagramBytes = 64 << 10
-	maxDelayed       = 4096 // datagrams that are late or held; further ones are lost, as in a full queue
+	maxDelayed       = 4096 // datagrams that are late or held; further datagrams are lost, as in a full queue
 
 	readRetryInterval = time.Millisecond
 )
@@ -59,7 +60,7 @@
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address at which the relay listens.
 func (r *DatagramRelay) Addr() string { return r.listener.LocalAddr().String() }
 
 // Close ends the relay and waits for its goroutines.
@@ -88,7 +89,7 @@
 		default:
 		}
 		if err != nil {
-			time.Sleep(readRetryInterval) // ICMP says that nothing listens at the target; that may change
+			time.Sleep(readRetryInterval) // ICMP says that nothing listens at the target, perhaps only for now
 			continue
 		}
 		handle(append([]byte(nil), buffer[:n]...), from)
@@ -97,11 +98,12 @@
 
 func (r *DatagramRelay) forwardUpstream(data []byte, from *net.UDPAddr) {
 	if socket := r.socketFor(from); socket != nil {
-		r.forward(Upstream, func() { _, _ = socket.Write(data) }) // an error is a loss
+		r.forward(Upstream, func() { _, _ = socket.Write(data) }) // a failed write is a lost datagram
 	}
 }
 
-// socketFor is the socket towards the target of a sender; nil where there are too many senders.
+// socketFor returns a sender's socket towards the target; nil if the relay is closed, has too many senders, or can't
+// open a socket.
 func (r *DatagramRelay) socketFor(from *net.UDPAddr) *net.UDPConn {
 	r.sendersMu.Lock()
 	defer r.sendersMu.Unlock()
@@ -123,11 +125,11 @@
 	return socket
 }
 
-// forward calls deliver for each copy of a datagram, after the delay that the fault of the direction causes.
+// forward calls deliver for each copy of a datagram, after the delay that the direction's fault causes.
 func (r *DatagramRelay) forward(d Direction, deliver func()) {
 	fault, _ := r.fault(d)
-	fate := r.draw(fault)
-	for range fate.copies {
+	outcome := r.draw(fault)
+	for range outcome.copies {
 		if !fault.Hold && fault.Delay == 0 && fault.Jitter == 0 {
 			deliver()
 			continue
@@ -137,7 +139,7 @@
 		default:
 			return
 		}
-		due := time.Now().Add(fate.jitter)
+		due := time.Now().Add(outcome.jitter)
 		r.running.Go(func() {
 			defer func() { <-r.delayed }()
 			if r.await(d, due, 1, r.closed) {
@@ -147,26 +149,26 @@
 	}
 }
 
-// datagramFate is what is drawn for a datagram.
-type datagramFate struct {
-	copies int // 0: it is lost
+// datagramOutcome is the part of a fault that is drawn for each datagram.
+type datagramOutcome struct {
+	copies int // 0: the datagram is lost
 	jitter time.Duration
 }
 
-// draw draws the fate of the next datagram. It makes the same number of draws whatever the fault, so that a change of the
-// fault does not change later draws.
-func (r *DatagramRelay) draw(fault Fault) datagramFate {
+// draw draws the outcome of the next datagram. It makes the same number of draws for every fault, so that a change of
+// the fault does not change later draws.
+func (r *DatagramRelay) draw(fault Fault) datagramOutcome {
 	r.sendersMu.Lock()
 	defer r.sendersMu.Unlock()
 	isLost := r.rand.Float64() < fault.Drop
 	isDuplicated := r.rand.Float64() < fault.Duplicate
 	jitter := r.rand.Float64()
-	fate := datagramFate{copies: 1, jitter: time.Duration(jitter * float64(fault.Jitter))}
+	outcome := datagramOutcome{copies: 1, jitter: time.Duration(jitter * float64(fault.Jitter))}
 	switch {
 	case isLost:
-		fate.copies = 0
+		outcome.copies = 0
 	case isDuplicated:
-		fate.copies = 2
+		outcome.copies = 2
 	}
-	return fate
+	return outcome
 }
--- a/internal/faulttest/datagramrelay_test.go
+++ b/internal/faulttest/datagramrelay_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// receiveDatagram returns the next datagram and its sender; "" where none arrives for 300 ms.
+// receiveDatagram returns the next datagram and its sender; "" if none arrives within 300 ms.
 func receiveDatagram(conn *net.UDPConn) (text string, sender *net.UDPAddr) {
 	buffer := make([]byte, 99)
 	conn.SetReadDeadline(time.Now().Add(300 * time.Millisecond))
@@ -16,8 +16,8 @@
 	return string(buffer[:max(0, n)]), sender
 }
 
-// relayDatagrams sends 30 datagrams through a relay that loses and duplicates some, and one that is held until the relay
-// heals. It returns the datagrams that the target received, with the sender's response to the last.
+// relayDatagrams sends 30 datagrams through a relay that loses and duplicates some, and one datagram that is held until
+// Heal. It returns the datagrams that the target received, followed by the target's response as the sender received it.
 func relayDatagrams(t *testing.T, target *net.UDPConn, seed uint64) (received string) {
 	t.Helper()
 	h := New()
@@ -38,7 +38,7 @@
 	r.Set(Upstream, Fault{Drop: 0.3, Duplicate: 0.3})
 	for n := range 30 {
 		fmt.Fprint(conn, n, " ")
-		time.Sleep(time.Millisecond) // so that the kernel's buffers lose none
+		time.Sleep(time.Millisecond) // so that the kernel's buffers drop none
 	}
 	r.Set(Upstream, Fault{Hold: true})
 	fmt.Fprint(conn, "held")
@@ -52,8 +52,8 @@
 	return received + text + response
 }
 
-// Datagrams are lost and duplicated as drawn from the seed, the same each time; those held are delivered once the relay
-// heals; responses reach the sender.
+// The seed determines which datagrams are lost and duplicated. Held datagrams are delivered after Heal, and responses
+// reach the sender.
 func TestDatagramRelay_Faults(t *testing.T) {
 	target, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
--- a/internal/faulttest/faultcontrol.go
+++ b/internal/faulttest/faultcontrol.go
@@ -14,26 +14,26 @@
 	Downstream                  // from the target back to the client
 )
 
-// String implements fmt.Stringer. The values are those of the history.
+// String implements fmt.Stringer. The values appear in the history.
 func (d Direction) String() string { return [...]string{"up", "down"}[d] }
 
-// opposite is the other direction.
+// opposite returns the other direction.
 func (d Direction) opposite() Direction { return 1 - d }
 
 // Fault is the fault of one direction of a relay. The zero Fault passes everything without delay.
 type Fault struct {
 	Delay time.Duration // of each chunk or datagram
-	Hold  bool          // nothing passes; what was received is delivered once the hold ends, as after a partition
+	Hold  bool          // nothing passes; received data is delivered once the hold ends, as after a partition
 
 	Rate int // of a stream, in bytes a second; 0: unlimited
 
-	Jitter    time.Duration // of a datagram, at most this on top of Delay, so that they overtake one another
+	Jitter    time.Duration // random extra delay of a datagram, at most this, so that datagrams are reordered
 	Drop      float64       // share of datagrams that are lost
 	Duplicate float64       // share of datagrams that are delivered twice
 }
 
-// faultControl keeps the faults of a relay's two directions and wakes the goroutines that wait for a change. It is safe for
-// concurrent use.
+// faultControl keeps the faults of a relay's two directions and wakes the goroutines that wait for a change. It is safe
+// for concurrent use.
 type faultControl struct {
 	harness *Harness
 	name    string // of the relay, in the history
@@ -64,7 +64,7 @@
 	f.Set(Downstream, Fault{Hold: true})
 }
 
-// Heal lets both directions pass again. What was held is delivered.
+// Heal removes the faults of both directions. Held chunks and datagrams are delivered.
 func (f *faultControl) Heal() {
 	f.Set(Upstream, Fault{})
 	f.Set(Downstream, Fault{})
@@ -77,8 +77,8 @@
 	return f.current[d], f.changed
 }
 
-// Held is how many chunks or datagrams were received and are held. They are delivered once the hold ends, also if their
-// sender has ended by then.
+// Held returns how many chunks or datagrams were received and are held. They are delivered once the hold ends, even if
+// their sender has closed by then.
 func (f *faultControl) Held(d Direction) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -91,8 +91,9 @@
 	f.held[d] += count
 }
 
-// await waits until what was received at receivedAt may pass in a direction. count is how many chunks or datagrams that is:
-// 0 for the beginning or the end of a stream. It is false if cancelled is closed first.
+// await waits until data that was received at receivedAt may pass in a direction, and returns true. It returns false if
+// cancelled is closed first. count is the number of chunks or datagrams that Held includes during a hold: 0 for the
+// start or the end of a stream, and for a throttled stream.
 func (f *faultControl) await(d Direction, receivedAt time.Time, count int, cancelled <-chan struct{}) bool {
 	isHeld := false
 	for {
--- a/internal/faulttest/harness.go
+++ b/internal/faulttest/harness.go
@@ -1,7 +1,7 @@
-// Package faulttest is a harness that runs real processes on loopback and injects faults: relays between processes delay,
-// throttle, hold and reset connections, and processes are frozen, thawed and killed. One history records all of that. The
-// simulators test decisions with many seeds; the harness tests what they leave out, the processes and the kernel's sockets
-// between them. It signals and ends only processes that it has started.
+// Package faulttest is a harness that runs real processes on loopback and injects faults: relays between processes
+// delay, throttle, hold and reset connections, and processes are frozen, thawed and killed. One history records all
+// these events. The simulators test decisions with many seeds, but without processes and sockets; the harness tests real
+// processes and the kernel's sockets between them. It signals and ends only processes that it has started.
 package faulttest
 
 import (
@@ -50,7 +50,7 @@
 	return slices.Clone(h.events)
 }
 
-// String returns the history as text, a line an event.
+// String returns the history as text, one line per event.
 func (h *Harness) String() string {
 	var text strings.Builder
 	for _, e := range h.History() {
@@ -59,7 +59,7 @@
 	return text.String()
 }
 
-// addCleanup has Close call cleanup. It is false where the harness is closed: then the caller has to call it.
+// addCleanup makes Close call cleanup. It returns false if the harness is closed: then the caller must call cleanup.
 func (h *Harness) addCleanup(cleanup func()) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -70,7 +70,7 @@
 	return true
 }
 
-// Close ends all relays and processes, the last started first, and waits for their end.
+// Close ends all relays and processes, in the reverse order of their starts, and waits for their end.
 func (h *Harness) Close() {
 	h.mu.Lock()
 	cleanups := h.cleanups
--- a/internal/faulttest/outputbuffer.go
+++ b/internal/faulttest/outputbuffer.go
@@ -16,7 +16,7 @@
 // maxOutputBytes is how much output is kept. Beyond it the older half is discarded.
 const maxOutputBytes = 4 << 20
 
-// Write implements io.Writer. It never fails: a process must not be blocked by its output.
+// Write implements io.Writer. It never fails and discards old output instead: output must not block the process.
 func (o *outputBuffer) Write(b []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/faulttest/process.go
+++ b/internal/faulttest/process.go
@@ -20,10 +20,10 @@
 	cmd     *exec.Cmd
 	output  outputBuffer
 	ended   chan struct{}
-	err     error // of its end; to be read once ended is closed
+	err     error // of cmd.Wait; to be read once ended is closed
 }
 
-// StartProcess starts cmd and takes its output. The name is the process's in the history.
+// StartProcess starts cmd and captures its output. The history shows the process under the name.
 func (h *Harness) StartProcess(name string, cmd *exec.Cmd) (*Process, error) {
 	p := &Process{name: name, harness: h, cmd: cmd, ended: make(chan struct{})}
 	cmd.Stdout, cmd.Stderr = &p.output, &p.output
@@ -39,7 +39,7 @@
 	return p, nil
 }
 
-// awaitEnd records how the process ended, with the last line of its output if it failed by itself.
+// awaitEnd records how the process ended, with the last line of its output if the exit status is not 0.
 func (p *Process) awaitEnd() {
 	p.err = p.cmd.Wait()
 	reason := ""
@@ -54,16 +54,16 @@
 // Ended is closed when the process has ended.
 func (p *Process) Ended() <-chan struct{} { return p.ended }
 
-// ExitState is how the process ended, once Ended is closed; the error is nil where it ended in order.
+// ExitState returns how the process ended; the error is nil for exit status 0. It must be called after Ended is closed.
 func (p *Process) ExitState() (state string, err error) { return p.cmd.ProcessState.String(), p.err }
 
-// Log is the latest 2 to 4 MB of the process's output.
+// Log returns the latest 2 to 4 MiB of the process's output, or all if it is less.
 func (p *Process) Log() string { return p.output.String() }
 
-// Freeze stops the process in the middle of whatever it does (SIGSTOP).
+// Freeze suspends the process at an arbitrary point (SIGSTOP).
 func (p *Process) Freeze() error { return p.signal("is frozen", syscall.SIGSTOP) }
 
-// Thaw lets a frozen process go on (SIGCONT).
+// Thaw resumes a frozen process (SIGCONT).
 func (p *Process) Thaw() error { return p.signal("is thawed", syscall.SIGCONT) }
 
 // Stop asks the process to end (SIGTERM).
@@ -72,11 +72,11 @@
 // Hangup sends the process SIGHUP.
 func (p *Process) Hangup() error { return p.signal("is sent SIGHUP", syscall.SIGHUP) }
 
-// fullDiskFileBytes is how large a file of a process may grow once its disk is full.
+// fullDiskFileBytes is the size up to which a process may write files after FillDisk.
 const fullDiskFileBytes = 4096
 
-// FillDisk makes writes of the process fail as on a full disk: no file may grow beyond fullDiskFileBytes. The limit is that
-// of the process alone (RLIMIT_FSIZE).
+// FillDisk makes writes of the process fail as on a full disk: no file may grow beyond fullDiskFileBytes. The limit
+// (RLIMIT_FSIZE) applies to this process only.
 func (p *Process) FillDisk() error {
 	p.harness.Record(p.name, "finds its disk full")
 	limit := &unix.Rlimit{Cur: fullDiskFileBytes, Max: unix.RLIM_INFINITY}
@@ -107,7 +107,8 @@
 	<-p.ended
 }
 
-// Wait waits for the process's end, until a deadline, and returns how it ended; nil: in order.
+// Wait waits until the process ends, or until a deadline. It returns nil if the process ended with exit status 0 in
+// time.
 func (p *Process) Wait(deadline time.Time) error {
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
@@ -122,13 +123,13 @@
 	}
 }
 
-// Usage is what a process uses, as the kernel counts it.
+// Usage is the resource usage of a process, as the kernel counts it.
 type Usage struct {
 	ResidentBytes int64
 	CPU           time.Duration // since its start, user and system
 }
 
-// userTick is the unit of the kernel's times: USER_HZ is 100 to every program.
+// userTick is the unit of times in /proc: USER_HZ is 100 for every program.
 const userTick = 10 * time.Millisecond
 
 // Fields of /proc/PID/stat after the name, from 0; proc(5) counts them from 3.
@@ -137,7 +138,7 @@
 	statSystemTime = 15 - 3
 )
 
-// Usage reads what the process uses. It fails once the process has ended.
+// Usage reads the resource usage of the process. It fails once the process has ended.
 func (p *Process) Usage() (Usage, error) {
 	dir := fmt.Sprintf("/proc/%d/", p.cmd.Process.Pid)
 	memory, err := os.ReadFile(dir + "statm")
--- a/internal/faulttest/process_test.go
+++ b/internal/faulttest/process_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A frozen process stands still and goes on when it is thawed; Close kills it, and the history has these events in order.
+// A frozen process makes no progress until it is thawed. Close kills it, and the history has these events in order.
 func TestProcess_FreezeThawAndClose(t *testing.T) {
 	h := New()
 	p, err := h.StartProcess("ticker", exec.Command("sh", "-c", "while :; do echo tick; sleep 0.01; done"))
@@ -35,7 +35,7 @@
 	}
 	h.Close()
 	if err := p.Wait(time.Now().Add(time.Second)); err == nil || growsWithin(standstill) {
-		t.Errorf("it goes on after the harness was closed: %v", err)
+		t.Errorf("the process runs after the harness was closed: %v", err)
 	}
 	at := -1
 	for _, event := range []string{"starts", "is frozen", "is thawed", "is killed", "has ended: signal: killed"} {
--- a/internal/faulttest/relay.go
+++ b/internal/faulttest/relay.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Relay forwards TCP connections to a target, with the faults of its Set, Partition and Heal. As in TCP no bytes are lost
-// from the middle of a stream: a partition holds them.
+// Relay forwards TCP connections to a target, with the faults that Set and Partition inject and Heal removes. As in TCP
+// no bytes are lost from the middle of a stream: a partition holds them.
 type Relay struct {
 	*faultControl
 	target   string
@@ -26,12 +26,12 @@
 
 // connection is a client's connection through a relay.
 type connection struct {
-	ends      [2]net.Conn // by the direction that is read from it; the target's is nil until it was dialled
+	ends      [2]net.Conn // by the direction that is read from the end; the target's end is nil until it is dialled
 	closed    chan struct{}
 	closeOnce sync.Once
 }
 
-// chunk is what was read from a connection at once.
+// chunk is the data of one read from a connection.
 type chunk struct {
 	receivedAt time.Time
 	data       []byte
@@ -60,13 +60,13 @@
 	return r, nil
 }
 
-// Addr is where the relay listens.
+// Addr returns the address at which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// BytesPassed is how many bytes have passed in a direction.
+// BytesPassed returns how many bytes have passed in a direction.
 func (r *Relay) BytesPassed(d Direction) int64 { return r.passed[d].Load() }
 
-// RefuseConnections has the relay reset new connections, or accept them again.
+// RefuseConnections makes the relay reset new connections, or accept them again.
 func (r *Relay) RefuseConnections(on bool) {
 	r.refuse.Store(on)
 	r.harness.Record(r.name, "new connections are refused: %v", on)
@@ -101,7 +101,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptRetryInterval) // out of file descriptors; that may change
+			time.Sleep(acceptRetryInterval) // out of file descriptors, perhaps only for now
 			continue
 		}
 		c := &connection{ends: [2]net.Conn{Upstream: client}, closed: make(chan struct{})}
@@ -116,8 +116,8 @@
 	}
 }
 
-// relay forwards a connection until it ends. While Upstream is held the target is not dialled: the connection is half open
-// to the client.
+// relay forwards a connection until it ends. While Upstream is held the target is not dialled: the client has an open
+// connection, and the target has none.
 func (r *Relay) relay(c *connection) {
 	defer func() {
 		c.close(inOrder)
@@ -137,7 +137,7 @@
 	c.ends[Downstream] = target
 	r.connectionsMu.Unlock()
 	select {
-	case <-c.closed: // while the target was dialled, so that close did not close its end
+	case <-c.closed: // it was closed while the target was dialled, so that close did not close the target's end
 		target.Close()
 		return
 	default:
@@ -148,7 +148,8 @@
 	both.Wait()
 }
 
-// copyDirection copies one direction until it ends. An orderly end is forwarded as one, any other as a reset.
+// copyDirection copies one direction until it ends. It forwards an orderly end as an orderly end, any other end as a
+// reset.
 func (r *Relay) copyDirection(c *connection, d Direction) {
 	to := c.ends[d.opposite()]
 	chunks := make(chan chunk, maxQueuedChunks)
@@ -159,7 +160,7 @@
 	})
 	for p := range chunks {
 		if !r.await(d, p.receivedAt, 1, c.closed) {
-			continue // until the reader has ended
+			continue // drain chunks until the reader has ended
 		}
 		if _, err := to.Write(p.data); err != nil {
 			c.close(withReset)
@@ -173,7 +174,7 @@
 	}
 }
 
-// readChunks reads a direction to its end and returns the error that ended it; nil where the connection was closed here.
+// readChunks reads a direction to its end and returns the error that ended it; nil if the relay closed the connection.
 func readChunks(c *connection, d Direction, chunks chan<- chunk) error {
 	for {
 		p := chunk{data: make([]byte, maxChunkBytes)}
@@ -191,14 +192,14 @@
 	}
 }
 
-// throttle waits for as long as some bytes take at the fault's rate.
+// throttle waits for the time that the transfer of some bytes takes at the fault's rate.
 func (r *Relay) throttle(c *connection, d Direction, bytes int) {
 	fault, _ := r.fault(d)
 	if fault.Rate <= 0 {
 		return
 	}
 	transferTime := time.Duration(float64(bytes) / float64(fault.Rate) * float64(time.Second))
-	r.await(d, time.Now().Add(transferTime-fault.Delay), 0, c.closed) // await adds the delay
+	r.await(d, time.Now().Add(transferTime-fault.Delay), 0, c.closed) // the delay is subtracted, as await adds it
 }
 
 // closeMode is how a connection ends.
@@ -209,7 +210,7 @@
 	withReset closeMode = true
 )
 
-// close closes both ends. Only the first call counts.
+// close closes both ends. Only the first call has an effect.
 func (c *connection) close(mode closeMode) {
 	c.closeOnce.Do(func() {
 		close(c.closed)
--- a/internal/faulttest/relay_test.go
+++ b/internal/faulttest/relay_test.go
@@ -20,7 +20,7 @@
 	return ln
 }
 
-// startEcho starts a server that sends back what it gets, and counts its connections.
+// startEcho starts a server that echoes the data that it receives and counts its connections.
 func startEcho(t *testing.T) (addr string, accepted *atomic.Int64) {
 	t.Helper()
 	ln, accepted := listen(t), &atomic.Int64{}
@@ -45,8 +45,8 @@
 	return r
 }
 
-// A stream arrives complete, late, slowly or after the hold, as the fault of a direction requires. While Upstream is held
-// the target is not connected. An orderly end is forwarded as one, and a reset as a reset.
+// A delay, a rate limit and a hold make a stream arrive late or slowly, but complete. While Upstream is held the target is
+// not connected. An orderly end is forwarded as an orderly end, and a reset as a reset.
 func TestRelay_Faults(t *testing.T) {
 	target, accepted := startEcho(t)
 	r := startRelay(t, target)
@@ -101,8 +101,8 @@
 	}
 }
 
-// Held counts what was received during a hold, not what passed before. It is delivered once the hold ends, also if its
-// sender has closed by then.
+// Held counts the chunks that were received during a hold, not those that passed before. They are delivered once the
+// hold ends, even if their sender has closed by then.
 func TestRelay_Held(t *testing.T) {
 	ln := listen(t)
 	r := startRelay(t, ln.Addr().String())
--- a/internal/faulttest/rundelay.go
+++ b/internal/faulttest/rundelay.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// RunDelay is how long the threads of the process have waited for a processor while they could run. It tells a process that
-// the machine holds up from one that is slow by itself.
+// RunDelay returns how long the threads of the process were runnable but waited for a processor. It
+// distinguishes a process that an overloaded machine slows down from a process that is slow by itself.
 func (p *Process) RunDelay() (time.Duration, error) { return RunDelay(p.cmd.Process.Pid) }
 
-// RunDelay is how long the threads that a process has now have waited for a processor while they could run. It fails once
-// the process has ended.
+// RunDelay returns how long the current threads of a process were runnable but waited for a processor. Threads that
+// have ended do not count. It fails once the process has ended.
 func RunDelay(pid int) (time.Duration, error) {
 	paths, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(paths) == 0 {
--- a/internal/faulttest/rundelay_test.go
+++ b/internal/faulttest/rundelay_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The delay of this process can be read and does not shrink while no thread ends; that of no process is an error.
+// The run delay of this process can be read. A process ID without a process is an error.
 func TestRunDelay(t *testing.T) {
 	delay, err := RunDelay(os.Getpid())
 	require.NoError(t, err)
--- a/internal/faulttest/schedule.go
+++ b/internal/faulttest/schedule.go
@@ -10,13 +10,13 @@
 	"pumiceline/internal/duration"
 )
 
-// randomActions are what random faults are drawn from. Their order is part of what a seed means.
+// randomActions are the actions of random faults. A change of their order changes the faults that a seed draws.
 var randomActions = []Action{
 	ActionFreeze, ActionKill, ActionCut, ActionCutUpstream, ActionCutDownstream, ActionDelay, ActionReset,
 }
 
-// Schedule returns the script's faults and those that are drawn from a seed, in the order of their times. The same seed
-// draws the same faults.
+// Schedule returns the script's faults and its random faults, drawn from a seed, in the order of their times. The same
+// seed draws the same faults.
 func (s *Script) Schedule(seed uint64) []ScheduledFault {
 	r := rand.New(rand.NewPCG(seed, 1))
 	schedule := slices.Clone(s.Faults)
@@ -33,8 +33,8 @@
 	maxRandomDelayMicros = 300_000
 )
 
-// randomFault draws a fault that starts after 5 to 70% of the length and lasts 2 to 20% of it. The order of the draws is
-// part of what a seed means.
+// randomFault draws a fault that starts after 5 to 70% of the length and lasts 2 to 20% of it. A change of the order of
+// the draws changes the faults that a seed draws.
 func (s *Script) randomFault(r *rand.Rand) (f ScheduledFault) {
 	shareOfLength := func(from, to float64) duration.Span {
 		return duration.Span(float64(s.Length) * (from + (to-from)*r.Float64()))
@@ -49,9 +49,9 @@
 	return f
 }
 
-// RunSchedule has inject called for each fault at its time, and what inject returns at the fault's end. Faults do not wait
-// for one another: of two on one link, the end of either ends both. It returns when all have ended; if cancelled is closed
-// first, it ends those that were injected and returns.
+// RunSchedule calls inject for each fault at its time, and the returned end function at the fault's end. Faults run
+// independently: if two faults overlap on one link, the first end ends both. RunSchedule returns when all faults have
+// ended. If cancelled is closed first, it ends the injected faults and returns.
 func RunSchedule(schedule []ScheduledFault, startedAt time.Time, cancelled <-chan struct{},
 	inject func(ScheduledFault) (end func())) {
 	waitUntil := func(at duration.Span) bool {
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -17,7 +17,7 @@
 	Proxies      int              `toml:"proxies"`      // processes
 	Backends     int              `toml:"destinations"` // fakes
 	Rate         float64          `toml:"rate"`         // requests a second, of all clients
-	RandomFaults int              `toml:"draw"`         // faults that are drawn from a seed, besides Faults
+	RandomFaults int              `toml:"draw"`         // number of faults that are drawn from a seed, besides Faults
 	Faults       []ScheduledFault `toml:"fault"`
 }
 
@@ -74,7 +74,7 @@
 	}
 }
 
-// ReadScript reads and validates a script. An error of its contents is a *tomlfile.Error.
+// ReadScript reads and validates a script. It returns a *tomlfile.Error for invalid contents.
 func ReadScript(path string) (*Script, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// targetCount is how many targets of a kind there are.
+// targetCount returns the number of targets of a kind.
 func (s *Script) targetCount(target Target) int {
 	if target == TargetBackend {
 		return s.Backends
--- a/internal/faulttest/script_test.go
+++ b/internal/faulttest/script_test.go
@@ -14,12 +14,12 @@
 	}
 }
 
-// A seed draws the same faults each time, all of them valid.
+// The same seed draws the same faults, and all drawn faults are valid.
 func TestScript_ScheduleIsDrawnFromSeed(t *testing.T) {
 	s := &Script{Length: 10e6, Proxies: 2, Backends: 3, Rate: 1, RandomFaults: 200}
 	first, again, other := s.Schedule(1), s.Schedule(1), s.Schedule(2)
 	if !slices.Equal(first, again) || slices.Equal(first, other) {
-		t.Error("the same seed drew other faults, or another seed the same")
+		t.Error("seed 1 drew different faults twice, or seeds 1 and 2 drew the same faults")
 	}
 	s.Faults, s.RandomFaults = first, 0
 	if invalid := s.validate(); invalid != nil {
--- a/internal/faulttest/stored_test.go
+++ b/internal/faulttest/stored_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A script that a user of an earlier version stored is read, with every key and each kind of fault.
+// A script that was stored with an earlier version can be read, with every key and every kind of fault.
 func TestReadsScriptStoredByEarlierVersion(t *testing.T) {
 	got, err := ReadScript("testdata/script.toml")
 	if err != nil {
