--- a/internal/fake/fakecoordination/server.go
+++ b/internal/fake/fakecoordination/server.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// execute executes a call now. If the result says that the call waits, the caller executes it again once the returned
-// channel is closed. The channel is nil if the server is closed.
+// execute runs a call on the current state. If the result says that the call waits, the caller runs it again once the
+// returned channel is closed. The channel is nil if the server is closed.
 func (i *issuer) execute(call message.Call) (coordination.Result, <-chan struct{}) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/fake/fakesystem/models.go
+++ b/internal/fake/fakesystem/models.go
@@ -52,7 +52,7 @@
 	w.WriteHeader(b.execute(c))
 }
 
-// execute executes a command and returns the status of the response.
+// execute applies a command to the models and returns the status of the response.
 func (b *Backend) execute(c modelCommand) (status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/faulttest/clustertest/cluster_test.go
+++ b/internal/faulttest/clustertest/cluster_test.go
@@ -120,7 +120,8 @@
 func freezeWithEffectInFlight(t *testing.T, c *cluster, instance string) {
 	t.Helper()
 	relay := c.relays[link{instance, recorderName}]
-	// The responses are held first: an effect whose response is held has arrived, and is not the one in flight.
+	// Hold the responses first: once a response is held, its effect has arrived. The effect that is held afterwards is
+	// then another one, which has not arrived.
 	relay.Set(faulttest.Downstream, faulttest.Fault{Hold: true})
 	eventually(t, c, "an effect has arrived", func() bool { return relay.Held(faulttest.Downstream) > 0 })
 	relay.Set(faulttest.Upstream, faulttest.Fault{Hold: true})
--- a/internal/faulttest/script.go
+++ b/internal/faulttest/script.go
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("%s %s %d for %v", f.Action, f.Target, f.Index, f.For)
 }
 
-// Action is what a scheduled fault does. The values are those of script files.
+// Action is the action of a scheduled fault. The values are those of script files.
 type Action string
 
 // The actions. All but ActionReset are undone at the fault's end.
