--- a/internal/fleetsim/model/arrival.go
+++ b/internal/fleetsim/model/arrival.go
@@ -6,10 +6,10 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// dedupLookupWork is the work that a server does at most for a repeat that it recognises, in microseconds.
+// dedupLookupWork bounds the work, in microseconds, of a repeated request that the server deduplicates.
 const dedupLookupWork = 500
 
-// arriveAtServer is an attempt's arrival at its server.
+// arriveAtServer handles the arrival of an attempt at its server.
 func (sm *simulation) arriveAtServer(attemptIndex int32) {
 	attempt := sm.serverAttempts.at(attemptIndex)
 	s := sm.servers[attempt.server]
@@ -19,7 +19,7 @@
 		sm.loseAtServer(attemptIndex)
 		return
 	case s.state == stateDown || s.generation != attempt.serverGeneration && !attempt.newConnection:
-		outcome := policy.ConnectionReset // written to a connection whose other end is gone
+		outcome := policy.ConnectionReset // sent on a connection to a process that has ended
 		if attempt.newConnection {
 			outcome = policy.ConnectFailed
 		}
@@ -42,8 +42,8 @@
 	sm.startProcessing(attemptIndex, s)
 }
 
-// loseAtServer ends an attempt that does not reach its server: a partition began while it was on its way, or its proxy gave
-// it up during the handshake.
+// loseAtServer drops an attempt that does not reach its server: a partition started while it was in transit, or its
+// proxy abandoned it during the handshake.
 func (sm *simulation) loseAtServer(attemptIndex int32) {
 	attempt := sm.serverAttempts.at(attemptIndex)
 	if !attempt.abandoned {
@@ -57,9 +57,9 @@
 	sm.releaseServerAttempt(attemptIndex)
 }
 
-// acceptConnection is the end of a handshake; false: the server's connection table is full.
+// acceptConnection completes a handshake. It returns false if the server's connection table is full.
 func (sm *simulation) acceptConnection(attempt *serverAttempt, s *server) bool {
-	if s.generation != attempt.serverGeneration { // another process has started at the address meanwhile
+	if s.generation != attempt.serverGeneration { // the server process was replaced during the handshake
 		p := &sm.proxies[attempt.proxy]
 		if pool := p.connections[attempt.server]; pool != nil && p.generation == attempt.proxyGeneration {
 			if pool.generation != s.generation {
@@ -78,8 +78,8 @@
 	return true
 }
 
-// crashesFromOverload adds an arrival to the work of a cold server and says whether that work is now beyond the bound:
-// Factor times the present capacity within Window, and the slack.
+// crashesFromOverload adds an arriving attempt to the work of a cold server. It reports whether the work that arrived
+// within Window now exceeds the bound: Factor times the current capacity over Window, plus the slack.
 func (sm *simulation) crashesFromOverload(attempt *serverAttempt, s *server) bool {
 	if !s.cold {
 		return false
@@ -95,7 +95,7 @@
 	return s.arrivedWork.add(sm.now, Time(overload.Window), attempt.work) > bound
 }
 
-// admitAtServer is the outcome of a request that the server answers without executing it; OK: it accepts the request.
+// admitAtServer returns OK if the server accepts a request, else the outcome that it answers without executing it.
 func (sm *simulation) admitAtServer(s *server) policy.Outcome {
 	switch {
 	case s.state == stateDraining:
@@ -110,7 +110,7 @@
 	return policy.OK
 }
 
-// startProcessing gives an attempt a slot or a place in the queue.
+// startProcessing puts an attempt into a free slot, or into the queue if there is none.
 func (sm *simulation) startProcessing(attemptIndex int32, s *server) {
 	attempt := sm.serverAttempts.at(attemptIndex)
 	if sm.lookUpKey(s, sm.clientRequests.at(attempt.clientRequest).key) {
@@ -126,9 +126,9 @@
 	sm.rescheduleServer(s)
 }
 
-// applyEffect has an attempt make its effect, if its class is not idempotent. Servers within the class's scope know the
-// request's deduplication key for the window: a repeat there costs a lookup only. Elsewhere the effect is repeated, which
-// is recorded.
+// applyEffect applies the side effect of an attempt whose class is not idempotent. If the class is deduplicated, the
+// servers within its scope keep the request's deduplication key for the window, and a repeat there costs a lookup only.
+// Any other repeat applies the effect again and is recorded as EffectRepeated.
 func (sm *simulation) applyEffect(s *server, attempt *serverAttempt) {
 	c := sm.clientRequests.at(attempt.clientRequest)
 	class := &sm.scenario.Classes[c.class]
@@ -140,7 +140,7 @@
 		return
 	}
 	if class.semantics() == policy.Deduplicated && sm.now-c.firstEffectAt <= Time(class.DedupWindow) &&
-		knowsFirstEffect(c, class, s) {
+		sharesDedupKeys(c, class, s) {
 		attempt.work = math.Min(attempt.work, dedupLookupWork)
 		return
 	}
@@ -148,8 +148,8 @@
 		Duration: sm.now - c.firstEffectAt, Class: c.class})
 }
 
-// knowsFirstEffect says whether the server is within the scope that shares the keys of the first effect.
-func knowsFirstEffect(c *clientRequest, class *Class, s *server) bool {
+// sharesDedupKeys reports whether the server is within the scope that shares the deduplication key of the first effect.
+func sharesDedupKeys(c *clientRequest, class *Class, s *server) bool {
 	switch class.dedupScope() {
 	case policy.DedupPerZone:
 		return c.firstEffectZone == s.zone
@@ -159,8 +159,8 @@
 	return true
 }
 
-// lookUpKey says whether a request's key is in the server's cache, and puts it there or renews it. The least recently used
-// key is evicted; of several, the one of the lowest number.
+// lookUpKey reports whether a request's key is in the server's cache and not past its TTL, and adds or refreshes it. A
+// full cache evicts the least recently used key; among equals, the lowest key.
 func (sm *simulation) lookUpKey(s *server, key uint64) (hit bool) {
 	keys := &sm.scenario.Keys
 	capacity := keys.CapacityPerCore * s.instanceType.Cores
@@ -174,7 +174,7 @@
 	if !isCached && len(s.keyCache) >= capacity {
 		oldest, oldestUse := uint64(0), sm.now+1
 		for other, use := range s.keyCache {
-			if use < oldestUse || use == oldestUse && other < oldest { // the map's order must not matter
+			if use < oldestUse || use == oldestUse && other < oldest { // a tie must not depend on the map's order
 				oldest, oldestUse = other, use
 			}
 		}
--- a/internal/fleetsim/model/attempts.go
+++ b/internal/fleetsim/model/attempts.go
@@ -2,20 +2,20 @@
 
 import "pumiceline/internal/standalone/policy"
 
-// proxyAttempt is an attempt at a server as its proxy knows it.
+// proxyAttempt is the proxy's state of an attempt at a server.
 type proxyAttempt struct {
-	serverAttempt int32 // noServerAttempt: nothing is in flight on the network
+	serverAttempt int32 // noServerAttempt: nothing on the network or at the server belongs to it
 	server        int32
 	inFlight      bool
 	sentAt        Time
 }
 
-// noServerAttempt is the index of none.
+// noServerAttempt is the value of proxyAttempt.serverAttempt without a serverAttempt.
 const noServerAttempt = -1
 
-// serverAttempt is an attempt on its way and at its server, where it outlives what its proxy does about it.
+// serverAttempt is an attempt on the network and at its server. It continues there after its proxy has abandoned it.
 type serverAttempt struct {
-	id               uint64 // of the proxyRequest; 0: the place is free
+	id               uint64 // of the proxyRequest; 0: the pool entry is free
 	work             float64
 	sentAt           Time
 	clientRequest    int32
@@ -28,7 +28,7 @@
 	outcome          policy.Outcome
 	stage            attemptStage
 	newConnection    bool
-	abandoned        bool // its proxy has given it up and closed the connection, or the connection is gone
+	abandoned        bool // its proxy has abandoned it and closed the connection, or the connection broke
 	hasReport        bool
 	report           [reportColumns]float32
 }
@@ -60,7 +60,7 @@
 	if sm.failure != nil {
 		return
 	}
-	if requestIndex < 0 || sm.proxyRequests.at(requestIndex).responded { // a violation, which the checker counts
+	if requestIndex < 0 || sm.proxyRequests.at(requestIndex).responded { // the checker counts this as a violation
 		sm.observe(Record{Kind: AttemptSent, Proxy: proxyIndex, ID: action.ID, Server: action.Server, Zone: s.zone,
 			Cell: s.cell, Flag: p.zone != s.zone})
 		return
@@ -92,7 +92,7 @@
 	sm.schedule(sm.now+travelTime, event{kind: evArriveAtServer, subject: attemptIndex})
 }
 
-// newAttempt adds an attempt at the server to a proxy's request.
+// newAttempt adds an attempt at server s to a proxy's request.
 func (sm *simulation) newAttempt(requestIndex int32, s *server) (attemptIndex int32) {
 	request := sm.proxyRequests.at(requestIndex)
 	number := request.attemptCount
@@ -117,8 +117,8 @@
 	return attemptIndex
 }
 
-// scheduleAttemptTimeout schedules the attempt's time-out: after timeout (0: none; negative: now), or at the client's
-// deadline if that is earlier.
+// scheduleAttemptTimeout schedules the attempt's time-out: after timeout (0: none; negative: at once), or at the
+// request's deadline if that is earlier.
 func (sm *simulation) scheduleAttemptTimeout(requestIndex int32, number uint8, timeout Time) {
 	request := sm.proxyRequests.at(requestIndex)
 	limit := request.deadline
@@ -141,8 +141,8 @@
 	sm.endAttempt(e.subject, e.code, policy.TimedOut, sm.now-attempt.sentAt, nil)
 }
 
-// loseSentAttempt ends an attempt that a partition keeps from its server: a new connection fails after DialTimeout; a
-// request on an existing one is lost, and only its time-out ends it at the proxy.
+// loseSentAttempt drops an attempt that a partition keeps from its server. A new connection fails after DialTimeout. A
+// request on an existing connection is lost without an error, and only its time-out ends it at the proxy.
 func (sm *simulation) loseSentAttempt(attemptIndex int32, s *server) {
 	attempt := sm.serverAttempts.at(attemptIndex)
 	if attempt.newConnection {
@@ -154,19 +154,21 @@
 	sm.releaseServerAttempt(attemptIndex)
 }
 
-// detach leaves the proxy's attempt in flight with nothing on the network: its timeout will end it.
+// detach unlinks the proxy's attempt from its serverAttempt. The proxy still counts it as in flight until its time-out
+// or a scheduled failure ends it.
 func (sm *simulation) detach(attempt *serverAttempt) {
 	sm.proxyRequests.at(attempt.proxyRequest).attempts[attempt.attempt].serverAttempt = noServerAttempt
 }
 
-// scheduleFailure has an attempt that has not reached a server end at a time.
+// scheduleFailure detaches an attempt that has not reached its server and ends it with the outcome at the given time.
 func (sm *simulation) scheduleFailure(attempt *serverAttempt, outcome policy.Outcome, at Time) {
 	sm.detach(attempt)
 	sm.schedule(sm.nextTick(at), event{kind: evAttemptFailed, subject: attempt.proxyRequest, code: attempt.attempt,
 		number: int32(outcome), id: attempt.id})
 }
 
-// abandonServerAttempt gives up an attempt: its connection is closed. The server goes on with it, as it does not see that.
+// abandonServerAttempt closes the connection of an attempt that the proxy no longer waits for. The server does not
+// detect the close and continues to execute the attempt.
 func (sm *simulation) abandonServerAttempt(attempt *proxyAttempt) {
 	if attempt.serverAttempt == noServerAttempt {
 		return
@@ -182,7 +184,7 @@
 func (sm *simulation) cancelAttempt(proxyIndex int32, action *policy.Action) {
 	requestIndex := sm.findProxyRequest(proxyIndex, action.ID)
 	if requestIndex < 0 {
-		return // it ended before
+		return // the request has already ended
 	}
 	request := sm.proxyRequests.at(requestIndex)
 	if int(action.Attempt) >= int(request.attemptCount) {
@@ -196,7 +198,7 @@
 	}
 }
 
-// endAttempt ends an attempt at its proxy, answers the client on success, and notifies the node.
+// endAttempt ends an attempt at its proxy, responds to the client on the first success, and notifies the node.
 func (sm *simulation) endAttempt(requestIndex int32, number uint8, outcome policy.Outcome, elapsed Time, report []float32) {
 	request := sm.proxyRequests.at(requestIndex)
 	attempt := &request.attempts[number]
--- a/internal/fleetsim/model/bench_test.go
+++ b/internal/fleetsim/model/bench_test.go
@@ -8,7 +8,8 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// BenchmarkRun measures what an event costs by the size of the fleet, with a hundredth as many proxies (four at least).
+// BenchmarkRun measures the simulator's speed by the size of the fleet. There is one proxy for each 100 servers, at
+// least four.
 func BenchmarkRun(b *testing.B) {
 	for _, servers := range []int{12, 100, 1000, 10000} {
 		for _, policy := range []string{"decide", "least"} {
--- a/internal/fleetsim/model/build.go
+++ b/internal/fleetsim/model/build.go
@@ -20,13 +20,15 @@
 	sm.proxies = make([]proxy, sc.Proxies)
 	for i := range sm.proxies {
 		p := &sm.proxies[i]
-		p.zone, p.downSince = uint8(i%sc.Zones), math.MinInt64/2 // long ago; halved, as it is subtracted from now
+		// downSince is far in the past. It is halved so that now - downSince does not overflow.
+		p.zone, p.downSince = uint8(i%sc.Zones), math.MinInt64/2
 		sm.startProxy(int32(i))
 	}
 }
 
-// buildServers draws the servers and returns their capacity in standard cores. Instance types come in proportion to
-// their shares. Servers are spread over the zones unevenly, with at least one in each zone where there are enough.
+// buildServers draws the servers and returns their total warm capacity in standard cores. Instance types are assigned
+// in proportion to their shares. ZoneSkew makes the zones unequal; each zone gets at least one server if there are
+// enough.
 func (sm *simulation) buildServers(rng *rand.Rand, vary func(float64) float64) (totalCapacity float64) {
 	sc := sm.scenario
 	types := make([]InstanceType, len(sc.InstanceTypes))
@@ -39,7 +41,7 @@
 		shares = 1
 	}
 	for i := range sc.Servers {
-		// The type is the one in whose part of the cumulative shares the server's position lies.
+		// The server's position within the cumulative shares selects its type.
 		chosen, position := 0, (float64(i)+0.5)/float64(sc.Servers)*shares
 		for upTo := types[0].Share; chosen < len(types)-1 && position > upTo; upTo += types[chosen].Share {
 			chosen++
@@ -54,7 +56,8 @@
 	return totalCapacity
 }
 
-// varyInstanceType draws what the servers of a type truly are. They warm up no slower than the published settings say.
+// varyInstanceType draws the actual values of an instance type. Its servers never warm up more slowly, or from less
+// capacity, than the published settings say.
 func varyInstanceType(t InstanceType, published *PublishedSettings, vary func(float64) float64) InstanceType {
 	t.Slots = max(1, int(vary(float64(t.Slots))))
 	t.QueueCapacity = int(vary(float64(t.QueueCapacity)))
@@ -88,12 +91,12 @@
 	}
 }
 
-// updateZoneShares computes zoneShares anew after a change of zoneWeights.
+// updateZoneShares recomputes zoneShares after a change of zoneWeights.
 func (sm *simulation) updateZoneShares() {
 	sm.zoneShares = cumulativeShares(len(sm.zoneWeights), func(i int) float64 { return sm.zoneWeights[i] })
 }
 
-// cumulativeShares divides 0 to 1 in proportion to weights and returns the upper ends of the parts.
+// cumulativeShares divides the interval 0 to 1 in proportion to the weights and returns the upper end of each part.
 func cumulativeShares(n int, weight func(int) float64) []float64 {
 	shares, sum := make([]float64, n), 0.0
 	for i := range shares {
@@ -106,7 +109,7 @@
 	return shares
 }
 
-// indexAt returns the index of the part in which x lies, 0 to 1, of the shares that cumulativeShares returns.
+// indexAt returns the index of the part that contains x, from 0 to 1. shares is a result of cumulativeShares.
 func indexAt(shares []float64, x float64) int {
 	for i, upTo := range shares {
 		if x < upTo {
--- a/internal/fleetsim/model/clients.go
+++ b/internal/fleetsim/model/clients.go
@@ -7,21 +7,21 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// clientRequest is one request of a client with all its attempts. Each attempt is a proxyRequest.
+// clientRequest is one request of a client, with all its attempts. Each attempt that reaches a proxy is a proxyRequest.
 type clientRequest struct {
-	number          uint64 // 0: the place is free
-	currentAttempt  uint64 // id of the present proxyRequest; see the constants below
+	number          uint64 // 0: the pool entry is free
+	currentAttempt  uint64 // id of the current proxyRequest, or a constant below
 	startedAt       Time
 	deadline        Time
 	work            float64
 	workHint        Time // the client's estimate, 0: none
 	key             uint64
-	behaviour       uint64 // random bits that fix how this client behaves, whatever the policy does
+	behaviour       uint64 // random bits that fix this client's choices, whatever the policy does
 	value           float64
 	firstEffectAt   Time // -1: none yet
 	firstEffectZone uint8
 	firstEffectCell uint16
-	references      int32 // of its proxyRequests, its serverAttempts and itself while it has not ended
+	references      int32 // one for each proxyRequest and serverAttempt, and one until it has ended
 	zone            uint8
 	class           uint8
 	tenant          uint16
@@ -29,14 +29,14 @@
 	ended           bool
 }
 
-// Values of clientRequest.currentAttempt that are no ids.
+// Values of clientRequest.currentAttempt that are not ids.
 const (
-	attemptWithoutProxy = 0 // no proxy was there
-	attemptOver         = 1 // the client has given the attempt up: its response is ignored
+	attemptWithoutProxy = 0 // no proxy was available
+	attemptOver         = 1 // the client no longer waits for an attempt: a late response is ignored
 )
 
-// Purposes of clientRequest.draw. chooseProxy uses proxy<<8 + attempt beside these, which for proxy 0 coincides with some
-// of them; that is left as it is, as a changed number changes the results of every seed.
+// Purposes of clientRequest.draw. chooseProxy uses proxy<<8 + attempt as well. For proxy 0 those numbers overlap with
+// some of these. Do not renumber: a changed number changes the results of every seed.
 const (
 	drawUnsafeRetry   = 3
 	drawRetryAfter    = 4
@@ -51,16 +51,16 @@
 // goldenGamma is the increment of SplitMix64: 2^64 over the golden ratio.
 const goldenGamma = 0x9e3779b97f4a7c15
 
-// draw returns a number from 0 to 1 that depends on the client and the purpose alone: what a client does is the same under
-// every policy.
+// draw returns a number from 0 to 1 that depends only on the client and the purpose, so that a client makes the same
+// choices under every policy.
 func (c *clientRequest) draw(purpose uint64) float64 {
 	return unitFloat(mix(c.behaviour + purpose*goldenGamma))
 }
 
-// startClientRequest starts the next client request and schedules the one after it. Both are drawn from a stream of
-// their own, so every policy gets the same requests.
+// startClientRequest starts a client request and schedules the next one. Both are drawn from a random stream of their
+// own, so that every policy gets the same requests.
 func (sm *simulation) startClientRequest() {
-	rate := sm.currentArrivalRate() // may draw; has to do so before the next draw here
+	rate := sm.currentArrivalRate() // may draw; must be called before the draw in the next line
 	next := sm.now + max(1, Time(sm.arrivalRand.ExpFloat64()/rate+0.5))
 	if next < Time(sm.scenario.Duration) {
 		sm.schedule(next, event{kind: evArrival})
@@ -75,7 +75,8 @@
 	sm.sendToProxy(index)
 }
 
-// currentArrivalRate is the arrival rate now, in requests a microsecond, with the wave, bursts and a tenant's flood.
+// currentArrivalRate returns the arrival rate now, in requests per microsecond, including the load wave, bursts and a
+// tenant flood.
 func (sm *simulation) currentArrivalRate() float64 {
 	sc := sm.scenario
 	rate := sm.arrivalRate
@@ -101,7 +102,8 @@
 	return rate
 }
 
-// drawClientRequest draws a request and its client. The order of the draws is part of what a seed means.
+// drawClientRequest draws a request and its client. The order of the draws must not change: it determines the results
+// of a seed.
 func (sm *simulation) drawClientRequest(c *clientRequest) {
 	sc, rng := sm.scenario, sm.arrivalRand
 	sm.lastRequestNumber++
@@ -121,7 +123,7 @@
 	}
 	c.value = class.Value * c.work
 	if u := rng.Float64(); len(sm.tenantShares) > 0 {
-		// A flood adds to the first tenant's part, which comes first and is tenant 0.
+		// A flood adds requests of the first tenant. Its part of the interval comes first: x < 0 leaves c.tenant at 0.
 		flood := (sm.floodFactor - 1) * sm.tenantShares[0]
 		if x := u*(1+flood) - flood; x >= 0 {
 			c.tenant = uint16(indexAt(sm.tenantShares, x))
@@ -129,7 +131,7 @@
 	}
 }
 
-// sendToProxy sends a client's next attempt to a proxy that the front layer takes for alive.
+// sendToProxy sends a client's next attempt to a proxy that the front layer considers available.
 func (sm *simulation) sendToProxy(clientIndex int32) {
 	c := sm.clientRequests.at(clientIndex)
 	c.attempts++
@@ -157,17 +159,17 @@
 	sm.schedule(request.deadline, event{kind: evClientTimeout, subject: clientIndex, id: request.id})
 }
 
-// chooseProxy returns one of the proxies in the client's zone that the front layer takes for alive, each as likely, or
-// one of another zone where there is none; -1: there is none at all.
+// chooseProxy returns one of the available proxies in the client's zone, each with the same probability. If that zone
+// has none, it chooses among those of all zones. It returns -1 if no proxy is available.
 func (sm *simulation) chooseProxy(c *clientRequest) int32 {
 	chosen, candidates := int32(-1), 0.0
 	for _, anyZone := range []bool{false, true} {
 		for i := range sm.proxies {
 			p := &sm.proxies[i]
-			if !anyZone && p.zone != c.zone || !sm.seemsAlive(p) {
+			if !anyZone && p.zone != c.zone || !sm.isAvailable(p) {
 				continue
 			}
-			// Reservoir sampling: the n-th candidate takes the place with probability 1/n.
+			// Reservoir sampling: the n-th candidate replaces the chosen one with probability 1/n.
 			if candidates++; c.draw(uint64(i)<<8+uint64(c.attempts))*candidates < 1 {
 				chosen = int32(i)
 			}
@@ -179,15 +181,15 @@
 	return chosen
 }
 
-// seemsAlive says whether the front layer sends clients to the proxy. It learns of a crash after ProxyFailoverDelay, and of
-// an orderly stop without delay.
-func (sm *simulation) seemsAlive(p *proxy) bool {
-	isKnownDead := !p.up && sm.now-p.downSince > Time(sm.scenario.Clients.ProxyFailoverDelay)
+// isAvailable reports whether the front layer sends clients to the proxy. It detects a crash after ProxyFailoverDelay,
+// and an orderly stop without delay.
+func (sm *simulation) isAvailable(p *proxy) bool {
+	isKnownDown := !p.up && sm.now-p.downSince > Time(sm.scenario.Clients.ProxyFailoverDelay)
 	isStopping := p.stopsAt > 0 && sm.now >= p.stopsAt
-	return !isKnownDead && !isStopping
+	return !isKnownDown && !isStopping
 }
 
-// attemptTimeout is how long the client waits for its present attempt.
+// attemptTimeout returns how long the client waits for its current attempt.
 func (sm *simulation) attemptTimeout(c *clientRequest) Time {
 	class := &sm.scenario.Classes[c.class]
 	timeout := min(Time(sm.scenario.Clients.AttemptTimeoutShare*float64(class.Deadline)), c.deadline-sm.now)
@@ -197,7 +199,8 @@
 	return timeout
 }
 
-// receiveResponse is the arrival of an attempt's end at its client. The end of one that the client has given up is ignored.
+// receiveResponse handles the response or failure of an attempt at its client. It is ignored if the client no longer
+// waits for that attempt.
 func (sm *simulation) receiveResponse(clientIndex int32, proxyRequestID uint64, outcome policy.Outcome, retryAfter Time) {
 	c := sm.clientRequests.at(clientIndex)
 	if c.ended || c.currentAttempt != proxyRequestID {
@@ -210,7 +213,7 @@
 	sm.retryOrGiveUp(clientIndex, outcome, retryAfter)
 }
 
-// abandonProxyRequest has a client give up an attempt that has timed out.
+// abandonProxyRequest handles the client's time-out of an attempt.
 func (sm *simulation) abandonProxyRequest(clientIndex int32, proxyRequestID uint64) {
 	if c := sm.clientRequests.at(clientIndex); !c.ended && c.currentAttempt == proxyRequestID {
 		sm.retryOrGiveUp(clientIndex, policy.TimedOut, 0)
@@ -238,9 +241,9 @@
 	sm.schedule(next, event{kind: evRetry, subject: clientIndex, id: c.number})
 }
 
-// mayRetry says whether the client's class allows a retry: an idempotent request after any failure, one that all servers
-// deduplicate likewise within the window, others only where nothing can have been executed. Some clients retry in any
-// case.
+// mayRetry reports whether the client retries after the outcome. Idempotent requests may be retried after any failure,
+// and so may requests that all servers deduplicate, within the window. Others are retried only if they cannot have been
+// executed, except by the UnsafeRetryShare of clients, which retry after any failure.
 func (sm *simulation) mayRetry(c *clientRequest, outcome policy.Outcome) bool {
 	class := &sm.scenario.Classes[c.class]
 	switch {
@@ -262,7 +265,7 @@
 	sm.releaseClientRequest(clientIndex)
 }
 
-// releaseClientRequest gives back one reference, and the place with the last.
+// releaseClientRequest drops one reference. With the last one, the pool entry becomes free.
 func (sm *simulation) releaseClientRequest(clientIndex int32) {
 	c := sm.clientRequests.at(clientIndex)
 	if c.references > 1 {
--- a/internal/fleetsim/model/connections.go
+++ b/internal/fleetsim/model/connections.go
@@ -4,24 +4,24 @@
 type connectionPool struct {
 	generation int32 // of the server process
 	inUse      int32
-	idleSince  []Time // of the idle ones, longest idle first
+	idleSince  []Time // of the idle connections, longest idle first
 }
 
-// openConnections returns a proxy's connections to a server, without those that are gone or idle for too long.
+// openConnections returns a proxy's connection pool for a server, after removing broken and expired connections.
 func (sm *simulation) openConnections(p *proxy, s *server) *connectionPool {
 	pool := p.connections[s.index]
 	if pool == nil {
 		pool = &connectionPool{}
 		p.connections[s.index] = pool
 	}
-	if pool.generation != s.generation { // another process: the old connections are gone
+	if pool.generation != s.generation { // the server process was replaced: the old connections are broken
 		*pool = connectionPool{generation: s.generation}
 	}
 	sm.closeExpired(pool, s)
 	return pool
 }
 
-// closeExpired closes connections that have been idle for too long.
+// closeExpired closes connections that have been idle for IdleTimeout.
 func (sm *simulation) closeExpired(pool *connectionPool, s *server) {
 	expired := 0
 	for expired < len(pool.idleSince) && sm.now-pool.idleSince[expired] >= Time(sm.scenario.Connections.IdleTimeout) {
@@ -33,13 +33,13 @@
 	}
 }
 
-// closeIdleConnections closes a proxy's expired connections, once a second until its process ends.
+// closeIdleConnections closes a proxy's expired connections. It repeats once a second until the proxy's process ends.
 func (sm *simulation) closeIdleConnections(proxyIndex, generation int32) {
 	if !sm.isRunning(proxyIndex, generation) {
 		return
 	}
 	p := &sm.proxies[proxyIndex]
-	for serverIndex, pool := range p.connections { // servers do not affect each other here: any order will do
+	for serverIndex, pool := range p.connections { // the order does not matter: each server is handled by itself
 		if s := sm.servers[serverIndex]; pool.generation == s.generation {
 			sm.closeExpired(pool, s)
 		} else {
@@ -64,7 +64,7 @@
 	}
 }
 
-// releaseMode says whether a connection is kept after an attempt on it.
+// releaseMode selects whether a connection stays open after an attempt.
 type releaseMode bool
 
 const (
--- a/internal/fleetsim/model/default.go
+++ b/internal/fleetsim/model/default.go
@@ -1,7 +1,8 @@
 package model
 
-// DefaultScenario is the standard scenario: our reading of the operators' description of their quote servers
-// (four zones, two instance types, four classes, two tenants), with round figures where it gives ranges or none.
+// DefaultScenario returns the standard scenario. It models the operators' description of their quote servers: four
+// zones, two instance types, four classes, two tenants. Where the description gives a range or no figure, a round
+// figure is used.
 func DefaultScenario() Scenario {
 	ms := func(n int) Span { return Span(n) * 1000 }
 	sec := func(n int) Span { return Span(n) * 1_000_000 }
--- a/internal/fleetsim/model/discovery.go
+++ b/internal/fleetsim/model/discovery.go
@@ -6,18 +6,18 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// watchHeartbeatTimeout is the time without a heartbeat after which a proxy takes its watch for broken.
+// watchHeartbeatTimeout is the time without a heartbeat after which a proxy considers its watch broken.
 const watchHeartbeatTimeout = 5 * microsPerSecond
 
-// partitionPollInterval is how often, in microseconds, a notification that a partition delays is tried again.
+// partitionPollInterval is the retry interval, in microseconds, of a notification that a partition blocks.
 const partitionPollInterval = 250_000
 
-// discoveryService has one log of changes, and proxies are given slices of it: a thousand proxies with ten thousand servers
-// cost no more memory than one.
+// discoveryService keeps one log of changes, and proxies are given slices of it. Memory therefore does not grow with
+// the number of proxies: a thousand proxies with ten thousand servers need no more than one proxy.
 type discoveryService struct {
 	initial          []policy.Member // the full list at the start
-	changes          []policy.Member // all changes since; a version is a length of it
-	current          []policy.Member // the present state, by server index; also of servers that are gone
+	changes          []policy.Member // all changes since; a version is a length of this log
+	current          []policy.Member // the current state by server index, including servers that are gone
 	generations      []int32         // of the latest process known, by server index
 	listCache        []policy.Member // the full list at version listCacheVersion
 	listCacheVersion int
@@ -34,7 +34,8 @@
 	d.listCache = d.initial
 }
 
-// add lists a new server, of which nothing is known yet: its first start will be a change.
+// add adds a server that has not started, with mode gone and generation -1, so that its first start is recorded as a
+// change.
 func (d *discoveryService) add(s *server) {
 	d.current = append(d.current, s.member(policy.ModeGone))
 	d.generations = append(d.generations, -1)
@@ -42,7 +43,7 @@
 
 func (d *discoveryService) version() int { return len(d.changes) }
 
-// list is the full list at the present version.
+// list returns the full list at the current version.
 func (d *discoveryService) list() []policy.Member {
 	if d.listCacheVersion != d.version() {
 		d.listCache, d.listCacheVersion = nil, d.version()
@@ -55,7 +56,7 @@
 	return d.listCache
 }
 
-// listAt is the full list as it was at a version.
+// listAt returns the full list as of a version.
 func (d *discoveryService) listAt(version int) []policy.Member {
 	if version == 0 {
 		return d.initial
@@ -79,7 +80,7 @@
 	return slices.DeleteFunc(list, func(m policy.Member) bool { return m.Mode == policy.ModeGone })
 }
 
-// scheduleDiscoveryUpdate lets discovery learn of a server's new mode after a delay.
+// scheduleDiscoveryUpdate schedules the update of discovery with a server's new mode after a delay.
 func (sm *simulation) scheduleDiscoveryUpdate(s *server, mode policy.Mode, delay Span) {
 	sm.schedule(sm.now+Time(delay), event{kind: evDiscoveryUpdate, subject: s.index, number: s.generation, code: uint8(mode),
 		id: uint64(s.startedAt)})
@@ -109,17 +110,18 @@
 func (sm *simulation) scheduleNotification(proxyIndex int32) {
 	p := &sm.proxies[proxyIndex]
 	if p.notificationPending {
-		return // it will bring this change as well
+		return // the pending notification will include this change
 	}
 	p.notificationPending = true
 	delay := Time(sm.networkRand.Float64()*float64(sm.scenario.Discovery.NotifyJitter)) + sm.discoveryDelay(p)
 	sm.schedule(sm.nextTick(sm.now+delay), event{kind: evNotifyProxy, subject: proxyIndex, number: p.generation})
 }
 
-// discoveryDelay draws the time of a message between a proxy and discovery, which is in zone 0.
+// discoveryDelay draws the network delay of a message between a proxy and discovery, which is in zone 0.
 func (sm *simulation) discoveryDelay(p *proxy) Time { return sm.networkDelay(p.zone, 0) }
 
-// notifyProxy sends a watching proxy the changes that it does not have, once no partition is in the way.
+// notifyProxy sends a watching proxy the changes that it does not have. While a partition separates it from discovery,
+// notifyProxy retries.
 func (sm *simulation) notifyProxy(proxyIndex, generation int32) {
 	if !sm.isRunning(proxyIndex, generation) {
 		return
@@ -138,7 +140,7 @@
 	sm.sendMembership(proxyIndex)
 }
 
-// sendMembership gives a proxy the changes since its version, or the full list where that may be shorter.
+// sendMembership gives a proxy the changes since its version, or the full list if there are more changes than servers.
 func (sm *simulation) sendMembership(proxyIndex int32) {
 	p, d := &sm.proxies[proxyIndex], &sm.discovery
 	members := d.changes[p.listVersion:len(d.changes):len(d.changes)]
@@ -153,8 +155,8 @@
 	sm.deliver(proxyIndex)
 }
 
-// subscribe is a proxy's call to discovery, which answers calls one after another and fails those that would wait for
-// longer than the time limit.
+// subscribe carries out a node's SubscribeDiscovery. Discovery answers calls one after another. A call that would wait
+// longer than CallTimeout fails.
 func (sm *simulation) subscribe(proxyIndex int32) {
 	p, d, config := &sm.proxies[proxyIndex], &sm.discovery, &sm.scenario.Discovery
 	sm.observe(Record{Kind: DiscoveryCalled, Proxy: proxyIndex})
@@ -175,8 +177,8 @@
 	}
 }
 
-// receiveSubscribeResult is the end of a proxy's call to discovery: from now on it has a watch and is given the list, or it
-// is notified that the call failed.
+// receiveSubscribeResult handles the end of a proxy's call to discovery. On success the proxy has a watch from now on
+// and is given the membership; on failure it is notified that the call failed.
 func (sm *simulation) receiveSubscribeResult(e *event) {
 	proxyIndex, generation := e.subject, e.number
 	if !sm.isRunning(proxyIndex, generation) {
@@ -195,7 +197,7 @@
 	sm.sendMembership(proxyIndex)
 }
 
-// watchEnd is why a proxy has no watch.
+// watchEnd is the reason why a proxy has no watch.
 type watchEnd bool
 
 const (
@@ -215,7 +217,8 @@
 	sm.deliver(proxyIndex)
 }
 
-// expirePartitionedWatches schedules the end of the watches that a new partition affects: their proxies miss heartbeats.
+// expirePartitionedWatches schedules the end of the watches that a new partition affects, because their proxies miss
+// heartbeats.
 func (sm *simulation) expirePartitionedWatches() {
 	for i := range sm.proxies {
 		if p := &sm.proxies[i]; p.up && p.watching && sm.isDiscoveryPartitioned(int32(i)) {
--- a/internal/fleetsim/model/endpoint.go
+++ b/internal/fleetsim/model/endpoint.go
@@ -8,10 +8,10 @@
 	Number int // of the zone, proxy or server, from 0
 }
 
-// EndpointKind is a kind of endpoint, as files name it.
+// EndpointKind is a kind of endpoint, by its name in files.
 type EndpointKind string
 
-// The kinds of endpoint. The first three need a number.
+// The kinds of endpoint. The first three have a number.
 const (
 	EndpointZone      EndpointKind = "zone"
 	EndpointProxy     EndpointKind = "proxy"
@@ -21,7 +21,8 @@
 	EndpointDiscovery EndpointKind = "discovery"
 )
 
-// ParseEndpoint reads an endpoint as files name it: "zone:2", "proxy:0", "server:7", "proxies", "servers", "discovery".
+// ParseEndpoint parses an endpoint as files write it: "zone:2", "proxy:0", "server:7", "proxies", "servers",
+// "discovery".
 func ParseEndpoint(text string) (Endpoint, error) {
 	switch kind := EndpointKind(text); kind {
 	case EndpointProxies, EndpointServers, EndpointDiscovery:
--- a/internal/fleetsim/model/eventqueue.go
+++ b/internal/fleetsim/model/eventqueue.go
@@ -7,15 +7,15 @@
 	ringSize   = 8192 // buckets, about 16 s
 )
 
-// eventQueue is a calendar queue (Brown, "Calendar queues", CACM 1988) in the ladder form: events of the present bucket
-// are in a heap, those of the next 16 s unsorted in a ring of buckets, later ones in a heap of their own. Each event is
-// sorted among the few of its own two milliseconds only, so the cost does not grow with the number of pending events.
-// The order is total: by time, then by the order of scheduling.
+// eventQueue is a calendar queue (Brown, "Calendar queues", CACM 1988) in the ladder form. Events of the current bucket
+// are in a heap, those of the next 16 s are unsorted in a ring of buckets, and later ones are in a second heap. An
+// event within the ring's range is sorted only among the events of its own bucket (2 ms), so its cost does not grow
+// with the number of pending events. The order is total: by time, then by the order of scheduling.
 type eventQueue struct {
-	now    []event // heap: the present bucket and before
+	now    []event // heap: events up to the end of the current bucket
 	ring   [][]event
 	used   []uint64 // bitmap of the buckets with events
-	far    []event  // heap: past the ring
+	far    []event  // heap: events beyond the ring
 	bucket int64
 	seq    uint64
 	size   int
@@ -32,7 +32,7 @@
 	q.put(e)
 }
 
-// put places an event that has its sequence number.
+// put inserts an event whose sequence number is set.
 func (q *eventQueue) put(e event) {
 	switch k := e.at >> bucketBits; {
 	case k <= q.bucket:
@@ -46,7 +46,7 @@
 	}
 }
 
-// pop takes the earliest event; false: there is none.
+// pop removes and returns the earliest event. It returns false if the queue is empty.
 func (q *eventQueue) pop() (event, bool) {
 	for len(q.now) == 0 {
 		if !q.advance() {
@@ -81,7 +81,7 @@
 	return true
 }
 
-// nextUsed is the number of the first bucket after the present one with events; -1: there is none.
+// nextUsed returns the number of the first bucket in the ring, after the current one, that has events, or -1.
 func (q *eventQueue) nextUsed() int64 {
 	start := (q.bucket + 1) & (ringSize - 1)
 	for step := int64(0); step <= ringSize/64; step++ {
@@ -98,8 +98,8 @@
 	return -1
 }
 
-// heapPush adds to a heap of four children a node: the children of a node share cache lines, and the heap is half as
-// deep as a binary one.
+// heapPush adds an event to a 4-ary heap. The children of a node share cache lines, and the heap is half as deep as a
+// binary one.
 func heapPush(h *[]event, e event) {
 	*h = append(*h, e)
 	s := *h
--- a/internal/fleetsim/model/eventqueue_test.go
+++ b/internal/fleetsim/model/eventqueue_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestEventQueue_Order compares the queue with a sorted list: times near and far, many of the same microsecond, pushes
-// between pops. Events of the same time come in the order of their scheduling.
+// TestEventQueue_Order compares the queue with a sorted list. Times are near and far, many events share a microsecond,
+// and pushes and pops alternate. Events of the same time must be popped in the order in which they were pushed.
 func TestEventQueue_Order(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := newEventQueue()
--- a/internal/fleetsim/model/events.go
+++ b/internal/fleetsim/model/events.go
@@ -2,24 +2,24 @@
 
 import "pumiceline/internal/standalone/policy"
 
-// event is something that will happen. Its payload is a few numbers, so that millions can be pending without a pointer
-// for the garbage collector to follow. eventKind says what the numbers are.
+// event is a scheduled event. Its payload is a few numbers, so that millions of events can be pending without a pointer
+// for the garbage collector to follow. The meaning of the numbers depends on the kind.
 type event struct {
 	at      Time
-	seq     uint64 // order of scheduling: the order of events of the same microsecond
+	seq     uint64 // order of scheduling; orders events of the same microsecond
 	kind    eventKind
 	code    uint8 // a small number beside the subject: an attempt's number, an outcome, a mode, a phase
 	subject int32 // index of the client request, proxy request, server attempt, proxy, server or fault
-	number  int32 // mostly the generation of the subject: an event of an earlier one is ignored
+	number  int32 // mostly the subject's generation: events of an earlier generation are ignored
 	id      uint64
 }
 
-// before is the order in which events happen.
+// before reports whether e is handled before f.
 func (e *event) before(f *event) bool { return e.at < f.at || e.at == f.at && e.seq < f.seq }
 
 func (e *event) outcome() policy.Outcome { return policy.Outcome(e.code) }
 
-// eventKind is a kind of event. In brackets are the fields that count besides at and subject.
+// eventKind is a kind of event. The brackets list the fields that are used besides at and subject.
 type eventKind uint8
 
 // Events of clients. The subject is a client request.
@@ -27,16 +27,16 @@
 	evArrival         eventKind = iota + 1 // the next client request starts []
 	evRetry                                // a client sends its request again [id=its number]
 	evReceiveResponse                      // a response arrives [number=Retry-After code=outcome id=proxy request]
-	evClientTimeout                        // the client gives up the proxy request [id=proxy request]
+	evClientTimeout                        // the client's attempt times out [id=proxy request]
 )
 
-// Events of proxies. The subject is a proxy where nothing else is said.
+// Events of proxies. The subject is a proxy unless the brackets name another.
 const (
 	evReceiveRequest  eventKind = iota + 32 // a request arrives at its proxy [subject=proxy request id]
-	evReceiveOutcome                        // an attempt's end arrives at its proxy [subject=server attempt]
-	evAttemptTimeout                        // an attempt's time is up [subject=proxy request code=attempt id]
+	evReceiveOutcome                        // a response or failure arrives at its proxy [subject=server attempt]
+	evAttemptTimeout                        // an attempt times out [subject=proxy request code=attempt id]
 	evAttemptFailed                         // an attempt has failed [subject=proxy request code=attempt number=outcome id]
-	evRequestExpired                        // a request had no response within the grace [subject=proxy request id]
+	evRequestExpired                        // the response grace has passed [subject=proxy request id]
 	evTimer                                 // a node's timer fires [number=generation id=the node's]
 	evCloseIdle                             // idle connections are closed [number=generation]
 	evPollResult                            // a load poll's result arrives [number=generation id=server]
@@ -48,15 +48,15 @@
 	evProxyStart                            // a proxy starts []
 )
 
-// Events of servers, discovery and the simulation. The subject is a server where nothing else is said.
+// Events of servers, discovery and the simulation. The subject is a server unless the brackets name another.
 const (
 	evArriveAtServer     eventKind = iota + 64 // an attempt arrives at its server [subject=server attempt]
-	evServerProgress                           // a server may have completed something []
+	evServerProgress                           // a server may have completed an attempt []
 	evDownstreamWaitOver                       // other services have answered [subject=server attempt code=outcome]
 	evPauseStart                               // the server's pause starts [number=generation]
-	evPauseEnd                                 // and ends [number=generation]
+	evPauseEnd                                 // the server's pause ends [number=generation]
 	evServerStart                              // a server process starts []
-	evServerStop                               // a draining process exits [number=generation code=1: a successor follows]
+	evServerStop                               // a draining process exits [number=generation code=1: a successor starts]
 	evDiscoveryUpdate                          // discovery learns of a change [number=generation code=mode id=start]
 	evFault                                    // a step of a fault [subject=fault code=phase number=step]
 	evSampleLoad                               // the servers' load is recorded, once a second []
@@ -132,7 +132,7 @@
 	case evArriveAtServer:
 		sm.arriveAtServer(e.subject)
 	case evServerProgress:
-		if s := sm.servers[e.subject]; s.nextWakeup == e.at { // else it was rescheduled to an earlier time
+		if s := sm.servers[e.subject]; s.nextWakeup == e.at { // otherwise it was rescheduled to an earlier time
 			s.nextWakeup = 0
 			sm.processServer(s)
 		}
