--- a/internal/fleetsim/model/fault.go
+++ b/internal/fleetsim/model/fault.go
@@ -2,7 +2,7 @@
 
 import "math/rand/v2"
 
-// Fault is a fault that is injected for a time.
+// Fault is an injected fault with a start and a duration.
 type Fault struct {
 	Kind          FaultKind `toml:"kind" json:"kind"`
 	Start         Span      `toml:"at" json:"at"`
@@ -12,13 +12,13 @@
 	Interval      Span      `toml:"every" json:"every"`         // period, drain time or downtime; see FaultKinds
 	From          string    `toml:"from" json:"from"`           // an endpoint, see ParseEndpoint; required for a partition
 	To            string    `toml:"to" json:"to"`               // of a partition
-	NewIDs        bool      `toml:"fresh_ids" json:"fresh_ids"` // of a deploy: successors come under new ids
+	NewIDs        bool      `toml:"fresh_ids" json:"fresh_ids"` // of a deploy: successors get new ids
 }
 
-// FaultKind is a kind of fault, as files name it.
+// FaultKind is a kind of fault, by its name in files.
 type FaultKind string
 
-// The kinds of fault; FaultKinds says what they do.
+// The kinds of fault. FaultKinds describes them.
 const (
 	FaultHang                FaultKind = "hang"
 	FaultErrors              FaultKind = "fast_errors"
@@ -40,7 +40,7 @@
 	FaultTenantFlood         FaultKind = "flood"
 )
 
-// FaultKinds says of each kind what it does and what its fields mean, by their keys in files.
+// FaultKinds describes each kind: what it does and what its fields mean, by their keys in files.
 var FaultKinds = map[FaultKind]string{
 	FaultHang:           "part of the servers accept work and answer nothing",
 	FaultErrors:         "part of the servers fail a share (size) of their requests at once",
@@ -64,13 +64,14 @@
 	FaultTenantFlood: "one tenant (the first) sends size times its traffic",
 }
 
-// randomFaultKinds are the kinds that randomFaults draws from; their order is part of what a seed means.
+// randomFaultKinds are the kinds that randomFaults draws from. Their order must not change: it determines the results
+// of a seed.
 var randomFaultKinds = []FaultKind{FaultHang, FaultErrors, FaultNoisyNeighbour, FaultSlowdown, FaultReportDelay,
 	FaultDeploy, FaultRestart, FaultZoneIsolated, FaultDiscoveryOutage, FaultReconnectStorm, FaultProxyKill, FaultRetryStorm,
 	FaultTenantFlood}
 
-// randomFaults draws RandomFaults faults of different kinds, of sizes that the operators have recorded. Each ends before
-// the run does.
+// randomFaults draws RandomFaults faults of different kinds. Their sizes lie within what the operators have recorded.
+// Each fault ends before the end of the run.
 func (sc *Scenario) randomFaults(rng *rand.Rand) []Fault {
 	between := func(low, high float64) float64 { return low + (high-low)*rng.Float64() }
 	length := float64(sc.Duration)
--- a/internal/fleetsim/model/faults_test.go
+++ b/internal/fleetsim/model/faults_test.go
@@ -9,8 +9,8 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// TestRun_EffectRepeatedByUnsafeClientRetry lets clients retry keyed requests while the first attempt hangs: the
-// checker must find the repeated effect, and that the client caused it.
+// TestRun_EffectRepeatedByUnsafeClientRetry lets clients retry keyed requests while the first attempt hangs at its
+// server. The checker must report the repeated effect and name the client's retry as its cause.
 func TestRun_EffectRepeatedByUnsafeClientRetry(t *testing.T) {
 	for _, unsafeRetries := range []float64{0, 1} {
 		sc := model.DefaultScenario()
@@ -22,7 +22,7 @@
 		}
 		rep, _ := check.Report()
 		if !rep.HasNoViolations() {
-			t.Errorf("the proxies kept the rules, the checker found %v", rep.Violations)
+			t.Errorf("want no violations by the proxies, the checker reports %v", rep.Violations)
 		}
 		if (rep.RepeatedEffects > 0) != (unsafeRetries > 0) {
 			t.Errorf("unsafe retries %v: %d repeated effects", unsafeRetries, rep.RepeatedEffects)
@@ -36,6 +36,7 @@
 }
 
 // TestRun_OverloadedDrainingServerHasSuccessor overloads draining servers that are still cold from an earlier deploy.
+// At least one draining server that crashes must have a successor 500 ms later.
 func TestRun_OverloadedDrainingServerHasSuccessor(t *testing.T) {
 	sc := model.DefaultScenario()
 	sc.Duration, sc.Load = 20*sec, 0.25
@@ -44,7 +45,7 @@
 		{Kind: model.FaultDeploy, Start: 5 * sec, Duration: 1 * sec, AffectedShare: 1, Magnitude: 1, Interval: 8 * sec},
 		{Kind: model.FaultTenantFlood, Start: 6 * sec, Duration: 4 * sec, Magnitude: 8},
 	}
-	sc.Discovery.DrainDelay = 20 * sec // so that they get requests while they drain
+	sc.Discovery.DrainDelay = 20 * sec // so that draining servers still get requests
 	overloadedAt, followed := map[uint32]model.Time{}, 0
 	if _, err := model.Run(&sc, 4, baseline.NewFactory(baseline.PolicyRandom), observerFunc(func(r *model.Record) {
 		switch r.Kind {
@@ -63,7 +64,7 @@
 	}
 }
 
-// fleetRun is what a fault did to a fleet of 16 servers and 20 proxies in 4 zones.
+// fleetRun records the effects of a fault on a fleet of 16 servers and 20 proxies in 4 zones.
 type fleetRun struct {
 	report           *checker.Report
 	serversStarted   map[uint8]int  // by zone
@@ -108,7 +109,7 @@
 	return run
 }
 
-// All servers of a lost zone, and no others, are back cold after the time.
+// All servers of a lost zone, and no others, restart cold after the interval.
 func TestRun_ZoneLost(t *testing.T) {
 	run := runFleetFault(t, model.Fault{Kind: model.FaultZoneLost, Start: 5 * sec, Interval: 3 * sec, From: "zone:2"})
 	if len(run.serversStarted) != 1 || run.serversStarted[2] < 4 {
@@ -116,14 +117,14 @@
 	}
 }
 
-// Stopping proxies get no clients, lose no request, and start anew.
+// A rolling restart stops and restarts every proxy. Stopping proxies get no new clients, so hardly any request fails.
 func TestRun_ProxyRoll(t *testing.T) {
 	run := runFleetFault(t, model.Fault{Kind: model.FaultProxyRoll, Start: 2 * sec, Duration: 10 * sec,
 		AffectedShare: 1, Magnitude: 0.2, Interval: sec / 2})
 	report := run.report
 	if len(run.proxiesRestarted) != 20 || run.proxiesStopped != 20 || report.Responses.Failed > report.Requests/200 ||
 		report.ListedWithinP95 <= 0 {
-		t.Errorf("%d of 20 started anew, %d stopped, %d of %d requests failed, lists within %v s",
+		t.Errorf("%d of 20 restarted, %d stopped, %d of %d requests failed, lists within %v s",
 			len(run.proxiesRestarted), run.proxiesStopped, report.Responses.Failed, report.Requests, report.ListedWithinP95)
 	}
 }
@@ -138,7 +139,7 @@
 	}
 }
 
-// Successors under new ids are listed and get requests.
+// Successors with new ids are listed and get requests.
 func TestRun_DeployWithNewIDs(t *testing.T) {
 	run := runFleetFault(t, model.Fault{Kind: model.FaultDeploy, Start: 2 * sec, Duration: 2 * sec, AffectedShare: 1,
 		Magnitude: 1, Interval: sec, NewIDs: true})
--- a/internal/fleetsim/model/faultschedule.go
+++ b/internal/fleetsim/model/faultschedule.go
@@ -6,23 +6,23 @@
 	"slices"
 )
 
-// faultPhase is a step in the course of a fault. All of them are scheduled at the start of the run.
+// faultPhase is the start, the end or a step of a fault. All phases are scheduled at the start of the run.
 type faultPhase uint8
 
 const (
 	faultStart faultPhase = iota
 	faultEnd
-	faultStep // of the kinds that have steps, from the start on
+	faultStep // only of kinds with steps; the first step is at the start
 )
 
-// Once a proxy is stopped by a roll, it gets new clients for stopAcceptDelay and has exited after stopExitDelay, in
-// microseconds.
+// After a roll starts to stop a proxy, the proxy gets new clients for stopAcceptDelay and exits after stopExitDelay.
+// Both are in microseconds.
 const (
 	stopAcceptDelay = 600_000
 	stopExitDelay   = 3_700_000
 )
 
-// maxFaultSteps bounds the steps of a fault with a short interval.
+// maxFaultSteps bounds the number of steps of a fault with a short interval.
 const maxFaultSteps = 100_000
 
 // minShiftFactor keeps the traffic of a zone above 0.
@@ -45,7 +45,7 @@
 	}
 }
 
-// drawAffected returns the indexes of the servers or proxies that a fault affects, or the one of its zone.
+// drawAffected returns the indexes of the servers or proxies that a fault affects, or the index of its zone.
 func (sm *simulation) drawAffected(f *Fault, rng *rand.Rand) []int32 {
 	switch f.Kind {
 	case FaultPartition, FaultDiscoveryOutage, FaultRetryStorm, FaultTenantFlood:
@@ -76,12 +76,12 @@
 	return drawn
 }
 
-// drawZone returns the zone that a fault names, or a drawn one. It draws in either case, so that naming the zone leaves
-// the other faults as they are.
+// drawZone returns the zone that a fault names, or a drawn one. It draws in either case, so that naming the zone does
+// not change what is drawn for the other faults.
 func (sm *simulation) drawZone(f *Fault, rng *rand.Rand) int32 {
 	zone := int32(rng.IntN(sm.scenario.Zones))
 	if f.From != "" {
-		endpoint, _ := ParseEndpoint(f.From) // Validate has read it
+		endpoint, _ := ParseEndpoint(f.From) // Validate has checked it
 		zone = int32(endpoint.Number % sm.scenario.Zones)
 	}
 	return zone
@@ -104,7 +104,7 @@
 	return 0, 0
 }
 
-// faultBatchSize is how many servers or proxies a step of a deploy or a roll replaces.
+// faultBatchSize returns how many servers or proxies one step of a deploy or a roll replaces.
 func (sm *simulation) faultBatchSize(f *Fault) int {
 	n := sm.scenario.Servers
 	if f.Kind == FaultProxyRoll {
@@ -113,7 +113,7 @@
 	return max(1, int(math.Round(f.Magnitude*float64(n))))
 }
 
-// faultEvent is one phase of a fault as it is carried out.
+// faultEvent is one phase of a fault that is being applied.
 type faultEvent struct {
 	*Fault
 	index    int32 // of the fault
@@ -124,7 +124,7 @@
 
 func (f *faultEvent) isStart() bool { return f.phase == faultStart }
 
-// change is 1 where the fault starts and -1 where it ends: what it adds to a count of the faults in force.
+// change returns the change to a count of faults in force: 1 at the start of the fault, -1 at its end.
 func (f *faultEvent) change() int {
 	if f.isStart() {
 		return 1
@@ -132,7 +132,7 @@
 	return -1
 }
 
-// valueInForce is x from the start of the fault and 0 from its end.
+// valueInForce returns x at the start of the fault and 0 at its end.
 func (f *faultEvent) valueInForce(x float64) float64 {
 	if f.isStart() {
 		return x
@@ -183,7 +183,7 @@
 		sm.applyRetryStorm(f)
 	case FaultTenantFlood:
 		sm.floodFactor = max(1, f.valueInForce(f.Magnitude))
-	case FaultDeploy, FaultProxyRoll, FaultReconnectStorm: // they act in their steps alone
+	case FaultDeploy, FaultProxyRoll, FaultReconnectStorm: // applied by applyFaultStep
 	}
 }
 
@@ -215,13 +215,13 @@
 	}
 }
 
-// faultBatch returns what the present step of a deploy or a roll replaces.
+// faultBatch returns the indexes of the servers or proxies that the current step of a deploy or a roll replaces.
 func (sm *simulation) faultBatch(f *faultEvent) []int32 {
 	size := sm.faultBatchSize(f.Fault)
 	return f.affected[f.step*size : min(len(f.affected), (f.step+1)*size)]
 }
 
-// changeServers changes something about the affected servers that their rate may depend on.
+// changeServers applies a change to the affected servers and reschedules them, as the change may affect their rate.
 func (sm *simulation) changeServers(f *faultEvent, change func(*server)) {
 	for _, serverIndex := range f.affected {
 		s := sm.servers[serverIndex]
@@ -250,7 +250,7 @@
 
 func (sm *simulation) applyPartition(f *faultEvent) {
 	if f.isStart() {
-		a, _ := ParseEndpoint(f.From) // Validate has read both
+		a, _ := ParseEndpoint(f.From) // Validate has checked both
 		b, _ := ParseEndpoint(f.To)
 		sm.partitions = append(sm.partitions, partition{f.index, a, b})
 	} else {
@@ -290,7 +290,8 @@
 
 func (sm *simulation) applyZoneShift(f *faultEvent) {
 	zone, factor := f.affected[0], max(minShiftFactor, f.Magnitude)
-	// The order of division and multiplication fixes the rounding, and so the bytes of stored results.
+	// The order of division and multiplication determines the rounding. Another order changes the bytes of stored
+	// results.
 	if sm.zoneWeights[zone] /= factor; f.isStart() {
 		sm.zoneWeights[zone] *= factor * factor
 	}
--- a/internal/fleetsim/model/internal_test.go
+++ b/internal/fleetsim/model/internal_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// A server caches a key for the TTL and CapacityPerCore keys for each core, and evicts the least recently used one first.
+// A server caches a key for the TTL and CapacityPerCore keys for each core, and evicts the least recently used one
+// first.
 func TestServer_KeyCache(t *testing.T) {
 	sc := DefaultScenario()
-	sc.Keys = Keys{Count: 10, HitSavings: 0.6, TTL: 2e6, CapacityPerCore: 2} // on two cores: four places
+	sc.Keys = Keys{Count: 10, HitSavings: 0.6, TTL: 2e6, CapacityPerCore: 2} // capacity 4 on two cores
 	sm, s := &simulation{scenario: &sc}, &server{instanceType: &InstanceType{Cores: 2}}
 	for i, c := range []struct {
 		at  Time
@@ -25,12 +26,12 @@
 		{4_700_002, 4, true},
 	} {
 		if sm.now = c.at; sm.lookUpKey(s, c.key) != c.hit {
-			t.Errorf("use %d: key %d is a hit: %v", i, c.key, !c.hit)
+			t.Errorf("lookup %d: key %d: hit is %v", i, c.key, !c.hit)
 		}
 	}
 }
 
-// A scenario on a slower clock has all its times longer and nothing else changed; the original stays as it is.
+// TimeScaled multiplies all times and changes nothing else. The original scenario is not modified.
 func TestScenario_TimeScaled(t *testing.T) {
 	sc := DefaultScenario()
 	sc.Faults = []Fault{{Kind: FaultReportDelay, Start: 4e6, Magnitude: 1.5}}
@@ -38,6 +39,6 @@
 		x.Published.WarmupTime != 2*sc.Published.WarmupTime || x.Faults[0].Magnitude != 3 ||
 		x.Faults[0].Start != 8e6 || x.Load != sc.Load ||
 		sc.Classes[1].LatencyTarget != DefaultScenario().Classes[1].LatencyTarget {
-		t.Errorf("twice as slow: %+v", x)
+		t.Errorf("scaled by 2: %+v", x)
 	}
 }
--- a/internal/fleetsim/model/lifecycle.go
+++ b/internal/fleetsim/model/lifecycle.go
@@ -5,12 +5,12 @@
 const (
 	// successorDelay is the time from the end of a server to the start of its successor, in microseconds.
 	successorDelay = 500_000
-	// drainDelayDivisor: discovery knows of a drain and of an orderly end after this part of Discovery.DrainDelay. Stored
-	// scenarios have the undivided value.
+	// drainDelayDivisor divides Discovery.DrainDelay: discovery learns of a drain or an orderly exit after the
+	// quotient. Stored scenarios contain the undivided value.
 	drainDelayDivisor = 4
 )
 
-// exitKind says how a server process ends.
+// exitKind is the way in which a server process ends.
 type exitKind bool
 
 const (
@@ -18,7 +18,7 @@
 	crash       exitKind = false
 )
 
-// stopServer ends a server's process: its requests and connections break.
+// stopServer ends a server's process and resets its requests and connections.
 func (sm *simulation) stopServer(s *server, kind exitKind) {
 	if s.state == stateDown {
 		return
@@ -44,7 +44,7 @@
 	s.generation++
 }
 
-// startServer starts a cold process under a server's id.
+// startServer starts a new, cold process of a server.
 func (sm *simulation) startServer(s *server) {
 	if s.state != stateDown {
 		return
@@ -58,7 +58,8 @@
 	sm.schedulePause(s)
 }
 
-// overloadServer crashes a cold server whose work exceeds the bound of crashesFromOverload.
+// overloadServer crashes a cold server whose work exceeds the bound of crashesFromOverload. A draining server is
+// followed by its successor after successorDelay. Any other server restarts after Downtime, if that is not 0.
 func (sm *simulation) overloadServer(s *server) {
 	sm.observe(Record{Kind: ServerOverloaded, Server: s.id})
 	hasSuccessor := s.willBeReplaced
@@ -70,7 +71,8 @@
 	}
 }
 
-// drainServer has a server complete its requests for drainTime; then its successor starts.
+// drainServer stops new requests to a server. It may complete its open requests for drainTime; then its process ends
+// and its successor starts.
 func (sm *simulation) drainServer(s *server, drainTime Time, successorHasNewID bool) {
 	if s.state != stateUp {
 		return
@@ -80,7 +82,7 @@
 	sm.schedule(sm.now+drainTime, event{kind: evServerStop, subject: s.index, number: s.generation, code: 1})
 }
 
-// startSuccessor schedules the start of a server's successor, under its id or a new one.
+// startSuccessor schedules the start of a server's successor, with the same id or a new one.
 func (sm *simulation) startSuccessor(s *server) {
 	s.willBeReplaced = false
 	if s.successorHasNewID {
@@ -100,8 +102,8 @@
 	}
 }
 
-// startPause stops all requests of a server, as a garbage collector does. The pause is longer the more requests it has: up
-// to one and a half times as long with all slots in use, and longer with a queue.
+// startPause pauses all requests of a server, as a garbage collector does. The pause grows with the open requests:
+// up to one and a half times as long with all slots in use, and longer with a queue.
 func (sm *simulation) startPause(s *server, generation int32) {
 	if s.generation != generation || s.state == stateDown {
 		return
--- a/internal/fleetsim/model/loadreport.go
+++ b/internal/fleetsim/model/loadreport.go
@@ -6,16 +6,16 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// reportColumns is how many values a load report has: utilization, requests and errors a second.
+// reportColumns is the number of values in a load report: utilization, requests per second and errors per second.
 const reportColumns = 3
 
-// reportHistory is the ring of a server's last load reports; count is of all that it has had.
+// reportHistory is a ring of a server's latest load reports. count is the number of all reports since its start.
 type reportHistory struct {
 	ring  [8]loadReport
 	count int
 }
 
-// loadReport is what a server measured up to a time; see reportColumns.
+// loadReport contains the measurements of a server up to a time; see reportColumns.
 type loadReport struct {
 	at     Time
 	values [reportColumns]float32
@@ -26,7 +26,7 @@
 	h.ring[h.count%len(h.ring)] = r
 }
 
-// latestBefore returns the latest report up to t.
+// latestBefore returns the latest report of time t or earlier; has is false if there is none.
 func (h *reportHistory) latestBefore(t Time) (values [reportColumns]float32, has bool) {
 	for i := 0; i < min(h.count, len(h.ring)); i++ {
 		if r := &h.ring[(h.count-i)%len(h.ring)]; r.at <= t {
@@ -36,7 +36,8 @@
 	return values, false
 }
 
-// currentReport returns the load report that a server gives now: refreshed once an interval, and delayed.
+// currentReport returns the load report that a server sends now. Reports are refreshed at most once per interval and
+// become available after a delay.
 func (sm *simulation) currentReport(s *server) (values [reportColumns]float32, has bool) {
 	config := &sm.scenario.Reports
 	if sm.now-s.reportedAt >= Time(config.Interval) {
@@ -45,7 +46,7 @@
 	return s.reports.latestBefore(sm.now - Time(config.Delay) - s.reportDelay)
 }
 
-// refreshReport measures a server's load since the last report, with noise.
+// refreshReport adds a report of a server's load since the last report, with noise.
 func (sm *simulation) refreshReport(s *server) {
 	sm.advanceServer(s)
 	elapsed := float64(sm.now - s.reportedAt)
@@ -57,7 +58,7 @@
 	s.resetCounts(sm.now)
 }
 
-// resetCounts starts the measurements of the next report.
+// resetCounts resets the measurements for the next report.
 func (s *server) resetCounts(now Time) {
 	s.busyTime, s.completed, s.errors, s.reportedAt = 0, 0, 0, now
 }
@@ -76,8 +77,8 @@
 		id: uint64(serverID)})
 }
 
-// receivePollResult gives a proxy the result of its load poll: the server's report, which is delayed like any, or a
-// time-out where the server hangs or is not reached.
+// receivePollResult delivers the result of a load poll to a proxy. The result is the server's report, delayed like all
+// reports, or a time-out if the server is down, hangs, pauses or cannot be reached.
 func (sm *simulation) receivePollResult(proxyIndex, generation int32, serverID uint32) {
 	if !sm.isRunning(proxyIndex, generation) {
 		return
--- a/internal/fleetsim/model/messages.go
+++ b/internal/fleetsim/model/messages.go
@@ -1,13 +1,13 @@
 package model
 
-// messageInFlight is a message on its way to one proxy.
+// messageInFlight is a message in transit to one proxy.
 type messageInFlight struct {
 	from       int32
 	generation int32 // of the recipient
 	text       []byte
 }
 
-// sendMessage sends a node's message to one proxy or to all others. Each copy is lost or delayed by itself.
+// sendMessage sends a node's message to one proxy or to all others. Each copy is lost or delayed independently.
 func (sm *simulation) sendMessage(from int32, message PeerMessage) {
 	if len(message.Text) > maxPeerMessageBytes || message.To >= len(sm.proxies) || message.To < allPeers {
 		sm.fail(from, "sends a message of %d bytes to proxy %d", len(message.Text), message.To)
--- a/internal/fleetsim/model/nodeactions.go
+++ b/internal/fleetsim/model/nodeactions.go
@@ -11,7 +11,7 @@
 	sm.executeActions(proxyIndex)
 }
 
-// executeActions carries out what a node returned, and sends its messages.
+// executeActions carries out the actions that a node returned and sends its messages.
 func (sm *simulation) executeActions(proxyIndex int32) {
 	if len(sm.actions) > maxActionsPerEvent {
 		sm.fail(proxyIndex, "answers one event with %d actions", len(sm.actions))
@@ -40,7 +40,7 @@
 		sm.subscribe(proxyIndex)
 	case policy.CloseIdleConns:
 		sm.closeIdleConnectionsTo(&sm.proxies[proxyIndex], action.Server)
-	case policy.LogMessage: // the simulator keeps no logs of nodes
+	case policy.LogMessage: // the simulator does not keep the logs of nodes
 	case policy.PollLoad:
 		sm.pollLoad(proxyIndex, action.Server)
 	default:
--- a/internal/fleetsim/model/oracle.go
+++ b/internal/fleetsim/model/oracle.go
@@ -2,22 +2,23 @@
 
 import "math"
 
-// Oracle is the true state of the servers, which no real policy can see. A policy that uses it is an upper bound.
+// Oracle gives access to the true state of the servers, which no real policy can see. A policy that uses it serves as
+// an upper bound in comparisons.
 type Oracle struct{ sim *simulation }
 
-// oracleMaxErrorRate is the error rate from which a server counts as unusable.
+// oracleMaxErrorRate is the error rate above which a server counts as unusable.
 const oracleMaxErrorRate = 0.2
 
-// Servers is how many servers there have been.
+// Servers returns the number of servers, including those that are down.
 func (o *Oracle) Servers() int { return len(o.sim.servers) }
 
-// ID is the id of the server of an index from 0.
+// ID returns the id of the server at an index, from 0.
 func (o *Oracle) ID(index int) uint32 { return o.sim.servers[index].id }
 
-// Zone is the zone of the server of an index from 0.
+// Zone returns the zone of the server at an index, from 0.
 func (o *Oracle) Zone(index int) uint8 { return o.sim.servers[index].zone }
 
-// Index is the index of the server of an id; -1: there is none.
+// Index returns the index of the server with an id, or -1 if there is none.
 func (o *Oracle) Index(id uint32) int {
 	if s := o.sim.findServer(id); s != nil {
 		return int(s.index)
@@ -25,13 +26,13 @@
 	return -1
 }
 
-// Expectation is how a server would do a request that it is sent now.
+// Expectation predicts how a server would execute a request that is sent to it now.
 type Expectation struct {
-	Time            float64 // in microseconds, until it is completed if nothing else arrives; infinite: it would not be
-	RequestsPerCore float64 // that the server would then have, with those on their way
+	Time            float64 // in microseconds to completion if no other request arrives; +Inf: it would not complete
+	RequestsPerCore float64 // of the server with this request, including those in transit
 }
 
-// Expected returns how the server would do the given work.
+// Expected predicts how the server at an index would execute a request with the given work.
 func (o *Oracle) Expected(index int, work Time) Expectation {
 	sm := o.sim
 	s := sm.servers[index]
@@ -49,8 +50,8 @@
 	return Expectation{Time: float64(work) / rate * math.Max(1, perCore), RequestsPerCore: perCore}
 }
 
-// WarmupHeadroom is how much more work a cold server can be sent now before it crashes, in microseconds; infinite for
-// others.
+// WarmupHeadroom returns how much more work, in microseconds, can be sent now to the cold server at an index before it
+// crashes, not counting SlackRequests. It returns +Inf for other servers, and if servers do not crash from overload.
 func (o *Oracle) WarmupHeadroom(index int) float64 {
 	sm := o.sim
 	s, overload := sm.servers[index], &sm.scenario.Overload
--- a/internal/fleetsim/model/partition.go
+++ b/internal/fleetsim/model/partition.go
@@ -1,12 +1,12 @@
 package model
 
-// partition is a fault in force that keeps two endpoints apart.
+// partition is a fault in force that blocks all traffic between two endpoints.
 type partition struct {
-	fault int32 // its index
+	fault int32 // index of the fault
 	a, b  Endpoint
 }
 
-// isServerPartitioned says whether a proxy and a server are partitioned from each other.
+// isServerPartitioned reports whether a proxy and a server are partitioned from each other.
 func (sm *simulation) isServerPartitioned(proxyIndex int32, s *server) bool {
 	zone := sm.proxies[proxyIndex].zone
 	return sm.areZonesPartitioned(zone, s.zone) || sm.arePartitioned(
@@ -14,7 +14,7 @@
 		func(e Endpoint) bool { return e.matchesServer(s) })
 }
 
-// isPeerPartitioned says whether two proxies are partitioned from each other.
+// isPeerPartitioned reports whether two proxies are partitioned from each other.
 func (sm *simulation) isPeerPartitioned(one, other int32) bool {
 	zone, otherZone := sm.proxies[one].zone, sm.proxies[other].zone
 	return sm.areZonesPartitioned(zone, otherZone) || sm.arePartitioned(
@@ -22,7 +22,7 @@
 		func(e Endpoint) bool { return e.matchesProxy(other, otherZone) })
 }
 
-// isDiscoveryPartitioned says whether a proxy is partitioned from discovery.
+// isDiscoveryPartitioned reports whether a proxy is partitioned from discovery.
 func (sm *simulation) isDiscoveryPartitioned(proxyIndex int32) bool {
 	p := &sm.proxies[proxyIndex]
 	return p.isolatedFromDiscovery || sm.arePartitioned(
@@ -30,7 +30,8 @@
 		func(e Endpoint) bool { return e.Kind == EndpointDiscovery })
 }
 
-// arePartitioned says whether a partition in force has one party at one end and the other party at the other.
+// arePartitioned reports whether a partition in force separates two parties. Each function reports whether an endpoint
+// includes that party.
 func (sm *simulation) arePartitioned(matchesOne, matchesOther func(Endpoint) bool) bool {
 	for i := range sm.partitions {
 		p := &sm.partitions[i]
--- a/internal/fleetsim/model/pool.go
+++ b/internal/fleetsim/model/pool.go
@@ -1,7 +1,7 @@
 package model
 
-// pool keeps values that refer to each other by index and are reused, so that the garbage collector has no pointers to
-// follow. A pointer from at is valid until the next acquire.
+// pool holds reusable values that refer to each other by index, so that the garbage collector has no pointers to
+// follow. A pointer that at returned is valid until the next acquire.
 type pool[T any] struct {
 	items []T
 	free  []int32
@@ -20,8 +20,8 @@
 	return int32(len(p.items) - 1)
 }
 
-// release lets the index be acquired again.
+// release makes the index available to acquire.
 func (p *pool[T]) release(i int32) { p.free = append(p.free, i) }
 
-// at returns the value of an index that is acquired, or was last released and not acquired again.
+// at returns the value at an index. A released value stays readable until its index is acquired again.
 func (p *pool[T]) at(i int32) *T { return &p.items[i] }
