--- a/internal/fleetsim/model/processing.go
+++ b/internal/fleetsim/model/processing.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// downstreamWaitCV is the coefficient of variation of the waits for other services.
+	// downstreamWaitCV is the coefficient of variation of a wait for other services.
 	downstreamWaitCV = 0.25
-	// finishTolerance is how far virtual time may miss a finish by rounding.
+	// finishTolerance is the rounding error allowed when virtual time is compared with a finish.
 	finishTolerance = 1e-6
-	// stalledRate is the rate up to which a server counts as stalled.
+	// stalledRate is the rate at or below which a server counts as stalled.
 	stalledRate = 1e-9
 )
 
-// warmth is the share of its capacity that a server has.
+// warmth returns the share of its warm capacity that a server has now. It clears s.cold once the server is warm.
 func (sm *simulation) warmth(s *server) float64 {
 	if !s.cold {
 		return 1
@@ -27,8 +27,9 @@
 		progress = age / float64(t.WarmupTime)
 	}
 	if t.WarmByWork {
-		// At half use it is warm after WarmupTime: over the warm-up its mean capacity is (1+InitialCapacity)/2 of the warm
-		// one, and half of that is used. Without work it is warm after the published time.
+		// A server at half utilization is warm after WarmupTime: its mean capacity during the warm-up is
+		// (1+InitialCapacity)/2 of the warm capacity, and half of that is used. Without work it is warm after the
+		// published time.
 		needed := s.warmCapacity() * float64(t.WarmupTime) * (1 + t.InitialCapacity) / 4
 		progress = math.Max(s.warmupWork/math.Max(needed, 1), age/math.Max(1, float64(sm.scenario.Published.WarmupTime)))
 	}
@@ -39,7 +40,7 @@
 	return t.InitialCapacity + (1-t.InitialCapacity)*progress
 }
 
-// advanceServer accounts a server's work up to now.
+// advanceServer accounts for a server's work up to now.
 func (sm *simulation) advanceServer(s *server) {
 	if elapsed := float64(sm.now - s.virtualTimeAt); elapsed > 0 {
 		s.virtualTime += s.ratePerRequest * elapsed
@@ -48,8 +49,8 @@
 	s.virtualTimeAt = sm.now
 }
 
-// rescheduleServer is called after each change of what a server executes or of its capacity: it sets the new rate and
-// schedules the next completion.
+// rescheduleServer sets a server's rate and schedules its next completion. It must be called after each change of the
+// requests that the server executes or of its capacity.
 func (sm *simulation) rescheduleServer(s *server) {
 	s.ratePerRequest = 0
 	if len(s.slots) == 0 {
@@ -59,7 +60,7 @@
 		s.ratePerRequest = sm.currentRate(s)
 	}
 	if s.ratePerRequest <= stalledRate {
-		return // it is rescheduled when the fault or the pause that stalls it ends
+		return // rescheduled when the fault or pause that stalls the server ends
 	}
 	next := sm.now + max(1, Time(math.Ceil((s.slots[0].finish-s.virtualTime)/s.ratePerRequest)))
 	if s.nextWakeup == 0 || next < s.nextWakeup {
@@ -68,13 +69,13 @@
 	}
 }
 
-// coreRate is the rate of one core of a server, in standard cores, as its warm-up and faults leave it.
+// coreRate returns the rate of one core of a server, in standard cores, reduced by its warm-up and by faults.
 func (sm *simulation) coreRate(s *server) float64 {
 	return s.speed * sm.warmth(s) * (1 - s.stolenShare) * (1 - s.slowdown)
 }
 
-// currentRate is the rate of each request in a slot, in standard cores: a core, or its part of the cores, less what
-// crowding beyond the knee and the connection table take.
+// currentRate returns the rate of each request in a slot, in standard cores: one core, or an equal share of the cores
+// if there are more requests than cores, reduced by crowding beyond the knee and by the connection table.
 func (sm *simulation) currentRate(s *server) float64 {
 	t := s.instanceType
 	executing := len(s.slots)
@@ -88,7 +89,7 @@
 	return math.Max(0, rate)
 }
 
-// processServer completes the requests whose finish has passed and starts queued ones in their slots.
+// processServer completes the requests whose finish has passed and moves queued requests into the free slots.
 func (sm *simulation) processServer(s *server) {
 	sm.advanceServer(s)
 	for len(s.slots) > 0 && s.slots[0].finish <= s.virtualTime+finishTolerance {
@@ -102,7 +103,8 @@
 	sm.rescheduleServer(s)
 }
 
-// completeAttempt ends the server's own work for an attempt, which may wait for other services then.
+// completeAttempt ends the server's own work for an attempt. The attempt then waits for other services, if its class
+// has such a wait, or is answered.
 func (sm *simulation) completeAttempt(s *server, attemptIndex int32) {
 	attempt := sm.serverAttempts.at(attemptIndex)
 	c := sm.clientRequests.at(attempt.clientRequest)
@@ -125,24 +127,25 @@
 	sm.returnAttempt(attemptIndex, outcome, respondedByServer)
 }
 
-// endDownstreamWait answers an attempt that has waited for other services.
+// endDownstreamWait answers an attempt after its wait for other services.
 func (sm *simulation) endDownstreamWait(attemptIndex int32, outcome policy.Outcome) {
 	if attempt := sm.serverAttempts.at(attemptIndex); sm.servers[attempt.server].generation != attempt.serverGeneration {
-		sm.returnAttempt(attemptIndex, policy.ConnectionReset, connectionLost) // its process has ended meanwhile
+		sm.returnAttempt(attemptIndex, policy.ConnectionReset, connectionLost) // the server process ended during the wait
 		return
 	}
 	sm.returnAttempt(attemptIndex, outcome, respondedByServer)
 }
 
-// returnMode is how an attempt ends.
+// returnMode says whether an attempt ends with a response or with a broken connection.
 type returnMode bool
 
 const (
-	respondedByServer returnMode = true  // on a connection that stays
-	connectionLost    returnMode = false // the network: the connection is gone
+	respondedByServer returnMode = true  // the connection stays open
+	connectionLost    returnMode = false // the connection broke or was never established
 )
 
-// returnAttempt sends an attempt's end back to its proxy, with the server's load report if it is the server's response.
+// returnAttempt sends an attempt's response or failure to its proxy. A response carries the server's load report if
+// reports are delivered in responses.
 func (sm *simulation) returnAttempt(attemptIndex int32, outcome policy.Outcome, mode returnMode) {
 	attempt := sm.serverAttempts.at(attemptIndex)
 	s := sm.servers[attempt.server]
@@ -150,7 +153,7 @@
 		sm.releaseServerAttempt(attemptIndex)
 		return
 	}
-	if sm.isServerPartitioned(attempt.proxy, s) { // the proxy finds out by its timeout
+	if sm.isServerPartitioned(attempt.proxy, s) { // nothing reaches the proxy: its time-out ends the attempt
 		sm.detach(attempt)
 		sm.releaseConnection(attempt, closeConnection)
 		sm.releaseServerAttempt(attemptIndex)
@@ -162,14 +165,14 @@
 		attempt.hasReport = attempt.hasReport && sm.scenario.Reports.delivery() == policy.ReportsInResponses
 	} else {
 		sm.releaseConnection(attempt, closeConnection)
-		attempt.abandoned = true // only the reset is under way
+		attempt.abandoned = true // nothing but the reset is in transit
 	}
 	attempt.stage = stageReturning
 	sm.schedule(sm.nextTick(sm.now+sm.networkDelay(s.zone, sm.proxies[attempt.proxy].zone)),
 		event{kind: evReceiveOutcome, subject: attemptIndex})
 }
 
-// receiveOutcome is the arrival of an attempt's end at its proxy.
+// receiveOutcome handles the arrival of an attempt's response or failure at its proxy.
 func (sm *simulation) receiveOutcome(attemptIndex int32) {
 	attempt := sm.serverAttempts.at(attemptIndex)
 	if sm.isGivenUp(attemptIndex) {
@@ -189,7 +192,7 @@
 	sm.endAttempt(requestIndex, number, outcome, elapsed, report)
 }
 
-// isGivenUp says whether a returning attempt's proxy no longer waits for it.
+// isGivenUp reports whether the proxy no longer waits for a returning attempt.
 func (sm *simulation) isGivenUp(attemptIndex int32) bool {
 	attempt := sm.serverAttempts.at(attemptIndex)
 	if attempt.abandoned && attempt.outcome != policy.ConnectionReset && attempt.outcome != policy.ConnectFailed {
--- a/internal/fleetsim/model/proxies.go
+++ b/internal/fleetsim/model/proxies.go
@@ -5,45 +5,45 @@
 )
 
 const (
-	// nodeSeedSalt separates the nodes' seeds from other numbers that are derived from the run's seed.
+	// nodeSeedSalt keeps the nodes' seeds distinct from other numbers that are derived from the run's seed.
 	nodeSeedSalt = 0xa5a5
-	// closeIdleStagger, in microseconds, is a prime, so that proxies close their idle connections at different moments.
+	// closeIdleStagger, in microseconds, is a prime, so that proxies close their idle connections at different times.
 	closeIdleStagger = 997
 )
 
-// proxy is one proxy, and under the same index its successors.
+// proxy is a proxy. After a restart, the new process has the same index.
 type proxy struct {
 	node       Node
 	messenger  PeerMessenger // the node, if it exchanges messages
-	generation int32         // counts the processes under the index
+	generation int32         // counts the processes of this index
 	zone       uint8
 	up         bool
 	downSince  Time
-	stopsAt    Time // when a stopping proxy gets no new clients; 0: it does not stop
+	stopsAt    Time // from when a stopping proxy gets no new clients; 0: it is not stopping
 
 	openRequests   int
 	connections    map[int32]*connectionPool // by server index
 	timersInSecond int
 	timerSecond    int64
 
-	listVersion           int // of discovery's list, as its node has it
+	listVersion           int // version of discovery's list that the node has
 	watching              bool
 	notificationPending   bool
 	isolatedFromDiscovery bool // by a fault
 }
 
-// canAccept says whether the proxy takes a further request; maxOpen 0: any number.
+// canAccept reports whether the proxy accepts a further request. maxOpen 0 means no limit.
 func (p *proxy) canAccept(maxOpen int) bool {
 	return p.up && (maxOpen <= 0 || p.openRequests < maxOpen)
 }
 
-// isRunning says whether the proxy runs in this generation. Events for an earlier one are ignored.
+// isRunning reports whether the proxy is up with this generation. Events for an earlier generation are ignored.
 func (sm *simulation) isRunning(proxyIndex, generation int32) bool {
 	p := &sm.proxies[proxyIndex]
 	return p.up && p.generation == generation
 }
 
-// startProxy starts a proxy with no state but the list that its predecessor under the same index cached last.
+// startProxy starts a proxy. Its only state is the list that the previous process of the same index cached last.
 func (sm *simulation) startProxy(proxyIndex int32) {
 	p := &sm.proxies[proxyIndex]
 	if p.up {
@@ -71,11 +71,12 @@
 func (sm *simulation) stopProxy(proxyIndex, generation int32) {
 	if p := &sm.proxies[proxyIndex]; p.generation == generation {
 		sm.killProxy(proxyIndex)
-		p.downSince = p.stopsAt // the front layer knows of an orderly stop from its start
+		p.downSince = p.stopsAt // the front layer knows of an orderly stop from stopsAt on
 	}
 }
 
-// killProxy ends a proxy's process: its connections break, its clients see a reset of theirs, its node's state is lost.
+// killProxy ends a proxy's process: its connections break, its clients get a connection reset, and its node's state is
+// lost.
 func (sm *simulation) killProxy(proxyIndex int32) {
 	p := &sm.proxies[proxyIndex]
 	if !p.up {
@@ -105,7 +106,7 @@
 	p.connections = nil
 }
 
-// breakConnections resets all connections of a proxy, with the attempts on them.
+// breakConnections resets all connections of a proxy and the attempts on them.
 func (sm *simulation) breakConnections(proxyIndex int32) {
 	p := &sm.proxies[proxyIndex]
 	if !p.up {
@@ -136,7 +137,7 @@
 	}
 }
 
-// findServer returns the server of an id, nil if there is none.
+// findServer returns the server with an id, or nil if there is none.
 func (sm *simulation) findServer(id uint32) *server {
 	if index := int(id ^ sm.serverIDMask); index >= 0 && index < len(sm.servers) {
 		return sm.servers[index]
--- a/internal/fleetsim/model/proxyrequests.go
+++ b/internal/fleetsim/model/proxyrequests.go
@@ -6,15 +6,15 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// proxyRequest is one attempt of a client at one proxy: to that proxy, a request of its own.
+// proxyRequest is one attempt of a client at one proxy. The proxy handles each as a separate request.
 type proxyRequest struct {
-	id            uint64 // 0: the place is free
+	id            uint64 // 0: the pool entry is free
 	clientRequest int32
 	proxy         int32
-	deadline      Time // when its client gives it up
+	deadline      Time // when its client stops waiting
 	responded     bool
-	inFlight      uint8 // attempts
-	attemptCount  uint8
+	inFlight      uint8 // attempts in flight
+	attemptCount  uint8 // attempts sent
 	attempts      [maxAttempts]proxyAttempt
 }
 
@@ -25,15 +25,15 @@
 	sm.proxyRequests.release(requestIndex)
 }
 
-// releaseIfDone forgets a request that is answered and has no attempt in flight.
+// releaseIfDone releases a request that has been answered and has no attempt in flight.
 func (sm *simulation) releaseIfDone(requestIndex int32) {
 	if request := sm.proxyRequests.at(requestIndex); request.responded && request.inFlight == 0 && request.id != 0 {
 		sm.releaseProxyRequest(requestIndex)
 	}
 }
 
-// findProxyRequest returns the index of an open request of the proxy; -1: it has ended. One that it never had ends the
-// run.
+// findProxyRequest returns the index of a request of the proxy that has not been released, or -1. An id that the proxy
+// was never given ends the run with an error.
 func (sm *simulation) findProxyRequest(proxyIndex int32, id uint64) int32 {
 	requestIndex := int32(id & (1<<indexBits - 1))
 	if number := id >> indexBits; number == 0 || number > sm.lastProxyRequestNumber ||
@@ -52,7 +52,7 @@
 	return requestIndex
 }
 
-// receiveRequest is the arrival of a client's attempt at its proxy.
+// receiveRequest handles the arrival of a client's attempt at its proxy.
 func (sm *simulation) receiveRequest(requestIndex int32, id uint64) {
 	request := sm.proxyRequests.at(requestIndex)
 	if request.id != id {
@@ -84,7 +84,8 @@
 	sm.deliver(request.proxy)
 }
 
-// rejectOrFailRequest carries out a node's RejectRequest or FailRequest. For a request that has ended it does nothing.
+// rejectOrFailRequest carries out a node's RejectRequest or FailRequest. It does nothing for a request that has been
+// answered.
 func (sm *simulation) rejectOrFailRequest(proxyIndex int32, action *policy.Action) {
 	requestIndex := sm.findProxyRequest(proxyIndex, action.ID)
 	if requestIndex < 0 || sm.proxyRequests.at(requestIndex).responded {
@@ -112,7 +113,7 @@
 		number: int32(min(retryAfter, math.MaxInt32)), code: uint8(outcome), id: request.id})
 }
 
-// expireRequest ends a request that its proxy has not answered within the grace after its deadline.
+// expireRequest ends a request that its proxy has not answered within ResponseGrace after its deadline.
 func (sm *simulation) expireRequest(requestIndex int32, id uint64) {
 	request := sm.proxyRequests.at(requestIndex)
 	if request.id != id || request.responded {
--- a/internal/fleetsim/model/random.go
+++ b/internal/fleetsim/model/random.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 )
 
-// lognormal draws from the lognormal distribution of that mean and coefficient of variation.
+// lognormal draws from the lognormal distribution with the given mean and coefficient of variation.
 func lognormal(rng *rand.Rand, mean, cv float64) float64 {
 	if cv <= 0 {
 		return mean
@@ -21,5 +21,5 @@
 	return x ^ x>>31
 }
 
-// unitFloat maps 64 random bits to 0 to 1.
+// unitFloat maps 64 random bits to a number from 0 up to, but not including, 1.
 func unitFloat(bits uint64) float64 { return float64(bits>>11) / (1 << 53) }
--- a/internal/fleetsim/model/run_test.go
+++ b/internal/fleetsim/model/run_test.go
@@ -17,12 +17,12 @@
 
 const ms, sec = 1000, 1_000_000
 
-// newProductNode makes the product's own policy.
+// newProductNode creates a node with the product's policy.
 func newProductNode(set policy.Settings, seed uint64, _ *model.Oracle) (model.Node, error) {
 	return policy.New(set, seed)
 }
 
-// recordDigest is a digest of all records of a run, to the last field.
+// recordDigest is a digest over all fields of all records of a run.
 type recordDigest struct{ digest [32]byte }
 
 func (h *recordDigest) Observe(r *model.Record) {
@@ -30,8 +30,9 @@
 	h.digest = sha256.Sum256(append(h.digest[:], text...))
 }
 
-// scenarioWithAllFaults has every kind of fault that affects servers, proxies or the network, many at a time.
-func scenarioWithAllFaults() model.Scenario {
+// scenarioWithOverlappingFaults returns a scenario with overlapping faults of most kinds, affecting servers, proxies,
+// clients, the network and discovery.
+func scenarioWithOverlappingFaults() model.Scenario {
 	sc := model.DefaultScenario()
 	sc.Duration, sc.Discovery.WatchLifetime, sc.BurstFactor, sc.BurstTime = 20*sec, 5*sec, 2, 1*sec
 	sc.Faults = []model.Fault{
@@ -56,7 +57,8 @@
 	return sc
 }
 
-// TestRun_SameSeedSameRecords runs a scenario four times side by side and compares all records.
+// TestRun_SameSeedSameRecords runs a scenario four times in parallel. Runs with the same seed must give the same
+// records; a run with another seed must not.
 func TestRun_SameSeedSameRecords(t *testing.T) {
 	for name, newNode := range map[string]model.NodeFactory{
 		"product":        newProductNode,
@@ -67,8 +69,8 @@
 		var wg sync.WaitGroup
 		for i := range runs {
 			wg.Go(func() {
-				sc := scenarioWithAllFaults()
-				seed := uint64(7 + i/3) // the last has another
+				sc := scenarioWithOverlappingFaults()
+				seed := uint64(7 + i/3) // the last run has another seed
 				if _, err := model.Run(&sc, seed, newNode, &runs[i]); err != nil {
 					t.Error(name, err)
 				}
@@ -76,7 +78,7 @@
 		}
 		wg.Wait()
 		if runs[0] != runs[1] || runs[1] != runs[2] {
-			t.Errorf("%s: the same seed gave other records", name)
+			t.Errorf("%s: the same seed gave different records", name)
 		}
 		if runs[2] == runs[3] {
 			t.Errorf("%s: another seed gave the same records", name)
@@ -84,8 +86,8 @@
 	}
 }
 
-// invariantNode wraps a node and fails the test where the simulator violates its contract: a clock that goes back, events
-// of requests that this generation never had, a second outcome.
+// invariantNode wraps a node and fails the test if the simulator violates its contract: the clock goes back, an event
+// names a request that this generation of the proxy never received, or an attempt has a second outcome.
 type invariantNode struct {
 	model.Node
 	t        *testing.T
@@ -103,18 +105,18 @@
 	switch ev.Kind {
 	case policy.RequestArrived:
 		if s.received[ev.ID] {
-			s.t.Errorf("request %d came twice", ev.ID)
+			s.t.Errorf("request %d arrived twice", ev.ID)
 		}
 		s.received[ev.ID] = true
 	case policy.AttemptEnded:
 		key := fmt.Sprint(ev.ID, ev.Attempt)
 		if !s.inFlight[key] {
-			s.t.Errorf("at %d: an outcome of attempt %s, which this generation has not in flight", now, key)
+			s.t.Errorf("at %d: an outcome of attempt %s, which is not in flight in this generation", now, key)
 		}
 		delete(s.inFlight, key)
 	case policy.RequestAbandoned:
 		if !s.received[ev.ID] {
-			s.t.Errorf("request %d was abandoned and never came", ev.ID)
+			s.t.Errorf("request %d was abandoned but never arrived", ev.ID)
 		}
 	}
 	out = s.Node.Handle(now, ev, out)
@@ -127,10 +129,11 @@
 	return out
 }
 
-// TestRun_InvariantsUnderAllFaults has all faults, many at a time: proxies are killed with attempts in flight, whose
-// outcomes must not reach their successors; each attempt has one outcome; the clock never goes back.
-func TestRun_InvariantsUnderAllFaults(t *testing.T) {
-	sc := scenarioWithAllFaults()
+// TestRun_InvariantsUnderOverlappingFaults runs the scenario with overlapping faults. Proxies are killed with attempts
+// in flight, whose outcomes must not reach the restarted proxies. Each attempt must have at most one outcome, and the
+// clock must never go back.
+func TestRun_InvariantsUnderOverlappingFaults(t *testing.T) {
+	sc := scenarioWithOverlappingFaults()
 	starts := 0
 	check := checker.New(&sc)
 	_, err := model.Run(&sc, 3, func(set policy.Settings, seed uint64, _ *model.Oracle) (model.Node, error) {
@@ -147,22 +150,22 @@
 		t.Fatal(err)
 	}
 	if starts != sc.Proxies+sc.Proxies/2 {
-		t.Errorf("%d starts of proxies, want %d", starts, sc.Proxies+sc.Proxies/2)
+		t.Errorf("%d proxy starts, want %d", starts, sc.Proxies+sc.Proxies/2)
 	}
 	if rep.ColdStarts < 10 || rep.Requests < 4000 {
-		t.Errorf("%d cold starts, %d requests: too few to show anything", rep.ColdStarts, rep.Requests)
+		t.Errorf("%d cold starts, %d requests: too few for a meaningful run", rep.ColdStarts, rep.Requests)
 	}
 	if got := rep.InTime + rep.Late + rep.Unserved; got != rep.Requests {
-		t.Errorf("%d requests ended of %d", got, rep.Requests)
+		t.Errorf("%d of %d requests ended", got, rep.Requests)
 	}
 	if !rep.HasNoViolations() {
 		t.Errorf("the policy violates rules: %v", rep.Violations)
 	}
 }
 
-// TestRun_ProcessorSharingMatchesTheory compares the simulator with theory: the mean time in an M/G/1 queue with
-// processor sharing is the mean work over 1 - load, whatever the distribution of the work (Kleinrock, Queueing Systems
-// II, 4.4).
+// TestRun_ProcessorSharingMatchesTheory compares the simulator with queueing theory. The mean time in an M/G/1 queue
+// with processor sharing is the mean work divided by 1 - load, for any distribution of the work (Kleinrock, Queueing
+// Systems II, 4.4).
 func TestRun_ProcessorSharingMatchesTheory(t *testing.T) {
 	for _, load := range []float64{0.3, 0.6, 0.8} {
 		sc := model.DefaultScenario()
@@ -184,17 +187,17 @@
 		}
 		got, want := sum/n/1e3, 100/(1-load)
 		if math.Abs(got/want-1) > 0.07 {
-			t.Errorf("load %v: mean time %.1f ms, theory says %.1f ms", load, got, want)
+			t.Errorf("load %v: mean time %.1f ms, want %.1f ms", load, got, want)
 		}
 	}
 }
 
-// observerFunc is an observer of one function.
+// observerFunc implements model.Observer with a function.
 type observerFunc func(r *model.Record)
 
 func (f observerFunc) Observe(r *model.Record) { f(r) }
 
-// TestRun_FailsOnImpossibleActions requires an error, not a hang, for what no proxy could carry out.
+// TestRun_FailsOnImpossibleActions requires an error, not a hang, for actions that no proxy could carry out.
 func TestRun_FailsOnImpossibleActions(t *testing.T) {
 	var member uint32 // a listed server
 	for _, c := range []struct {
@@ -231,7 +234,7 @@
 	} {
 		sc := model.DefaultScenario()
 		sc.Duration, sc.Tick = 5*sec, 0
-		newNode := func(policy.Settings, uint64, *model.Oracle) (model.Node, error) { return acting(c.act), nil }
+		newNode := func(policy.Settings, uint64, *model.Oracle) (model.Node, error) { return nodeFunc(c.act), nil }
 		_, err := model.Run(&sc, 1, newNode, observerFunc(func(*model.Record) {}))
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "at ") {
 			t.Errorf("%s: error %v, want one with %q and its time", c.name, err, c.want)
@@ -239,14 +242,15 @@
 	}
 }
 
-// acting is a node of one function.
-type acting func(ev *policy.Event, out []policy.Action) []policy.Action
+// nodeFunc implements model.Node with a function.
+type nodeFunc func(ev *policy.Event, out []policy.Action) []policy.Action
 
-func (a acting) Handle(_ model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
+func (a nodeFunc) Handle(_ model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	return a(ev, out)
 }
 
-// broadcaster sends the other nodes a message for each request, and counts the messages that it receives.
+// broadcaster is a node that sends a message to all other nodes for each request and counts the messages that it
+// receives.
 type broadcaster struct {
 	model.Node
 	ordinal int
@@ -256,7 +260,7 @@
 
 type messageCounts struct {
 	received    int
-	wrongSender int // from itself, or with another sender than the text names
+	wrongSender int // messages from itself, or whose sender differs from the one in the text
 }
 
 func (g *broadcaster) Handle(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
--- a/internal/fleetsim/model/server.go
+++ b/internal/fleetsim/model/server.go
@@ -15,12 +15,12 @@
 	stateDown
 )
 
-// server is one server, and under the same id its successors.
+// server is a server. After a restart, the new process has the same id.
 //
-// It works by processor sharing: each request in a slot gets the same rate, at most one core. virtualTime is that of
-// Parekh and Gallager's fluid model (generalized processor sharing, 1993): the work that a request which had been in a slot
-// since the start would have received. A request is
-// completed when virtualTime passes its finish, so that a change of the rate touches no request.
+// The model is processor sharing: each request in a slot gets the same rate, at most one core. virtualTime is that of
+// Parekh and Gallager's fluid model (generalized processor sharing, 1993): the work that a request would have received
+// if it had been in a slot since the start. A request is completed when virtualTime passes its finish. A change of the
+// rate therefore needs no update of the requests.
 type server struct {
 	index             int32
 	id                uint32
@@ -30,19 +30,19 @@
 	instanceType      *InstanceType
 	speed             float64 // of a core, in standard cores
 	state             serverState
-	generation        int32 // counts the processes under the id
+	generation        int32 // counts the processes of this id
 	connections       int
 
 	startedAt         Time // 0: before the run
 	cold              bool
 	warmupWork        float64    // completed since the start
 	arrivedWork       workWindow // work that has arrived within Overload.Window
-	willBeReplaced    bool       // a successor is to follow
+	willBeReplaced    bool       // a successor starts when the process ends
 	successorHasNewID bool
 
-	// What faults do to it.
-	hangs       int     // in force
-	stolenShare float64 // of its capacity, by another program
+	// Effects of faults.
+	hangs       int     // number of hang faults in force
+	stolenShare float64 // share of its capacity that another program uses
 	slowdown    float64 // share of its speed that it has lost
 	errorRate   float64 // share of requests that fail at once
 	reportDelay Time
@@ -51,12 +51,12 @@
 	keyCache map[uint64]Time // keys by their last use
 
 	virtualTime    float64
-	virtualTimeAt  Time    // until when virtualTime is accounted
-	ratePerRequest float64 // work in a microsecond
+	virtualTimeAt  Time    // up to which virtualTime is accounted for
+	ratePerRequest float64 // work per microsecond
 	nextWakeup     Time    // of the scheduled evServerProgress; 0: none
 	slots          slotHeap
 	queue          attemptQueue
-	workInTransit  float64 // sent and not yet arrived; of the policies only the oracle knows it
+	workInTransit  float64 // sent and not yet arrived; visible only to the oracle
 
 	// Counts since the last refresh of its load report.
 	busyTime   float64 // core-microseconds
@@ -66,13 +66,13 @@
 	reports    reportHistory
 }
 
-// warmCapacity is the capacity of the warm server, in standard cores.
+// warmCapacity returns the capacity of the warm server, in standard cores.
 func (s *server) warmCapacity() float64 { return float64(s.instanceType.Cores) * s.speed }
 
-// openRequests is how many requests it executes or has queued.
+// openRequests returns the number of requests that are executing or queued.
 func (s *server) openRequests() int { return len(s.slots) + s.queue.len() }
 
-// member is how discovery lists it.
+// member returns the server's entry in discovery's list.
 func (s *server) member(mode policy.Mode) policy.Member {
 	return policy.Member{Server: s.id, Zone: s.zone, Cell: s.cell, InstanceType: uint16(s.instanceTypeIndex), Mode: mode,
 		Size: float64(s.instanceType.Cores)}
@@ -87,8 +87,8 @@
 	return s
 }
 
-// nextCell is the cell of a server that is added to the zone. Cells of a zone are filled one after another; in large
-// fleets by the order of servers in all zones, as counting those of the zone would take too long.
+// nextCell returns the cell for a server that is added to the zone. The cells of a zone are filled one after another.
+// Large fleets use the number of servers in all zones, because counting the servers of the zone would take too long.
 func (sm *simulation) nextCell(zone uint8) uint16 {
 	zones, size, count := sm.scenario.Zones, sm.scenario.CellSize, len(sm.servers)
 	const countedPerZone = 64
@@ -104,7 +104,7 @@
 	return uint16(int(zone) + zones*(inZone/size))
 }
 
-// maxSampledLoad bounds a sample of a server's load, in requests per core: it is for plots.
+// maxSampledLoad caps a sample of a server's load, in requests per core. Samples are used for plots only.
 const maxSampledLoad = 4
 
 // sampleLoad records the load of each server in service: requests per core, at most maxSampledLoad.
--- a/internal/fleetsim/model/serverqueue.go
+++ b/internal/fleetsim/model/serverqueue.go
@@ -1,12 +1,12 @@
 package model
 
-// slot is an attempt that a server executes.
+// slot is an attempt that a server is executing.
 type slot struct {
 	finish  float64 // the server's virtual time at which it is completed
 	attempt int32
 }
 
-// slotHeap is a binary heap of slots by finish.
+// slotHeap is a binary heap of slots, ordered by finish.
 type slotHeap []slot
 
 func (h *slotHeap) push(e slot) {
@@ -20,7 +20,7 @@
 	s[i] = e
 }
 
-// pop removes the slot of the least finish and returns its attempt.
+// pop removes the slot with the lowest finish and returns its attempt.
 func (h *slotHeap) pop() int32 {
 	s := *h
 	first, n := s[0].attempt, len(s)-1
@@ -49,7 +49,7 @@
 	return first
 }
 
-// attemptQueue is the first-in-first-out queue of attempts that wait for a slot.
+// attemptQueue is the FIFO queue of attempts that wait for a slot.
 type attemptQueue struct {
 	items []int32
 	head  int
@@ -69,7 +69,8 @@
 
 func (q *attemptQueue) clear() { q.items, q.head = q.items[:0], 0 }
 
-// compact gives back the memory of what has been popped, once that is most of it.
+// compact removes the popped items from the slice once all, or more than half and more than 256, of its items are
+// popped.
 func (q *attemptQueue) compact() {
 	if q.head == len(q.items) {
 		q.clear()
@@ -87,7 +88,7 @@
 	sum   float64
 }
 
-// add returns the sum of the window that ends now, with the given work.
+// add adds work at time now and returns the sum over the window that ends now.
 func (w *workWindow) add(now, window Time, work float64) float64 {
 	for w.head < len(w.times) && w.times[w.head] <= now-window {
 		w.sum -= w.work[w.head]
--- a/internal/fleetsim/model/settings.go
+++ b/internal/fleetsim/model/settings.go
@@ -2,7 +2,7 @@
 
 import "pumiceline/internal/standalone/policy"
 
-// The values of keys in scenario files that name a setting. The empty text is the default.
+// The names of settings in scenario files. An empty name selects the default.
 var (
 	semanticsByName = map[string]policy.Semantics{
 		"safe":   policy.Idempotent,
@@ -23,19 +23,20 @@
 	}
 )
 
-// semantics says what may be done with a request that may have been executed.
+// semantics returns how a request that may have been executed can be repeated.
 func (c *Class) semantics() policy.Semantics { return semanticsByName[c.Semantics] }
 
-// dedupScope says which servers drop a repeat, for a class that is deduplicated.
+// dedupScope returns which servers deduplicate a repeat, for a deduplicated class.
 func (c *Class) dedupScope() policy.DedupScope { return dedupScopeByName[c.DedupScope] }
 
-// delivery says how policies get load reports.
+// delivery returns how policies get load reports.
 func (r *Reports) delivery() policy.ReportDelivery { return reportDeliveryByName[r.Delivery] }
 
 // QuotaOfCapacity is the share of the fleet's capacity that is sold as tenants' quotas.
 const QuotaOfCapacity = 0.8
 
-// policySettings returns what the policy of one proxy is given. capacity is the warm fleet's, in requests a second.
+// policySettings returns the settings for the policy of one proxy. capacity is that of the warm fleet, in requests per
+// second.
 func (sc *Scenario) policySettings(ordinal, zone int, capacity float64) policy.Settings {
 	published := &sc.Published
 	settings := policy.Settings{
@@ -59,7 +60,7 @@
 	return settings
 }
 
-// PolicyClasses are the classes as policies are given them.
+// PolicyClasses returns the classes in the form that policies are given.
 func (sc *Scenario) PolicyClasses() []policy.Class {
 	var classes []policy.Class
 	for i := range sc.Classes {
--- a/internal/fleetsim/model/simulation.go
+++ b/internal/fleetsim/model/simulation.go
@@ -11,21 +11,21 @@
 	microsPerSecond = 1_000_000
 
 	maxAttempts         = 8       // of one request at one proxy
-	indexBits           = 22      // of a proxy request's id are its index in the pool; the rest is a running number
-	maxTimersPerSecond  = 500_000 // of one proxy: more is an endless loop of the policy
+	indexBits           = 22      // low bits of a proxy request's id: its pool index; the rest is a counter
+	maxTimersPerSecond  = 500_000 // of one proxy; more indicates an endless loop in the policy
 	maxActionsPerEvent  = 1 << 20
-	drainOutTime        = 2 * microsPerSecond // that a run may take past the last deadline
+	drainOutTime        = 2 * microsPerSecond // extra time of a run past the last deadline and ResponseGrace
 	maxPeerMessageBytes = 256
 	allPeers            = -1 // recipient of a message to all other proxies
 )
 
-// Random streams of a run, by purpose. The numbers are part of what a seed means.
+// Random streams of a run, by purpose. The numbers must not change: they determine the results of a seed.
 const (
 	streamArrivals     = 1 // client requests
 	streamNetwork      = 2
 	streamServers      = 3
-	streamFleet        = 4 // what build draws
-	streamFaultTargets = 5 // what scheduleFaults draws
+	streamFleet        = 4 // used by build
+	streamFaultTargets = 5 // used by scheduleFaults
 	streamRandomFaults = 6
 )
 
@@ -40,12 +40,12 @@
 	failure  error // ends the run
 	stats    Stats
 
-	// Each purpose draws from a stream of its own, so that the draws of one do not depend on how often another draws, which
-	// differs from policy to policy.
+	// Each purpose has its own stream. Otherwise the draws of one purpose would depend on how often another draws,
+	// which differs from policy to policy.
 	arrivalRand, networkRand, serverRand *rand.Rand
 
 	servers        []*server
-	serverIDMask   uint32 // a server's id is its index, exclusive-or this
+	serverIDMask   uint32 // a server's id is its index XOR this mask
 	proxies        []proxy
 	clientRequests pool[clientRequest]
 	proxyRequests  pool[proxyRequest]
@@ -57,25 +57,25 @@
 	lastProxyRequestNumber uint64
 	openClientRequests     int
 
-	arrivalRate  float64 // requests a microsecond at the nominal load
-	capacity     float64 // requests a second of the warm fleet
+	arrivalRate  float64 // requests per microsecond at the nominal load
+	capacity     float64 // of the warm fleet, in requests per second
 	zoneWeights  []float64
-	zoneShares   []float64 // this and the following are cumulative, as cumulativeShares returns them
+	zoneShares   []float64 // this and the next three are results of cumulativeShares
 	classShares  []float64
 	tenantShares []float64
 	keyShares    []float64
 	inBurst      bool
 	burstEnd     Time
 
-	// State that faults change.
-	floodFactor   float64 // traffic of the first tenant, in its usual traffic
+	// State changed by faults.
+	floodFactor   float64 // traffic of the first tenant, as a multiple of its usual traffic
 	maxRetries    int     // of a client
 	retryAtOnce   bool
 	affected      [][]int32 // servers, proxies or the zone that a fault affects, by fault
 	partitions    []partition
 	isolatedZones []int // faults in force that isolate the zone, by zone
 
-	// Buffers that are used again, so that an event allocates nothing.
+	// Reused buffers, so that handling an event does not allocate.
 	record       Record
 	actions      []policy.Action
 	policyEvent  policy.Event
@@ -84,18 +84,18 @@
 	oracle       *Oracle
 }
 
-// Stats is what a run cost.
+// Stats are the counts and the end time of a run.
 type Stats struct {
 	Events   int64 `json:"Events"`   // of the simulation
-	Handled  int64 `json:"Handled"`  // events and messages given to nodes
+	Handled  int64 `json:"Handled"`  // events and messages delivered to nodes
 	Requests int64 `json:"Requests"` // of clients, each counted once
-	End      Time  `json:"End"`      // when the last response was given
+	End      Time  `json:"End"`      // first time after Duration without an open request; 0: none
 }
 
-// Run simulates a scenario from the seed, with the nodes that newNode makes, and shows the observer each record. It is
-// single-threaded; the same scenario, seed and nodes give the same records to the same microsecond, always. The scenario
-// is left as it is. An error is a *FieldError of a scenario that cannot be simulated, or says which node did what no
-// proxy could carry out, and when.
+// Run simulates a scenario with a seed and the nodes that newNode creates, and passes each record to the observer. It
+// is single-threaded. The same scenario, seed and nodes always give the same records, to the microsecond. Run does not
+// modify the scenario. It returns a *FieldError if the scenario cannot be simulated. It returns an error with the time
+// and the proxy if a node cannot be created or does something that no proxy could carry out.
 func Run(scenario *Scenario, seed uint64, newNode NodeFactory, observer Observer) (Stats, error) {
 	if err := scenario.Validate(); err != nil {
 		return Stats{}, err
@@ -118,20 +118,20 @@
 	return sm.stats, sm.failure
 }
 
-// schedule has an event happen at t, or now if t has passed.
+// schedule schedules an event at t, or now if t has passed.
 func (sm *simulation) schedule(t Time, e event) {
 	e.at = max(t, sm.now)
 	sm.events.push(e)
 }
 
-// observe shows the observer a record.
+// observe passes a record to the observer.
 func (sm *simulation) observe(rec Record) {
 	rec.At = sm.now
 	sm.record = rec
 	sm.observer.Observe(&sm.record)
 }
 
-// fail ends the run: the node of a proxy did what could not be carried out.
+// fail ends the run with an error, because the node of a proxy did something that cannot be carried out.
 func (sm *simulation) fail(proxyIndex int32, format string, args ...any) {
 	if sm.failure == nil {
 		sm.failure = fmt.Errorf("at %.6f s: proxy %d %s", float64(sm.now)/microsPerSecond, proxyIndex,
@@ -139,8 +139,9 @@
 	}
 }
 
-// loop handles events until the last client has its response, and the proxies have had their grace for requests that
-// clients gave up. It returns the time of the last response, 0 if requests were still open.
+// loop handles events until all client requests have ended and the response grace has passed for requests that their
+// clients abandoned. It returns the time of the first event after Duration at which none is open, or 0 if there is no
+// such time.
 func (sm *simulation) loop() Time {
 	duration, grace := Time(sm.scenario.Duration), Time(sm.scenario.Published.ResponseGrace)
 	longestDeadline := Time(0)
@@ -148,8 +149,8 @@
 		longestDeadline = max(longestDeadline, Time(c.Deadline))
 	}
 	limit := longestDeadline + duration + grace + drainOutTime
-	// After the last response a proxy may still have requests that their clients gave up: the grace for these, with two
-	// ticks, as proxies act at ticks only, and two microseconds for rounding.
+	// After the last response a proxy may still have requests that their clients abandoned. endGrace covers the
+	// response grace of these, two ticks, because proxies act only at ticks, and two microseconds for rounding.
 	endGrace := grace + 2*Time(sm.scenario.Tick) + 2
 	end := Time(0)
 	for sm.failure == nil {
@@ -167,7 +168,7 @@
 	return end
 }
 
-// nextTick is when a proxy handles what arrives at t: at the end of the tick.
+// nextTick returns the time at which a proxy handles an event that arrives at t: the end of the tick.
 func (sm *simulation) nextTick(t Time) Time {
 	tick := Time(sm.scenario.Tick)
 	if tick <= 0 {
--- a/internal/fleetsim/model/validate.go
+++ b/internal/fleetsim/model/validate.go
@@ -2,14 +2,14 @@
 
 import "fmt"
 
-// FieldError says which field of a scenario is invalid. Path is the field's place as files write it, with indexes of
-// lists from 0: "kinds.1.cores".
+// FieldError reports an invalid field of a scenario. Path is the field's path in files, with list indexes from 0, such
+// as "kinds.1.cores".
 type FieldError struct{ Path, Why string }
 
-// Error is "path: why".
+// Error returns "path: why".
 func (e *FieldError) Error() string { return e.Path + ": " + e.Why }
 
-// Validate returns a *FieldError for the first field that cannot be simulated, or nil.
+// Validate returns a *FieldError for the first invalid field, or nil.
 func (sc *Scenario) Validate() error {
 	v := &validator{}
 	sc.validateLoad(v)
@@ -22,13 +22,13 @@
 	for i := range sc.Faults {
 		sc.Faults[i].validate(v, fmt.Sprintf("trouble.%d.", i))
 	}
-	if v.first == nil { // a nil *FieldError would be an error that is not nil
+	if v.first == nil { // return v.first would give a non-nil error with a nil *FieldError
 		return nil
 	}
 	return v.first
 }
 
-// The longest times that are accepted.
+// Bounds of the accepted times.
 const (
 	oneSecond = Span(1e6)
 	oneHour   = Span(3600e6)
@@ -49,7 +49,7 @@
 }
 
 func (v *validator) floatRange(path string, x, least, most float64) {
-	v.require(x >= least && x <= most, path, "%v is not within %v and %v", x, least, most) // NaN is not, either
+	v.require(x >= least && x <= most, path, "%v is not within %v and %v", x, least, most) // also fails for NaN
 }
 
 func (v *validator) spanRange(path string, x, least, most Span) {
--- a/internal/fleetsim/model/validate_test.go
+++ b/internal/fleetsim/model/validate_test.go
@@ -9,7 +9,7 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// TestScenario_ValidateNamesField requires a *FieldError with the place of the field as files write it.
+// TestScenario_ValidateNamesField requires a *FieldError with the path of the field in files.
 func TestScenario_ValidateNamesField(t *testing.T) {
 	for path, change := range map[string]func(sc *model.Scenario){
 		"servers":            func(sc *model.Scenario) { sc.Servers = 0 },
--- a/internal/fleetsim/model/variants.go
+++ b/internal/fleetsim/model/variants.go
@@ -2,21 +2,21 @@
 
 import "reflect"
 
-// TimeScaled is sc with every time in it multiplied by factor: the same scenario, seen on another clock. Load is a share
-// of the servers' capacity, so that as many requests come. A policy that depends on nothing but its settings and what it
-// observes does as well in either; one with a time of its own does not.
+// TimeScaled returns sc with every time multiplied by factor: the same scenario on another clock. Load is a share of
+// the servers' capacity, so the number of requests stays the same. A policy that depends only on its settings and its
+// observations performs equally well in both. A policy with a hard-coded time does not.
 func (sc *Scenario) TimeScaled(factor float64) Scenario {
 	c := sc.Clone()
 	scaleTimes(reflect.ValueOf(&c).Elem(), factor)
 	for i := range c.Faults {
-		if f := &c.Faults[i]; f.Kind == FaultReportDelay { // its magnitude is a time, in seconds
+		if f := &c.Faults[i]; f.Kind == FaultReportDelay { // its magnitude is a time in seconds
 			f.Magnitude *= factor
 		}
 	}
 	return c
 }
 
-// scaleTimes multiplies each Span below v.
+// scaleTimes multiplies each Span within v by factor.
 func scaleTimes(v reflect.Value, factor float64) {
 	switch {
 	case v.Type() == reflect.TypeFor[Span]():
@@ -32,8 +32,8 @@
 	}
 }
 
-// WithDownstreamWait is sc with a part of all work turned into waits for other services of the same length, on a core of
-// the mean speed. The load of the servers and all else stays.
+// WithDownstreamWait returns sc with a part of all work replaced by waits for other services. A wait is as long as the
+// replaced work takes on a core of the mean speed. Load and everything else stay the same.
 func (sc *Scenario) WithDownstreamWait(part float64) Scenario {
 	c := sc.Clone()
 	speed, share := 0.0, 0.0
