--- a/internal/fleetsim/model/clients.go
+++ b/internal/fleetsim/model/clients.go
@@ -181,8 +181,8 @@
 	return chosen
 }
 
-// isAvailable reports whether the front layer sends clients to the proxy. It detects a crash after ProxyFailoverDelay,
-// and an orderly stop without delay.
+// isAvailable reports whether the front layer sends clients to the proxy. The front layer detects a crash after
+// ProxyFailoverDelay, and an orderly stop without delay.
 func (sm *simulation) isAvailable(p *proxy) bool {
 	isKnownDown := !p.up && sm.now-p.downSince > Time(sm.scenario.Clients.ProxyFailoverDelay)
 	isStopping := p.stopsAt > 0 && sm.now >= p.stopsAt
--- a/internal/fleetsim/model/fault.go
+++ b/internal/fleetsim/model/fault.go
@@ -71,7 +71,7 @@
 	FaultTenantFlood}
 
 // randomFaults draws RandomFaults faults of different kinds. Their sizes lie within what the operators have recorded.
-// Each fault ends before the end of the run.
+// In runs of at least 16 s each fault ends before the end of the run.
 func (sc *Scenario) randomFaults(rng *rand.Rand) []Fault {
 	between := func(low, high float64) float64 { return low + (high-low)*rng.Float64() }
 	length := float64(sc.Duration)
--- a/internal/fleetsim/model/proxies.go
+++ b/internal/fleetsim/model/proxies.go
@@ -11,7 +11,7 @@
 	closeIdleStagger = 997
 )
 
-// proxy is a proxy. After a restart, the new process has the same index.
+// proxy is the state of one proxy. After a restart, the new process has the same index.
 type proxy struct {
 	node       Node
 	messenger  PeerMessenger // the node, if it exchanges messages
--- a/internal/fleetsim/model/server.go
+++ b/internal/fleetsim/model/server.go
@@ -15,7 +15,7 @@
 	stateDown
 )
 
-// server is a server. After a restart, the new process has the same id.
+// server is the state of one server. After a restart, the new process has the same id.
 //
 // The model is processor sharing: each request in a slot gets the same rate, at most one core. virtualTime is that of
 // Parekh and Gallager's fluid model (generalized processor sharing, 1993): the work that a request would have received
@@ -48,7 +48,7 @@
 	reportDelay Time
 
 	pauses   int             // in progress
-	keyCache map[uint64]Time // keys by their last use
+	keyCache map[uint64]Time // time of the last use of each cached key
 
 	virtualTime    float64
 	virtualTimeAt  Time    // up to which virtualTime is accounted for
