--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -22,7 +22,8 @@
 	}
 }
 
-// serve answers batches until the input ends between two of them. A malformed batch is not answered at all.
+// serve replies to each batch until the input ends between two batches. A malformed batch gets no reply, not even a
+// partial one, and ends serve with an error.
 func serve(in io.Reader, out io.Writer) error {
 	h := host{in: bufio.NewReaderSize(in, readBufferSize), instances: map[uint16]*policy.Balancer{}}
 	for batch := 0; ; batch++ {
@@ -39,10 +40,10 @@
 	}
 }
 
-// errInputEnded is readBatch's error where the input ends between two batches.
+// errInputEnded is returned by readBatch when the input ends between two batches.
 var errInputEnded = errors.New("input ended")
 
-// host runs the instances. Its buffers are used again for each batch.
+// host runs the instances. Its buffers are reused for each batch.
 type host struct {
 	in        *bufio.Reader
 	instances map[uint16]*policy.Balancer
@@ -75,7 +76,7 @@
 	return h.reply, nil
 }
 
-// readBatch reads the next batch, its body into h.body.
+// readBatch reads the next batch, stores its body in h.body and returns its header.
 func (h *host) readBatch() (simlink.BatchHeader, error) {
 	var text [simlink.BatchHeaderSize]byte
 	if _, err := io.ReadFull(h.in, text[:]); err == io.EOF {
@@ -93,7 +94,7 @@
 	return header, nil
 }
 
-// handleRecord decodes the next record and appends what follows from it to the reply.
+// handleRecord decodes and applies the next record, and appends the resulting actions to the reply.
 func (h *host) handleRecord(now policy.Time) error {
 	r := &h.record
 	if err := h.decoder.Next(r); err != nil {
@@ -122,7 +123,8 @@
 	return nil
 }
 
-// readBody reads size bytes into body, which grows only as bytes arrive: the size of a batch is not to be trusted.
+// readBody reads size bytes into body. It grows body only as bytes arrive: size is untrusted input, and a malformed
+// header must not make it allocate memory for bytes that never come.
 func readBody(r io.Reader, body []byte, size int) ([]byte, error) {
 	const step = 1 << 20 // bytes
 	body = body[:0]
--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-var be = binary.BigEndian
+var byteOrder = binary.BigEndian
 
-// Codes of records in a batch, see package simlink.
+// Codes of the records in a batch (package simlink).
 const (
 	codeSpawn          = 1000
 	codeMembership     = 1010
@@ -22,32 +22,32 @@
 	codeUnknown        = 4000
 )
 
-// batch is a batch of records, with its header.
+// batch encodes records as a batch with its header.
 func batch(now uint64, records ...[]byte) []byte {
 	var body []byte
 	for _, r := range records {
 		body = append(body, r...)
 	}
-	b := be.AppendUint32(nil, uint32(len(body)))
-	b = be.AppendUint32(b, uint32(len(records)))
-	return append(be.AppendUint64(b, now), body...)
+	b := byteOrder.AppendUint32(nil, uint32(len(body)))
+	b = byteOrder.AppendUint32(b, uint32(len(records)))
+	return append(byteOrder.AppendUint64(b, now), body...)
 }
 
-// record is a record of an instance. Strings are preceded by their length.
+// record encodes a record of an instance. Strings are preceded by their length.
 func record(code, instance uint16, fields ...any) []byte {
-	b := be.AppendUint16(be.AppendUint16(nil, code), instance)
+	b := byteOrder.AppendUint16(byteOrder.AppendUint16(nil, code), instance)
 	for _, f := range fields {
 		switch v := f.(type) {
 		case uint8:
 			b = append(b, v)
 		case uint16:
-			b = be.AppendUint16(b, v)
+			b = byteOrder.AppendUint16(b, v)
 		case uint32:
-			b = be.AppendUint32(b, v)
+			b = byteOrder.AppendUint32(b, v)
 		case uint64:
-			b = be.AppendUint64(b, v)
+			b = byteOrder.AppendUint64(b, v)
 		case string:
-			b = append(be.AppendUint32(b, uint32(len(v))), v...)
+			b = append(byteOrder.AppendUint32(b, uint32(len(v))), v...)
 		}
 	}
 	return b
@@ -63,12 +63,12 @@
 	var batches [][]byte
 	now := uint64(1_000_000)
 	first := [][]byte{}
-	catalog := be.AppendUint32(be.AppendUint16(be.AppendUint16(nil, codeCatalog), 0), 20)
+	catalog := byteOrder.AppendUint32(byteOrder.AppendUint16(byteOrder.AppendUint16(nil, codeCatalog), 0), 20)
 	for i := range uint32(20) {
-		catalog = be.AppendUint32(catalog, 500+i)
+		catalog = byteOrder.AppendUint32(catalog, 500+i)
 		catalog = append(catalog, 0, 0, 0, 0, 0, 1)
-		catalog = be.AppendUint32(catalog, 0x3f800000)
-		catalog = be.AppendUint64(catalog, 0)
+		catalog = byteOrder.AppendUint32(catalog, 0x3f800000)
+		catalog = byteOrder.AppendUint64(catalog, 0)
 	}
 	first = append(first, catalog)
 	for _, i := range instances {
@@ -94,27 +94,27 @@
 	return batches
 }
 
-// replies runs batches and returns each instance's records, with the number of their reply.
+// replies runs batches and returns the encoded actions of each instance, each after the number of its reply.
 func replies(t *testing.T, batches [][]byte) map[uint16]string {
 	t.Helper()
 	var out bytes.Buffer
 	if err := serve(bytes.NewReader(bytes.Join(batches, nil)), &out); err != nil {
 		t.Fatal(err)
 	}
-	// Sizes of a reply's records by their codes, which are those of simlink.AppendAction.
+	// Sizes in bytes of the records in a reply, by the codes that simlink.AppendAction writes.
 	recordSize := map[uint16]int{1000: 20, 1010: 16, 1020: 12, 1030: 13, 1040: 16, 1050: 8, 1060: 8, 1100: 5}
 	byInstance := map[uint16]string{}
 	frames := 0
 	for b := out.Bytes(); len(b) > 0; frames++ {
-		size, count := be.Uint32(b), be.Uint32(b[4:])
+		size, count := byteOrder.Uint32(b), byteOrder.Uint32(b[4:])
 		body := b[8 : 8+size]
 		b = b[8+size:]
 		for ; count > 0; count-- {
-			n := recordSize[be.Uint16(body)]
+			n := recordSize[byteOrder.Uint16(body)]
 			if n == 0 {
-				t.Fatalf("unexpected action code %d", be.Uint16(body))
+				t.Fatalf("unexpected action code %d", byteOrder.Uint16(body))
 			}
-			instance := be.Uint16(body[2:])
+			instance := byteOrder.Uint16(body[2:])
 			byInstance[instance] += fmt.Sprintf("%d:%x ", frames, body[:n])
 			body = body[n:]
 		}
@@ -128,14 +128,14 @@
 	return byInstance
 }
 
-// The same events lead to the same actions, whether instances share a process or not.
+// The same events lead to the same actions of an instance, whether or not other instances run in the process.
 func TestInstancesAreIndependent(t *testing.T) {
 	together := replies(t, script([]uint16{1, 2, 3}))
 	again := replies(t, script([]uint16{1, 2, 3}))
 	for _, i := range []uint16{1, 2, 3} {
 		alone := replies(t, script([]uint16{i}))
 		if len(together[i]) < 1000 {
-			t.Fatalf("instance %d has hardly any actions", i)
+			t.Fatalf("instance %d has too few actions", i)
 		}
 		if together[i] != alone[i] || together[i] != again[i] {
 			t.Errorf("instance %d acts differently with others, alone or when repeated", i)
@@ -152,7 +152,8 @@
 		"truncated header":  {good[:10], "batch 0: header truncated"},
 		"truncated body":    {good[:len(good)-3], "batch 0: body truncated"},
 		"length over limit": {append([]byte{0xff, 0xff, 0xff, 0xff}, good[4:]...), "over the limit"},
-		"count over length": {be.AppendUint64(be.AppendUint32(be.AppendUint32(nil, 4), 2), 1), "2 records cannot fit"},
+		"count over length": {byteOrder.AppendUint64(byteOrder.AppendUint32(byteOrder.AppendUint32(nil, 4), 2), 1),
+			"2 records cannot fit"},
 		"bytes left over":   {batch(1, append(record(codeKilled, 1), 0, 0)), "2 bytes follow"},
 		"unknown instance":  {batch(1, record(codeTimerFired, 9, uint64(0))), "instance 9 was not started"},
 		"invalid settings":  {batch(1, record(codeSpawn, 1, uint64(1), `{}`)), "no classes"},
@@ -164,7 +165,7 @@
 			t.Errorf("%s: error %v, want one line with %q", name, err, c.want)
 		}
 		if out.Len() != 0 {
-			t.Errorf("%s: %d bytes were answered", name, out.Len())
+			t.Errorf("%s: replied with %d bytes", name, out.Len())
 		}
 	}
 	var out bytes.Buffer
