--- a/cmd/pumicectl/applications.go
+++ b/cmd/pumicectl/applications.go
@@ -11,13 +11,14 @@
 	"pumiceline/internal/coordinationclient"
 )
 
-// applicationFlags are the flags of the commands that call the system as an application does.
+// applicationFlags are the flags of the commands that call the coordinators as applications do: locks, numbers, keys
+// and watch.
 type applicationFlags struct {
 	coordinators
 	asJSON bool
 }
 
-// newApplicationFlags returns the flags of a command, and the set that they are in.
+// newApplicationFlags returns the flags of a command, and the flag set that they are registered in.
 func newApplicationFlags(command string) (*applicationFlags, *flag.FlagSet) {
 	flags := flag.NewFlagSet("pumicectl "+command, flag.ContinueOnError)
 	f := &applicationFlags{}
--- a/cmd/pumicectl/applications_test.go
+++ b/cmd/pumicectl/applications_test.go
@@ -28,7 +28,7 @@
 	t.Setenv(addressesVariable, strings.Join(system.Addresses(), ","))
 }
 
-// run runs a command of applications and returns what it prints.
+// run runs a command and returns its output.
 func run(t *testing.T, arguments ...string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
@@ -78,7 +78,7 @@
 	return string(fields[name])
 }
 
-func TestNumbersCommandDrawsRisingNumbers(t *testing.T) {
+func TestNumbersCommandDrawsIncreasingNumbers(t *testing.T) {
 	startSystem(t)
 	first, err := run(t, "numbers", "next", "--json", "n")
 	require.NoError(t, err)
@@ -113,16 +113,16 @@
 	require.ErrorContains(t, err, "--if-revision")
 }
 
-// lineWriter ends a context after a number of lines.
+// lineWriter cancels a context after a number of lines.
 type lineWriter struct {
 	bytes.Buffer
-	left int
-	done context.CancelFunc
+	left   int // lines until cancel is called
+	cancel context.CancelFunc
 }
 
 func (w *lineWriter) Write(p []byte) (int, error) {
 	if w.left -= bytes.Count(p, []byte("\n")); w.left <= 0 {
-		w.done()
+		w.cancel()
 	}
 	return w.Buffer.Write(p)
 }
@@ -145,7 +145,7 @@
 		t.Run(name, func(t *testing.T) {
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
-			out := &lineWriter{left: c.lines, done: cancel}
+			out := &lineWriter{left: c.lines, cancel: cancel}
 			require.NoError(t, parseAndRun(ctx, t, out, append([]string{"watch"}, c.arguments...)))
 			assert.Equal(t, c.want, out.String())
 		})
--- a/cmd/pumicectl/check.go
+++ b/cmd/pumicectl/check.go
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// printFaults prints the faults of a file, one a line.
+// printFaults prints the faults of a file, one per line.
 func printFaults(file string, err error) {
 	var faults *docreader.Error
 	if !errors.As(err, &faults) {
--- a/cmd/pumicectl/coordinators.go
+++ b/cmd/pumicectl/coordinators.go
@@ -36,11 +36,11 @@
 	return strings.FieldsFunc(c.list, func(r rune) bool { return r == ',' })
 }
 
-// request is what is sent to a coordinator.
+// request is an HTTP request to a coordinator.
 type request struct {
 	method  string
 	path    string
-	ifMatch string // the version that a change is based on; empty: none
+	ifMatch string // the version that a change is based on; empty: no If-Match header
 	body    []byte
 }
 
@@ -49,8 +49,9 @@
 	body   []byte
 }
 
-// send sends a request to one coordinator after the other until one decides it, with any status below 500. It sends it
-// unchanged each time: coordinators recognise a change that was applied by its digest, and do not apply it again.
+// send tries the coordinators in turn until one decides the request: it responds with a status below 500. Each attempt
+// sends the request unchanged: coordinators recognise a change that is already applied by its digest, and do not apply
+// it a second time.
 func (c *coordinators) send(ctx context.Context, r request) (response, error) {
 	addresses := c.addresses()
 	if len(addresses) == 0 {
--- a/cmd/pumicectl/diff.go
+++ b/cmd/pumicectl/diff.go
@@ -48,7 +48,7 @@
 	return lines
 }
 
-// itemsByName returns a list's items in a form in which equal items are equal strings.
+// itemsByName returns the items of a list by name, each encoded so that equal items give equal strings.
 func itemsByName(document []byte, list string) (map[string]string, error) {
 	var members map[string]json.RawMessage
 	if err := json.Unmarshal(document, &members); err != nil {
@@ -63,7 +63,7 @@
 	byName := map[string]string{}
 	for _, item := range items {
 		name, _ := item["name"].(string)
-		encoded, err := json.Marshal(item) // with its keys in order
+		encoded, err := json.Marshal(item) // it sorts the keys of a map
 		if err != nil {
 			return nil, err
 		}
--- a/cmd/pumicectl/keys.go
+++ b/cmd/pumicectl/keys.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// keyState is what get and put print with --json.
+// keyState is the output of get and put with --json.
 type keyState struct {
 	Key      string           `json:"name"`
 	Value    string           `json:"value"`
@@ -51,7 +51,7 @@
 	}
 }
 
-// anyRevision stands for a put that takes effect whatever revision the key has.
+// anyRevision is the value of --if-revision for a put that takes effect at any revision of the key.
 const anyRevision = -1
 
 func putKey(ctx context.Context, key *coordinationclient.Key, value string, ifRevision int64) (message.Revision, error) {
--- a/cmd/pumicectl/locks.go
+++ b/cmd/pumicectl/locks.go
@@ -60,7 +60,7 @@
 	return client.NewLock(message.LockName(args[0]), message.OwnerName(f.owner), f.hold), nil
 }
 
-// heldLock returns the lock that the arguments name where they have its token too.
+// heldLock is lock for commands that need the fencing token too. The error is flag.ErrHelp where the token is missing.
 func (f *lockFlags) heldLock(args []string) (*coordinationclient.Lock, error) {
 	if f.token == 0 {
 		return nil, flag.ErrHelp
@@ -68,7 +68,7 @@
 	return f.lock(args)
 }
 
-// lockState is what acquire and renew print with --json.
+// lockState is the output of acquire and renew with --json.
 type lockState struct {
 	Lock  string               `json:"lock"`
 	Owner string               `json:"owner"`
--- a/cmd/pumicectl/numbers.go
+++ b/cmd/pumicectl/numbers.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// drawnNumber is what next prints with --json.
+// drawnNumber is the output of next with --json.
 type drawnNumber struct {
 	Counter string `json:"counter"`
 	Number  uint64 `json:"value"`
--- a/cmd/pumicectl/simulate.go
+++ b/cmd/pumicectl/simulate.go
@@ -38,7 +38,7 @@
 			if *measureRecovery {
 				return printRecoveryTimes(simulation.MeasureRecovery(*members, *tolerance, *seeds))
 			}
-			shape := simulation.Options{
+			configured := simulation.Options{
 				Members: *members, Tolerance: *tolerance, Diskless: *diskless, FaultPhase: *length,
 				BeyondTolerance: *beyondTolerance,
 			}
@@ -47,7 +47,7 @@
 				if *drawn {
 					return simulation.DrawOptions(seed)
 				}
-				options := shape
+				options := configured
 				options.Seed = seed
 				return options
 			}
@@ -72,11 +72,11 @@
 	first, count uint64
 	jobs         int
 	asJSON       bool
-	shrink       bool // also prints the trace of each failing run, reduced to the faults that it needs
+	shrink       bool // reduce each failing run to the faults that it needs, and print its trace
 	options      func(seed uint64) simulation.Options
 }
 
-// seedResult is what is printed of a seed as JSON.
+// seedResult is the JSON output for one seed.
 type seedResult struct {
 	Seed   uint64             `json:"Seed"`
 	Result *simulation.Result `json:"Result"`
--- a/cmd/pumicectl/simulate_coordination.go
+++ b/cmd/pumicectl/simulate_coordination.go
@@ -16,7 +16,7 @@
 	"pumiceline/internal/controlplane/coordinationsim"
 )
 
-// simulateCoordinationCommand runs simulated clusters that applications coordinate by.
+// simulateCoordinationCommand simulates clusters of coordinators that serve locks, numbers and keys to applications.
 func simulateCoordinationCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("pumicectl simulate-coordination", flag.ContinueOnError)
 	runner := coordinationRunner{}
@@ -54,7 +54,8 @@
 	return faultsFoundIf(len(coordinationsim.Run(options).Violations) > 0)
 }
 
-// printIssuerLosses prints how long each loss of an issuer interrupts answers, and how long calls take without one.
+// printIssuerLosses prints how long no call is answered after each kind of loss of an issuer and how long calls take,
+// and how long they take without a loss.
 func printIssuerLosses(members, tolerance int, seeds uint64) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "LOSS\tNO ANSWER P50\tP99\tLONGEST\tCALL P50\tP99")
@@ -75,10 +76,10 @@
 	shrink       bool
 }
 
-// coordinationResult is what is printed of a seed as JSON.
+// coordinationResult is the JSON output for one seed.
 type coordinationResult struct {
 	Seed    uint64                   `json:"Seed"`
-	Options *coordinationsim.Options `json:"Options,omitempty"` // with which a failing run is replayed, reduced where asked for
+	Options *coordinationsim.Options `json:"Options,omitempty"` // to replay a failing run; with --shrink the reduced ones
 	Result  *coordinationsim.Result  `json:"Result"`
 	trace   string
 }
--- a/cmd/pumicectl/soak.go
+++ b/cmd/pumicectl/soak.go
@@ -19,10 +19,10 @@
 const (
 	defaultSoakPhase     = 30 * time.Second
 	defaultSoakProcesses = 12
-	maxPrintedViolations = 20 // of a run; its JSON has all
+	maxPrintedViolations = 20 // per run; the JSON output has all of them
 )
 
-// soakCommand runs seeds of the soak, one after the other.
+// soakCommand runs the soak test for a range of seeds, one after the other.
 func soakCommand() *ffcli.Command {
 	flags := flag.NewFlagSet("pumicectl soak", flag.ContinueOnError)
 	programs := flags.String("programs", "", "folder of pumiceline-proxy and pumiceline-coordinator; by default the one of this program")
@@ -55,7 +55,7 @@
 	}
 }
 
-// runSoak runs seeds until ctx ends, and prints the result of each.
+// runSoak runs the seeds in order and prints the result of each. It stops when ctx ends or a run returns an error.
 func runSoak(ctx context.Context, options soak.Options, first, seeds uint64, asJSON bool) error {
 	failed := 0
 	for seed := first; seed < first+seeds; seed++ {
--- a/cmd/pumicectl/status.go
+++ b/cmd/pumicectl/status.go
@@ -62,7 +62,7 @@
 	return faultsFoundIf(unreachable > 0)
 }
 
-// printStatusJSON prints each coordinator's response as it came, one a line.
+// printStatusJSON prints each coordinator's response unchanged, one per line.
 func (c *coordinators) printStatusJSON(ctx context.Context) error {
 	unreachable := 0
 	for _, address := range c.addresses() {
--- a/cmd/pumicectl/stored_test.go
+++ b/cmd/pumicectl/stored_test.go
@@ -15,9 +15,9 @@
 	"pumiceline/internal/message"
 )
 
-// The files in testdata were stored from the output of earlier versions, cef8855 and, with coordination, the first that had it,
-// and are never rewritten: scripts read what simulate and status print with --json, and status reads it from coordinators of other
-// versions.
+// The files in testdata are output of earlier versions: of cef8855 and, where they have coordination, of the first
+// version that had it. They are never rewritten: scripts read the output of simulate and status with --json, and
+// pumicectl status reads the status of coordinators of other versions.
 func TestReadsOutputStoredByEarlierVersion(t *testing.T) {
 	for _, c := range []struct {
 		file string
@@ -67,8 +67,8 @@
 			if got := read.Elem().Interface(); !reflect.DeepEqual(got, c.want) {
 				t.Errorf("%+v, not %+v", got, c.want)
 			}
-			if again, err := json.Marshal(c.want); err != nil || !bytes.Equal(again, bytes.TrimSpace(text)) {
-				t.Errorf("written as %s, %v", again, err)
+			if encoded, err := json.Marshal(c.want); err != nil || !bytes.Equal(encoded, bytes.TrimSpace(text)) {
+				t.Errorf("written as %s, %v", encoded, err)
 			}
 		})
 	}
--- a/cmd/pumicectl/watch.go
+++ b/cmd/pumicectl/watch.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// printBatches prints what a watch reports. An interrupt ends it without an error.
+// printBatches prints the batches that a watch returns. An interrupt ends it without an error.
 func (f *applicationFlags) printBatches(ctx context.Context, out io.Writer, watch *coordinationclient.Watch) error {
 	for {
 		batch, err := watch.Next(ctx)
