--- a/cmd/benchlink/main_test.go
+++ b/cmd/benchlink/main_test.go
@@ -154,10 +154,10 @@
 		"length over limit": {append([]byte{0xff, 0xff, 0xff, 0xff}, good[4:]...), "over the limit"},
 		"count over length": {byteOrder.AppendUint64(byteOrder.AppendUint32(byteOrder.AppendUint32(nil, 4), 2), 1),
 			"2 records cannot fit"},
-		"bytes left over":   {batch(1, append(record(codeKilled, 1), 0, 0)), "2 bytes follow"},
-		"unknown instance":  {batch(1, record(codeTimerFired, 9, uint64(0))), "instance 9 was not started"},
-		"invalid settings":  {batch(1, record(codeSpawn, 1, uint64(1), `{}`)), "no classes"},
-		"unknown code":      {batch(1, record(codeUnknown, 1)), "unknown event code 4000"},
+		"bytes left over":  {batch(1, append(record(codeKilled, 1), 0, 0)), "2 bytes follow"},
+		"unknown instance": {batch(1, record(codeTimerFired, 9, uint64(0))), "instance 9 was not started"},
+		"invalid settings": {batch(1, record(codeSpawn, 1, uint64(1), `{}`)), "no classes"},
+		"unknown code":     {batch(1, record(codeUnknown, 1)), "unknown event code 4000"},
 	} {
 		var out bytes.Buffer
 		err := serve(bytes.NewReader(c.in), &out)
