--- a/cmd/pumiceline/bench_test.go
+++ b/cmd/pumiceline/bench_test.go
@@ -17,8 +17,8 @@
 	"pumiceline/internal/standalone/discovery"
 )
 
-// readMemory returns a figure of /proc/<pid>/<file> about a process, in MB. In Pss a page that several processes share counts
-// for each in proportion.
+// readMemory returns a field of /proc/<pid>/<file> of a process, in MB. The field Pss counts a page that several processes
+// share in proportion for each.
 func readMemory(b *testing.B, p *process, file, field string) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", p.Process.Pid, file))
@@ -37,7 +37,7 @@
 }
 
 // BenchmarkCost measures the CPU time of the proxy for a request, in a closed loop of 32 clients, without and with affinity and
-// load polling. Figures are comparable within a run, or with those of another version run in turn with it.
+// load polling. Compare figures only within a run, or with those of another version when both versions run alternately.
 func BenchmarkCost(b *testing.B) {
 	for name, adapt := range map[string]func(map[string]any){
 		"plain": nil,
@@ -61,14 +61,14 @@
 			if err := p.Wait(); err != nil {
 				b.Fatal(err)
 			}
-			spent := p.ProcessState.UserTime() + p.ProcessState.SystemTime() // its start included, some 20 ms
+			spent := p.ProcessState.UserTime() + p.ProcessState.SystemTime() // includes about 20 ms for the start
 			b.ReportMetric(float64(spent.Microseconds())/float64(served.Load()), "us-CPU/request")
 		})
 	}
 }
 
-// BenchmarkTwoProcesses measures what two processes of one proxy take of 32 MB during a hot restart under load, and what one
-// takes alone.
+// BenchmarkTwoProcesses measures how much of a limit of 32 MB the two processes of one proxy use together during a hot
+// restart under load, and how much one process uses alone.
 func BenchmarkTwoProcesses(b *testing.B) {
 	for range b.N {
 		c := newCluster(b, 32)
@@ -90,7 +90,7 @@
 
 // BenchmarkLongAnswers measures the memory of 100 responses of 8 MiB that clients have begun to read and then stop reading.
 func BenchmarkLongAnswers(b *testing.B) {
-	const long, readers = 8 << 20, 100
+	const responseSize, readers = 8 << 20, 100
 	for range b.N {
 		c := newCluster(b, 64)
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -98,9 +98,9 @@
 			b.Fatal(err)
 		}
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			w.Header().Set("Content-Length", fmt.Sprint(long))
+			w.Header().Set("Content-Length", fmt.Sprint(responseSize))
 			piece := make([]byte, 64<<10)
-			for range long / len(piece) {
+			for range responseSize / len(piece) {
 				if _, err := w.Write(piece); err != nil {
 					return
 				}
@@ -115,7 +115,7 @@
 			Health: discovery.HealthServing, Size: 1})
 		p := c.start(c.discovery)
 		c.awaitReady(p)
-		time.Sleep(3 * time.Second) // until it has the list with the backend above alone
+		time.Sleep(3 * time.Second) // until the proxy's list has only the backend above
 		before := readMemory(b, p, "status", "VmRSS")
 		var bodies []io.ReadCloser
 		for n := range readers {
@@ -146,7 +146,8 @@
 	}
 }
 
-// BenchmarkScrapeAtOverload measures how long the admin API takes while clients keep the proxy's one core busy.
+// BenchmarkScrapeAtOverload measures how long the admin API takes to respond while clients keep the proxy's one core
+// busy.
 func BenchmarkScrapeAtOverload(b *testing.B) {
 	for range b.N {
 		c := newCluster(b, 64)
--- a/cmd/pumiceline/cli_test.go
+++ b/cmd/pumiceline/cli_test.go
@@ -9,7 +9,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// Scripts of operators call the program with these names, so every command and flag that there ever was still parses.
+// Scripts of operators call the program with these names, so every command and flag of any earlier version must still
+// parse.
 func TestCLI_KeepsCommandsAndFlags(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "file.toml")
@@ -79,7 +80,7 @@
 	}
 }
 
-// currentName is the name that the help shows of a command that may be given by its earlier name.
+// currentName returns the current name of a command, which may be given by an earlier name.
 func currentName(command string) string {
 	for _, renamed := range []struct{ from, to string }{
 		{"lab ", "fleetsim "},
--- a/cmd/pumiceline/cluster_test.go
+++ b/cmd/pumiceline/cluster_test.go
@@ -22,8 +22,8 @@
 	"pumiceline/internal/fake/fakestandalone"
 )
 
-// TestMain runs the program itself where the environment says so: tests start their own binary as the processes that they
-// stop and kill.
+// TestMain runs the program instead of the tests if PUMICELINE_TEST_MAIN is set: tests start their own binary as the
+// processes that they stop and kill.
 func TestMain(m *testing.M) {
 	if os.Getenv("PUMICELINE_TEST_MAIN") != "" {
 		main()
@@ -32,7 +32,7 @@
 	os.Exit(m.Run())
 }
 
-// cluster is fake backends and discovery with an inherited socket, on which processes of one proxy start and end.
+// cluster has fake backends, a fake discovery, and a listening socket that successive processes of one proxy inherit.
 type cluster struct {
 	t             testing.TB
 	socket        *os.File // the clients' listening socket, which each process inherits
@@ -42,7 +42,7 @@
 	sharedFolder  string
 	memoryMB      int
 	fakes         *fakestandalone.Environment
-	adaptSettings func(settings map[string]any) // nil: they stay as the fakes have them
+	adaptSettings func(settings map[string]any) // nil: the fakes' settings stay as they are
 }
 
 // process is a process of the proxy.
@@ -79,7 +79,7 @@
 	return c
 }
 
-// writeConfig replaces the configuration file. The further classes are like the first one.
+// writeConfig replaces the configuration file. The further classes are copies of the first one under other names.
 func (c *cluster) writeConfig(furtherClasses ...string) {
 	c.t.Helper()
 	text, err := fakestandalone.ProxyConfig(c.address, c.discovery, []string{"ub-east"})
@@ -116,7 +116,8 @@
 // start starts a process that watches discovery at the given address.
 func (c *cluster) start(discovery string) *process {
 	c.t.Helper()
-	free, err := net.Listen("tcp", "127.0.0.5:0") // an address of its own: a connection of another test can't take the port
+	// A separate IP address: a connection of another test can't take the port before the process listens there.
+	free, err := net.Listen("tcp", "127.0.0.5:0")
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -133,7 +134,7 @@
 	return p
 }
 
-// awaitAdmin waits until the response of a process's admin API is as wanted.
+// awaitAdmin polls a path of a process's admin API until want accepts the response.
 func (c *cluster) awaitAdmin(p *process, path string, want func(status int, body string) bool) {
 	c.t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -144,7 +145,7 @@
 		if time.Now().After(deadline) {
 			p.Process.Kill()
 			p.Wait()
-			c.t.Fatalf("%s not as wanted: %d %q %v; the process's log:\n%s", path, status, body, err, p.log)
+			c.t.Fatalf("%s: no accepted response, the last is %d %q %v; the process's log:\n%s", path, status, body, err, p.log)
 		}
 	}
 }
@@ -155,7 +156,7 @@
 	c.awaitAdmin(p, "readyz", func(status int, _ string) bool { return status == 200 })
 }
 
-// reload has a process reload its configuration for the first time, and waits until it has.
+// reload has a process reload its configuration for the first time, and waits until it has loaded it.
 func (c *cluster) reload(p *process) {
 	c.t.Helper()
 	if err := p.Process.Signal(syscall.SIGHUP); err != nil {
@@ -171,8 +172,8 @@
 	return status, err
 }
 
-// startLoad has clients send requests in a closed loop until stop is called. Each outcome is reported, with the start of its
-// request, by several goroutines.
+// startLoad has clients send requests in a closed loop until stop is called. Several goroutines call report concurrently
+// with the outcome of each request and the time at which it started.
 func (c *cluster) startLoad(clients int, transport http.RoundTripper, report func(status int, err error, started time.Time)) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var number atomic.Int64
@@ -220,7 +221,8 @@
 	return resp.StatusCode, string(content), err
 }
 
-// useAffinity makes settings those of a deployment whose backends have keys and report their load when polled.
+// useAffinity changes settings to those of a deployment whose backends have affinity and report their load when polled.
+// polling says whether the proxy may poll them.
 func useAffinity(settings map[string]any, polling bool) {
 	settings["FamilyInfo"] = map[string]any{"WarmKeys": true}
 	settings["LoadInfo"].(map[string]any)["How"] = "pull"
--- a/cmd/pumiceline/faulttest.go
+++ b/cmd/pumiceline/faulttest.go
@@ -13,7 +13,7 @@
 	DiscoveryCache faulttestDiscoveryCacheCmd `cmd:"" aliases:"roster" help:"Count the requests to discovery where each instance has a cache of its list, and kill the role's holder."`
 }
 
-// writeResult writes a result as JSON to a file; to none where path is empty.
+// writeResult writes a result as JSON to a file. It writes nothing if path is empty.
 func writeResult(path string, result any) error {
 	if path == "" {
 		return nil
--- a/cmd/pumiceline/faulttest_test.go
+++ b/cmd/pumiceline/faulttest_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// A script runs with real processes, and its result counts the requests: after the last fault none fails.
+// A script runs with real processes. Its result counts the requests by proxy, and no request fails after the last fault.
 func TestFaulttestRun_RecoversAfterFaults(t *testing.T) {
 	t.Setenv("PUMICELINE_TEST_MAIN", "1")
 	script, out := filepath.Join(t.TempDir(), "s.toml"), filepath.Join(t.TempDir(), "v.json")
@@ -46,6 +46,6 @@
 		t.Errorf("by proxy: %+v", result.Proxies)
 	}
 	if len(result.ProxyFailures) > 0 {
-		t.Errorf("proxies ended not in order: %v", result.ProxyFailures)
+		t.Errorf("proxies did not end in order: %v", result.ProxyFailures)
 	}
 }
--- a/cmd/pumiceline/faulttestcluster.go
+++ b/cmd/pumiceline/faulttestcluster.go
@@ -22,7 +22,8 @@
 	Out       string        `help:"File for the result and the history, as JSON." type:"path"`
 }
 
-// Run injects faults drawn from a seed. It fails where a stale effect was accepted, or a role was not held again.
+// Run injects faults drawn from a seed. It returns an error if a stale effect was accepted or a role was not held again
+// after the faults.
 func (c *faulttestClusterCmd) Run(out output) error {
 	program, err := os.Executable()
 	if err != nil {
@@ -56,7 +57,8 @@
 	Proxies      int           `help:"Proxies under load that ask a cache; as many ask discovery itself." default:"2"`
 }
 
-// Run starts members and instances, counts the requests to discovery, and kills the instance that follows it.
+// Run starts members and instances, counts the requests to discovery, and kills the instance that follows discovery for
+// the others.
 func (c *faulttestDiscoveryCacheCmd) Run(out output) error {
 	program, err := os.Executable()
 	if err != nil {
--- a/cmd/pumiceline/faulttestrun.go
+++ b/cmd/pumiceline/faulttestrun.go
@@ -23,12 +23,12 @@
 type scriptResult struct {
 	Seed           uint64            `json:"seed"`
 	Proxies        []requestCounts   `json:"proxies"`
-	AfterLastFault requestCounts     `json:"after"`  // of all proxies, from a second after the last fault's end
-	ProxyFailures  []string          `json:"faults"` // proxies that ended by themselves or not in order
+	AfterLastFault requestCounts     `json:"after"`  // of all proxies, from recoveryTime after the last fault's end
+	ProxyFailures  []string          `json:"faults"` // proxies that ended by themselves or did not stop in order
 	History        []faulttest.Event `json:"history"`
 }
 
-// requestCounts counts the requests to one proxy by their result.
+// requestCounts counts requests by their result.
 type requestCounts struct {
 	Sent     int `json:"asked"`
 	Served   int `json:"served"`
@@ -40,15 +40,16 @@
 	return requestCounts{c.Sent + s.Sent, c.Served + s.Served, c.Rejected + s.Rejected, c.Failed + s.Failed}
 }
 
-// String is the form in which the command prints counts.
+// String returns the counts as the command prints them.
 func (c requestCounts) String() string {
 	return fmt.Sprintf("%d sent, %d served, %d rejected, %d failed", c.Sent, c.Served, c.Rejected, c.Failed)
 }
 
-// recoveryTime is the time after the last fault's end in which requests that fail still count as affected by it.
+// recoveryTime is the time after the last fault's end during which failed requests still count as caused by the fault.
 const recoveryTime = time.Second
 
-// Run runs a script and shows the requests by their result. It fails if a proxy ended by itself or not in order.
+// Run runs a script and prints the requests by their result. It returns an error if a proxy ended by itself or did not
+// stop in order.
 func (c *faulttestRunCmd) Run(out output) error {
 	script, err := faulttest.ReadScript(c.File)
 	if err != nil {
--- a/cmd/pumiceline/faulttestscript.go
+++ b/cmd/pumiceline/faulttestscript.go
@@ -27,11 +27,11 @@
 type scriptRun struct {
 	*faulttest.Harness
 	script          *faulttest.Script
-	program         string // this one
+	program         string // path of the running executable
 	dir             string
 	environment     *fakestandalone.Environment
 	discoveryAddr   string
-	backendRelays   []*faulttest.Relay // from all proxies, by backend
+	backendRelays   []*faulttest.Relay // by backend; shared by all proxies
 	discoveryRelays []*faulttest.Relay // by proxy
 	proxyAddrs      []string
 
@@ -39,7 +39,7 @@
 	processes []*faulttest.Process // by proxy
 }
 
-// newScriptRun prepares a run, of which nothing runs yet. close ends it, also after an error.
+// newScriptRun prepares a run without starting a process or relay. The caller must call close, also after an error.
 func newScriptRun(script *faulttest.Script) (*scriptRun, error) {
 	r := &scriptRun{Harness: faulttest.New(), script: script, processes: make([]*faulttest.Process, script.Proxies)}
 	var err error
@@ -52,13 +52,13 @@
 	return r, nil
 }
 
-// close ends all that runs and removes the run's folder.
+// close ends all processes and relays, and removes the run's folder.
 func (r *scriptRun) close() {
 	r.Close()
 	os.RemoveAll(r.dir)
 }
 
-// start starts the fakes, which end with ctx, and the proxies, and waits until these are ready.
+// start starts the fakes and the proxies, and waits until the proxies are ready. The fakes end with ctx.
 func (r *scriptRun) start(ctx context.Context) error {
 	if err := r.startEnvironment(ctx); err != nil {
 		return err
@@ -78,7 +78,8 @@
 	return nil
 }
 
-// startEnvironment starts discovery and backends, and a relay to each backend, which discovery lists in its place.
+// startEnvironment starts discovery and backends, and a relay to each backend. Discovery lists the
+// address of the relay in place of the backend's.
 func (r *scriptRun) startEnvironment(ctx context.Context) error {
 	var listeners []net.Listener
 	for range 1 + r.script.Backends {
@@ -110,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	// An IP address of its own: no other connection takes the port until the proxy listens there.
+	// A separate IP address: no other connection takes the port between Close and the start of the proxy's listener.
 	reserved, err := net.Listen("tcp", fmt.Sprintf("127.0.1.%d:0", i+1))
 	if err != nil {
 		return fmt.Errorf("reserve an address: %w", err)
@@ -147,14 +148,15 @@
 	return nil
 }
 
-// process is the latest process of the i-th proxy.
+// process returns the latest process of the i-th proxy.
 func (r *scriptRun) process(i int) *faulttest.Process {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.processes[i]
 }
 
-// inject injects a fault and returns what ends it. Faults may overlap: a proxy that is to be frozen may have been killed.
+// inject injects a fault and returns a function that ends it. Faults may overlap: a proxy may already have been killed
+// when it is to be frozen.
 func (r *scriptRun) inject(f faulttest.ScheduledFault) (end func()) {
 	r.Record("script", "%v", &f)
 	switch {
@@ -180,11 +182,11 @@
 // freeze stops a proxy's process (SIGSTOP) until end is called.
 func (r *scriptRun) freeze(i int) (end func()) {
 	p := r.process(i)
-	if err := p.Freeze(); err != nil { // it was killed and has not been started again yet
+	if err := p.Freeze(); err != nil { // the proxy was killed and has not been started again yet
 		r.recordError(err)
 		return func() {}
 	}
-	return func() { r.recordError(p.Thaw()) } // fails where it was killed while it was frozen
+	return func() { r.recordError(p.Thaw()) } // fails if the proxy was killed while it was frozen
 }
 
 // injectLinkFault injects a fault into a relay. The returned function ends it.
@@ -206,7 +208,7 @@
 	return relay.Heal
 }
 
-// stopProxies stops all proxies and returns which had ended already, or do not end in order.
+// stopProxies stops all proxies and describes each one that had already ended or does not end in order in time.
 func (r *scriptRun) stopProxies() (failures []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
