--- a/cmd/pumiceline/bench_test.go
+++ b/cmd/pumiceline/bench_test.go
@@ -17,8 +17,8 @@
 	"pumiceline/internal/standalone/discovery"
 )
 
-// readMemory returns a field of /proc/<pid>/<file> of a process, in MB. The field Pss counts a page that several processes
-// share in proportion for each.
+// readMemory returns a field of /proc/<pid>/<file> of a process, in MB. The field Pss counts a page that several
+// processes share in proportion for each.
 func readMemory(b *testing.B, p *process, file, field string) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", p.Process.Pid, file))
@@ -36,8 +36,9 @@
 	return 0
 }
 
-// BenchmarkCost measures the CPU time of the proxy for a request, in a closed loop of 32 clients, without and with affinity and
-// load polling. Compare figures only within a run, or with those of another version when both versions run alternately.
+// BenchmarkCost measures the CPU time of the proxy for a request, in a closed loop of 32 clients, without and with
+// affinity and load polling. Compare figures only within a run, or with those of another version when both versions run
+// alternately.
 func BenchmarkCost(b *testing.B) {
 	for name, adapt := range map[string]func(map[string]any){
 		"plain": nil,
--- a/cmd/pumiceline/cluster_test.go
+++ b/cmd/pumiceline/cluster_test.go
@@ -172,8 +172,8 @@
 	return status, err
 }
 
-// startLoad has clients send requests in a closed loop until stop is called. Several goroutines call report concurrently
-// with the outcome of each request and the time at which it started.
+// startLoad has clients send requests in a closed loop until stop is called. Several goroutines call report
+// concurrently with the outcome of each request and the time at which it started.
 func (c *cluster) startLoad(clients int, transport http.RoundTripper, report func(status int, err error, started time.Time)) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var number atomic.Int64
--- a/cmd/pumiceline/faulttest_test.go
+++ b/cmd/pumiceline/faulttest_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// A script runs with real processes. Its result counts the requests by proxy, and no request fails after the last fault.
+// A script runs with real processes. Its result counts the requests by proxy, and no request fails after the last
+// fault.
 func TestFaulttestRun_RecoversAfterFaults(t *testing.T) {
 	t.Setenv("PUMICELINE_TEST_MAIN", "1")
 	script, out := filepath.Join(t.TempDir(), "s.toml"), filepath.Join(t.TempDir(), "v.json")
--- a/cmd/pumiceline/fleetsim.go
+++ b/cmd/pumiceline/fleetsim.go
@@ -15,7 +15,8 @@
 	"pumiceline/internal/fleetsim/progress"
 )
 
-// fleetsimCmd is `pumiceline fleetsim`. Its alias `lab` is its earlier name, which results files have in their commands.
+// fleetsimCmd is `pumiceline fleetsim`. Its alias `lab` is its earlier name: results files hold replay commands with
+// it.
 type fleetsimCmd struct {
 	Check   fleetsimCheckCmd   `cmd:"" help:"Validate an experiment and say how many runs it has."`
 	Run     fleetsimRunCmd     `cmd:"" help:"Run an experiment as it stands, without its sweeps, and show each result."`
@@ -25,7 +26,7 @@
 	Replay  fleetsimReplayCmd  `cmd:"" help:"Repeat one run: of an experiment, or of a line of a results file."`
 }
 
-// experimentFlags are those of run, sweep and compare.
+// experimentFlags are the flags of run, sweep and compare.
 type experimentFlags struct {
 	File           string   `arg:"" help:"Experiment (TOML)."`
 	Out            string   `help:"Write the results to this file, as JSON lines." type:"path"`
@@ -73,8 +74,8 @@
 	return settings, nil
 }
 
-// execute runs e with progress on standard error and keeps the results. Its error names the command for each run that
-// failed; the results are complete then, too.
+// execute runs e, shows progress on standard error, and returns the results. If runs failed, the results are complete
+// all the same, and the error has the command that repeats each failed run.
 func (f *experimentFlags) execute(e *experiment.Experiment, out output) ([]*experiment.Result, error) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
@@ -113,7 +114,8 @@
 	return results, errors.Join(failed...)
 }
 
-// runError says why a run fails the command, with the command that repeats it; nil: it does not.
+// runError returns the reason why a run makes the command fail, with the command that repeats the run; nil if it does
+// not.
 func (f *experimentFlags) runError(e *experiment.Experiment, r *experiment.Result) error {
 	switch {
 	case r.Error != "":
@@ -140,7 +142,7 @@
 
 type fleetsimRunCmd struct{ experimentFlags }
 
-// Run makes the run of every policy and seed of the experiment, without its sweeps.
+// Run runs each policy with each seed of the experiment, without its sweeps.
 func (c *fleetsimRunCmd) Run(out output) error {
 	e, err := c.load()
 	if err != nil {
@@ -159,7 +161,7 @@
 	Measures []string `help:"Figures to show." default:"g,worst,broken"`
 }
 
-// Run makes all runs of the experiment and prints a table.
+// Run executes all runs of the experiment and prints a table.
 func (c *fleetsimSweepCmd) Run(out output) error {
 	e, err := c.load()
 	if err != nil {
@@ -183,7 +185,7 @@
 	Measures []string `help:"Figures to compare." default:"g"`
 }
 
-// Run compares policies: of a results file, or of an experiment that it runs first.
+// Run compares the policies of a results file, or of an experiment, which it runs first.
 func (c *fleetsimCompareCmd) Run(out output) error {
 	measures, err := parseMeasures(c.Measures)
 	if err != nil {
@@ -208,7 +210,7 @@
 	return failed
 }
 
-// isExperiment says whether a file is an experiment, by its extension; else it has results.
+// isExperiment reports whether a file is an experiment, by its extension. Other files are results files.
 func isExperiment(file string) bool { return strings.HasSuffix(file, ".toml") }
 
 func parseMeasures(names []string) ([]experiment.Measure, error) {
--- a/cmd/pumiceline/fleetsim_test.go
+++ b/cmd/pumiceline/fleetsim_test.go
@@ -25,7 +25,7 @@
 values = [0.3, 0.6]
 `
 
-// TestFleetsim_SweepComparePlotReplay runs the commands one after another on each other's files.
+// The commands run one after the other: compare, plot and replay read the results file that sweep wrote.
 func TestFleetsim_SweepComparePlotReplay(t *testing.T) {
 	dir := t.TempDir()
 	file, results := filepath.Join(dir, "x.toml"), filepath.Join(dir, "x.jsonl")
--- a/cmd/pumiceline/fleetsimplot.go
+++ b/cmd/pumiceline/fleetsimplot.go
@@ -25,7 +25,7 @@
 	return drawFigures(out, results, c.Dir, c.Measures)
 }
 
-// defaultMeasures are what --plots draws against a sweep's axis.
+// defaultMeasures are the measures that --plots draws against a sweep's axis.
 var defaultMeasures = []string{"g", "worst", "overdriven"}
 
 // drawFigures writes the figures of results and the report into a folder.
--- a/cmd/pumiceline/fleetsimreplay.go
+++ b/cmd/pumiceline/fleetsimreplay.go
@@ -23,7 +23,7 @@
 // errResultDiffers is returned for a run that does not repeat its line of a results file.
 var errResultDiffers = errors.New("fleetsim: the result differs from the results file: another build, or a fault of the simulator")
 
-// Run repeats one run. Of a results file it fails with errResultDiffers unless the result is the same.
+// Run repeats one run. For a run of a results file it returns errResultDiffers unless the result is the same.
 func (c *fleetsimReplayCmd) Run(out output) error {
 	r, err := c.load()
 	if err != nil {
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// requireSameBytes returns errResultDiffers unless both results are the same in a results file.
+// requireSameBytes returns errResultDiffers unless a results file has the same bytes for both results.
 func requireSameBytes(stored, repeated *experiment.Result) error {
 	var a, b bytes.Buffer
 	if err := errors.Join(stored.Write(&a), repeated.Write(&b)); err != nil {
@@ -82,7 +82,8 @@
 	if r.Policy == "" {
 		r.Policy = e.Policies[0]
 	}
-	// The run validates the scenario: after some of the settings alone it may be invalid, as a sweep changes keys together.
+	// The scenario is validated by the run, not after each setting: a sweep may change keys together, and the scenario
+	// may be invalid with only some of them changed.
 	for _, text := range c.Settings {
 		s, err := experiment.ParseSetting(text)
 		if err == nil {
@@ -96,7 +97,7 @@
 	return r, nil
 }
 
-// simulate makes the run, with a trace if one is asked for.
+// simulate executes the run, and writes a trace if --trace is given.
 func (c *fleetsimReplayCmd) simulate(r *experiment.Result) error {
 	if c.Trace == "" {
 		r.Simulate(nil)
--- a/cmd/pumiceline/main.go
+++ b/cmd/pumiceline/main.go
@@ -25,7 +25,7 @@
 	Fleetsim  fleetsimCmd  `cmd:"" aliases:"lab" help:"Simulate a whole fleet without sockets, to compare load-balancing policies."`
 }
 
-// output is where commands print; kong passes it to their Run methods.
+// output is the writer that commands print to; kong passes it to their Run methods.
 type output struct{ io.Writer }
 
 func main() {
@@ -52,7 +52,7 @@
 	Config string `help:"Configuration file, in place of the one that ROUTER_CONFIG names." type:"path"`
 }
 
-// Run reads the configuration as serve would.
+// Run reads and checks the configuration as serve does.
 func (c *checkCmd) Run(out output) error {
 	cfg, err := config.Load(c.Config, os.Getenv)
 	if err != nil {
--- a/cmd/pumiceline/main_test.go
+++ b/cmd/pumiceline/main_test.go
@@ -16,7 +16,7 @@
 		t.Errorf("%q, %v", out.String(), err)
 	}
 	if err := (&checkCmd{Config: "nowhere"}).Run(output{&out}); err == nil {
-		t.Error("a missing file passes")
+		t.Error("check accepts a missing file")
 	}
 	out.Reset()
 	if err := (versionCmd{}).Run(output{&out}); err != nil || !strings.HasPrefix(out.String(), "pumiceline ") {
--- a/cmd/pumiceline/process_test.go
+++ b/cmd/pumiceline/process_test.go
@@ -17,8 +17,8 @@
 	"pumiceline/internal/standalone/hotrestart"
 )
 
-// Where backends have affinity, all requests of a key go to one backend, and each has keys. Backends are polled for their load
-// about once a second where the settings allow it, and no more after the reload that forbids it.
+// With affinity all requests of a key go to one backend, and every backend gets keys. Backends are polled for their
+// load about once a second if the settings allow it, and no longer after a reload that forbids it.
 func TestServe_AffinityAndLoadPolling(t *testing.T) {
 	c := newCluster(t, 64)
 	polling := true
@@ -36,26 +36,27 @@
 	if len(keys) != len(c.fakes.Backends) {
 		t.Errorf("keys by backend: %v", keys)
 	}
-	polls := func() (n int64) {
+	countPolls := func() (n int64) {
 		for _, d := range c.fakes.Backends {
 			n += d.LoadQueries()
 		}
 		return n
 	}
-	if n := polls(); n < 3 || n > 12 {
+	if n := countPolls(); n < 3 || n > 12 {
 		t.Errorf("%d polls in %v", n, time.Since(started))
 	}
 
 	polling = false
 	c.writeConfig()
 	c.reload(p)
-	n := polls()
-	if time.Sleep(1500 * time.Millisecond); polls() > n+1 { // one may have been in flight
-		t.Errorf("%d polls after the reload that forbids them", polls()-n)
+	n := countPolls()
+	if time.Sleep(1500 * time.Millisecond); countPolls() > n+1 { // one may have been in flight
+		t.Errorf("%d polls after the reload that forbids them", countPolls()-n)
 	}
 }
 
-// sendKeys sends requests of 31 keys for a time and returns the backend of each key, which must be the same each time.
+// sendKeys sends requests of 16 keys, the squares modulo 31, for the duration, and returns the backend of each key. It
+// fails if a key's backend changes.
 func sendKeys(t *testing.T, c *cluster, duration time.Duration) (backendOf map[string]string) {
 	t.Helper()
 	backendOf = map[string]string{}
@@ -74,8 +75,9 @@
 	return backendOf
 }
 
-// A proxy that is partitioned from discovery serves on, and sends a draining backend nothing more 500 ms after the update has
-// reached it. One that is paused for a second and a half serves on when it continues, and fails at most what was in flight.
+// A proxy that is partitioned from discovery continues to serve. When the partition ends, the update reaches it that a
+// backend is draining: 500 ms later it sends that backend no more requests. A proxy that is paused for a second and a
+// half serves again when it continues, and at most the requests in flight fail.
 func TestServe_DiscoveryPartitionAndPause(t *testing.T) {
 	c := newCluster(t, 64)
 	faults := faulttest.New()
@@ -123,19 +125,20 @@
 	}
 }
 
-// When a successor is killed, before or after it is ready, only requests that it has accepted are lost: the old process goes on
-// serving with its full quotas, and the next successor takes over without a lost request. A reload while two processes serve
-// is applied by both.
+// When a successor is killed, before or after it is ready, only requests that it has accepted are lost: the old process
+// continues to serve, with its full quotas again, and the next successor takes over without a lost request. Both
+// processes apply a reload while both serve.
 func TestServe_SuccessorIsKilled(t *testing.T) {
-	silent, err := net.Listen("tcp", "127.0.0.1:0") // sends nothing, so that a successor waits for its list
+	unresponsive, err := net.Listen("tcp", "127.0.0.1:0") // never responds: a successor waits for its list
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { silent.Close() })
+	t.Cleanup(func() { unresponsive.Close() })
 	for _, tc := range []struct {
 		name  string
 		ready bool
-		// wantProcesses is how many processes the old one shares its quotas with, in the order of its log.
+		// wantProcesses has the number of processes that share the quotas, in the order in which the old process logs
+		// it.
 		wantProcesses []string
 	}{
 		{"before it is ready", false, []string{"1", "2"}},
@@ -145,7 +148,8 @@
 			c := newCluster(t, 64)
 			old := c.start(c.discovery)
 			c.awaitReady(old)
-			var killedFrom, killedBy, served, lost atomic.Int64 // the first two: Unix nanoseconds
+			// The kill happens between killedFrom and killedBy, in Unix nanoseconds.
+			var killedFrom, killedBy, served, lost atomic.Int64
 			stopLoad := c.startLoad(4, connectionPerRequest, func(status int, err error, started time.Time) {
 				switch ended := killedBy.Load(); {
 				case err == nil && status == 200:
@@ -161,7 +165,7 @@
 			if tc.ready {
 				successor = startReadySuccessor(t, c, old)
 			} else {
-				successor = startWaitingSuccessor(c, silent.Addr().String())
+				successor = startWaitingSuccessor(c, unresponsive.Addr().String())
 			}
 			killedFrom.Store(time.Now().UnixNano())
 			successor.Process.Kill()
@@ -185,18 +189,20 @@
 	}
 }
 
-// startWaitingSuccessor kills a successor as soon as it has started, and returns one that never gets an endpoint list.
-func startWaitingSuccessor(c *cluster, silentDiscovery string) *process {
+// startWaitingSuccessor starts a successor and kills it at once, then returns another successor, which never gets an
+// endpoint list.
+func startWaitingSuccessor(c *cluster, unresponsiveDiscovery string) *process {
 	c.t.Helper()
 	first := c.start(c.discovery)
 	first.Process.Kill()
 	first.Wait()
-	second := c.start(silentDiscovery)
+	second := c.start(unresponsiveDiscovery)
 	c.awaitAdmin(second, "readyz", func(status int, _ string) bool { return status == 503 })
 	return second
 }
 
-// startReadySuccessor returns a successor that serves beside the old process, after both have reloaded a further class.
+// startReadySuccessor returns a successor that serves together with the old process, after both have reloaded a
+// configuration with a further class.
 func startReadySuccessor(t *testing.T, c *cluster, old *process) *process {
 	t.Helper()
 	successor := c.start(c.discovery)
@@ -212,7 +218,7 @@
 	return successor
 }
 
-// stopProcess ends a process in order.
+// stopProcess stops a process by SIGTERM, and fails the test unless it exits with code 0.
 func stopProcess(t *testing.T, p *process) {
 	t.Helper()
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
@@ -223,7 +229,7 @@
 	}
 }
 
-// loggedProcesses returns the numbers of serving processes that a process has logged.
+// loggedProcesses returns each number of serving processes that a process has logged, in order.
 func loggedProcesses(p *process) []string {
 	var processes []string
 	for _, found := range regexp.MustCompile(`processes=(\d)`).FindAllStringSubmatch(p.log.String(), -1) {
--- a/cmd/pumiceline/serve.go
+++ b/cmd/pumiceline/serve.go
@@ -15,9 +15,9 @@
 	"pumiceline/internal/standalone/server"
 )
 
-// gcPercent is how far the heap may grow, in percent of the live heap, before it is collected. The live heap is a few MB, so
-// that at Go's default of 100 the collector ran several times a second and took a fifth of a busy proxy's CPU. The memory
-// limit bounds it.
+// gcPercent is how far the heap may grow, in percent of the live heap, before a garbage collection. The live heap is a
+// few MB: at Go's default of 100 the collector runs several times a second and takes a fifth of a busy proxy's CPU. The
+// memory limit bounds the heap.
 const gcPercent = 400
 
 // serveCmd is `pumiceline serve`.
@@ -29,7 +29,7 @@
 
 // Run serves until SIGTERM or SIGINT, and reloads the configuration on SIGHUP.
 func (s *serveCmd) Run() error {
-	// Signals first of all: until Notify, a SIGHUP ends the program.
+	// Register for SIGHUP before anything else: until Notify, a SIGHUP ends the program.
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	defer signal.Stop(reloads)
--- a/cmd/pumiceline/signals_test.go
+++ b/cmd/pumiceline/signals_test.go
@@ -7,9 +7,10 @@
 	"testing"
 )
 
-// SIGTERM ends a process in order, with exit code 0, whenever it comes: while the configuration is read (from a pipe, so that the
-// process is certain to be there, with a SIGHUP before whose reload blocks on that pipe), and twice, with a SIGHUP before and
-// between. SIGHUP never ends it.
+// SIGTERM ends a process in order, with exit code 0, at any time, and SIGHUP never ends it. "during start" sends SIGHUP
+// and SIGTERM while the process reads its configuration; the configuration is a pipe, so that the process is certain to
+// be reading when the signals come, and the reload after the SIGHUP blocks on that pipe. "twice" sends SIGTERM twice,
+// with a SIGHUP before and between.
 func TestServe_SignalsAtAnyMoment(t *testing.T) {
 	t.Run("during start", func(t *testing.T) {
 		c := newCluster(t, 64)
@@ -22,7 +23,7 @@
 			t.Fatal(err)
 		}
 		p := c.start(c.discovery)
-		pipe, err := os.OpenFile(c.configFile, os.O_WRONLY, 0) // opens once the process has come to read it
+		pipe, err := os.OpenFile(c.configFile, os.O_WRONLY, 0) // blocks until the process opens it for reading
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/pumiceline/singleton.go
+++ b/cmd/pumiceline/singleton.go
@@ -34,13 +34,13 @@
 	Level slog.Level `help:"Least level of the log lines that are written." default:"INFO"`
 }
 
-// open reads the fleet's file and returns a logger whose lines bear the name of the process.
+// open reads the fleet's file and returns a logger that adds the name of the process to each line.
 func (f *fleetFlags) open(process string) (*deployfile.Fleet, *slog.Logger, error) {
 	fleet, err := deployfile.ReadFleet(f.Fleet)
 	return fleet, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: f.Level})).With("who", process), err
 }
 
-// readHeaderTimeout bounds the time in which a client of the receiver or of the discovery cache sends its headers.
+// readHeaderTimeout limits how long a client of the receiver or of the discovery cache may take to send its headers.
 const readHeaderTimeout = 5 * time.Second
 
 // untilSignal returns a context that ends at SIGTERM or SIGINT.
@@ -58,8 +58,8 @@
 	TrustDisk   bool   `help:"Start though not every other member can accept the store: it is known to be the newest one."`
 }
 
-// Run takes part until it is stopped. It fails where the member's disk fails or is older than what it acknowledged, and
-// where the member is started elsewhere.
+// Run runs the member until it is stopped. It returns an error if the member's disk fails or is older than the writes
+// that the member acknowledged, or if the member is started elsewhere.
 func (c *singletonMemberCmd) Run() error {
 	fleet, log, err := c.open(fmt.Sprint("member ", c.ID))
 	if err != nil {
@@ -67,7 +67,8 @@
 	}
 	ctx, cancel := untilSignal()
 	defer cancel()
-	signal.Ignore(syscall.SIGXFSZ) // beyond the limit on file sizes a write is then an error, and no crash
+	// A write beyond the limit on file sizes then returns an error instead of crashing the process.
+	signal.Ignore(syscall.SIGXFSZ)
 	member, err := raftmember.Open(raftmember.Options{Fleet: fleet.Name, ID: c.ID, Members: fleet.Members, Dir: c.Dir,
 		Settings: fleet.Settings, Log: log, VolatileDir: c.VolatileDir, TrustDisk: c.TrustDisk})
 	if err != nil {
--- a/cmd/pumiceline/singletonadmin.go
+++ b/cmd/pumiceline/singletonadmin.go
@@ -17,10 +17,10 @@
 
 const (
 	statusTimeout  = time.Second     // for the status of all members
-	requestTimeout = 2 * time.Second // for a request to the leader, which has to be found first
+	requestTimeout = 2 * time.Second // for a request to the leader, including the time to find it
 )
 
-// membersOf returns the access to a fleet's members.
+// membersOf returns a client of the admin API of a fleet's members.
 func membersOf(fleet *deployfile.Fleet) *raftmember.AdminClient {
 	return &raftmember.AdminClient{Fleet: fleet.Name, Members: fleet.Members}
 }
@@ -32,7 +32,7 @@
 
 var errNoQuorum = errors.New("no majority of the members follows one leader: no role is granted until one does")
 
-// Run shows the members and the roles. It fails where there is no quorum: no role is granted then.
+// Run shows the members and the roles. It returns an error if there is no quorum: no role is granted then.
 func (c *singletonStatusCmd) Run(out output) error {
 	fleet, _, err := c.open("status")
 	if err != nil {
@@ -95,8 +95,8 @@
 	Role string `arg:"" help:"The role."`
 }
 
-// Run ends the lease of a role's holder. The holder may go on until its next heartbeat; its effects are rejected once
-// another has begun.
+// Run ends the lease of a role's holder. The holder may continue until its next heartbeat; its effects are rejected
+// once another holder has begun.
 func (c *singletonReleaseCmd) Run() error {
 	fleet, _, err := c.open("release")
 	if err != nil {
@@ -113,7 +113,7 @@
 	To   string `arg:"" help:"The instance; an empty one withdraws the choice." optional:""`
 }
 
-// Run has a role go to an instance once its holder has completed the step in progress.
+// Run moves a role to an instance, once the role's holder has completed the step in progress.
 func (c *singletonMoveCmd) Run() error {
 	fleet, _, err := c.open("move")
 	if err != nil {
--- a/cmd/pumiceline/singletonrun.go
+++ b/cmd/pumiceline/singletonrun.go
@@ -44,7 +44,7 @@
 	}
 	defer closeHistory()
 	opts := c.clientOptions(fleet, log, history)
-	var cache *discoverycache.Cache // needs the client; set before the client runs a step
+	var cache *discoverycache.Cache // set below, because it needs the client; no step runs before client.Run
 	servesCache := fleet.DiscoveryRole != "" && c.CacheAddress != ""
 	if servesCache {
 		opts.Addr = c.CacheAddress
@@ -86,7 +86,7 @@
 	return opts
 }
 
-// openHistory opens the file of the history for appending; without one, the history is discarded.
+// openHistory opens the history file for appending. If no file is given, it discards the history.
 func (c *singletonRunCmd) openHistory() (history io.Writer, closeFile func() error, err error) {
 	if c.History == "" {
 		return io.Discard, func() error { return nil }, nil
--- a/cmd/pumiceline/stored_test.go
+++ b/cmd/pumiceline/stored_test.go
@@ -11,7 +11,7 @@
 	"pumiceline/internal/faulttest"
 )
 
-// The result of a script is written and read with the keys of an earlier version.
+// The result of a script is written with the same bytes as by an earlier version, and a stored result is read back.
 func TestReadsResultStoredByEarlierVersion(t *testing.T) {
 	stored, err := os.ReadFile("testdata/verdict.json")
 	if err != nil {
--- a/cmd/pumiceline/try.go
+++ b/cmd/pumiceline/try.go
@@ -15,7 +15,7 @@
 	"pumiceline/internal/standalone/server"
 )
 
-// Bounds of what `pumiceline try` takes.
+// Bounds of the flags of `pumiceline try`.
 const (
 	minTryNodes    = 2
 	maxTryNodes    = 100
@@ -37,8 +37,9 @@
 	Level    slog.Level    `help:"Lowest level of the proxy's log lines that are shown." default:"ERROR"`
 }
 
-// Run runs fake backends and discovery, the proxy and a light load in this process, on loopback, and shows each second what
-// becomes of it. A third of the way through, one backend drains and is gone; at two thirds it is back, cold.
+// Run runs fake backends and discovery, the proxy and a light load in this process, on loopback, and shows each second
+// how requests are served. After a third of the time one backend drains and then refuses requests; after two thirds it
+// is back, cold.
 func (c *tryCmd) Run(out output) error {
 	if err := c.validate(); err != nil {
 		return err
@@ -55,7 +56,7 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 
-	failed := make(chan error, 2) // one of each goroutine below
+	failed := make(chan error, 2) // has room for one error of each goroutine below
 	fakes := fakestandalone.NewEnvironment(addrs.discovery, addrs.backends, tryZones, fakestandalone.SleepAbout(tryServiceTime))
 	stopFakes := runInBackground(context.Background(), func(ctx context.Context) {
 		if err := fakes.Serve(ctx); err != nil {
@@ -95,14 +96,15 @@
 	return nil
 }
 
-// tryAddresses are where the parts of `pumiceline try` listen: open listeners of the fakes, and addresses of the proxy.
+// tryAddresses has the addresses of `pumiceline try`: open listeners for the fakes, and addresses for the proxy.
 type tryAddresses struct {
 	proxy, admin string
 	discovery    net.Listener
 	backends     []net.Listener
 }
 
-// openListeners opens a listener on loopback for each part. Those of the proxy, which opens its own, are closed again.
+// openListeners opens a listener on loopback for each part. It closes the proxy's listeners again, because the proxy
+// opens its own at their addresses.
 func (c *tryCmd) openListeners() (*tryAddresses, error) {
 	var listeners []net.Listener
 	addrs := &tryAddresses{}
@@ -146,7 +148,7 @@
 	return cfg, nil
 }
 
-// runInBackground runs f in a goroutine. The returned function cancels f's context and waits for its end.
+// runInBackground runs f in a goroutine. The returned function cancels f's context and waits until f returns.
 func runInBackground(parent context.Context, f func(context.Context)) (stop func()) {
 	ctx, cancel := context.WithCancel(parent)
 	done := make(chan struct{})
@@ -160,7 +162,7 @@
 	}
 }
 
-// awaitReady waits until the proxy has an endpoint list.
+// awaitReady waits until the proxy reports that it is ready: it has an endpoint list.
 func awaitReady(ctx context.Context, baseURL string, failed <-chan error) error {
 	for {
 		resp, err := http.Get(baseURL + "/ready")
--- a/cmd/pumiceline/try_monitor.go
+++ b/cmd/pumiceline/try_monitor.go
@@ -14,7 +14,7 @@
 	"pumiceline/internal/standalone/discovery"
 )
 
-// tryPhase is the state of the one backend that drains and comes back.
+// tryPhase is the state of the one backend that drains and returns.
 type tryPhase int
 
 const (
@@ -24,14 +24,14 @@
 )
 
 const (
-	// tryDrainDelay is how long after it is listed as draining a backend begins to refuse requests.
+	// tryDrainDelay is the time from listing a backend as draining until the backend refuses requests.
 	tryDrainDelay = time.Second
 	// maxTryBar is the length of the longest bar that stands for a backend's requests.
 	maxTryBar = 40
 )
 
-// tryMonitor drains and restores one backend and shows a table each second: redrawn in place on a terminal, a line a second
-// elsewhere.
+// tryMonitor drains and restores one backend and shows a table each second: redrawn in place on a terminal, one line
+// per second elsewhere.
 type tryMonitor struct {
 	duration time.Duration
 	fakes    *fakestandalone.Environment
@@ -41,9 +41,9 @@
 
 	started time.Time
 	phase   tryPhase
-	status  string // the phase as it is shown
+	status  string // text of the phase for the table
 	total   fakestandalone.RequestStats
-	served  []int64 // by each backend, when the last table was drawn
+	served  []int64 // by backend, up to the last table
 	drawn   int     // lines of the last table
 }
 
@@ -55,7 +55,7 @@
 		started:  time.Now(), status: "all serve", served: make([]int64, len(fakes.Backends))}
 }
 
-// run draws until ctx ends, then the totals; an error of the goroutines that it watches over ends it at once.
+// run draws tables until ctx ends, then prints the totals. It returns at once with an error that arrives on failed.
 func (m *tryMonitor) run(ctx context.Context, failed <-chan error) error {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -94,7 +94,7 @@
 	}
 }
 
-// draw shows what clients and backends counted since the last table.
+// draw shows the requests that clients and backends counted since the last table.
 func (m *tryMonitor) draw() error {
 	var table strings.Builder
 	m.writeClients(&table)
