--- a/tools/docrefs/docrefs.go
+++ b/tools/docrefs/docrefs.go
@@ -1,6 +1,6 @@
-// Package docrefs checks that what pages name in backticks exists: paths of the repository, and symbols such as
-// `replica.Replica` or `balancer.Balancer.Pick` of its packages. Its test runs the check on the pages that a newcomer
-// reads first.
+// Package docrefs checks that the paths and symbols that documentation pages name in backticks exist: paths of the
+// repository, and symbols of its packages such as `replica.Replica` or `balancer.Balancer.Pick`. Its test runs the
+// check on the pages that a newcomer reads first.
 package docrefs
 
 import (
@@ -17,18 +17,18 @@
 
 var (
 	quotedPattern = regexp.MustCompile("`([^`\n]+)`")
-	// symbol is a package and one or two names: package.Name or package.Type.Member.
+	// symbolPattern matches a package and one or two names: package.Name or package.Type.Member.
 	symbolPattern = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z]\w*(?:\.[A-Za-z]\w*)?)$`)
 	pathPattern   = regexp.MustCompile(`^(?:\.ci|cmd|deploy|docs|example|internal|tools)(?:/[\w.-]+)+/?$`)
 )
 
-// Index has what pages may name: the symbols of each package of a module, by the package's name.
+// Index has the names that pages may use: the symbols of each package of a module, by the package's name.
 type Index struct {
 	root    string
 	symbols map[string]map[string]bool
 }
 
-// NewIndex reads the module at root. Packages of one name share an entry.
+// NewIndex reads the module at root. Packages with the same name share an entry.
 func NewIndex(root string) (*Index, error) {
 	index := &Index{root: root, symbols: map[string]map[string]bool{}}
 	err := filepath.WalkDir(root, func(name string, entry fs.DirEntry, err error) error {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// qualified is a function's name, for a method with its type before it.
+// qualified returns a function's name, or Type.Method for a method.
 func qualified(function *ast.FuncDecl) string {
 	if function.Recv == nil {
 		return function.Name.Name
--- a/tools/docrefs/docrefs_test.go
+++ b/tools/docrefs/docrefs_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// pages are those that a newcomer reads first.
+// pages are the pages that a newcomer reads first.
 var pages = []string{
 	"README.md",
 	"CONTRIBUTING.md",
@@ -33,7 +33,7 @@
 	"docs/CAPACITY.md",
 }
 
-func TestPagesNameWhatExists(t *testing.T) {
+func TestPagesNameExistingPathsAndSymbols(t *testing.T) {
 	index, err := NewIndex("../..")
 	require.NoError(t, err)
 	for _, page := range pages {
--- a/tools/knownred/list.go
+++ b/tools/knownred/list.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// maxKnownFailures is how many tests may be known to fail.
+// maxKnownFailures is the number of entries that the list may have.
 const maxKnownFailures = 3
 
-// knownFailure is one line of the list.
+// knownFailure is one entry of the list.
 type knownFailure struct {
 	test    string // package.Test
 	line    string
-	isFlaky bool // it fails on some runs only
+	isFlaky bool // the test fails on some runs only
 }
 
-// Forms of a line. A flaky one names the command that shows the fault, with its seed.
+// Forms of a line. The line of a flaky test has a command with a seed that shows the fault.
 var (
 	listLine  = regexp.MustCompile(`^(\S+\.Test\w*): \S.* \(issue \d+\)$`)
 	flakyLine = regexp.MustCompile(`^(\S+\.Test\w*): \S.* \(issue \d+; flaky: \S.* --\S*seed[= ]\d+\b.*\)$`)
 )
 
-// parseList reads the list. Empty lines and comments, which begin with #, are skipped. With an error it returns what it
-// has read so far.
+// parseList reads the list. Empty lines and comments, which begin with #, are skipped. With an error it returns the
+// entries that it has read so far.
 func parseList(text string) (known []knownFailure, err error) {
 	for line := range strings.Lines(text) {
 		line = strings.TrimSpace(line)
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -1,9 +1,11 @@
-// Command knownred compares a run of go test with KNOWN-RED.txt: tests that are known to fail for a real fault, each on a
-// line of its own, "package.Test: cause (issue N)". The run passes if exactly these have failed, and they are printed.
-// It fails on any other failure, on a listed test that passed or does not exist, and on a list of more than three.
+// Command knownred compares a run of go test with KNOWN-RED.txt, the list of tests that are known to fail for a real
+// fault, one per line: "package.Test: cause (issue N)". It prints the list, and passes if exactly the listed tests
+// failed. It fails on any other failure, on a listed test that passed or does not exist, and on a list of more than
+// three tests.
 //
-// A fault that shows on some runs only is listed as "package.Test: cause (issue N; flaky: COMMAND --seed S)", with a command
-// and seed that show it. Such a test may pass, which is printed; its package must have been tested.
+// A fault that shows on some runs only is listed as "package.Test: cause (issue N; flaky: COMMAND --seed S)", with a
+// command and seed that show it. Such a test may pass, but its package must have been tested; the command prints whether
+// it failed.
 //
 //	go test ./... | tee tests.txt; go run ./tools/knownred KNOWN-RED.txt tests.txt
 package main
--- a/tools/knownred/testlog.go
+++ b/tools/knownred/testlog.go
@@ -17,10 +17,10 @@
 	errNoTests         = errors.New("no test was run")
 )
 
-// testResults is what the output of go test says.
+// testResults has the results in the output of go test.
 type testResults struct {
 	failed   []string // tests, as package.Test
-	packages []string // whose results have been read
+	packages []string // packages that have a result
 }
 
 // hasTested says whether the package of a test, named as package.Test, has a result.
@@ -28,8 +28,9 @@
 	return slices.Contains(r.packages, test[:strings.LastIndexByte(test, '.')])
 }
 
-// readResults reads the output of go test. A package that failed without a test (it was not built, it panicked, it timed
-// out) is among the failed by its name, besides the tests that it named: later tests of it never ran.
+// readResults reads the output of go test. If a package failed otherwise than by a failed test (it was not built, it
+// panicked, it timed out), failed has the package's own name besides the tests that it reported: its later tests never
+// ran.
 func readResults(output io.Reader) (testResults, error) {
 	var log testLog
 	scanner := bufio.NewScanner(output)
@@ -52,8 +53,8 @@
 // testLog collects failures from the lines of go test's output.
 type testLog struct {
 	testResults
-	pending []string // failed tests of the package whose result is still to come
-	aborted bool     // that package panicked or exited
+	pending []string // failed tests of the current package, whose result has not been read yet
+	aborted bool     // the current package panicked or exited
 }
 
 func (l *testLog) addLine(line string) {
--- a/tools/lossreport/logline.go
+++ b/tools/lossreport/logline.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/logkey"
 )
 
-// Messages of the records that are read. Some had other words in earlier versions.
+// Messages of the log records that are read, and the messages of earlier versions for the same records.
 const (
 	requestDone        = `msg="request done"`
 	commandSent        = `msg="placement command sent"`
@@ -19,7 +19,7 @@
 	taskStartedEarlier = `msg="task begins"`
 )
 
-// earlierKeys are the keys under which earlier versions of the proxy logged the fields of today. Both are read.
+// earlierKeys has the key of earlier versions of the proxy for each current key. Both are read.
 var earlierKeys = map[string]string{
 	logkey.LatencyTargetMs: "aim", logkey.MaxEventGapMs: "pause", logkey.QueuedMs: "waited", logkey.WaitReason: "for",
 	logkey.FirstEventMs: "first", logkey.LongestEventGapMs: "longest", logkey.TotalMs: "total",
--- a/tools/lossreport/main.go
+++ b/tools/lossreport/main.go
@@ -1,7 +1,7 @@
-// Command lossreport says where the value of a simulated day was lost. It reads the debug logs of proxies and coordinators
-// from standard input, and prints for each route how many requests were late, by cause, and how many were rejected or
-// failed and why; then the placement commands and the reasons of placement tasks. With -report, the JSON report of the same
-// run, it prints the loss by that beside its own.
+// Command lossreport shows where the value of a simulated day was lost. It reads the debug logs of proxies and
+// coordinators from standard input, and prints for each route how many requests were late, by cause, and how many were
+// rejected or failed and why; then the placement commands and the reasons of placement tasks. With -report, which names
+// the JSON report of the same run, it also prints the loss according to that report.
 package main
 
 import (
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// dayReport has the fields that are read of a report of the operators' simulator.
+// dayReport is a report of the operators' simulator, with the fields that are read.
 type dayReport struct {
 	Classes []struct {
 		Name     string  `json:"name"`
@@ -90,7 +90,7 @@
 	return report, nil
 }
 
-// print prints the loss of each class beside that of the log.
+// print prints the loss of each class and of all, and the loss that the log gave.
 func (r *dayReport) print(out io.Writer, lossByLog float64) {
 	fmt.Fprintf(out, "\nloss by the report, in requests; by this log %.0f, a client's further tries counted each\n",
 		lossByLog)
--- a/tools/lossreport/main_test.go
+++ b/tools/lossreport/main_test.go
@@ -50,8 +50,8 @@
 	assert.Equal(t, wantReport, out.String())
 }
 
-// Today's processes log the same fields under other keys than earlier ones, and some messages and values by other words.
-func TestLossReport_ReadsTodaysKeys(t *testing.T) {
+// The current version logs the same fields as earlier ones under other keys, and some messages and values differ.
+func TestLossReport_ReadsCurrentKeys(t *testing.T) {
 	today := strings.NewReplacer(" aim=", " latency_target_ms=", " pause=", " max_event_gap_ms=", " waited=", " queued_ms=",
 		" for=place", " wait_reason=capacity", " for=", " wait_reason=", " first=", " first_event_ms=",
 		" longest=", " longest_event_gap_ms=", " total=", " total_ms=", " events=", " has_events=", " whole=", " complete=",
@@ -73,7 +73,7 @@
 	assert.ErrorContains(t, run(strings.NewReader(broken), &out, ""), "line 2: queued_ms")
 }
 
-func TestLossReport_NamesBadInput(t *testing.T) {
+func TestLossReport_DescribesInvalidInput(t *testing.T) {
 	var out strings.Builder
 	assert.ErrorContains(t, run(strings.NewReader("nothing\n"), &out, ""), "no finished request")
 	broken := strings.Replace(earlierLog, "waited=2", "waited=x", 1)
--- a/tools/lossreport/summary.go
+++ b/tools/lossreport/summary.go
@@ -35,7 +35,7 @@
 	return &lossSummary{routes: map[string]*routeLoss{}, commands: map[string]int{}, taskReasons: map[string]int{}}
 }
 
-// addLine takes a line of the log; lines of other records are skipped.
+// addLine adds a line of the log. It skips lines of records that are not summed up.
 func (s *lossSummary) addLine(line string) error {
 	switch {
 	case strings.Contains(line, requestDone):
@@ -92,7 +92,7 @@
 	return s.routes[name]
 }
 
-// lateness says why an answer was late; empty: it was in time.
+// lateness returns the cause of a late answer; empty if the answer was in time.
 func lateness(f fields) (string, error) {
 	t, err := f.timings()
 	if err != nil {
@@ -115,7 +115,7 @@
 	return "", nil
 }
 
-// loss is the lost value, in requests of full value.
+// loss returns the lost value, in requests of full value.
 func (s *lossSummary) loss() float64 {
 	loss := 0.0
 	for _, route := range s.routes {
--- a/tools/purity/check.go
+++ b/tools/purity/check.go
@@ -13,19 +13,19 @@
 
 const (
 	modulePrefix    = "pumiceline/"
-	durationPackage = "pumiceline/internal/duration" // reads and writes times, and asks for none
+	durationPackage = "pumiceline/internal/duration" // parses and formats durations; never reads the clock
 )
 
-// forbiddenImports are what no deciding package may import, with the packages below them.
+// forbiddenImports are the packages that no package on the list may import, nor the packages below them.
 var forbiddenImports = []string{"net", "os", "syscall"}
 
-// clockFunctions are the functions of package time that read the clock or wait for it.
+// clockFunctions are the functions of package time that read the clock or wait.
 var clockFunctions = map[string]bool{
 	"After": true, "AfterFunc": true, "NewTicker": true, "NewTimer": true, "Now": true, "Since": true, "Sleep": true,
 	"Tick": true, "Until": true,
 }
 
-// check returns what a package does that its rule forbids, each finding with its position.
+// check returns a package's violations of its rule, each with its position.
 func check(rule Rule) ([]string, error) {
 	files, err := filepath.Glob(filepath.Join(rule.Folder, "*.go"))
 	if err != nil {
@@ -65,7 +65,7 @@
 		return nil, err
 	}
 	var findings []string
-	paths := map[string]string{} // import paths by the file's name for the package
+	paths := map[string]string{} // import paths, by the name that the file uses for the package
 	for _, imported := range file.Imports {
 		path, err := strconv.Unquote(imported.Path.Value)
 		if err != nil {
@@ -80,8 +80,8 @@
 	return append(findings, forbiddenUses(file, positions, paths)...), nil
 }
 
-// packageName is the file's name for an imported package. Without one in the import it is taken to be the last element
-// of the path.
+// packageName returns the name that the file uses for an imported package. If the import gives no name, it assumes the
+// last element of the path.
 func packageName(imported *ast.ImportSpec, path string) string {
 	if imported.Name != nil {
 		return imported.Name.Name
@@ -89,7 +89,8 @@
 	return path[strings.LastIndex(path, "/")+1:]
 }
 
-// forbiddenUses returns the file's uses of what isForbiddenUse names. paths are its imports, by the names in the file.
+// forbiddenUses returns the file's uses of names that isForbiddenUse reports. paths has its import paths, by the names
+// that the file uses for them.
 func forbiddenUses(file *ast.File, positions *token.FileSet, paths map[string]string) (findings []string) {
 	ast.Inspect(file, func(node ast.Node) bool {
 		selector, ok := node.(*ast.SelectorExpr)
@@ -108,8 +109,8 @@
 	return findings
 }
 
-// isForbiddenUse reports whether a name of a package reads the clock, waits, or belongs to the network. Of net/http the
-// names of statuses and methods are allowed: they are constants.
+// isForbiddenUse reports whether a name of a package reads the clock, waits, or uses the network. The status and method
+// names of net/http are allowed: they are constants.
 func isForbiddenUse(path, name string) bool {
 	switch path {
 	case "time":
--- a/tools/purity/main.go
+++ b/tools/purity/main.go
@@ -1,9 +1,9 @@
-// Command purity checks that packages which decide know no clock, network or file, so that they can be simulated and
-// tested with any time and any order of events. CI runs it on tools/purity/packages.txt.
+// Command purity checks that packages of decision logic do not use the clock, the network or files, so that they can be
+// simulated and tested with any time and any order of events. CI runs it on tools/purity/packages.txt.
 //
 //	go run ./tools/purity tools/purity/packages.txt
 //
-// It prints a line for each finding and exits with 1 where there is one.
+// It prints a line for each finding and exits with code 1 if there is one.
 package main
 
 import (
--- a/tools/purity/purity_test.go
+++ b/tools/purity/purity_test.go
@@ -18,11 +18,11 @@
 	}, rules)
 }
 
-func TestReadRules_NamesTheFaultyLine(t *testing.T) {
+func TestReadRules_ReportsInvalidLine(t *testing.T) {
 	for name, test := range map[string]struct{ list, want string }{
 		"no level":         {"a no-clock\nb\n", "line 2: want a folder and a level"},
 		"unknown level":    {"a pure\n", `line 1: level is "pure"`},
-		"nothing excepted": {"a no-clock except\n", "line 1: want \"except\" and names of files"},
+		"no excepted file": {"a no-clock except\n", "line 1: want \"except\" and names of files"},
 		"no except":        {"a no-clock x.go\n", "line 1: want \"except\" and names of files"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -62,7 +62,7 @@
 	require.ErrorContains(t, err, "no Go file")
 }
 
-// The dependencies of this command hold package os, those of package edf nothing that is forbidden.
+// This command imports os. Package edf and its dependencies import no forbidden package.
 func TestCheckDependencies(t *testing.T) {
 	t.Chdir("../..")
 	findings, err := checkDependencies("tools/purity")
--- a/tools/purity/rules.go
+++ b/tools/purity/rules.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// Level is what a package must do without.
+// Level says which imports and calls a package must not have.
 type Level string
 
 const (
-	// NoClock forbids network, files and system calls, and reading the clock or waiting for it. Times are values that the
+	// NoClock forbids the network, files and system calls, and reading the clock or waiting. Times are values that the
 	// caller passes in.
 	NoClock Level = "no-clock"
-	// NoTime is NoClock, and neither the package nor any package of this module that it depends on may import time, net,
-	// os or syscall. Package duration alone may, to read "250ms".
+	// NoTime is NoClock and also forbids that the package, or a package of this module that it depends on, imports
+	// time, net, os or syscall. Only package duration may import time, to parse texts such as "250ms".
 	NoTime Level = "no-time"
 )
 
-// Rule is one line of the list: a folder, what it must do without, and the files to which that does not apply.
+// Rule is one line of the list: a folder, its level, and the files to which the level does not apply.
 type Rule struct {
 	Folder string
 	Level  Level
--- a/tools/simrank/main.go
+++ b/tools/simrank/main.go
@@ -1,9 +1,9 @@
 // Command simrank checks the model of the load-balancing simulator (package fleetsim) against the operators' simulator:
-// it runs variants of the policy on both, in scenarios that are meant to be alike, and compares the order that both
-// give the variants by Spearman's rank correlation. It needs the operators' kit, and so is no part of CI. A variant is
-// the policy with one constant changed, built with go build -overlay: no source file is touched.
+// it runs variants of the policy on both, in scenarios that are meant to be alike, and compares the two orders of the
+// variants by Spearman's rank correlation. CI does not run it, because it needs the operators' kit. A variant is the
+// policy with an edit in one file, usually one constant, built with go build -overlay: no source file is changed.
 //
-// Run it from the root of the repository. Each run of the operators' simulator leaves its entry in journal/.
+// Run it from the root of the repository. Each run of the operators' simulator adds an entry to journal/.
 package main
 
 import (
@@ -29,7 +29,7 @@
 	args.FatalIfErrorf(c.run())
 }
 
-// measurement is the service (G) of one variant in one scenario, by both simulators.
+// measurement is the service (G) of one variant in one scenario, on both simulators.
 type measurement struct {
 	Scenario  string  `json:"world"`
 	Variant   string  `json:"variant"`
--- a/tools/simrank/ranking.go
+++ b/tools/simrank/ranking.go
@@ -15,7 +15,7 @@
 	"pumiceline/internal/fleetsim/plots"
 )
 
-// ranking is how well both simulators agree on the order of the variants.
+// ranking has the rank correlations between both simulators, over all measurements and in each scenario.
 type ranking struct {
 	Correlation  float64            `json:"all"`
 	Measurements []measurement      `json:"points"`
@@ -98,7 +98,7 @@
 	return figure.Save(folder)
 }
 
-// rankCorrelation is that between the services that both simulators measured.
+// rankCorrelation returns the rank correlation between the service (G) on both simulators.
 func rankCorrelation(measurements []measurement) float64 {
 	var simulator, fleetsim []float64
 	for _, m := range measurements {
--- a/tools/simrank/scenario.go
+++ b/tools/simrank/scenario.go
@@ -18,11 +18,11 @@
 	invitationsExperiment = "example/experiments/invitations.toml"
 )
 
-// scenario pairs a kind of day of the operators' simulator with an experiment of fleetsim, and what is changed in that.
+// scenario pairs a kind of day of the operators' simulator with an experiment of fleetsim and changes to it.
 type scenario struct {
 	kind       string   // of day
 	experiment string   // path of the experiment's file
-	set        []string // changes of keys, as the flag --set takes them
+	set        []string // changes to the experiment, as arguments of --set
 }
 
 // deployment is a site of the operators' simulator with its scenarios and variants.
@@ -55,7 +55,7 @@
 	},
 }
 
-// simulatorRun is a run of the operators' simulator.
+// simulatorRun describes the runs of the operators' simulator with one variant: one per day.
 type simulatorRun struct {
 	simulator string // its path
 	site      string // path of the deployment's description, see deployment
@@ -65,7 +65,7 @@
 	days      int
 }
 
-// meanService returns the mean service (G) over the days. A day with violations of rules counts like any other.
+// meanService returns the mean service (G) over the days. Days on which rules were violated count like all others.
 func (r *simulatorRun) meanService() (float64, error) {
 	sum := 0.0
 	for day := 1; day <= r.days; day++ {
--- a/tools/simrank/variant.go
+++ b/tools/simrank/variant.go
@@ -19,7 +19,7 @@
 	concurrencyLimit = "internal/standalone/concurrency/limit.go"
 )
 
-// variant is the policy with edits in one file. Without a file it is the policy as it is. The names are those of
+// variant is the policy with edits in one file, or the unchanged policy if it has no file. The names match those in
 // earlier reports.
 type variant struct {
 	name  string
@@ -49,10 +49,10 @@
 		[]edit{replaceText("r.affinityKey == 0 || !b.settings.KeyAffinity", "true")}},
 }
 
-// edit changes the text of a Go file. It fails unless what it is to change is there exactly once.
+// edit changes the text of a Go file. It returns an error unless the text or constant to change occurs exactly once.
 type edit func(source string) (string, error)
 
-// replaceText replaces a text.
+// replaceText returns an edit that replaces a text.
 func replaceText(old, replacement string) edit {
 	return func(source string) (string, error) {
 		if n := strings.Count(source, old); n != 1 {
@@ -62,7 +62,7 @@
 	}
 }
 
-// setConstant replaces the value of a constant of the package.
+// setConstant returns an edit that replaces the value of a package-level constant.
 func setConstant(name, value string) edit {
 	return func(source string) (string, error) {
 		files := token.NewFileSet()
@@ -79,7 +79,7 @@
 	}
 }
 
-// constantValues returns the values of the package's constants with a name.
+// constantValues returns the values of the package-level constants with the given name.
 func constantValues(file *ast.File, name string) (values []ast.Expr) {
 	for _, declaration := range file.Decls {
 		constants, ok := declaration.(*ast.GenDecl)
@@ -100,7 +100,7 @@
 	return values
 }
 
-// errNoChange means that a variant is the policy as it is.
+// errNoChange means that a variant's edits leave the policy unchanged.
 var errNoChange = errors.New("the edits change nothing")
 
 // apply returns the variant's text of its file.
@@ -118,7 +118,8 @@
 	return changed, nil
 }
 
-// build builds the link to the operators' simulator and fleetsim with the variant, into the folder bin.
+// build builds benchlink, which the operators' simulator runs, and pumiceline, which has fleetsim, with the variant's
+// policy into the folder bin.
 func (v *variant) build(bin string) error {
 	if err := os.MkdirAll(bin, 0o755); err != nil {
 		return fmt.Errorf("make folder of programs: %w", err)
--- a/tools/simrank/variant_test.go
+++ b/tools/simrank/variant_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// Every variant finds what it changes exactly once in its file, and leaves a file that can be parsed.
+// Each edit of a variant finds its text or constant exactly once in the variant's file, and the changed file can be
+// parsed.
 func TestVariantsApply(t *testing.T) {
 	for _, v := range slices.Concat(commonVariants, affinityVariants) {
 		if v.file == "" {
@@ -50,13 +51,13 @@
 		old, new  string // of the source; empty: the edit fails
 		wantError string
 	}{
-		"single constant":    {edit: setConstant("single", "7"), old: "single = 1", new: "single = 7"},
-		"constant of group":  {edit: setConstant("first", "0.5"), old: "first  = 2.5 //", new: "first  = 0.5 //"},
-		"expression":         {edit: setConstant("second", "9"), old: "first * 2", new: "9"},
-		"unknown constant":   {edit: setConstant("third", "9"), wantError: "0 times"},
-		"constant of a body": {edit: setConstant("inner", "9"), wantError: "0 times"},
-		"text":               {edit: replaceText("return inner", "return 4"), old: "return inner", new: "return 4"},
-		"text found twice":   {edit: replaceText("first", "x"), wantError: "2 times"},
+		"single constant":   {edit: setConstant("single", "7"), old: "single = 1", new: "single = 7"},
+		"constant of group": {edit: setConstant("first", "0.5"), old: "first  = 2.5 //", new: "first  = 0.5 //"},
+		"expression":        {edit: setConstant("second", "9"), old: "first * 2", new: "9"},
+		"unknown constant":  {edit: setConstant("third", "9"), wantError: "0 times"},
+		"local constant":    {edit: setConstant("inner", "9"), wantError: "0 times"},
+		"text":              {edit: replaceText("return inner", "return 4"), old: "return inner", new: "return 4"},
+		"text found twice":  {edit: replaceText("first", "x"), wantError: "2 times"},
 	} {
 		got, err := c.edit(source)
 		if c.wantError != "" {
