--- a/example/main.go
+++ b/example/main.go
@@ -12,7 +12,7 @@
 	"pumiceline/internal/fake/fakestandalone"
 )
 
-// Addresses of config.json.
+// Addresses that config.json uses.
 const (
 	host             = "127.0.0.1"
 	discoveryAddress = host + ":8500"
