--- a/cmd/pumicectl/simulate_coordination.go
+++ b/cmd/pumicectl/simulate_coordination.go
@@ -54,8 +54,8 @@
 	return faultsFoundIf(len(coordinationsim.Run(options).Violations) > 0)
 }
 
-// printIssuerLosses prints how long no call is answered after each kind of loss of an issuer and how long calls take,
-// and how long they take without a loss.
+// printIssuerLosses prints for each kind of loss of an issuer how long no call is answered and how long calls take, and
+// how long calls take without a loss.
 func printIssuerLosses(members, tolerance int, seeds uint64) error {
 	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(table, "LOSS\tNO ANSWER P50\tP99\tLONGEST\tCALL P50\tP99")
@@ -63,8 +63,9 @@
 		fmt.Fprintf(table, "%v\t%v\t%v\t%v\t%v\t%v\n", t.Kind, t.Median.Round(time.Millisecond), t.P99.Round(time.Millisecond),
 			t.Longest.Round(time.Millisecond), t.CallP50.Round(100*time.Microsecond), t.CallP99.Round(100*time.Microsecond))
 	}
-	calm := coordinationsim.MeasureCalm(members, tolerance, seeds)
-	fmt.Fprintf(table, "none\t\t\t\t%v\t%v\n", calm.CallP50.Round(100*time.Microsecond), calm.CallP99.Round(100*time.Microsecond))
+	withoutLoss := coordinationsim.MeasureCalm(members, tolerance, seeds)
+	fmt.Fprintf(table, "none\t\t\t\t%v\t%v\n", withoutLoss.CallP50.Round(100*time.Microsecond),
+		withoutLoss.CallP99.Round(100*time.Microsecond))
 	return table.Flush()
 }
 
@@ -79,7 +80,7 @@
 // coordinationResult is the JSON output for one seed.
 type coordinationResult struct {
 	Seed    uint64                   `json:"Seed"`
-	Options *coordinationsim.Options `json:"Options,omitempty"` // to replay a failing run; with --shrink the reduced ones
+	Options *coordinationsim.Options `json:"Options,omitempty"` // replay a failing run; reduced with --shrink
 	Result  *coordinationsim.Result  `json:"Result"`
 	trace   string
 }
--- a/cmd/pumiceline/bench_test.go
+++ b/cmd/pumiceline/bench_test.go
@@ -17,8 +17,8 @@
 	"pumiceline/internal/standalone/discovery"
 )
 
-// readMemory returns a field of /proc/<pid>/<file> of a process, in MB. The field Pss counts a page that several
-// processes share in proportion for each.
+// readMemory returns a field of /proc/<pid>/<file> of a process, in MB. The field Pss divides the size of a
+// page that several processes share among them.
 func readMemory(b *testing.B, p *process, file, field string) float64 {
 	b.Helper()
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/%s", p.Process.Pid, file))
--- a/cmd/pumiceline/cli_test.go
+++ b/cmd/pumiceline/cli_test.go
@@ -96,7 +96,7 @@
 	return command
 }
 
-// The flag of admission control was called --door before; both names set the same file.
+// --door is the earlier name of --admission: both set the file of admission control.
 func TestServeCmd_AdmissionFileHasTwoNames(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "door.toml")
 	for _, flag := range []string{"--admission", "--door"} {
--- a/cmd/pumiceline/cluster_test.go
+++ b/cmd/pumiceline/cluster_test.go
@@ -145,7 +145,7 @@
 		if time.Now().After(deadline) {
 			p.Process.Kill()
 			p.Wait()
-			c.t.Fatalf("%s: no accepted response, the last is %d %q %v; the process's log:\n%s", path, status, body, err, p.log)
+			c.t.Fatalf("%s: response not accepted: %d %q %v; the process's log:\n%s", path, status, body, err, p.log)
 		}
 	}
 }
--- a/cmd/pumiceline/faulttestscript.go
+++ b/cmd/pumiceline/faulttestscript.go
@@ -78,8 +78,8 @@
 	return nil
 }
 
-// startEnvironment starts discovery and backends, and a relay to each backend. Discovery lists the
-// address of the relay in place of the backend's.
+// startEnvironment starts discovery and backends, and a relay to each backend. Discovery lists the address of the
+// relay in place of the backend's.
 func (r *scriptRun) startEnvironment(ctx context.Context) error {
 	var listeners []net.Listener
 	for range 1 + r.script.Backends {
@@ -208,7 +208,8 @@
 	return relay.Heal
 }
 
-// stopProxies stops all proxies and describes each one that had already ended or does not end in order in time.
+// stopProxies stops all proxies and describes each one that had already ended or does not end in order within
+// proxyDrainDeadline.
 func (r *scriptRun) stopProxies() (failures []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
