--- a/tools/knownred/list.go
+++ b/tools/knownred/list.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// maxKnownFailures is the number of entries that the list may have.
+// maxKnownFailures is the largest number of entries that the list may have.
 const maxKnownFailures = 3
 
 // knownFailure is one entry of the list.
--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -4,8 +4,8 @@
 // three tests.
 //
 // A fault that shows on some runs only is listed as "package.Test: cause (issue N; flaky: COMMAND --seed S)", with a
-// command and seed that show it. Such a test may pass, but its package must have been tested; the command prints whether
-// it failed.
+// command and seed that show it. Such a test may pass, but its package must have been tested; the command prints
+// whether it failed.
 //
 //	go test ./... | tee tests.txt; go run ./tools/knownred KNOWN-RED.txt tests.txt
 package main
--- a/tools/knownred/testlog.go
+++ b/tools/knownred/testlog.go
@@ -28,8 +28,8 @@
 	return slices.Contains(r.packages, test[:strings.LastIndexByte(test, '.')])
 }
 
-// readResults reads the output of go test. If a package failed otherwise than by a failed test (it was not built, it
-// panicked, it timed out), failed has the package's own name besides the tests that it reported: its later tests never
+// readResults reads the output of go test. If a package did not fail by failed tests alone (it was not built, it
+// panicked, it timed out), failed has the package's name besides the tests that it reported: its later tests never
 // ran.
 func readResults(output io.Reader) (testResults, error) {
 	var log testLog
--- a/tools/lossreport/main.go
+++ b/tools/lossreport/main.go
@@ -1,7 +1,7 @@
 // Command lossreport shows where the value of a simulated day was lost. It reads the debug logs of proxies and
 // coordinators from standard input, and prints for each route how many requests were late, by cause, and how many were
 // rejected or failed and why; then the placement commands and the reasons of placement tasks. With -report, which names
-// the JSON report of the same run, it also prints the loss according to that report.
+// the JSON report of the same run, it also prints the loss by that report beside the loss by the log.
 package main
 
 import (
