--- a/internal/controlplane/coordinationsim/application.go
+++ b/internal/controlplane/coordinationsim/application.go
@@ -9,31 +9,31 @@
 )
 
 const (
-	// connectionDelay is how long a call and its answer take between an application and a coordinator, at least; at
-	// random connectionSpread longer.
+	// connectionDelay is the shortest time that a call, or its answer, takes between an application and a coordinator.
+	// A random time below connectionSpread is added.
 	connectionDelay  = 500 * time.Microsecond
 	connectionSpread = time.Millisecond
-	// callTimeout is how long an application waits for an answer, watches for their own waiting time longer.
+	// callTimeout is how long an application waits for an answer. A watch waits for its WaitMs longer.
 	callTimeout = time.Second
-	// minRetryPause is the shortest pause before a call is sent again, and retryPauseSpread how much longer it may be.
+	// minRetryPause is the shortest pause before a call is retried. A random time below retryPauseSpread is added.
 	minRetryPause    = 10 * time.Millisecond
 	retryPauseSpread = 60 * time.Millisecond
-	// putRetryTime is how long a call is sent again.
+	// putRetryTime is how long a call is retried.
 	putRetryTime = 3 * time.Second
-	// refusedPutsGivenUp is to how many puts that were answered "nothing was done" there is one that is not sent again.
-	refusedPutsGivenUp = 2
+	// refusedPutGivenUpOneIn says that one in so many puts answered "nothing was done" is not retried.
+	refusedPutGivenUpOneIn = 2
 )
 
-// How many applications there are of a kind.
+// Numbers of applications of each kind.
 const (
 	lockCallerCount   = 4
 	numberCallerCount = 2
 	writerCount       = 3
 	readerCount       = 2
-	watcherCount      = 3 // one a group
+	watcherCount      = 3 // one for each group
 )
 
-// statusTooManyRequests promises, as statusUnavailable does, that nothing was done.
+// statusTooManyRequests guarantees, as statusUnavailable does, that nothing was done.
 const statusTooManyRequests message.CallStatus = 429
 
 // exchange is a call over one connection, with its answer.
@@ -46,27 +46,27 @@
 	status    message.CallStatus // 0: no answer
 	answer    message.Answer
 	ended     bool
-	abandoned bool // the caller has died
+	abandoned bool // the caller crashed before the answer came
 }
 
-// isClear reports whether the caller knows what was done.
+// isClear reports whether the answer says what was done.
 func (x *exchange) isClear() bool {
 	return x.ended && x.status != 0 && x.status != statusGatewayTimeout
 }
 
-// isRejected reports whether the answer promises that nothing was done.
+// isRejected reports whether the answer guarantees that nothing was done.
 func (x *exchange) isRejected() bool {
 	return x.status == coordination.StatusRevisionMismatch || x.status == statusUnavailable || x.status == statusTooManyRequests
 }
 
 func (x *exchange) isOK() bool { return x.status == coordination.StatusOK }
 
-// subject is what the call is about.
+// subject returns the name of the lock, key or group of the call.
 func (x *exchange) subject() string {
 	return string(x.call.Lock) + string(x.call.Key) + string(x.call.Group)
 }
 
-// String is the exchange in a line.
+// String describes the exchange on one line.
 func (x *exchange) String() string {
 	call := fmt.Sprintf("caller %d to %d: %s %s", x.caller, x.slot, callNames[x.call.Kind], x.subject())
 	switch x.call.Kind {
@@ -112,17 +112,17 @@
 	}
 }
 
-// nextCaller numbers the applications.
+// nextCaller returns the number of a new application.
 func (c *Cluster) nextCaller() int {
 	c.callers++
 	return c.callers
 }
 
-// randomSlot draws the coordinator that is called.
+// randomSlot draws the slot of the coordinator to call.
 func (c *Cluster) randomSlot() int { return c.random.IntN(len(c.slots)) }
 
-// send sends a call to the coordinator of a slot. done is called once, when the call is answered, the connection broke or
-// the time is over.
+// send sends a call to the coordinator of a slot. done is called once: when the call is answered, when its connection
+// breaks or when its time is over. It is not called where the caller crashed before.
 func (c *Cluster) send(caller int, call message.Call, slot int, done func(*exchange)) *exchange {
 	x := &exchange{caller: caller, call: call, slot: slot, sentAt: c.now}
 	c.log.exchanges = append(c.log.exchanges, x)
@@ -162,8 +162,9 @@
 	return connectionDelay + c.randomDuration(connectionSpread)
 }
 
-// sendUntilClear sends a call again, to one coordinator after the other, until the answer says what was done (503 and 429
-// say that it is to be sent again) or the time is over. each is called for each exchange, done with the last.
+// sendUntilClear sends a call to one coordinator after the other until an answer says what was done or the limit is
+// over. Calls answered 503 and 429 are retried too; a put answered so is sometimes given up. each is called for each
+// exchange, and done with the last.
 func (c *Cluster) sendUntilClear(caller int, call message.Call, limit time.Duration, each, done func(*exchange)) {
 	latest := c.now + limit
 	slot := c.randomSlot()
@@ -172,7 +173,7 @@
 		c.send(caller, call, slot, func(x *exchange) {
 			each(x)
 			isRefused := x.status == statusUnavailable || x.status == statusTooManyRequests
-			isGivenUp := isRefused && call.Kind == message.CallPut && c.random.IntN(refusedPutsGivenUp) == 0
+			isGivenUp := isRefused && call.Kind == message.CallPut && c.random.IntN(refusedPutGivenUpOneIn) == 0
 			isRetried := !x.isClear() || isRefused && !isGivenUp
 			if !isRetried || c.now >= latest {
 				done(x)
--- a/internal/controlplane/coordinationsim/cluster.go
+++ b/internal/controlplane/coordinationsim/cluster.go
@@ -1,14 +1,14 @@
 // Package coordinationsim runs the coordination of applications (packages epoch and coordination) in one process over a
-// network, disks and clocks that a seed drives, injects faults and checks what applications observe. The members are the
-// real ones; only what surrounds them is simulated. A run is a function of its options alone: a seed that violates a rule
-// does so again.
+// network, disks and clocks that are simulated from a seed. It injects faults and checks what applications observe. The
+// members run the production code; only their environment is simulated. A run depends on its options alone: a seed that
+// violates a rule violates it in every run.
 //
 // A run has four phases. In the fault phase faults are injected while applications call. Then all faults end, and calls
-// must be answered within recoveryBound. After a quiet time all machines lose power, and some of them their disks. At the
-// end each lock, number, key and watch must be answered within finalBound as what was acknowledged demands.
+// must be answered within recoveryBound. After a quiet time all machines lose power, and some of them their disks. At
+// the end each lock, number, key and watch must be answered within finalBound, consistently with what was acknowledged.
 //
-// All random draws of a run come from one generator in the order in which events happen, so a new draw, or another order,
-// changes every run.
+// All random draws of a run come from one generator in the order of events, so an added draw, or another order of
+// draws, changes every run.
 package coordinationsim
 
 import (
@@ -21,21 +21,22 @@
 )
 
 const (
-	// seedCount is how many machines vote at first.
+	// seedCount is how many machines vote when the cluster starts.
 	seedCount = 3
-	// growthDelay is when all machines get votes.
+	// growthDelay is the time from the start of the run until all machines get votes.
 	growthDelay = time.Second
 	// applicationStart is when applications begin to call.
 	applicationStart = 2 * time.Second
 	// recoveryBound is how long after the last fault calls may remain unanswered.
 	recoveryBound = 3 * time.Second
-	// quietTime is between the recovery and the loss of all power: votes move to the machines that lost their disks.
+	// quietTime is the time between the recovery and the loss of all power. Meanwhile, votes move to the machines
+	// that lost their disks.
 	quietTime = 5 * time.Second
 	// finalBound is how long after the loss of all power each call must be answered.
 	finalBound = 12 * time.Second
-	// drainTime is for the calls in progress when the applications stop.
+	// drainTime is the time that calls in progress get to end when the applications stop.
 	drainTime = putRetryTime + callTimeout
-	// maxDowntime is the longest time without power at the end.
+	// maxDowntime bounds the power loss at the end: it lasts minFaultTime and a random time below this.
 	maxDowntime = 1500 * time.Millisecond
 )
 
@@ -45,22 +46,23 @@
 	planStream = 0x63736d70
 )
 
-// Cluster is one run: the machines, the network between them, the applications, and what was observed. It has one goroutine.
+// Cluster is one run: the machines, the network between them, the applications, and what was observed. It has one
+// goroutine.
 type Cluster struct {
 	options Options
 	random  *rand.Rand
 	scheduler
 
-	slots      []*node // the machine that is in each slot now
-	nodes      []*node // all machines that ever were
+	slots      []*node // the current machine of each slot
+	nodes      []*node // all machines of the run, also those that were replaced
 	network    network
 	membership membership
 
 	injected    []Fault       // in order
-	faultsUntil time.Duration // the last of them has ended then
+	faultsUntil time.Duration // end of the last injected fault
 	isHealing   bool          // no faults are injected any more
 	isStopping  bool          // applications start nothing new
-	isTraced    bool          // what issuers write is kept for the trace
+	isTraced    bool          // writes of issuers are recorded for the trace
 
 	locks   *lockChecker
 	numbers *numberChecker
@@ -98,7 +100,7 @@
 	return c
 }
 
-// startMachines starts the first seeds as the first group of acceptors, and the other machines without one.
+// startMachines starts the machines of the first slots as the initial acceptor group, and the others without a group.
 func (c *Cluster) startMachines() {
 	var voters []message.Member
 	for slot := range c.options.Members {
@@ -122,7 +124,7 @@
 	}
 }
 
-// growToAll gives each machine a vote.
+// growToAll makes every machine a voter.
 func (c *Cluster) growToAll() {
 	var voters []message.Member
 	for _, n := range c.slots {
@@ -131,7 +133,7 @@
 	c.decide(voters)
 }
 
-// losePowerEverywhere is the final fault.
+// losePowerEverywhere injects the final fault: all machines lose power.
 func (c *Cluster) losePowerEverywhere() {
 	f := Fault{
 		Index: -1, Kind: ClusterPowerLoss, Duration: minFaultTime + c.randomDuration(maxDowntime),
@@ -144,7 +146,7 @@
 	c.runUntil(c.now + f.Duration + startSpread)
 }
 
-// issuer returns the machine whose process is the issuer, nil where there is none.
+// issuer returns the machine that is the issuer with the highest promised epoch, nil where there is none.
 func (c *Cluster) issuer() *node {
 	var newest *node
 	var status epoch.Status
@@ -164,7 +166,7 @@
 	return time.Duration(c.random.Int64N(int64(max(1, limit))))
 }
 
-// note keeps a line for the trace of the run.
+// note adds a line to the trace of the run.
 func (c *Cluster) note(format string, arguments ...any) {
 	line := fmt.Sprintf("%8.4fs ", c.now.Seconds()) + fmt.Sprintf(format, arguments...)
 	c.log.notes = append(c.log.notes, note{at: c.now, text: line})
--- a/internal/controlplane/coordinationsim/disk.go
+++ b/internal/controlplane/coordinationsim/disk.go
@@ -10,24 +10,25 @@
 const (
 	minSyncTime    = time.Millisecond
 	syncTimeSpread = 2 * time.Millisecond
-	// fullDiskRetryInterval is how often a write that a full disk refuses is tried again.
+	// fullDiskRetryInterval is the pause before a write that a full disk refused is retried.
 	fullDiskRetryInterval = 100 * time.Millisecond
 )
 
-// disk is a machine's disk, and what waits to be written to it. It outlives the process.
+// disk is a machine's disk, with the outputs that wait to be written to it. Its stored part survives a restart of the
+// process.
 type disk struct {
 	identity message.MemberID // of the coordinator, drawn when the disk is first written
-	voters   membershipView   // the newest membership that the process has heard of
+	voters   membershipView   // the newest membership that the process has received
 	stored   epoch.Stored     // synced
 
 	isWriting      bool
-	inProgress     []epoch.Output // handed to the disk, not synced yet
+	inProgress     []epoch.Output // being written, not synced yet
 	pendingOutputs []epoch.Output // for the next write
 	stalledUntil   time.Duration
 	fullUntil      time.Duration
 }
 
-// diskRecord is one record of a write. Exactly one field is set. A write that power loss interrupts leaves its first records.
+// diskRecord is one record of a write. Exactly one field is set. An interrupted write leaves any prefix of its records.
 type diskRecord struct {
 	state  *message.CoordinationState
 	write  *message.CoordinationWrite
@@ -50,7 +51,7 @@
 	return records
 }
 
-// persist makes records part of what a restarted process finds.
+// persist adds records to the state that a restarted process loads.
 func (d *disk) persist(records []diskRecord) {
 	for _, r := range records {
 		switch {
@@ -64,7 +65,7 @@
 	}
 }
 
-// load returns what a starting process finds. The process may change it.
+// load returns a copy of the stored state for a starting process, which may change it.
 func (d *disk) load() epoch.Stored {
 	found := d.stored
 	found.State = copyState(&d.stored.State)
@@ -72,14 +73,15 @@
 	return found
 }
 
-// erase is the loss of the disk.
+// erase empties the disk.
 func (d *disk) erase() { *d = disk{} }
 
-// copyState encodes and decodes a state, as writing and reading it does: the copy shares nothing with the original.
+// copyState encodes and decodes a state, as a write and a read of a disk do, so the copy shares no memory with the
+// original.
 func copyState(state *message.CoordinationState) message.CoordinationState {
 	encoded, err := state.MarshalMsg(nil)
 	if err != nil {
-		panic(err) // the encoding into memory of what the program made itself
+		panic(err) // cannot fail: the state is valid and is encoded into memory
 	}
 	var copied message.CoordinationState
 	if _, err := copied.UnmarshalMsg(encoded); err != nil {
@@ -88,14 +90,14 @@
 	return copied
 }
 
-// write hands all pending outputs to the disk at once.
+// write starts one write of all pending outputs.
 func (n *node) write() {
 	n.inProgress, n.pendingOutputs = n.pendingOutputs, nil
 	n.isWriting = true
 	n.sync(n.generation)
 }
 
-// sync ends the write after its time. A full disk refuses it, and it is tried again.
+// sync ends the write after a random time. While the disk is full the write is refused and retried.
 func (n *node) sync(generation int) {
 	c := n.cluster
 	if n.generation != generation {
@@ -115,7 +117,7 @@
 	})
 }
 
-// finishWrite sends what waited for the write, and starts the next one.
+// finishWrite starts the next write and sends the messages that waited for the finished one.
 func (n *node) finishWrite() {
 	written, generation := n.inProgress, n.generation
 	n.inProgress, n.isWriting = nil, false
@@ -124,7 +126,7 @@
 	}
 	for _, out := range written {
 		n.sendAll(out.AfterSync)
-		if n.cluster.options.Defect == ForgetPromise {
+		if n.cluster.options.Defect == LosePromise {
 			n.restartAfterPromise(out.AfterSync)
 		}
 		if n.generation != generation {
@@ -133,7 +135,8 @@
 	}
 }
 
-// cutWriteShort leaves any part of a write in progress on the disk, as the end of the process or of the power does.
+// cutWriteShort ends a write in progress and leaves a random prefix of its records on the disk, as a crash of the
+// process or a power loss does.
 func (n *node) cutWriteShort() {
 	if n.isWriting && n.cluster.now >= n.fullUntil {
 		records := recordsOf(n.inProgress)
--- a/internal/controlplane/coordinationsim/fault_plan.go
+++ b/internal/controlplane/coordinationsim/fault_plan.go
@@ -8,23 +8,23 @@
 )
 
 const (
-	// firstFaultAt is when the first fault is injected: the first votes have moved by then.
+	// firstFaultAt is when the first fault is injected: after the first change of votes, which is at growthDelay.
 	firstFaultAt     = 5 * time.Second
 	maxFaultInterval = 3 * time.Second
 	minFaultTime     = 100 * time.Millisecond
 	faultTimeSpread  = 3 * time.Second
-	shortFaultOneIn  = 2 // one in so many faults lasts at most shortFaultTime
+	shortFaultOneIn  = 2 // one in so many faults lasts minFaultTime and up to shortFaultTime longer
 	shortFaultTime   = 400 * time.Millisecond
 	atIssuerOneIn    = 2
-	churnOneIn       = 4 // in one of so many runs most faults are losses of disks and replacements
+	churnOneIn       = 4 // in one of so many runs the faults are drawn from churnKinds
 )
 
-// churnKinds are the faults of a run in which the voters change often.
+// churnKinds are the faults of a run in which the voters change often. Repeated kinds are drawn more often.
 var churnKinds = []int{
 	int(DiskLoss), int(DiskLoss), int(PlannedReplacement), int(ClusterPowerLoss), int(ClusterPowerLoss), int(GracefulRestart),
 }
 
-// FaultPlan draws the faults of a run.
+// FaultPlan returns the scripted faults of a run, or draws them from the seed.
 func FaultPlan(options Options) []Fault {
 	if options.ScriptedFaults != nil {
 		return options.ScriptedFaults
--- a/internal/controlplane/coordinationsim/final_calls.go
+++ b/internal/controlplane/coordinationsim/final_calls.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// finalHoldMs is how long a lock is taken for at the end.
+	// finalHoldMs is the hold time of the locks that are acquired at the end.
 	finalHoldMs = 1000
-	// finalPause is between two tries of a final call.
+	// finalPause is the pause between two attempts of a final call.
 	finalPause = 50 * time.Millisecond
 )
 
@@ -21,7 +21,7 @@
 	done bool
 }
 
-// runFinalCalls asks for each lock, number, key and watch after the loss of all power, and checks RuleLost.
+// runFinalCalls calls each lock, number, key and watch after the loss of all power and checks RuleLost.
 func (c *Cluster) runFinalCalls() {
 	var calls []*finalCall
 	begin := func(name string, start func(call *finalCall)) {
@@ -58,14 +58,14 @@
 	}
 }
 
-// newFinalLockCaller returns a caller that asks for a lock once.
+// newFinalLockCaller returns a caller that acquires a lock for finalHoldMs.
 func newFinalLockCaller(c *Cluster, lock message.LockName) *lockCaller {
 	l := newLockCaller(c)
 	l.lock, l.holdMs = lock, finalHoldMs
 	return l
 }
 
-// acquireFinally asks for the lock until it is granted.
+// acquireFinally tries to acquire the lock until it is granted.
 func (l *lockCaller) acquireFinally(call *finalCall) {
 	c := l.cluster
 	floors := c.locks.floors(l.lock, l.caller)
@@ -80,7 +80,7 @@
 	})
 }
 
-// resume goes on from the watcher's last revision until it has all that was acknowledged.
+// resume watches from the watcher's last revision on until it has received every acknowledged revision.
 func (w *watcher) resume(call *finalCall) {
 	w.isFinal = true
 	c := w.cluster
--- a/internal/controlplane/coordinationsim/injection.go
+++ b/internal/controlplane/coordinationsim/injection.go
@@ -6,22 +6,22 @@
 )
 
 const (
-	// calmTime is how long the newest voters have been known without a fault before a disk is lost.
+	// calmTime is how long all machines have to know the newest voters, without a fault, before a disk may be lost.
 	calmTime = 3 * time.Second
-	// injectionRetryDelay is the pause after which the loss of a disk is considered again, and maxInjectionDelay how long
-	// other faults wait for it.
+	// injectionRetryDelay is the pause before a postponed loss of a disk is tried again. After maxInjectionDelay the
+	// loss is skipped; the later faults of the plan wait until then.
 	injectionRetryDelay = 200 * time.Millisecond
 	maxInjectionDelay   = 9 * time.Second
-	// ackFaultOneIn is in how many answers there is one that a fault follows at once.
+	// ackFaultOneIn says that a fault follows at once on one in so many answers.
 	ackFaultOneIn    = 500
 	maxAckFaultDelay = 3 * time.Millisecond
 	ackFaultTime     = 500 * time.Millisecond
-	// viewFaultOneIn is in how many views there is one that a fault follows, while the acceptors change.
+	// viewFaultOneIn says that a fault follows on one in so many views, while the acceptors change.
 	viewFaultOneIn    = 2
 	maxViewFaultDelay = 1500 * time.Millisecond
 )
 
-// scheduleFaults lets the faults of the plan happen one after the other.
+// scheduleFaults schedules the faults of the plan, one after the other, without the omitted ones.
 func (c *Cluster) scheduleFaults() {
 	var plan []Fault
 	for _, fault := range FaultPlan(c.options) {
@@ -32,7 +32,7 @@
 	c.injectNext(plan)
 }
 
-// injectNext injects the first fault of the plan at its time, or as soon after it as it is allowed, and then the others.
+// injectNext injects the first fault of the plan at its time, or as soon after it as it is allowed, and then the rest.
 func (c *Cluster) injectNext(plan []Fault) {
 	if len(plan) == 0 {
 		return
@@ -61,7 +61,7 @@
 	c.injectNext(rest)
 }
 
-// mayLoseDisk reports whether the voters have had their time without faults since the last disk was lost.
+// mayLoseDisk reports whether no fault was active, and the newest voters were known to all machines, for calmTime.
 func (c *Cluster) mayLoseDisk() bool { return c.now >= c.faultsUntil+calmTime && c.isSettled(calmTime) }
 
 // inject injects a fault.
@@ -94,7 +94,7 @@
 	}
 }
 
-// injectAt injects a fault at one machine.
+// injectAt injects a fault into one machine.
 func (c *Cluster) injectAt(n *node, f Fault) {
 	switch f.Kind {
 	case Kill:
@@ -126,7 +126,7 @@
 	}
 }
 
-// injectAfterView injects a fault at the issuer, or a loss of all power, while the acceptors change to new voters.
+// injectAfterView injects a fault into the issuer, or a loss of all power, while the acceptors change to new voters.
 func (c *Cluster) injectAfterView() {
 	if !c.mayInjectMore() || c.random.IntN(viewFaultOneIn) > 0 {
 		return
@@ -143,12 +143,12 @@
 	})
 }
 
-// mayInjectMore reports whether faults beside those of the plan may be injected.
+// mayInjectMore reports whether unplanned faults may be injected.
 func (c *Cluster) mayInjectMore() bool {
 	return !c.isHealing && c.options.ScriptedFaults == nil && !c.options.WithoutAnswerFaults && c.now >= firstFaultAt
 }
 
-// injectAfterAnswer injects a power loss right after some of the answers: what was acknowledged must not be lost by it.
+// injectAfterAnswer injects a power loss or a kill right after some answers: no acknowledged change may be lost by it.
 func (c *Cluster) injectAfterAnswer(relay *node) {
 	if !c.mayInjectMore() || c.random.IntN(ackFaultOneIn) > 0 {
 		return
@@ -169,8 +169,8 @@
 	})
 }
 
-// heal ends all faults. Machines that are off come back at once, those that were asked to stop restart, and all hear of the
-// newest voters soon.
+// heal ends all faults. Machines that are off start at once, those that were asked to stop restart, and all receive the
+// newest voters within maxViewDelay.
 func (c *Cluster) heal() {
 	c.isHealing = true
 	c.network = newNetwork()
@@ -183,6 +183,6 @@
 		if !n.isUp() {
 			n.start(nil)
 		}
-		n.hearLater(c.membership.newest)
+		n.receiveViewLater(c.membership.newest)
 	}
 }
--- a/internal/controlplane/coordinationsim/key_caller.go
+++ b/internal/controlplane/coordinationsim/key_caller.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	keysInGroup    = 3
-	maxWritePause  = 200 * time.Millisecond
-	maxReadPause   = 200 * time.Millisecond
-	maxWatchMs     = 1500
-	minWatchMs     = 200
-	emptyPause     = 100 * time.Millisecond
-	anyRevisionOne = 8  // one in so many puts takes effect whatever revision the key has
-	staleWriteOne  = 6  // one in so many puts names the revision before the one that the writer knows
-	repeatedPutOne = 10 // one in so many acknowledged puts is sent again
-	freshReadOne   = 4  // before one in so many puts the writer reads the key
+	keysInGroup      = 3
+	maxWritePause    = 200 * time.Millisecond
+	maxReadPause     = 200 * time.Millisecond
+	maxWatchMs       = 1500
+	minWatchMs       = 200
+	emptyPause       = 100 * time.Millisecond
+	anyRevisionOneIn = 8  // one in so many puts takes effect whatever revision the key has
+	staleWriteOneIn  = 6  // one in so many puts names the revision below the one that the writer knows
+	repeatedPutOneIn = 10 // one in so many acknowledged puts is repeated
+	freshReadOneIn   = 4  // before one in so many puts on a known key the writer reads it
 )
 
 var groupNames = []message.KeyGroup{"g1.", "g2.", "g3."}
@@ -57,7 +57,7 @@
 	})
 }
 
-// writer puts unique values over the revisions that it knows.
+// writer puts unique values, each conditional on the last revision of the key that the writer has seen.
 type writer struct {
 	cluster *Cluster
 	caller  int
@@ -76,7 +76,7 @@
 			return
 		}
 		key := c.randomKey()
-		if _, isKnown := w.known[key]; isKnown && c.random.IntN(freshReadOne) > 0 {
+		if _, isKnown := w.known[key]; isKnown && c.random.IntN(freshReadOneIn) > 0 {
 			w.put(key)
 			return
 		}
@@ -94,19 +94,19 @@
 func (w *writer) put(key message.KeyName) {
 	c := w.cluster
 	base := w.known[key]
-	if base > 0 && c.random.IntN(staleWriteOne) == 0 {
+	if base > 0 && c.random.IntN(staleWriteOneIn) == 0 {
 		base--
 	}
 	w.count++
 	call := message.Call{Kind: message.CallPut, Key: key, Value: fmt.Sprintf("%d-%d", w.caller, w.count), IfRevision: base}
-	if c.random.IntN(anyRevisionOne) == 0 {
+	if c.random.IntN(anyRevisionOneIn) == 0 {
 		call.IfAny, call.IfRevision = true, 0
 	}
 	put := c.keys.newPut(call)
 	each := func(x *exchange) { c.keys.onPutAnswered(put, x) }
 	c.sendUntilClear(w.caller, call, putRetryTime, each, func(x *exchange) {
 		switch {
-		case x.isOK() && c.random.IntN(repeatedPutOne) == 0:
+		case x.isOK() && c.random.IntN(repeatedPutOneIn) == 0:
 			w.known[key] = x.answer.Revision
 			c.sendUntilClear(w.caller, call, putRetryTime, each, func(*exchange) { w.start() })
 			return
@@ -119,14 +119,14 @@
 	})
 }
 
-// watcher asks for the events of a group, from the last revision on that it was given.
+// watcher watches the events of a group from the last revision on that it received.
 type watcher struct {
-	cluster *Cluster
-	caller  int
-	group   message.KeyGroup
-	after   message.Revision
-	givenAt time.Duration // when it was given the revision
-	isFinal bool          // the last watches are sent; the watcher ends
+	cluster    *Cluster
+	caller     int
+	group      message.KeyGroup
+	after      message.Revision
+	receivedAt time.Duration // when it received the revision in after
+	isFinal    bool          // only resume sends watches from now on
 }
 
 func newWatcher(c *Cluster, group message.KeyGroup) *watcher {
@@ -153,16 +153,16 @@
 	})
 }
 
-// onAnswer checks the answer to a watch and goes on from it. It reports whether it was clear.
+// onAnswer checks the answer to a watch and advances the watcher. It reports whether the answer was 200 or 410.
 func (w *watcher) onAnswer(x *exchange, floor message.Revision) bool {
 	c := w.cluster
 	switch x.status {
 	case coordination.StatusOK:
 		c.keys.onWatched(x, floor)
-		w.after, w.givenAt = max(w.after, x.answer.Revision), x.endedAt
+		w.after, w.receivedAt = max(w.after, x.answer.Revision), x.endedAt
 		return true
 	case coordination.StatusHistoryGone:
-		if age := x.endedAt - w.givenAt; age < c.options.History {
+		if age := x.endedAt - w.receivedAt; age < c.options.History {
 			c.report(RuleLost, string(w.group), "410 after revision %d, which was given %v ago", w.after, age)
 		}
 		w.after = 0
--- a/internal/controlplane/coordinationsim/key_checker.go
+++ b/internal/controlplane/coordinationsim/key_checker.go
@@ -8,41 +8,41 @@
 	"pumiceline/internal/message"
 )
 
-// keyChecker checks the rules of keys and their groups by what was put, acknowledged and shown.
+// keyChecker checks the rules of keys and their groups against the values that were put, acknowledged and shown.
 type keyChecker struct {
 	cluster      *Cluster
 	puts         map[string]*put                                             // by value
-	inOrder      []*put                                                      // as they were first sent
-	shown        map[message.KeyGroup]map[message.Revision]*message.KeyEvent // puts that are known to have taken effect
-	highest      map[message.KeyGroup]message.Revision                       // that was shown
-	newestOfKey  map[message.KeyName]message.Revision                        // that was acknowledged
-	newest       map[message.KeyGroup]message.Revision                       // that was acknowledged in the group
+	inOrder      []*put                                                      // in order of the first exchange
+	shown        map[message.KeyGroup]map[message.Revision]*message.KeyEvent // puts that were shown
+	highest      map[message.KeyGroup]message.Revision                       // shown revision
+	newestOfKey  map[message.KeyName]message.Revision                        // acknowledged revision
+	newest       map[message.KeyGroup]message.Revision                       // acknowledged revision
 	mismatches   []*exchange                                                 // answered 412
-	watches      []*exchange                                                 // answered with events or without
+	watches      []*exchange                                                 // answered 200, with or without events
 	watchers     []*watcher
 	acknowledged int
 	eventsSeen   int
 }
 
-// put is a value that a caller put, from its first exchange on.
+// put is a value that a caller puts, with all exchanges of it.
 type put struct {
 	key        message.KeyName
 	value      string
 	ifRevision message.Revision
 	ifAny      bool             // it takes effect whatever revision the key has
 	floor      message.Revision // the newest revision of the group that was acknowledged before the first exchange
-	revision   message.Revision // under which it was acknowledged or shown; 0: it was not
+	revision   message.Revision // under which it was acknowledged or shown; 0: none yet
 	isShown    bool
 	acked      bool
 	sentAt     time.Duration // of the first exchange
 	ackedAt    time.Duration // of the first answer 200
-	exchanges  int           // that have ended
-	rejections int           // of them: answered "nothing was done"
+	exchanges  int           // number of ended exchanges
+	rejections int           // number of exchanges answered "nothing was done"
 	mismatched bool          // an exchange was answered 412
 }
 
-// isRefused reports whether no exchange of the put can have taken effect. A 412 says so of the others too: the key has
-// another revision than the put names, and gets it never again.
+// isRefused reports whether no exchange of the put can have taken effect. A single 412 rules out all of them: the key
+// has another revision than the put names, and revisions only rise, so the key never has the named one again.
 func (p *put) isRefused() bool { return p.mismatched || p.exchanges > 0 && p.rejections == p.exchanges }
 
 func newKeyChecker(c *Cluster) *keyChecker {
@@ -53,7 +53,7 @@
 	}
 }
 
-// groupOf is the part of a key's name up to and including the first dot.
+// groupOf returns a key's group: its name up to and including the first dot.
 func groupOf(key message.KeyName) message.KeyGroup {
 	group, _, _ := strings.Cut(string(key), ".")
 	return message.KeyGroup(group + ".")
@@ -109,8 +109,8 @@
 	}
 }
 
-// show records that a value was shown under a revision, and checks RuleMixed, RuleRefused and that the revision was given
-// once.
+// show records that a value was shown under a revision. It checks RuleMixed, RuleRefused and that no other value was
+// given the same revision.
 func (k *keyChecker) show(key message.KeyName, value string, revision message.Revision, where string) {
 	c, p := k.cluster, k.puts[value]
 	if p == nil || p.key != key {
@@ -135,7 +135,7 @@
 	k.shown[group][revision] = &message.KeyEvent{Key: key, Value: value, Revision: revision}
 }
 
-// onRead checks the answer to a read. floor is the newest revision of the key that was acknowledged before it was sent.
+// onRead checks the answer to a read. floor is the newest revision of the key acknowledged before the read was sent.
 func (k *keyChecker) onRead(x *exchange, floor message.Revision) {
 	if x.answer.Revision < floor {
 		rule := RuleStale
@@ -149,7 +149,7 @@
 	}
 }
 
-// onWatched checks the answer to a watch. floor is the newest revision of the group that was acknowledged before.
+// onWatched checks the answer to a watch. floor is the newest revision of the group acknowledged before it was sent.
 func (k *keyChecker) onWatched(x *exchange, floor message.Revision) {
 	c, last := k.cluster, x.call.After
 	k.watches = append(k.watches, x)
--- a/internal/controlplane/coordinationsim/key_checker_test.go
+++ b/internal/controlplane/coordinationsim/key_checker_test.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/message"
 )
 
-// keyTrial is a checker with a clock that each call of the trial moves on.
+// keyTrial is a key checker whose clock advances with each call.
 type keyTrial struct {
 	*Cluster
 	puts map[string]*put
@@ -22,7 +22,7 @@
 	return &keyTrial{Cluster: newCluster(Options{}), puts: map[string]*put{}}
 }
 
-// exchange makes an exchange that has ended.
+// exchange records an ended exchange.
 func (k *keyTrial) exchange(call message.Call, answer message.Answer) *exchange {
 	x := &exchange{call: call, sentAt: k.now, endedAt: k.now + time.Millisecond, ended: true, status: answer.Status, answer: answer}
 	k.now += 2 * time.Millisecond
@@ -30,7 +30,7 @@
 	return x
 }
 
-// put puts a value to trialKey and lets the checker observe the answer.
+// put puts a value to trialKey and passes the answer to the checker.
 func (k *keyTrial) put(value string, ifRevision message.Revision, status message.CallStatus, revision message.Revision) {
 	k.putTo(trialKey, value, ifRevision, status, revision)
 }
@@ -67,7 +67,7 @@
 		run  func(k *keyTrial)
 		want []Rule
 	}{
-		{"puts over one another", func(k *keyTrial) {
+		{"puts that each name the current revision", func(k *keyTrial) {
 			k.put("a", 0, ok, 1)
 			k.put("b", 1, ok, 2)
 			k.put("c", 1, mismatch, 2)
@@ -83,7 +83,7 @@
 			k.put("a", 0, ok, 1)
 			k.put("a", 0, ok, 2)
 		}, []Rule{RuleMixed, RuleOrder}},
-		{"a revision that was given before", func(k *keyTrial) {
+		{"a revision below one given before", func(k *keyTrial) {
 			k.put("a", 0, ok, 2)
 			k.putTo("g.2", "b", 0, ok, 1)
 		}, []Rule{RuleOrder}},
@@ -92,7 +92,7 @@
 			k.putTo("g.2", "b", 0, ok, 1)
 			k.read("a", 1)
 		}, []Rule{RuleOrder}},
-		{"a put over a later revision", func(k *keyTrial) {
+		{"a put that names an outdated revision", func(k *keyTrial) {
 			k.put("a", 0, ok, 1)
 			k.put("b", 1, ok, 2)
 			k.put("c", 1, ok, 3)
@@ -102,24 +102,24 @@
 			k.put("b", 1, ok, 2)
 			k.read("a", 1)
 		}, []Rule{RuleStale, RuleLinearizable}},
-		{"reads that go back before the put is acknowledged", func(k *keyTrial) {
+		{"reads of the new and then the old value during a put", func(k *keyTrial) {
 			k.put("a", 0, ok, 1)
 			k.put("b", 1, 0, 0)
 			k.read("b", 2)
 			k.read("a", 1)
 		}, []Rule{RuleLinearizable}},
-		{"a value that no one put", func(k *keyTrial) { k.read("x", 1) }, []Rule{RuleMixed, RuleLinearizable}},
+		{"a value that was never put", func(k *keyTrial) { k.read("x", 1) }, []Rule{RuleMixed, RuleLinearizable}},
 		{"a 412 with a revision of another key", func(k *keyTrial) {
 			k.put("a", 0, ok, 1)
 			k.putTo("g.2", "b", 0, ok, 2)
 			k.put("c", 0, mismatch, 2)
 		}, []Rule{RuleMixed, RuleLinearizable}},
-		{"a 412 with a revision that watches did not see", func(k *keyTrial) {
+		{"a 412 with a revision that a watch did not report", func(k *keyTrial) {
 			k.put("a", 0, ok, 1)
 			k.watch(1, 3)
 			k.put("c", 0, mismatch, 2)
 		}, []Rule{RuleMixed}},
-		{"a 412 over the revision that the key has", func(k *keyTrial) {
+		{"a 412 though the put names the current revision", func(k *keyTrial) {
 			k.put("a", 0, ok, 1)
 			k.put("b", 1, mismatch, 1)
 		}, []Rule{RuleMixed}},
@@ -132,7 +132,7 @@
 			k.put("a", 0, statusUnavailable, 0)
 			k.read("a", 1)
 		}, []Rule{RuleRefused}},
-		{"a put answered 503 and without an answer is shown", func(k *keyTrial) {
+		{"a put answered 503 and then 504 is shown", func(k *keyTrial) {
 			k.put("a", 0, statusUnavailable, 0)
 			k.put("a", 0, statusGatewayTimeout, 0)
 			k.read("a", 1)
@@ -143,14 +143,14 @@
 			k.put("c", 2, ok, 3)
 			k.watch(1, 3, shownEvent("c", 3))
 		}, []Rule{RuleOrder}},
-		{"a watch whose events fall", func(k *keyTrial) {
+		{"a watch with events in falling order", func(k *keyTrial) {
 			k.put("a", 0, ok, 1)
 			k.put("b", 1, ok, 2)
 			k.put("c", 2, ok, 3)
 			k.watch(1, 3, shownEvent("c", 3), shownEvent("b", 2))
 		}, []Rule{RuleOrder}},
-		{"a watch that goes back", func(k *keyTrial) { k.watch(5, 4) }, []Rule{RuleLost}},
-		{"a watch that lags behind", func(k *keyTrial) {
+		{"a watch answered with a revision below its own", func(k *keyTrial) { k.watch(5, 4) }, []Rule{RuleLost}},
+		{"a watch without events behind an acknowledged revision", func(k *keyTrial) {
 			k.put("a", 0, ok, 1)
 			k.put("b", 1, ok, 2)
 			k.watch(1, 1)
@@ -174,11 +174,11 @@
 		name string
 		age  time.Duration
 		want int
-	}{{"within the time of the history", longHistory - time.Millisecond, 1}, {"after it", longHistory, 0}} {
+	}{{"just within the history", longHistory - time.Millisecond, 1}, {"at the end of the history", longHistory, 0}} {
 		t.Run(c.name, func(t *testing.T) {
 			cluster := newCluster(Options{History: longHistory})
 			w := newWatcher(cluster, "g.")
-			w.after, w.givenAt = 5, time.Second
+			w.after, w.receivedAt = 5, time.Second
 			w.onAnswer(&exchange{endedAt: time.Second + c.age, ended: true, status: coordination.StatusHistoryGone}, 0)
 			assert.Len(t, cluster.log.violations, c.want)
 			assert.Zero(t, w.after)
@@ -195,9 +195,9 @@
 	give(9, 5)
 	assert.Empty(t, cluster.log.violations)
 	give(8, 5)
-	assert.Empty(t, cluster.log.violations, "the two calls ran at one time")
+	assert.Empty(t, cluster.log.violations, "concurrent calls may be answered out of order")
 	give(8, 5)
-	assert.Len(t, cluster.log.violations, 1, "given twice")
+	assert.Len(t, cluster.log.violations, 1, "a number given twice")
 	give(7, 9)
-	assert.Len(t, cluster.log.violations, 2, "below one given before")
+	assert.Len(t, cluster.log.violations, 2, "a number below one given before the call was sent")
 }
--- a/internal/controlplane/coordinationsim/key_history.go
+++ b/internal/controlplane/coordinationsim/key_history.go
@@ -6,7 +6,7 @@
 	"pumiceline/internal/message"
 )
 
-// checkHistory checks what only all that was shown in the run can tell.
+// checkHistory checks the rules that need the observations of the whole run.
 func (k *keyChecker) checkHistory() {
 	for _, p := range k.inOrder {
 		k.checkSuccession(p)
@@ -24,7 +24,7 @@
 	k.checkLinearizable()
 }
 
-// checkSuccession checks that a put succeeded over the revision that it names.
+// checkSuccession checks that the key had no revision between the one that a put names and the one that the put got.
 func (k *keyChecker) checkSuccession(p *put) {
 	if !p.isShown || p.ifAny {
 		return
@@ -38,10 +38,10 @@
 	}
 }
 
-// checkNoneSkipped checks that a watch reported all puts that are known within its span.
+// checkNoneSkipped checks that a watch reported each shown put between its After and the answered revision.
 func (k *keyChecker) checkNoneSkipped(x *exchange) {
 	if x.call.After == 0 {
-		return // asks for the revision only
+		return // the watch asks for the current revision only
 	}
 	reported := map[message.Revision]bool{}
 	for _, event := range x.answer.Events {
@@ -56,7 +56,8 @@
 	}
 }
 
-// checkMismatch checks that a 412 names a revision of the key. It can tell only where watches saw all puts around it.
+// checkMismatch checks that a 412 names a revision of the key. Where no put was shown under that revision, it can
+// decide only if a watch covered the revision: the watch would have reported the put.
 func (k *keyChecker) checkMismatch(x *exchange) {
 	group, named := groupOf(x.call.Key), x.answer.Revision
 	event := k.shown[group][named]
--- a/internal/controlplane/coordinationsim/linearizability.go
+++ b/internal/controlplane/coordinationsim/linearizability.go
@@ -11,14 +11,14 @@
 	"pumiceline/internal/message"
 )
 
-// keyState is a key in the sequential model.
+// keyState is the state of a key in the sequential model.
 type keyState struct {
 	revision message.Revision
 	value    string
 }
 
-// keyInput is what an operation on a key does. kind is CallPut for a put that took effect and CallGet for what only shows
-// the revision: a read, or a put that was answered 412.
+// keyInput is the input of an operation on a key. kind is CallPut for a put that took effect, and CallGet for an
+// operation that only shows the revision: a read, or a put that was answered 412.
 type keyInput struct {
 	kind       message.CallKind
 	ifRevision message.Revision
@@ -26,7 +26,8 @@
 	showsValue bool
 }
 
-// keyModel is a key with revisions: a put succeeds over the revision that it names and gets a higher one.
+// keyModel models a key with revisions: a put succeeds if the key has the revision that the put names, and gets a
+// higher one.
 var keyModel = porcupine.Model{
 	Init: func() any { return keyState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -70,8 +71,9 @@
 	}
 }
 
-// unseenRevisions are those that a 412 names and no value was shown under: a put without an answer took effect there and was
-// put over unseen. The model cannot place it.
+// unseenRevisions returns the revisions that a 412 names but under which no value was shown: a put without an answer
+// took effect and was overwritten before anyone read it. The model has no operation for such a put, so it would reject
+// the 412.
 func (k *keyChecker) unseenRevisions() (unseen []message.Revision) {
 	for _, x := range k.mismatches {
 		if named := x.answer.Revision; named > 0 && k.shown[groupOf(x.call.Key)][named] == nil {
@@ -81,8 +83,8 @@
 	return unseen
 }
 
-// operation is the put as one operation, from its first exchange to its first answer 200. Without one it may have taken
-// effect at any time.
+// operation returns the put as one operation, from its first exchange to its first answer 200. Without such an answer
+// it may take effect at any time after the first exchange.
 func (p *put) operation() porcupine.Operation {
 	end := time.Duration(math.MaxInt64)
 	if p.acked {
@@ -94,7 +96,7 @@
 	}
 }
 
-// observation is the exchange as an operation that shows the key's revision.
+// observation returns the exchange as an operation that shows the key's revision.
 func (x *exchange) observation(showsValue bool) porcupine.Operation {
 	return porcupine.Operation{
 		ClientId: x.caller, Input: keyInput{kind: message.CallGet, showsValue: showsValue},
--- a/internal/controlplane/coordinationsim/lock_caller.go
+++ b/internal/controlplane/coordinationsim/lock_caller.go
@@ -8,41 +8,41 @@
 	"pumiceline/internal/message"
 )
 
-// What lock callers do. Each ...OneIn constant says that one in so many does it.
+// Behaviour of lock callers. Each ...OneIn constant says that a caller does it in one of so many cases.
 const (
-	lockCount         = 3
-	maxLockPause      = 250 * time.Millisecond
-	minHoldMs         = 500
-	holdMsSpread      = 2500
-	shortUse          = 200 * time.Millisecond // longest use of a lock that is held for a moment
-	longUse           = 6 * time.Second        // and of one that is held long
-	longUseOneIn      = 4
-	dieOneIn          = 8 // dies while it holds the lock, or while it asks for it
-	sleepOneIn        = 8 // sleeps past its time
-	maxSleep          = 1500 * time.Millisecond
-	maxDeath          = 2 * time.Second
-	reacquireOneIn    = 5 // renews by acquiring again
-	sameLockOneIn     = 2 // takes the lock again that it had last
-	overlapOneIn      = 2 // goes on while its release is not answered
-	heldPause         = 200 * time.Millisecond
-	maxAcquisitions   = 12
-	renewalsInHold    = 3
-	releaseRetryTime  = 2 * time.Second
-	contentionTimeout = 20 * time.Millisecond
+	lockCount            = 3
+	maxLockPause         = 250 * time.Millisecond
+	minHoldMs            = 500
+	holdMsSpread         = 2500
+	shortUse             = 200 * time.Millisecond // limit of an ordinary use of a lock
+	longUse              = 6 * time.Second        // limit of one in longUseOneIn uses
+	longUseOneIn         = 4
+	crashOneIn           = 8 // crashes while it holds the lock; a quarter as often while it acquires it
+	stallOneIn           = 8 // stalls until after its hold has expired
+	maxStall             = 1500 * time.Millisecond
+	maxCrashDowntime     = 2 * time.Second
+	reacquireOneIn       = 5 // renews the hold by acquiring the lock again
+	sameLockOneIn        = 2 // acquires its last lock again instead of drawing one
+	overlapOneIn         = 2 // continues before its release is answered
+	maxHeldRetryPause    = 200 * time.Millisecond
+	maxAcquireAttempts   = 12
+	renewalsPerHold      = 3
+	releaseRetryTime     = 2 * time.Second
+	failedCallRetryPause = 20 * time.Millisecond
 )
 
-// lockCaller takes, renews and gives back locks, one after the other, always under the same owner name.
+// lockCaller acquires, renews and releases locks, one after the other, always under the same owner name.
 type lockCaller struct {
-	cluster *Cluster
-	caller  int
-	owner   message.OwnerName
-	life    int // counts deaths: what an earlier life waited for is void
+	cluster    *Cluster
+	caller     int
+	owner      message.OwnerName
+	generation int // counts crashes; callbacks of earlier generations are ignored
 
 	lock     message.LockName
 	token    message.FencingToken
 	holdMs   int64
-	deadline time.Duration // of the hold, as the caller counts it
-	wantsTo  time.Duration // until then it uses the lock
+	deadline time.Duration // end of the hold, counted from when the caller sent its call
+	useUntil time.Duration // when it releases the lock
 	attempts int
 }
 
@@ -51,19 +51,19 @@
 	return &lockCaller{cluster: c, caller: caller, owner: message.OwnerName(fmt.Sprintf("owner-%d", caller))}
 }
 
-// later lets the caller do something, unless it has died meanwhile.
+// later schedules a step of the caller, which is skipped if the caller crashes before.
 func (l *lockCaller) later(delay time.Duration, step func()) {
-	life := l.life
+	generation := l.generation
 	l.cluster.after(delay, func() {
-		if l.life == life {
+		if l.generation == generation {
 			step()
 		}
 	})
 }
 
-// send sends a call for the lock to any coordinator. A caller that dies learns no answer.
+// send sends a call for the lock to a random coordinator. A caller that crashes meanwhile does not get the answer.
 func (l *lockCaller) send(kind message.CallKind, done func(*exchange, tokenFloors)) {
-	c, life := l.cluster, l.life
+	c, generation := l.cluster, l.generation
 	call := message.Call{Kind: kind, Lock: l.lock, Owner: l.owner, Token: l.token, HoldMs: l.holdMs}
 	if kind == message.CallAcquire {
 		call.Token = 0
@@ -72,21 +72,21 @@
 	c.locks.onSent(l.lock, l.caller)
 	x := c.send(l.caller, call, c.randomSlot(), func(x *exchange) {
 		c.locks.onEnded(x)
-		if l.life == life {
+		if l.generation == generation {
 			done(x, floors)
 		}
 	})
-	if kind == message.CallAcquire && c.random.IntN(4*dieOneIn) == 0 {
+	if kind == message.CallAcquire && c.random.IntN(4*crashOneIn) == 0 {
 		c.after(c.connectionTime(), func() {
 			if x.abandoned = !x.ended; x.abandoned {
 				c.locks.onEnded(x)
-				l.die()
+				l.crash()
 			}
 		})
 	}
 }
 
-// start begins with a lock after a pause.
+// start acquires the next lock after a pause.
 func (l *lockCaller) start() {
 	l.later(l.cluster.randomDuration(maxLockPause), func() {
 		c := l.cluster
@@ -105,7 +105,7 @@
 var lockNames = [lockCount]message.LockName{"lock-1", "lock-2", "lock-3"}
 
 func (l *lockCaller) acquire() {
-	if l.attempts++; l.attempts > maxAcquisitions || l.cluster.isStopping {
+	if l.attempts++; l.attempts > maxAcquireAttempts || l.cluster.isStopping {
 		l.start()
 		return
 	}
@@ -115,9 +115,9 @@
 			l.onAcquired(x, floors)
 		case x.status == coordination.StatusHeld:
 			l.cluster.locks.onHeld(x)
-			l.later(l.cluster.randomDuration(heldPause), l.acquire)
+			l.later(l.cluster.randomDuration(maxHeldRetryPause), l.acquire)
 		default:
-			l.later(contentionTimeout, l.acquire)
+			l.later(failedCallRetryPause, l.acquire)
 		}
 	})
 }
@@ -126,7 +126,7 @@
 	c := l.cluster
 	l.token = x.answer.Token
 	if !c.locks.onAcquired(x, floors) {
-		l.release() // the time was over before the answer came
+		l.release() // the hold had expired before the answer came
 		return
 	}
 	l.deadline = x.sentAt + holdTime(x)
@@ -134,34 +134,34 @@
 	if c.random.IntN(longUseOneIn) == 0 {
 		use = c.randomDuration(longUse)
 	}
-	l.wantsTo = c.now + use
+	l.useUntil = c.now + use
 	switch {
-	case c.random.IntN(dieOneIn) == 0:
-		l.later(c.randomDuration(use), l.die)
-	case c.random.IntN(sleepOneIn) == 0:
-		l.later(l.deadline-c.now+c.randomDuration(maxSleep), l.wake)
+	case c.random.IntN(crashOneIn) == 0:
+		l.later(c.randomDuration(use), l.crash)
+	case c.random.IntN(stallOneIn) == 0:
+		l.later(l.deadline-c.now+c.randomDuration(maxStall), l.renewAfterExpiry)
 	default:
 		l.use()
 	}
 }
 
-// use gives the lock back when it is no longer wanted, and renews it in time until then.
+// use releases the lock at useUntil and schedules renewals before that.
 func (l *lockCaller) use() {
 	c := l.cluster
 	switch {
-	case c.now >= l.wantsTo || c.isStopping:
+	case c.now >= l.useUntil || c.isStopping:
 		l.release()
 	case c.now >= l.deadline:
 		l.start()
 	default:
-		next := min(l.wantsTo-c.now, time.Duration(l.holdMs)*time.Millisecond/renewalsInHold)
+		next := min(l.useUntil-c.now, time.Duration(l.holdMs)*time.Millisecond/renewalsPerHold)
 		l.later(next, l.renew)
 	}
 }
 
 func (l *lockCaller) renew() {
 	c := l.cluster
-	if c.now >= l.wantsTo {
+	if c.now >= l.useUntil {
 		l.release()
 		return
 	}
@@ -175,7 +175,7 @@
 			l.deadline = x.sentAt + holdTime(x)
 			l.use()
 		case x.isOK():
-			l.start() // it came too late
+			l.start() // the answer came after the hold had expired
 		case x.status == coordination.StatusHeld:
 			if c.now < l.deadline {
 				c.log.lostHolds++
@@ -185,12 +185,12 @@
 		case c.now >= l.deadline:
 			l.start()
 		default:
-			l.later(contentionTimeout, l.renew)
+			l.later(failedCallRetryPause, l.renew)
 		}
 	})
 }
 
-// onReacquired is the answer to an acquisition by the holder.
+// onReacquired handles the answer to an acquire call by the holder.
 func (l *lockCaller) onReacquired(x *exchange, floors tokenFloors) {
 	c := l.cluster
 	switch {
@@ -208,37 +208,37 @@
 	case c.now >= l.deadline:
 		l.start()
 	default:
-		l.later(contentionTimeout, l.renew)
+		l.later(failedCallRetryPause, l.renew)
 	}
 }
 
-// release gives the lock back. Some callers go on before that is answered: it may come late.
+// release releases the lock. Some callers continue before the answer, so their release may take effect late.
 func (l *lockCaller) release() {
 	c := l.cluster
 	c.locks.onReleaseSent(l.lock, l.caller)
 	call := message.Call{Kind: message.CallRelease, Lock: l.lock, Owner: l.owner, Token: l.token}
-	goesOn := c.random.IntN(overlapOneIn) == 0
-	life := l.life
+	overlaps := c.random.IntN(overlapOneIn) == 0
+	generation := l.generation
 	c.sendUntilClear(l.caller, call, releaseRetryTime, func(*exchange) {}, func(x *exchange) {
 		if x.isOK() {
 			c.locks.onFreed(x)
 		}
-		if !goesOn && l.life == life {
+		if !overlaps && l.generation == generation {
 			l.start()
 		}
 	})
-	if goesOn {
+	if overlaps {
 		l.start()
 	}
 }
 
-// wake tries a renewal after the time was over: the answer counts for nothing, and the lock is given up.
-func (l *lockCaller) wake() {
+// renewAfterExpiry sends a renewal after the hold has expired. Whatever the answer, the caller then releases the lock.
+func (l *lockCaller) renewAfterExpiry() {
 	l.send(message.CallRenew, func(*exchange, tokenFloors) { l.release() })
 }
 
-// die ends the caller's life. It comes back under the same name.
-func (l *lockCaller) die() {
-	l.life++
-	l.later(l.cluster.randomDuration(maxDeath), l.start)
+// crash discards all scheduled steps and pending answers. The caller restarts under the same owner name.
+func (l *lockCaller) crash() {
+	l.generation++
+	l.later(l.cluster.randomDuration(maxCrashDowntime), l.start)
 }
--- a/internal/controlplane/coordinationsim/lock_checker.go
+++ b/internal/controlplane/coordinationsim/lock_checker.go
@@ -6,32 +6,32 @@
 	"pumiceline/internal/message"
 )
 
-// freeTime is how long after the end of any hold a lock must be free.
+// freeTime is how long after the end of all holds a lock may still be refused.
 const freeTime = 1500 * time.Millisecond
 
-// lockChecker checks RuleOneHolder by what the callers count as their holds.
+// lockChecker checks RuleOneHolder by the holds that the callers rely on.
 type lockChecker struct {
 	cluster    *Cluster
 	locks      map[message.LockName]*checkedLock
 	grants     int
-	takeoverAt time.Duration // when a process became the issuer last
+	takeoverAt time.Duration // when a process last became the issuer
 }
 
-// checkedLock is what the callers know of a lock.
+// checkedLock is what the callers observed of a lock.
 type checkedLock struct {
-	holds       map[int]*callerHold // by caller, the present or last one of each
-	tokens      map[message.FencingToken]int
-	newest      map[int]message.FencingToken // the highest token of each caller
-	open        map[int]bool                 // callers whose acquisition has no answer yet
-	unclearTill time.Duration                // until then a call without a clear answer may keep the lock from others
+	holds        map[int]*callerHold // the current or last hold of each caller
+	tokens       map[message.FencingToken]int
+	newest       map[int]message.FencingToken // the highest token of each caller
+	pendingCalls map[int]bool                 // callers whose acquire or renew call has no answer yet
+	unclearUntil time.Duration                // until then a call without a clear answer may hold the lock
 }
 
-// callerHold is a hold as its caller counts it.
+// callerHold is a hold that its caller relies on.
 type callerHold struct {
 	token    message.FencingToken
 	until    time.Duration
-	released bool // giving it back has been sent
-	freed    bool // and answered
+	released bool // the release has been sent
+	freed    bool // the release has been answered
 }
 
 func newLockChecker(c *Cluster) *lockChecker {
@@ -43,14 +43,14 @@
 	if lock == nil {
 		lock = &checkedLock{
 			holds: map[int]*callerHold{}, tokens: map[message.FencingToken]int{}, newest: map[int]message.FencingToken{},
-			open: map[int]bool{},
+			pendingCalls: map[int]bool{},
 		}
 		l.locks[name] = lock
 	}
 	return lock
 }
 
-// tokenFloors are the highest tokens that each other caller, and the caller itself, obtained before a call was sent.
+// tokenFloors are the highest tokens that the other callers and the caller itself obtained before a call was sent.
 type tokenFloors struct{ others, own message.FencingToken }
 
 func (l *lockChecker) floors(name message.LockName, caller int) (floors tokenFloors) {
@@ -64,7 +64,7 @@
 	return floors
 }
 
-// onAcquired checks a grant. It reports whether the caller holds the lock by it.
+// onAcquired checks a grant. It reports whether the caller holds the lock now: the grant may have expired on its way.
 func (l *lockChecker) onAcquired(x *exchange, floors tokenFloors) bool {
 	c, lock, token := l.cluster, l.lock(x.call.Lock), x.answer.Token
 	l.grants++
@@ -82,7 +82,8 @@
 	return l.hold(x, token)
 }
 
-// onRenewed counts a renewal that was answered in time. It reports whether the caller holds the lock on.
+// onRenewed records a renewal. It reports whether the answer came before the hold ended, so that the caller still holds
+// it.
 func (l *lockChecker) onRenewed(x *exchange) bool {
 	hold := l.lock(x.call.Lock).holds[x.caller]
 	if hold == nil || hold.released || l.cluster.now >= hold.until || hold.token != x.call.Token {
@@ -91,7 +92,8 @@
 	return l.hold(x, hold.token)
 }
 
-// hold lets the caller's hold last from its call on, which is its last good one, and checks that no other caller has one.
+// hold records that the caller holds the lock for the time of its latest successful call, counted from when that was
+// sent. It checks that no other caller holds the lock.
 func (l *lockChecker) hold(x *exchange, token message.FencingToken) bool {
 	c, lock := l.cluster, l.lock(x.call.Lock)
 	until := x.sentAt + holdTime(x)
@@ -109,49 +111,51 @@
 	return true
 }
 
-// onReleaseSent ends the caller's hold.
+// onReleaseSent ends the caller's hold: the caller stops relying on it when it sends the release.
 func (l *lockChecker) onReleaseSent(lock message.LockName, caller int) {
 	if hold := l.lock(lock).holds[caller]; hold != nil {
 		hold.released = true
 	}
 }
 
-// onSent counts an acquisition that may have been granted until it is answered.
-func (l *lockChecker) onSent(lock message.LockName, caller int) { l.lock(lock).open[caller] = true }
+// onSent records a call that may be granted until it is answered.
+func (l *lockChecker) onSent(lock message.LockName, caller int) {
+	l.lock(lock).pendingCalls[caller] = true
+}
 
-// onEnded counts an acquisition as answered, or without an answer.
+// onEnded records that a call has been answered or has ended without an answer.
 func (l *lockChecker) onEnded(x *exchange) {
-	delete(l.lock(x.call.Lock).open, x.caller)
+	delete(l.lock(x.call.Lock).pendingCalls, x.caller)
 	if !x.isClear() {
 		l.onUnclear(x)
 	}
 }
 
-// onFreed counts the lock as given back.
+// onFreed records the answer to a release.
 func (l *lockChecker) onFreed(x *exchange) {
 	if hold := l.lock(x.call.Lock).holds[x.caller]; hold != nil && hold.token == x.call.Token {
 		hold.freed = true
 	}
 }
 
-// onUnclear counts the time for which a call without a clear answer may keep the lock from others.
+// onUnclear records how long a call without a clear answer may hold the lock.
 func (l *lockChecker) onUnclear(x *exchange) {
 	lock := l.lock(x.call.Lock)
-	lock.unclearTill = max(lock.unclearTill, l.cluster.now+holdTime(x))
+	lock.unclearUntil = max(lock.unclearUntil, l.cluster.now+holdTime(x))
 }
 
-// onHeld counts a 409 at a time when no other caller can have the lock.
+// onHeld counts a 409 as late if no other caller could have held the lock for freeTime before the call.
 func (l *lockChecker) onHeld(x *exchange) {
 	lock := l.lock(x.call.Lock)
-	busyTill := max(lock.unclearTill, l.takeoverAt+holdTime(x))
+	busyUntil := max(lock.unclearUntil, l.takeoverAt+holdTime(x))
 	for other, hold := range lock.holds {
 		if other != x.caller && !hold.freed {
-			busyTill = max(busyTill, hold.until)
+			busyUntil = max(busyUntil, hold.until)
 		}
 	}
-	if x.sentAt > busyTill+freeTime && len(lock.open) == 0 {
+	if x.sentAt > busyUntil+freeTime && len(lock.pendingCalls) == 0 {
 		l.cluster.log.lateRefusal++
-		l.cluster.note("caller %d refused %s, which was free from %.4fs", x.caller, x.call.Lock, busyTill.Seconds())
+		l.cluster.note("caller %d refused %s, which was free from %.4fs", x.caller, x.call.Lock, busyUntil.Seconds())
 	}
 }
 
--- a/internal/controlplane/coordinationsim/lock_checker_test.go
+++ b/internal/controlplane/coordinationsim/lock_checker_test.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/message"
 )
 
-// lockStep is something that a caller of a lock observes, at a time in milliseconds.
+// lockStep is an event that a caller of a lock observes. Times are in milliseconds.
 type lockStep struct {
 	at     int
 	caller int
@@ -20,7 +20,7 @@
 	holdMs int64
 }
 
-// violationsOfLock lets a checker observe the steps and returns the rules that were violated.
+// violationsOfLock passes the steps to a lock checker and returns the violated rules.
 func violationsOfLock(steps []lockStep) (rules []Rule) {
 	c := newCluster(Options{})
 	c.callers = 2
@@ -53,28 +53,28 @@
 		steps []lockStep
 		want  []Rule
 	}{
-		{"after the release", []lockStep{
+		{"acquired after the release", []lockStep{
 			{10, 1, "acquires", 1, 5, 1000}, {20, 1, "releases", 1, 20, 0}, {30, 2, "acquires", 2, 22, 1000}}, nil},
-		{"before the release", []lockStep{
+		{"acquired before the release", []lockStep{
 			{10, 1, "acquires", 1, 5, 1000}, {20, 2, "acquires", 2, 12, 1000}}, one},
-		{"when the time since the call was sent is over", []lockStep{
+		{"acquired when the hold, counted from its call, is over", []lockStep{
 			{10, 1, "acquires", 1, 5, 1000}, {1005, 2, "acquires", 2, 1000, 1000}}, nil},
-		{"a moment before", []lockStep{
+		{"acquired 1 ms before the hold is over", []lockStep{
 			{10, 1, "acquires", 1, 5, 1000}, {1004, 2, "acquires", 2, 1000, 1000}}, one},
-		{"within a renewed hold", []lockStep{
+		{"acquired within a renewed hold", []lockStep{
 			{10, 1, "acquires", 1, 5, 1000}, {900, 1, "renews", 1, 890, 1000}, {1500, 2, "acquires", 2, 1490, 1000}}, one},
-		{"after a renewal that came too late", []lockStep{
+		{"a renewal answered after the end of the hold extends nothing", []lockStep{
 			{10, 1, "acquires", 1, 5, 1000}, {1010, 1, "renews", 1, 890, 1000}, {1500, 2, "acquires", 2, 1490, 1000}}, nil},
-		{"a grant that came too late", []lockStep{
+		{"a grant answered after the end of its hold counts for nothing", []lockStep{
 			{1100, 1, "acquires", 1, 5, 1000}, {1110, 2, "acquires", 2, 1105, 1000}}, nil},
-		{"the last good call counts, also where it is for a shorter time", []lockStep{
+		{"acquired when a hold shortened by its renewal is over", []lockStep{
 			{10, 1, "acquires", 1, 5, 1000}, {20, 1, "renews", 1, 15, 100}, {115, 2, "acquires", 2, 110, 1000}}, nil},
-		{"a moment before the end of a shorter time", []lockStep{
+		{"acquired 1 ms before a hold shortened by its renewal is over", []lockStep{
 			{10, 1, "acquires", 1, 5, 1000}, {20, 1, "renews", 1, 15, 100}, {114, 2, "acquires", 2, 110, 1000}}, one},
 		{"the same token for two holders", []lockStep{
 			{10, 1, "acquires", 7, 5, 1000}, {20, 1, "releases", 7, 20, 0}, {30, 2, "acquires", 7, 22, 1000}},
 			[]Rule{RuleOneHolder, RuleOneHolder}},
-		{"a token below that of another", []lockStep{
+		{"a token below that of another caller", []lockStep{
 			{10, 1, "acquires", 7, 5, 1000}, {20, 1, "releases", 7, 20, 0}, {30, 2, "acquires", 6, 22, 1000}}, one},
 		{"a token below the caller's own", []lockStep{
 			{10, 1, "acquires", 7, 5, 1000}, {30, 1, "acquires", 6, 22, 1000}}, one},
--- a/internal/controlplane/coordinationsim/machine_faults.go
+++ b/internal/controlplane/coordinationsim/machine_faults.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// restartTime is how long a process that is started again at once is down.
+	// restartTime is the downtime of a process that is restarted at once.
 	restartTime = 50 * time.Millisecond
-	// startSpread is the longest delay of a machine's start where several start at one time.
+	// startSpread bounds the random delay of a machine's start where several start at one time.
 	startSpread = 300 * time.Millisecond
-	// shutdownGrace is how long after it was asked to stop a process ends at the latest.
+	// shutdownGrace is the longest time from the request to stop until the process ends.
 	shutdownGrace = 3500 * time.Millisecond
 )
 
@@ -19,7 +19,7 @@
 	loseDisk diskFate = true
 )
 
-// restart stops a machine and starts it again after a time.
+// restart stops a machine and starts it after the downtime, unless it has been started or replaced meanwhile.
 func (c *Cluster) restart(n *node, downtime time.Duration, fate diskFate) {
 	if !n.isUp() && fate == keepDisk {
 		return
@@ -48,7 +48,7 @@
 	c.moveVote(lost, n)
 }
 
-// replaceGracefully starts another machine, moves the vote to it, and then asks the machine to stop for good.
+// replaceGracefully starts another machine in the slot, moves the vote to it, and then asks the old machine to stop.
 func (c *Cluster) replaceGracefully(n *node) {
 	if !n.isUp() {
 		return
@@ -60,7 +60,7 @@
 	c.moveVote(n.identity, successor)
 	var leave func()
 	leave = func() {
-		if c.membership.openMoves > 0 {
+		if c.membership.pendingVoteMoves > 0 {
 			c.after(injectionRetryDelay, leave)
 			return
 		}
@@ -70,7 +70,7 @@
 	c.after(minVoteDelay, leave)
 }
 
-// shutDownGracefully asks a machine to stop, and calls onDone when it may stop or its grace time is over.
+// shutDownGracefully asks a machine to stop and calls onDone when it may stop or shutdownGrace is over.
 func (c *Cluster) shutDownGracefully(n *node, onDone func()) {
 	if !n.isUp() {
 		return
@@ -93,7 +93,7 @@
 	c.after(tickInterval, check)
 }
 
-// freeze stops a process now, or before it sends its next messages.
+// freeze pauses a process now, or before it sends its next messages.
 func (c *Cluster) freeze(n *node, f Fault) {
 	switch {
 	case !n.isUp() || n.frozen:
--- a/internal/controlplane/coordinationsim/network.go
+++ b/internal/controlplane/coordinationsim/network.go
@@ -12,8 +12,8 @@
 	delaySpread = 1500 * time.Microsecond
 	localDelay  = 10 * time.Microsecond // of a message to the sender itself
 
-	lostOneIn      = 300 // as when a connection breaks
-	duplicateOneIn = 500 // not of calls: a relay sends each of its requests once
+	lostOneIn      = 300 // as by a broken connection
+	duplicateOneIn = 500 // except calls and responses: each sending by a relay arrives at most once
 	queuedOneIn    = 150
 	queuedSpread   = 400 * time.Millisecond
 	staleOneIn     = 2000
@@ -23,10 +23,10 @@
 // link is a direction between two machines, by their indexes.
 type link struct{ from, to int }
 
-// network knows which links are cut or slow.
+// network holds which links are cut or slow.
 type network struct {
-	cuts      map[link]int           // by how many faults
-	held      map[link]time.Duration // the links hold up bytes until then, and deliver them late
+	cuts      map[link]int           // number of faults that cut the link
+	held      map[link]time.Duration // the link holds up messages until then and delivers them late
 	slowUntil map[link]time.Duration
 	slowDelay time.Duration // the longest additional delay of the slow links
 }
@@ -35,14 +35,14 @@
 	return network{cuts: map[link]int{}, held: map[link]time.Duration{}, slowUntil: map[link]time.Duration{}}
 }
 
-// sendAll sends messages in their order.
+// sendAll sends messages in order.
 func (n *node) sendAll(messages []message.Message) {
 	for i := range messages {
 		n.send(messages[i])
 	}
 }
 
-// send sends a message to the machine that has its address, which may lose it or receive it late.
+// send sends a message to the machine with its address. The message may be lost, delayed or duplicated.
 func (n *node) send(m message.Message) {
 	c := n.cluster
 	m.FromAddress = n.address
@@ -86,7 +86,7 @@
 	return delay, true
 }
 
-// detached returns the message as its receiver decodes it: a state in it shares nothing with that of the sender.
+// detached returns the message as its receiver decodes it: a state in it shares no memory with the sender's.
 func detached(m message.Message) message.Message {
 	switch {
 	case m.StateWrite != nil && m.StateWrite.State != nil:
@@ -106,7 +106,7 @@
 	n.cluster.after(delay, func() { n.run(func() { n.receive(m) }) })
 }
 
-// nodeAt returns the machine that has or had an address, nil where none ever did.
+// nodeAt returns the machine with an address, nil where no machine of the run has had it.
 func (c *Cluster) nodeAt(address string) *node {
 	for _, n := range c.nodes {
 		if n.address == address {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// cutMode says what becomes of bytes that are sent while a link is cut.
+// cutMode says what happens to messages that are sent while a link is cut.
 type cutMode bool
 
 const (
@@ -134,7 +134,7 @@
 			}
 		}
 	}
-	cuts := c.network.cuts // healing puts another map in its place
+	cuts := c.network.cuts // heal replaces the map; the end of this cut must not change the new one
 	for _, l := range links {
 		cuts[l]++
 		if mode == holdBytes {
--- a/internal/controlplane/coordinationsim/node.go
+++ b/internal/controlplane/coordinationsim/node.go
@@ -17,35 +17,35 @@
 // node is a coordinator's machine with its process and its disk.
 type node struct {
 	cluster *Cluster
-	index   int // among all machines that ever were
+	index   int // among all machines of the run
 	slot    int
 	address string
 	disk
 
 	member        *epoch.Member // nil while the process is down
-	generation    int           // counts starts and stops of the process: events of an earlier one are void
+	generation    int           // counts starts and stops of the process; events of earlier generations are ignored
 	startedAt     time.Duration
-	identityCount int // names the identity that a process takes where the disk is empty
+	identityCount int // number in the identity that a process gets where its disk is empty
 	relay         *relay
 
-	leaving          bool // it was asked to stop
+	leaving          bool // the process was asked to stop
 	frozen           bool
-	waiting          []func()      // what happened to the process while it was frozen, in order
-	freezeBeforeSend time.Duration // the process freezes for so long before it sends the next messages; 0: it does not
+	waiting          []func()      // events that reached the process while it was frozen, in order
+	freezeBeforeSend time.Duration // how long the process freezes before it sends the next messages; 0: not at all
 
-	wasIssuer     bool          // when it was observed last
-	heardAt       time.Duration // when it heard of the newest view that it knows
-	ignoresWrites bool          // by a planted defect
+	wasIssuer      bool          // at the last observation
+	viewReceivedAt time.Duration // when the process received its newest view
+	ignoresWrites  bool          // for AcceptWithoutState: the process started with an empty disk
 }
 
 func newNode(c *Cluster, index, slot int) *node {
 	return &node{cluster: c, index: index, slot: slot, address: fmt.Sprintf("10.0.0.%d:7000", index+1)}
 }
 
-// clock is the monotonic clock of the process.
+// clock returns the process's monotonic clock.
 func (n *node) clock() time.Duration { return n.cluster.now - n.startedAt }
 
-// self is the machine as a member.
+// self returns the machine as a member.
 func (n *node) self() message.Member {
 	return message.Member{Identity: n.identity, Address: n.address, Zone: fmt.Sprintf("zone-%d", n.slot%zoneCount)}
 }
@@ -53,8 +53,8 @@
 // isUp reports whether the process runs, frozen or not.
 func (n *node) isUp() bool { return n.member != nil }
 
-// start starts the process from what is on the disk. initial is the group of acceptors that a machine of the first start is
-// configured with, nil at later starts.
+// start starts the process from its disk. initial is the acceptor group that a seed machine is configured with at its
+// first start, nil otherwise.
 func (n *node) start(initial *message.AcceptorGroup) {
 	c := n.cluster
 	n.generation++
@@ -76,11 +76,11 @@
 	if n.voters.number > 0 {
 		n.member.SetVoters(n.voters.number, n.voters.voters)
 	}
-	n.hearLater(c.membership.newest)
+	n.receiveViewLater(c.membership.newest)
 	n.tick(n.generation)
 }
 
-// stop ends the process. Its relay's connections break, and what it was writing may be on the disk or not.
+// stop ends the process. Its relay's connections break, and a random prefix of the write in progress is on the disk.
 func (n *node) stop() {
 	if !n.isUp() {
 		return
@@ -92,7 +92,7 @@
 	n.relay.breakConnections()
 }
 
-// run lets something happen to the process: now, or when it is no longer frozen; never where it has ended meanwhile.
+// run delivers an event to the process: now, or when it is no longer frozen. A process that is down never gets it.
 func (n *node) run(event func()) {
 	switch {
 	case !n.isUp():
@@ -127,7 +127,8 @@
 	n.observe()
 }
 
-// applyOutput sends the member's messages and writes its state, as the coordinator does.
+// applyOutput sends the member's messages and writes its state, as the coordinator does. With freezeBeforeSend set the
+// process freezes before that.
 func (n *node) applyOutput(out epoch.Output) {
 	if n.freezeBeforeSend > 0 && len(out.Immediate)+len(out.AfterSync) > 0 {
 		duration := n.freezeBeforeSend
@@ -168,14 +169,14 @@
 	n.wasIssuer = status.IsIssuer
 }
 
-// freeze stops the process for a time. Its clock runs on.
+// freeze pauses the process for a time. Its clock continues.
 func (n *node) freeze(duration time.Duration) {
 	n.frozen = true
 	generation := n.generation
 	n.cluster.after(duration, func() { n.resume(generation) })
 }
 
-// resume ends a freeze. What happened meanwhile is handled first, in order.
+// resume ends a freeze and runs the waiting events in order.
 func (n *node) resume(generation int) {
 	if generation != n.generation || !n.frozen {
 		return
--- a/internal/controlplane/coordinationsim/numbers.go
+++ b/internal/controlplane/coordinationsim/numbers.go
@@ -25,7 +25,7 @@
 	return &numberChecker{cluster: c, owners: map[message.KeyName]map[uint64]int{}, newest: map[message.KeyName]uint64{}}
 }
 
-// send asks for a number, until the answer is clear or the time is over. done is called with the last exchange.
+// send asks for a number until the answer is clear or the limit is over. done is called with the last exchange.
 func (n *numberChecker) send(caller int, name message.KeyName, limit time.Duration, done func(*exchange)) {
 	call := message.Call{Kind: message.CallNumber, Key: name}
 	floor := n.newest[name]
@@ -37,7 +37,7 @@
 	}, done)
 }
 
-// onGiven checks a number. floor is the highest that was given before the call was sent.
+// onGiven checks a number. floor is the highest number that was given before the call was sent.
 func (n *numberChecker) onGiven(x *exchange, floor uint64) {
 	name, number := x.call.Key, x.answer.Number
 	n.given++
--- a/internal/controlplane/coordinationsim/options.go
+++ b/internal/controlplane/coordinationsim/options.go
@@ -10,23 +10,23 @@
 // Options of a run. Their JSON keys are part of pumicectl's output, and its --options reads them.
 type Options struct {
 	Seed       uint64        `json:"Seed"`
-	Members    int           `json:"Members"`   // voters after the first seconds
-	Tolerance  int           `json:"Tolerance"` // disks that may be lost at one time
-	FaultPhase time.Duration `json:"Length"`    // the time in which faults are injected
-	History    time.Duration `json:"History"`   // how long at least events are kept for watches
+	Members    int           `json:"Members"`   // number of machines; all of them vote after growthDelay
+	Tolerance  int           `json:"Tolerance"` // number of disks that may be lost at one time
+	FaultPhase time.Duration `json:"Length"`    // how long faults are injected
+	History    time.Duration `json:"History"`   // minimum time that events are kept for watches
 	// WithoutFinalFault leaves out the loss of all power at the end.
 	WithoutFinalFault bool `json:"WithoutFinalFault,omitempty"`
-	// WithoutAnswerFaults leaves out the faults that follow on an answer or a view.
+	// WithoutAnswerFaults leaves out the unplanned faults that follow an answer or a view.
 	WithoutAnswerFaults bool `json:"WithoutAnswerFaults,omitempty"`
-	// OmittedFaults are left out of the fault plan, by their index.
+	// OmittedFaults are the indexes of planned faults that are left out.
 	OmittedFaults []int `json:"OmittedFaults,omitempty"`
-	// ScriptedFaults are the faults in place of those that the seed draws.
+	// ScriptedFaults replace the faults that the seed draws.
 	ScriptedFaults []Fault `json:"ScriptedFaults,omitempty"`
-	// Defect is planted into the coordinators, to show that a check finds it.
+	// Defect is planted into the coordinators to prove that a check detects it.
 	Defect Defect `json:"Defect,omitempty"`
 }
 
-// Bounds of drawn options.
+// Parameters of drawn options.
 const (
 	shapeStream       = 0x63736861 // stream of the generator
 	drawnFaultPhase   = 24 * time.Second
@@ -35,7 +35,7 @@
 	shortHistoryOneIn = 4
 )
 
-// drawnShapes are numbers of voters, with the disks that may be lost at one time.
+// drawnShapes are the clusters to draw from: how many members, and how many disks may be lost at one time.
 var drawnShapes = []struct{ members, tolerance int }{{3, 1}, {4, 1}, {5, 2}, {7, 2}, {8, 2}}
 
 // DrawOptions returns the options of a run whose shape the seed draws.
@@ -51,11 +51,11 @@
 	return options
 }
 
-// String is the JSON that ParseOptions reads.
+// String returns the JSON that ParseOptions reads.
 func (o Options) String() string {
 	text, err := json.Marshal(o)
 	if err != nil {
-		panic(err) // numbers and truths only
+		panic(err) // cannot fail: the options hold numbers and booleans only
 	}
 	return string(text)
 }
--- a/internal/controlplane/coordinationsim/planted_defects.go
+++ b/internal/controlplane/coordinationsim/planted_defects.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// alteredOneIn is how many answers there are to one that a defect alters.
+	// alteredOneIn says that a defect alters one in so many answers.
 	alteredOneIn = 20
-	// quickRestartTime is how long an acceptor is down that restarts after its promise.
+	// quickRestartTime is the downtime of an acceptor that restarts after its promise.
 	quickRestartTime = 20 * time.Millisecond
 )
 
-// messageFate says what becomes of a received message.
+// messageFate says whether a received message is handled or dropped.
 type messageFate bool
 
 const (
@@ -24,31 +24,31 @@
 	dropMessage   messageFate = true
 )
 
-// corruptStored changes what a starting process finds on its disk.
+// corruptStored changes the state that a starting process loads from its disk.
 func (n *node) corruptStored(found *epoch.Stored) {
 	switch n.cluster.options.Defect {
-	case ForgetPromise:
+	case LosePromise:
 		found.Record.Promised = message.Epoch{}
-	case ForgetTokens:
-		forgetHolds(found)
+	case LoseTokens:
+		dropHolds(found)
 		found.State.LastToken = 0
 	case IgnoreHolds:
-		forgetHolds(found)
-	case ForgetNumbers:
+		dropHolds(found)
+	case LoseNumbers:
 		found.State.LastNumber = 0
-		forgetChanges(found, func(change *message.CoordinationChange) bool { return change.Number > 0 })
-	case ForgetHistory:
-		forgetEvents(found)
+		dropChanges(found, func(change *message.CoordinationChange) bool { return change.Number > 0 })
+	case LoseHistory:
+		dropEvents(found)
 	}
 }
 
-func forgetHolds(found *epoch.Stored) {
+func dropHolds(found *epoch.Stored) {
 	found.State.Holds = nil
-	forgetChanges(found, func(change *message.CoordinationChange) bool { return change.Hold != nil || change.Release != nil })
+	dropChanges(found, func(change *message.CoordinationChange) bool { return change.Hold != nil || change.Release != nil })
 }
 
-// forgetEvents drops the events of all groups, as if they were older than they are.
-func forgetEvents(found *epoch.Stored) {
+// dropEvents drops the events of all groups, as if they were old enough to be trimmed.
+func dropEvents(found *epoch.Stored) {
 	newest := map[message.KeyGroup]message.Revision{}
 	for i := range found.State.KeyGroups {
 		group := &found.State.KeyGroups[i]
@@ -70,13 +70,13 @@
 	}
 }
 
-// forgetChanges drops changes from the writes that a starting process finds.
-func forgetChanges(found *epoch.Stored, isForgotten func(*message.CoordinationChange) bool) {
+// dropChanges drops changes from the writes that a starting process loads.
+func dropChanges(found *epoch.Stored, isDropped func(*message.CoordinationChange) bool) {
 	for i := range found.Writes {
 		write := &found.Writes[i]
 		var kept []message.CoordinationChange
 		for _, change := range write.Changes {
-			if !isForgotten(&change) {
+			if !isDropped(&change) {
 				kept = append(kept, change)
 			}
 		}
@@ -87,11 +87,11 @@
 // alterReceived changes a message that the process receives.
 func (n *node) alterReceived(m *message.Message) messageFate {
 	switch n.cluster.options.Defect {
-	case ForgetPromise: // of those that kept their promise the old issuer hears nothing
+	case LosePromise: // the old issuer does not receive the rejections of acceptors that kept their promise
 		response := m.StateWriteResponse
 		return messageFate(response != nil && response.Epoch.Less(response.Promised))
 	case DecideByMinority:
-		n.multiplyResponse(m)
+		n.forgeResponsesOfOthers(m)
 	case IgnoreHolds:
 		if m.StateResponse != nil {
 			response := *m.StateResponse
@@ -99,21 +99,21 @@
 			m.StateResponse = &response
 		}
 	case ExpireEarly:
-		if call := callOf(m); call != nil {
+		if call := detachCall(m); call != nil {
 			call.HoldMs /= 2
 		}
 	case ReleaseByOldToken:
-		if call := callOf(m); call != nil && call.Kind == message.CallRelease {
+		if call := detachCall(m); call != nil && call.Kind == message.CallRelease {
 			call.Token = n.cluster.newestTokenOf(call.Lock)
 		}
-	case CountNewcomer:
-		return messageFate(n.ignoresWrites && m.StateWrite != nil && n.acceptBlindly(m))
+	case AcceptWithoutState:
+		return messageFate(n.ignoresWrites && m.StateWrite != nil && n.acceptWithoutApplying(m))
 	}
 	return handleMessage
 }
 
-// callOf returns a copy of the call that the message carries, which takes its place in the message.
-func callOf(m *message.Message) *message.Call {
+// detachCall replaces the call in the message by a copy and returns the copy, nil where the message has no call.
+func detachCall(m *message.Message) *message.Call {
 	if m.CallRequest == nil {
 		return nil
 	}
@@ -122,7 +122,7 @@
 	return &request.Call
 }
 
-// newestTokenOf is the highest token that a caller obtained for a lock.
+// newestTokenOf returns the highest token that any caller obtained for a lock.
 func (c *Cluster) newestTokenOf(lock message.LockName) (newest message.FencingToken) {
 	for token := range c.locks.lock(lock).tokens {
 		newest = max(newest, token)
@@ -130,7 +130,8 @@
 	return newest
 }
 
-// restartAfterPromise restarts an acceptor as soon as it has sent its promise, as long as there are faults.
+// restartAfterPromise restarts an acceptor as soon as it has sent its promise to another member, while faults are
+// injected.
 func (n *node) restartAfterPromise(sent []message.Message) {
 	if n.cluster.isHealing {
 		return
@@ -144,11 +145,11 @@
 	}
 }
 
-// multiplyResponse delivers the consent of one acceptor in the name of all others.
-func (n *node) multiplyResponse(m *message.Message) {
-	isConsent := m.StateWriteResponse != nil && m.StateWriteResponse.Accepted ||
+// forgeResponsesOfOthers delivers the acceptance or promise of one acceptor again in the names of all others.
+func (n *node) forgeResponsesOfOthers(m *message.Message) {
+	isPositive := m.StateWriteResponse != nil && m.StateWriteResponse.Accepted ||
 		m.EpochPrepareResponse != nil && !m.EpochPrepareResponse.Rejected
-	if !isConsent {
+	if !isPositive {
 		return
 	}
 	for _, acceptor := range n.member.Status().Group.Acceptors {
@@ -158,14 +159,14 @@
 	}
 }
 
-// deliverAs delivers a message in the name of another member.
+// deliverAs delivers a message to the process in the name of another member.
 func (n *node) deliverAs(sender message.Member, m message.Message) {
 	m.From, m.FromAddress, m.To = sender.Identity, sender.Address, n.identity
 	n.applyOutput(n.member.Step(n.clock(), &m))
 }
 
-// acceptBlindly accepts a write without its content.
-func (n *node) acceptBlindly(m *message.Message) bool {
+// acceptWithoutApplying accepts a write without storing it. It always returns true.
+func (n *node) acceptWithoutApplying(m *message.Message) bool {
 	write := m.StateWrite
 	n.send(message.Message{
 		From: n.identity, To: m.From, ToAddress: m.FromAddress,
@@ -184,20 +185,20 @@
 	}
 	for _, messages := range [][]message.Message{out.Immediate, out.AfterSync} {
 		for i := range messages {
-			n.consentAlone(&messages[i])
+			n.forgeAcceptance(&messages[i])
 		}
 	}
 }
 
-// consentAlone makes the acceptor's consent to a write, or to a question, arrive at once.
-func (n *node) consentAlone(m *message.Message) {
+// forgeAcceptance delivers a forged acceptance of a write, or of a read confirmation, at once.
+func (n *node) forgeAcceptance(m *message.Message) {
 	write := m.StateWrite
 	if write == nil {
 		return
 	}
-	isQuestion := write.State == nil && len(write.Writes) == 0
+	isReadConfirmation := write.State == nil && len(write.Writes) == 0
 	defect := n.cluster.options.Defect
-	if defect != AnswerBeforeMajority && (defect != ReadUnconfirmed || !isQuestion) {
+	if defect != AnswerBeforeMajority && (defect != ReadUnconfirmed || !isReadConfirmation) {
 		return
 	}
 	acceptor := message.Member{Identity: m.To, Address: m.ToAddress}
@@ -212,7 +213,7 @@
 	})
 }
 
-// alterAnswer changes the answer to a call.
+// alterAnswer changes the answer to a call as the planted defect does.
 func (r *relay) alterAnswer(call *message.Call, answer *message.Answer) {
 	c := r.node.cluster
 	isDrawn := c.options.Defect != NoDefect && c.random.IntN(alteredOneIn) == 0
@@ -226,7 +227,7 @@
 		if answer.Status == coordination.StatusRevisionMismatch {
 			answer.Revision++
 		}
-	case ShowRejected:
+	case RejectAppliedPut:
 		if isDrawn && isDonePut {
 			answer.Status, answer.Revision = coordination.StatusRevisionMismatch, answer.Revision-1
 		}
--- a/internal/controlplane/coordinationsim/recovery.go
+++ b/internal/controlplane/coordinationsim/recovery.go
@@ -7,26 +7,26 @@
 	"github.com/samber/lo"
 )
 
-// RecoveryTime is what one kind of fault at the issuer costs.
+// RecoveryTime is how long calls go unanswered when one kind of fault hits the issuer.
 type RecoveryTime struct {
 	Kind FaultKind
-	// Median, P99 and Longest are those of the longest time without an answered call in each run.
+	// Median, P99 and Longest are statistics over the runs of the longest time without an answered call.
 	Median, P99, Longest time.Duration
-	// CallP50 and CallP99 are percentiles of the time of an answered call, over all runs.
+	// CallP50 and CallP99 are percentiles of the latency of answered calls over all runs.
 	CallP50, CallP99 time.Duration
 }
 
-// A measured run has one fault, at the issuer.
+// A measured run has one fault, which hits the issuer.
 const (
 	measuredFaultAt    = 8 * time.Second
 	measuredFaultTime  = 5 * time.Second
 	measuredFaultPhase = 16 * time.Second
 )
 
-// measuredKinds are the losses of an issuer.
+// measuredKinds are the faults by which an issuer can be lost.
 var measuredKinds = []FaultKind{Kill, PowerLoss, Freeze, Partition, OneWayPartition, DiskStall, DiskLoss, GracefulRestart}
 
-// MeasureRecovery measures each kind of fault alone, in a run a seed.
+// MeasureRecovery measures each kind of fault alone, in one run per seed.
 func MeasureRecovery(members, tolerance int, seeds uint64) []RecoveryTime {
 	return lo.Map(measuredKinds, func(kind FaultKind, _ int) RecoveryTime {
 		return measure(kind, members, tolerance, seeds, func(seed uint64) []Fault {
@@ -38,7 +38,8 @@
 	})
 }
 
-// MeasureCalm measures calls in runs without faults. Its gap counts for nothing.
+// MeasureCalm measures calls in runs without faults. Gaps are recorded only after a fault, so Median, P99 and Longest
+// are 0.
 func MeasureCalm(members, tolerance int, seeds uint64) RecoveryTime {
 	return measure(0, members, tolerance, seeds, func(uint64) []Fault { return []Fault{} })
 }
@@ -61,7 +62,7 @@
 	}
 }
 
-// quantile returns the value below which that share of the sorted durations lies; 0 where there are none.
+// quantile returns the value below which the given share of the sorted durations lies, 0 where there are none.
 func quantile(sorted []time.Duration, share float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/controlplane/coordinationsim/relay.go
+++ b/internal/controlplane/coordinationsim/relay.go
@@ -7,38 +7,39 @@
 	"pumiceline/internal/message"
 )
 
-// The times of a relay, as package relay has them.
+// Timeouts of a relay, equal to those of package relay.
 const (
-	// relayTimeout is how long a call waits for its answer, and a watch beyond its own waiting time.
+	// relayTimeout is how long a call waits for its answer. A watch waits for its WaitMs longer.
 	relayTimeout = 850 * time.Millisecond
-	// callSilence is how long a target may be silent before another one is asked.
-	callSilence = 120 * time.Millisecond
-	// watchResendInterval is how often a watch is sent again. The issuer keeps one without an event: it is silent.
+	// callResendInterval is how long a target may leave a call unanswered before another one is asked.
+	callResendInterval = 120 * time.Millisecond
+	// watchResendInterval is how often a watch is sent again. The issuer does not answer a watch before there is an
+	// event, so a missing answer does not mean that the issuer is lost.
 	watchResendInterval = 300 * time.Millisecond
-	// watchProbeEvery is how many times a watch is sent to a silent issuer before a voter is asked too.
+	// watchProbeEvery is how many times a watch is sent to an issuer that does not answer before a voter is asked too.
 	watchProbeEvery = 2
-	// declinedDelay is how long a call rests after a target that does not know the issuer.
+	// declinedDelay is the pause of a call after the target asked last declined it and named no issuer to ask.
 	declinedDelay = 30 * time.Millisecond
-	// minAnswerTime is how long before its end a call asks for the last time.
+	// minAnswerTime is the shortest time before the end of a call at which a target is still asked.
 	minAnswerTime = 50 * time.Millisecond
-	// minRepeatInterval is how soon a target is asked again because another one names it as the issuer.
+	// minRepeatInterval is the shortest time before a target is asked again because another one names it as the issuer.
 	minRepeatInterval = 20 * time.Millisecond
 )
 
-// Statuses of a relay's own answers.
+// Statuses that a relay itself answers with.
 const (
-	statusUnavailable    message.CallStatus = 503 // nothing was done, and never will be
+	statusUnavailable    message.CallStatus = 503 // the call has not taken effect and never will
 	statusGatewayTimeout message.CallStatus = 504 // the call may have taken effect
 )
 
-// relay passes on the calls that applications send to a process. It ends with the process.
+// relay forwards the calls that applications send to a process. A restarted process has a new relay.
 type relay struct {
 	node    *node
-	hint    message.Member // the issuer as far as the relay knows; without an identity: it knows none
-	own     message.Member // what the own member said last
+	hint    message.Member // the presumed issuer; without an identity: none is known
+	own     message.Member // the issuer that the own member named last
 	lastID  uint64
-	waiting map[uint64]*relayedCall // by the IDs of their requests
-	calls   []*relayedCall          // that have no answer, in order
+	waiting map[uint64]*relayedCall // by request ID
+	calls   []*relayedCall          // without an answer, in order of arrival
 }
 
 // relayedCall is a call that is not answered yet.
@@ -47,14 +48,14 @@
 	start    time.Duration
 	requests []*relayRequest
 	last     *relayRequest
-	timer    uint64 // counts settings of the time at which somebody is asked again
-	declined bool   // the last one asked has declined, and a voter is to be asked next
-	resends  int    // of a watch
+	timer    uint64 // counts the timers set for asking again; only the latest one counts
+	declined bool   // the target asked last has declined; a voter is asked next
+	resends  int    // how often a watch was sent again
 	respond  func(message.Answer)
 	broken   func() // the connection is closed without an answer
 }
 
-// relayRequest is what one target was asked. It is sent again, with the same ID, until the target declines.
+// relayRequest is the request to one target. It is sent again with the same ID until the target declines.
 type relayRequest struct {
 	id       uint64
 	target   message.Member
@@ -79,7 +80,7 @@
 	r.askVoter(c)
 }
 
-// later lets something happen in the relay's process, unless that has ended.
+// later schedules an event of the relay, which is skipped if its process ends before.
 func (r *relay) later(delay time.Duration, event func()) {
 	r.node.cluster.after(delay, func() {
 		if r.node.relay == r {
@@ -94,7 +95,7 @@
 	return relayTimeout + time.Duration(c.call.WaitMs)*time.Millisecond
 }
 
-// newestHint is the issuer of which the relay heard last, of its own member or by a response.
+// newestHint returns the issuer named last, by the own member or by a response.
 func (r *relay) newestHint() (message.Member, bool) {
 	own := r.node.member.Status().Issuer
 	if own != r.own {
@@ -106,7 +107,7 @@
 	return r.hint, r.hint.Identity != ""
 }
 
-// ask sends the call to a target, and waits for it.
+// ask sends the call to a target and schedules when to ask again.
 func (r *relay) ask(c *relayedCall, target message.Member) {
 	now := r.node.cluster.now
 	if now-c.start > c.timeout()-minAnswerTime {
@@ -128,18 +129,18 @@
 		From: r.node.identity, To: target.Identity, ToAddress: target.Address,
 		CallRequest: &message.CallRequest{ID: q.id, Call: call},
 	})
-	r.askLater(c, c.silence())
+	r.askLater(c, c.resendInterval())
 }
 
-// silence is how long to wait for the targets that were asked.
-func (c *relayedCall) silence() time.Duration {
+// resendInterval returns how long to wait for an answer before asking again.
+func (c *relayedCall) resendInterval() time.Duration {
 	if c.isWatch() {
 		return watchResendInterval
 	}
-	return callSilence
+	return callResendInterval
 }
 
-// askLater sets when somebody is asked again.
+// askLater schedules when a target is asked again, in place of an earlier schedule.
 func (r *relay) askLater(c *relayedCall, delay time.Duration) {
 	c.timer++
 	set := c.timer
@@ -150,9 +151,9 @@
 	})
 }
 
-// askNext asks again after silence, or after a target that does not know the issuer.
+// askNext asks again when no answer came, or when a target declined and named no other issuer.
 func (r *relay) askNext(c *relayedCall) {
-	r.askLater(c, c.silence())
+	r.askLater(c, c.resendInterval())
 	issuer, ok := r.newestHint()
 	switch {
 	case !ok || c.declined:
@@ -169,11 +170,11 @@
 	}
 }
 
-// askVoter asks the voter that was not asked for longest. The issuer that is known is passed over unless there is no other.
+// askVoter asks the voter whose last request is oldest. The presumed issuer is skipped unless it is the only voter.
 func (r *relay) askVoter(c *relayedCall) {
 	voters := r.node.voters.voters
 	if len(voters) == 0 {
-		r.askLater(c, c.silence())
+		r.askLater(c, c.resendInterval())
 		return
 	}
 	first := r.node.cluster.random.IntN(len(voters))
@@ -192,7 +193,7 @@
 	r.ask(c, best)
 }
 
-// lastAsked returns when a member was asked last.
+// lastAsked returns when a member was last asked.
 func (c *relayedCall) lastAsked(identity message.MemberID) (at time.Duration, wasAsked bool) {
 	for _, q := range c.requests {
 		if q.target.Identity == identity {
@@ -202,7 +203,7 @@
 	return at, wasAsked
 }
 
-// onResponse takes the answer of the issuer, or "nothing done" of another member.
+// onResponse handles the answer of the issuer, or the refusal of a member that is not the issuer.
 func (r *relay) onResponse(m *message.Message) {
 	response := m.CallResponse
 	c := r.waiting[response.ID]
@@ -218,7 +219,7 @@
 	r.onDeclined(c, asked, response.Issuer)
 }
 
-// onDeclined follows a target that did nothing to the issuer that it names.
+// onDeclined handles a target that declined: it asks the issuer that the target names, if any.
 func (r *relay) onDeclined(c *relayedCall, asked *relayRequest, issuer message.Member) {
 	asked.declined = true
 	switch {
@@ -234,15 +235,16 @@
 	case issuer.Identity != "" && issuer.Identity != asked.target.Identity && !isRecent:
 		r.ask(c, issuer)
 	case c.isWatch() && isOpen:
-		// the issuer that was asked may keep the watch
+		// a request is open: the issuer that was asked may hold the watch
 	case asked == c.last:
 		c.declined = true
 		r.askLater(c, declinedDelay)
 	}
 }
 
-// giveUp answers that nothing was done where every request was answered so, and else that nobody knows. A target that
-// declined after the request was sent to it several times said so of one of them only.
+// giveUp answers 503 if every request was declined, and otherwise 504: the call may have taken effect. A request that
+// was sent several times and declined once also counts as open, because the target declined only one of the sendings. A
+// watch is always answered 504.
 func (r *relay) giveUp(c *relayedCall) {
 	isOpen := slices.ContainsFunc(c.requests, func(q *relayRequest) bool { return !q.declined || q.sent > 1 })
 	status := statusUnavailable
@@ -259,7 +261,7 @@
 	}
 }
 
-// end forgets a call. It reports false where the call had ended before.
+// end removes a call. It returns false if the call had ended before.
 func (r *relay) end(c *relayedCall) bool {
 	i := slices.Index(r.calls, c)
 	if i < 0 {
--- a/internal/controlplane/coordinationsim/result.go
+++ b/internal/controlplane/coordinationsim/result.go
@@ -7,27 +7,28 @@
 	"pumiceline/internal/controlplane/epoch"
 )
 
-// Rule names what must hold in every run. ONE to LOST are those of the operators' page.
+// Rule is the name of an invariant that must hold in every run. ONE to LOST are also documented for operators.
 type Rule string
 
 // The rules. Scripts read their names from pumicectl's output.
 const (
-	// RuleOneHolder: no two callers count themselves holders of a lock at one moment, and fencing tokens increase.
+	// RuleOneHolder: no two callers regard themselves as holder of a lock at the same time, and fencing tokens
+	// increase.
 	RuleOneHolder Rule = "ONE"
-	// RuleOrder: numbers and revisions are given once and rise, puts succeed only over the revision that they name, and
-	// watches rise and skip nothing.
+	// RuleOrder: numbers and revisions are given once and rise, puts succeed only on the revision that they name, and
+	// events of watches come in rising order without gaps.
 	RuleOrder Rule = "ORDER"
-	// RuleStale: a read is not older than what was acknowledged before it was sent.
+	// RuleStale: a read returns no revision older than one acknowledged before it was sent.
 	RuleStale Rule = "STALE"
-	// RuleMixed: each value that is shown was put to that key and has one revision, and a 412 names a revision of the key.
+	// RuleMixed: each shown value was put to that key and has one revision, and a 412 names a revision of the key.
 	RuleMixed Rule = "MIXED"
 	// RuleRefused: a put that was rejected is never shown.
 	RuleRefused Rule = "REFUSED"
-	// RuleLost: what was acknowledged, and the events that watches may still ask for, survive all faults.
+	// RuleLost: acknowledged changes, and events that watches may still ask for, survive all faults.
 	RuleLost Rule = "LOST"
-	// RuleRecovery: a call is answered within recoveryBound of the end of all faults.
+	// RuleRecovery: a call is answered within recoveryBound after the end of all faults.
 	RuleRecovery Rule = "RECOVER"
-	// RuleLinearizable: there is an order of all calls on a key in which each answer is right (Herlihy and Wing 1990).
+	// RuleLinearizable: the calls on each key are linearizable (Herlihy and Wing 1990).
 	RuleLinearizable Rule = "LINEAR"
 )
 
@@ -39,30 +40,30 @@
 	Text    string        `json:"Text"`
 }
 
-// String is the violation in a line.
+// String describes the violation on one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.4fs: %s: %s", v.Rule, v.At.Seconds(), v.Subject, v.Text)
 }
 
-// Result is what was observed in a run. Its JSON keys are part of pumicectl's output.
+// Result holds the observations of a run. Its JSON keys are part of pumicectl's output.
 type Result struct {
 	Violations     []Violation     `json:"Violations"`
-	Calls          int             `json:"Calls"`    // over one connection each
+	Calls          int             `json:"Calls"`    // each over its own connection
 	Answered       int             `json:"Answered"` // with a status that says what was done
 	Unclear        int             `json:"Unclear"`
 	Grants         int             `json:"Grants"`  // of locks
 	Numbers        int             `json:"Numbers"` // that were given
 	Puts           int             `json:"Puts"`    // acknowledged
 	Events         int             `json:"Events"`  // that watches reported
-	Issuers        int             `json:"Issuers"` // terms
+	Issuers        int             `json:"Issuers"` // issuer terms
 	InjectedFaults []Fault         `json:"Faults"`
 	Latencies      []time.Duration `json:"-"`            // of answered calls
 	LongestGap     time.Duration   `json:"LongestGap"`   // without an answered call, after the first fault
-	LateRefusals   int             `json:"LateRefusals"` // 409 beyond the time of any hold and freeTime
-	LostHolds      int             `json:"LostHolds"`    // renewals within the holder's time that were answered 409
+	LateRefusals   int             `json:"LateRefusals"` // answers 409 later than freeTime after the end of all holds
+	LostHolds      int             `json:"LostHolds"`    // renewals answered 409 before the holder's time was over
 }
 
-// observations are what is kept of a run for its result and its trace.
+// observations are recorded during a run for its result and its trace.
 type observations struct {
 	violations  []Violation
 	notes       []note
@@ -119,7 +120,7 @@
 		status.Group.Number, identitiesOf(status.Group.Acceptors))
 }
 
-// recordAnswer records an answered call for the figures.
+// recordAnswer counts an ended call for the result.
 func (c *Cluster) recordAnswer(x *exchange) {
 	switch {
 	case !x.isClear():
@@ -135,7 +136,7 @@
 	c.log.lastAnswer = c.now
 }
 
-// checkRecovery checks RuleRecovery at the end of the time for it.
+// checkRecovery checks RuleRecovery when recoveryBound is over.
 func (c *Cluster) checkRecovery() {
 	if c.log.lastAnswer < c.options.FaultPhase {
 		c.report(RuleRecovery, "cluster", "the last answer is of %.3fs", c.log.lastAnswer.Seconds())
--- a/internal/controlplane/coordinationsim/simulation_test.go
+++ b/internal/controlplane/coordinationsim/simulation_test.go
@@ -7,17 +7,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// seedsInTest is how many drawn runs the tests make; pumicectl simulate-coordination makes as many as are asked for.
+// seedsInTest is how many drawn runs the tests make. pumicectl simulate-coordination runs any number.
 const seedsInTest = 20
 
-// maxSeedsOfDefect is how many seeds may pass before one finds a planted defect.
+// maxSeedsOfDefect is how many seeds are tried until one finds a planted defect.
 const maxSeedsOfDefect = 60
 
 func TestRun_NoViolationOfDrawnOptions(t *testing.T) {
 	t.Parallel()
 	var total Result
 	isInjected := map[FaultKind]bool{}
-	hasLostDisks := false // with all power
+	hasLostDisks := false // in a ClusterPowerLoss
 	for seed := uint64(1); seed <= seedsInTest; seed++ {
 		options := DrawOptions(seed)
 		result := Run(options)
@@ -56,7 +56,8 @@
 	}
 }
 
-// Each defect must be found by some seed: a check that cannot fail checks nothing. The seed finds nothing without the defect.
+// Some seed must find each defect: a check that cannot fail checks nothing. Without the defect the same seed must find
+// no violation.
 func TestRun_FindsPlantedDefects(t *testing.T) {
 	t.Parallel()
 	for _, defect := range Defects() {
@@ -75,12 +76,12 @@
 					return
 				}
 			}
-			t.Fatalf("no seed of %d finds it", maxSeedsOfDefect)
+			t.Fatalf("none of %d seeds finds the defect", maxSeedsOfDefect)
 		})
 	}
 }
 
-// A failing run is shrunk to fewer faults that still violate the rule.
+// Shrink must return a run with no more faults that violates the same rule.
 func TestShrink_KeepsViolation(t *testing.T) {
 	t.Parallel()
 	options := provokingOptions(AnswerBeforeMajority, 1)
@@ -94,9 +95,9 @@
 	assert.Contains(t, Trace(smaller), smaller.String())
 }
 
-func TestParseOptions_ReadsWhatStringWrites(t *testing.T) {
+func TestParseOptions_ReadsStringOutput(t *testing.T) {
 	options := DrawOptions(5)
-	options.OmittedFaults, options.WithoutFinalFault, options.Defect = []int{1, 3}, true, ForgetTokens
+	options.OmittedFaults, options.WithoutFinalFault, options.Defect = []int{1, 3}, true, LoseTokens
 	parsed, err := ParseOptions(options.String())
 	require.NoError(t, err)
 	assert.Equal(t, options, parsed)
@@ -116,7 +117,7 @@
 	assert.Len(t, isDrawn, len(drawnShapes))
 }
 
-// After the loss of an issuer another one answers soon.
+// After the loss of an issuer another one must answer calls within recoveryBound.
 func TestMeasureRecovery_AnswersSoonAfterLossOfIssuer(t *testing.T) {
 	t.Parallel()
 	for _, recovery := range MeasureRecovery(5, 2, 1) {
--- a/internal/controlplane/coordinationsim/trace.go
+++ b/internal/controlplane/coordinationsim/trace.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	// tracedTime is how long before the first violation the calls on its subject are in the trace, at most tracedCalls.
+	// The trace shows the calls and writes on the subject of the first violation in the tracedTime before it, at most
+	// tracedCalls of each.
 	tracedTime  = 8 * time.Second
 	tracedCalls = 60
 )
 
-// Trace runs a simulation and returns what happened, a line each: the options, faults, views and issuers, the calls on the
-// subject of the first violation and what issuers wrote of it, and the violations.
+// Trace runs a simulation and returns its trace, one line for each entry: the options, the faults, views and issuers,
+// the calls and issuers' writes on the subject of the first violation, and the violations.
 func Trace(options Options) string {
 	c := newCluster(options)
 	c.isTraced = true
@@ -39,7 +40,7 @@
 	return text.String()
 }
 
-// noteWrites keeps the changes of locks and keys that the issuer makes. Other members repeat them.
+// noteWrites records the issuer's changes. Other members store the same changes, which are not recorded again.
 func (n *node) noteWrites(out *epoch.Output) {
 	for _, write := range out.Writes {
 		if write.Position.Epoch.Issuer != n.identity {
@@ -53,7 +54,7 @@
 	}
 }
 
-// describeChange returns what a change is about, and the change in words.
+// describeChange returns the name that a change concerns and a description of the change.
 func describeChange(change *message.CoordinationChange) (subject, text string) {
 	switch {
 	case change.Hold != nil:
@@ -68,7 +69,7 @@
 	return "", ""
 }
 
-// writesBefore are the writes on the subject of a violation before it.
+// writesBefore returns the lines of the last writes on the subject of a violation before it.
 func (c *Cluster) writesBefore(v Violation) (lines []note) {
 	for _, w := range c.log.writes {
 		isNear := w.at <= v.At && w.at > v.At-tracedTime
@@ -79,7 +80,7 @@
 	return lines[max(0, len(lines)-tracedCalls):]
 }
 
-// callsBefore are the calls on the subject of a violation before it.
+// callsBefore returns the lines of the last calls on the subject of a violation before it.
 func (c *Cluster) callsBefore(v Violation) (lines []note) {
 	for _, x := range c.log.exchanges {
 		isNear := x.sentAt <= v.At && x.sentAt > v.At-tracedTime
