--- a/internal/controlplane/simulation/checks.go
+++ b/internal/controlplane/simulation/checks.go
@@ -15,8 +15,8 @@
 // maxResponseTime is how long a request may take while no machine is lost.
 const maxResponseTime = 4 * time.Second
 
-// checkRejection checks RuleNoNeedlessRejection: a change that increases the version and builds on the newest one may be
-// rejected only where another change on the same base may have been committed first.
+// checkRejection checks RuleNoNeedlessRejection: a change that increases the version and builds on the newest one may
+// be rejected only if another change on the same base may have been committed first.
 func (c *Cluster) checkRejection(sender *client, rejected *clientRequest) {
 	if rejected.version <= rejected.base || rejected.base != c.history.newest || c.history.unresolvedBases[rejected.base] {
 		return
@@ -31,7 +31,7 @@
 		fmt.Sprintf("version %d on top of the newest, %d, was refused", rejected.version, rejected.base))
 }
 
-// checkResponseTime checks RuleResponseTime for a request that is not answered yet.
+// checkResponseTime checks RuleResponseTime for a pending request.
 func (c *Cluster) checkResponseTime(pending *clientRequest) {
 	waited := c.now - pending.startedAt
 	if c.options.BeyondTolerance || waited < maxResponseTime || pending.base > c.history.newest {
@@ -43,8 +43,8 @@
 	}
 }
 
-// checkDurability checks RuleDurability when a change is acknowledged: it must be on one disk more than may be lost, or on
-// all where there are fewer. Disks that were lost since the change was sent count, as they may have had it.
+// checkDurability checks RuleDurability when a change is acknowledged: it must be on one disk more than may be lost, or
+// on all disks if there are fewer. Disks lost since the change was sent count too, because they may have held it.
 func (c *Cluster) checkDurability(acknowledged *clientRequest) {
 	minDisks := min(c.options.Tolerance+1, c.options.Members-c.options.Diskless)
 	digest := configuration.RequestDigest(&acknowledged.ConfigRequest)
--- a/internal/controlplane/simulation/client.go
+++ b/internal/controlplane/simulation/client.go
@@ -15,23 +15,23 @@
 	attemptTimeout = time.Second
 	// resubmitInterval is how often a relay's API hands the request to its replica.
 	resubmitInterval = 220 * time.Millisecond
-	// maxPause is the longest pause between two requests of a client; continuousPause is the one of continuous writes.
+	// maxPause is the longest pause between two requests of a client. Continuous writes pause for continuousPause.
 	maxPause        = 400 * time.Millisecond
 	continuousPause = 5 * time.Millisecond
-	// clientStartDelay is the shortest delay of a client's first request, and the spread of it.
+	// clientStartDelay is the shortest delay of a client's first request. A random time below it is added.
 	clientStartDelay = time.Second
 
 	maxAttempts          = 12
-	maxPipelinedAttempts = 2 // of a change on top of one that is in progress
+	maxPipelinedAttempts = 2 // of a change on top of a pending one
 	maxFinalReadAttempts = 4 * maxAttempts
 )
 
-// What a client sends: one in so many requests is of a kind.
+// What a client sends. Each ...OneIn constant says that one in so many requests is of that kind.
 const (
 	readOneIn      = 3
-	resendOneIn    = 10 // a change that was acknowledged before
+	resendOneIn    = 10 // an acknowledged change that is sent again
 	invalidOneIn   = 12 // a change that does not increase the version
-	pipelineOneIn  = 10 // while a change is in progress another client sends one on top of it
+	pipelineOneIn  = 10 // another client at once sends a change on top of this one
 	maxVersionStep = 3
 )
 
@@ -42,19 +42,19 @@
 	changeCount     uint64
 	stopped         bool
 	pending         *clientRequest
-	lastReadVersion uint64 // the newest version that it knows to be in force: read, or acknowledged to it
+	lastReadVersion uint64 // the newest version that the client has read or got acknowledged
 }
 
-// clientRequest is a change or a read, from its first attempt to its end.
+// clientRequest is a change or a read, with all attempts of it.
 type clientRequest struct {
 	message.ConfigRequest
 	startedAt     time.Duration
 	attempts      int
-	relay         *node  // that the last attempt was sent to
-	newestAtStart uint64 // the newest version that was acknowledged when it started
+	relay         *node  // target of the last attempt
+	newestAtStart uint64 // the newest version acknowledged when the request started
 	version       uint64 // of a change
 	base          uint64 // the version that a change builds on
-	isResend      bool   // it was acknowledged before
+	isResend      bool   // the change was acknowledged before
 	isFinalRead   bool
 }
 
@@ -64,7 +64,7 @@
 	return cl
 }
 
-// stop lets a pending request end and starts no other.
+// stop keeps the client from starting another request. A pending one goes on.
 func (cl *client) stop() { cl.stopped = true }
 
 // startRequest starts the next request.
@@ -90,8 +90,8 @@
 	cl.send(next)
 }
 
-// startChange makes a change on top of the version read last. Sometimes it is invalid, and sometimes another client sends
-// one on top of it at once.
+// startChange makes a change on top of lastReadVersion. Sometimes the change is invalid, and sometimes another client
+// at once sends a change on top of it.
 func (cl *client) startChange(next *clientRequest) {
 	c := cl.cluster
 	version := cl.lastReadVersion + 1 + uint64(c.random.IntN(maxVersionStep))
@@ -107,7 +107,7 @@
 	}
 }
 
-// fillChange makes a request a change. Its body is unlike that of any other change.
+// fillChange makes a request a change with a unique body.
 func (cl *client) fillChange(next *clientRequest, base, version uint64) {
 	cl.changeCount++
 	next.Method = http.MethodPut
@@ -132,12 +132,12 @@
 	cl.cluster.after(attemptTimeout, func() { cl.onTimeout(request, attempt) })
 }
 
-// isCurrent reports whether an attempt still waits for its response.
+// isCurrent reports whether an attempt still waits for a response.
 func (cl *client) isCurrent(request *clientRequest, attempt int) bool {
 	return cl.pending == request && request.attempts == attempt
 }
 
-// nextRelay returns the machine to try: any at first, then the others in turn.
+// nextRelay returns the machine to try: a random one first, then the others in turn.
 func (cl *client) nextRelay(previous *node) *node {
 	slots := cl.cluster.slots
 	if previous == nil {
@@ -146,7 +146,7 @@
 	return slots[(previous.slot+1)%len(slots)]
 }
 
-// submit hands the request to the relay's replica again and again, as the API of a coordinator does.
+// submit hands the request to the relay's replica every resubmitInterval, as the API of a coordinator does.
 func (cl *client) submit(request *clientRequest, attempt int) {
 	if !cl.isCurrent(request, attempt) {
 		return
@@ -162,7 +162,7 @@
 	cl.cluster.after(resubmitInterval, func() { cl.submit(request, attempt) })
 }
 
-// onTimeout tries the next relay, or gives the request up. A change that is given up may still be committed.
+// onTimeout tries the next relay or abandons the request. An abandoned change may still be committed.
 func (cl *client) onTimeout(request *clientRequest, attempt int) {
 	if !cl.isCurrent(request, attempt) {
 		return
@@ -185,7 +185,7 @@
 	cl.attempt()
 }
 
-// finish ends the pending request. The next starts after a pause.
+// finish ends the pending request. The next one starts after a pause.
 func (cl *client) finish() {
 	cl.pending = nil
 	pause := cl.cluster.randomDuration(maxPause)
@@ -195,7 +195,7 @@
 	cl.cluster.after(pause, cl.startRequest)
 }
 
-// deliverResponse gives a response to the request that waits for it at the relay.
+// deliverResponse passes a response to the client that waits for it at the relay.
 func (c *Cluster) deliverResponse(relay *node, response *message.ConfigResponse) {
 	for _, cl := range c.clients {
 		if cl.pending == nil || cl.pending.relay != relay {
@@ -231,7 +231,7 @@
 func (cl *client) onReadResponse(request *clientRequest, response *message.ConfigResponse) {
 	c := cl.cluster
 	c.history.reads++
-	version := uint64(0) // of no configuration
+	version := uint64(0) // there is no configuration yet
 	if len(response.Body) > 0 {
 		var document struct {
 			Version uint64 `json:"version"`
@@ -251,7 +251,7 @@
 	}
 }
 
-// finalRead reads the configuration when all faults have ended and all other requests are over.
+// finalRead reads the configuration after all faults have ended and the clients have stopped.
 func (c *Cluster) finalRead() {
 	cl := c.clients[0]
 	cl.stopped = true
--- a/internal/controlplane/simulation/cluster.go
+++ b/internal/controlplane/simulation/cluster.go
@@ -1,14 +1,14 @@
-// Package simulation runs coordinators in one process over a network, disks and clocks that a seed drives, injects faults
-// and checks what clients observe. The replicas are the real ones; only what surrounds them is simulated. A run is a
-// function of its options alone: a seed that violates a rule does so again.
+// Package simulation runs coordinators in one process over a network, disks and clocks that are simulated from a seed. It
+// injects faults and checks what clients observe. The replicas run the production code; only their environment is
+// simulated. A run depends on its options alone: a seed that violates a rule violates it in every run.
 //
 // A run has three phases. In the fault phase faults are injected while clients send changes and reads. Then all faults
-// end, and the cluster has recoveryBound to commit changes again. At the end the clients stop, and a last read is compared
-// with what the members hold. Rules (result.go) are checked all the time by the files checks.go, lease_checker.go and
-// proxy.go, and at the end by final_checks.go.
+// end, and the cluster has recoveryBound to commit changes again. At the end the clients stop, and a last read is
+// compared with the state of the members. The rules (result.go) are checked during the run in checks.go, client.go,
+// history.go, lease_checker.go and proxy.go, and at the end in final_checks.go.
 //
-// All random draws of a run come from one generator in the order in which events happen, so a new draw, or another order,
-// changes every run.
+// All random draws of a run come from one generator in the order of events, so an added draw, or another order of
+// draws, changes every run.
 package simulation
 
 import (
@@ -25,8 +25,8 @@
 	random  *rand.Rand
 	scheduler
 
-	slots   []*node // the machine that is in each slot now
-	nodes   []*node // all machines that ever were
+	slots   []*node // the current machine of each slot
+	nodes   []*node // all machines of the run, also those that were replaced
 	network network
 	clients []*client
 	proxies []*proxy
@@ -40,11 +40,11 @@
 
 const (
 	tickInterval = 50 * time.Millisecond
-	// startSpread is the longest delay of a machine's start: they do not start all at once.
+	// startSpread bounds the random delay of a machine's start, so that machines do not start at the same time.
 	startSpread = 300 * time.Millisecond
 	// recoveryBound is how long after the last fault the cluster may take to commit changes again.
 	recoveryBound = 12 * time.Second
-	// drainTime is for the requests in progress when the clients stop.
+	// drainTime is the time that requests in progress get to end when the clients stop.
 	drainTime = 3 * time.Second
 	// finalReadBound is how long the last read may take.
 	finalReadBound = 60 * time.Second
@@ -107,7 +107,7 @@
 	}
 }
 
-// addNode makes a machine with an empty disk for a slot; it is not started.
+// addNode makes a machine with an empty disk for a slot. It does not start the machine.
 func (c *Cluster) addNode(slot int) *node {
 	n := newNode(c, len(c.nodes), slot)
 	c.nodes = append(c.nodes, n)
--- a/internal/controlplane/simulation/disk.go
+++ b/internal/controlplane/simulation/disk.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// minSyncTime is the shortest time that a sync takes. At random it takes up to defaultSyncTime longer, or up to
-	// Options.MaxSyncTime where that is more.
+	// minSyncTime is the shortest time that a sync takes. A random time is added, which is below defaultSyncTime or
+	// Options.MaxSyncTime, whichever is longer.
 	minSyncTime     = time.Millisecond
 	defaultSyncTime = 2 * time.Millisecond
 )
 
-// disk is a machine's disk, and what waits to be written to it.
+// disk is a machine's disk, with the outputs that wait to be written to it.
 type disk struct {
 	controlState *message.ControlState // synced; nil: none
 	chainState   *message.ChainState   // synced; nil: none
@@ -25,7 +25,7 @@
 	stalledUntil   time.Duration
 }
 
-// load returns what is on the disk.
+// load returns the states on the disk, zero values where there are none.
 func (d *disk) load() (control message.ControlState, chain message.ChainState) {
 	if d.controlState != nil {
 		control = *d.controlState
@@ -36,7 +36,7 @@
 	return control, chain
 }
 
-// write syncs all pending outputs at once, then sends the messages that waited for that.
+// write syncs all pending outputs in one batch, then sends the messages that waited for the sync.
 func (n *node) write() {
 	batch := n.pendingOutputs
 	n.pendingOutputs = nil
--- a/internal/controlplane/simulation/fault.go
+++ b/internal/controlplane/simulation/fault.go
@@ -9,22 +9,22 @@
 // FaultKind is a kind of fault. Scripts read the numbers from pumicectl's output.
 type FaultKind int
 
-// The kinds of faults. Those of one machine come first. Those from ClusterPowerLoss on concern the whole cluster: some
-// machines more than the tolerance may be lost for a time, yet no more disks than it allows.
+// The kinds of faults. Those of single machines come first. Those from ClusterPowerLoss on affect the whole cluster:
+// more machines than the tolerance allows may be lost for a time, but never more disks.
 const (
-	Kill                  FaultKind = iota // the process ends and is started again at once
-	PowerLoss                              // the machine is off
-	Freeze                                 // the process stands still
-	DiskStall                              // no write of the disk ends
+	Kill                  FaultKind = iota // the process is killed and restarted at once
+	PowerLoss                              // the machine is off for a time
+	Freeze                                 // the process is paused
+	DiskStall                              // no write to the disk ends
 	Partition                              // the machine is cut off from all others
-	LongPartition                          // the same, for some twenty seconds
-	OneWayPartition                        // only what it sends, or only what is sent to it, is lost
+	LongPartition                          // the same for longFaultTime or more: 14 to 22 seconds
+	OneWayPartition                        // what the machine sends, or what is sent to it, is lost
 	DiskLoss                               // the machine is off and comes back with an empty disk
-	Replacement                            // it is gone for good; another comes at another address with an empty disk
-	PlannedReplacement                     // the other comes first; then the machine is asked to stop
-	GracefulRestart                        // it is asked to stop, and started again
-	ClusterPowerLoss                       // all machines are off; as many as the tolerance allows lose their disks
-	PartitionThenDiskLoss                  // a minority misses changes; then all others are off and one of them loses its disk
+	Replacement                            // the machine never returns; another one starts (new address, empty disk)
+	PlannedReplacement                     // the other machine starts first; then the old one is asked to stop
+	GracefulRestart                        // the process is asked to stop and restarted
+	ClusterPowerLoss                       // all machines are off; at most as many as tolerated lose their disks
+	PartitionThenDiskLoss                  // a minority misses changes; then the others are off, one loses its disk
 	HalfPartition                          // half of the machines are cut off from the other half
 	ExcessPowerLoss                        // more machines than the tolerance allows are off
 	MessageKindLoss                        // every message of one kind is lost
@@ -40,36 +40,36 @@
 	MessageKindLoss: "messages of one kind lost",
 }
 
-// String is the name of the kind.
+// String returns the name of the kind.
 func (k FaultKind) String() string { return faultNames[k] }
 
-// losesDisk reports whether a machine loses its disk by the fault.
+// losesDisk reports whether a machine may lose its disk by the fault.
 func (k FaultKind) losesDisk() bool {
 	return slices.Contains(
 		[]FaultKind{DiskLoss, Replacement, PlannedReplacement, ClusterPowerLoss, PartitionThenDiskLoss}, k)
 }
 
-// endsProcess reports whether a machine's process ends by the fault, and its disk is kept.
+// endsProcess reports whether the fault ends a machine's process and keeps its disk.
 func (k FaultKind) endsProcess() bool { return k == Kill || k == PowerLoss || k == GracefulRestart }
 
-// isClusterWide reports whether the fault concerns more machines than those that it names.
+// isClusterWide reports whether the fault affects more machines than the first Count of Slots.
 func (k FaultKind) isClusterWide() bool {
 	return slices.Contains(
 		[]FaultKind{ClusterPowerLoss, PartitionThenDiskLoss, HalfPartition, ExcessPowerLoss, MessageKindLoss}, k)
 }
 
-// Fault is a fault of the plan, or one that was injected. Its JSON keys are part of pumicectl's output.
+// Fault is a planned or injected fault. Its JSON keys are part of pumicectl's output.
 type Fault struct {
-	Index    int           `json:"Place"` // in the plan; -1: it was not planned
+	Index    int           `json:"Place"` // in the plan; -1: not planned
 	At       time.Duration `json:"At"`
 	Kind     FaultKind     `json:"Kind"`
 	Duration time.Duration `json:"Span"`
-	Slots    []int         `json:"Slots"` // all slots in random order; the first Count are those of the machines concerned
+	Slots    []int         `json:"Slots"` // all slots in random order; the first Count are affected
 	Count    int           `json:"Count"`
-	Draw     uint64        `json:"Draw"` // random number from which the kind takes its other parameters
+	Draw     uint64        `json:"Draw"` // random number that determines other parameters of the kind
 }
 
-// String is the fault in a line.
+// String describes the fault on one line.
 func (f Fault) String() string {
 	return fmt.Sprintf("%2d. %6.2fs %s for %.2fs, places %v", f.Index, f.At.Seconds(), f.Kind, f.Duration.Seconds(),
 		f.Slots[:f.Count])
--- a/internal/controlplane/simulation/fault_plan.go
+++ b/internal/controlplane/simulation/fault_plan.go
@@ -6,17 +6,18 @@
 )
 
 const (
-	// firstFaultAt is when the first fault is injected: the first view needs some seconds.
+	// firstFaultAt is when the first fault is injected. The cluster needs some seconds to form the first view.
 	firstFaultAt = 4 * time.Second
-	// disklessStartTime is what a cluster without disks needs longer: its coordinators wait for one with a disk first.
+	// disklessStartTime is how much longer a cluster without disks needs, because its coordinators first wait for one
+	// with a disk.
 	disklessStartTime = 2 * time.Second
 	maxFaultInterval  = 2500 * time.Millisecond
 	minFaultTime      = 200 * time.Millisecond
 	faultTimeSpread   = 4 * time.Second
-	longFaultTime     = 14 * time.Second // LongPartition lasts so long, and up to twice the spread longer
+	longFaultTime     = 14 * time.Second // LongPartition lasts this long and up to 2*faultTimeSpread longer
 )
 
-// FaultPlan draws the faults of the run.
+// FaultPlan returns the scripted faults of the run, or draws them from the seed.
 func (c *Cluster) FaultPlan() []Fault {
 	if c.options.ScriptedFaults != nil {
 		return c.options.ScriptedFaults
--- a/internal/controlplane/simulation/final_checks.go
+++ b/internal/controlplane/simulation/final_checks.go
@@ -12,15 +12,15 @@
 	"pumiceline/internal/message"
 )
 
-// checkRecovery checks RuleRecovery at the end of the time for recovery: the clients send changes all the time, so one must
-// have been acknowledged in the second half of it.
+// checkRecovery checks RuleRecovery when recoveryBound is over. The clients send changes all the time, so one must have
+// been acknowledged in the second half of recoveryBound.
 func (c *Cluster) checkRecovery() {
 	if c.history.lastAckAt < c.now-recoveryBound/2 {
 		c.report(RuleRecovery, fmt.Sprintf("the last acknowledgement is of %v", c.history.lastAckAt))
 	}
 }
 
-// checkVoters checks RuleVoters: with such a voter one more loss than the cluster tolerates leaves no majority.
+// checkVoters checks RuleVoters: with such a voter, one more loss than the cluster tolerates leaves no majority.
 func (c *Cluster) checkVoters() {
 	newest := c.newestView()
 	isLive := map[message.MemberID]bool{}
@@ -36,7 +36,7 @@
 	}
 }
 
-// newestView returns the newest view that a live machine has entered.
+// newestView returns the newest view that a running process has entered.
 func (c *Cluster) newestView() message.View {
 	var newest message.View
 	for _, n := range c.slots {
@@ -47,8 +47,8 @@
 	return newest
 }
 
-// checkFinalState compares the state that the members hold at the end with the version read last, and with what the
-// clients got acknowledged and rejected.
+// checkFinalState compares the final state of the members with the version read last, and with the changes that were
+// acknowledged or rejected.
 func (c *Cluster) checkFinalState(version uint64) {
 	state, ok := c.newestState()
 	if !ok || state.Version != version {
@@ -70,7 +70,7 @@
 			c.report(RuleNotLost, fmt.Sprintf("version %d was acknowledged and is gone", acknowledged.version))
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(c.history.rejected)) { // violations come in the same order in each run
+	for _, key := range slices.Sorted(maps.Keys(c.history.rejected)) { // violations have the same order in each run
 		rejected := c.history.rejected[key]
 		if isCommitted[requestDigest(&rejected.ConfigRequest)] {
 			c.report(RuleRejected, fmt.Sprintf("version %d was refused and is in force", rejected.version))
@@ -82,7 +82,7 @@
 	return hex.EncodeToString(configuration.RequestDigest(request))
 }
 
-// newestState returns the newest state that a live and synced machine has committed.
+// newestState returns the newest state that a running and synced replica has committed.
 func (c *Cluster) newestState() (message.ChainState, bool) {
 	var newest message.ChainState
 	found := false
--- a/internal/controlplane/simulation/history.go
+++ b/internal/controlplane/simulation/history.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// history is what the clients observed.
+// history records what the clients observed.
 type history struct {
 	acknowledged        map[string]*clientRequest // changes by body
 	acknowledgedInOrder []*clientRequest
 	byVersion           map[uint64]*clientRequest // acknowledged changes
 	rejected            map[string]*clientRequest // changes by body
 	reads               int
-	// unresolvedBases are versions on top of which a change was given up: it may have been committed.
+	// unresolvedBases are the versions on top of which a change was abandoned. That change may have been committed.
 	unresolvedBases map[uint64]bool
 
-	newest         uint64 // highest version that was acknowledged
+	newest         uint64 // highest acknowledged version
 	newestOverTime []versionAt
 	lastAckAt      time.Duration
 	ackLatencies   []time.Duration
@@ -21,7 +21,7 @@
 	violations []Violation
 }
 
-// versionAt is the newest acknowledged version from a time on.
+// versionAt is the newest acknowledged version since a time.
 type versionAt struct {
 	at      time.Duration
 	version uint64
@@ -43,7 +43,7 @@
 	h.lastAckAt = c.now
 	h.ackLatencies = append(h.ackLatencies, c.now-request.startedAt)
 	if h.acknowledged[string(request.Body)] != nil {
-		return // it was sent again
+		return // the change was sent again
 	}
 	if other := h.byVersion[request.version]; other != nil {
 		c.report(RuleUniqueVersion, "two changes are acknowledged under number "+other.IfMatch)
@@ -58,7 +58,7 @@
 
 func (h *history) recordRejection(request *clientRequest) { h.rejected[string(request.Body)] = request }
 
-// newestAt returns the newest version that was acknowledged up to a time.
+// newestAt returns the newest version that had been acknowledged at a time, 0 where none had.
 func (h *history) newestAt(at time.Duration) uint64 {
 	for i := len(h.newestOverTime) - 1; i >= 0; i-- {
 		if h.newestOverTime[i].at <= at {
--- a/internal/controlplane/simulation/injection.go
+++ b/internal/controlplane/simulation/injection.go
@@ -7,19 +7,20 @@
 )
 
 const (
-	// injectionRetryDelay is the pause after which a fault that would exceed the bounds is considered again.
+	// injectionRetryDelay is the pause before a fault that would exceed the bounds is tried again.
 	injectionRetryDelay = 200 * time.Millisecond
-	// resyncTime is how long a machine counts as lost after its return: it has to join and to be brought up to date.
+	// resyncTime is how long a machine counts as lost after its return, because it has to join and to catch up.
 	resyncTime = 4 * time.Second
-	// clusterRecoveryTime is the same after a fault of the whole cluster.
+	// clusterRecoveryTime is how long all machines count as lost after a partition or message loss of the whole
+	// cluster.
 	clusterRecoveryTime = 12 * time.Second
-	// ackFaultOneIn is in how many acknowledgements there is one that a fault follows at once.
+	// ackFaultOneIn says that a fault follows at once on one in so many acknowledgements.
 	ackFaultOneIn = 40
 	// maxAckFaultDelay is the longest time between such an acknowledgement and its fault.
 	maxAckFaultDelay = 2 * time.Millisecond
 	// ackFaultTime is how long such a fault lasts.
 	ackFaultTime = time.Second
-	// maxExcessLosses is how many machines beyond the tolerance an ExcessPowerLoss turns off at most.
+	// maxExcessLosses is the largest number of machines beyond the tolerance that an ExcessPowerLoss turns off.
 	maxExcessLosses = 3
 )
 
@@ -28,8 +29,8 @@
 	return lo.FilterMap(c.slots, func(n *node, slot int) (int, bool) { return slot, c.now < n.lostUntil })
 }
 
-// slotsWithoutDisk returns the slots whose disk counts as lost: until its successor has had time to take over the state,
-// and beyond the tolerance until it holds the state in the newest view.
+// slotsWithoutDisk returns the slots whose disk counts as lost. It counts until the empty disk has had time to take
+// over the state. In a run beyond the tolerance it also counts until its machine is synced in the newest view.
 func (c *Cluster) slotsWithoutDisk() []int {
 	return lo.FilterMap(c.slots, func(n *node, slot int) (int, bool) {
 		lacksState := c.options.BeyondTolerance && n.diskLostAt > 0 && !n.isSyncedInNewestView()
@@ -41,8 +42,8 @@
 	return n.replica != nil && n.replica.IsSynced() && n.replica.View().Number >= n.cluster.newestViewSeen
 }
 
-// isWithinBounds reports whether a fault may be injected now: never more disks than the tolerance allows may be lost at a
-// time, and, unless the run goes beyond it, never more machines.
+// isWithinBounds reports whether a fault may be injected now. No more disks than the tolerance allows may be lost at a
+// time. The same holds for machines, unless the run goes beyond the tolerance.
 func (c *Cluster) isWithinBounds(f Fault) bool {
 	targets := f.Slots[:f.Count]
 	losesDisk := f.Kind.losesDisk() || c.hasNoDisks() && f.Kind.endsProcess()
@@ -61,7 +62,7 @@
 	return len(lo.Union(c.slotsLost(), targets)) <= c.options.Tolerance
 }
 
-// injectWhenAllowed injects a fault as soon as it is within the bounds.
+// injectWhenAllowed injects a fault as soon as it is within the bounds, unless the fault phase ends before.
 func (c *Cluster) injectWhenAllowed(f Fault) {
 	if c.now >= c.options.FaultPhase {
 		return
@@ -82,11 +83,11 @@
 	}
 }
 
-// injectAt injects a fault at one machine.
+// injectAt injects a fault into one machine.
 func (c *Cluster) injectAt(n *node, f Fault) {
 	n.countLost(c.now + f.Duration)
 	if c.hasNoDisks() && f.Kind == GracefulRestart {
-		n.countDiskLost(c.now + shutdownGrace + f.Duration) // it ends within the grace time
+		n.countDiskLost(c.now + shutdownGrace + f.Duration) // its state is lost within shutdownGrace
 	}
 	switch f.Kind {
 	case Kill:
@@ -116,7 +117,7 @@
 	}
 }
 
-// injectClusterWide injects a fault of the whole cluster.
+// injectClusterWide injects a fault that affects the whole cluster.
 func (c *Cluster) injectClusterWide(f Fault) {
 	ordered := lo.Map(f.Slots, func(slot int, _ int) *node { return c.slots[slot] })
 	switch f.Kind {
@@ -143,8 +144,8 @@
 	}
 }
 
-// injectPartitionThenDiskLoss cuts a minority off, so that it misses changes. When the partition heals, all others restart,
-// one of them without its disk: the newest state must be found at the rest of them.
+// injectPartitionThenDiskLoss cuts off a minority, so that it misses changes. When the partition ends, all others
+// restart, and one of them loses its disk. The newest state must then be recovered from the rest of the others.
 func (c *Cluster) injectPartitionThenDiskLoss(f Fault, ordered []*node) {
 	minority := ordered[:min(f.Count, (len(ordered)-1)/2)]
 	c.partition(minority, c.slots, 2*f.Duration)
@@ -158,7 +159,7 @@
 	c.countAllLost(c.now + 3*f.Duration)
 }
 
-// injectAfterAck injects a fault right after some of the acknowledgements: what was acknowledged must not be lost by it.
+// injectAfterAck injects a fault right after some acknowledgements: no acknowledged change may be lost by it.
 func (c *Cluster) injectAfterAck(relay *node) {
 	if c.now >= c.options.FaultPhase || c.options.ScriptedFaults != nil || c.random.IntN(ackFaultOneIn) > 0 {
 		return
@@ -175,10 +176,10 @@
 	}
 }
 
-// countLost counts the machine as lost until it has been back for as long as it needs.
+// countLost counts the machine as lost until resyncTime after its return.
 func (n *node) countLost(backAt time.Duration) { n.lostUntil = max(n.lostUntil, backAt+resyncTime) }
 
-// countDiskLost counts the machine and its disk as lost.
+// countDiskLost counts the machine and its disk as lost until resyncTime after its return.
 func (n *node) countDiskLost(backAt time.Duration) {
 	n.countLost(backAt)
 	n.diskLostUntil = max(n.diskLostUntil, backAt+resyncTime)
@@ -190,7 +191,7 @@
 	}
 }
 
-// heal ends all faults. Machines that are off come back at their time.
+// heal ends all faults. Machines that are off still start at their scheduled time.
 func (c *Cluster) heal() {
 	clear(c.network.blocked)
 	clear(c.network.lostKinds)
--- a/internal/controlplane/simulation/injection_test.go
+++ b/internal/controlplane/simulation/injection_test.go
@@ -21,8 +21,8 @@
 	}{
 		{"first loss", Options{}, []machine{up, up, up, up}, PowerLoss, 1, true},
 		{"more machines than the tolerance", Options{}, []machine{up, up, up, up}, PowerLoss, 2, false},
-		{"second machine", Options{}, []machine{up, up, up, lost}, PowerLoss, 1, false},
-		{"the machine that is lost already", Options{}, []machine{lost, up, up, up}, Partition, 1, true},
+		{"a second machine lost", Options{}, []machine{up, up, up, lost}, PowerLoss, 1, false},
+		{"a machine that is lost already", Options{}, []machine{lost, up, up, up}, Partition, 1, true},
 		{"second machine beyond the tolerance", Options{BeyondTolerance: true}, []machine{up, up, up, lost}, PowerLoss, 1, true},
 		{"second disk beyond the tolerance", Options{BeyondTolerance: true}, []machine{up, up, up, diskLost}, DiskLoss, 1, false},
 		{"second disk within a tolerance of two", Options{Tolerance: 2}, []machine{up, up, up, diskLost}, DiskLoss, 1, true},
--- a/internal/controlplane/simulation/lease_checker.go
+++ b/internal/controlplane/simulation/lease_checker.go
@@ -7,23 +7,23 @@
 	"pumiceline/internal/message"
 )
 
-// leaseChecker checks RuleOneLeaseHolder: it knows which process held the controller lease last.
+// leaseChecker checks RuleOneLeaseHolder. It records the last holder of the controller lease.
 type leaseChecker struct {
 	holder       *node
 	generation   int // of the holder's process
 	token        message.FencingToken
-	expiresAt    time.Duration // in the run's time, as the holder knows it
+	expiresAt    time.Duration // in the run's time, when the holder regards its lease as expired
 	highestToken message.FencingToken
-	count        int // leases so far
+	count        int // number of leases so far
 }
 
-// heldLease is a lease as its holder knows it.
+// heldLease is a lease from the view of its holder.
 type heldLease struct {
 	token     message.FencingToken
 	expiresAt time.Duration // by the holder's clock
 }
 
-// currentLease returns the lease that the process believes to hold now; ok is false where it holds none.
+// currentLease returns the lease that the process itself regards as held now; ok is false where there is none.
 func (n *node) currentLease() (_ heldLease, ok bool) {
 	if lease, ok := n.replica.Lease(n.clock()); ok {
 		return heldLease{token: lease.Token, expiresAt: lease.ExpiresAt}, true
@@ -34,7 +34,7 @@
 	return heldLease{}, false
 }
 
-// observeLease compares the lease that the process believes to hold with what was observed before.
+// observeLease checks the lease that the process regards as held against the leases observed before.
 func (n *node) observeLease() {
 	lease, ok := n.currentLease()
 	if !ok {
@@ -62,7 +62,7 @@
 	checker.count++
 }
 
-// isStillHeld reports whether the process that held the lease last still believes so.
+// isStillHeld reports whether the last holder still runs and regards the lease as held.
 func (l *leaseChecker) isStillHeld() bool {
 	n := l.holder
 	if n.replica == nil || n.generation != l.generation {
--- a/internal/controlplane/simulation/machine_faults.go
+++ b/internal/controlplane/simulation/machine_faults.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// restartTime is how long a process that is started again at once is down.
+	// restartTime is the downtime of a process that is restarted at once.
 	restartTime = 50 * time.Millisecond
-	// shutdownGrace is how long after it was asked to stop a process ends at the latest.
+	// shutdownGrace is the longest time from the request to stop until the process ends.
 	shutdownGrace = 3500 * time.Millisecond
-	// plannedOverlap is how long before the old machine is asked to stop its planned successor starts.
+	// plannedOverlap is the time from the start of a planned successor until the old machine is asked to stop.
 	plannedOverlap = time.Second
 )
 
@@ -19,7 +19,7 @@
 	loseDisk diskFate = true
 )
 
-// restart stops a machine and starts it again after a time, unless it has been replaced meanwhile.
+// restart stops a machine and starts it after the downtime, unless it has been replaced meanwhile.
 func (c *Cluster) restart(n *node, downtime time.Duration, disk diskFate) {
 	if n.replica == nil {
 		return
@@ -38,7 +38,8 @@
 	})
 }
 
-// replace stops a machine for good. After a delay another one starts in its slot, at another address and with an empty disk.
+// replace stops a machine permanently. After a delay another one starts in its slot, at another address and with an
+// empty disk.
 func (c *Cluster) replace(n *node, delay time.Duration) {
 	if n.replica != nil {
 		n.stop()
@@ -47,13 +48,13 @@
 	c.slots[n.slot] = successor
 	n.generation++
 	c.after(delay, func() {
-		if c.slots[n.slot] == successor { // else it was replaced before it started
+		if c.slots[n.slot] == successor { // otherwise the successor was replaced before it started
 			successor.start(laterStart)
 		}
 	})
 }
 
-// replaceGracefully starts the successor first, and then asks the machine to stop.
+// replaceGracefully starts the successor first and then asks the old machine to stop.
 func (c *Cluster) replaceGracefully(n *node) {
 	if n.replica == nil {
 		return
@@ -70,8 +71,8 @@
 	})
 }
 
-// addSuccessor makes the machine that replaces another in its slot. The slot's disk counts as lost until the successor has
-// had resyncTime, after the delay, to take over the state.
+// addSuccessor makes the machine that replaces another one in its slot. The slot's disk counts as lost until resyncTime
+// after the delay, so that the successor has time to take over the state.
 func (c *Cluster) addSuccessor(n *node, delay time.Duration) *node {
 	successor := c.addNode(n.slot)
 	successor.diskLostAt = c.now
@@ -79,7 +80,7 @@
 	return successor
 }
 
-// shutDownGracefully asks a machine to stop, and calls onDone when it may stop or its grace time is over.
+// shutDownGracefully asks a machine to stop and calls onDone when it may stop or shutdownGrace is over.
 func (c *Cluster) shutDownGracefully(n *node, onDone func()) {
 	if n.replica == nil {
 		return
@@ -107,7 +108,7 @@
 	c.after(duration, func() { n.resume(generation) })
 }
 
-// resume ends a freeze. The messages that arrived meanwhile are received now.
+// resume ends a freeze. The process receives the messages that arrived meanwhile.
 func (n *node) resume(generation int) {
 	if generation != n.generation || n.replica == nil || !n.frozen {
 		return
--- a/internal/controlplane/simulation/network.go
+++ b/internal/controlplane/simulation/network.go
@@ -6,21 +6,22 @@
 	"pumiceline/internal/message"
 )
 
-// Delays and losses of messages. Each ...OneIn constant says that one in so many messages is lost, or delayed by up to the
-// spread.
+// Delays and losses of messages. Each ...OneIn constant says that one in so many messages is lost, or delayed by up to
+// the spread.
 const (
 	minDelay    = 500 * time.Microsecond
 	delaySpread = 2 * time.Millisecond
 	localDelay  = 10 * time.Microsecond // of a message to the sender itself
 
-	lostOneIn = 200 // as when a connection breaks
+	lostOneIn = 200 // as by a broken connection
 
 	queuedOneIn = 100
-	// queuedRequestOneIn is the same for clients' requests: one is queued at a busy relay, and its repetition overtakes it.
+	// queuedRequestOneIn applies to clients' requests in addition to queuedOneIn: a request is queued at a busy relay,
+	// and its repetition overtakes it.
 	queuedRequestOneIn = 6
 	queuedSpread       = 400 * time.Millisecond
 
-	// A stale message arrives seconds late, perhaps at a process that was started meanwhile.
+	// A stale message arrives up to staleSpread late, possibly at a process that was started after it was sent.
 	staleOneIn  = 1500
 	staleSpread = 5 * time.Second
 )
@@ -28,17 +29,17 @@
 // link is a direction between two machines, by their indexes.
 type link struct{ from, to int }
 
-// network knows which links are blocked and which kinds of messages are lost.
+// network holds which links are blocked and which kinds of messages are lost.
 type network struct {
-	blocked   map[link]int        // by how many partitions
-	lostKinds map[messageKind]int // by how many faults
+	blocked   map[link]int        // number of partitions that block the link
+	lostKinds map[messageKind]int // number of faults that lose the kind
 }
 
 func newNetwork() network {
 	return network{blocked: map[link]int{}, lostKinds: map[messageKind]int{}}
 }
 
-// messageKind is a kind of messages that a MessageKindLoss may concern.
+// messageKind is a kind of messages that a MessageKindLoss may lose.
 type messageKind int
 
 // The kinds that may be lost.
@@ -51,7 +52,7 @@
 	joinKind
 	leaseGrantKind
 	confirmKind
-	messageKindCount // also stands for all other kinds, which no fault loses
+	messageKindCount // also stands for all other kinds, which MessageKindLoss never loses
 )
 
 func kindOf(m *message.Message) messageKind {
@@ -76,7 +77,7 @@
 	return messageKindCount
 }
 
-// send sends a message to the machine that has its address, which may lose it or receive it late.
+// send sends a message to the machine with its address. The message may be lost or delayed.
 func (n *node) send(m message.Message) {
 	c := n.cluster
 	if m.LeaseGrant != nil && m.LeaseGrant.Granted {
@@ -110,7 +111,7 @@
 	n.cluster.after(delay, func() { n.receive(m) })
 }
 
-// nodeAt returns the machine that has or had an address, nil where none ever did.
+// nodeAt returns the machine with an address, nil where no machine of the run has had it.
 func (c *Cluster) nodeAt(address string) *node {
 	for _, n := range c.nodes {
 		if n.address == address {
--- a/internal/controlplane/simulation/node.go
+++ b/internal/controlplane/simulation/node.go
@@ -11,42 +11,42 @@
 
 const (
 	leaseDuration = 2 * time.Second
-	// diskStallThreshold is how long a write takes before the process counts its disk as stalled.
+	// diskStallThreshold is how long a write may take before the process regards its disk as stalled.
 	diskStallThreshold = 600 * time.Millisecond
-	// seedCount is how many machines are on the configured list of seeds.
+	// seedCount is the length of the configured list of seeds.
 	seedCount = 3
 	// zoneCount is how many zones the machines are spread over.
 	zoneCount = 4
-	// machinesPerSubnet is how many machines have addresses with the same third number.
+	// machinesPerSubnet is how many machines have addresses with the same third octet.
 	machinesPerSubnet = 200
 )
 
 // node is a coordinator's machine with its process and its disk.
 type node struct {
 	cluster *Cluster
-	index   int // among all machines that ever were
+	index   int // among all machines of the run
 	slot    int
 	address string
 
 	replica       *replica.Replica // nil while the process is down
-	generation    int              // counts starts and stops of the process: events of an earlier one are void
+	generation    int              // counts starts and stops of the process; events of earlier generations are ignored
 	startedAt     time.Duration
-	identityCount int    // counts starts; names the identity that a process takes where the disk is empty
-	incarnation   uint64 // of the process; it numbers its requests from here
-	requestCount  uint64 // clients' requests received by the process
+	identityCount int    // counts starts; number in the identity that a process gets where its disk is empty
+	incarnation   uint64 // of the process; its request IDs follow this number
+	requestCount  uint64 // number of clients' requests that the process received
 
 	frozen              bool
 	receivedWhileFrozen []message.Message
 
 	disk
 
-	heldLease         heldLease // that the process had when it was observed last
+	heldLease         heldLease // of the process at the last observation
 	lastGrant         grant
-	ignoresStateUntil time.Duration // by a planted defect
+	ignoresStateUntil time.Duration // for ClaimComplete
 
-	lostUntil     time.Duration // the machine counts as lost
-	diskLostUntil time.Duration // the slot's disk counts as lost
-	diskLostAt    time.Duration // when its disk was lost last
+	lostUntil     time.Duration // until then the machine counts as lost
+	diskLostUntil time.Duration // until then the slot's disk counts as lost
+	diskLostAt    time.Duration // when the disk was last lost
 }
 
 func newNode(c *Cluster, index, slot int) *node {
@@ -54,14 +54,14 @@
 	return &node{cluster: c, index: index, slot: slot, address: address}
 }
 
-// clock is the monotonic clock of the process.
+// clock returns the process's monotonic clock.
 func (n *node) clock() time.Duration { return n.cluster.now - n.startedAt }
 
 func (n *node) zone() string { return fmt.Sprintf("zone-%d", n.slot%zoneCount) }
 
 func (n *node) isDiskless() bool { return n.slot < n.cluster.options.Diskless }
 
-// hasNoDisks reports whether no machine has a disk: a process that ends has lost all its state.
+// hasNoDisks reports whether no machine has a disk, so that a process loses all its state when it ends.
 func (c *Cluster) hasNoDisks() bool { return c.options.Diskless >= c.options.Members }
 
 // seedAddresses returns the addresses of the machines in the first slots.
@@ -73,7 +73,7 @@
 	return seeds
 }
 
-// startKind says whether a process starts with the whole cluster or later.
+// startKind says whether a process starts together with the whole cluster or later.
 type startKind bool
 
 const (
@@ -81,7 +81,7 @@
 	laterStart startKind = false
 )
 
-// start starts the process from what is on the disk.
+// start starts the process from its disk.
 func (n *node) start(kind startKind) {
 	n.generation++
 	n.startedAt = n.cluster.now
@@ -103,7 +103,8 @@
 	n.tick(n.generation)
 }
 
-// stop ends the process. What it was writing may be on the disk or not.
+// stop ends the process. A write in progress is lost. In half of these cases the outputs that wait for the next write
+// reach the disk.
 func (n *node) stop() {
 	if n.isWriting && n.cluster.random.IntN(2) == 0 {
 		n.persist(n.pendingOutputs)
@@ -125,7 +126,7 @@
 	n.cluster.after(tickInterval, func() { n.tick(generation) })
 }
 
-// receive hands a message to the process, which gets it when it resumes where it is frozen.
+// receive hands a message to the process. A frozen process receives it when it resumes.
 func (n *node) receive(m message.Message) {
 	if n.replica == nil {
 		return
@@ -169,13 +170,13 @@
 	}
 }
 
-// observe checks what may change with each step of the replica.
+// observe checks the view and the lease, which may change with each step of the replica.
 func (n *node) observe() {
 	n.recordViewChange()
 	n.observeLease()
 }
 
-// nextRequestID numbers a client's request as the process does: from its incarnation on.
+// nextRequestID returns the ID of a client's request, counted from the incarnation as the process does it.
 func (n *node) nextRequestID() uint64 {
 	n.requestCount++
 	return n.incarnation + n.requestCount
--- a/internal/controlplane/simulation/options.go
+++ b/internal/controlplane/simulation/options.go
@@ -8,40 +8,41 @@
 // Options of a run.
 type Options struct {
 	Seed       uint64
-	Members    int           // machines that the cluster starts with
-	Tolerance  int           // machines that may be lost at one time
-	FaultPhase time.Duration // the time in which faults are injected
-	// Diskless is how many of the members have no disk: the first ones.
+	Members    int           // number of machines that the cluster starts with
+	Tolerance  int           // number of machines that may be lost at one time
+	FaultPhase time.Duration // how long faults are injected
+	// Diskless is how many members have no disk. These are the first ones.
 	Diskless int
-	// BeyondTolerance lets losses of machines overlap beyond the tolerance. Never more disks are lost at a time than it
-	// allows, so nothing acknowledged may be lost; but there is no bound on the time of a response.
+	// BeyondTolerance lets losses of machines overlap beyond the tolerance. The tolerance still bounds how many disks
+	// are lost at a time, so no acknowledged change may be lost, but response times are unbounded.
 	BeyondTolerance bool
-	// MaxSyncTime is how much longer than minSyncTime a sync of a disk takes at most; 0: defaultSyncTime.
+	// MaxSyncTime bounds the random time that a sync takes longer than minSyncTime. Values below defaultSyncTime have
+	// no effect.
 	MaxSyncTime time.Duration
-	// ContinuousWrites makes each client send one valid change after the other, without reads and pauses.
+	// ContinuousWrites makes each client send one valid change after the other, without reads and with short pauses.
 	ContinuousWrites bool
-	// OmittedFaults are left out of the fault plan, by their index.
+	// OmittedFaults are the indexes of planned faults that are left out.
 	OmittedFaults []int
-	// ScriptedFaults are the faults in place of those that the seed draws.
+	// ScriptedFaults replace the faults that the seed draws.
 	ScriptedFaults []Fault
-	// Defect is planted into the coordinators, to show that a check finds it.
+	// Defect is planted into the coordinators to prove that a check detects it.
 	Defect Defect
 }
 
-// Bounds of drawn options.
+// Parameters of drawn options.
 const (
 	shapeStream       = 0x73686170 // stream of the generator
 	minMembers        = 3
 	maxMembers        = 9
-	minMembersForTwo  = 5 // from which the tolerance may be two
+	minMembersForTwo  = 5 // fewest members for which the tolerance may be 2
 	drawnFaultPhase   = 40 * time.Second
 	someDisklessOneIn = 5 // in one of so many runs up to maxDiskless members without disks are added
 	maxDiskless       = 3
 	allDisklessOneIn  = 25 // in one of so many of the other runs no member has a disk
 )
 
-// DrawOptions returns the options of a run whose shape the seed draws: members, tolerance, how many machines have no disk,
-// and whether losses overlap beyond the tolerance.
+// DrawOptions returns the options of a run whose shape the seed draws: members, tolerance, how many machines have no
+// disk, and whether losses overlap beyond the tolerance.
 func DrawOptions(seed uint64) Options {
 	random := rand.New(rand.NewPCG(seed, shapeStream))
 	options := Options{
--- a/internal/controlplane/simulation/planted_defects.go
+++ b/internal/controlplane/simulation/planted_defects.go
@@ -10,16 +10,17 @@
 	"pumiceline/internal/message"
 )
 
-// ignoreStateTime is how long a member that claims to be complete ignores the state of others.
+// ignoreStateTime is how long a member with the defect ClaimComplete ignores the state of others.
 const ignoreStateTime = 2 * time.Second
 
-// grant is the latest grant of the lease that a member gave.
+// grant is the latest grant of the lease by a member.
 type grant struct {
 	holder message.MemberID
 	token  message.FencingToken
 }
 
-// forgeReplies delivers forged responses, so that the replica does not wait for the real ones.
+// forgeReplies alters a received message, or delivers forged responses, so that the replica does not wait for real
+// ones.
 func (n *node) forgeReplies(m *message.Message) {
 	view := n.replica.View()
 	switch {
@@ -33,7 +34,7 @@
 		n.deliverAsOthers(view, message.Message{
 			AcceptResponse: &message.AcceptResponse{Proposal: m.AcceptResponse.Proposal},
 		})
-	case n.confirmsAlone(view) && m.ConfirmRequest != nil && m.From == n.replica.Identity():
+	case n.skipsMajorityConfirmation(view) && m.ConfirmRequest != nil && m.From == n.replica.Identity():
 		n.deliverAsOthers(view, message.Message{
 			ConfirmResponse: &message.ConfirmResponse{RequestID: m.ConfirmRequest.RequestID},
 		})
@@ -42,8 +43,9 @@
 	}
 }
 
-// confirmsAlone reports whether the member does without a majority: the tail for reads, the head for rejections.
-func (n *node) confirmsAlone(view message.View) bool {
+// skipsMajorityConfirmation reports whether the member skips the confirmation of a majority: the tail for reads, the
+// head for rejections.
+func (n *node) skipsMajorityConfirmation(view message.View) bool {
 	identity, last := n.replica.Identity(), len(view.Members)-1
 	if last < 0 {
 		return false
@@ -70,8 +72,8 @@
 	}
 }
 
-// acknowledgeEarly acknowledges a replicated change to the predecessor before it was synced or forwarded. The head takes
-// that for the acknowledgement of the whole chain.
+// acknowledgeEarly acknowledges a replicated change to its sender before it is synced or forwarded. The head takes this
+// for the acknowledgement of the whole chain.
 func (n *node) acknowledgeEarly(m *message.Message) {
 	n.send(message.Message{
 		From: n.replica.Identity(), FromAddress: n.address, To: m.From, ToAddress: m.FromAddress, View: m.View,
@@ -79,10 +81,10 @@
 	})
 }
 
-// corruptControlState changes what a starting process reads from its disk.
+// corruptControlState changes the state that a starting process loads from its disk.
 func (n *node) corruptControlState(control *message.ControlState) {
 	switch n.cluster.options.Defect {
-	case ForgetFencingTokens:
+	case LoseFencingTokens:
 		control.LeaseToken = 0
 	case ClaimComplete:
 		if control.Identity != "" && !control.Complete {
@@ -92,22 +94,22 @@
 	}
 }
 
-// restartOnAdmission restarts a member that claims to be complete when it has been admitted, and is not complete.
+// restartOnAdmission restarts a member with the defect ClaimComplete when it has been admitted and is not complete yet.
 func (n *node) restartOnAdmission() {
 	if n.cluster.options.Defect == ClaimComplete && n.replica.IsMember() && !n.replica.IsComplete() {
 		n.cluster.restart(n, restartTime, keepDisk)
 	}
 }
 
-// ignoresState reports whether a member that claims to be complete ignores a message with state.
+// ignoresState reports whether a member with the defect ClaimComplete ignores a message because it carries state.
 func (n *node) ignoresState(m *message.Message) bool {
 	return n.cluster.now < n.ignoresStateUntil && (m.Replicate != nil || m.CatchUp != nil)
 }
 
-// releaseGrantEarly ends a grant as soon as the grantor has given it.
+// releaseGrantEarly ends a grant, for LoseGrants, as soon as the grantor has given it.
 func (n *node) releaseGrantEarly(m *message.Message) {
 	granted := n.lastGrant
-	if n.cluster.options.Defect != ForgetGrants || m.LeaseRequest == nil || granted.token == 0 || m.From != granted.holder {
+	if n.cluster.options.Defect != LoseGrants || m.LeaseRequest == nil || granted.token == 0 || m.From != granted.holder {
 		return
 	}
 	n.applyOutput(n.replica.Step(n.clock(), &message.Message{
@@ -116,31 +118,31 @@
 	}))
 }
 
-// validator returns a sound validator, or one with the planted defect around it.
-func (n *node) validator(sound replica.Validator) replica.Validator {
+// validator returns a validator, wrapped in the planted defect where there is one.
+func (n *node) validator(validate replica.Validator) replica.Validator {
 	switch n.cluster.options.Defect {
 	case IgnoreBase:
 		return func(state *message.ChainState, request *message.ConfigRequest) replica.ValidationResult {
 			rebased := *request
 			rebased.IfMatch = strconv.FormatUint(state.Version, 10)
-			result := sound(state, &rebased)
+			result := validate(state, &rebased)
 			result.Change.Digest = configuration.RequestDigest(request)
 			return result
 		}
-	case ForgetChanges:
+	case LoseChanges:
 		return func(state *message.ChainState, request *message.ConfigRequest) replica.ValidationResult {
-			forgetful := *state
-			forgetful.History = nil
-			return sound(&forgetful, request)
+			withoutHistory := *state
+			withoutHistory.History = nil
+			return validate(&withoutHistory, request)
 		}
 	case RejectPipelinedChange:
 		return func(state *message.ChainState, request *message.ConfigRequest) replica.ValidationResult {
-			result := sound(state, request)
+			result := validate(state, request)
 			if result.Status == 0 {
 				result.Status = http.StatusPreconditionFailed
 			}
 			return result
 		}
 	}
-	return sound
+	return validate
 }
--- a/internal/controlplane/simulation/proxy.go
+++ b/internal/controlplane/simulation/proxy.go
@@ -9,17 +9,18 @@
 	pollInterval = 400 * time.Millisecond
 	// proxyStartDelay is the shortest delay of a proxy's first poll.
 	proxyStartDelay = time.Second
-	// proxyMoveOneIn is how many polls there are to one at which the proxy moves to a random coordinator.
+	// proxyMoveOneIn says that the proxy moves to a random coordinator at one in so many polls.
 	proxyMoveOneIn = 40
-	// maxStaleness bounds the age of a served configuration: it is at least the newest that was acknowledged so long ago.
+	// maxStaleness bounds the age of a served configuration: its version is at least the newest one that had been
+	// acknowledged this long before.
 	maxStaleness = 2 * time.Second
 )
 
-// proxy polls the configuration from one coordinator, and from the next where that does not serve. Partitions separate
-// coordinators only, so it reaches each of them.
+// proxy polls the configuration from one coordinator, and moves to the next one if that does not serve. Partitions
+// separate coordinators only, so a proxy reaches all of them.
 type proxy struct {
 	cluster *Cluster
-	slot    int // of the coordinator that it polls
+	slot    int // of the polled coordinator
 }
 
 func newProxy(c *Cluster, index int) *proxy {
@@ -28,7 +29,7 @@
 	return p
 }
 
-// poll polls the coordinator, and checks RuleStaleness.
+// poll polls the coordinator and checks RuleStaleness.
 func (p *proxy) poll() {
 	c := p.cluster
 	c.after(pollInterval, p.poll)
--- a/internal/controlplane/simulation/recovery.go
+++ b/internal/controlplane/simulation/recovery.go
@@ -7,12 +7,13 @@
 	"github.com/samber/lo"
 )
 
-// RecoveryTime is what one kind of fault costs under continuous writes.
+// RecoveryTime is how long acknowledgements stop after one kind of fault under continuous writes.
 type RecoveryTime struct {
 	Kind FaultKind
-	// Median and Longest are those of the longest gap between two acknowledgements in each run.
+	// Median and Longest are statistics over the runs of the longest gap between two acknowledgements.
 	Median, Longest time.Duration
-	// AckP50 and AckP99 are percentiles of the time from a change's first attempt to its acknowledgement, over all runs.
+	// AckP50 and AckP99 are percentiles, over all runs, of the time from a change's first attempt to its
+	// acknowledgement.
 	AckP50, AckP99 time.Duration
 }
 
@@ -29,7 +30,7 @@
 	Replacement, PlannedReplacement, GracefulRestart,
 }
 
-// MeasureRecovery measures each kind of fault alone, in a run a seed, at each slot in turn.
+// MeasureRecovery measures each kind of fault alone, in one run per seed. The seeds hit the slots in turn.
 func MeasureRecovery(members, tolerance int, seeds uint64) []RecoveryTime {
 	return lo.Map(measuredKinds, func(kind FaultKind, _ int) RecoveryTime {
 		return measureRecovery(kind, members, tolerance, seeds)
@@ -58,7 +59,7 @@
 	}
 }
 
-// quantile returns the value below which that share of the sorted durations lies; 0 where there are none.
+// quantile returns the value below which the given share of the sorted durations lies, 0 where there are none.
 func quantile(sorted []time.Duration, share float64) time.Duration {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/controlplane/simulation/result.go
+++ b/internal/controlplane/simulation/result.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/message"
 )
 
-// Rule names what must hold in every run.
+// Rule is the name of an invariant that must hold in every run.
 type Rule string
 
 // The rules. Scripts read their names from pumicectl's output.
@@ -19,13 +19,13 @@
 	RuleOneLeaseHolder Rule = "ONE"
 	// RuleUniqueVersion: no two changes are acknowledged under one version.
 	RuleUniqueVersion Rule = "NUMBER"
-	// RuleDurability: a change is on more disks than may be lost when it is acknowledged.
+	// RuleDurability: when a change is acknowledged, it is on more disks than may be lost.
 	RuleDurability Rule = "COPIES"
 	// RuleNotLost: an acknowledged change is in the final state.
 	RuleNotLost Rule = "LOST"
 	// RuleRejected: a rejected change is not in the final state.
 	RuleRejected Rule = "REFUSED"
-	// RuleIdempotent: a change that is sent again after it was acknowledged is acknowledged again.
+	// RuleIdempotent: an acknowledged change that is sent again is acknowledged again.
 	RuleIdempotent Rule = "RESENT"
 	// RuleNoNeedlessRejection: a valid change on top of the newest version is not rejected.
 	RuleNoNeedlessRejection Rule = "DUTY"
@@ -41,7 +41,7 @@
 	RuleRecovery Rule = "RECOVER"
 	// RuleFinalRead: the last read is answered.
 	RuleFinalRead Rule = "ANSWER"
-	// RuleVoters: no machine that is gone keeps a vote that a live member could have.
+	// RuleVoters: no machine that is lost keeps a vote that a running member could have.
 	RuleVoters Rule = "VOTERS"
 )
 
@@ -52,22 +52,22 @@
 	Text string        `json:"Text"`
 }
 
-// String is the violation in a line.
+// String describes the violation on one line.
 func (v Violation) String() string { return fmt.Sprintf("%s at %v: %s", v.Rule, v.At, v.Text) }
 
-// Result is what was observed in a run. Its JSON keys are part of pumicectl's output.
+// Result holds the observations of a run. Its JSON keys are part of pumicectl's output.
 type Result struct {
 	Violations     []Violation     `json:"Violations"`
 	Acknowledged   int             `json:"Acknowledged"` // changes
 	Rejected       int             `json:"Refused"`      // changes
 	Reads          int             `json:"Reads"`
-	Views          uint64          `json:"Views"`  // number of the last view
-	Leases         int             `json:"Leases"` // that were held
+	Views          uint64          `json:"Views"`  // number of the newest view
+	Leases         int             `json:"Leases"` // number of leases that were held
 	Faults         int             `json:"Faults"`
-	Members        int             `json:"Members"` // of the last view
+	Members        int             `json:"Members"` // number of members of the newest view
 	InjectedFaults []Fault         `json:"Struck"`  // in order
-	ViewChanges    []string        `json:"Moves"`   // a line each, in order
-	FinalStates    []string        `json:"Ends"`    // a line for each machine
+	ViewChanges    []string        `json:"Moves"`   // one line each, in order
+	FinalStates    []string        `json:"Ends"`    // one line for each machine
 	AckLatencies   []time.Duration `json:"Waits"`   // of each acknowledged change, from its first attempt
 	LongestAckGap  time.Duration   `json:"Pause"`   // between two acknowledgements in the fault phase
 }
@@ -94,7 +94,7 @@
 	return result
 }
 
-// recordViewChange keeps a line for each view when the first machine enters it.
+// recordViewChange adds a line for each view when the first machine enters it.
 func (n *node) recordViewChange() {
 	view := n.replica.View()
 	if view.Number <= n.cluster.newestViewSeen {
@@ -111,7 +111,7 @@
 	n.cluster.viewChanges = append(n.cluster.viewChanges, line)
 }
 
-// describe is the machine's state in a line.
+// describe describes the machine's state on one line.
 func (n *node) describe() string {
 	if n.replica == nil {
 		return fmt.Sprintf("place %d: node %d is dark", n.slot, n.index)
--- a/internal/controlplane/simulation/scheduler.go
+++ b/internal/controlplane/simulation/scheduler.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// scheduler is the simulated clock with the events that are to happen. Events of the same time happen in the order in
-// which they were scheduled.
+// scheduler is the simulated clock with the scheduled events. Events of the same time run in the order in which they
+// were scheduled.
 type scheduler struct {
 	now      time.Duration // since the start of the run
 	events   eventQueue
@@ -19,7 +19,7 @@
 	heap.Push(&s.events, event{at: s.now + delay, sequence: s.sequence, run: run})
 }
 
-// runUntil lets all events up to a time happen.
+// runUntil runs all events up to a time and sets the clock to it.
 func (s *scheduler) runUntil(end time.Duration) {
 	for len(s.events) > 0 && s.events[0].at <= end {
 		next := heap.Pop(&s.events).(event)
@@ -35,7 +35,7 @@
 	run      func()
 }
 
-// eventQueue is a heap, the next event first.
+// eventQueue is a heap with the next event first.
 type eventQueue []event
 
 func (q eventQueue) Len() int { return len(q) }
--- a/internal/controlplane/simulation/shrink.go
+++ b/internal/controlplane/simulation/shrink.go
@@ -2,8 +2,9 @@
 
 import "slices"
 
-// Shrink omits planned faults, one after the other, as long as the run still violates the same rule first. It returns the
-// options of the smallest run that it found; those of a run without a violation are returned as they are.
+// Shrink omits planned faults one at a time and keeps each omission after which the first violated rule is still the
+// same. It returns the options of the smallest run that it found. Options of a run without a violation are returned
+// unchanged.
 func Shrink(options Options) Options {
 	rule := firstViolatedRule(Run(options))
 	if rule == "" {
@@ -19,7 +20,7 @@
 	return options
 }
 
-// firstViolatedRule is empty where no rule was violated.
+// firstViolatedRule returns the rule that was violated first, empty where none was.
 func firstViolatedRule(result *Result) Rule {
 	if len(result.Violations) == 0 {
 		return ""
--- a/internal/controlplane/simulation/simulation_test.go
+++ b/internal/controlplane/simulation/simulation_test.go
@@ -11,10 +11,10 @@
 
 const faultPhase = 20 * time.Second
 
-// seedsEach is how many seeds a test runs of each shape.
+// seedsEach is how many seeds a test runs for each shape.
 const seedsEach = 40
 
-// requireNoViolation runs a simulation and fails with the trace of the shrunk run where a rule was violated.
+// requireNoViolation runs a simulation. If a rule is violated, it fails the test with the trace of the shrunk run.
 func requireNoViolation(t *testing.T, options Options) *Result {
 	t.Helper()
 	result := Run(options)
@@ -38,13 +38,14 @@
 			total.Leases += result.Leases
 			total.Faults += result.Faults
 		}
-		assert.Greater(t, total.Leases, seedsEach, "leases change hands")
+		assert.Greater(t, total.Leases, seedsEach, "the lease moves between holders")
 		assert.Greater(t, total.Rejected, 0, "some changes are rejected")
 		t.Logf("%v: %+v", shape, total)
 	}
 }
 
-// The seeds may be machines without disks: they start the cluster and then only relay requests.
+// The machines on the list of seeds may have no disks. They start the cluster, hand over to the members with disks, and
+// then only relay requests.
 func TestRun_DisklessMembersHandOver(t *testing.T) {
 	for diskless := 1; diskless <= 3; diskless++ {
 		for seed := uint64(1); seed <= seedsEach; seed++ {
@@ -56,8 +57,8 @@
 	}
 }
 
-// Where no machine has a disk all state is in memory: a machine that restarts is another member, which is admitted and
-// brought up to date, and the lease is held.
+// If no machine has a disk, all state is in memory. A machine that restarts is a new member, which must be admitted and
+// brought up to date, and the lease must still be held.
 func TestRun_AllMembersDiskless(t *testing.T) {
 	for _, shape := range []struct{ members, tolerance int }{{3, 1}, {4, 1}, {5, 2}} {
 		leases := 0
@@ -75,15 +76,15 @@
 	}
 }
 
-// Found on the bench: four members do not survive the loss of two disks, so every machine with a disk has to be a member.
+// A chain of four members does not survive the loss of two disks, so every machine with a disk has to be a member.
 func TestRun_EightMembersSurviveTwoDiskLosses(t *testing.T) {
 	for seed := uint64(1); seed <= seedsEach; seed++ {
 		requireNoViolation(t, Options{Seed: seed, Members: 8, Tolerance: 2, FaultPhase: faultPhase})
 	}
 }
 
-// Losses overlap beyond the tolerance, but no more disks are lost at a time than it allows: nothing acknowledged is lost or
-// read older, and the cluster commits changes again when the machines are back.
+// Losses overlap beyond the tolerance, but no more disks are lost at a time than it allows. No acknowledged change may
+// be lost, no read may be stale, and the cluster must commit changes again when the machines are back.
 func TestRun_SafeBeyondTolerance(t *testing.T) {
 	for seed := uint64(1); seed <= seedsEach; seed++ {
 		requireNoViolation(t, Options{Seed: seed, Members: 4, Tolerance: 1, FaultPhase: faultPhase, BeyondTolerance: true})
@@ -96,7 +97,7 @@
 	}
 }
 
-// Clusters of one to three machines that tolerate no loss still survive the loss of all power, and partitions.
+// Clusters of one to three machines with a tolerance of 0 must still survive partitions and the loss of all power.
 func TestRun_ZeroTolerance(t *testing.T) {
 	for members := 1; members <= 3; members++ {
 		for seed := uint64(1); seed <= seedsEach/2; seed++ {
@@ -105,7 +106,7 @@
 	}
 }
 
-// Every kind of fault must be injected by the seeds that a test runs.
+// The seeds that a test runs must inject every kind of fault.
 func TestFaultPlan_EveryKindIsInjected(t *testing.T) {
 	isInjected := map[FaultKind]bool{}
 	for seed := uint64(1); seed <= seedsEach; seed++ {
@@ -119,7 +120,7 @@
 	}
 }
 
-// After the loss of one machine the others acknowledge again well within maxResponseTime.
+// After a fault of one machine the others must acknowledge again within 3 seconds, which is less than maxResponseTime.
 func TestMeasureRecovery_AcknowledgesSoonAfterFault(t *testing.T) {
 	for _, shape := range []struct{ members, tolerance int }{{3, 1}, {4, 1}, {8, 2}} {
 		for _, recovery := range MeasureRecovery(shape.members, shape.tolerance, uint64(shape.members)) {
@@ -134,7 +135,7 @@
 	assert.Equal(t, Run(options), Run(options))
 }
 
-// A failing run is shrunk to fewer faults that still violate the rule.
+// Shrink must return a run with fewer faults that violates the same rule.
 func TestShrink_KeepsViolation(t *testing.T) {
 	options := Options{Seed: 3, Members: 3, Tolerance: 1, FaultPhase: faultPhase, Defect: KeepIdentityOnDiskLoss}
 	for len(Run(options).Violations) == 0 {
@@ -148,7 +149,7 @@
 	assert.Less(t, strings.Count(trace, "places"), len(Run(options).InjectedFaults)+1)
 }
 
-// Each defect must be found by some seed: a check that cannot fail checks nothing.
+// Some seed must find each defect: a check that cannot fail checks nothing.
 func TestRun_FindsPlantedDefects(t *testing.T) {
 	for _, defect := range Defects() {
 		t.Run(defect.String(), func(t *testing.T) {
@@ -165,7 +166,7 @@
 					return
 				}
 			}
-			t.Fatalf("no seed of %d finds it", maxSeeds)
+			t.Fatalf("none of %d seeds finds the defect", maxSeeds)
 		})
 	}
 }
--- a/internal/controlplane/simulation/trace.go
+++ b/internal/controlplane/simulation/trace.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Trace runs a simulation and returns what happened, a line each: the options, the injected faults, the changes of the
-// view, the final state of each machine, and the violations. Scripts read it from pumicectl's output.
+// Trace runs a simulation and returns its trace, one line for each entry: the options, the injected faults, the view
+// changes, the final state of each machine, and the violations. Scripts read it from pumicectl's output.
 func Trace(options Options) string {
 	result := Run(options)
 	var text strings.Builder
