--- a/internal/controlplane/coordinationsim/cluster.go
+++ b/internal/controlplane/coordinationsim/cluster.go
@@ -139,7 +139,7 @@
 		Index: -1, Kind: ClusterPowerLoss, Duration: minFaultTime + c.randomDuration(maxDowntime),
 		Slots: c.random.Perm(len(c.slots)), Count: c.options.Tolerance, Draw: c.random.Uint64(),
 	}
-	if !c.isSettled(calmTime) {
+	if !c.isSettled(settledTime) {
 		f.Draw = 0 // no disk may be lost
 	}
 	c.inject(f)
--- a/internal/controlplane/coordinationsim/disk.go
+++ b/internal/controlplane/coordinationsim/disk.go
@@ -135,9 +135,9 @@
 	}
 }
 
-// cutWriteShort ends a write in progress and leaves a random prefix of its records on the disk, as a crash of the
+// interruptWrite ends a write in progress and leaves a random prefix of its records on the disk, as a crash of the
 // process or a power loss does.
-func (n *node) cutWriteShort() {
+func (n *node) interruptWrite() {
 	if n.isWriting && n.cluster.now >= n.fullUntil {
 		records := recordsOf(n.inProgress)
 		n.persist(records[:n.cluster.random.IntN(len(records)+1)])
--- a/internal/controlplane/coordinationsim/injection.go
+++ b/internal/controlplane/coordinationsim/injection.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// calmTime is how long all machines have to know the newest voters, without a fault, before a disk may be lost.
-	calmTime = 3 * time.Second
+	// settledTime is how long all machines have to know the newest voters, without a fault, before a disk may be lost.
+	settledTime = 3 * time.Second
 	// injectionRetryDelay is the pause before a postponed loss of a disk is tried again. After maxInjectionDelay the
 	// loss is skipped; the later faults of the plan wait until then.
 	injectionRetryDelay = 200 * time.Millisecond
@@ -61,8 +61,10 @@
 	c.injectNext(rest)
 }
 
-// mayLoseDisk reports whether no fault was active, and the newest voters were known to all machines, for calmTime.
-func (c *Cluster) mayLoseDisk() bool { return c.now >= c.faultsUntil+calmTime && c.isSettled(calmTime) }
+// mayLoseDisk reports whether no fault was active, and the newest voters were known to all machines, for settledTime.
+func (c *Cluster) mayLoseDisk() bool {
+	return c.now >= c.faultsUntil+settledTime && c.isSettled(settledTime)
+}
 
 // inject injects a fault.
 func (c *Cluster) inject(f Fault) {
--- a/internal/controlplane/coordinationsim/lock_checker.go
+++ b/internal/controlplane/coordinationsim/lock_checker.go
@@ -28,10 +28,10 @@
 
 // callerHold is a hold that its caller relies on.
 type callerHold struct {
-	token    message.FencingToken
-	until    time.Duration
-	released bool // the release has been sent
-	freed    bool // the release has been answered
+	token           message.FencingToken
+	until           time.Duration
+	released        bool // the release has been sent
+	releaseAnswered bool // the release has been answered
 }
 
 func newLockChecker(c *Cluster) *lockChecker {
@@ -134,7 +134,7 @@
 // onFreed records the answer to a release.
 func (l *lockChecker) onFreed(x *exchange) {
 	if hold := l.lock(x.call.Lock).holds[x.caller]; hold != nil && hold.token == x.call.Token {
-		hold.freed = true
+		hold.releaseAnswered = true
 	}
 }
 
@@ -149,7 +149,7 @@
 	lock := l.lock(x.call.Lock)
 	busyUntil := max(lock.unclearUntil, l.takeoverAt+holdTime(x))
 	for other, hold := range lock.holds {
-		if other != x.caller && !hold.freed {
+		if other != x.caller && !hold.releaseAnswered {
 			busyUntil = max(busyUntil, hold.until)
 		}
 	}
--- a/internal/controlplane/coordinationsim/network.go
+++ b/internal/controlplane/coordinationsim/network.go
@@ -12,7 +12,7 @@
 	delaySpread = 1500 * time.Microsecond
 	localDelay  = 10 * time.Microsecond // of a message to the sender itself
 
-	lostOneIn      = 300 // as by a broken connection
+	lostOneIn      = 300 // models broken connections
 	duplicateOneIn = 500 // except calls and responses: each sending by a relay arrives at most once
 	queuedOneIn    = 150
 	queuedSpread   = 400 * time.Millisecond
--- a/internal/controlplane/coordinationsim/node.go
+++ b/internal/controlplane/coordinationsim/node.go
@@ -85,7 +85,7 @@
 	if !n.isUp() {
 		return
 	}
-	n.cutWriteShort()
+	n.interruptWrite()
 	n.generation++
 	n.member = nil
 	n.frozen, n.waiting = false, nil
--- a/internal/controlplane/coordinationsim/relay.go
+++ b/internal/controlplane/coordinationsim/relay.go
@@ -59,8 +59,8 @@
 type relayRequest struct {
 	id       uint64
 	target   message.Member
-	sentAt   time.Duration // the last time
-	sent     int           // how often
+	sentAt   time.Duration // when it was last sent
+	sent     int           // how many times it was sent
 	declined bool          // the target said that it is not the issuer and did nothing
 }
 
--- a/internal/controlplane/simulation/cluster.go
+++ b/internal/controlplane/simulation/cluster.go
@@ -1,5 +1,5 @@
-// Package simulation runs coordinators in one process over a network, disks and clocks that are simulated from a seed. It
-// injects faults and checks what clients observe. The replicas run the production code; only their environment is
+// Package simulation runs coordinators in one process over a network, disks and clocks that are simulated from a seed.
+// It injects faults and checks what clients observe. The replicas run the production code; only their environment is
 // simulated. A run depends on its options alone: a seed that violates a rule violates it in every run.
 //
 // A run has three phases. In the fault phase faults are injected while clients send changes and reads. Then all faults
--- a/internal/controlplane/simulation/network.go
+++ b/internal/controlplane/simulation/network.go
@@ -13,7 +13,7 @@
 	delaySpread = 2 * time.Millisecond
 	localDelay  = 10 * time.Microsecond // of a message to the sender itself
 
-	lostOneIn = 200 // as by a broken connection
+	lostOneIn = 200 // models broken connections
 
 	queuedOneIn = 100
 	// queuedRequestOneIn applies to clients' requests in addition to queuedOneIn: a request is queued at a busy relay,
