--- a/internal/fleetsim/experiment/compare.go
+++ b/internal/fleetsim/experiment/compare.go
@@ -15,7 +15,7 @@
 	N         int     // values
 }
 
-// String is the mean, with the half width if there is one.
+// String returns the mean, followed by the half width if there is one.
 func (e Estimate) String() string {
 	if math.IsNaN(e.HalfWidth) {
 		return fmt.Sprintf("%.3f", e.Mean)
@@ -23,10 +23,10 @@
 	return fmt.Sprintf("%.3f ±%.3f", e.Mean, e.HalfWidth)
 }
 
-// upperQuantile is that of the 95% interval.
+// upperQuantile is the upper quantile of a two-sided 95% interval.
 const upperQuantile = 0.975
 
-// NewEstimate is the estimate from independent values.
+// NewEstimate returns the estimate from independent values.
 func NewEstimate(values []float64) Estimate {
 	e := Estimate{N: len(values), Mean: math.NaN(), HalfWidth: math.NaN()}
 	if e.N == 0 {
@@ -46,10 +46,10 @@
 	Axes               []Setting
 	Policy             string
 	Estimate           Estimate
-	Difference         Estimate // from the first policy, seed by seed; N is 0 for the first itself
+	Difference         Estimate // to the first policy, paired by seed; N is 0 for the first policy itself
 	Runs               int
 	RunsWithViolations int
-	RunsFailed         int // that ended early
+	RunsFailed         int // runs that ended early and have no report
 	Values             []float64
 }
 
@@ -70,8 +70,8 @@
 	seed  uint64
 }
 
-// Compare sums up results by point and policy, in their order. Differences are paired: the same seed gives all policies
-// the same clients, servers and faults, so what these have in common drops out.
+// Compare groups results by point and policy, in the order of their first results. Differences are paired by seed: the
+// same seed gives all policies the same clients, servers and faults, so the variation that they cause cancels out.
 func Compare(results []*Result, m Measure) []Comparison {
 	all := comparisons{measure: m, byPolicy: map[policyAtPoint]*Comparison{}, firstPolicy: map[string]string{},
 		baseValues: map[seedAtPoint]float64{}, differences: map[*Comparison][]float64{}}
--- a/internal/fleetsim/experiment/experiment.go
+++ b/internal/fleetsim/experiment/experiment.go
@@ -11,23 +11,23 @@
 	"pumiceline/internal/tomlfile"
 )
 
-// Experiment is a file: a scenario, the policies and seeds to run it with, and what to vary.
+// Experiment is the content of an experiment file: a scenario, the policies and seeds to run it with, and the sweeps.
 type Experiment struct {
-	Name     string         `toml:"name"` // empty: that of the file
+	Name     string         `toml:"name"` // default: the file's name without its extension
 	Title    string         `toml:"title"`
 	Text     string         `toml:"text"`
-	Policies []string       `toml:"policies"` // the first is the one that others are compared with
+	Policies []string       `toml:"policies"` // the others are compared with the first
 	Seeds    []uint64       `toml:"seeds"`
 	Sweeps   []Sweep        `toml:"sweep"`
-	Scenario model.Scenario `toml:"world"` // what is not written is as in model.DefaultScenario
+	Scenario model.Scenario `toml:"world"` // absent keys are as in model.DefaultScenario
 
 	File      string    `toml:"-"`
-	Overrides []Setting `toml:"-"` // what the command line changed, for the replay command
+	Overrides []Setting `toml:"-"` // from the command line, repeated in the replay command
 	keys      *tomlfile.KeyIndex
 }
 
-// Sweep is an axis: a key of the experiment and its values. The keys of With change along with it. Several sweeps are run
-// in all combinations.
+// Sweep is an axis: a key of the scenario and its values. The keys of With take their k-th value together with the k-th
+// value of Key. Several sweeps are run in all combinations.
 type Sweep struct {
 	Key    string           `toml:"key"`
 	Values []any            `toml:"values"`
@@ -45,7 +45,8 @@
 	return Parse(path, text)
 }
 
-// Parse reads and validates an experiment from its text; path only names it.
+// Parse reads and validates an experiment from its text. The path is used only for the experiment's name and in errors
+// and replay commands.
 func Parse(path string, text []byte) (*Experiment, error) {
 	e := &Experiment{File: path, Policies: []string{PolicyProduct}, Seeds: []uint64{1}, Scenario: model.DefaultScenario()}
 	e.Name = strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
@@ -57,7 +58,8 @@
 	return e, e.validate()
 }
 
-// clearWrittenLists drops the defaults of the lists that the file has: they replace the defaults and add nothing to them.
+// clearWrittenLists clears the default of each list that the file sets. The file's entries would otherwise be added to
+// the defaults instead of replacing them.
 func (e *Experiment) clearWrittenLists() {
 	for key, clearList := range map[string]func(){
 		"world.kinds":   func() { e.Scenario.InstanceTypes = nil },
--- a/internal/fleetsim/experiment/experiment_test.go
+++ b/internal/fleetsim/experiment/experiment_test.go
@@ -13,7 +13,7 @@
 	"pumiceline/internal/tomlfile"
 )
 
-// smallExperiment runs within a second.
+// smallExperiment has eight runs, which take less than a second together.
 const smallExperiment = `
 title = "Small"
 policies = ["decide", "two-choices"]
@@ -59,7 +59,7 @@
 	}
 }
 
-// runSmallExperiment returns the results file of smallExperiment.
+// runSmallExperiment runs smallExperiment and returns its results file.
 func runSmallExperiment(t *testing.T, workers int) []byte {
 	t.Helper()
 	e, err := Parse("x.toml", []byte(smallExperiment))
@@ -80,8 +80,8 @@
 	}
 }
 
-// TestResult_Repeats reads the results and repeats each run from its line alone.
-func TestResult_Repeats(t *testing.T) {
+// Each run can be repeated from its line of the results file alone, and from its replay command.
+func TestResult_RunIsRepeatable(t *testing.T) {
 	text := runSmallExperiment(t, 2)
 	all, err := ReadResults(bytes.NewReader(text))
 	if err != nil {
@@ -98,13 +98,13 @@
 		}
 	}
 	if !bytes.Equal(text, again.Bytes()) {
-		t.Error("repeated from its own line, a run has another result")
+		t.Error("a run that was repeated from its line has a different result")
 	}
 	want := "pumiceline lab replay x.toml --policy=two-choices --seed=2 --set=world.proxies=2 --set=world.load=0.6"
 	if got := all[7].Replay; got != want {
 		t.Errorf("replay %q, want %q", got, want)
 	}
-	// The replay command has the same scenario.
+	// The settings of the replay command give the same scenario.
 	e, _ := Parse("x.toml", []byte(smallExperiment))
 	for _, s := range []string{"world.proxies=2", "world.load=0.6"} {
 		set, err := ParseSetting(s)
@@ -116,7 +116,7 @@
 		}
 	}
 	if rep := Simulate(&e.Scenario, "two-choices", 2, nil).Report; rep.G != all[7].Report.G {
-		t.Errorf("the command gives G %v, the results say %v", rep.G, all[7].Report.G)
+		t.Errorf("the replay command gives G %v, the results file has %v", rep.G, all[7].Report.G)
 	}
 }
 
@@ -128,8 +128,9 @@
 	}
 }
 
-// TestExperiment_RunEndsWithContext cancels after the first result, and lets the receiver of results fail.
-func TestExperiment_RunEndsWithContext(t *testing.T) {
+// Run returns the context's error if it is cancelled after the first result, and the callback's error if the callback
+// fails.
+func TestExperiment_RunReturnsContextAndCallbackErrors(t *testing.T) {
 	e, err := Parse("x.toml", []byte(strings.Replace(smallExperiment, "[1, 2]\n[world]",
 		"[1, 2, 3, 4, 5, 6, 7, 8, 9]\n[world]", 1)))
 	if err != nil {
@@ -147,7 +148,7 @@
 	}
 	full := errors.New("disk full")
 	if err := e.Run(context.Background(), 2, func(*Result) error { return full }); !errors.Is(err, full) {
-		t.Errorf("want the writer's error, have %v", err)
+		t.Errorf("want the callback's error, have %v", err)
 	}
 }
 
@@ -160,7 +161,8 @@
 	}
 }
 
-// A panic in a run is its error, with the place but without addresses, which would differ from run to run.
+// A panic in a run becomes the run's error. The error names the function but no addresses, which would differ from run
+// to run.
 func TestSimulate_PanicFailsOneRun(t *testing.T) {
 	scenario := model.DefaultScenario()
 	outcome := Simulate(&scenario, "decide", 1, panickingObserver{})
@@ -174,8 +176,8 @@
 
 func (panickingObserver) Observe(*model.Record) { panic("at the first record") }
 
-// TestCompare_PairedDifferences compares with figures calculated by hand: differences 1, 2 and 3 have the mean 2, the
-// standard deviation 1 and, at two degrees of freedom, Student's t 4.303.
+// The expected values are calculated by hand: the differences 1, 2 and 3 have the mean 2 and the standard deviation 1,
+// and Student's t at two degrees of freedom is 4.303.
 func TestCompare_PairedDifferences(t *testing.T) {
 	results := []*Result{}
 	add := func(policy string, seed uint64, g float64) {
@@ -206,7 +208,7 @@
 	f.Add([]byte("[[sweep]]\nkey=\"world.kinds.0.cores\"\nvalues=[1.5]"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		e, err := Parse("x.toml", text)
-		if err == nil && e.Count() > 0 { // what is accepted must be valid at every point
+		if err == nil && e.Count() > 0 { // an accepted experiment must be valid at every point
 			points, err := e.Points()
 			if err != nil {
 				t.Fatal(err)
--- a/internal/fleetsim/experiment/measures.go
+++ b/internal/fleetsim/experiment/measures.go
@@ -8,12 +8,12 @@
 
 // Measure is a figure of a run that is compared and plotted.
 type Measure struct {
-	Name  string // as on the command line
-	Text  string // as in tables and on axes
+	Name  string // on the command line
+	Text  string // in tables and on axes
 	Value func(r *Result) float64
 }
 
-// Measures are the figures that can be asked for.
+// Measures are all measures that the command line accepts.
 var Measures = []Measure{
 	{"g", "service less prices (G)", func(r *Result) float64 { return r.Report.G }},
 	{"whole", "service, whole run", func(r *Result) float64 { return r.Report.Overall }},
@@ -46,7 +46,7 @@
 // ErrUnknownMeasure is returned for a name that Measures does not have.
 var ErrUnknownMeasure = errors.New("there is no measure")
 
-// MeasureByName finds a measure, or returns an ErrUnknownMeasure.
+// MeasureByName returns the measure with that name, or an error that wraps ErrUnknownMeasure.
 func MeasureByName(name string) (Measure, error) {
 	for _, m := range Measures {
 		if m.Name == name {
--- a/internal/fleetsim/experiment/points.go
+++ b/internal/fleetsim/experiment/points.go
@@ -11,12 +11,12 @@
 
 // Point is one combination of the swept values.
 type Point struct {
-	Settings []Setting // all that the sweeps set: each axis is followed by the keys that change with it
+	Settings []Setting // of all sweeps: each axis, followed by the keys of its With
 	Axes     []Setting // the axes alone
 	Scenario model.Scenario
 }
 
-// Name is the axes' settings as "key=value", with spaces between; empty: nothing is swept.
+// Name returns the axes' settings as "key=value", separated by spaces. It is empty if nothing is swept.
 func (p *Point) Name() string { return pointName(p.Axes) }
 
 func pointName(axes []Setting) string {
@@ -27,7 +27,8 @@
 	return strings.Join(words, " ")
 }
 
-// Points are all combinations of the swept values: one, if nothing is swept. The last sweep varies fastest.
+// Points returns all combinations of the swept values, or a single point if nothing is swept. The last sweep varies
+// fastest.
 func (e *Experiment) Points() ([]Point, error) {
 	points := []Point{{Scenario: e.Scenario}}
 	for i := range e.Sweeps {
@@ -47,7 +48,7 @@
 	return points, nil
 }
 
-// with is the point with the k-th value of a sweep.
+// with returns a copy of the point with the k-th value of a sweep applied.
 func (p *Point) with(sweep *Sweep, k int) (Point, error) {
 	axis := Setting{sweep.Key, sweep.Values[k]}
 	settings := []Setting{axis}
--- a/internal/fleetsim/experiment/policies.go
+++ b/internal/fleetsim/experiment/policies.go
@@ -8,19 +8,19 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// Names of the policies beside those of package baseline, as experiment files and results have them.
+// Names of the policies in experiment files and results, in addition to the names of package baseline.
 const (
 	PolicyProduct         = "decide"      // the product's own policy, package policy
-	PolicyWithoutKeys     = "keyless"     // the same without key affinity
-	PolicyWithoutPolls    = "unprobed"    // the same without load polls
-	PolicyAdmission       = "door"        // the same behind admission control
-	PolicyAdmissionSilent = "door-silent" // the same, with rejections that name no Retry-After
-	PolicyHalf            = "half"        // the same with a subset of the servers
-	PolicyQuarter         = "quarter"
-	PolicyEighth          = "eighth"
+	PolicyWithoutKeys     = "keyless"     // the product's policy without key affinity
+	PolicyWithoutPolls    = "unprobed"    // the product's policy without load polls
+	PolicyAdmission       = "door"        // the product's policy behind admission control
+	PolicyAdmissionSilent = "door-silent" // as PolicyAdmission, but its rejections have no Retry-After
+	PolicyHalf            = "half"        // the product's policy with a subset of half of the servers
+	PolicyQuarter         = "quarter"     // with a quarter of the servers
+	PolicyEighth          = "eighth"      // with an eighth of the servers
 )
 
-// Policies are the policies that an experiment may name, with the factories of their nodes.
+// Policies returns the node factories of the policies that an experiment may name, by name.
 func Policies() map[string]model.NodeFactory {
 	factories := map[string]model.NodeFactory{
 		PolicyProduct:         newProductNode,
@@ -42,7 +42,7 @@
 	return policy.New(settings, seed)
 }
 
-// withSettings gives a factory's nodes other settings than the scenario has.
+// withSettings returns a factory whose nodes get the scenario's settings with a change applied.
 func withSettings(newNode model.NodeFactory, change func(*policy.Settings)) model.NodeFactory {
 	return func(settings policy.Settings, seed uint64, oracle *model.Oracle) (model.Node, error) {
 		change(&settings)
--- a/internal/fleetsim/experiment/result.go
+++ b/internal/fleetsim/experiment/result.go
@@ -11,11 +11,12 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// formatVersion is that of Result's JSON form. Readers refuse others.
+// formatVersion is the version of Result's JSON form. ReadResults rejects all other versions.
 const formatVersion = 1
 
-// Result is one run: every input that is needed to repeat it, and what came out. A results file has one as JSON on each
-// line, in the order of points, then policies, then seeds. The order of the fields is that of the files.
+// Result is one run: all inputs that are needed to repeat it, and its outcome. Each line of a results file is one
+// Result as JSON; the lines are ordered by point, then policy, then seed. The fields are written in the order of this
+// struct.
 type Result struct {
 	Format     int             `json:"format"`
 	Experiment string          `json:"experiment"`
@@ -25,24 +26,24 @@
 	Seed       uint64          `json:"seed"`
 	Point      []Setting       `json:"point,omitempty"` // the axes' values
 	Axes       []Axis          `json:"axes,omitempty"`
-	Replay     string          `json:"replay"` // the command that repeats it
+	Replay     string          `json:"replay"` // the command that repeats the run
 	Scenario   model.Scenario  `json:"world"`
 	Stats      model.Stats     `json:"stats"`
 	Report     *checker.Report `json:"report,omitempty"`
 	Error      string          `json:"error,omitempty"` // why the run ended early, without a report
 }
 
-// Axis is how a swept key is plotted.
+// Axis says how a swept key is plotted.
 type Axis struct {
 	Key   string `json:"key"`
 	Label string `json:"label"`
-	Log   bool   `json:"log,omitempty"` // logarithmically
+	Log   bool   `json:"log,omitempty"` // the scale is logarithmic
 }
 
-// PointName is Point.Name of the result's point; empty: nothing was swept.
+// PointName returns Point.Name of the result's point. It is empty if nothing was swept.
 func (r *Result) PointName() string { return pointName(r.Point) }
 
-// Write writes the result as a line.
+// Write writes the result as one line of JSON.
 func (r *Result) Write(w io.Writer) error {
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -52,7 +53,7 @@
 	return err
 }
 
-// ReadResults reads a results file. Errors name the line.
+// ReadResults reads a results file. Errors include the line number.
 func ReadResults(in io.Reader) ([]*Result, error) {
 	var results []*Result
 	reader := bufio.NewReader(in)
--- a/internal/fleetsim/experiment/robustness_test.go
+++ b/internal/fleetsim/experiment/robustness_test.go
@@ -8,12 +8,12 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// TestProductPolicy_FollowsOracleOnOtherDeployments fails for constants of the policy that fit one deployment by chance.
-// In either scenario the policy's G may be the margin under that of the policy that sees the true state, and on another clock no
-// further than that under its own. With work moved into downstream waits, reports delivered otherwise or not at all,
-// and clients that time out soon or late after the latency target it may fall as far as the oracle's does, and the
-// margin. A policy that took half of the latency target for a queue had 0.145 with invitations, where the oracle has
-// 0.848, and 0.072 with half of the work in waits.
+// The test guards against policy constants that fit only one deployment. In each scenario, the product policy's G may
+// be at most the margin below the G of the oracle policy, which sees the true state. With all times of the scenario
+// scaled, its G may be at most the margin below its G on the unchanged scenario. With work moved into downstream waits,
+// reports delivered in another way or not at all, or client timeouts soon or long after the latency target, its G may
+// fall by what the oracle's G falls, plus the margin. A policy that assumed a queue of half the latency target had a G
+// of 0.145 with invitations, where the oracle has 0.848, and of 0.072 with half of the work in waits.
 func TestProductPolicy_FollowsOracleOnOtherDeployments(t *testing.T) {
 	const margin = 0.06
 	invitations, err := Load("../../../example/experiments/invitations.toml")
@@ -46,7 +46,7 @@
 			}
 			for _, pace := range []float64{0.25, 0.5, 2, 4} {
 				if got := mean(scenario.TimeScaled(pace), PolicyProduct); got < own-margin {
-					t.Errorf("on a clock of %v: G %.3f, on its own %.3f", pace, got, own)
+					t.Errorf("times scaled by %v: G %.3f, unscaled %.3f", pace, got, own)
 				}
 			}
 			changed := map[string]model.Scenario{"half of the work waits": scenario.WithDownstreamWait(0.5),
--- a/internal/fleetsim/experiment/run.go
+++ b/internal/fleetsim/experiment/run.go
@@ -31,16 +31,16 @@
 	return runs, nil
 }
 
-// Count is how many runs the experiment has.
+// Count returns the number of runs of the experiment.
 func (e *Experiment) Count() int {
-	runs, _ := e.plannedRuns() // Load has validated it
+	runs, _ := e.plannedRuns() // Parse has already validated the points
 	return len(runs)
 }
 
-// Run makes all runs of the experiment, as many at a time as there are workers, and hands each result to onResult in
-// the experiment's order, whichever ended first. A run that fails is a result with an Error. Run itself fails only if
-// onResult does, or ctx ends; its workers have ended when it returns. After an error of onResult the remaining runs
-// are still made.
+// Run executes all runs of the experiment on that many workers and passes each result to onResult in the experiment's
+// order, regardless of which run ended first. A failed run gives a result with an Error. Run returns an error only if
+// the points are invalid, onResult fails or ctx ends. All workers have ended when Run returns. After an error of
+// onResult the remaining runs are still executed before Run returns.
 func (e *Experiment) Run(ctx context.Context, workers int, onResult func(*Result) error) error {
 	runs, err := e.plannedRuns()
 	if err != nil {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// execute makes one run.
+// execute simulates one run and returns its result.
 func (e *Experiment) execute(run *plannedRun) *Result {
 	r := &Result{Format: formatVersion, Experiment: e.Name, Title: e.Title, Text: e.Text, Policy: run.policy,
 		Seed: run.seed, Point: run.point.Axes, Axes: e.axes(), Replay: e.replayCommand(run), Scenario: run.point.Scenario}
@@ -105,7 +105,8 @@
 	return axes
 }
 
-// replayCommand is the command that repeats a run. It is part of results files, so it keeps the command's earlier name.
+// replayCommand returns the command that repeats a run. It is stored in results files, so it still has the command's
+// earlier name, "lab".
 func (e *Experiment) replayCommand(run *plannedRun) string {
 	words := []string{"pumiceline lab replay", e.File, "--policy=" + run.policy, fmt.Sprintf("--seed=%d", run.seed)}
 	for _, s := range slices.Concat(e.Overrides, run.point.Settings) {
--- a/internal/fleetsim/experiment/setting.go
+++ b/internal/fleetsim/experiment/setting.go
@@ -11,20 +11,21 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// scenarioPrefix begins the keys that can be varied.
+// scenarioPrefix is the prefix of the keys that can be varied.
 const scenarioPrefix = "world."
 
-// Setting is a key of the scenario, as files write it ("world.kinds.0.cores"), and its value as TOML or JSON decode it.
+// Setting is a key of the scenario as written in files ("world.kinds.0.cores"), and its value as decoded from TOML or
+// JSON.
 type Setting struct {
 	Key   string `json:"key"`
 	Value any    `json:"value"`
 }
 
-// String is "key=value".
+// String returns "key=value".
 func (s Setting) String() string { return fmt.Sprintf("%s=%v", s.Key, s.Value) }
 
-// ParseSetting reads "world.servers=50" as a command line gives it. The value is TOML; text
-// that is not valid TOML is a string.
+// ParseSetting parses an argument of the command line such as "world.servers=50". The value is TOML; text that is not
+// valid TOML is taken as a string.
 func ParseSetting(text string) (Setting, error) {
 	key, value, ok := strings.Cut(text, "=")
 	if !ok {
@@ -39,7 +40,7 @@
 	return Setting{strings.TrimSpace(key), doc.V}, nil
 }
 
-// Apply changes the setting's key in a scenario. An error names the key.
+// Apply sets the setting's key in a scenario to its value. Errors include the key.
 func (s Setting) Apply(scenario *model.Scenario) error {
 	path, ok := strings.CutPrefix(s.Key, scenarioPrefix)
 	if !ok {
@@ -52,7 +53,7 @@
 	return s.assign(field)
 }
 
-// resolve finds the field of a key, by the names that files use; list elements by their index.
+// resolve returns the scenario's field for a dotted key. Each part of the key is a TOML key, or an index in a list.
 func resolve(scenario *model.Scenario, path string) (reflect.Value, error) {
 	v := reflect.ValueOf(scenario).Elem()
 	for _, part := range strings.Split(path, ".") {
@@ -76,7 +77,7 @@
 	return v, nil
 }
 
-// fieldByTag is the field of a struct with that TOML key; an invalid value: there is none.
+// fieldByTag returns the field of a struct with that TOML key, or the invalid Value if there is none.
 func fieldByTag(v reflect.Value, key string) reflect.Value {
 	for i := range v.NumField() {
 		if tag, _, _ := strings.Cut(v.Type().Field(i).Tag.Get("toml"), ","); tag == key {
@@ -86,9 +87,10 @@
 	return reflect.Value{}
 }
 
-// assign gives a field the setting's value, converted where nothing is lost.
+// assign sets a field to the setting's value. It converts an integer to a float, and a float
+// with an integral value to an integer.
 func (s Setting) assign(field reflect.Value) error {
-	if list, ok := s.Value.([]any); ok && len(list) == 0 && field.Kind() == reflect.Slice { // world.trouble=[]: none of them
+	if list, ok := s.Value.([]any); ok && len(list) == 0 && field.Kind() == reflect.Slice { // clears it, as in world.trouble=[]
 		field.SetZero()
 		return nil
 	}
@@ -111,7 +113,7 @@
 		case field.CanFloat():
 			field.SetFloat(x)
 			return nil
-		case field.CanInt() && x == float64(int64(x)): // JSON has one kind of number
+		case field.CanInt() && x == float64(int64(x)): // JSON decodes all numbers as float64
 			field.SetInt(int64(x))
 			return nil
 		}
--- a/internal/fleetsim/experiment/simulate.go
+++ b/internal/fleetsim/experiment/simulate.go
@@ -10,8 +10,8 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// Simulate runs the result's scenario with its policy and seed, and sets Stats, Report and Error. The trace, if not nil,
-// observes each record too.
+// Simulate runs the result's scenario with its policy and seed, and sets Stats, Report and Error. The trace, if not
+// nil, also observes each record.
 func (r *Result) Simulate(trace model.Observer) {
 	outcome := Simulate(&r.Scenario, r.Policy, r.Seed, trace)
 	r.Stats, r.Report, r.Error = outcome.Stats, outcome.Report, ""
@@ -20,18 +20,18 @@
 	}
 }
 
-// Outcome is what came out of one run.
+// Outcome is the outcome of one run.
 type Outcome struct {
 	Stats  model.Stats
-	Report *checker.Report // nil: the run ended early
-	Err    error           // why it did
+	Report *checker.Report // nil if the run ended early
+	Err    error           // why the run ended early
 }
 
-// ErrUnknownPolicy is returned for a policy that Policies does not have.
+// ErrUnknownPolicy is wrapped by the error for a policy name that Policies does not have.
 var ErrUnknownPolicy = errors.New("there is no policy")
 
-// Simulate runs a scenario once under a checker. The trace, if not nil, observes each record too. A panic of a policy
-// ends its run with an error and leaves other runs alone.
+// Simulate runs a scenario once under a checker. The trace, if not nil, also observes each record. A panic of a
+// policy becomes the error of this run, so that the other runs of an experiment continue.
 func Simulate(scenario *model.Scenario, policyName string, seed uint64, trace model.Observer) (outcome Outcome) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -55,8 +55,8 @@
 	return outcome
 }
 
-// panicSite is the first function of this project below a panic. It names no addresses, which would differ from run to
-// run.
+// panicSite returns the name of the first function of this project below the panic in a stack trace. It leaves out
+// addresses, which would differ from run to run.
 func panicSite(stack []byte) string {
 	lines := strings.Split(string(stack), "\n")
 	for i, line := range lines {
--- a/internal/fleetsim/experiment/stored_scenario_test.go
+++ b/internal/fleetsim/experiment/stored_scenario_test.go
@@ -2,8 +2,8 @@
 
 import "pumiceline/internal/fleetsim/model"
 
-// scenarioSample is the scenario of testdata/experiment.toml and of testdata/results.jsonl: every key, none with its
-// zero value.
+// scenarioSample returns the scenario of testdata/experiment.toml and testdata/results.jsonl. It sets every key to a
+// value other than its zero value.
 func scenarioSample() model.Scenario {
 	return model.Scenario{
 		Duration: 45_001_000, Tick: 5001,
@@ -81,7 +81,7 @@
 	}
 }
 
-// faultSample is a fault of the sample; all of them have the same values but for kind and times.
+// faultSample returns a fault of the sample. The faults differ only in kind and times.
 func faultSample(kind model.FaultKind, start, duration model.Span) model.Fault {
 	return model.Fault{Kind: kind, Start: start, Duration: duration, AffectedShare: 0.25, Magnitude: 0.5,
 		Interval: 300_000, From: "zone:1", To: "proxy:2", NewIDs: true}
--- a/internal/fleetsim/experiment/stored_test.go
+++ b/internal/fleetsim/experiment/stored_test.go
@@ -12,7 +12,8 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// requireNoZeroFields fails for each field of a sample with its zero value: the test would not show that its key is read.
+// requireNoZeroFields fails for each field of a sample that has its zero value, because the test could not tell whether
+// the field's key is read.
 func requireNoZeroFields(t *testing.T, path string, v reflect.Value) {
 	t.Helper()
 	switch v.Kind() {
@@ -40,8 +41,7 @@
 	}
 }
 
-// An experiment that a user stored for an earlier version is read: every key, each kind of fault, and each policy by
-// its name.
+// An experiment file of an earlier version can still be read, with every key, kind of fault and policy name.
 func TestParse_ReadsStoredExperiment(t *testing.T) {
 	got, err := Load("testdata/experiment.toml")
 	if err != nil {
@@ -81,7 +81,7 @@
 			t.Errorf("the sample has no policy %s", policy)
 		}
 	}
-	points, err := got.Points() // the swept keys are found by the names in the file
+	points, err := got.Points() // swept keys are the names in the file
 	if err != nil || len(points) != 2 {
 		t.Fatalf("%d points, %v", len(points), err)
 	}
@@ -92,7 +92,8 @@
 	}
 }
 
-// resultSample is the first line of testdata/results.jsonl: every key, none with its zero value.
+// resultSample returns the first line of testdata/results.jsonl. It sets every key to a value other than its zero
+// value.
 func resultSample() *Result {
 	violation := func(rule checker.Rule) checker.Violation {
 		return checker.Violation{Rule: rule, At: 1_500_000, Proxy: 2, Server: 7, ID: 99, Cause: "sent after its end"}
@@ -125,8 +126,8 @@
 	return r
 }
 
-// Results that an earlier version stored are read, every field from its key, and written with the same bytes: the
-// replay command compares them so.
+// Results that an earlier version stored can still be read, with every key, and are written back with the same bytes:
+// the replay command compares results byte by byte.
 func TestReadResults_ReadsStoredResults(t *testing.T) {
 	stored, err := os.ReadFile("testdata/results.jsonl")
 	if err != nil {
@@ -147,7 +148,8 @@
 	}
 }
 
-// A trace is written under the keys of an earlier version, one line for each kind of record with its name.
+// A trace has the keys and the record kinds' names of an earlier version. The sample has one line for each kind of
+// record.
 func TestTracer_WritesStoredFormat(t *testing.T) {
 	stored, err := os.ReadFile("testdata/trace.jsonl")
 	if err != nil {
@@ -170,7 +172,7 @@
 	}
 }
 
-// A value on the command line is read as in the file.
+// A value on the command line is parsed as in an experiment file.
 func TestParseSetting(t *testing.T) {
 	for text, want := range map[string]Setting{
 		"world.servers=50":       {Key: "world.servers", Value: int64(50)},
--- a/internal/fleetsim/experiment/trace.go
+++ b/internal/fleetsim/experiment/trace.go
@@ -7,11 +7,11 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// Tracer is an observer that writes records as JSON lines: the time in seconds, the kind's name, and the record. An error
-// of Out ends the trace and not the run, whose result must not depend on it.
+// Tracer is an observer that writes records as JSON lines: the time in seconds, the kind's name, and the record. After
+// an error of Out it writes nothing more, but the run continues, because a run's result must not depend on its trace.
 type Tracer struct {
 	Out       io.Writer
-	RequestID uint64 // if not 0, only records of this request at its proxy are written
+	RequestID uint64 // if not 0, only records with this ID, a request's at its proxy, are written
 	err       error
 }
 
@@ -34,7 +34,7 @@
 	t.err = err
 }
 
-// teeObserver shows records to several observers.
+// teeObserver passes each record to several observers, in their order.
 type teeObserver []model.Observer
 
 // Observe implements model.Observer.
--- a/internal/fleetsim/experiment/validate.go
+++ b/internal/fleetsim/experiment/validate.go
@@ -12,10 +12,11 @@
 	"pumiceline/internal/tomlfile"
 )
 
-// maxRuns is how many runs an experiment may have: more is a slip, and would not end.
+// maxRuns is the highest number of runs of an experiment. More are likely a mistake in the file, and would take too
+// long to finish.
 const maxRuns = 20_000
 
-// errorAt is an error at a key of the file.
+// errorAt returns an error for a key of the file, with its line.
 func (e *Experiment) errorAt(key, why string, args ...any) error {
 	return &tomlfile.Error{File: e.File, Line: e.keys.Line(key), Key: key, Reason: fmt.Sprintf(why, args...)}
 }
@@ -29,7 +30,7 @@
 	return nil
 }
 
-// validateUnits rejects times without a unit, which would be taken for microseconds.
+// validateUnits rejects times without a unit, which would be read as microseconds.
 func (e *Experiment) validateUnits() error {
 	for _, key := range e.keys.BareNumbers {
 		path, isOfScenario := strings.CutPrefix(key, scenarioPrefix)
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// validatePoints validates the scenario of every point. A swept value's error is at its sweep.
+// validatePoints validates the scenario of every point. An error in a swept value is reported at the sweep's values.
 func (e *Experiment) validatePoints() error {
 	points, err := e.Points()
 	if err != nil {
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// sweptKey is the key of the sweep that varies a key.
+// sweptKey returns the path of the values of the sweep that varies a key, or the key itself if no sweep does.
 func (e *Experiment) sweptKey(key string) string {
 	for i, s := range e.Sweeps {
 		if _, with := s.With[key]; with || s.Key == key {
