--- a/internal/fleetsim/checker/attempts.go
+++ b/internal/fleetsim/checker/attempts.go
@@ -7,7 +7,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// proxyRequest is a request that a proxy has.
+// proxyRequest is a request at a proxy, with its attempts.
 type proxyRequest struct {
 	proxy         int32
 	class         uint8
@@ -17,7 +17,7 @@
 	attempts      []attempt
 }
 
-// attempt is one that was sent for a proxy's request.
+// attempt is an attempt that a proxy sent to a server for one of its requests.
 type attempt struct {
 	zone     uint8 // of the server
 	cell     uint16
@@ -45,8 +45,8 @@
 	return &proxyRequest{}
 }
 
-// releaseIfDone forgets a request that is answered and has nothing in flight. An attempt that is sent for it later is a
-// violation, as it finds no open request.
+// releaseIfDone removes a request that has its final response and no attempt in flight. An attempt that is sent for it
+// later is still reported as a violation, because observeAttemptSent finds no open request.
 func (c *Checker) releaseIfDone(id uint64, r *proxyRequest) {
 	if r.responded && r.inFlight == 0 {
 		delete(c.open, id)
@@ -54,7 +54,7 @@
 	}
 }
 
-// observeAttemptSent checks an attempt by the first three rules.
+// observeAttemptSent checks an attempt against the first three rules.
 func (c *Checker) observeAttemptSent(rec *model.Record) {
 	if rec.CrossesZones() {
 		c.crossZoneAttempts++
@@ -93,7 +93,7 @@
 	}
 }
 
-// isSameDedupScope says whether the server of an attempt drops a repeat of the earlier one.
+// isSameDedupScope says whether the server of the new attempt would recognize it as a repeat of the earlier attempt.
 func isSameDedupScope(scope policy.DedupScope, earlier *attempt, rec *model.Record) bool {
 	switch scope {
 	case policy.DedupPerZone:
@@ -104,7 +104,8 @@
 	return true
 }
 
-// checkDrainRule checks an attempt by what its proxy was notified of the server, or should have been.
+// checkDrainRule checks that the attempt's server has not been draining or gone for longer than DrainGrace, according
+// to what the proxy was notified of, or would have been notified of if it had called discovery in time.
 func (c *Checker) checkDrainRule(rec *model.Record) {
 	p := &c.proxies[rec.Proxy]
 	grace := Time(c.scenario.Published.DrainGrace)
@@ -140,7 +141,7 @@
 func (c *Checker) observeResponse(rec *model.Record) {
 	r := c.open[rec.ID]
 	if r == nil || r.responded {
-		return // the simulator lets only the first one through
+		return // the simulator delivers only the first response
 	}
 	r.responded = true
 	switch rec.Outcome {
@@ -155,12 +156,12 @@
 	c.releaseIfDone(rec.ID, r)
 }
 
-// checkRejection checks a rejection, which says to clients that a retry does no harm.
+// checkRejection checks that the class allows a rejection, which tells clients that a retry is safe.
 func (c *Checker) checkRejection(rec *model.Record, r *proxyRequest) {
 	class := &c.classes[r.class]
-	isHarmless := class.Semantics == policy.Idempotent ||
+	isRetrySafe := class.Semantics == policy.Idempotent ||
 		class.Semantics == policy.Deduplicated && class.DedupScope == policy.DedupEverywhere
-	if isHarmless {
+	if isRetrySafe {
 		return
 	}
 	for i := range r.attempts {
@@ -179,7 +180,7 @@
 	}
 }
 
-// observeEffectRepeated records whose retry it was that had its effect again.
+// observeEffectRepeated counts a repeated effect and records whether the proxy or the client sent the repeat.
 func (c *Checker) observeEffectRepeated(rec *model.Record) {
 	c.report.RepeatedEffects++
 	if len(c.report.RepeatedEffectCauses) >= maxViolationsKept {
--- a/internal/fleetsim/checker/attempts_test.go
+++ b/internal/fleetsim/checker/attempts_test.go
@@ -8,7 +8,7 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-func TestAnswerRule_AtAndAfterTheLimit(t *testing.T) {
+func TestResponseRule_AtAndAfterTheLimit(t *testing.T) {
 	for _, late := range []model.Time{0, 1} {
 		sc := exactScenario("safe", "all")
 		var due model.Time
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestAnswerRule_AttemptAfterFinalAnswer(t *testing.T) {
+func TestResponseRule_AttemptAfterFinalResponse(t *testing.T) {
 	var server uint32
 	var when model.Time
 	rep := simulate(t, exactScenario("safe", "all"), firstRequestOnly(func(s *scripted, ev *policy.Event) {
@@ -44,8 +44,8 @@
 	requireViolation(t, rep, checker.RuleResponseInTime, when, "after its final answer")
 }
 
-// TestRetryRule_RetryOfAttemptThatMayHaveRun lets a first attempt time out, so that it may have run, and sends a second
-// one.
+// The first attempt times out, so it may have been executed. A second attempt violates the rule unless the class's
+// semantics, dedup scope and dedup window allow it.
 func TestRetryRule_RetryOfAttemptThatMayHaveRun(t *testing.T) {
 	for _, c := range []struct {
 		name             string
@@ -94,7 +94,7 @@
 func TestRetryRule_Rejection(t *testing.T) {
 	for _, c := range []struct {
 		name, semantics, scope string
-		proves                 bool // the first attempt cannot have run
+		neverRan               bool // the first attempt cannot have run
 		rule                   checker.Rule
 	}{
 		{"safe", "safe", "", false, 0},
@@ -106,7 +106,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sc := exactScenario(c.semantics, c.scope)
-			if c.proves {
+			if c.neverRan {
 				sc.Faults = []model.Fault{{Kind: model.FaultPartition, Duration: 60 * sec, From: "proxies", To: "servers"}}
 			} else {
 				sc.Faults = []model.Fault{{Kind: model.FaultHang, Duration: 60 * sec, AffectedShare: 1}}
--- a/internal/fleetsim/checker/checker.go
+++ b/internal/fleetsim/checker/checker.go
@@ -1,5 +1,6 @@
-// Package checker evaluates a run of the simulator from its records alone, not from what a policy reports of itself:
-// whether the four rules were kept, each violation with its time, request and cause, and the service that clients got.
+// Package checker evaluates a run of the simulator from its records alone, and not from what a policy reports about
+// itself. It lists violations of the four rules with time, request and cause, and computes the service that clients
+// got.
 package checker
 
 import (
@@ -16,7 +17,7 @@
 
 const (
 	microsPerSecond = 1_000_000
-	// Latencies are recorded from a microsecond to a minute, with three digits.
+	// Latencies are recorded from a microsecond to a minute, with three significant digits.
 	maxLatency    = 60 * microsPerSecond
 	latencyDigits = 3
 )
@@ -30,22 +31,22 @@
 	meanWork float64 // of a request, in microseconds on a standard core
 	report   Report
 
-	open               map[uint64]*proxyRequest // by id
+	open               map[uint64]*proxyRequest // by ID at the proxy
 	freeRequests       []*proxyRequest
-	clientRequests     map[uint64]*clientRequest // by number
+	clientRequests     map[uint64]*clientRequest // by request number
 	freeClientRequests []*clientRequest
 
 	proxies       []proxyState
-	goneSince     map[uint32]Time // since when discovery has known that a server drains or is gone
-	listedStart   map[uint32]Time // the latest start of a server that discovery knows
-	startListedAt map[uint32]Time // since when it has
+	goneSince     map[uint32]Time // when discovery listed a server as draining or gone
+	listedStart   map[uint32]Time // a server's latest start that discovery has listed
+	startListedAt map[uint32]Time // when discovery listed that start
 	coldServers   map[uint32]*coldServer
 
 	quotaTokens   []float64 // by tenant
 	quotaTokensAt Time
-	quota         []float64 // by tenant, in requests a microsecond
+	quota         []float64 // by tenant, in requests per microsecond
 
-	// Sums for the report. Values are by the time at which the client's request started.
+	// Sums for the report. Values count in the second in which the client's request started.
 	valueOffered  []float64 // by second
 	valueServed   []float64
 	valueByClass  []valueSum
@@ -74,7 +75,7 @@
 	v.served += served
 }
 
-// New makes the checker of one run of the scenario.
+// New returns a checker for one run of the scenario.
 func New(scenario *model.Scenario) *Checker {
 	c := &Checker{scenario: scenario, classes: scenario.PolicyClasses(), meanWork: scenario.MeanWork(),
 		open:           map[uint64]*proxyRequest{},
@@ -95,7 +96,7 @@
 	return hdrhistogram.New(1, maxLatency, latencyDigits)
 }
 
-// Observe takes one record of the run.
+// Observe processes one record of the run.
 func (c *Checker) Observe(rec *model.Record) {
 	switch rec.Kind {
 	case model.SimulationStarted:
@@ -134,7 +135,7 @@
 	}
 }
 
-// observeStart sets the tenants' quotas, which are parts of the fleet's capacity.
+// observeStart sets the tenants' quotas, which are shares of the fleet's capacity.
 func (c *Checker) observeStart(rec *model.Record) {
 	for i, t := range c.scenario.Tenants {
 		c.quota = append(c.quota, t.QuotaShare*rec.Capacity*model.QuotaOfCapacity/microsPerSecond)
@@ -142,7 +143,7 @@
 	}
 }
 
-// observeCost sums up what the run cost beside the service.
+// observeCost adds up the costs that are priced in the report, and records the servers' load.
 func (c *Checker) observeCost(rec *model.Record) {
 	switch rec.Kind {
 	case model.ConnectionOpened:
@@ -170,7 +171,7 @@
 	LoadBandMax
 )
 
-// loadQuantiles are the quantiles of the servers' load that the report has for each second.
+// loadQuantiles are the quantiles of the servers' load in each entry of Report.LoadBands.
 var loadQuantiles = [...]float64{LoadBand5: 0.05, LoadBand25: 0.25, LoadBandMedian: 0.5, LoadBand75: 0.75, LoadBand95: 0.95,
 	LoadBandMax: 1}
 
--- a/internal/fleetsim/checker/coldservers.go
+++ b/internal/fleetsim/checker/coldservers.go
@@ -4,15 +4,15 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// notifiedShare: a crash of a cold server violates the rule if at least this share of its work came from proxies that knew
-// of its start.
+// notifiedShare is the share of a crashed cold server's work from which on the crash violates the rule, if that work
+// came from proxies that were notified of its start or should have been.
 const notifiedShare = 2.0 / 3
 
-// coldServer is a server that has started lately, with the work that came within the overload window.
+// coldServer is a recently started server, with the work that arrived within the overload window.
 type coldServer struct {
 	startedAt   Time
 	arrivals    []coldArrival
-	head        int // of arrivals: those before it are past the window
+	head        int // index of the first arrival within the window
 	work        float64
 	isOverBound bool
 }
@@ -24,7 +24,7 @@
 	proxy int32
 }
 
-// add takes an arrival and drops those that are past the window.
+// add adds an arrival and drops the arrivals that are past the window.
 func (s *coldServer) add(arrival coldArrival, window Time) {
 	for s.head < len(s.arrivals) && s.arrivals[s.head].at <= arrival.at-window {
 		s.work -= s.arrivals[s.head].work
@@ -38,7 +38,8 @@
 	s.work += arrival.work
 }
 
-// observeColdArrival adds an arrival to the work that a cold server got from all proxies.
+// observeColdArrival adds an arrival to a cold server's work from all proxies, and checks the work against the server's
+// bound.
 func (c *Checker) observeColdArrival(rec *model.Record) {
 	s := c.coldServers[rec.Server]
 	if s == nil {
@@ -56,25 +57,25 @@
 	s.isOverBound = isOverBound
 }
 
-// checkColdRule finds which proxies crashed a cold server: the rule is violated if most of the work came from proxies that
-// knew of its start or should have.
+// checkColdRule checks the crash of a cold server. The crash violates the rule if at least notifiedShare of the work
+// came from proxies that were notified of the server's start or should have been.
 func (c *Checker) checkColdRule(rec *model.Record) {
 	c.report.ColdOverloads++
 	s := c.coldServers[rec.Server]
 	if s == nil {
 		return
 	}
-	total, notified := 0.0, 0.0 // work, in microseconds on a standard core
-	var lastNotified int32      // proxy
+	total, notified := 0.0, 0.0 // work in microseconds on a standard core
+	var lastNotified int32      // the proxy of the last arrival that counts as notified
 	for _, arrival := range s.arrivals[s.head:] {
 		total += arrival.work
-		if c.knowsStart(arrival.proxy, rec, s.startedAt) {
+		if c.countsAsNotified(arrival.proxy, rec, s.startedAt) {
 			notified += arrival.work
 			lastNotified = arrival.proxy
 		}
 	}
 	if total > 0 && notified >= notifiedShare*total {
-		rec.Proxy = lastNotified // for the violation, and for observers that get the record after the checker
+		rec.Proxy = lastNotified // also seen by observers that get the record after the checker
 		c.addViolation(rec, RuleColdServers,
 			"cold server %d fell over, %.1f s after its start, under %.2f s of work within %.2f s, "+
 				"%.0f%% of it from proxies that knew",
@@ -84,10 +85,11 @@
 	delete(c.coldServers, rec.Server)
 }
 
-// knowsStart says whether a proxy was notified of the server's start, or should have been.
-func (c *Checker) knowsStart(proxy int32, rec *model.Record, started Time) bool {
+// countsAsNotified says whether a proxy was notified of the server's start, or would have been if it had called
+// discovery in time.
+func (c *Checker) countsAsNotified(proxy int32, rec *model.Record, started Time) bool {
 	p := &c.proxies[proxy]
-	if p.knownStart[rec.Server] >= started {
+	if p.notifiedStart[rec.Server] >= started {
 		return true
 	}
 	age := c.assumedListAge(p, rec.At)
--- a/internal/fleetsim/checker/coldservers_test.go
+++ b/internal/fleetsim/checker/coldservers_test.go
@@ -8,15 +8,15 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// TestColdServerRule sends a cold server of half a core 15 requests of 100 ms within a second, which is three times its
-// capacity, and then one more; and the same from a proxy that was not notified of its start.
+// A cold server of half a core gets 15 requests of 100 ms within a second, which is three times its capacity. One
+// request more crashes it, which violates the rule only if the proxy was notified of the server's start.
 func TestColdServerRule(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		sends    int
 		notified bool
 		rule     checker.Rule
-		fallen   int
+		crashes  int
 	}{
 		{"three times its capacity", 15, true, 0, 0},
 		{"one request more", 16, true, checker.RuleColdServers, 1},
@@ -24,7 +24,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sc := exactScenario("safe", "all")
-			sc.Load = 1 // ten requests a second for each server
+			sc.Load = 1 // ten requests per second for each server
 			sc.Faults = []model.Fault{{Kind: model.FaultRestart, Start: 1 * sec, Duration: 1 * sec, AffectedShare: 0.25,
 				Interval: 500 * ms}}
 			if !c.notified {
@@ -50,7 +50,7 @@
 						list = append(list, m.Server)
 					}
 					s.at(5*sec, func() {
-						if !c.notified { // its connection refused the request that came while it was down
+						if !c.notified { // no notification has named the server
 							server = list[affectedByRestart(t, sc, list)]
 						}
 						when = s.now
@@ -69,20 +69,20 @@
 					}
 				}
 			})
-			if rep.ColdOverloads != c.fallen {
-				t.Errorf("%d servers fell over, want %d; peak %v", rep.ColdOverloads, c.fallen, rep.PeakColdLoad)
+			if rep.ColdOverloads != c.crashes {
+				t.Errorf("%d cold servers crashed, want %d; peak load %v", rep.ColdOverloads, c.crashes, rep.PeakColdLoad)
 			}
 			requireViolation(t, rep, c.rule, 0, "fell over")
 			if c.rule != 0 && len(rep.Violations) == 1 &&
 				(rep.Violations[0].At < when || rep.Violations[0].At > when+50*ms) {
-				t.Errorf("caught at %d, pushed over from %d", rep.Violations[0].At, when)
+				t.Errorf("violation at %d, want it within 50 ms of the attempts at %d", rep.Violations[0].At, when)
 			}
 		})
 	}
 }
 
-// affectedByRestart finds the index of the server that the scenario's restart affects, by what a subscribed proxy is
-// notified of.
+// affectedByRestart returns the index in list of the server that the scenario's restart affects. It finds the server in
+// a run whose proxy subscribes and is notified of the restart.
 func affectedByRestart(t *testing.T, sc model.Scenario, list []uint32) int {
 	t.Helper()
 	sc.Discovery.StartDelay = 1 * sec
--- a/internal/fleetsim/checker/discovery.go
+++ b/internal/fleetsim/checker/discovery.go
@@ -5,18 +5,18 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// proxyState is what one proxy has been notified of since its start.
+// proxyState is a proxy's contact with discovery since its start, and what it has been notified of.
 type proxyState struct {
 	startedAt      Time
 	goneSince      map[uint32]Time // when it was notified that a server drains or is gone
-	knownStart     map[uint32]Time // the latest start of a server that it was notified of
+	notifiedStart  map[uint32]Time // a server's latest start that the proxy was notified of
 	watching       bool
 	hasWatched     bool // since its start
 	lastContact    Time // with discovery: a call, or the end of a watch
 	lastCallFailed bool
 }
 
-// observeDiscovery takes what discovery knows and what it notifies proxies of.
+// observeDiscovery processes the updates of discovery's list, and the calls, watches and notifications of proxies.
 func (c *Checker) observeDiscovery(rec *model.Record) {
 	switch rec.Kind {
 	case model.DiscoveryUpdated:
@@ -47,7 +47,7 @@
 }
 
 func (c *Checker) observeProxyStarted(rec *model.Record) {
-	c.proxies[rec.Proxy] = proxyState{goneSince: map[uint32]Time{}, knownStart: map[uint32]Time{}, lastContact: rec.At,
+	c.proxies[rec.Proxy] = proxyState{goneSince: map[uint32]Time{}, notifiedStart: map[uint32]Time{}, lastContact: rec.At,
 		startedAt: rec.At}
 	c.proxyStarts++
 	c.observeMembership(rec)
@@ -55,14 +55,14 @@
 
 func (c *Checker) observeProxyStopped(rec *model.Record) {
 	for id, r := range c.open {
-		if r.proxy == rec.Proxy { // it is no violation when its clients send them again
+		if r.proxy == rec.Proxy { // its clients may send them again, which is no violation
 			delete(c.open, id)
 			c.freeRequests = append(c.freeRequests, r)
 		}
 	}
 }
 
-// observeMembership takes the list or the changes that a proxy is given.
+// observeMembership applies the full list or the changes that a proxy is notified of.
 func (c *Checker) observeMembership(rec *model.Record) {
 	p := &c.proxies[rec.Proxy]
 	for i := range rec.Members {
@@ -70,7 +70,7 @@
 		if m.Mode == policy.ModeReady {
 			delete(p.goneSince, m.Server)
 			if m.StartedAt > 0 {
-				p.knownStart[m.Server] = m.StartedAt
+				p.notifiedStart[m.Server] = m.StartedAt
 			}
 		} else if _, known := p.goneSince[m.Server]; !known {
 			p.goneSince[m.Server] = rec.At
@@ -81,7 +81,7 @@
 	}
 }
 
-// markMissingAsGone takes the servers that a full list leaves out for gone.
+// markMissingAsGone marks the servers that discovery has listed as draining or gone and a full list leaves out.
 func (c *Checker) markMissingAsGone(p *proxyState, rec *model.Record) {
 	isListed := make(map[uint32]bool, len(rec.Members))
 	for i := range rec.Members {
@@ -116,7 +116,7 @@
 func (c *Checker) observeWatchLost(rec *model.Record) {
 	p := &c.proxies[rec.Proxy]
 	if p.watching {
-		p.lastContact = rec.At // until now it was notified of everything
+		p.lastContact = rec.At // the watch has notified the proxy of all changes until now
 	}
 	p.watching, p.lastCallFailed = false, rec.CallFailed()
 	if rec.CallFailed() {
@@ -124,11 +124,13 @@
 	}
 }
 
-// failedCallFactor is how many times SubscribeWithin a proxy may take to call discovery again after a failed call.
+// failedCallFactor is the multiple of SubscribeWithin within which a proxy must call discovery again after a failed
+// call.
 const failedCallFactor = 4
 
-// assumedListAge is the age from which on a change counts as known to a proxy, since the proxy should have called discovery
-// by then; 0: it has called in time, or it has a watch.
+// assumedListAge returns the age from which on a proxy counts as notified of a change that discovery has listed,
+// because the proxy should have called discovery by then. It is 0 if the proxy has called in time or has a watch; then
+// only actual notifications count.
 func (c *Checker) assumedListAge(p *proxyState, now Time) Time {
 	age := Time(c.scenario.Published.SubscribeWithin)
 	if p.lastCallFailed {
--- a/internal/fleetsim/checker/discovery_test.go
+++ b/internal/fleetsim/checker/discovery_test.go
@@ -8,21 +8,21 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// subscription is whether a scripted proxy calls discovery.
+// subscription says whether a scripted proxy calls discovery, and with what outcome.
 type subscription int
 
 const (
 	neverSubscribes subscription = iota
-	subscribes                   // in time
+	subscribes                   // in time, successfully
 	subscribeFails
 )
 
-// TestDrainRule sends to a draining server at the end of the grace and after it, with a watch, without a call and with
-// a failed one.
+// A proxy may send to a draining server until the end of the grace, and not a microsecond later. The grace starts with
+// the notification, or, without a call or after a failed call, when the proxy should have called discovery.
 func TestDrainRule(t *testing.T) {
 	deploy := model.Fault{Kind: model.FaultDeploy, Start: 1 * sec, Duration: 1 * sec, AffectedShare: 0.25, Magnitude: 0.25,
 		Interval: 100 * sec}
-	listed := model.Time(1*sec) + 2900*ms/4 // when discovery knows
+	listed := model.Time(1*sec) + 2900*ms/4 // when discovery lists the server as draining
 	for _, c := range []struct {
 		name      string
 		subscribe subscription
@@ -59,7 +59,7 @@
 					if c.subscribe != neverSubscribes {
 						s.do(policy.Action{Kind: policy.SubscribeDiscovery})
 					}
-					if c.subscribe != subscribes { // nothing notifies the proxy; the test knows the scenario's draw
+					if c.subscribe != subscribes { // the proxy is not notified, so find the server in another run
 						span := model.Time(sc.Published.SubscribeWithin)
 						if c.subscribe == subscribeFails {
 							span *= 4
@@ -87,7 +87,7 @@
 	}
 }
 
-// drainedServer is the index in the first list of the server that the scenario's deploy drains.
+// drainedServer returns the index, in the proxy's first list, of the server that the scenario's deploy drains.
 func drainedServer(t *testing.T, sc model.Scenario) int {
 	t.Helper()
 	found := -1
--- a/internal/fleetsim/checker/report.go
+++ b/internal/fleetsim/checker/report.go
@@ -8,30 +8,30 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Report is the result of a run. All parts of service are shares of the offered value, 0 to 1. The order of the fields is
-// that of results files.
+// Report is the result of a run. All figures of service are shares of the offered value, from 0 to 1. Results files
+// have the fields in the order of this struct.
 type Report struct {
 	G             float64            `json:"g"` // service less prices
 	Overall       float64            `json:"whole"`
 	Worst10s      float64            `json:"worst_10s"`
-	Worst10sStart int                `json:"worst_at_s"` // where the worst ten seconds begin
+	Worst10sStart int                `json:"worst_at_s"` // second in which the worst ten seconds begin
 	ByClass       map[string]float64 `json:"class"`
-	ByTenant      map[string]float64 `json:"tenant"` // within their quotas
-	Prices        map[string]float64 `json:"prices"` // what is subtracted
+	ByTenant      map[string]float64 `json:"tenant"` // of requests within the tenant's quota
+	Prices        map[string]float64 `json:"prices"` // subtracted from the service
 
-	ViolationCounts      [ruleCount]int `json:"broken"`             // of each rule
-	Violations           []Violation    `json:"breaches,omitempty"` // the first of them
-	RepeatedEffects      int            `json:"twice"`              // requests that had their effect again
+	ViolationCounts      [ruleCount]int `json:"broken"`             // by rule
+	Violations           []Violation    `json:"breaches,omitempty"` // the first maxViolationsKept
+	RepeatedEffects      int            `json:"twice"`              // number of repeated effects
 	RepeatedEffectCauses []Violation    `json:"twice_causes,omitempty"`
 
 	ColdStarts        int     `json:"cold_starts"`
 	ColdOverloads     int     `json:"fallen"`     // cold servers that crashed from overload
-	ColdBoundExceeded int     `json:"overdriven"` // times that the work of all proxies went past a cold server's bound
-	PeakColdLoad      float64 `json:"cold_peak"`  // the most work that one was sent, in its capacity then
+	ColdBoundExceeded int     `json:"overdriven"` // how often the work from all proxies exceeded a cold server's bound
+	PeakColdLoad      float64 `json:"cold_peak"`  // the most work of a cold server, in its capacity then
 
 	DiscoveryCalls       int     `json:"asks"`
 	DiscoveryCallsFailed int     `json:"asks_failed"`
-	PeakDiscoveryCalls   int     `json:"asks_peak"`      // within a second
+	PeakDiscoveryCalls   int     `json:"asks_peak"`      // in the busiest second
 	ListedWithinP95      float64 `json:"listed_in_95_s"` // seconds until 95% of proxy starts had a watch; -1: never
 
 	Requests  int            `json:"calls"` // of clients, each counted once
@@ -59,8 +59,8 @@
 // HasNoViolations says whether all rules were kept.
 func (r *Report) HasNoViolations() bool { return r.ViolationCounts == [ruleCount]int{} }
 
-// serviceWeights weigh the parts of service, as the operators do: the whole run, the worst ten seconds, the worst-served
-// class, the worst-served tenant within its quota.
+// serviceWeights are the operators' weights of the parts of service: the whole run, the worst ten seconds, the
+// worst-served class, and the worst-served tenant within its quota.
 var serviceWeights = struct{ overall, worst10s, class, tenant float64 }{0.25, 0.45, 0.2, 0.1}
 
 const (
@@ -83,7 +83,7 @@
 	c.reportPrices(total.offered)
 	report.G = serviceWeights.overall*report.Overall + serviceWeights.worst10s*report.Worst10s +
 		serviceWeights.class*worstClass + serviceWeights.tenant*worstTenant
-	// In a fixed order, as the order changes the rounding.
+	// The order is fixed because it affects the rounding.
 	for _, name := range []string{"late_fail", "waste", "cross", "handshake", "peer", "probe"} {
 		report.G -= report.Prices[name]
 	}
@@ -101,8 +101,8 @@
 	return report, nil
 }
 
-// worstWindow returns the service of the worst ten seconds and where they begin, or that of the whole run if none is
-// worse.
+// worstWindow returns the service of the worst ten seconds and the second in which they begin. It returns the service
+// of the whole run and 0 if no ten seconds are worse.
 func (c *Checker) worstWindow(overall float64) (service float64, start int) {
 	service = overall
 	for i := 1; i+worstWindowSeconds <= len(c.valueOffered); i++ {
@@ -142,7 +142,7 @@
 	return worst
 }
 
-// reportLatencies encodes the latencies, in microseconds, as HdrHistogram does (V2, compressed, base 64).
+// reportLatencies encodes each class's latencies, in microseconds, in HdrHistogram's format (V2, compressed, base 64).
 func (c *Checker) reportLatencies() error {
 	c.report.Latency = map[string]string{}
 	for i, histogram := range c.latencies {
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// reportPrices sets what is subtracted from the service.
+// reportPrices sets the prices, which are subtracted from the service, and the figures that they depend on.
 func (c *Checker) reportPrices(offered float64) {
 	report, prices, requests := &c.report, &c.scenario.Prices, max(1, c.requests)
 	report.CrossZone, report.ConnectionsOpened = c.crossZoneAttempts/requests, c.connectionsOpened/requests
@@ -180,13 +180,13 @@
 		return
 	}
 	slices.Sort(c.subscribeTimes)
-	c.report.ListedWithinP95 = -1 // unless 95% had a watch: starts that never had one count as the slowest
+	c.report.ListedWithinP95 = -1 // stays -1 if fewer than 95% of the starts got a watch
 	if rank := int(math.Ceil(0.95*float64(c.proxyStarts))) - 1; rank < len(c.subscribeTimes) {
 		c.report.ListedWithinP95 = seconds(c.subscribeTimes[rank])
 	}
 }
 
-// share is how much of the offered value was served; 1 if none was offered.
+// share returns the share of the offered value that was served, or 1 if none was offered.
 func (v valueSum) share() float64 {
 	if v.offered <= 0 {
 		return 1
--- a/internal/fleetsim/checker/requests.go
+++ b/internal/fleetsim/checker/requests.go
@@ -34,8 +34,8 @@
 	return &clientRequest{}
 }
 
-// takeQuota takes a token of the tenant's quota; false: there was none. A tenant's token
-// bucket has the size of a second's quota.
+// takeQuota takes a token from the tenant's bucket and says whether there was one. The bucket holds the quota of one
+// second, and at least one token.
 func (c *Checker) takeQuota(rec *model.Record) bool {
 	if elapsed := float64(rec.At - c.quotaTokensAt); elapsed > 0 && len(c.quotaTokens) > 0 {
 		c.quotaTokensAt = rec.At
@@ -73,7 +73,7 @@
 		c.report.Unserved++
 	}
 	if isServed {
-		_ = c.latencies[r.class].RecordValue(max(1, elapsed)) // an error means over maxLatency: left out
+		_ = c.latencies[r.class].RecordValue(max(1, elapsed)) // an error means a latency over maxLatency; it is left out
 	}
 	if r.startedAt < microsPerSecond {
 		return // the first second does not count
--- a/internal/fleetsim/checker/scripted_test.go
+++ b/internal/fleetsim/checker/scripted_test.go
@@ -11,7 +11,8 @@
 
 const ms, sec = 1000, 1_000_000
 
-// scripted is a policy that a test scripts: onEvent is called for each event, functions that at was given at their times.
+// scripted is a policy that is scripted by a test. It calls onEvent for each event except timers, which call the
+// functions scheduled with the method at.
 type scripted struct {
 	onEvent   func(s *scripted, ev *policy.Event)
 	now       model.Time
@@ -40,8 +41,8 @@
 	s.do(policy.Action{Kind: policy.SendAttempt, ID: id, Server: server})
 }
 
-// exactScenario is small and exact: one proxy, no jitter, no noise, no ticks; four servers of one core in two zones, two
-// cells to a zone; one class, whose requests take 100 ms.
+// exactScenario returns a small scenario with exact times: one proxy; no jitter, noise or ticks; four servers of one
+// core in two zones with two cells each; one class, whose requests take 100 ms.
 func exactScenario(semantics, scope string) model.Scenario {
 	sc := model.DefaultScenario()
 	sc.Duration, sc.Tick, sc.Servers, sc.Proxies, sc.Zones, sc.CellSize = 8*sec, 0, 4, 1, 2, 1
@@ -73,8 +74,8 @@
 	return rep
 }
 
-// requireViolation fails unless the report has exactly one violation, of that rule, at that time (0: any), for that
-// cause; or none, if rule is 0.
+// requireViolation fails unless the report has exactly one violation, of that rule, at that time (0: any time), with a
+// cause that contains that text. If rule is 0, it fails unless the report has no violation.
 func requireViolation(t *testing.T, rep *checker.Report, rule checker.Rule, at model.Time, cause string) {
 	t.Helper()
 	switch {
@@ -90,7 +91,7 @@
 	}
 }
 
-// firstRequestOnly lets a script act on its first request alone; the others are failed at once.
+// firstRequestOnly lets a script act only on the first request. All later requests are failed at once.
 func firstRequestOnly(act func(s *scripted, ev *policy.Event)) func(s *scripted, ev *policy.Event) {
 	var id uint64
 	return func(s *scripted, ev *policy.Event) {
--- a/internal/fleetsim/checker/violation.go
+++ b/internal/fleetsim/checker/violation.go
@@ -6,19 +6,19 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// Rule is the number of a rule, as the protocol's page numbers them.
+// Rule is the number of a rule, as in the protocol's documentation.
 type Rule int
 
 // The four rules.
 const (
-	RuleResponseInTime  Rule = iota + 1 // each request gets one final response in time, and nothing is sent for it after
-	RuleRetrySemantics                  // what may have been executed is retried or rejected as its class allows
-	RuleDrainingServers                 // nothing new to a draining or gone server DrainGrace after the notification
-	RuleColdServers                     // all proxies together crash no cold server by overload
+	RuleResponseInTime  Rule = iota + 1 // one final response in time for each request, and no attempt after it
+	RuleRetrySemantics                  // retries and rejections of possibly executed requests only as allowed
+	RuleDrainingServers                 // no attempt to a draining or gone server past DrainGrace
+	RuleColdServers                     // no crash of a cold server from overload by all proxies together
 	ruleCount           = iota
 )
 
-// Violation is one violation of a rule. Server, Proxy and ID name what it is about, where it is about them.
+// Violation is one violation of a rule. Proxy, Server and ID are those of the record that showed it.
 type Violation struct {
 	Rule   Rule   `json:"rule"`
 	At     Time   `json:"at_us"`
@@ -28,15 +28,16 @@
 	Cause  string `json:"cause"`
 }
 
-// String is one line with all but the server.
+// String returns one line with all fields except the server.
 func (v Violation) String() string {
 	return fmt.Sprintf("rule %d at %.6f s, proxy %d, request %d: %s", v.Rule, seconds(v.At), v.Proxy, v.ID, v.Cause)
 }
 
-// maxViolationsKept is how many violations a report holds; all are counted.
+// maxViolationsKept is the highest number of violations that a report lists. ViolationCounts counts all of them.
 const maxViolationsKept = 50
 
-// addViolation counts a violation. The causes are part of stored results: their words stay as they are.
+// addViolation counts a violation and lists it in the report. The texts of the causes are part of stored results and
+// must not change.
 func (c *Checker) addViolation(rec *model.Record, rule Rule, format string, args ...any) {
 	c.report.ViolationCounts[rule-1]++
 	if len(c.report.Violations) < maxViolationsKept {
