--- a/internal/fleetsim/baseline/baseline.go
+++ b/internal/fleetsim/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline has the textbook policies that a policy is compared with, and one that sees the true state of the
-// servers as the upper bound. They keep the rules on responses, retries and draining servers; of cold servers they know
-// nothing.
+// Package baseline has textbook policies as baselines for comparisons, and an oracle policy as the upper bound, which
+// sees the true state of the servers. All keep the rules on responses, retries and draining servers. The textbook
+// policies do not treat cold servers differently from others, so they may violate the rule on cold servers.
 package baseline
 
 import (
@@ -13,36 +13,37 @@
 // Time is in microseconds.
 type Time = model.Time
 
-// Names of the policies, worst first.
+// Names of the policies, from worst to best.
 const (
 	PolicyRandom        = "random"      // any server
-	PolicyRoundRobin    = "round-robin" // each in turn
-	PolicyTwoChoices    = "two-choices" // of two at random the one with fewer of this proxy's attempts (Mitzenmacher, 1996)
-	PolicyLeastRequests = "least"       // the one with the fewest of this proxy's attempts
-	PolicyOracle        = "truth"       // the one that truly would be done first, by what no proxy can see
+	PolicyRoundRobin    = "round-robin" // each server in turn
+	PolicyTwoChoices    = "two-choices" // the less used of two random servers, by this proxy's attempts (Mitzenmacher, 1996)
+	PolicyLeastRequests = "least"       // the server with the fewest of this proxy's attempts in flight
+	PolicyOracle        = "truth"       // the server with the least true cost, from state that no real proxy can see
 )
 
-// Names are all policies of the package.
+// Names returns the names of all policies of the package.
 func Names() []string {
 	return []string{PolicyRandom, PolicyRoundRobin, PolicyTwoChoices, PolicyLeastRequests, PolicyOracle}
 }
 
-// picker chooses a server for a request among n.ready, which is not empty; noServer: none that it may use.
+// picker returns the index of a server in n.ready for a request, or noServer if the request may use none. n.ready must
+// not be empty.
 type picker func(n *node, r *request) int32
 
-// noServer is the index that stands for no server.
+// noServer is returned in place of an index if there is no server.
 const noServer = -1
 
-// Parts of SubscribeWithin within which a node calls discovery.
+// Divisors of SubscribeWithin: a node calls discovery within that part of it.
 const (
 	startSubscribePart = 4 // after its start
 	retrySubscribePart = 2 // after a call or a watch has failed
 )
 
-// randomStream is the number of the nodes' stream of random numbers.
+// randomStream is the PCG stream of the nodes' random numbers.
 const randomStream = 11
 
-// NewFactory returns the factory of a policy's nodes; nil: there is none of that name.
+// NewFactory returns the factory of a policy's nodes, or nil if there is no policy of that name.
 func NewFactory(name string) model.NodeFactory {
 	var pick picker
 	switch name {
@@ -77,16 +78,16 @@
 	pick     picker
 	started  bool
 	now      Time
-	actions  []policy.Action // of the present event
+	actions  []policy.Action // of the event that is being handled
 
-	servers         []server // all that were ever listed
+	servers         []server // all servers that discovery has ever listed
 	indexByID       map[uint32]int32
 	ready           []int32   // indexes of the servers that get requests
-	readyByInFlight [][]int32 // the same by their attempts in flight
-	lastTurn        int       // of round robin
+	readyByInFlight [][]int32 // the same, by number of attempts in flight
+	lastTurn        int       // position of round robin; 0 before the first request
 
 	open          map[uint64]*request
-	maxValue      float64   // of a unit of work of any class
+	maxValue      float64   // of a unit of work, over all classes
 	quotaTokens   []float64 // by tenant
 	quotaTokensAt Time
 }
@@ -106,7 +107,7 @@
 	case policy.RequestAbandoned:
 		if r := n.open[ev.ID]; r != nil {
 			r.ended = true
-			n.forgetIfDone(r)
+			n.removeIfDone(r)
 		}
 	case policy.TimerFired:
 		n.actions = append(n.actions, policy.Action{Kind: policy.SubscribeDiscovery})
@@ -119,8 +120,8 @@
 	return out
 }
 
-// scheduleSubscribe schedules a call to discovery at a random moment within the given time, so that proxies do not call
-// together.
+// scheduleSubscribe schedules a call to discovery at a random time within the given period, so that the proxies do not
+// all call at once.
 func (n *node) scheduleSubscribe(within Time) {
 	n.actions = append(n.actions, policy.Action{Kind: policy.SetTimer, After: 1 + Time(n.rng.Float64()*float64(within))})
 }
--- a/internal/fleetsim/baseline/membership.go
+++ b/internal/fleetsim/baseline/membership.go
@@ -2,15 +2,15 @@
 
 import "pumiceline/internal/standalone/policy"
 
-// server is one server as the node knows it.
+// server is the node's state of one server.
 type server struct {
 	policy.Member
 	inFlight    int   // attempts of this proxy
-	readyIndex  int32 // in node.ready; -1: it is not there
-	bucketIndex int32 // among the ready servers with as many attempts in flight
+	readyIndex  int32 // in node.ready; -1 if the server is not ready
+	bucketIndex int32 // in its list of node.readyByInFlight
 }
 
-// updateMembership takes a list or changes of discovery.
+// updateMembership applies a full list or changes from discovery.
 func (n *node) updateMembership(ev *policy.Event) {
 	if ev.Kind != policy.MembershipDelta {
 		for i := range n.servers {
@@ -51,7 +51,7 @@
 	n.ready, s.readyIndex = n.ready[:len(n.ready)-1], -1
 }
 
-// changeInFlight counts attempts that start or end at a server.
+// changeInFlight adds to a server's number of attempts in flight and moves the server to the matching bucket.
 func (n *node) changeInFlight(index int32, change int) {
 	s := &n.servers[index]
 	if s.readyIndex >= 0 {
--- a/internal/fleetsim/baseline/request.go
+++ b/internal/fleetsim/baseline/request.go
@@ -12,10 +12,10 @@
 	inFlight       int
 	ended          bool
 	value          float64 // of a unit of its work
-	attemptTimeout Time    // of the next attempt; 0: as long as the client waits
+	attemptTimeout Time    // of the next attempt; 0: until the client's deadline
 }
 
-// attempt is one that was sent.
+// attempt is an attempt that was sent for a request.
 type attempt struct {
 	server   int32 // index
 	sentAt   Time
@@ -30,7 +30,8 @@
 	n.send(r)
 }
 
-// valuePerWork is the value of a unit of a request's work: less beyond its tenant's quota.
+// valuePerWork takes a token of the tenant's quota and returns the value of a unit of the request's work, which is
+// reduced if there was no token.
 func (n *node) valuePerWork(ev *policy.Event) float64 {
 	elapsed := float64(n.now-n.quotaTokensAt) / 1e6
 	n.quotaTokensAt = n.now
@@ -48,7 +49,7 @@
 	return value
 }
 
-// send sends the next attempt, or ends the request if it may have none.
+// send sends the next attempt, or ends the request if no further attempt is allowed or no server is available.
 func (n *node) send(r *request) {
 	r.attemptTimeout = 0
 	chosen := int32(noServer)
@@ -66,7 +67,7 @@
 		After: r.attemptTimeout})
 }
 
-// mayAttempt says whether the request may have a further attempt at all.
+// mayAttempt says whether a further attempt of the request is allowed, regardless of the server.
 func (n *node) mayAttempt(r *request) bool {
 	if len(r.attempts) >= n.settings.Limits.MaxAttempts || n.now >= r.deadline || r.inFlight > 0 {
 		return false
@@ -80,7 +81,7 @@
 		case policy.NonIdempotent:
 			return false
 		case policy.Deduplicated:
-			if n.now-a.sentAt >= r.class.DedupWindow*7/8 { // the rest is for its way: it must arrive within the window
+			if n.now-a.sentAt >= r.class.DedupWindow*7/8 { // an eighth is for the network: it must arrive in the window
 				return false
 			}
 		}
@@ -88,8 +89,8 @@
 	return true
 }
 
-// maySendTo says whether the request may go to the server: not where it was before, and within the scope that
-// deduplicates it.
+// maySendTo says whether the request may go to the server: not if an earlier attempt went there, and only within the
+// dedup scope of earlier attempts that may have been executed.
 func (n *node) maySendTo(r *request, index int32) bool {
 	s := &n.servers[index]
 	for i := range r.attempts {
@@ -128,10 +129,11 @@
 	if !r.ended {
 		n.send(r)
 	}
-	n.forgetIfDone(r)
+	n.removeIfDone(r)
 }
 
-// rejectOrFail ends a request without a response of a server: rejected, if its client may safely retry it anywhere.
+// rejectOrFail ends a request without a response from a server. It rejects the request if the client may safely retry
+// it anywhere, and fails it otherwise.
 func (n *node) rejectOrFail(r *request) {
 	if r.ended || r.inFlight > 0 {
 		return
@@ -145,10 +147,10 @@
 	}
 	n.actions = append(n.actions, policy.Action{Kind: kind, ID: r.id})
 	r.ended = true
-	n.forgetIfDone(r)
+	n.removeIfDone(r)
 }
 
-func (n *node) forgetIfDone(r *request) {
+func (n *node) removeIfDone(r *request) {
 	if r.ended && r.inFlight == 0 {
 		delete(n.open, r.id)
 	}
--- a/internal/fleetsim/baseline/selection.go
+++ b/internal/fleetsim/baseline/selection.go
@@ -1,6 +1,6 @@
 package baseline
 
-// randomTries is how many servers are drawn before all are looked at in turn.
+// randomTries is how many servers are drawn at random before all are tried in turn.
 const randomTries = 8
 
 func (n *node) pickRandom(r *request) int32 {
@@ -12,12 +12,12 @@
 	return n.pickAnyPermitted(r)
 }
 
-// pickAnyPermitted returns the first server that the request may use, from a random one on.
+// pickAnyPermitted returns the first server that the request may use, starting from a random one.
 func (n *node) pickAnyPermitted(r *request) int32 {
 	return n.firstPermitted(r, n.ready, n.rng.IntN(len(n.ready)))
 }
 
-// firstPermitted returns the first of the servers that the request may use, from an index on and around.
+// firstPermitted returns the first of the servers that the request may use. It starts at an index and wraps around.
 func (n *node) firstPermitted(r *request, servers []int32, start int) int32 {
 	for i := range servers {
 		if index := servers[(start+i)%len(servers)]; n.maySendTo(r, index) {
