--- a/internal/fleetsim/plots/all.go
+++ b/internal/fleetsim/plots/all.go
@@ -7,14 +7,15 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// maxPointsDrawn is how many points of a sweep get figures of their own.
+// maxPointsDrawn is the highest number of points of a sweep that get their own figures.
 const maxPointsDrawn = 8
 
-// ErrNoReports is returned for results of which none has a report.
+// ErrNoReports is returned if none of the results has a report.
 var ErrNoReports = errors.New("plots: no run came to its end")
 
-// All draws the results: for a sweep the measures against its axis, and for each of its first points the service by
-// second and the load of the servers; where there is one point, the latencies of each class as well.
+// All draws the results. For a sweep it draws each measure against the first axis. For each of the first maxPointsDrawn
+// points it draws the service by second and the load of the servers. If there is only one point, it also draws the
+// latencies of each class.
 func All(results []*experiment.Result, measures []experiment.Measure) ([]*Figure, error) {
 	points := groupByPoint(results)
 	if len(points) == 0 {
@@ -53,7 +54,7 @@
 	byPolicy map[string][]*experiment.Result
 }
 
-// groupByPoint sorts results by point, in the order in which points and policies first come.
+// groupByPoint groups results by point and policy, both in the order in which they first occur.
 func groupByPoint(results []*experiment.Result) []*pointResults {
 	var points []*pointResults
 	byName := map[string]*pointResults{}
--- a/internal/fleetsim/plots/figure.go
+++ b/internal/fleetsim/plots/figure.go
@@ -23,7 +23,7 @@
 	height = 11 * vg.Centimeter
 )
 
-// colours are Okabe and Ito's, which readers with any colour vision can tell apart.
+// colours is the palette of Okabe and Ito, which is distinguishable with any kind of colour vision.
 var colours = []color.RGBA{{0, 114, 178, 255}, {230, 159, 0, 255}, {0, 158, 115, 255}, {213, 94, 0, 255},
 	{204, 121, 167, 255},
 	{86, 180, 233, 255}, {60, 60, 60, 255}}
@@ -31,9 +31,9 @@
 // seriesColour is the colour of the i-th line of a plot.
 func seriesColour(i int) color.RGBA { return colours[i%len(colours)] }
 
-// Figure is one drawn plot in two formats.
+// Figure is one drawn plot as SVG and PNG.
 type Figure struct {
-	Name  string // of its files, without extension
+	Name  string // name of the files without extension
 	Title string
 	SVG   []byte
 	PNG   []byte
@@ -101,7 +101,7 @@
 	return p
 }
 
-// addLine adds a line with its entry in the legend; one without points is left out.
+// addLine adds a line with its entry in the legend. A line without points is left out.
 func addLine(p *plot.Plot, label string, c color.Color, xy plotter.XYs) error {
 	if len(xy) == 0 {
 		return nil
--- a/internal/fleetsim/plots/html.go
+++ b/internal/fleetsim/plots/html.go
@@ -10,7 +10,7 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// maxProblemsListed is how many runs with violations or errors a report lists.
+// maxProblemsListed is the highest number of runs with violations or errors that a report lists.
 const maxProblemsListed = 20
 
 var reportPage = template.Must(template.New("page").Parse(`<!doctype html>
@@ -55,7 +55,8 @@
 // reportProblem is a run that violated a rule or ended early.
 type reportProblem struct{ Text, Replay string }
 
-// HTML writes one page that loads nothing: tables, figures, and the commands that repeat the runs that violated a rule.
+// HTML writes a page without external resources: tables, figures, and the replay commands of the runs that violated a
+// rule or ended early.
 func HTML(w io.Writer, results []*experiment.Result, measures []experiment.Measure, figures []*Figure) error {
 	r := report{Runs: len(results), Seeds: countSeeds(results), Problems: listProblems(results)}
 	if len(results) > 0 {
@@ -116,8 +117,8 @@
 	return e.String()
 }
 
-// inlineSVG is a figure as an element of the page, without the XML header of its file. It is safe as HTML: it was drawn
-// here, and the drawing library escapes the text.
+// inlineSVG returns a figure as an HTML element, without the XML header of the SVG file. The element is safe as HTML,
+// since this package has drawn it and the drawing library escapes texts.
 func inlineSVG(f *Figure) template.HTML {
 	svg := f.SVG
 	if i := bytes.Index(svg, []byte("<svg")); i > 0 {
--- a/internal/fleetsim/plots/latency.go
+++ b/internal/fleetsim/plots/latency.go
@@ -13,7 +13,7 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// percentileScale is an axis of percentiles on which each nine takes as much space: x stands for 1 - 10^-x.
+// percentileScale is an axis of percentiles on which each further nine takes the same space: x stands for 1 - 10^-x.
 type percentileScale struct{}
 
 // Normalize implements plot.Normalizer.
@@ -34,7 +34,8 @@
 	maxPercentileAxis = 4    // 99.99%
 )
 
-// drawLatency draws the latency of a class's served requests by percentile, over all seeds, a line for each policy.
+// drawLatency draws the latency of a class's served requests by percentile, over all seeds, with a line for each
+// policy.
 func (p *pointResults) drawLatency(class string) (*Figure, error) {
 	figure := newPlot(strings.TrimSpace(fmt.Sprintf("Time of served requests, %s %s", class, p.name)), "percentile",
 		"milliseconds")
@@ -64,7 +65,8 @@
 	return merged, nil
 }
 
-// percentileLine is in milliseconds, up to the percentile that one request lies beyond.
+// percentileLine returns the latencies by percentile, in milliseconds. It ends at the last percentile that at least one
+// request lies beyond.
 func percentileLine(latencies *hdrhistogram.Histogram) plotter.XYs {
 	var line plotter.XYs
 	for x := percentileStep; x <= maxPercentileAxis && latencies.TotalCount() > 0; x += percentileStep {
--- a/internal/fleetsim/plots/load.go
+++ b/internal/fleetsim/plots/load.go
@@ -13,13 +13,13 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// Opacity of the bands, of 255.
+// Opacity of the bands, from 0 to 255.
 const (
 	outerBandAlpha = 50
 	innerBandAlpha = 110
 )
 
-// drawLoad draws the servers' requests per core, as bands of the fleet, for one policy's first seed.
+// drawLoad draws the servers' requests per core, as quantiles over the fleet, for one policy's first seed.
 func (p *pointResults) drawLoad(policy string) (*Figure, error) {
 	r := p.byPolicy[policy][0]
 	figure := newPlot(strings.TrimSpace(fmt.Sprintf("Load of the servers, %s, seed %d %s", policy, r.Seed, p.name)),
@@ -41,7 +41,7 @@
 	return render(fileName("load", policy, p.name), figure)
 }
 
-// loadBand is one band of a result by second.
+// loadBand returns one entry of a result's LoadBands, by second.
 func loadBand(r *experiment.Result, band int) plotter.XYs {
 	line := make(plotter.XYs, len(r.Report.LoadBands))
 	for i, bands := range r.Report.LoadBands {
--- a/internal/fleetsim/plots/plots_test.go
+++ b/internal/fleetsim/plots/plots_test.go
@@ -10,8 +10,8 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// TestHTML_IsSelfContained draws a small sweep: each figure must be valid in its format, and the page must contain them
-// all and load nothing from elsewhere.
+// Each figure of a small sweep must be valid as SVG and PNG. The page must contain all of them and load no external
+// resources.
 func TestHTML_IsSelfContained(t *testing.T) {
 	e, err := experiment.Parse("x.toml", []byte(`
 title = "Two <sizes>"
--- a/internal/fleetsim/plots/scatter.go
+++ b/internal/fleetsim/plots/scatter.go
@@ -8,7 +8,7 @@
 	"gonum.org/v1/plot/vg/draw"
 )
 
-// ScatterPoint is a point of a scatter plot; points of a group have one colour.
+// ScatterPoint is a point of a scatter plot. All points of a group have the same colour.
 type ScatterPoint struct {
 	X, Y  float64
 	Group string
@@ -17,7 +17,7 @@
 // ScatterLabels are the texts of a scatter plot.
 type ScatterLabels struct{ Title, X, Y string }
 
-// Scatter draws points; name is that of the figure's files.
+// Scatter draws points. The name is that of the figure's files.
 func Scatter(name string, labels ScatterLabels, points []ScatterPoint) (*Figure, error) {
 	figure := newPlot(labels.Title, labels.X, labels.Y)
 	byGroup, groups := map[string]plotter.XYs{}, []string(nil)
--- a/internal/fleetsim/plots/service.go
+++ b/internal/fleetsim/plots/service.go
@@ -8,7 +8,7 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// drawService draws the service by second: the mean over the seeds, a line for each policy.
+// drawService draws the service by second as the mean over the seeds, with a line for each policy.
 func (p *pointResults) drawService() (*Figure, error) {
 	figure := newPlot(strings.TrimSpace("Service by second "+p.name), "second", "value served of value offered")
 	figure.Y.Min, figure.Y.Max = 0, 1
@@ -20,7 +20,8 @@
 	return render(fileName("service", p.name), figure)
 }
 
-// meanService is the mean of the results by second, without the first second and those in which no value was offered.
+// meanService returns the mean service of the results by second. It leaves out the first second, and seconds in which
+// no value was offered.
 func meanService(results []*experiment.Result) plotter.XYs {
 	var sum, count []float64
 	for _, r := range results {
--- a/internal/fleetsim/plots/sweep.go
+++ b/internal/fleetsim/plots/sweep.go
@@ -17,8 +17,8 @@
 // ErrNoSweep is returned for results that have no swept key.
 var ErrNoSweep = errors.New("plots: these results have no swept key")
 
-// Sweep draws a measure against the first axis, a line for each policy and value of the other axes, with 95% confidence
-// intervals over the seeds.
+// Sweep draws a measure against the first axis, with 95% confidence intervals over the seeds. Each policy has a line
+// for each combination of values of the other axes.
 func Sweep(results []*experiment.Result, m experiment.Measure) (*Figure, error) {
 	comparisons := experiment.Compare(results, m)
 	if len(comparisons) == 0 || len(comparisons[0].Axes) == 0 {
@@ -43,15 +43,15 @@
 	return render(fileName("sweep", m.Name), figure)
 }
 
-// sweepSeries are the lines of a sweep, in the order of the comparisons.
+// sweepSeries holds the lines of a sweep, in the order of the comparisons.
 type sweepSeries struct {
 	lines  []*sweepLine
 	byName map[string]*sweepLine
-	ticks  []plot.Tick // of values that are no numbers, in their order
-	lowest float64     // end of a confidence interval
+	ticks  []plot.Tick // of values that are not numbers, in order of occurrence
+	lowest float64     // lowest end of a confidence interval
 }
 
-// sweepLine is one policy, at one value of the axes after the first.
+// sweepLine is the line of one policy at one combination of values of the axes after the first.
 type sweepLine struct {
 	name   string
 	means  plotter.XYs
@@ -77,7 +77,8 @@
 	return s
 }
 
-// position is the place of a swept value on the axis: a number itself, others in their order.
+// position returns the position of a swept value on the axis. A number is its own position; other values are numbered
+// in order of occurrence.
 func (s *sweepSeries) position(value any) float64 {
 	switch v := value.(type) {
 	case float64:
--- a/internal/fleetsim/progress/bar.go
+++ b/internal/fleetsim/progress/bar.go
@@ -1,4 +1,4 @@
-// Package progress shows the simulator's work on a terminal: progress, tables and results of runs.
+// Package progress prints the progress of the simulator's runs, and their results in full and as tables.
 package progress
 
 import (
@@ -11,17 +11,18 @@
 	"golang.org/x/term"
 )
 
-// Bar shows how many runs are done: on a terminal as a bar with an estimate of the time left, elsewhere as plain lines.
+// Bar shows how many runs are done, with an estimate of the time left. On a terminal it is a progress bar, elsewhere it
+// prints a line per tenth of the runs.
 type Bar struct {
 	out       io.Writer
-	bar       *progressbar.ProgressBar // nil: plain lines
+	bar       *progressbar.ProgressBar // nil if out is not a terminal
 	total     int
 	done      int
 	startedAt time.Time
-	lastTenth int // that a line was written for
+	lastTenth int // last tenth of the runs for which a line was written
 }
 
-// NewBar starts the progress of total runs on out.
+// NewBar returns a Bar on out for that many runs, which start now.
 func NewBar(out *os.File, total int) *Bar {
 	b := &Bar{out: out, total: total, startedAt: time.Now()}
 	if term.IsTerminal(int(out.Fd())) {
@@ -31,11 +32,11 @@
 	return b
 }
 
-// Step counts a run that is done.
+// Step counts one completed run and updates the display.
 func (b *Bar) Step() {
 	b.done++
 	if b.bar != nil {
-		_ = b.bar.Add(1) // a bar that cannot be drawn is no reason to stop
+		_ = b.bar.Add(1) // the runs continue if the bar cannot be drawn
 		return
 	}
 	tenth := 10 * b.done / max(1, b.total)
--- a/internal/fleetsim/progress/result.go
+++ b/internal/fleetsim/progress/result.go
@@ -9,10 +9,10 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// maxViolationsShown is how many violations of a run PrintResult lists.
+// maxViolationsShown is the highest number of violations of a run that PrintResult lists.
 const maxViolationsShown = 5
 
-// PrintResult writes one result in full.
+// PrintResult writes one result with all its figures but latencies and series by second.
 func PrintResult(out io.Writer, r *experiment.Result) {
 	fmt.Fprintf(out, "%s seed %d %s\n", r.Policy, r.Seed, r.PointName())
 	if r.Error != "" {
@@ -47,7 +47,8 @@
 	return least
 }
 
-// formatPrices lists what was subtracted, in a fixed order.
+// formatPrices lists prices that were subtracted from the service, in a fixed order. It leaves out the price of load
+// polls.
 func formatPrices(prices map[string]float64) string {
 	var words []string
 	for _, name := range []string{"late_fail", "waste", "cross", "handshake", "peer"} {
--- a/internal/fleetsim/progress/tables.go
+++ b/internal/fleetsim/progress/tables.go
@@ -9,10 +9,10 @@
 	"pumiceline/internal/fleetsim/experiment"
 )
 
-// noPoint is in tables the point of an experiment without sweeps.
+// noPoint is shown in tables as the point of an experiment without sweeps.
 const noPoint = "-"
 
-// PrintTable writes one line for each point and policy: the measures with their confidence intervals.
+// PrintTable writes one line for each point and policy, with the measures and their confidence intervals.
 func PrintTable(out io.Writer, results []*experiment.Result, measures []experiment.Measure) error {
 	w := newTable(out)
 	byMeasure := make([][]experiment.Comparison, len(measures))
@@ -32,7 +32,7 @@
 	return w.Flush()
 }
 
-// PrintDifferences writes how each policy differs from the first at its point, seed by seed.
+// PrintDifferences writes each policy's mean difference from the first policy at its point, paired by seed.
 func PrintDifferences(out io.Writer, results []*experiment.Result, m experiment.Measure) error {
 	w := newTable(out)
 	fmt.Fprintf(w, "point\tpolicy\t%s\tdifference from the first policy\tresult\n", m.Name)
@@ -43,7 +43,7 @@
 	return w.Flush()
 }
 
-// describeDifference says whether a difference is shown: whether its 95% confidence interval leaves out 0.
+// describeDifference formats a difference and says whether it is significant: its 95% confidence interval excludes 0.
 func describeDifference(d experiment.Estimate) (difference, conclusion string) {
 	switch {
 	case d.N == 0:
