--- a/internal/fleetsim/withadmission/withadmission.go
+++ b/internal/fleetsim/withadmission/withadmission.go
@@ -1,5 +1,4 @@
-// Package withadmission puts admission control in front of a policy within the simulator, as the standalone proxy does with
-// real requests.
+// Package withadmission puts the standalone proxy's admission control in front of a policy in the simulator.
 package withadmission
 
 import (
@@ -8,19 +7,20 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// tickTimerID is the id of the controller's timer; the policy's own are small numbers and request ids.
+// tickTimerID is the ID of the controller's timer. The policy's own timers have small numbers and request IDs, so it
+// does not clash with them.
 const tickTimerID = 1<<64 - 1
 
 // Times in microseconds.
 const (
 	tickInterval     = 10_000  // between ticks while requests are queued
-	expectedWork     = 100_000 // of a request, until the controller has measured it
-	minMaxRetryAfter = 100_000
+	expectedWork     = 100_000 // assumed work of a request until the controller has measured it
+	minMaxRetryAfter = 100_000 // lower limit of the controller's MaxRetryAfter
 )
 
-// Options are how admission control answers.
+// Options configure the responses of admission control.
 type Options struct {
-	SendRetryAfter bool // rejections name a time to retry after
+	SendRetryAfter bool // rejections have a Retry-After time
 }
 
 // NewFactory returns a factory that puts admission control in front of each node of newNode.
@@ -39,7 +39,7 @@
 	}
 }
 
-// controllerSettings are the admission controller's for a deployment as a policy is given it.
+// controllerSettings derives the admission controller's settings from a policy's settings.
 func controllerSettings(settings policy.Settings, seed uint64) admission.Settings {
 	s := admission.Defaults()
 	s.Seed, s.OverQuotaFactor = seed, settings.OverQuotaValue
@@ -57,12 +57,12 @@
 	return s
 }
 
-// request is one that has arrived and has not ended.
+// request is a request that has arrived and has not ended.
 type request struct {
 	ticket     admission.Ticket
 	arrival    policy.Event
 	deadline   model.Time
-	isAdmitted bool // the policy has it
+	isAdmitted bool // it was forwarded to the policy
 }
 
 // node is a policy behind an admission controller.
@@ -89,7 +89,7 @@
 	case ev.Kind == policy.RequestAbandoned:
 		if r := n.requests[ev.ID]; r != nil && !r.isAdmitted {
 			n.decisions = n.controller.Cancel(now, r.ticket, n.decisions[:0])
-			n.forget(ev.ID, r)
+			n.remove(ev.ID, r)
 			return n.execute(now, out)
 		}
 		out = n.forward(now, ev, out)
@@ -112,11 +112,11 @@
 	return n.execute(now, out)
 }
 
-// forward gives the policy an event. Requests that it answers itself have ended for the controller.
+// forward passes an event to the policy. It finishes the requests that the policy rejects or fails in response.
 func (n *node) forward(now model.Time, ev *policy.Event, out []policy.Action) []policy.Action {
 	from := len(out)
 	out = n.inner.Handle(now, ev, out)
-	to := len(out) // finish appends further actions; the ends among those it handles itself
+	to := len(out) // finish appends further actions and handles the rejections and failures among them itself
 	for i := from; i < to; i++ {
 		if k := out[i].Kind; k == policy.RejectRequest || k == policy.FailRequest {
 			out = n.finish(now, out[i].ID, false, out)
@@ -125,25 +125,25 @@
 	return out
 }
 
-// finish notifies the controller of an admitted request's end, and carries out what follows.
+// finish notifies the controller of an admitted request's end, and executes the controller's decisions.
 func (n *node) finish(now model.Time, id uint64, served bool, out []policy.Action) []policy.Action {
 	r := n.requests[id]
 	if r == nil || !r.isAdmitted {
 		return out
 	}
-	n.forget(id, r)
+	n.remove(id, r)
 	n.decisions = n.controller.Finish(now, r.ticket, served, n.decisions[:0])
 	return n.execute(now, out)
 }
 
-func (n *node) forget(id uint64, r *request) {
+func (n *node) remove(id uint64, r *request) {
 	delete(n.requests, id)
 	delete(n.idByTicket, r.ticket)
 }
 
-// execute carries out the controller's decisions.
+// execute executes the decisions of the controller's last call, and schedules a tick while requests are queued.
 func (n *node) execute(now model.Time, out []policy.Action) []policy.Action {
-	decisions := append([]admission.Decision(nil), n.decisions...) // admitting a request may bring further ones
+	decisions := append([]admission.Decision(nil), n.decisions...) // copied, as forward may overwrite n.decisions
 	for _, d := range decisions {
 		id := n.idByTicket[d.Ticket]
 		r := n.requests[id]
@@ -151,7 +151,7 @@
 			continue
 		}
 		if d.Kind == admission.Reject {
-			n.forget(id, r)
+			n.remove(id, r)
 			out = append(out, policy.Action{Kind: policy.RejectRequest, ID: id, After: n.retryAfter(d)})
 			continue
 		}
--- a/internal/fleetsim/withsubset/withsubset.go
+++ b/internal/fleetsim/withsubset/withsubset.go
@@ -1,5 +1,5 @@
-// Package withsubset gives a policy only its proxy's subset of the servers, within the simulator. The subset does not grow,
-// also when servers in it fail.
+// Package withsubset limits a policy in the simulator to its proxy's subset of the servers. The subset does not grow,
+// even if servers in it fail.
 package withsubset
 
 import (
@@ -11,33 +11,34 @@
 	"pumiceline/internal/standalone/subset"
 )
 
-// minServersPerZone is how many servers of each zone a subset has at least.
+// minServersPerZone is the lowest number of servers of each zone in a subset.
 const minServersPerZone = 4
 
-// Margin of sharingProxies: a constant, and for each power of ten of the proxies.
+// The margin of sharingProxies is a constant, plus an amount for each power of ten of the number of proxies.
 const (
 	sharingMargin          = 4
 	sharingMarginPerDecade = 2
 )
 
-// node is a policy that is given a subset of the list.
+// node is a policy that gets only a subset of discovery's list.
 type node struct {
 	inner   model.Node
 	ordinal int
-	share   float64 // of each zone
+	share   float64 // share of each zone's servers in the subset
 	listed  map[uint32]policy.Member
 	members []policy.Member // of the subset
 }
 
-// NewFactory returns a factory of newNode's nodes that get a subset: that share of each zone. Policies divide the slow-start
-// budget of a cold server among the proxies of the group, so the group is set to those that may have a server in common.
+// NewFactory returns a factory that limits newNode's nodes to a subset with the given share of each zone's servers.
+// Policies divide the slow-start budget of a cold server by the group size, so the group size is set to the number of
+// proxies that may have a server in common.
 func NewFactory(newNode model.NodeFactory, share float64) model.NodeFactory {
 	return func(settings policy.Settings, seed uint64, oracle *model.Oracle) (model.Node, error) {
 		all := settings.GroupSize
 		if sharing := sharingProxies(all, share); sharing < all {
 			settings.GroupSize = sharing
 			settings.Tenants = slices.Clone(settings.Tenants)
-			for i := range settings.Tenants { // a quota is divided by the group size, but all proxies get the tenant's requests
+			for i := range settings.Tenants { // policies divide by the group size, but all proxies get the tenant's requests
 				settings.Tenants[i].QuotaPerS *= float64(sharing) / float64(all)
 			}
 		}
@@ -49,7 +50,8 @@
 	}
 }
 
-// sharingProxies is how many proxies may have a server in their subsets: the share of all, with a margin for chance.
+// sharingProxies returns how many proxies may have the same server in their subsets: the share of all proxies, plus a
+// margin for random variation.
 func sharingProxies(all int, share float64) int {
 	return int(math.Ceil(float64(all)*share)) + sharingMargin +
 		int(sharingMarginPerDecade*math.Log10(float64(max(1, all))))
