--- a/internal/fleetsim/checker/attempts.go
+++ b/internal/fleetsim/checker/attempts.go
@@ -93,7 +93,7 @@
 	}
 }
 
-// isSameDedupScope says whether the server of the new attempt would recognize it as a repeat of the earlier attempt.
+// isSameDedupScope says whether the server of the new attempt would drop it as a repeat of the earlier attempt.
 func isSameDedupScope(scope policy.DedupScope, earlier *attempt, rec *model.Record) bool {
 	switch scope {
 	case policy.DedupPerZone:
--- a/internal/fleetsim/checker/coldservers.go
+++ b/internal/fleetsim/checker/coldservers.go
@@ -4,8 +4,8 @@
 	"pumiceline/internal/fleetsim/model"
 )
 
-// notifiedShare is the share of a crashed cold server's work from which on the crash violates the rule, if that work
-// came from proxies that were notified of its start or should have been.
+// A crash of a cold server violates the rule if at least notifiedShare of the server's work came from proxies that were
+// notified of its start or should have been.
 const notifiedShare = 2.0 / 3
 
 // coldServer is a recently started server, with the work that arrived within the overload window.
@@ -75,7 +75,7 @@
 		}
 	}
 	if total > 0 && notified >= notifiedShare*total {
-		rec.Proxy = lastNotified // also seen by observers that get the record after the checker
+		rec.Proxy = lastNotified // for the violation, and for observers that get the record after the checker
 		c.addViolation(rec, RuleColdServers,
 			"cold server %d fell over, %.1f s after its start, under %.2f s of work within %.2f s, "+
 				"%.0f%% of it from proxies that knew",
--- a/internal/fleetsim/checker/discovery.go
+++ b/internal/fleetsim/checker/discovery.go
@@ -81,7 +81,8 @@
 	}
 }
 
-// markMissingAsGone marks the servers that discovery has listed as draining or gone and a full list leaves out.
+// markMissingAsGone marks servers as gone for a proxy if discovery lists them as draining or gone and the proxy's full
+// list leaves them out.
 func (c *Checker) markMissingAsGone(p *proxyState, rec *model.Record) {
 	isListed := make(map[uint32]bool, len(rec.Members))
 	for i := range rec.Members {
--- a/internal/fleetsim/checker/discovery_test.go
+++ b/internal/fleetsim/checker/discovery_test.go
@@ -32,10 +32,12 @@
 	}{
 		{"notified, at the end of the grace", subscribes, 0, 0, ""},
 		{"notified, past the grace", subscribes, 1, checker.RuleDrainingServers, "was told"},
-		{"never subscribed, at the end of the grace", neverSubscribes, 0, 0, ""},
-		{"never subscribed, past the grace", neverSubscribes, 1, checker.RuleDrainingServers, "did not ask"},
-		{"failed call, at the end of four times as long", subscribeFails, 0, 0, ""},
-		{"failed call, past four times as long", subscribeFails, 1, checker.RuleDrainingServers, "did not ask"},
+		{"never subscribed, at the end of SubscribeWithin and the grace", neverSubscribes, 0, 0, ""},
+		{"never subscribed, past SubscribeWithin and the grace", neverSubscribes, 1, checker.RuleDrainingServers,
+			"did not ask"},
+		{"failed call, at the end of four times SubscribeWithin and the grace", subscribeFails, 0, 0, ""},
+		{"failed call, past four times SubscribeWithin and the grace", subscribeFails, 1, checker.RuleDrainingServers,
+			"did not ask"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sc := exactScenario("safe", "all")
--- a/internal/fleetsim/checker/report.go
+++ b/internal/fleetsim/checker/report.go
@@ -180,7 +180,7 @@
 		return
 	}
 	slices.Sort(c.subscribeTimes)
-	c.report.ListedWithinP95 = -1 // stays -1 if fewer than 95% of the starts got a watch
+	c.report.ListedWithinP95 = -1 // unless 95% got a watch: starts that never got one count as the slowest
 	if rank := int(math.Ceil(0.95*float64(c.proxyStarts))) - 1; rank < len(c.subscribeTimes) {
 		c.report.ListedWithinP95 = seconds(c.subscribeTimes[rank])
 	}
--- a/internal/fleetsim/checker/violation.go
+++ b/internal/fleetsim/checker/violation.go
@@ -13,7 +13,7 @@
 const (
 	RuleResponseInTime  Rule = iota + 1 // one final response in time for each request, and no attempt after it
 	RuleRetrySemantics                  // retries and rejections of possibly executed requests only as allowed
-	RuleDrainingServers                 // no attempt to a draining or gone server past DrainGrace
+	RuleDrainingServers                 // no attempt to a draining or gone server later than DrainGrace after notice
 	RuleColdServers                     // no crash of a cold server from overload by all proxies together
 	ruleCount           = iota
 )
