--- a/internal/fleetsim/baseline/baseline.go
+++ b/internal/fleetsim/baseline/baseline.go
@@ -17,7 +17,7 @@
 const (
 	PolicyRandom        = "random"      // any server
 	PolicyRoundRobin    = "round-robin" // each server in turn
-	PolicyTwoChoices    = "two-choices" // the less used of two random servers, by this proxy's attempts (Mitzenmacher, 1996)
+	PolicyTwoChoices    = "two-choices" // the less used of two random ones, by this proxy's attempts (Mitzenmacher, 1996)
 	PolicyLeastRequests = "least"       // the server with the fewest of this proxy's attempts in flight
 	PolicyOracle        = "truth"       // the server with the least true cost, from state that no real proxy can see
 )
--- a/internal/fleetsim/experiment/setting.go
+++ b/internal/fleetsim/experiment/setting.go
@@ -90,7 +90,7 @@
 // assign sets a field to the setting's value. It converts an integer to a float, and a float
 // with an integral value to an integer.
 func (s Setting) assign(field reflect.Value) error {
-	if list, ok := s.Value.([]any); ok && len(list) == 0 && field.Kind() == reflect.Slice { // clears it, as in world.trouble=[]
+	if list, ok := s.Value.([]any); ok && len(list) == 0 && field.Kind() == reflect.Slice { // world.trouble=[]: clears it
 		field.SetZero()
 		return nil
 	}
