--- a/internal/fleetsim/checker/discovery_test.go
+++ b/internal/fleetsim/checker/discovery_test.go
@@ -8,21 +8,21 @@
 	"pumiceline/internal/standalone/policy"
 )
 
-// subscription is whether a scripted proxy calls discovery.
+// subscription says whether a scripted proxy calls discovery, and with what outcome.
 type subscription int
 
 const (
 	neverSubscribes subscription = iota
-	subscribes                   // in time
+	subscribes                   // in time, successfully
 	subscribeFails
 )
 
-// TestDrainRule sends to a draining server at the end of the grace and after it, with a watch, without a call and with
-// a failed one.
+// A proxy may send to a draining server until the end of the grace, and not a microsecond later. The grace starts with
+// the notification, or, without a call or after a failed call, when the proxy should have called discovery.
 func TestDrainRule(t *testing.T) {
 	deploy := model.Fault{Kind: model.FaultDeploy, Start: 1 * sec, Duration: 1 * sec, AffectedShare: 0.25, Magnitude: 0.25,
 		Interval: 100 * sec}
-	listed := model.Time(1*sec) + 2900*ms/4 // when discovery knows
+	listed := model.Time(1*sec) + 2900*ms/4 // when discovery lists the server as draining
 	for _, c := range []struct {
 		name      string
 		subscribe subscription
@@ -32,10 +32,12 @@
 	}{
 		{"notified, at the end of the grace", subscribes, 0, 0, ""},
 		{"notified, past the grace", subscribes, 1, checker.RuleDrainingServers, "was told"},
-		{"never subscribed, at the end of the grace", neverSubscribes, 0, 0, ""},
-		{"never subscribed, past the grace", neverSubscribes, 1, checker.RuleDrainingServers, "did not ask"},
-		{"failed call, at the end of four times as long", subscribeFails, 0, 0, ""},
-		{"failed call, past four times as long", subscribeFails, 1, checker.RuleDrainingServers, "did not ask"},
+		{"never subscribed, at the end of SubscribeWithin and the grace", neverSubscribes, 0, 0, ""},
+		{"never subscribed, past SubscribeWithin and the grace", neverSubscribes, 1, checker.RuleDrainingServers,
+			"did not ask"},
+		{"failed call, at the end of four times SubscribeWithin and the grace", subscribeFails, 0, 0, ""},
+		{"failed call, past four times SubscribeWithin and the grace", subscribeFails, 1, checker.RuleDrainingServers,
+			"did not ask"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sc := exactScenario("safe", "all")
@@ -59,7 +61,7 @@
 					if c.subscribe != neverSubscribes {
 						s.do(policy.Action{Kind: policy.SubscribeDiscovery})
 					}
-					if c.subscribe != subscribes { // nothing notifies the proxy; the test knows the scenario's draw
+					if c.subscribe != subscribes { // the proxy is not notified, so find the server in another run
 						span := model.Time(sc.Published.SubscribeWithin)
 						if c.subscribe == subscribeFails {
 							span *= 4
@@ -87,7 +89,7 @@
 	}
 }
 
-// drainedServer is the index in the first list of the server that the scenario's deploy drains.
+// drainedServer returns the index, in the proxy's first list, of the server that the scenario's deploy drains.
 func drainedServer(t *testing.T, sc model.Scenario) int {
 	t.Helper()
 	found := -1
