--- a/internal/demo/coordination_test.go
+++ b/internal/demo/coordination_test.go
@@ -20,9 +20,9 @@
 	"pumiceline/internal/fake/fakesystem"
 )
 
-// LOST: what the coordinators acknowledged to an application is there when all of them have been killed and started again,
+// Rule LOST: locks, numbers and puts that the coordinators acknowledged survive a kill and restart of all coordinators,
 // and every call is answered.
-func TestCoordinationCalls_AcknowledgedIsNotLost(t *testing.T) {
+func TestCoordinationCalls_SurviveRestartOfAllCoordinators(t *testing.T) {
 	d := startCoordinators(t)
 	a := &application{t: t, nodes: d.nodes}
 
@@ -30,13 +30,13 @@
 	number := checkNumbers(a)
 	put := checkKeys(a)
 	if t.Failed() {
-		return // nothing was acknowledged that could be lost
+		return // the calls failed, so there is no acknowledged state to check after the restart
 	}
 	killAndRestart(t, d)
 
-	assert.Equal(t, http.StatusConflict, a.lock("a3").status, "POST /locks while another holds it")
-	assert.Equal(t, http.StatusOK, a.unlock("a2", token).status)
-	next := a.lock("a3")
+	assert.Equal(t, http.StatusConflict, a.acquire("a3").status, "POST /locks while another holds it")
+	assert.Equal(t, http.StatusOK, a.release("a2", token).status)
+	next := a.acquire("a3")
 	assert.Equal(t, http.StatusOK, next.status)
 	assert.Greater(t, next.FenceNo, token, "another holder's fencing token")
 	assert.Greater(t, a.number("n1"), number)
@@ -47,22 +47,22 @@
 	assert.Greater(t, again.Revision, put.Revision)
 }
 
-// checkLocks has a lock pass from one application to another, which keeps it. It returns the fencing token of the second.
+// checkLocks passes a lock from one application to another, which keeps it. It returns the fencing token of the second.
 func checkLocks(a *application) uint64 {
-	first := a.lock("a1")
+	first := a.acquire("a1")
 	assert.Equal(a.t, http.StatusOK, first.status, "POST /locks by the first")
-	assert.Equal(a.t, http.StatusConflict, a.lock("a2").status, "POST /locks while another holds it")
-	again := a.lock("a1")
+	assert.Equal(a.t, http.StatusConflict, a.acquire("a2").status, "POST /locks while another holds it")
+	again := a.acquire("a1")
 	assert.Equal(a.t, http.StatusOK, again.status, "POST /locks by the holder")
 	assert.GreaterOrEqual(a.t, again.FenceNo, first.FenceNo, "the holder's next fencing token")
 	assert.Equal(a.t, http.StatusOK, a.renew("a1", again.FenceNo).status, "PUT /locks by the holder")
 	for range 2 {
-		assert.Equal(a.t, http.StatusOK, a.unlock("a1", again.FenceNo).status, "DELETE /locks, held or not")
+		assert.Equal(a.t, http.StatusOK, a.release("a1", again.FenceNo).status, "DELETE /locks, held or not")
 	}
-	second := a.lock("a2")
+	second := a.acquire("a2")
 	assert.Equal(a.t, http.StatusOK, second.status, "POST /locks by the second")
 	assert.Greater(a.t, second.FenceNo, again.FenceNo, "another holder's fencing token")
-	assert.Equal(a.t, http.StatusConflict, a.renew("a1", again.FenceNo).status, "PUT /locks by one that holds it no more")
+	assert.Equal(a.t, http.StatusConflict, a.renew("a1", again.FenceNo).status, "PUT /locks by a former holder")
 	return second.FenceNo
 }
 
@@ -76,10 +76,10 @@
 
 // cellPut is an acknowledged put of the key g.x.
 type cellPut struct {
-	Name     string `json:"name"`
-	Value    string `json:"value"`
-	Revision uint64 `json:"revision"`
-	saved    uint64 // revision of the group before the put, not 0
+	Name           string `json:"name"`
+	Value          string `json:"value"`
+	Revision       uint64 `json:"revision"`
+	revisionBefore uint64 // revision of the group before the put, not 0
 }
 
 // checkKeys puts two keys of a group, and reads and watches the second.
@@ -99,7 +99,7 @@
 	rejected := a.call("PUT", "/cells/g.x", `{"value":"rejected","ifRevision":0}`)
 	assert.Equal(a.t, http.StatusPreconditionFailed, rejected.status, "PUT /cells over a later revision")
 	assert.Equal(a.t, second.Revision, rejected.Revision, "revision of a 412")
-	put := cellPut{Name: "g.x", Value: "second", Revision: second.Revision, saved: present.Revision}
+	put := cellPut{Name: "g.x", Value: "second", Revision: second.Revision, revisionBefore: present.Revision}
 	checkRead(a, put)
 	checkWatch(a, put)
 	return put
@@ -117,8 +117,8 @@
 
 // checkWatch resumes a watch from the revision saved before the put, at the coordinators in turn.
 func checkWatch(a *application, put cellPut) {
-	path := fmt.Sprintf("/watch/g.?after=%d&waitMs=100", put.saved)
-	put.saved = 0 // events carry no such field
+	path := fmt.Sprintf("/watch/g.?after=%d&waitMs=100", put.revisionBefore)
+	put.revisionBefore = 0 // an event has no value for this field, and the whole struct is compared
 	for range a.nodes {
 		watched := a.call("GET", path, "")
 		assert.Equal(a.t, http.StatusOK, watched.status, "GET /watch from a saved revision")
@@ -143,8 +143,8 @@
 	Events   []cellPut `json:"events"`
 }
 
-// lock asks for the lock l1, for a hold that outlasts the test.
-func (a *application) lock(owner string) answer {
+// acquire requests the lock l1 for 120 s, which is longer than the test.
+func (a *application) acquire(owner string) answer {
 	return a.call("POST", "/locks/l1", fmt.Sprintf(`{"owner":%q,"holdMs":120000}`, owner))
 }
 
@@ -152,11 +152,11 @@
 	return a.call("PUT", "/locks/l1", fmt.Sprintf(`{"owner":%q,"fenceNo":%d,"holdMs":120000}`, owner, token))
 }
 
-func (a *application) unlock(owner string, token uint64) answer {
+func (a *application) release(owner string, token uint64) answer {
 	return a.call("DELETE", "/locks/l1", fmt.Sprintf(`{"owner":%q,"fenceNo":%d}`, owner, token))
 }
 
-// number draws a number.
+// number takes the next number of a name.
 func (a *application) number(name string) uint64 {
 	drawn := a.call("POST", "/numbers/"+name, "{}")
 	assert.Equal(a.t, http.StatusOK, drawn.status, "POST /numbers")
@@ -164,8 +164,8 @@
 	return uint64(value)
 }
 
-// call sends a call to one coordinator after the other, until one gives a final answer: anything but a 5xx, a 429 or a
-// second of silence.
+// call sends a call to the coordinators in turn until one gives a final answer: any answer within a second but a 5xx or
+// a 429.
 func (a *application) call(method, path, body string) answer {
 	a.t.Helper()
 	ctx, cancel := context.WithTimeout(a.t.Context(), startTimeout)
@@ -198,13 +198,13 @@
 	defer response.Body.Close()
 	got := answer{status: response.StatusCode}
 	err = json.NewDecoder(response.Body).Decode(&got)
-	if got.status == http.StatusOK && err != nil && !errors.Is(err, io.EOF) { // EOF: an answer that needs no body
+	if got.status == http.StatusOK && err != nil && !errors.Is(err, io.EOF) { // EOF: the answer has no body
 		return answer{}, errors.Wrap(err, "read the answer")
 	}
 	return got, nil
 }
 
-// startCoordinators starts three coordinators with a disk each, and a platform without backends.
+// startCoordinators starts three coordinators, each with its own state folder, and a platform without backends.
 func startCoordinators(t *testing.T) *demo {
 	dir := t.TempDir()
 	build := exec.Command("go", "build", "-buildvcs=false", "-o", dir, "pumiceline/cmd/pumiceline-coordinator")
@@ -233,7 +233,7 @@
 	return d
 }
 
-// killAndRestart kills all coordinators and only then starts them again.
+// killAndRestart kills all coordinators before it restarts the first one, so that none keeps the state in memory.
 func killAndRestart(t *testing.T, d *demo) {
 	for _, n := range d.nodes {
 		n.process.kill()
--- a/internal/demo/coordinatorfault_test.go
+++ b/internal/demo/coordinatorfault_test.go
@@ -17,7 +17,8 @@
 	"pumiceline/internal/controlplane/coordinator"
 )
 
-// startStatusNodes makes nodes whose processes only sleep, and that have a status each.
+// startStatusNodes returns a demo of coordinators whose processes only sleep. An HTTP server per node returns its
+// status.
 func startStatusNodes(t *testing.T, statuses *[coordinatorCount]coordinator.Status) *demo {
 	t.Helper()
 	d := &demo{opts: Options{LoadPeriod: 10 * time.Second, Progress: io.Discard}, client: http.DefaultClient}
@@ -41,31 +42,31 @@
 	return d
 }
 
-func TestCoordinatorFault_KillsTheOneWithTheRole(t *testing.T) {
+func TestCoordinatorFault_KillsCoordinatorWithRole(t *testing.T) {
 	statuses := [coordinatorCount]coordinator.Status{
 		1: {Coordination: &coordinator.CoordinationStatus{IsIssuer: true}}, 2: {LeaseToken: 7},
 	}
 	d := startStatusNodes(t, &statuses)
 	faults := d.newFaults()
 	for _, fault := range faults {
-		require.NoError(t, fault.step(t.Context()))
+		require.NoError(t, fault.stepIfDue(t.Context()))
 		assert.Nil(t, fault.killed, "not due yet")
 		fault.killAt = time.Now().Add(-time.Millisecond)
-		require.NoError(t, fault.step(t.Context()))
+		require.NoError(t, fault.stepIfDue(t.Context()))
 		<-fault.killed.process.ended
 	}
 	assert.Equal(t, "c", d.result.KilledCoordinator)
 	assert.Equal(t, "b", d.result.KilledIssuer)
 }
 
-func TestCoordinatorFault_WaitsForTheRole(t *testing.T) {
+func TestCoordinatorFault_WaitsForRole(t *testing.T) {
 	var statuses [coordinatorCount]coordinator.Status
 	d := startStatusNodes(t, &statuses)
 	fault := d.newFaults()[0]
 	fault.killAt = time.Now().Add(-time.Millisecond)
-	require.NoError(t, fault.step(t.Context()))
-	assert.Nil(t, fault.killed, "nobody has the role")
+	require.NoError(t, fault.stepIfDue(t.Context()))
+	assert.Nil(t, fault.killed, "no coordinator has the role")
 	fault.killAt = fault.killAt.Add(-fault.downtime)
-	require.NoError(t, fault.step(t.Context()))
-	assert.Equal(t, "a", d.result.KilledCoordinator, "somebody is killed all the same")
+	require.NoError(t, fault.stepIfDue(t.Context()))
+	assert.Equal(t, "a", d.result.KilledCoordinator, "after the wait the first coordinator is killed")
 }
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -1,9 +1,10 @@
-// Package demo runs the whole system on loopback, with real processes of its programs and fakes of what surrounds it. It
-// kills the coordinator that holds the controller lease, and later the one that decides the calls of applications, and counts all
-// requests and configuration changes by their result. Two candidates of an election lead one at a time meanwhile.
+// Package demo runs the whole system on loopback, with real processes of its programs and with fake backends and a fake
+// platform. It kills the coordinator that holds the controller lease, and later the one that decides the calls of
+// applications. It counts requests by their result, and acknowledged configuration changes. Meanwhile two candidates of
+// an election campaign, and must lead one at a time.
 //
-// Goroutines: one sends the load, some are the candidates of the election, and one for each process awaits its end. Run waits for
-// all of them.
+// Goroutines: one sends the load and starts one per request, one samples the leaders of the election, one runs each
+// candidate, and one waits for the end of each process. Run waits for all of them.
 package demo
 
 import (
@@ -24,9 +25,9 @@
 // Options are the parameters of a run.
 type Options struct {
 	Programs   string        // folder of the system's programs
-	LoadPeriod time.Duration // for how long requests are sent
-	Log        io.Writer     // for the output of the processes; nil: discarded
-	Progress   io.Writer     // for a line about each step; nil: discarded
+	LoadPeriod time.Duration // time for which requests are sent
+	Log        io.Writer     // receives the output of the processes; nil: discarded
+	Progress   io.Writer     // receives a line about each step; nil: discarded
 }
 
 const (
@@ -34,14 +35,14 @@
 	proxyCount       = 3
 	startTimeout     = 20 * time.Second
 	pollInterval     = 20 * time.Millisecond
-	changesPerRun    = 20 // of the configuration, about
-	firstVersion     = 1  // of the configuration, put by awaitReady
+	changesPerRun    = 20 // upper bound of configuration changes: the pause between two is LoadPeriod/changesPerRun
+	firstVersion     = 1  // version of the configuration that awaitReady puts
 )
 
 // demo is one run.
 type demo struct {
 	opts       Options
-	dir        string // of the nodes' settings and state
+	dir        string // folder of the nodes' settings and state
 	executions *fakesystem.ExecutionCounter
 	platform   *fakesystem.Platform
 	backends   []*fakesystem.Backend
@@ -50,7 +51,7 @@
 	result     Result
 }
 
-// Run runs the system once. An error is one of the run itself; Result.Violation says what the system did wrong.
+// Run runs the system once. It returns an error if the run itself fails; Result.Violation reports faults of the system.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	dir, err := os.MkdirTemp("", "pumiceline-demo")
 	if err != nil {
@@ -83,7 +84,7 @@
 	return &d.result, nil
 }
 
-// startFakes starts backends and the platform. One model is resident at no backend.
+// startFakes starts backends and the platform. No backend has rareModel loaded, so that the system must load it.
 func (d *demo) startFakes() error {
 	for i, models := range [][]string{{"small"}, {"small", "large"}, {"large"}} {
 		err := d.startBackend(&fakesystem.Backend{ID: fmt.Sprintf("model-%d", i), Service: modelService, Zone: "z0", Capacity: 32,
@@ -111,38 +112,38 @@
 	return nil
 }
 
-// run sends requests for the load period, changes the configuration and has candidates lead meanwhile, and kills
-// coordinators under way.
+// run sends requests for the load period. At the same time it changes the configuration, runs the election and kills
+// coordinators.
 func (d *demo) run(ctx context.Context) error {
-	load := newLoad(d)
+	sender := newLoad(d)
 	election, err := newElection(d.controlAddresses())
 	if err != nil {
 		return err
 	}
 	deadline := time.Now().Add(d.opts.LoadPeriod)
-	meanwhile, cancel := context.WithDeadline(ctx, deadline)
+	loadContext, cancel := context.WithDeadline(ctx, deadline)
 	defer cancel()
 	var background sync.WaitGroup
-	background.Go(func() { load.run(ctx, deadline) })
-	background.Go(func() { d.result.Election = election.run(meanwhile) })
+	background.Go(func() { sender.run(ctx, deadline) })
+	background.Go(func() { d.result.Election = election.run(loadContext) })
 	err = d.changeConfiguration(ctx, deadline, d.newFaults())
 	if err != nil {
-		cancel() // the rest is of no use
+		cancel() // ends the election; without changes the run is not judged
 	}
 	background.Wait()
 	if err != nil {
 		return err
 	}
-	d.result.Streams, d.result.Documents = load.counts()
+	d.result.Streams, d.result.Documents = sender.counts()
 	return d.readConfiguration(ctx)
 }
 
-// changeConfiguration puts one version after the other until the deadline, and carries out the faults that are due.
+// changeConfiguration puts successive versions until the deadline, and carries out the faults that are due.
 func (d *demo) changeConfiguration(ctx context.Context, deadline time.Time, faults []*coordinatorFault) error {
 	lastChange := time.Now()
 	for version := uint64(firstVersion + 1); time.Now().Before(deadline) && ctx.Err() == nil; version++ {
 		for _, fault := range faults {
-			if err := fault.step(ctx); err != nil {
+			if err := fault.stepIfDue(ctx); err != nil {
 				return err
 			}
 		}
@@ -162,7 +163,7 @@
 	fmt.Fprintf(d.opts.Progress, format+"\n", args...)
 }
 
-// close ends all processes and fakes.
+// close stops all processes and fakes.
 func (d *demo) close() {
 	var ending sync.WaitGroup
 	for _, n := range d.nodes {
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// The programs accept the settings of a node and the configuration.
+// The programs' parsers accept the generated node settings and configuration.
 func TestSettingsAndConfigurationAreValid(t *testing.T) {
 	n := &node{Name: "n", IP: "127.0.0.1", Zone: "z0", FirstPort: 1, LastPort: 2, ControlPort: 3,
 		SeedNodes: []string{"127.0.0.1:3"}, PlatformAddress: "127.0.0.1:4"}
--- a/internal/demo/election.go
+++ b/internal/demo/election.go
@@ -15,26 +15,26 @@
 const (
 	electionName     = "demo"
 	candidateCount   = 2
-	electionTerm     = 3 * time.Second // for which a leader that has died still leads
+	electionTerm     = 3 * time.Second // a leader that crashes stays leader for at most this long
 	electionInterval = 10 * time.Millisecond
 	resignTimeout    = time.Second
 )
 
-// ElectionResult is what became of an election over the run.
+// ElectionResult is the outcome of an election over the run.
 type ElectionResult struct {
-	Terms          int           // how often a candidate was elected
-	LongestVacancy time.Duration // without a leader, after the first
-	LeadersAtOnce  int           // the most at one moment
-	HasTokenFault  bool          // a leader got a fencing token that was not above those before
+	Terms          int           // number of times that a candidate was elected
+	LongestVacancy time.Duration // longest time without a leader, after the first leader
+	LeadersAtOnce  int           // most leaders at one moment
+	HasTokenFault  bool          // a leader got a fencing token that was not above all earlier ones
 }
 
-// election has candidates that lead one at a time, and looks at who leads. The lock behind it is held through the client
-// library, which calls the coordinators.
+// election runs candidates that must lead one at a time, and samples which of them lead. The candidates hold the lock
+// of the election through the client library, which calls the coordinators.
 type election struct {
 	client *coordinationclient.Client
 
 	mutex     sync.Mutex
-	leaders   map[message.OwnerName]*coordinationclient.Hold // the latest of each candidate
+	leaders   map[message.OwnerName]*coordinationclient.Hold // latest hold of each candidate
 	lastToken message.FencingToken
 	result    ElectionResult
 }
@@ -44,7 +44,7 @@
 	return &election{client: client, leaders: map[message.OwnerName]*coordinationclient.Hold{}}, err
 }
 
-// run has the candidates lead until ctx ends, and returns what became of it.
+// run runs the candidates until ctx ends, and returns the result.
 func (e *election) run(ctx context.Context) ElectionResult {
 	var candidates sync.WaitGroup
 	for i := range candidateCount {
@@ -56,7 +56,7 @@
 	return e.result
 }
 
-// campaign leads as often as the candidate is elected, each time until the leadership is over.
+// campaign campaigns for a candidate again each time that its leadership ends, until ctx ends.
 func (e *election) campaign(ctx context.Context, name message.OwnerName) {
 	for {
 		keeper, err := e.client.NewElection(electionName, name, electionTerm).Campaign(ctx)
@@ -68,8 +68,8 @@
 		if ctx.Err() == nil {
 			continue
 		}
-		resigning, cancel := context.WithTimeout(context.WithoutCancel(ctx), resignTimeout)
-		_ = keeper.Release(resigning) // the run is over
+		releaseContext, cancel := context.WithTimeout(context.WithoutCancel(ctx), resignTimeout)
+		_ = keeper.Release(releaseContext) // an error does not matter: the run has ended
 		cancel()
 		return
 	}
@@ -84,34 +84,35 @@
 	e.lastToken = max(e.lastToken, hold.Token())
 }
 
-// observe looks at who leads until ctx ends.
+// observe samples the leaders until ctx ends.
 func (e *election) observe(ctx context.Context) {
 	ticker := time.NewTicker(electionInterval)
 	defer ticker.Stop()
-	lastLed := time.Time{} // zero: there was no leader yet
+	lastLeaderAt := time.Time{} // zero: no leader has been seen
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		lastLed = e.note(lastLed)
+		lastLeaderAt = e.sample(lastLeaderAt)
 	}
 }
 
-// note takes what is seen now into the result, and returns when there was a leader last.
-func (e *election) note(lastLed time.Time) time.Time {
+// sample updates the result by the present leaders, and returns the time at which a leader was last seen.
+func (e *election) sample(lastLeaderAt time.Time) time.Time {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	leading := lo.Filter(lo.Values(e.leaders), func(h *coordinationclient.Hold, _ int) bool { return h.IsHeld() })
-	// asked twice: a term may end and the next one begin between two looks, but who leads at both led in between
+	// Holds are checked twice. During the first pass over the holds one term may end and the next one begin, so that
+	// both holds look held although their terms do not overlap. A hold that is held in both passes was held in between.
 	e.result.LeadersAtOnce = max(e.result.LeadersAtOnce, lo.CountBy(leading, (*coordinationclient.Hold).IsHeld))
 	now := time.Now()
 	if len(leading) > 0 {
 		return now
 	}
-	if !lastLed.IsZero() {
-		e.result.LongestVacancy = max(e.result.LongestVacancy, now.Sub(lastLed))
+	if !lastLeaderAt.IsZero() {
+		e.result.LongestVacancy = max(e.result.LongestVacancy, now.Sub(lastLeaderAt))
 	}
-	return lastLed
+	return lastLeaderAt
 }
--- a/internal/demo/election_test.go
+++ b/internal/demo/election_test.go
@@ -26,7 +26,7 @@
 	assert.False(t, result.HasTokenFault)
 }
 
-func TestElection_NotesTwoLeadersAndAVacancy(t *testing.T) {
+func TestElection_RecordsTwoLeadersAndVacancy(t *testing.T) {
 	system, err := fakecoordination.Start(1)
 	require.NoError(t, err)
 	defer system.Close()
@@ -41,13 +41,13 @@
 	e.addLeader("two", second)
 	e.addLeader("one", first)
 	assert.True(t, e.result.HasTokenFault, "the second leader has the lower token")
-	lastLed := e.note(time.Time{})
+	lastLed := e.sample(time.Time{})
 	assert.Equal(t, 2, e.result.LeadersAtOnce)
 	require.NoError(t, first.Release(t.Context()))
 	require.NoError(t, second.Release(t.Context()))
-	assert.Equal(t, lastLed, e.note(lastLed))
+	assert.Equal(t, lastLed, e.sample(lastLed))
 	assert.Positive(t, e.result.LongestVacancy)
 	e.result.LongestVacancy = 0
-	e.note(time.Time{})
-	assert.Zero(t, e.result.LongestVacancy, "before the first leader nobody is missed")
+	e.sample(time.Time{})
+	assert.Zero(t, e.result.LongestVacancy, "the time before the first leader is not a vacancy")
 }
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -15,12 +15,12 @@
 	requestTimeout  = 10 * time.Second
 	eventsPerStream = 8
 
-	rareModel         = "rare" // resident at no backend at first
-	rareModelInterval = 23     // requests
-	documentInterval  = 3      // requests, of which one is a document
+	rareModel         = "rare" // not loaded on any backend at the start
+	rareModelInterval = 23     // a stream whose number is a multiple of this uses rareModel
+	documentInterval  = 3      // a request whose number is a multiple of this is a document
 )
 
-// streamModels are the models of streams, in turn; small/a1 is an adapter.
+// streamModels are the models that streams use, in turn; small/a1 is an adapter.
 var streamModels = []string{"small", "large", "small/a1"}
 
 // load sends requests to the proxies in turn and counts them by their result.
@@ -33,7 +33,7 @@
 	sent      []sentRequest
 }
 
-// sentRequest is a request of which the executions are counted at the end.
+// sentRequest identifies a request whose executions are counted at the end.
 type sentRequest struct {
 	id       string
 	isStream bool
@@ -53,8 +53,8 @@
 	inFlight.Wait()
 }
 
-// sendNumbered sends the request of a number: two of three are streams, of which one in rareModelInterval numbers is of the
-// rare model; the third is a document.
+// sendNumbered sends the request with a number. Two of three requests are streams; the third is a document. A stream
+// whose number is a multiple of rareModelInterval uses the rare model.
 func (l *load) sendNumbered(ctx context.Context, number int) {
 	isStream := number%documentInterval != 0
 	id := fmt.Sprintf("r%d", number)
@@ -73,7 +73,7 @@
 	l.count(isStream, response, err)
 }
 
-// response is a proxy's response.
+// response is the response of a proxy.
 type response struct {
 	status int
 	body   string
@@ -125,7 +125,8 @@
 	}
 }
 
-// counts returns the requests by their result, with those that ran more than once. Call it once, after run.
+// counts returns the number of requests by result, and how many ran more than once. Call it once, after run: a second
+// call would add the duplicates again.
 func (l *load) counts() (streams, documents RequestCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/demo/node.go
+++ b/internal/demo/node.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// node is a machine of the run: an IP address of its own on loopback, with a process of one program. Its fields are those
-// of the settings file.
+// node is a machine of the run: its own IP address on loopback, and a process of one program. The exported fields are
+// the values that settingsTemplate uses.
 type node struct {
 	Name            string
 	IP              string
@@ -19,15 +19,15 @@
 	FrontPort       int // for clients
 	ReadyPort       int
 	ControlPort     int
-	FirstPort       int // of the port range, with LastPort
-	LastPort        int
+	FirstPort       int // start of the range of ports for internal traffic
+	LastPort        int // end of that range, inclusive
 	SeedNodes       []string
 	FirstStart      bool
-	StateDir        string // of a coordinator
+	StateDir        string // set for coordinators only
 	PlatformAddress string
 
 	program string
-	process *process // the latest; nil: none was started
+	process *process // latest process; nil: none was started
 }
 
 const (
@@ -123,7 +123,7 @@
 	return nil
 }
 
-// nodePorts are the ports of every node, each at an IP address of its own.
+// nodePorts are the ports that every node uses. Nodes can share them, as each has its own IP address.
 type nodePorts struct{ client, ready, control, first int }
 
 // freePorts returns distinct ports that are free on the first node's address.
@@ -133,7 +133,7 @@
 		if err != nil {
 			return nodePorts{}, errors.Wrap(err, "find a free port")
 		}
-		defer listener.Close() // at the return: until then no other gets the same port
+		defer listener.Close() // deferred to the return, so that the next iteration cannot get the same port
 		*port = listener.Addr().(*net.TCPAddr).Port
 	}
 	return ports, nil
--- a/internal/demo/operator.go
+++ b/internal/demo/operator.go
@@ -15,7 +15,7 @@
 	"pumiceline/internal/ctxtime"
 )
 
-// Services of the configuration.
+// Names of the services in the configuration.
 const (
 	modelService    = "models"
 	documentService = "documents"
@@ -24,10 +24,11 @@
 // requestHost is the host of all requests.
 const requestHost = "trial.example"
 
-// modelLoadTime is how long the fake backends take to load a model, as the configuration says (loadS).
+// modelLoadTime is the time that the fake backends take to load a model. The configuration states the same time as
+// loadS.
 const modelLoadTime = 400 * time.Millisecond
 
-// putTimeout is that of one attempt to change the configuration.
+// putTimeout is the timeout of one attempt to change the configuration.
 const putTimeout = time.Second
 
 // awaitReady puts the first configuration and waits until every proxy accepts clients.
@@ -56,7 +57,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// coordinatorWhere is the first coordinator whose status has a property.
+// coordinatorWhere returns the first coordinator whose status has a property.
 func (d *demo) coordinatorWhere(ctx context.Context, hasProperty func(*coordinator.Status) bool) (*node, bool) {
 	for _, n := range d.nodes[:coordinatorCount] {
 		var status coordinator.Status
@@ -67,12 +68,13 @@
 	return nil, false
 }
 
-// controlAddresses are those of all coordinators.
+// controlAddresses returns the control addresses of all coordinators.
 func (d *demo) controlAddresses() []string {
 	return lo.Map(d.nodes[:coordinatorCount], func(n *node, _ int) string { return n.controlAddress() })
 }
 
-// putConfiguration puts a version of the configuration, at one coordinator after the other until one acknowledges it.
+// putConfiguration sends a version of the configuration to the coordinators in turn until one acknowledges it. A status
+// below 500 other than 200 is an error.
 func (d *demo) putConfiguration(ctx context.Context, version uint64) error {
 	document := newConfiguration(version)
 	for attempt := 0; ; attempt++ {
@@ -108,7 +110,7 @@
 	return response.StatusCode, nil
 }
 
-// readConfiguration reads the configuration's version, at one coordinator after the other until one responds.
+// readConfiguration reads the version of the configuration from the coordinators in turn until one responds.
 func (d *demo) readConfiguration(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -143,8 +145,8 @@
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// newConfiguration returns a version of the configuration: a streaming route to the models and a changing one to the
-// documents.
+// newConfiguration returns the configuration with a version number: a route of kind streaming to the models, and one of
+// kind changing to the documents.
 func newConfiguration(version uint64) string {
 	const runtime = `{"capacity":32,"cacheTokens":100000,"weightsMb":200,"adapterSlots":4,"loadsPerS":5,"models":[` +
 		`{"name":"small","weightsMb":60,"loadS":0.4,"adapters":2,"adapterMb":1},{"name":"large","weightsMb":60,"loadS":0.4},` +
--- a/internal/demo/process.go
+++ b/internal/demo/process.go
@@ -13,16 +13,16 @@
 	"pumiceline/internal/bootstrap"
 )
 
-// stopTimeout is how long a process may take to end in order before it is killed.
+// stopTimeout is the time between SIGTERM and SIGKILL.
 const stopTimeout = 8 * time.Second
 
-// process is a process of one of the system's programs.
+// process is a running process of a system program.
 type process struct {
 	command *exec.Cmd
 	ended   chan struct{}
 }
 
-// startProcess starts a program with a settings file.
+// startProcess starts a program with a settings file. Its output goes to log.
 func startProcess(program, settings string, log io.Writer) (*process, error) {
 	command := exec.Command(program)
 	command.Env = append(os.Environ(), bootstrap.EnvironmentVariable+"="+settings)
@@ -32,21 +32,21 @@
 	}
 	p := &process{command: command, ended: make(chan struct{})}
 	go func() {
-		_ = command.Wait() // the result shows what the system did; how a process ended does not matter
+		_ = command.Wait() // the exit status is not checked: Result judges the system by requests and changes
 		close(p.ended)
 	}()
 	return p, nil
 }
 
-// kill kills the process and waits for its end.
+// kill sends SIGKILL to the process and waits for its end.
 func (p *process) kill() {
-	_ = p.command.Process.Kill() // it may have ended by itself
+	_ = p.command.Process.Kill() // fails if the process has already ended
 	<-p.ended
 }
 
-// stop has the process end in order, and kills it if it does not.
+// stop sends SIGTERM to the process, waits for its end, and kills it after stopTimeout.
 func (p *process) stop() {
-	_ = p.command.Process.Signal(syscall.SIGTERM) // it may have ended by itself
+	_ = p.command.Process.Signal(syscall.SIGTERM) // fails if the process has already ended
 	select {
 	case <-p.ended:
 	case <-time.After(stopTimeout):
--- a/internal/demo/result.go
+++ b/internal/demo/result.go
@@ -8,26 +8,26 @@
 
 // Result is the outcome of a run.
 type Result struct {
-	Streams             RequestCounts // of requests that may run more than once
-	Documents           RequestCounts // of requests that must run once at most
-	ModelLoads          int           // by command
-	AcknowledgedChanges int           // of the configuration
-	AcknowledgedVersion uint64        // the latest
-	ReadVersion         uint64        // read at the end
-	KilledCoordinator   string        // node that held the controller lease
-	KilledIssuer        string        // node that decided the calls of applications
-	LongestGap          time.Duration // between two acknowledgements, the kills among them
+	Streams             RequestCounts // requests on the streaming route, which must run at most once
+	Documents           RequestCounts // requests on the changing route, which must run at most once
+	ModelLoads          int           // number of models that backends loaded on command
+	AcknowledgedChanges int           // number of acknowledged configuration changes
+	AcknowledgedVersion uint64        // latest acknowledged version of the configuration
+	ReadVersion         uint64        // version of the configuration that was read at the end
+	KilledCoordinator   string        // killed as holder of the controller lease
+	KilledIssuer        string        // killed as the node that decides the calls of applications
+	LongestGap          time.Duration // longest time between two acknowledged changes; it covers the kills
 	Election            ElectionResult
 }
 
 // RequestCounts counts the requests of one kind by their result.
 type RequestCounts struct {
 	Served, Rejected, Failed int
-	Duplicated               int // ran more than once
-	Incomplete               int // status 200 with an incomplete body
+	Duplicated               int // requests that ran more than once
+	Incomplete               int // responses with status 200 and an incomplete body
 }
 
-// Violation returns the first guarantee that the system violated, or nil.
+// Violation returns an error for the first guarantee that the system violated, or nil.
 func (r *Result) Violation() error {
 	switch {
 	case r.Streams.Served == 0 || r.Documents.Served == 0:
