--- a/internal/soak/application_caller.go
+++ b/internal/soak/application_caller.go
@@ -13,14 +13,14 @@
 	"pumiceline/internal/ctxtime"
 )
 
-// Times of applications' calls.
+// Times of the calls of applications.
 const (
-	applicationTimeout = time.Second // after which another machine is called
+	applicationTimeout = time.Second // timeout of one call; the next call goes to another coordinator
 	applicationBackoff = 40 * time.Millisecond
 	watchWait          = 2 * time.Second
 )
 
-// applicationBody is the body of a call. Fields that a call does not have are left out.
+// applicationBody is the body of a call. Unset fields are omitted.
 type applicationBody struct {
 	Owner      Owner   `json:"owner,omitempty"`
 	FenceNo    *uint64 `json:"fenceNo,omitempty"`
@@ -37,7 +37,7 @@
 	Events   []KeyEvent      `json:"events"`
 }
 
-// answer is what came of a call.
+// answer is the outcome of a call.
 type answer struct {
 	sentAt  Moment
 	endedAt Moment
@@ -45,26 +45,27 @@
 	body    applicationAnswer
 }
 
-// isClear says whether the answer ends the call: a 5xx, a 429 and silence send the caller to another machine.
+// isClear reports whether the answer is final. After a 5xx, a 429 or no answer the caller tries another coordinator.
 func (a answer) isClear() bool {
 	return a.status != 0 && a.status < http.StatusInternalServerError && a.status != http.StatusTooManyRequests
 }
 
-// applicationCaller makes the calls of one application, each at the next machine after one that gave no clear answer.
+// applicationCaller makes the calls of one application. After a call without a clear answer it uses the next
+// coordinator.
 type applicationCaller struct {
-	coordinators []*node
-	recorder     *recorder
-	http         *http.Client
-	random       *rand.Rand // of the application's goroutine alone
-	machine      int        // number of the machine that is called
+	coordinators     []*node
+	recorder         *recorder
+	http             *http.Client
+	random           *rand.Rand // used by the application's goroutine only
+	coordinatorIndex int        // index of the coordinator in use, modulo their number
 }
 
 func newApplicationCaller(coordinators []*node, r *recorder, seed, number uint64) *applicationCaller {
 	return &applicationCaller{coordinators: coordinators, recorder: r, http: &http.Client{Transport: &http.Transport{}},
-		random: rand.New(rand.NewPCG(seed, number)), machine: int(number)}
+		random: rand.New(rand.NewPCG(seed, number)), coordinatorIndex: int(number)}
 }
 
-// call makes one call at the present machine, and turns to the next one where there is no clear answer.
+// call makes one call to the coordinator in use. Without a clear answer it selects the next coordinator.
 func (c *applicationCaller) call(ctx context.Context, method, path string, body applicationBody) answer {
 	return c.callWithin(ctx, applicationTimeout, method, path, body)
 }
@@ -73,28 +74,28 @@
 	body applicationBody) answer {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	machine := c.coordinators[c.machine%len(c.coordinators)]
+	coordinator := c.coordinators[c.coordinatorIndex%len(c.coordinators)]
 	result := answer{sentAt: c.recorder.now()}
-	status, text, err := c.exchange(ctx, method, "http://"+machine.ControlAddress()+path, body)
+	status, text, err := c.exchange(ctx, method, "http://"+coordinator.ControlAddress()+path, body)
 	if err == nil {
 		err = json.Unmarshal(text, &result.body)
 	}
-	if err == nil || status >= http.StatusBadRequest { // the text of a failure need not be JSON
+	if err == nil || status >= http.StatusBadRequest { // the body of a failure need not be JSON
 		result.status = status
 	}
 	result.endedAt = c.recorder.now()
 	if result.status == 0 && ctx.Err() == nil {
-		cut := CutCall{Node: machine.Name, Path: path, SentAt: result.sentAt, EndedAt: result.endedAt}
+		cut := CutCall{Node: coordinator.Name, Path: path, SentAt: result.sentAt, EndedAt: result.endedAt}
 		c.record(func(h *ApplicationHistory) { h.Cuts = append(h.Cuts, cut) })
 	}
 	if !result.isClear() {
-		c.turn()
+		c.useNextCoordinator()
 	}
 	return result
 }
 
-// turn has the next call go to another machine.
-func (c *applicationCaller) turn() { c.machine++ }
+// useNextCoordinator selects the next coordinator for the next call.
+func (c *applicationCaller) useNextCoordinator() { c.coordinatorIndex++ }
 
 func (c *applicationCaller) exchange(ctx context.Context, method, url string, body applicationBody) (int, []byte, error) {
 	text, err := json.Marshal(body)
@@ -115,20 +116,20 @@
 	return response.StatusCode, read, err
 }
 
-// pause waits for a time that is drawn from a span.
+// pause waits for a random time in [from, to).
 func (c *applicationCaller) pause(ctx context.Context, from, to time.Duration) {
 	_ = ctxtime.Sleep(ctx, from+time.Duration(c.random.Int64N(int64(to-from)))) // loops end with ctx
 }
 
-// chance says yes once in a number of times.
-func (c *applicationCaller) chance(times int) bool { return c.random.IntN(times) == 0 }
+// oneIn returns true with a probability of 1/times.
+func (c *applicationCaller) oneIn(times int) bool { return c.random.IntN(times) == 0 }
 
 // record edits the applications' history.
 func (c *applicationCaller) record(change func(h *ApplicationHistory)) {
 	c.recorder.edit(func(h *History) { change(&h.Applications) })
 }
 
-// name returns the name of one of some things: a prefix and a number.
-func (c *applicationCaller) name(prefix string, count int) string {
+// randomName returns the prefix with a random number below count.
+func (c *applicationCaller) randomName(prefix string, count int) string {
 	return fmt.Sprintf("%s%d", prefix, c.random.IntN(count))
 }
--- a/internal/soak/application_history.go
+++ b/internal/soak/application_history.go
@@ -20,15 +20,16 @@
 	Lock    string
 	Owner   Owner
 	Method  LockMethod
-	Token   uint64 // that was given by an acquisition, or sent otherwise
+	Token   uint64 // for an acquisition: the token in the answer; otherwise the token that was sent
 	SentAt  Moment
 	EndedAt Moment
 	Status  int // 0: no answer came
 	IsFinal bool
 }
 
-// Hold is the time in which an application counts itself holder of a lock: from the answer of an acquisition until it sends
-// a release, or until its time has passed since it sent its last good call.
+// Hold is the time in which an application considers itself the holder of a lock. It lasts from the answer to an
+// acquisition until the application sends a release, or until the hold time has passed since it sent its last
+// successful call.
 type Hold struct {
 	Lock  string
 	Owner Owner
@@ -37,7 +38,7 @@
 	Until Moment
 }
 
-// NumberCall is one call for a number.
+// NumberCall is one call that takes the next number of a name.
 type NumberCall struct {
 	Name    string
 	Value   uint64
@@ -47,15 +48,15 @@
 	IsFinal bool
 }
 
-// PutAttempt is one sending of a put.
+// PutAttempt is one call of a put.
 type PutAttempt struct {
 	SentAt   Moment
 	EndedAt  Moment
 	Status   int
-	Revision uint64 // of a 200 and a 412
+	Revision uint64 // set for status 200 and 412
 }
 
-// Put is a put of a key, with the calls that repeat it. Its value is put by no other.
+// Put is a put of a key with all its calls. No other put has the same value.
 type Put struct {
 	Key        string
 	Value      string
@@ -63,7 +64,7 @@
 	Attempts   []PutAttempt
 }
 
-// Get is one read of a key. One that was never put has revision 0.
+// Get is one read of a key. A key that was never put has revision 0.
 type Get struct {
 	Key      string
 	Value    string
@@ -74,7 +75,7 @@
 	IsFinal  bool
 }
 
-// KeyEvent is one put that a watch shows.
+// KeyEvent is one put that a watch reports.
 type KeyEvent struct {
 	Key      string `json:"name"`
 	Value    string `json:"value"`
@@ -85,7 +86,7 @@
 type WatchCall struct {
 	Group    string // with its dot
 	After    uint64
-	GivenAt  Moment // when After was given to the watcher
+	GivenAt  Moment // when the watcher received the revision After
 	SentAt   Moment
 	EndedAt  Moment
 	Status   int
@@ -94,7 +95,7 @@
 	IsFinal  bool
 }
 
-// ApplicationHistory is what applications saw.
+// ApplicationHistory records the calls of applications and their answers.
 type ApplicationHistory struct {
 	LockCalls []LockCall
 	Holds     []Hold
@@ -106,7 +107,7 @@
 	Cuts      []CutCall
 }
 
-// CutCall is a call whose connection to a coordinator ended without an answer before the caller's time was over.
+// CutCall is a call whose connection to a coordinator ended without an answer before the caller's timeout.
 type CutCall struct {
 	Node    string
 	Path    string
@@ -114,17 +115,17 @@
 	EndedAt Moment
 }
 
-// isWatch says whether the call waits for events, which a process that stops may break off.
+// isWatch reports whether the call waits for events. A process that stops may cut such a call.
 func (c CutCall) isWatch() bool { return strings.HasPrefix(c.Path, watchPath) }
 
 const watchPath = "/watch/"
 
-// LateAnswer is what was asked for at the end and not answered in time, if at all.
+// LateAnswer is a call at the end of the run that was answered too late or not at all.
 type LateAnswer struct {
 	What       string
 	Waited     Moment
 	IsAnswered bool
 }
 
-// groupOf returns the group of a key: its name up to the first dot, with the dot.
+// groupOf returns the group of a key: its name up to and including the first dot.
 func groupOf(key string) string { return key[:strings.IndexByte(key, '.')+1] }
--- a/internal/soak/application_keys.go
+++ b/internal/soak/application_keys.go
@@ -12,36 +12,36 @@
 
 // Keys, their groups, and names for numbers.
 const (
-	numberCount = 2
-	groupCount  = 2
-	keyCount    = 8                      // in each group
-	putTimeout  = 4 * time.Second        // for which a put without a clear answer is sent again
-	savedAge    = 4                      // a watcher resumes from one of as many revisions that it was given last
-	callPause   = 120 * time.Millisecond // between calls of an application, at most
+	numberCount        = 2
+	groupCount         = 2
+	keyCount           = 8                      // keys in each group
+	putTimeout         = 4 * time.Second        // a put without a clear answer is repeated for this long
+	savedRevisionCount = 4                      // number of latest revisions from which a watcher may resume
+	callPause          = 120 * time.Millisecond // longest pause between calls of an application
 )
 
-// numberCaller is an application that asks for numbers.
+// numberCaller is an application that takes numbers.
 type numberCaller struct{ *applicationCaller }
 
 func (c numberCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.take(ctx, c.name("n", numberCount), false)
+		c.take(ctx, c.randomName("n", numberCount), false)
 		c.pause(ctx, 0, callPause)
 	}
 }
 
-// take makes one call for a number. It says whether there was one.
+// take makes one call for a number. It reports whether the call succeeded.
 func (c numberCaller) take(ctx context.Context, name string, isFinal bool) bool {
 	got := c.call(ctx, http.MethodPost, "/numbers/"+name, applicationBody{})
 	number := NumberCall{Name: name, SentAt: got.sentAt, EndedAt: got.endedAt, Status: got.status, IsFinal: isFinal}
 	if got.status == http.StatusOK && json.Unmarshal(got.body.Value, &number.Value) != nil {
-		number.Value = 0 // below all others, which the checker reports
+		number.Value = 0 // below all other numbers, so that checkNumbers reports it
 	}
 	c.record(func(h *ApplicationHistory) { h.Numbers = append(h.Numbers, number) })
 	return got.status == http.StatusOK
 }
 
-// keyCaller is an application that reads keys and puts them on top of the revision that it knows.
+// keyCaller is an application that reads keys, and puts them conditionally on the latest revision that it has seen.
 type keyCaller struct {
 	*applicationCaller
 	number int
@@ -55,8 +55,8 @@
 
 func (c *keyCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		key := c.name("g", groupCount) + "." + c.name("k", keyCount)
-		if c.chance(2) {
+		key := c.randomName("g", groupCount) + "." + c.randomName("k", keyCount)
+		if c.oneIn(2) {
 			c.get(ctx, key, false)
 		} else {
 			c.put(ctx, key)
@@ -65,12 +65,12 @@
 	}
 }
 
-// get makes one call for a key. It says whether there was a clear answer.
+// get makes one call for a key. It reports whether the answer was a 200 or a 404.
 func (c *keyCaller) get(ctx context.Context, key string, isFinal bool) bool {
 	got := c.call(ctx, http.MethodGet, "/cells/"+key, applicationBody{})
 	read := Get{Key: key, Revision: got.body.Revision, SentAt: got.sentAt, EndedAt: got.endedAt, Status: got.status, IsFinal: isFinal}
 	if got.status == http.StatusOK && json.Unmarshal(got.body.Value, &read.Value) != nil {
-		read.Value = string(got.body.Value) // no one put it, which the checker reports
+		read.Value = string(got.body.Value) // no caller put this value, so checkKeys reports it
 	}
 	c.record(func(h *ApplicationHistory) { h.Gets = append(h.Gets, read) })
 	if !isAnswerOfGet(got.status) {
@@ -82,8 +82,8 @@
 
 func isAnswerOfGet(status int) bool { return status == http.StatusOK || status == http.StatusNotFound }
 
-// put puts a value of its own, and sends it again for some seconds while there is no clear answer. Now and then it sends
-// one again that was acknowledged.
+// put puts a unique value, and repeats the call for at most putTimeout while there is no clear answer. One acknowledged
+// put in four is sent again to another coordinator.
 func (c *keyCaller) put(ctx context.Context, key string) {
 	c.puts++
 	value := fmt.Sprintf("v%d.%d", c.number, c.puts)
@@ -95,14 +95,14 @@
 	})
 	body := applicationBody{Value: value, IfRevision: &ifRevision}
 	deadline := c.recorder.now() + putTimeout
-	for isAgain := false; ctx.Err() == nil && c.recorder.now() < deadline; {
+	for isRepeat := false; ctx.Err() == nil && c.recorder.now() < deadline; {
 		got := c.putOnce(ctx, key, index, body)
 		switch {
-		case got.status == http.StatusOK && !isAgain && c.chance(4):
-			isAgain = true
-			c.turn()
+		case got.status == http.StatusOK && !isRepeat && c.oneIn(4):
+			isRepeat = true
+			c.useNextCoordinator()
 		case got.isClear():
-			c.learn(key, got, isAgain)
+			c.updateKnown(key, got, isRepeat)
 			return
 		default:
 			_ = ctxtime.Sleep(ctx, applicationBackoff) // the loop ends with ctx
@@ -110,7 +110,8 @@
 	}
 }
 
-// putOnce makes one call of a put, which is recorded before it is sent: from then on the value may be shown.
+// putOnce makes one call of a put. It records the call before it is sent, because others may read the value from then
+// on.
 func (c *keyCaller) putOnce(ctx context.Context, key string, index int, body applicationBody) answer {
 	attempt := 0
 	c.record(func(h *ApplicationHistory) {
@@ -125,21 +126,22 @@
 	return got
 }
 
-// learn keeps the revision of a clear answer. A repeated put may have been followed by another, so its revision is old.
-func (c *keyCaller) learn(key string, got answer, isAgain bool) {
-	if !isAgain && (got.status == http.StatusOK || got.status == http.StatusPreconditionFailed) {
+// updateKnown stores the revision of a clear answer. It skips the answer to a repeat of an acknowledged put: another
+// put may have followed the first call, so that the revision may be outdated.
+func (c *keyCaller) updateKnown(key string, got answer, isRepeat bool) {
+	if !isRepeat && (got.status == http.StatusOK || got.status == http.StatusPreconditionFailed) {
 		c.known[key] = got.body.Revision
 	}
 }
 
-// watcher is an application that watches a group of keys, and now and then resumes from a revision that it saved.
+// watcher is an application that watches a group of keys. One call in five resumes from a random saved revision.
 type watcher struct {
 	*applicationCaller
 	group string
-	saved []savedRevision // the last first
+	saved []savedRevision // latest first
 }
 
-// savedRevision is a revision that a watcher was given.
+// savedRevision is a revision that a watcher received.
 type savedRevision struct {
 	revision uint64
 	givenAt  Moment
@@ -151,9 +153,9 @@
 		if len(w.saved) > 0 {
 			from = w.saved[0]
 		}
-		if len(w.saved) > 0 && w.chance(5) {
+		if len(w.saved) > 0 && w.oneIn(5) {
 			from = w.saved[w.random.IntN(len(w.saved))]
-			w.turn()
+			w.useNextCoordinator()
 		}
 		if !w.watch(ctx, from, false) {
 			_ = ctxtime.Sleep(ctx, applicationBackoff) // the loop ends with ctx
@@ -161,7 +163,7 @@
 	}
 }
 
-// watch makes one call. It says whether there was an answer.
+// watch makes one call. It reports whether the answer was a 200 or a 410.
 func (w *watcher) watch(ctx context.Context, from savedRevision, isFinal bool) bool {
 	wait := watchWait
 	if isFinal {
@@ -175,7 +177,7 @@
 	switch got.status {
 	case http.StatusOK:
 		w.saved = append([]savedRevision{{call.Revision, call.EndedAt}}, w.saved...)
-		w.saved = w.saved[:min(len(w.saved), savedAge)]
+		w.saved = w.saved[:min(len(w.saved), savedRevisionCount)]
 	case http.StatusGone:
 		w.saved = nil
 	default:
--- a/internal/soak/application_locks.go
+++ b/internal/soak/application_locks.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// Locks and elections, which are locks that are held long.
+// Numbers of locks, and of elections, which are locks with long holds.
 const (
 	lockCount     = 4
 	electionCount = 2
-	renewals      = 3 // of a hold that is renewed, at most
+	renewals      = 3 // most renewals of a hold
 )
 
-// Times that locks are held for, in turn.
+// Hold times. The number of a lock selects one of them.
 var (
 	lockHolds     = []time.Duration{300 * time.Millisecond, 1000 * time.Millisecond, 3000 * time.Millisecond}
 	electionHolds = []time.Duration{2 * time.Second, 3 * time.Second}
 )
 
-// lockCaller is an application that takes locks, over and over. Some of its holds end with a release; at others it dies
-// while holding, or sleeps past its time and goes on as if it had not.
+// lockCaller is an application that acquires locks repeatedly. It ends some holds by a release. It abandons others as
+// if it had crashed, or pauses beyond the hold time and then tries to renew.
 type lockCaller struct {
 	*applicationCaller
-	owner  Owner
-	prefix string
-	count  int
-	holds  []time.Duration
-	old    map[string]uint64 // token of an earlier hold, by lock
+	owner     Owner
+	prefix    string
+	count     int
+	holds     []time.Duration
+	oldTokens map[string]uint64 // token of an earlier hold, by lock
 }
 
 func newLockCaller(c *applicationCaller, number int, prefix string, count int, holds []time.Duration) *lockCaller {
 	return &lockCaller{applicationCaller: c, owner: Owner(fmt.Sprintf("app-%s%d", prefix, number)), prefix: prefix, count: count,
-		holds: holds, old: map[string]uint64{}}
+		holds: holds, oldTokens: map[string]uint64{}}
 }
 
 func (c *lockCaller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		number := c.random.IntN(c.count)
 		lock := fmt.Sprintf("%s%d", c.prefix, number)
-		hold := c.holds[number%len(c.holds)] // that of a lock is always the same, so that another call only adds time
+		hold := c.holds[number%len(c.holds)] // the same for each hold of a lock, so that a repeated call never shortens it
 		if index, ok := c.acquire(ctx, lock, hold); ok {
-			c.use(ctx, lock, hold, index)
+			c.useHold(ctx, lock, hold, index)
 		}
 		c.pause(ctx, 20*time.Millisecond, 150*time.Millisecond)
 	}
 }
 
-// acquire makes one call for a lock. It returns the index of the hold where the caller is holder.
+// acquire makes one call for a lock. If the caller is now the holder, it returns the index of the hold.
 func (c *lockCaller) acquire(ctx context.Context, lock string, hold time.Duration) (index int, ok bool) {
 	got := c.call(ctx, http.MethodPost, "/locks/"+lock, applicationBody{Owner: c.owner, HoldMs: hold.Milliseconds()})
 	c.recordCall(LockCall{Lock: lock, Owner: c.owner, Method: LockAcquire, Token: got.body.FenceNo}, got)
@@ -67,17 +67,17 @@
 	c.record(func(h *ApplicationHistory) { h.LockCalls = append(h.LockCalls, call) })
 }
 
-// use does with a hold what the caller has drawn.
-func (c *lockCaller) use(ctx context.Context, lock string, hold time.Duration, index int) {
+// useHold carries out a random one of the behaviors of lockCaller on a hold.
+func (c *lockCaller) useHold(ctx context.Context, lock string, hold time.Duration, index int) {
 	token := c.tokenOf(index)
-	defer func() { c.old[lock] = token }()
-	if old, ok := c.old[lock]; ok && old != token && c.chance(3) {
-		c.release(ctx, lock, old) // late, of an earlier hold
+	defer func() { c.oldTokens[lock] = token }()
+	if old, ok := c.oldTokens[lock]; ok && old != token && c.oneIn(3) {
+		c.release(ctx, lock, old) // a late release of an earlier hold
 	}
 	switch c.random.IntN(5) {
-	case 0: // it dies
+	case 0: // abandons the hold, as after a crash
 		return
-	case 1: // it sleeps past its time
+	case 1: // pauses beyond the hold time
 		c.pause(ctx, hold, 2*hold)
 		c.renew(ctx, lock, hold, index)
 		return
@@ -91,7 +91,7 @@
 			}
 		}
 	}
-	c.end(lock)
+	c.endHolds(lock)
 	c.release(ctx, lock, token)
 }
 
@@ -100,7 +100,7 @@
 	return token
 }
 
-// renew makes one call for more time. It says whether the caller is still the holder, as it counts itself.
+// renew makes one call that extends a hold. It reports whether the caller considers itself the holder still.
 func (c *lockCaller) renew(ctx context.Context, lock string, hold time.Duration, index int) bool {
 	token := c.tokenOf(index)
 	got := c.call(ctx, http.MethodPut, "/locks/"+lock, applicationBody{Owner: c.owner, FenceNo: &token, HoldMs: hold.Milliseconds()})
@@ -116,8 +116,8 @@
 	return isHolder && got.status != http.StatusConflict
 }
 
-// end has the caller no longer count itself holder of a lock, also by holds at which it died before.
-func (c *lockCaller) end(lock string) {
+// endHolds ends all holds of a lock in the caller's view, also those that it abandoned earlier.
+func (c *lockCaller) endHolds(lock string) {
 	now := c.recorder.now()
 	c.record(func(h *ApplicationHistory) {
 		for i := range h.Holds {
@@ -128,7 +128,7 @@
 	})
 }
 
-// release makes one call that gives the lock back.
+// release makes one call that releases a lock.
 func (c *lockCaller) release(ctx context.Context, lock string, token uint64) {
 	got := c.call(ctx, http.MethodDelete, "/locks/"+lock, applicationBody{Owner: c.owner, FenceNo: &token})
 	c.recordCall(LockCall{Lock: lock, Owner: c.owner, Method: LockRelease, Token: token}, got)
--- a/internal/soak/applications.go
+++ b/internal/soak/applications.go
@@ -8,14 +8,14 @@
 	"pumiceline/internal/ctxtime"
 )
 
-// Numbers of applications.
+// Numbers of applications, and parameters of their final calls.
 const (
 	lockCallers     = 5
 	electionCallers = 3
 	numberCallers   = 2
 	keyCallers      = 4
 	watchers        = 3
-	finalPatience   = 3 * time.Second // for which each call is repeated at the end
+	finalTimeout    = 3 * time.Second // each call at the end must be answered within this time
 	finalOwner      = "app-final"
 )
 
@@ -24,16 +24,16 @@
 	coordinators []*node
 	recorder     *recorder
 	seed         uint64
-	made         uint64 // callers
+	callerCount  uint64 // numbers the callers, which is part of their random seeds
 	watchers     []*watcher
 }
 
 func (a *applications) newCaller() *applicationCaller {
-	a.made++
-	return newApplicationCaller(a.coordinators, a.recorder, a.seed, a.made)
+	a.callerCount++
+	return newApplicationCaller(a.coordinators, a.recorder, a.seed, a.callerCount)
 }
 
-// start calls run for each application, which is to run it in a goroutine of its own.
+// start passes each application to run, which must run it in its own goroutine.
 func (a *applications) start(run func(application func(ctx context.Context))) {
 	for i := range lockCallers {
 		run(newLockCaller(a.newCaller(), i, "lock", lockCount, lockHolds).run)
@@ -54,20 +54,20 @@
 	}
 }
 
-// finish reads all keys back, asks for a number of each name and for each lock, and resumes the watches from the oldest
-// revision that they saved. No application runs any more.
+// finish reads all keys back, takes a number of each name, calls for each lock, and resumes the watches from the oldest
+// saved revision. All applications must have ended before.
 func (a *applications) finish(ctx context.Context) {
 	keys := newKeyCaller(a.newCaller(), keyCallers)
 	for group := range groupCount {
 		for i := range keyCount {
 			key := fmt.Sprintf("g%d.k%d", group, i)
-			a.repeat(ctx, "key "+key, func() bool { return keys.get(ctx, key, true) })
+			a.repeatUntilAnswered(ctx, "key "+key, func() bool { return keys.get(ctx, key, true) })
 		}
 	}
 	numbers := numberCaller{a.newCaller()}
 	for i := range numberCount {
 		name := fmt.Sprintf("n%d", i)
-		a.repeat(ctx, "number "+name, func() bool { return numbers.take(ctx, name, true) })
+		a.repeatUntilAnswered(ctx, "number "+name, func() bool { return numbers.take(ctx, name, true) })
 	}
 	for i := range lockCount {
 		a.finishLock(ctx, fmt.Sprintf("lock%d", i))
@@ -78,16 +78,16 @@
 	for _, w := range a.watchers {
 		if len(w.saved) > 0 {
 			oldest := w.saved[len(w.saved)-1]
-			a.repeat(ctx, "watch "+w.group, func() bool { return w.watch(ctx, oldest, true) })
+			a.repeatUntilAnswered(ctx, "watch "+w.group, func() bool { return w.watch(ctx, oldest, true) })
 		}
 	}
 }
 
-// finishLock asks for a lock; that another has it is an answer too.
+// finishLock calls for a lock. A conflict because of another holder is a clear answer too.
 func (a *applications) finishLock(ctx context.Context, lock string) {
 	caller := newLockCaller(a.newCaller(), 0, "", 0, nil)
 	caller.owner = finalOwner
-	a.repeat(ctx, "lock "+lock, func() bool {
+	a.repeatUntilAnswered(ctx, "lock "+lock, func() bool {
 		caller.acquire(ctx, lock, lockHolds[0])
 		answered := false
 		caller.record(func(h *ApplicationHistory) {
@@ -99,17 +99,18 @@
 	})
 }
 
-// repeat makes a call until there is an answer, and records one that takes longer than callers wait at the end of a day.
-func (a *applications) repeat(ctx context.Context, what string, call func() (isAnswered bool)) {
+// repeatUntilAnswered repeats a call until there is an answer, for at most finalTimeout plus SlowExtra. It records a
+// call that took longer than finalTimeout, which is the time that callers wait at the end of a test day.
+func (a *applications) repeatUntilAnswered(ctx context.Context, what string, call func() (isAnswered bool)) {
 	started := a.recorder.now()
 	late := LateAnswer{What: what}
-	for ctx.Err() == nil && !late.IsAnswered && late.Waited < finalPatience+a.recorder.history.Bounds.SlowExtra {
+	for ctx.Err() == nil && !late.IsAnswered && late.Waited < finalTimeout+a.recorder.history.Bounds.SlowExtra {
 		if late.IsAnswered = call(); !late.IsAnswered {
 			_ = ctxtime.Sleep(ctx, applicationBackoff) // the loop ends with ctx
 		}
 		late.Waited = a.recorder.now() - started
 	}
-	if !late.IsAnswered || late.Waited > finalPatience {
+	if !late.IsAnswered || late.Waited > finalTimeout {
 		a.recorder.edit(func(h *History) { h.Applications.Late = append(h.Applications.Late, late) })
 	}
 }
--- a/internal/soak/bounds.go
+++ b/internal/soak/bounds.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// Bounds are the stated targets that a run is checked against. They are those of the operators' page on a deployment, under
-// the keys of its settings.
+// Bounds are the stated targets that a run is checked against. They come from the operators' documentation of a
+// deployment, and have the keys of its settings. The core are the coordinators. A process is in touch if it runs
+// undisturbed.
 type Bounds struct {
-	Quiet       time.Duration // quietMs: without faults for as long, a process is in touch and the core is stable
-	Acknowledge time.Duration // ackMs: within which a change is acknowledged while the core is stable
-	Grace       time.Duration // graceS: between SIGTERM and SIGKILL
-	LossSlack   time.Duration // lossSlackMs: a request that waited longer on its connection counts as read
-	Apply       time.Duration // applyMs: within which an acknowledged change is in force at processes in touch
-	Downgrade   time.Duration // downgradeMs: within which a process that has shown a version may show an older one
+	Quiet       time.Duration // quietMs: after this time without faults a process is in touch, and the core is stable
+	Acknowledge time.Duration // ackMs: a change is acknowledged within this time while the core is stable
+	Grace       time.Duration // graceS: time between SIGTERM and SIGKILL
+	LossSlack   time.Duration // lossSlackMs: a request that waited longer than this on its connection counts as read
+	Apply       time.Duration // applyMs: an acknowledged change is in force at processes in touch within this time
+	Downgrade   time.Duration // downgradeMs: for this long after it showed a version, a process may show an older one
 	Stretch     time.Duration // stretchMs: added to Apply while the core is not stable
-	Recovery    time.Duration // recoveryS: within which the system serves again after the last fault
-	History     time.Duration // historyS: for which a watch may be away and miss nothing
+	Recovery    time.Duration // recoveryS: the system serves again within this time after the last fault
+	History     time.Duration // historyS: a watch that resumes within this time misses no event
 	Lease       time.Duration // leaseMs
 	Thaw        time.Duration // thawMs
-	MemoryBytes int64         // the limit of a machine's memory
-	DrainExtra  time.Duration // planned work of a SIGTERM lasts this long beyond Grace
-	OwnEndSlack time.Duration // a process may end by itself within as long after a fault at it
-	// MaxRunDelay is how long a process may wait for a processor between two samples. One that waits longer counts as slowed
-	// by the machine, as on the operators' page a machine does that is slowed. It is half of the shortest bound, LossSlack.
+	MemoryBytes int64         // memory limit of a machine
+	DrainExtra  time.Duration // the drain of a SIGTERM counts as lasting this long beyond Grace
+	OwnEndSlack time.Duration // a signal within this time after the start of a process may end it
+	// MaxRunDelay is the longest time that a process may wait for a processor between two samples. A process that waits
+	// longer counts as slowed by the machine, like a slowed machine in the operators' documentation. The value is half
+	// of the shortest bound, LossSlack.
 	MaxRunDelay   time.Duration
-	SlowExtra     time.Duration // by which bounds are extended where the machine held up processes: Recovery
-	SlowThawShare int           // times Downgrade that count for a process that was frozen or slowed
+	SlowExtra     time.Duration // extends bounds if the machine held up processes; equal to Recovery
+	SlowThawShare int           // factor of Downgrade for a process that was frozen or slowed
 }
 
-// StatedBounds returns the figures of the operators' page.
+// StatedBounds returns the figures of the operators' documentation.
 func StatedBounds() Bounds {
 	return Bounds{
 		Quiet: 4 * time.Second, Acknowledge: 5 * time.Second, Grace: 8 * time.Second, LossSlack: 200 * time.Millisecond,
@@ -40,8 +42,9 @@
 // memoryLimitMB is the memory of a machine, in MiB.
 const memoryLimitMB = 184
 
-// recoveredShare is the part of requests that must be served after recovery: a quarter (RECOVER).
+// recoveredShare is the share of requests that must be served after the recovery (rule RECOVER).
 const recoveredShare = 0.25
 
-// maxTolerance is how many coordinators the operators' page has lost at once.
+// maxTolerance is the largest number of coordinators that may be lost at once according to the operators'
+// documentation.
 const maxTolerance = 2
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Rule is the name of a rule of the operators' page.
+// Rule is the name of a rule of the operators' documentation.
 type Rule string
 
-// The rules that are checked. RuleProcess and RuleMemory are the page's faults of processes.
+// The rules that are checked. RuleProcess and RuleMemory cover the faults of processes in that documentation.
 const (
 	RuleLost        Rule = "LOST"
 	RuleOne         Rule = "ONE"
@@ -28,26 +28,26 @@
 	RuleMemory      Rule = "MEMORY"
 )
 
-// Violation is a rule that was broken.
+// Violation is one breach of a rule.
 type Violation struct {
 	Rule Rule   `json:"rule"`
 	At   Moment `json:"at"` // nanoseconds since the start of the run
 	Text string `json:"text"`
 }
 
-// String returns the violation as a line.
+// String returns the violation in one line.
 func (v Violation) String() string {
 	return fmt.Sprintf("%s at %.3fs: %s", v.Rule, v.At.Seconds(), v.Text)
 }
 
-// violations collects what a checker finds.
+// violations collects the violations that a checker finds.
 type violations []Violation
 
 func (v *violations) add(rule Rule, at Moment, format string, args ...any) {
 	*v = append(*v, Violation{Rule: rule, At: at, Text: fmt.Sprintf(format, args...)})
 }
 
-// checkers are the rules by concern. Each judges a history by itself.
+// checkers are the checks of the rules. Each one reads the history independently of the others.
 var checkers = []func(h *History, t *timeline) violations{
 	checkLost, checkResponses, checkExecutions, checkDenied,
 	checkSettled, checkReads, checkRejectedChanges, checkAcknowledgements, checkApplied, checkRegress,
@@ -55,10 +55,10 @@
 	checkHolds, checkTokens, checkNumbers, checkKeys, checkWatches, checkLate,
 }
 
-// Check returns the rules that a history breaks, in the order of their times.
+// Check returns the violations in a history, in the order of their times.
 func Check(h *History) []Violation {
 	slices.SortStableFunc(h.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
-	h.Changes = slices.DeleteFunc(h.Changes, func(c Change) bool { return len(c.Attempts) == 0 }) // never sent
+	h.Changes = slices.DeleteFunc(h.Changes, func(c Change) bool { return len(c.Attempts) == 0 }) // drops changes that were never sent
 	t := newTimeline(h)
 	var found violations
 	for _, check := range checkers {
--- a/internal/soak/check_applications_test.go
+++ b/internal/soak/check_applications_test.go
@@ -7,12 +7,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// withApplications returns a good history in which applications called too: a lock that passes from a to b, numbers, puts
-// of two keys of one group, a read and a watch.
+// withApplications returns a good history with calls of applications: a lock that passes from a to b, numbers, puts of
+// two keys of one group, a read and a watch.
 func withApplications() *History {
 	h := goodHistory()
 	h.acquire("a", 1, 12*second, 13*second)
-	h.acquire("b", 2, 13*second+odd, 16*second)
+	h.acquire("b", 2, 13*second+idOffset, 16*second)
 	h.number(1, 12*second)
 	h.number(2, 13*second)
 	h.put("g1.a", "v1", 0, 1, 12*second)
@@ -60,13 +60,13 @@
 	return &h.Applications.Watches[len(h.Applications.Watches)-1]
 }
 
-// lockPlants, numberPlants and keyPlants are what is planted in a good history, by the only rule that it breaks; no rule: it
-// is excused.
-var lockPlants = []plant{
+// lockCases, numberCases and keyCases are edits of a good history, each with the only rule that it breaks; no rule: the
+// edit is allowed.
+var lockCases = []historyCase{
 	{"two holders", RuleOne, func(h *History) { h.acquire("c", 3, 15*second, 17*second) }},
 	{"a renewal beyond another's start", RuleOne, func(h *History) { h.Applications.Holds[0].Until = 14 * second }},
 	{"the same holder twice", "", func(h *History) { h.acquire("b", 3, 15*second, 17*second) }},
-	{"held again after the end", "", func(h *History) { h.acquire("a", 3, 16*second+odd, 17*second) }},
+	{"held again after the end", "", func(h *History) { h.acquire("a", 3, 16*second+idOffset, 17*second) }},
 	{"another lock", "", func(h *History) {
 		h.acquire("a", 1, 15*second, 17*second)
 		h.Applications.Holds[2].Lock, h.Applications.LockCalls[2].Lock = "m", "m"
@@ -76,7 +76,7 @@
 	{"the holder's own token again", "", func(h *History) { h.acquire("b", 2, 15*second, 17*second) }},
 	{"a lower token for the holder itself", RuleOne, func(h *History) { h.acquire("b", 1, 17*second, 18*second) }},
 	{"a lower token for a call that was sent before", "", func(h *History) {
-		h.acquire("c", 5, 17*second, 17*second) // it holds for no time
+		h.acquire("c", 5, 17*second, 17*second) // an empty hold, so that only the tokens are checked
 		h.acquire("d", 4, 17*second, 17*second)
 	}},
 	{"late at the end", RuleLost, func(h *History) {
@@ -92,7 +92,7 @@
 	}},
 }
 
-var numberPlants = []plant{
+var numberCases = []historyCase{
 	{"a number twice", RuleOrder, func(h *History) { h.number(2, 13*second) }},
 	{"a lower number", RuleOrder, func(h *History) { h.number(1, 14*second) }},
 	{"a gap", "", func(h *History) { h.number(9, 14*second) }},
@@ -106,7 +106,7 @@
 	}},
 }
 
-var keyPlants = []plant{
+var keyCases = []historyCase{
 	{"a stale read", RuleStale, func(h *History) { h.get("g1.a", "v1", 1, 15*second) }},
 	{"a stale 404", RuleStale, func(h *History) {
 		h.get("g1.a", "", 0, 15*second)
@@ -117,7 +117,7 @@
 		h.get("g1.a", "v1", 1, 15*second)
 		h.Applications.Gets[1].IsFinal = true
 	}},
-	{"a value that nobody put", RuleMixed, func(h *History) { h.get("g1.a", "x", 5, 15*second) }},
+	{"a value that was never put", RuleMixed, func(h *History) { h.get("g1.a", "x", 5, 15*second) }},
 	{"a value of another key", RuleMixed, func(h *History) { h.get("g1.a", "v2", 5, 15*second) }},
 	{"a value under two revisions", RuleMixed, func(h *History) { h.get("g1.a", "v3", 5, 15*second) }},
 	{"a repeated put with a new revision", RuleMixed, func(h *History) {
@@ -164,20 +164,20 @@
 		h.watch(1, 2, 14*second, KeyEvent{"g1.b", "v2", 2}, KeyEvent{"g1.a", "v3", 4})
 	}},
 	{"a watch that lags", RuleStale, func(h *History) { h.watch(1, 2, 15*second, KeyEvent{"g1.b", "v2", 2}) }},
-	{"a watch that falls back", RuleLost, func(h *History) { h.watch(4, 3, 15*second) }},
+	{"a watch whose revision goes back", RuleLost, func(h *History) { h.watch(4, 3, 15*second) }},
 	{"the present revision lags", RuleStale, func(h *History) { h.watch(0, 2, 15*second) }},
 	{"the present revision", "", func(h *History) { h.watch(0, 4, 15*second) }},
-	{"a young revision is gone", RuleLost, func(h *History) { h.watch(1, 0, 15*second).Status = http.StatusGone }},
+	{"a recent revision is gone", RuleLost, func(h *History) { h.watch(1, 0, 15*second).Status = http.StatusGone }},
 	{"an old revision is gone", "", func(h *History) {
 		call := h.watch(1, 0, 45*second)
 		call.Status, call.GivenAt = http.StatusGone, 20*second
 	}},
 }
 
-// Each planted fault of applications' calls is found by its rule, and by no other.
-func TestCheck_FindsPlantedFaultsOfApplications(t *testing.T) {
+// Each case of the calls of applications breaks exactly the rule that it names, and an allowed case breaks none.
+func TestCheck_ReportsOnlyExpectedRuleForApplications(t *testing.T) {
 	assert.Empty(t, Check(withApplications()))
-	for name, plants := range map[string][]plant{"locks": lockPlants, "numbers": numberPlants, "keys": keyPlants} {
-		t.Run(name, func(t *testing.T) { checkPlants(t, withApplications, plants) })
+	for name, cases := range map[string][]historyCase{"locks": lockCases, "numbers": numberCases, "keys": keyCases} {
+		t.Run(name, func(t *testing.T) { runHistoryCases(t, withApplications, cases) })
 	}
 }
--- a/internal/soak/check_applied.go
+++ b/internal/soak/check_applied.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// checkApplied checks that proxies in touch handle requests by the newest acknowledged version once the bound is over. A
-// machine that holds up processes extends the bound.
+// checkApplied checks that proxies in touch handle requests by the newest acknowledged version after the bound Apply.
+// The first pass skips spans in which the machine held up processes. The second pass includes them, with a longer
+// bound.
 func checkApplied(h *History, t *timeline) violations {
 	found := checkAppliedWithin(h, t, t.bounds.Apply)
 	if len(found) > 0 {
@@ -15,12 +16,12 @@
 	return checkAppliedWithin(h, t.withoutSlowness(), t.bounds.Apply+t.slowExtra())
 }
 
-// checkAppliedWithin is checkApplied with a bound.
+// checkAppliedWithin is one pass of checkApplied with a bound.
 func checkAppliedWithin(h *History, t *timeline, bound time.Duration) violations {
 	var found violations
 	for _, probe := range h.Probes {
 		change := changeOf(h, probe.Marker)
-		if change == nil || !t.isCalm(probe.Node, probe.SentAt, probe.EndedAt) {
+		if change == nil || !t.isUndisturbed(probe.Node, probe.SentAt, probe.EndedAt) {
 			continue
 		}
 		if at, ok := change.acknowledgedAt(); ok && probe.Status == http.StatusNotFound &&
@@ -36,8 +37,9 @@
 	return found
 }
 
-// isDue says whether a version that was acknowledged at a moment must be in force for a request that is sent at another, if
-// it must within a bound while the core is stable.
+// isDue reports whether a version must be in force for a request, by the moments at which the version was acknowledged
+// and the request was sent. The bound applies while the core is stable; otherwise Stretch is added, and the
+// coordinators must have had a majority throughout.
 func isDue(t *timeline, acknowledged, sent Moment, bound time.Duration) bool {
 	if sent <= acknowledged+bound {
 		return false
@@ -48,7 +50,7 @@
 	return sent > acknowledged+bound+t.bounds.Stretch && t.hadMajority(acknowledged, sent)
 }
 
-// mayBeReplaced says whether a change on top of this one may have been in force before a moment.
+// mayBeReplaced reports whether a change with a higher version may have been in force before a moment.
 func mayBeReplaced(h *History, change *Change, before Moment) bool {
 	for i := range h.Changes {
 		other := &h.Changes[i]
@@ -59,7 +61,7 @@
 	return false
 }
 
-// replacedAt returns when a later version than that of a change was first acknowledged.
+// replacedAt returns when a higher version than that of a change was first acknowledged.
 func replacedAt(h *History, change *Change) (Moment, bool) {
 	first, ok := Moment(0), false
 	for i := range h.Changes {
@@ -71,7 +73,7 @@
 	return first, ok
 }
 
-// checkRegress checks that a process which has shown a version does not show an older one later.
+// checkRegress checks that a process that has shown a version does not show an older one later.
 func checkRegress(h *History, t *timeline) violations {
 	var found violations
 	type incarnation struct {
@@ -98,7 +100,7 @@
 	return found
 }
 
-// isRegress says whether a probe shows an older version than one that was served before it.
+// isRegress reports whether a probe shows an older version than an earlier served probe.
 func isRegress(h *History, t *timeline, earlier, probe Probe, change *Change) bool {
 	slack := t.bounds.Downgrade
 	if t.isFrozenWithin(probe.Node, earlier.SentAt, probe.EndedAt) || t.isSlowed(probe.Node, earlier.SentAt, probe.EndedAt) {
--- a/internal/soak/check_configuration.go
+++ b/internal/soak/check_configuration.go
@@ -23,7 +23,7 @@
 // endedAt returns when the latest attempt at a change ended.
 func (c *Change) endedAt() Moment { return c.Attempts[len(c.Attempts)-1].EndedAt }
 
-// clearRejections are the statuses that end a call of an operator.
+// clearRejections are the statuses by which a change is definitely rejected, so that operators do not repeat it.
 var clearRejections = []int{
 	http.StatusBadRequest, http.StatusConflict, http.StatusPreconditionFailed, http.StatusRequestEntityTooLarge,
 	http.StatusUnprocessableEntity,
@@ -31,7 +31,7 @@
 
 func isClearRejection(status int) bool { return slices.Contains(clearRejections, status) }
 
-// isRejected says whether a change was clearly rejected and never acknowledged.
+// isRejected reports whether a change was clearly rejected and never acknowledged.
 func (c *Change) isRejected() bool {
 	if _, ok := c.acknowledgedAt(); ok {
 		return false
@@ -39,8 +39,7 @@
 	return slices.ContainsFunc(c.Attempts, func(a Attempt) bool { return isClearRejection(a.Status) })
 }
 
-// newestAcknowledged returns the change with the highest version among those that were acknowledged before a moment; nil:
-// there is none.
+// newestAcknowledged returns the change with the highest version among those acknowledged before a moment, or nil.
 func newestAcknowledged(h *History, before Moment) *Change {
 	var newest *Change
 	for i := range h.Changes {
@@ -52,7 +51,7 @@
 	return newest
 }
 
-// changeOf returns the change that has a marker; nil: there is none.
+// changeOf returns the change with a marker, or nil.
 func changeOf(h *History, marker string) *Change {
 	index := slices.IndexFunc(h.Changes, func(c Change) bool { return c.Marker == marker })
 	if index < 0 {
@@ -61,8 +60,8 @@
 	return &h.Changes[index]
 }
 
-// checkSettled checks that of two changes on top of one version at most one was acknowledged, that no invalid change was,
-// and that an acknowledged change which is sent again while nothing else changes is not rejected.
+// checkSettled checks three things. At most one change on top of the same version is acknowledged. No invalid change is
+// acknowledged. An acknowledged change that is sent again, with no other change in between, is not rejected.
 func checkSettled(h *History, _ *timeline) violations {
 	var found violations
 	acknowledged := map[uint64]string{} // marker by base
@@ -89,7 +88,7 @@
 	return found
 }
 
-// hasOtherChange says whether another change may have been made in a span.
+// hasOtherChange reports whether another change may have taken effect in a span.
 func hasOtherChange(h *History, change *Change, from, to Moment) bool {
 	return slices.ContainsFunc(h.Changes, func(other Change) bool {
 		if other.Marker == change.Marker || other.sentAt() > to {
@@ -99,14 +98,14 @@
 	})
 }
 
-// isSettled says whether the operators got a clear answer to a change.
+// isSettled reports whether the operators got a clear answer to a change.
 func isSettled(c *Change) bool {
 	_, ok := c.acknowledgedAt()
 	return ok || c.isRejected()
 }
 
-// checkReads checks that no read shows a version older than one that was acknowledged before the read was sent, nor a
-// change that was rejected, and that the configuration is read back at the end.
+// checkReads checks that no read shows a version older than one acknowledged before the read was sent, that no read
+// shows a rejected change, and that the configuration could be read at the end.
 func checkReads(h *History, _ *timeline) violations {
 	var found violations
 	hasFinal := false
@@ -145,8 +144,8 @@
 	return found
 }
 
-// checkAcknowledgements checks that a valid change gets a clear answer within the bound while the core is stable. A machine
-// that holds up processes extends the bound.
+// checkAcknowledgements checks that a valid change gets a clear answer within the bound while the core is stable. The
+// first pass skips spans in which the machine held up coordinators. The second pass includes them, with a longer bound.
 func checkAcknowledgements(h *History, t *timeline) violations {
 	found := checkAcknowledgedWithin(h, t, t.bounds.Acknowledge)
 	if len(found) > 0 {
@@ -155,7 +154,7 @@
 	return checkAcknowledgedWithin(h, t.withoutSlowness(), t.bounds.Acknowledge+t.slowExtra())
 }
 
-// checkAcknowledgedWithin is checkAcknowledgements with a bound.
+// checkAcknowledgedWithin is one pass of checkAcknowledgements with a bound.
 func checkAcknowledgedWithin(h *History, t *timeline, bound time.Duration) violations {
 	var found violations
 	for i := range h.Changes {
--- a/internal/soak/check_keys.go
+++ b/internal/soak/check_keys.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// shownPut is a put that was shown to an application: acknowledged, read or among the events of a watch.
+// shownPut is a put that an application saw: acknowledged, in a read or in an event of a watch.
 type shownPut struct {
 	key, value string
 	revision   uint64
-	shownAt    Moment // first
+	shownAt    Moment // earliest
 }
 
-// keyHistory is what is known of keys.
+// keyHistory indexes the puts of all keys.
 type keyHistory struct {
-	puts    map[string]*Put  // by value, which no two puts share
-	shown   []shownPut       // one for each value and revision
+	puts    map[string]*Put  // by value, which is unique to a put
+	shown   []shownPut       // one for each value
 	byGroup map[string][]int // indexes of shown
 	byValue map[string]int   // index of shown
 }
 
-// newKeyHistory collects all puts that were shown, and finds values that are shown wrongly.
+// newKeyHistory collects all puts that were shown. It returns violations for wrong values and revisions.
 func newKeyHistory(h *History) (*keyHistory, violations) {
 	k := &keyHistory{puts: map[string]*Put{}, byGroup: map[string][]int{}, byValue: map[string]int{}}
 	applications := &h.Applications
@@ -32,25 +32,25 @@
 		put := &applications.Puts[i]
 		for _, attempt := range put.Attempts {
 			if attempt.Status == http.StatusOK {
-				k.show(shownPut{put.Key, put.Value, attempt.Revision, attempt.EndedAt}, &found)
+				k.addShown(shownPut{put.Key, put.Value, attempt.Revision, attempt.EndedAt}, &found)
 			}
 		}
 	}
 	for _, get := range applications.Gets {
 		if get.Status == http.StatusOK {
-			k.show(shownPut{get.Key, get.Value, get.Revision, get.EndedAt}, &found)
+			k.addShown(shownPut{get.Key, get.Value, get.Revision, get.EndedAt}, &found)
 		}
 	}
 	for _, watch := range applications.Watches {
 		for _, event := range watch.Events {
-			k.show(shownPut{event.Key, event.Value, event.Revision, watch.EndedAt}, &found)
+			k.addShown(shownPut{event.Key, event.Value, event.Revision, watch.EndedAt}, &found)
 		}
 	}
 	return k, found
 }
 
-// show adds a put that was shown, unless it is known.
-func (k *keyHistory) show(s shownPut, found *violations) {
+// addShown adds a shown put and checks its value and revision. A put that was added before only gets its earliest time.
+func (k *keyHistory) addShown(s shownPut, found *violations) {
 	put := k.puts[s.value]
 	if put == nil || put.Key != s.key {
 		found.add(RuleMixed, s.shownAt, "%s shows %q, which was not put to it", s.key, s.value)
@@ -78,8 +78,9 @@
 	k.shown = append(k.shown, s)
 }
 
-// isRejectedPut says whether a put was rejected: by a 412, as revisions only rise and a repeated put that has taken effect is
-// acknowledged again, or because each of its calls was answered that it has not taken effect.
+// isRejectedPut reports whether a put was definitely rejected. One 412 suffices: revisions only rise, so a later call
+// cannot succeed, and a repeat of a put that had taken effect would be acknowledged again. Otherwise each call must
+// have a 429 or 503, which state that the call has not taken effect.
 func isRejectedPut(put *Put) bool {
 	hasStatus := func(statuses ...int) func(PutAttempt) bool {
 		return func(a PutAttempt) bool { return slices.Contains(statuses, a.Status) }
@@ -87,11 +88,12 @@
 	if slices.ContainsFunc(put.Attempts, hasStatus(http.StatusPreconditionFailed)) {
 		return true
 	}
-	isPromise := hasStatus(http.StatusTooManyRequests, http.StatusServiceUnavailable)
-	return len(put.Attempts) > 0 && !slices.ContainsFunc(put.Attempts, func(a PutAttempt) bool { return !isPromise(a) })
+	isNotExecuted := hasStatus(http.StatusTooManyRequests, http.StatusServiceUnavailable)
+	return len(put.Attempts) > 0 && !slices.ContainsFunc(put.Attempts, func(a PutAttempt) bool { return !isNotExecuted(a) })
 }
 
-// checkKeys checks what is shown of keys (MIXED, REFUSED, ORDER) and that reads are not stale.
+// checkKeys checks the values and revisions of keys that were shown (MIXED, REFUSED, ORDER), and that no read is stale
+// (STALE, at the end LOST).
 func checkKeys(h *History, _ *timeline) violations {
 	k, found := newKeyHistory(h)
 	for i := range h.Applications.Puts {
@@ -114,7 +116,7 @@
 	return found
 }
 
-// newestAcknowledged returns the highest revision of a key that was acknowledged before a moment; 0: none was.
+// newestAcknowledged returns the highest revision of a key that was acknowledged before a moment; 0: none.
 func (k *keyHistory) newestAcknowledged(key string, before Moment) uint64 {
 	newest := uint64(0)
 	for _, put := range k.puts {
@@ -148,8 +150,9 @@
 	}
 }
 
-// checkAcknowledgedPut checks that a put's revision is above those given before it was first sent, and that no put of the
-// key came between the revision that it was to replace and its own (ORDER).
+// checkAcknowledgedPut checks that the revision of a put is above all revisions of its group that were shown before the
+// put was first sent. It also checks that no put of the key has a revision between IfRevision and the put's own
+// (ORDER).
 func (k *keyHistory) checkAcknowledgedPut(put *Put, attempt PutAttempt, first Moment, found *violations) {
 	for _, index := range k.byGroup[groupOf(put.Key)] {
 		other := k.shown[index]
@@ -167,7 +170,8 @@
 	}
 }
 
-// mayHaveRevision says whether a put gave a key a revision, or may have: it got no clear answer and was never shown.
+// mayHaveRevision reports whether a put gave a key a revision, or may have done so: the put was not rejected and never
+// shown.
 func (k *keyHistory) mayHaveRevision(key string, revision uint64) bool {
 	for value, put := range k.puts {
 		if put.Key != key {
@@ -184,10 +188,11 @@
 	return false
 }
 
-// checkWatches checks the answers of watches: their events rise and skip no put within their span (ORDER), no answer lags
-// behind what was acknowledged (STALE, at the end LOST), and no young revision is gone (LOST).
+// checkWatches checks the answers of watches. The revisions of events rise and skip no put within the span of the
+// answer (ORDER). No answer is older than an acknowledged put (STALE, at the end LOST). No revision expires within
+// History (LOST).
 func checkWatches(h *History, t *timeline) violations {
-	k, _ := newKeyHistory(h) // what it finds is checkKeys's
+	k, _ := newKeyHistory(h) // checkKeys reports these violations
 	var found violations
 	for _, watch := range h.Applications.Watches {
 		switch watch.Status {
@@ -216,7 +221,7 @@
 		has[event.Revision] = true
 	}
 	if watch.After == 0 {
-		return // only the present revision is asked for
+		return // the call only requests the present revision
 	}
 	for _, index := range k.byGroup[watch.Group] {
 		put := k.shown[index]
@@ -227,7 +232,8 @@
 	}
 }
 
-// checkLag checks that the revision of an answer is none below those that were given before the call was sent.
+// checkLag checks that the revision of an answer is not below any revision acknowledged before the call was sent, nor
+// below the revision that the call resumes from.
 func (k *keyHistory) checkLag(watch WatchCall, found *violations) {
 	newest := watch.After
 	for _, put := range k.puts {
--- a/internal/soak/check_locks.go
+++ b/internal/soak/check_locks.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// checkHolds checks that no two applications count themselves holder of one lock at the same moment (ONE).
+// checkHolds checks that no two applications consider themselves the holder of a lock at the same time (ONE).
 func checkHolds(h *History, _ *timeline) violations {
 	var found violations
 	byLock := map[string][]Hold{}
@@ -32,8 +32,8 @@
 	return found
 }
 
-// checkTokens checks that a fencing token is above all that another holder obtained before the call was sent, and not below
-// those of the same holder; and that no two holders get one token (ONE).
+// checkTokens checks the fencing tokens of a lock (ONE). A token is above all tokens that other holders obtained before
+// the call was sent, and not below those of the same holder. No two holders get the same token.
 func checkTokens(h *History, _ *timeline) violations {
 	var found violations
 	acquired := map[string][]LockCall{}
@@ -42,7 +42,7 @@
 			continue
 		}
 		for _, other := range acquired[call.Lock] {
-			if text := judgeTokens(call, other); text != "" {
+			if text := tokenProblem(call, other); text != "" {
 				found.add(RuleOne, call.EndedAt, "%s gave token %d to %s and token %d to %s: %s", call.Lock, other.Token, other.Owner,
 					call.Token, call.Owner, text)
 			}
@@ -52,8 +52,8 @@
 	return found
 }
 
-// judgeTokens returns what is wrong with the tokens of two acquisitions; empty: nothing.
-func judgeTokens(a, b LockCall) string {
+// tokenProblem describes the fault in the tokens of two acquisitions; empty: none.
+func tokenProblem(a, b LockCall) string {
 	if a.SentAt < b.SentAt {
 		a, b = b, a
 	}
@@ -69,8 +69,8 @@
 	return ""
 }
 
-// checkNumbers checks that no number of a name is given twice, and that each is above those given before it was asked for
-// (ORDER).
+// checkNumbers checks that no number of a name is returned twice, and that each number is above those returned before
+// its call was sent (ORDER).
 func checkNumbers(h *History, _ *timeline) violations {
 	var found violations
 	given := map[string][]NumberCall{}
@@ -93,13 +93,13 @@
 	return found
 }
 
-// checkLate checks that each call was answered in time at the end (LOST). A machine that holds up coordinators excuses one
-// that is late.
+// checkLate checks that each call at the end was answered in time (LOST). A late answer is allowed if the machine held
+// up a coordinator; no answer is not.
 func checkLate(h *History, t *timeline) violations {
 	var found violations
 	for _, late := range h.Applications.Late {
 		if !late.IsAnswered || !t.isCoreSlowed(h.LastFault, h.StopFrom) {
-			found.add(RuleLost, h.StopFrom, "%s was not answered within %v at the end: answered %t after %v", late.What, finalPatience,
+			found.add(RuleLost, h.StopFrom, "%s was not answered within %v at the end: answered %t after %v", late.What, finalTimeout,
 				late.IsAnswered, late.Waited)
 		}
 	}
--- a/internal/soak/check_processes.go
+++ b/internal/soak/check_processes.go
@@ -1,7 +1,8 @@
 package soak
 
-// checkEnds checks that processes end in order and within the grace time after SIGTERM, and never by themselves. One that the
-// machine holds up is killed later by as much, so slowness excuses none that is killed.
+// checkEnds checks that processes exit cleanly within the grace time after SIGTERM, and never exit by themselves. The
+// fleet extends the grace time by the time that the machine held up the process, so slowness does not excuse a process
+// that is killed after it.
 func checkEnds(h *History, t *timeline) violations {
 	var found violations
 	for _, fault := range h.Faults {
@@ -14,7 +15,7 @@
 					fault.At-terminated.At)
 			}
 		case FaultEnd:
-			if text := judgeEnd(t, fault, start); text != "" {
+			if text := endProblem(t, fault, start); text != "" {
 				found.add(RuleProcess, fault.At, "%s %s: %s", fault.Node, text, fault.ExitState)
 			}
 		}
@@ -22,13 +23,13 @@
 	return found
 }
 
-// judgeEnd returns what is wrong with the end of a process that was started at a moment; empty: nothing.
-func judgeEnd(t *timeline, end Fault, start Moment) string {
+// endProblem describes the fault in the end of a process that was started at a moment; empty: none.
+func endProblem(t *timeline, end Fault, start Moment) string {
 	if t.has(end.Node, start, end.At, FaultKill, FaultGraceKill) {
 		return ""
 	}
 	terminated, ok := t.first(end.Node, start, end.At, FaultTerminate)
-	justStarted := start + t.bounds.OwnEndSlack // signals may come before the process can handle them
+	justStarted := start + t.bounds.OwnEndSlack // until then a signal may arrive before the process handles it
 	if ok && t.isSlowed(end.Node, start, terminated.At) {
 		justStarted += t.slowExtra()
 	}
@@ -43,7 +44,7 @@
 	return ""
 }
 
-// checkMemory checks that no process grows over the memory of its machine. It reports a process once.
+// checkMemory checks that no process exceeds the memory of its machine. It reports each node at most once.
 func checkMemory(h *History, t *timeline) violations {
 	var found violations
 	reported := map[string]bool{}
@@ -57,12 +58,13 @@
 	return found
 }
 
-// servedCount is how many requests of some were served.
+// servedCount is the number of requests sent, and of those that were served.
 type servedCount struct{ served, sent int }
 
 func (c servedCount) isRecovered() bool { return float64(c.served) >= recoveredShare*float64(c.sent) }
 
-// checkRecovery checks that each proxy serves again within the bound after the last fault, as it did before the first.
+// checkRecovery checks that each proxy that served before the first fault serves again within the bound after the last
+// one.
 func checkRecovery(h *History, t *timeline) violations {
 	var found violations
 	before := countServed(h, h.LoadFrom, h.FaultsFrom)
@@ -74,7 +76,7 @@
 		}
 		count := after[node]
 		if count.served > 0 && t.isSlowed(node, h.LastFault, h.StopFrom) {
-			continue // it serves, and the machine bounds how many
+			continue // it serves some requests; the slowed machine limits their number
 		}
 		if count.sent == 0 || !count.isRecovered() {
 			found.add(RuleRecover, recovered, "%s served %d of %d requests sent more than %v after the last fault", node,
@@ -87,7 +89,7 @@
 	return found
 }
 
-// countServed counts the requests by proxy that were sent in a span.
+// countServed counts by proxy the requests that were started in a span.
 func countServed(h *History, from, to Moment) map[string]servedCount {
 	counts := map[string]servedCount{}
 	for i := range h.Requests {
--- a/internal/soak/check_requests.go
+++ b/internal/soak/check_requests.go
@@ -6,26 +6,27 @@
 	"time"
 )
 
-// clientPatience is how long a client waits for a response. It is sent as Time-Left-Ms and is the time-out of all routes.
-const clientPatience = 5 * time.Second
+// clientTimeout is the time that a client gives a request. It is sent as Time-Left-Ms and is the timeout of all routes.
+const clientTimeout = 5 * time.Second
 
-// deadlineMargin is how long before the client's deadline a request that is cut counts as one whose deadline was reached: a
-// hundredth of its time, which a proxy may keep for its own response.
-const deadlineMargin = clientPatience / 100
+// deadlineMargin is a hundredth of clientTimeout, which a proxy may reserve for its own response. A request that is cut
+// within this time before the client's deadline counts as one that reached the deadline.
+const deadlineMargin = clientTimeout / 100
 
-// Own 4xx that machines in touch may answer: allowedDenials, and one in requestsPerDenial (DENIED).
+// Limit on 4xx responses of proxies in touch (DENIED): allowedDenials plus one per requestsPerDenial requests.
 const (
 	allowedDenials    = 5
 	requestsPerDenial = 500
 )
 
-// promises are the statuses that promise that the request has not run and never will.
-var promises = []int{
+// notExecutedStatuses are the statuses that guarantee that the request has not run and never will.
+var notExecutedStatuses = []int{
 	http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable,
 }
 
-// checkLost checks that no connection ended without a complete response to a request that was read. It is judged around
-// planned work and in calm times alike; a kill or a freeze of the process excuses it, and slowness where that may be why.
+// checkLost checks that no connection ended without a complete response to a request that was read. The check also
+// covers SIGTERM and SIGHUP. A kill or a freeze of the process excuses the cut, and so does slowness that may have
+// caused it.
 func checkLost(h *History, t *timeline) violations {
 	var found violations
 	for i := range h.Requests {
@@ -35,13 +36,13 @@
 		}
 		found.add(RuleLost, request.EndedAt, "%s of %s at %s, sent at %.3fs, was cut after %v: ran %d times, %s",
 			request.ID, request.Kind, request.Node, request.SentAt.Seconds(),
-			(request.EndedAt - request.SentAt).Round(time.Millisecond), len(h.Executions[request.ID]), near(t, request))
+			(request.EndedAt - request.SentAt).Round(time.Millisecond), len(h.Executions[request.ID]), nearbySignal(t, request))
 	}
 	return found
 }
 
-// near names the planned work around a request.
-func near(t *timeline, request *Request) string {
+// nearbySignal describes the SIGTERM or SIGHUP close to a request.
+func nearbySignal(t *timeline, request *Request) string {
 	from := request.SentAt - t.bounds.Grace - t.bounds.DrainExtra
 	if fault, ok := t.first(request.Node, from, request.EndedAt, FaultTerminate); ok {
 		return "SIGTERM was " + (request.SentAt - fault.At).Round(time.Millisecond).String() + " before it"
@@ -58,20 +59,21 @@
 		t.isFrozenWithin(request.Node, from, request.EndedAt) {
 		return true
 	}
-	if request.EndedAt-request.StartedAt >= clientPatience-deadlineMargin {
+	if request.EndedAt-request.StartedAt >= clientTimeout-deadlineMargin {
 		return true
 	}
 	if !wasPassedOn(h, request) && request.EndedAt-request.SentAt <= t.bounds.LossSlack {
-		return true // it was not read
+		return true // the proxy had not read it
 	}
-	return wasWorkingLate(h, t, request) || isCutBySlowness(h, t, request)
+	return wasExecutingLate(h, t, request) || mayBeCutBySlowness(h, t, request)
 }
 
 func wasPassedOn(h *History, request *Request) bool { return len(h.Executions[request.ID]) > 0 }
 
-// isCutBySlowness says whether the machine held up the process, and that may be why it cut the request: it had not read it,
-// or its grace time ran out. Slowness is no reason to cut a request before that which was passed on.
-func isCutBySlowness(h *History, t *timeline, request *Request) bool {
+// mayBeCutBySlowness reports whether slowness of the machine may have caused the cut: the process was slowed, and it
+// either had not passed on the request, or was in the second half of its grace time. Earlier, slowness does not excuse
+// the cut of a request that was passed on to a backend.
+func mayBeCutBySlowness(h *History, t *timeline, request *Request) bool {
 	if !t.isSlowed(request.Node, request.SentAt-t.bounds.Quiet, request.EndedAt) {
 		return false
 	}
@@ -80,8 +82,8 @@
 	return !wasPassedOn(h, request) || ok && request.EndedAt > terminated.At+t.bounds.Grace/2
 }
 
-// wasWorkingLate says whether a backend still worked on the request in the second half of the grace time.
-func wasWorkingLate(h *History, t *timeline, request *Request) bool {
+// wasExecutingLate reports whether a backend still executed the request in the second half of the grace time.
+func wasExecutingLate(h *History, t *timeline, request *Request) bool {
 	span := t.bounds.Grace + t.bounds.DrainExtra
 	terminated, ok := t.first(request.Node, request.SentAt-span, request.EndedAt, FaultTerminate)
 	if !ok {
@@ -96,7 +98,7 @@
 	return false
 }
 
-// checkResponses reports what clients found wrong with responses.
+// checkResponses reports the problems that clients found in responses.
 func checkResponses(h *History, _ *timeline) violations {
 	var found violations
 	for _, request := range h.Requests {
@@ -107,8 +109,8 @@
 	return found
 }
 
-// checkExecutions checks that a request ran once at most, that one that was rejected did not run, and that backends ran
-// only what clients sent.
+// checkExecutions checks that a request other than a read-only one ran at most once and did not run if it was rejected,
+// and that backends ran only requests that clients sent.
 func checkExecutions(h *History, _ *timeline) violations {
 	var found violations
 	sent := map[string]bool{}
@@ -121,7 +123,7 @@
 		if runs > 1 {
 			found.add(RuleTwice, request.EndedAt, "%s of %s at %s ran %d times", request.ID, request.Kind, request.Node, runs)
 		}
-		if request.Outcome == OutcomeComplete && slices.Contains(promises, request.Status) {
+		if request.Outcome == OutcomeComplete && slices.Contains(notExecutedStatuses, request.Status) {
 			found.add(RuleRefused, request.EndedAt, "%s of %s at %s got %d and ran", request.ID, request.Kind, request.Node,
 				request.Status)
 		}
@@ -134,14 +136,15 @@
 	return found
 }
 
-// checkDenied counts 4xx that are no promise, from proxies in touch. The routes of requests are in every configuration.
+// checkDenied limits the 3xx and 4xx responses of proxies in touch, other than notExecutedStatuses. Every configuration
+// has the routes of the requests, so that none should be denied.
 func checkDenied(h *History, t *timeline) violations {
 	var found violations
 	denied, last := 0, Request{}
 	for _, request := range h.Requests {
 		isDenial := request.Outcome == OutcomeComplete && request.Status >= http.StatusMultipleChoices &&
-			request.Status < http.StatusInternalServerError && !slices.Contains(promises, request.Status)
-		if isDenial && t.isCalm(request.Node, request.SentAt, request.EndedAt) {
+			request.Status < http.StatusInternalServerError && !slices.Contains(notExecutedStatuses, request.Status)
+		if isDenial && t.isUndisturbed(request.Node, request.SentAt, request.EndedAt) {
 			denied, last = denied+1, request
 		}
 	}
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -12,8 +12,9 @@
 
 const second = time.Second
 
-// goodHistory returns a run that breaks no rule: three coordinators, two proxies, SIGTERM of p0 at 20 s, a kill of p1 at
-// 30 s, three versions of the configuration, each acknowledged 100 ms after it was sent, and the end at 60 s.
+// goodHistory returns the history of a run that breaks no rule: three coordinators, two proxies, SIGTERM of p0 at 20 s,
+// a kill of p1 at 30 s, three versions of the configuration, each acknowledged 100 ms after it was sent, and the end at
+// 60 s.
 func goodHistory() *History {
 	h := &History{
 		Bounds: StatedBounds(), Epoch: time.Unix(1_000_000, 0), Executions: map[string][]fakesystem.Execution{},
@@ -50,7 +51,7 @@
 	h.Faults = append(h.Faults, Fault{Node: node, Kind: kind, At: at})
 }
 
-// slow has the machine hold up a process for half a second.
+// slow adds a sample of half a second in which the machine held up a process for longer than MaxRunDelay.
 func (h *History) slow(node string, at Moment) {
 	h.Delays = append(h.Delays, DelaySample{Node: node, From: at, To: at + second/2, Waited: 101 * time.Millisecond})
 }
@@ -66,7 +67,7 @@
 	return &h.Changes[len(h.Changes)-1]
 }
 
-// request adds a request that took 200 ms, and ran once if it was served.
+// request adds a request that took 200 ms, with one execution if its status is 200.
 func (h *History) request(node string, kind RequestKind, at Moment, outcome Outcome, status int) *Request {
 	id := node + "-" + at.String()
 	h.Requests = append(h.Requests, Request{ID: id, Node: node, Kind: kind, StartedAt: at, SentAt: at,
@@ -89,58 +90,58 @@
 	h.Probes = append(h.Probes, probe)
 }
 
-// odd is added to whole seconds, so that requests of plants have ids of their own.
-const odd = 3 * time.Millisecond
+// idOffset is added to whole seconds, so that requests of a case get other IDs than those of goodHistory.
+const idOffset = 3 * time.Millisecond
 
-// plant is what is planted in a good history, and the only rule that it breaks; no rule: it is excused.
-type plant struct {
+// historyCase is an edit of a good history, and the only rule that the edit breaks; no rule: it is allowed.
+type historyCase struct {
 	name string
 	rule Rule
 	add  func(h *History)
 }
 
-var plants = []plant{
+var systemCases = []historyCase{
 	{"nothing", "", func(*History) {}},
 	{"cut in the drain after it ran", RuleLost, func(h *History) {
-		h.execute(h.request("p0", KindDocument, 21*second+odd, OutcomeCut, 0).ID, 21*second, 21*second)
+		h.execute(h.request("p0", KindDocument, 21*second+idOffset, OutcomeCut, 0).ID, 21*second, 21*second)
 	}},
 	{"cut late in the drain, never passed on", RuleLost, func(h *History) {
-		h.request("p0", KindDocument, 21*second+odd, OutcomeCut, 0).EndedAt += second / 4
+		h.request("p0", KindDocument, 21*second+idOffset, OutcomeCut, 0).EndedAt += second / 4
 	}},
-	{"cut at once and not passed on", "", func(h *History) { h.request("p0", KindDocument, 21*second+odd, OutcomeCut, 0) }},
+	{"cut at once and not passed on", "", func(h *History) { h.request("p0", KindDocument, 21*second+idOffset, OutcomeCut, 0) }},
 	{"cut near SIGHUP", RuleLost, func(h *History) {
 		h.fault("p0", FaultHangup, 50*second)
-		h.request("p0", KindDocument, 50*second+odd, OutcomeCut, 0).EndedAt += second / 4
+		h.request("p0", KindDocument, 50*second+idOffset, OutcomeCut, 0).EndedAt += second / 4
 	}},
 	{"cut near a kill", "", func(h *History) {
-		h.request("p1", KindDocument, 30*second-odd, OutcomeCut, 0).EndedAt += second / 4
+		h.request("p1", KindDocument, 30*second-idOffset, OutcomeCut, 0).EndedAt += second / 4
 	}},
 	{"cut a quiet time after a kill", RuleLost, func(h *History) {
-		h.request("p1", KindDocument, 36*second+odd, OutcomeCut, 0).EndedAt += second / 4
+		h.request("p1", KindDocument, 36*second+idOffset, OutcomeCut, 0).EndedAt += second / 4
 	}},
 	{"cut near another process's kill", RuleLost, func(h *History) {
-		h.request("p0", KindDocument, 30*second+odd, OutcomeCut, 0).EndedAt += second / 4
+		h.request("p0", KindDocument, 30*second+idOffset, OutcomeCut, 0).EndedAt += second / 4
 	}},
 	{"cut while frozen", "", func(h *History) {
 		h.fault("p0", FaultFreeze, 50*second)
-		h.request("p0", KindDocument, 51*second+odd, OutcomeCut, 0).EndedAt += second / 4
+		h.request("p0", KindDocument, 51*second+idOffset, OutcomeCut, 0).EndedAt += second / 4
 		h.fault("p0", FaultThaw, 52*second)
 	}},
 	{"cut while slowed", "", func(h *History) {
 		h.slow("p0", 50*second)
-		h.request("p0", KindDocument, 51*second+odd, OutcomeCut, 0).EndedAt += second / 4
+		h.request("p0", KindDocument, 51*second+idOffset, OutcomeCut, 0).EndedAt += second / 4
 	}},
 	{"cut while the clients are slowed", "", func(h *History) {
 		h.slow(runnerNode, 50*second)
-		h.request("p0", KindDocument, 51*second+odd, OutcomeCut, 0).EndedAt += second / 4
+		h.request("p0", KindDocument, 51*second+idOffset, OutcomeCut, 0).EndedAt += second / 4
 	}},
 	{"cut after it was passed on while slowed", RuleLost, func(h *History) {
 		h.slow("p0", 50*second)
-		h.execute(h.request("p0", KindDocument, 51*second+odd, OutcomeCut, 0).ID, 51*second, 51*second)
+		h.execute(h.request("p0", KindDocument, 51*second+idOffset, OutcomeCut, 0).ID, 51*second, 51*second)
 	}},
 	{"cut after it was passed on early in the drain while slowed", RuleLost, func(h *History) {
 		h.slow("p0", 20*second)
-		h.execute(h.request("p0", KindDocument, 21*second+odd, OutcomeCut, 0).ID, 21*second, 21*second)
+		h.execute(h.request("p0", KindDocument, 21*second+idOffset, OutcomeCut, 0).ID, 21*second, 21*second)
 	}},
 	{"cut after it was passed on late in the drain while slowed", "", func(h *History) {
 		h.slow("p0", 54*second)
@@ -149,19 +150,19 @@
 	}},
 	{"cut while another process is slowed", RuleLost, func(h *History) {
 		h.slow("p1", 50*second)
-		h.request("p0", KindDocument, 51*second+odd, OutcomeCut, 0).EndedAt += second / 4
+		h.request("p0", KindDocument, 51*second+idOffset, OutcomeCut, 0).EndedAt += second / 4
 	}},
 	{"cut while held up within the bound", RuleLost, func(h *History) {
 		h.slow("p0", 50*second)
 		h.Delays[0].Waited = 100 * time.Millisecond
-		h.request("p0", KindDocument, 51*second+odd, OutcomeCut, 0).EndedAt += second / 4
+		h.request("p0", KindDocument, 51*second+idOffset, OutcomeCut, 0).EndedAt += second / 4
 	}},
 	{"a document ran twice while slowed", RuleTwice, func(h *History) {
 		h.slow("p0", 10*second)
 		h.execute(h.Requests[0].ID, 0, 0)
 	}},
 	{"cut at the client's deadline", "", func(h *History) {
-		h.request("p0", KindDocument, 45*second+odd, OutcomeCut, 0).EndedAt += clientPatience
+		h.request("p0", KindDocument, 45*second+idOffset, OutcomeCut, 0).EndedAt += clientTimeout
 	}},
 	{"cut while its backend works in the second half of the grace time", "", func(h *History) {
 		h.Faults = nil
@@ -169,27 +170,27 @@
 			h.fault(node, FaultStart, second)
 		}
 		h.fault("p0", FaultTerminate, 50*second)
-		h.execute(h.request("p0", KindDocument, 53*second+odd, OutcomeCut, 0).ID, 53*second, 55*second)
+		h.execute(h.request("p0", KindDocument, 53*second+idOffset, OutcomeCut, 0).ID, 53*second, 55*second)
 		h.LastFault = 32 * second
 	}},
 	{"another request's response", RuleMixed, func(h *History) { h.Requests[4].Problem = "x" }},
 	{"a document ran twice", RuleTwice, func(h *History) { h.execute(h.Requests[0].ID, 0, 0) }},
 	{"a stream ran twice", RuleTwice, func(h *History) { h.execute(h.Requests[1].ID, 0, 0) }},
 	{"a read ran twice", "", func(h *History) {
-		h.execute(h.request("p0", KindReadOnly, 21*second+odd, OutcomeComplete, http.StatusOK).ID, 0, 0)
+		h.execute(h.request("p0", KindReadOnly, 21*second+idOffset, OutcomeComplete, http.StatusOK).ID, 0, 0)
 	}},
 	{"rejected and run", RuleRefused, func(h *History) {
-		h.execute(h.request("p0", KindDocument, 50*second+odd, OutcomeComplete, http.StatusServiceUnavailable).ID, 0, 0)
+		h.execute(h.request("p0", KindDocument, 50*second+idOffset, OutcomeComplete, http.StatusServiceUnavailable).ID, 0, 0)
 	}},
-	{"run unasked", RuleUnasked, func(h *History) { h.execute("unknown", 0, 0) }},
+	{"run without a client's request", RuleUnasked, func(h *History) { h.execute("unknown", 0, 0) }},
 	{"six denied", RuleDenied, func(h *History) {
 		for i := range 6 {
-			h.request("p0", KindDocument, 50*second+Moment(i+1)*odd, OutcomeComplete, http.StatusNotFound)
+			h.request("p0", KindDocument, 50*second+Moment(i+1)*idOffset, OutcomeComplete, http.StatusNotFound)
 		}
 	}},
 	{"five denied", "", func(h *History) {
 		for i := range 5 {
-			h.request("p0", KindDocument, 50*second+Moment(i+1)*odd, OutcomeComplete, http.StatusNotFound)
+			h.request("p0", KindDocument, 50*second+Moment(i+1)*idOffset, OutcomeComplete, http.StatusNotFound)
 		}
 	}},
 	{"two acknowledged on one version", RuleConfig, func(h *History) { h.change("m9", 1, 2, 16*second, http.StatusOK) }},
@@ -277,8 +278,8 @@
 		h.probe("p1", "m3", 41*second, true)
 		h.probe("p1", "m2", 42*second, true)
 	}},
-	{"back to none of its versions", RuleConfig, func(h *History) {
-		h.probe("p0", "m3", 50*second+odd, true)
+	{"denied after it was shown", RuleConfig, func(h *History) {
+		h.probe("p0", "m3", 50*second+idOffset, true)
 		h.probe("p0", "m3", 55*second, false)
 	}},
 	{"a rejected change of the version that was shown is denied", "", func(h *History) {
@@ -287,14 +288,14 @@
 	}},
 	{"back to an older version in the next incarnation", "", func(h *History) {
 		h.probe("p1", "m2", 18*second, true)
-		h.probe("p1", "m1", 31*second+odd, true)
+		h.probe("p1", "m1", 31*second+idOffset, true)
 	}},
-	{"alive after the grace time", RuleProcess, func(h *History) {
+	{"running after the grace time", RuleProcess, func(h *History) {
 		h.fault("p0", FaultTerminate, 50*second)
 		h.fault("p0", FaultGraceKill, 58*second)
 		h.end("p0", 58*second, true)
 	}},
-	{"killed after the grace time and before", "", func(h *History) {
+	{"killed within the grace time and again after it", "", func(h *History) {
 		h.fault("p0", FaultTerminate, 50*second)
 		h.fault("p0", FaultKill, 51*second)
 		h.fault("p0", FaultGraceKill, 58*second)
@@ -311,7 +312,7 @@
 		h.fault("p0", FaultGraceKill, 58*second)
 		h.end("p0", 58*second, true)
 	}},
-	{"killed after the grace time and that of its slowness", RuleProcess, func(h *History) {
+	{"killed after the extended grace time while slowed", RuleProcess, func(h *History) {
 		h.slow("p0", 52*second)
 		h.fault("p0", FaultTerminate, 50*second)
 		h.fault("p0", FaultGraceKill, 58*second)
@@ -327,8 +328,8 @@
 		h.end("p0", 50*second, true)
 	}},
 	{"ended by SIGHUP at its start", "", func(h *History) {
-		h.fault("p0", FaultHangup, 23*second+odd)
-		h.end("p0", 23*second+2*odd, true)
+		h.fault("p0", FaultHangup, 23*second+idOffset)
+		h.end("p0", 23*second+2*idOffset, true)
 	}},
 	{"fails at SIGTERM", RuleProcess, func(h *History) {
 		h.fault("p0", FaultTerminate, 50*second)
@@ -366,11 +367,11 @@
 	}},
 }
 
-// Each planted fault is found by its rule, and by no other; what the rules excuse is found by none.
-func TestCheck_FindsPlantedFaults(t *testing.T) { checkPlants(t, goodHistory, plants) }
+// Each case breaks exactly the rule that it names, and an allowed case breaks none.
+func TestCheck_ReportsOnlyExpectedRule(t *testing.T) { runHistoryCases(t, goodHistory, systemCases) }
 
-func checkPlants(t *testing.T, good func() *History, plants []plant) {
-	for _, c := range plants {
+func runHistoryCases(t *testing.T, good func() *History, cases []historyCase) {
+	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			h := good()
 			c.add(h)
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -10,22 +10,22 @@
 
 // Rates of the load.
 const (
-	requestsPerSecond      = 240 // by all clients together, at most
-	minClients             = 48  // over all proxies
-	minClientsPerProxy     = 2
-	redialInterval         = 100 * time.Millisecond
-	unheedingClients       = 2 // one client in as many goes on with a connection that the proxy said to close
-	pauselessRequestPeriod = 5 // one request in as many follows the response before it at once
+	requestsPerSecond  = 240 // upper bound for all clients together
+	minClients         = 48  // total over all proxies
+	minClientsPerProxy = 2
+	redialInterval     = 100 * time.Millisecond
+	honorsClosePeriod  = 2 // every second client of a proxy honors "Connection: close"; the others keep using the connection
+	backToBackPeriod   = 5 // one request in 5 is sent without a pause after the previous response
 )
 
-// client sends requests to one proxy, on one connection after the other. It uses a connection until the proxy closes it,
-// and connects again to the same proxy, also while that stops, until the process is gone.
+// client sends requests to one proxy on successive connections. It uses a connection until the proxy closes it, then
+// connects to the same proxy again. It does so also while the proxy drains, until its process has ended.
 type client struct {
-	name     string
-	node     *node
-	recorder *recorder
-	interval time.Duration // between requests
-	isHeedy  bool          // it ends a connection that the proxy says it will close
+	name        string
+	node        *node
+	recorder    *recorder
+	interval    time.Duration // between requests
+	honorsClose bool          // closes the connection after a response with "Connection: close"
 
 	number int // of the next request
 }
@@ -39,7 +39,7 @@
 		for i := range perProxy {
 			clients = append(clients, &client{
 				name: fmt.Sprintf("%s.%d", proxy.Name, i), node: proxy, recorder: r,
-				interval: time.Duration(count) * time.Second / requestsPerSecond, isHeedy: i%unheedingClients == 0,
+				interval: time.Duration(count) * time.Second / requestsPerSecond, honorsClose: i%honorsClosePeriod == 0,
 			})
 		}
 	}
@@ -64,8 +64,8 @@
 func (c *client) use(ctx context.Context, connection *connection) {
 	for ctx.Err() == nil {
 		c.number++
-		if c.number%pauselessRequestPeriod != 0 {
-			isOpen, hasBytes := connection.rest(c.interval)
+		if c.number%backToBackPeriod != 0 {
+			isOpen, hasBytes := connection.waitIdle(c.interval)
 			if hasBytes {
 				c.recordStrayBytes()
 			}
@@ -74,13 +74,13 @@
 			}
 		}
 		result := c.send(connection)
-		if result.outcome != OutcomeComplete || result.closes && c.isHeedy {
+		if result.outcome != OutcomeComplete || result.closes && c.honorsClose {
 			return
 		}
 	}
 }
 
-// send makes the next request and records what came of it.
+// send sends the next request and records its outcome.
 func (c *client) send(connection *connection) exchange {
 	request := newCall(c.name, c.number)
 	started := c.recorder.now()
@@ -92,7 +92,7 @@
 	return result
 }
 
-// recordStrayBytes records bytes that came while no request was waiting.
+// recordStrayBytes records bytes that arrived on a connection without an outstanding request.
 func (c *client) recordStrayBytes() {
 	now := c.recorder.now()
 	c.record(Request{
--- a/internal/soak/document.go
+++ b/internal/soak/document.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Services of the configuration.
+// Names of the services in the configuration.
 const (
 	modelService    = "models"
 	documentService = "documents"
@@ -27,7 +27,7 @@
 	Tries     int    `json:"tries"`
 }
 
-// limitsDocument bounds what clients send.
+// limitsDocument holds the limits on requests of clients.
 type limitsDocument struct {
 	HeaderBytes   int `json:"headerBytes"`
 	BodyBytes     int `json:"bodyBytes"`
@@ -35,7 +35,7 @@
 	IdleTimeoutMs int `json:"idleTimeoutMs"`
 }
 
-// configurationDocument is a whole configuration, the body of a PUT.
+// configurationDocument is a complete configuration, the body of a PUT.
 type configurationDocument struct {
 	Version  uint64            `json:"version"`
 	Routes   []routeDocument   `json:"routes"`
@@ -58,7 +58,7 @@
 
 func newRoute(name string, kind RequestKind, service string, tries int) routeDocument {
 	return routeDocument{
-		Name: name, Host: requestHost, PathStart: "/" + name + "/", Kind: string(kind), TimeoutMs: clientPatience.Milliseconds(),
+		Name: name, Host: requestHost, PathStart: "/" + name + "/", Kind: string(kind), TimeoutMs: clientTimeout.Milliseconds(),
 		TargetMs: 800, Priority: 1, Service: service, Tries: tries,
 	}
 }
@@ -70,7 +70,7 @@
 	wireReadOnly  RequestKind = "read_only"
 )
 
-// baseRoutes are the routes that every configuration has, one for each kind of request.
+// baseRoutes returns the routes that every configuration has, one for each kind of request.
 func baseRoutes() []routeDocument {
 	return []routeDocument{
 		newRoute(string(KindStream), wireStreaming, modelService, 1),
@@ -83,7 +83,7 @@
 	return newRoute(marker, wireReadOnly, documentService, 1)
 }
 
-// putBody returns a whole configuration with the marker's route. An invalid one names an unknown service.
+// putBody returns a complete configuration with the marker's route. An invalid configuration names an unknown service.
 func putBody(version uint64, marker string, isInvalid bool) ([]byte, error) {
 	route := markerRoute(marker)
 	if isInvalid {
@@ -96,7 +96,7 @@
 	})
 }
 
-// patchBody returns a change that replaces the route of one marker by that of another.
+// patchBody returns a PATCH body that replaces the route of one marker by the route of another.
 func patchBody(version uint64, marker, replaced string) ([]byte, error) {
 	return json.Marshal(patchDocument{
 		Version: version,
@@ -120,7 +120,7 @@
 			continue
 		}
 		if marker != "" {
-			return read.Version, marker + "+" + route.Name, nil // no change has two
+			return read.Version, marker + "+" + route.Name, nil // no change has two markers, so checkReads reports this
 		}
 		marker = route.Name
 	}
--- a/internal/soak/document_test.go
+++ b/internal/soak/document_test.go
@@ -12,8 +12,8 @@
 	"pumiceline/internal/message"
 )
 
-// The system takes the documents of changes, and rejects the invalid one.
-func TestDocuments_AreValidUnlessMeantNotToBe(t *testing.T) {
+// The configuration parser accepts the body of a PUT, and rejects the one that is meant to be invalid.
+func TestPutBody_IsInvalidOnRequestOnly(t *testing.T) {
 	body, err := putBody(3, "marker1", false)
 	require.NoError(t, err)
 	config, err := configuration.Parse(body)
@@ -29,7 +29,7 @@
 	assert.ErrorContains(t, err, "unknown")
 }
 
-// A patch leaves a document with its own marker only.
+// A patched configuration has only the marker of the patch.
 func TestPatchBody_ReplacesMarker(t *testing.T) {
 	document, err := putBody(3, "marker1", false)
 	require.NoError(t, err)
@@ -44,7 +44,7 @@
 	assert.Equal(t, "marker2", marker)
 }
 
-// The programs take the settings of nodes, with the bounds that the checkers use.
+// The programs' parser accepts the settings of nodes, with the bounds that the checkers use.
 func TestNode_SettingsAreValid(t *testing.T) {
 	fleet := newFleet(NewShape(12, time.Minute), "programs", t.TempDir(), "127.0.0.1:4", newRecorder(StatedBounds()))
 	for _, n := range fleet.nodes {
--- a/internal/soak/exchange.go
+++ b/internal/soak/exchange.go
@@ -19,28 +19,28 @@
 
 // Times of a client's connection.
 const (
-	dialTimeout   = time.Second
-	patienceSlack = time.Second // beyond clientPatience, until a client gives up
+	dialTimeout        = time.Second
+	clientTimeoutSlack = time.Second // a client gives up this long after clientTimeout
 )
 
-// maxHeadBytes is how long the head of a response may be.
+// maxHeadBytes is the maximum size of the head of a response.
 const maxHeadBytes = 16 << 10
 
-// Tokens out of streams, which are their events, in turn.
+// Numbers of output tokens of streams, in turn. A stream has one event for each token.
 var streamTokens = []int{10, 40, 10, 150}
 
-// streamModels are the models of streams, in turn; small/a1 is an adapter.
+// streamModels are the models that streams use, in turn; small/a1 is an adapter.
 var streamModels = []string{"small", "large", "small/a1"}
 
-// call is a request that a client is to send.
+// call is a request to send.
 type call struct {
 	id     string
 	kind   RequestKind
-	model  string // of a stream
-	tokens int    // out, of a stream
+	model  string // streams only
+	tokens int    // output tokens, streams only
 }
 
-// newCall returns the request of a number on a connection: two of four are streams.
+// newCall returns the request with a number of a client. Two of four requests are streams.
 func newCall(connection string, number int) call {
 	c := call{id: fmt.Sprintf("%s-%d", connection, number), kind: KindStream}
 	switch number % 4 {
@@ -55,12 +55,12 @@
 	return c
 }
 
-// text returns the bytes of the request.
+// text returns the request as it is sent.
 func (c call) text() string {
 	const body = "text"
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST /%s/a HTTP/1.1\r\nHost: %s\r\nRequest-Id: %s\r\nTime-Left-Ms: %d\r\nContent-Length: %d\r\n", c.kind,
-		requestHost, c.id, clientPatience.Milliseconds(), len(body))
+		requestHost, c.id, clientTimeout.Milliseconds(), len(body))
 	if c.kind == KindStream {
 		fmt.Fprintf(&b, "Model: %s\r\nToken-Count: 300,%d\r\n", c.model, c.tokens)
 	}
@@ -68,7 +68,7 @@
 	return b.String()
 }
 
-// exchange is what came of a call.
+// exchange is the outcome of a call.
 type exchange struct {
 	outcome Outcome
 	sentAt  Moment
@@ -96,16 +96,17 @@
 	return &connection{conn: conn, reader: bufio.NewReaderSize(conn, maxHeadBytes), now: now}
 }
 
-// rest waits on an idle connection. It says whether the connection is still open, and whether bytes came unasked.
-func (c *connection) rest(duration time.Duration) (isOpen, hasBytes bool) {
-	_ = c.conn.SetReadDeadline(time.Now().Add(duration)) // fails on a closed connection, which Peek shows
+// waitIdle waits on an idle connection. It reports whether the connection is still open and without bytes to read, and
+// whether bytes arrived without a request.
+func (c *connection) waitIdle(duration time.Duration) (isOpen, hasBytes bool) {
+	_ = c.conn.SetReadDeadline(time.Now().Add(duration)) // if the connection is closed, Peek reports it
 	_, err := c.reader.Peek(1)
 	return errors.Is(err, os.ErrDeadlineExceeded), err == nil
 }
 
 // do sends a request and reads its response.
 func (c *connection) do(request call) exchange {
-	_ = c.conn.SetDeadline(time.Now().Add(clientPatience + patienceSlack))
+	_ = c.conn.SetDeadline(time.Now().Add(clientTimeout + clientTimeoutSlack))
 	if _, err := io.WriteString(c.conn, request.text()); err != nil {
 		return exchange{outcome: OutcomeUnsent, sentAt: c.now()}
 	}
@@ -128,7 +129,7 @@
 	return result
 }
 
-// awaitHead waits until the whole head of a response has come, so that one that is cut off is not taken for a malformed one.
+// awaitHead waits for the complete head of a response, so that a truncated head is not mistaken for a malformed one.
 func (c *connection) awaitHead() error {
 	for size := 1; ; size = c.reader.Buffered() + 1 {
 		if _, err := c.reader.Peek(size); err != nil {
@@ -155,8 +156,8 @@
 	return e
 }
 
-// inspectResponse returns what is wrong with a response; empty: nothing. The body of one that broke off is judged as far as
-// it came.
+// inspectResponse describes the fault in a response; empty: none. A truncated body is checked as far as it was
+// received.
 func inspectResponse(request call, response *http.Response, body string, isComplete bool) string {
 	id, seal := response.Header.Get("Request-Id"), response.Header.Get("Server-Seal")
 	switch {
@@ -176,7 +177,8 @@
 	return ""
 }
 
-// inspectStream checks that the events of a stream are those that the backend sends, from the first on.
+// inspectStream checks that the body is a prefix of the events that the backend sends, and all of them if it is
+// complete.
 func inspectStream(body string, events int, isComplete bool) string {
 	var expected strings.Builder
 	for event := 1; event <= events; event++ {
--- a/internal/soak/exchange_test.go
+++ b/internal/soak/exchange_test.go
@@ -21,14 +21,14 @@
 	return b.String()
 }
 
-// respond returns a response of the fake backends to the first call.
+// respond returns a response of a fake backend to the call c-0.
 func respond(head, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nRequest-Id: c-0\r\nServer-Seal: %s\r\n%sContent-Length: %d\r\n\r\n%s",
 		fakesystem.Seal("c-0"), head, len(body), body)
 }
 
-// What a client makes of the bytes that come, the connection being closed after them.
-func TestConnection_JudgesResponse(t *testing.T) {
+// Outcome and problem that a client records for the bytes of a response, after which the proxy closes the connection.
+func TestConnection_ClassifiesResponse(t *testing.T) {
 	stream := newCall("c", 0) // 10 events
 	stream.tokens = 3
 	document := newCall("c", 0)
@@ -72,20 +72,20 @@
 	}
 }
 
-// A resting connection shows that the peer has closed it, and bytes that nobody asked for.
-func TestConnection_Rest(t *testing.T) {
+// An idle connection reports that the peer closed it, and bytes that arrive without a request.
+func TestConnection_WaitIdle(t *testing.T) {
 	client, server := net.Pipe()
 	c := newConnection(client, func() Moment { return 0 })
-	isOpen, hasBytes := c.rest(time.Millisecond)
+	isOpen, hasBytes := c.waitIdle(time.Millisecond)
 	assert.True(t, isOpen)
 	assert.False(t, hasBytes)
 	go func() { _, _ = server.Write([]byte("x")) }()
-	isOpen, hasBytes = c.rest(time.Minute)
+	isOpen, hasBytes = c.waitIdle(time.Minute)
 	assert.False(t, isOpen)
 	assert.True(t, hasBytes)
 	client, server = net.Pipe()
 	require.NoError(t, server.Close())
-	isOpen, hasBytes = newConnection(client, nil).rest(time.Minute)
+	isOpen, hasBytes = newConnection(client, nil).waitIdle(time.Minute)
 	assert.False(t, isOpen)
 	assert.False(t, hasBytes)
 }
--- a/internal/soak/fleet.go
+++ b/internal/soak/fleet.go
@@ -16,25 +16,26 @@
 
 // Times of the fleet's supervision.
 const (
-	settlePoll      = 50 * time.Millisecond
-	settleExtra     = 30 * time.Second       // beyond the grace time, until all processes run again
-	ownEndRestart   = 500 * time.Millisecond // after a process has ended by itself
-	endReasonLength = 300                    // bytes of a process's last output that its end is recorded with
+	settlePoll           = 50 * time.Millisecond
+	settleExtra          = 30 * time.Second       // all processes must run again within the grace time plus this
+	selfExitRestartDelay = 500 * time.Millisecond // delay of the restart of a process that ended by itself
+	endReasonLength      = 300                    // bytes of the last output that are recorded with the end of a process
 )
 
-// fleet is the processes of a run. It carries out steps and starts each process again after its end, as the platform does.
+// fleet supervises the processes of a run. It carries out steps, and restarts each process after its end, as the
+// platform does.
 type fleet struct {
-	dir      string // of settings and state
+	dir      string // folder of settings and state
 	harness  *faulttest.Harness
 	recorder *recorder
 	nodes    []*node // coordinators first
 
 	mu         sync.Mutex
-	isStopping bool           // no process is started again
-	running    sync.WaitGroup // watchers of processes
+	isStopping bool           // no process is restarted
+	running    sync.WaitGroup // goroutines that run awaitEnd
 }
 
-// newFleet makes the nodes of a shape. None is started.
+// newFleet returns the nodes of a shape, with no process started.
 func newFleet(shape Shape, programs, dir, platform string, r *recorder) *fleet {
 	f := &fleet{dir: dir, harness: faulttest.New(), recorder: r}
 	var seeds []string
@@ -80,7 +81,8 @@
 	return nil
 }
 
-// start starts a node's process and a watcher for its end. Nothing is started once the fleet is stopping.
+// start starts the process of a node and a goroutine that waits for its end. It does nothing once the fleet is
+// stopping.
 func (f *fleet) start(n *node) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,13 +100,13 @@
 	if err != nil {
 		return err
 	}
-	n.process, n.hasStarted, n.isTerminated, n.isFrozen, n.restartDelay = process, true, false, false, ownEndRestart
-	f.running.Go(func() { f.watch(n, process) })
+	n.process, n.hasStarted, n.isTerminated, n.isFrozen, n.restartDelay = process, true, false, false, selfExitRestartDelay
+	f.running.Go(func() { f.awaitEnd(n, process) })
 	return nil
 }
 
-// watch waits for the end of a process, records it and starts the next.
-func (f *fleet) watch(n *node, process *faulttest.Process) {
+// awaitEnd waits for the end of a process, records it, and restarts the process after the node's restart delay.
+func (f *fleet) awaitEnd(n *node, process *faulttest.Process) {
 	<-process.Ended()
 	state, err := process.ExitState()
 	if err != nil {
@@ -149,7 +151,7 @@
 		n.restartDelay = step.For
 		f.recorder.fault(n.Name, FaultKill)
 		n.process.Kill()
-		n.process = nil // so that nobody takes it for one that runs; its watcher starts the next
+		n.process = nil // so that later steps do not treat it as running; awaitEnd restarts it
 	case ActionHangup:
 		f.signal(n, FaultHangup, n.process.Hangup)
 	case ActionFreeze:
@@ -157,7 +159,7 @@
 	}
 }
 
-// signal records a fault and sends the signal. A process that has just ended gets none.
+// signal records a fault and sends the signal. An error because the process has just ended is ignored.
 func (f *fleet) signal(n *node, kind FaultKind, send func() error) {
 	f.recorder.fault(n.Name, kind)
 	if err := send(); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -165,7 +167,7 @@
 	}
 }
 
-// terminate sends SIGTERM and has the process killed after the grace time. The caller holds n.mu.
+// terminate sends SIGTERM, and schedules SIGKILL after the grace time. The caller holds n.mu.
 func (f *fleet) terminate(n *node) {
 	f.signal(n, FaultTerminate, n.process.Stop)
 	if n.isTerminated {
@@ -186,7 +188,7 @@
 	})
 }
 
-// killAfter kills a process whose grace time is over, once it has had the time that the machine held it up meanwhile.
+// killAfter kills a process after its grace time plus the time that the machine held it up within the grace time.
 func (f *fleet) killAfter(n *node, process *faulttest.Process, heldUp time.Duration) {
 	timer := time.NewTimer(heldUp)
 	defer timer.Stop()
@@ -198,7 +200,7 @@
 	}
 }
 
-// freeze stops a process for a time. The caller holds n.mu.
+// freeze suspends a process by SIGSTOP for a time. The caller holds n.mu.
 func (f *fleet) freeze(n *node, duration time.Duration) {
 	if n.isFrozen {
 		return
@@ -218,7 +220,7 @@
 	})
 }
 
-// awaitSettled waits until every process runs, not frozen and not told to stop.
+// awaitSettled waits until every process runs, is not frozen and has no SIGTERM pending.
 func (f *fleet) awaitSettled(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, f.recorder.history.Bounds.Grace+settleExtra)
 	defer cancel()
@@ -238,7 +240,7 @@
 	return n.process != nil && !n.isTerminated && !n.isFrozen
 }
 
-// stopAll tells all processes to stop and waits for their ends.
+// stopAll terminates all processes and waits for their ends.
 func (f *fleet) stopAll() {
 	f.mu.Lock()
 	f.isStopping = true
@@ -253,7 +255,7 @@
 	f.running.Wait()
 }
 
-// close kills what still runs and waits for it.
+// close kills all processes that still run and waits for their ends.
 func (f *fleet) close() {
 	f.mu.Lock()
 	f.isStopping = true
--- a/internal/soak/fleet_test.go
+++ b/internal/soak/fleet_test.go
@@ -12,14 +12,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Programs of the tests, in place of the system's.
+// Shell scripts that replace the programs of the system in these tests.
 const (
-	obedientProgram = "#!/bin/sh\ntrap 'exit 0' TERM\necho ready > \"$PUMICELINE_BOOT.ready\"\nwhile :; do sleep 0.01; done\n"
-	deafProgram     = "#!/bin/sh\ntrap '' TERM HUP\necho ready > \"$PUMICELINE_BOOT.ready\"\nwhile :; do sleep 0.01; done\n"
+	gracefulProgram       = "#!/bin/sh\ntrap 'exit 0' TERM\necho ready > \"$PUMICELINE_BOOT.ready\"\nwhile :; do sleep 0.01; done\n"
+	signalIgnoringProgram = "#!/bin/sh\ntrap '' TERM HUP\necho ready > \"$PUMICELINE_BOOT.ready\"\nwhile :; do sleep 0.01; done\n"
 )
 
-// newTestFleet starts a fleet of three coordinators and three proxies that run a program of the test, and waits until all
-// of them handle signals.
+// newTestFleet starts a fleet of three coordinators and three proxies that run a program of the test, and waits until
+// all of them handle signals.
 func newTestFleet(t *testing.T, program string, grace time.Duration) (*fleet, *recorder) {
 	t.Helper()
 	programs := t.TempDir()
@@ -62,9 +62,9 @@
 	require.Eventually(t, func() bool { return slices.Contains(faultsOf(r, node), kind) }, time.Minute, time.Millisecond)
 }
 
-// A process that is told to stop ends in order and is started again; so is one that is killed.
-func TestFleet_StartsProcessesAgain(t *testing.T) {
-	f, r := newTestFleet(t, obedientProgram, time.Minute)
+// A process that ends after SIGTERM or a kill is restarted.
+func TestFleet_RestartsProcesses(t *testing.T) {
+	f, r := newTestFleet(t, gracefulProgram, time.Minute)
 	f.apply(Step{Action: ActionTerminate, Node: 0})
 	awaitFault(t, r, "coordinator-0", FaultEnd)
 	f.apply(Step{Action: ActionKill, Node: 4})
@@ -74,9 +74,9 @@
 	assert.Empty(t, endsOf(r))
 }
 
-// A process that does not end is killed after the grace time, which is a violation.
+// A process that ignores SIGTERM is killed after the grace time, which is a violation.
 func TestFleet_KillsAfterGraceTime(t *testing.T) {
-	f, r := newTestFleet(t, deafProgram, 100*time.Millisecond)
+	f, r := newTestFleet(t, signalIgnoringProgram, 100*time.Millisecond)
 	f.apply(Step{Action: ActionTerminate, Node: 0})
 	awaitFault(t, r, "coordinator-0", FaultGraceKill)
 	awaitFault(t, r, "coordinator-0", FaultEnd)
@@ -85,22 +85,22 @@
 	assert.Equal(t, RuleProcess, found[0].Rule)
 }
 
-// A frozen process is thawed after its time, and one that ends by itself is a violation.
-func TestFleet_FreezesAndSeesOwnEnds(t *testing.T) {
-	f, r := newTestFleet(t, obedientProgram, time.Minute)
+// A frozen process is thawed after the time of the step. A process that ends by itself is a violation.
+func TestFleet_ThawsAndReportsSelfExit(t *testing.T) {
+	f, r := newTestFleet(t, gracefulProgram, time.Minute)
 	f.apply(Step{Action: ActionFreeze, Node: 3, For: 10 * time.Millisecond})
 	awaitFault(t, r, "proxy-0", FaultThaw)
 	assert.Equal(t, []FaultKind{FaultStart, FaultFreeze, FaultThaw}, faultsOf(r, "proxy-0"))
-	require.NoError(t, f.nodes[1].process.Stop()) // not by the fleet, so it is an end by itself
+	require.NoError(t, f.nodes[1].process.Stop()) // the fleet did not send this signal, so the process counts as ended by itself
 	awaitFault(t, r, "coordinator-1", FaultEnd)
 	found := endsOf(r)
 	require.Len(t, found, 1)
 	assert.Contains(t, found[0].Text, "ended by itself")
 }
 
-// All processes are told to stop, and none is started again.
+// stopAll terminates all processes, and none is restarted.
 func TestFleet_StopsAll(t *testing.T) {
-	f, r := newTestFleet(t, obedientProgram, time.Minute)
+	f, r := newTestFleet(t, gracefulProgram, time.Minute)
 	f.stopAll()
 	for _, n := range f.nodes {
 		assert.Equal(t, []FaultKind{FaultStart, FaultTerminate, FaultEnd}, faultsOf(r, n.Name))
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -7,7 +7,7 @@
 	"pumiceline/internal/fake/fakesystem"
 )
 
-// Moment is a time since the start of a run, on the steady clock.
+// Moment is the time since the start of a run, by the monotonic clock.
 type Moment = time.Duration
 
 // Role is the program of a process.
@@ -19,10 +19,10 @@
 	RoleProxy       Role = "proxy"
 )
 
-// FaultKind is what was done to a process.
+// FaultKind is the kind of a fault.
 type FaultKind string
 
-// The kinds of faults. Starts count among them, as a process that was just started is not in touch.
+// The kinds of faults. A start counts as a fault, because a process that was just started is not in touch yet.
 const (
 	FaultStart     FaultKind = "start"
 	FaultTerminate FaultKind = "SIGTERM"
@@ -31,28 +31,28 @@
 	FaultGraceKill FaultKind = "SIGKILL after the grace time"
 	FaultFreeze    FaultKind = "SIGSTOP"
 	FaultThaw      FaultKind = "SIGCONT"
-	FaultEnd       FaultKind = "end" // of the process, whatever the cause
+	FaultEnd       FaultKind = "end" // of the process, for any cause
 )
 
-// Fault is something that was done to a process, or its end.
+// Fault is an action on a process, such as a signal or a start, or the end of the process.
 type Fault struct {
 	Node string
 	Kind FaultKind
 	At   Moment
-	// ExitState is how the process ended; of a FaultEnd only.
+	// ExitState describes how the process ended; set for FaultEnd only.
 	ExitState string
-	// IsFailure says that the process ended by a signal or with a status other than 0; of a FaultEnd only.
+	// IsFailure reports that the process ended by a signal or with a status other than 0; set for FaultEnd only.
 	IsFailure bool
 }
 
 // RequestKind is the kind of a client's request.
 type RequestKind string
 
-// The kinds of requests, each with a route of its own.
+// The kinds of requests. Each has its own route.
 const (
-	KindStream   RequestKind = "stream"    // must run once at most, as its route is not resumable
-	KindDocument RequestKind = "document"  // must run once at most
-	KindReadOnly RequestKind = "read_only" // may run again
+	KindStream   RequestKind = "stream"    // must run at most once, because its route is not resumable
+	KindDocument RequestKind = "document"  // must run at most once
+	KindReadOnly RequestKind = "read_only" // may run more than once
 )
 
 // Outcome is how a request ended on its connection.
@@ -60,10 +60,10 @@
 
 // The outcomes of requests.
 const (
-	OutcomeComplete Outcome = "complete" // a whole response
-	OutcomeCut      Outcome = "cut"      // the connection ended before a whole response
+	OutcomeComplete Outcome = "complete" // a complete response was received
+	OutcomeCut      Outcome = "cut"      // the connection ended before a complete response
 	OutcomeUnsent   Outcome = "unsent"   // the connection ended before the whole request was written
-	OutcomeGivenUp  Outcome = "given up" // the client's time was over
+	OutcomeGivenUp  Outcome = "given up" // the client timed out
 )
 
 // Request is a request of a client and its response.
@@ -75,14 +75,14 @@
 	SentAt    Moment // when its last byte was written
 	EndedAt   Moment
 	Outcome   Outcome
-	Status    int    // 0: none came
-	Problem   string // what is wrong with the response; empty: nothing
+	Status    int    // 0: none received
+	Problem   string // fault in the response; empty: none
 }
 
-// IsServed says whether a whole response with success came.
+// IsServed reports whether a complete response with status 200 was received.
 func (r *Request) IsServed() bool { return r.Outcome == OutcomeComplete && r.Status == statusOK }
 
-// Attempt is one sending of a change.
+// Attempt is one call of a change.
 type Attempt struct {
 	Node    string
 	SentAt  Moment
@@ -90,7 +90,7 @@
 	Status  int // 0: no response came
 }
 
-// Change is a change of the configuration. Its marker is the name of a route that only this version has.
+// Change is a change of the configuration. Its marker is the name of a route that no other change adds.
 type Change struct {
 	Marker    string
 	Base      uint64
@@ -106,10 +106,10 @@
 	EndedAt Moment
 	Version uint64
 	Marker  string
-	IsFinal bool // after the run
+	IsFinal bool // read at the end of the run
 }
 
-// Probe is a request on a marker's route, which shows the configuration in force at a proxy.
+// Probe is a request on the route of a marker. Its status shows whether the route is in force at a proxy.
 type Probe struct {
 	Node     string
 	Marker   string
@@ -126,15 +126,15 @@
 	ResidentBytes int64
 }
 
-// DelaySample is how long a process waited for a processor in a span. The node may be runnerNode.
+// DelaySample is the time that a process waited for a processor in a span. The node may be runnerNode.
 type DelaySample struct {
 	Node   string
 	From   Moment
 	To     Moment
-	Waited time.Duration // of all threads together
+	Waited time.Duration // sum over all threads
 }
 
-// History is all that was seen in a run. The checkers judge by nothing else.
+// History is the record of a run. The checkers have no other input.
 type History struct {
 	Bounds     Bounds
 	Roles      map[string]Role // by node
@@ -149,8 +149,8 @@
 	Delays     []DelaySample
 	LoadFrom   Moment // when clients began
 	FaultsFrom Moment // when the first step was due
-	LastFault  Moment // when the last process was running again
-	StopFrom   Moment // when all processes were told to stop
+	LastFault  Moment // when all processes were running again after the faults
+	StopFrom   Moment // when the stop of all processes began
 
 	Applications ApplicationHistory
 }
@@ -177,7 +177,7 @@
 	change(&r.history)
 }
 
-// fault records a fault at the present time.
+// fault records a fault at the current time.
 func (r *recorder) fault(node string, kind FaultKind) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/soak/node.go
+++ b/internal/soak/node.go
@@ -14,7 +14,7 @@
 	"pumiceline/internal/faulttest"
 )
 
-// Ports of every node, each at an IP address of its own.
+// Ports of every node. Nodes can share them, as each has its own IP address.
 const (
 	clientPort   = 10080
 	readyPort    = 10081
@@ -22,13 +22,14 @@
 	internalPort = 10083 // the first of a range of two
 )
 
-// node is a machine of the run with one process, which is started again after each of its ends.
+// node is a machine of the run with one process, which is restarted after each end. The settings template uses the
+// exported fields and methods.
 type node struct {
 	Name            string
 	IP              string
 	Zone            string
 	SeedNodes       []string
-	StateDir        string // of a coordinator
+	StateDir        string // set for coordinators only
 	PlatformAddress string
 	Tolerance       int
 	Bounds          Bounds
@@ -41,7 +42,7 @@
 	process      *faulttest.Process // nil: none runs
 	isTerminated bool               // the process was sent SIGTERM
 	isFrozen     bool
-	restartDelay time.Duration // after the end of the process
+	restartDelay time.Duration // between the end of the process and its restart
 }
 
 var settingsTemplate = template.Must(template.New("settings").Parse(`node: "{{.Name}}"
@@ -86,16 +87,16 @@
 // ControlAddress is where the node's process serves operators.
 func (n *node) ControlAddress() string { return fmt.Sprintf("%s:%d", n.IP, controlPort) }
 
-// FirstPort is the first of the ports for traffic inside the system.
+// FirstPort is the first port of the range for internal traffic.
 func (n *node) FirstPort() int { return internalPort }
 
-// LastPort is the last of these ports.
+// LastPort is the last port of the range for internal traffic.
 func (n *node) LastPort() int { return internalPort + 1 }
 
 // MemoryMB is the node's memory, in MiB.
 func (n *node) MemoryMB() int { return memoryLimitMB }
 
-// IsFirstStart says whether the node's process has never been started.
+// IsFirstStart reports whether the node's process has never been started.
 func (n *node) IsFirstStart() bool { return !n.hasStarted }
 
 // command writes the settings file into a folder and returns the command that starts the node's process.
@@ -110,7 +111,7 @@
 		return nil, fmt.Errorf("write settings of %s: %w", n.Name, err)
 	}
 	command := exec.Command(n.program)
-	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // a run that is killed leaves nothing behind
+	command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // ends the process also if the run is killed
 	command.Env = append(os.Environ(), bootstrap.EnvironmentVariable+"="+path)
 	return command, nil
 }
@@ -118,7 +119,7 @@
 // addressesPerSubnet is how many nodes have the same first three bytes of their addresses.
 const addressesPerSubnet = 250
 
-// Second byte of the nodes' addresses. Two runs at one time get different ones.
+// Range of the second byte of the nodes' addresses. It is chosen by process ID, so that concurrent runs usually differ.
 const (
 	firstLoopbackNet  = 64
 	loopbackNetsTaken = 128
--- a/internal/soak/operator.go
+++ b/internal/soak/operator.go
@@ -14,40 +14,40 @@
 
 // Times of the operators' calls.
 const (
-	callTimeout     = time.Second // after which another coordinator is asked
-	firstBackoff    = 50 * time.Millisecond
-	maxBackoff      = 500 * time.Millisecond
-	readInterval    = 150 * time.Millisecond
-	maxChangesAtOne = 8 // changes that are under way at once
+	callTimeout          = time.Second // timeout of one call; the next call goes to another coordinator
+	firstBackoff         = 50 * time.Millisecond
+	maxBackoff           = 500 * time.Millisecond
+	readInterval         = 150 * time.Millisecond
+	maxConcurrentChanges = 8 // upper bound of changes in progress
 )
 
-// operators change and read the configuration. Their changes are numbered in the order in which they begin.
+// operators change and read the configuration. Changes are numbered in the order in which they begin.
 type operators struct {
 	coordinators []*node
 	recorder     *recorder
 	http         *http.Client
-	slots        chan struct{} // one for each change under way
-	sequence     sync.Mutex    // held by the change that waits for no other
-
-	mu      sync.Mutex
-	begun   int    // changes
-	asked   int    // calls
-	version uint64 // the newest that is known to be in force
-	marker  string // of that version
+	slots        chan struct{} // semaphore; one element for each change in progress
+	sequential   sync.Mutex    // held by a change that does not race; a racing change does not take it
+
+	mu          sync.Mutex
+	changeCount int    // changes begun so far
+	callCount   int    // calls made so far; selects the next coordinator
+	version     uint64 // newest version known to be in force
+	marker      string // marker of that version
 }
 
 func newOperators(coordinators []*node, r *recorder) *operators {
 	return &operators{
-		coordinators: coordinators, recorder: r, slots: make(chan struct{}, maxChangesAtOne),
-		http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxChangesAtOne}},
+		coordinators: coordinators, recorder: r, slots: make(chan struct{}, maxConcurrentChanges),
+		http: &http.Client{Timeout: callTimeout, Transport: &http.Transport{MaxIdleConnsPerHost: maxConcurrentChanges}},
 	}
 }
 
-// change makes the change of a step, and returns when there is a clear answer or ctx has ended.
+// change makes the change of a step. It returns after a clear answer, or when ctx ends.
 func (o *operators) change(ctx context.Context, step Step) error {
 	if !step.Racing {
-		o.sequence.Lock()
-		defer o.sequence.Unlock()
+		o.sequential.Lock()
+		defer o.sequential.Unlock()
 	}
 	o.slots <- struct{}{}
 	defer func() { <-o.slots }()
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// changeCall is a change under way.
+// changeCall is a change in progress.
 type changeCall struct {
 	index          int // in the history
 	method         string
@@ -74,13 +74,13 @@
 	isAcknowledged bool
 }
 
-// begin draws up the change of a step on top of the newest known version.
+// begin creates and records the change of a step on top of the newest known version.
 func (o *operators) begin(step Step) (*changeCall, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.begun++
+	o.changeCount++
 	c := &changeCall{method: http.MethodPut, base: o.version, version: o.version + step.VersionStep,
-		marker: fmt.Sprintf("marker%d", o.begun)}
+		marker: fmt.Sprintf("marker%d", o.changeCount)}
 	isInvalid := step.Action == ActionInvalid
 	var err error
 	if step.Action == ActionPatch {
@@ -99,7 +99,7 @@
 	return c, nil
 }
 
-// sendUntilClear sends a change to one coordinator after the other, unchanged, until one gives a clear answer.
+// sendUntilClear sends the same change to the coordinators in turn until one gives a clear answer.
 func (o *operators) sendUntilClear(ctx context.Context, c *changeCall) {
 	backoff := firstBackoff
 	for ctx.Err() == nil {
@@ -111,7 +111,7 @@
 		o.recorder.edit(func(h *History) { h.Changes[c.index].Attempts[index] = attempt })
 		if attempt.Status == http.StatusOK {
 			c.isAcknowledged = true
-			o.learn(c.version, c.marker)
+			o.updateNewest(c.version, c.marker)
 			return
 		}
 		if isClearRejection(attempt.Status) {
@@ -123,7 +123,7 @@
 	}
 }
 
-// recordAttempt records an attempt before it is sent: from then on the change may be in force.
+// recordAttempt records an attempt before it is sent, because the change may be in force from then on.
 func (o *operators) recordAttempt(c *changeCall, attempt Attempt) (index int) {
 	attempt.EndedAt = unendedAttempt
 	o.recorder.edit(func(h *History) {
@@ -133,10 +133,10 @@
 	return index
 }
 
-// unendedAttempt is the end of an attempt that is under way.
+// unendedAttempt is the end time of an attempt in progress.
 const unendedAttempt = Moment(1<<63 - 1)
 
-// call makes one call of /config. The status is 0 where no response came.
+// call makes one call of /config. The status is 0 if there is no complete response.
 func (o *operators) call(ctx context.Context, method string, n *node, base uint64, body []byte) (int, []byte) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+n.ControlAddress()+"/config", bytes.NewReader(body))
 	if err != nil {
@@ -160,11 +160,11 @@
 func (o *operators) nextCoordinator() *node {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.asked++
-	return o.coordinators[o.asked%len(o.coordinators)]
+	o.callCount++
+	return o.coordinators[o.callCount%len(o.coordinators)]
 }
 
-func (o *operators) learn(version uint64, marker string) {
+func (o *operators) updateNewest(version uint64, marker string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if version > o.version {
@@ -172,7 +172,7 @@
 	}
 }
 
-// refresh reads the configuration, at one coordinator after the other, until one answers or ctx ends.
+// refresh reads the configuration from the coordinators in turn until one answers or ctx ends.
 func (o *operators) refresh(ctx context.Context) {
 	for ctx.Err() == nil {
 		if o.read(ctx, o.nextCoordinator(), false) {
@@ -182,7 +182,7 @@
 	}
 }
 
-// read reads the configuration at a coordinator and records what it shows. It says whether there was an answer.
+// read reads the configuration from a coordinator and records its version and marker. It reports whether it got a 200.
 func (o *operators) read(ctx context.Context, n *node, isFinal bool) bool {
 	read := Read{Node: n.Name, SentAt: o.recorder.now(), IsFinal: isFinal}
 	status, document := o.call(ctx, http.MethodGet, n, 0, nil)
@@ -191,23 +191,24 @@
 	}
 	version, marker, err := readMarker(document)
 	if err != nil {
-		marker = err.Error() // no change has it, which the checker reports
+		marker = err.Error() // no change has this marker, so checkReads reports it
 	}
 	read.Version, read.Marker, read.EndedAt = version, marker, o.recorder.now()
 	o.recorder.edit(func(h *History) { h.Reads = append(h.Reads, read) })
-	o.learn(version, marker)
+	o.updateNewest(version, marker)
 	return true
 }
 
-// watch reads the configuration again and again, at one coordinator after the other, until ctx ends.
-func (o *operators) watch(ctx context.Context) {
+// poll reads the configuration from the coordinators in turn, every readInterval, until ctx ends.
+func (o *operators) poll(ctx context.Context) {
 	for ctxtime.Sleep(ctx, readInterval) == nil {
 		o.read(ctx, o.nextCoordinator(), false)
 	}
 }
 
-// readFinally reads the configuration at every coordinator, for as long as the operators do at the end of a day.
-func (o *operators) readFinally(ctx context.Context) {
+// readAtEnd reads the configuration from every coordinator, for at most Bounds.Quiet in total. Operators use the same
+// time at the end of a test day.
+func (o *operators) readAtEnd(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, o.recorder.history.Bounds.Quiet)
 	defer cancel()
 	for _, n := range o.coordinators {
--- a/internal/soak/prober.go
+++ b/internal/soak/prober.go
@@ -13,16 +13,16 @@
 
 // Times of probes.
 const (
-	probeInterval = 25 * time.Millisecond // over all proxies
+	probeInterval = 25 * time.Millisecond // between two probes, over all proxies
 	probeTimeout  = 2 * time.Second
-	markersProbed = 4 // of the latest changes, in turn
+	markersProbed = 4 // number of latest changes that are probed, in turn
 )
 
 const probePrefix = "probe-"
 
 func isProbeID(id string) bool { return strings.HasPrefix(id, probePrefix) }
 
-// prober sends requests on the routes of the latest changes, which show the configuration in force at each proxy.
+// prober sends requests on the routes of the latest changes, to find out which configuration is in force at each proxy.
 type prober struct {
 	proxies  []*node
 	recorder *recorder
@@ -37,7 +37,7 @@
 
 // run probes the proxies in turn until ctx ends, and waits for the last probe.
 func (p *prober) run(ctx context.Context) {
-	slots := make(chan struct{}, len(p.proxies)) // a frozen proxy must not hold up the others
+	slots := make(chan struct{}, len(p.proxies)) // probes run concurrently, so that a frozen proxy does not delay the others
 	for number := 0; ctxtime.Sleep(ctx, probeInterval) == nil; number++ {
 		marker := p.marker(number / len(p.proxies))
 		if marker == "" {
@@ -54,7 +54,7 @@
 	}
 }
 
-// marker returns that of one of the latest changes.
+// marker returns the marker of one of the latest changes; empty: there is none.
 func (p *prober) marker(number int) (marker string) {
 	p.recorder.edit(func(h *History) {
 		if index := len(h.Changes) - 1 - number%markersProbed; index >= 0 {
@@ -77,7 +77,7 @@
 	probe := Probe{Node: n.Name, Marker: marker, SentAt: p.recorder.now()}
 	response, err := p.http.Do(request)
 	if err != nil {
-		return // the clients judge connections
+		return // not recorded: cut connections are checked on the requests of clients
 	}
 	defer response.Body.Close()
 	probe.EndedAt, probe.Status = p.recorder.now(), response.StatusCode
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -8,33 +8,33 @@
 
 // Result is the outcome of a run.
 type Result struct {
-	Seed       uint64          `json:"seed"`
-	Processes  int             `json:"processes"`
-	Steps      map[Action]int  `json:"steps"`
-	Faults     map[string]int  `json:"faults"` // that befell processes, starts and ends among them
-	Requests   map[Outcome]int `json:"requests"`
-	Served     int             `json:"served"`
-	Changes    int             `json:"changes"`
-	Acked      int             `json:"acknowledged"`
-	Rejected   int             `json:"rejected"`
-	Reads      int             `json:"reads"`
-	Probes     int             `json:"probes"`
-	PeakMemory int64           `json:"peak_memory_bytes"` // of one process
-	Locked     int             `json:"lock_holds"`
-	Numbers    int             `json:"numbers"`
-	Puts       int             `json:"puts"` // acknowledged
-	Gets       int             `json:"gets"`
-	Watched    int             `json:"watch_answers"`
-	Samples    int             `json:"delay_samples"`
-	Slowed     int             `json:"slowed_samples"` // of these: the machine held up the process beyond the bound
-	Stood      time.Duration   `json:"stood_still"`    // for which the run itself stood still
-	CallCuts   int             `json:"call_cuts"`      // see countCallCuts
-	SlowCuts   int             `json:"slow_cuts"`      // requests whose cut nothing but slowness excuses
-	Violations []Violation     `json:"violations"`
-	Command    string          `json:"command"` // plays the run again
+	Seed          uint64          `json:"seed"`
+	Processes     int             `json:"processes"`
+	Steps         map[Action]int  `json:"steps"`
+	Faults        map[string]int  `json:"faults"` // by kind, with starts and ends
+	Requests      map[Outcome]int `json:"requests"`
+	Served        int             `json:"served"`
+	Changes       int             `json:"changes"`
+	Acknowledged  int             `json:"acknowledged"`
+	Rejected      int             `json:"rejected"`
+	Reads         int             `json:"reads"`
+	Probes        int             `json:"probes"`
+	PeakMemory    int64           `json:"peak_memory_bytes"` // maximum over all processes
+	LockHolds     int             `json:"lock_holds"`
+	Numbers       int             `json:"numbers"`
+	Puts          int             `json:"puts"` // acknowledged
+	Gets          int             `json:"gets"`
+	WatchAnswers  int             `json:"watch_answers"`
+	DelaySamples  int             `json:"delay_samples"`
+	SlowedSamples int             `json:"slowed_samples"` // delay samples in which the process waited longer than MaxRunDelay
+	StoodStill    time.Duration   `json:"stood_still"`    // time for which the runner process was stalled
+	CallCuts      int             `json:"call_cuts"`      // see countCallCuts
+	SlowCuts      int             `json:"slow_cuts"`      // requests whose cut is excused by slowness only
+	Violations    []Violation     `json:"violations"`
+	Command       string          `json:"command"` // repeats the run
 }
 
-// newResult counts what a history has, and checks it.
+// newResult counts the entries of a history, and checks it.
 func newResult(opts Options, schedule Schedule, h *History) *Result {
 	r := &Result{
 		Seed: opts.Seed, Processes: opts.shape().Processes(), Steps: map[Action]int{}, Faults: map[string]int{},
@@ -55,7 +55,7 @@
 	}
 	for i := range h.Changes {
 		if _, ok := h.Changes[i].acknowledgedAt(); ok {
-			r.Acked++
+			r.Acknowledged++
 		} else if h.Changes[i].isRejected() {
 			r.Rejected++
 		}
@@ -64,20 +64,21 @@
 		r.PeakMemory = max(r.PeakMemory, sample.ResidentBytes)
 	}
 	r.countApplications(&h.Applications)
-	r.Stood = newTimeline(h).stood
+	r.StoodStill = newTimeline(h).stoodStill
 	r.CallCuts = countCallCuts(h)
 	r.SlowCuts = countSlowCuts(h)
-	r.Samples = len(h.Delays)
+	r.DelaySamples = len(h.Delays)
 	for _, sample := range h.Delays {
 		if sample.Waited > h.Bounds.MaxRunDelay {
-			r.Slowed++
+			r.SlowedSamples++
 		}
 	}
 	return r
 }
 
-// countCallCuts counts the calls of applications that a coordinator cut more than lossSlackMs after they were sent, watches
-// aside, though it was not killed, frozen or slowed. The operators' page has LOST for requests; the calls are only counted.
+// countCallCuts counts the calls of applications, without watches, that a coordinator cut more than lossSlackMs after
+// they were sent, although it was not killed, frozen or slowed. They are only counted, because the operators'
+// documentation states the rule LOST for requests but not for these calls.
 func countCallCuts(h *History) (count int) {
 	t := newTimeline(h)
 	for _, cut := range h.Applications.Cuts {
@@ -91,7 +92,7 @@
 	return count
 }
 
-// countSlowCuts counts the requests whose cut slowness excuses.
+// countSlowCuts counts the requests whose cut is excused by slowness only.
 func countSlowCuts(h *History) (count int) {
 	t := newTimeline(h)
 	for i := range h.Requests {
@@ -103,9 +104,10 @@
 	return count
 }
 
-// countApplications counts the calls of applications that were answered with success.
+// countApplications counts the holds of locks and the successful calls of applications. A get of a missing key counts
+// too.
 func (r *Result) countApplications(h *ApplicationHistory) {
-	r.Locked = len(h.Holds)
+	r.LockHolds = len(h.Holds)
 	for _, call := range h.Numbers {
 		if call.Status == statusOK {
 			r.Numbers++
@@ -123,7 +125,7 @@
 	}
 	for _, call := range h.Watches {
 		if call.Status == statusOK {
-			r.Watched++
+			r.WatchAnswers++
 		}
 	}
 }
@@ -133,5 +135,5 @@
 	return fmt.Sprintf("seed %d: %d processes, faults %v, requests %v, %d served, changes %d (%d acknowledged, %d rejected), "+
 		"%d reads, %d probes, holds %d, numbers %d, puts %d, gets %d, watches %d, peak memory %d MiB, slowed in %d of %d samples, stood still for %v, %d cuts for slowness, "+
 		"%d calls cut, %d violations", r.Seed, r.Processes, r.Faults, r.Requests, r.Served, r.Changes,
-		r.Acked, r.Rejected, r.Reads, r.Probes, r.Locked, r.Numbers, r.Puts, r.Gets, r.Watched, r.PeakMemory>>20, r.Slowed, r.Samples, r.Stood.Round(time.Millisecond), r.SlowCuts, r.CallCuts, len(r.Violations))
+		r.Acknowledged, r.Rejected, r.Reads, r.Probes, r.LockHolds, r.Numbers, r.Puts, r.Gets, r.WatchAnswers, r.PeakMemory>>20, r.SlowedSamples, r.DelaySamples, r.StoodStill.Round(time.Millisecond), r.SlowCuts, r.CallCuts, len(r.Violations))
 }
--- a/internal/soak/result_test.go
+++ b/internal/soak/result_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Only a call that was read, of a process in order, counts as cut.
+// A call counts as cut only if it was open longer than LossSlack, is no watch, and its process was not killed.
 func TestCountCallCuts(t *testing.T) {
 	h := goodHistory()
 	h.fault("c2", FaultKill, 50*second)
@@ -19,7 +19,7 @@
 	assert.Equal(t, 1, countCallCuts(h))
 }
 
-// A result names the command that plays the run again, and counts what was seen.
+// A result has the command that repeats the run, and the counts of the history.
 func TestNewResult(t *testing.T) {
 	h := withApplications()
 	opts := Options{Programs: "target", Seed: 7, FaultPhase: 20 * second, Processes: 12, Applications: true}
@@ -28,9 +28,9 @@
 	assert.Equal(t, "pumicectl soak --programs target --first-seed 7 --seeds 1 --duration 20s --processes 12 --applications=true",
 		result.Command)
 	assert.Equal(t, 100, result.Served)
-	assert.Equal(t, 3, result.Acked)
-	assert.Equal(t, 2, result.Locked)
+	assert.Equal(t, 3, result.Acknowledged)
+	assert.Equal(t, 2, result.LockHolds)
 	assert.Equal(t, 3, result.Puts)
-	assert.Equal(t, 1, result.Watched)
+	assert.Equal(t, 1, result.WatchAnswers)
 	assert.Contains(t, result.String(), "seed 7: 12 processes")
 }
--- a/internal/soak/sampler.go
+++ b/internal/soak/sampler.go
@@ -9,28 +9,28 @@
 	"pumiceline/internal/faulttest"
 )
 
-// sampleInterval is that of the samples of every process.
+// sampleInterval is the time between two samples of a process.
 const sampleInterval = 500 * time.Millisecond
 
-// runnerNode stands for the process of the run itself, with its clients and fakes, among the nodes.
+// runnerNode is the node name of the runner process, which runs the clients and the fakes.
 const runnerNode = "runner"
 
-// sampler records the memory of the fleet's processes, and how long the machine held them up.
+// sampler records the memory of the fleet's processes, and the time that they waited for a processor.
 type sampler struct {
-	fleet    *fleet
-	recorder *recorder
-	delays   map[string]processDelay // by node, at the previous sample
-	previous Moment                  // when that was taken
+	fleet      *fleet
+	recorder   *recorder
+	delays     map[string]processDelay // values at the previous sample, by node
+	previousAt Moment                  // time of the previous sample
 }
 
-// processDelay is the run delay of one process of a node.
+// processDelay is the total time that one process of a node has waited for a processor.
 type processDelay struct {
 	process *faulttest.Process // nil: the runner
 	delay   time.Duration
 }
 
 func newSampler(f *fleet, r *recorder) *sampler {
-	return &sampler{fleet: f, recorder: r, delays: map[string]processDelay{}, previous: r.now()}
+	return &sampler{fleet: f, recorder: r, delays: map[string]processDelay{}, previousAt: r.now()}
 }
 
 // run samples until ctx ends.
@@ -60,7 +60,7 @@
 			s.recordDelay(n.Name, processDelay{process: process, delay: delay}, now)
 		}
 	}
-	s.previous = now
+	s.previousAt = now
 }
 
 // recordDelay records how long a process waited for a processor since the previous sample, or since its start.
@@ -70,6 +70,6 @@
 		waited -= before.delay
 	}
 	s.delays[node] = d
-	sample := DelaySample{Node: node, From: s.previous, To: now, Waited: waited}
+	sample := DelaySample{Node: node, From: s.previousAt, To: now, Waited: waited}
 	s.recorder.edit(func(h *History) { h.Delays = append(h.Delays, sample) })
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Action is what a step of a schedule does.
+// Action is the kind of a step of a schedule.
 type Action string
 
-// The actions of a schedule. Their order in seriesActions is part of what a seed means.
+// The actions of a schedule. A change of their order in seriesActions changes the schedule of every seed.
 const (
-	ActionTerminate Action = "terminate" // SIGTERM, SIGKILL after the grace time, a start after the end
-	ActionKill      Action = "kill"      // SIGKILL, and a start after it
+	ActionTerminate Action = "terminate" // SIGTERM, SIGKILL after the grace time, and a restart after the end
+	ActionKill      Action = "kill"      // SIGKILL, and a restart
 	ActionHangup    Action = "hangup"    // SIGHUP
 	ActionFreeze    Action = "freeze"    // SIGSTOP, and SIGCONT after a time
-	ActionPut       Action = "put"       // a whole configuration
-	ActionPatch     Action = "patch"     // a change of the configuration in force
+	ActionPut       Action = "put"       // a PUT of a complete configuration
+	ActionPatch     Action = "patch"     // a PATCH of the configuration in force
 	ActionInvalid   Action = "invalid"   // a configuration that must be rejected
 )
 
-// IsChange says whether the action is one of the operators, not of a process.
+// IsChange reports whether the action is a change of the configuration, not a fault of a process.
 func (a Action) IsChange() bool { return a == ActionPut || a == ActionPatch || a == ActionInvalid }
 
-// seriesActions are what series are drawn from. Each comes up once before any comes again.
+// seriesActions are the actions of successive series, in turn.
 var seriesActions = []Action{ActionTerminate, ActionPut, ActionHangup, ActionKill, ActionPatch, ActionFreeze}
 
 // Shape is the size of a run.
 type Shape struct {
 	Coordinators int
 	Proxies      int
-	FaultPhase   time.Duration // steps begin within it
+	FaultPhase   time.Duration // time within which steps begin
 }
 
-// NewShape divides processes between the roles: one in four is a coordinator, within the limits of a deployment.
+// NewShape divides processes between the roles: one in four is a coordinator, within the limits of a shape.
 func NewShape(processes int, faultPhase time.Duration) Shape {
 	coordinators := min(maxCoordinators, max(minCoordinators, processes/4))
 	return Shape{Coordinators: coordinators, Proxies: max(minProxies, processes-coordinators), FaultPhase: faultPhase}
@@ -50,34 +50,34 @@
 // Processes is the number of processes.
 func (s Shape) Processes() int { return s.Coordinators + s.Proxies }
 
-// Step is one action at one time.
+// Step is one action at a time of the schedule.
 type Step struct {
 	At          time.Duration // since the start of the fault phase
-	Series      int           // number of the series that it belongs to
+	Series      int           // number of the step's series
 	Action      Action
-	Node        int           // index of the process, coordinators first; of an action of the operators: 0
-	For         time.Duration // of a freeze: until the thaw; of an end: until the next start
-	Racing      bool          // of a change: it waits for no other change, so that two may build on one version
-	VersionStep uint64        // of a change: by which it raises the version
-	Resend      bool          // of a change: it is sent once more after its acknowledgement
+	Node        int           // index of the process, coordinators first; 0 for a change
+	For         time.Duration // freeze: time until the thaw; kill or terminate: time from the end to the restart
+	Racing      bool          // change: does not wait for other changes, so that two may build on the same version
+	VersionStep uint64        // change: increment of the version
+	Resend      bool          // change: sent once more after its acknowledgement
 }
 
-// Schedule is the steps of a run in the order of their times. The same seed and shape give the same schedule.
+// Schedule is the list of steps of a run, ordered by time. The same seed and shape give the same schedule.
 type Schedule []Step
 
 // Times and sizes of series.
 const (
-	timePerSeries   = 2 * time.Second // of the fault phase, on average
-	minSeriesLength = 2
-	maxSeriesLength = 6
-	minInterval     = 20 * time.Millisecond // between the steps of a series
-	maxInterval     = 1500 * time.Millisecond
-	minFreeze       = 100 * time.Millisecond
-	maxFreeze       = 4 * time.Second
-	maxRestartDelay = 1500 * time.Millisecond
-	maxVersionStep  = 4
-	startShare      = 80 // percent of the fault phase within which series start
-	processesPerHit = 12 // a series has one more step for as many processes
+	timePerSeries         = 2 * time.Second // of the fault phase, on average
+	minSeriesLength       = 2
+	maxSeriesLength       = 6
+	minInterval           = 20 * time.Millisecond // between the steps of a series
+	maxInterval           = 1500 * time.Millisecond
+	minFreeze             = 100 * time.Millisecond
+	maxFreeze             = 4 * time.Second
+	maxRestartDelay       = 1500 * time.Millisecond
+	maxVersionStep        = 4
+	startShare            = 80 // percent of the fault phase within which series start
+	processesPerExtraStep = 12 // a series has one more step per 12 processes
 )
 
 // DrawSchedule draws the schedule of a seed. Series start anywhere in the fault phase and overlap.
@@ -91,7 +91,7 @@
 	return d.steps
 }
 
-// drawer draws a schedule. The order of its draws is part of what a seed means.
+// drawer draws a schedule. A change of the order of its draws changes the schedule of every seed.
 type drawer struct {
 	random *rand.Rand
 	shape  Shape
@@ -101,10 +101,10 @@
 func (d *drawer) addSeries(series int, action Action) {
 	at := d.duration(0, d.shape.FaultPhase*startShare/100)
 	interval := d.duration(minInterval, maxInterval)
-	length := minSeriesLength + d.random.IntN(maxSeriesLength-minSeriesLength+1) + d.shape.Processes()/processesPerHit
+	length := minSeriesLength + d.random.IntN(maxSeriesLength-minSeriesLength+1) + d.shape.Processes()/processesPerExtraStep
 	first, count := d.target()
 	node := d.random.IntN(count)
-	isRolling := d.random.IntN(3) > 0 // else one node is hit again and again
+	isRolling := d.random.IntN(3) > 0 // otherwise all steps of the series are for the same node
 	isRacing := d.random.IntN(2) == 0
 	for i := range length {
 		step := Step{At: at + time.Duration(i)*interval, Series: series, Action: action}
@@ -123,7 +123,7 @@
 	}
 }
 
-// target draws the role that a series is for: the index of its first process, and how many there are.
+// target draws the role that a series is for. It returns the index of the first process of the role, and their number.
 func (d *drawer) target() (first, count int) {
 	if d.random.IntN(3) == 0 {
 		return 0, d.shape.Coordinators
@@ -140,7 +140,7 @@
 	}
 }
 
-// pause draws the duration of a freeze, or of the time between an end and the next start.
+// pause draws the duration of a freeze, or the time between an end and the restart.
 func (d *drawer) pause(action Action) time.Duration {
 	switch action {
 	case ActionFreeze:
--- a/internal/soak/schedule_test.go
+++ b/internal/soak/schedule_test.go
@@ -13,7 +13,8 @@
 	assert.NotEqual(t, DrawSchedule(7, shape), DrawSchedule(8, shape))
 }
 
-// Every seed has a series of each kind, in order of time, within the phase, and on processes that there are.
+// Every seed has steps of each action. They are ordered by time, begin within the fault phase, and are for existing
+// processes.
 func TestDrawSchedule_HasEachKind(t *testing.T) {
 	for _, shape := range []Shape{NewShape(6, 10*time.Second), NewShape(12, 30*time.Second), NewShape(200, time.Minute)} {
 		overlapping := 0
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,8 +1,10 @@
-// Package soak runs the whole system on loopback, with real processes of its programs and fakes of what surrounds it, under
-// series of signals, restarts and configuration changes that overlap. Clients go on using each open connection until the
-// process is gone. All that is seen on sockets is recorded in a history, and checkers judge that history by the rules.
+// Package soak runs the whole system on loopback, with real processes of its programs and with fake backends and a fake
+// platform, under overlapping series of signals, restarts and configuration changes. Clients use each open connection
+// until the proxy closes it or its process ends. A history records calls, responses, faults and samples, and checkers
+// apply the rules to that history.
 //
-// The schedule is a pure function of the seed. What real processes then do differs from run to run by milliseconds.
+// The schedule is a pure function of the seed and the shape. The timing of the real processes differs by milliseconds
+// from run to run.
 package soak
 
 import (
@@ -22,18 +24,18 @@
 // Options are the parameters of a run.
 type Options struct {
 	Programs   string        // folder of the system's programs
-	Seed       uint64        // of the schedule
-	FaultPhase time.Duration // in which steps begin
+	Seed       uint64        // seed of the schedule
+	FaultPhase time.Duration // time within which steps begin
 	Processes  int           // coordinators and proxies together
-	// Applications has applications call for locks, numbers, keys and watches.
+	// Applications enables callers of locks, numbers, keys and watches.
 	Applications bool
-	Progress     io.Writer // for a line about each phase; nil: discarded
-	HistoryDir   string    // folder that gets the history as SEED.json; empty: none is written
+	Progress     io.Writer // receives a line about each phase; nil: discarded
+	HistoryDir   string    // folder in which the history is written as SEED.json; empty: it is not written
 }
 
 func (o Options) shape() Shape { return NewShape(o.Processes, o.FaultPhase) }
 
-// command returns the command that plays the run again.
+// command returns the command that repeats the run.
 func (o Options) command() string {
 	return fmt.Sprintf("pumicectl soak --programs %s --first-seed %d --seeds 1 --duration %v --processes %d --applications=%t",
 		o.Programs, o.Seed, o.FaultPhase, o.Processes, o.Applications)
@@ -41,28 +43,29 @@
 
 // Times of a run's phases.
 const (
-	startTimeout    = 60 * time.Second // of the start, until all proxies are ready
+	startTimeout    = 60 * time.Second // all proxies must be ready within this time
 	readyPoll       = 50 * time.Millisecond
-	calmPhase       = 3 * time.Second // of load before the first fault
-	recoveredPhase  = 4 * time.Second // of load after the recovery
+	warmUpPhase     = 3 * time.Second // load before the first fault
+	recoveredPhase  = 4 * time.Second // load after the recovery
 	minFaultPhase   = 4 * time.Second
-	firstChangeStep = 1 // by which the first change raises the version
+	firstChangeStep = 1 // increment of the version by the first change
 )
 
-// run is one run.
+// run is the state of one run.
 type run struct {
-	opts         Options
-	recorder     *recorder
-	surroundings *surroundings
-	fleet        *fleet
-	operators    *operators
-	applications *applications
-	background   sync.WaitGroup // the load
-	calling      sync.WaitGroup // the applications
-	changes      sync.WaitGroup
+	opts             Options
+	recorder         *recorder
+	fakes            *fakeServices
+	fleet            *fleet
+	operators        *operators
+	applications     *applications
+	background       sync.WaitGroup // goroutines of the load
+	applicationCalls sync.WaitGroup // goroutines of the applications
+	changes          sync.WaitGroup
 }
 
-// Run plays a seed once. An error is one of the run itself; Result.Violations says what the system did wrong.
+// Run runs the system once under the schedule of a seed. It returns an error if the run itself fails; Result.Violations
+// lists the faults of the system.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	if opts.FaultPhase < minFaultPhase {
 		return nil, fmt.Errorf("the fault phase is %v; at least %v is wanted", opts.FaultPhase, minFaultPhase)
@@ -75,13 +78,13 @@
 		return nil, fmt.Errorf("create the run's folder: %w", err)
 	}
 	defer os.RemoveAll(dir)
-	surroundings, err := startSurroundings()
-	defer surroundings.close()
+	fakes, err := startFakeServices()
+	defer fakes.close()
 	if err != nil {
 		return nil, err
 	}
-	r := &run{opts: opts, recorder: newRecorder(StatedBounds()), surroundings: surroundings}
-	r.fleet = newFleet(opts.shape(), opts.Programs, dir, surroundings.platform.Address, r.recorder)
+	r := &run{opts: opts, recorder: newRecorder(StatedBounds()), fakes: fakes}
+	r.fleet = newFleet(opts.shape(), opts.Programs, dir, fakes.platform.Address, r.recorder)
 	defer r.fleet.close()
 	coordinators := r.fleet.ofRole(RoleCoordinator)
 	r.operators = newOperators(coordinators, r.recorder)
@@ -90,7 +93,7 @@
 	if err := r.play(ctx, schedule); err != nil {
 		return nil, err
 	}
-	r.recorder.history.Executions = surroundings.executions.All()
+	r.recorder.history.Executions = fakes.executions.All()
 	if opts.HistoryDir != "" {
 		if err := writeHistory(opts, &r.recorder.history); err != nil {
 			return nil, err
@@ -99,7 +102,7 @@
 	return newResult(opts, schedule, &r.recorder.history), nil
 }
 
-// writeHistory writes the history to a file, for whoever traces a violation.
+// writeHistory writes the history to a file, by which a violation can be traced.
 func writeHistory(opts Options, h *History) error {
 	text, err := json.Marshal(h)
 	if err != nil {
@@ -114,15 +117,15 @@
 
 const historyFileMode = 0o644
 
-// play goes through the phases of the run. All goroutines of the run but the watchers of processes have ended when it
-// returns.
+// play carries out the phases of the run. When it returns, all goroutines of the run have ended, except those of the
+// fleet if there was an error.
 func (r *run) play(ctx context.Context, schedule Schedule) error {
 	loadContext, endLoad := context.WithCancel(ctx)
 	changeContext, endChanges := context.WithCancel(ctx)
 	defer func() {
 		endChanges()
 		r.changes.Wait()
-		r.calling.Wait()
+		r.applicationCalls.Wait()
 		endLoad()
 		r.background.Wait()
 	}()
@@ -132,11 +135,11 @@
 	r.startLoad(loadContext)
 	if r.opts.Applications {
 		r.applications.start(func(application func(context.Context)) {
-			r.calling.Go(func() { application(changeContext) })
+			r.applicationCalls.Go(func() { application(changeContext) })
 		})
 	}
 	r.mark(func(h *History) { h.LoadFrom = r.recorder.now() })
-	if err := ctxtime.Sleep(ctx, calmPhase); err != nil {
+	if err := ctxtime.Sleep(ctx, warmUpPhase); err != nil {
 		return err
 	}
 	r.mark(func(h *History) { h.FaultsFrom = r.recorder.now() })
@@ -154,14 +157,14 @@
 	}
 	endChanges()
 	r.changes.Wait()
-	r.calling.Wait()
+	r.applicationCalls.Wait()
 	r.finish(ctx)
 	return nil
 }
 
-// finish reads back what was acknowledged and tells all processes to stop.
+// finish reads back acknowledged state and stops all processes.
 func (r *run) finish(ctx context.Context) {
-	r.operators.readFinally(ctx)
+	r.operators.readAtEnd(ctx)
 	if r.opts.Applications {
 		r.applications.finish(ctx)
 	}
@@ -201,7 +204,8 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// startLoad starts what goes on until ctx ends: clients, probes, reads of the configuration, and the sampling of memory.
+// startLoad starts the goroutines that run until ctx ends: clients, probes, reads of the configuration, and the
+// sampler.
 func (r *run) startLoad(ctx context.Context) {
 	proxies := r.fleet.ofRole(RoleProxy)
 	for _, client := range newClients(proxies, r.recorder) {
@@ -209,12 +213,12 @@
 	}
 	prober := newProber(proxies, r.recorder)
 	r.background.Go(func() { prober.run(ctx) })
-	r.background.Go(func() { r.operators.watch(ctx) })
+	r.background.Go(func() { r.operators.poll(ctx) })
 	sampler := newSampler(r.fleet, r.recorder)
 	r.background.Go(func() { sampler.run(ctx) })
 }
 
-// playSteps carries out the schedule. Changes go on by themselves until changeContext ends.
+// playSteps carries out the schedule. Each change runs in its own goroutine until it is settled or changeContext ends.
 func (r *run) playSteps(ctx, changeContext context.Context, schedule Schedule) error {
 	started := time.Now()
 	for _, step := range schedule {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The run of CI: one seed, whose verdict must be the same every time.
+// Parameters of the run in CI: one seed, which must break no rule in any run.
 const (
 	ciSeed       = 1
 	ciFaultPhase = 25 * time.Second
@@ -22,11 +22,11 @@
 type testWriter struct{ t *testing.T }
 
 func (w testWriter) Write(b []byte) (int, error) {
-	w.t.Log(string(b[:max(0, len(b)-1)])) // without the end of the line
+	w.t.Log(string(b[:max(0, len(b)-1)])) // without the trailing newline
 	return len(b), nil
 }
 
-// The whole system breaks no rule under one seed's faults. The programs are built from this module.
+// The whole system breaks no rule under the faults of one seed. The programs are built from this module.
 func TestRun_BreaksNoRule(t *testing.T) {
 	programs := t.TempDir()
 	build := exec.Command("go", "build", "-o", programs, "pumiceline/cmd/pumiceline-proxy", "pumiceline/cmd/pumiceline-coordinator")
@@ -40,11 +40,11 @@
 		t.Errorf("%v\n  plays again with: %s", violation, result.Command)
 	}
 	assert.NotZero(t, result.Served)
-	assert.NotZero(t, result.Acked)
-	assert.NotZero(t, result.Locked)
+	assert.NotZero(t, result.Acknowledged)
+	assert.NotZero(t, result.LockHolds)
 	assert.NotZero(t, result.Numbers)
 	assert.NotZero(t, result.Puts)
-	assert.NotZero(t, result.Watched)
+	assert.NotZero(t, result.WatchAnswers)
 	for _, kind := range []FaultKind{FaultTerminate, FaultHangup, FaultKill, FaultFreeze, FaultThaw} {
 		assert.NotZero(t, result.Faults[string(kind)], "no %s", kind)
 	}
--- a/internal/soak/surroundings.go
+++ b/internal/soak/surroundings.go
@@ -11,23 +11,23 @@
 const (
 	modelBackends    = 6
 	documentBackends = 4
-	modelCapacity    = 64 // requests at once
+	modelCapacity    = 64 // concurrent requests
 	documentCapacity = 64
 	documentWork     = 60 * time.Millisecond
 	modelLoad        = 400 * time.Millisecond
 	defaultEvents    = 8
 )
 
-// surroundings are the fakes that a run's processes work with.
-type surroundings struct {
+// fakeServices are the fake backends and the fake platform that the processes of a run use.
+type fakeServices struct {
 	executions *fakesystem.ExecutionCounter
 	platform   *fakesystem.Platform
 	backends   []*fakesystem.Backend
 }
 
-// startSurroundings starts backends and the platform. The caller closes them, also after an error.
-func startSurroundings() (*surroundings, error) {
-	s := &surroundings{executions: fakesystem.NewExecutionCounter(), platform: &fakesystem.Platform{}}
+// startFakeServices starts backends and the platform. The caller closes them, also after an error.
+func startFakeServices() (*fakeServices, error) {
+	s := &fakeServices{executions: fakesystem.NewExecutionCounter(), platform: &fakesystem.Platform{}}
 	resident := [][]string{{"small"}, {"small", "large"}, {"large"}}
 	for i := range modelBackends {
 		backend := &fakesystem.Backend{
@@ -50,7 +50,7 @@
 	return s, s.platform.Start(s.backends...)
 }
 
-func (s *surroundings) start(backend *fakesystem.Backend, models ...string) error {
+func (s *fakeServices) start(backend *fakesystem.Backend, models ...string) error {
 	if err := backend.Start(s.executions, models...); err != nil {
 		return err
 	}
@@ -58,7 +58,7 @@
 	return nil
 }
 
-func (s *surroundings) close() {
+func (s *fakeServices) close() {
 	if s.platform.Address != "" {
 		s.platform.Close()
 	}
--- a/internal/soak/timeline.go
+++ b/internal/soak/timeline.go
@@ -10,7 +10,7 @@
 	bounds       Bounds
 	byNode       map[string][]Fault // in the order of their times
 	slowed       map[string][]DelaySample
-	stood        time.Duration // for which the run itself stood still: between samples, beyond their interval
+	stoodStill   time.Duration // time for which the runner was stalled: the sum by which its samples exceeded sampleInterval
 	coordinators []string
 }
 
@@ -21,7 +21,7 @@
 	}
 	for _, sample := range h.Delays {
 		if sample.Node == runnerNode {
-			t.stood += max(0, sample.To-sample.From-sampleInterval)
+			t.stoodStill += max(0, sample.To-sample.From-sampleInterval)
 		}
 		if sample.Waited > h.Bounds.MaxRunDelay {
 			t.slowed[sample.Node] = append(t.slowed[sample.Node], sample)
@@ -35,17 +35,17 @@
 	return t
 }
 
-// withoutSlowness returns the same faults on a machine that held up no process.
+// withoutSlowness returns a copy that counts no process as slowed.
 func (t *timeline) withoutSlowness() *timeline {
-	calm := *t
-	calm.slowed = nil
-	return &calm
+	unslowed := *t
+	unslowed.slowed = nil
+	return &unslowed
 }
 
-// slowExtra is by how much bounds are extended where the machine held up processes.
-func (t *timeline) slowExtra() time.Duration { return t.bounds.SlowExtra + t.stood }
+// slowExtra is the extension of bounds for spans in which the machine held up processes.
+func (t *timeline) slowExtra() time.Duration { return t.bounds.SlowExtra + t.stoodStill }
 
-// isRunning says whether a process ran at a moment: started, not told to stop, not frozen and not ended.
+// isRunning reports whether a process ran at a moment: started, and not terminated, frozen or ended since.
 func (t *timeline) isRunning(node string, at Moment) bool {
 	isStarted, isFrozen := false, false
 	for _, fault := range t.byNode[node] {
@@ -66,13 +66,13 @@
 	return isStarted && !isFrozen
 }
 
-// has says whether a fault of one of the kinds befell a process in a span.
+// has reports whether a process had a fault of one of the kinds in a span.
 func (t *timeline) has(node string, from, to Moment, kinds ...FaultKind) bool {
 	_, ok := t.first(node, from, to, kinds...)
 	return ok
 }
 
-// first returns the first fault of one of the kinds that befell a process in a span.
+// first returns the first fault of one of the kinds that a process had in a span.
 func (t *timeline) first(node string, from, to Moment, kinds ...FaultKind) (Fault, bool) {
 	for _, fault := range t.byNode[node] {
 		for _, kind := range kinds {
@@ -84,18 +84,19 @@
 	return Fault{}, false
 }
 
-// disturbing are the kinds of faults after which a process is not in touch. SIGHUP is none.
-var disturbing = []FaultKind{
+// disturbingKinds are the kinds of faults after which a process is not in touch. SIGHUP is not one of them.
+var disturbingKinds = []FaultKind{
 	FaultStart, FaultTerminate, FaultKill, FaultGraceKill, FaultFreeze, FaultThaw, FaultEnd,
 }
 
-// isCalm says whether a process ran without a fault and was not slowed from a quiet time before a span until its end.
-func (t *timeline) isCalm(node string, from, to Moment) bool {
-	return t.isRunning(node, from) && !t.has(node, from-t.bounds.Quiet, to, disturbing...) &&
+// isUndisturbed reports whether a process ran without a disturbing fault and was not slowed, from the time Quiet before
+// a span until the end of the span.
+func (t *timeline) isUndisturbed(node string, from, to Moment) bool {
+	return t.isRunning(node, from) && !t.has(node, from-t.bounds.Quiet, to, disturbingKinds...) &&
 		!t.isSlowed(node, from-t.bounds.Quiet, to)
 }
 
-// isSlowed says whether the machine held up a process, or the runner with its clients and backends, in a span.
+// isSlowed reports whether the machine held up a process in a span, or the runner, which runs the clients and backends.
 func (t *timeline) isSlowed(node string, from, to Moment) bool {
 	for _, name := range []string{node, runnerNode} {
 		for _, sample := range t.slowed[name] {
@@ -107,7 +108,7 @@
 	return false
 }
 
-// isFrozenWithin says whether a process was frozen at some moment of a span.
+// isFrozenWithin reports whether a process was frozen at some moment of a span.
 func (t *timeline) isFrozenWithin(node string, from, to Moment) bool {
 	isFrozen := false
 	for _, fault := range t.byNode[node] {
@@ -127,18 +128,18 @@
 	return isFrozen
 }
 
-// isCoreStable says whether no fault befell a coordinator and none was slowed from a quiet time before a span until its end,
-// and more than half of them ran.
+// isCoreStable reports whether no coordinator had a disturbing fault or was slowed, from the time Quiet before a span
+// until the end of the span, and more than half of them ran.
 func (t *timeline) isCoreStable(from, to Moment) bool {
 	for _, node := range t.coordinators {
-		if t.has(node, from-t.bounds.Quiet, to, disturbing...) || t.isSlowed(node, from-t.bounds.Quiet, to) {
+		if t.has(node, from-t.bounds.Quiet, to, disturbingKinds...) || t.isSlowed(node, from-t.bounds.Quiet, to) {
 			return false
 		}
 	}
 	return t.hasMajority(from)
 }
 
-// hasMajority says whether more than half of the coordinators ran at a moment.
+// hasMajority reports whether more than half of the coordinators ran at a moment.
 func (t *timeline) hasMajority(at Moment) bool {
 	running := 0
 	for _, node := range t.coordinators {
@@ -149,7 +150,7 @@
 	return 2*running > len(t.coordinators)
 }
 
-// hadMajority says whether more than half of the coordinators ran throughout a span, and none was slowed.
+// hadMajority reports whether more than half of the coordinators ran throughout a span, and none was slowed.
 func (t *timeline) hadMajority(from, to Moment) bool {
 	if t.isCoreSlowed(from, to) {
 		return false
@@ -167,12 +168,13 @@
 	return true
 }
 
-// isCoreSlowed says whether the machine held up some coordinator in a span.
+// isCoreSlowed reports whether the machine held up a coordinator in a span.
 func (t *timeline) isCoreSlowed(from, to Moment) bool {
 	return slices.ContainsFunc(t.coordinators, func(node string) bool { return t.isSlowed(node, from, to) })
 }
 
-// startBefore returns when the process that ran at a moment was started. It tells the incarnations of a node apart.
+// startBefore returns the time of a node's last start up to a moment; -1: none. It identifies the incarnation of the
+// process.
 func (t *timeline) startBefore(node string, at Moment) Moment {
 	started := Moment(-1)
 	for _, fault := range t.byNode[node] {
