--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -58,7 +58,7 @@
 // Check returns the violations in a history, in the order of their times.
 func Check(h *History) []Violation {
 	slices.SortStableFunc(h.Faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
-	h.Changes = slices.DeleteFunc(h.Changes, func(c Change) bool { return len(c.Attempts) == 0 }) // drops changes that were never sent
+	h.Changes = slices.DeleteFunc(h.Changes, func(c Change) bool { return len(c.Attempts) == 0 }) // drops unsent changes
 	t := newTimeline(h)
 	var found violations
 	for _, check := range checkers {
--- a/internal/soak/check_requests.go
+++ b/internal/soak/check_requests.go
@@ -13,7 +13,7 @@
 // within this time before the client's deadline counts as one that reached the deadline.
 const deadlineMargin = clientTimeout / 100
 
-// Limit on 4xx responses of proxies in touch (DENIED): allowedDenials plus one per requestsPerDenial requests.
+// Limit on 3xx and 4xx responses of proxies in touch (DENIED): allowedDenials plus one per requestsPerDenial requests.
 const (
 	allowedDenials    = 5
 	requestsPerDenial = 500
@@ -63,7 +63,7 @@
 		return true
 	}
 	if !wasPassedOn(h, request) && request.EndedAt-request.SentAt <= t.bounds.LossSlack {
-		return true // the proxy had not read it
+		return true // it counts as not read by the proxy
 	}
 	return wasExecutingLate(h, t, request) || mayBeCutBySlowness(h, t, request)
 }
@@ -110,7 +110,7 @@
 }
 
 // checkExecutions checks that a request other than a read-only one ran at most once and did not run if it was rejected,
-// and that backends ran only requests that clients sent.
+// and that backends ran only requests that clients or the prober sent.
 func checkExecutions(h *History, _ *timeline) violations {
 	var found violations
 	sent := map[string]bool{}
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -14,7 +14,7 @@
 	minClients         = 48  // total over all proxies
 	minClientsPerProxy = 2
 	redialInterval     = 100 * time.Millisecond
-	honorsClosePeriod  = 2 // every second client of a proxy honors "Connection: close"; the others keep using the connection
+	honorsClosePeriod  = 2 // every second client honors "Connection: close"; the others keep using the connection
 	backToBackPeriod   = 5 // one request in 5 is sent without a pause after the previous response
 )
 
--- a/internal/soak/fleet_test.go
+++ b/internal/soak/fleet_test.go
@@ -91,7 +91,7 @@
 	f.apply(Step{Action: ActionFreeze, Node: 3, For: 10 * time.Millisecond})
 	awaitFault(t, r, "proxy-0", FaultThaw)
 	assert.Equal(t, []FaultKind{FaultStart, FaultFreeze, FaultThaw}, faultsOf(r, "proxy-0"))
-	require.NoError(t, f.nodes[1].process.Stop()) // the fleet did not send this signal, so the process counts as ended by itself
+	require.NoError(t, f.nodes[1].process.Stop()) // not sent by the fleet, so it counts as an end by itself
 	awaitFault(t, r, "coordinator-1", FaultEnd)
 	found := endsOf(r)
 	require.Len(t, found, 1)
--- a/internal/soak/prober.go
+++ b/internal/soak/prober.go
@@ -37,7 +37,7 @@
 
 // run probes the proxies in turn until ctx ends, and waits for the last probe.
 func (p *prober) run(ctx context.Context) {
-	slots := make(chan struct{}, len(p.proxies)) // probes run concurrently, so that a frozen proxy does not delay the others
+	slots := make(chan struct{}, len(p.proxies)) // concurrent, so that a frozen proxy does not delay others
 	for number := 0; ctxtime.Sleep(ctx, probeInterval) == nil; number++ {
 		marker := p.marker(number / len(p.proxies))
 		if marker == "" {
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -26,7 +26,7 @@
 	Gets          int             `json:"gets"`
 	WatchAnswers  int             `json:"watch_answers"`
 	DelaySamples  int             `json:"delay_samples"`
-	SlowedSamples int             `json:"slowed_samples"` // delay samples in which the process waited longer than MaxRunDelay
+	SlowedSamples int             `json:"slowed_samples"` // samples with a wait above MaxRunDelay
 	StoodStill    time.Duration   `json:"stood_still"`    // time for which the runner process was stalled
 	CallCuts      int             `json:"call_cuts"`      // see countCallCuts
 	SlowCuts      int             `json:"slow_cuts"`      // requests whose cut is excused by slowness only
--- a/internal/soak/timeline.go
+++ b/internal/soak/timeline.go
@@ -10,7 +10,7 @@
 	bounds       Bounds
 	byNode       map[string][]Fault // in the order of their times
 	slowed       map[string][]DelaySample
-	stoodStill   time.Duration // time for which the runner was stalled: the sum by which its samples exceeded sampleInterval
+	stoodStill   time.Duration // stall of the runner: sum of the excess of its samples over sampleInterval
 	coordinators []string
 }
 
@@ -42,10 +42,11 @@
 	return &unslowed
 }
 
-// slowExtra is the extension of bounds for spans in which the machine held up processes.
+// slowExtra is the extension of bounds for spans in which the machine held up processes: SlowExtra plus the stall of
+// the runner.
 func (t *timeline) slowExtra() time.Duration { return t.bounds.SlowExtra + t.stoodStill }
 
-// isRunning reports whether a process ran at a moment: started, and not terminated, frozen or ended since.
+// isRunning reports whether a process ran at a moment: started, not terminated or ended since, and not frozen.
 func (t *timeline) isRunning(node string, at Moment) bool {
 	isStarted, isFrozen := false, false
 	for _, fault := range t.byNode[node] {
